--- /dev/null
+++ b/internal/cluster/compat_test.go
@@ -0,0 +1,75 @@
+package cluster
+
+import (
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+
+	"github.com/prometheus/client_golang/prometheus"
+
+	"lynxspool/internal/cluster/lease"
+	"lynxspool/internal/cluster/member"
+	"lynxspool/internal/testkit/compat"
+)
+
+// What operators' tools read at /admin/fleet.
+func TestCompatStatus(t *testing.T) {
+	compat.JSON(t, "status.json", &Status{})
+}
+
+// The names of all metrics, of a mesh, a relay and a gateway.
+func TestCompatMetrics(t *testing.T) {
+	relays := relaysOf(t, 2)
+	names := map[string]bool{}
+	for _, p := range []*part{join(t, "r1", relays, nil), join(t, "g1", relays, nil)} {
+		r := prometheus.NewRegistry()
+		p.Metrics(r)
+		families, err := r.Gather()
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, f := range families {
+			names[f.GetName()+" "+f.GetType().String()] = true
+		}
+	}
+	var list []any
+	for name := range names {
+		list = append(list, name)
+	}
+	slices.SortFunc(list, func(a, b any) int {
+		if a.(string) < b.(string) {
+			return -1
+		}
+		return 1
+	})
+	compat.Values(t, "metrics.txt", list...)
+}
+
+// The operators' words that an earlier build kept are read at a start, and kept in the same form.
+func TestCompatWords(t *testing.T) {
+	dir := t.TempDir()
+	f, err := New(Config{ID: "f", Name: "g1", Listen: "127.0.0.1:0", DataDir: dir, Key: []byte(testKey), First: []string{"g1"}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer f.dir.Close()
+	defer f.ln.Close()
+	words := member.Words{Birth: 5, Mod: 6, List: []lease.Word{
+		{Pool: "web", Host: "w1", Reason: "disk", By: "g2", Left: 3600e9, Since: 4}, {Pool: "web", Host: "w2", By: "g1", Since: 6},
+	}}
+	if err := f.writeWords(&words); err != nil {
+		t.Fatal(err)
+	}
+	b, err := os.ReadFile(filepath.Join(dir, "words.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	compat.Bytes(t, "words.json", b)
+	if err := os.WriteFile(filepath.Join(dir, "words.json"), compat.Read(t, "words.json"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if got := f.readWords(); got.Birth != 5 || got.Mod != 6 || !slices.Equal(got.List, words.List) {
+		t.Errorf("read back: %+v", got)
+	}
+}
--- /dev/null
+++ b/internal/cluster/peer/compat_test.go
@@ -0,0 +1,44 @@
+package peer
+
+import (
+	"bufio"
+	"bytes"
+	"testing"
+
+	"lynxspool/internal/cluster/member"
+	"lynxspool/internal/cluster/relay"
+	"lynxspool/internal/testkit/compat"
+)
+
+// Frames of each kind, one behind the other.
+func TestCompatFrames(t *testing.T) {
+	kinds := []byte{
+		kindIdle, byte(member.KindRaft), byte(member.KindTalk), byte(relay.KindRecord), byte(relay.KindJoin), byte(relay.KindAnswer),
+		byte(relay.KindBeat), byte(relay.KindRoutes), kindHead, kindPiece,
+	}
+	var b []byte
+	for i, k := range kinds {
+		b = AppendFrame(b, k, bytes.Repeat([]byte{byte(i)}, i))
+	}
+	compat.Bytes(t, "frames.bin", b)
+	in := bufio.NewReader(bytes.NewReader(compat.Read(t, "frames.bin")))
+	for i, k := range kinds {
+		kind, body, err := ReadFrame(in)
+		if err != nil || kind != k || len(body) != i {
+			t.Errorf("frame %d: kind %d, %d bytes, %v", i, kind, len(body), err)
+		}
+	}
+}
+
+// What a handshake is made of.
+func TestCompatHandshake(t *testing.T) {
+	key, d, a := []byte("a key of 32 bytes for this test."), bytes.Repeat([]byte{1}, nonceBytes), bytes.Repeat([]byte{2}, nonceBytes)
+	var b []byte
+	for _, who := range []byte("ADB") {
+		b = append(b, sign(key, who, d, a, []byte("text"))...)
+	}
+	compat.Bytes(t, "macs.bin", appendShort(b, []byte("text")))
+	compat.Values(t, "handshake.txt", magic, version, nonceBytes, macBytes, purposeFrames, purposeSnapshot, purposeStream)
+	compat.JSON(t, "word.json", &word{})
+	compat.JSON(t, "about.json", &about{})
+}
--- /dev/null
+++ b/internal/cluster/relay/compat_test.go
@@ -0,0 +1,50 @@
+package relay
+
+import (
+	"reflect"
+	"testing"
+
+	"lynxspool/internal/cluster/member"
+	"lynxspool/internal/testkit/compat"
+)
+
+// Relays and gateways of two builds understand one another.
+func TestCompatFormats(t *testing.T) {
+	compat.JSON(t, "join.json", &Join{})
+	compat.JSON(t, "answer.json", &Answer{})
+	compat.JSON(t, "routes.json", &routes{})
+	compat.Values(t, "kinds.txt", KindIdle, KindRecord, KindJoin, KindAnswer, KindBeat, KindRoutes, All)
+}
+
+func TestCompatRecords(t *testing.T) {
+	want := []Record{
+		{To: "g1", Kind: member.KindTalk, Body: []byte("from a gateway")},
+		{To: All, From: "g2", Replica: 1 << 40, Epoch: 3<<32 | 1, Seq: 300, Kind: member.KindTalk, Body: []byte("for all")},
+		{From: "r1", Replica: 5, Epoch: 6, Seq: 7, Kind: member.KindTalk},
+	}
+	var b []byte
+	for i := range want {
+		b = AppendRecord(b, &want[i])
+	}
+	compat.Bytes(t, "records.bin", b)
+	var got []Record
+	if bad := ReadRecords(compat.Read(t, "records.bin"), func(r *Record) { got = append(got, *r) }); bad != 0 {
+		t.Errorf("%d records can't be read", bad)
+	}
+	want[2].Body = []byte{}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("read back: %+v", got)
+	}
+}
+
+// Gateways and relays of two builds draw the same order, and read one another's heartbeats.
+func TestCompatOrder(t *testing.T) {
+	f := newFleet([]Relay{{"r2", "z2", "north"}, {"r1", "z1", "north"}, {"r3", "z3", "south"}, {"r4", "z1", "north"}})
+	compat.Values(t, "order.txt", f.order("g1", "z1", "north"), f.order("g2", "z1", "north"), f.order("g3", "z3", "south"))
+	compat.Bytes(t, "beat.bin", f.beat(func(r *Relay) bool { return r.Zone != "z1" }))
+	for i, want := range []bool{false, true, true, false} {
+		if got := f.room(compat.Read(t, "beat.bin"), i); got != want {
+			t.Errorf("relay %d has room: %v", i, got)
+		}
+	}
+}
--- /dev/null
+++ b/internal/gateway/compat_test.go
@@ -0,0 +1,23 @@
+package gateway
+
+import (
+	"testing"
+
+	"lynxspool/internal/body"
+	"lynxspool/internal/front"
+	"lynxspool/internal/testkit/compat"
+)
+
+// What operators' tools read at /admin/status.
+func TestCompatStatus(t *testing.T) {
+	compat.JSON(t, "status.json", &Status{})
+	var causes, refusals []any
+	for _, c := range body.Causes() {
+		causes = append(causes, c)
+	}
+	for _, r := range front.Refusals() {
+		refusals = append(refusals, r)
+	}
+	compat.Values(t, "body-causes.txt", causes...)
+	compat.Values(t, "refusals.txt", refusals...)
+}
--- /dev/null
+++ b/internal/scenario/compat_test.go
@@ -0,0 +1,12 @@
+package scenario
+
+import (
+	"testing"
+
+	"lynxspool/internal/testkit/compat"
+)
+
+// Every key that a scenario may have.
+func TestCompatKeys(t *testing.T) {
+	compat.Keys(t, "scenario-keys.txt", "toml", &file{})
+}
