--- a/api.go
+++ b/balancer/api.go
@@ -1,4 +1,4 @@
-// Package lynxspool makes the decisions of an HTTP load balancer that runs as
+// Package balancer makes the decisions of an HTTP load balancer that runs as
 // a bank of proxies, one or a thousand: where each request goes, when it is tried
 // again, when it is turned away.
 //
@@ -21,7 +21,7 @@
 //
 // This file is the interface of a gateway; every decision is in balancer.go. For those who
 // look on there are [Balancer.Views], and [Balancer.Checkpoint] with [Restore].
-package lynxspool
+package balancer
 
 import (
 	"strconv"
--- a/balancer.go
+++ b/balancer/balancer.go
@@ -1,4 +1,4 @@
-package lynxspool
+package balancer
 
 // Every decision of the balancer. The types it speaks in are in api.go.
 //
--- a/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -1,4 +1,4 @@
-package lynxspool
+package balancer
 
 import (
 	"bytes"
@@ -1679,7 +1679,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	page, err := os.ReadFile("docs/on-call.md")
+	page, err := os.ReadFile("../docs/on-call.md")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/compat_test.go
+++ b/balancer/compat_test.go
@@ -1,10 +1,10 @@
-package lynxspool
+package balancer
 
 import (
 	"bytes"
 	"testing"
 
-	"lynxspool/internal/testkit/compat"
+	"dunemoor/internal/testkit/compat"
 )
 
 // Recordings hold checkpoints, which later builds restore: the bytes after a fixed history are
--- a/example_test.go
+++ b/balancer/example_test.go
@@ -1,44 +1,44 @@
-package lynxspool_test
+package balancer_test
 
 import (
 	"fmt"
 	"time"
 
-	"lynxspool"
+	"dunemoor/balancer"
 )
 
 // A gateway's event loop: report each event with the time, then carry out the
 // actions. Here the network and the clock are scripted; a real gateway sends
 // the request on Send and reports the answer with Outcome when it arrives.
 func Example() {
-	settings := lynxspool.Settings{
+	settings := balancer.Settings{
 		Instances: 1,
 		Cancel:    true,
-		Classes:   []lynxspool.Class{{Aim: 300 * time.Millisecond, Deadline: time.Second}},
+		Classes:   []balancer.Class{{Aim: 300 * time.Millisecond, Deadline: time.Second}},
 	}
-	b, err := lynxspool.New(settings, 42)
+	b, err := balancer.New(settings, 42)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
 
-	timers := map[uint64]lynxspool.Time{} // a real gateway keeps a timer queue
-	var actions []lynxspool.Action        // ours; reused for every event
+	timers := map[uint64]balancer.Time{} // a real gateway keeps a timer queue
+	var actions []balancer.Action        // ours; reused for every event
 	carryOut := func() {
 		actions = b.Drain(actions[:0])
 		for _, a := range actions {
 			switch a.Kind {
-			case lynxspool.Send:
+			case balancer.Send:
 				fmt.Printf("send request %d to host %d\n", a.Request, a.Host)
-			case lynxspool.Cancel:
+			case balancer.Cancel:
 				fmt.Printf("cancel attempt %d of request %d\n", a.Attempt, a.Request)
-			case lynxspool.Refuse:
+			case balancer.Refuse:
 				fmt.Printf("answer request %d: busy\n", a.Request)
-			case lynxspool.Fail:
+			case balancer.Fail:
 				fmt.Printf("answer request %d: error\n", a.Request)
-			case lynxspool.Wake:
+			case balancer.Wake:
 				timers[a.Token] = a.At
-			case lynxspool.Log:
+			case balancer.Log:
 				fmt.Println("log:", a.Text)
 			}
 		}
@@ -47,21 +47,21 @@
 	now := time.Minute
 	b.Start(now)
 	// After a restart the list saved on disk comes first; it may be stale.
-	b.Hosts(now, lynxspool.ListSaved, []lynxspool.Host{{ID: 7}})
-	b.Request(now, lynxspool.Request{ID: 1, Left: time.Second})
+	b.Hosts(now, balancer.ListSaved, []balancer.Host{{ID: 7}})
+	b.Request(now, balancer.Request{ID: 1, Left: time.Second})
 	carryOut()
 
 	// The host refuses connections; nothing ran, so another host gets it.
 	now += 5 * time.Millisecond
-	b.Hosts(now, lynxspool.ListChanges, []lynxspool.Host{{ID: 8}})
-	b.Outcome(now, lynxspool.Outcome{Request: 1, Attempt: 0,
-		Result: lynxspool.ConnectFailed, Elapsed: 5 * time.Millisecond})
+	b.Hosts(now, balancer.ListChanges, []balancer.Host{{ID: 8}})
+	b.Outcome(now, balancer.Outcome{Request: 1, Attempt: 0,
+		Result: balancer.ConnectFailed, Elapsed: 5 * time.Millisecond})
 	carryOut()
 
 	// The answer went to the client.
 	now += 40 * time.Millisecond
-	b.Outcome(now, lynxspool.Outcome{Request: 1, Attempt: 1,
-		Result: lynxspool.OK, Elapsed: 40 * time.Millisecond, Closed: true})
+	b.Outcome(now, balancer.Outcome{Request: 1, Attempt: 1,
+		Result: balancer.OK, Elapsed: 40 * time.Millisecond, Closed: true})
 	carryOut()
 
 	// Timers ring even when no longer wanted; the balancer ignores those.
--- a/settings.go
+++ b/balancer/settings.go
@@ -1,4 +1,4 @@
-package lynxspool
+package balancer
 
 import (
 	"errors"
--- a/view.go
+++ b/balancer/view.go
@@ -1,4 +1,4 @@
-package lynxspool
+package balancer
 
 // HostView is what a Balancer holds of one host at an instant, for whoever looks on.
 type HostView struct {
--- a/cmd/dunemoor/appliance_test.go
+++ b/cmd/dunemoor/appliance_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"lynxspool/internal/standin"
+	"dunemoor/internal/standin"
 )
 
 // box is an appliance's file for a fleet, with or without a second pool for a path of its own.
--- a/cmd/dunemoor/fleet_test.go
+++ b/cmd/dunemoor/fleet_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"lynxspool/internal/standin"
+	"dunemoor/internal/standin"
 )
 
 // A fleet in which nodes crash, hang, reset, turn away, drain and come back cold, under a
--- a/cmd/dunemoor/main.go
+++ b/cmd/dunemoor/main.go
@@ -18,11 +18,11 @@
 	"syscall"
 	"time"
 
-	"lynxspool/internal/admin"
-	"lynxspool/internal/config"
-	"lynxspool/internal/engine"
-	"lynxspool/internal/fleet"
-	"lynxspool/internal/gateway"
+	"dunemoor/internal/admin"
+	"dunemoor/internal/config"
+	"dunemoor/internal/engine"
+	"dunemoor/internal/fleet"
+	"dunemoor/internal/gateway"
 )
 
 // memoryShare is the part of the memory limit at which the collector works harder;
--- a/cmd/dunemoor/main_test.go
+++ b/cmd/dunemoor/main_test.go
@@ -20,7 +20,7 @@
 	"testing"
 	"time"
 
-	"lynxspool/internal/flight"
+	"dunemoor/internal/flight"
 )
 
 const patience = 30 * time.Second // for a condition: long, as machines are noisy
--- a/cmd/dunemoor/relay.go
+++ b/cmd/dunemoor/relay.go
@@ -8,9 +8,9 @@
 	"reflect"
 	"strings"
 
-	"lynxspool/internal/admin"
-	"lynxspool/internal/config"
-	"lynxspool/internal/fleet"
+	"dunemoor/internal/admin"
+	"dunemoor/internal/config"
+	"dunemoor/internal/fleet"
 )
 
 // relayTarget is a relay that serves no requests, as operators' calls see it.
--- a/cmd/dunemoorctl/appliance.go
+++ b/cmd/dunemoorctl/appliance.go
@@ -10,8 +10,8 @@
 
 	"github.com/spf13/cobra"
 
-	"lynxspool/internal/config"
-	"lynxspool/internal/route"
+	"dunemoor/internal/config"
+	"dunemoor/internal/route"
 )
 
 func checkCommand() *cobra.Command {
--- a/cmd/dunemoorctl/fleet.go
+++ b/cmd/dunemoorctl/fleet.go
@@ -16,9 +16,9 @@
 
 	"github.com/spf13/cobra"
 
-	"lynxspool/internal/cluster"
-	"lynxspool/internal/cluster/member"
-	"lynxspool/internal/fleet"
+	"dunemoor/internal/cluster"
+	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/fleet"
 )
 
 // Exit codes of the fleet's commands, beside 1 for what could not be asked at all.
--- a/cmd/dunemoorctl/flight.go
+++ b/cmd/dunemoorctl/flight.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"lynxspool/internal/flight"
+	"dunemoor/internal/flight"
 )
 
 func flightCommand() *cobra.Command {
--- a/cmd/dunemoorctl/main_test.go
+++ b/cmd/dunemoorctl/main_test.go
@@ -8,32 +8,32 @@
 	"testing"
 	"time"
 
-	"lynxspool"
-	"lynxspool/internal/flight"
+	"dunemoor/balancer"
+	"dunemoor/internal/flight"
 )
 
 // recorded writes a small recording: two hosts, requests served in turn, under the seed.
 func recorded(t *testing.T, seed, claimed uint64) string {
 	t.Helper()
-	set := lynxspool.Settings{Instances: 1, Classes: []lynxspool.Class{{Aim: time.Second, Deadline: 2 * time.Second}}}
-	bal, err := lynxspool.New(set, seed)
+	set := balancer.Settings{Instances: 1, Classes: []balancer.Class{{Aim: time.Second, Deadline: 2 * time.Second}}}
+	bal, err := balancer.New(set, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	now := lynxspool.Time(time.Hour)
+	now := balancer.Time(time.Hour)
 	rec, err := flight.New(bal, flight.Start{Name: "n7", Seed: claimed, At: now, Settings: set, Classes: []string{"look"}}, 1, flight.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	rec.Name(now, 1, "s-one")
 	rec.Start(now)
-	rec.Hosts(now, lynxspool.ListSaved, []lynxspool.Host{{ID: 1}, {ID: 2}, {ID: 3}})
+	rec.Hosts(now, balancer.ListSaved, []balancer.Host{{ID: 1}, {ID: 2}, {ID: 3}})
 	rec.Drain(nil)
-	for i := range lynxspool.RequestID(60) {
-		rec.Request(now, lynxspool.Request{ID: i + 1, Left: 2 * time.Second})
+	for i := range balancer.RequestID(60) {
+		rec.Request(now, balancer.Request{ID: i + 1, Left: 2 * time.Second})
 		rec.Drain(nil)
 		now += 5 * time.Millisecond
-		rec.Outcome(now, lynxspool.Outcome{Request: i + 1, Elapsed: 5 * time.Millisecond, Closed: true})
+		rec.Outcome(now, balancer.Outcome{Request: i + 1, Elapsed: 5 * time.Millisecond, Closed: true})
 		rec.Drain(nil)
 	}
 	path := filepath.Join(t.TempDir(), "x.dmf")
--- a/cmd/lab/fleet.go
+++ b/cmd/lab/fleet.go
@@ -18,8 +18,8 @@
 
 	"github.com/spf13/cobra"
 
-	"lynxspool/internal/cluster/sim"
-	"lynxspool/internal/nemesis"
+	"dunemoor/internal/cluster/sim"
+	"dunemoor/internal/nemesis"
 )
 
 // fleetCommand plays fleets of gateways under faults: in virtual time, or as processes.
--- a/cmd/lab/guards.go
+++ b/cmd/lab/guards.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"lynxspool/internal/nemesis"
+	"dunemoor/internal/nemesis"
 )
 
 // fleetGuards takes guards out one at a time, in a build that can, and says what processes show of it.
--- a/cmd/lab/hands.go
+++ b/cmd/lab/hands.go
@@ -13,7 +13,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/spf13/cobra"
 
-	"lynxspool/internal/nemesis"
+	"dunemoor/internal/nemesis"
 )
 
 // hands is how long a duty was without an owner, by cause, over several fleets.
--- a/cmd/lab/hunt.go
+++ b/cmd/lab/hunt.go
@@ -15,9 +15,9 @@
 
 	"github.com/spf13/cobra"
 
-	"lynxspool/internal/hunt"
-	"lynxspool/internal/model"
-	"lynxspool/internal/scenario"
+	"dunemoor/internal/hunt"
+	"dunemoor/internal/model"
+	"dunemoor/internal/scenario"
 )
 
 const (
--- a/cmd/lab/report.go
+++ b/cmd/lab/report.go
@@ -10,7 +10,7 @@
 
 	"github.com/spf13/cobra"
 
-	"lynxspool"
+	"dunemoor/balancer"
 )
 
 // Size of a picture.
@@ -100,7 +100,7 @@
 		names, took = append(names, k.Name), append(took, line)
 		for cause, n := range k.Why {
 			if n > 0 {
-				s.Why = append(s.Why, whyLine{k.Name, lynxspool.Cause(cause).String(), n})
+				s.Why = append(s.Why, whyLine{k.Name, balancer.Cause(cause).String(), n})
 			}
 		}
 	}
--- a/cmd/lab/run.go
+++ b/cmd/lab/run.go
@@ -13,8 +13,8 @@
 
 	"github.com/spf13/cobra"
 
-	"lynxspool/internal/model"
-	"lynxspool/internal/scenario"
+	"dunemoor/internal/model"
+	"dunemoor/internal/scenario"
 )
 
 // played is one run of a scenario.
--- a/cmd/lab/scale.go
+++ b/cmd/lab/scale.go
@@ -16,7 +16,7 @@
 
 	"github.com/spf13/cobra"
 
-	"lynxspool/internal/scale"
+	"dunemoor/internal/scale"
 )
 
 // scalePart measures one thing at several sizes. Files of this package register theirs by
@@ -68,7 +68,7 @@
 			return
 		}
 		e.bin = filepath.Join(e.Dir, "dunemoor")
-		if said, err := exec.CommandContext(ctx, "go", "build", "-o", e.bin, "lynxspool/cmd/dunemoor").CombinedOutput(); err != nil {
+		if said, err := exec.CommandContext(ctx, "go", "build", "-o", e.bin, "dunemoor/cmd/dunemoor").CombinedOutput(); err != nil {
 			e.err = fmt.Errorf("go build: %w\n%s", err, said)
 		}
 	})
--- a/cmd/lab/scale_fleet.go
+++ b/cmd/lab/scale_fleet.go
@@ -12,11 +12,11 @@
 
 	"github.com/spf13/cobra"
 
-	"lynxspool/internal/cluster/lease"
-	"lynxspool/internal/cluster/sim"
-	"lynxspool/internal/scale"
-	"lynxspool/internal/scale/hollow"
-	"lynxspool/internal/standin"
+	"dunemoor/internal/cluster/lease"
+	"dunemoor/internal/cluster/sim"
+	"dunemoor/internal/scale"
+	"dunemoor/internal/scale/hollow"
+	"dunemoor/internal/standin"
 )
 
 // What is asked of a gateway's control at the size to design for.
--- a/cmd/lab/scale_fleet_test.go
+++ b/cmd/lab/scale_fleet_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"lynxspool/internal/scale"
+	"dunemoor/internal/scale"
 )
 
 // Parts run hollow gateways in processes of their own program, which here is the test.
--- a/cmd/lab/scale_process.go
+++ b/cmd/lab/scale_process.go
@@ -17,11 +17,11 @@
 	"syscall"
 	"time"
 
-	"lynxspool"
-	"lynxspool/internal/fair"
-	"lynxspool/internal/nemesis"
-	"lynxspool/internal/route"
-	"lynxspool/internal/scale"
+	"dunemoor/balancer"
+	"dunemoor/internal/fair"
+	"dunemoor/internal/nemesis"
+	"dunemoor/internal/route"
+	"dunemoor/internal/scale"
 )
 
 // The parts that need one process of the program.
@@ -622,19 +622,19 @@
 	r := &scale.Report{Notes: []string{"in this process, one thread; a request is Request, Drain, Outcome and Drain, its pick among all hosts"}}
 	for _, n := range sizes {
 		fmt.Fprintf(e.Said, "%d hosts in the module\n", n)
-		hosts := make([]lynxspool.Host, n)
+		hosts := make([]balancer.Host, n)
 		for i := range hosts {
-			hosts[i] = lynxspool.Host{ID: lynxspool.HostID(i + 1), Zone: i % 10, Cell: i / 3, Kind: 1}
+			hosts[i] = balancer.Host{ID: balancer.HostID(i + 1), Zone: i % 10, Cell: i / 3, Kind: 1}
 		}
 		before := heapNow()
-		b, err := lynxspool.New(lynxspool.Settings{Instances: 1, Cancel: true, MaxAttempts: 4, Classes: []lynxspool.Class{{Aim: time.Second, Deadline: 10 * time.Second, Worth: 1}}}, 7)
+		b, err := balancer.New(balancer.Settings{Instances: 1, Cancel: true, MaxAttempts: 4, Classes: []balancer.Class{{Aim: time.Second, Deadline: 10 * time.Second, Worth: 1}}}, 7)
 		if err != nil {
 			return nil, err
 		}
 		now := time.Minute
 		b.Start(now)
 		began := time.Now()
-		b.Hosts(now, lynxspool.ListFull, hosts)
+		b.Hosts(now, balancer.ListFull, hosts)
 		actions := b.Drain(nil)
 		c.add(n, "the first list", "ms", 0.01, float64(time.Since(began).Microseconds())/1000)
 		c.add(n, "memory of the module", "KB", 4, (heapNow()-before)/1024)
@@ -647,9 +647,9 @@
 			now += time.Millisecond
 			h := hosts[(i/2*7919)%n]
 			if i%2 == 0 {
-				h.State = lynxspool.Draining
+				h.State = balancer.Draining
 			}
-			b.Hosts(now, lynxspool.ListChanges, []lynxspool.Host{h})
+			b.Hosts(now, balancer.ListChanges, []balancer.Host{h})
 			actions = b.Drain(actions[:0])
 		}
 		c.add(n, "a change of one host", "us", 0.1, float64(time.Since(began).Nanoseconds())/1e3/float64(rounds))
@@ -657,11 +657,11 @@
 		for i := range rounds / 10 {
 			now += time.Millisecond
 			if i%2 == 0 {
-				hosts[n-1].State = lynxspool.Draining
+				hosts[n-1].State = balancer.Draining
 			} else {
-				hosts[n-1].State = lynxspool.Ready
+				hosts[n-1].State = balancer.Ready
 			}
-			b.Hosts(now, lynxspool.ListFull, hosts)
+			b.Hosts(now, balancer.ListFull, hosts)
 			actions = b.Drain(actions[:0])
 			if time.Since(began) > 2*time.Second {
 				rounds = 10 * (i + 1)
@@ -680,12 +680,12 @@
 				break
 			}
 			now += 100 * time.Microsecond
-			id := lynxspool.RequestID(i + 1)
-			b.Request(now, lynxspool.Request{ID: id, Left: 10 * time.Second})
+			id := balancer.RequestID(i + 1)
+			b.Request(now, balancer.Request{ID: id, Left: 10 * time.Second})
 			actions = b.Drain(actions[:0])
 			for _, a := range actions {
-				if a.Kind == lynxspool.Send {
-					b.Outcome(now, lynxspool.Outcome{Request: a.Request, Attempt: a.Attempt, Result: lynxspool.OK, Elapsed: time.Millisecond, Closed: true})
+				if a.Kind == balancer.Send {
+					b.Outcome(now, balancer.Outcome{Request: a.Request, Attempt: a.Attempt, Result: balancer.OK, Elapsed: time.Millisecond, Closed: true})
 				}
 			}
 			actions = b.Drain(actions[:0])
--- a/cmd/lab/scale_relays.go
+++ b/cmd/lab/scale_relays.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"lynxspool/internal/scale"
-	"lynxspool/internal/scale/hollow"
+	"dunemoor/internal/scale"
+	"dunemoor/internal/scale/hollow"
 )
 
 func init() {
--- a/cmd/lab/sweep.go
+++ b/cmd/lab/sweep.go
@@ -12,7 +12,7 @@
 
 	"github.com/spf13/cobra"
 
-	"lynxspool/internal/scenario"
+	"dunemoor/internal/scenario"
 )
 
 // knobs are what can be changed from the command line.
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -9,8 +9,8 @@
 	"os"
 	"runtime/debug"
 
-	"lynxspool"
-	"lynxspool/internal/wire"
+	"dunemoor/balancer"
+	"dunemoor/internal/wire"
 )
 
 func main() {
@@ -23,7 +23,7 @@
 
 // run serves batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
-	h := host{balancers: map[uint32]*lynxspool.Balancer{}, out: wire.NewWriter(out)}
+	h := host{balancers: map[uint32]*balancer.Balancer{}, out: wire.NewWriter(out)}
 	r := wire.NewReader(in)
 	for n := 1; ; n++ {
 		now, err := r.Batch()
@@ -47,14 +47,14 @@
 
 // host holds the balancers by instance number. They share nothing.
 type host struct {
-	balancers map[uint32]*lynxspool.Balancer
+	balancers map[uint32]*balancer.Balancer
 	out       *wire.Writer
-	acts      []lynxspool.Action
+	acts      []balancer.Action
 }
 
 // handle gives one event to its balancer and collects the actions. An instance
 // that cannot go on is reported and then left alone.
-func (h *host) handle(now lynxspool.Time, e *wire.Event) {
+func (h *host) handle(now balancer.Time, e *wire.Event) {
 	defer func() {
 		if p := recover(); p != nil {
 			delete(h.balancers, e.Instance)
@@ -91,14 +91,14 @@
 	}
 }
 
-func (h *host) start(now lynxspool.Time, e *wire.Event) {
+func (h *host) start(now balancer.Time, e *wire.Event) {
 	delete(h.balancers, e.Instance)
 	set, err := wire.ParseSettings(e.Settings)
 	if err != nil {
 		h.out.Crash(e.Instance, err.Error())
 		return
 	}
-	b, err := lynxspool.New(set, e.Seed)
+	b, err := balancer.New(set, e.Seed)
 	if err != nil {
 		h.out.Crash(e.Instance, err.Error())
 		return
--- a/cmd/standin/appliance.go
+++ b/cmd/standin/appliance.go
@@ -6,9 +6,9 @@
 	"slices"
 	"strings"
 
-	"lynxspool"
-	"lynxspool/internal/config"
-	"lynxspool/internal/standin"
+	"dunemoor/balancer"
+	"dunemoor/internal/config"
+	"dunemoor/internal/standin"
 )
 
 // photo is the size of what is sent where a route takes nothing but POST: more than is held.
@@ -69,8 +69,8 @@
 			continue
 		}
 		for _, c := range a.Classes {
-			effect := map[lynxspool.Effect]standin.Effect{
-				lynxspool.Safe: standin.Safe, lynxspool.Keyed: standin.Keyed, lynxspool.Unsafe: standin.Unsafe,
+			effect := map[balancer.Effect]standin.Effect{
+				balancer.Safe: standin.Safe, balancer.Keyed: standin.Keyed, balancer.Unsafe: standin.Unsafe,
 			}[c.Effect]
 			classes = append(classes, standin.Class{
 				Name: r.Name + "/" + c.Name, Says: c.Name, Effect: effect, Share: 1, Timeout: c.Deadline, Window: c.Window,
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -17,7 +17,7 @@
 	"syscall"
 	"time"
 
-	"lynxspool/internal/standin"
+	"dunemoor/internal/standin"
 )
 
 func main() {
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"testing"
 
-	"lynxspool/internal/testkit"
+	"dunemoor/internal/testkit"
 )
 
 // target counts the calls.
--- a/internal/admin/compat_test.go
+++ b/internal/admin/compat_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"lynxspool/internal/testkit/compat"
+	"dunemoor/internal/testkit/compat"
 )
 
 func TestCompatPaths(t *testing.T) {
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -19,14 +19,14 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"lynxspool/internal/cluster/disk"
-	"lynxspool/internal/cluster/duty"
-	"lynxspool/internal/cluster/guard"
-	"lynxspool/internal/cluster/lease"
-	"lynxspool/internal/cluster/member"
-	"lynxspool/internal/cluster/peer"
-	"lynxspool/internal/cluster/quorum"
-	"lynxspool/internal/cluster/relay"
+	"dunemoor/internal/cluster/disk"
+	"dunemoor/internal/cluster/duty"
+	"dunemoor/internal/cluster/guard"
+	"dunemoor/internal/cluster/lease"
+	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/cluster/peer"
+	"dunemoor/internal/cluster/quorum"
+	"dunemoor/internal/cluster/relay"
 )
 
 // Config is a gateway's part in a fleet, as its file says.
--- a/internal/cluster/compat_test.go
+++ b/internal/cluster/compat_test.go
@@ -8,9 +8,9 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"lynxspool/internal/cluster/lease"
-	"lynxspool/internal/cluster/member"
-	"lynxspool/internal/testkit/compat"
+	"dunemoor/internal/cluster/lease"
+	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/testkit/compat"
 )
 
 // What operators' tools read at /admin/fleet.
--- a/internal/cluster/copies/copies.go
+++ b/internal/cluster/copies/copies.go
@@ -16,7 +16,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"lynxspool/internal/cluster/guard"
+	"dunemoor/internal/cluster/guard"
 )
 
 const (
--- a/internal/cluster/copies/copies_test.go
+++ b/internal/cluster/copies/copies_test.go
@@ -6,8 +6,8 @@
 	"slices"
 	"testing"
 
-	"lynxspool/internal/cluster/guard"
-	"lynxspool/internal/testkit"
+	"dunemoor/internal/cluster/guard"
+	"dunemoor/internal/testkit"
 )
 
 // fleet is a fleet that carries the plan's steps out, all the while that machines come and go.
--- a/internal/cluster/copies/planted_test.go
+++ b/internal/cluster/copies/planted_test.go
@@ -6,8 +6,8 @@
 	"errors"
 	"testing"
 
-	"lynxspool/internal/cluster/guard"
-	"lynxspool/internal/testkit"
+	"dunemoor/internal/cluster/guard"
+	"dunemoor/internal/testkit"
 )
 
 // Each guard is taken out in turn, and the plays find it.
--- a/internal/cluster/disk/compare/compare_test.go
+++ b/internal/cluster/disk/compare/compare_test.go
@@ -15,8 +15,8 @@
 	"go.etcd.io/bbolt"
 	pb "go.etcd.io/raft/v3/raftpb"
 
-	"lynxspool/internal/cluster/disk"
-	"lynxspool/internal/cluster/quorum"
+	"dunemoor/internal/cluster/disk"
+	"dunemoor/internal/cluster/quorum"
 )
 
 // store takes a commit: entries of a replicated log behind one another, and its hard state, so
--- a/internal/cluster/disk/compat_test.go
+++ b/internal/cluster/disk/compat_test.go
@@ -11,8 +11,8 @@
 	"google.golang.org/protobuf/encoding/prototext"
 	"google.golang.org/protobuf/proto"
 
-	"lynxspool/internal/cluster/quorum"
-	"lynxspool/internal/testkit/compat"
+	"dunemoor/internal/cluster/quorum"
+	"dunemoor/internal/testkit/compat"
 )
 
 // memory is a directory in memory, in which each file has one stamp: that of the directory that
--- a/internal/cluster/disk/disk.go
+++ b/internal/cluster/disk/disk.go
@@ -15,8 +15,8 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"lynxspool/internal/cluster/guard"
-	"lynxspool/internal/cluster/quorum"
+	"dunemoor/internal/cluster/guard"
+	"dunemoor/internal/cluster/quorum"
 )
 
 // Bounds.
--- a/internal/cluster/disk/disk_test.go
+++ b/internal/cluster/disk/disk_test.go
@@ -12,7 +12,7 @@
 
 	pb "go.etcd.io/raft/v3/raftpb"
 
-	"lynxspool/internal/cluster/quorum"
+	"dunemoor/internal/cluster/quorum"
 )
 
 // open opens a directory as g1's disk in fleet f.
--- a/internal/cluster/duty/duty.go
+++ b/internal/cluster/duty/duty.go
@@ -12,8 +12,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"lynxspool/internal/cluster/guard"
-	"lynxspool/internal/cluster/member"
+	"dunemoor/internal/cluster/guard"
+	"dunemoor/internal/cluster/member"
 )
 
 // Now is the time on a clock that no one sets and that goes on while the process or the machine
--- a/internal/cluster/duty/duty_test.go
+++ b/internal/cluster/duty/duty_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"lynxspool/internal/cluster/member"
-	"lynxspool/internal/testkit"
+	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/testkit"
 )
 
 // The work of a hold runs while that lasts; the next hold's begins only once it has ended; what is
--- a/internal/cluster/lease/compat_test.go
+++ b/internal/cluster/lease/compat_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"lynxspool/internal/testkit/compat"
+	"dunemoor/internal/testkit/compat"
 )
 
 // What is in the log and in snapshots was written by earlier builds.
--- a/internal/cluster/lease/lease.go
+++ b/internal/cluster/lease/lease.go
@@ -11,7 +11,7 @@
 	"slices"
 	"sort"
 
-	"lynxspool/internal/cluster/guard"
+	"dunemoor/internal/cluster/guard"
 )
 
 // Bounds of the record. What is over them is refused with a reason.
--- a/internal/cluster/lease/place.go
+++ b/internal/cluster/lease/place.go
@@ -6,7 +6,7 @@
 	"maps"
 	"slices"
 
-	"lynxspool/internal/cluster/guard"
+	"dunemoor/internal/cluster/guard"
 )
 
 // spare is how many more duties one gateway may hold than another that could hold them, before
--- a/internal/cluster/lease/watch.go
+++ b/internal/cluster/lease/watch.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"lynxspool/internal/cluster/guard"
+	"dunemoor/internal/cluster/guard"
 )
 
 // Times of a session.
--- a/internal/cluster/member/compat_test.go
+++ b/internal/cluster/member/compat_test.go
@@ -6,8 +6,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"lynxspool/internal/cluster/quorum"
-	"lynxspool/internal/testkit/compat"
+	"dunemoor/internal/cluster/quorum"
+	"dunemoor/internal/testkit/compat"
 )
 
 // Gateways of two builds talk with one another, and operators' tools read the status.
--- a/internal/cluster/member/lead.go
+++ b/internal/cluster/member/lead.go
@@ -9,9 +9,9 @@
 
 	"go.etcd.io/raft/v3/raftpb"
 
-	"lynxspool/internal/cluster/guard"
-	"lynxspool/internal/cluster/lease"
-	"lynxspool/internal/cluster/quorum"
+	"dunemoor/internal/cluster/guard"
+	"dunemoor/internal/cluster/lease"
+	"dunemoor/internal/cluster/quorum"
 )
 
 // turned takes note of who leads the record.
--- a/internal/cluster/member/member.go
+++ b/internal/cluster/member/member.go
@@ -13,10 +13,10 @@
 
 	"go.etcd.io/raft/v3/raftpb"
 
-	"lynxspool/internal/cluster/disk"
-	"lynxspool/internal/cluster/guard"
-	"lynxspool/internal/cluster/lease"
-	"lynxspool/internal/cluster/quorum"
+	"dunemoor/internal/cluster/disk"
+	"dunemoor/internal/cluster/guard"
+	"dunemoor/internal/cluster/lease"
+	"dunemoor/internal/cluster/quorum"
 )
 
 // Record is the group that holds the fleet's record.
--- a/internal/cluster/member/relayed_test.go
+++ b/internal/cluster/member/relayed_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"lynxspool/internal/cluster/disk"
-	"lynxspool/internal/cluster/lease"
+	"dunemoor/internal/cluster/disk"
+	"dunemoor/internal/cluster/lease"
 )
 
 func member(t *testing.T, cfg Config) *Member {
--- a/internal/cluster/member/session.go
+++ b/internal/cluster/member/session.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"lynxspool/internal/cluster/disk"
-	"lynxspool/internal/cluster/guard"
-	"lynxspool/internal/cluster/lease"
+	"dunemoor/internal/cluster/disk"
+	"dunemoor/internal/cluster/guard"
+	"dunemoor/internal/cluster/lease"
 )
 
 // live is the gateway's own work: it keeps its session, and what it asked for going.
--- a/internal/cluster/member/status.go
+++ b/internal/cluster/member/status.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"lynxspool/internal/cluster/lease"
+	"dunemoor/internal/cluster/lease"
 )
 
 // Status is how a gateway stands in the fleet, as it knows.
--- a/internal/cluster/member/wire.go
+++ b/internal/cluster/member/wire.go
@@ -8,8 +8,8 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"lynxspool/internal/cluster/lease"
-	"lynxspool/internal/cluster/quorum"
+	"dunemoor/internal/cluster/lease"
+	"dunemoor/internal/cluster/quorum"
 )
 
 // Kind is what a frame between two gateways carries.
--- a/internal/cluster/peer/compat_test.go
+++ b/internal/cluster/peer/compat_test.go
@@ -5,9 +5,9 @@
 	"bytes"
 	"testing"
 
-	"lynxspool/internal/cluster/member"
-	"lynxspool/internal/cluster/relay"
-	"lynxspool/internal/testkit/compat"
+	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/cluster/relay"
+	"dunemoor/internal/testkit/compat"
 )
 
 // Frames of each kind, one behind the other.
--- a/internal/cluster/peer/handshake.go
+++ b/internal/cluster/peer/handshake.go
@@ -12,7 +12,7 @@
 	"net"
 	"time"
 
-	"lynxspool/internal/cluster/member"
+	"dunemoor/internal/cluster/member"
 )
 
 // A handshake, D dials and A accepts, HMAC-SHA-256 by the fleet's key over a letter for who and
--- a/internal/cluster/peer/peer.go
+++ b/internal/cluster/peer/peer.go
@@ -16,7 +16,7 @@
 	"sync/atomic"
 	"time"
 
-	"lynxspool/internal/cluster/member"
+	"dunemoor/internal/cluster/member"
 )
 
 // Bounds and times.
--- a/internal/cluster/peer/peer_test.go
+++ b/internal/cluster/peer/peer_test.go
@@ -11,8 +11,8 @@
 	"sync/atomic"
 	"testing"
 
-	"lynxspool/internal/cluster/member"
-	"lynxspool/internal/testkit"
+	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/testkit"
 )
 
 // end is a gateway as its carrier sees it.
--- a/internal/cluster/peer/snapshot.go
+++ b/internal/cluster/peer/snapshot.go
@@ -10,7 +10,7 @@
 	"net"
 	"time"
 
-	"lynxspool/internal/cluster/member"
+	"dunemoor/internal/cluster/member"
 )
 
 // A snapshot goes on a connection of its own, beside the frames and never before them: a first
--- a/internal/cluster/peer/stream.go
+++ b/internal/cluster/peer/stream.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"lynxspool/internal/cluster/member"
-	"lynxspool/internal/cluster/relay"
+	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/cluster/relay"
 )
 
 // Of streams.
--- a/internal/cluster/peer/stream_test.go
+++ b/internal/cluster/peer/stream_test.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"lynxspool/internal/cluster/member"
-	"lynxspool/internal/cluster/relay"
-	"lynxspool/internal/testkit"
+	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/cluster/relay"
+	"dunemoor/internal/testkit"
 )
 
 // side is a relay or a gateway as its carrier sees it. A relay answers a join, and echoes the rest.
--- a/internal/cluster/quorum/quorum.go
+++ b/internal/cluster/quorum/quorum.go
@@ -20,7 +20,7 @@
 	"go.etcd.io/raft/v3/tracker"
 	"google.golang.org/protobuf/proto"
 
-	"lynxspool/internal/cluster/guard"
+	"dunemoor/internal/cluster/guard"
 )
 
 // Bounds of a group.
--- a/internal/cluster/relay/client.go
+++ b/internal/cluster/relay/client.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"lynxspool/internal/cluster/guard"
-	"lynxspool/internal/cluster/member"
+	"dunemoor/internal/cluster/guard"
+	"dunemoor/internal/cluster/member"
 )
 
 const (
--- a/internal/cluster/relay/compat_test.go
+++ b/internal/cluster/relay/compat_test.go
@@ -4,8 +4,8 @@
 	"reflect"
 	"testing"
 
-	"lynxspool/internal/cluster/member"
-	"lynxspool/internal/testkit/compat"
+	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/testkit/compat"
 )
 
 // Relays and gateways of two builds understand one another.
--- a/internal/cluster/relay/record.go
+++ b/internal/cluster/relay/record.go
@@ -3,8 +3,8 @@
 import (
 	"encoding/binary"
 
-	"lynxspool/internal/cluster/guard"
-	"lynxspool/internal/cluster/member"
+	"dunemoor/internal/cluster/guard"
+	"dunemoor/internal/cluster/member"
 )
 
 // Record is what one member says to another, or to All. From, Replica, Epoch and Seq are put on by
--- a/internal/cluster/relay/relay.go
+++ b/internal/cluster/relay/relay.go
@@ -7,7 +7,7 @@
 import (
 	"time"
 
-	"lynxspool/internal/cluster/member"
+	"dunemoor/internal/cluster/member"
 )
 
 // All is the name of everybody but the sender.
--- a/internal/cluster/relay/relay_test.go
+++ b/internal/cluster/relay/relay_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"lynxspool/internal/cluster/member"
+	"dunemoor/internal/cluster/member"
 )
 
 // net is relays and gateways without members, joined by ways that keep their order and take a step.
--- a/internal/cluster/relay/router.go
+++ b/internal/cluster/relay/router.go
@@ -10,9 +10,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"lynxspool/internal/cluster/guard"
-	"lynxspool/internal/cluster/lease"
-	"lynxspool/internal/cluster/member"
+	"dunemoor/internal/cluster/guard"
+	"dunemoor/internal/cluster/lease"
+	"dunemoor/internal/cluster/member"
 )
 
 const (
--- a/internal/cluster/relay/units_test.go
+++ b/internal/cluster/relay/units_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"lynxspool/internal/cluster/member"
+	"dunemoor/internal/cluster/member"
 )
 
 func pair() *Router {
--- a/internal/cluster/relays.go
+++ b/internal/cluster/relays.go
@@ -6,10 +6,10 @@
 	"log/slog"
 	"time"
 
-	"lynxspool/internal/cluster/duty"
-	"lynxspool/internal/cluster/member"
-	"lynxspool/internal/cluster/peer"
-	"lynxspool/internal/cluster/relay"
+	"dunemoor/internal/cluster/duty"
+	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/cluster/peer"
+	"dunemoor/internal/cluster/relay"
 )
 
 // Relay is a control machine that carries the words of a fleet's gateways.
--- a/internal/cluster/relays_test.go
+++ b/internal/cluster/relays_test.go
@@ -11,11 +11,11 @@
 	"sync"
 	"testing"
 
-	"lynxspool/internal/cluster/duty"
-	"lynxspool/internal/cluster/member"
-	"lynxspool/internal/cluster/peer"
-	"lynxspool/internal/cluster/relay"
-	"lynxspool/internal/testkit"
+	"dunemoor/internal/cluster/duty"
+	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/cluster/peer"
+	"dunemoor/internal/cluster/relay"
+	"dunemoor/internal/testkit"
 )
 
 const testKey = "this key is of a test and of nothing else"
--- a/internal/cluster/shelf/compat_test.go
+++ b/internal/cluster/shelf/compat_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"lynxspool/internal/testkit/compat"
+	"dunemoor/internal/testkit/compat"
 )
 
 func TestCompatFormats(t *testing.T) {
--- a/internal/cluster/shelf/planted_test.go
+++ b/internal/cluster/shelf/planted_test.go
@@ -5,8 +5,8 @@
 import (
 	"testing"
 
-	"lynxspool/internal/cluster/guard"
-	"lynxspool/internal/testkit"
+	"dunemoor/internal/cluster/guard"
+	"dunemoor/internal/testkit"
 )
 
 // Each guard is taken out in turn, and the histories find it.
--- a/internal/cluster/shelf/shelf.go
+++ b/internal/cluster/shelf/shelf.go
@@ -17,7 +17,7 @@
 	"slices"
 	"time"
 
-	"lynxspool/internal/cluster/guard"
+	"dunemoor/internal/cluster/guard"
 )
 
 // Bounds of a shelf. What is over them is refused, and nothing that was promised makes room.
--- a/internal/cluster/shelf/shelf_test.go
+++ b/internal/cluster/shelf/shelf_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"lynxspool/internal/cluster/guard"
-	"lynxspool/internal/testkit"
+	"dunemoor/internal/cluster/guard"
+	"dunemoor/internal/testkit"
 )
 
 // Of the world below, in its own time.
--- a/internal/cluster/sim/calm.go
+++ b/internal/cluster/sim/calm.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"lynxspool/internal/cluster/lease"
+	"dunemoor/internal/cluster/lease"
 )
 
 // Calm plays what must disturb nobody: a follower that is cut off and comes back deposes no
--- a/internal/cluster/sim/check.go
+++ b/internal/cluster/sim/check.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"lynxspool/internal/cluster/guard"
-	"lynxspool/internal/cluster/lease"
-	"lynxspool/internal/cluster/member"
+	"dunemoor/internal/cluster/guard"
+	"dunemoor/internal/cluster/lease"
+	"dunemoor/internal/cluster/member"
 )
 
 // Ledger is hosts that can refuse: each remembers the highest token that it was shown of a duty.
--- a/internal/cluster/sim/cost.go
+++ b/internal/cluster/sim/cost.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"lynxspool/internal/cluster/lease"
+	"dunemoor/internal/cluster/lease"
 )
 
 // Cost is what a fleet sends when nothing happens, and what the death of its leader takes.
--- a/internal/cluster/sim/fs.go
+++ b/internal/cluster/sim/fs.go
@@ -8,7 +8,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"lynxspool/internal/cluster/disk"
+	"dunemoor/internal/cluster/disk"
 )
 
 // memFS is a file system in memory that forgets what was not synced when its machine stops.
--- a/internal/cluster/sim/history.go
+++ b/internal/cluster/sim/history.go
@@ -7,8 +7,8 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"lynxspool/internal/cluster/lease"
-	"lynxspool/internal/cluster/member"
+	"dunemoor/internal/cluster/lease"
+	"dunemoor/internal/cluster/member"
 )
 
 // history is what clients asked of locks and were told.
--- a/internal/cluster/sim/nemesis.go
+++ b/internal/cluster/sim/nemesis.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"time"
 
-	"lynxspool/internal/cluster/lease"
-	"lynxspool/internal/cluster/member"
+	"dunemoor/internal/cluster/lease"
+	"dunemoor/internal/cluster/member"
 )
 
 // Nemesis draws faults from the world's seed for so long, one after another and over one another,
--- a/internal/cluster/sim/planted_test.go
+++ b/internal/cluster/sim/planted_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"lynxspool/internal/cluster/guard"
-	"lynxspool/internal/cluster/lease"
+	"dunemoor/internal/cluster/guard"
+	"dunemoor/internal/cluster/lease"
 )
 
 // Each guard is taken out in turn, and something here has to find it: a checker that can't fail
--- a/internal/cluster/sim/relays.go
+++ b/internal/cluster/sim/relays.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"lynxspool/internal/cluster/lease"
-	"lynxspool/internal/cluster/member"
-	"lynxspool/internal/cluster/relay"
+	"dunemoor/internal/cluster/lease"
+	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/cluster/relay"
 )
 
 // side is one end of a stream.
--- a/internal/cluster/sim/sim_test.go
+++ b/internal/cluster/sim/sim_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"lynxspool/internal/cluster/guard"
-	"lynxspool/internal/testkit"
+	"dunemoor/internal/cluster/guard"
+	"dunemoor/internal/testkit"
 )
 
 var (
--- a/internal/cluster/sim/words.go
+++ b/internal/cluster/sim/words.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"lynxspool/internal/cluster/lease"
-	"lynxspool/internal/cluster/member"
+	"dunemoor/internal/cluster/lease"
+	"dunemoor/internal/cluster/member"
 )
 
 // said is an operator's word on a host, asked at one gateway.
--- a/internal/cluster/sim/world.go
+++ b/internal/cluster/sim/world.go
@@ -11,12 +11,12 @@
 	"math/rand/v2"
 	"time"
 
-	"lynxspool/internal/cluster/disk"
-	"lynxspool/internal/cluster/guard"
-	"lynxspool/internal/cluster/lease"
-	"lynxspool/internal/cluster/member"
-	"lynxspool/internal/cluster/quorum"
-	"lynxspool/internal/cluster/relay"
+	"dunemoor/internal/cluster/disk"
+	"dunemoor/internal/cluster/guard"
+	"dunemoor/internal/cluster/lease"
+	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/cluster/quorum"
+	"dunemoor/internal/cluster/relay"
 )
 
 // Options are what a world is made of.
--- a/internal/cluster/words.go
+++ b/internal/cluster/words.go
@@ -6,8 +6,8 @@
 	"io/fs"
 	"log/slog"
 
-	"lynxspool/internal/cluster/guard"
-	"lynxspool/internal/cluster/member"
+	"dunemoor/internal/cluster/guard"
+	"dunemoor/internal/cluster/member"
 )
 
 // wordsName is the file with the operators' words as they were last known: one that starts while
--- a/internal/config/appliance.go
+++ b/internal/config/appliance.go
@@ -13,10 +13,10 @@
 	"strings"
 	"time"
 
-	"lynxspool"
-	"lynxspool/internal/engine"
-	"lynxspool/internal/fair"
-	"lynxspool/internal/route"
+	"dunemoor/balancer"
+	"dunemoor/internal/engine"
+	"dunemoor/internal/fair"
+	"dunemoor/internal/route"
 )
 
 // Appliance is the file of a gateway that stands by itself, checked and with its defaults.
@@ -61,7 +61,7 @@
 // Class is a kind of request.
 type Class struct {
 	Name string
-	lynxspool.Class
+	balancer.Class
 }
 
 // Pool is the hosts of a service.
@@ -300,10 +300,10 @@
 	Cell                    int
 }
 
-var effects = map[string]lynxspool.Effect{"safe": lynxspool.Safe, "keyed": lynxspool.Keyed, "unsafe": lynxspool.Unsafe}
+var effects = map[string]balancer.Effect{"safe": balancer.Safe, "keyed": balancer.Keyed, "unsafe": balancer.Unsafe}
 
-var groups = map[string]lynxspool.Group{
-	"": lynxspool.GroupAll, "all": lynxspool.GroupAll, "zone": lynxspool.GroupZone, "cell": lynxspool.GroupCell,
+var groups = map[string]balancer.Group{
+	"": balancer.GroupAll, "all": balancer.GroupAll, "zone": balancer.GroupZone, "cell": balancer.GroupCell,
 }
 
 // checker collects what is wrong with a file.
@@ -556,7 +556,7 @@
 		if k.Window < 0 || k.Window > longestTimeout {
 			c.bad("class", i, "window", "%v is not between 0 and %v", k.Window, longestTimeout)
 		}
-		if k.Effect == lynxspool.Keyed && k.Window == 0 {
+		if k.Effect == balancer.Keyed && k.Window == 0 {
 			c.bad("class", i, "window", "is missing: for how long do hosts drop the repeats of a key")
 		}
 		c.within("class", i, "worth", k.Worth, 0, 1e6)
--- a/internal/config/compat_test.go
+++ b/internal/config/compat_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"lynxspool/internal/testkit/compat"
+	"dunemoor/internal/testkit/compat"
 )
 
 // Every key that the files may have.
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -15,9 +15,9 @@
 	"syscall"
 	"time"
 
-	"lynxspool"
-	"lynxspool/internal/discovery"
-	"lynxspool/internal/wire"
+	"dunemoor/balancer"
+	"dunemoor/internal/discovery"
+	"dunemoor/internal/wire"
 )
 
 // Platform is what a gateway is told at its start by the platform that runs it.
@@ -36,7 +36,7 @@
 	Sockets  int // file descriptors that the process may hold
 
 	Known    discovery.MemberList // the hosts as this gateway last had them
-	Settings lynxspool.Settings
+	Settings balancer.Settings
 
 	// Names as they stand in requests and lists; the module knows their index.
 	Classes map[string]int
@@ -261,7 +261,7 @@
 	if c.Settings, err = wire.ParseSettings(f.Settings); err != nil {
 		return nil, err
 	}
-	if _, err := lynxspool.New(c.Settings, c.Seed); err != nil {
+	if _, err := balancer.New(c.Settings, c.Seed); err != nil {
 		return nil, err // it names the field
 	}
 	var n names
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"lynxspool"
+	"dunemoor/balancer"
 )
 
 const goodConfig = `{"name":"n3","listen":"127.0.0.1:9000","discovery":"127.0.0.2:8500","seed":"8c1f30d27a5be964",
@@ -50,7 +50,7 @@
 	if c.ConnIdle != time.Minute || c.DialTimeout != 250*time.Millisecond {
 		t.Errorf("caps %v, %v", c.ConnIdle, c.DialTimeout)
 	}
-	if c.Settings.Instances != 2 || c.Settings.Rank != 1 || c.Settings.Classes[1].Effect != lynxspool.Unsafe {
+	if c.Settings.Instances != 2 || c.Settings.Rank != 1 || c.Settings.Classes[1].Effect != balancer.Unsafe {
 		t.Errorf("settings %+v", c.Settings)
 	}
 	if len(c.Known.Servers) != 1 || c.Known.Version != 41 {
--- a/internal/config/recording.go
+++ b/internal/config/recording.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"lynxspool/internal/engine"
-	"lynxspool/internal/flight"
+	"dunemoor/internal/engine"
+	"dunemoor/internal/flight"
 )
 
 // Bounds of what a recording may take. A ring below the least holds too little between two
--- a/internal/discovery/compat_test.go
+++ b/internal/discovery/compat_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"lynxspool/internal/testkit/compat"
+	"dunemoor/internal/testkit/compat"
 )
 
 // Every key of a list of hosts, from a service and from a file.
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -12,7 +12,7 @@
 	"os"
 	"time"
 
-	"lynxspool"
+	"dunemoor/balancer"
 )
 
 const (
@@ -65,7 +65,7 @@
 				slog.Info("host list read", "file", f.path, "hosts", len(list.Servers))
 			}
 			f.told, f.said = true, ""
-			to.Members(lynxspool.ListFull, list)
+			to.Members(balancer.ListFull, list)
 			return
 		}
 	} else {
--- a/internal/discovery/file_test.go
+++ b/internal/discovery/file_test.go
@@ -9,14 +9,14 @@
 	"testing/synctest"
 	"time"
 
-	"lynxspool"
+	"dunemoor/balancer"
 )
 
 // told collects what a source tells.
 type told chan MemberList
 
-func (c told) Members(kind lynxspool.ListKind, list MemberList) {
-	if kind != lynxspool.ListFull {
+func (c told) Members(kind balancer.ListKind, list MemberList) {
+	if kind != balancer.ListFull {
 		panic("a file has only whole lists")
 	}
 	c <- list
@@ -78,7 +78,7 @@
 	write(one)
 	select {
 	case list := <-c:
-		if m := list.Servers[0]; m.ID != "a" || m.Cell != 2 || m.HostState() != lynxspool.Ready || m.StartedMS != 5 {
+		if m := list.Servers[0]; m.ID != "a" || m.Cell != 2 || m.HostState() != balancer.Ready || m.StartedMS != 5 {
 			t.Errorf("%+v", m)
 		}
 	case <-time.After(20 * time.Second):
--- a/internal/discovery/members.go
+++ b/internal/discovery/members.go
@@ -1,10 +1,10 @@
 package discovery
 
-import "lynxspool"
+import "dunemoor/balancer"
 
 // Sink is told of the hosts. Calls come one at a time.
 type Sink interface {
-	Members(kind lynxspool.ListKind, list MemberList)
+	Members(kind balancer.ListKind, list MemberList)
 }
 
 // MemberList is the list of hosts, or changes of it, in discovery's form.
@@ -26,12 +26,12 @@
 }
 
 // HostState reads the state of a member; a host of which we cannot tell gets nothing new.
-func (m *Member) HostState() lynxspool.HostState {
+func (m *Member) HostState() balancer.HostState {
 	switch m.State {
 	case "ready":
-		return lynxspool.Ready
+		return balancer.Ready
 	case "gone":
-		return lynxspool.Removed
+		return balancer.Removed
 	}
-	return lynxspool.Draining
+	return balancer.Draining
 }
--- a/internal/discovery/told_test.go
+++ b/internal/discovery/told_test.go
@@ -17,9 +17,9 @@
 	"testing/synctest"
 	"time"
 
-	"lynxspool"
-	"lynxspool/internal/discovery"
-	"lynxspool/internal/engine"
+	"dunemoor/balancer"
+	"dunemoor/internal/discovery"
+	"dunemoor/internal/engine"
 )
 
 // Changes count as told 6 s after discovery had them and could be reached, whatever calls failed
@@ -244,16 +244,16 @@
 	seed := uint64(rank) // the same every time
 	e := engine.New(seed)
 	p, err := e.NewPool(engine.PoolConfig{
-		Settings: lynxspool.Settings{
+		Settings: balancer.Settings{
 			Instances: of, Rank: rank, Ask: m.ask, AskWithin: m.askWithin,
-			Classes: []lynxspool.Class{{Aim: time.Second, Deadline: time.Second}},
+			Classes: []balancer.Class{{Aim: time.Second, Deadline: time.Second}},
 		},
 		Seed: seed, Transport: g, Watch: g.watcher.Watch,
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.Members(lynxspool.ListSaved, discovery.MemberList{Version: 1, Servers: []discovery.Member{
+	p.Members(balancer.ListSaved, discovery.MemberList{Version: 1, Servers: []discovery.Member{
 		{ID: "s-1", Addr: "127.0.0.1:1", State: "ready"}, {ID: "s-2", Addr: "127.0.0.1:2", State: "ready"},
 	}})
 	all.Go(func() { e.Run(ctx) })
@@ -418,8 +418,8 @@
 // failures is a Sink that counts the calls that failed.
 type failures struct{ n atomic.Int64 }
 
-func (f *failures) Members(kind lynxspool.ListKind, _ discovery.MemberList) {
-	if kind == lynxspool.ListFailed {
+func (f *failures) Members(kind balancer.ListKind, _ discovery.MemberList) {
+	if kind == balancer.ListFailed {
 		f.n.Add(1)
 	}
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -15,7 +15,7 @@
 	"sync"
 	"time"
 
-	"lynxspool"
+	"dunemoor/balancer"
 )
 
 const (
@@ -150,7 +150,7 @@
 		}
 		if d.ask {
 			take(d.asked) // what was asked for meanwhile is what this call was for
-			to.Members(lynxspool.ListFailed, MemberList{})
+			to.Members(balancer.ListFailed, MemberList{})
 			continue
 		}
 		select {
@@ -204,7 +204,7 @@
 	stream := &stream{from: resp.Body, beat: func() {
 		if d.ask && !heard && version > 0 && d.told(moves, version) {
 			// The call that the module asked for has been answered: nothing has changed.
-			to.Members(lynxspool.ListChanges, MemberList{Version: version})
+			to.Members(balancer.ListChanges, MemberList{Version: version})
 		}
 		alive()
 	}}
@@ -228,9 +228,9 @@
 			return false, fmt.Errorf("discovery tells changes of version %d behind %d", list.Version, version)
 		}
 		version = list.Version
-		kind := lynxspool.ListChanges
+		kind := balancer.ListChanges
 		if list.Full {
-			kind = lynxspool.ListFull
+			kind = balancer.ListFull
 		}
 		if !d.told(moves, list.Version) {
 			return heard, errMoved
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -16,8 +16,8 @@
 	"testing/synctest"
 	"time"
 
-	"lynxspool"
-	"lynxspool/internal/testkit"
+	"dunemoor/balancer"
+	"dunemoor/internal/testkit"
 )
 
 // garbled is a line that cannot be read.
@@ -73,7 +73,7 @@
 // news is a Sink that keeps what it is told.
 type news chan string
 
-func (c news) Members(kind lynxspool.ListKind, list MemberList) {
+func (c news) Members(kind balancer.ListKind, list MemberList) {
 	var ids []string
 	for _, m := range list.Servers {
 		ids = append(ids, m.ID+" "+m.State)
@@ -98,7 +98,7 @@
 func TestWatchLost(t *testing.T) {
 	disco := newWatchServer(t)
 	sink := watch(t, NewWatcher(disco.addr(), false, 41))
-	says := func(version int, full bool, id, state string, want lynxspool.ListKind) {
+	says := func(version int, full bool, id, state string, want balancer.ListKind) {
 		t.Helper()
 		disco.lines <- fmt.Sprintf(`{"version":%d,"full":%t,"servers":[{"id":%q,"addr":"127.0.0.1:9","zone":"a","kind":"m2","cell":3,"state":%q,"weight":1.0,"started_ms":0}]}`,
 			version, full, id, state)
@@ -106,15 +106,15 @@
 			t.Errorf("told %q, want %q", got, want)
 		}
 	}
-	says(42, false, "s-1", "ready", lynxspool.ListChanges)
+	says(42, false, "s-1", "ready", balancer.ListChanges)
 	disco.lines <- ""
-	says(43, false, "s-1", "gone", lynxspool.ListChanges)
+	says(43, false, "s-1", "gone", balancer.ListChanges)
 	disco.lines <- garbled
-	says(44, false, "s-1", "ready", lynxspool.ListChanges)
+	says(44, false, "s-1", "ready", balancer.ListChanges)
 	disco.lines <- older
-	says(45, true, "s-1", "ready", lynxspool.ListFull)
+	says(45, true, "s-1", "ready", balancer.ListFull)
 	disco.lines <- "" // a whole list may have any version: the service may have started anew
-	says(3, true, "s-1", "ready", lynxspool.ListFull)
+	says(3, true, "s-1", "ready", balancer.ListFull)
 	want := PathMembers + " 1 41, " + PathMembers + " 1 42, " + PathMembers + " 1 43, " + PathMembers + " 1 0, " + PathMembers + " 1 45"
 	if got := strings.Join(disco.asked(), ", "); got != want {
 		t.Errorf("watches of %s, want %s", got, want)
@@ -141,7 +141,7 @@
 		t.Helper()
 		disco.lines <- text
 		for _, id := range ids {
-			if got, want := <-sink, fmt.Sprint(lynxspool.ListChanges, " s-", id, " ready"); got != want {
+			if got, want := <-sink, fmt.Sprint(balancer.ListChanges, " s-", id, " ready"); got != want {
 				t.Errorf("told %q, want %q", got, want)
 			}
 		}
@@ -258,7 +258,7 @@
 	for n := 1; n <= 2; n++ {
 		d.Watch()
 		disco.lines <- ""
-		if got, want := <-sink, fmt.Sprint(lynxspool.ListFailed, " "); got != want {
+		if got, want := <-sink, fmt.Sprint(balancer.ListFailed, " "); got != want {
 			t.Errorf("told %q, want %q", got, want)
 		}
 		if got := len(disco.asked()); got != n {
--- a/internal/engine/clock.go
+++ b/internal/engine/clock.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"lynxspool"
+	"dunemoor/balancer"
 )
 
 // clock is the module's: Unix time as it was at the start, monotonic from then
@@ -13,20 +13,20 @@
 	start time.Time
 }
 
-func (c clock) now() lynxspool.Time { return c.at(time.Now()) }
+func (c clock) now() balancer.Time { return c.at(time.Now()) }
 
-func (c clock) at(t time.Time) lynxspool.Time {
-	return lynxspool.Time(c.start.UnixNano()) + t.Sub(c.start)
+func (c clock) at(t time.Time) balancer.Time {
+	return balancer.Time(c.start.UnixNano()) + t.Sub(c.start)
 }
 
 // time is the instant of a module time, with a monotonic reading.
-func (c clock) time(t lynxspool.Time) time.Time {
-	return c.start.Add(t - lynxspool.Time(c.start.UnixNano()))
+func (c clock) time(t balancer.Time) time.Time {
+	return c.start.Add(t - balancer.Time(c.start.UnixNano()))
 }
 
 // wake is a timer of a Balancer.
 type wake struct {
-	at    lynxspool.Time
+	at    balancer.Time
 	token uint64
 	pool  *Pool
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -10,9 +10,9 @@
 	"sync/atomic"
 	"time"
 
-	"lynxspool"
-	"lynxspool/internal/overload"
-	"lynxspool/internal/route"
+	"dunemoor/balancer"
+	"dunemoor/internal/overload"
+	"dunemoor/internal/route"
 )
 
 // eventsWaiting is how many events may wait for the loop before those who bring one wait
@@ -23,7 +23,7 @@
 // and carries out what the modules decide. Nothing in it waits: what takes time runs in a
 // goroutine of its own and comes back as an event.
 type Engine struct {
-	events chan func(now lynxspool.Time)
+	events chan func(now balancer.Time)
 	done   chan struct{} // closed when Run has returned
 	plan   atomic.Pointer[Plan]
 	exit   exit
@@ -38,17 +38,17 @@
 	timers timers
 	pools  map[*Pool]struct{}
 	left   []*Plan // not in use any more, but some request may still be on them
-	open   map[lynxspool.RequestID]*Request
-	lastID lynxspool.RequestID
+	open   map[balancer.RequestID]*Request
+	lastID balancer.RequestID
 	rng    *rand.Rand
 }
 
 // New returns an Engine. The seed is for what chance decides between pools.
 func New(seed uint64) *Engine {
 	return &Engine{
-		events: make(chan func(lynxspool.Time), eventsWaiting), done: make(chan struct{}),
+		events: make(chan func(balancer.Time), eventsWaiting), done: make(chan struct{}),
 		exit: exit{set: make(chan struct{})}, clock: clock{time.Now()}, pools: map[*Pool]struct{}{},
-		open: map[lynxspool.RequestID]*Request{}, rng: rand.New(rand.NewPCG(seed, 1)),
+		open: map[balancer.RequestID]*Request{}, rng: rand.New(rand.NewPCG(seed, 1)),
 	}
 }
 
@@ -73,7 +73,7 @@
 		return
 	}
 	close(e.exit.set)
-	e.post(func(now lynxspool.Time) {
+	e.post(func(now balancer.Time) {
 		for p := range e.pools {
 			p.bal.Stop(now, e.clock.at(by))
 			p.perform(now)
@@ -114,7 +114,7 @@
 }
 
 // post hands an event to the loop, and says whether the loop still runs.
-func (e *Engine) post(handle func(now lynxspool.Time)) bool {
+func (e *Engine) post(handle func(now balancer.Time)) bool {
 	select {
 	case e.events <- handle:
 		return true
@@ -137,7 +137,7 @@
 	x.answer, x.exit = make(chan Answer, 1), &e.exit
 	if f := x.Body.Flow(); f != nil {
 		x.came = make(chan struct{}, 1)
-		f.OnBegin(func() { e.post(func(now lynxspool.Time) { e.letGo(now, x) }) })
+		f.OnBegin(func() { e.post(func(now balancer.Time) { e.letGo(now, x) }) })
 	}
 	wait := func() time.Duration {
 		if due, known := x.Due(); known {
@@ -146,7 +146,7 @@
 		return uploadMost // its own pace ends it sooner
 	}
 	came := time.Now()
-	e.post(func(now lynxspool.Time) {
+	e.post(func(now balancer.Time) {
 		waited := now - e.clock.at(came)
 		e.Waited.Add(waited)
 		if e.Overload != nil {
@@ -191,27 +191,27 @@
 // letGo is told that a byte of a request's body is about to be let go. From here on there is
 // one attempt, the one that is out, and the module has no more say: to it the request is over.
 // It learns nothing of the host, as the pace is the client's.
-func (e *Engine) letGo(now lynxspool.Time, x *Request) {
+func (e *Engine) letGo(now balancer.Time, x *Request) {
 	if x.loose || x.Over() || x.out == 0 {
 		return
 	}
 	x.loose = true
 	p := x.pool
-	p.bal.Outcome(now, lynxspool.Outcome{Request: x.id, Attempt: len(x.attempts) - 1, Result: lynxspool.Canceled, Closed: true})
+	p.bal.Outcome(now, balancer.Outcome{Request: x.id, Attempt: len(x.attempts) - 1, Result: balancer.Canceled, Closed: true})
 	p.perform(now)
 }
 
 // Now is the time on the engine's clock.
-func (e *Engine) Now() lynxspool.Time { return e.clock.now() }
+func (e *Engine) Now() balancer.Time { return e.clock.now() }
 
 // Sample tells the Overload how the process stands.
 func (e *Engine) Sample(s overload.Sample) {
-	e.post(func(now lynxspool.Time) { e.Overload.Sample(now, s) })
+	e.post(func(now balancer.Time) { e.Overload.Sample(now, s) })
 }
 
 // abandon says that a request was finished without the module.
 func (e *Engine) abandon(x *Request) {
-	e.post(func(now lynxspool.Time) {
+	e.post(func(now balancer.Time) {
 		p := x.pool
 		if x.loose {
 			x.attempts[len(x.attempts)-1]()
@@ -225,7 +225,7 @@
 
 // submit takes a request in: the split of its route names the pool, or the pools that stand
 // in for it take a part.
-func (e *Engine) submit(now lynxspool.Time, x *Request) {
+func (e *Engine) submit(now balancer.Time, x *Request) {
 	r := x.Route
 	x.chain, x.proved, x.unreached = r.chains[0], true, true
 	if len(r.chains) > 1 {
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -12,11 +12,11 @@
 	"testing/synctest"
 	"time"
 
-	"lynxspool"
-	"lynxspool/internal/body"
-	"lynxspool/internal/discovery"
-	"lynxspool/internal/flight"
-	"lynxspool/internal/route"
+	"dunemoor/balancer"
+	"dunemoor/internal/body"
+	"dunemoor/internal/discovery"
+	"dunemoor/internal/flight"
+	"dunemoor/internal/route"
 )
 
 // The tests here run in virtual time, on transports without sockets.
@@ -85,15 +85,15 @@
 			return Result{Answered: true, Answer: Answer{Kind: Served, Status: status, Body: body.Held([]byte(host))}}
 		case <-ctx.Done():
 			if ctx.Err() == context.DeadlineExceeded {
-				return Ended(lynxspool.TimedOut)
+				return Ended(balancer.TimedOut)
 			}
-			return Ended(lynxspool.Canceled)
+			return Ended(balancer.Canceled)
 		}
 	}
 }
 
 // ends ends attempts without an answer.
-func ends(outcome lynxspool.Result) func(context.Context, string, *Request) Result {
+func ends(outcome balancer.Result) func(context.Context, string, *Request) Result {
 	return func(context.Context, string, *Request) Result {
 		time.Sleep(time.Millisecond)
 		return Ended(outcome)
@@ -125,10 +125,10 @@
 	})
 }
 
-var testClasses = []lynxspool.Class{
+var testClasses = []balancer.Class{
 	{Aim: time.Second, Deadline: 4 * time.Second},
-	{Aim: time.Second, Deadline: 4 * time.Second, Effect: lynxspool.Unsafe, Worth: 5},
-	{Aim: time.Second, Deadline: 4 * time.Second, Effect: lynxspool.Keyed, Group: lynxspool.GroupCell, Window: 2500 * time.Millisecond, Worth: 2},
+	{Aim: time.Second, Deadline: 4 * time.Second, Effect: balancer.Unsafe, Worth: 5},
+	{Aim: time.Second, Deadline: 4 * time.Second, Effect: balancer.Keyed, Group: balancer.GroupCell, Window: 2500 * time.Millisecond, Worth: 2},
 }
 
 func members(n int, started time.Time) discovery.MemberList {
@@ -148,7 +148,7 @@
 	w.Helper()
 	p, err := w.NewPool(PoolConfig{
 		Name: f.name, Transport: f, Seed: 3, Stop: func() { w.ended[f.name]++ },
-		Settings: lynxspool.Settings{
+		Settings: balancer.Settings{
 			Instances: 1, Classes: testClasses, Step: 5 * time.Millisecond, MaxAttempts: 4, Cancel: true, MaxRetryAfter: 5 * time.Second,
 			ColdFrom: 0.4, WarmAfter: 6 * time.Second, OverloadFactor: 2.5, Fall: 1500 * time.Millisecond,
 		},
@@ -156,18 +156,18 @@
 	if err != nil {
 		w.Fatal(err)
 	}
-	p.Members(lynxspool.ListFull, members(n, time.Time{}))
+	p.Members(balancer.ListFull, members(n, time.Time{}))
 	return p
 }
 
 // route is a route of the protocol's form, or a plain one.
 func testRoute(plain bool) *Route {
-	r := &Route{Name: "r", Classes: testClasses, Judge: func(a *Answer) lynxspool.Result {
+	r := &Route{Name: "r", Classes: testClasses, Judge: func(a *Answer) balancer.Result {
 		return route.Protocol(a.Status, a.Header.Get("X-Not-Processed") == "1")
 	}}
 	if plain {
 		r.PassOn, r.Plain = true, &Plain{Class: look, Unsafe: book, Timeout: 4 * time.Second}
-		r.Judge = func(a *Answer) lynxspool.Result { return route.Plain(a.Status, false, route.DefaultFailures) }
+		r.Judge = func(a *Answer) balancer.Result { return route.Plain(a.Status, false, route.DefaultFailures) }
 	}
 	return r
 }
@@ -246,7 +246,7 @@
 // What may have run in one pool never goes to another, whatever stands in for it: hosts there
 // do not know it, and would run it again.
 func TestWhatMayHaveRunStaysInItsPool(t *testing.T) {
-	for _, outcome := range []lynxspool.Result{lynxspool.Reset, lynxspool.TimedOut, lynxspool.Spoilt, lynxspool.Canceled} {
+	for _, outcome := range []balancer.Result{balancer.Reset, balancer.TimedOut, balancer.Spoilt, balancer.Canceled} {
 		for _, class := range []int{book, report} {
 			inWorld(t, func(w *world) {
 				a, b := newFake("a", ends(outcome)), newFake("b", says(200, time.Millisecond))
@@ -268,7 +268,7 @@
 // the next one, once, and four attempts are the most in all.
 func TestRefusedConnectionsLeadOn(t *testing.T) {
 	inWorld(t, func(w *world) {
-		a, b := newFake("a", ends(lynxspool.ConnectFailed)), newFake("b", says(200, time.Millisecond))
+		a, b := newFake("a", ends(balancer.ConnectFailed)), newFake("b", says(200, time.Millisecond))
 		w.use(testRoute(false), nil, w.pool(a, 3), w.pool(b, 3))
 		served := 0
 		for i := range 200 {
@@ -286,7 +286,7 @@
 		}
 	})
 	inWorld(t, func(w *world) { // both pools are down: refused at once, with advice, never sent a fifth time
-		a, b := newFake("a", ends(lynxspool.ConnectFailed)), newFake("b", ends(lynxspool.ConnectFailed))
+		a, b := newFake("a", ends(balancer.ConnectFailed)), newFake("b", ends(balancer.ConnectFailed))
 		w.use(testRoute(false), nil, w.pool(a, 3), w.pool(b, 3))
 		for i := range 100 {
 			began := time.Now()
@@ -305,7 +305,7 @@
 // what the first could not take.
 func TestFullPoolDoesNotSpill(t *testing.T) {
 	inWorld(t, func(w *world) {
-		full := func(context.Context, string, *Request) Result { return Ended(lynxspool.Full) }
+		full := func(context.Context, string, *Request) Result { return Ended(balancer.Full) }
 		a, b := newFake("a", full), newFake("b", says(200, time.Millisecond))
 		w.use(testRoute(false), nil, w.pool(a, 3), w.pool(b, 3))
 		w.load(100, 2*time.Second, func(int) int { return book })
@@ -331,8 +331,8 @@
 		if got := w.load(rate, 5*time.Second, mixed); got.kinds[Served] != 5*rate || b.count() != 0 {
 			t.Fatalf("while all is well: %v, %d went to the second pool", got.kinds, b.count())
 		}
-		a.is(ends(lynxspool.ConnectFailed))
-		pb.Members(lynxspool.ListFull, members(2, time.Now()))
+		a.is(ends(balancer.ConnectFailed))
+		pb.Members(balancer.ListFull, members(2, time.Now()))
 		got := w.load(rate, 6*time.Second, mixed)
 		if got.slowest > 250*time.Millisecond || got.advised != got.kinds[Refused] || got.kinds[Failed] > 0 {
 			t.Errorf("refusals took up to %v, %d of %d with advice; %v", got.slowest, got.advised, got.kinds[Refused], got.kinds)
@@ -439,7 +439,7 @@
 			t.Errorf("pools ended: %v", w.ended)
 		}
 		done := make(chan struct{})
-		w.post(func(lynxspool.Time) {
+		w.post(func(balancer.Time) {
 			if len(w.pools) != 1 || len(w.left) != 0 || len(w.open) != 0 {
 				t.Errorf("left behind: %d pools, %d plans, %d requests", len(w.pools), len(w.left), len(w.open))
 			}
@@ -476,7 +476,7 @@
 // pool its traffic back, or fills a spent budget.
 func TestPlansAdoptWhatIsTheSame(t *testing.T) {
 	inWorld(t, func(w *world) {
-		a, b := newFake("a", ends(lynxspool.ConnectFailed)), newFake("b", says(200, time.Millisecond))
+		a, b := newFake("a", ends(balancer.ConnectFailed)), newFake("b", says(200, time.Millisecond))
 		pa, pb := w.pool(a, 4), w.pool(b, 4)
 		old := w.use(testRoute(false), &Retries{Share: 0.2, Floor: 1}, pa, pb)
 		w.load(100, 3*time.Second, mixed)
@@ -617,7 +617,7 @@
 	leave func()
 }
 
-func (m leavingBehind) Outcome(now lynxspool.Time, o lynxspool.Outcome) {
+func (m leavingBehind) Outcome(now balancer.Time, o balancer.Outcome) {
 	m.Module.Outcome(now, o)
 	m.leave()
 }
@@ -626,12 +626,12 @@
 // until its leaving is told too. It guards against an attempt of what has been forgotten, which ends the process.
 func TestClientLeavesAsItsAttemptEnds(t *testing.T) {
 	inWorld(t, func(w *world) {
-		f := newFake("a", ends(lynxspool.Full))
+		f := newFake("a", ends(balancer.Full))
 		p := w.pool(f, 3)
 		plan := w.use(testRoute(false), nil, p)
 		ctx, leave := context.WithCancel(context.Background())
 		x := &Request{Method: "GET", Target: "/", Route: plan.routes[0], Class: look, Deadline: time.Now().Add(time.Second)}
-		p.ask(func(lynxspool.Time) {
+		p.ask(func(balancer.Time) {
 			p.bal = leavingBehind{p.bal, func() {
 				leave()
 				for !x.Over() {
@@ -659,12 +659,12 @@
 			by = append(by, x.WriteBy)
 			if len(by)%2 == 1 {
 				time.Sleep(time.Second)
-				return Ended(lynxspool.Reset)
+				return Ended(balancer.Reset)
 			}
 			if time.Sleep(1400 * time.Millisecond); x.MayWrite() { // a dial that is slow
 				return Result{Answered: true, Answer: Answer{Kind: Served, Status: 200}}
 			}
-			return Ended(lynxspool.NotSent)
+			return Ended(balancer.NotSent)
 		})
 		w.use(testRoute(false), nil, w.pool(f, 3))
 		for _, tt := range []struct {
@@ -681,12 +681,12 @@
 		f.is(func(_ context.Context, _ string, x *Request) Result {
 			if x.WriteBy.IsZero() {
 				time.Sleep(time.Second)
-				return Ended(lynxspool.Reset)
+				return Ended(balancer.Reset)
 			}
 			if time.Sleep(1500 * time.Millisecond); x.MayWrite() {
 				t.Error("a repeat may go out behind its window")
 			}
-			return Ended(lynxspool.NotSent)
+			return Ended(balancer.NotSent)
 		})
 		if _, a := w.ask(report); a.Kind != Failed {
 			t.Errorf("%+v", a)
@@ -746,14 +746,14 @@
 		f.is(func(_ context.Context, host string, x *Request) Result {
 			if x.Over() {
 				late = append(late, host) // a transport looks again, and sends nothing
-				return Ended(lynxspool.NotSent)
+				return Ended(balancer.NotSent)
 			}
 			return says(200, 0)(context.Background(), host, x)
 		})
 		p := w.pool(f, 3)
 		w.use(testRoute(false), nil, p)
 		stuck := make(chan struct{})
-		w.post(func(lynxspool.Time) { <-stuck })
+		w.post(func(balancer.Time) { <-stuck })
 		began := time.Now()
 		if _, got := w.ask(look); got.Kind != Failed || time.Since(began) > 4*time.Second {
 			t.Errorf("answer %+v after %v", got, time.Since(began))
@@ -775,7 +775,7 @@
 		for what, list := range map[string]discovery.MemberList{
 			"no member": {Full: true}, "all draining": {Full: true, Servers: []discovery.Member{{ID: "h-1", Addr: "127.0.0.1:9", State: "draining"}}},
 		} {
-			p.Members(lynxspool.ListFull, list)
+			p.Members(balancer.ListFull, list)
 			for class := range testClasses {
 				began := time.Now()
 				if _, got := w.ask(class); got.Kind != Refused || got.RetryAfter == 0 || time.Since(began) > 250*time.Millisecond {
@@ -786,7 +786,7 @@
 				t.Errorf("%s: ready %t, %d attempts", what, p.Ready(), f.total)
 			}
 		}
-		p.Members(lynxspool.ListFull, members(1, time.Time{}))
+		p.Members(balancer.ListFull, members(1, time.Time{}))
 		if _, got := w.ask(look); got.Kind != Served || !p.Ready() {
 			t.Errorf("with a host: %+v", got)
 		}
--- a/internal/engine/numbers.go
+++ b/internal/engine/numbers.go
@@ -1,6 +1,6 @@
 package engine
 
-import "lynxspool"
+import "dunemoor/balancer"
 
 // numbers counts zones or kinds: as the settings do, and those that the settings lack
 // each by a number of its own, so that two unknown zones are not taken for one. It
@@ -33,7 +33,7 @@
 }
 
 // forget drops the names that no host bears, once there are many.
-func (n *numbers) forget(hosts map[lynxspool.HostID]*host, name func(*host) string) {
+func (n *numbers) forget(hosts map[balancer.HostID]*host, name func(*host) string) {
 	if len(n.other) <= len(hosts)+namesSpare {
 		return
 	}
--- a/internal/engine/parts_test.go
+++ b/internal/engine/parts_test.go
@@ -6,12 +6,12 @@
 	"testing"
 	"time"
 
-	"lynxspool"
+	"dunemoor/balancer"
 )
 
 // Ids must map alike at every gateway and after a restart, and apart from one another.
 func TestHostIDs(t *testing.T) {
-	seen := map[lynxspool.HostID]string{}
+	seen := map[balancer.HostID]string{}
 	for i := range 1000 {
 		id := fmt.Sprintf("s-%08x", i)
 		if hostID(id) != hostID(strings.Clone(id)) || seen[hostID(id)] != "" {
@@ -29,7 +29,7 @@
 func TestStartTimesAreOnTheModulesClock(t *testing.T) {
 	c := clock{time.Now()}
 	at := time.Now().Add(-3 * time.Second)
-	started := lynxspool.Time(at.UnixMilli()) * lynxspool.Time(time.Millisecond)
+	started := balancer.Time(at.UnixMilli()) * balancer.Time(time.Millisecond)
 	if off := c.at(at) - started; off < 0 || off >= time.Millisecond {
 		t.Errorf("a host started 3 s ago is %v off", off)
 	}
--- a/internal/engine/plan.go
+++ b/internal/engine/plan.go
@@ -5,9 +5,9 @@
 	"sync/atomic"
 	"time"
 
-	"lynxspool"
-	"lynxspool/internal/body"
-	"lynxspool/internal/route"
+	"dunemoor/balancer"
+	"dunemoor/internal/body"
+	"dunemoor/internal/route"
 )
 
 // Route is what is done with the requests of a route. It is not changed once it is in a plan.
@@ -15,14 +15,14 @@
 	Name string
 	// Classes are those of its pools, by the number that they go by there, and Names those
 	// that requests may ask for.
-	Classes []lynxspool.Class
+	Classes []balancer.Class
 	Names   map[string]int
 	Tenants map[string]int // none: requests name none
 	// First and Repeat are where first tries and repeats of each class stand when something
 	// has to go; nil where nothing is shed.
 	First, Repeat []int
-	// Judge says what a host's answer tells the module: lynxspool.OK ends the request with it.
-	Judge func(a *Answer) lynxspool.Result
+	// Judge says what a host's answer tells the module: balancer.OK ends the request with it.
+	Judge func(a *Answer) balancer.Result
 	// PassOn has the client get what a host said last, also where that is no success, once
 	// the request may have no other attempt.
 	PassOn bool
@@ -67,7 +67,7 @@
 	return r.rule.SplitBy
 }
 
-func (r *Route) safe(class int) bool { return r.Classes[class].Effect == lynxspool.Safe }
+func (r *Route) safe(class int) bool { return r.Classes[class].Effect == balancer.Safe }
 
 // chain is a pool and those that stand in for it.
 type chain struct {
@@ -184,7 +184,7 @@
 // Release is called once for each Plan that Engine.Plan gave, behind the last use.
 func (p *Plan) Release() {
 	if p.refs.Add(-1) == 0 && p.superseded.Load() {
-		p.engine.post(func(lynxspool.Time) { p.engine.sweep() })
+		p.engine.post(func(balancer.Time) { p.engine.sweep() })
 	}
 }
 
@@ -194,7 +194,7 @@
 // has.
 func (e *Engine) Use(p *Plan) {
 	done := make(chan struct{})
-	if !e.post(func(now lynxspool.Time) {
+	if !e.post(func(now balancer.Time) {
 		e.use(now, p)
 		close(done)
 	}) {
@@ -206,7 +206,7 @@
 	}
 }
 
-func (e *Engine) use(now lynxspool.Time, p *Plan) {
+func (e *Engine) use(now balancer.Time, p *Plan) {
 	old := e.plan.Load()
 	if old != nil {
 		p.adopt(old)
@@ -236,7 +236,7 @@
 
 // Drop ends the pools that were made and never came into use, as where a reload failed.
 func (e *Engine) Drop() {
-	e.post(func(lynxspool.Time) {
+	e.post(func(balancer.Time) {
 		for p := range e.pools {
 			p.joined = true
 		}
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -8,9 +8,9 @@
 	"sync/atomic"
 	"time"
 
-	"lynxspool"
-	"lynxspool/internal/discovery"
-	"lynxspool/internal/flight"
+	"dunemoor/balancer"
+	"dunemoor/internal/discovery"
+	"dunemoor/internal/flight"
 )
 
 // attemptsMost is how many attempts a request has at most, whatever pools it comes to.
@@ -23,7 +23,7 @@
 // PoolConfig is what a pool is made of.
 type PoolConfig struct {
 	Name      string
-	Settings  lynxspool.Settings
+	Settings  balancer.Settings
 	Seed      uint64
 	Zones     map[string]int // as the settings number them
 	Kinds     map[string]int
@@ -45,13 +45,13 @@
 	inside atomic.Int64 // requests in it, until over and no attempt is out
 
 	// All below belongs to the loop.
-	core   *lynxspool.Balancer
+	core   *balancer.Balancer
 	bal    flight.Module // core, or the recorder in front of it
 	record *recording    // nil: nothing is recorded
-	acts   []lynxspool.Action
-	denied []lynxspool.Outcome
+	acts   []balancer.Action
+	denied []balancer.Outcome
 	moved  []*Request
-	hosts  map[lynxspool.HostID]*host
+	hosts  map[balancer.HostID]*host
 	takes  int // hosts that the list calls ready
 	zones  numbers
 	kinds  numbers
@@ -72,7 +72,7 @@
 
 // NewPool makes a pool that is yet in no plan. Its Transport's Run is the caller's to start.
 func (e *Engine) NewPool(cfg PoolConfig) (*Pool, error) {
-	core, err := lynxspool.New(cfg.Settings, cfg.Seed)
+	core, err := balancer.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
@@ -81,14 +81,14 @@
 	}
 	p := &Pool{
 		Name: cfg.Name, engine: e, cfg: cfg, core: core, bal: core,
-		hosts: map[lynxspool.HostID]*host{}, zones: newNumbers(cfg.Zones), kinds: newNumbers(cfg.Kinds),
+		hosts: map[balancer.HostID]*host{}, zones: newNumbers(cfg.Zones), kinds: newNumbers(cfg.Kinds),
 	}
 	if cfg.Recording != nil {
 		if err := p.startRecording(cfg.Recording); err != nil {
 			return nil, err
 		}
 	}
-	e.post(func(now lynxspool.Time) {
+	e.post(func(now balancer.Time) {
 		e.pools[p] = struct{}{}
 		p.bal.Start(now)
 		p.perform(now)
@@ -104,8 +104,8 @@
 func (p *Pool) Inside() int64 { return p.inside.Load() }
 
 // Members is news of the list of hosts.
-func (p *Pool) Members(kind lynxspool.ListKind, list discovery.MemberList) {
-	p.engine.post(func(now lynxspool.Time) {
+func (p *Pool) Members(kind balancer.ListKind, list discovery.MemberList) {
+	p.engine.post(func(now balancer.Time) {
 		if !p.ended {
 			p.members(now, kind, list)
 			p.perform(now)
@@ -113,22 +113,22 @@
 	})
 }
 
-func (p *Pool) members(now lynxspool.Time, kind lynxspool.ListKind, list discovery.MemberList) {
-	if kind == lynxspool.ListFailed {
+func (p *Pool) members(now balancer.Time, kind balancer.ListKind, list discovery.MemberList) {
+	if kind == balancer.ListFailed {
 		p.bal.Hosts(now, kind, nil)
 		return
 	}
-	listed := map[lynxspool.HostID]bool{}
-	entries := make([]lynxspool.Host, 0, len(list.Servers))
-	var gone []lynxspool.HostID
+	listed := map[balancer.HostID]bool{}
+	entries := make([]balancer.Host, 0, len(list.Servers))
+	var gone []balancer.HostID
 	for i := range list.Servers {
 		m := &list.Servers[i]
-		e := lynxspool.Host{
+		e := balancer.Host{
 			ID: hostID(m.ID), Zone: p.zones.number(m.Zone), Cell: m.Cell, Kind: p.kinds.number(m.Kind),
-			State: m.HostState(), Started: lynxspool.Time(m.StartedMS) * lynxspool.Time(time.Millisecond),
+			State: m.HostState(), Started: balancer.Time(m.StartedMS) * balancer.Time(time.Millisecond),
 		}
 		h := p.hosts[e.ID]
-		if h == nil && e.State == lynxspool.Removed {
+		if h == nil && e.State == balancer.Removed {
 			continue // it went before we knew of it
 		} else if h == nil {
 			h = &host{Endpoint: p.cfg.Transport.Host(m.ID), id: m.ID}
@@ -141,15 +141,15 @@
 			slog.Error("host left out: its id collides with another's", "host", m.ID, "other", h.id)
 			continue
 		}
-		h.zone, h.kind, h.addr, h.ready = m.Zone, m.Kind, m.Addr, e.State == lynxspool.Ready
+		h.zone, h.kind, h.addr, h.ready = m.Zone, m.Kind, m.Addr, e.State == balancer.Ready
 		listed[e.ID] = true
 		entries = append(entries, e)
 		h.Update(m.Addr, m.StartedMS, h.ready)
-		if e.State == lynxspool.Removed {
+		if e.State == balancer.Removed {
 			gone = append(gone, e.ID)
 		}
 	}
-	if kind != lynxspool.ListChanges {
+	if kind != balancer.ListChanges {
 		for id, h := range p.hosts {
 			if !listed[id] {
 				gone = append(gone, id)
@@ -174,7 +174,7 @@
 
 // GivenUp is the names of hosts that were given up and have not answered since, most at most.
 func (p *Pool) GivenUp(most int) (names []string) {
-	p.ask(func(lynxspool.Time) {
+	p.ask(func(balancer.Time) {
 		if usable, ready := p.core.Usable(); usable == ready {
 			return
 		}
@@ -189,7 +189,7 @@
 
 // Address is where a host of the pool takes requests; "" where the list does not call it ready.
 func (p *Pool) Address(name string) (addr string) {
-	p.ask(func(lynxspool.Time) {
+	p.ask(func(balancer.Time) {
 		if h := p.hosts[hostID(name)]; h != nil && h.id == name && h.ready {
 			addr = h.addr
 		}
@@ -199,7 +199,7 @@
 
 // Hint says that a host that was given up may be worth a try, some time within.
 func (p *Pool) Hint(name string, within time.Duration) {
-	p.engine.post(func(now lynxspool.Time) {
+	p.engine.post(func(now balancer.Time) {
 		if h := p.hosts[hostID(name)]; h != nil && h.id == name && !p.ended {
 			p.bal.Hint(now, hostID(name), within)
 			p.perform(now)
@@ -208,9 +208,9 @@
 }
 
 // ask has the loop look at the pool, and waits for it.
-func (p *Pool) ask(look func(now lynxspool.Time)) {
+func (p *Pool) ask(look func(now balancer.Time)) {
 	done := make(chan struct{})
-	if !p.engine.post(func(now lynxspool.Time) { look(now); close(done) }) {
+	if !p.engine.post(func(now balancer.Time) { look(now); close(done) }) {
 		return
 	}
 	select {
@@ -220,20 +220,20 @@
 }
 
 // hostID is the same for an id at every gateway and after every restart.
-func hostID(id string) lynxspool.HostID {
+func hostID(id string) balancer.HostID {
 	h := fnv.New64a()
 	h.Write([]byte(id))
-	return lynxspool.HostID(h.Sum64())
+	return balancer.HostID(h.Sum64())
 }
 
 // take gives a request to the pool's module.
-func (p *Pool) take(now lynxspool.Time, x *Request) {
+func (p *Pool) take(now balancer.Time, x *Request) {
 	e := p.engine
 	e.lastID++
 	x.id, x.pool, x.attempts = e.lastID, p, x.attempts[:0]
 	e.open[x.id] = x
 	p.inside.Add(1)
-	p.bal.Request(now, lynxspool.Request{
+	p.bal.Request(now, balancer.Request{
 		ID: x.id, Class: x.Class, Tenant: x.Tenant, Repeat: x.Repeat,
 		Left: max(0, e.clock.at(e.capped(x.Deadline))-now),
 	})
@@ -251,9 +251,9 @@
 // Retune has the pool's module take over new settings, and puts a plan into use that goes with
 // them, in one step. settle is called in the loop, with what says whether a request may be under
 // the number of a class still; its plan has the pool in it. It returns once that is done.
-func (e *Engine) Retune(p *Pool, settle func(inUse func(class int) bool) (set lynxspool.Settings, from []int, names []string, plan *Plan)) error {
+func (e *Engine) Retune(p *Pool, settle func(inUse func(class int) bool) (set balancer.Settings, from []int, names []string, plan *Plan)) error {
 	done := make(chan error, 1)
-	if !e.post(func(now lynxspool.Time) { done <- e.retune(now, p, settle) }) {
+	if !e.post(func(now balancer.Time) { done <- e.retune(now, p, settle) }) {
 		return context.Canceled
 	}
 	select {
@@ -264,7 +264,7 @@
 	}
 }
 
-func (e *Engine) retune(now lynxspool.Time, p *Pool, settle func(func(int) bool) (lynxspool.Settings, []int, []string, *Plan)) error {
+func (e *Engine) retune(now balancer.Time, p *Pool, settle func(func(int) bool) (balancer.Settings, []int, []string, *Plan)) error {
 	e.sweep()
 	used := map[int]bool{}
 	for _, x := range e.open {
@@ -297,30 +297,30 @@
 
 // perform carries out what the module has decided. It is called behind each event of the
 // pool.
-func (p *Pool) perform(now lynxspool.Time) {
+func (p *Pool) perform(now balancer.Time) {
 	e := p.engine
 	for again := true; again; {
 		p.acts = p.bal.Drain(p.acts[:0])
 		for i := range p.acts {
 			a := &p.acts[i]
 			switch a.Kind {
-			case lynxspool.Send:
+			case balancer.Send:
 				p.send(now, a)
-			case lynxspool.Cancel:
+			case balancer.Cancel:
 				if x := e.open[a.Request]; x != nil && a.Attempt < len(x.attempts) {
 					x.attempts[a.Attempt]()
 				}
-			case lynxspool.Refuse, lynxspool.Fail:
+			case balancer.Refuse, balancer.Fail:
 				p.answer(now, a)
-			case lynxspool.Wake:
+			case balancer.Wake:
 				heap.Push(&e.timers, wake{a.At, a.Token, p})
-			case lynxspool.Close:
+			case balancer.Close:
 				if h := p.hosts[a.Host]; h != nil {
 					h.CloseIdle()
 				}
-			case lynxspool.Watch:
+			case balancer.Watch:
 				p.cfg.Watch()
-			case lynxspool.Log:
+			case balancer.Log:
 				p.say(a)
 			}
 		}
@@ -343,7 +343,7 @@
 }
 
 // say logs what the module has to say.
-func (p *Pool) say(a *lynxspool.Action) {
+func (p *Pool) say(a *balancer.Action) {
 	var args []any
 	if h := p.hosts[a.Host]; h != nil {
 		args = append(args, "host", h.id)
@@ -355,7 +355,7 @@
 }
 
 // send starts an attempt; its end comes back as one event, whatever happens.
-func (p *Pool) send(now lynxspool.Time, a *lynxspool.Action) {
+func (p *Pool) send(now balancer.Time, a *balancer.Action) {
 	e := p.engine
 	x, h := e.open[a.Request], p.hosts[a.Host]
 	if x == nil || h == nil {
@@ -365,7 +365,7 @@
 	n := len(x.attempts)
 	if x.sent > 0 && !p.again(now, x) {
 		x.attempts = append(x.attempts, func() {})
-		p.denied = append(p.denied, lynxspool.Outcome{Request: x.id, Attempt: n, Result: lynxspool.NotSent, Closed: x.Over()})
+		p.denied = append(p.denied, balancer.Outcome{Request: x.id, Attempt: n, Result: balancer.NotSent, Closed: x.Over()})
 		return
 	}
 	until := e.capped(x.Deadline)
@@ -390,14 +390,14 @@
 		result := h.Attempt(ctx, x)
 		took := time.Since(sent)
 		cancel()
-		e.post(func(now lynxspool.Time) { p.over(now, x, n, took, result) })
+		e.post(func(now balancer.Time) { p.over(now, x, n, took, result) })
 	}()
 }
 
 // again says whether a request may have another attempt, beside what the module allows. A
 // trial has one in the pool that it tries, and where another pool may still serve it, the
 // last of all is kept for that.
-func (p *Pool) again(now lynxspool.Time, x *Request) bool {
+func (p *Pool) again(now balancer.Time, x *Request) bool {
 	if len(x.attempts) > 0 && len(x.chain.pools) > 1 && (x.trial || x.sent >= attemptsMost-1) && (x.proved || x.Route.safe(x.Class)) {
 		if _, ok := x.chain.state.Next(now, x.level, x.trial); ok {
 			return false
@@ -408,18 +408,18 @@
 
 // over is the end of an attempt. The first good answer ends the request by itself; the
 // module is told so.
-func (p *Pool) over(now lynxspool.Time, x *Request, n int, took time.Duration, r Result) {
+func (p *Pool) over(now balancer.Time, x *Request, n int, took time.Duration, r Result) {
 	x.out--
 	outcome := r.Outcome
-	if r.Part && x.Route.Plain != nil && outcome == lynxspool.ConnectFailed {
-		outcome = lynxspool.Reset // a server of plain HTTP may act on a part
+	if r.Part && x.Route.Plain != nil && outcome == balancer.ConnectFailed {
+		outcome = balancer.Reset // a server of plain HTTP may act on a part
 	}
 	if r.Answered {
 		outcome = x.Route.Judge(&r.Answer)
 		switch {
-		case outcome == lynxspool.OK && x.finish(r.Answer):
+		case outcome == balancer.OK && x.finish(r.Answer):
 			p.answered(false)
-		case outcome != lynxspool.OK && x.Route.PassOn && !x.Over():
+		case outcome != balancer.OK && x.Route.PassOn && !x.Over():
 			x.last.discard()
 			x.last = r.Answer
 		default:
@@ -431,11 +431,11 @@
 		return
 	}
 	x.proved = x.proved && !outcome.MayHaveRun()
-	x.unreached = x.unreached && (outcome == lynxspool.ConnectFailed || outcome == lynxspool.NotSent)
+	x.unreached = x.unreached && (outcome == balancer.ConnectFailed || outcome == balancer.NotSent)
 	// Asked once: whoever finishes it between the module's being told and its release says so by an
 	// event of its own, and until that the module may send again.
 	closed := x.Over()
-	p.bal.Outcome(now, lynxspool.Outcome{
+	p.bal.Outcome(now, balancer.Outcome{
 		Request: x.id, Attempt: n, Result: outcome,
 		Elapsed: took, Closed: closed,
 	})
@@ -447,7 +447,7 @@
 
 // spent is the end of the one attempt of a request whose body was let go: the client gets what
 // the host said, a refusal where nothing of it ever ran, or a failure.
-func (p *Pool) spent(x *Request, outcome lynxspool.Result) {
+func (p *Pool) spent(x *Request, outcome balancer.Result) {
 	if !x.Over() {
 		final := Answer{Kind: Failed}
 		if x.last.Kind == Served {
@@ -466,22 +466,22 @@
 
 // answer gives the module's final answer, unless another pool of the chain may still serve
 // the request.
-func (p *Pool) answer(now lynxspool.Time, a *lynxspool.Action) {
+func (p *Pool) answer(now balancer.Time, a *balancer.Action) {
 	e := p.engine
 	x := e.open[a.Request]
 	if x == nil {
 		return
 	}
-	if a.Kind == lynxspool.Refuse && p.moves(now, x) {
+	if a.Kind == balancer.Refuse && p.moves(now, x) {
 		return
 	}
-	p.answered(a.Kind == lynxspool.Refuse)
+	p.answered(a.Kind == balancer.Refuse)
 	final := Answer{Kind: Failed}
 	switch {
-	case a.Why == lynxspool.CauseSpent && x.last.Kind == Served:
+	case a.Why == balancer.CauseSpent && x.last.Kind == Served:
 		// All that it may have had has ended, and this is what a host said.
 		final, x.last = x.last, Answer{}
-	case a.Kind == lynxspool.Refuse:
+	case a.Kind == balancer.Refuse:
 		final = Answer{Kind: Refused, RetryAfter: a.After}
 	}
 	if !x.finish(final) {
@@ -493,7 +493,7 @@
 // moves has a request that its pool turns away go on to the next pool of its chain: only
 // where connections to this one failed or it was sent here as a trial, and nothing of it
 // may have run. A pool that is full keeps its refusals, as they would push over the next.
-func (p *Pool) moves(now lynxspool.Time, x *Request) bool {
+func (p *Pool) moves(now balancer.Time, x *Request) bool {
 	if len(x.chain.pools) < 2 || x.out > 0 || x.Over() || x.sent >= attemptsMost || !x.proved && !x.Route.safe(x.Class) ||
 		!x.trial && (x.sent == 0 || !x.unreached) || !x.Deadline.After(p.engine.clock.time(now)) {
 		return false
@@ -509,7 +509,7 @@
 }
 
 // tell has the chains know how many hosts can be used, where that has changed.
-func (p *Pool) tell(now lynxspool.Time) {
+func (p *Pool) tell(now balancer.Time) {
 	usable, drawn := p.core.Usable()
 	if drawn > 0 {
 		usable = usable * p.takes / drawn // the module may draw from a part, which stands for all
--- a/internal/engine/recording.go
+++ b/internal/engine/recording.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 	"time"
 
-	"lynxspool"
-	"lynxspool/internal/flight"
+	"dunemoor/balancer"
+	"dunemoor/internal/flight"
 )
 
 // RecordingConfig says what the flight recorder keeps and where it writes.
@@ -108,7 +108,7 @@
 
 // Dump has the rings written to the folder of dumps. It does not wait for that.
 func (e *Engine) Dump() {
-	e.post(func(lynxspool.Time) {
+	e.post(func(balancer.Time) {
 		for p := range e.pools {
 			p.dump()
 		}
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 	"time"
 
-	"lynxspool"
-	"lynxspool/internal/body"
+	"dunemoor/balancer"
+	"dunemoor/internal/body"
 )
 
 // Request is one request of a client and its one final answer. A front fills in the first
@@ -51,7 +51,7 @@
 	answer chan Answer   // holds the answer that finish was won with
 
 	// The rest belongs to the loop.
-	id        lynxspool.RequestID
+	id        balancer.RequestID
 	pool      *Pool
 	attempts  []context.CancelFunc // of the pool that it is in now
 	out       int
@@ -191,14 +191,14 @@
 	// the proof that the protocol's own text names.
 	Answered bool
 	Answer   Answer
-	Outcome  lynxspool.Result
+	Outcome  balancer.Result
 	// Part says that some bytes of the request went out, but not the last. By the platform's
 	// protocol that proves that nothing ran; of plain HTTP it proves nothing.
 	Part bool
 }
 
 // Ended is a Result without an answer.
-func Ended(outcome lynxspool.Result) Result { return Result{Outcome: outcome} }
+func Ended(outcome balancer.Result) Result { return Result{Outcome: outcome} }
 
 // Transport makes attempts by one protocol at the hosts of one pool, and keeps the
 // connections to them.
--- a/internal/fleet/calls.go
+++ b/internal/fleet/calls.go
@@ -9,9 +9,9 @@
 	"net/url"
 	"time"
 
-	"lynxspool/internal/admin"
-	"lynxspool/internal/cluster"
-	"lynxspool/internal/cluster/lease"
+	"dunemoor/internal/admin"
+	"dunemoor/internal/cluster"
+	"dunemoor/internal/cluster/lease"
 )
 
 // Paths of the operators' calls.
--- a/internal/fleet/check.go
+++ b/internal/fleet/check.go
@@ -12,9 +12,9 @@
 	"sync/atomic"
 	"time"
 
-	"lynxspool/internal/cluster/duty"
-	"lynxspool/internal/cluster/member"
-	"lynxspool/internal/fleet/checks"
+	"dunemoor/internal/cluster/duty"
+	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/fleet/checks"
 )
 
 // checkPrefix begins the names of the duties to try hosts for the fleet; the pool follows.
--- a/internal/fleet/compat_test.go
+++ b/internal/fleet/compat_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"lynxspool/internal/fleet/lists"
-	"lynxspool/internal/testkit/compat"
+	"dunemoor/internal/fleet/lists"
+	"dunemoor/internal/testkit/compat"
 )
 
 // What holders of leases send to the gateways of their fleet.
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -10,12 +10,12 @@
 	"sync/atomic"
 	"time"
 
-	"lynxspool/internal/cluster"
-	"lynxspool/internal/cluster/duty"
-	"lynxspool/internal/cluster/lease"
-	"lynxspool/internal/config"
-	"lynxspool/internal/discovery"
-	"lynxspool/internal/gateway"
+	"dunemoor/internal/cluster"
+	"dunemoor/internal/cluster/duty"
+	"dunemoor/internal/cluster/lease"
+	"dunemoor/internal/config"
+	"dunemoor/internal/discovery"
+	"dunemoor/internal/gateway"
 )
 
 // Fleet is a gateway's part.
--- a/internal/fleet/list.go
+++ b/internal/fleet/list.go
@@ -10,11 +10,11 @@
 	"sync/atomic"
 	"time"
 
-	"lynxspool"
-	"lynxspool/internal/cluster/duty"
-	"lynxspool/internal/cluster/member"
-	"lynxspool/internal/discovery"
-	"lynxspool/internal/fleet/lists"
+	"dunemoor/balancer"
+	"dunemoor/internal/cluster/duty"
+	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/discovery"
+	"dunemoor/internal/fleet/lists"
 )
 
 // listPrefix begins the names of the duties to watch discovery for the fleet; the pool follows.
@@ -177,7 +177,7 @@
 }
 
 // Members is of discovery.Sink.
-func (d *direct) Members(kind lynxspool.ListKind, list discovery.MemberList) {
+func (d *direct) Members(kind balancer.ListKind, list discovery.MemberList) {
 	select {
 	case d.inbox <- func(x *listening) {
 		if x.watch == d.watch && x.cancel != nil {
@@ -189,10 +189,10 @@
 }
 
 // direct takes what discovery told us, and passes it on as the owner.
-func (x *listening) direct(kind lynxspool.ListKind, list discovery.MemberList) {
+func (x *listening) direct(kind balancer.ListKind, list discovery.MemberList) {
 	from := x.state.Version()
-	whole := kind != lynxspool.ListChanges
-	if kind == lynxspool.ListFailed || !x.state.Direct(list.Version, whole) {
+	whole := kind != balancer.ListChanges
+	if kind == balancer.ListFailed || !x.state.Direct(list.Version, whole) {
 		return
 	}
 	x.take(whole, list.Servers)
@@ -254,11 +254,11 @@
 	switch x.state.Hear(now, token, t.Word) {
 	case lists.Take:
 		x.take(t.Kind == lists.Whole, t.Hosts)
-		kind := lynxspool.ListChanges
+		kind := balancer.ListChanges
 		if t.Kind == lists.Whole {
-			kind = lynxspool.ListFull
+			kind = balancer.ListFull
 		}
-		x.to.Members(kind, discovery.MemberList{Version: t.Version, Full: kind == lynxspool.ListFull, Servers: t.Hosts})
+		x.to.Members(kind, discovery.MemberList{Version: t.Version, Full: kind == balancer.ListFull, Servers: t.Hosts})
 	case lists.Behind:
 		x.ask(now)
 	}
--- a/internal/fleet/words.go
+++ b/internal/fleet/words.go
@@ -8,9 +8,9 @@
 	"net/url"
 	"time"
 
-	"lynxspool/internal/admin"
-	"lynxspool/internal/cluster/lease"
-	"lynxspool/internal/cluster/member"
+	"dunemoor/internal/admin"
+	"dunemoor/internal/cluster/lease"
+	"dunemoor/internal/cluster/member"
 )
 
 // Paths of the operators' words.
--- a/internal/flight/analysis.go
+++ b/internal/flight/analysis.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"lynxspool"
+	"dunemoor/balancer"
 )
 
 // Analysis is what a recording tells of a stretch of time: what became of the requests, why
@@ -19,7 +19,7 @@
 	Gateway  string
 	Build    string
 	Classes  []string
-	From, To lynxspool.Time
+	From, To balancer.Time
 	Wall     time.Time // of From, by the wall clock as it was at the start of the session
 	Bucket   time.Duration
 	Hosts    []*HostLine
@@ -38,13 +38,13 @@
 // ClassLine is what became of a class.
 type ClassLine struct {
 	Asked, Served, InTime, Refused, Failed, Left int
-	Why                                          map[lynxspool.Cause]int
+	Why                                          map[balancer.Cause]int
 	took                                         []time.Duration
 }
 
 // HostLine is how a host stood, bucket by bucket.
 type HostLine struct {
-	ID      lynxspool.HostID
+	ID      balancer.HostID
 	Name    string
 	Sent    int
 	Good    int
@@ -61,10 +61,10 @@
 
 // Ejection is a host that was taken out of the draw.
 type Ejection struct {
-	At      lynxspool.Time
-	Host    lynxspool.HostID
-	Why     lynxspool.Cause
-	Request lynxspool.RequestID // the oldest out there, or the one whose end was the cause
+	At      balancer.Time
+	Host    balancer.HostID
+	Why     balancer.Cause
+	Request balancer.RequestID // the oldest out there, or the one whose end was the cause
 	Class   int
 	Age     time.Duration // of its attempt
 	Pending int
@@ -89,18 +89,18 @@
 }
 
 type attemptKey struct {
-	id lynxspool.RequestID
+	id balancer.RequestID
 	n  int
 }
 
 type flying struct {
-	host  lynxspool.HostID
-	sent  lynxspool.Time
+	host  balancer.HostID
+	sent  balancer.Time
 	class int
 }
 
 type asked struct {
-	at    lynxspool.Time
+	at    balancer.Time
 	class int
 	done  bool
 	sends int
@@ -110,17 +110,17 @@
 type analyser struct {
 	*Analysis
 	win    Window
-	base   lynxspool.Time
-	began  lynxspool.Time // of the session, on the module's clock
-	set    *lynxspool.Settings
-	hosts  map[lynxspool.HostID]*HostLine
-	names  map[lynxspool.HostID]string
-	reqs   map[lynxspool.RequestID]*asked
+	base   balancer.Time
+	began  balancer.Time // of the session, on the module's clock
+	set    *balancer.Settings
+	hosts  map[balancer.HostID]*HostLine
+	names  map[balancer.HostID]string
+	reqs   map[balancer.RequestID]*asked
 	out    map[attemptKey]flying
-	fails  map[lynxspool.HostID]int
-	viewed map[lynxspool.HostID][]HostBucket // as the recording has it
-	lookAt lynxspool.Time
-	views  []lynxspool.HostView
+	fails  map[balancer.HostID]int
+	viewed map[balancer.HostID][]HostBucket // as the recording has it
+	lookAt balancer.Time
+	views  []balancer.HostView
 }
 
 // Analyse replays a recording and says what it tells.
@@ -130,9 +130,9 @@
 	}
 	a := &analyser{
 		Analysis: &Analysis{Bucket: win.Bucket, Held: map[string]float64{}}, win: win,
-		hosts: map[lynxspool.HostID]*HostLine{}, names: map[lynxspool.HostID]string{},
-		reqs: map[lynxspool.RequestID]*asked{}, out: map[attemptKey]flying{},
-		fails: map[lynxspool.HostID]int{}, viewed: map[lynxspool.HostID][]HostBucket{},
+		hosts: map[balancer.HostID]*HostLine{}, names: map[balancer.HostID]string{},
+		reqs: map[balancer.RequestID]*asked{}, out: map[attemptKey]flying{},
+		fails: map[balancer.HostID]int{}, viewed: map[balancer.HostID][]HostBucket{},
 	}
 	rep, err := Replay(NewReader(in), a.event, a.other)
 	if err != nil {
@@ -155,7 +155,7 @@
 		a.Gateway, a.Build, a.Classes = it.Start.Name, it.Start.Build, it.Start.Classes
 		a.set = &it.Start.Settings
 		for len(a.Requests) < len(a.set.Classes) {
-			a.Requests = append(a.Requests, ClassLine{Why: map[lynxspool.Cause]int{}})
+			a.Requests = append(a.Requests, ClassLine{Why: map[balancer.Cause]int{}})
 		}
 		if a.From == 0 {
 			a.Wall, a.began = it.Start.Wall, it.Start.At
@@ -178,7 +178,7 @@
 }
 
 // bucket is the number of the bucket of a time, -1 outside of the window.
-func (a *analyser) bucket(now lynxspool.Time) int {
+func (a *analyser) bucket(now balancer.Time) int {
 	t := now - a.base
 	if t < a.win.From || a.win.To > 0 && t >= a.win.To {
 		return -1
@@ -186,7 +186,7 @@
 	return int((t - a.win.From) / a.win.Bucket)
 }
 
-func (a *analyser) event(bal *lynxspool.Balancer, e *Event, decided []lynxspool.Action) {
+func (a *analyser) event(bal *balancer.Balancer, e *Event, decided []balancer.Action) {
 	if a.base == 0 {
 		a.base = e.At
 	}
@@ -219,11 +219,11 @@
 		if f, ok := a.out[key]; ok {
 			cause = &f
 			delete(a.out, key)
-			if o.Result == lynxspool.OK && k >= 0 {
+			if o.Result == balancer.OK && k >= 0 {
 				a.line(f.host).Good++
 			}
 		}
-		if r := a.reqs[o.Request]; r != nil && !r.done && o.Result == lynxspool.OK {
+		if r := a.reqs[o.Request]; r != nil && !r.done && o.Result == balancer.OK {
 			a.answered(o.Request, r, func(c *ClassLine) {
 				took := e.At - r.at
 				c.Served++
@@ -240,7 +240,7 @@
 		d := &decided[i]
 		r := a.reqs[d.Request]
 		switch d.Kind {
-		case lynxspool.Send:
+		case balancer.Send:
 			if r != nil {
 				a.out[attemptKey{d.Request, r.sends}] = flying{d.Host, e.At, r.class}
 				r.sends++
@@ -248,8 +248,8 @@
 			if k >= 0 {
 				a.line(d.Host).Sent++
 			}
-		case lynxspool.Refuse, lynxspool.Fail:
-			if d.Why == lynxspool.CauseWait {
+		case balancer.Refuse, balancer.Fail:
+			if d.Why == balancer.CauseWait {
 				waited++
 			}
 			if r == nil || r.done {
@@ -257,7 +257,7 @@
 			}
 			a.answered(d.Request, r, func(c *ClassLine) {
 				c.Why[d.Why]++
-				if d.Kind == lynxspool.Refuse {
+				if d.Kind == balancer.Refuse {
 					c.Refused++
 					a.Rates[k].Refused++
 				} else {
@@ -273,7 +273,7 @@
 }
 
 // answered notes a request's end, in the window or not.
-func (a *analyser) answered(id lynxspool.RequestID, r *asked, note func(*ClassLine), k int) {
+func (a *analyser) answered(id balancer.RequestID, r *asked, note func(*ClassLine), k int) {
 	r.done = true
 	if k >= 0 {
 		note(&a.Requests[r.class])
@@ -281,7 +281,7 @@
 	delete(a.reqs, id)
 }
 
-func (a *analyser) line(id lynxspool.HostID) *HostLine {
+func (a *analyser) line(id balancer.HostID) *HostLine {
 	h := a.hosts[id]
 	if h == nil {
 		h = &HostLine{ID: id}
@@ -292,7 +292,7 @@
 }
 
 // look takes in how the hosts stand behind an event.
-func (a *analyser) look(bal *lynxspool.Balancer, e *Event, k, waited int, cause *flying) {
+func (a *analyser) look(bal *balancer.Balancer, e *Event, k, waited int, cause *flying) {
 	due := e.At >= a.lookAt
 	if !due && waited == 0 && len(a.hosts) > closeUp {
 		return
@@ -303,7 +303,7 @@
 	for i := range a.views {
 		v := &a.views[i]
 		word := v.Held(e.At)
-		if v.State == lynxspool.Ready && v.Drawn {
+		if v.State == balancer.Ready && v.Drawn {
 			listed++
 			held[word]++
 		}
@@ -332,7 +332,7 @@
 }
 
 // enter enters a look at a host into its bucket.
-func enter(list []HostBucket, k int, v *lynxspool.HostView, word string) []HostBucket {
+func enter(list []HostBucket, k int, v *balancer.HostView, word string) []HostBucket {
 	for len(list) <= k {
 		list = append(list, HostBucket{})
 	}
@@ -344,7 +344,7 @@
 	b.Pending += float64(v.Pending)
 	b.Limit += v.Limit
 	b.Mean += v.Mean
-	if word == "ejected" && v.Why == lynxspool.CauseSilent {
+	if word == "ejected" && v.Why == balancer.CauseSilent {
 		word = "silent"
 	}
 	b.Held[word]++
@@ -366,13 +366,13 @@
 	}
 }
 
-func (a *analyser) ejected(v *lynxspool.HostView, e *Event, cause *flying) {
+func (a *analyser) ejected(v *balancer.HostView, e *Event, cause *flying) {
 	a.Ejects++
 	if len(a.Ejected) >= ejectionsMost {
 		return
 	}
 	ej := Ejection{At: e.At, Host: v.Host, Why: v.Why, Pending: v.Pending, Class: -1}
-	if v.Why != lynxspool.CauseSilent && cause != nil && cause.host == v.Host {
+	if v.Why != balancer.CauseSilent && cause != nil && cause.host == v.Host {
 		ej.Request, ej.Class, ej.Age = e.Outcome.Request, cause.class, e.At-cause.sent
 	} else {
 		for key, f := range a.out {
@@ -529,8 +529,8 @@
 	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)].Round(10 * time.Microsecond)
 }
 
-func sortedCauses(m map[lynxspool.Cause]int) []lynxspool.Cause {
-	var list []lynxspool.Cause
+func sortedCauses(m map[balancer.Cause]int) []balancer.Cause {
+	var list []balancer.Cause
 	for c := range m {
 		list = append(list, c)
 	}
--- a/internal/flight/analysis_test.go
+++ b/internal/flight/analysis_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"lynxspool"
+	"dunemoor/balancer"
 )
 
 // spoiltDay is a day with one fault of each kind that a recording should show.
@@ -59,14 +59,14 @@
 			t.Errorf("its line is %q", letters)
 		}
 	}
-	why := map[lynxspool.Cause]int{}
+	why := map[balancer.Cause]int{}
 	for _, e := range a.Ejected {
-		if e.Host == 1 && e.Why == lynxspool.CauseConnections && e.Class < 0 {
+		if e.Host == 1 && e.Why == balancer.CauseConnections && e.Class < 0 {
 			t.Errorf("the ejection at %v names no request", e.At)
 		}
 		why[e.Why]++
 	}
-	if why[lynxspool.CauseConnections] == 0 || why[lynxspool.CauseSilent] == 0 {
+	if why[balancer.CauseConnections] == 0 || why[balancer.CauseSilent] == 0 {
 		t.Errorf("ejections by cause: %v", why)
 	}
 	var text strings.Builder
@@ -138,7 +138,7 @@
 func TestPlotIsWellFormed(t *testing.T) {
 	var out sink
 	rec, _ := record(t, spoiltDay(), 6, Options{})
-	rec.Name(lynxspool.Time(2*time.Hour), 2, `<&">`)
+	rec.Name(balancer.Time(2*time.Hour), 2, `<&">`)
 	a, err := Analyse(bytes.NewReader(rec.Dump(nil)), Window{})
 	if err != nil {
 		t.Fatal(err)
@@ -258,7 +258,7 @@
 	s := day(6, 3000)
 	var same, other sink
 	record(t, s, 6, Options{Sink: &same, ViewEvery: 50 * ms})
-	bal, _ := lynxspool.New(s.Settings, 5)
+	bal, _ := balancer.New(s.Settings, 5)
 	New(bal, Start{Seed: 5, At: s.Lists[0].At, Settings: s.Settings}, 1006, Options{Sink: &other})
 	mixed := append(bytes.Clone(other.Bytes()), same.Bytes()[firstBlock(t, same.Bytes()):]...)
 	want, err := Analyse(bytes.NewReader(same.Bytes()), Window{})
--- a/internal/flight/bench_test.go
+++ b/internal/flight/bench_test.go
@@ -4,13 +4,13 @@
 	"testing"
 	"time"
 
-	"lynxspool"
+	"dunemoor/balancer"
 )
 
 // quiet is a module that does nothing, so that what is timed is the recorder.
-func benchRecorder(b *testing.B) (*Recorder, lynxspool.Time) {
+func benchRecorder(b *testing.B) (*Recorder, balancer.Time) {
 	s := day(1, 1)
-	bal, err := lynxspool.New(s.Settings, 1)
+	bal, err := balancer.New(s.Settings, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -20,7 +20,7 @@
 		b.Fatal(err)
 	}
 	rec.Start(at)
-	rec.Hosts(at, lynxspool.ListSaved, s.Lists[0].Hosts)
+	rec.Hosts(at, balancer.ListSaved, s.Lists[0].Hosts)
 	rec.Drain(nil)
 	return rec, at
 }
@@ -39,15 +39,15 @@
 			if !recorded {
 				m = rec.bal
 			}
-			var acts []lynxspool.Action
-			id := lynxspool.RequestID(0)
+			var acts []balancer.Action
+			id := balancer.RequestID(0)
 			b.ReportAllocs()
 			for b.Loop() {
 				id++
 				now += 5 * ms
-				m.Request(now, lynxspool.Request{ID: id, Left: time.Second})
+				m.Request(now, balancer.Request{ID: id, Left: time.Second})
 				acts = m.Drain(acts[:0])
-				m.Outcome(now+4*ms, lynxspool.Outcome{Request: id, Elapsed: 4 * ms, Closed: true})
+				m.Outcome(now+4*ms, balancer.Outcome{Request: id, Elapsed: 4 * ms, Closed: true})
 				acts = m.Drain(acts[:0])
 				m.Timer(now+4*ms, 1<<56)
 				acts = m.Drain(acts[:0])
@@ -59,8 +59,8 @@
 // BenchmarkEvent is one event into the recorder, without the module.
 func BenchmarkEvent(b *testing.B) {
 	rec, now := benchRecorder(b)
-	o := lynxspool.Outcome{Request: 1 << 20, Elapsed: 4 * ms, Closed: true}
-	a := lynxspool.Action{Kind: lynxspool.Send, Request: 1 << 20, Host: 1 << 60}
+	o := balancer.Outcome{Request: 1 << 20, Elapsed: 4 * ms, Closed: true}
+	a := balancer.Action{Kind: balancer.Send, Request: 1 << 20, Host: 1 << 60}
 	b.ReportAllocs()
 	for b.Loop() {
 		now += 300 * time.Microsecond
--- a/internal/flight/compat_test.go
+++ b/internal/flight/compat_test.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"testing"
 
-	"lynxspool/internal/testkit/compat"
+	"dunemoor/internal/testkit/compat"
 )
 
 // A recording of an earlier build is replayed without a difference, and what is recorded of the
--- a/internal/flight/fit.go
+++ b/internal/flight/fit.go
@@ -9,14 +9,14 @@
 	"text/tabwriter"
 	"time"
 
-	"lynxspool"
+	"dunemoor/balancer"
 )
 
 // Fitted is a day made from a recording: the same arrivals and lists, hosts modelled on how
 // they answered, and what became of the requests then.
 type Fitted struct {
 	Sim      *Sim
-	Start    lynxspool.Time
+	Start    balancer.Time
 	Seed     uint64
 	Classes  []string
 	Recorded Summary
@@ -34,32 +34,32 @@
 )
 
 type fitAttempt struct {
-	id     lynxspool.RequestID
+	id     balancer.RequestID
 	class  int
-	sent   lynxspool.Time
-	ended  lynxspool.Time
-	result lynxspool.Result
+	sent   balancer.Time
+	ended  balancer.Time
+	result balancer.Result
 	took   time.Duration // of the host's time: since it was sent or the answer before
 	late   bool          // it ended with its request's time
 }
 
 type fitHost struct {
 	atts    []*fitAttempt // in the order of their ends
-	lastEnd lynxspool.Time
+	lastEnd balancer.Time
 }
 
 // fit gathers what a recording tells.
 type fit struct {
 	*Fitted
-	set   *lynxspool.Settings
-	reqs  map[lynxspool.RequestID]int // index in Arrivals
-	done  map[lynxspool.RequestID]bool
+	set   *balancer.Settings
+	reqs  map[balancer.RequestID]int // index in Arrivals
+	done  map[balancer.RequestID]bool
 	out   map[attemptKey]*fitAttempt
-	at    map[attemptKey]lynxspool.HostID
-	sends map[lynxspool.RequestID]int
-	hosts map[lynxspool.HostID]*fitHost
-	works map[lynxspool.RequestID]*fitAttempt // what served it
-	where map[lynxspool.RequestID]lynxspool.HostID
+	at    map[attemptKey]balancer.HostID
+	sends map[balancer.RequestID]int
+	hosts map[balancer.HostID]*fitHost
+	works map[balancer.RequestID]*fitAttempt // what served it
+	where map[balancer.RequestID]balancer.HostID
 }
 
 // Fit makes a day from a recording. The model is simple and known to be: a host works on
@@ -67,11 +67,11 @@
 // load counts as the host's slowness; clients ask as they did then, also again.
 func Fit(in io.Reader) (*Fitted, error) {
 	f := &fit{
-		Fitted: &Fitted{Sim: &Sim{Hosts: map[lynxspool.HostID]*SimHost{}}},
-		reqs:   map[lynxspool.RequestID]int{}, done: map[lynxspool.RequestID]bool{},
-		out: map[attemptKey]*fitAttempt{}, at: map[attemptKey]lynxspool.HostID{},
-		sends: map[lynxspool.RequestID]int{}, hosts: map[lynxspool.HostID]*fitHost{},
-		works: map[lynxspool.RequestID]*fitAttempt{}, where: map[lynxspool.RequestID]lynxspool.HostID{},
+		Fitted: &Fitted{Sim: &Sim{Hosts: map[balancer.HostID]*SimHost{}}},
+		reqs:   map[balancer.RequestID]int{}, done: map[balancer.RequestID]bool{},
+		out: map[attemptKey]*fitAttempt{}, at: map[attemptKey]balancer.HostID{},
+		sends: map[balancer.RequestID]int{}, hosts: map[balancer.HostID]*fitHost{},
+		works: map[balancer.RequestID]*fitAttempt{}, where: map[balancer.RequestID]balancer.HostID{},
 	}
 	sessions := 0
 	rep, err := Replay(NewReader(in), f.event, func(it *Item) {
@@ -97,11 +97,11 @@
 	return f.Fitted, nil
 }
 
-func (f *fit) event(bal *lynxspool.Balancer, e *Event, decided []lynxspool.Action) {
+func (f *fit) event(bal *balancer.Balancer, e *Event, decided []balancer.Action) {
 	if f.Start == 0 {
 		f.Start = e.At
 		if known := bal.Listed(nil); e.Kind != EventHosts && len(known) > 0 {
-			f.Sim.Lists = append(f.Sim.Lists, List{e.At, lynxspool.ListSaved, known}) // begun in mid-flight
+			f.Sim.Lists = append(f.Sim.Lists, List{e.At, balancer.ListSaved, known}) // begun in mid-flight
 		}
 	}
 	switch e.Kind {
@@ -129,19 +129,19 @@
 		a := &f.Sim.Arrivals[n]
 		c := &f.Recorded.Classes[a.Request.Class]
 		switch d.Kind {
-		case lynxspool.Send:
+		case balancer.Send:
 			key := attemptKey{d.Request, f.sends[d.Request]}
 			f.sends[d.Request]++
 			f.out[key] = &fitAttempt{id: d.Request, class: a.Request.Class, sent: e.At}
 			f.at[key] = d.Host
 			f.Recorded.Attempts++
-		case lynxspool.Refuse, lynxspool.Fail:
+		case balancer.Refuse, balancer.Fail:
 			if f.done[d.Request] {
 				continue
 			}
 			f.done[d.Request] = true
 			c.Why[int(d.Why)%len(c.Why)]++
-			if d.Kind == lynxspool.Refuse {
+			if d.Kind == balancer.Refuse {
 				c.Refused++
 			} else {
 				c.Failed++
@@ -168,7 +168,7 @@
 	arrival := &f.Sim.Arrivals[f.reqs[o.Request]]
 	a.late = e.At >= arrival.At+arrival.Request.Left-arrival.Request.Left/16
 	h.atts = append(h.atts, a)
-	if o.Result != lynxspool.OK {
+	if o.Result != balancer.OK {
 		return
 	}
 	h.lastEnd = e.At
@@ -185,7 +185,7 @@
 	}
 }
 
-func aimOf(set *lynxspool.Settings, class int) time.Duration {
+func aimOf(set *balancer.Settings, class int) time.Duration {
 	c := &set.Classes[class]
 	if c.Aim == 0 || c.Aim > c.Deadline {
 		return c.Deadline
@@ -195,7 +195,7 @@
 
 // unanswered says whether nothing came back from an attempt until its time was up.
 func (a *fitAttempt) unanswered() bool {
-	return a.result == lynxspool.TimedOut || a.result == lynxspool.Canceled && a.late
+	return a.result == balancer.TimedOut || a.result == balancer.Canceled && a.late
 }
 
 // model makes the hosts, and what each request takes.
@@ -204,7 +204,7 @@
 	sum, n := make([]float64, classes), make([]int, classes)
 	for _, h := range f.hosts {
 		for _, a := range h.atts {
-			if a.result == lynxspool.OK {
+			if a.result == balancer.OK {
 				sum[a.class] += float64(a.took)
 				n[a.class]++
 			}
@@ -218,7 +218,7 @@
 	}
 	mute, ends := 0, 0
 	errs, tries := make([]float64, classes), make([]float64, classes)
-	ids := make([]lynxspool.HostID, 0, len(f.hosts))
+	ids := make([]balancer.HostID, 0, len(f.hosts))
 	for id := range f.hosts {
 		ids = append(ids, id)
 	}
@@ -227,7 +227,7 @@
 		h, model := f.hosts[id], &SimHost{Speed: 1}
 		took, want, answers := 0.0, 0.0, 0
 		for _, a := range h.atts {
-			if a.result == lynxspool.OK {
+			if a.result == balancer.OK {
 				took += float64(a.took)
 				want += usual(a.class)
 				answers++
@@ -236,7 +236,7 @@
 		if answers >= speedLeast && took > 0 {
 			model.Speed = want / took
 		}
-		model.Down = runs(h.atts, downLeast, func(a *fitAttempt) bool { return a.result == lynxspool.ConnectFailed })
+		model.Down = runs(h.atts, downLeast, func(a *fitAttempt) bool { return a.result == balancer.ConnectFailed })
 		model.Silent = runs(h.atts, silentLeast, (*fitAttempt).unanswered)
 		for _, a := range h.atts {
 			if within(model.Down, a.sent) || within(model.Silent, a.sent) {
@@ -247,7 +247,7 @@
 			switch {
 			case a.unanswered():
 				mute++
-			case a.result == lynxspool.Failed, a.result == lynxspool.Spoilt, a.result == lynxspool.Reset:
+			case a.result == balancer.Failed, a.result == balancer.Spoilt, a.result == balancer.Reset:
 				errs[a.class]++
 			}
 		}
@@ -304,7 +304,7 @@
 
 // Try plays the day with this build's module and says what became of the requests.
 func (f *Fitted) Try() (*Summary, error) {
-	bal, err := lynxspool.New(f.Sim.Settings, f.Seed)
+	bal, err := balancer.New(f.Sim.Settings, f.Seed)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/flight/fleet.go
+++ b/internal/flight/fleet.go
@@ -11,7 +11,7 @@
 	"text/tabwriter"
 	"time"
 
-	"lynxspool"
+	"dunemoor/balancer"
 )
 
 // Fleet counts over the recordings of many gateways, by second of the wall clock: what is
@@ -24,7 +24,7 @@
 // hostMark is what changed at a host by the wall clock: attempts out, or that it takes any.
 type hostMark struct {
 	at    int64 // Unix, in nanoseconds
-	host  lynxspool.HostID
+	host  balancer.HostID
 	out   int8 // 1 sent, -1 ended
 	ready int8 // 1 listed as ready, -1 as anything else
 }
@@ -37,11 +37,11 @@
 	Sends    int
 	Again    int // of Sends, those that are not a request's first
 	ColdSent int // of Sends, those to hosts that were cold
-	Results  [lynxspool.Spoilt + 1]int
-	Refused  [lynxspool.CauseYield + 1]int // by cause
-	Failed   int                           // requests that got an error
-	Watches  int                           // calls for the list
-	Lists    [lynxspool.ListFailed + 1]int
+	Results  [balancer.Spoilt + 1]int
+	Refused  [balancer.CauseYield + 1]int // by cause
+	Failed   int                          // requests that got an error
+	Watches  int                          // calls for the list
+	Lists    [balancer.ListFailed + 1]int
 	Entries  int // of lists
 	Closes   int // hosts given up, and the connections to them
 
@@ -56,8 +56,8 @@
 	// attempts out times seconds.
 	Ready, Idle, Out float64
 
-	byHost map[lynxspool.HostID]int
-	using  map[lynxspool.HostID]map[uint64]struct{} // sessions that sent to it
+	byHost map[balancer.HostID]int
+	using  map[balancer.HostID]map[uint64]struct{} // sessions that sent to it
 }
 
 // FleetClass is what became of the requests of a class that came in a second, as their gateways
@@ -67,7 +67,7 @@
 	Repeats  int
 	InTime   int // served within the aim
 	Late     int // served behind it
-	Refused  [lynxspool.CauseYield + 1]int
+	Refused  [balancer.CauseYield + 1]int
 	Failed   int
 	Waited   time.Duration // of those sent on: until their first attempt, together
 	Sent     int
@@ -84,10 +84,10 @@
 
 // inFlight is a request under way, and the second that it is counted in.
 type inFlight struct {
-	at      lynxspool.Time
+	at      balancer.Time
 	class   int
 	in      *FleetSecond
-	sentTo  []lynxspool.HostID
+	sentTo  []balancer.HostID
 	ended   uint64 // bit i: its attempt i has
 	settled bool
 }
@@ -121,12 +121,12 @@
 // member is what a Fleet keeps of the gateway that it reads.
 type member struct {
 	began    time.Time
-	at       lynxspool.Time
-	last     lynxspool.Time // event
+	at       balancer.Time
+	last     balancer.Time // event
 	warm     time.Duration
-	started  map[lynxspool.HostID]lynxspool.Time
+	started  map[balancer.HostID]balancer.Time
 	aims     []time.Duration // by class
-	requests map[lynxspool.RequestID]*inFlight
+	requests map[balancer.RequestID]*inFlight
 }
 
 // Add counts a recording in.
@@ -145,8 +145,8 @@
 			f.over(&m)
 			m = member{
 				began: it.Start.Wall, at: it.Start.At, warm: it.Start.Settings.WarmAfter,
-				started:  map[lynxspool.HostID]lynxspool.Time{},
-				requests: map[lynxspool.RequestID]*inFlight{},
+				started:  map[balancer.HostID]balancer.Time{},
+				requests: map[balancer.RequestID]*inFlight{},
 			}
 			for _, c := range it.Start.Settings.Classes {
 				m.aims = append(m.aims, c.Aim)
@@ -167,20 +167,20 @@
 	}
 }
 
-func (f *Fleet) at(m *member, at lynxspool.Time) *FleetSecond {
+func (f *Fleet) at(m *member, at balancer.Time) *FleetSecond {
 	unix := m.began.Add(time.Duration(at - m.at)).Unix()
 	s := f.seconds[unix]
 	if s == nil {
 		s = &FleetSecond{
-			byHost: map[lynxspool.HostID]int{},
-			using:  map[lynxspool.HostID]map[uint64]struct{}{},
+			byHost: map[balancer.HostID]int{},
+			using:  map[balancer.HostID]map[uint64]struct{}{},
 		}
 		f.seconds[unix] = s
 	}
 	return s
 }
 
-func (f *Fleet) mark(m *member, at lynxspool.Time, h lynxspool.HostID, out, ready int8) {
+func (f *Fleet) mark(m *member, at balancer.Time, h balancer.HostID, out, ready int8) {
 	f.marks = append(f.marks, hostMark{m.began.Add(time.Duration(at - m.at)).UnixNano(), h, out, ready})
 }
 
@@ -204,7 +204,7 @@
 		ready bool
 		at    int64
 	}
-	hosts := map[lynxspool.HostID]*state{}
+	hosts := map[balancer.HostID]*state{}
 	until := func(s *state, at int64) {
 		for s.at < at { // a second at a time
 			end := min(at, s.at-s.at%1e9+1e9)
@@ -240,7 +240,7 @@
 }
 
 // cold says whether the host has started so short ago that it is not warm yet.
-func (m *member) cold(h lynxspool.HostID, at lynxspool.Time) bool {
+func (m *member) cold(h balancer.HostID, at balancer.Time) bool {
 	began := m.started[h]
 	return began > 0 && at-began < m.warm
 }
@@ -264,7 +264,7 @@
 				i = 1
 			}
 			s.Ended[i]++
-			if e.Outcome.Result == lynxspool.OK {
+			if e.Outcome.Result == balancer.OK {
 				s.Good[i]++
 				s.Took[i] += e.Outcome.Elapsed
 				m.served(q, e.At)
@@ -277,22 +277,22 @@
 			s.Lists[e.List]++
 		}
 		s.Entries += len(e.Hosts)
-		if e.List == lynxspool.ListFull { // what is not on it has gone
+		if e.List == balancer.ListFull { // what is not on it has gone
 			for id := range m.started {
-				if !slices.ContainsFunc(e.Hosts, func(h lynxspool.Host) bool { return h.ID == id }) {
+				if !slices.ContainsFunc(e.Hosts, func(h balancer.Host) bool { return h.ID == id }) {
 					f.mark(m, e.At, id, 0, -1)
 				}
 			}
 		}
 		for _, h := range e.Hosts {
 			switch {
-			case e.List == lynxspool.ListSaved: // it may be old
-			case h.State == lynxspool.Ready:
+			case e.List == balancer.ListSaved: // it may be old
+			case h.State == balancer.Ready:
 				f.mark(m, e.At, h.ID, 0, 1)
 			default:
 				f.mark(m, e.At, h.ID, 0, -1)
 			}
-			if h.State == lynxspool.Removed {
+			if h.State == balancer.Removed {
 				delete(m.started, h.ID)
 			} else {
 				m.started[h.ID] = h.Started
@@ -301,10 +301,10 @@
 	}
 }
 
-func (f *Fleet) action(m *member, session uint64, at lynxspool.Time, a *lynxspool.Action) {
+func (f *Fleet) action(m *member, session uint64, at balancer.Time, a *balancer.Action) {
 	s := f.at(m, at)
 	switch a.Kind {
-	case lynxspool.Send:
+	case balancer.Send:
 		s.Sends++
 		if q := m.requests[a.Request]; q != nil {
 			if q.sentTo = append(q.sentTo, a.Host); len(q.sentTo) > 1 {
@@ -323,7 +323,7 @@
 			s.using[a.Host] = map[uint64]struct{}{}
 		}
 		s.using[a.Host][session] = struct{}{}
-	case lynxspool.Refuse:
+	case balancer.Refuse:
 		if int(a.Why) < len(s.Refused) {
 			s.Refused[a.Why]++
 			if q := m.requests[a.Request]; q != nil && !q.settled {
@@ -331,15 +331,15 @@
 				q.count().Refused[a.Why]++
 			}
 		}
-	case lynxspool.Fail:
+	case balancer.Fail:
 		s.Failed++
 		if q := m.requests[a.Request]; q != nil && !q.settled {
 			q.settled = true
 			q.count().Failed++
 		}
-	case lynxspool.Watch:
+	case balancer.Watch:
 		s.Watches++
-	case lynxspool.Close:
+	case balancer.Close:
 		s.Closes++
 	}
 }
@@ -361,7 +361,7 @@
 }
 
 // served counts a good answer to a request.
-func (m *member) served(q *inFlight, at lynxspool.Time) {
+func (m *member) served(q *inFlight, at balancer.Time) {
 	if q.settled {
 		return
 	}
@@ -401,9 +401,9 @@
 				none -= n
 			}
 			for _, n := range []int{
-				int(from - all[0]), k, c.Requests, c.Repeats, c.InTime, c.Late, c.Refused[lynxspool.CauseWait],
-				c.Refused[lynxspool.CauseDeadline], c.Refused[lynxspool.CauseSpent], c.Refused[lynxspool.CauseYield],
-				c.Refused[lynxspool.CauseLate], c.Failed, none,
+				int(from - all[0]), k, c.Requests, c.Repeats, c.InTime, c.Late, c.Refused[balancer.CauseWait],
+				c.Refused[balancer.CauseDeadline], c.Refused[balancer.CauseSpent], c.Refused[balancer.CauseYield],
+				c.Refused[balancer.CauseLate], c.Failed, none,
 				int(c.Waited.Milliseconds()) / max(c.Sent, 1), int(c.Took.Milliseconds()) / max(c.InTime+c.Late, 1),
 			} {
 				fmt.Fprintf(out, "%d\t", n)
@@ -424,15 +424,15 @@
 	for _, unix := range all {
 		s := f.seconds[unix]
 		used, most, gateways := s.Hosts()
-		lists := s.Lists[lynxspool.ListFull] + s.Lists[lynxspool.ListChanges]
+		lists := s.Lists[balancer.ListFull] + s.Lists[balancer.ListChanges]
 		for _, n := range []int{
 			int(unix - all[0]), s.Starts, s.Requests, s.Sends, s.Again, s.ColdSent,
-			s.Results[lynxspool.OK], s.Results[lynxspool.Failed], s.Results[lynxspool.Full],
-			s.Results[lynxspool.TimedOut], s.Results[lynxspool.ConnectFailed],
-			s.Results[lynxspool.Reset], s.Results[lynxspool.Canceled],
-			s.Refused[lynxspool.CauseWait], s.Refused[lynxspool.CauseDeadline], s.Refused[lynxspool.CauseSpent],
-			s.Refused[lynxspool.CauseYield],
-			s.Failed, lists, s.Lists[lynxspool.ListFailed], s.Entries, s.Closes, used, most, gateways,
+			s.Results[balancer.OK], s.Results[balancer.Failed], s.Results[balancer.Full],
+			s.Results[balancer.TimedOut], s.Results[balancer.ConnectFailed],
+			s.Results[balancer.Reset], s.Results[balancer.Canceled],
+			s.Refused[balancer.CauseWait], s.Refused[balancer.CauseDeadline], s.Refused[balancer.CauseSpent],
+			s.Refused[balancer.CauseYield],
+			s.Failed, lists, s.Lists[balancer.ListFailed], s.Entries, s.Closes, used, most, gateways,
 			s.Ended[0], s.mean(0), s.Ended[1], s.Good[1], s.mean(1),
 			int(s.Ready + 0.5), int(100 * s.Idle / max(s.Ready, 1e-9)), int(100 * s.Out / max(s.Ready, 1e-9)),
 		} {
--- a/internal/flight/fleet_test.go
+++ b/internal/flight/fleet_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"lynxspool"
+	"dunemoor/balancer"
 )
 
 // Over the recordings of three gateways, one of which starts anew in its file, everything
@@ -59,7 +59,7 @@
 			}
 			served += c.InTime + c.Late
 		}
-		whole += s.Lists[lynxspool.ListFull]
+		whole += s.Lists[balancer.ListFull]
 		if used, most, gateways := s.Hosts(); s.Sends > 0 && (used < 1 || used > 7 || most > s.Sends || gateways > starts) {
 			t.Errorf("second %d: %d hosts, %d sends at most to one, %d gateways of %d", unix, used, most, gateways, starts)
 		}
@@ -95,15 +95,15 @@
 // had is killed, and is counted while it is listed as ready.
 func TestFleetCountsIdleHosts(t *testing.T) {
 	f := NewFleet()
-	m := &member{began: time.Unix(100, 0), started: map[lynxspool.HostID]lynxspool.Time{}, aims: []time.Duration{time.Second}, requests: map[lynxspool.RequestID]*inFlight{}}
-	at := func(ms int) lynxspool.Time { return lynxspool.Time(ms) * time.Millisecond }
-	f.event(m, &Event{Kind: EventHosts, At: 0, List: lynxspool.ListFull, Hosts: []lynxspool.Host{{ID: 1}, {ID: 2}}})
-	f.event(m, &Event{Kind: EventRequest, At: at(200), Request: lynxspool.Request{ID: 7}})
-	f.action(m, 1, at(200), &lynxspool.Action{Kind: lynxspool.Send, Request: 7, Host: 1})
-	f.event(m, &Event{Kind: EventHosts, At: at(500), List: lynxspool.ListFull, Hosts: []lynxspool.Host{{ID: 1}}})
+	m := &member{began: time.Unix(100, 0), started: map[balancer.HostID]balancer.Time{}, aims: []time.Duration{time.Second}, requests: map[balancer.RequestID]*inFlight{}}
+	at := func(ms int) balancer.Time { return balancer.Time(ms) * time.Millisecond }
+	f.event(m, &Event{Kind: EventHosts, At: 0, List: balancer.ListFull, Hosts: []balancer.Host{{ID: 1}, {ID: 2}}})
+	f.event(m, &Event{Kind: EventRequest, At: at(200), Request: balancer.Request{ID: 7}})
+	f.action(m, 1, at(200), &balancer.Action{Kind: balancer.Send, Request: 7, Host: 1})
+	f.event(m, &Event{Kind: EventHosts, At: at(500), List: balancer.ListFull, Hosts: []balancer.Host{{ID: 1}}})
 	m.last = at(700)
 	f.over(m)
-	f.event(m, &Event{Kind: EventHosts, At: at(1000), List: lynxspool.ListChanges})
+	f.event(m, &Event{Kind: EventHosts, At: at(1000), List: balancer.ListChanges})
 	f.mark(m, at(1000), 1, 0, -1)
 	if err := f.Text(io.Discard); err != nil {
 		t.Fatal(err)
--- a/internal/flight/flight_test.go
+++ b/internal/flight/flight_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"lynxspool"
+	"dunemoor/balancer"
 )
 
 const ms = time.Millisecond
@@ -22,33 +22,33 @@
 func day(seed uint64, requests int) *Sim {
 	r := rand.New(rand.NewPCG(seed, 99))
 	s := &Sim{
-		Settings: lynxspool.Settings{
+		Settings: balancer.Settings{
 			Instances: 1 + int(seed%3), Step: ms, MaxAttempts: 4, Cancel: true, MaxRetryAfter: time.Second,
-			Classes: []lynxspool.Class{
+			Classes: []balancer.Class{
 				{Aim: 200 * ms, Deadline: time.Second, Worth: 1},
-				{Aim: 200 * ms, Deadline: time.Second, Worth: 2, Effect: lynxspool.Keyed, Group: lynxspool.GroupCell, Window: 600 * ms},
-				{Aim: 100 * ms, Deadline: 400 * ms, Worth: 5, Effect: lynxspool.Unsafe},
+				{Aim: 200 * ms, Deadline: time.Second, Worth: 2, Effect: balancer.Keyed, Group: balancer.GroupCell, Window: 600 * ms},
+				{Aim: 100 * ms, Deadline: 400 * ms, Worth: 5, Effect: balancer.Unsafe},
 			},
 			ColdFrom: 0.3, WarmAfter: 3 * time.Second, OverloadFactor: 2.5, Fall: time.Second,
 		},
-		Hosts: map[lynxspool.HostID]*SimHost{},
+		Hosts: map[balancer.HostID]*SimHost{},
 		Rand:  rand.New(rand.NewPCG(seed, 7)),
 	}
-	now := lynxspool.Time(time.Hour)
-	var list []lynxspool.Host
+	now := balancer.Time(time.Hour)
+	var list []balancer.Host
 	for i := range 6 {
-		id := lynxspool.HostID(i + 1)
-		list = append(list, lynxspool.Host{ID: id, Zone: i / 3, Cell: i / 2, Kind: i % 2})
+		id := balancer.HostID(i + 1)
+		list = append(list, balancer.Host{ID: id, Zone: i / 3, Cell: i / 2, Kind: i % 2})
 		s.Hosts[id] = &SimHost{Speed: 0.5 + r.Float64(), Errors: []float64{0.02, 0, 0.01}}
 	}
-	s.Lists = append(s.Lists, List{now, lynxspool.ListSaved, list})
+	s.Lists = append(s.Lists, List{now, balancer.ListSaved, list})
 	t := now
 	for i := range requests {
 		t += time.Duration(r.ExpFloat64() * float64(6*ms))
 		class := r.IntN(3)
 		left := s.Settings.Classes[class].Deadline
 		a := Arrival{
-			Request: lynxspool.Request{ID: lynxspool.RequestID(i + 1), Class: class, Left: left, Repeat: r.IntN(9) == 0},
+			Request: balancer.Request{ID: balancer.RequestID(i + 1), Class: class, Left: left, Repeat: r.IntN(9) == 0},
 			At:      t, Work: time.Duration(r.ExpFloat64() * float64(15*ms)),
 		}
 		if r.IntN(50) == 0 {
@@ -56,22 +56,22 @@
 		}
 		s.Arrivals = append(s.Arrivals, a)
 	}
-	part := func(x float64) lynxspool.Time { return now + lynxspool.Time(x*float64(t-now)) }
+	part := func(x float64) balancer.Time { return now + balancer.Time(x*float64(t-now)) }
 	s.Hosts[1].Down = []Span{{part(0.2), part(0.35)}}
 	s.Hosts[2].Silent = []Span{{part(0.4), part(0.5)}}
 	gone := list[3]
-	gone.State = lynxspool.Draining
-	s.Lists = append(s.Lists, List{part(0.55), lynxspool.ListChanges, []lynxspool.Host{gone}})
-	gone.State = lynxspool.Removed
-	s.Lists = append(s.Lists, List{part(0.6), lynxspool.ListChanges, []lynxspool.Host{gone}})
-	s.Lists = append(s.Lists, List{part(0.62), lynxspool.ListFailed, nil})
-	cold := lynxspool.Host{ID: 77, Zone: 1, Cell: 1, Started: part(0.65)}
+	gone.State = balancer.Draining
+	s.Lists = append(s.Lists, List{part(0.55), balancer.ListChanges, []balancer.Host{gone}})
+	gone.State = balancer.Removed
+	s.Lists = append(s.Lists, List{part(0.6), balancer.ListChanges, []balancer.Host{gone}})
+	s.Lists = append(s.Lists, List{part(0.62), balancer.ListFailed, nil})
+	cold := balancer.Host{ID: 77, Zone: 1, Cell: 1, Started: part(0.65)}
 	s.Hosts[77] = &SimHost{Speed: 1}
-	s.Lists = append(s.Lists, List{part(0.7), lynxspool.ListChanges, []lynxspool.Host{cold}})
+	s.Lists = append(s.Lists, List{part(0.7), balancer.ListChanges, []balancer.Host{cold}})
 	// Discovery has moved: the whole list, with one host gone and one in another cell.
 	whole := slices.Clone(list[1:])
 	whole[0].Cell = 2
-	s.Lists = append(s.Lists, List{part(0.85), lynxspool.ListFull, append(whole, cold)})
+	s.Lists = append(s.Lists, List{part(0.85), balancer.ListFull, append(whole, cold)})
 	return s
 }
 
@@ -94,11 +94,11 @@
 // What ends a gateway and what is hinted at is read back as it was told.
 func TestStopAndHintAreRecorded(t *testing.T) {
 	s := day(1, 1)
-	bal, err := lynxspool.New(s.Settings, 1)
+	bal, err := balancer.New(s.Settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	now := lynxspool.Time(time.Hour)
+	now := balancer.Time(time.Hour)
 	r, err := New(bal, Start{Settings: s.Settings, Seed: 1, At: now}, 1, Options{})
 	if err != nil {
 		t.Fatal(err)
@@ -127,7 +127,7 @@
 // record plays a day with a Recorder in between.
 func record(t testing.TB, s *Sim, seed uint64, opts Options) (*Recorder, *Summary) {
 	t.Helper()
-	bal, err := lynxspool.New(s.Settings, seed)
+	bal, err := balancer.New(s.Settings, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -178,7 +178,7 @@
 	record(t, s, 3, Options{Sink: &out})
 	// The same day under another seed: its start block in front of the same records.
 	var other sink
-	bal, _ := lynxspool.New(s.Settings, 4)
+	bal, _ := balancer.New(s.Settings, 4)
 	New(bal, Start{Seed: 4, At: s.Lists[0].At, Settings: s.Settings}, 1003, Options{Sink: &other})
 	first := firstBlock(t, out.Bytes())
 	rep := replayed(t, append(other.Bytes(), out.Bytes()[first:]...))
@@ -422,7 +422,7 @@
 // back nowhere, and if one did the recording would still say what was told.
 func TestClockStep(t *testing.T) {
 	s := day(1, 10)
-	bal, _ := lynxspool.New(s.Settings, 1)
+	bal, _ := balancer.New(s.Settings, 1)
 	var out sink
 	at := s.Lists[0].At
 	rec, _ := New(bal, Start{Seed: 1, At: at, Settings: s.Settings, Wall: time.Now().Add(-9000 * time.Hour)}, 1, Options{Sink: &out})
@@ -431,7 +431,7 @@
 		rec.Drain(nil)
 	}
 	rec.Flush()
-	var times []lynxspool.Time
+	var times []balancer.Time
 	r, it := NewReader(bytes.NewReader(out.Bytes())), Item{}
 	for r.Next(&it) == nil {
 		if it.Kind == ItemEvent {
--- a/internal/flight/format.go
+++ b/internal/flight/format.go
@@ -12,7 +12,7 @@
 	"hash/crc32"
 	"time"
 
-	"lynxspool"
+	"dunemoor/balancer"
 )
 
 // Version is the version of the form; a reader refuses others and says so.
@@ -77,7 +77,7 @@
 	session uint64
 	number  uint32
 	length  uint32
-	base    lynxspool.Time
+	base    balancer.Time
 	sum     uint32
 }
 
@@ -102,7 +102,7 @@
 		session: binary.LittleEndian.Uint64(b[8:]),
 		number:  binary.LittleEndian.Uint32(b[16:]),
 		length:  binary.LittleEndian.Uint32(b[20:]),
-		base:    lynxspool.Time(binary.LittleEndian.Uint64(b[24:])),
+		base:    balancer.Time(binary.LittleEndian.Uint64(b[24:])),
 		sum:     binary.LittleEndian.Uint32(b[32:]),
 	}
 	return true
@@ -115,8 +115,8 @@
 	Classes  []string
 	Seed     uint64
 	Wall     time.Time // when the session began, by the wall clock
-	At       lynxspool.Time
-	Settings lynxspool.Settings
+	At       balancer.Time
+	Settings balancer.Settings
 }
 
 // The put functions append a record; they are the hot path.
@@ -131,7 +131,7 @@
 
 func iv(b []byte, x int64) []byte { return uv(b, uint64(x<<1)^uint64(x>>63)) }
 
-func putRequest(b []byte, q *lynxspool.Request) []byte {
+func putRequest(b []byte, q *balancer.Request) []byte {
 	b = uv(b, uint64(q.ID))
 	b = iv(b, int64(q.Class))
 	b = iv(b, int64(q.Tenant))
@@ -139,7 +139,7 @@
 	return append(b, bit(q.Repeat))
 }
 
-func putOutcome(b []byte, o *lynxspool.Outcome) []byte {
+func putOutcome(b []byte, o *balancer.Outcome) []byte {
 	b = uv(b, uint64(o.Request))
 	b = iv(b, int64(o.Attempt))
 	b = append(b, byte(o.Result))
@@ -147,7 +147,7 @@
 	return append(b, bit(o.Closed))
 }
 
-func putHost(b []byte, h *lynxspool.Host) []byte {
+func putHost(b []byte, h *balancer.Host) []byte {
 	b = binary.LittleEndian.AppendUint64(b, uint64(h.ID))
 	b = iv(b, int64(h.Zone))
 	b = iv(b, int64(h.Cell))
@@ -158,29 +158,29 @@
 
 // putAction appends an action with the fields that mean anything for its kind. Two
 // actions are the same if these bytes are.
-func putAction(b []byte, a *lynxspool.Action) []byte {
+func putAction(b []byte, a *balancer.Action) []byte {
 	b = append(b, recAction+byte(a.Kind))
 	switch a.Kind {
-	case lynxspool.Send:
+	case balancer.Send:
 		b = uv(b, uint64(a.Request))
 		b = binary.LittleEndian.AppendUint64(b, uint64(a.Host))
 		b = iv(b, int64(a.At))
-	case lynxspool.Cancel:
+	case balancer.Cancel:
 		b = uv(b, uint64(a.Request))
 		b = iv(b, int64(a.Attempt))
-	case lynxspool.Refuse:
+	case balancer.Refuse:
 		b = uv(b, uint64(a.Request))
 		b = iv(b, int64(a.After))
 		b = append(b, byte(a.Why))
-	case lynxspool.Fail:
+	case balancer.Fail:
 		b = uv(b, uint64(a.Request))
 		b = append(b, byte(a.Why))
-	case lynxspool.Wake:
+	case balancer.Wake:
 		b = iv(b, int64(a.At))
 		b = uv(b, a.Token)
-	case lynxspool.Close:
+	case balancer.Close:
 		b = binary.LittleEndian.AppendUint64(b, uint64(a.Host))
-	case lynxspool.Log:
+	case balancer.Log:
 		text := a.Text[:min(len(a.Text), maxRecord)]
 		b = binary.LittleEndian.AppendUint64(b, uint64(a.Host))
 		b = uv(b, uint64(len(text)))
@@ -190,7 +190,7 @@
 }
 
 // Of a view, limits and means are kept in thousandths, estimates in microseconds.
-func putView(b []byte, v *lynxspool.HostView, now lynxspool.Time) []byte {
+func putView(b []byte, v *balancer.HostView, now balancer.Time) []byte {
 	b = binary.LittleEndian.AppendUint64(b, uint64(v.Host))
 	flags := byte(v.State) | bit(v.Drawn)<<2 | bit(v.Cold)<<3 | bit(v.Overdue)<<4 | byte(v.Why&7)<<5
 	b = append(b, flags)
@@ -199,7 +199,7 @@
 	b = iv(b, int64(v.Mean*1e3))
 	b = iv(b, int64(v.Estimate*1e6))
 	b = iv(b, int64(v.Fails))
-	for _, t := range []lynxspool.Time{v.EjectUntil, v.RestUntil, v.ColdNext} {
+	for _, t := range []balancer.Time{v.EjectUntil, v.RestUntil, v.ColdNext} {
 		if t <= now {
 			b = append(b, 0)
 		} else {
@@ -271,67 +271,67 @@
 	return s
 }
 
-func (t *taker) request() (q lynxspool.Request) {
-	q.ID = lynxspool.RequestID(t.uv())
+func (t *taker) request() (q balancer.Request) {
+	q.ID = balancer.RequestID(t.uv())
 	q.Class, q.Tenant = int(t.iv()), int(t.iv())
 	q.Left = time.Duration(t.iv())
 	q.Repeat = t.u8() != 0
 	return q
 }
 
-func (t *taker) outcome() (o lynxspool.Outcome) {
-	o.Request = lynxspool.RequestID(t.uv())
+func (t *taker) outcome() (o balancer.Outcome) {
+	o.Request = balancer.RequestID(t.uv())
 	o.Attempt = int(t.iv())
-	o.Result = lynxspool.Result(t.u8())
+	o.Result = balancer.Result(t.u8())
 	o.Elapsed = time.Duration(t.iv())
 	o.Closed = t.u8() != 0
 	return o
 }
 
-func (t *taker) host() (h lynxspool.Host) {
-	h.ID = lynxspool.HostID(t.u64())
+func (t *taker) host() (h balancer.Host) {
+	h.ID = balancer.HostID(t.u64())
 	h.Zone, h.Cell, h.Kind = int(t.iv()), int(t.iv()), int(t.iv())
-	h.State = lynxspool.HostState(t.u8())
-	h.Started = lynxspool.Time(t.iv())
+	h.State = balancer.HostState(t.u8())
+	h.Started = balancer.Time(t.iv())
 	return h
 }
 
-func (t *taker) action(kind lynxspool.ActionKind) (a lynxspool.Action) {
+func (t *taker) action(kind balancer.ActionKind) (a balancer.Action) {
 	a.Kind = kind
 	switch kind {
-	case lynxspool.Send:
-		a.Request, a.Host, a.At = lynxspool.RequestID(t.uv()), lynxspool.HostID(t.u64()), lynxspool.Time(t.iv())
-	case lynxspool.Cancel:
-		a.Request, a.Attempt = lynxspool.RequestID(t.uv()), int(t.iv())
-	case lynxspool.Refuse:
-		a.Request, a.After = lynxspool.RequestID(t.uv()), time.Duration(t.iv())
-		a.Why = lynxspool.Cause(t.u8())
-	case lynxspool.Fail:
-		a.Request, a.Why = lynxspool.RequestID(t.uv()), lynxspool.Cause(t.u8())
-	case lynxspool.Wake:
-		a.At, a.Token = lynxspool.Time(t.iv()), t.uv()
-	case lynxspool.Close:
-		a.Host = lynxspool.HostID(t.u64())
-	case lynxspool.Log:
-		a.Host, a.Text = lynxspool.HostID(t.u64()), t.text()
-	case lynxspool.Watch:
+	case balancer.Send:
+		a.Request, a.Host, a.At = balancer.RequestID(t.uv()), balancer.HostID(t.u64()), balancer.Time(t.iv())
+	case balancer.Cancel:
+		a.Request, a.Attempt = balancer.RequestID(t.uv()), int(t.iv())
+	case balancer.Refuse:
+		a.Request, a.After = balancer.RequestID(t.uv()), time.Duration(t.iv())
+		a.Why = balancer.Cause(t.u8())
+	case balancer.Fail:
+		a.Request, a.Why = balancer.RequestID(t.uv()), balancer.Cause(t.u8())
+	case balancer.Wake:
+		a.At, a.Token = balancer.Time(t.iv()), t.uv()
+	case balancer.Close:
+		a.Host = balancer.HostID(t.u64())
+	case balancer.Log:
+		a.Host, a.Text = balancer.HostID(t.u64()), t.text()
+	case balancer.Watch:
 	default:
 		t.err = fmt.Errorf("action of kind %d", kind)
 	}
 	return a
 }
 
-func (t *taker) view(now lynxspool.Time) (v lynxspool.HostView) {
-	v.Host = lynxspool.HostID(t.u64())
+func (t *taker) view(now balancer.Time) (v balancer.HostView) {
+	v.Host = balancer.HostID(t.u64())
 	flags := t.u8()
-	v.State, v.Why = lynxspool.HostState(flags&3), lynxspool.Cause(flags>>5)
+	v.State, v.Why = balancer.HostState(flags&3), balancer.Cause(flags>>5)
 	v.Drawn, v.Cold, v.Overdue = flags&4 != 0, flags&8 != 0, flags&16 != 0
 	v.Pending = int(t.iv())
 	v.Limit, v.Mean, v.Estimate = float64(t.iv())/1e3, float64(t.iv())/1e3, float64(t.iv())/1e6
 	v.Fails = int(t.iv())
-	for _, to := range []*lynxspool.Time{&v.EjectUntil, &v.RestUntil, &v.ColdNext} {
+	for _, to := range []*balancer.Time{&v.EjectUntil, &v.RestUntil, &v.ColdNext} {
 		if d := t.iv(); d > 0 {
-			*to = now + lynxspool.Time(d)
+			*to = now + balancer.Time(d)
 		}
 	}
 	v.Shunned = t.uv()
--- a/internal/flight/reader.go
+++ b/internal/flight/reader.go
@@ -9,7 +9,7 @@
 	"hash/crc32"
 	"io"
 
-	"lynxspool"
+	"dunemoor/balancer"
 )
 
 // ItemKind says what a Reader found.
@@ -46,21 +46,21 @@
 // Event is one event as it was told to the module. Only the fields of its kind are set.
 type Event struct {
 	Kind    EventKind
-	At      lynxspool.Time
-	List    lynxspool.ListKind
-	Hosts   []lynxspool.Host // valid until the next item
-	Request lynxspool.Request
+	At      balancer.Time
+	List    balancer.ListKind
+	Hosts   []balancer.Host // valid until the next item
+	Request balancer.Request
 	Attempt int
-	Outcome lynxspool.Outcome
+	Outcome balancer.Outcome
 	Token   uint64
 	Hint    Hint
-	By      lynxspool.Time // of Stop
+	By      balancer.Time // of Stop
 }
 
 // Hint is that a host that was given up may be worth a try.
 type Hint struct {
-	Host   lynxspool.HostID
-	Within lynxspool.Time
+	Host   balancer.HostID
+	Within balancer.Time
 }
 
 // Tell tells a module of the event.
@@ -90,15 +90,15 @@
 // Item is one thing read from a recording.
 type Item struct {
 	Kind       ItemKind
-	At         lynxspool.Time
+	At         balancer.Time
 	Session    uint64
 	Offset     int64 // of its block
 	Start      *Start
 	Checkpoint []byte // valid until the next item
 	Event      Event
-	Action     lynxspool.Action
-	Views      []lynxspool.HostView // valid until the next item
-	Host       lynxspool.HostID
+	Action     balancer.Action
+	Views      []balancer.HostView // valid until the next item
+	Host       balancer.HostID
 	Text       string
 }
 
@@ -121,7 +121,7 @@
 	at      int64  // offset of block
 	payload []byte // of block
 	rest    taker  // of payload
-	now     lynxspool.Time
+	now     balancer.Time
 	began   bool
 	found   bool
 	session uint64
@@ -129,8 +129,8 @@
 	skipped int64  // bytes that are no block
 	torn    int    // blocks whose payload is not whole
 	pending []Item // to be given out before anything else
-	hosts   []lynxspool.Host
-	views   []lynxspool.HostView
+	hosts   []balancer.Host
+	views   []balancer.HostView
 }
 
 // NewReader returns a Reader of a recording.
@@ -312,17 +312,17 @@
 	kind := t.u8()
 	if kind >= recAction && kind < recView {
 		it.Kind, it.At = ItemAction, r.now
-		it.Action = t.action(lynxspool.ActionKind(kind - recAction))
+		it.Action = t.action(balancer.ActionKind(kind - recAction))
 		return t.err
 	}
-	r.now += lynxspool.Time(t.iv())
+	r.now += balancer.Time(t.iv())
 	it.At = r.now
 	e := &it.Event
 	it.Kind, e.Kind, e.At = ItemEvent, EventKind(kind), r.now
 	switch kind {
 	case recStart:
 	case recHosts:
-		e.List = lynxspool.ListKind(t.u8())
+		e.List = balancer.ListKind(t.u8())
 		n := t.uv()
 		if n > uint64(len(t.data)) {
 			return fmt.Errorf("a list of %d hosts in %d bytes", n, len(t.data))
@@ -335,17 +335,17 @@
 	case recRequest:
 		e.Request = t.request()
 	case recStarted:
-		e.Request.ID, e.Attempt = lynxspool.RequestID(t.uv()), int(t.iv())
+		e.Request.ID, e.Attempt = balancer.RequestID(t.uv()), int(t.iv())
 	case recOutcome:
 		e.Outcome = t.outcome()
 	case recGone:
-		e.Request.ID = lynxspool.RequestID(t.uv())
+		e.Request.ID = balancer.RequestID(t.uv())
 	case recTimer:
 		e.Token = t.uv()
 	case recHint:
-		e.Hint = Hint{lynxspool.HostID(t.u64()), lynxspool.Time(t.iv())}
+		e.Hint = Hint{balancer.HostID(t.u64()), balancer.Time(t.iv())}
 	case recStop:
-		e.By = r.now + lynxspool.Time(t.iv())
+		e.By = r.now + balancer.Time(t.iv())
 	case recView:
 		it.Kind = ItemView
 		n := t.uv()
@@ -359,7 +359,7 @@
 		it.Views = r.views
 	case recName:
 		it.Kind = ItemName
-		it.Host, it.Text = lynxspool.HostID(t.u64()), t.text()
+		it.Host, it.Text = balancer.HostID(t.u64()), t.text()
 	default:
 		return fmt.Errorf("a record of kind %d", kind)
 	}
--- a/internal/flight/recorder.go
+++ b/internal/flight/recorder.go
@@ -4,22 +4,22 @@
 	"encoding/json"
 	"time"
 
-	"lynxspool"
+	"dunemoor/balancer"
 )
 
 // Module is the Balancer as a gateway's loop uses it; a Recorder stands in its place.
 type Module interface {
-	Start(now lynxspool.Time)
-	Hosts(now lynxspool.Time, kind lynxspool.ListKind, list []lynxspool.Host)
-	Request(now lynxspool.Time, q lynxspool.Request)
-	Started(now lynxspool.Time, id lynxspool.RequestID, n int)
-	Outcome(now lynxspool.Time, o lynxspool.Outcome)
-	Gone(now lynxspool.Time, id lynxspool.RequestID)
-	Timer(now lynxspool.Time, token uint64)
-	Hint(now lynxspool.Time, id lynxspool.HostID, within lynxspool.Time)
-	Stop(now, by lynxspool.Time)
-	Retune(now lynxspool.Time, set lynxspool.Settings, from []int) error
-	Drain(dst []lynxspool.Action) []lynxspool.Action
+	Start(now balancer.Time)
+	Hosts(now balancer.Time, kind balancer.ListKind, list []balancer.Host)
+	Request(now balancer.Time, q balancer.Request)
+	Started(now balancer.Time, id balancer.RequestID, n int)
+	Outcome(now balancer.Time, o balancer.Outcome)
+	Gone(now balancer.Time, id balancer.RequestID)
+	Timer(now balancer.Time, token uint64)
+	Hint(now balancer.Time, id balancer.HostID, within balancer.Time)
+	Stop(now, by balancer.Time)
+	Retune(now balancer.Time, set balancer.Settings, from []int) error
+	Drain(dst []balancer.Action) []balancer.Action
 }
 
 // Options say how much is recorded and where to.
@@ -53,29 +53,29 @@
 // Recorder records what passes between a loop and its Balancer. It belongs to the
 // goroutine of the loop, starts none and does no I/O.
 type Recorder struct {
-	bal     *lynxspool.Balancer
+	bal     *balancer.Balancer
 	opts    Options
 	first   Start
 	start   []byte // the payload of the first block: each dump begins with it
 	session uint64
-	base    lynxspool.Time // of the session
+	base    balancer.Time // of the session
 	number  uint32
 
 	ring [segments]segment
 	cur  int
 
 	block  []byte // the payload of the block being filled
-	since  lynxspool.Time
-	last   lynxspool.Time
-	viewAt lynxspool.Time
+	since  balancer.Time
+	last   balancer.Time
+	viewAt balancer.Time
 	viewed int // the next host of a view that goes round
-	views  []lynxspool.HostView
+	views  []balancer.HostView
 	check  []byte
 	open   bool // a block is begun
 
 	lost     uint64 // blocks that the sink did not take
 	anew     bool   // the sink wants a checkpoint
-	resumeAt lynxspool.Time
+	resumeAt balancer.Time
 }
 
 // segment is a checkpoint and the blocks behind it.
@@ -83,7 +83,7 @@
 
 // New returns a Recorder that stands before bal, which must have been made with
 // start's settings and seed and not been told anything yet.
-func New(bal *lynxspool.Balancer, start Start, session uint64, opts Options) (*Recorder, error) {
+func New(bal *balancer.Balancer, start Start, session uint64, opts Options) (*Recorder, error) {
 	payload, err := json.Marshal(start)
 	if err != nil {
 		return nil, err
@@ -102,7 +102,7 @@
 func (r *Recorder) Lost() uint64 { return r.lost }
 
 // emit closes a block: into the ring, and to the sink.
-func (r *Recorder) emit(kind byte, base lynxspool.Time, payload []byte, inRing bool) {
+func (r *Recorder) emit(kind byte, base balancer.Time, payload []byte, inRing bool) {
 	h := head{kind: kind, session: r.session, number: r.number, base: base}
 	r.number++
 	var hb [blockHead]byte
@@ -152,7 +152,7 @@
 
 // room makes sure of a block with room for a record of n bytes. It is called between an
 // event's actions and the next event only, so that a checkpoint never parts the two.
-func (r *Recorder) room(now lynxspool.Time, n int) {
+func (r *Recorder) room(now balancer.Time, n int) {
 	if r.open && len(r.block)+n > blockSize {
 		r.flush()
 		s := &r.ring[r.cur]
@@ -172,7 +172,7 @@
 }
 
 // event begins the record of an event.
-func (r *Recorder) event(now lynxspool.Time, kind byte, n int) {
+func (r *Recorder) event(now balancer.Time, kind byte, n int) {
 	if r.opts.ViewEvery > 0 && now >= r.viewAt {
 		r.view(now)
 	}
@@ -182,7 +182,7 @@
 }
 
 // view records what the module holds of the hosts.
-func (r *Recorder) view(now lynxspool.Time) {
+func (r *Recorder) view(now balancer.Time) {
 	r.viewAt = now + r.opts.ViewEvery
 	r.views = r.bal.Views(r.views[:0])
 	n := len(r.views)
@@ -202,14 +202,14 @@
 }
 
 // Name records how a host is called; it is told once for each.
-func (r *Recorder) Name(now lynxspool.Time, id lynxspool.HostID, name string) {
+func (r *Recorder) Name(now balancer.Time, id balancer.HostID, name string) {
 	name = name[:min(len(name), maxRecord)]
 	r.event(now, recName, maxRecord+len(name))
 	r.block = uv(appendID(r.block, id), uint64(len(name)))
 	r.block = append(r.block, name...)
 }
 
-func appendID(b []byte, id lynxspool.HostID) []byte {
+func appendID(b []byte, id balancer.HostID) []byte {
 	for i := 0; i < 64; i += 8 {
 		b = append(b, byte(id>>i))
 	}
@@ -217,14 +217,14 @@
 }
 
 // Start is the module's, recorded.
-func (r *Recorder) Start(now lynxspool.Time) {
+func (r *Recorder) Start(now balancer.Time) {
 	r.event(now, recStart, maxRecord)
 	r.bal.Start(now)
 }
 
 // Hosts is the module's, recorded. A list may be larger than a block: its block is then
 // larger too.
-func (r *Recorder) Hosts(now lynxspool.Time, kind lynxspool.ListKind, list []lynxspool.Host) {
+func (r *Recorder) Hosts(now balancer.Time, kind balancer.ListKind, list []balancer.Host) {
 	r.event(now, recHosts, maxRecord+len(list)*32)
 	r.block = uv(append(r.block, byte(kind)), uint64(len(list)))
 	for i := range list {
@@ -234,49 +234,49 @@
 }
 
 // Request is the module's, recorded.
-func (r *Recorder) Request(now lynxspool.Time, q lynxspool.Request) {
+func (r *Recorder) Request(now balancer.Time, q balancer.Request) {
 	r.event(now, recRequest, maxRecord)
 	r.block = putRequest(r.block, &q)
 	r.bal.Request(now, q)
 }
 
 // Started is the module's, recorded.
-func (r *Recorder) Started(now lynxspool.Time, id lynxspool.RequestID, n int) {
+func (r *Recorder) Started(now balancer.Time, id balancer.RequestID, n int) {
 	r.event(now, recStarted, maxRecord)
 	r.block = iv(uv(r.block, uint64(id)), int64(n))
 	r.bal.Started(now, id, n)
 }
 
 // Outcome is the module's, recorded.
-func (r *Recorder) Outcome(now lynxspool.Time, o lynxspool.Outcome) {
+func (r *Recorder) Outcome(now balancer.Time, o balancer.Outcome) {
 	r.event(now, recOutcome, maxRecord)
 	r.block = putOutcome(r.block, &o)
 	r.bal.Outcome(now, o)
 }
 
 // Gone is the module's, recorded.
-func (r *Recorder) Gone(now lynxspool.Time, id lynxspool.RequestID) {
+func (r *Recorder) Gone(now balancer.Time, id balancer.RequestID) {
 	r.event(now, recGone, maxRecord)
 	r.block = uv(r.block, uint64(id))
 	r.bal.Gone(now, id)
 }
 
 // Timer is the module's, recorded.
-func (r *Recorder) Timer(now lynxspool.Time, token uint64) {
+func (r *Recorder) Timer(now balancer.Time, token uint64) {
 	r.event(now, recTimer, maxRecord)
 	r.block = uv(r.block, token)
 	r.bal.Timer(now, token)
 }
 
 // Hint is the module's, recorded.
-func (r *Recorder) Hint(now lynxspool.Time, id lynxspool.HostID, within lynxspool.Time) {
+func (r *Recorder) Hint(now balancer.Time, id balancer.HostID, within balancer.Time) {
 	r.event(now, recHint, maxRecord)
 	r.block = iv(appendID(r.block, id), int64(within))
 	r.bal.Hint(now, id, within)
 }
 
 // Stop is the module's, recorded.
-func (r *Recorder) Stop(now, by lynxspool.Time) {
+func (r *Recorder) Stop(now, by balancer.Time) {
 	r.event(now, recStop, maxRecord)
 	r.block = iv(r.block, int64(by-now))
 	r.bal.Stop(now, by)
@@ -287,7 +287,7 @@
 
 // Retune is the module's. The recording begins anew with it: a session whose state is known from
 // a checkpoint. Hosts are to be named again.
-func (r *Recorder) Retune(now lynxspool.Time, set lynxspool.Settings, from []int) error {
+func (r *Recorder) Retune(now balancer.Time, set balancer.Settings, from []int) error {
 	if err := r.bal.Retune(now, set, from); err != nil {
 		return err
 	}
@@ -307,7 +307,7 @@
 }
 
 // Drain is the module's, recorded.
-func (r *Recorder) Drain(dst []lynxspool.Action) []lynxspool.Action {
+func (r *Recorder) Drain(dst []balancer.Action) []balancer.Action {
 	n := len(dst)
 	dst = r.bal.Drain(dst)
 	for i := range dst[n:] {
--- a/internal/flight/replay.go
+++ b/internal/flight/replay.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"io"
 
-	"lynxspool"
+	"dunemoor/balancer"
 )
 
 // Report is what a replay found.
@@ -25,7 +25,7 @@
 
 // Difference is where a replay first went another way than the recording.
 type Difference struct {
-	At       lynxspool.Time
+	At       balancer.Time
 	Event    int // its number among those told
 	What     string
 	Recorded string
@@ -39,7 +39,7 @@
 // Watcher looks on at a replay. It is called behind each event that was told to the
 // module, with what the recording says was decided. The Balancer is as it was then; it
 // must not be told anything.
-type Watcher func(bal *lynxspool.Balancer, e *Event, decided []lynxspool.Action)
+type Watcher func(bal *balancer.Balancer, e *Event, decided []balancer.Action)
 
 // lossesMost bounds the losses that a report names; the rest is counted.
 const lossesMost = 20
@@ -49,13 +49,13 @@
 	Report
 	watch    Watcher
 	start    *Start
-	bal      *lynxspool.Balancer // nil while its state is unknown
-	fresh    bool                // it has been told nothing since its session began
-	event    Event               // the last one told
-	told     bool                // there is one whose actions are being collected
-	hosts    []lynxspool.Host    // of event
-	recorded []lynxspool.Action  // in answer to event
-	acts     []lynxspool.Action
+	bal      *balancer.Balancer // nil while its state is unknown
+	fresh    bool               // it has been told nothing since its session began
+	event    Event              // the last one told
+	told     bool               // there is one whose actions are being collected
+	hosts    []balancer.Host    // of event
+	recorded []balancer.Action  // in answer to event
+	acts     []balancer.Action
 	a, b     []byte
 	lost     int
 }
@@ -83,7 +83,7 @@
 		case ItemSession:
 			p.Sessions++
 			p.start, p.fresh = it.Start, true
-			if p.bal, err = lynxspool.New(it.Start.Settings, it.Start.Seed); err != nil {
+			if p.bal, err = balancer.New(it.Start.Settings, it.Start.Seed); err != nil {
 				return &p.Report, fmt.Errorf("the start of a session: %w", err)
 			}
 		case ItemCheckpoint:
@@ -116,7 +116,7 @@
 	if p.start == nil {
 		return errors.New("the settings it belongs to are not known")
 	}
-	bal, err := lynxspool.Restore(p.start.Settings, saved)
+	bal, err := balancer.Restore(p.start.Settings, saved)
 	if err != nil {
 		return err
 	}
@@ -182,24 +182,24 @@
 }
 
 // describe puts the i-th action into words.
-func describe(list []lynxspool.Action, i int) string {
+func describe(list []balancer.Action, i int) string {
 	if i >= len(list) {
 		return "none"
 	}
 	switch a := &list[i]; a.Kind {
-	case lynxspool.Send:
+	case balancer.Send:
 		return fmt.Sprintf("Send %d to %x until %v", a.Request, uint64(a.Host), a.At)
-	case lynxspool.Cancel:
+	case balancer.Cancel:
 		return fmt.Sprintf("Cancel %d/%d", a.Request, a.Attempt)
-	case lynxspool.Refuse:
+	case balancer.Refuse:
 		return fmt.Sprintf("Refuse %d (%v) after %v", a.Request, a.Why, a.After)
-	case lynxspool.Fail:
+	case balancer.Fail:
 		return fmt.Sprintf("Fail %d (%v)", a.Request, a.Why)
-	case lynxspool.Wake:
+	case balancer.Wake:
 		return fmt.Sprintf("Wake %x at %v", a.Token, a.At)
-	case lynxspool.Close:
+	case balancer.Close:
 		return fmt.Sprintf("Close %x", uint64(a.Host))
-	case lynxspool.Log:
+	case balancer.Log:
 		return fmt.Sprintf("Log %q", a.Text)
 	default:
 		return a.Kind.String()
--- a/internal/flight/sim.go
+++ b/internal/flight/sim.go
@@ -6,40 +6,40 @@
 	"slices"
 	"time"
 
-	"lynxspool"
+	"dunemoor/balancer"
 )
 
 // A Sim plays arrivals against modelled hosts in virtual time, with a module to decide.
 // Each host works on one request after the other, in the order they came: simple, and
 // enough to tell two builds of the module apart on the same day.
 type Sim struct {
-	Settings lynxspool.Settings
+	Settings balancer.Settings
 	Arrivals []Arrival // in the order of time
 	Lists    []List    // likewise
-	Hosts    map[lynxspool.HostID]*SimHost
+	Hosts    map[balancer.HostID]*SimHost
 	Rand     *rand.Rand // draws errors; the same seed and module lead to the same day
 
-	now   lynxspool.Time
+	now   balancer.Time
 	queue simQueue
 	seq   int
-	reqs  map[lynxspool.RequestID]*simRequest
-	acts  []lynxspool.Action
+	reqs  map[balancer.RequestID]*simRequest
+	acts  []balancer.Action
 	sum   Summary
 }
 
 // Arrival is one request of a client.
 type Arrival struct {
-	Request lynxspool.Request // with Left as of At
-	At      lynxspool.Time
-	GoneAt  lynxspool.Time // the client leaves then if it has no answer; 0: it stays
-	Work    time.Duration  // what it takes a host of speed 1
+	Request balancer.Request // with Left as of At
+	At      balancer.Time
+	GoneAt  balancer.Time // the client leaves then if it has no answer; 0: it stays
+	Work    time.Duration // what it takes a host of speed 1
 }
 
 // List is news of the hosts.
 type List struct {
-	At    lynxspool.Time
-	Kind  lynxspool.ListKind
-	Hosts []lynxspool.Host
+	At    balancer.Time
+	Kind  balancer.ListKind
+	Hosts []balancer.Host
 }
 
 // SimHost is a modelled host.
@@ -54,9 +54,9 @@
 }
 
 // Span is a stretch of time.
-type Span struct{ From, To lynxspool.Time }
+type Span struct{ From, To balancer.Time }
 
-func within(list []Span, t lynxspool.Time) bool {
+func within(list []Span, t balancer.Time) bool {
 	return slices.ContainsFunc(list, func(s Span) bool { return s.From <= t && t < s.To })
 }
 
@@ -77,7 +77,7 @@
 
 type simRequest struct {
 	Arrival
-	deadline lynxspool.Time
+	deadline balancer.Time
 	done     bool
 	ran      int
 	jobs     []*simJob
@@ -87,14 +87,14 @@
 	req     *simRequest
 	n       int
 	host    *SimHost
-	sent    lynxspool.Time
-	until   lynxspool.Time
+	sent    balancer.Time
+	until   balancer.Time
 	running int // counts the times it was begun, so that an old end is known
 	ended   bool
 }
 
 type simEvent struct {
-	at  lynxspool.Time
+	at  balancer.Time
 	seq int
 	do  func()
 }
@@ -117,9 +117,9 @@
 const afterLast = time.Second
 
 // Run plays the day with a module that has been told nothing yet.
-func (s *Sim) Run(m Module, start lynxspool.Time) *Summary {
+func (s *Sim) Run(m Module, start balancer.Time) *Summary {
 	s.now, s.queue, s.seq = start, nil, 0
-	s.reqs = map[lynxspool.RequestID]*simRequest{}
+	s.reqs = map[balancer.RequestID]*simRequest{}
 	s.sum = Summary{Classes: make([]ClassSummary, len(s.Settings.Classes))}
 	if s.Rand == nil {
 		s.Rand = rand.New(rand.NewPCG(1, 2))
@@ -150,21 +150,21 @@
 		if !r.done {
 			s.sum.Unheard++
 		}
-		if r.ran > 1 && s.Settings.Classes[r.Request.Class].Effect == lynxspool.Unsafe {
+		if r.ran > 1 && s.Settings.Classes[r.Request.Class].Effect == balancer.Unsafe {
 			s.sum.Twice++
 		}
 	}
 	return &s.sum
 }
 
-func (s *Sim) lastArrival() lynxspool.Time {
+func (s *Sim) lastArrival() balancer.Time {
 	if len(s.Arrivals) == 0 {
 		return s.now
 	}
 	return s.Arrivals[len(s.Arrivals)-1].At
 }
 
-func (s *Sim) at(t lynxspool.Time, do func()) {
+func (s *Sim) at(t balancer.Time, do func()) {
 	s.seq++
 	heap.Push(&s.queue, simEvent{t, s.seq, do})
 }
@@ -175,25 +175,25 @@
 	s.acts = m.Drain(s.acts[:0])
 	for _, a := range s.acts {
 		switch a.Kind {
-		case lynxspool.Send:
+		case balancer.Send:
 			s.send(m, a)
-		case lynxspool.Cancel:
+		case balancer.Cancel:
 			if r := s.reqs[a.Request]; r != nil && a.Attempt < len(r.jobs) {
 				j := r.jobs[a.Attempt]
-				s.at(s.now, func() { s.end(m, j, lynxspool.Canceled) })
+				s.at(s.now, func() { s.end(m, j, balancer.Canceled) })
 			}
-		case lynxspool.Refuse, lynxspool.Fail:
+		case balancer.Refuse, balancer.Fail:
 			if r := s.reqs[a.Request]; r != nil && !r.done {
 				r.done = true
 				c := &s.sum.Classes[r.Request.Class]
 				c.Why[int(a.Why)%len(c.Why)]++
-				if a.Kind == lynxspool.Refuse {
+				if a.Kind == balancer.Refuse {
 					c.Refused++
 				} else {
 					c.Failed++
 				}
 			}
-		case lynxspool.Wake:
+		case balancer.Wake:
 			token := a.Token
 			s.at(max(a.At, s.now), func() { s.tell(m, func() { m.Timer(s.now, token) }) })
 		}
@@ -216,7 +216,7 @@
 	s.tell(m, func() { m.Request(s.now, a.Request) })
 }
 
-func (s *Sim) send(m Module, a lynxspool.Action) {
+func (s *Sim) send(m Module, a balancer.Action) {
 	r, h := s.reqs[a.Request], s.Hosts[a.Host]
 	if h == nil {
 		h = &SimHost{}
@@ -230,7 +230,7 @@
 	s.sum.Attempts++
 	switch {
 	case within(h.Down, s.now):
-		s.at(s.now+connectFails, func() { s.end(m, j, lynxspool.ConnectFailed) })
+		s.at(s.now+connectFails, func() { s.end(m, j, balancer.ConnectFailed) })
 		return
 	case within(h.Silent, s.now), h.Mute > 0 && s.Rand.Float64() < h.Mute:
 		r.ran++
@@ -241,7 +241,7 @@
 			s.begin(m, h)
 		}
 	}
-	s.at(j.until, func() { s.end(m, j, lynxspool.TimedOut) })
+	s.at(j.until, func() { s.end(m, j, balancer.TimedOut) })
 }
 
 // connectFails is how soon a refused connection is known.
@@ -258,20 +258,20 @@
 	if speed == 0 {
 		speed = 1
 	}
-	s.at(s.now+lynxspool.Time(float64(j.req.Work)/speed), func() {
+	s.at(s.now+balancer.Time(float64(j.req.Work)/speed), func() {
 		if j.ended || j.running != n {
 			return
 		}
-		result := lynxspool.OK
+		result := balancer.OK
 		if c := j.req.Request.Class; c < len(h.Errors) && s.Rand.Float64() < h.Errors[c] {
-			result = lynxspool.Failed
+			result = balancer.Failed
 		}
 		s.end(m, j, result)
 	})
 }
 
 // end ends an attempt, once.
-func (s *Sim) end(m Module, j *simJob, result lynxspool.Result) {
+func (s *Sim) end(m Module, j *simJob, result balancer.Result) {
 	if j.ended {
 		return
 	}
@@ -283,7 +283,7 @@
 			s.begin(m, h)
 		}
 	}
-	if result == lynxspool.OK && !r.done {
+	if result == balancer.OK && !r.done {
 		r.done = true
 		c := &s.sum.Classes[r.Request.Class]
 		took := s.now - r.At
@@ -295,7 +295,7 @@
 		}
 	}
 	s.tell(m, func() {
-		m.Outcome(s.now, lynxspool.Outcome{
+		m.Outcome(s.now, balancer.Outcome{
 			Request: r.Request.ID, Attempt: j.n, Result: result, Elapsed: s.now - j.sent, Closed: r.done,
 		})
 	})
--- a/internal/front/fastcgi/message_test.go
+++ b/internal/front/fastcgi/message_test.go
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 
-	"lynxspool/internal/fastcgi"
-	"lynxspool/internal/front"
+	"dunemoor/internal/fastcgi"
+	"dunemoor/internal/front"
 )
 
 func params(pairs ...string) (b []byte) {
--- a/internal/front/fastcgi/request.go
+++ b/internal/front/fastcgi/request.go
@@ -13,10 +13,10 @@
 	"sync/atomic"
 	"time"
 
-	"lynxspool/internal/body"
-	"lynxspool/internal/engine"
-	"lynxspool/internal/fastcgi"
-	"lynxspool/internal/front"
+	"dunemoor/internal/body"
+	"dunemoor/internal/engine"
+	"dunemoor/internal/fastcgi"
+	"dunemoor/internal/front"
 )
 
 // request is one on a connection, from its parameters to its END_REQUEST.
--- a/internal/front/fastcgi/server.go
+++ b/internal/front/fastcgi/server.go
@@ -16,10 +16,10 @@
 
 	"golang.org/x/sys/unix"
 
-	"lynxspool/internal/body"
-	"lynxspool/internal/drain"
-	"lynxspool/internal/fastcgi"
-	"lynxspool/internal/front"
+	"dunemoor/internal/body"
+	"dunemoor/internal/drain"
+	"dunemoor/internal/fastcgi"
+	"dunemoor/internal/front"
 )
 
 // Options are what a Server is told.
--- a/internal/front/fastcgi/server_test.go
+++ b/internal/front/fastcgi/server_test.go
@@ -7,10 +7,10 @@
 	"testing/synctest"
 	"time"
 
-	"lynxspool/internal/body"
-	"lynxspool/internal/engine"
-	"lynxspool/internal/fastcgi"
-	"lynxspool/internal/front"
+	"dunemoor/internal/body"
+	"dunemoor/internal/engine"
+	"dunemoor/internal/fastcgi"
+	"dunemoor/internal/front"
 )
 
 // A request whose bytes have come in part when connections begin to end is read on and answered:
--- a/internal/front/gate.go
+++ b/internal/front/gate.go
@@ -13,11 +13,11 @@
 	"sync/atomic"
 	"time"
 
-	"lynxspool"
-	"lynxspool/internal/body"
-	"lynxspool/internal/drain"
-	"lynxspool/internal/engine"
-	"lynxspool/internal/route"
+	"dunemoor/balancer"
+	"dunemoor/internal/body"
+	"dunemoor/internal/drain"
+	"dunemoor/internal/engine"
+	"dunemoor/internal/route"
 )
 
 // Headers of requests, as net/http spells them.
@@ -297,11 +297,11 @@
 			return Bad(http.StatusBadRequest, "%s: unknown tenant", headTenant)
 		}
 	}
-	if safe := rules.Effect == lynxspool.Safe; safe != (m.Method == http.MethodGet) ||
+	if safe := rules.Effect == balancer.Safe; safe != (m.Method == http.MethodGet) ||
 		!safe && m.Method != http.MethodPost || safe && m.Length != 0 {
 		return Bad(http.StatusBadRequest, "a request of this class has another method")
 	}
-	if rules.Effect == lynxspool.Keyed && key == "" {
+	if rules.Effect == balancer.Keyed && key == "" {
 		// Without it no host would drop the repeat that the module may send.
 		return Bad(http.StatusBadRequest, "%s: missing, the class needs one", headKey)
 	}
@@ -339,7 +339,7 @@
 	switch m.Method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodTrace:
 	default:
-		keyed := e.Route.Classes[p.Class].Effect == lynxspool.Keyed
+		keyed := e.Route.Classes[p.Class].Effect == balancer.Keyed
 		if key := m.Header[headKey]; keyed && (len(key) != 1 || key[0] == "") ||
 			!keyed && !slices.Contains(p.Repeatable, m.Method) {
 			e.Class = p.Unsafe
--- a/internal/front/http1/clients_test.go
+++ b/internal/front/http1/clients_test.go
@@ -14,14 +14,14 @@
 	"testing"
 	"time"
 
-	"lynxspool"
-	"lynxspool/internal/body"
-	"lynxspool/internal/discovery"
-	"lynxspool/internal/engine"
-	"lynxspool/internal/front"
-	hosts "lynxspool/internal/host/http1"
-	"lynxspool/internal/route"
-	"lynxspool/internal/testkit"
+	"dunemoor/balancer"
+	"dunemoor/internal/body"
+	"dunemoor/internal/discovery"
+	"dunemoor/internal/engine"
+	"dunemoor/internal/front"
+	hosts "dunemoor/internal/host/http1"
+	"dunemoor/internal/route"
+	"dunemoor/internal/testkit"
 )
 
 // owed is how long a bad client may be left without an error or a close. A busy machine
@@ -54,12 +54,12 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	transport := hosts.New(hosts.Options{Sockets: 1024, DialTimeout: testkit.Patience})
 	second := time.Second
-	set := lynxspool.Settings{
+	set := balancer.Settings{
 		Instances: 1, MaxAttempts: 4, Cancel: true, MaxRetryAfter: second, Step: 5 * time.Millisecond,
-		Classes: []lynxspool.Class{
+		Classes: []balancer.Class{
 			{Aim: 10 * second, Deadline: 60 * second},
-			{Aim: 10 * second, Deadline: 60 * second, Effect: lynxspool.Unsafe},
-			{Aim: 10 * second, Deadline: 60 * second, Effect: lynxspool.Keyed, Window: 30 * second},
+			{Aim: 10 * second, Deadline: 60 * second, Effect: balancer.Unsafe},
+			{Aim: 10 * second, Deadline: 60 * second, Effect: balancer.Keyed, Window: 30 * second},
 		},
 	}
 	pool, err := e.NewPool(engine.PoolConfig{Settings: set, Transport: transport})
@@ -72,11 +72,11 @@
 	for i, h := range cfg.hosts {
 		list.Servers = append(list.Servers, discovery.Member{ID: fmt.Sprint("s-", i), Addr: h.Addr(), State: "ready"})
 	}
-	pool.Members(lynxspool.ListFull, list)
+	pool.Members(balancer.ListFull, list)
 	e.Use(e.NewPlan(nil, []*engine.Route{{
 		Classes: set.Classes, Names: map[string]int{"look": 0, "book": 1, "report": 2},
 		Streams: cfg.streams,
-		Judge: func(a *engine.Answer) lynxspool.Result {
+		Judge: func(a *engine.Answer) balancer.Result {
 			if cfg.judged != nil {
 				cfg.judged()
 			}
--- a/internal/front/http1/conn.go
+++ b/internal/front/http1/conn.go
@@ -20,9 +20,9 @@
 
 	"github.com/pires/go-proxyproto"
 
-	"lynxspool/internal/body"
-	"lynxspool/internal/front"
-	"lynxspool/internal/httpwire"
+	"dunemoor/internal/body"
+	"dunemoor/internal/front"
+	"dunemoor/internal/httpwire"
 )
 
 // clientConn is a client's connection. Its requests come one after the other, each read,
--- a/internal/front/http1/conn_test.go
+++ b/internal/front/http1/conn_test.go
@@ -16,7 +16,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"lynxspool/internal/testkit"
+	"dunemoor/internal/testkit"
 )
 
 // Requests that come all at once are answered one after the other, in their order.
--- a/internal/front/http1/leaving_test.go
+++ b/internal/front/http1/leaving_test.go
@@ -13,9 +13,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"lynxspool/internal/body"
-	"lynxspool/internal/engine"
-	"lynxspool/internal/testkit"
+	"dunemoor/internal/body"
+	"dunemoor/internal/engine"
+	"dunemoor/internal/testkit"
 )
 
 // leaves are the ways in which a client leaves.
--- a/internal/front/http1/plain.go
+++ b/internal/front/http1/plain.go
@@ -13,10 +13,10 @@
 	"sync/atomic"
 	"time"
 
-	"lynxspool/internal/body"
-	"lynxspool/internal/engine"
-	"lynxspool/internal/front"
-	"lynxspool/internal/httpwire"
+	"dunemoor/internal/body"
+	"dunemoor/internal/engine"
+	"dunemoor/internal/front"
+	"dunemoor/internal/httpwire"
 )
 
 // lingerUpload is how long a client is heard that is still sending its body when its answer is
--- a/internal/front/http1/server.go
+++ b/internal/front/http1/server.go
@@ -18,11 +18,11 @@
 	"sync/atomic"
 	"time"
 
-	"lynxspool/internal/body"
-	"lynxspool/internal/drain"
-	"lynxspool/internal/engine"
-	"lynxspool/internal/front"
-	"lynxspool/internal/httpwire"
+	"dunemoor/internal/body"
+	"dunemoor/internal/drain"
+	"dunemoor/internal/engine"
+	"dunemoor/internal/front"
+	"dunemoor/internal/httpwire"
 )
 
 // Options are what a Server is told.
--- a/internal/front/http1/source_test.go
+++ b/internal/front/http1/source_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"lynxspool/internal/body"
-	"lynxspool/internal/front"
-	"lynxspool/internal/testkit"
+	"dunemoor/internal/body"
+	"dunemoor/internal/front"
+	"dunemoor/internal/testkit"
 )
 
 // A read that ends as we gave the body up is not taken for a client that is too slow: it guards
--- a/internal/front/limits.go
+++ b/internal/front/limits.go
@@ -12,8 +12,8 @@
 	"sync/atomic"
 	"time"
 
-	"lynxspool/internal/fair"
-	"lynxspool/internal/overload"
+	"dunemoor/internal/fair"
+	"dunemoor/internal/overload"
 )
 
 // Limits turn requests away before they cost anything: for the gateway's own sake, and so that
--- a/internal/gateway/appliance.go
+++ b/internal/gateway/appliance.go
@@ -18,18 +18,18 @@
 	"syscall"
 	"time"
 
-	"lynxspool"
-	"lynxspool/internal/body"
-	"lynxspool/internal/config"
-	"lynxspool/internal/discovery"
-	"lynxspool/internal/engine"
-	fcgi "lynxspool/internal/front/fastcgi"
-	"lynxspool/internal/front/http1"
-	responders "lynxspool/internal/host/fastcgi"
-	hosts "lynxspool/internal/host/http1"
-	"lynxspool/internal/overload"
-	"lynxspool/internal/route"
-	"lynxspool/internal/words"
+	"dunemoor/balancer"
+	"dunemoor/internal/body"
+	"dunemoor/internal/config"
+	"dunemoor/internal/discovery"
+	"dunemoor/internal/engine"
+	fcgi "dunemoor/internal/front/fastcgi"
+	"dunemoor/internal/front/http1"
+	responders "dunemoor/internal/host/fastcgi"
+	hosts "dunemoor/internal/host/http1"
+	"dunemoor/internal/overload"
+	"dunemoor/internal/route"
+	"dunemoor/internal/words"
 )
 
 const (
@@ -68,7 +68,7 @@
 	transport transport
 	ctx       context.Context
 	cancel    context.CancelFunc
-	settings  lynxspool.Settings
+	settings  balancer.Settings
 	sources   func(pool, discovery string) Source
 	source    context.CancelFunc // ends the source of members
 	sink      *atomic.Pointer[feed]
@@ -83,11 +83,11 @@
 }
 
 // list passes on what a source tells, with the words on it.
-func (s *worded) list(kind lynxspool.ListKind, list discovery.MemberList) {
+func (s *worded) list(kind balancer.ListKind, list discovery.MemberList) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if kind != lynxspool.ListFailed {
-		list.Servers = s.words.Listed(kind == lynxspool.ListFull, list.Servers)
+	if kind != balancer.ListFailed {
+		list.Servers = s.words.Listed(kind == balancer.ListFull, list.Servers)
 	}
 	s.pool.Members(kind, list)
 }
@@ -97,7 +97,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if changed := s.words.Said(drained); len(changed) > 0 {
-		s.pool.Members(lynxspool.ListChanges, discovery.MemberList{Servers: changed})
+		s.pool.Members(balancer.ListChanges, discovery.MemberList{Servers: changed})
 	}
 }
 
@@ -127,12 +127,12 @@
 	once atomic.Bool
 }
 
-func (f *feed) Members(kind lynxspool.ListKind, list discovery.MemberList) {
+func (f *feed) Members(kind balancer.ListKind, list discovery.MemberList) {
 	if f.now.Load() != f {
 		return // it was replaced: a last word of the old source must not undo the new one's
 	}
 	f.to.list(kind, list)
-	if kind != lynxspool.ListFailed && f.once.CompareAndSwap(false, true) {
+	if kind != balancer.ListFailed && f.once.CompareAndSwap(false, true) {
 		close(f.told)
 	}
 }
@@ -395,15 +395,15 @@
 }
 
 // settings are those of a pool's module.
-func settings(p config.Pool, classes []lynxspool.Class) lynxspool.Settings {
-	return lynxspool.Settings{
+func settings(p config.Pool, classes []balancer.Class) balancer.Settings {
+	return balancer.Settings{
 		Instances: 1, Classes: classes, MaxAttempts: 4, Cancel: true, MaxRetryAfter: retryAfterMost,
 		ColdFrom: p.Cold.From, WarmAfter: p.Cold.WarmAfter, OverloadFactor: overloadFactor, Fall: overloadTime,
 	}
 }
 
 // newPool makes a pool that has no members yet.
-func (g *Gateway) newPool(a *config.Appliance, cfg config.Pool, set lynxspool.Settings, names []string) (*boxPool, error) {
+func (g *Gateway) newPool(a *config.Appliance, cfg config.Pool, set balancer.Settings, names []string) (*boxPool, error) {
 	p := &boxPool{cfg: cfg, settings: set, sources: g.box.sources, source: func() {}, sink: new(atomic.Pointer[feed])}
 	if cfg.Protocol == config.FastCGI {
 		p.transport = responders.New(responders.Options{Budget: g.gate.Bodies, Root: cfg.Root, Params: cfg.Params})
@@ -457,7 +457,7 @@
 			return err
 		}
 		if err == nil {
-			f.Members(lynxspool.ListFull, list)
+			f.Members(balancer.ListFull, list)
 		}
 		go discovery.NewFile(cfg.File).Run(ctx, f)
 	case cfg.Discovery != "":
@@ -470,7 +470,7 @@
 			}
 		}
 	default:
-		f.Members(lynxspool.ListFull, memberList(cfg.Members))
+		f.Members(balancer.ListFull, memberList(cfg.Members))
 	}
 	return nil
 }
@@ -488,7 +488,7 @@
 // classes are those of an appliance as its modules number them: the file's in their order, and
 // behind them, of each that may be sent again, one of which nothing may.
 type classes struct {
-	list  []lynxspool.Class
+	list  []balancer.Class
 	names []string
 	index map[string]int
 	once  []int // by the number of a class of the file
@@ -501,10 +501,10 @@
 		c.index[k.Name], c.once[i] = i, i
 	}
 	for i, k := range a.Classes {
-		if k.Effect == lynxspool.Unsafe {
+		if k.Effect == balancer.Unsafe {
 			continue
 		}
-		k.Effect, k.Window = lynxspool.Unsafe, 0
+		k.Effect, k.Window = balancer.Unsafe, 0
 		c.once[i] = len(c.list)
 		c.list, c.names = append(c.list, k.Class), append(c.names, k.Name+" once")
 	}
@@ -515,7 +515,7 @@
 func routeOf(name string, r config.Route, c *classes, shed bool) *engine.Route {
 	out := &engine.Route{
 		Name: name, Classes: c.list, Names: c.index, Streams: protocolStreams(),
-		Judge: func(a *engine.Answer) lynxspool.Result { return route.Protocol(a.Status, unseen(a)) },
+		Judge: func(a *engine.Answer) balancer.Result { return route.Protocol(a.Status, unseen(a)) },
 	}
 	if shed {
 		out.First, out.Repeat, _ = overload.Ranks(rankList(c))
@@ -532,7 +532,7 @@
 	out.Streams = &engine.Streams{Hold: r.Hold, MaxBody: r.MaxBody, Stream: r.Stream, Pace: pace, Upload: pace}
 	out.PassOn = true
 	failures := r.Failures
-	out.Judge = func(a *engine.Answer) lynxspool.Result { return route.Plain(a.Status, unseen(a), failures) }
+	out.Judge = func(a *engine.Answer) balancer.Result { return route.Plain(a.Status, unseen(a), failures) }
 	return out
 }
 
--- a/internal/gateway/appliance_test.go
+++ b/internal/gateway/appliance_test.go
@@ -15,9 +15,9 @@
 	"testing"
 	"time"
 
-	"lynxspool/internal/config"
-	"lynxspool/internal/standin"
-	"lynxspool/internal/testkit"
+	"dunemoor/internal/config"
+	"dunemoor/internal/standin"
+	"dunemoor/internal/testkit"
 )
 
 // parse reads an appliance's file that has to be right.
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -25,10 +25,10 @@
 	"testing"
 	"time"
 
-	"lynxspool/internal/config"
-	"lynxspool/internal/fastcgi"
-	"lynxspool/internal/overload"
-	"lynxspool/internal/standin"
+	"dunemoor/internal/config"
+	"dunemoor/internal/fastcgi"
+	"dunemoor/internal/overload"
+	"dunemoor/internal/standin"
 )
 
 // BenchmarkIdlePool tells what a pool that gets no requests costs in memory, goroutines
--- a/internal/gateway/churn_test.go
+++ b/internal/gateway/churn_test.go
@@ -11,9 +11,9 @@
 	"sync/atomic"
 	"testing"
 
-	"lynxspool"
-	"lynxspool/internal/discovery"
-	"lynxspool/internal/testkit"
+	"dunemoor/balancer"
+	"dunemoor/internal/discovery"
+	"dunemoor/internal/testkit"
 )
 
 // Hosts are replaced all day, each by a new id at the same address, in zones and of
@@ -52,7 +52,7 @@
 				list = append(list, member(replaced, "gone"))
 			}
 			replaced++
-			g.pool.Members(lynxspool.ListChanges, discovery.MemberList{Servers: list})
+			g.pool.Members(balancer.ListChanges, discovery.MemberList{Servers: list})
 			if err := testkit.Asked(c); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/gateway/compat_test.go
+++ b/internal/gateway/compat_test.go
@@ -3,9 +3,9 @@
 import (
 	"testing"
 
-	"lynxspool/internal/body"
-	"lynxspool/internal/front"
-	"lynxspool/internal/testkit/compat"
+	"dunemoor/internal/body"
+	"dunemoor/internal/front"
+	"dunemoor/internal/testkit/compat"
 )
 
 // What operators' tools read at /admin/status.
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"lynxspool/internal/drain"
-	"lynxspool/internal/testkit"
+	"dunemoor/internal/drain"
+	"dunemoor/internal/testkit"
 )
 
 // dialClient is a client with a connection of its own.
--- a/internal/gateway/fastcgi_test.go
+++ b/internal/gateway/fastcgi_test.go
@@ -15,11 +15,11 @@
 	"testing"
 	"time"
 
-	"lynxspool/internal/engine"
-	"lynxspool/internal/fastcgi"
-	"lynxspool/internal/front"
-	"lynxspool/internal/standin"
-	"lynxspool/internal/testkit"
+	"dunemoor/internal/engine"
+	"dunemoor/internal/fastcgi"
+	"dunemoor/internal/front"
+	"dunemoor/internal/standin"
+	"dunemoor/internal/testkit"
 )
 
 // webListener is a listener for web servers.
--- a/internal/gateway/flow_test.go
+++ b/internal/gateway/flow_test.go
@@ -21,8 +21,8 @@
 	"testing"
 	"time"
 
-	"lynxspool/internal/body"
-	"lynxspool/internal/testkit"
+	"dunemoor/internal/body"
+	"dunemoor/internal/testkit"
 )
 
 // peer is a host made of net/http's server, which knows nothing of the gateway's code.
--- a/internal/gateway/forward_test.go
+++ b/internal/gateway/forward_test.go
@@ -13,9 +13,9 @@
 
 	"github.com/pires/go-proxyproto"
 
-	"lynxspool/internal/config"
-	"lynxspool/internal/front"
-	"lynxspool/internal/testkit"
+	"dunemoor/internal/config"
+	"dunemoor/internal/front"
+	"dunemoor/internal/testkit"
 )
 
 // forwardBox is a gateway in front of one host that says what headers it got.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -11,19 +11,19 @@
 	"sync"
 	"time"
 
-	"lynxspool"
-	"lynxspool/internal/admin"
-	"lynxspool/internal/body"
-	"lynxspool/internal/config"
-	"lynxspool/internal/discovery"
-	"lynxspool/internal/engine"
-	"lynxspool/internal/front"
-	fcgi "lynxspool/internal/front/fastcgi"
-	"lynxspool/internal/front/http1"
-	hosts "lynxspool/internal/host/http1"
-	"lynxspool/internal/places"
-	"lynxspool/internal/route"
-	"lynxspool/internal/sole"
+	"dunemoor/balancer"
+	"dunemoor/internal/admin"
+	"dunemoor/internal/body"
+	"dunemoor/internal/config"
+	"dunemoor/internal/discovery"
+	"dunemoor/internal/engine"
+	"dunemoor/internal/front"
+	fcgi "dunemoor/internal/front/fastcgi"
+	"dunemoor/internal/front/http1"
+	hosts "dunemoor/internal/host/http1"
+	"dunemoor/internal/places"
+	"dunemoor/internal/route"
+	"dunemoor/internal/sole"
 )
 
 // Shares of the descriptors, in hundredths. Clients hold a third of all at most for
@@ -162,7 +162,7 @@
 	}
 	go transport.Run(g.ctx)
 	go g.engine.Run(g.ctx)
-	pool.Members(lynxspool.ListSaved, cfg.Known)
+	pool.Members(balancer.ListSaved, cfg.Known)
 	g.pool, g.classes = pool, named(cfg)
 	g.engine.Use(g.platformPlan(cfg))
 	if !shared {
@@ -203,7 +203,7 @@
 // platformPlan is the one route to the one pool, for the classes of cfg by their numbers.
 func (g *Gateway) platformPlan(cfg *config.Platform) *engine.Plan {
 	names := make(map[string]int, len(cfg.Classes))
-	rules := make([]lynxspool.Class, len(g.classes))
+	rules := make([]balancer.Class, len(g.classes))
 	for i, c := range g.classes {
 		if rules[i] = c.Rules; !c.Rules.Retired {
 			names[c.Name] = i
@@ -211,7 +211,7 @@
 	}
 	return g.engine.NewPlan(nil, []*engine.Route{{
 		Classes: rules, Names: names, Tenants: cfg.Tenants, Streams: protocolStreams(),
-		Judge: func(a *engine.Answer) lynxspool.Result { return route.Protocol(a.Status, unseen(a)) },
+		Judge: func(a *engine.Answer) balancer.Result { return route.Protocol(a.Status, unseen(a)) },
 	}}, nil, engine.PoolUse{Pool: g.pool, Need: 1})
 }
 
@@ -231,10 +231,10 @@
 // keep what they came under. On an error nothing has changed.
 func (g *Gateway) Retune(cfg *config.Platform) error {
 	was := g.classes
-	err := g.engine.Retune(g.pool, func(inUse func(int) bool) (lynxspool.Settings, []int, []string, *engine.Plan) {
+	err := g.engine.Retune(g.pool, func(inUse func(int) bool) (balancer.Settings, []int, []string, *engine.Plan) {
 		list, from := places.Next(was, named(cfg), inUse)
 		set := cfg.Settings
-		set.Classes = make([]lynxspool.Class, len(list))
+		set.Classes = make([]balancer.Class, len(list))
 		names := make([]string, len(list))
 		for i, c := range list {
 			set.Classes[i], names[i] = c.Rules, c.Name
@@ -265,9 +265,9 @@
 	first chan struct{}
 }
 
-func (s *newsSink) Members(kind lynxspool.ListKind, list discovery.MemberList) {
+func (s *newsSink) Members(kind balancer.ListKind, list discovery.MemberList) {
 	s.Sink.Members(kind, list)
-	if kind != lynxspool.ListFailed {
+	if kind != balancer.ListFailed {
 		s.once.Do(func() { close(s.first) })
 	}
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -10,12 +10,12 @@
 	"testing"
 	"time"
 
-	"lynxspool"
-	"lynxspool/internal/config"
-	"lynxspool/internal/discovery"
-	"lynxspool/internal/engine"
-	"lynxspool/internal/front"
-	"lynxspool/internal/testkit"
+	"dunemoor/balancer"
+	"dunemoor/internal/config"
+	"dunemoor/internal/discovery"
+	"dunemoor/internal/engine"
+	"dunemoor/internal/front"
+	"dunemoor/internal/testkit"
 )
 
 // testGateway is a gateway in this process, on loopback.
@@ -34,12 +34,12 @@
 		Sockets: 1024, ConnIdle: time.Minute, DialTimeout: testkit.Patience, Seed: 7,
 		Classes: map[string]int{"look": 0, "book": 1, "report": 2},
 		Zones:   map[string]int{}, Kinds: map[string]int{},
-		Settings: lynxspool.Settings{
+		Settings: balancer.Settings{
 			Instances: 1, MaxAttempts: 4, Cancel: true, MaxRetryAfter: second, Step: 5 * time.Millisecond,
-			Classes: []lynxspool.Class{
+			Classes: []balancer.Class{
 				{Aim: 10 * second, Deadline: 60 * second},
-				{Aim: 10 * second, Deadline: 60 * second, Effect: lynxspool.Unsafe},
-				{Aim: 10 * second, Deadline: 60 * second, Effect: lynxspool.Keyed, Window: 30 * second},
+				{Aim: 10 * second, Deadline: 60 * second, Effect: balancer.Unsafe},
+				{Aim: 10 * second, Deadline: 60 * second, Effect: balancer.Keyed, Window: 30 * second},
 			},
 		},
 	}
@@ -241,12 +241,12 @@
 	if status := get(); status != 503 {
 		t.Errorf("with no hosts: status %d", status)
 	}
-	g.pool.Members(lynxspool.ListChanges, discovery.MemberList{Servers: []discovery.Member{{ID: "s-1", Addr: "127.0.0.1:1", State: "ready"}}})
+	g.pool.Members(balancer.ListChanges, discovery.MemberList{Servers: []discovery.Member{{ID: "s-1", Addr: "127.0.0.1:1", State: "ready"}}})
 	testkit.Until(t, "health is good with a host", func() bool { return get() == 200 })
-	g.pool.Members(lynxspool.ListChanges, discovery.MemberList{Servers: []discovery.Member{{ID: "s-1", Addr: "127.0.0.1:1", State: "draining"}}})
+	g.pool.Members(balancer.ListChanges, discovery.MemberList{Servers: []discovery.Member{{ID: "s-1", Addr: "127.0.0.1:1", State: "draining"}}})
 	testkit.Until(t, "health is bad with the last host draining", func() bool { return get() == 503 })
 	g.gate.Stop(time.Now().Add(time.Minute))
-	g.pool.Members(lynxspool.ListChanges, discovery.MemberList{Servers: []discovery.Member{{ID: "s-1", Addr: "127.0.0.1:1", State: "ready"}}})
+	g.pool.Members(balancer.ListChanges, discovery.MemberList{Servers: []discovery.Member{{ID: "s-1", Addr: "127.0.0.1:1", State: "ready"}}})
 	if status := get(); status != 503 {
 		t.Errorf("while stopping: status %d", status)
 	}
@@ -260,7 +260,7 @@
 	member := func(id string, h *testkit.Host, state string) discovery.Member {
 		return discovery.Member{ID: id, Addr: h.Addr(), State: state}
 	}
-	asks := func(what string, kind lynxspool.ListKind, want *testkit.Host, list ...discovery.Member) {
+	asks := func(what string, kind balancer.ListKind, want *testkit.Host, list ...discovery.Member) {
 		g.pool.Members(kind, discovery.MemberList{Servers: list})
 		a, _, _ := first.Counts()
 		b, _, _ := second.Counts()
@@ -275,9 +275,9 @@
 			t.Errorf("%s: %d and %d requests", what, x-a, y-b)
 		}
 	}
-	asks("draining", lynxspool.ListChanges, second, member("s-0", first, "draining"))
-	asks("a state unheard of", lynxspool.ListChanges, first, member("s-1", second, "asleep"), member("s-0", first, "ready"))
-	asks("gone", lynxspool.ListChanges, second, member("s-0", first, "gone"), member("s-1", second, "ready"))
-	asks("absent from a full list", lynxspool.ListFull, first, member("s-0", first, "ready"))
-	asks("moved", lynxspool.ListChanges, second, member("s-0", second, "ready"))
+	asks("draining", balancer.ListChanges, second, member("s-0", first, "draining"))
+	asks("a state unheard of", balancer.ListChanges, first, member("s-1", second, "asleep"), member("s-0", first, "ready"))
+	asks("gone", balancer.ListChanges, second, member("s-0", first, "gone"), member("s-1", second, "ready"))
+	asks("absent from a full list", balancer.ListFull, first, member("s-0", first, "ready"))
+	asks("moved", balancer.ListChanges, second, member("s-0", second, "ready"))
 }
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -13,10 +13,10 @@
 	"syscall"
 	"time"
 
-	"lynxspool/internal/config"
-	"lynxspool/internal/fair"
-	"lynxspool/internal/front"
-	"lynxspool/internal/overload"
+	"dunemoor/internal/config"
+	"dunemoor/internal/fair"
+	"dunemoor/internal/front"
+	"dunemoor/internal/overload"
 )
 
 const (
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -14,11 +14,11 @@
 	"testing"
 	"time"
 
-	"lynxspool/internal/config"
-	"lynxspool/internal/front"
-	"lynxspool/internal/front/http1"
-	"lynxspool/internal/overload"
-	"lynxspool/internal/testkit"
+	"dunemoor/internal/config"
+	"dunemoor/internal/front"
+	"dunemoor/internal/front/http1"
+	"dunemoor/internal/overload"
+	"dunemoor/internal/testkit"
 )
 
 // limitBox is a gateway with limits in front of one host, with a route for lookups and one for
--- a/internal/gateway/list_test.go
+++ b/internal/gateway/list_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"lynxspool/internal/testkit"
+	"dunemoor/internal/testkit"
 )
 
 // scriptedList is discovery on a loopback socket: each call is handed to the test, which writes to it
--- a/internal/gateway/long_test.go
+++ b/internal/gateway/long_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"lynxspool/internal/front"
-	"lynxspool/internal/testkit"
+	"dunemoor/internal/front"
+	"dunemoor/internal/testkit"
 )
 
 // sample is n bytes that differ.
--- a/internal/gateway/property_test.go
+++ b/internal/gateway/property_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"lynxspool/internal/testkit"
+	"dunemoor/internal/testkit"
 )
 
 // exchangePlan is one request of the property test, drawn from a seed: what goes up, what comes
--- a/internal/gateway/recording_test.go
+++ b/internal/gateway/recording_test.go
@@ -7,11 +7,11 @@
 	"testing"
 	"time"
 
-	"lynxspool"
-	"lynxspool/internal/discovery"
-	"lynxspool/internal/engine"
-	"lynxspool/internal/flight"
-	"lynxspool/internal/testkit"
+	"dunemoor/balancer"
+	"dunemoor/internal/discovery"
+	"dunemoor/internal/engine"
+	"dunemoor/internal/flight"
+	"dunemoor/internal/testkit"
 )
 
 // Through the whole gateway: what is recorded replays alike, names its hosts and holds
@@ -65,7 +65,7 @@
 
 	// The host goes: what comes is refused, and the trigger writes the ring once.
 	h.Close()
-	g.pool.Members(lynxspool.ListFull, discovery.MemberList{}) // no host is listed any more
+	g.pool.Members(balancer.ListFull, discovery.MemberList{}) // no host is listed any more
 	for range 50 {
 		g.ask("look", "/", "")
 	}
--- a/internal/gateway/retune_test.go
+++ b/internal/gateway/retune_test.go
@@ -10,20 +10,20 @@
 	"testing"
 	"time"
 
-	"lynxspool"
-	"lynxspool/internal/config"
-	"lynxspool/internal/engine"
-	"lynxspool/internal/flight"
-	"lynxspool/internal/testkit"
+	"dunemoor/balancer"
+	"dunemoor/internal/config"
+	"dunemoor/internal/engine"
+	"dunemoor/internal/flight"
+	"dunemoor/internal/testkit"
 )
 
 // classes is testConfig with other classes, in the order given.
 func withClasses(cfg config.Platform, names ...string) *config.Platform {
-	effects := map[string]lynxspool.Effect{"look": lynxspool.Safe, "book": lynxspool.Unsafe, "next": lynxspool.Unsafe}
+	effects := map[string]balancer.Effect{"look": balancer.Safe, "book": balancer.Unsafe, "next": balancer.Unsafe}
 	cfg.Classes, cfg.Settings.Classes = map[string]int{}, nil
 	for i, name := range names {
 		cfg.Classes[name] = i
-		cfg.Settings.Classes = append(cfg.Settings.Classes, lynxspool.Class{
+		cfg.Settings.Classes = append(cfg.Settings.Classes, balancer.Class{
 			Aim: 10 * time.Second, Deadline: 60 * time.Second, Effect: effects[name],
 		})
 	}
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -1,10 +1,10 @@
 package gateway
 
 import (
-	"lynxspool/internal/body"
-	"lynxspool/internal/front"
-	"lynxspool/internal/front/http1"
-	"lynxspool/internal/overload"
+	"dunemoor/internal/body"
+	"dunemoor/internal/front"
+	"dunemoor/internal/front/http1"
+	"dunemoor/internal/overload"
 )
 
 // Status is what a gateway counts, for operators. All of it is read beside the loop, which is
--- a/internal/gateway/status_test.go
+++ b/internal/gateway/status_test.go
@@ -10,7 +10,7 @@
 	"strings"
 	"testing"
 
-	"lynxspool/internal/testkit"
+	"dunemoor/internal/testkit"
 )
 
 // What is turned away and what is held is told, by cause, over the second address.
--- a/internal/host/fastcgi/conn.go
+++ b/internal/host/fastcgi/conn.go
@@ -11,10 +11,10 @@
 	"sync"
 	"time"
 
-	"lynxspool"
-	"lynxspool/internal/body"
-	"lynxspool/internal/engine"
-	"lynxspool/internal/fastcgi"
+	"dunemoor/balancer"
+	"dunemoor/internal/body"
+	"dunemoor/internal/engine"
+	"dunemoor/internal/fastcgi"
 )
 
 // conn is a connection to a responder. One goroutine reads it from its start to its end, also
@@ -252,7 +252,7 @@
 	if c.err != nil {
 		c.mu.Unlock()
 		c.release()
-		return engine.Result{Outcome: lynxspool.ConnectFailed} // it has ended meanwhile
+		return engine.Result{Outcome: balancer.ConnectFailed} // it has ended meanwhile
 	}
 	c.calls[k.id] = k
 	c.mu.Unlock()
@@ -265,7 +265,7 @@
 	n, err := c.begin(out, pace(x).Idle, func() bool { return x.MayWrite() && c.host.usable.Load() && c.host.t.current(c) })
 	if err == errMayNot {
 		c.forget(k)
-		return engine.Ended(lynxspool.NotSent)
+		return engine.Ended(balancer.NotSent)
 	}
 	if n == len(out) && whole {
 		c.mu.Lock()
@@ -288,7 +288,7 @@
 	if err != nil {
 		up.stop()
 		c.done(k, false)
-		return engine.Ended(lynxspool.Spoilt)
+		return engine.Ended(balancer.Spoilt)
 	}
 	s := &answer{c: c, k: k, up: up, length: length, meter: body.Meter{Pace: pace(x)}, header: header}
 	if st := streams(x); st.Stream {
@@ -354,15 +354,15 @@
 // parameters did, by which some programs begin.
 func (c *conn) unanswered(ctx context.Context, x *engine.Request, k *call, told bool) engine.Result {
 	if c.wasSent(k) {
-		return engine.Ended(lynxspool.Reset)
+		return engine.Ended(balancer.Reset)
 	}
 	if ctx.Err() != nil && (!told || !plain(x)) {
 		return engine.Ended(unsent(ctx))
 	}
 	if ctx.Err() != nil {
-		return engine.Ended(lynxspool.Canceled)
+		return engine.Ended(balancer.Canceled)
 	}
-	return engine.Result{Outcome: lynxspool.ConnectFailed, Part: told}
+	return engine.Result{Outcome: balancer.ConnectFailed, Part: told}
 }
 
 // failed is the result of an attempt that brought no answer.
@@ -370,21 +370,21 @@
 	sent := c.wasSent(k)
 	switch {
 	case up.client:
-		return engine.Ended(lynxspool.Canceled)
+		return engine.Ended(balancer.Canceled)
 	case ctx.Err() != nil && !sent:
-		return engine.Ended(lynxspool.Canceled)
+		return engine.Ended(balancer.Canceled)
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return engine.Ended(lynxspool.TimedOut)
+		return engine.Ended(balancer.TimedOut)
 	case ctx.Err() != nil:
-		return engine.Ended(lynxspool.Canceled)
+		return engine.Ended(balancer.Canceled)
 	case errors.Is(err, fastcgi.ErrHead):
-		return engine.Ended(lynxspool.Spoilt)
+		return engine.Ended(balancer.Spoilt)
 	case err == io.EOF:
 		return ended(k.end)
 	case !sent:
-		return engine.Result{Outcome: lynxspool.ConnectFailed, Part: true}
+		return engine.Result{Outcome: balancer.ConnectFailed, Part: true}
 	}
-	return engine.Ended(lynxspool.Reset)
+	return engine.Ended(balancer.Reset)
 }
 
 // ended is the result of a request that ended with nothing put out. By the specification (5.5)
@@ -392,9 +392,9 @@
 func ended(e fastcgi.End) engine.Result {
 	switch e.Status {
 	case fastcgi.Overloaded, fastcgi.CantMultiplex, fastcgi.UnknownRole:
-		return engine.Ended(lynxspool.Full)
+		return engine.Ended(balancer.Full)
 	}
-	return engine.Ended(lynxspool.Spoilt)
+	return engine.Ended(balancer.Spoilt)
 }
 
 // head reads the head of the answer; rest is what came behind it. io.EOF says that the request
--- a/internal/host/fastcgi/encode.go
+++ b/internal/host/fastcgi/encode.go
@@ -7,8 +7,8 @@
 	"strconv"
 	"strings"
 
-	"lynxspool/internal/engine"
-	"lynxspool/internal/fastcgi"
+	"dunemoor/internal/engine"
+	"dunemoor/internal/fastcgi"
 )
 
 // encode is the records of a request: BEGIN_REQUEST, its parameters and the part of its body that
--- a/internal/host/fastcgi/transport.go
+++ b/internal/host/fastcgi/transport.go
@@ -15,10 +15,10 @@
 	"syscall"
 	"time"
 
-	"lynxspool"
-	"lynxspool/internal/body"
-	"lynxspool/internal/engine"
-	"lynxspool/internal/fastcgi"
+	"dunemoor/balancer"
+	"dunemoor/internal/body"
+	"dunemoor/internal/engine"
+	"dunemoor/internal/fastcgi"
 )
 
 const (
@@ -348,12 +348,12 @@
 			}
 			return engine.Ended(unsent(ctx))
 		case err == errNoSockets || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE):
-			return engine.Ended(lynxspool.NotSent) // the want is ours, not the host's
+			return engine.Ended(balancer.NotSent) // the want is ours, not the host's
 		case err != nil:
-			return engine.Ended(lynxspool.ConnectFailed)
+			return engine.Ended(balancer.ConnectFailed)
 		}
 		r := c.exchange(ctx, x)
-		if used && !r.Answered && r.Outcome == lynxspool.ConnectFailed && ctx.Err() == nil && !(r.Part && plain(x)) && !begun(x) {
+		if used && !r.Answered && r.Outcome == balancer.ConnectFailed && ctx.Err() == nil && !(r.Part && plain(x)) && !begun(x) {
 			// It ended before the last byte was out: nothing ran, and that tells nothing of the
 			// host. Each round uses up one connection.
 			continue
@@ -363,11 +363,11 @@
 }
 
 // unsent is the result of an attempt that was given up before its last byte.
-func unsent(ctx context.Context) lynxspool.Result {
+func unsent(ctx context.Context) balancer.Result {
 	if errors.Is(ctx.Err(), context.Canceled) {
-		return lynxspool.Canceled
+		return balancer.Canceled
 	}
-	return lynxspool.NotSent
+	return balancer.NotSent
 }
 
 // plain says whether the route's hosts follow no rule but FastCGI's own.
--- a/internal/host/fastcgi/transport_test.go
+++ b/internal/host/fastcgi/transport_test.go
@@ -15,11 +15,11 @@
 	"testing"
 	"time"
 
-	"lynxspool"
-	"lynxspool/internal/body"
-	"lynxspool/internal/engine"
-	"lynxspool/internal/fastcgi"
-	"lynxspool/internal/testkit"
+	"dunemoor/balancer"
+	"dunemoor/internal/body"
+	"dunemoor/internal/engine"
+	"dunemoor/internal/fastcgi"
+	"dunemoor/internal/testkit"
 )
 
 // responder is one whose answers are written by a script, byte by byte.
@@ -148,54 +148,54 @@
 	for _, c := range []struct {
 		name   string
 		script func(c net.Conn, id uint16)
-		want   lynxspool.Result // OK: answered
+		want   balancer.Result // OK: answered
 		text   string
 	}{
-		{"an answer", func(c net.Conn, id uint16) { c.Write(good(id, "good")) }, lynxspool.OK, "good"},
-		{"with no end of STDOUT", func(c net.Conn, id uint16) { c.Write(append(out(id, "X: y\n\ngood"), endOf(id, fastcgi.End{})...)) }, lynxspool.OK, "good"},
+		{"an answer", func(c net.Conn, id uint16) { c.Write(good(id, "good")) }, balancer.OK, "good"},
+		{"with no end of STDOUT", func(c net.Conn, id uint16) { c.Write(append(out(id, "X: y\n\ngood"), endOf(id, fastcgi.End{})...)) }, balancer.OK, "good"},
 		{"with an exit status", func(c net.Conn, id uint16) {
 			c.Write(append(out(id, "X: y\n\ngood"), endOf(id, fastcgi.End{App: 7})...))
-		}, lynxspool.OK, "good"},
+		}, balancer.OK, "good"},
 		{"in pieces, with errors between", func(c net.Conn, id uint16) {
 			for _, s := range []string{"X: y", "\r\n\r", "\ngo", "od"} {
 				c.Write(append(out(id, s), fastcgi.AppendRecord(nil, fastcgi.Stderr, id, []byte("note"))...))
 				time.Sleep(time.Millisecond)
 			}
 			c.Write(endOf(id, fastcgi.End{}))
-		}, lynxspool.OK, "good"},
+		}, balancer.OK, "good"},
 		{"a length that fits", func(c net.Conn, id uint16) {
 			c.Write(append(out(id, "Content-Length: 4\n\ngood"), endOf(id, fastcgi.End{})...))
-		}, lynxspool.OK, "good"},
+		}, balancer.OK, "good"},
 		{"a length that does not", func(c net.Conn, id uint16) {
 			c.Write(append(out(id, "Content-Length: 5\n\ngood"), endOf(id, fastcgi.End{})...))
-		}, lynxspool.Spoilt, ""},
+		}, balancer.Spoilt, ""},
 		{"two lengths", func(c net.Conn, id uint16) {
 			c.Write(append(out(id, "Content-Length: 4\nContent-Length: 4\n\ngood"), endOf(id, fastcgi.End{})...))
-		}, lynxspool.Spoilt, ""},
-		{"overloaded", func(c net.Conn, id uint16) { c.Write(endOf(id, fastcgi.End{Status: fastcgi.Overloaded})) }, lynxspool.Full, ""},
-		{"can't multiplex", func(c net.Conn, id uint16) { c.Write(endOf(id, fastcgi.End{Status: fastcgi.CantMultiplex})) }, lynxspool.Full, ""},
-		{"unknown role", func(c net.Conn, id uint16) { c.Write(endOf(id, fastcgi.End{Status: fastcgi.UnknownRole})) }, lynxspool.Full, ""},
+		}, balancer.Spoilt, ""},
+		{"overloaded", func(c net.Conn, id uint16) { c.Write(endOf(id, fastcgi.End{Status: fastcgi.Overloaded})) }, balancer.Full, ""},
+		{"can't multiplex", func(c net.Conn, id uint16) { c.Write(endOf(id, fastcgi.End{Status: fastcgi.CantMultiplex})) }, balancer.Full, ""},
+		{"unknown role", func(c net.Conn, id uint16) { c.Write(endOf(id, fastcgi.End{Status: fastcgi.UnknownRole})) }, balancer.Full, ""},
 		{"overloaded, and yet half a head", func(c net.Conn, id uint16) {
 			c.Write(append(out(id, "X: "), endOf(id, fastcgi.End{Status: fastcgi.Overloaded})...))
-		}, lynxspool.Spoilt, ""},
-		{"complete, and nothing", func(c net.Conn, id uint16) { c.Write(endOf(id, fastcgi.End{App: 1})) }, lynxspool.Spoilt, ""},
+		}, balancer.Spoilt, ""},
+		{"complete, and nothing", func(c net.Conn, id uint16) { c.Write(endOf(id, fastcgi.End{App: 1})) }, balancer.Spoilt, ""},
 		{"STDERR only", func(c net.Conn, id uint16) {
 			c.Write(append(fastcgi.AppendRecord(nil, fastcgi.Stderr, id, []byte("oh")), endOf(id, fastcgi.End{App: 1})...))
-		}, lynxspool.Spoilt, ""},
-		{"a head that is none", func(c net.Conn, id uint16) { c.Write(append(out(id, "good\n\n"), endOf(id, fastcgi.End{})...)) }, lynxspool.Spoilt, ""},
-		{"a head that does not end", func(c net.Conn, id uint16) { c.Write(append(out(id, "X: y\n"), endOf(id, fastcgi.End{})...)) }, lynxspool.Spoilt, ""},
-		{"closed at once", func(c net.Conn, id uint16) { c.Close() }, lynxspool.Reset, ""},
-		{"reset at once", func(c net.Conn, id uint16) { c.(*net.TCPConn).SetLinger(0); c.Close() }, lynxspool.Reset, ""},
-		{"closed within a record", func(c net.Conn, id uint16) { c.Write(out(id, "X: y\n\ngood")[:14]); c.Close() }, lynxspool.Reset, ""},
-		{"closed between records", func(c net.Conn, id uint16) { c.Write(out(id, "X: y\n")); c.Close() }, lynxspool.Reset, ""},
-		{"closed behind a whole head, before its end", func(c net.Conn, id uint16) { c.Write(out(id, "X: y\n\ngo")); c.Close() }, lynxspool.Reset, ""},
-		{"another version", func(c net.Conn, id uint16) { c.Write([]byte("HTTP/1.1 200 OK\r\n\r\n")) }, lynxspool.Reset, ""},
+		}, balancer.Spoilt, ""},
+		{"a head that is none", func(c net.Conn, id uint16) { c.Write(append(out(id, "good\n\n"), endOf(id, fastcgi.End{})...)) }, balancer.Spoilt, ""},
+		{"a head that does not end", func(c net.Conn, id uint16) { c.Write(append(out(id, "X: y\n"), endOf(id, fastcgi.End{})...)) }, balancer.Spoilt, ""},
+		{"closed at once", func(c net.Conn, id uint16) { c.Close() }, balancer.Reset, ""},
+		{"reset at once", func(c net.Conn, id uint16) { c.(*net.TCPConn).SetLinger(0); c.Close() }, balancer.Reset, ""},
+		{"closed within a record", func(c net.Conn, id uint16) { c.Write(out(id, "X: y\n\ngood")[:14]); c.Close() }, balancer.Reset, ""},
+		{"closed between records", func(c net.Conn, id uint16) { c.Write(out(id, "X: y\n")); c.Close() }, balancer.Reset, ""},
+		{"closed behind a whole head, before its end", func(c net.Conn, id uint16) { c.Write(out(id, "X: y\n\ngo")); c.Close() }, balancer.Reset, ""},
+		{"another version", func(c net.Conn, id uint16) { c.Write([]byte("HTTP/1.1 200 OK\r\n\r\n")) }, balancer.Reset, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := startResponder(t, "", func(nc net.Conn, id uint16, _ map[string]string, _ string) { c.script(nc, id) })
 			_, h := hostAt(t, r.Addr().String())
 			res, text, err := attempt(h, ask("POST", "/book", "one booking"))
-			if (c.want == lynxspool.OK) != res.Answered || !res.Answered && res.Outcome != c.want || text != c.text || err != nil {
+			if (c.want == balancer.OK) != res.Answered || !res.Answered && res.Outcome != c.want || text != c.text || err != nil {
 				t.Errorf("%v, answered %t with %q, %v; want %v with %q", res.Outcome, res.Answered, text, err, c.want, c.text)
 			}
 			if n := r.runs.Load(); n != 1 {
@@ -211,7 +211,7 @@
 	addr := ln.Addr().String()
 	ln.Close()
 	_, h := hostAt(t, addr)
-	if r, _, _ := attempt(h, ask("POST", "/", "x")); r.Answered || r.Outcome != lynxspool.ConnectFailed || r.Part {
+	if r, _, _ := attempt(h, ask("POST", "/", "x")); r.Answered || r.Outcome != balancer.ConnectFailed || r.Part {
 		t.Errorf("nobody listens: %+v", r)
 	}
 	ln = testkit.Listen(t, "127.0.0.1:0", nil)
@@ -231,7 +231,7 @@
 	}()
 	_, h = hostAt(t, ln.Addr().String())
 	r, _, _ := attempt(h, ask("POST", "/", strings.Repeat("x", 24<<20)))
-	if r.Answered || r.Outcome != lynxspool.ConnectFailed || !r.Part {
+	if r.Answered || r.Outcome != balancer.ConnectFailed || !r.Part {
 		t.Errorf("reset within the body: answered %t, %v, part %t", r.Answered, r.Outcome, r.Part)
 	}
 }
@@ -246,7 +246,7 @@
 	for i := range 20 {
 		if res, text, err := attempt(h, ask("POST", "/", "x")); !res.Answered || text != "good" || err != nil {
 			// The end may come just as the next request is written: then it may have run.
-			if res.Outcome != lynxspool.Reset || r.runs.Load() > int64(i+1) {
+			if res.Outcome != balancer.Reset || r.runs.Load() > int64(i+1) {
 				t.Errorf("request %d: %v %q %v", i, res.Outcome, text, err)
 			}
 		}
@@ -420,7 +420,7 @@
 	go func() { given <- h.Attempt(ctx, ask("POST", "/held", "")) }()
 	testkit.Until(t, "the other is out", func() bool { return r.runs.Load() == 3 })
 	cancel()
-	if res := <-given; res.Answered || res.Outcome != lynxspool.Canceled {
+	if res := <-given; res.Answered || res.Outcome != balancer.Canceled {
 		t.Errorf("given up: %+v", res)
 	}
 	testkit.Until(t, "it is aborted", func() bool { return r.aborts.Load() == 1 })
@@ -485,7 +485,7 @@
 	testkit.Until(t, "it waits for its turn", func() bool { return c.in.Len() == 3 })
 	client.left.Store(true)
 	close(hold)
-	if res := <-result; res.Answered || res.Outcome != lynxspool.NotSent {
+	if res := <-result; res.Answered || res.Outcome != balancer.NotSent {
 		t.Errorf("%+v, want NotSent", res)
 	}
 	all.Wait()
@@ -574,7 +574,7 @@
 			change(h, x)
 			return nil
 		}
-		if got, _, _ := attempt(h, x); got.Answered || got.Outcome != lynxspool.NotSent {
+		if got, _, _ := attempt(h, x); got.Answered || got.Outcome != balancer.NotSent {
 			t.Errorf("%s: %+v, want NotSent", name, got)
 		}
 		if n := r.runs.Load(); n != 0 {
