--- a/internal/host/http1/flow.go
+++ b/internal/host/http1/flow.go
@@ -14,9 +14,9 @@
 	"sync"
 	"time"
 
-	"lynxspool"
-	"lynxspool/internal/body"
-	"lynxspool/internal/engine"
+	"dunemoor/balancer"
+	"dunemoor/internal/body"
+	"dunemoor/internal/engine"
 )
 
 const (
@@ -194,13 +194,13 @@
 		t.drop(c)
 		switch {
 		case n == all && (x.Body.Whole() || !strict):
-			return engine.Ended(lynxspool.Reset)
+			return engine.Ended(balancer.Reset)
 		case ctx.Err() != nil && (n == 0 || strict):
 			return engine.Ended(unsent(ctx))
 		case ctx.Err() != nil:
-			return engine.Ended(lynxspool.Canceled)
+			return engine.Ended(balancer.Canceled)
 		}
-		return engine.Result{Outcome: lynxspool.ConnectFailed, Part: n > 0}
+		return engine.Result{Outcome: balancer.ConnectFailed, Part: n > 0}
 	}
 	wrote := time.Now()
 	up := t.newUpload(c, x)
@@ -218,17 +218,17 @@
 		}
 		switch {
 		case up.client || ctx.Err() != nil && !whole:
-			return engine.Ended(lynxspool.Canceled)
+			return engine.Ended(balancer.Canceled)
 		case !whole && strict:
-			return engine.Result{Outcome: lynxspool.ConnectFailed, Part: true}
+			return engine.Result{Outcome: balancer.ConnectFailed, Part: true}
 		case errors.Is(ctx.Err(), context.DeadlineExceeded):
-			return engine.Ended(lynxspool.TimedOut)
+			return engine.Ended(balancer.TimedOut)
 		case ctx.Err() != nil:
-			return engine.Ended(lynxspool.Canceled)
+			return engine.Ended(balancer.Canceled)
 		case errors.Is(err, errMalformed):
-			return engine.Ended(lynxspool.Spoilt)
+			return engine.Ended(balancer.Spoilt)
 		}
-		return engine.Ended(lynxspool.Reset)
+		return engine.Ended(balancer.Reset)
 	}
 	t.mu.Lock()
 	c.host.heard = time.Now()
--- a/internal/host/http1/transport.go
+++ b/internal/host/http1/transport.go
@@ -19,9 +19,9 @@
 	"syscall"
 	"time"
 
-	"lynxspool"
-	"lynxspool/internal/body"
-	"lynxspool/internal/engine"
+	"dunemoor/balancer"
+	"dunemoor/internal/body"
+	"dunemoor/internal/engine"
 )
 
 const (
@@ -433,20 +433,20 @@
 			}
 			return engine.Ended(unsent(ctx))
 		case err == errNoSockets || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE):
-			return engine.Ended(lynxspool.NotSent) // the want is ours, not the host's
+			return engine.Ended(balancer.NotSent) // the want is ours, not the host's
 		case err != nil:
-			return engine.Ended(lynxspool.ConnectFailed)
+			return engine.Ended(balancer.ConnectFailed)
 		}
 		// The dial may have taken long: look again whether the request may go out. It
 		// guards against sending to a host that drains by now, has moved or was started anew,
 		// what has its answer, or a repeat that hosts would not know for one any more.
 		if !x.MayWrite() || !p.current(c) {
 			p.put(c)
-			return engine.Ended(lynxspool.NotSent)
+			return engine.Ended(balancer.NotSent)
 		}
 		reused := c.reused
 		r := p.exchange(ctx, c, x)
-		if !r.Answered && r.Outcome == lynxspool.ConnectFailed && reused && ctx.Err() == nil && !(plain(x) && r.Part) && !begun(x) {
+		if !r.Answered && r.Outcome == balancer.ConnectFailed && reused && ctx.Err() == nil && !(plain(x) && r.Part) && !begun(x) {
 			// It closed after the look and before the last byte: nothing ran, and
 			// that tells nothing of the host. Each round uses up one idle connection.
 			continue
@@ -456,11 +456,11 @@
 }
 
 // unsent is the result of an attempt that was given up before its last byte.
-func unsent(ctx context.Context) lynxspool.Result {
+func unsent(ctx context.Context) balancer.Result {
 	if errors.Is(ctx.Err(), context.Canceled) {
-		return lynxspool.Canceled
+		return balancer.Canceled
 	}
-	return lynxspool.NotSent
+	return balancer.NotSent
 }
 
 var errMalformed = errors.New("gateway: the response is malformed")
--- a/internal/host/http1/transport_test.go
+++ b/internal/host/http1/transport_test.go
@@ -14,11 +14,11 @@
 
 	"golang.org/x/sys/unix"
 
-	"lynxspool"
-	"lynxspool/internal/body"
-	"lynxspool/internal/engine"
-	"lynxspool/internal/route"
-	"lynxspool/internal/testkit"
+	"dunemoor/balancer"
+	"dunemoor/internal/body"
+	"dunemoor/internal/engine"
+	"dunemoor/internal/route"
+	"dunemoor/internal/testkit"
 )
 
 func newTestPool() *Transport {
@@ -40,7 +40,7 @@
 }
 
 // told is what a Result tells the module, by the rule of the platform's protocol.
-func told(r engine.Result) (lynxspool.Result, engine.Answer) {
+func told(r engine.Result) (balancer.Result, engine.Answer) {
 	if !r.Answered {
 		return r.Outcome, r.Answer
 	}
@@ -48,7 +48,7 @@
 }
 
 // tryOnce makes one attempt with plenty of time.
-func tryOnce(t *testing.T, p *Transport, h *host, x *engine.Request) (lynxspool.Result, engine.Answer) {
+func tryOnce(t *testing.T, p *Transport, h *host, x *engine.Request) (balancer.Result, engine.Answer) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testkit.Patience)
 	defer cancel()
@@ -66,42 +66,42 @@
 func TestAnswersAndTheirResults(t *testing.T) {
 	tests := []struct {
 		name, answer string
-		want         lynxspool.Result
+		want         balancer.Result
 		kept         int // connections kept for the next attempt
 	}{
-		{"good", testkit.Good, lynxspool.OK, 1},
-		{"good after 100", "HTTP/1.1 100 Continue\r\n\r\n" + testkit.Good, lynxspool.OK, 1},
-		{"good, chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\n0\r\n\r\n", lynxspool.OK, 1},
-		{"good, then closing", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\ngood", lynxspool.OK, 0},
-		{"error", testkit.Errored, lynxspool.Failed, 1},
-		{"turned away", testkit.TurnedAway, lynxspool.Full, 1},
-		{"turned away as over", "HTTP/1.1 504 Over\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", lynxspool.Full, 1},
-		{"503 without the proof", "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", lynxspool.Failed, 1},
-		{"proof on another status", "HTTP/1.1 500 Oops\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", lynxspool.Failed, 1},
-		{"proof that is none", "HTTP/1.1 503 Full\r\nX-Not-Processed: 0\r\nContent-Length: 0\r\n\r\n", lynxspool.Failed, 1},
-		{"good after others", "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + testkit.Good, lynxspool.OK, 1},
-		{"good with an odd report", "HTTP/1.1 200 OK\r\nX-Server-Load: \x80;;=\r\nContent-Length: 4\r\n\r\ngood", lynxspool.OK, 1},
-		{"good, and a second copy", testkit.Good + testkit.Good, lynxspool.OK, 0},
-		{"good, and noise", testkit.Good + "\x80\x01HTTP\r\n\r\n", lynxspool.OK, 0},
-		{"good and chunked, and noise", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\n0\r\n\r\n\x80", lynxspool.OK, 0},
-		{"good, chunked, with a trailer", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4;a=b\r\ngood\r\n0\r\nX-Sum: 1\r\n\r\n", lynxspool.OK, 1},
-		{"3 GB announced", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\ngood", lynxspool.Spoilt, 0},
-		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\ngood", lynxspool.Spoilt, 0},
-		{"a length below 0", "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\ngood", lynxspool.Spoilt, 0},
-		{"a length and chunks", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\n0\r\n\r\n", lynxspool.Spoilt, 0},
-		{"no length", "HTTP/1.1 200 OK\r\n\r\ngood", lynxspool.Spoilt, 0},
-		{"a length that is not reached", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\ngood", lynxspool.Spoilt, 0},
-		{"broken chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\nzz\r\ngood\r\n0\r\n\r\n", lynxspool.Spoilt, 0},
-		{"broken chunks behind long ones", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("4\r\ngood\r\n", maxBody/8) + "zz\r\n", lynxspool.Spoilt, 0},
-		{"a chunk below 0", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n-4\r\ngood\r\n0\r\n\r\n", lynxspool.Spoilt, 0},
-		{"head without end", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: pppp\r\n", maxHead), lynxspool.Spoilt, 0},
-		{"half a head", "HTTP/1.1 200 OK\r\nContent-Le", lynxspool.Spoilt, 0},
-		{"noise", "\x80\x01\xff\r\n\r\n", lynxspool.Spoilt, 0},
-		{"noise with no end of line", "\x80", lynxspool.Spoilt, 0},
-		{"a status that is none", "HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\ngood", lynxspool.Spoilt, 0},
-		{"no status", "HTTP/1.1 OK 200\r\nContent-Length: 4\r\n\r\ngood", lynxspool.Spoilt, 0},
-		{"another protocol", "ICY 200 OK\r\nContent-Length: 4\r\n\r\ngood", lynxspool.Spoilt, 0},
-		{"a header that is none", "HTTP/1.1 200 OK\r\nno colon\r\nContent-Length: 4\r\n\r\ngood", lynxspool.Spoilt, 0},
+		{"good", testkit.Good, balancer.OK, 1},
+		{"good after 100", "HTTP/1.1 100 Continue\r\n\r\n" + testkit.Good, balancer.OK, 1},
+		{"good, chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\n0\r\n\r\n", balancer.OK, 1},
+		{"good, then closing", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\ngood", balancer.OK, 0},
+		{"error", testkit.Errored, balancer.Failed, 1},
+		{"turned away", testkit.TurnedAway, balancer.Full, 1},
+		{"turned away as over", "HTTP/1.1 504 Over\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", balancer.Full, 1},
+		{"503 without the proof", "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", balancer.Failed, 1},
+		{"proof on another status", "HTTP/1.1 500 Oops\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", balancer.Failed, 1},
+		{"proof that is none", "HTTP/1.1 503 Full\r\nX-Not-Processed: 0\r\nContent-Length: 0\r\n\r\n", balancer.Failed, 1},
+		{"good after others", "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + testkit.Good, balancer.OK, 1},
+		{"good with an odd report", "HTTP/1.1 200 OK\r\nX-Server-Load: \x80;;=\r\nContent-Length: 4\r\n\r\ngood", balancer.OK, 1},
+		{"good, and a second copy", testkit.Good + testkit.Good, balancer.OK, 0},
+		{"good, and noise", testkit.Good + "\x80\x01HTTP\r\n\r\n", balancer.OK, 0},
+		{"good and chunked, and noise", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\n0\r\n\r\n\x80", balancer.OK, 0},
+		{"good, chunked, with a trailer", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4;a=b\r\ngood\r\n0\r\nX-Sum: 1\r\n\r\n", balancer.OK, 1},
+		{"3 GB announced", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\ngood", balancer.Spoilt, 0},
+		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\ngood", balancer.Spoilt, 0},
+		{"a length below 0", "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\ngood", balancer.Spoilt, 0},
+		{"a length and chunks", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\n0\r\n\r\n", balancer.Spoilt, 0},
+		{"no length", "HTTP/1.1 200 OK\r\n\r\ngood", balancer.Spoilt, 0},
+		{"a length that is not reached", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\ngood", balancer.Spoilt, 0},
+		{"broken chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\nzz\r\ngood\r\n0\r\n\r\n", balancer.Spoilt, 0},
+		{"broken chunks behind long ones", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("4\r\ngood\r\n", maxBody/8) + "zz\r\n", balancer.Spoilt, 0},
+		{"a chunk below 0", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n-4\r\ngood\r\n0\r\n\r\n", balancer.Spoilt, 0},
+		{"head without end", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: pppp\r\n", maxHead), balancer.Spoilt, 0},
+		{"half a head", "HTTP/1.1 200 OK\r\nContent-Le", balancer.Spoilt, 0},
+		{"noise", "\x80\x01\xff\r\n\r\n", balancer.Spoilt, 0},
+		{"noise with no end of line", "\x80", balancer.Spoilt, 0},
+		{"a status that is none", "HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\ngood", balancer.Spoilt, 0},
+		{"no status", "HTTP/1.1 OK 200\r\nContent-Length: 4\r\n\r\ngood", balancer.Spoilt, 0},
+		{"another protocol", "ICY 200 OK\r\nContent-Length: 4\r\n\r\ngood", balancer.Spoilt, 0},
+		{"a header that is none", "HTTP/1.1 200 OK\r\nno colon\r\nContent-Length: 4\r\n\r\ngood", balancer.Spoilt, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -111,7 +111,7 @@
 			if got != tt.want {
 				t.Errorf("result %v, want %v", got, tt.want)
 			}
-			if text := string(a.Body.Bytes()); (got == lynxspool.OK) != (text == "good") {
+			if text := string(a.Body.Bytes()); (got == balancer.OK) != (text == "good") {
 				t.Errorf("result %v with the body %q", got, text)
 			}
 			if open, idle := p.counts(h); open != tt.kept || idle != tt.kept {
@@ -144,7 +144,7 @@
 		for _, room := range []int64{0, n - 1, 10 * n} {
 			p.Limit(1024, room)
 			got, a := tryOnce(t, p, h, newExchange("b"))
-			if got != lynxspool.OK {
+			if got != balancer.OK {
 				t.Fatalf("with room for %d: result %v", room, got)
 			}
 			if held := p.large.Load(); held > room {
@@ -186,7 +186,7 @@
 	h := pooled(p, server.Addr())
 	got, a := tryOnce(t, p, h, newExchange("b"))
 	f := a.Body.Flow()
-	if got != lynxspool.OK || f == nil || f.Take() != nil {
+	if got != balancer.OK || f == nil || f.Take() != nil {
 		t.Fatalf("result %v, flow %v", got, f)
 	}
 	rest, err := io.ReadAll(f)
@@ -247,7 +247,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ended := make(chan lynxspool.Result, 1)
+	ended := make(chan balancer.Result, 1)
 	go func() {
 		got, _ := tryOnce(t, p, h, newExchange("b"))
 		ended <- got
@@ -257,7 +257,7 @@
 	cancel()
 	<-done
 	close(release)
-	if got := <-ended; got != lynxspool.OK {
+	if got := <-ended; got != balancer.OK {
 		t.Errorf("the request that was out: %v", got)
 	}
 	testkit.Until(t, "all connections have ended", func() bool {
@@ -283,7 +283,7 @@
 			return false
 		})
 		h := pooled(p, server.Addr())
-		if got, _ := tryOnce(t, p, h, newExchange("b")); got != lynxspool.Reset {
+		if got, _ := tryOnce(t, p, h, newExchange("b")); got != balancer.Reset {
 			t.Errorf("%s: result %v, want Reset", name, got)
 		}
 		if open, _ := p.counts(h); open != 0 {
@@ -323,12 +323,12 @@
 			got, a := tryOnce(t, p, h, newExchange("b"))
 			close(flows)
 			if !tt.flows {
-				if got != lynxspool.Reset {
+				if got != balancer.Reset {
 					t.Errorf("result %v, want Reset", got)
 				}
 				return
 			}
-			if got != lynxspool.OK || a.Body.Whole() {
+			if got != balancer.OK || a.Body.Whole() {
 				t.Fatalf("result %v, want OK with a body that flows", got)
 			}
 			flow := a.Body.Flow()
@@ -372,7 +372,7 @@
 	ln := testkit.Listen(t, "127.0.0.1:0", nil)
 	h := pooled(p, ln.Addr().String())
 	ln.Close()
-	if got, _ := tryOnce(t, p, h, newExchange("b")); got != lynxspool.ConnectFailed {
+	if got, _ := tryOnce(t, p, h, newExchange("b")); got != balancer.ConnectFailed {
 		t.Errorf("result %v, want ConnectFailed", got)
 	}
 	if open, _ := p.counts(h); open != 0 {
@@ -414,7 +414,7 @@
 	}
 	<-up
 	p, began := newTestPool(), time.Now()
-	if got, _ := tryOnce(t, p, pooled(p, addr), newExchange("b")); got != lynxspool.ConnectFailed {
+	if got, _ := tryOnce(t, p, pooled(p, addr), newExchange("b")); got != balancer.ConnectFailed {
 		t.Errorf("result %v, want ConnectFailed", got)
 	}
 	// A longer limit in the settings must not keep the proof back.
@@ -453,14 +453,14 @@
 	p := newTestPool()
 	p.dialer.Control = small(syscall.SO_SNDBUF)
 	h := pooled(p, ln.Addr().String())
-	if got, _ := tryOnce(t, p, h, newExchange(strings.Repeat("x", maxBody))); got != lynxspool.ConnectFailed {
+	if got, _ := tryOnce(t, p, h, newExchange(strings.Repeat("x", maxBody))); got != balancer.ConnectFailed {
 		t.Errorf("result %v, want ConnectFailed", got)
 	}
 }
 
 func TestResetAfterTheLastByte(t *testing.T) {
 	p, server := newTestPool(), testkit.NewHost(t, testkit.BreakOff)
-	if got, _ := tryOnce(t, p, pooled(p, server.Addr()), newExchange("b")); got != lynxspool.Reset {
+	if got, _ := tryOnce(t, p, pooled(p, server.Addr()), newExchange("b")); got != balancer.Reset {
 		t.Errorf("result %v, want Reset", got)
 	}
 	if requests, _, _ := server.Counts(); requests != 1 {
@@ -477,7 +477,7 @@
 	})
 	h := pooled(p, server.Addr())
 	for i := range 3 {
-		if got, _ := tryOnce(t, p, h, newExchange("b")); got != lynxspool.OK {
+		if got, _ := tryOnce(t, p, h, newExchange("b")); got != balancer.OK {
 			t.Fatalf("attempt %d: result %v", i, got)
 		}
 		p.mu.Lock()
@@ -510,7 +510,7 @@
 	}
 	c.Write([]byte("GET / HTTP/1.1\r\nHost: a\r\n\r\n")) // brings an answer that nobody reads
 	testkit.Until(t, "the answer is there", func() bool { return !p.isQuiet(c) })
-	if got, _ := tryOnce(t, p, h, newExchange("b")); got != lynxspool.OK {
+	if got, _ := tryOnce(t, p, h, newExchange("b")); got != balancer.OK {
 		t.Errorf("result %v", got)
 	}
 	if _, accepted, _ := server.Counts(); accepted != 2 {
@@ -546,7 +546,7 @@
 		})
 		h := pooled(p, server.Addr())
 		for n := range 2 {
-			if got, _ := tryOnce(t, p, h, newExchange("b")); got != lynxspool.OK {
+			if got, _ := tryOnce(t, p, h, newExchange("b")); got != balancer.OK {
 				t.Fatalf("attempt %d: result %v", n, got)
 			}
 		}
@@ -561,7 +561,7 @@
 		}()
 		began := time.Now()
 		got, a := tryOnce(t, p, h, newExchange("b"))
-		if text := string(a.Body.Bytes()); got != lynxspool.OK || text != "next" {
+		if text := string(a.Body.Bytes()); got != balancer.OK || text != "next" {
 			t.Errorf("%q: served %q, result %v, after %v", stray, text, got, time.Since(began))
 		}
 		if _, accepted, _ := server.Counts(); accepted != 3 {
@@ -633,19 +633,19 @@
 	for _, tt := range []struct {
 		name string
 		ctx  func() (context.Context, context.CancelFunc)
-		want lynxspool.Result
+		want balancer.Result
 	}{
 		{"deadline", func() (context.Context, context.CancelFunc) {
 			return context.WithTimeout(context.Background(), 300*time.Millisecond)
-		}, lynxspool.TimedOut},
+		}, balancer.TimedOut},
 		{"called off", func() (context.Context, context.CancelFunc) {
 			return context.WithCancel(context.Background())
-		}, lynxspool.Canceled},
+		}, balancer.Canceled},
 	} {
 		p, server := newTestPool(), testkit.NewHost(t, testkit.Hang)
 		h := pooled(p, server.Addr())
 		ctx, cancel := tt.ctx()
-		if tt.want == lynxspool.Canceled {
+		if tt.want == balancer.Canceled {
 			go func() {
 				for requests := 0; requests == 0; requests, _, _ = server.Counts() {
 					time.Sleep(testkit.PollEvery)
@@ -657,7 +657,7 @@
 		requests, _, _ := server.Counts()
 		want := tt.want
 		if requests == 0 {
-			want = lynxspool.NotSent // the machine was so slow that nothing went out
+			want = balancer.NotSent // the machine was so slow that nothing went out
 		}
 		if got != want {
 			t.Errorf("%s: result %v, want %v", tt.name, got, want)
@@ -695,7 +695,7 @@
 		p.put(a)
 		p.put(b)
 		ctx, cancel := context.WithCancel(context.Background())
-		done := make(chan lynxspool.Result, 1)
+		done := make(chan balancer.Result, 1)
 		go func() {
 			x := newExchange("b")
 			x.Target = "/hang"
@@ -710,7 +710,7 @@
 			tryOnce(t, p, h, newExchange("b"))
 		}
 		cancel()
-		if got := <-done; got != lynxspool.Canceled {
+		if got := <-done; got != balancer.Canceled {
 			t.Errorf("result %v, want Canceled", got)
 		}
 		want := 0
@@ -744,7 +744,7 @@
 			change(p, h, x)
 			return nil
 		}
-		if got, _ := tryOnce(t, p, h, x); got != lynxspool.NotSent {
+		if got, _ := tryOnce(t, p, h, x); got != balancer.NotSent {
 			t.Errorf("%s: result %v, want NotSent", name, got)
 		}
 		p.closeIdle(h)
@@ -767,7 +767,7 @@
 	h := pooled(p, ln.Addr().String())
 	x := newExchange(strings.Repeat("x", maxBody))
 	x.WriteBy = time.Now().Add(100 * time.Millisecond)
-	if got, _ := tryOnce(t, p, h, x); got != lynxspool.ConnectFailed {
+	if got, _ := tryOnce(t, p, h, x); got != balancer.ConnectFailed {
 		t.Errorf("result %v, want ConnectFailed", got)
 	}
 	if open, _ := p.counts(h); open != 0 {
@@ -783,7 +783,7 @@
 	a, b := pooled(p, first.Addr()), pooled(p, second.Addr())
 	tryOnce(t, p, a, newExchange("b"))
 	ctx, cancel := context.WithCancel(context.Background())
-	done := make(chan lynxspool.Result, 1)
+	done := make(chan balancer.Result, 1)
 	go func() {
 		got, _ := told(p.attempt(ctx, b, newExchange("b")))
 		done <- got
@@ -792,12 +792,12 @@
 		requests, _, _ := second.Counts()
 		return requests == 1
 	})
-	if got, _ := tryOnce(t, p, a, newExchange("b")); got != lynxspool.NotSent {
+	if got, _ := tryOnce(t, p, a, newExchange("b")); got != balancer.NotSent {
 		t.Errorf("beyond the budget: result %v, want NotSent", got)
 	}
 	cancel()
 	<-done
-	if got, _ := tryOnce(t, p, a, newExchange("b")); got != lynxspool.OK {
+	if got, _ := tryOnce(t, p, a, newExchange("b")); got != balancer.OK {
 		t.Errorf("with room again: result %v", got)
 	}
 }
--- a/internal/hunt/hunt.go
+++ b/internal/hunt/hunt.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"lynxspool/internal/model"
+	"dunemoor/internal/model"
 )
 
 // Candidate is something to be played.
--- a/internal/hunt/hunt_test.go
+++ b/internal/hunt/hunt_test.go
@@ -5,19 +5,19 @@
 	"testing"
 	"time"
 
-	"lynxspool"
-	"lynxspool/internal/model"
+	"dunemoor/balancer"
+	"dunemoor/internal/model"
 )
 
 // base is a small fleet at half of what it can do.
 func base() model.Config {
 	return model.Config{
 		Length: 20 * time.Second, Gateways: 2,
-		Settings: lynxspool.Settings{
+		Settings: balancer.Settings{
 			Instances: 1, MaxAttempts: 4, Cancel: true, ColdFrom: 0.3, WarmAfter: 2 * time.Second, OverloadFactor: 2, Fall: time.Second,
-			Classes: []lynxspool.Class{
-				{Aim: 250 * time.Millisecond, Deadline: time.Second, Worth: 1, Effect: lynxspool.Safe},
-				{Aim: 250 * time.Millisecond, Deadline: time.Second, Worth: 5, Effect: lynxspool.Unsafe},
+			Classes: []balancer.Class{
+				{Aim: 250 * time.Millisecond, Deadline: time.Second, Worth: 1, Effect: balancer.Safe},
+				{Aim: 250 * time.Millisecond, Deadline: time.Second, Worth: 5, Effect: balancer.Unsafe},
 			},
 		},
 		Hosts:   []model.Kind{{Count: 8, Cores: 1, Slots: 8, Queue: 16, Conns: 100}},
--- a/internal/hunt/shrink.go
+++ b/internal/hunt/shrink.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"lynxspool/internal/model"
+	"dunemoor/internal/model"
 )
 
 // keepPart is how much of a find's score must be left in what it is made smaller to.
--- a/internal/model/config.go
+++ b/internal/model/config.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"lynxspool"
+	"dunemoor/balancer"
 )
 
 // Config is what is played.
@@ -17,8 +17,8 @@
 	Seed     uint64
 	Length   time.Duration // in which clients begin to ask
 	Gateways int
-	Skew     float64            // coefficient of variation of the gateways' parts of the traffic (lognormal)
-	Settings lynxspool.Settings // of each gateway; Instances and Rank are set here
+	Skew     float64           // coefficient of variation of the gateways' parts of the traffic (lognormal)
+	Settings balancer.Settings // of each gateway; Instances and Rank are set here
 	Hosts    []Kind
 	Classes  []Traffic // one for each of Settings.Classes
 	Clients  Clients
--- a/internal/model/fleet.go
+++ b/internal/model/fleet.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"lynxspool"
+	"dunemoor/balancer"
 )
 
 // What happens to a fleet as a whole: planned restarts, hosts that are replaced, ways that are cut,
@@ -24,7 +24,7 @@
 		return
 	}
 	old := w.hosts[k]
-	if old.replaced || !old.up || old.state != lynxspool.Ready {
+	if old.replaced || !old.up || old.state != balancer.Ready {
 		return // something else has it already
 	}
 	old.replaced = true
@@ -32,8 +32,8 @@
 	h := &host{Kind: old.Kind, id: id, cell: old.cell, rng: stream(w.cfg.Seed, "errors", id), slow: 1}
 	w.hosts = append(w.hosts, h)
 	w.begin(h)
-	w.list(h, lynxspool.Ready, w.cfg.Lists.Delay)
-	w.list(old, lynxspool.Draining, w.cfg.Lists.Delay)
+	w.list(h, balancer.Ready, w.cfg.Lists.Delay)
+	w.list(old, balancer.Draining, w.cfg.Lists.Delay)
 	w.queue.push(gone)
 }
 
@@ -65,7 +65,7 @@
 		for _, r := range inOrder(g.open) {
 			for i := range r.attempts {
 				if a := &r.attempts[i]; !a.ended && a.host == h {
-					w.queue.push(answerAt(w.now+w.delay(g), lynxspool.Reset, uint64(i), r))
+					w.queue.push(answerAt(w.now+w.delay(g), balancer.Reset, uint64(i), r))
 				}
 			}
 		}
@@ -100,21 +100,21 @@
 		return // it was called before the gateway died, or a later one goes on
 	}
 	if g.news = well && w.blind == 0; !g.news {
-		w.tell(g, func() { g.bal.Hosts(w.now, lynxspool.ListFailed, nil) })
+		w.tell(g, func() { g.bal.Hosts(w.now, balancer.ListFailed, nil) })
 		return
 	}
 	for _, h := range w.hosts {
 		w.noteTold(g, h)
 	}
 	list := w.listed()
-	w.tell(g, func() { g.bal.Hosts(w.now, lynxspool.ListFull, list) })
+	w.tell(g, func() { g.bal.Hosts(w.now, balancer.ListFull, list) })
 }
 
 // listed is the list as it is.
-func (w *world) listed() []lynxspool.Host {
-	list := make([]lynxspool.Host, 0, len(w.hosts))
+func (w *world) listed() []balancer.Host {
+	list := make([]balancer.Host, 0, len(w.hosts))
 	for _, h := range w.hosts {
-		if h.state != lynxspool.Removed {
+		if h.state != balancer.Removed {
 			list = append(list, w.entry(h))
 		}
 	}
@@ -124,9 +124,9 @@
 // noteTold notes what a gateway is told of a host, for the rule on drains.
 func (w *world) noteTold(g *gateway, h *host) {
 	if h.told == nil {
-		h.told = make([]lynxspool.Time, len(w.gateways))
+		h.told = make([]balancer.Time, len(w.gateways))
 	}
-	if h.state == lynxspool.Ready {
+	if h.state == balancer.Ready {
 		h.told[g.id] = 0
 	} else if h.told[g.id] == 0 {
 		h.told[g.id] = max(w.now, 1)
@@ -143,7 +143,7 @@
 	for _, g := range w.gateways {
 		if g.up && w.cfg.Settings.Ask && g.news {
 			g.news = false
-			w.tell(g, func() { g.bal.Hosts(w.now, lynxspool.ListFailed, nil) })
+			w.tell(g, func() { g.bal.Hosts(w.now, balancer.ListFailed, nil) })
 		}
 	}
 }
--- a/internal/model/fleet_test.go
+++ b/internal/model/fleet_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"lynxspool"
+	"dunemoor/balancer"
 )
 
 // What goes wrong with a fleet as a whole is played, the rules hold, and what is counted over it by
@@ -59,7 +59,7 @@
 func TestPlannedEndLosesNothing(t *testing.T) {
 	w := &world{cfg: fleet(1), sum: &Summary{Classes: make([]ClassSummary, 3)}, now: 9 * time.Second}
 	w.cfg.Settings.Instances = 1
-	g := &gateway{up: true, left: 5 * time.Second, open: map[lynxspool.RequestID]*request{}}
+	g := &gateway{up: true, left: 5 * time.Second, open: map[balancer.RequestID]*request{}}
 	w.gateways = []*gateway{g}
 	g.open[3] = &request{id: 3, gateway: g, try: 99}
 	w.restarted(g)
--- a/internal/model/gateway.go
+++ b/internal/model/gateway.go
@@ -6,22 +6,22 @@
 	"slices"
 	"time"
 
-	"lynxspool"
+	"dunemoor/balancer"
 )
 
 // start has a gateway begin with the list as it is.
-func (w *world) start(g *gateway, how lynxspool.ListKind) error {
+func (w *world) start(g *gateway, how balancer.ListKind) error {
 	set := w.cfg.Settings
 	set.Rank = g.id
-	bal, err := lynxspool.New(set, w.cfg.Seed<<16+uint64(g.id)<<4+uint64(g.life))
+	bal, err := balancer.New(set, w.cfg.Seed<<16+uint64(g.id)<<4+uint64(g.life))
 	if err != nil {
 		return err
 	}
 	g.bal, g.up, g.left, g.news = bal, true, 0, !w.cfg.Settings.Ask
-	g.idle, g.open = map[int]idleSet{}, map[lynxspool.RequestID]*request{}
+	g.idle, g.open = map[int]idleSet{}, map[balancer.RequestID]*request{}
 	list := w.listed()
 	if set.Ask {
-		how = lynxspool.ListSaved // a whole list comes of asking only
+		how = balancer.ListSaved // a whole list comes of asking only
 	}
 	w.tell(g, func() {
 		bal.Start(w.now)
@@ -30,8 +30,8 @@
 	return nil
 }
 
-func (w *world) entry(h *host) lynxspool.Host {
-	return lynxspool.Host{ID: lynxspool.HostID(h.id + 1), Zone: h.Zone, Cell: h.cell, State: h.state, Started: h.started}
+func (w *world) entry(h *host) balancer.Host {
+	return balancer.Host{ID: balancer.HostID(h.id + 1), Zone: h.Zone, Cell: h.cell, State: h.state, Started: h.started}
 }
 
 // tell tells a gateway's module of an event and carries out what it decides.
@@ -40,53 +40,53 @@
 	w.acts = g.bal.Drain(w.acts[:0])
 	for _, a := range w.acts {
 		switch a.Kind {
-		case lynxspool.Send:
+		case balancer.Send:
 			w.send(g, &a)
-		case lynxspool.Cancel:
+		case balancer.Cancel:
 			if r := g.open[a.Request]; r != nil && !r.attempts[a.Attempt].ended && !r.attempts[a.Attempt].called {
 				r.attempts[a.Attempt].called = true
-				w.queue.push(answerAt(w.now, lynxspool.Canceled, uint64(a.Attempt), r))
+				w.queue.push(answerAt(w.now, balancer.Canceled, uint64(a.Attempt), r))
 			}
-		case lynxspool.Refuse:
+		case balancer.Refuse:
 			if r := g.open[a.Request]; r != nil {
 				w.why(r, a.Why)
 				w.final(r, outcomeRefused, a.After)
 				w.forget(r)
 			}
-		case lynxspool.Fail:
+		case balancer.Fail:
 			if r := g.open[a.Request]; r != nil {
 				w.why(r, a.Why)
 				w.final(r, outcomeFailed, 0)
 				w.forget(r)
 			}
-		case lynxspool.Wake:
+		case balancer.Wake:
 			w.queue.push(event{at: max(a.At, w.now), kind: evTimer, a: int32(g.id), life: g.life, n: a.Token})
-		case lynxspool.Close:
+		case balancer.Close:
 			id := int(a.Host) - 1
 			if set := g.idle[id]; set.life == w.hosts[id].life {
 				w.hosts[id].conns -= set.n
 			}
 			delete(g.idle, id)
-		case lynxspool.Watch:
+		case balancer.Watch:
 			w.call(g)
 		}
 	}
 }
 
 // answerAt is the end of an attempt that comes to its gateway.
-func answerAt(at lynxspool.Time, result lynxspool.Result, n uint64, r *request) event {
+func answerAt(at balancer.Time, result balancer.Result, n uint64, r *request) event {
 	return event{at: at, kind: evAnswer, a: int32(result), n: n, r: r}
 }
 
 // why counts the cause of an answer that serves nothing.
-func (w *world) why(r *request, cause lynxspool.Cause) {
+func (w *world) why(r *request, cause balancer.Cause) {
 	if int(cause) < causes {
 		w.sum.Classes[r.class].Why[cause]++
 	}
 }
 
 // send starts an attempt.
-func (w *world) send(g *gateway, a *lynxspool.Action) {
+func (w *world) send(g *gateway, a *balancer.Action) {
 	r := g.open[a.Request]
 	h := w.hosts[int(a.Host)-1]
 	if r == nil || r.over {
@@ -130,9 +130,9 @@
 	t.fresh = true
 	switch {
 	case h.silent, h.cut && !g.seesResets():
-		w.queue.push(answerAt(w.now+w.cfg.Net.Connect, lynxspool.ConnectFailed, uint64(n), r))
+		w.queue.push(answerAt(w.now+w.cfg.Net.Connect, balancer.ConnectFailed, uint64(n), r))
 	case !h.up, h.cut, h.Conns > 0 && h.conns >= h.Conns:
-		w.queue.push(answerAt(w.now+2*way, lynxspool.ConnectFailed, uint64(n), r))
+		w.queue.push(answerAt(w.now+2*way, balancer.ConnectFailed, uint64(n), r))
 	default:
 		h.conns++
 		w.sum.Conns++
@@ -162,26 +162,26 @@
 	case !h.up:
 		// It had connected, or kept a connection from before: the end may have come behind its
 		// last byte.
-		w.queue.push(answerAt(w.now+w.delay(r.gateway), lynxspool.Reset, uint64(n), r))
+		w.queue.push(answerAt(w.now+w.delay(r.gateway), balancer.Reset, uint64(n), r))
 	default:
 		w.take(h, r, n)
 	}
 }
 
 // answer is the end of an attempt that comes to its gateway.
-func (w *world) answer(r *request, n int, result lynxspool.Result) {
+func (w *world) answer(r *request, n int, result balancer.Result) {
 	if a := &r.attempts[n]; !a.ended && r.gateway.up && r.gateway.life == r.life {
 		w.ended(r, n, result)
 	}
 }
 
 // ended tells the module of an attempt's end, once.
-func (w *world) ended(r *request, n int, result lynxspool.Result) {
+func (w *world) ended(r *request, n int, result balancer.Result) {
 	g, a := r.gateway, &r.attempts[n]
 	a.ended = true
 	h := a.host
 	switch result {
-	case lynxspool.OK, lynxspool.Failed, lynxspool.Full:
+	case balancer.OK, balancer.Failed, balancer.Full:
 		if a.life == h.life && h.up {
 			set := g.idle[h.id]
 			if set.life != h.life {
@@ -190,16 +190,16 @@
 			set.n++
 			g.idle[h.id] = set
 		}
-	case lynxspool.TimedOut, lynxspool.Canceled:
+	case balancer.TimedOut, balancer.Canceled:
 		if h.conns > 0 && h.up { // its connection is closed
 			h.conns--
 		}
 	}
-	if result == lynxspool.OK && !r.over {
+	if result == balancer.OK && !r.over {
 		w.final(r, outcomeServed, 0)
 	}
 	w.tell(g, func() {
-		g.bal.Outcome(w.now, lynxspool.Outcome{Request: r.id, Attempt: n, Result: result, Elapsed: w.now - a.sent, Closed: r.over})
+		g.bal.Outcome(w.now, balancer.Outcome{Request: r.id, Attempt: n, Result: result, Elapsed: w.now - a.sent, Closed: r.over})
 	})
 	w.forget(r)
 }
@@ -260,24 +260,24 @@
 		switch {
 		case now.down && !before.down:
 			w.end(h, t.Kind == Crash)
-			w.list(h, lynxspool.Removed, w.cfg.Lists.Silent)
+			w.list(h, balancer.Removed, w.cfg.Lists.Silent)
 		case now.down: // and was
 		case before.down:
 			w.begin(h)
 			w.list(h, now.listed(), w.cfg.Lists.Delay)
 		case now.drained && !before.drained:
-			w.list(h, lynxspool.Draining, w.cfg.Lists.Delay)
+			w.list(h, balancer.Draining, w.cfg.Lists.Delay)
 		case before.drained && !now.drained:
 			w.end(h, true)
 			w.begin(h)
-			w.list(h, lynxspool.Ready, w.cfg.Lists.Delay)
+			w.list(h, balancer.Ready, w.cfg.Lists.Delay)
 		}
 		h.silent, h.hung, h.unheard, h.slow, h.errors = now.silent, now.hung, now.unheard, now.slow, now.errors
 		h.lossy = now.lossy
 		if now.cut && !h.cut {
 			w.cut(h)
 		}
-		if h.cut && !now.cut && !now.down && h.state == lynxspool.Removed {
+		if h.cut && !now.cut && !now.down && h.state == balancer.Removed {
 			w.list(h, now.listed(), w.cfg.Lists.Delay)
 		}
 		h.cut = now.cut
@@ -291,11 +291,11 @@
 	slow, errors, lossy                       float64
 }
 
-func (s ills) listed() lynxspool.HostState {
+func (s ills) listed() balancer.HostState {
 	if s.drained {
-		return lynxspool.Draining
+		return balancer.Draining
 	}
-	return lynxspool.Ready
+	return balancer.Ready
 }
 
 // among is what the troubles make of a host that it is hit by now. They may overlap: it is down
@@ -329,7 +329,7 @@
 }
 
 // list has every gateway hear of a host, each in its time.
-func (w *world) list(h *host, state lynxspool.HostState, delay time.Duration) {
+func (w *world) list(h *host, state balancer.HostState, delay time.Duration) {
 	h.state = state
 	for i := range w.gateways {
 		at := w.now + delay
@@ -346,7 +346,7 @@
 		w.noteTold(g, h)
 	}
 	if g.up && g.news {
-		w.tell(g, func() { g.bal.Hosts(w.now, lynxspool.ListChanges, []lynxspool.Host{w.entry(h)}) })
+		w.tell(g, func() { g.bal.Hosts(w.now, balancer.ListChanges, []balancer.Host{w.entry(h)}) })
 	}
 }
 
@@ -362,7 +362,7 @@
 		return
 	}
 	if !begins {
-		if err := w.start(g, lynxspool.ListSaved); err != nil {
+		if err := w.start(g, balancer.ListSaved); err != nil {
 			panic(err) // its settings were right before
 		}
 		return
@@ -390,6 +390,6 @@
 }
 
 // inOrder are requests by their ids: a run must not depend on the order of a map.
-func inOrder(open map[lynxspool.RequestID]*request) []*request {
+func inOrder(open map[balancer.RequestID]*request) []*request {
 	return slices.SortedFunc(maps.Values(open), func(a, b *request) int { return cmp.Compare(a.id, b.id) })
 }
--- a/internal/model/host.go
+++ b/internal/model/host.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"lynxspool"
+	"dunemoor/balancer"
 )
 
 // job is an attempt that a host has.
@@ -36,10 +36,10 @@
 	cell     int
 	rng      *rand.Rand // errors
 	up       bool
-	started  lynxspool.Time // 0: long ago
-	life     uint32         // counts its starts: what came before is gone
-	silent   bool           // packets to it are lost
-	hits     []int          // troubles that it is hit by now
+	started  balancer.Time // 0: long ago
+	life     uint32        // counts its starts: what came before is gone
+	silent   bool          // packets to it are lost
+	hits     []int         // troubles that it is hit by now
 	hung     bool
 	unheard  bool
 	replaced bool    // another one has come in its place
@@ -48,10 +48,10 @@
 	slow     float64 // factor
 	errors   float64 // share
 	crowded  bool
-	fullAt   lynxspool.Time // since when it has held as many as crowd it; 0: it does not
+	fullAt   balancer.Time // since when it has held as many as crowd it; 0: it does not
 
 	given   float64 // service so far, in seconds of a core of speed 1, to each that was there all along
-	at      lynxspool.Time
+	at      balancer.Time
 	rate    float64
 	working jobs
 	waiting []job
@@ -60,14 +60,14 @@
 	conns    int
 	busy     float64 // work done, in core-seconds
 	attempts int     // that came
-	state    lynxspool.HostState
-	told     []lynxspool.Time // by gateway: when it was told to send nothing more; 0: it may
-	cold     []coldWork       // sent to it lately while it was cold
+	state    balancer.HostState
+	told     []balancer.Time // by gateway: when it was told to send nothing more; 0: it may
+	cold     []coldWork      // sent to it lately while it was cold
 	coldSum  float64
 }
 
 type coldWork struct {
-	at   lynxspool.Time
+	at   balancer.Time
 	work float64
 }
 
@@ -136,7 +136,7 @@
 	}
 	h.rate = w.speed(h) * min(1, float64(h.Cores)/float64(n))
 	left := max(0, h.working[0].finish-h.given) / h.rate
-	w.queue.push(event{at: w.now + lynxspool.Time(left*1e9) + 1, kind: evDone, a: int32(h.id), n: h.plan})
+	w.queue.push(event{at: w.now + balancer.Time(left*1e9) + 1, kind: evDone, a: int32(h.id), n: h.plan})
 }
 
 // work begins with an attempt.
@@ -151,7 +151,7 @@
 	const hair = 1e-9 // an event stands on a whole nanosecond
 	for len(h.working) > 0 && h.working[0].finish <= h.given+hair {
 		j := heap.Pop(&h.working).(job)
-		w.reply(h, j.r, j.n, lynxspool.OK)
+		w.reply(h, j.r, j.n, balancer.OK)
 	}
 	w.settle(h)
 }
@@ -162,12 +162,12 @@
 	a.life = h.life
 	h.attempts++
 	if h.Slots > 0 && h.Queue >= 0 && len(h.working) >= h.Slots && len(h.waiting) >= h.Queue {
-		w.reply(h, r, n, lynxspool.Full)
+		w.reply(h, r, n, balancer.Full)
 		return
 	}
 	w.ran(h, r, n)
 	if h.errors > 0 && h.rng.Float64() < h.errors {
-		w.reply(h, r, n, lynxspool.Failed)
+		w.reply(h, r, n, balancer.Failed)
 		return
 	}
 	w.advance(h)
@@ -192,17 +192,17 @@
 		return
 	}
 	switch set.Effect {
-	case lynxspool.Unsafe:
+	case balancer.Unsafe:
 		w.broke(RuleTwice, "request %d, unsafe, ran %d times, at host %d with attempt %d", r.id, r.ran, h.id, n)
-	case lynxspool.Keyed:
-		if set.Group == lynxspool.GroupZone && h.Zone != r.ranBy.Zone || set.Group == lynxspool.GroupCell && h.cell != r.ranBy.cell || w.now > r.ranAt+set.Window {
+	case balancer.Keyed:
+		if set.Group == balancer.GroupZone && h.Zone != r.ranBy.Zone || set.Group == balancer.GroupCell && h.cell != r.ranBy.cell || w.now > r.ranAt+set.Window {
 			w.broke(RuleTwice, "request %d, keyed, ran again outside its group or window, at host %d", r.id, h.id)
 		}
 	}
 }
 
 // reply sends an answer on its way, with the connection kept.
-func (w *world) reply(h *host, r *request, n int, result lynxspool.Result) {
+func (w *world) reply(h *host, r *request, n int, result balancer.Result) {
 	if h.unheard || h.silent || h.cut {
 		return
 	}
@@ -210,7 +210,7 @@
 		if h.rng.IntN(2) == 0 {
 			return
 		}
-		result = lynxspool.Reset
+		result = balancer.Reset
 	}
 	w.queue.push(event{at: w.now + w.delay(r.gateway), kind: evAnswer, a: int32(result), n: uint64(n), r: r})
 }
@@ -221,7 +221,7 @@
 	for _, list := range [][]job{h.working, h.waiting} {
 		for _, j := range list {
 			if reset && !h.silent {
-				w.queue.push(event{at: w.now + w.delay(j.r.gateway), kind: evAnswer, a: int32(lynxspool.Reset), n: uint64(j.n), r: j.r})
+				w.queue.push(event{at: w.now + w.delay(j.r.gateway), kind: evAnswer, a: int32(balancer.Reset), n: uint64(j.n), r: j.r})
 			}
 		}
 	}
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -9,19 +9,19 @@
 	"testing"
 	"time"
 
-	"lynxspool"
+	"dunemoor/balancer"
 )
 
 // fleet is a small one that does well.
 func fleet(seed uint64) Config {
 	return Config{
 		Seed: seed, Length: 20 * time.Second, Gateways: 3,
-		Settings: lynxspool.Settings{
+		Settings: balancer.Settings{
 			MaxAttempts: 4, Cancel: true, MaxRetryAfter: time.Second, ColdFrom: 0.3, WarmAfter: 5 * time.Second, OverloadFactor: 2, Fall: time.Second,
-			Classes: []lynxspool.Class{
+			Classes: []balancer.Class{
 				{Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 1},
-				{Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 5, Effect: lynxspool.Unsafe},
-				{Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 2, Effect: lynxspool.Keyed, Group: lynxspool.GroupCell, Window: 2500 * time.Millisecond},
+				{Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 5, Effect: balancer.Unsafe},
+				{Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 2, Effect: balancer.Keyed, Group: balancer.GroupCell, Window: 2500 * time.Millisecond},
 			},
 		},
 		Hosts: []Kind{{Count: 12, Cores: 2, Slots: 8, Queue: 16, Conns: 200}},
@@ -164,13 +164,13 @@
 	const runs = 12
 	var means []float64
 	for i := range uint64(runs) {
-		w := &world{sum: &Summary{}, cfg: Config{Settings: lynxspool.Settings{Classes: make([]lynxspool.Class, 1)}}}
+		w := &world{sum: &Summary{}, cfg: Config{Settings: balancer.Settings{Classes: make([]balancer.Class, 1)}}}
 		h := &host{Kind: kind, up: true, slow: 1}
 		w.hosts = []*host{h}
 		arrive, work := stream(seed+i, "arrive", 0), stream(seed+i, "work", 0)
 		asked, answered, took := 0, 0, 0.0
 		come := func() {
-			at := w.now + lynxspool.Time(arrive.ExpFloat64()/rate*1e9)
+			at := w.now + balancer.Time(arrive.ExpFloat64()/rate*1e9)
 			if at < length {
 				w.queue.push(event{at: at, kind: evArrive})
 			}
@@ -274,7 +274,7 @@
 	last := event{at: -1}
 	for range 20_000 {
 		if len(q.list) == 0 || rng.IntN(5) < 3 {
-			q.push(event{at: lynxspool.Time(rng.IntN(50)) + max(last.at, 0)})
+			q.push(event{at: balancer.Time(rng.IntN(50)) + max(last.at, 0)})
 			continue
 		}
 		e := q.pop()
@@ -304,11 +304,11 @@
 			rng := rand.New(rand.NewPCG(1, 2))
 			var q queue
 			for range n {
-				q.push(event{at: lynxspool.Time(rng.IntN(1e9))})
+				q.push(event{at: balancer.Time(rng.IntN(1e9))})
 			}
 			for b.Loop() {
 				e := q.pop()
-				e.at += lynxspool.Time(rng.IntN(1e9))
+				e.at += balancer.Time(rng.IntN(1e9))
 				q.push(e)
 			}
 		})
@@ -316,11 +316,11 @@
 			rng := rand.New(rand.NewPCG(1, 2))
 			var q plain
 			for i := range n {
-				heap.Push(&q, event{at: lynxspool.Time(rng.IntN(1e9)), seq: uint64(i)})
+				heap.Push(&q, event{at: balancer.Time(rng.IntN(1e9)), seq: uint64(i)})
 			}
 			for b.Loop() {
 				e := heap.Pop(&q).(event)
-				e.at += lynxspool.Time(rng.IntN(1e9))
+				e.at += balancer.Time(rng.IntN(1e9))
 				heap.Push(&q, e)
 			}
 		})
--- a/internal/model/queue.go
+++ b/internal/model/queue.go
@@ -1,10 +1,10 @@
 package model
 
-import "lynxspool"
+import "dunemoor/balancer"
 
 // event is one thing that will happen. What its fields mean is its kind's business.
 type event struct {
-	at   lynxspool.Time
+	at   balancer.Time
 	seq  uint64 // of events at the same instant the one planned first comes first
 	kind kind
 	a    int32  // a gateway, a host, a class or a trouble
--- a/internal/model/rules_test.go
+++ b/internal/model/rules_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"lynxspool"
+	"dunemoor/balancer"
 )
 
 // Each rule is seen to be broken where it is: it guards against a look that finds nothing.
@@ -13,13 +13,13 @@
 	fresh := func() (*world, *gateway, *host, *request) {
 		c := fleet(1)
 		w := &world{cfg: c, sum: &Summary{Classes: make([]ClassSummary, 3), Gateways: make([]GatewaySum, 1)}, now: 10 * second, longest: 0.02}
-		h := &host{Kind: c.Hosts[0], up: true, slow: 1, told: make([]lynxspool.Time, 1)}
-		g := &gateway{rng: stream(1, "net", 0), idle: map[int]idleSet{}, open: map[lynxspool.RequestID]*request{}}
+		h := &host{Kind: c.Hosts[0], up: true, slow: 1, told: make([]balancer.Time, 1)}
+		g := &gateway{rng: stream(1, "net", 0), idle: map[int]idleSet{}, open: map[balancer.RequestID]*request{}}
 		r := &request{id: 7, class: 1, gateway: g, at: w.now, until: w.now + second, work: 0.02, try: 99}
 		w.hosts, w.gateways, g.open[7] = []*host{h}, []*gateway{g}, r
 		return w, g, h, r
 	}
-	send := &lynxspool.Action{Kind: lynxspool.Send, Request: 7, Host: 1}
+	send := &balancer.Action{Kind: balancer.Send, Request: 7, Host: 1}
 	for name, tt := range map[string]struct {
 		rule Rule
 		do   func(w *world, g *gateway, h *host, r *request)
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -10,7 +10,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"lynxspool"
+	"dunemoor/balancer"
 )
 
 type kind uint8
@@ -59,7 +59,7 @@
 
 type attempt struct {
 	host   *host
-	sent   lynxspool.Time
+	sent   balancer.Time
 	ended  bool
 	called bool // off
 	fresh  bool // on a new connection
@@ -68,13 +68,13 @@
 
 // request is one try of a client.
 type request struct {
-	id       lynxspool.RequestID
+	id       balancer.RequestID
 	class    int
 	client   uint64
 	try      int
-	first    lynxspool.Time // when the client first asked
-	at       lynxspool.Time
-	until    lynxspool.Time
+	first    balancer.Time // when the client first asked
+	at       balancer.Time
+	until    balancer.Time
 	work     float64
 	gateway  *gateway
 	life     uint32 // of the gateway that it was taken by
@@ -82,7 +82,7 @@
 	answers  int
 	attempts []attempt
 	ran      int
-	ranAt    lynxspool.Time
+	ranAt    balancer.Time
 	ranBy    *host
 }
 
@@ -90,15 +90,15 @@
 	id    int
 	life  uint32
 	up    bool
-	downs int            // troubles that have it down
-	since lynxspool.Time // down since
-	left  lynxspool.Time // it is being restarted in good order since; 0: it is not
-	asks  uint32         // calls for the list so far, where it must be asked for
-	news  bool           // it hears of changes
-	bal   *lynxspool.Balancer
+	downs int           // troubles that have it down
+	since balancer.Time // down since
+	left  balancer.Time // it is being restarted in good order since; 0: it is not
+	asks  uint32        // calls for the list so far, where it must be asked for
+	news  bool          // it hears of changes
+	bal   *balancer.Balancer
 	rng   *rand.Rand      // network
 	idle  map[int]idleSet // connections by host
-	open  map[lynxspool.RequestID]*request
+	open  map[balancer.RequestID]*request
 }
 
 type idleSet struct {
@@ -109,7 +109,7 @@
 // world is a run.
 type world struct {
 	cfg      Config
-	now      lynxspool.Time
+	now      balancer.Time
 	queue    queue
 	hosts    []*host
 	gateways []*gateway
@@ -119,14 +119,14 @@
 	clients  *rand.Rand
 	lists    *rand.Rand
 	early    *rand.Rand
-	hit      [][]int        // by trouble: whom
-	longest  float64        // mean work
-	parts    []float64      // of the traffic, those of the gateways up to each added up
-	called   lynxspool.Time // discovery is busy with calls until then
-	blind    int            // troubles that have discovery down
-	spent    float64        // work done by all hosts up to the last second
-	lastID   lynxspool.RequestID
-	acts     []lynxspool.Action
+	hit      [][]int       // by trouble: whom
+	longest  float64       // mean work
+	parts    []float64     // of the traffic, those of the gateways up to each added up
+	called   balancer.Time // discovery is busy with calls until then
+	blind    int           // troubles that have discovery down
+	spent    float64       // work done by all hosts up to the last second
+	lastID   balancer.RequestID
+	acts     []balancer.Action
 	sum      *Summary
 	behind   Second // what happened after the last client asked
 }
@@ -164,7 +164,7 @@
 }
 
 // causes is how many the module tells apart for requests.
-const causes = int(lynxspool.CauseYield) + 1
+const causes = int(balancer.CauseYield) + 1
 
 // Second is what became of the first tries of a second.
 type Second struct {
@@ -271,7 +271,7 @@
 	for i := range cfg.Gateways {
 		g := &gateway{id: i, rng: stream(cfg.Seed, "net", i)}
 		w.gateways = append(w.gateways, g)
-		if err := w.start(g, lynxspool.ListFull); err != nil {
+		if err := w.start(g, balancer.ListFull); err != nil {
 			return nil, err
 		}
 	}
@@ -284,7 +284,7 @@
 	}
 	end := cfg.Length
 	for _, c := range cfg.Settings.Classes {
-		end = max(end, cfg.Length+lynxspool.Time(1+cfg.Clients.Retries)*(c.Deadline+answerSlack)+afterLast)
+		end = max(end, cfg.Length+balancer.Time(1+cfg.Clients.Retries)*(c.Deadline+answerSlack)+afterLast)
 	}
 	for len(w.queue.list) > 0 && w.queue.list[0].at <= end {
 		e := w.queue.pop()
@@ -324,10 +324,10 @@
 	case evReach:
 		w.reach(e.r, int(e.n))
 	case evAnswer:
-		w.answer(e.r, int(e.n), lynxspool.Result(e.a))
+		w.answer(e.r, int(e.n), balancer.Result(e.a))
 	case evUntil:
 		if a := &e.r.attempts[e.n]; !a.ended && e.r.gateway.life == e.r.life {
-			w.ended(e.r, int(e.n), lynxspool.TimedOut)
+			w.ended(e.r, int(e.n), balancer.TimedOut)
 		}
 	case evLeave:
 		w.leave(e.r, e.n == 1)
@@ -356,15 +356,15 @@
 			w.restarted(w.gateways[e.n])
 		} else {
 			w.end(w.hosts[e.n], true)
-			w.list(w.hosts[e.n], lynxspool.Removed, w.cfg.Lists.Delay)
+			w.list(w.hosts[e.n], balancer.Removed, w.cfg.Lists.Delay)
 		}
 	case evCall:
 		w.told(w.gateways[e.a], e.life, e.n == 1)
 	case evSecond:
 		w.idle()
 	case evCutSeen:
-		if h := w.hosts[e.a]; h.cut && h.state == lynxspool.Ready {
-			w.list(h, lynxspool.Removed, 0)
+		if h := w.hosts[e.a]; h.cut && h.state == balancer.Ready {
+			w.list(h, balancer.Removed, 0)
 		}
 	}
 }
@@ -381,7 +381,7 @@
 	at := w.now
 	rng := w.arrive[class]
 	for {
-		at += lynxspool.Time(rng.ExpFloat64() / most * 1e9)
+		at += balancer.Time(rng.ExpFloat64() / most * 1e9)
 		if at >= w.cfg.Length {
 			return
 		}
@@ -392,7 +392,7 @@
 	w.queue.push(event{at: at, kind: evArrive, a: int32(class)})
 }
 
-func (w *world) times(class int, at lynxspool.Time) float64 {
+func (w *world) times(class int, at balancer.Time) float64 {
 	x := 1.0
 	for _, b := range w.cfg.Bursts {
 		if at >= b.At && at < b.At+b.For && (b.Class == "" || b.Class == w.cfg.Classes[class].Name) {
@@ -448,7 +448,7 @@
 		w.queue.push(event{at: w.now + (r.until-w.now)/earlyPart, kind: evLeave, n: 1, r: r})
 	}
 	w.tell(g, func() {
-		g.bal.Request(w.now, lynxspool.Request{ID: r.id, Class: r.class, Left: r.until - w.now, Repeat: r.try > 0})
+		g.bal.Request(w.now, balancer.Request{ID: r.id, Class: r.class, Left: r.until - w.now, Repeat: r.try > 0})
 	})
 }
 
--- a/internal/nemesis/compat_test.go
+++ b/internal/nemesis/compat_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"lynxspool/internal/testkit/compat"
+	"dunemoor/internal/testkit/compat"
 )
 
 // Every key that a plan of faults may have, and the kinds of faults.
--- a/internal/nemesis/fleet.go
+++ b/internal/nemesis/fleet.go
@@ -19,7 +19,7 @@
 	"sync"
 	"time"
 
-	"lynxspool/internal/standin"
+	"dunemoor/internal/standin"
 )
 
 // Options are what a fleet of processes is made of.
--- a/internal/nemesis/load.go
+++ b/internal/nemesis/load.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"lynxspool/internal/standin"
+	"dunemoor/internal/standin"
 )
 
 const (
--- a/internal/nemesis/nemesis_test.go
+++ b/internal/nemesis/nemesis_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"lynxspool/internal/standin"
+	"dunemoor/internal/standin"
 )
 
 // built is the program, built once for all tests here; planted is it with the tag of that name,
@@ -28,7 +28,7 @@
 	}
 	built, planted = filepath.Join(dir, "dunemoor"), filepath.Join(dir, "planted")
 	operators = filepath.Join(dir, "dunemoorctl")
-	for _, args := range [][]string{{"-o", built, "lynxspool/cmd/dunemoor"}, {"-o", planted, "-tags", "planted", "lynxspool/cmd/dunemoor"}, {"-o", operators, "lynxspool/cmd/dunemoorctl"}} {
+	for _, args := range [][]string{{"-o", built, "dunemoor/cmd/dunemoor"}, {"-o", planted, "-tags", "planted", "dunemoor/cmd/dunemoor"}, {"-o", operators, "dunemoor/cmd/dunemoorctl"}} {
 		if out, err := exec.Command("go", append([]string{"build"}, args...)...).CombinedOutput(); err != nil {
 			panic(string(out))
 		}
--- a/internal/places/places.go
+++ b/internal/places/places.go
@@ -3,12 +3,12 @@
 // rules that it came under, whatever the new settings say of its class. No I/O.
 package places
 
-import "lynxspool"
+import "dunemoor/balancer"
 
 // Class is a class under its name.
 type Class struct {
 	Name  string
-	Rules lynxspool.Class
+	Rules balancer.Class
 }
 
 // Next numbers the classes of new settings, given those in use now by their number. inUse
--- a/internal/places/places_test.go
+++ b/internal/places/places_test.go
@@ -7,11 +7,11 @@
 	"testing"
 	"time"
 
-	"lynxspool"
+	"dunemoor/balancer"
 )
 
-func class(name string, effect lynxspool.Effect) Class {
-	return Class{name, lynxspool.Class{Aim: time.Second, Deadline: time.Second, Effect: effect}}
+func class(name string, effect balancer.Effect) Class {
+	return Class{name, balancer.Class{Aim: time.Second, Deadline: time.Second, Effect: effect}}
 }
 
 // show is a list as its names, those retired in brackets.
@@ -28,8 +28,8 @@
 }
 
 func TestNext(t *testing.T) {
-	look, book, strict := class("look", lynxspool.Safe), class("book", lynxspool.Unsafe), class("look", lynxspool.Unsafe)
-	more := class("more", lynxspool.Safe)
+	look, book, strict := class("look", balancer.Safe), class("book", balancer.Unsafe), class("look", balancer.Unsafe)
+	more := class("more", balancer.Safe)
 	none, all := func(int) bool { return false }, func(int) bool { return true }
 	gone := look
 	gone.Rules.Retired = true
@@ -66,12 +66,12 @@
 	for seed := range uint64(500) {
 		rng := rand.New(rand.NewPCG(seed, 0))
 		var now []Class
-		under := map[int]lynxspool.Class{} // numbers with requests, and the rules they came under
+		under := map[int]balancer.Class{} // numbers with requests, and the rules they came under
 		for range 40 {
 			var wanted []Class
 			for _, n := range names {
 				if rng.IntN(2) == 0 {
-					wanted = append(wanted, class(n, lynxspool.Effect(rng.IntN(3))))
+					wanted = append(wanted, class(n, balancer.Effect(rng.IntN(3))))
 				}
 			}
 			if len(wanted) == 0 {
--- a/internal/scale/hollow/host.go
+++ b/internal/scale/hollow/host.go
@@ -18,11 +18,11 @@
 	"sync"
 	"time"
 
-	"lynxspool"
-	"lynxspool/internal/admin"
-	"lynxspool/internal/config"
-	"lynxspool/internal/discovery"
-	"lynxspool/internal/fleet"
+	"dunemoor/balancer"
+	"dunemoor/internal/admin"
+	"dunemoor/internal/config"
+	"dunemoor/internal/discovery"
+	"dunemoor/internal/fleet"
 )
 
 // order is what a host is told, one a line on its standard input, in JSON; each gets a reply.
@@ -247,10 +247,10 @@
 // unheard is the pool of a gateway that serves nobody.
 type unheard struct{}
 
-func (unheard) Members(lynxspool.ListKind, discovery.MemberList) {}
-func (unheard) GivenUp(int) []string                             { return nil }
-func (unheard) Address(string) string                            { return "" }
-func (unheard) Hint(string, time.Duration)                       {}
+func (unheard) Members(balancer.ListKind, discovery.MemberList) {}
+func (unheard) GivenUp(int) []string                            { return nil }
+func (unheard) Address(string) string                           { return "" }
+func (unheard) Hint(string, time.Duration)                      {}
 
 func (h *host) named(name string) *gateway {
 	h.mu.Lock()
--- a/internal/scenario/compat_test.go
+++ b/internal/scenario/compat_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"lynxspool/internal/testkit/compat"
+	"dunemoor/internal/testkit/compat"
 )
 
 // Every key that a scenario may have.
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -13,9 +13,9 @@
 
 	"github.com/BurntSushi/toml"
 
-	"lynxspool"
-	"lynxspool/internal/config"
-	"lynxspool/internal/model"
+	"dunemoor/balancer"
+	"dunemoor/internal/config"
+	"dunemoor/internal/model"
 )
 
 // Scenario is a file's content.
@@ -238,7 +238,7 @@
 	}
 	m := &s.Model
 	m.Length, m.Gateways, m.Skew = time.Duration(f.Length), f.Gateways, f.Skew
-	m.Settings = lynxspool.Settings{
+	m.Settings = balancer.Settings{
 		Instances: 1, MaxAttempts: f.Module.Attempts, Cancel: true, MaxRetryAfter: time.Duration(f.Module.RetryAfter),
 		ColdFrom: f.Module.ColdFrom, WarmAfter: time.Duration(f.Module.WarmAfter), OverloadFactor: f.Module.Overload, Fall: time.Duration(f.Module.Fall),
 	}
@@ -258,9 +258,9 @@
 		} else if group < 0 {
 			bad("class", i, "group", "%q is none of %s", c.Group, strings.Join(groups, ", "))
 		}
-		m.Settings.Classes = append(m.Settings.Classes, lynxspool.Class{
-			Aim: time.Duration(c.Aim), Deadline: time.Duration(c.Deadline), Worth: c.Worth, Effect: lynxspool.Effect(max(effect, 0)),
-			Group: lynxspool.Group(max(group, 0)), Window: time.Duration(c.Window),
+		m.Settings.Classes = append(m.Settings.Classes, balancer.Class{
+			Aim: time.Duration(c.Aim), Deadline: time.Duration(c.Deadline), Worth: c.Worth, Effect: balancer.Effect(max(effect, 0)),
+			Group: balancer.Group(max(group, 0)), Window: time.Duration(c.Window),
 		})
 		m.Classes = append(m.Classes, model.Traffic{Name: c.Name, Rate: c.Rate, Work: time.Duration(c.Work), Dist: model.Dist(c.Dist), CV: c.CV})
 	}
@@ -289,7 +289,7 @@
 		bad(x.Table, x.N, x.Field, "%s", x.Text)
 	}
 	if len(wrong) == 0 {
-		if _, err := lynxspool.New(m.Settings, 1); err != nil {
+		if _, err := balancer.New(m.Settings, 1); err != nil {
 			wrong = append(wrong, fmt.Errorf("%s: %w", path, err))
 		}
 	}
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"lynxspool/internal/model"
+	"dunemoor/internal/model"
 )
 
 // Every scenario of the library is right, says what it is about, and keeps the rules and what it
--- a/internal/standin/fastcgi.go
+++ b/internal/standin/fastcgi.go
@@ -15,7 +15,7 @@
 	"sync/atomic"
 	"time"
 
-	"lynxspool/internal/fastcgi"
+	"dunemoor/internal/fastcgi"
 )
 
 // Responder is a node that speaks FastCGI, by the standard library's implementation of it.
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -6,7 +6,7 @@
 	"math"
 	"time"
 
-	"lynxspool"
+	"dunemoor/balancer"
 )
 
 // settings is the part of the settings object that the balancer acts on;
@@ -54,23 +54,23 @@
 	return math.MaxInt64
 }
 
-var effects = map[string]lynxspool.Effect{
-	"idempotent": lynxspool.Safe, "deduplicated": lynxspool.Keyed, "at_most_once": lynxspool.Unsafe,
+var effects = map[string]balancer.Effect{
+	"idempotent": balancer.Safe, "deduplicated": balancer.Keyed, "at_most_once": balancer.Unsafe,
 }
 
-var groups = map[string]lynxspool.Group{
-	"": lynxspool.GroupAll, "all": lynxspool.GroupAll,
-	"zone": lynxspool.GroupZone, "cell": lynxspool.GroupCell,
+var groups = map[string]balancer.Group{
+	"": balancer.GroupAll, "all": balancer.GroupAll,
+	"zone": balancer.GroupZone, "cell": balancer.GroupCell,
 }
 
 // ParseSettings reads the settings object of a Hello.
-func ParseSettings(text []byte) (lynxspool.Settings, error) {
+func ParseSettings(text []byte) (balancer.Settings, error) {
 	var in settings
-	var out lynxspool.Settings
+	var out balancer.Settings
 	if err := json.Unmarshal(text, &in); err != nil {
 		return out, fmt.Errorf("settings: %w", err)
 	}
-	out = lynxspool.Settings{
+	out = balancer.Settings{
 		Instances: in.Balancers, Rank: in.Rank, Step: in.Step.span(),
 		MaxAttempts: in.Caps.MaxAttempts, Cancel: in.Caps.Cancel, OverQuotaWorth: in.OverShare,
 		Ask: in.Discovery == "subscribe", AskWithin: in.Obligations.AskWithin.span(),
@@ -89,13 +89,13 @@
 		if !ok {
 			return out, fmt.Errorf("settings: class %d: unknown group %q", i, c.Group)
 		}
-		out.Classes = append(out.Classes, lynxspool.Class{
+		out.Classes = append(out.Classes, balancer.Class{
 			Aim: c.Promise.span(), Deadline: c.HardLimit.span(), Worth: c.Importance,
 			Effect: effect, Group: group, Window: c.Window.span(),
 		})
 	}
 	for _, t := range in.Tenants {
-		out.Tenants = append(out.Tenants, lynxspool.Tenant{Quota: t.Quota})
+		out.Tenants = append(out.Tenants, balancer.Tenant{Quota: t.Quota})
 	}
 	return out, nil
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
 // Package wire translates between the simulator's binary frames and the
-// events and actions of package lynxspool. It decides nothing.
+// events and actions of package balancer. It decides nothing.
 package wire
 
 import (
@@ -11,7 +11,7 @@
 	"math"
 	"time"
 
-	"lynxspool"
+	"dunemoor/balancer"
 )
 
 // Codes of events.
@@ -63,13 +63,13 @@
 	Seed     uint64 // Hello
 	Settings []byte // Hello; valid until the next batch
 
-	List  lynxspool.ListKind // PeersKnown
-	Hosts []lynxspool.Host   // PeersKnown; valid until the next event
+	List  balancer.ListKind // PeersKnown
+	Hosts []balancer.Host   // PeersKnown; valid until the next event
 
-	Request lynxspool.Request // Req; its ID also in Withdrawn and Flowing
-	Attempt int               // Flowing
-	Outcome lynxspool.Outcome // AttemptEnd
-	Token   uint64            // Ring
+	Request balancer.Request // Req; its ID also in Withdrawn and Flowing
+	Attempt int              // Flowing
+	Outcome balancer.Outcome // AttemptEnd
+	Token   uint64           // Ring
 }
 
 // Reader reads batches and the events in them.
@@ -81,7 +81,7 @@
 	base  int64  // of the frame in the input
 	next  int64  // of the frame after it
 	left  uint32 // records still to come
-	hosts []lynxspool.Host
+	hosts []balancer.Host
 }
 
 // NewReader returns a Reader of in.
@@ -91,7 +91,7 @@
 
 // Batch reads the next batch and returns its clock, or io.EOF when the input
 // has ended between batches.
-func (r *Reader) Batch() (lynxspool.Time, error) {
+func (r *Reader) Batch() (balancer.Time, error) {
 	var head [4]byte
 	r.base = r.next
 	if n, err := io.ReadFull(r.in, head[:]); err == io.EOF {
@@ -114,7 +114,7 @@
 		return 0, r.errorf(0, "clock %d is out of range", clock)
 	}
 	r.left, r.pos = binary.LittleEndian.Uint32(r.data[8:]), batchHeader
-	return lynxspool.Time(clock) * unit, nil
+	return balancer.Time(clock) * unit, nil
 }
 
 // Next decodes the next event of the batch into e and says whether there was
@@ -163,7 +163,7 @@
 	case PeersKnown:
 		return r.decodeList(e, f)
 	case Req:
-		e.Request.ID = lynxspool.RequestID(f.u32())
+		e.Request.ID = balancer.RequestID(f.u32())
 		e.Request.Class = int(f.u8())
 		e.Request.Tenant = int(f.u16())
 		f.u32() // expected work
@@ -171,12 +171,12 @@
 		f.u64() // routing key
 		e.Request.Repeat = f.u8()&flagRepeat != 0
 	case Flowing:
-		e.Request.ID = lynxspool.RequestID(f.u32())
+		e.Request.ID = balancer.RequestID(f.u32())
 		e.Attempt = int(f.u16())
 		f.host()
 		f.time()
 	case AttemptEnd:
-		e.Outcome.Request = lynxspool.RequestID(f.u32())
+		e.Outcome.Request = balancer.RequestID(f.u32())
 		e.Outcome.Attempt = int(f.u16())
 		f.host()
 		code := f.u16()
@@ -188,7 +188,7 @@
 			return fmt.Errorf("unknown outcome %d", code)
 		}
 	case Withdrawn:
-		e.Request.ID = lynxspool.RequestID(f.u32())
+		e.Request.ID = balancer.RequestID(f.u32())
 	case Ring:
 		e.Token = f.u64()
 	case StatusBack:
@@ -215,13 +215,13 @@
 	}
 	switch mode {
 	case 0:
-		e.List = lynxspool.ListFailed
+		e.List = balancer.ListFailed
 	case 1:
-		e.List = lynxspool.ListFull
+		e.List = balancer.ListFull
 	case 3:
-		e.List = lynxspool.ListSaved
+		e.List = balancer.ListSaved
 	case 4:
-		e.List = lynxspool.ListChanges
+		e.List = balancer.ListChanges
 	default:
 		return fmt.Errorf("unknown list mode %d", mode)
 	}
@@ -234,16 +234,16 @@
 		if start > math.MaxInt64/uint64(unit) {
 			return fmt.Errorf("start time %d is out of range", start)
 		}
-		h := lynxspool.Host{Started: lynxspool.Time(start) * unit, Kind: int(f.u8())}
+		h := balancer.Host{Started: balancer.Time(start) * unit, Kind: int(f.u8())}
 		h.ID = f.host()
 		h.Zone, h.Cell = int(f.u16()), int(f.u16())
 		switch state := f.u8(); state {
 		case 3:
-			h.State = lynxspool.Ready
+			h.State = balancer.Ready
 		case 0:
-			h.State = lynxspool.Draining
+			h.State = balancer.Draining
 		case 2:
-			h.State = lynxspool.Removed
+			h.State = balancer.Removed
 		default:
 			return fmt.Errorf("unknown host state %d", state)
 		}
@@ -254,15 +254,15 @@
 	return nil
 }
 
-var results = map[uint16]lynxspool.Result{
-	100: lynxspool.OK,
-	301: lynxspool.Failed,
-	302: lynxspool.Full,
-	303: lynxspool.TimedOut,
-	304: lynxspool.ConnectFailed,
-	305: lynxspool.Reset,
-	306: lynxspool.Canceled,
-	307: lynxspool.NotSent,
+var results = map[uint16]balancer.Result{
+	100: balancer.OK,
+	301: balancer.Failed,
+	302: balancer.Full,
+	303: balancer.TimedOut,
+	304: balancer.ConnectFailed,
+	305: balancer.Reset,
+	306: balancer.Canceled,
+	307: balancer.NotSent,
 }
 
 // fields reads little-endian fields; once one is missing, short is set and all
@@ -313,9 +313,9 @@
 func (f *fields) time() time.Duration { return time.Duration(f.u32()) * unit }
 
 // host packs the four address bytes and the port into one number.
-func (f *fields) host() lynxspool.HostID {
+func (f *fields) host() balancer.HostID {
 	addr := f.u32()
-	return lynxspool.HostID(addr) | lynxspool.HostID(f.u16())<<32
+	return balancer.HostID(addr) | balancer.HostID(f.u16())<<32
 }
 
 // Writer collects the actions of one batch and writes them as one reply.
@@ -340,37 +340,37 @@
 }
 
 // Action adds an action of an instance.
-func (w *Writer) Action(instance uint32, a *lynxspool.Action) {
+func (w *Writer) Action(instance uint32, a *balancer.Action) {
 	switch a.Kind {
-	case lynxspool.Send:
+	case balancer.Send:
 		w.record(callOut, instance, 22)
 		w.u32(uint32(a.Request))
 		w.u32(uint32(a.Host))
 		w.u16(uint16(a.Host >> 32))
 		w.u64(0) // it is given up at the client's deadline, and goes out at once
-	case lynxspool.Cancel:
+	case balancer.Cancel:
 		w.record(withdraw, instance, 10)
 		w.u32(uint32(a.Request))
 		w.u16(uint16(a.Attempt))
-	case lynxspool.Refuse:
+	case balancer.Refuse:
 		w.record(busy, instance, 12)
 		w.u32(uint32(a.Request))
 		w.u32(uint32(a.After / unit))
-	case lynxspool.Fail:
+	case balancer.Fail:
 		w.record(fail, instance, 8)
 		w.u32(uint32(a.Request))
-	case lynxspool.Wake:
+	case balancer.Wake:
 		w.record(wakeAt, instance, 20)
 		w.u64(uint64((a.At + unit - 1) / unit))
 		w.u64(a.Token)
-	case lynxspool.Close:
+	case balancer.Close:
 		w.record(letGo, instance, 10)
 		w.u32(uint32(a.Host))
 		w.u16(uint16(a.Host >> 32))
-	case lynxspool.Watch:
+	case balancer.Watch:
 		w.record(tail, instance, 5)
 		w.buf = append(w.buf, 1)
-	case lynxspool.Log:
+	case balancer.Log:
 		w.text(writeLog, instance, a.Text)
 	}
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"lynxspool"
+	"dunemoor/balancer"
 )
 
 // frame builds a batch of records, each a code and its fields.
@@ -47,31 +47,31 @@
 		if !more || err != nil {
 			return Time, events, err
 		}
-		e.Hosts = append([]lynxspool.Host(nil), e.Hosts...)
+		e.Hosts = append([]balancer.Host(nil), e.Hosts...)
 		events = append(events, e)
 	}
 }
 
 func TestDecodeEvents(t *testing.T) {
-	host := lynxspool.HostID(0x00232b_074a120a)
+	host := balancer.HostID(0x00232b_074a120a)
 	tests := []struct {
 		name, fields string
 		want         Event
 	}{
 		{"request", "02 03000000 c4913a5d 01 0200 e02e0000 80a90300 640ad2557c3bf091 03",
-			Event{Code: Req, Instance: 3, Request: lynxspool.Request{
+			Event{Code: Req, Instance: 3, Request: balancer.Request{
 				ID: 0x5d3a91c4, Class: 1, Tenant: 2, Left: 240 * time.Millisecond, Repeat: true}}},
 		{"attempt end", "04 03000000 c4913a5d 0100 0a124a07 2b23 2e01 44480000 01 01 0000803f",
-			Event{Code: AttemptEnd, Instance: 3, Outcome: lynxspool.Outcome{Request: 0x5d3a91c4, Attempt: 1,
-				Result: lynxspool.Full, Elapsed: 18500 * time.Microsecond, Closed: true}}},
+			Event{Code: AttemptEnd, Instance: 3, Outcome: balancer.Outcome{Request: 0x5d3a91c4, Attempt: 1,
+				Result: balancer.Full, Elapsed: 18500 * time.Microsecond, Closed: true}}},
 		{"ring", "06 03000000 4d00000000000000", Event{Code: Ring, Instance: 3, Token: 77}},
 		{"withdrawn", "05 05000000 192b6f0e",
-			Event{Code: Withdrawn, Instance: 5, Request: lynxspool.Request{ID: 0x0e6f2b19}}},
+			Event{Code: Withdrawn, Instance: 5, Request: balancer.Request{ID: 0x0e6f2b19}}},
 		{"flowing", "03 03000000 c4913a5d 0200 0a124a07 2b23 22240000",
-			Event{Code: Flowing, Instance: 3, Request: lynxspool.Request{ID: 0x5d3a91c4}, Attempt: 2}},
+			Event{Code: Flowing, Instance: 3, Request: balancer.Request{ID: 0x5d3a91c4}, Attempt: 2}},
 		{"list", "01 03000000 04 2900000000000000 01000000 20145d0000000000 01 0a124a07 2b23 0100 0200 00 0000c07f",
-			Event{Code: PeersKnown, Instance: 3, List: lynxspool.ListChanges, Hosts: []lynxspool.Host{{ID: host,
-				Zone: 1, Cell: 2, Kind: 1, State: lynxspool.Draining, Started: 0x5d1420 * time.Microsecond}}}},
+			Event{Code: PeersKnown, Instance: 3, List: balancer.ListChanges, Hosts: []balancer.Host{{ID: host,
+				Zone: 1, Cell: 2, Kind: 1, State: balancer.Draining, Started: 0x5d1420 * time.Microsecond}}}},
 		{"probe result", "07 03000000 6400 78050000 0a9011f2 5423 00", Event{Code: StatusBack, Instance: 3}},
 		{"peer", "08 03000000 0200 0400 68692037", Event{Code: FromPeer, Instance: 3}},
 		{"halt", "09 03000000", Event{Code: Halt, Instance: 3}},
@@ -153,24 +153,24 @@
 }
 
 func TestEncodeActions(t *testing.T) {
-	host := lynxspool.HostID(0x00232b_074a120a)
+	host := balancer.HostID(0x00232b_074a120a)
 	tests := []struct {
-		act  lynxspool.Action
+		act  balancer.Action
 		want string
 	}{
 		// At is when it has to be out: no time to give it up at, which is what stands on the wire.
-		{lynxspool.Action{Kind: lynxspool.Send, Request: 0x5d3a91c4, Host: host, At: 8492506 * time.Microsecond},
+		{balancer.Action{Kind: balancer.Send, Request: 0x5d3a91c4, Host: host, At: 8492506 * time.Microsecond},
 			"40 16000000 03000000 c4913a5d 0a124a07 2b23 0000000000000000"},
-		{lynxspool.Action{Kind: lynxspool.Refuse, Request: 0x5d3a91c4, After: 250 * time.Millisecond},
+		{balancer.Action{Kind: balancer.Refuse, Request: 0x5d3a91c4, After: 250 * time.Millisecond},
 			"41 0c000000 03000000 c4913a5d 90d00300"},
-		{lynxspool.Action{Kind: lynxspool.Fail, Request: 0x0e6f2b19}, "42 08000000 03000000 192b6f0e"},
-		{lynxspool.Action{Kind: lynxspool.Cancel, Request: 0x5d3a91c4, Attempt: 2},
+		{balancer.Action{Kind: balancer.Fail, Request: 0x0e6f2b19}, "42 08000000 03000000 192b6f0e"},
+		{balancer.Action{Kind: balancer.Cancel, Request: 0x5d3a91c4, Attempt: 2},
 			"43 0a000000 03000000 c4913a5d 0200"},
-		{lynxspool.Action{Kind: lynxspool.Wake, At: 8911482*time.Microsecond - 1, Token: 77},
+		{balancer.Action{Kind: balancer.Wake, At: 8911482*time.Microsecond - 1, Token: 77},
 			"44 14000000 03000000 7afa870000000000 4d00000000000000"},
-		{lynxspool.Action{Kind: lynxspool.Log, Text: "hi 7"}, "48 0a000000 03000000 0400 68692037"},
-		{lynxspool.Action{Kind: lynxspool.Close, Host: 0x232b074a120a}, "46 0a000000 03000000 0a124a07 2b23"},
-		{lynxspool.Action{Kind: lynxspool.Watch}, "4a 05000000 03000000 01"},
+		{balancer.Action{Kind: balancer.Log, Text: "hi 7"}, "48 0a000000 03000000 0400 68692037"},
+		{balancer.Action{Kind: balancer.Close, Host: 0x232b074a120a}, "46 0a000000 03000000 0a124a07 2b23"},
+		{balancer.Action{Kind: balancer.Watch}, "4a 05000000 03000000 01"},
 	}
 	for _, tt := range tests {
 		var out bytes.Buffer
@@ -196,7 +196,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := lynxspool.New(set, 1); err == nil || !strings.Contains(err.Error(), "step") {
+		if _, err := balancer.New(set, 1); err == nil || !strings.Contains(err.Error(), "step") {
 			t.Errorf("step %s: error %v, want one that names it", us, err)
 		}
 	}
@@ -215,16 +215,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := lynxspool.Settings{
+	want := balancer.Settings{
 		Instances: 4, Rank: 2, Step: 2 * time.Millisecond, Ask: true, AskWithin: 10 * time.Second,
 		OverQuotaWorth: 0.05, Cancel: true,
 		MaxAttempts: 3, MaxRetryAfter: 600 * time.Millisecond,
 		ColdFrom: 0.31, Fall: time.Second, OverloadFactor: 2.5, WarmAfter: 8900 * time.Millisecond,
-		Tenants: []lynxspool.Tenant{{Quota: 104}},
-		Classes: []lynxspool.Class{
+		Tenants: []balancer.Tenant{{Quota: 104}},
+		Classes: []balancer.Class{
 			{Aim: 300 * time.Millisecond, Deadline: 1200 * time.Millisecond, Worth: 2,
-				Effect: lynxspool.Keyed, Group: lynxspool.GroupCell, Window: 5 * time.Second},
-			{Deadline: time.Microsecond, Effect: lynxspool.Unsafe},
+				Effect: balancer.Keyed, Group: balancer.GroupCell, Window: 5 * time.Second},
+			{Deadline: time.Microsecond, Effect: balancer.Unsafe},
 		},
 	}
 	if !reflect.DeepEqual(got, want) {
--- a/internal/words/words.go
+++ b/internal/words/words.go
@@ -10,7 +10,7 @@
 	"maps"
 	"slices"
 
-	"lynxspool/internal/discovery"
+	"dunemoor/internal/discovery"
 )
 
 // draining is the state of a host that gets nothing new.
--- a/internal/words/words_test.go
+++ b/internal/words/words_test.go
@@ -5,7 +5,7 @@
 	"slices"
 	"testing"
 
-	"lynxspool/internal/discovery"
+	"dunemoor/internal/discovery"
 )
 
 // Whatever lists and words come in whatever order: what was passed on last of each host is what
