--- a/balancer/api.go
+++ b/balancer/api.go
@@ -157,7 +157,7 @@
 )
 
 // MayHaveRun says whether an attempt that ended so may have run.
-func (x Result) MayHaveRun() bool { return x != Full && x != ConnectFailed && x != NotSent }
+func (r Result) MayHaveRun() bool { return r != Full && r != ConnectFailed && r != NotSent }
 
 // Outcome is the end of one attempt. Each Send has exactly one.
 type Outcome struct {
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -1600,7 +1600,7 @@
 		}
 		return fmt.Sprint(all)
 	}
-	if run() != run() {
+	if first, second := run(), run(); first != second {
 		t.Error("two runs differ")
 	}
 }
--- a/balancer/fuzz_test.go
+++ b/balancer/fuzz_test.go
@@ -39,7 +39,6 @@
 	class    *Class
 	deadline Time
 	answered bool
-	began    bool
 	atts     []trackedAttempt
 }
 
--- a/cmd/dunemoor/main_test.go
+++ b/cmd/dunemoor/main_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"bytes"
+	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -170,7 +171,7 @@
 	}
 	client := http.Client{Transport: &http.Transport{
 		DisableKeepAlives: true,
-		Dial:              func(string, string) (net.Conn, error) { return nc, nil },
+		DialContext:       func(context.Context, string, string) (net.Conn, error) { return nc, nil },
 	}, Timeout: patience}
 	r, err := http.NewRequest(http.MethodPost, url+"/api/1", strings.NewReader("body"))
 	if err != nil {
--- a/internal/cluster/relay/client.go
+++ b/internal/cluster/relay/client.go
@@ -303,7 +303,7 @@
 	}
 }
 
-// Answered: see Asked.
+// Answered is described at Asked.
 func (c *Client) Answered(now time.Duration) {
 	c.touch(now)
 	c.asked, c.patience = 0, answerMost
--- a/internal/cluster/relay/router.go
+++ b/internal/cluster/relay/router.go
@@ -615,7 +615,7 @@
 	r.tell(relay, &routes{Whole: true, Join: r.whole(), Ask: r.number})
 }
 
-// Down: see Up.
+// Down is described at Up.
 func (r *Router) Down(now time.Duration, relay string) {
 	r.touch(now)
 	if l := r.links[relay]; l != nil {
--- a/internal/front/http1/conn.go
+++ b/internal/front/http1/conn.go
@@ -35,8 +35,7 @@
 	id    uint64 // among those watched for leaving
 	opts  *ListenOptions
 
-	client netip.Addr // whom the PROXY header names
-	peer   front.Peer
+	peer front.Peer
 
 	ctx  context.Context // ends when the client leaves
 	left context.CancelFunc
--- a/internal/gateway/appliance_test.go
+++ b/internal/gateway/appliance_test.go
@@ -214,13 +214,12 @@
 		{"POST", "report", nil, 1}, {"POST", "report", []string{"Idempotency-Key", "k"}, 2},
 	} {
 		var hosts []string
-		requests := func() (n int) { return 0 }
 		var list []*testkit.Host
 		for range 6 {
 			h := testkit.NewHost(t, testkit.Says(testkit.Errored))
 			list, hosts = append(list, h), append(hosts, h.Addr())
 		}
-		requests = func() (n int) {
+		requests := func() (n int) {
 			for _, h := range list {
 				k, _, _ := h.Counts()
 				n += k
--- a/internal/gateway/flow_test.go
+++ b/internal/gateway/flow_test.go
@@ -401,14 +401,12 @@
 	defer close(stop)
 	g := startAppliance(t, uploads("", addr))
 	target := strings.TrimPrefix(g.urls[0], "http://")
-	var conns []net.Conn
 	for i := range 2 {
 		c, err := net.Dial("tcp", target)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		conns = append(conns, c)
 		if i == 0 {
 			io.WriteString(c, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 			continue
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"context"
 	"fmt"
 	"io"
 	"net"
@@ -42,9 +43,9 @@
 	g.engine.Sample(overload.Sample{Heap: 1})
 	testkit.Until(t, "there is pressure", func() bool { return g.engine.Overload.Pressure() > 4.5 })
 	var dials atomic.Int64
-	client := &http.Client{Timeout: testkit.Patience, Transport: &http.Transport{Dial: func(network, addr string) (net.Conn, error) {
+	client := &http.Client{Timeout: testkit.Patience, Transport: &http.Transport{DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 		dials.Add(1)
-		return net.Dial(network, addr)
+		return (&net.Dialer{}).DialContext(ctx, network, addr)
 	}}}
 	defer client.CloseIdleConnections()
 	clients := 0
@@ -184,7 +185,7 @@
 	from := func(ip, path string) int {
 		t.Helper()
 		client := &http.Client{Timeout: testkit.Patience, Transport: &http.Transport{DisableKeepAlives: true,
-			Dial: (&net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(ip)}}).Dial}}
+			DialContext: (&net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(ip)}}).DialContext}}
 		resp, err := client.Get(g.urls[0] + path)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/host/http1/flow.go
+++ b/internal/host/http1/flow.go
@@ -66,8 +66,8 @@
 	client bool  // ... by the client's doing
 }
 
-func (t *Transport) newUpload(c *conn, x *engine.Request) *upload {
-	u := &upload{t: t, c: c, x: x, proceed: make(chan struct{}, 1), quit: make(chan struct{}), done: make(chan struct{})}
+func (p *Transport) newUpload(c *conn, x *engine.Request) *upload {
+	u := &upload{t: p, c: c, x: x, proceed: make(chan struct{}, 1), quit: make(chan struct{}), done: make(chan struct{})}
 	if x.Body.Whole() {
 		close(u.done)
 	} else {
@@ -171,7 +171,7 @@
 // exchange writes a request to a connection and reads the head of its answer, with the part of
 // the body that is held; what follows flows. By our protocol a request never ran whose last byte
 // did not go out; by plain HTTP nothing proves that once a byte of it is out.
-func (t *Transport) exchange(ctx context.Context, c *conn, x *engine.Request) engine.Result {
+func (p *Transport) exchange(ctx context.Context, c *conn, x *engine.Request) engine.Result {
 	// Giving up an attempt is closing its connection.
 	stop := context.AfterFunc(ctx, func() { c.Conn.Close() })
 	held, tail, strict := x.Body.Bytes(), []byte(nil), !plain(x)
@@ -191,7 +191,7 @@
 	}
 	if n, err := c.writeAll(head, held, tail); n < all || err != nil {
 		stop()
-		t.drop(c)
+		p.drop(c)
 		switch {
 		case n == all && (x.Body.Whole() || !strict):
 			return engine.Ended(balancer.Reset)
@@ -203,18 +203,18 @@
 		return engine.Result{Outcome: balancer.ConnectFailed, Part: n > 0}
 	}
 	wrote := time.Now()
-	up := t.newUpload(c, x)
-	a, rest, err := c.readAnswer(t, x, up)
+	up := p.newUpload(c, x)
+	a, rest, err := c.readAnswer(p, x, up)
 	if err == nil && !stop() {
 		err = ctx.Err() // it was given up just now
 	}
 	if err != nil {
 		stop()
 		whole := up.stop() // the last byte went out
-		t.drop(c)
+		p.drop(c)
 		a.FreeHeld()
 		if ctx.Err() != nil && whole {
-			t.unheard(c.host, wrote)
+			p.unheard(c.host, wrote)
 		}
 		switch {
 		case up.client || ctx.Err() != nil && !whole:
@@ -230,19 +230,19 @@
 		}
 		return engine.Ended(balancer.Reset)
 	}
-	t.mu.Lock()
+	p.mu.Lock()
 	c.host.heard = time.Now()
-	t.mu.Unlock()
+	p.mu.Unlock()
 	switch {
 	case a.Status == http.StatusSwitchingProtocols:
 		c.limit.N = noLimit
 		c.SetReadDeadline(time.Time{})
 		c.SetWriteDeadline(time.Time{})
-		a.Tunnel = &tunnel{conn: c, t: t}
+		a.Tunnel = &tunnel{conn: c, t: p}
 	case rest != nil:
 		a.Body = body.Flowing(rest.held, body.NewFlow(rest, rest.length))
 	default:
-		c.settle(t, up, keeps(a.Header, c))
+		c.settle(p, up, keeps(a.Header, c))
 	}
 	return engine.Result{Answered: true, Answer: a}
 }
@@ -305,8 +305,7 @@
 	}()
 	for {
 		c.limit.N = maxHead
-		first, err := c.in.Peek(1)
-		if err != nil {
+		if _, err := c.in.Peek(1); err != nil {
 			return a, nil, err
 		}
 		began = true
@@ -316,7 +315,7 @@
 			c.within(answerGap)
 		}
 		// Noise may lack a line's end: it need not be waited for.
-		first, _ = c.in.Peek(min(c.in.Buffered(), len(protoPrefix)))
+		first, _ := c.in.Peek(min(c.in.Buffered(), len(protoPrefix)))
 		if !strings.HasPrefix(protoPrefix, string(first)) {
 			return a, nil, errMalformed
 		}
--- a/internal/host/http1/transport.go
+++ b/internal/host/http1/transport.go
@@ -47,8 +47,6 @@
 	// milliseconds behind the first, and would be taken for the next. With none about nothing rests.
 	strayRest   = 10 * time.Millisecond
 	strayMemory = time.Minute
-
-	headNotProcessed = "X-Not-Processed" // "1" proves that the attempt never ran
 )
 
 // headTimeout tells a host how long we wait, in seconds, as net/http spells it.
--- a/internal/nemesis/process.go
+++ b/internal/nemesis/process.go
@@ -8,7 +8,6 @@
 	"io"
 	"os"
 	"os/exec"
-	"sync"
 	"syscall"
 	"time"
 
@@ -21,9 +20,6 @@
 	cmd  *exec.Cmd
 	done chan struct{}
 	code int
-
-	mu    sync.Mutex
-	lines int
 }
 
 // StartProcess starts a program. Its log goes to out, and each line of it to heard.
