--- a/cmd/lab/guards.go
+++ b/cmd/lab/guards.go
@@ -15,7 +15,7 @@
 	var bin, dir string
 	cmd := &cobra.Command{
 		Use: "guards", Args: cobra.NoArgs,
-		Short: "Take guards out one at a time among processes of a build with the tag planted, and say what is seen of it",
+		Short: "Take guards out one at a time among processes of a build with the tag failpoints, and say what is seen of it",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var bad []error
 			for _, s := range nemesis.Stories {
@@ -33,14 +33,14 @@
 			return errors.Join(bad...)
 		},
 	}
-	cmd.Flags().StringVar(&bin, "bin", "bin/planted", "the program, built with -tags planted")
+	cmd.Flags().StringVar(&bin, "bin", "bin/planted", "the program, built with -tags failpoints")
 	cmd.Flags().StringVar(&dir, "dir", "fleet-guards", "where files, disks, logs and histories are kept")
 	return cmd
 }
 
 // guard plays one story with a guard out, or with none.
 func guard(cmd *cobra.Command, s nemesis.Story, out, bin, dir string) (string, error) {
-	f, err := fleet(cmd.Context(), nemesis.Options{Bin: bin, Dir: dir, Gateways: 3, Keepers: 3, Nodes: 1, Seed: 9, Env: []string{"DUNEMOOR_PLANTED=" + out}})
+	f, err := fleet(cmd.Context(), nemesis.Options{Bin: bin, Dir: dir, Gateways: 3, Keepers: 3, Nodes: 1, Seed: 9, Env: []string{"DUNEMOOR_FAILPOINT=" + out}})
 	if err != nil {
 		return "", err
 	}
--- a/internal/cluster/clock_test.go
+++ b/internal/cluster/clock_test.go
@@ -16,7 +16,7 @@
 	wall := map[string]bool{"Unix": true, "UnixNano": true, "UnixMilli": true, "UnixMicro": true, "UTC": true, "Local": true, "Date": true, "ModTime": true}
 	shown := map[string]bool{
 		"cluster.go setAside":   true, // the name of what was set aside
-		"guard/planted.go Wall": true, // of a guard taken out
+		"failpoint/enabled.go WallTime": true, // of a failpoint
 	}
 	seen := 0
 	err := filepath.WalkDir(".", func(path string, d os.DirEntry, err error) error {
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -21,7 +21,7 @@
 
 	"dunemoor/internal/cluster/disk"
 	"dunemoor/internal/cluster/duty"
-	"dunemoor/internal/cluster/guard"
+	"dunemoor/internal/cluster/failpoint"
 	"dunemoor/internal/cluster/lease"
 	"dunemoor/internal/cluster/member"
 	"dunemoor/internal/cluster/peer"
@@ -215,7 +215,7 @@
 
 // draw is for the identity of a new disk.
 func (f *Fleet) draw() uint64 {
-	if guard.Out(guard.Identity) {
+	if failpoint.Enabled(failpoint.ReuseDiskIdentity) {
 		h := fnv.New64a()
 		h.Write([]byte(f.cfg.Name))
 		return h.Sum64() | 2
--- a/internal/cluster/copies/copies.go
+++ b/internal/cluster/copies/copies.go
@@ -16,7 +16,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"dunemoor/internal/cluster/guard"
+	"dunemoor/internal/cluster/failpoint"
 )
 
 const (
@@ -145,7 +145,7 @@
 	g := p.by[name]
 	for _, other := range have {
 		o := p.by[other]
-		if o.Name == g.Name || o.Machine == g.Machine && g.Machine != "" && !guard.Out(guard.CopyMachine) || zones && o.Zone == g.Zone && g.Zone != "" {
+		if o.Name == g.Name || o.Machine == g.Machine && g.Machine != "" && !failpoint.Enabled(failpoint.ShareMachine) || zones && o.Zone == g.Zone && g.Zone != "" {
 			return false
 		}
 	}
@@ -238,7 +238,7 @@
 				steps = append(steps, st)
 			}
 		case s.Learner != "":
-		case (len(s.Copies) > p.Copies || guard.Out(guard.CopyFirst)) && spare != "":
+		case (len(s.Copies) > p.Copies || failpoint.Enabled(failpoint.RemoveBeforePromote)) && spare != "":
 			if st := (Step{Shelf: s.ID, Remove: spare}); p.majority(s, st) {
 				steps = append(steps, st)
 			}
@@ -281,5 +281,5 @@
 	if st.Promote != "" {
 		after = append(after, st.Promote)
 	}
-	return 2*p.living(s.Copies) > len(s.Copies) && 2*p.living(after) > len(after) || guard.Out(guard.CopyMajority)
+	return 2*p.living(s.Copies) > len(s.Copies) && 2*p.living(after) > len(after) || failpoint.Enabled(failpoint.SkipMajorityCheck)
 }
--- a/internal/cluster/copies/copies_test.go
+++ b/internal/cluster/copies/copies_test.go
@@ -6,7 +6,7 @@
 	"slices"
 	"testing"
 
-	"dunemoor/internal/cluster/guard"
+	"dunemoor/internal/cluster/failpoint"
 	"dunemoor/internal/testkit"
 )
 
@@ -200,7 +200,7 @@
 }
 
 // Each guard is taken out in turn, in a build of its own, and found: see TestEachGuard.
-func TestPlanted(t *testing.T) { testkit.Planted(t, guard.Planted) }
+func TestFailpoints(t *testing.T) { testkit.FailpointBuild(t, failpoint.Available) }
 
 // playFew has fewer machines than copies: each has one, and nothing is moved about; one with no
 // weight has none.
--- a/internal/cluster/disk/disk.go
+++ b/internal/cluster/disk/disk.go
@@ -15,7 +15,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"dunemoor/internal/cluster/guard"
+	"dunemoor/internal/cluster/failpoint"
 	"dunemoor/internal/cluster/quorum"
 )
 
@@ -276,7 +276,7 @@
 	if err != nil {
 		return false, err
 	}
-	if !guard.Out(guard.OldCopy) && (h.Stamp != stamp || h.Replica != d.id.Replica || h.Boots != d.id.Boots && h.Boots != d.id.Boots+1) {
+	if !failpoint.Enabled(failpoint.AcceptOldDisk) && (h.Stamp != stamp || h.Replica != d.id.Replica || h.Boots != d.id.Boots && h.Boots != d.id.Boots+1) {
 		return false, ErrCopy
 	}
 	d.id.Boots = h.Boots
@@ -465,11 +465,11 @@
 	if cap(d.buf) > rotateBytes {
 		d.buf = nil
 	}
-	if guard.Out(guard.Fsync) {
+	if failpoint.Enabled(failpoint.SkipFsync) {
 		return nil
 	}
 	d.Synced++
-	guard.Wait("fsync")
+	failpoint.Block("fsync")
 	return d.file.Sync()
 }
 
--- a/internal/cluster/duty/duty.go
+++ b/internal/cluster/duty/duty.go
@@ -12,7 +12,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"dunemoor/internal/cluster/guard"
+	"dunemoor/internal/cluster/failpoint"
 	"dunemoor/internal/cluster/member"
 )
 
@@ -20,8 +20,8 @@
 // sleeps (CLOCK_BOOTTIME): the runtime's own stands still with the machine, and an owner that
 // slept would believe itself on waking.
 func Now() time.Duration {
-	if guard.Out(guard.WallClock) {
-		return guard.Wall()
+	if failpoint.Enabled(failpoint.UseWallClock) {
+		return failpoint.WallTime()
 	}
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
@@ -42,9 +42,9 @@
 // May says whether the holder may act now. It is asked directly before each act: what is left
 // between this look and the act is for the other fences, at the record, at gateways and at hosts.
 func (h *Hold) May() bool {
-	ok := !h.over.Load() && (int64(Now()) < h.deadline.Load() || guard.Out(guard.Deadline))
+	ok := !h.over.Load() && (int64(Now()) < h.deadline.Load() || failpoint.Enabled(failpoint.IgnoreDeadline))
 	if ok {
-		guard.Point("acting", h.Duty)
+		failpoint.StopAt("acting", h.Duty)
 	}
 	return ok
 }
--- /dev/null
+++ b/internal/cluster/failpoint/enabled.go
@@ -0,0 +1,61 @@
+//go:build failpoints
+
+package failpoint
+
+import (
+	"fmt"
+	"os"
+	"runtime"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// Available reports whether this build has failpoints.
+const Available = true
+
+// blockPollInterval lies between two checks of the file that blocks the process.
+const blockPollInterval = 10 * time.Millisecond
+
+var (
+	enabled   = Name(os.Getenv("DUNEMOOR_FAILPOINT"))
+	stopPlace = os.Getenv("DUNEMOOR_STOP_AT")
+	stopFile  = os.Getenv("DUNEMOOR_STOP_FILE")
+	blockFile = os.Getenv("DUNEMOOR_STUCK_FILE")
+)
+
+// Enabled reports whether a failpoint is enabled.
+func Enabled(n Name) bool { return enabled == n }
+
+// Enable enables a failpoint in place of the one before; "" enables none.
+func Enable(n Name) { enabled = n }
+
+// Block is a place where a test can block the process: as long as the file exists that
+// DUNEMOOR_STUCK_FILE names.
+func Block(place string) {
+	for logged := false; blockFile != ""; logged = true {
+		if _, err := os.Stat(blockFile); err != nil {
+			return
+		}
+		if !logged {
+			fmt.Fprintf(os.Stderr, "stuck at %s\n", place)
+		}
+		time.Sleep(blockPollInterval)
+	}
+}
+
+// StopAt is a place where a test can stop the process, by a signal to itself: where DUNEMOOR_STOP_AT
+// names the place and its subject, and the file DUNEMOOR_STOP_FILE exists, which is removed.
+func StopAt(place, subject string) {
+	if name := place + " " + subject; stopPlace == "" || stopPlace != name || os.Remove(stopFile) != nil {
+		return
+	}
+	fmt.Fprintf(os.Stderr, "stopped at %s\n", stopPlace)
+	// The signal goes to this thread: one to the process would let it run on for a moment.
+	runtime.LockOSThread()
+	defer runtime.UnlockOSThread()
+	unix.Tgkill(unix.Getpid(), unix.Gettid(), unix.SIGSTOP)
+}
+
+// WallTime returns the time of the wall clock.
+func WallTime() time.Duration { return time.Duration(time.Now().UnixNano()) }
--- a/internal/cluster/lease/lease.go
+++ b/internal/cluster/lease/lease.go
@@ -11,7 +11,7 @@
 	"slices"
 	"sort"
 
-	"dunemoor/internal/cluster/guard"
+	"dunemoor/internal/cluster/failpoint"
 )
 
 // Bounds of the record. What is over them is refused with a reason.
@@ -316,7 +316,7 @@
 		}
 		return Result{Code: NoSession}
 	}
-	if r, ok := x.Results[c.Request]; ok && c.Request > 0 && !guard.Out(guard.Repeat) {
+	if r, ok := x.Results[c.Request]; ok && c.Request > 0 && !failpoint.Enabled(failpoint.ReapplyDuplicates) {
 		return r
 	}
 	if c.Request > 0 && c.Request+resultsMost <= x.Last {
@@ -336,7 +336,7 @@
 		r = s.write(x, c)
 	case Drain, Undrain:
 		switch {
-		case c.Request < x.Last && !guard.Out(guard.LateCommand):
+		case c.Request < x.Last && !failpoint.Enabled(failpoint.ApplySuperseded):
 			// Who asked has given up on it, and may have said otherwise since.
 			r = Result{Code: Late, Why: "a later command of this gateway went before it, nothing was done"}
 		case c.Op == Drain:
@@ -381,7 +381,7 @@
 		switch {
 		case m.Opening == o.Opening && m.Session != 0:
 			return Result{Code: OK, Session: m.Session}
-		case o.Opening <= m.Opening && !guard.Out(guard.Repeat):
+		case o.Opening <= m.Opening && !failpoint.Enabled(failpoint.ReapplyDuplicates):
 			return Result{Code: Old, Why: "it has come late: the gateway has opened another session since"}
 		}
 	}
@@ -452,7 +452,7 @@
 
 // grant gives a free duty to a session, under a new token.
 func (s *State) grant(d *Duty, x *Session, cause string) Result {
-	if !guard.Out(guard.TokenGrows) || d.Token == 0 {
+	if !failpoint.Enabled(failpoint.ReuseToken) || d.Token == 0 {
 		s.Token++
 		d.Token = s.Token
 	}
@@ -480,7 +480,7 @@
 		return Result{Code: NoSession}
 	case d.Token != c.Token:
 		return Result{Code: Stale, Token: d.Token}
-	case d.Owner != 0 && guard.Out(guard.Stopped):
+	case d.Owner != 0 && failpoint.Enabled(failpoint.AssignBeforeRelease):
 		s.free(d, "taken away")
 	case d.Owner != 0:
 		return Result{Code: Held, Token: d.Token, Owner: d.Holder}
@@ -553,7 +553,7 @@
 // its token, now.
 func (s *State) write(x *Session, c *Command) Result {
 	d := s.Duties[c.Duty]
-	if d == nil || (d.Owner != x.ID || d.Token != c.Token) && !guard.Out(guard.TokenRecord) {
+	if d == nil || (d.Owner != x.ID || d.Token != c.Token) && !failpoint.Enabled(failpoint.SkipWriteFence) {
 		r := Result{Code: Stale}
 		if d != nil {
 			r.Token, r.Owner = d.Token, d.Holder
--- a/internal/cluster/lease/place.go
+++ b/internal/cluster/lease/place.go
@@ -6,7 +6,7 @@
 	"maps"
 	"slices"
 
-	"dunemoor/internal/cluster/guard"
+	"dunemoor/internal/cluster/failpoint"
 )
 
 // spare is how many more duties one gateway may hold than another that could hold them, before
@@ -21,7 +21,7 @@
 	offers := s.offers()
 	var free []*Duty
 	for _, d := range s.Duties {
-		if d.Owner != 0 && !(guard.Out(guard.Stopped) && d.To != "") {
+		if d.Owner != 0 && !(failpoint.Enabled(failpoint.AssignBeforeRelease) && d.To != "") {
 			load[d.Owner]++
 		} else if len(offers[d.Name]) > 0 {
 			free = append(free, d)
--- a/internal/cluster/lease/watch.go
+++ b/internal/cluster/lease/watch.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"dunemoor/internal/cluster/guard"
+	"dunemoor/internal/cluster/failpoint"
 )
 
 // Times of a session.
@@ -61,7 +61,7 @@
 
 // NewWatch begins a lead at now.
 func NewWatch(now time.Duration) *Watch {
-	if guard.Out(guard.Extension) {
+	if failpoint.Enabled(failpoint.SkipGracePeriod) {
 		now -= TTL
 	}
 	return &Watch{began: now, until: map[uint64]time.Duration{}, lapsing: map[uint64]time.Duration{}, hears: map[uint64]hearing{}, words: map[string]lasting{}}
--- a/internal/cluster/member/lead.go
+++ b/internal/cluster/member/lead.go
@@ -9,7 +9,7 @@
 
 	"go.etcd.io/raft/v3/raftpb"
 
-	"dunemoor/internal/cluster/guard"
+	"dunemoor/internal/cluster/failpoint"
 	"dunemoor/internal/cluster/lease"
 	"dunemoor/internal/cluster/quorum"
 )
@@ -228,7 +228,7 @@
 		return
 	}
 	w := renewal{from, *r, m.now}
-	if guard.Out(guard.Confirm) {
+	if failpoint.Enabled(failpoint.SkipLeaderCheck) {
 		m.ackRenewal(&w)
 		return
 	}
--- a/internal/cluster/member/member.go
+++ b/internal/cluster/member/member.go
@@ -14,7 +14,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 
 	"dunemoor/internal/cluster/disk"
-	"dunemoor/internal/cluster/guard"
+	"dunemoor/internal/cluster/failpoint"
 	"dunemoor/internal/cluster/lease"
 	"dunemoor/internal/cluster/quorum"
 )
@@ -362,7 +362,7 @@
 	}
 	m.replicas[h.Replica] = h.Name
 	w := &Welcome{Replica: h.Replica}
-	if s := m.seen[h.Replica]; s != nil && !guard.Out(guard.OldCopy) {
+	if s := m.seen[h.Replica]; s != nil && !failpoint.Enabled(failpoint.AcceptOldDisk) {
 		switch {
 		case h.Boots < s.boots:
 			w.Object = fmt.Sprintf("it was started %d times, and is now said to have been %d times", s.boots, h.Boots)
@@ -401,7 +401,7 @@
 		// Also where the log was seen to contradict itself just before: a leader's word on what is
 		// committed may come before its word on the disk, and only this one says what to do.
 		copied := fmt.Errorf("%w: %s says that %s", disk.ErrCopy, from, w.Object)
-		if !guard.Out(guard.LateWord) {
+		if !failpoint.Enabled(failpoint.IgnoreLateObjection) {
 			m.copied = copied
 		}
 		m.halt(copied)
@@ -539,7 +539,7 @@
 			last = msg.GetIndex()
 		}
 	case raftpb.MsgHeartbeat:
-		if last = msg.GetIndex(); last == 0 || guard.Out(guard.LeaderSeen) {
+		if last = msg.GetIndex(); last == 0 || failpoint.Enabled(failpoint.ForgetLeaderLog) {
 			return
 		}
 	case raftpb.MsgVoteResp:
--- a/internal/cluster/member/session.go
+++ b/internal/cluster/member/session.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"dunemoor/internal/cluster/disk"
-	"dunemoor/internal/cluster/guard"
+	"dunemoor/internal/cluster/failpoint"
 	"dunemoor/internal/cluster/lease"
 )
 
@@ -140,7 +140,7 @@
 		}
 		return
 	}
-	if guard.Out(guard.SentAt) {
+	if failpoint.Enabled(failpoint.DeadlineFromReply) {
 		sent = m.now
 	}
 	clear(m.sent)
@@ -195,7 +195,7 @@
 			m.fences[d.Name] = fence{token: d.Token}
 		}
 		h := m.holds[d.Name]
-		if d.Owner != m.session || m.resigned[d.Name] >= d.Token && d.Token > 0 && !guard.Out(guard.TokenGrows) {
+		if d.Owner != m.session || m.resigned[d.Name] >= d.Token && d.Token > 0 && !failpoint.Enabled(failpoint.ReuseToken) {
 			if h != nil && h.Token <= d.Token && d.Owner != m.session {
 				m.drop(d.Name)
 			}
@@ -250,7 +250,7 @@
 // for those who look on. The duty may still be ours by the record, and is taken up again with the
 // next renewal.
 func (m *Member) expire() {
-	if m.deadline <= 0 || m.now < m.deadline || guard.Out(guard.Deadline) {
+	if m.deadline <= 0 || m.now < m.deadline || failpoint.Enabled(failpoint.IgnoreDeadline) {
 		return
 	}
 	for duty, h := range m.holds {
@@ -314,7 +314,7 @@
 func (m *Member) retry() {
 	for _, a := range slices.Clone(m.asks) {
 		switch {
-		case m.now >= a.began+askMost && a.Command.Op != lease.Open && (a.Command.Op != lease.Resign || guard.Out(guard.Given)):
+		case m.now >= a.began+askMost && a.Command.Op != lease.Open && (a.Command.Op != lease.Resign || failpoint.Enabled(failpoint.ReacquireReleased)):
 			m.finish(a, Done{ID: a.ID})
 		case m.now >= a.again:
 			if m.now >= a.began+askMost && a.Command.Op == lease.Resign && !a.told {
@@ -426,10 +426,10 @@
 // hearNews is the fence at a gateway: news under an older token than is known are an old owner's.
 func (m *Member) hearNews(from string, n *News) {
 	f := m.fences[n.Duty]
-	if m.view.at == 0 && !guard.Out(guard.TokenPeer) {
+	if m.view.at == 0 && !failpoint.Enabled(failpoint.SkipPublicationFence) {
 		return // we don't know yet whose word counts
 	}
-	if (n.Token < f.token || n.Token == f.token && n.Seq <= f.seq) && !guard.Out(guard.TokenPeer) {
+	if (n.Token < f.token || n.Token == f.token && n.Seq <= f.seq) && !failpoint.Enabled(failpoint.SkipPublicationFence) {
 		if n.Token < f.token {
 			m.out.Fenced++
 			if m.fenced[n.Duty] != n.Token { // said once
--- a/internal/cluster/quorum/quorum.go
+++ b/internal/cluster/quorum/quorum.go
@@ -20,7 +20,7 @@
 	"go.etcd.io/raft/v3/tracker"
 	"google.golang.org/protobuf/proto"
 
-	"dunemoor/internal/cluster/guard"
+	"dunemoor/internal/cluster/failpoint"
 )
 
 // Bounds of a group.
@@ -236,7 +236,7 @@
 		ID: n.id, ElectionTick: ElectionTicks, HeartbeatTick: HeartbeatTicks, Storage: g.store, Applied: g.applied,
 		AsyncStorageWrites: true, MaxSizePerMsg: entriesMost, MaxUncommittedEntriesSize: uncommittedMost,
 		MaxInflightMsgs: inflightMost, MaxInflightBytes: inflightBytes,
-		CheckQuorum: !guard.Out(guard.CheckQuorum), PreVote: !guard.Out(guard.PreVote), StepDownOnRemoval: true, DisableProposalForwarding: true, Logger: quiet,
+		CheckQuorum: !failpoint.Enabled(failpoint.SkipCheckQuorum), PreVote: !failpoint.Enabled(failpoint.SkipPreVote), StepDownOnRemoval: true, DisableProposalForwarding: true, Logger: quiet,
 	})
 	if err != nil {
 		return err
--- a/internal/cluster/relay/client.go
+++ b/internal/cluster/relay/client.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"dunemoor/internal/cluster/guard"
+	"dunemoor/internal/cluster/failpoint"
 	"dunemoor/internal/cluster/member"
 )
 
@@ -83,7 +83,7 @@
 func (c *Client) touch(now time.Duration) {
 	stood := now - c.now
 	c.now = now
-	if stood < stoodMost || guard.Out(guard.RelayHeld) {
+	if stood < stoodMost || failpoint.Enabled(failpoint.DeliverAfterPause) {
 		return
 	}
 	if c.trial != nil {
@@ -215,7 +215,7 @@
 // taken has a new stream take the place of the one before.
 func (c *Client) taken(w *way) {
 	if c.cur != nil {
-		if guard.Out(guard.RelayBoth) {
+		if failpoint.Enabled(failpoint.KeepBothStreams) {
 			c.old = append(c.old, c.cur.epoch)
 		} else {
 			c.out.Close = append(c.out.Close, c.cur.epoch)
@@ -228,7 +228,7 @@
 	clear(c.tried)
 	c.asked = 0
 	c.lookAt = c.now + betterLeast + c.chance(betterMost-betterLeast)
-	if !guard.Out(guard.RelayFanout) {
+	if !failpoint.Enabled(failpoint.SkipResync) {
 		c.out.Moved = true
 	}
 	c.out.Lines = append(c.out.Lines, member.Line{Text: "a relay of the fleet has taken our stream", Args: []any{"relay", c.fleet.relays[w.relay].Name, "epoch", w.epoch}})
@@ -325,7 +325,7 @@
 	switch {
 	case now >= c.cur.heard+heardMost:
 		c.move("silent")
-	case c.asked != 0 && now >= c.asked+c.patience && !guard.Out(guard.RelayCarries):
+	case c.asked != 0 && now >= c.asked+c.patience && !failpoint.Enabled(failpoint.StayWithMuteRelay):
 		// It is there, and nothing comes of what it is given.
 		a := c.avoid[c.cur.relay]
 		a.last = min(avoidMost, max(avoidLeast, 2*a.last))
--- a/internal/cluster/relay/record.go
+++ b/internal/cluster/relay/record.go
@@ -3,7 +3,7 @@
 import (
 	"encoding/binary"
 
-	"dunemoor/internal/cluster/guard"
+	"dunemoor/internal/cluster/failpoint"
 	"dunemoor/internal/cluster/member"
 )
 
@@ -49,7 +49,7 @@
 		b = b[w+int(n):]
 		if !ok {
 			bad++
-			if guard.Out(guard.RelayBatch) {
+			if failpoint.Enabled(failpoint.DropRestOfBatch) {
 				return bad
 			}
 			continue
@@ -109,12 +109,12 @@
 		return false, true
 	case x.replica == s.now.replica:
 		if x.epoch < s.now.epoch {
-			return false, guard.Out(guard.RelayEpoch)
+			return false, failpoint.Enabled(failpoint.AcceptStaleStream)
 		}
 		s.now = x
 		return true, true
 	case x.replica == s.before.replica && x.epoch <= s.before.epoch && s.before.epoch > 0:
-		return false, guard.Out(guard.RelayEpoch)
+		return false, failpoint.Enabled(failpoint.AcceptStaleStream)
 	}
 	if s.now.epoch > 0 {
 		s.before = s.now
@@ -155,5 +155,5 @@
 		k.seq = r.Seq
 		return true
 	}
-	return guard.Out(guard.RelayEpoch)
+	return failpoint.Enabled(failpoint.AcceptStaleStream)
 }
--- a/internal/cluster/relay/router.go
+++ b/internal/cluster/relay/router.go
@@ -10,7 +10,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"dunemoor/internal/cluster/guard"
+	"dunemoor/internal/cluster/failpoint"
 	"dunemoor/internal/cluster/lease"
 	"dunemoor/internal/cluster/member"
 )
@@ -126,7 +126,7 @@
 func (r *Router) touch(now time.Duration) {
 	stood := now - r.now
 	r.now = now
-	if stood < stoodMost || guard.Out(guard.RelayHeld) {
+	if stood < stoodMost || failpoint.Enabled(failpoint.DeliverAfterPause) {
 		return
 	}
 	for _, name := range slices.Clone(r.names) {
@@ -361,7 +361,7 @@
 	}
 	r.forget(name, k)
 	k.sender = probe
-	if s := r.streams[name]; s != nil && !guard.Out(guard.RelayBoth) {
+	if s := r.streams[name]; s != nil && !failpoint.Enabled(failpoint.KeepBothStreams) {
 		r.cut(s, "the gateway has gone to "+relay)
 	}
 	r.hold(name, relay)
@@ -412,7 +412,7 @@
 		// Who says it is known by the stream, whatever the record says.
 		s.seq++
 		x.From, x.Replica, x.Epoch, x.Seq = s.name, s.life.replica, s.life.epoch, s.seq
-		if guard.Out(guard.RelayLeader) && r.answer(s, x) {
+		if failpoint.Enabled(failpoint.RelayAnswersRenewals) && r.answer(s, x) {
 			return
 		}
 		r.route(x)
--- a/internal/cluster/shelf/shelf.go
+++ b/internal/cluster/shelf/shelf.go
@@ -17,7 +17,7 @@
 	"slices"
 	"time"
 
-	"dunemoor/internal/cluster/guard"
+	"dunemoor/internal/cluster/failpoint"
 )
 
 // Bounds of a shelf. What is over them is refused, and nothing that was promised makes room.
@@ -280,7 +280,7 @@
 			e.Phase = Waiting
 		case e.Phase == Begun:
 			s.remove(id, e)
-		case e.Effect == Unsafe && !guard.Out(guard.ShelfDoubt):
+		case e.Effect == Unsafe && !failpoint.Enabled(failpoint.KeepIndeterminateOpen):
 			s.finish(e, Doubt, nil)
 		}
 	}
@@ -300,7 +300,7 @@
 		return Result{Code: Run, Fence: e.Fence}
 	}
 	switch {
-	case e.Digest != c.Digest && !guard.Out(guard.ShelfDigest):
+	case e.Digest != c.Digest && !failpoint.Enabled(failpoint.SkipDigestCheck):
 		return Result{Code: Mismatch}
 	case e.Phase == Ended:
 		return Result{Code: Done, Answer: e.Answer}
@@ -318,7 +318,7 @@
 // allows another sending; else it ends in doubt.
 func (s *State) again(e *Entry, c *Command) Result {
 	free := e.Effect == Safe
-	kept := e.Effect == Keyed && (c.Left > 0 || guard.Out(guard.ShelfWindow))
+	kept := e.Effect == Keyed && (c.Left > 0 || failpoint.Enabled(failpoint.SendAfterWindow))
 	if !free && !kept || e.Sends >= SendsMost {
 		s.finish(e, Doubt, nil)
 		return Result{Code: InDoubt}
@@ -333,13 +333,13 @@
 // send is the intent before the act: it is here before the first byte goes.
 func (s *State) send(e *Entry, c *Command) Result {
 	switch {
-	case e.Fence != c.Fence && !guard.Out(guard.ShelfFence):
+	case e.Fence != c.Fence && !failpoint.Enabled(failpoint.SkipRequestFence):
 		return Result{Code: Stale}
 	case e.Phase.Final():
 		return Result{Code: Stale}
 	case e.Sends >= SendsMost:
 		return Result{Code: Refused, Why: fmt.Sprintf("a request is sent %d times at most", SendsMost)}
-	case e.Group != "" && e.Group != c.Group && e.Effect != Safe && !guard.Out(guard.ShelfGroup):
+	case e.Group != "" && e.Group != c.Group && e.Effect != Safe && !failpoint.Enabled(failpoint.SendToOtherScope):
 		return Result{Code: Refused, Group: e.Group, Why: "it may have run in another group"}
 	}
 	e.Phase, e.Group = Sending, c.Group
@@ -357,11 +357,11 @@
 			return Result{Code: OK} // it came again
 		}
 		e.Late = true
-		if guard.Out(guard.ShelfFinal) {
+		if failpoint.Enabled(failpoint.OverwriteFinalState) {
 			s.finish(e, Ended, c.Answer)
 		}
 		return Result{Code: Stale}
-	case e.Fence != c.Fence && !guard.Out(guard.ShelfFence):
+	case e.Fence != c.Fence && !failpoint.Enabled(failpoint.SkipRequestFence):
 		e.Late = true
 		return Result{Code: Stale}
 	}
@@ -387,7 +387,7 @@
 	switch {
 	case c.Last <= 0 || c.Last > LastMost || c.Keep <= 0 || c.Keep > KeepMost || !c.Effect.known() || len(c.Body) > BodyBytes:
 		return Result{Code: Refused, Why: fmt.Sprintf("a promise waits up to %v, is kept up to %v and has %d bytes at most", LastMost, KeepMost, BodyBytes)}
-	case e != nil && e.Digest != c.Digest && !guard.Out(guard.ShelfDigest):
+	case e != nil && e.Digest != c.Digest && !failpoint.Enabled(failpoint.SkipDigestCheck):
 		return Result{Code: Mismatch}
 	case e != nil && !e.Promised:
 		return Result{Code: Refused, Why: "the key is of a request that is not deferred"}
@@ -408,7 +408,7 @@
 // one of before may have sent goes on only as its effect allows.
 func (s *State) take(e *Entry, c *Command) Result {
 	switch {
-	case c.Token < s.Token && !guard.Out(guard.ShelfToken):
+	case c.Token < s.Token && !failpoint.Enabled(failpoint.SkipPartitionFence):
 		return Result{Code: Stale}
 	case !e.Promised:
 		return Result{Code: Refused, Why: "it was not promised"}
--- a/internal/cluster/shelf/shelf_test.go
+++ b/internal/cluster/shelf/shelf_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"dunemoor/internal/cluster/guard"
+	"dunemoor/internal/cluster/failpoint"
 	"dunemoor/internal/testkit"
 )
 
@@ -281,7 +281,7 @@
 }
 
 // Each guard is taken out in turn, in a build of its own, and found: see TestEachGuard.
-func TestPlanted(t *testing.T) { testkit.Planted(t, guard.Planted) }
+func TestFailpoints(t *testing.T) { testkit.FailpointBuild(t, failpoint.Available) }
 
 // Nothing that must not runs twice, whoever stops where; a final state stays; the bytes held are
 // as counted. All that the machine can say comes up in it.
--- a/internal/cluster/sim/check.go
+++ b/internal/cluster/sim/check.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"dunemoor/internal/cluster/guard"
+	"dunemoor/internal/cluster/failpoint"
 	"dunemoor/internal/cluster/lease"
 	"dunemoor/internal/cluster/member"
 )
@@ -225,9 +225,9 @@
 }
 
 // Taken says which guard is out, for reports.
-func Taken() (out guard.Name) {
-	for _, g := range guard.All {
-		if guard.Out(g) {
+func Taken() (out failpoint.Name) {
+	for _, g := range failpoint.Cluster {
+		if failpoint.Enabled(g) {
 			return g
 		}
 	}
--- a/internal/cluster/sim/planted_test.go
+++ b/internal/cluster/sim/failpoints_test.go
@@ -1,4 +1,4 @@
-//go:build planted
+//go:build failpoints
 
 package sim
 
@@ -8,41 +8,28 @@
 	"testing"
 	"time"
 
-	"dunemoor/internal/cluster/guard"
+	"dunemoor/internal/cluster/failpoint"
 	"dunemoor/internal/cluster/lease"
+	"dunemoor/internal/testkit"
 )
 
-// Each guard is taken out in turn, and something here has to find it: a checker that can't fail
-// is none.
-func TestEachGuard(t *testing.T) {
-	for _, g := range guard.All {
-		t.Run(string(g), func(t *testing.T) {
-			guard.Take(g)
-			defer guard.Take("")
-			for seed := uint64(1); seed <= 600; seed++ {
-				for name, play := range map[string]func(uint64) error{"mixed": playMixed, "calm": Calm, "flicker": Flicker, "put-back": PutBack, "words": Words, "again": playAgain} {
-					if err := play(seed); err != nil {
-						t.Logf("found by %s: %v", name, firstLine(err))
-						return
-					}
-				}
+// Each failpoint is enabled in turn, and a story has to find the fault.
+func TestEachFailpoint(t *testing.T) {
+	testkit.EachFailpoint(t, failpoint.Cluster, failpoint.Enable, 600, func(seed uint64) error {
+		stories := map[string]func(uint64) error{"mixed": playMixed, "calm": Calm, "flicker": Flicker, "put-back": PutBack, "words": Words, "again": playAgain}
+		for name, play := range stories {
+			if err := play(seed); err != nil {
+				return fmt.Errorf("%s: %w", name, firstLine(err))
 			}
-			t.Error("nothing finds it")
-		})
-	}
-	for _, g := range guard.Relays {
-		t.Run(string(g), func(t *testing.T) {
-			guard.Take(g)
-			defer guard.Take("")
-			for seed := uint64(1); seed <= 600; seed++ {
-				if err := Relays(seed); err != nil {
-					t.Logf("found by relays: %v", firstLine(err))
-					return
-				}
-			}
-			t.Error("nothing finds it")
-		})
-	}
+		}
+		return nil
+	})
+	testkit.EachFailpoint(t, failpoint.Relay, failpoint.Enable, 600, func(seed uint64) error {
+		if err := Relays(seed); err != nil {
+			return firstLine(err)
+		}
+		return nil
+	})
 }
 
 // playAgain has commands come again behind others: each has its one effect, and its first answer.
--- a/internal/cluster/sim/sim_test.go
+++ b/internal/cluster/sim/sim_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"dunemoor/internal/cluster/guard"
+	"dunemoor/internal/cluster/failpoint"
 	"dunemoor/internal/testkit"
 )
 
@@ -95,8 +95,8 @@
 	}
 }
 
-// Each guard is taken out in turn, in a build of its own, and found: see TestEachGuard.
-func TestPlanted(t *testing.T) { testkit.Planted(t, guard.Planted) }
+// Each failpoint is enabled in turn, in a build of its own, and the fault is found: see TestEachFailpoint.
+func TestFailpoints(t *testing.T) { testkit.FailpointBuild(t, failpoint.Available) }
 
 // What must disturb nobody does not.
 func TestCalm(t *testing.T) {
--- a/internal/cluster/sim/world.go
+++ b/internal/cluster/sim/world.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"dunemoor/internal/cluster/disk"
-	"dunemoor/internal/cluster/guard"
+	"dunemoor/internal/cluster/failpoint"
 	"dunemoor/internal/cluster/lease"
 	"dunemoor/internal/cluster/member"
 	"dunemoor/internal/cluster/quorum"
@@ -233,7 +233,7 @@
 	n.ended = nil
 	w := n.w
 	draw := w.rng.Uint64
-	if guard.Out(guard.Identity) {
+	if failpoint.Enabled(failpoint.ReuseDiskIdentity) {
 		draw = func() uint64 { return uint64(n.i+1) << 8 }
 	}
 	d, stored, err := disk.Open(n.fs, "f", n.name, draw)
@@ -685,7 +685,7 @@
 
 // believes is the token by which a gateway believes to own a duty; 0: it does not.
 func (n *Node) believes(duty string) uint64 {
-	if h, ok := n.m.Hold(duty); ok && (n.clock() < h.Deadline || guard.Out(guard.Deadline)) {
+	if h, ok := n.m.Hold(duty); ok && (n.clock() < h.Deadline || failpoint.Enabled(failpoint.IgnoreDeadline)) {
 		return h.Token
 	}
 	return 0
--- a/internal/cluster/words.go
+++ b/internal/cluster/words.go
@@ -6,7 +6,7 @@
 	"io/fs"
 	"log/slog"
 
-	"dunemoor/internal/cluster/guard"
+	"dunemoor/internal/cluster/failpoint"
 	"dunemoor/internal/cluster/member"
 )
 
@@ -20,7 +20,7 @@
 // readWords reads them. A file that can't be read is said, and is as none: the fleet tells them.
 func (f *Fleet) readWords() (w member.Words) {
 	b, err := f.dir.Read(wordsName)
-	if errors.Is(err, fs.ErrNotExist) || guard.Out(guard.WordsKept) {
+	if errors.Is(err, fs.ErrNotExist) || failpoint.Enabled(failpoint.ForgetOverrides) {
 		return w
 	}
 	if err == nil {
--- a/internal/nemesis/clock.go
+++ b/internal/nemesis/clock.go
@@ -57,7 +57,7 @@
 	if err := os.WriteFile(list, text, 0o600); err != nil {
 		return "", err
 	}
-	if out, err := exec.Command("go", "build", "-overlay", list, "-tags", "planted jumps", "-o", bin, "dunemoor/cmd/dunemoor").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-overlay", list, "-tags", "failpoints jumps", "-o", bin, "dunemoor/cmd/dunemoor").CombinedOutput(); err != nil {
 		return "", &exec.Error{Name: string(out), Err: err}
 	}
 	return bin, nil
--- a/internal/nemesis/fleet.go
+++ b/internal/nemesis/fleet.go
@@ -289,7 +289,7 @@
 func (g *Gateway) order() string { return g.file + ".stop" }
 
 // stuck is the file as long as which is there its writes do not come to last, in a build with the
-// tag planted.
+// tag failpoints.
 func (g *Gateway) stuck() string { return g.file + ".stuck" }
 
 // Full has a gateway's disk take no more to the log of its record, or as much as it likes.
@@ -315,7 +315,7 @@
 }
 
 // StopAt has a gateway's process stop where it comes by a place the next time, and waits for it:
-// of a build with the tag planted, started with DUNEMOOR_STOP_AT naming the place.
+// of a build with the tag failpoints, started with DUNEMOOR_STOP_AT naming the place.
 func (g *Gateway) StopAt(ctx context.Context, place string) error {
 	if err := os.WriteFile(g.order(), nil, 0o600); err != nil {
 		return err
--- a/internal/nemesis/guards_test.go
+++ b/internal/nemesis/guards_test.go
@@ -34,7 +34,7 @@
 				if s.Jumps {
 					bin = jumps(t)
 				}
-				f := form(t, Options{Bin: bin, Gateways: 3, Keepers: 3, Nodes: 1, Seed: 9, Env: []string{"DUNEMOOR_PLANTED=" + out}})
+				f := form(t, Options{Bin: bin, Gateways: 3, Keepers: 3, Nodes: 1, Seed: 9, Env: []string{"DUNEMOOR_FAILPOINT=" + out}})
 				seen, err := s.Play(f)
 				if err != nil {
 					t.Fatal(err)
--- a/internal/nemesis/nemesis_test.go
+++ b/internal/nemesis/nemesis_test.go
@@ -17,8 +17,8 @@
 	"dunemoor/internal/standin"
 )
 
-// built is the program, built once for all tests here; planted is it with the tag of that name,
-// in which guards can be taken out and a process told where to stop; operators is their program.
+// built is the program, built once for all tests here; planted is it with the tag failpoints,
+// in which failpoints can be enabled and a process told where to stop; operators is their program.
 var built, planted, operators string
 
 func TestMain(m *testing.M) {
@@ -28,7 +28,7 @@
 	}
 	built, planted = filepath.Join(dir, "dunemoor"), filepath.Join(dir, "planted")
 	operators = filepath.Join(dir, "dunemoorctl")
-	for _, args := range [][]string{{"-o", built, "dunemoor/cmd/dunemoor"}, {"-o", planted, "-tags", "planted", "dunemoor/cmd/dunemoor"}, {"-o", operators, "dunemoor/cmd/dunemoorctl"}} {
+	for _, args := range [][]string{{"-o", built, "dunemoor/cmd/dunemoor"}, {"-o", planted, "-tags", "failpoints", "dunemoor/cmd/dunemoor"}, {"-o", operators, "dunemoor/cmd/dunemoorctl"}} {
 		if out, err := exec.Command("go", append([]string{"build"}, args...)...).CombinedOutput(); err != nil {
 			panic(string(out))
 		}
--- a/internal/nemesis/stories.go
+++ b/internal/nemesis/stories.go
@@ -26,7 +26,7 @@
 	Play func(f *Fleet) (seen string, err error)
 }
 
-// Stories are those that there are, for fleets of three of a build with the tag planted.
+// Stories are those that there are, for fleets of three of a build with the tag failpoints.
 var Stories = []Story{
 	{"pre-vote", false, func(f *Fleet) (string, error) {
 		// A keeper that is cut off asks nobody for votes: its term stays.
--- a/internal/nemesis/words_test.go
+++ b/internal/nemesis/words_test.go
@@ -18,7 +18,7 @@
 	for _, guard := range []string{"", "words-kept"} {
 		t.Run("out "+guard, func(t *testing.T) {
 			t.Parallel()
-			f := start(t, Options{Bin: planted, Gateways: 4, Keepers: 3, Nodes: 3, Seed: 10, Env: []string{"DUNEMOOR_PLANTED=" + guard}})
+			f := start(t, Options{Bin: planted, Gateways: 4, Keepers: 3, Nodes: 3, Seed: 10, Env: []string{"DUNEMOOR_FAILPOINT=" + guard}})
 			host, member := f.Hosts.Nodes[0].Name, f.Gateways[3]
 			ctl := func(code int, args ...string) {
 				t.Helper()
