--- a/cmd/dunemoorctl/fleet.go
+++ b/cmd/dunemoorctl/fleet.go
@@ -218,7 +218,7 @@
 	printRelay(w, s)
 	var keepers []string
 	for _, k := range s.Keepers {
-		name := cmp.Or(k.Name, fmt.Sprint(k.Replica))
+		name := cmp.Or(k.Name, fmt.Sprint(k.ID))
 		if k.Learner {
 			name += " (being brought up)"
 		}
--- a/cmd/lab/scale_fleet.go
+++ b/cmd/lab/scale_fleet.go
@@ -339,7 +339,7 @@
 	r.Breaks = append(r.Breaks, s.passes("member", "CPU ms/s", cpuAsked, "internal/cluster/peer: Carrier.hold and serve, two goroutines and a timer a link")...)
 	r.Breaks = append(r.Breaks, s.passes("member", "MB resident", memoryAsked, "internal/cluster/peer: Carrier.serve, a reader of 64 KiB a connection")...)
 	r.Breaks = append(r.Breaks,
-		scale.Break{By: "gateway", Size: lease.MembersMost, What: "the record refuses the next member", Where: "internal/cluster/lease: MembersMost, State.open"},
+		scale.Break{By: "gateway", Size: lease.MaxMembers, What: "the record refuses the next member", Where: "internal/cluster/lease: MembersMost, State.open"},
 		scale.Break{By: "gateway", Size: 1024, What: "a file with more peers is refused", Where: "internal/config: maxPeers"},
 		scale.Break{By: "gateway", Size: 2201, What: "further connections that come in are closed at once; from 1,101 on where all come back at once, as each has two while one replaces the other", Where: "internal/cluster/peer: connsMost"},
 		scale.Break{By: "gateway", Size: 4096, What: "a leader drops renewals and commands that come while as many wait for a quorum; they come again 0.3 to 0.6 s later", Where: "internal/cluster/member: renewsMost in hearRenew, hearAsk"},
@@ -404,7 +404,7 @@
 	}
 	r.Series = s.list
 	r.Breaks = append(r.Breaks, s.passes("gateway (median)", "bytes/s", bytesAsked, "internal/fleet: listening.look, a beat of each list to each gateway every 2 s (lists.BeatEvery)")...)
-	r.Breaks = append(r.Breaks, scale.Break{By: "pool", Size: lease.DutiesMost, What: "the record takes no further duty", Where: "internal/cluster/lease: DutiesMost"})
+	r.Breaks = append(r.Breaks, scale.Break{By: "pool", Size: lease.MaxLeases, What: "the record takes no further duty", Where: "internal/cluster/lease: DutiesMost"})
 	return r, nil
 }
 
@@ -734,18 +734,18 @@
 			return nil, ctx.Err()
 		}
 		st := recordOf(n, min(simDuties, 10*n))
-		w := lease.NewWatch(0)
+		w := lease.NewExpiryTracker(0)
 		for id := range st.Sessions {
 			w.Renew(id, time.Hour)
 		}
-		ack := timed(e, func() { st.Since(st.Index) })
+		ack := timed(e, func() { st.DeltaSince(st.Revision) })
 		s.add("an answer to a renewal, nothing new", "us", 0.1, n, ack)
 		s.add("all gateways' answers of a second", "ms/s", 0.1, n, ack*float64(n)/1000)
-		s.add("sessions that have lapsed, none", "us", 0.1, n, timed(e, func() { w.Lapsed(time.Hour, st) }))
-		s.add("duties to be given, none", "us", 0.1, n, timed(e, func() { lease.Place(st) }))
-		s.add("duties to be evened out, none", "us", 0.1, n, timed(e, func() { lease.Even(st) }))
+		s.add("sessions that have lapsed, none", "us", 0.1, n, timed(e, func() { w.Expired(time.Hour, st) }))
+		s.add("duties to be given, none", "us", 0.1, n, timed(e, func() { lease.AssignFree(st) }))
+		s.add("duties to be evened out, none", "us", 0.1, n, timed(e, func() { lease.Rebalance(st) }))
 		s.add("a whole view", "KB of JSON", 0.1, n, float64(len(whole(st)))/1000)
-		s.add("a snapshot", "us", 0.1, n, timed(e, func() { st.Bytes() }))
+		s.add("a snapshot", "us", 0.1, n, timed(e, func() { st.Encode() }))
 	}
 	r.Series = s.list
 	for i := range s.list {
@@ -771,19 +771,19 @@
 	}
 	for i := range n {
 		id, name := uint64(i+1), fmt.Sprintf("g%d", i+1)
-		st.Sessions[id] = &lease.Session{ID: id, Opens: lease.Opens{Name: name, Disk: id, Opening: 1, Zone: "z1", Address: "10.0.0.1:7400", Offers: offers}, Since: 1}
-		st.Members[name] = &lease.Member{Name: name, Session: id, Disk: id, Zone: "z1", Address: "10.0.0.1:7400", Opening: 1, Mod: 1}
+		st.Sessions[id] = &lease.Session{ID: id, OpenRequest: lease.OpenRequest{Name: name, DiskID: id, OpenSequence: 1, Zone: "z1", Address: "10.0.0.1:7400", CandidateLeases: offers}, OpenedRevision: 1}
+		st.Members[name] = &lease.Member{Name: name, Session: id, DiskID: id, Zone: "z1", Address: "10.0.0.1:7400", OpenSequence: 1, ModRevision: 1}
 	}
 	for k, name := range offers {
 		owner := uint64(k%n + 1)
-		st.Duties[name] = &lease.Duty{Name: name, Owner: owner, Holder: fmt.Sprintf("g%d", owner), Token: uint64(k + 1), Since: 1, Mod: 1}
+		st.Leases[name] = &lease.Lease{Name: name, HolderSession: owner, Holder: fmt.Sprintf("g%d", owner), Token: uint64(k + 1), SinceRevision: 1, ModRevision: 1}
 	}
-	st.Index, st.NextID, st.Token = 2, uint64(n), uint64(duties)
+	st.Revision, st.LastSessionID, st.LastToken = 2, uint64(n), uint64(duties)
 	return st
 }
 
 func whole(st *lease.State) []byte {
-	b, err := json.Marshal(st.Since(0))
+	b, err := json.Marshal(st.DeltaSince(0))
 	if err != nil {
 		panic(err) // strings and numbers
 	}
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -632,7 +632,7 @@
 		time.Sleep(handEvery)
 	}
 	if f.fresh().Session != 0 {
-		f.Do(ctx, lease.Command{Op: lease.Close}) // if it is not heard, the session lapses
+		f.Do(ctx, lease.Command{Op: lease.OpCloseSession}) // if it is not heard, the session lapses
 	}
 	f.Close()
 }
--- a/internal/cluster/compat_test.go
+++ b/internal/cluster/compat_test.go
@@ -55,8 +55,8 @@
 	}
 	defer f.dir.Close()
 	defer f.ln.Close()
-	words := member.Words{Birth: 5, Mod: 6, List: []lease.Word{
-		{Pool: "web", Host: "w1", Reason: "disk", By: "g2", Left: 3600e9, Since: 4}, {Pool: "web", Host: "w2", By: "g1", Since: 6},
+	words := member.Words{Birth: 5, Mod: 6, List: []lease.Override{
+		{Pool: "web", Host: "w1", Reason: "disk", CreatedBy: "g2", Remaining: 3600e9, CreatedRevision: 4}, {Pool: "web", Host: "w2", CreatedBy: "g1", CreatedRevision: 6},
 	}}
 	if err := f.writeWords(&words); err != nil {
 		t.Fatal(err)
--- a/internal/cluster/lease/lease_test.go
+++ b/internal/cluster/lease/lease_test.go
@@ -26,21 +26,21 @@
 		opening := uint64(0)
 		open := func(i int) {
 			opening++
-			apply(Command{Op: Open, Open: &Opens{Name: fmt.Sprint("g", i), Disk: uint64(i + 1), Opening: opening, Offers: offers}})
+			apply(Command{Op: OpOpenSession, Open: &OpenRequest{Name: fmt.Sprint("g", i), DiskID: uint64(i + 1), OpenSequence: opening, CandidateLeases: offers}})
 		}
 		settle := func() (moved int) {
 			for range 200 {
-				list := Place(s)
+				list := AssignFree(s)
 				for _, c := range list {
 					if res := apply(c); res.Code != OK {
 						t.Fatalf("seed %d: %+v for %+v", seed, res, c)
 					}
 				}
-				even := Even(s)
+				even := Rebalance(s)
 				for _, c := range even {
-					d := s.Duties[c.Duty]
+					d := s.Leases[c.Lease]
 					apply(c)
-					apply(Command{Op: Resign, Session: d.Owner, Duty: c.Duty, Token: c.Token})
+					apply(Command{Op: OpRelease, Session: d.HolderSession, Lease: c.Lease, Token: c.Token})
 					moved++
 				}
 				if len(list)+len(even) == 0 {
@@ -57,23 +57,23 @@
 		for range 30 {
 			before := map[string]uint64{}
 			lost := 0
-			for name, d := range s.Duties {
+			for name, d := range s.Leases {
 				before[name] = d.Token
 			}
 			x := slices.Sorted(maps.Keys(s.Sessions))
 			if len(x) > 3 && r.IntN(2) == 0 {
 				gone := x[r.IntN(len(x))]
-				lost = len(s.Owns(gone))
-				apply(Command{Op: Lapse, Session: gone})
+				lost = len(s.LeasesOf(gone))
+				apply(Command{Op: OpExpireSession, Session: gone})
 			} else {
 				open(r.IntN(12))
 			}
 			moved := settle()
 			load := map[string]int{}
 			changed := 0
-			for name, d := range s.Duties {
-				if d.Owner == 0 || s.Sessions[d.Owner] == nil || s.Sessions[d.Owner].Name != d.Holder {
-					t.Fatalf("seed %d: %s is held by %d %s", seed, name, d.Owner, d.Holder)
+			for name, d := range s.Leases {
+				if d.HolderSession == 0 || s.Sessions[d.HolderSession] == nil || s.Sessions[d.HolderSession].Name != d.Holder {
+					t.Fatalf("seed %d: %s is held by %d %s", seed, name, d.HolderSession, d.Holder)
 				}
 				if d.Token < before[name] {
 					t.Fatalf("seed %d: the token of %s fell", seed, name)
@@ -86,12 +86,12 @@
 			if lost > 0 && 2*changed > 3*lost {
 				t.Fatalf("seed %d: %d duties were lost, %d changed hands (%d moved)", seed, lost, changed, moved)
 			}
-			if most, least := slices.Max(slices.Collect(maps.Values(load))), slices.Min(slices.Collect(maps.Values(load))); most-least > spare {
+			if most, least := slices.Max(slices.Collect(maps.Values(load))), slices.Min(slices.Collect(maps.Values(load))); most-least > maxImbalance {
 				t.Fatalf("seed %d: one holds %d, another %d", seed, most, least)
 			}
 		}
 		again := NewState(0)
-		if err := again.Read(s.Bytes()); err != nil || string(again.Bytes()) != string(s.Bytes()) {
+		if err := again.Decode(s.Encode()); err != nil || string(again.Encode()) != string(s.Encode()) {
 			t.Fatalf("seed %d: the state does not come back: %v", seed, err)
 		}
 	}
--- a/internal/cluster/lease/since_test.go
+++ b/internal/cluster/lease/since_test.go
@@ -11,16 +11,16 @@
 )
 
 // sinceAll is Since by a look at everything.
-func sinceAll(s *State, index uint64) (members []Member, duties []Holding) {
-	whole := index < s.Cut || index == 0
+func sinceAll(s *State, index uint64) (members []Member, duties []LeaseView) {
+	whole := index < s.CompactedRevision || index == 0
 	for _, name := range slices.Sorted(maps.Keys(s.Members)) {
-		if m := s.Members[name]; whole || m.Mod > index {
+		if m := s.Members[name]; whole || m.ModRevision > index {
 			members = append(members, *m)
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(s.Duties)) {
-		if d := s.Duties[name]; whole || d.Mod > index {
-			duties = append(duties, Holding{d.Name, d.Owner, d.Holder, d.Token, d.To})
+	for _, name := range slices.Sorted(maps.Keys(s.Leases)) {
+		if d := s.Leases[name]; whole || d.ModRevision > index {
+			duties = append(duties, LeaseView{d.Name, d.HolderSession, d.Holder, d.Token, d.TransferTo})
 		}
 	}
 	return members, duties
@@ -33,11 +33,11 @@
 		r := rand.New(rand.NewPCG(seed, 1))
 		s, index := NewState(1), uint64(0)
 		offers := []string{"d0", "d1", "d2", "d3", "d4", "d5"}
-		for opening := range uint64(4 * touchedMost) {
+		for opening := range uint64(4 * maxChangeLog) {
 			index++
 			if opening%1000 == 999 {
-				b := s.Bytes()
-				if s = NewState(0); s.Read(b) != nil {
+				b := s.Encode()
+				if s = NewState(0); s.Decode(b) != nil {
 					t.Fatal("no state")
 				}
 			}
@@ -48,14 +48,14 @@
 			}
 			d := offers[r.IntN(len(offers))]
 			token := uint64(0)
-			if s.Duties[d] != nil {
-				token = s.Duties[d].Token
+			if s.Leases[d] != nil {
+				token = s.Leases[d].Token
 			}
 			s.Apply(index, &[]Command{
-				{Op: Open, Open: &Opens{Name: fmt.Sprint("g", r.IntN(20)), Disk: 1, Opening: opening + 1, Offers: offers[:r.IntN(len(offers)+1)]}},
-				{Op: Lapse, Session: id}, {Op: Assign, Duty: d, Token: token, Session: id}, {Op: Claim, Session: id, Duty: d}, {Op: Resign, Session: id, Duty: d, Token: token},
-				{Op: Move, Duty: d}, {Op: Write, Session: id, Duty: d, Token: token, Key: "k", Value: "v"},
-				{Op: Forget, Name: fmt.Sprint("g", r.IntN(20)), Duty: d, Token: token, Session: id},
+				{Op: OpOpenSession, Open: &OpenRequest{Name: fmt.Sprint("g", r.IntN(20)), DiskID: 1, OpenSequence: opening + 1, CandidateLeases: offers[:r.IntN(len(offers)+1)]}},
+				{Op: OpExpireSession, Session: id}, {Op: OpAssign, Lease: d, Token: token, Session: id}, {Op: OpAcquire, Session: id, Lease: d}, {Op: OpRelease, Session: id, Lease: d, Token: token},
+				{Op: OpTransfer, Lease: d}, {Op: OpWrite, Session: id, Lease: d, Token: token, Key: "k", Value: "v"},
+				{Op: OpCollectGarbage, Name: fmt.Sprint("g", r.IntN(20)), Lease: d, Token: token, Session: id},
 			}[r.IntN(8)])
 			if opening%50 != 0 {
 				continue
@@ -63,20 +63,20 @@
 			for range 4 {
 				from := index - min(index, r.Uint64N(1+uint64(1)<<r.IntN(15)))
 				members, duties := sinceAll(s, from)
-				v := s.Since(from)
-				if !reflect.DeepEqual(v.Members, members) || !reflect.DeepEqual(v.Duties, duties) {
+				v := s.DeltaSince(from)
+				if !reflect.DeepEqual(v.Members, members) || !reflect.DeepEqual(v.Leases, duties) {
 					t.Fatalf("seed %d: since %d of %d: %+v, and by a look at all %+v %+v", seed, from, index, v, members, duties)
 				}
-				lean := s.SinceLean(from, "g1")
+				lean := s.CompactDeltaSince(from, "g1")
 				own := slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return m.Name != "g1" })
-				if !slices.Equal(lean.Members, own) || !reflect.DeepEqual(lean.Duties, duties) || len(members) > 0 && lean.Count != len(s.Sessions) {
+				if !slices.Equal(lean.Members, own) || !reflect.DeepEqual(lean.Leases, duties) || len(members) > 0 && lean.SessionCount != len(s.Sessions) {
 					t.Fatalf("seed %d: lean since %d of %d: %+v", seed, from, index, lean)
 				}
 			}
-			kept := s.offers()
-			s.offering = nil
+			kept := s.candidateSessions()
+			s.candidates = nil
 			for _, d := range offers {
-				if !slices.Equal(kept[d], s.offers()[d]) {
+				if !slices.Equal(kept[d], s.candidateSessions()[d]) {
 					t.Fatalf("seed %d: who offers %s is kept wrong", seed, d)
 				}
 			}
@@ -88,29 +88,29 @@
 // than a mesh.
 func TestParts(t *testing.T) {
 	s := NewState(1)
-	open := func(i int, p Part) Result {
-		return s.Apply(s.Index+1, &Command{Op: Open, Open: &Opens{Name: fmt.Sprint("g", i), Disk: uint64(i + 1), Opening: 1, Part: p}})
+	open := func(i int, p Role) Result {
+		return s.Apply(s.Revision+1, &Command{Op: OpOpenSession, Open: &OpenRequest{Name: fmt.Sprint("g", i), DiskID: uint64(i + 1), OpenSequence: 1, Role: p}})
 	}
-	open(0, Relay)
-	open(1, Gateway)
+	open(0, RoleRelay)
+	open(1, RoleGateway)
 	open(2, "")
-	for i, want := range []Code{OK, Refused, OK} {
-		if r := s.Apply(s.Index+1, &Command{Op: Keep, Name: fmt.Sprint("g", i)}); r.Code != want {
+	for i, want := range []Code{OK, Rejected, OK} {
+		if r := s.Apply(s.Revision+1, &Command{Op: OpAddReplica, Name: fmt.Sprint("g", i)}); r.Code != want {
 			t.Errorf("keep of g%d: %+v", i, r)
 		}
 	}
-	for i := 3; i < meshMost; i++ {
+	for i := 3; i < maxMeshMembers; i++ {
 		open(i, "")
 	}
-	if r := open(meshMost, ""); r.Code != Refused {
+	if r := open(maxMeshMembers, ""); r.Code != Rejected {
 		t.Error("a mesh takes more than it may:", r)
 	}
-	for i := meshMost; i < MembersMost; i++ {
-		if r := open(i, Gateway); r.Code != OK {
+	for i := maxMeshMembers; i < MaxMembers; i++ {
+		if r := open(i, RoleGateway); r.Code != OK {
 			t.Fatal(r)
 		}
 	}
-	if r := open(MembersMost, Gateway); r.Code != Refused {
+	if r := open(MaxMembers, RoleGateway); r.Code != Rejected {
 		t.Error("a fleet takes more than it may:", r)
 	}
 }
@@ -120,17 +120,17 @@
 func TestLapsed(t *testing.T) {
 	for seed := range uint64(20) {
 		r := rand.New(rand.NewPCG(seed, 1))
-		s, w, now := NewState(1), NewWatch(0), time.Duration(0)
+		s, w, now := NewState(1), NewExpiryTracker(0), time.Duration(0)
 		lapsing := map[uint64]time.Duration{}
 		for opening := range uint64(3000) {
 			now += time.Duration(r.Int64N(int64(100 * time.Millisecond)))
-			switch id := 1 + r.Uint64N(s.NextID+1); r.IntN(30) {
+			switch id := 1 + r.Uint64N(s.LastSessionID+1); r.IntN(30) {
 			case 0:
-				w.Again(now)
+				w.Reset(now)
 			case 1, 2:
-				res := s.Apply(s.Index+1, &Command{Op: Open, Open: &Opens{Name: fmt.Sprint("g", r.IntN(20)), Disk: 1, Opening: opening + 1}})
+				res := s.Apply(s.Revision+1, &Command{Op: OpOpenSession, Open: &OpenRequest{Name: fmt.Sprint("g", r.IntN(20)), DiskID: 1, OpenSequence: opening + 1}})
 				if r.IntN(2) == 0 { // else it was opened by a leader of before
-					w.Opened(now, res.Session)
+					w.SessionOpened(now, res.Session)
 				}
 			default:
 				if s.Sessions[id] != nil {
@@ -139,17 +139,17 @@
 			}
 			var want []uint64
 			for _, id := range slices.Sorted(maps.Keys(s.Sessions)) {
-				if at, ok := lapsing[id]; now >= w.end(id) && (!ok || now >= at+lapseAgain) {
+				if at, ok := lapsing[id]; now >= w.deadline(id) && (!ok || now >= at+expireRetryInterval) {
 					lapsing[id] = now
 					want = append(want, id)
 				}
 			}
-			if got := w.Lapsed(now, s); !slices.Equal(got, want) {
+			if got := w.Expired(now, s); !slices.Equal(got, want) {
 				t.Fatalf("seed %d at %v: %v are over, and %v", seed, now, got, want)
 			}
 			for _, id := range want {
 				if r.IntN(2) == 0 {
-					s.Apply(s.Index+1, &Command{Op: Lapse, Session: id})
+					s.Apply(s.Revision+1, &Command{Op: OpExpireSession, Session: id})
 				}
 			}
 		}
@@ -161,13 +161,13 @@
 func TestLeanCostsNoNames(t *testing.T) {
 	s := NewState(1)
 	for i := range uint64(4000) {
-		s.Apply(i+1, &Command{Op: Open, Open: &Opens{Name: fmt.Sprint("g", i), Disk: i + 1, Opening: 1, Part: Gateway}})
+		s.Apply(i+1, &Command{Op: OpOpenSession, Open: &OpenRequest{Name: fmt.Sprint("g", i), DiskID: i + 1, OpenSequence: 1, Role: RoleGateway}})
 	}
 	// The own member, and what a whole view lists beside: nothing that grows.
 	for index, most := range map[uint64]float64{0: 12, 1: 4, 2000: 4} {
-		var v View
-		if n := testing.AllocsPerRun(10, func() { v = s.SinceLean(index, "g7") }); n > most || v.Count != 4000 {
-			t.Errorf("behind %d: %v allocations, %d members", index, n, v.Count)
+		var v StateDelta
+		if n := testing.AllocsPerRun(10, func() { v = s.CompactDeltaSince(index, "g7") }); n > most || v.SessionCount != 4000 {
+			t.Errorf("behind %d: %v allocations, %d members", index, n, v.SessionCount)
 		}
 	}
 }
--- a/internal/cluster/lease/words.go
+++ b/internal/cluster/lease/words.go
@@ -10,120 +10,120 @@
 // Bounds of operators' words. They are few and every gateway has all of them, in its memory and in
 // a file: so they are in the record and not in a shelf.
 const (
-	WordsMost   = 512
-	ReasonBytes = 200
+	MaxOverrides   = 512
+	MaxReasonBytes = 200
 	// LastMost is how long a word may last that ends by itself.
-	LastMost = 30 * 24 * time.Hour
+	MaxOverrideDuration = 30 * 24 * time.Hour
 	// spendEvery is how often a leader writes down how long a word lasts yet: the next begins from
 	// there, so that a word never ends early, and by so much late for each change of leaders.
-	spendEvery = time.Minute
+	overrideWriteInterval = time.Minute
 )
 
 // The commands about operators' words.
 const (
-	Drain   Op = "drain"   // a host is to get nothing new, whatever its list says
-	Undrain Op = "undrain" // it is what its list says
-	Spend   Op = "spend"   // the leader writes down how long a word lasts yet
+	OpDrainHost      Op = "drain"   // a host is to get nothing new, whatever its list says
+	OpUndrainHost    Op = "undrain" // it is what its list says
+	OpExpireOverride Op = "spend"   // the leader writes down how long a word lasts yet
 )
 
 // Word is an operator's word on a host, for the whole fleet.
-type Word struct {
-	Pool   string `json:"pool"`
-	Host   string `json:"host"` // its id in the pool's list
-	Reason string `json:"reason,omitempty"`
-	By     string `json:"by,omitempty"` // the gateway that was asked
+type Override struct {
+	Pool      string `json:"pool"`
+	Host      string `json:"host"` // its id in the pool's list
+	Reason    string `json:"reason,omitempty"`
+	CreatedBy string `json:"by,omitempty"` // the gateway that was asked
 	// Left is how long it lasts yet, as it was written down last; 0: until it is taken back.
-	Left  time.Duration `json:"left,omitempty"`
-	Since uint64        `json:"since"` // index
+	Remaining       time.Duration `json:"left,omitempty"`
+	CreatedRevision uint64        `json:"since"` // index
 }
 
 // Key names the host.
-func (w *Word) Key() string { return w.Pool + "/" + w.Host }
+func (w *Override) Key() string { return w.Pool + "/" + w.Host }
 
 func (s *State) drainHost(x *Session, c *Command) Result {
-	w := c.Word
+	w := c.Override
 	switch {
-	case w == nil || w.Pool == "" || w.Host == "" || len(w.Key()) > 2*NameMost:
-		return Result{Code: Refused, Why: "a word names a pool and a host, neither of them too long"}
-	case len(w.Reason) > ReasonBytes:
-		return Result{Code: Refused, Why: fmt.Sprintf("a reason has %d bytes at most", ReasonBytes)}
-	case w.Left < 0 || w.Left > LastMost:
-		return Result{Code: Refused, Why: fmt.Sprintf("a word that ends by itself lasts %v at most", LastMost)}
-	case s.Words[w.Key()] == nil && len(s.Words) >= WordsMost:
-		return Result{Code: Refused, Why: fmt.Sprintf("the fleet keeps %d words at most", WordsMost)}
+	case w == nil || w.Pool == "" || w.Host == "" || len(w.Key()) > 2*MaxNameBytes:
+		return Result{Code: Rejected, Reason: "a word names a pool and a host, neither of them too long"}
+	case len(w.Reason) > MaxReasonBytes:
+		return Result{Code: Rejected, Reason: fmt.Sprintf("a reason has %d bytes at most", MaxReasonBytes)}
+	case w.Remaining < 0 || w.Remaining > MaxOverrideDuration:
+		return Result{Code: Rejected, Reason: fmt.Sprintf("a word that ends by itself lasts %v at most", MaxOverrideDuration)}
+	case s.Overrides[w.Key()] == nil && len(s.Overrides) >= MaxOverrides:
+		return Result{Code: Rejected, Reason: fmt.Sprintf("the fleet keeps %d words at most", MaxOverrides)}
 	}
-	if s.Words == nil {
-		s.Words = map[string]*Word{}
+	if s.Overrides == nil {
+		s.Overrides = map[string]*Override{}
 	}
-	s.Words[w.Key()] = &Word{w.Pool, w.Host, w.Reason, x.Name, w.Left, s.Index}
-	s.WordsMod = s.Index
+	s.Overrides[w.Key()] = &Override{w.Pool, w.Host, w.Reason, x.Name, w.Remaining, s.Revision}
+	s.OverridesModRevision = s.Revision
 	return Result{Code: OK}
 }
 
-func (s *State) undrain(c *Command) Result {
-	if c.Word == nil || s.Words[c.Word.Key()] == nil {
-		return Result{Code: Refused, Why: "there is no word on that host"}
+func (s *State) undrainHost(c *Command) Result {
+	if c.Override == nil || s.Overrides[c.Override.Key()] == nil {
+		return Result{Code: Rejected, Reason: "there is no word on that host"}
 	}
-	delete(s.Words, c.Word.Key())
-	s.WordsMod = s.Index
+	delete(s.Overrides, c.Override.Key())
+	s.OverridesModRevision = s.Revision
 	return Result{Code: OK}
 }
 
 // spend takes a leader's account of a word, which may be one of before: it holds for the word that
 // was said when it says, and only brings its end nearer.
-func (s *State) spend(c *Command) Result {
-	if c.Word == nil {
-		return Result{Code: Refused}
+func (s *State) expireOverride(c *Command) Result {
+	if c.Override == nil {
+		return Result{Code: Rejected}
 	}
-	w := s.Words[c.Word.Key()]
+	w := s.Overrides[c.Override.Key()]
 	switch {
-	case w == nil || w.Since != c.Word.Since || w.Left == 0:
-		return Result{Code: Stale}
-	case c.Word.Left <= 0:
-		delete(s.Words, w.Key())
-		s.WordsMod = s.Index
+	case w == nil || w.CreatedRevision != c.Override.CreatedRevision || w.Remaining == 0:
+		return Result{Code: StaleToken}
+	case c.Override.Remaining <= 0:
+		delete(s.Overrides, w.Key())
+		s.OverridesModRevision = s.Revision
 	default:
-		w.Left = min(w.Left, c.Word.Left)
+		w.Remaining = min(w.Remaining, c.Override.Remaining)
 	}
 	return Result{Code: OK}
 }
 
 // lasting is a leader's account of a word that ends by itself.
-type lasting struct {
-	since       uint64
-	from, wrote time.Duration
-	left        time.Duration
+type overrideTimer struct {
+	createdRevision      uint64
+	startedAt, writtenAt time.Duration
+	remaining            time.Duration
 }
 
 // Spend is what a leader has to write down of words at now.
-func (w *Watch) Spend(now time.Duration, s *State) (list []Command) {
-	for key := range w.words {
-		if s.Words[key] == nil {
-			delete(w.words, key)
+func (w *ExpiryTracker) OverrideUpdates(now time.Duration, s *State) (list []Command) {
+	for key := range w.overrideTimers {
+		if s.Overrides[key] == nil {
+			delete(w.overrideTimers, key)
 		}
 	}
-	for _, key := range slices.Sorted(maps.Keys(s.Words)) {
-		x := s.Words[key]
-		if x.Left == 0 {
+	for _, key := range slices.Sorted(maps.Keys(s.Overrides)) {
+		x := s.Overrides[key]
+		if x.Remaining == 0 {
 			continue
 		}
-		l, ok := w.words[key]
-		if !ok || l.since != x.Since {
-			l = lasting{x.Since, now, now, x.Left}
+		l, ok := w.overrideTimers[key]
+		if !ok || l.createdRevision != x.CreatedRevision {
+			l = overrideTimer{x.CreatedRevision, now, now, x.Remaining}
 		}
-		if left := l.left - (now - l.from); left <= 0 || now >= l.wrote+spendEvery {
-			l.wrote = now
-			list = append(list, Command{Op: Spend, Word: &Word{Pool: x.Pool, Host: x.Host, Since: x.Since, Left: max(0, left)}})
+		if left := l.remaining - (now - l.startedAt); left <= 0 || now >= l.writtenAt+overrideWriteInterval {
+			l.writtenAt = now
+			list = append(list, Command{Op: OpExpireOverride, Override: &Override{Pool: x.Pool, Host: x.Host, CreatedRevision: x.CreatedRevision, Remaining: max(0, left)}})
 		}
-		w.words[key] = l
+		w.overrideTimers[key] = l
 	}
 	return list
 }
 
 // ListWords is the words in their order.
-func (s *State) ListWords() (list []Word) {
-	for _, key := range slices.Sorted(maps.Keys(s.Words)) {
-		list = append(list, *s.Words[key])
+func (s *State) ListOverrides() (list []Override) {
+	for _, key := range slices.Sorted(maps.Keys(s.Overrides)) {
+		list = append(list, *s.Overrides[key])
 	}
 	return list
 }
--- a/internal/cluster/member/lead.go
+++ b/internal/cluster/member/lead.go
@@ -29,7 +29,7 @@
 	m.renews, m.confirms, m.ready, m.reading = nil, nil, nil, 0
 	m.watch = nil
 	if m.lead {
-		m.watch = lease.NewWatch(m.now)
+		m.watch = lease.NewExpiryTracker(m.now)
 		m.evened, m.kept, m.applied = m.now, m.now, 0
 		m.line(false, "leading the record", "term", t.Term)
 	} else {
@@ -39,7 +39,7 @@
 
 // leader is the name of who leads, as this gateway's replica knows; "" where it does not.
 func (m *Member) leader() string {
-	if _, keeps := m.st.Keepers[m.cfg.Disk.Replica]; m.node.Halted() != nil || m.leadID == 0 || !keeps {
+	if _, keeps := m.st.Replicas[m.cfg.Disk.Replica]; m.node.Halted() != nil || m.leadID == 0 || !keeps {
 		return "" // a replica that was removed hears of nobody any more
 	}
 	return m.replicas[m.leadID]
@@ -76,25 +76,25 @@
 		return
 	}
 	m.tellChanges()
-	m.applied = m.st.Index
+	m.applied = m.st.Revision
 	for key, at := range m.proposed {
 		if m.now >= at+commandAgain {
 			delete(m.proposed, key)
 		}
 	}
-	for _, id := range m.watch.Lapsed(m.now, m.st) {
-		m.write(lease.Command{Op: lease.Lapse, Session: id}, asker{})
+	for _, id := range m.watch.Expired(m.now, m.st) {
+		m.write(lease.Command{Op: lease.OpExpireSession, Session: id}, asker{})
 	}
-	for _, c := range lease.Place(m.st) {
-		m.propose(fmt.Sprintf("assign %s %d %d", c.Duty, c.Token, c.Session), c)
+	for _, c := range lease.AssignFree(m.st) {
+		m.propose(fmt.Sprintf("assign %s %d %d", c.Lease, c.Token, c.Session), c)
 	}
-	for _, c := range m.watch.Spend(m.now, m.st) {
-		m.propose("spend "+c.Word.Key(), c)
+	for _, c := range m.watch.OverrideUpdates(m.now, m.st) {
+		m.propose("spend "+c.Override.Key(), c)
 	}
 	if m.now >= m.evened+evenEvery {
 		m.evened = m.now
-		for _, c := range lease.Even(m.st) {
-			m.propose("move "+c.Duty, c)
+		for _, c := range lease.Rebalance(m.st) {
+			m.propose("move "+c.Lease, c)
 		}
 	}
 	if m.now >= m.kept+keepersEvery {
@@ -108,21 +108,21 @@
 
 // tellChanges pushes news of duties to the gateways that they are about, and logs them.
 func (m *Member) tellChanges() {
-	for _, c := range m.st.News() {
-		m.line(false, "duty changed hands", "duty", c.Duty, "from", c.From, "to", c.To, "token", c.Token, "cause", c.Cause, "index", c.Index)
+	for _, c := range m.st.TakeTransfers() {
+		m.line(false, "duty changed hands", "duty", c.Lease, "from", c.From, "to", c.To, "token", c.Token, "cause", c.Cause, "index", c.Revision)
 	}
 	if m.applied == 0 {
 		return // we have just begun to lead: they come by themselves
 	}
-	news := m.st.Since(m.applied)
-	for _, d := range news.Duties {
-		if x := m.st.Sessions[d.Owner]; x != nil {
-			m.talk(x.Name, &Talk{Ack: &Ack{Session: x.ID, View: &lease.View{Duties: []lease.Holding{d}}}})
+	news := m.st.DeltaSince(m.applied)
+	for _, d := range news.Leases {
+		if x := m.st.Sessions[d.HolderSession]; x != nil {
+			m.talk(x.Name, &Talk{Ack: &Ack{Session: x.ID, View: &lease.StateDelta{Leases: []lease.LeaseView{d}}}})
 		}
 	}
-	if m.st.WordsMod > m.applied {
+	if m.st.OverridesModRevision > m.applied {
 		for _, id := range slices.Sorted(maps.Keys(m.st.Sessions)) {
-			m.talk(m.st.Sessions[id].Name, &Talk{Ack: &Ack{Session: id, View: &lease.View{Birth: news.Birth, WordsMod: news.WordsMod, Words: news.Words}}})
+			m.talk(m.st.Sessions[id].Name, &Talk{Ack: &Ack{Session: id, View: &lease.StateDelta{ClusterID: news.ClusterID, OverridesModRevision: news.OverridesModRevision, Overrides: news.Overrides}}})
 		}
 	}
 }
@@ -133,7 +133,7 @@
 	if len(s.Conf.GetVotersOutgoing()) > 0 {
 		return // a change is under way
 	}
-	c, ok := lease.NextKeeper(m.st, func(id uint64) bool { return s.Match[id]+caughtUp >= s.Last && s.Match[id] > 0 })
+	c, ok := lease.NextReplicaChange(m.st, func(id uint64) bool { return s.Match[id]+caughtUp >= s.Last && s.Match[id] > 0 })
 	if !ok {
 		return
 	}
@@ -141,8 +141,8 @@
 	add := func(t raftpb.ConfChangeType, id uint64) {
 		cc.Changes = append(cc.Changes, &raftpb.ConfChangeSingle{Type: t.Enum(), NodeId: new(id)})
 	}
-	if c.Learn != 0 {
-		add(raftpb.ConfChangeAddLearnerNode, c.Learn)
+	if c.AddLearner != 0 {
+		add(raftpb.ConfChangeAddLearnerNode, c.AddLearner)
 	}
 	if c.Promote != 0 {
 		add(raftpb.ConfChangeAddNode, c.Promote)
@@ -151,7 +151,7 @@
 		if id == m.cfg.Disk.Replica {
 			// Another has to lead before we go.
 			for other := range s.Match {
-				if other != id && s.Match[other] >= s.Commit && !m.st.Keepers[other].Learner {
+				if other != id && s.Match[other] >= s.Commit && !m.st.Replicas[other].Learner {
 					m.node.Transfer(Record, other)
 					return
 				}
@@ -161,14 +161,14 @@
 		add(raftpb.ConfChangeRemoveNode, id)
 	}
 	names := named{map[uint64]string{}}
-	for _, id := range []uint64{c.Learn, c.Promote} {
+	for _, id := range []uint64{c.AddLearner, c.Promote} {
 		if id != 0 {
-			names.Names[id] = c.Name
+			names.Names[id] = c.Member
 		}
 	}
 	cc.Context, _ = json.Marshal(names)
 	if m.node.Change(Record, &cc) == nil {
-		m.line(false, "changing the keepers of the record", "gateway", c.Name, "learn", c.Learn, "promote", c.Promote, "remove", c.Remove)
+		m.line(false, "changing the keepers of the record", "gateway", c.Member, "learn", c.AddLearner, "promote", c.Promote, "remove", c.Remove)
 	}
 }
 
@@ -179,7 +179,7 @@
 		return
 	}
 	switch a.Command.Op {
-	case lease.Lapse, lease.Assign, lease.Spend:
+	case lease.OpExpireSession, lease.OpAssign, lease.OpExpireOverride:
 		return // nobody's but the leader's
 	}
 	if len(m.asked) < renewsMost && !m.write(a.Command, asker{from, a.ID}) {
@@ -196,7 +196,7 @@
 		return
 	}
 	if res.Code == lease.OK && res.Session != 0 && m.watch != nil {
-		m.watch.Opened(m.now, res.Session)
+		m.watch.SessionOpened(m.now, res.Session)
 	}
 	m.talk(who.from, &Talk{Answer: &Answer{ID: who.id, Result: &res}})
 }
@@ -288,16 +288,16 @@
 	switch {
 	case m.st.Sessions[w.renew.Session] == nil:
 		a.Gone = true
-	case !m.watch.Hears(w.renew.Session, w.renew.Heard, w.heard):
+	case !m.watch.Acknowledge(w.renew.Session, w.renew.Heard, w.heard):
 		a.Again = true
 	case !m.watch.Renew(w.renew.Session, w.heard):
 		a.Gone = true
 	default:
-		var v lease.View
+		var v lease.StateDelta
 		if w.renew.Lean {
-			v = m.st.SinceLean(w.renew.Known, m.st.Sessions[w.renew.Session].Name)
+			v = m.st.CompactDeltaSince(w.renew.Known, m.st.Sessions[w.renew.Session].Name)
 		} else {
-			v = m.st.Since(w.renew.Known)
+			v = m.st.DeltaSince(w.renew.Known)
 		}
 		a.View = &v
 	}
--- a/internal/cluster/member/member.go
+++ b/internal/cluster/member/member.go
@@ -125,9 +125,9 @@
 
 // Words are the operators' words as a gateway knows them; Mod grows with each change.
 type Words struct {
-	Birth uint64       `json:"birth"` // of the fleet
-	Mod   uint64       `json:"mod"`
-	List  []lease.Word `json:"list"`
+	Birth uint64           `json:"birth"` // of the fleet
+	Mod   uint64           `json:"mod"`
+	List  []lease.Override `json:"list"`
 }
 
 // Asked is another gateway that wants to be told all of a duty that we own.
@@ -163,7 +163,7 @@
 	// Of the leader.
 	lead     bool
 	leadID   uint64
-	watch    *lease.Watch
+	watch    *lease.ExpiryTracker
 	number   uint64
 	asked    map[uint64]asker // by number of the proposal
 	renews   []renewal        // to be confirmed
@@ -230,8 +230,8 @@
 type view struct {
 	index   uint64
 	members map[string]lease.Member
-	duties  map[string]lease.Holding
-	keepers []lease.Keeper
+	duties  map[string]lease.LeaseView
+	keepers []lease.Replica
 	lead    string
 	term    uint64
 	at      time.Duration // when it was last confirmed
@@ -246,13 +246,13 @@
 		raft: map[string][]byte{}, hellos: map[string]Hello{}, replicas: map[uint64]string{}, seen: map[uint64]*seen{}, welcomed: map[uint64]bool{}, words: map[string]*Welcome{},
 		asked: map[uint64]asker{}, proposed: map[string]time.Duration{}, sent: map[uint64]time.Duration{},
 		holds: map[string]*Hold{}, resigned: map[string]uint64{}, fences: map[string]fence{}, fenced: map[string]uint64{}, offers: slices.Clone(cfg.Offers),
-		renewGap: lease.RenewEvery,
+		renewGap: lease.RenewInterval,
 		// An answer to what the process before has asked may yet come: it answers nothing of ours.
 		nextAsk: uint64(uint16(cfg.Disk.Replica))<<48 | cfg.Disk.Boots<<32,
 		// And what the process before has proposed may yet be committed: it is no proposal of ours.
 		number: cfg.Disk.Boots << 32,
 	}
-	m.view.members, m.view.duties = map[string]lease.Member{}, map[string]lease.Holding{}
+	m.view.members, m.view.duties = map[string]lease.Member{}, map[string]lease.LeaseView{}
 	if m.birth == 0 || cfg.Words.Birth == m.birth {
 		m.said = cfg.Words
 	}
@@ -273,14 +273,14 @@
 }
 
 // part is what it says of that as it opens a session.
-func (m *Member) part() lease.Part {
+func (m *Member) part() lease.Role {
 	switch {
 	case !m.cfg.Relayed:
 		return ""
 	case m.gateway():
-		return lease.Gateway
+		return lease.RoleGateway
 	}
-	return lease.Relay
+	return lease.RoleRelay
 }
 
 // record is the Member as the machine of the record's group.
@@ -290,7 +290,7 @@
 func (r *record) Apply(index uint64, b []byte) any {
 	var c lease.Command
 	if err := json.Unmarshal(b, &c); err != nil {
-		return lease.Result{Code: lease.Refused, Why: "a command that can't be read"}
+		return lease.Result{Code: lease.Rejected, Reason: "a command that can't be read"}
 	}
 	return r.st.Apply(index, &c)
 }
@@ -312,14 +312,14 @@
 			voters = append(voters, id)
 		}
 	}
-	r.st.SetKeepers(index, n.Names, voters, append(slices.Clone(conf.GetLearners()), conf.GetLearnersNext()...))
+	r.st.SetReplicas(index, n.Names, voters, append(slices.Clone(conf.GetLearners()), conf.GetLearnersNext()...))
 }
 
 // Snapshot is of quorum.Machine.
-func (r *record) Snapshot() []byte { return r.st.Bytes() }
+func (r *record) Snapshot() []byte { return r.st.Encode() }
 
 // Restore is of quorum.Machine.
-func (r *record) Restore(b []byte) error { return r.st.Read(b) }
+func (r *record) Restore(b []byte) error { return r.st.Decode(b) }
 
 // Hello is what this gateway tells others first, as of now: before anything that it sends later.
 // It is held against the disk, should that come back older: only what the disk keeps is told.
@@ -440,17 +440,17 @@
 	if m.birth != 0 || m.cfg.First[0] != m.cfg.Name || len(s.Conf.GetVoters()) > 0 || m.node.Halted() != nil {
 		return
 	}
-	keepers := []lease.Keeper{{Replica: m.cfg.Disk.Replica, Name: m.cfg.Name}}
+	keepers := []lease.Replica{{ID: m.cfg.Disk.Replica, Name: m.cfg.Name}}
 	voters := []uint64{m.cfg.Disk.Replica}
 	for _, name := range m.cfg.First[1:] {
 		h, ok := m.hellos[name]
 		if !ok || h.Birth != 0 {
 			return // not there yet; or the fleet stands, and we come back with another disk
 		}
-		keepers, voters = append(keepers, lease.Keeper{Replica: h.Replica, Name: name}), append(voters, h.Replica)
+		keepers, voters = append(keepers, lease.Replica{ID: h.Replica, Name: name}), append(voters, h.Replica)
 	}
 	m.birth = m.rng.Uint64() | 1
-	state := lease.NewState(m.birth, keepers...).Bytes()
+	state := lease.NewState(m.birth, keepers...).Encode()
 	// A new node: the one so far knew of no group.
 	node := quorum.New(m.cfg.Disk.Replica, m.cfg.Seed)
 	if err := node.Add(Record, quorum.Founding(voters, state), (*record)(m)); err != nil {
@@ -603,7 +603,7 @@
 	// After a stop the ticks that were missed are not made up for: the time was lost, and others
 	// have had it. Nor can a leader tell then who has renewed meanwhile.
 	if m.lead && m.watch != nil && now-m.ticked >= stopped {
-		m.watch.Again(now)
+		m.watch.Reset(now)
 	}
 	if now-m.ticked >= TickEvery {
 		m.ticked = now
@@ -620,7 +620,7 @@
 	}
 	m.lookAtRecord()
 	if !m.lead {
-		m.st.News() // the leader's to tell
+		m.st.TakeTransfers() // the leader's to tell
 	}
 	m.rule()
 	m.live()
@@ -628,7 +628,7 @@
 
 // lookAtRecord takes note of a birth that came with the record.
 func (m *Member) lookAtRecord() {
-	if b := m.st.Birth; b != 0 && b != m.birth {
+	if b := m.st.ClusterID; b != 0 && b != m.birth {
 		if m.birth != 0 {
 			m.halt(fmt.Errorf("the record is of a fleet with the same id that was formed another time"))
 			return
@@ -659,7 +659,7 @@
 		}
 		if m.lead {
 			m.confirm()
-			if m.st.Index != m.applied {
+			if m.st.Revision != m.applied {
 				m.rule()
 				again = true
 			}
--- a/internal/cluster/member/relayed_test.go
+++ b/internal/cluster/member/relayed_test.go
@@ -64,20 +64,20 @@
 	for _, c := range []struct {
 		cfg  Config
 		lean bool
-		part lease.Part
+		part lease.Role
 	}{
-		{Config{Name: "g1", Relayed: true}, true, lease.Gateway}, {Config{Name: "r1", Relayed: true}, false, lease.Relay},
-		{Config{Name: "r2", Relayed: true, Peers: []string{"r1"}}, false, lease.Relay}, {Config{Name: "g1", Peers: []string{"r1"}}, false, ""},
+		{Config{Name: "g1", Relayed: true}, true, lease.RoleGateway}, {Config{Name: "r1", Relayed: true}, false, lease.RoleRelay},
+		{Config{Name: "r2", Relayed: true, Peers: []string{"r1"}}, false, lease.RoleRelay}, {Config{Name: "g1", Peers: []string{"r1"}}, false, ""},
 	} {
 		m := member(t, c.cfg)
 		m.Tick(time.Hour)
 		m.target = "x" // not ourselves
 		m.Drain()
-		m.asks, m.opening, m.session, m.renewed, m.renewGap = nil, 0, 5, time.Hour, lease.RenewEvery
-		if p := m.open().Open.Part; p != c.part {
+		m.asks, m.opening, m.session, m.renewed, m.renewGap = nil, 0, 5, time.Hour, lease.RenewInterval
+		if p := m.open().Open.Role; p != c.part {
 			t.Errorf("%+v opens as %q", c.cfg, p)
 		}
-		m.Ask(time.Hour, lease.Command{Op: lease.Claim, Duty: "d"})
+		m.Ask(time.Hour, lease.Command{Op: lease.OpAcquire, Lease: "d"})
 		m.Drain()
 		m.Tick(time.Hour + time.Millisecond)
 		o := m.Drain()
@@ -106,7 +106,7 @@
 			t.Errorf("%+v: %d renewals, %d asks, %+v", c.cfg, renews, asks, o)
 		}
 		m.target = "r1"
-		m.Receive(time.Hour+3*time.Millisecond, "r1", KindTalk, talkBytes(&Talk{Ack: &Ack{Session: 5, Seq: m.lastSeq, View: &lease.View{Index: 1, Count: 4700}}}))
+		m.Receive(time.Hour+3*time.Millisecond, "r1", KindTalk, talkBytes(&Talk{Ack: &Ack{Session: 5, Seq: m.lastSeq, View: &lease.StateDelta{Revision: 1, SessionCount: 4700}}}))
 		o = m.Drain()
 		if s := m.Status(time.Hour); !o.Answered || s.Sessions != 4700 {
 			t.Errorf("answered %v, %d sessions", o.Answered, s.Sessions)
--- a/internal/cluster/member/session.go
+++ b/internal/cluster/member/session.go
@@ -31,9 +31,9 @@
 // so that one that comes late ends nothing.
 func (m *Member) open() lease.Command {
 	m.openings++
-	return lease.Command{Op: lease.Open, Open: &lease.Opens{
-		Name: m.cfg.Name, Disk: m.cfg.Disk.Replica, Opening: m.cfg.Disk.Boots<<32 | m.openings, Zone: m.cfg.Zone, Machine: m.cfg.Machine,
-		Address: m.cfg.Address, Offers: m.offers, Part: m.part(),
+	return lease.Command{Op: lease.OpOpenSession, Open: &lease.OpenRequest{
+		Name: m.cfg.Name, DiskID: m.cfg.Disk.Replica, OpenSequence: m.cfg.Disk.Boots<<32 | m.openings, Zone: m.cfg.Zone, Machine: m.cfg.Machine,
+		Address: m.cfg.Address, CandidateLeases: m.offers, Role: m.part(),
 	}}
 }
 
@@ -110,7 +110,7 @@
 	}
 	if a.Seq == 0 {
 		if a.View != nil {
-			m.learnDuties(a.View.Duties)
+			m.learnDuties(a.View.Leases)
 			m.learnWords(a.View)
 		}
 		return
@@ -145,8 +145,8 @@
 	}
 	clear(m.sent)
 	m.aim(from)
-	m.renewGap = lease.RenewEvery
-	m.deadline = max(m.deadline, lease.OwnDeadline(sent))
+	m.renewGap = lease.RenewInterval
+	m.deadline = max(m.deadline, lease.HolderDeadline(sent))
 	m.learn(from, a)
 	for _, h := range m.holds {
 		h.Deadline, m.out.Held = m.deadline, true
@@ -156,28 +156,28 @@
 // learn takes over what the record says.
 func (m *Member) learn(from string, a *Ack) {
 	v := a.View
-	if v.Whole {
+	if v.Full {
 		clear(m.view.members)
 		clear(m.view.duties)
 	}
 	for _, x := range v.Members {
 		m.view.members[x.Name] = x
 	}
-	if v.Keepers != nil {
-		m.view.keepers = v.Keepers
+	if v.Replicas != nil {
+		m.view.keepers = v.Replicas
 	}
-	if v.Whole || m.view.index > 0 {
+	if v.Full || m.view.index > 0 {
 		// Else it is the answer to a question from before all was to be learnt anew.
-		m.view.index = max(m.view.index, v.Index)
+		m.view.index = max(m.view.index, v.Revision)
 	}
-	if v.Count > 0 {
-		m.view.count = v.Count
+	if v.SessionCount > 0 {
+		m.view.count = v.SessionCount
 	}
 	m.view.lead, m.view.term, m.view.at = from, a.Term, m.now
-	m.learnDuties(v.Duties)
+	m.learnDuties(v.Leases)
 	m.learnWords(v)
 	for duty := range m.holds {
-		if d := m.view.duties[duty]; d.Owner != m.session {
+		if d := m.view.duties[duty]; d.HolderSession != m.session {
 			m.drop(duty)
 		}
 	}
@@ -185,7 +185,7 @@
 
 // learnDuties takes over who holds what. Older news than what is known changes nothing: tokens
 // only grow.
-func (m *Member) learnDuties(list []lease.Holding) {
+func (m *Member) learnDuties(list []lease.LeaseView) {
 	for _, d := range list {
 		if d.Token < m.fences[d.Name].token {
 			continue
@@ -195,8 +195,8 @@
 			m.fences[d.Name] = fence{token: d.Token}
 		}
 		h := m.holds[d.Name]
-		if d.Owner != m.session || m.resigned[d.Name] >= d.Token && d.Token > 0 && !failpoint.Enabled(failpoint.ReuseToken) {
-			if h != nil && h.Token <= d.Token && d.Owner != m.session {
+		if d.HolderSession != m.session || m.resigned[d.Name] >= d.Token && d.Token > 0 && !failpoint.Enabled(failpoint.ReuseToken) {
+			if h != nil && h.Token <= d.Token && d.HolderSession != m.session {
 				m.drop(d.Name)
 			}
 			continue
@@ -206,7 +206,7 @@
 			m.holds[d.Name], m.out.Held = h, true
 			m.line(false, "duty taken up", "duty", d.Name, "token", d.Token)
 		}
-		if release := d.To != "" && d.To != m.cfg.Name; release != h.Release {
+		if release := d.TransferTo != "" && d.TransferTo != m.cfg.Name; release != h.Release {
 			h.Release, m.out.Held = release, true
 		}
 	}
@@ -214,11 +214,11 @@
 
 // learnWords takes over the operators' words, where they are newer than what is known, or of
 // another fleet: a leader of before can't take one back.
-func (m *Member) learnWords(v *lease.View) {
-	if v.Birth == 0 || v.Birth == m.said.Birth && v.WordsMod <= m.said.Mod {
+func (m *Member) learnWords(v *lease.StateDelta) {
+	if v.ClusterID == 0 || v.ClusterID == m.said.Birth && v.OverridesModRevision <= m.said.Mod {
 		return
 	}
-	m.said = Words{v.Birth, v.WordsMod, v.Words}
+	m.said = Words{v.ClusterID, v.OverridesModRevision, v.Overrides}
 	told := m.said
 	m.out.Words = &told
 }
@@ -269,7 +269,7 @@
 	if len(m.asks) >= asksMost {
 		return 0
 	}
-	if c.Op != lease.Keep && c.Op != lease.Leave {
+	if c.Op != lease.OpAddReplica && c.Op != lease.OpRemoveReplica {
 		if m.session == 0 {
 			m.nextAsk++
 			m.out.Done = append(m.out.Done, Done{ID: m.nextAsk, Known: true, Result: lease.Result{Code: lease.NoSession}})
@@ -278,10 +278,10 @@
 		m.request++
 		c.Session, c.Request = m.session, m.request
 	}
-	if c.Op == lease.Resign {
+	if c.Op == lease.OpRelease {
 		// It is laid down before the record hears of it: the next owner may act at once.
-		m.resigned[c.Duty] = c.Token
-		m.drop(c.Duty)
+		m.resigned[c.Lease] = c.Token
+		m.drop(c.Lease)
 	}
 	return m.enqueue(c)
 }
@@ -293,7 +293,7 @@
 	if h == nil || h.Token != token {
 		return 0
 	}
-	return m.Ask(now, lease.Command{Op: lease.Resign, Duty: duty, Token: token})
+	return m.Ask(now, lease.Command{Op: lease.OpRelease, Lease: duty, Token: token})
 }
 
 func (m *Member) enqueue(c lease.Command) uint64 {
@@ -306,7 +306,7 @@
 
 func (m *Member) send(a *ask) {
 	a.again = m.now + askAgain + time.Duration(m.rng.Int64N(int64(askAgain)))
-	m.out.Asked = m.out.Asked || a.ID == m.opening || a.Command.Op == lease.Open
+	m.out.Asked = m.out.Asked || a.ID == m.opening || a.Command.Op == lease.OpOpenSession
 	m.toTarget(&Talk{Ask: &a.Ask})
 }
 
@@ -314,10 +314,10 @@
 func (m *Member) retry() {
 	for _, a := range slices.Clone(m.asks) {
 		switch {
-		case m.now >= a.began+askMost && a.Command.Op != lease.Open && (a.Command.Op != lease.Resign || failpoint.Enabled(failpoint.ReacquireReleased)):
+		case m.now >= a.began+askMost && a.Command.Op != lease.OpOpenSession && (a.Command.Op != lease.OpRelease || failpoint.Enabled(failpoint.ReacquireReleased)):
 			m.finish(a, Done{ID: a.ID})
 		case m.now >= a.again:
-			if m.now >= a.began+askMost && a.Command.Op == lease.Resign && !a.told {
+			if m.now >= a.began+askMost && a.Command.Op == lease.OpRelease && !a.told {
 				// Who asked need not wait. But it may yet be carried out, so the duty is not
 				// taken up again under that token, and the record is asked until it has said.
 				a.told = true
@@ -335,8 +335,8 @@
 		m.opening = 0
 		return
 	}
-	if a.Command.Op == lease.Resign && m.resigned[a.Command.Duty] == a.Command.Token && d.Result.Code != lease.OK {
-		delete(m.resigned, a.Command.Duty)
+	if a.Command.Op == lease.OpRelease && m.resigned[a.Command.Lease] == a.Command.Token && d.Result.Code != lease.OK {
+		delete(m.resigned, a.Command.Lease)
 		m.view.index = 0 // whether it is ours is to be learnt anew
 	}
 	if !a.told {
@@ -364,13 +364,13 @@
 		m.opened(a, r.Result)
 		return
 	}
-	if duty := a.Command.Duty; r.Result.Token > m.fences[duty].token {
+	if duty := a.Command.Lease; r.Result.Token > m.fences[duty].token {
 		// Word of an older token may yet come, late.
 		m.fences[duty] = fence{token: r.Result.Token}
 	}
 	known := true
 	switch a.Command.Op {
-	case lease.Write, lease.Move, lease.Drain, lease.Undrain:
+	case lease.OpWrite, lease.OpTransfer, lease.OpDrainHost, lease.OpUndrainHost:
 		// What a session has done outlives it: the command may have been carried out when it was
 		// asked first, and be told that there is no such session as it came again.
 		known = r.Result.Code != lease.NoSession
@@ -382,11 +382,11 @@
 func (m *Member) opened(a *ask, r *lease.Result) {
 	m.finish(a, Done{})
 	if r.Code != lease.OK {
-		m.line(true, "the fleet does not take this gateway", "why", r.Why)
+		m.line(true, "the fleet does not take this gateway", "why", r.Reason)
 		// Asked again with the next number, and not at once.
 		m.nextAsk++
 		m.opening = m.nextAsk
-		m.asks = append(m.asks, &ask{Ask: Ask{m.opening, m.open()}, began: m.now, again: m.now + lease.RenewEvery})
+		m.asks = append(m.asks, &ask{Ask: Ask{m.opening, m.open()}, began: m.now, again: m.now + lease.RenewInterval})
 		return
 	}
 	m.session, m.request, m.view.index, m.lastSeq, m.heard = r.Session, 0, 0, 0, 0
@@ -439,7 +439,7 @@
 		}
 		return
 	}
-	if len(m.fences) >= lease.DutiesMost && f.token == 0 {
+	if len(m.fences) >= lease.MaxLeases && f.token == 0 {
 		return
 	}
 	m.fences[n.Duty] = fence{n.Token, n.Seq}
--- a/internal/cluster/member/status.go
+++ b/internal/cluster/member/status.go
@@ -10,25 +10,25 @@
 
 // Status is how a gateway stands in the fleet, as it knows.
 type Status struct {
-	ID       string         `json:"id"` // of the fleet
-	Name     string         `json:"name"`
-	Disk     uint64         `json:"disk"`
-	Role     string         `json:"role"` // leader, keeper, learner, member, stopped
-	Why      string         `json:"why,omitempty"`
-	Leader   string         `json:"leader"`
-	Term     uint64         `json:"term"`
-	Commit   uint64         `json:"commit"`
-	Applied  uint64         `json:"applied"`
-	Birth    uint64         `json:"birth"`
-	Session  uint64         `json:"session"`
-	Expires  int64          `json:"expires_in_ms"` // of our own session, by our own deadline
-	FreshMS  int64          `json:"fresh_ms"`      // since the leader last confirmed what is shown; -1: never
-	Members  []MemberStatus `json:"members"`
-	Duties   []DutyStatus   `json:"duties"`
-	Keepers  []lease.Keeper `json:"keepers"`
-	Changes  []lease.Change `json:"changes,omitempty"` // the last changes of hands, where this gateway keeps the record
-	Sessions int            `json:"sessions"`
-	Words    []WordStatus   `json:"words"` // operators', as this gateway goes by them
+	ID       string                `json:"id"` // of the fleet
+	Name     string                `json:"name"`
+	Disk     uint64                `json:"disk"`
+	Role     string                `json:"role"` // leader, keeper, learner, member, stopped
+	Why      string                `json:"why,omitempty"`
+	Leader   string                `json:"leader"`
+	Term     uint64                `json:"term"`
+	Commit   uint64                `json:"commit"`
+	Applied  uint64                `json:"applied"`
+	Birth    uint64                `json:"birth"`
+	Session  uint64                `json:"session"`
+	Expires  int64                 `json:"expires_in_ms"` // of our own session, by our own deadline
+	FreshMS  int64                 `json:"fresh_ms"`      // since the leader last confirmed what is shown; -1: never
+	Members  []MemberStatus        `json:"members"`
+	Duties   []DutyStatus          `json:"duties"`
+	Keepers  []lease.Replica       `json:"keepers"`
+	Changes  []lease.LeaseTransfer `json:"changes,omitempty"` // the last changes of hands, where this gateway keeps the record
+	Sessions int                   `json:"sessions"`
+	Words    []WordStatus          `json:"words"` // operators', as this gateway goes by them
 }
 
 // WordStatus is an operator's word on a host.
@@ -70,10 +70,10 @@
 	s := &Status{
 		ID: m.cfg.Fleet, Name: m.cfg.Name, Disk: m.cfg.Disk.Replica, Role: "member", Leader: m.leader(), Term: n.Term,
 		Commit: n.Commit, Applied: n.Applied, Birth: m.birth, Session: m.session, FreshMS: -1,
-		Members: []MemberStatus{}, Duties: []DutyStatus{}, Keepers: []lease.Keeper{}, Words: []WordStatus{},
+		Members: []MemberStatus{}, Duties: []DutyStatus{}, Keepers: []lease.Replica{}, Words: []WordStatus{},
 	}
 	for _, w := range m.said.List {
-		s.Words = append(s.Words, WordStatus{w.Pool, w.Host, w.Reason, w.By, w.Since, w.Left.Milliseconds()})
+		s.Words = append(s.Words, WordStatus{w.Pool, w.Host, w.Reason, w.CreatedBy, w.CreatedRevision, w.Remaining.Milliseconds()})
 	}
 	if m.view.at > 0 {
 		s.FreshMS = (now - m.view.at).Milliseconds()
@@ -81,8 +81,8 @@
 	if m.session != 0 {
 		s.Expires = max(0, m.deadline-now).Milliseconds()
 	}
-	k, keeps := m.st.Keepers[m.cfg.Disk.Replica]
-	if m.view.index >= m.st.Index && len(m.view.keepers) > 0 && !slices.ContainsFunc(m.view.keepers, func(k lease.Keeper) bool { return k.Replica == m.cfg.Disk.Replica }) {
+	k, keeps := m.st.Replicas[m.cfg.Disk.Replica]
+	if m.view.index >= m.st.Revision && len(m.view.keepers) > 0 && !slices.ContainsFunc(m.view.keepers, func(k lease.Replica) bool { return k.ID == m.cfg.Disk.Replica }) {
 		keeps = false // it was removed, and what it held of the record stands still since
 	}
 	switch err := m.Halted(); {
@@ -98,36 +98,36 @@
 	if !keeps && s.Role != "stopped" || s.Leader == "" {
 		s.Leader, s.Term = m.view.lead, max(s.Term, m.view.term)
 	}
-	if keeps && m.st.Birth != 0 {
+	if keeps && m.st.ClusterID != 0 {
 		for _, name := range m.st.MemberNames() {
 			x := m.st.Members[name]
-			o := MemberStatus{Name: name, Session: x.Session, Disk: x.Disk, Zone: x.Zone, Machine: x.Machine}
+			o := MemberStatus{Name: name, Session: x.Session, Disk: x.DiskID, Zone: x.Zone, Machine: x.Machine}
 			if m.watch != nil && x.Session != 0 {
-				o.Expires = new(m.watch.Left(now, x.Session).Milliseconds())
+				o.Expires = new(m.watch.Remaining(now, x.Session).Milliseconds())
 			}
 			s.Members = append(s.Members, o)
 		}
-		for _, name := range slices.Sorted(maps.Keys(m.st.Duties)) {
-			d := m.st.Duties[name]
-			s.Duties = append(s.Duties, DutyStatus{name, d.Holder, d.Token, d.Since, d.To})
+		for _, name := range slices.Sorted(maps.Keys(m.st.Leases)) {
+			d := m.st.Leases[name]
+			s.Duties = append(s.Duties, DutyStatus{name, d.Holder, d.Token, d.SinceRevision, d.TransferTo})
 		}
-		for _, id := range slices.Sorted(maps.Keys(m.st.Keepers)) {
-			s.Keepers = append(s.Keepers, m.st.Keepers[id])
+		for _, id := range slices.Sorted(maps.Keys(m.st.Replicas)) {
+			s.Keepers = append(s.Keepers, m.st.Replicas[id])
 		}
-		s.Changes = slices.Clone(m.st.Changes[max(0, len(m.st.Changes)-changesShown):])
+		s.Changes = slices.Clone(m.st.Transfers[max(0, len(m.st.Transfers)-changesShown):])
 		s.Sessions = len(m.st.Sessions)
 		return s
 	}
 	for _, name := range slices.Sorted(maps.Keys(m.view.members)) {
 		x := m.view.members[name]
-		s.Members = append(s.Members, MemberStatus{Name: name, Session: x.Session, Disk: x.Disk, Zone: x.Zone, Machine: x.Machine})
+		s.Members = append(s.Members, MemberStatus{Name: name, Session: x.Session, Disk: x.DiskID, Zone: x.Zone, Machine: x.Machine})
 		if x.Session != 0 {
 			s.Sessions++
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(m.view.duties)) {
 		d := m.view.duties[name]
-		s.Duties = append(s.Duties, DutyStatus{Name: name, Owner: d.Holder, Token: d.Token, To: d.To})
+		s.Duties = append(s.Duties, DutyStatus{Name: name, Owner: d.Holder, Token: d.Token, To: d.TransferTo})
 	}
 	if m.view.count > 0 {
 		s.Sessions = m.view.count
--- a/internal/cluster/member/wire.go
+++ b/internal/cluster/member/wire.go
@@ -72,13 +72,13 @@
 
 // Ack is the leader's word on a renewal, confirmed by a quorum, or news of the record.
 type Ack struct {
-	Session uint64      `json:"session"`
-	Seq     uint64      `json:"seq,omitempty"` // 0: news only, nothing is renewed
-	Gone    bool        `json:"gone,omitempty"`
-	Again   bool        `json:"again,omitempty"` // nothing is renewed before the leader knows that this was heard
-	Lead    string      `json:"lead,omitempty"`  // who leads, where it is not the sender
-	Term    uint64      `json:"term,omitempty"`
-	View    *lease.View `json:"view,omitempty"`
+	Session uint64            `json:"session"`
+	Seq     uint64            `json:"seq,omitempty"` // 0: news only, nothing is renewed
+	Gone    bool              `json:"gone,omitempty"`
+	Again   bool              `json:"again,omitempty"` // nothing is renewed before the leader knows that this was heard
+	Lead    string            `json:"lead,omitempty"`  // who leads, where it is not the sender
+	Term    uint64            `json:"term,omitempty"`
+	View    *lease.StateDelta `json:"view,omitempty"`
 }
 
 // Ask is a command for the record.
--- a/internal/cluster/relay/router.go
+++ b/internal/cluster/relay/router.go
@@ -425,7 +425,7 @@
 	if err != nil || t.Renew == nil || t.Renew.Known == 0 {
 		return false
 	}
-	b, err := json.Marshal(member.Talk{Ack: &member.Ack{Session: t.Renew.Session, Seq: t.Renew.Seq, View: &lease.View{Index: t.Renew.Known}}})
+	b, err := json.Marshal(member.Talk{Ack: &member.Ack{Session: t.Renew.Session, Seq: t.Renew.Seq, View: &lease.StateDelta{Revision: t.Renew.Known}}})
 	if err != nil {
 		return false
 	}
--- a/internal/cluster/sim/calm.go
+++ b/internal/cluster/sim/calm.go
@@ -172,7 +172,7 @@
 		n := w.Nodes[w.rng.IntN(len(w.Nodes))]
 		if lead := w.Leader(); lead != nil && w.rng.IntN(2) == 0 {
 			n = lead
-			lead.m.Ask(lead.clock(), lease.Command{Op: lease.Move, Duty: fmt.Sprintf("d%d", w.rng.IntN(w.Duties))})
+			lead.m.Ask(lead.clock(), lease.Command{Op: lease.OpTransfer, Lease: fmt.Sprintf("d%d", w.rng.IntN(w.Duties))})
 			lead.drain()
 		}
 		if w.rng.IntN(3) == 0 {
--- a/internal/cluster/sim/check.go
+++ b/internal/cluster/sim/check.go
@@ -117,7 +117,7 @@
 		n.say(duty, t)
 	}
 	if n.w.rng.IntN(4) == 0 {
-		n.m.Ask(n.clock(), lease.Command{Op: lease.Write, Duty: duty, Token: token, Key: "by", Value: fmt.Sprintf("%020d", token)})
+		n.m.Ask(n.clock(), lease.Command{Op: lease.OpWrite, Lease: duty, Token: token, Key: "by", Value: fmt.Sprintf("%020d", token)})
 	}
 	n.drain()
 }
@@ -137,16 +137,16 @@
 // look checks what must hold at any time, behind each step of a gateway.
 func (w *World) look(n *Node, held bool) {
 	st := n.m.State()
-	if st.Birth != 0 && !n.stale() {
+	if st.ClusterID != 0 && !n.stale() {
 		w.learn(st)
 	}
-	if st.Birth != 0 && n.summed != st.Index && st.Index%digestEvery == 0 {
-		n.summed = st.Index
-		sum := digest(st.Bytes())
-		if was, ok := w.digests[st.Index]; !ok {
-			w.digests[st.Index] = sum
+	if st.ClusterID != 0 && n.summed != st.Revision && st.Revision%digestEvery == 0 {
+		n.summed = st.Revision
+		sum := digest(st.Encode())
+		if was, ok := w.digests[st.Revision]; !ok {
+			w.digests[st.Revision] = sum
 		} else if was != sum {
-			w.bad("%s has another record at index %d than a gateway before", n.name, st.Index)
+			w.bad("%s has another record at index %d than a gateway before", n.name, st.Revision)
 		}
 	}
 	// One owner at a time, as each believes by its own clock: leases see to it, and tokens to
@@ -164,32 +164,32 @@
 // stale says whether a gateway's record is as it was looked at last.
 func (n *Node) stale() bool {
 	st := n.m.State()
-	if n.looked == st.Index {
+	if n.looked == st.Revision {
 		return true
 	}
-	n.looked = st.Index
+	n.looked = st.Revision
 	return false
 }
 
 // learn follows the record from one index to the next: tokens only grow, and no write is taken
 // under any but the duty's.
 func (w *World) learn(st *lease.State) {
-	if st.Index <= w.latest {
+	if st.Revision <= w.latest {
 		return
 	}
-	w.latest = st.Index
-	for _, name := range slices.Sorted(maps.Keys(st.Duties)) {
-		d := st.Duties[name]
+	w.latest = st.Revision
+	for _, name := range slices.Sorted(maps.Keys(st.Leases)) {
+		d := st.Leases[name]
 		was := w.change[name]
 		switch {
 		case d.Token < was:
 			w.bad("the token of %s went from %d to %d", name, was, d.Token)
-		case d.Token == was && d.Owner != 0 && w.owner[name] != 0 && w.owner[name] != d.Owner:
+		case d.Token == was && d.HolderSession != 0 && w.owner[name] != 0 && w.owner[name] != d.HolderSession:
 			w.bad("%s went to another owner under the same token %d", name, d.Token)
 		}
 		w.change[name] = d.Token
-		if d.Owner != 0 {
-			w.owner[name] = d.Owner
+		if d.HolderSession != 0 {
+			w.owner[name] = d.HolderSession
 		}
 		if by := d.Values["by"]; by < w.wrote[name] {
 			w.bad("the record took a write on %s under token %s after one under %s", name, by, w.wrote[name])
@@ -200,15 +200,15 @@
 			continue
 		}
 		since, free := w.Unowned.since[name]
-		if d.Owner == 0 && !free {
+		if d.HolderSession == 0 && !free {
 			w.Unowned.since[name] = w.Now
-		} else if d.Owner != 0 && free {
+		} else if d.HolderSession != 0 && free {
 			w.Unowned.Spans = append(w.Unowned.Spans, w.Now-since)
 			delete(w.Unowned.since, name)
 		}
 	}
-	for _, c := range st.Changes {
-		if c.Index == st.Index && c.Cause == "lapsed" {
+	for _, c := range st.Transfers {
+		if c.Revision == st.Revision && c.Cause == "lapsed" {
 			w.Lapses++
 		}
 	}
--- a/internal/cluster/sim/cost.go
+++ b/internal/cluster/sim/cost.go
@@ -42,7 +42,7 @@
 	}
 	c.FormedIn = w.Now
 	// At first all duties are with the gateways that came first.
-	if !w.Until(5*time.Minute, func() bool { return w.Whole() && len(lease.Even(w.Leader().m.State())) == 0 }) {
+	if !w.Until(5*time.Minute, func() bool { return w.Whole() && len(lease.Rebalance(w.Leader().m.State())) == 0 }) {
 		return c, w.failed("the duties are not spread")
 	}
 	c.EvenIn = w.Now
@@ -99,8 +99,8 @@
 		if c.LeadIn == 0 {
 			c.LeadIn = w.Now - killed
 		}
-		if c.OwnedIn == 0 && !slices.ContainsFunc(slices.Collect(maps.Values(next.m.State().Duties)), func(d *lease.Duty) bool {
-			return d.Owner == 0 || d.Owner == before[lead]
+		if c.OwnedIn == 0 && !slices.ContainsFunc(slices.Collect(maps.Values(next.m.State().Leases)), func(d *lease.Lease) bool {
+			return d.HolderSession == 0 || d.HolderSession == before[lead]
 		}) {
 			c.OwnedIn = w.Now - killed
 		}
--- a/internal/cluster/sim/failpoints_test.go
+++ b/internal/cluster/sim/failpoints_test.go
@@ -35,12 +35,12 @@
 // playAgain has commands come again behind others: each has its one effect, and its first answer.
 func playAgain(seed uint64) error {
 	s := lease.NewState(1)
-	s.Apply(1, &lease.Command{Op: lease.Open, Open: &lease.Opens{Name: "g", Disk: 1, Opening: 1}})
-	claim := lease.Command{Op: lease.Claim, Session: 1, Request: 1, Duty: "d"}
+	s.Apply(1, &lease.Command{Op: lease.OpOpenSession, Open: &lease.OpenRequest{Name: "g", DiskID: 1, OpenSequence: 1}})
+	claim := lease.Command{Op: lease.OpAcquire, Session: 1, Request: 1, Lease: "d"}
 	first := s.Apply(2, &claim)
-	s.Apply(3, &lease.Command{Op: lease.Resign, Session: 1, Request: 2, Duty: "d", Token: first.Token})
-	if again := s.Apply(4, &claim); again != first || s.Duties["d"].Owner != 0 {
-		return fmt.Errorf("seed %d: a claim that came again was answered %+v after %+v, and %d owns the duty", seed, again, first, s.Duties["d"].Owner)
+	s.Apply(3, &lease.Command{Op: lease.OpRelease, Session: 1, Request: 2, Lease: "d", Token: first.Token})
+	if again := s.Apply(4, &claim); again != first || s.Leases["d"].HolderSession != 0 {
+		return fmt.Errorf("seed %d: a claim that came again was answered %+v after %+v, and %d owns the duty", seed, again, first, s.Leases["d"].HolderSession)
 	}
 	return nil
 }
--- a/internal/cluster/sim/history.go
+++ b/internal/cluster/sim/history.go
@@ -64,9 +64,9 @@
 	w := c.n.w
 	lock := fmt.Sprintf("lock%d", w.rng.IntN(w.Locks))
 	o := &op{client: c.n.i, lock: lock, claim: c.has[lock] == 0, token: c.has[lock], began: w.Now}
-	cmd := lease.Command{Op: lease.Claim, Duty: lock}
+	cmd := lease.Command{Op: lease.OpAcquire, Lease: lock}
 	if !o.claim {
-		cmd = lease.Command{Op: lease.Resign, Duty: lock, Token: o.token}
+		cmd = lease.Command{Op: lease.OpRelease, Lease: lock, Token: o.token}
 		delete(c.has, lock)
 	}
 	c.out = o
@@ -90,12 +90,12 @@
 	switch {
 	case !d.Known:
 		return // it may have had its effect, or may yet
-	case d.Result.Code == lease.NoSession || d.Result.Code == lease.Old:
+	case d.Result.Code == lease.NoSession || d.Result.Code == lease.ResultExpired:
 		h.ops = slices.Delete(h.ops, i, i+1) // it had none
 		return
 	}
 	x := &h.ops[i]
-	x.ended, x.ok, x.held, x.granted = c.n.w.Now, d.Result.Code == lease.OK, d.Result.Code == lease.Held, d.Result.Token
+	x.ended, x.ok, x.held, x.granted = c.n.w.Now, d.Result.Code == lease.OK, d.Result.Code == lease.LeaseHeld, d.Result.Token
 	if x.claim && x.ok {
 		c.has[x.lock] = x.granted
 	}
--- a/internal/cluster/sim/nemesis.go
+++ b/internal/cluster/sim/nemesis.go
@@ -139,7 +139,7 @@
 		n.stopActing = w.between(lease.TTL/2, 3*lease.TTL)
 	case 14:
 		if lead := w.Leader(); lead != nil && w.Duties > 0 {
-			lead.m.Ask(lead.clock(), lease.Command{Op: lease.Move, Duty: fmt.Sprintf("d%d", w.rng.IntN(w.Duties)), To: o.name})
+			lead.m.Ask(lead.clock(), lease.Command{Op: lease.OpTransfer, Lease: fmt.Sprintf("d%d", w.rng.IntN(w.Duties)), Target: o.name})
 			lead.drain()
 		}
 	}
@@ -155,7 +155,7 @@
 	for _, k := range lead.m.Status(lead.clock()).Keepers {
 		found := false
 		for _, n := range w.Nodes {
-			if n.up && n.m.Halted() == nil && n.d.Identity().Replica == k.Replica && n.doubt != k.Replica {
+			if n.up && n.m.Halted() == nil && n.d.Identity().Replica == k.ID && n.doubt != k.ID {
 				found = true
 			}
 		}
--- a/internal/cluster/sim/words.go
+++ b/internal/cluster/sim/words.go
@@ -45,9 +45,9 @@
 		return
 	}
 	x := said{life: n.life, drain: n.w.rng.IntN(2) == 0}
-	c := lease.Command{Op: lease.Undrain, Word: &lease.Word{Pool: "p", Host: o.host}}
+	c := lease.Command{Op: lease.OpUndrainHost, Override: &lease.Override{Pool: "p", Host: o.host}}
 	if x.drain {
-		c.Op = lease.Drain
+		c.Op = lease.OpDrainHost
 	}
 	if x.id = n.m.Ask(n.clock(), c); x.id != 0 {
 		o.list = append(o.list, x)
@@ -61,7 +61,7 @@
 		return
 	}
 	switch d.Result.Code {
-	case lease.OK, lease.Refused: // refused: there was no word to take back
+	case lease.OK, lease.Rejected: // refused: there was no word to take back
 		o.list[i].done = true
 	default:
 		o.list[i].before = true
@@ -101,8 +101,8 @@
 	}
 	st := lead.State()
 	for _, n := range w.Nodes {
-		if words := n.m.Words(); words.Mod != st.WordsMod || !slices.Equal(words.List, st.ListWords()) {
-			return w.failed(fmt.Sprintf("%s knows the words of %d, %v, the record has those of %d, %v", n.name, words.Mod, words.List, st.WordsMod, st.ListWords()))
+		if words := n.m.Words(); words.Mod != st.OverridesModRevision || !slices.Equal(words.List, st.ListOverrides()) {
+			return w.failed(fmt.Sprintf("%s knows the words of %d, %v, the record has those of %d, %v", n.name, words.Mod, words.List, st.OverridesModRevision, st.ListOverrides()))
 		}
 		if n.operator == nil {
 			continue
@@ -111,7 +111,7 @@
 		if len(list) == 0 || !list[len(list)-1].done {
 			continue
 		}
-		if last := list[len(list)-1]; (st.Words["p/"+n.operator.host] != nil) != last.drain {
+		if last := list[len(list)-1]; (st.Overrides["p/"+n.operator.host] != nil) != last.drain {
 			return w.failed(fmt.Sprintf("the last word on %s was drain %v, answered, and is not so", n.operator.host, last.drain))
 		}
 	}
--- a/internal/fleet/calls.go
+++ b/internal/fleet/calls.go
@@ -65,10 +65,10 @@
 			return f.move(ctx, v.Get("duty"), "")
 		}},
 		PathAdd: command(func(v url.Values) (lease.Command, string) {
-			return lease.Command{Op: lease.Keep, Name: v.Get("gateway")}, need(v, "gateway")
+			return lease.Command{Op: lease.OpAddReplica, Name: v.Get("gateway")}, need(v, "gateway")
 		}),
 		PathRemove: command(func(v url.Values) (lease.Command, string) {
-			return lease.Command{Op: lease.Leave, Name: v.Get("gateway")}, need(v, "gateway")
+			return lease.Command{Op: lease.OpRemoveReplica, Name: v.Get("gateway")}, need(v, "gateway")
 		}),
 	}
 	f.wordCalls(calls)
@@ -85,7 +85,7 @@
 // known here.
 func (f *Fleet) move(ctx context.Context, duty, to string) (int, string, string) {
 	owner, token := f.holder(duty)
-	code, text, kind := answer(f.c.Do(ctx, lease.Command{Op: lease.Move, Duty: duty, To: to}))
+	code, text, kind := answer(f.c.Do(ctx, lease.Command{Op: lease.OpTransfer, Lease: duty, Target: to}))
 	if code != http.StatusOK || to != "" && owner == to {
 		return code, text, kind
 	}
@@ -125,7 +125,7 @@
 	case r.Code == lease.NoSession:
 		return http.StatusServiceUnavailable, "this gateway has no session with its fleet, nothing was done\n", ""
 	case r.Code != lease.OK:
-		why := r.Why
+		why := r.Reason
 		if why == "" {
 			why = string(r.Code)
 		}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -162,7 +162,7 @@
 				continue
 			}
 			gone[name] = now
-			r, err := f.c.Do(ctx, lease.Command{Op: lease.Forget, Duty: housekeeping, Token: h.Token, Name: name})
+			r, err := f.c.Do(ctx, lease.Command{Op: lease.OpCollectGarbage, Lease: housekeeping, Token: h.Token, Name: name})
 			if err == nil && r.Code == lease.OK {
 				slog.Info("forgotten by the fleet", "name", name)
 			}
--- a/internal/fleet/words.go
+++ b/internal/fleet/words.go
@@ -50,7 +50,7 @@
 // do has a word written, again where nothing was done as it came late.
 func (f *Fleet) do(ctx context.Context, c lease.Command) (r lease.Result, err error) {
 	for range lateMost {
-		if r, err = f.c.Do(ctx, c); err != nil || r.Code != lease.Late {
+		if r, err = f.c.Do(ctx, c); err != nil || r.Code != lease.Superseded {
 			break
 		}
 	}
@@ -59,17 +59,17 @@
 
 // wordCalls are the operators' calls about hosts.
 func (f *Fleet) wordCalls(calls map[string]admin.Call) {
-	word := func(v url.Values) (*lease.Word, string) {
-		w := &lease.Word{Pool: v.Get("pool"), Host: v.Get("host"), Reason: v.Get("reason")}
+	word := func(v url.Values) (*lease.Override, string) {
+		w := &lease.Override{Pool: v.Get("pool"), Host: v.Get("host"), Reason: v.Get("reason")}
 		if w.Pool == "" || w.Host == "" {
 			return nil, "pool or host is missing"
 		}
 		if text := v.Get("until"); text != "" {
 			d, err := time.ParseDuration(text)
-			if err != nil || d <= 0 || d > lease.LastMost {
-				return nil, fmt.Sprintf("until: %q is no time like \"2h\", up to %v", text, lease.LastMost)
+			if err != nil || d <= 0 || d > lease.MaxOverrideDuration {
+				return nil, fmt.Sprintf("until: %q is no time like \"2h\", up to %v", text, lease.MaxOverrideDuration)
 			}
-			w.Left = d
+			w.Remaining = d
 		}
 		return w, ""
 	}
@@ -81,13 +81,13 @@
 		if _, ok := f.poolNamed(w.Pool); !ok {
 			return http.StatusConflict, fmt.Sprintf("refused: this gateway has no pool %s\n", w.Pool), ""
 		}
-		return answer(f.do(ctx, lease.Command{Op: lease.Drain, Word: w}))
+		return answer(f.do(ctx, lease.Command{Op: lease.OpDrainHost, Override: w}))
 	}}
 	calls[PathUndrain] = admin.Call{Method: http.MethodPost, Do: func(ctx context.Context, v url.Values) (int, string, string) {
 		w, wrong := word(v)
 		if wrong != "" {
 			return http.StatusBadRequest, wrong + "\n", ""
 		}
-		return answer(f.do(ctx, lease.Command{Op: lease.Undrain, Word: w}))
+		return answer(f.do(ctx, lease.Command{Op: lease.OpUndrainHost, Override: w}))
 	}}
 }
