--- a/internal/cluster/lease/lease_test.go
+++ b/internal/cluster/lease/placement_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// Whatever comes and goes: a duty is held by a living session that offers it or by nobody, tokens
-// only grow, what was held stays where it was unless its owner went or it was moved, evening out
-// ends, and the state comes back from its bytes.
+// Whatever sessions begin and end: a lease is held by a live candidate or by nobody, tokens only grow, a
+// lease stays where it is unless its holder is gone or it is transferred, rebalancing ends, and the state
+// can be decoded from its encoding.
 func TestPlacement(t *testing.T) {
 	for seed := range uint64(40) {
 		r := rand.New(rand.NewPCG(seed, 1))
@@ -19,35 +19,35 @@
 			index++
 			return s.Apply(index, &c)
 		}
-		var offers []string
+		var candidates []string
 		for i := range 60 {
-			offers = append(offers, fmt.Sprintf("d%02d", i))
+			candidates = append(candidates, fmt.Sprintf("d%02d", i))
 		}
-		opening := uint64(0)
+		sequence := uint64(0)
 		open := func(i int) {
-			opening++
-			apply(Command{Op: OpOpenSession, Open: &OpenRequest{Name: fmt.Sprint("g", i), DiskID: uint64(i + 1), OpenSequence: opening, CandidateLeases: offers}})
+			sequence++
+			apply(Command{Op: OpOpenSession, Open: &OpenRequest{Name: fmt.Sprint("g", i), DiskID: uint64(i + 1), OpenSequence: sequence, CandidateLeases: candidates}})
 		}
 		settle := func() (moved int) {
 			for range 200 {
-				list := AssignFree(s)
-				for _, c := range list {
+				assigned := AssignFree(s)
+				for _, c := range assigned {
 					if res := apply(c); res.Code != OK {
 						t.Fatalf("seed %d: %+v for %+v", seed, res, c)
 					}
 				}
-				even := Rebalance(s)
-				for _, c := range even {
+				transfers := Rebalance(s)
+				for _, c := range transfers {
 					d := s.Leases[c.Lease]
 					apply(c)
 					apply(Command{Op: OpRelease, Session: d.HolderSession, Lease: c.Lease, Token: c.Token})
 					moved++
 				}
-				if len(list)+len(even) == 0 {
+				if len(assigned)+len(transfers) == 0 {
 					return moved
 				}
 			}
-			t.Fatalf("seed %d: placing does not end", seed)
+			t.Fatalf("seed %d: placement does not settle", seed)
 			return 0
 		}
 		for i := range 12 {
@@ -84,7 +84,7 @@
 				load[d.Holder]++
 			}
 			if lost > 0 && 2*changed > 3*lost {
-				t.Fatalf("seed %d: %d duties were lost, %d changed hands (%d moved)", seed, lost, changed, moved)
+				t.Fatalf("seed %d: %d leases lost their holder, %d were granted anew (%d transferred)", seed, lost, changed, moved)
 			}
 			if most, least := slices.Max(slices.Collect(maps.Values(load))), slices.Min(slices.Collect(maps.Values(load))); most-least > maxImbalance {
 				t.Fatalf("seed %d: one holds %d, another %d", seed, most, least)
@@ -92,7 +92,7 @@
 		}
 		again := NewState(0)
 		if err := again.Decode(s.Encode()); err != nil || string(again.Encode()) != string(s.Encode()) {
-			t.Fatalf("seed %d: the state does not come back: %v", seed, err)
+			t.Fatalf("seed %d: the state is not the same after decoding: %v", seed, err)
 		}
 	}
 }
