--- a/tools/shape.sh
+++ b/tools/shape.sh
@@ -18,6 +18,7 @@
 checked=0
 paths=()
 while read -r file; do
+	[ -f "$file" ] || continue # deleted, and not committed yet
 	checked=$((checked + 1))
 	lines=$(wc -l <"$file")
 	if [ "$lines" -gt "$max_file_lines" ]; then
