--- a/cmd/dunemoorctl/fleet.go
+++ b/cmd/dunemoorctl/fleet.go
@@ -17,7 +17,7 @@
 	"github.com/spf13/cobra"
 
 	"dunemoor/internal/cluster"
-	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/cluster/node"
 	"dunemoor/internal/fleet"
 )
 
@@ -49,7 +49,7 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		s := &cluster.Status{Status: &member.Status{}}
+		s := &cluster.Status{Status: &node.Status{}}
 		if err := json.Unmarshal(text, s); err != nil {
 			return nil, nil, fmt.Errorf("%s: %w", admin, err)
 		}
@@ -200,15 +200,15 @@
 }
 
 func printStatus(w io.Writer, s *cluster.Status) {
-	fmt.Fprintf(w, "%s of fleet %s: %s", s.Name, s.ID, s.Role)
-	if s.Why != "" {
-		fmt.Fprintf(w, " (%s)", s.Why)
+	fmt.Fprintf(w, "%s of fleet %s: %s", s.Name, s.Fleet, s.Role)
+	if s.Reason != "" {
+		fmt.Fprintf(w, " (%s)", s.Reason)
 	}
 	fmt.Fprintf(w, "\nleader %s, term %d, committed to %d, applied to %d here\n", cmp.Or(s.Leader, "not known"), s.Term, s.Commit, s.Applied)
 	if s.Session == 0 {
 		fmt.Fprintln(w, "no session")
 	} else {
-		fmt.Fprintf(w, "session %d, for another %d ms\n", s.Session, s.Expires)
+		fmt.Fprintf(w, "session %d, for another %d ms\n", s.Session, s.ExpiresInMS)
 	}
 	if s.FreshMS < 0 {
 		fmt.Fprintln(w, "never confirmed by a leader")
@@ -217,7 +217,7 @@
 	}
 	printRelay(w, s)
 	var keepers []string
-	for _, k := range s.Keepers {
+	for _, k := range s.Replicas {
 		name := cmp.Or(k.Name, fmt.Sprint(k.ID))
 		if k.Learner {
 			name += " (being brought up)"
@@ -263,10 +263,10 @@
 		if m.Session != 0 {
 			session = fmt.Sprint(m.Session)
 		}
-		if m.Expires != nil {
-			expires = fmt.Sprintf("%d ms", *m.Expires)
+		if m.ExpiresInMS != nil {
+			expires = fmt.Sprintf("%d ms", *m.ExpiresInMS)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%016x\n", m.Name, session, expires, cmp.Or(m.Zone, "-"), cmp.Or(m.Machine, "-"), m.Disk)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%016x\n", m.Name, session, expires, cmp.Or(m.Zone, "-"), cmp.Or(m.Machine, "-"), m.ReplicaID)
 	}
 }
 
@@ -274,12 +274,12 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	defer t.Flush()
 	fmt.Fprintln(t, "HOST\tENDS IN\tASKED AT\tREASON")
-	for _, x := range s.Words {
+	for _, x := range s.Overrides {
 		ends := "-"
-		if x.LeftMS > 0 {
-			ends = (time.Duration(x.LeftMS) * time.Millisecond).Round(time.Minute).String()
+		if x.RemainingMS > 0 {
+			ends = (time.Duration(x.RemainingMS) * time.Millisecond).Round(time.Minute).String()
 		}
-		fmt.Fprintf(t, "%s/%s\t%s\t%s\t%s\n", x.Pool, x.Host, ends, x.By, cmp.Or(x.Reason, "-"))
+		fmt.Fprintf(t, "%s/%s\t%s\t%s\t%s\n", x.Pool, x.Host, ends, x.CreatedBy, cmp.Or(x.Reason, "-"))
 	}
 }
 
@@ -287,7 +287,7 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	defer t.Flush()
 	fmt.Fprintln(t, "DUTY\tOWNER\tTOKEN\tTO")
-	for _, d := range s.Duties {
-		fmt.Fprintf(t, "%s\t%s\t%d\t%s\n", d.Name, cmp.Or(d.Owner, "nobody"), d.Token, cmp.Or(d.To, "-"))
+	for _, d := range s.Leases {
+		fmt.Fprintf(t, "%s\t%s\t%d\t%s\n", d.Name, cmp.Or(d.Holder, "nobody"), d.Token, cmp.Or(d.TransferTo, "-"))
 	}
 }
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -23,7 +23,7 @@
 	"dunemoor/internal/cluster/duty"
 	"dunemoor/internal/cluster/failpoint"
 	"dunemoor/internal/cluster/lease"
-	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/cluster/node"
 	"dunemoor/internal/cluster/peer"
 	"dunemoor/internal/cluster/quorum"
 	"dunemoor/internal/cluster/relay"
@@ -65,7 +65,7 @@
 // Fleet is a gateway's part in it.
 type Fleet struct {
 	cfg     Config
-	member  *member.Member
+	member  *node.Node
 	dir     *disk.Dir
 	disk    *disk.Disk
 	carrier *peer.Carrier
@@ -78,23 +78,23 @@
 	cancel context.CancelFunc
 	all    sync.WaitGroup
 
-	hello  atomic.Pointer[member.Hello]
+	hello  atomic.Pointer[node.Hello]
 	status atomic.Pointer[Status]
 	stale  atomic.Bool // what is shown is older than what was logged
 	shown  atomic.Int64
-	judge  atomic.Pointer[member.Member] // for Judge, which looks at what does not change
+	judge  atomic.Pointer[node.Node] // for Judge, which looks at what does not change
 
 	// OnWords is told of the operators' words as they change, from the loop. Set before Start.
-	OnWords func(*member.Words)
+	OnWords func(*node.OverrideSet)
 
-	words atomic.Pointer[member.Words]
-	said  chan *member.Words // to be kept
+	words atomic.Pointer[node.OverrideSet]
+	said  chan *node.OverrideSet // to be kept
 	syncs prometheus.Histogram
 
 	// Of the loop.
 	relayed *relayed // nil: the fleet has no relays
-	waiting map[uint64]chan<- member.Done
-	news    map[string]func(member.News)
+	waiting map[uint64]chan<- node.Outcome
+	news    map[string]func(node.Publication)
 	wants   map[string]func(from string, body []byte)
 	counts  counts
 	writing bool          // a batch is with the writer
@@ -109,8 +109,8 @@
 // New opens a gateway's part: its directory and its listener. Nothing runs before Start.
 func New(cfg Config) (*Fleet, error) {
 	f := &Fleet{
-		cfg: cfg, events: make(chan func(), eventsMost), writes: make(chan *quorum.Batch, 1), said: make(chan *member.Words, 1),
-		waiting: map[uint64]chan<- member.Done{}, news: map[string]func(member.News){}, wants: map[string]func(string, []byte){},
+		cfg: cfg, events: make(chan func(), eventsMost), writes: make(chan *quorum.Batch, 1), said: make(chan *node.OverrideSet, 1),
+		waiting: map[uint64]chan<- node.Outcome{}, news: map[string]func(node.Publication){}, wants: map[string]func(string, []byte){},
 	}
 	f.ctx, f.cancel = context.WithCancel(context.Background())
 	f.syncs = prometheus.NewHistogram(prometheus.HistogramOpts{
@@ -118,7 +118,7 @@
 		Buckets: prometheus.ExponentialBuckets(0.0001, 2, 16),
 	})
 	f.duties = duty.NewTable(func(name string, token uint64) {
-		f.post(func() { f.member.Released(duty.Now(), name, token) })
+		f.post(func() { f.member.ReleaseStopped(duty.Now(), name, token) })
 	})
 	var err error
 	if f.dir, err = disk.OpenDir(cfg.DataDir); err != nil {
@@ -138,7 +138,7 @@
 // Register names the work of a duty that this gateway can hold, and what is done with the news
 // that its owner sends, and as its owner with others' wish to be told all; these come one at a
 // time and must not wait. Before Start.
-func (f *Fleet) Register(name string, w duty.Work, news func(member.News), want func(from string, body []byte)) {
+func (f *Fleet) Register(name string, w duty.Work, news func(node.Publication), want func(from string, body []byte)) {
 	f.duties.Register(name, w)
 	if news != nil {
 		f.news[name] = news
@@ -167,8 +167,8 @@
 	}
 	cfg := peer.Config{
 		Name: f.cfg.Name, Key: f.cfg.Key, Peers: peers,
-		Hello: func() member.Hello { return *f.hello.Load() },
-		Judge: func(h *member.Hello) string { return f.judge.Load().Judge(h) },
+		Hello: func() node.Hello { return *f.hello.Load() },
+		Judge: func(h *node.Hello) string { return f.judge.Load().ValidateHello(h) },
 	}
 	if len(f.cfg.Relays) > 0 {
 		cfg.Streams, cfg.JudgeStream, cfg.Serve = (*handler)(f), f.judgeStream, f.isRelay(f.cfg.Name)
@@ -263,10 +263,10 @@
 	for _, p := range f.peers() {
 		names = append(names, p.Name)
 	}
-	m, err := member.New(duty.Now(), member.Config{
-		Fleet: f.cfg.ID, Name: f.cfg.Name, Zone: f.cfg.Zone, Machine: f.cfg.Machine, Address: f.cfg.Listen, First: f.cfg.First,
-		Peers: names, Offers: f.duties.Names(), Seed: random(), Disk: f.disk.Identity(), Stored: stored, Words: *f.words.Load(),
-		Relayed: len(f.cfg.Relays) > 0,
+	m, err := node.New(duty.Now(), node.Config{
+		Fleet: f.cfg.ID, Name: f.cfg.Name, Zone: f.cfg.Zone, Machine: f.cfg.Machine, Address: f.cfg.Listen, BootstrapReplicas: f.cfg.First,
+		Peers: names, CandidateLeases: f.duties.Names(), Seed: random(), Disk: f.disk.Identity(), Stored: stored, Overrides: *f.words.Load(),
+		UsesRelays: len(f.cfg.Relays) > 0,
 	})
 	if err != nil {
 		return err
@@ -277,7 +277,7 @@
 	f.hello.Store(&h)
 	f.relays(duty.Now(), &h)
 	f.show(duty.Now())
-	slog.Info("fleet joined", "fleet", f.cfg.ID, "name", f.cfg.Name, "disk", h.Replica, "boots", h.Boots)
+	slog.Info("fleet joined", "fleet", f.cfg.ID, "name", f.cfg.Name, "disk", h.ReplicaID, "boots", h.Boots)
 	return nil
 }
 
@@ -291,7 +291,7 @@
 
 // loop is the sole owner of the member.
 func (f *Fleet) loop() {
-	tick := time.NewTicker(member.TickEvery)
+	tick := time.NewTicker(node.TickInterval)
 	defer tick.Stop()
 	var batch <-chan time.Time // of a relay
 	if f.relayed != nil && f.relayed.router != nil {
@@ -334,9 +334,9 @@
 
 // carryOut carries out what the member wants done.
 func (f *Fleet) carryOut() {
-	o := f.member.Drain()
-	if o.Birth != 0 {
-		if err := f.disk.SetBirth(o.Birth); err != nil {
+	o := f.member.TakeOutput()
+	if o.ClusterID != 0 {
+		if err := f.disk.SetBirth(o.ClusterID); err != nil {
 			f.member.DiskFailed(duty.Now(), err)
 		}
 	}
@@ -348,60 +348,60 @@
 		f.writing = true
 		f.writes <- o.Write // the one before has been told as written
 	}
-	for i := range o.Sends {
+	for i := range o.Frames {
 		if f.relayed != nil {
-			f.relayed.send(f, duty.Now(), &o.Sends[i])
+			f.relayed.send(f, duty.Now(), &o.Frames[i])
 		} else {
-			f.carrier.Send(&o.Sends[i])
+			f.carrier.Send(&o.Frames[i])
 		}
 	}
 	if f.relayed != nil && f.relayed.client != nil {
-		if o.Asked {
+		if o.RenewalSent {
 			f.relayed.client.Asked(duty.Now())
 		}
-		if o.Answered {
+		if o.LeaderResponded {
 			f.relayed.client.Answered(duty.Now())
 		}
 	}
-	for _, d := range o.Done {
+	for _, d := range o.Outcomes {
 		if c := f.waiting[d.ID]; c != nil {
 			delete(f.waiting, d.ID)
 			c <- d
 		}
 	}
-	if o.Held {
-		f.duties.Set(o.Holds)
+	if o.GrantsChanged {
+		f.duties.Set(o.Grants)
 	}
-	for _, n := range o.News {
-		if take := f.news[n.Duty]; take != nil {
+	for _, n := range o.Publications {
+		if take := f.news[n.Lease]; take != nil {
 			take(n)
 		}
 	}
-	if o.Words != nil {
-		f.hearWords(o.Words)
+	if o.Overrides != nil {
+		f.hearWords(o.Overrides)
 	}
-	f.counts.fenced.Add(uint64(o.Fenced))
-	for _, w := range o.Wants {
-		if tell := f.wants[w.Duty]; tell != nil {
+	f.counts.fenced.Add(uint64(o.StalePublications))
+	for _, w := range o.ResyncRequests {
+		if tell := f.wants[w.Lease]; tell != nil {
 			tell(w.From, w.Body)
 		}
 	}
-	f.log(o.Lines)
-	if len(o.Lines) > 0 || o.Held {
+	f.log(o.Log)
+	if len(o.Log) > 0 || o.GrantsChanged {
 		f.stale.Store(true)
 	}
 }
 
 // log logs lines.
-func (f *Fleet) log(lines []member.Line) {
+func (f *Fleet) log(lines []node.LogEntry) {
 	for _, l := range lines {
-		if l.Text == "duty changed hands" {
+		if l.Message == "duty changed hands" {
 			f.counts.changes.Add(1)
 		}
 		if l.Warn {
-			slog.Warn(l.Text, l.Args...)
+			slog.Warn(l.Message, l.Args...)
 		} else {
-			slog.Info(l.Text, l.Args...)
+			slog.Info(l.Message, l.Args...)
 		}
 	}
 }
@@ -451,7 +451,7 @@
 	f.duties.Set(nil)
 	for id, c := range f.waiting {
 		delete(f.waiting, id)
-		c <- member.Done{ID: id}
+		c <- node.Outcome{ID: id}
 	}
 	f.carrier.Again()
 }
@@ -474,7 +474,7 @@
 				if err != nil {
 					m.DiskFailed(duty.Now(), err)
 				} else {
-					m.Written(duty.Now(), b.ID)
+					m.Persisted(duty.Now(), b.ID)
 				}
 			})
 		}
@@ -484,10 +484,10 @@
 // handler is the Fleet as it takes what comes from others.
 type handler Fleet
 
-func (h *handler) Greet(x member.Hello) {
+func (h *handler) Greet(x node.Hello) {
 	f := (*Fleet)(h)
 	f.post(func() {
-		f.member.Greet(duty.Now(), x)
+		f.member.ReceiveHello(duty.Now(), x)
 		if f.relayed != nil {
 			f.relayed.greeted[x.Name]++
 			f.relayed.router.Up(duty.Now(), x.Name)
@@ -495,7 +495,7 @@
 	})
 }
 
-func (h *handler) Receive(from string, kind member.Kind, body []byte) {
+func (h *handler) Receive(from string, kind node.Kind, body []byte) {
 	f := (*Fleet)(h)
 	f.post(func() {
 		if f.relayed != nil && (kind == relay.KindRecord || kind == relay.KindRoutes) {
@@ -507,7 +507,7 @@
 }
 
 // receive gives the member what another says.
-func (f *Fleet) receive(now time.Duration, from string, kind member.Kind, body []byte) {
+func (f *Fleet) receive(now time.Duration, from string, kind node.Kind, body []byte) {
 	if err := f.member.Receive(now, from, kind, body); err != nil {
 		f.carrier.Counts.Garbled.Add(1)
 		slog.Warn("a frame of the fleet can't be read", "gateway", from, "why", err.Error())
@@ -517,7 +517,7 @@
 func (h *handler) Lost(to string) {
 	f := (*Fleet)(h)
 	f.post(func() {
-		f.member.Lost(duty.Now(), to)
+		f.member.Unreachable(duty.Now(), to)
 		if f.relayed != nil {
 			f.relayed.router.Down(duty.Now(), to)
 		}
@@ -526,7 +526,7 @@
 
 func (h *handler) Snapshot(replica uint64, ok bool) {
 	f := (*Fleet)(h)
-	f.post(func() { f.member.Snapshot(duty.Now(), replica, ok) })
+	f.post(func() { f.member.SnapshotSent(duty.Now(), replica, ok) })
 }
 
 // Errors of commands.
@@ -539,11 +539,11 @@
 
 // Do has a command carried out in the record.
 func (f *Fleet) Do(ctx context.Context, c lease.Command) (lease.Result, error) {
-	done := make(chan member.Done, 1)
+	done := make(chan node.Outcome, 1)
 	f.post(func() {
-		id := f.member.Ask(duty.Now(), c)
+		id := f.member.Propose(duty.Now(), c)
 		if id == 0 {
-			done <- member.Done{Known: true, Result: lease.Result{Code: busy}}
+			done <- node.Outcome{Known: true, Result: lease.Result{Code: busy}}
 			return
 		}
 		f.waiting[id] = done
@@ -568,18 +568,18 @@
 // Tell has the owner of a duty tell all other gateways something, or the one that is named; seq
 // grows from one to the next.
 func (f *Fleet) Tell(to string, h *duty.Hold, seq uint64, body []byte) {
-	f.post(func() { f.member.Tell(duty.Now(), to, h.Duty, h.Token, seq, body) })
+	f.post(func() { f.member.Publish(duty.Now(), to, h.Duty, h.Token, seq, body) })
 }
 
 // Want asks the owner of a duty, where another gateway is known to be it, for what it has, and
 // tells it what the duty's work here has to say.
 func (f *Fleet) Want(name string, body []byte) {
-	f.post(func() { f.member.Want(duty.Now(), name, body) })
+	f.post(func() { f.member.RequestResync(duty.Now(), name, body) })
 }
 
 // Status is how a gateway stands in its fleet.
 type Status struct {
-	*member.Status
+	*node.Status
 	Relay   *RelayStatus   `json:"relay,omitempty"`   // of a gateway, where there are relays
 	Streams *StreamsStatus `json:"streams,omitempty"` // of a relay
 }
@@ -627,7 +627,7 @@
 	f.duties.Close()
 	ctx, cancel := context.WithTimeout(f.ctx, most)
 	defer cancel()
-	f.post(func() { f.member.HandOver(duty.Now()) })
+	f.post(func() { f.member.TransferLeadership(duty.Now()) })
 	for f.fresh().Role == "leader" && ctx.Err() == nil {
 		time.Sleep(handEvery)
 	}
--- a/internal/cluster/compat_test.go
+++ b/internal/cluster/compat_test.go
@@ -9,7 +9,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"dunemoor/internal/cluster/lease"
-	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/cluster/node"
 	"dunemoor/internal/testkit/compat"
 )
 
@@ -55,7 +55,7 @@
 	}
 	defer f.dir.Close()
 	defer f.ln.Close()
-	words := member.Words{Birth: 5, Mod: 6, List: []lease.Override{
+	words := node.OverrideSet{ClusterID: 5, ModRevision: 6, List: []lease.Override{
 		{Pool: "web", Host: "w1", Reason: "disk", CreatedBy: "g2", Remaining: 3600e9, CreatedRevision: 4}, {Pool: "web", Host: "w2", CreatedBy: "g1", CreatedRevision: 6},
 	}}
 	if err := f.writeWords(&words); err != nil {
@@ -69,7 +69,7 @@
 	if err := os.WriteFile(filepath.Join(dir, "words.json"), compat.Read(t, "words.json"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if got := f.readWords(); got.Birth != 5 || got.Mod != 6 || !slices.Equal(got.List, words.List) {
+	if got := f.readWords(); got.ClusterID != 5 || got.ModRevision != 6 || !slices.Equal(got.List, words.List) {
 		t.Errorf("read back: %+v", got)
 	}
 }
--- a/internal/cluster/duty/duty.go
+++ b/internal/cluster/duty/duty.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sys/unix"
 
 	"dunemoor/internal/cluster/failpoint"
-	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/cluster/node"
 )
 
 // Now is the time on a clock that no one sets and that goes on while the process or the machine
@@ -98,27 +98,27 @@
 }
 
 // Set takes over what is held now. It does not wait.
-func (t *Table) Set(holds []member.Hold) {
+func (t *Table) Set(holds []node.Grant) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	held := map[string]bool{}
 	for _, h := range holds {
-		held[h.Duty] = true
-		r := t.runs[h.Duty]
+		held[h.Lease] = true
+		r := t.runs[h.Lease]
 		switch {
-		case h.Release:
+		case h.Releasing:
 			if r == nil {
-				go t.released(h.Duty, h.Token)
+				go t.released(h.Lease, h.Token)
 			} else if r.hold.Token == h.Token && !r.hold.over.Swap(true) {
 				r.cancel()
 				go func() {
 					<-r.done
-					t.released(h.Duty, h.Token)
+					t.released(h.Lease, h.Token)
 				}()
 			} else {
 				select {
 				case <-r.done:
-					go t.released(h.Duty, h.Token)
+					go t.released(h.Lease, h.Token)
 				default:
 				}
 			}
@@ -136,19 +136,19 @@
 }
 
 // begin starts the work of a hold once that of the one before has stopped; mu is held.
-func (t *Table) begin(h member.Hold, before *run) {
-	w := t.works[h.Duty]
+func (t *Table) begin(h node.Grant, before *run) {
+	w := t.works[h.Lease]
 	if w == nil || t.ended {
 		return
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &run{hold: &Hold{Duty: h.Duty, Token: h.Token}, cancel: cancel, done: make(chan struct{})}
+	r := &run{hold: &Hold{Duty: h.Lease, Token: h.Token}, cancel: cancel, done: make(chan struct{})}
 	r.hold.deadline.Store(int64(h.Deadline))
 	if before != nil {
 		before.hold.over.Store(true)
 		before.cancel()
 	}
-	t.runs[h.Duty] = r
+	t.runs[h.Lease] = r
 	t.all.Go(func() {
 		defer close(r.done)
 		defer cancel()
@@ -162,7 +162,7 @@
 			case <-time.After(again):
 			}
 		}
-		slog.Debug("the work of a duty has stopped", "duty", h.Duty, "token", h.Token)
+		slog.Debug("the work of a duty has stopped", "duty", h.Lease, "token", h.Token)
 	})
 }
 
--- a/internal/cluster/duty/duty_test.go
+++ b/internal/cluster/duty/duty_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/cluster/node"
 	"dunemoor/internal/testkit"
 )
 
@@ -41,27 +41,27 @@
 		}
 		say("ends " + string(rune('0'+h.Token)))
 	})
-	hold := func(token uint64, release bool) member.Hold {
-		return member.Hold{Duty: "d", Token: token, Deadline: Now() + time.Hour, Release: release}
+	hold := func(token uint64, release bool) node.Grant {
+		return node.Grant{Lease: "d", Token: token, Deadline: Now() + time.Hour, Releasing: release}
 	}
-	table.Set([]member.Hold{hold(1, false)})
+	table.Set([]node.Grant{hold(1, false)})
 	said("begins 1")
 	if !held.May() {
 		t.Error("an owner may not act")
 	}
 	late := hold(1, false)
 	late.Deadline = Now()
-	table.Set([]member.Hold{late})
+	table.Set([]node.Grant{late})
 	if held.May() {
 		t.Error("an owner acts behind its deadline")
 	}
-	table.Set([]member.Hold{hold(2, false)})
+	table.Set([]node.Grant{hold(2, false)})
 	said("ends 1", "begins 2")
-	table.Set([]member.Hold{hold(2, true)})
+	table.Set([]node.Grant{hold(2, true)})
 	said("ends 2", "released d2")
-	table.Set([]member.Hold{hold(2, true)})
+	table.Set([]node.Grant{hold(2, true)})
 	said("released d2")
-	table.Set([]member.Hold{hold(3, false)})
+	table.Set([]node.Grant{hold(3, false)})
 	said("begins 3")
 	table.Set(nil)
 	said("ends 3")
--- a/internal/cluster/metrics.go
+++ b/internal/cluster/metrics.go
@@ -45,8 +45,8 @@
 	})
 	gauge("duties_held", "Duties that this gateway owns.", func() float64 {
 		s, n := f.Status(), 0
-		for _, d := range s.Duties {
-			if d.Owner == s.Name {
+		for _, d := range s.Leases {
+			if d.Holder == s.Name {
 				n++
 			}
 		}
--- a/internal/cluster/member/compat_test.go
+++ b/internal/cluster/node/compat_test.go
@@ -1,4 +1,4 @@
-package member
+package node
 
 import (
 	"testing"
@@ -12,12 +12,12 @@
 
 // Gateways of two builds talk with one another, and operators' tools read the status.
 func TestCompatFormats(t *testing.T) {
-	compat.JSON(t, "talk.json", &Talk{})
+	compat.JSON(t, "talk.json", &Message{})
 	compat.JSON(t, "hello.json", &Hello{})
-	compat.JSON(t, "words.json", &Words{})
-	compat.JSON(t, "names.json", &named{})
+	compat.JSON(t, "words.json", &OverrideSet{})
+	compat.JSON(t, "names.json", &replicaNames{})
 	compat.JSON(t, "status.json", &Status{})
-	compat.Values(t, "kinds.txt", KindRaft, KindTalk, Format, Record)
+	compat.Values(t, "kinds.txt", KindRaft, KindMessage, FormatVersion, CoordinationGroup)
 }
 
 // A frame with the messages of two groups.
@@ -27,15 +27,15 @@
 		Commit: new(uint64(4)), Entries: []*raftpb.Entry{{Term: new(uint64(3)), Index: new(uint64(5)), Data: []byte("command")}},
 	}
 	h := &raftpb.Message{Type: raftpb.MsgHeartbeat.Enum(), To: new(uint64(2)), From: new(uint64(1)), Term: new(uint64(3))}
-	b := raftBytes(nil, &quorum.Envelope{Group: Record, To: 2, Message: m})
-	b = raftBytes(b, &quorum.Envelope{Group: 9, To: 2, Message: h})
+	b := appendRaftMessage(nil, &quorum.Envelope{Group: CoordinationGroup, To: 2, Message: m})
+	b = appendRaftMessage(b, &quorum.Envelope{Group: 9, To: 2, Message: h})
 	compat.Bytes(t, "raft.bin", b)
 	var got []*raftpb.Message
 	var groups []quorum.Group
-	err := ReadRaft(compat.Read(t, "raft.bin"), func(g quorum.Group, m *raftpb.Message) {
+	err := DecodeRaftFrame(compat.Read(t, "raft.bin"), func(g quorum.Group, m *raftpb.Message) {
 		got, groups = append(got, m), append(groups, g)
 	})
-	if err != nil || len(got) != 2 || !proto.Equal(got[0], m) || !proto.Equal(got[1], h) || groups[0] != Record || groups[1] != 9 {
+	if err != nil || len(got) != 2 || !proto.Equal(got[0], m) || !proto.Equal(got[1], h) || groups[0] != CoordinationGroup || groups[1] != 9 {
 		t.Errorf("%v: groups %v, messages %v", err, groups, got)
 	}
 }
--- a/internal/cluster/member/lead.go
+++ b/internal/cluster/node/lead.go
@@ -1,4 +1,4 @@
-package member
+package node
 
 import (
 	"encoding/json"
@@ -15,8 +15,8 @@
 )
 
 // turned takes note of who leads the record.
-func (m *Member) turned(t quorum.Turn) {
-	if t.Group != Record {
+func (m *Node) turned(t quorum.Turn) {
+	if t.Group != CoordinationGroup {
 		return
 	}
 	m.leadID = t.Lead
@@ -38,7 +38,7 @@
 }
 
 // leader is the name of who leads, as this gateway's replica knows; "" where it does not.
-func (m *Member) leader() string {
+func (m *Node) leader() string {
 	if _, keeps := m.st.Replicas[m.cfg.Disk.Replica]; m.node.Halted() != nil || m.leadID == 0 || !keeps {
 		return "" // a replica that was removed hears of nobody any more
 	}
@@ -46,21 +46,21 @@
 }
 
 // propose has a command of the leader's own written, once in a while for each key.
-func (m *Member) propose(key string, c lease.Command) bool {
-	if at, ok := m.proposed[key]; ok && m.now < at+commandAgain {
+func (m *Node) propose(key string, c lease.Command) bool {
+	if at, ok := m.proposed[key]; ok && m.now < at+reproposeInterval {
 		return false
 	}
 	m.proposed[key] = m.now
 	return m.write(c, asker{})
 }
 
-func (m *Member) write(c lease.Command, who asker) bool {
+func (m *Node) write(c lease.Command, who asker) bool {
 	b, err := json.Marshal(c)
 	if err != nil {
 		panic(err)
 	}
 	m.number++
-	if m.node.Propose(Record, m.number, b) != nil {
+	if m.node.Propose(CoordinationGroup, m.number, b) != nil {
 		return false
 	}
 	if who.from != "" {
@@ -71,14 +71,14 @@
 
 // rule is the leader's work: ends sessions that were not renewed, gives away duties that are
 // free, and sees to the keepers.
-func (m *Member) rule() {
+func (m *Node) rule() {
 	if !m.lead || m.watch == nil {
 		return
 	}
 	m.tellChanges()
 	m.applied = m.st.Revision
 	for key, at := range m.proposed {
-		if m.now >= at+commandAgain {
+		if m.now >= at+reproposeInterval {
 			delete(m.proposed, key)
 		}
 	}
@@ -91,23 +91,23 @@
 	for _, c := range m.watch.OverrideUpdates(m.now, m.st) {
 		m.propose("spend "+c.Override.Key(), c)
 	}
-	if m.now >= m.evened+evenEvery {
+	if m.now >= m.evened+rebalanceInterval {
 		m.evened = m.now
 		for _, c := range lease.Rebalance(m.st) {
 			m.propose("move "+c.Lease, c)
 		}
 	}
-	if m.now >= m.kept+keepersEvery {
+	if m.now >= m.kept+replicaCheckInterval {
 		m.kept = m.now
 		m.keepers()
 	}
-	if m.reading == 0 && len(m.renews) > 0 || m.reading != 0 && m.now >= m.readAt+askAgain {
+	if m.reading == 0 && len(m.renews) > 0 || m.reading != 0 && m.now >= m.readAt+retryInterval {
 		m.ask4Quorum()
 	}
 }
 
 // tellChanges pushes news of duties to the gateways that they are about, and logs them.
-func (m *Member) tellChanges() {
+func (m *Node) tellChanges() {
 	for _, c := range m.st.TakeTransfers() {
 		m.line(false, "duty changed hands", "duty", c.Lease, "from", c.From, "to", c.To, "token", c.Token, "cause", c.Cause, "index", c.Revision)
 	}
@@ -117,23 +117,23 @@
 	news := m.st.DeltaSince(m.applied)
 	for _, d := range news.Leases {
 		if x := m.st.Sessions[d.HolderSession]; x != nil {
-			m.talk(x.Name, &Talk{Ack: &Ack{Session: x.ID, View: &lease.StateDelta{Leases: []lease.LeaseView{d}}}})
+			m.talk(x.Name, &Message{RenewReply: &RenewReply{Session: x.ID, Delta: &lease.StateDelta{Leases: []lease.LeaseView{d}}}})
 		}
 	}
 	if m.st.OverridesModRevision > m.applied {
 		for _, id := range slices.Sorted(maps.Keys(m.st.Sessions)) {
-			m.talk(m.st.Sessions[id].Name, &Talk{Ack: &Ack{Session: id, View: &lease.StateDelta{ClusterID: news.ClusterID, OverridesModRevision: news.OverridesModRevision, Overrides: news.Overrides}}})
+			m.talk(m.st.Sessions[id].Name, &Message{RenewReply: &RenewReply{Session: id, Delta: &lease.StateDelta{ClusterID: news.ClusterID, OverridesModRevision: news.OverridesModRevision, Overrides: news.Overrides}}})
 		}
 	}
 }
 
 // keepers takes the next step towards the keepers that are wanted.
-func (m *Member) keepers() {
-	s, _ := m.node.Status(Record)
+func (m *Node) keepers() {
+	s, _ := m.node.Status(CoordinationGroup)
 	if len(s.Conf.GetVotersOutgoing()) > 0 {
 		return // a change is under way
 	}
-	c, ok := lease.NextReplicaChange(m.st, func(id uint64) bool { return s.Match[id]+caughtUp >= s.Last && s.Match[id] > 0 })
+	c, ok := lease.NextReplicaChange(m.st, func(id uint64) bool { return s.Match[id]+maxLearnerLag >= s.Last && s.Match[id] > 0 })
 	if !ok {
 		return
 	}
@@ -152,7 +152,7 @@
 			// Another has to lead before we go.
 			for other := range s.Match {
 				if other != id && s.Match[other] >= s.Commit && !m.st.Replicas[other].Learner {
-					m.node.Transfer(Record, other)
+					m.node.Transfer(CoordinationGroup, other)
 					return
 				}
 			}
@@ -160,35 +160,35 @@
 		}
 		add(raftpb.ConfChangeRemoveNode, id)
 	}
-	names := named{map[uint64]string{}}
+	names := replicaNames{map[uint64]string{}}
 	for _, id := range []uint64{c.AddLearner, c.Promote} {
 		if id != 0 {
 			names.Names[id] = c.Member
 		}
 	}
 	cc.Context, _ = json.Marshal(names)
-	if m.node.Change(Record, &cc) == nil {
+	if m.node.Change(CoordinationGroup, &cc) == nil {
 		m.line(false, "changing the keepers of the record", "gateway", c.Member, "learn", c.AddLearner, "promote", c.Promote, "remove", c.Remove)
 	}
 }
 
 // hearAsk takes a command for the record.
-func (m *Member) hearAsk(from string, a *Ask) {
+func (m *Node) hearAsk(from string, a *Proposal) {
 	if !m.lead {
-		m.talk(from, &Talk{Answer: &Answer{ID: a.ID, Not: true, Lead: m.leader()}})
+		m.talk(from, &Message{ProposalReply: &ProposalReply{ID: a.ID, NotLeader: true, Leader: m.leader()}})
 		return
 	}
 	switch a.Command.Op {
 	case lease.OpExpireSession, lease.OpAssign, lease.OpExpireOverride:
 		return // nobody's but the leader's
 	}
-	if len(m.asked) < renewsMost && !m.write(a.Command, asker{from, a.ID}) {
-		m.talk(from, &Talk{Answer: &Answer{ID: a.ID, Not: true, Lead: m.leader()}})
+	if len(m.asked) < maxQueuedRenewals && !m.write(a.Command, asker{from, a.ID}) {
+		m.talk(from, &Message{ProposalReply: &ProposalReply{ID: a.ID, NotLeader: true, Leader: m.leader()}})
 	} // what is over the bound is asked again
 }
 
 // result is what came of a command that we proposed.
-func (m *Member) result(r *quorum.Result) {
+func (m *Node) result(r *quorum.Result) {
 	res, ok := r.Value.(lease.Result)
 	who := m.asked[r.ID]
 	delete(m.asked, r.ID)
@@ -198,14 +198,14 @@
 	if res.Code == lease.OK && res.Session != 0 && m.watch != nil {
 		m.watch.SessionOpened(m.now, res.Session)
 	}
-	m.talk(who.from, &Talk{Answer: &Answer{ID: who.id, Result: &res}})
+	m.talk(who.from, &Message{ProposalReply: &ProposalReply{ID: who.id, Result: &res}})
 }
 
 // HandOver gives the lead to the replica that is furthest, if it is ours: it is for one that ends
 // in order, so that nobody waits for an election.
-func (m *Member) HandOver(now time.Duration) {
+func (m *Node) TransferLeadership(now time.Duration) {
 	m.now = now
-	s, ok := m.node.Status(Record)
+	s, ok := m.node.Status(CoordinationGroup)
 	if !ok || !s.Ours {
 		return
 	}
@@ -216,15 +216,15 @@
 		}
 	}
 	if to != 0 {
-		m.node.Transfer(Record, to)
+		m.node.Transfer(CoordinationGroup, to)
 	}
 }
 
 // hearRenew takes a renewal; it is answered once a quorum has confirmed that we lead: whoever
 // leads after us gives the session its whole time from later than now.
-func (m *Member) hearRenew(from string, r *Renew) {
+func (m *Node) hearRenew(from string, r *RenewRequest) {
 	if !m.lead {
-		m.talk(from, &Talk{Ack: &Ack{Session: r.Session, Seq: r.Seq, Lead: m.leader()}})
+		m.talk(from, &Message{RenewReply: &RenewReply{Session: r.Session, Seq: r.Seq, Leader: m.leader()}})
 		return
 	}
 	w := renewal{from, *r, m.now}
@@ -232,7 +232,7 @@
 		m.ackRenewal(&w)
 		return
 	}
-	if len(m.renews) < renewsMost {
+	if len(m.renews) < maxQueuedRenewals {
 		m.renews = append(m.renews, w)
 	}
 	if m.reading == 0 {
@@ -241,9 +241,9 @@
 }
 
 // ask4Quorum asks a quorum whether we lead, for all renewals that wait.
-func (m *Member) ask4Quorum() {
+func (m *Node) ask4Quorum() {
 	m.number++
-	if m.node.Read(Record, m.number) != nil {
+	if m.node.Read(CoordinationGroup, m.number) != nil {
 		return
 	}
 	m.confirms = append(m.confirms, m.renews...)
@@ -252,7 +252,7 @@
 }
 
 // read is a quorum's word.
-func (m *Member) read(r quorum.Read) {
+func (m *Node) read(r quorum.Read) {
 	if r.ID != m.reading {
 		return
 	}
@@ -265,9 +265,9 @@
 
 // confirm answers renewals that a quorum has confirmed, as soon as the record is here up to where
 // it was then.
-func (m *Member) confirm() {
+func (m *Node) confirm() {
 	for len(m.ready) > 0 {
-		s, _ := m.node.Status(Record)
+		s, _ := m.node.Status(CoordinationGroup)
 		if s.Applied < m.ready[0].index {
 			return
 		}
@@ -279,27 +279,27 @@
 	}
 }
 
-func (m *Member) ackRenewal(w *renewal) {
+func (m *Node) ackRenewal(w *renewal) {
 	if m.watch == nil {
 		return
 	}
-	s, _ := m.node.Status(Record)
-	a := &Ack{Session: w.renew.Session, Seq: w.renew.Seq, Term: s.Term}
+	s, _ := m.node.Status(CoordinationGroup)
+	a := &RenewReply{Session: w.renew.Session, Seq: w.renew.Seq, Term: s.Term}
 	switch {
 	case m.st.Sessions[w.renew.Session] == nil:
-		a.Gone = true
-	case !m.watch.Acknowledge(w.renew.Session, w.renew.Heard, w.heard):
-		a.Again = true
+		a.Expired = true
+	case !m.watch.Acknowledge(w.renew.Session, w.renew.AckedSeq, w.heard):
+		a.Unconfirmed = true
 	case !m.watch.Renew(w.renew.Session, w.heard):
-		a.Gone = true
+		a.Expired = true
 	default:
 		var v lease.StateDelta
-		if w.renew.Lean {
-			v = m.st.CompactDeltaSince(w.renew.Known, m.st.Sessions[w.renew.Session].Name)
+		if w.renew.Compact {
+			v = m.st.CompactDeltaSince(w.renew.KnownRevision, m.st.Sessions[w.renew.Session].Name)
 		} else {
-			v = m.st.DeltaSince(w.renew.Known)
+			v = m.st.DeltaSince(w.renew.KnownRevision)
 		}
-		a.View = &v
+		a.Delta = &v
 	}
-	m.talk(w.from, &Talk{Ack: a})
+	m.talk(w.from, &Message{RenewReply: a})
 }
--- a/internal/cluster/peer/compat_test.go
+++ b/internal/cluster/peer/compat_test.go
@@ -5,7 +5,7 @@
 	"bytes"
 	"testing"
 
-	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/cluster/node"
 	"dunemoor/internal/cluster/relay"
 	"dunemoor/internal/testkit/compat"
 )
@@ -13,7 +13,7 @@
 // Frames of each kind, one behind the other.
 func TestCompatFrames(t *testing.T) {
 	kinds := []byte{
-		kindIdle, byte(member.KindRaft), byte(member.KindTalk), byte(relay.KindRecord), byte(relay.KindJoin), byte(relay.KindAnswer),
+		kindIdle, byte(node.KindRaft), byte(node.KindMessage), byte(relay.KindRecord), byte(relay.KindJoin), byte(relay.KindAnswer),
 		byte(relay.KindBeat), byte(relay.KindRoutes), kindHead, kindPiece,
 	}
 	var b []byte
--- a/internal/cluster/peer/handshake.go
+++ b/internal/cluster/peer/handshake.go
@@ -12,7 +12,7 @@
 	"net"
 	"time"
 
-	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/cluster/node"
 )
 
 // A handshake, D dials and A accepts, HMAC-SHA-256 by the fleet's key over a letter for who and
@@ -40,8 +40,8 @@
 
 // word is A's last: its hello or a refusal.
 type word struct {
-	Hello   *member.Hello `json:"hello,omitempty"`
-	Refused string        `json:"refused,omitempty"`
+	Hello   *node.Hello `json:"hello,omitempty"`
+	Refused string      `json:"refused,omitempty"`
 }
 
 // errKey is a handshake by another key: whoever it is, it is none of the fleet.
@@ -77,7 +77,7 @@
 
 // dial makes the handshake on a connection that we opened, until within, and returns the other's
 // hello.
-func dial(c net.Conn, key []byte, purpose byte, within time.Time, hello func() member.Hello, judge func(*member.Hello) string) (*member.Hello, error) {
+func dial(c net.Conn, key []byte, purpose byte, within time.Time, hello func() node.Hello, judge func(*node.Hello) string) (*node.Hello, error) {
 	c.SetDeadline(within)
 	defer c.SetDeadline(time.Time{})
 	nonceD := nonce()
@@ -128,7 +128,7 @@
 
 // accept makes the handshake on a connection that came in. The purpose is known where it was read,
 // with an error too.
-func accept(c net.Conn, key []byte, hello func() member.Hello, judge func(purpose byte, h *member.Hello) string) (purpose byte, _ *member.Hello, _ error) {
+func accept(c net.Conn, key []byte, hello func() node.Hello, judge func(purpose byte, h *node.Hello) string) (purpose byte, _ *node.Hello, _ error) {
 	c.SetDeadline(time.Now().Add(handshakeTime))
 	defer c.SetDeadline(time.Time{})
 	b := make([]byte, len(magic)+2+nonceBytes)
@@ -154,7 +154,7 @@
 	if !hmac.Equal(mac, sign(key, 'D', nonceD, nonceA, text)) {
 		return purpose, nil, errKey
 	}
-	var h member.Hello
+	var h node.Hello
 	if err := json.Unmarshal(text, &h); err != nil {
 		return purpose, nil, err
 	}
--- a/internal/cluster/peer/peer.go
+++ b/internal/cluster/peer/peer.go
@@ -16,7 +16,7 @@
 	"sync/atomic"
 	"time"
 
-	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/cluster/node"
 )
 
 // Bounds and times.
@@ -40,8 +40,8 @@
 // Handler takes what comes. Calls come from many goroutines, those of one connection in order.
 type Handler interface {
 	// Greet comes before anything else of a connection.
-	Greet(h member.Hello)
-	Receive(from string, kind member.Kind, body []byte)
+	Greet(h node.Hello)
+	Receive(from string, kind node.Kind, body []byte)
 	// Lost tells that frames for a gateway were lost or can't be sent.
 	Lost(to string)
 	// Snapshot tells what became of one that was sent to a replica.
@@ -53,13 +53,13 @@
 	Name  string
 	Key   []byte
 	Peers map[string]string // addresses by name
-	Hello func() member.Hello
-	Judge func(*member.Hello) string // why a gateway is not talked with; "": it is
+	Hello func() node.Hello
+	Judge func(*node.Hello) string // why a gateway is not talked with; "": it is
 
 	// Streams takes what comes by streams; nil: the fleet has no relays. JudgeStream is Judge for
 	// streams. Serve says that gateways are served, as a relay does.
 	Streams     Streams
-	JudgeStream func(*member.Hello) string
+	JudgeStream func(*node.Hello) string
 	Serve       bool
 }
 
@@ -154,13 +154,13 @@
 }
 
 // Send has a frame sent, or lost where too much waits.
-func (c *Carrier) Send(s *member.Send) {
+func (c *Carrier) Send(s *node.Frame) {
 	l := c.peers[s.To]
 	if l == nil {
 		return
 	}
-	if s.Snapshot != 0 {
-		c.all.Go(func() { c.to.Snapshot(s.Snapshot, c.sendSnapshot(l, s)) })
+	if s.SnapshotTo != 0 {
+		c.all.Go(func() { c.to.Snapshot(s.SnapshotTo, c.sendSnapshot(l, s)) })
 		return
 	}
 	f := AppendFrame(nil, byte(s.Kind), s.Body)
@@ -343,7 +343,7 @@
 
 // judge is the Config's, and one gateway to a name: while one of another disk talks with us under
 // it, a second is refused.
-func (c *Carrier) judge(purpose byte, h *member.Hello) string {
+func (c *Carrier) judge(purpose byte, h *node.Hello) string {
 	if purpose == purposeStream {
 		if !c.cfg.Serve {
 			return fmt.Sprintf("%s is no relay", c.cfg.Name)
@@ -356,7 +356,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, o := range c.conns {
-		if o != nil && o.name == h.Name && o.replica != h.Replica && time.Since(c.made)-time.Duration(o.heard.Load()) < silentMost {
+		if o != nil && o.name == h.Name && o.replica != h.ReplicaID && time.Since(c.made)-time.Duration(o.heard.Load()) < silentMost {
 			return fmt.Sprintf("another gateway with the name %s is connected", h.Name)
 		}
 	}
@@ -387,7 +387,7 @@
 	}
 	// One connection at a time from each: the newest, as the one before may be of a process that
 	// has ended.
-	who := &caller{name: h.Name, replica: h.Replica}
+	who := &caller{name: h.Name, replica: h.ReplicaID}
 	who.heard.Store(int64(time.Since(c.made)))
 	c.mu.Lock()
 	for old, o := range c.conns {
@@ -417,7 +417,7 @@
 			continue
 		}
 		c.Counts.Received.Add(1)
-		c.to.Receive(h.Name, member.Kind(kind), body)
+		c.to.Receive(h.Name, node.Kind(kind), body)
 	}
 }
 
--- a/internal/cluster/peer/peer_test.go
+++ b/internal/cluster/peer/peer_test.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"testing"
 
-	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/cluster/node"
 	"dunemoor/internal/testkit"
 )
 
@@ -24,20 +24,20 @@
 	snaps  []bool
 }
 
-func (e *end) Greet(h member.Hello) {
+func (e *end) Greet(h node.Hello) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.greets = append(e.greets, h.Name)
 }
 
-func (e *end) Receive(from string, kind member.Kind, body []byte) {
+func (e *end) Receive(from string, kind node.Kind, body []byte) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.got = append(e.got, frame(from, kind, len(body), string(body[:min(8, len(body))])))
 }
 
 // frame is one in words: from whom, of what kind, how long, and how it begins.
-func frame(from string, kind member.Kind, size int, begins string) string {
+func frame(from string, kind node.Kind, size int, begins string) string {
 	return fmt.Sprintf("%s %d %d %s", from, kind, size, begins)
 }
 
@@ -65,10 +65,10 @@
 	names := [2]string{"a", "b"}
 	for i := range ends {
 		e := &end{}
-		hello := member.Hello{Fleet: "f", Format: member.Format, Name: names[i], Replica: uint64(i + 1)}
+		hello := node.Hello{Fleet: "f", Format: node.FormatVersion, Name: names[i], ReplicaID: uint64(i + 1)}
 		e.Carrier = New(Config{
 			Name: names[i], Key: []byte(keys[i]), Peers: map[string]string{names[1-i]: by(lns[1-i].Addr().String())},
-			Hello: func() member.Hello { return hello }, Judge: func(*member.Hello) string { return "" },
+			Hello: func() node.Hello { return hello }, Judge: func(*node.Hello) string { return "" },
 		}, lns[i], e)
 		ends[i] = e
 		t.Cleanup(e.Close)
@@ -85,19 +85,19 @@
 	e := pair(t, [2]string{"key", "key"}, straight)
 	testkit.Until(t, "both have connected", func() bool { return e[0].count(&e[0].greets) > 0 && e[1].count(&e[1].greets) > 0 })
 	for i := range 100 {
-		e[0].Send(&member.Send{To: "b", Kind: member.KindTalk, Body: fmt.Appendf(nil, "n%03d", i)})
+		e[0].Send(&node.Frame{To: "b", Kind: node.KindMessage, Body: fmt.Appendf(nil, "n%03d", i)})
 	}
 	testkit.Until(t, "all have come", func() bool { return e[1].count(&e[1].got) == 100 })
 	for i, got := range e[1].got {
-		if want := frame("a", member.KindTalk, 4, fmt.Sprintf("n%03d", i)); got != want {
+		if want := frame("a", node.KindMessage, 4, fmt.Sprintf("n%03d", i)); got != want {
 			t.Fatalf("frame %d is %q, want %q", i, got, want)
 		}
 	}
 	big := bytes.Repeat([]byte("snapshot"), 200_000)
-	e[0].Send(&member.Send{To: "b", Kind: member.KindRaft, Body: big, Snapshot: 2})
+	e[0].Send(&node.Frame{To: "b", Kind: node.KindRaft, Body: big, SnapshotTo: 2})
 	testkit.Until(t, "the snapshot has come", func() bool { return e[1].count(&e[1].got) == 101 })
 	testkit.Until(t, "its sender knows", func() bool { e[0].mu.Lock(); defer e[0].mu.Unlock(); return len(e[0].snaps) == 1 && e[0].snaps[0] })
-	if got := e[1].got[100]; got != frame("a", member.KindRaft, len(big), "snapshot") {
+	if got := e[1].got[100]; got != frame("a", node.KindRaft, len(big), "snapshot") {
 		t.Errorf("the snapshot is %q", got)
 	}
 }
@@ -165,9 +165,9 @@
 	e := pair(t, [2]string{"key", "key"}, breaking(t, 1<<20))
 	testkit.Until(t, "both have connected", func() bool { return e[0].count(&e[0].greets) > 0 && e[1].count(&e[1].greets) > 0 })
 	big := bytes.Repeat([]byte("snapshot"), 400_000)
-	e[0].Send(&member.Send{To: "b", Kind: member.KindRaft, Body: big, Snapshot: 2})
+	e[0].Send(&node.Frame{To: "b", Kind: node.KindRaft, Body: big, SnapshotTo: 2})
 	testkit.Until(t, "the snapshot has come", func() bool { return e[1].count(&e[1].got) == 1 })
-	if got := e[1].got[0]; got != frame("a", member.KindRaft, len(big), "snapshot") {
+	if got := e[1].got[0]; got != frame("a", node.KindRaft, len(big), "snapshot") {
 		t.Errorf("the snapshot is %q", got)
 	}
 }
--- a/internal/cluster/peer/snapshot.go
+++ b/internal/cluster/peer/snapshot.go
@@ -10,7 +10,7 @@
 	"net"
 	"time"
 
-	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/cluster/node"
 )
 
 // A snapshot goes on a connection of its own, beside the frames and never before them: a first
@@ -39,7 +39,7 @@
 }
 
 // sendSnapshot sends one, in several tries where it must be, and says whether it came whole.
-func (c *Carrier) sendSnapshot(l *link, s *member.Send) bool {
+func (c *Carrier) sendSnapshot(l *link, s *node.Frame) bool {
 	for i := range tries {
 		err := c.trySnapshot(l, s)
 		if err == nil {
@@ -56,7 +56,7 @@
 	return false
 }
 
-func (c *Carrier) trySnapshot(l *link, s *member.Send) error {
+func (c *Carrier) trySnapshot(l *link, s *node.Frame) error {
 	conn, err := c.open(l, purposeSnapshot)
 	if err != nil {
 		return err
@@ -91,7 +91,7 @@
 }
 
 // takeSnapshot takes one.
-func (c *Carrier) takeSnapshot(conn net.Conn, h *member.Hello) {
+func (c *Carrier) takeSnapshot(conn net.Conn, h *node.Hello) {
 	in := bufio.NewReader(conn)
 	conn.SetDeadline(time.Now().Add(silentMost))
 	kind, head, err := ReadFrame(in)
@@ -121,7 +121,7 @@
 		c.Counts.Garbled.Add(1)
 		return
 	}
-	c.to.Receive(h.Name, member.KindRaft, b)
+	c.to.Receive(h.Name, node.KindRaft, b)
 	conn.SetWriteDeadline(time.Now().Add(writeTime))
 	conn.Write([]byte{1})
 }
--- a/internal/cluster/peer/stream.go
+++ b/internal/cluster/peer/stream.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/cluster/node"
 	"dunemoor/internal/cluster/relay"
 )
 
@@ -35,7 +35,7 @@
 type Streams interface {
 	// Frame brings a frame; the first of a stream that came in is its join, and the first of one
 	// that was dialled the answer.
-	Frame(s *Stream, kind member.Kind, body []byte)
+	Frame(s *Stream, kind node.Kind, body []byte)
 	// Ended comes last, once.
 	Ended(s *Stream, why error)
 }
@@ -69,7 +69,7 @@
 
 // Send has a frame sent. Where too much waits the stream is ended. The body must not be changed
 // any more.
-func (s *Stream) Send(kind member.Kind, body []byte) {
+func (s *Stream) Send(kind node.Kind, body []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.why != nil || s.conn == nil || s.last {
@@ -176,23 +176,23 @@
 		}
 		s.c.Counts.Received.Add(1)
 		s.c.Counts.ReceivedBytes.Add(uint64(frameHead + len(body)))
-		s.c.cfg.Streams.Frame(s, member.Kind(kind), body)
+		s.c.cfg.Streams.Frame(s, node.Kind(kind), body)
 		within = time.Now().Add(silentMost)
 	}
 }
 
 // takeStream serves a stream that came in.
-func (c *Carrier) takeStream(conn net.Conn, h *member.Hello) {
+func (c *Carrier) takeStream(conn net.Conn, h *node.Hello) {
 	c.Counts.Streams.Add(1)
 	if t, ok := conn.(*net.TCPConn); ok {
 		t.SetWriteBuffer(streamSend)
 	}
-	(&Stream{c: c, Name: h.Name, Replica: h.Replica, conn: conn}).read(time.Now().Add(handshakeTime))
+	(&Stream{c: c, Name: h.Name, Replica: h.ReplicaID, conn: conn}).read(time.Now().Add(handshakeTime))
 }
 
 // Dial opens a stream to a relay and sends its first frame; the first that comes back comes within
 // relay.DialMost, or it ends.
-func (c *Carrier) Dial(name, addr string, kind member.Kind, first []byte) *Stream {
+func (c *Carrier) Dial(name, addr string, kind node.Kind, first []byte) *Stream {
 	ctx, cancel := context.WithCancel(c.ctx)
 	s := &Stream{c: c, Name: name, cancel: cancel}
 	within := time.Now().Add(relay.DialMost)
@@ -241,7 +241,7 @@
 }
 
 // judgeRelay judges whom a gateway has dialled.
-func (c *Carrier) judgeRelay(h *member.Hello) string { return c.cfg.JudgeStream(h) }
+func (c *Carrier) judgeRelay(h *node.Hello) string { return c.cfg.JudgeStream(h) }
 
 // saidStream logs that a relay can't be had, once, and a refusal whenever it says something else.
 func (c *Carrier) saidStream(name, addr string, err error) {
--- a/internal/cluster/peer/stream_test.go
+++ b/internal/cluster/peer/stream_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/cluster/node"
 	"dunemoor/internal/cluster/relay"
 	"dunemoor/internal/testkit"
 )
@@ -29,12 +29,12 @@
 	ends    []error
 }
 
-func (s *side) Greet(member.Hello)                  {}
-func (s *side) Receive(string, member.Kind, []byte) {}
-func (s *side) Lost(string)                         {}
-func (s *side) Snapshot(uint64, bool)               {}
+func (s *side) Greet(node.Hello)                  {}
+func (s *side) Receive(string, node.Kind, []byte) {}
+func (s *side) Lost(string)                       {}
+func (s *side) Snapshot(uint64, bool)             {}
 
-func (s *side) Frame(x *Stream, kind member.Kind, body []byte) {
+func (s *side) Frame(x *Stream, kind node.Kind, body []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.got = append(s.got, frame(x.Name, kind, len(body), string(body[:min(8, len(body))])))
@@ -64,15 +64,15 @@
 func newSide(t *testing.T, name, key string, serve bool) (s *side, addr string) {
 	t.Helper()
 	s = &side{relay: serve}
-	hello := member.Hello{Fleet: "f", Format: member.Format, Name: name, Replica: uint64(len(name)) + uint64(name[len(name)-1])}
+	hello := node.Hello{Fleet: "f", Format: node.FormatVersion, Name: name, ReplicaID: uint64(len(name)) + uint64(name[len(name)-1])}
 	var ln net.Listener
 	if serve || name == "no relay" {
 		ln = testkit.Listen(t, "127.0.0.1:0", nil)
 		addr = ln.Addr().String()
 	}
 	s.Carrier = New(Config{
-		Name: name, Key: []byte(key), Hello: func() member.Hello { return hello }, Judge: func(*member.Hello) string { return "a stream is no link" },
-		Streams: s, Serve: serve, JudgeStream: func(h *member.Hello) string {
+		Name: name, Key: []byte(key), Hello: func() node.Hello { return hello }, Judge: func(*node.Hello) string { return "a stream is no link" },
+		Streams: s, Serve: serve, JudgeStream: func(h *node.Hello) string {
 			if h.Name == "stranger" {
 				return "it is a stranger"
 			}
@@ -209,8 +209,8 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	hello := member.Hello{Fleet: "f", Format: member.Format, Name: "g1", Replica: 1}
-	if _, err := dial(c, []byte("key"), purposeStream, time.Now().Add(handshakeTime), func() member.Hello { return hello }, r.judgeRelay); err != nil {
+	hello := node.Hello{Fleet: "f", Format: node.FormatVersion, Name: "g1", ReplicaID: 1}
+	if _, err := dial(c, []byte("key"), purposeStream, time.Now().Add(handshakeTime), func() node.Hello { return hello }, r.judgeRelay); err != nil {
 		t.Fatal(err)
 	}
 	testkit.Until(t, "the relay ends it", func() bool { _, ends := r.seen(); return len(ends) == 1 })
--- a/internal/cluster/relay/client.go
+++ b/internal/cluster/relay/client.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"dunemoor/internal/cluster/failpoint"
-	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/cluster/node"
 )
 
 const (
@@ -109,7 +109,7 @@
 // lost is the end of the stream that there was.
 func (c *Client) lost(why string) {
 	c.ends[why]++
-	c.out.Lines = append(c.out.Lines, member.Line{Warn: true, Text: "the stream to a relay of the fleet has ended", Args: []any{"relay", c.fleet.relays[c.cur.relay].Name, "why", why}})
+	c.out.Lines = append(c.out.Lines, node.LogEntry{Warn: true, Message: "the stream to a relay of the fleet has ended", Args: []any{"relay", c.fleet.relays[c.cur.relay].Name, "why", why}})
 	c.cur = nil
 }
 
@@ -231,7 +231,7 @@
 	if !failpoint.Enabled(failpoint.SkipResync) {
 		c.out.Moved = true
 	}
-	c.out.Lines = append(c.out.Lines, member.Line{Text: "a relay of the fleet has taken our stream", Args: []any{"relay", c.fleet.relays[w.relay].Name, "epoch", w.epoch}})
+	c.out.Lines = append(c.out.Lines, node.LogEntry{Message: "a relay of the fleet has taken our stream", Args: []any{"relay", c.fleet.relays[w.relay].Name, "epoch", w.epoch}})
 }
 
 // Ended tells that a stream has ended, or could not be opened within DialMost.
@@ -258,7 +258,7 @@
 }
 
 // Heard takes a frame of a stream, behind its Answer.
-func (c *Client) Heard(now time.Duration, epoch uint64, kind member.Kind, body []byte) {
+func (c *Client) Heard(now time.Duration, epoch uint64, kind node.Kind, body []byte) {
 	c.touch(now)
 	switch {
 	case c.cur != nil && c.cur.epoch == epoch:
@@ -280,9 +280,9 @@
 }
 
 // Send takes what our member sends; where there is no stream it is lost, and asked again.
-func (c *Client) Send(now time.Duration, s member.Send) {
+func (c *Client) Send(now time.Duration, s node.Frame) {
 	c.touch(now)
-	if c.cur == nil || s.Kind != member.KindTalk {
+	if c.cur == nil || s.Kind != node.KindMessage {
 		return
 	}
 	c.cur.sent = now
--- a/internal/cluster/relay/compat_test.go
+++ b/internal/cluster/relay/compat_test.go
@@ -4,7 +4,7 @@
 	"reflect"
 	"testing"
 
-	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/cluster/node"
 	"dunemoor/internal/testkit/compat"
 )
 
@@ -18,9 +18,9 @@
 
 func TestCompatRecords(t *testing.T) {
 	want := []Record{
-		{To: "g1", Kind: member.KindTalk, Body: []byte("from a gateway")},
-		{To: All, From: "g2", Replica: 1 << 40, Epoch: 3<<32 | 1, Seq: 300, Kind: member.KindTalk, Body: []byte("for all")},
-		{From: "r1", Replica: 5, Epoch: 6, Seq: 7, Kind: member.KindTalk},
+		{To: "g1", Kind: node.KindMessage, Body: []byte("from a gateway")},
+		{To: All, From: "g2", Replica: 1 << 40, Epoch: 3<<32 | 1, Seq: 300, Kind: node.KindMessage, Body: []byte("for all")},
+		{From: "r1", Replica: 5, Epoch: 6, Seq: 7, Kind: node.KindMessage},
 	}
 	var b []byte
 	for i := range want {
--- a/internal/cluster/relay/record.go
+++ b/internal/cluster/relay/record.go
@@ -4,7 +4,7 @@
 	"encoding/binary"
 
 	"dunemoor/internal/cluster/failpoint"
-	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/cluster/node"
 )
 
 // Record is what one member says to another, or to All. From, Replica, Epoch and Seq are put on by
@@ -13,7 +13,7 @@
 type Record struct {
 	To, From            string // To is empty on the stream of who it is for
 	Replica, Epoch, Seq uint64 // they come with From
-	Kind                member.Kind
+	Kind                node.Kind
 	Body                []byte
 }
 
@@ -63,7 +63,7 @@
 	if len(b) == 0 {
 		return r, false
 	}
-	r.Kind, b = member.Kind(b[0]), b[1:]
+	r.Kind, b = node.Kind(b[0]), b[1:]
 	if r.To, b, ok = readName(b); !ok {
 		return r, false
 	}
@@ -83,7 +83,7 @@
 	}
 	r.Body = b
 	// Only what members say goes by relays, and nothing that no frame takes.
-	return r, r.Kind == member.KindTalk && len(b) <= RecordMost
+	return r, r.Kind == node.KindMessage && len(b) <= RecordMost
 }
 
 func readName(b []byte) (name string, rest []byte, ok bool) {
--- a/internal/cluster/relay/relay.go
+++ b/internal/cluster/relay/relay.go
@@ -7,20 +7,20 @@
 import (
 	"time"
 
-	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/cluster/node"
 )
 
 // All is the name of everybody but the sender.
-const All = member.All
+const All = node.Broadcast
 
 // Kinds of frames beside those of member; 0 is of one that only says that the sender is there.
 const (
-	KindIdle   member.Kind = 0
-	KindRecord member.Kind = 3 // records, one behind the other: on streams and between relays
-	KindJoin   member.Kind = 4 // a gateway's first frame on a stream: JSON, a Join
-	KindAnswer member.Kind = 5 // a relay's first: JSON, an Answer; the stream ends if it is not taken
-	KindBeat   member.Kind = 6 // a relay is there: a Beat
-	KindRoutes member.Kind = 7 // which gateways a relay holds, between relays
+	KindIdle   node.Kind = 0
+	KindRecord node.Kind = 3 // records, one behind the other: on streams and between relays
+	KindJoin   node.Kind = 4 // a gateway's first frame on a stream: JSON, a Join
+	KindAnswer node.Kind = 5 // a relay's first: JSON, an Answer; the stream ends if it is not taken
+	KindBeat   node.Kind = 6 // a relay is there: a Beat
+	KindRoutes node.Kind = 7 // which gateways a relay holds, between relays
 )
 
 // Times.
@@ -118,7 +118,7 @@
 type Frame struct {
 	Name  string // of the gateway or relay; a Client leaves it empty
 	Epoch uint64 // of the stream; 0: to a relay
-	Kind  member.Kind
+	Kind  node.Kind
 	Body  []byte
 }
 
@@ -165,7 +165,7 @@
 	Moved bool
 	// Older says that a relay knows a later stream of this disk: it is a copy from before.
 	Older bool
-	Lines []member.Line
+	Lines []node.LogEntry
 }
 
 // ClientStatus is how a gateway stands with its relay.
--- a/internal/cluster/relay/relay_test.go
+++ b/internal/cluster/relay/relay_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/cluster/node"
 )
 
 // net is relays and gateways without members, joined by ways that keep their order and take a step.
@@ -148,7 +148,7 @@
 			if to == nil || n.routers[f.Name] != to {
 				return
 			}
-			if f.Kind == member.KindTalk {
+			if f.Kind == node.KindMessage {
 				if n.heard != nil {
 					n.heard(f.Name, &Record{From: me, Kind: f.Kind, Body: f.Body})
 				}
@@ -384,7 +384,7 @@
 		if from == to {
 			continue
 		}
-		s := member.Send{To: to, Kind: member.KindTalk, Body: binary.LittleEndian.AppendUint64(nil, number)}
+		s := node.Frame{To: to, Kind: node.KindMessage, Body: binary.LittleEndian.AppendUint64(nil, number)}
 		if i := slices.Index(n.names, from); i >= 0 {
 			n.clients[i].Send(n.now, s)
 		} else if r := n.routers[from]; r != nil {
@@ -407,7 +407,7 @@
 func TestRecords(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	draw := func() Record {
-		x := Record{To: []string{"", "*", "g1"}[r.IntN(3)], Kind: member.KindTalk, Body: bytes.Repeat([]byte{byte(r.Uint32())}, r.IntN(300))}
+		x := Record{To: []string{"", "*", "g1"}[r.IntN(3)], Kind: node.KindMessage, Body: bytes.Repeat([]byte{byte(r.Uint32())}, r.IntN(300))}
 		if r.IntN(2) == 0 {
 			x.From, x.Replica, x.Epoch, x.Seq = "g2", r.Uint64(), r.Uint64(), r.Uint64()>>r.IntN(64)
 		}
@@ -421,11 +421,11 @@
 			if x := draw(); r.IntN(3) == 0 {
 				switch bad++; r.IntN(3) {
 				case 0:
-					x.Kind = member.KindRaft
+					x.Kind = node.KindRaft
 				case 1:
 					x.To = string(bytes.Repeat([]byte("x"), NameMost+1))
 				case 2:
-					b = append(b, 3, byte(member.KindTalk), 200, 1)
+					b = append(b, 3, byte(node.KindMessage), 200, 1)
 					continue
 				}
 				b = AppendRecord(b, &x)
--- a/internal/cluster/relay/router.go
+++ b/internal/cluster/relay/router.go
@@ -12,7 +12,7 @@
 
 	"dunemoor/internal/cluster/failpoint"
 	"dunemoor/internal/cluster/lease"
-	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/cluster/node"
 )
 
 const (
@@ -397,7 +397,7 @@
 }
 
 // FromStream takes a frame of a stream, behind its Join.
-func (r *Router) FromStream(now time.Duration, name string, epoch uint64, kind member.Kind, body []byte) {
+func (r *Router) FromStream(now time.Duration, name string, epoch uint64, kind node.Kind, body []byte) {
 	r.touch(now)
 	s := r.streams[name]
 	if s == nil || s.life.epoch != epoch {
@@ -421,16 +421,16 @@
 
 // answer is of a planted bug: a relay that answers renewals itself.
 func (r *Router) answer(s *stream, x *Record) bool {
-	t, err := member.ReadTalk(x.Body)
-	if err != nil || t.Renew == nil || t.Renew.Known == 0 {
+	t, err := node.DecodeMessage(x.Body)
+	if err != nil || t.Renew == nil || t.Renew.KnownRevision == 0 {
 		return false
 	}
-	b, err := json.Marshal(member.Talk{Ack: &member.Ack{Session: t.Renew.Session, Seq: t.Renew.Seq, View: &lease.StateDelta{Revision: t.Renew.Known}}})
+	b, err := json.Marshal(node.Message{RenewReply: &node.RenewReply{Session: t.Renew.Session, Seq: t.Renew.Seq, Delta: &lease.StateDelta{Revision: t.Renew.KnownRevision}}})
 	if err != nil {
 		return false
 	}
 	r.seq++
-	r.toStream(s, AppendRecord(nil, &Record{From: r.cfg.Name, Replica: r.cfg.Replica, Epoch: r.epoch(), Seq: r.seq, Kind: member.KindTalk, Body: b}))
+	r.toStream(s, AppendRecord(nil, &Record{From: r.cfg.Name, Replica: r.cfg.Replica, Epoch: r.epoch(), Seq: r.seq, Kind: node.KindMessage, Body: b}))
 	return true
 }
 
@@ -510,7 +510,7 @@
 
 // FromRelay takes a frame of another relay, of KindRecord or KindRoutes; those of member's kinds go to
 // the member directly.
-func (r *Router) FromRelay(now time.Duration, relay string, kind member.Kind, body []byte) {
+func (r *Router) FromRelay(now time.Duration, relay string, kind node.Kind, body []byte) {
 	r.touch(now)
 	l := r.links[relay]
 	if l == nil {
@@ -625,7 +625,7 @@
 
 // Send takes what our own member sends of member.KindTalk, to relays too, so that all of it stays in
 // order; those to relays come out as frames of that kind. Raft and snapshots go by the carrier.
-func (r *Router) Send(now time.Duration, s member.Send) {
+func (r *Router) Send(now time.Duration, s node.Frame) {
 	r.touch(now)
 	if r.links[s.To] != nil {
 		r.flush(s.To)
--- a/internal/cluster/relay/units_test.go
+++ b/internal/cluster/relay/units_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/cluster/node"
 )
 
 func pair() *Router {
@@ -102,7 +102,7 @@
 	r := pair()
 	at := time.Hour
 	word := func(seq uint64) []byte {
-		return AppendRecord(nil, &Record{To: "r1", From: "r2", Replica: 2, Epoch: 1, Seq: seq, Kind: member.KindTalk, Body: []byte("x")})
+		return AppendRecord(nil, &Record{To: "r1", From: "r2", Replica: 2, Epoch: 1, Seq: seq, Kind: node.KindMessage, Body: []byte("x")})
 	}
 	r.Up(at, "r2")
 	r.Join(at, Join{Name: "g", Replica: 1, Epoch: 1})
@@ -112,7 +112,7 @@
 	}
 	at += stoodMost
 	r.FromRelay(at, "r2", KindRecord, word(2))
-	r.FromStream(at, "g", 1, KindRecord, AppendRecord(nil, &Record{To: "r1", Kind: member.KindTalk, Body: []byte("x")}))
+	r.FromStream(at, "g", 1, KindRecord, AppendRecord(nil, &Record{To: "r1", Kind: node.KindMessage, Body: []byte("x")}))
 	o := r.Drain()
 	if len(o.ToMember) != 0 || len(o.Cut) != 1 {
 		t.Fatalf("what was held is taken, or a stream is kept: %+v", o)
@@ -136,13 +136,13 @@
 	r := pair()
 	at := time.Hour
 	r.Join(at, Join{Name: "g", Replica: 1, Epoch: 1})
-	r.FromRelay(at, "r2", KindRecord, AppendRecord(nil, &Record{To: "r1", From: "g", Replica: 1, Epoch: 2, Seq: 1, Kind: member.KindTalk, Body: []byte("x")}))
-	r.FromStream(at, "g", 1, KindRecord, AppendRecord(nil, &Record{To: "r1", Kind: member.KindTalk, Body: []byte("x")}))
+	r.FromRelay(at, "r2", KindRecord, AppendRecord(nil, &Record{To: "r1", From: "g", Replica: 1, Epoch: 2, Seq: 1, Kind: node.KindMessage, Body: []byte("x")}))
+	r.FromStream(at, "g", 1, KindRecord, AppendRecord(nil, &Record{To: "r1", Kind: node.KindMessage, Body: []byte("x")}))
 	if o := r.Drain(); len(o.ToMember) != 1 || len(o.Cut) != 1 {
 		t.Errorf("%+v", o)
 	}
-	r.FromRelay(at, "r2", KindRecord, AppendRecord(nil, &Record{To: "r1", From: "g", Replica: 1, Epoch: 1, Seq: 9, Kind: member.KindTalk, Body: []byte("x")}))
-	r.FromRelay(at, "r2", KindRecord, AppendRecord(nil, &Record{To: "r1", From: "r1", Replica: 1, Epoch: 3, Seq: 9, Kind: member.KindTalk, Body: []byte("x")}))
+	r.FromRelay(at, "r2", KindRecord, AppendRecord(nil, &Record{To: "r1", From: "g", Replica: 1, Epoch: 1, Seq: 9, Kind: node.KindMessage, Body: []byte("x")}))
+	r.FromRelay(at, "r2", KindRecord, AppendRecord(nil, &Record{To: "r1", From: "r1", Replica: 1, Epoch: 3, Seq: 9, Kind: node.KindMessage, Body: []byte("x")}))
 	if o := r.Drain(); len(o.ToMember) != 0 {
 		t.Errorf("an earlier stream's word is taken, or one in a relay's name: %+v", o)
 	}
--- a/internal/cluster/relays.go
+++ b/internal/cluster/relays.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"dunemoor/internal/cluster/duty"
-	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/cluster/node"
 	"dunemoor/internal/cluster/peer"
 	"dunemoor/internal/cluster/relay"
 )
@@ -40,7 +40,7 @@
 }
 
 // relays makes the part of relays on the disk that is open; what there was of before is ended.
-func (f *Fleet) relays(now time.Duration, h *member.Hello) {
+func (f *Fleet) relays(now time.Duration, h *node.Hello) {
 	if len(f.cfg.Relays) == 0 {
 		return
 	}
@@ -59,7 +59,7 @@
 		list = append(list, relay.Relay{Name: x.Name, Zone: x.Zone, Region: x.Region})
 		r.addrs[x.Name] = x.Address
 	}
-	cfg := relay.Config{Name: f.cfg.Name, Zone: f.cfg.Zone, Region: f.cfg.Region, Replica: h.Replica, Boots: h.Boots, Seed: random()}
+	cfg := relay.Config{Name: f.cfg.Name, Zone: f.cfg.Zone, Region: f.cfg.Region, Replica: h.ReplicaID, Boots: h.Boots, Seed: random()}
 	if r.addrs[f.cfg.Name] != "" {
 		r.router = relay.NewRouter(now, cfg, list)
 	} else {
@@ -69,20 +69,20 @@
 }
 
 // judgeStream says why the other side of a stream is not talked with; "": it is.
-func (f *Fleet) judgeStream(h *member.Hello) string {
+func (f *Fleet) judgeStream(h *node.Hello) string {
 	own := f.hello.Load()
 	switch {
 	case h.Fleet != own.Fleet:
 		return fmt.Sprintf("it is of fleet %q, this is %q", h.Fleet, own.Fleet)
-	case h.Format != member.Format:
-		return fmt.Sprintf("it speaks format %d, this build %d", h.Format, member.Format)
+	case h.Format != node.FormatVersion:
+		return fmt.Sprintf("it speaks format %d, this build %d", h.Format, node.FormatVersion)
 	case h.Name == own.Name:
 		return fmt.Sprintf("it has our own name, %s", h.Name)
 	case f.isRelay(own.Name) && f.isRelay(h.Name):
 		return fmt.Sprintf("%s is a relay by this one's file, and no gateway", h.Name)
-	case h.Birth != 0 && own.Birth != 0 && h.Birth != own.Birth:
+	case h.ClusterID != 0 && own.ClusterID != 0 && h.ClusterID != own.ClusterID:
 		return "its fleet has the same id and was formed another time"
-	case h.Replica == own.Replica:
+	case h.ReplicaID == own.ReplicaID:
 		return fmt.Sprintf("it has a disk with the identity of that of %s: one of the two is a copy", own.Name)
 	}
 	return ""
@@ -99,7 +99,7 @@
 }
 
 // Frame is of peer.Streams.
-func (h *handler) Frame(s *peer.Stream, kind member.Kind, body []byte) {
+func (h *handler) Frame(s *peer.Stream, kind node.Kind, body []byte) {
 	f := (*Fleet)(h)
 	f.post(func() { f.relayed.frame(f, s, kind, body) })
 }
@@ -135,7 +135,7 @@
 }
 
 // frame takes a frame of a stream.
-func (r *relayed) frame(f *Fleet, s *peer.Stream, kind member.Kind, body []byte) {
+func (r *relayed) frame(f *Fleet, s *peer.Stream, kind node.Kind, body []byte) {
 	now := duty.Now()
 	x := r.ids[s]
 	switch {
@@ -163,7 +163,7 @@
 
 // join answers a gateway that wants its stream taken. Who it is was said in the handshake, which the
 // key is for: what the frame says besides must be the same.
-func (r *relayed) join(f *Fleet, now time.Duration, s *peer.Stream, kind member.Kind, body []byte) {
+func (r *relayed) join(f *Fleet, now time.Duration, s *peer.Stream, kind node.Kind, body []byte) {
 	var j relay.Join
 	if kind != relay.KindJoin || json.Unmarshal(body, &j) != nil || j.Name != s.Name || j.Replica != s.Replica {
 		f.carrier.Counts.Garbled.Add(1)
@@ -206,9 +206,9 @@
 }
 
 // send takes what our member sends.
-func (r *relayed) send(f *Fleet, now time.Duration, s *member.Send) {
+func (r *relayed) send(f *Fleet, now time.Duration, s *node.Frame) {
 	switch {
-	case s.Kind != member.KindTalk:
+	case s.Kind != node.KindMessage:
 		f.carrier.Send(s)
 	case r.router != nil:
 		r.router.Send(now, *s)
@@ -236,7 +236,7 @@
 			}
 		}
 		for _, x := range o.ToRelay {
-			f.carrier.Send(&member.Send{To: x.Name, Kind: x.Kind, Body: x.Body})
+			f.carrier.Send(&node.Frame{To: x.Name, Kind: x.Kind, Body: x.Body})
 		}
 		f.receiveAll(now, o.ToMember)
 		for _, x := range o.Cut {
@@ -266,10 +266,10 @@
 	}
 	f.log(o.Lines)
 	if o.Moved {
-		f.member.Moved(now)
+		f.member.Reconnected(now)
 	}
 	if o.Older {
-		f.member.Copied(now, "a relay knows a later stream of it")
+		f.member.DiskOutdated(now, "a relay knows a later stream of it")
 	}
 	return len(o.ToMember) > 0 || o.Moved || o.Older
 }
--- a/internal/cluster/relays_test.go
+++ b/internal/cluster/relays_test.go
@@ -12,7 +12,7 @@
 	"testing"
 
 	"dunemoor/internal/cluster/duty"
-	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/cluster/node"
 	"dunemoor/internal/cluster/peer"
 	"dunemoor/internal/cluster/relay"
 	"dunemoor/internal/testkit"
@@ -66,7 +66,7 @@
 				f.Tell("", h, n, binary.LittleEndian.AppendUint64(nil, n))
 			}
 		}
-	}, func(n member.News) {
+	}, func(n node.Publication) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		p.news = append(p.news, binary.LittleEndian.Uint64(n.Body))
@@ -114,7 +114,7 @@
 	}
 	testkit.Until(t, "all know the owner", func() bool {
 		for _, p := range all {
-			if s := p.Status(); len(s.Duties) != 1 || s.Duties[0].Owner == "" {
+			if s := p.Status(); len(s.Leases) != 1 || s.Leases[0].Holder == "" {
 				return false
 			}
 		}
@@ -174,7 +174,7 @@
 	}
 	testkit.Until(t, "the duty has an owner who is there", func() bool {
 		for _, p := range left {
-			if s := p.Status(); len(s.Duties) != 1 || s.Duties[0].Owner == "" || s.Duties[0].Owner == lost {
+			if s := p.Status(); len(s.Leases) != 1 || s.Leases[0].Holder == "" || s.Leases[0].Holder == lost {
 				return false
 			}
 		}
@@ -220,16 +220,16 @@
 		replica, as uint64
 	}{
 		{"a name in the join that is not the hello's", "g9", "g1", 9, 9},
-		{"another's replica", "g1", "g1", 9, g.Status().Disk},
+		{"another's replica", "g1", "g1", 9, g.Status().ReplicaID},
 		{"a relay's name", "r1", "r1", 9, 9},
 	} {
 		garbled, refused := r.carrier.Counts.Garbled.Load(), r.carrier.Counts.Refused.Load()
 		to := &ends{why: make(chan error, 1)}
 		h := hello
-		h.Name, h.Replica = c.name, c.replica
+		h.Name, h.ReplicaID = c.name, c.replica
 		x := peer.New(peer.Config{
-			Name: c.name, Key: []byte(testKey), Hello: func() member.Hello { return h }, Judge: func(*member.Hello) string { return "" },
-			Streams: to, JudgeStream: func(*member.Hello) string { return "" },
+			Name: c.name, Key: []byte(testKey), Hello: func() node.Hello { return h }, Judge: func(*node.Hello) string { return "" },
+			Streams: to, JudgeStream: func(*node.Hello) string { return "" },
 		}, nil, to)
 		x.Start()
 		x.Dial("r1", relays[0].Address, relay.KindJoin, asJSON(relay.Join{Name: c.says, Replica: c.as, Epoch: 1 << 60}))
@@ -271,9 +271,9 @@
 	why    chan error
 }
 
-func (e *ends) Greet(member.Hello)                            {}
-func (e *ends) Receive(string, member.Kind, []byte)           {}
-func (e *ends) Lost(string)                                   {}
-func (e *ends) Snapshot(uint64, bool)                         {}
-func (e *ends) Frame(_ *peer.Stream, _ member.Kind, _ []byte) { e.frames++ }
-func (e *ends) Ended(_ *peer.Stream, why error)               { e.why <- why }
+func (e *ends) Greet(node.Hello)                            {}
+func (e *ends) Receive(string, node.Kind, []byte)           {}
+func (e *ends) Lost(string)                                 {}
+func (e *ends) Snapshot(uint64, bool)                       {}
+func (e *ends) Frame(_ *peer.Stream, _ node.Kind, _ []byte) { e.frames++ }
+func (e *ends) Ended(_ *peer.Stream, why error)             { e.why <- why }
--- a/internal/cluster/sim/calm.go
+++ b/internal/cluster/sim/calm.go
@@ -55,7 +55,7 @@
 	if err := w.Run(lease.TTL); err != nil {
 		return err
 	}
-	if lead.m.Leads() {
+	if lead.m.IsLeader() {
 		return w.failed(fmt.Sprintf("%s leads still, cut off for %v", lead.name, lease.TTL))
 	}
 	clear(w.cut)
@@ -172,7 +172,7 @@
 		n := w.Nodes[w.rng.IntN(len(w.Nodes))]
 		if lead := w.Leader(); lead != nil && w.rng.IntN(2) == 0 {
 			n = lead
-			lead.m.Ask(lead.clock(), lease.Command{Op: lease.OpTransfer, Lease: fmt.Sprintf("d%d", w.rng.IntN(w.Duties))})
+			lead.m.Propose(lead.clock(), lease.Command{Op: lease.OpTransfer, Lease: fmt.Sprintf("d%d", w.rng.IntN(w.Duties))})
 			lead.drain()
 		}
 		if w.rng.IntN(3) == 0 {
--- a/internal/cluster/sim/check.go
+++ b/internal/cluster/sim/check.go
@@ -8,7 +8,7 @@
 
 	"dunemoor/internal/cluster/failpoint"
 	"dunemoor/internal/cluster/lease"
-	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/cluster/node"
 )
 
 // Ledger is hosts that can refuse: each remembers the highest token that it was shown of a duty.
@@ -32,33 +32,33 @@
 }
 
 // work has a gateway act on behalf of what it holds.
-func (n *Node) work(holds []member.Hold) {
+func (n *Node) work(holds []node.Grant) {
 	w := n.w
 	now := map[string]bool{}
 	for _, h := range holds {
-		now[h.Duty] = true
+		now[h.Lease] = true
 		if who, ok := w.tokens[h.Token]; !ok {
-			w.tokens[h.Token] = h.Duty + " " + n.name
-		} else if who != h.Duty+" "+n.name {
-			w.bad("token %d was given to %s and to %s %s", h.Token, who, h.Duty, n.name)
+			w.tokens[h.Token] = h.Lease + " " + n.name
+		} else if who != h.Lease+" "+n.name {
+			w.bad("token %d was given to %s and to %s %s", h.Token, who, h.Lease, n.name)
 		}
-		if h.Release {
+		if h.Releasing {
 			// Its work ends, and then it is given back.
-			duty, token, life := h.Duty, h.Token, n.life
+			duty, token, life := h.Lease, h.Token, n.life
 			delete(n.works, duty)
 			w.after(w.between(0, 10*time.Millisecond), func() {
 				n.come(func() {
 					if n.life == life {
-						n.m.Released(n.clock(), duty, token)
+						n.m.ReleaseStopped(n.clock(), duty, token)
 						n.drain()
 					}
 				})
 			})
 			continue
 		}
-		if n.works[h.Duty] != h.Token {
-			n.works[h.Duty] = h.Token
-			n.acting(h.Duty, h.Token, n.life, 0)
+		if n.works[h.Lease] != h.Token {
+			n.works[h.Lease] = h.Token
+			n.acting(h.Lease, h.Token, n.life, 0)
 		}
 	}
 	for duty := range n.works {
@@ -108,7 +108,7 @@
 	n.w.acts++
 	n.w.Hosts.act(duty, token)
 	if n.w.Relays == 0 {
-		n.m.Tell(n.clock(), "", duty, token, seq+1, []byte("news"))
+		n.m.Publish(n.clock(), "", duty, token, seq+1, []byte("news"))
 	} else if !n.w.hush {
 		t := told{token, 1}
 		if was := n.w.told[duty]; was.token == token {
@@ -117,7 +117,7 @@
 		n.say(duty, t)
 	}
 	if n.w.rng.IntN(4) == 0 {
-		n.m.Ask(n.clock(), lease.Command{Op: lease.OpWrite, Lease: duty, Token: token, Key: "by", Value: fmt.Sprintf("%020d", token)})
+		n.m.Propose(n.clock(), lease.Command{Op: lease.OpWrite, Lease: duty, Token: token, Key: "by", Value: fmt.Sprintf("%020d", token)})
 	}
 	n.drain()
 }
@@ -154,9 +154,9 @@
 	if !held {
 		return
 	}
-	for _, h := range n.m.Holds() {
-		if count := w.holders(h.Duty); count > 1 {
-			w.bad("%d gateways believe at once that they own %s", count, h.Duty)
+	for _, h := range n.m.Grants() {
+		if count := w.holders(h.Lease); count > 1 {
+			w.bad("%d gateways believe at once that they own %s", count, h.Lease)
 		}
 	}
 }
--- a/internal/cluster/sim/cost.go
+++ b/internal/cluster/sim/cost.go
@@ -57,7 +57,7 @@
 	}
 	lead := w.Leader()
 	keeps := map[string]bool{}
-	for _, k := range lead.m.Status(lead.clock()).Keepers {
+	for _, k := range lead.m.Status(lead.clock()).Replicas {
 		keeps[k.Name] = true
 	}
 	var keepers, members []*Node
--- a/internal/cluster/sim/history.go
+++ b/internal/cluster/sim/history.go
@@ -8,7 +8,7 @@
 	"github.com/anishathalye/porcupine"
 
 	"dunemoor/internal/cluster/lease"
-	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/cluster/node"
 )
 
 // history is what clients asked of locks and were told.
@@ -70,7 +70,7 @@
 		delete(c.has, lock)
 	}
 	c.out = o
-	if c.id = c.n.m.Ask(c.n.clock(), cmd); c.id == 0 {
+	if c.id = c.n.m.Propose(c.n.clock(), cmd); c.id == 0 {
 		c.out = nil
 		return
 	}
@@ -79,7 +79,7 @@
 }
 
 // done is the answer to a command.
-func (c *client) done(d member.Done) {
+func (c *client) done(d node.Outcome) {
 	if c.out == nil || d.ID != c.id {
 		return
 	}
--- a/internal/cluster/sim/nemesis.go
+++ b/internal/cluster/sim/nemesis.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"dunemoor/internal/cluster/lease"
-	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/cluster/node"
 )
 
 // Nemesis draws faults from the world's seed for so long, one after another and over one another,
@@ -139,7 +139,7 @@
 		n.stopActing = w.between(lease.TTL/2, 3*lease.TTL)
 	case 14:
 		if lead := w.Leader(); lead != nil && w.Duties > 0 {
-			lead.m.Ask(lead.clock(), lease.Command{Op: lease.OpTransfer, Lease: fmt.Sprintf("d%d", w.rng.IntN(w.Duties)), Target: o.name})
+			lead.m.Propose(lead.clock(), lease.Command{Op: lease.OpTransfer, Lease: fmt.Sprintf("d%d", w.rng.IntN(w.Duties)), Target: o.name})
 			lead.drain()
 		}
 	}
@@ -152,7 +152,7 @@
 	if lead == nil {
 		return false
 	}
-	for _, k := range lead.m.Status(lead.clock()).Keepers {
+	for _, k := range lead.m.Status(lead.clock()).Replicas {
 		found := false
 		for _, n := range w.Nodes {
 			if n.up && n.m.Halted() == nil && n.d.Identity().Replica == k.ID && n.doubt != k.ID {
@@ -220,7 +220,7 @@
 			text += fmt.Sprintf("\n%+v", n.router.Status())
 		}
 		text += fmt.Sprintf("\n%s %s term %d lead %q session %d commit %d applied %d cleared %v keepers %v why %s; %d sessions, holds %v",
-			n.name, s.Role, s.Term, s.Leader, s.Session, s.Commit, s.Applied, n.m.Cleared(), s.Keepers, s.Why, s.Sessions, n.m.Holds())
+			n.name, s.Role, s.Term, s.Leader, s.Session, s.Commit, s.Applied, n.m.Cleared(), s.Replicas, s.Reason, s.Sessions, n.m.Grants())
 	}
-	return text + fmt.Sprint(" cuts ", len(w.cut), " tick ", member.TickEvery)
+	return text + fmt.Sprint(" cuts ", len(w.cut), " tick ", node.TickInterval)
 }
--- a/internal/cluster/sim/relays.go
+++ b/internal/cluster/sim/relays.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"dunemoor/internal/cluster/lease"
-	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/cluster/node"
 	"dunemoor/internal/cluster/relay"
 )
 
@@ -163,7 +163,7 @@
 	}
 	every := relay.TickEvery
 	if n.way != nil {
-		every = member.TickEvery // it gathers nothing
+		every = node.TickInterval // it gathers nothing
 	}
 	n.come(func() {
 		if n.life != life {
@@ -180,9 +180,9 @@
 }
 
 // hand gives a frame of our member's to the way that it goes.
-func (n *Node) hand(s member.Send) {
+func (n *Node) hand(s node.Frame) {
 	w := n.w
-	if s.Kind == member.KindTalk {
+	if s.Kind == node.KindMessage {
 		if len(w.sentAt) > 1<<18 {
 			clear(w.sentAt)
 		}
@@ -191,7 +191,7 @@
 	switch {
 	case n.way != nil:
 		n.way.Send(n.clock(), s)
-	case s.Kind == member.KindTalk:
+	case s.Kind == node.KindMessage:
 		n.router.Send(n.clock(), s)
 	default:
 		n.send(s)
@@ -221,7 +221,7 @@
 			if f.Kind == relay.KindRecord && n.rogue {
 				f.Body = append(slices.Clone(refusedRecord), f.Body...)
 			}
-			n.send(member.Send{To: f.Name, Kind: f.Kind, Body: f.Body})
+			n.send(node.Frame{To: f.Name, Kind: f.Kind, Body: f.Body})
 		}
 		for i := range o.ToMember {
 			n.take(&o.ToMember[i])
@@ -265,14 +265,14 @@
 	}
 	if o.Moved {
 		n.moves = append(n.moves, n.w.Now)
-		n.m.Moved(n.clock())
+		n.m.Reconnected(n.clock())
 	}
 	if o.Older {
-		n.m.Copied(n.clock(), "a relay knows a later stream")
+		n.m.DiskOutdated(n.clock(), "a relay knows a later stream")
 	}
 	if n.w.trace {
 		for _, l := range o.Lines {
-			fmt.Println(n.w.Now, n.name, l.Text, l.Args)
+			fmt.Println(n.w.Now, n.name, l.Message, l.Args)
 		}
 	}
 	return len(o.ToMember) > 0 || o.Moved || o.Older
@@ -419,13 +419,13 @@
 func (n *Node) say(duty string, t told) {
 	n.w.told[duty] = t
 	n.news[duty] = t
-	n.m.Tell(n.clock(), "", duty, t.token, t.seq, []byte("news"))
+	n.m.Publish(n.clock(), "", duty, t.token, t.seq, []byte("news"))
 }
 
 // asked has an owner tell one gateway again what it has told all.
-func (n *Node) askedNews(a member.Asked) {
-	if t := n.news[a.Duty]; t.token != 0 && n.believes(a.Duty) == t.token {
-		n.m.Tell(n.clock(), a.From, a.Duty, t.token, t.seq, []byte("news"))
+func (n *Node) askedNews(a node.ResyncCall) {
+	if t := n.news[a.Lease]; t.token != 0 && n.believes(a.Lease) == t.token {
+		n.m.Publish(n.clock(), a.From, a.Lease, t.token, t.seq, []byte("news"))
 	}
 }
 
@@ -439,11 +439,11 @@
 		// What we have told ourselves may be lost as well.
 		for _, duty := range slices.Sorted(maps.Keys(n.news)) {
 			if t := n.news[duty]; n.believes(duty) == t.token {
-				n.m.Tell(n.clock(), "", duty, t.token, t.seq, []byte("news"))
+				n.m.Publish(n.clock(), "", duty, t.token, t.seq, []byte("news"))
 			}
 		}
 		for i := range n.w.Duties {
-			n.m.Want(n.clock(), fmt.Sprintf("d%d", i), nil)
+			n.m.RequestResync(n.clock(), fmt.Sprintf("d%d", i), nil)
 		}
 	}
 	ask()
--- a/internal/cluster/sim/words.go
+++ b/internal/cluster/sim/words.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"dunemoor/internal/cluster/lease"
-	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/cluster/node"
 )
 
 // said is an operator's word on a host, asked at one gateway.
@@ -49,13 +49,13 @@
 	if x.drain {
 		c.Op = lease.OpDrainHost
 	}
-	if x.id = n.m.Ask(n.clock(), c); x.id != 0 {
+	if x.id = n.m.Propose(n.clock(), c); x.id != 0 {
 		o.list = append(o.list, x)
 	}
 	n.drain()
 }
 
-func (o *operator) done(d member.Done) {
+func (o *operator) done(d node.Outcome) {
 	i := slices.IndexFunc(o.list, func(x said) bool { return x.id == d.ID && x.life == o.n.life })
 	if i < 0 || !d.Known {
 		return
@@ -101,8 +101,8 @@
 	}
 	st := lead.State()
 	for _, n := range w.Nodes {
-		if words := n.m.Words(); words.Mod != st.OverridesModRevision || !slices.Equal(words.List, st.ListOverrides()) {
-			return w.failed(fmt.Sprintf("%s knows the words of %d, %v, the record has those of %d, %v", n.name, words.Mod, words.List, st.OverridesModRevision, st.ListOverrides()))
+		if words := n.m.Overrides(); words.ModRevision != st.OverridesModRevision || !slices.Equal(words.List, st.ListOverrides()) {
+			return w.failed(fmt.Sprintf("%s knows the words of %d, %v, the record has those of %d, %v", n.name, words.ModRevision, words.List, st.OverridesModRevision, st.ListOverrides()))
 		}
 		if n.operator == nil {
 			continue
--- a/internal/cluster/sim/world.go
+++ b/internal/cluster/sim/world.go
@@ -14,7 +14,7 @@
 	"dunemoor/internal/cluster/disk"
 	"dunemoor/internal/cluster/failpoint"
 	"dunemoor/internal/cluster/lease"
-	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/cluster/node"
 	"dunemoor/internal/cluster/quorum"
 	"dunemoor/internal/cluster/relay"
 )
@@ -102,7 +102,7 @@
 	name     string
 	fs       *memFS
 	d        *disk.Disk
-	m        *member.Member
+	m        *node.Node
 	rate     int64 // of its clock, in 10,000
 	offset   time.Duration
 	life     int // grows with each start and stop: what was under way before is void
@@ -115,8 +115,8 @@
 	works    map[string]uint64 // duty: token of the work that runs
 	client   *client
 	operator *operator
-	kept     member.Words // operators' words, in a file
-	old      *memFS       // a copy of the disk from before
+	kept     node.OverrideSet // operators' words, in a file
+	old      *memFS           // a copy of the disk from before
 	frames   int
 	bytes    int
 	looked   uint64 // index of the record as last looked at, and summed
@@ -208,7 +208,7 @@
 		if ok() {
 			return true
 		}
-		w.Run(min(member.TickEvery, end-w.Now))
+		w.Run(min(node.TickInterval, end-w.Now))
 	}
 	return w.Bad == nil && ok()
 }
@@ -268,9 +268,9 @@
 		fmt.Println(w.Now, n.name, "starts with disk", d.Identity())
 	}
 	n.d = d
-	n.m, err = member.New(n.clock(), member.Config{
-		Fleet: "f", Name: n.name, First: first, Peers: names, Offers: offers, Seed: w.rng.Uint64(), Disk: d.Identity(), Stored: stored, Words: n.kept,
-		Relayed: w.Relays > 0,
+	n.m, err = node.New(n.clock(), node.Config{
+		Fleet: "f", Name: n.name, BootstrapReplicas: first, Peers: names, CandidateLeases: offers, Seed: w.rng.Uint64(), Disk: d.Identity(), Stored: stored, Overrides: n.kept,
+		UsesRelays: w.Relays > 0,
 	})
 	if err != nil {
 		w.bad("%s does not start: %v", n.name, err)
@@ -308,7 +308,7 @@
 		to, h := o.life, n.m.Hello()
 		o.come(func() {
 			if o.life == to {
-				o.m.Greet(o.clock(), h)
+				o.m.ReceiveHello(o.clock(), h)
 				if o.router != nil {
 					o.router.Up(o.clock(), n.name)
 				}
@@ -337,7 +337,7 @@
 		}
 		n.m.Tick(n.clock())
 		n.drain()
-		n.w.after(member.TickEvery, func() { n.tick(life) })
+		n.w.after(node.TickInterval, func() { n.tick(life) })
 	})
 }
 
@@ -374,7 +374,7 @@
 }
 
 // Wipe empties the disk of a gateway that is down.
-func (n *Node) Wipe() { n.fs, n.kept = newFS(n.w.rng, &n.w.stamps), member.Words{} }
+func (n *Node) Wipe() { n.fs, n.kept = newFS(n.w.rng, &n.w.stamps), node.OverrideSet{} }
 
 // Copy keeps a copy of the disk as it is, for Restore.
 func (n *Node) Copy() { n.old = n.fs.copied() }
@@ -456,17 +456,17 @@
 
 func (n *Node) drainMember() {
 	w := n.w
-	o := n.m.Drain()
+	o := n.m.TakeOutput()
 	life := n.life
-	if o.Birth != 0 {
-		if err := n.d.SetBirth(o.Birth); err != nil {
+	if o.ClusterID != 0 {
+		if err := n.d.SetBirth(o.ClusterID); err != nil {
 			n.m.DiskFailed(n.clock(), err)
 		}
 	}
 	if o.Write != nil {
 		n.write(o.Write, life)
 	}
-	for _, s := range o.Sends {
+	for _, s := range o.Frames {
 		if w.Relays > 0 {
 			n.hand(s)
 		} else {
@@ -474,20 +474,20 @@
 		}
 	}
 	if n.way != nil {
-		if o.Asked {
+		if o.RenewalSent {
 			n.way.Asked(n.clock())
 		}
-		if o.Answered {
+		if o.LeaderResponded {
 			n.way.Answered(n.clock())
 		}
 	}
-	if o.Moved {
+	if o.Reconnected {
 		n.want()
 	}
-	for _, a := range o.Wants {
+	for _, a := range o.ResyncRequests {
 		n.askedNews(a)
 	}
-	for _, d := range o.Done {
+	for _, d := range o.Outcomes {
 		if n.client != nil {
 			n.client.done(d)
 		}
@@ -495,25 +495,25 @@
 			n.operator.done(d)
 		}
 	}
-	if o.Words != nil {
-		n.kept = *o.Words
+	if o.Overrides != nil {
+		n.kept = *o.Overrides
 	}
-	for _, x := range o.News {
-		w.taking("news at "+n.name, x.Duty, x.Token, n.fence)
+	for _, x := range o.Publications {
+		w.taking("news at "+n.name, x.Lease, x.Token, n.fence)
 		if w.Relays > 0 {
-			n.news[x.Duty] = told{x.Token, x.Seq}
-			n.heardNews[x.Duty]++
+			n.news[x.Lease] = told{x.Token, x.Seq}
+			n.heardNews[x.Lease]++
 		}
 	}
 	if w.trace {
-		for _, l := range o.Lines {
-			fmt.Println(w.Now, n.name, l.Text, l.Args)
+		for _, l := range o.Log {
+			fmt.Println(w.Now, n.name, l.Message, l.Args)
 		}
 	}
-	if o.Held {
-		n.work(o.Holds)
+	if o.GrantsChanged {
+		n.work(o.Grants)
 	}
-	w.look(n, o.Held)
+	w.look(n, o.GrantsChanged)
 	if errors.Is(n.m.Halted(), disk.ErrCopy) && !n.aside {
 		// The program sets such a disk aside and comes back with an empty one.
 		n.aside = true
@@ -534,7 +534,7 @@
 	done := func() {
 		n.come(func() {
 			if n.life == life {
-				n.m.Written(n.clock(), b.ID)
+				n.m.Persisted(n.clock(), b.ID)
 				n.drain()
 			}
 		})
@@ -557,7 +557,7 @@
 	})
 }
 
-func (n *Node) send(s member.Send) {
+func (n *Node) send(s node.Frame) {
 	w := n.w
 	to := w.named[s.To]
 	w.Frames++
@@ -568,12 +568,12 @@
 		life, mine := to.life, n.life
 		w.after(d, func() {
 			ok := to.up && to.life == life && !w.cut[[2]int{n.i, to.i}]
-			if s.Snapshot != 0 {
+			if s.SnapshotTo != 0 {
 				w.Snapshots++
 				w.after(w.between(delayLeast, delayMost), func() {
 					n.come(func() {
 						if n.life == mine {
-							n.m.Snapshot(n.clock(), s.Snapshot, ok)
+							n.m.SnapshotSent(n.clock(), s.SnapshotTo, ok)
 							n.drain()
 						}
 					})
@@ -599,11 +599,11 @@
 	}
 	f := w.faults
 	if f.Lost > 0 && w.rng.Float64() < f.Lost {
-		if mine := n.life; s.Snapshot != 0 { // it goes on a connection of its own, which tells
+		if mine := n.life; s.SnapshotTo != 0 { // it goes on a connection of its own, which tells
 			w.after(w.between(delayLeast, delayMost), func() {
 				n.come(func() {
 					if n.life == mine {
-						n.m.Snapshot(n.clock(), s.Snapshot, false)
+						n.m.SnapshotSent(n.clock(), s.SnapshotTo, false)
 						n.drain()
 					}
 				})
@@ -636,10 +636,10 @@
 		return false
 	}
 	s := lead.m.Status(lead.clock())
-	if s.Sessions != len(w.Nodes) || len(s.Keepers) != w.Keepers {
+	if s.Sessions != len(w.Nodes) || len(s.Replicas) != w.Keepers {
 		return false
 	}
-	for _, k := range s.Keepers {
+	for _, k := range s.Replicas {
 		if k.Learner {
 			return false
 		}
@@ -652,19 +652,19 @@
 	if !w.routed() {
 		return false
 	}
-	for _, d := range s.Duties {
-		if d.Name[0] == 'd' && (d.Owner == "" || w.holders(d.Name) != 1) {
+	for _, d := range s.Leases {
+		if d.Name[0] == 'd' && (d.Holder == "" || w.holders(d.Name) != 1) {
 			return false
 		}
 	}
-	return len(s.Duties) >= w.Duties
+	return len(s.Leases) >= w.Duties
 }
 
 // Leader is who leads by the highest term; nil: nobody.
 func (w *World) Leader() (lead *Node) {
 	term := uint64(0)
 	for _, n := range w.Nodes {
-		if n.up && !n.paused && n.m.Leads() {
+		if n.up && !n.paused && n.m.IsLeader() {
 			if s := n.m.Status(n.clock()); s.Term > term {
 				lead, term = n, s.Term
 			}
@@ -685,7 +685,7 @@
 
 // believes is the token by which a gateway believes to own a duty; 0: it does not.
 func (n *Node) believes(duty string) uint64 {
-	if h, ok := n.m.Hold(duty); ok && (n.clock() < h.Deadline || failpoint.Enabled(failpoint.IgnoreDeadline)) {
+	if h, ok := n.m.Grant(duty); ok && (n.clock() < h.Deadline || failpoint.Enabled(failpoint.IgnoreDeadline)) {
 		return h.Token
 	}
 	return 0
--- a/internal/cluster/words.go
+++ b/internal/cluster/words.go
@@ -7,7 +7,7 @@
 	"log/slog"
 
 	"dunemoor/internal/cluster/failpoint"
-	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/cluster/node"
 )
 
 // wordsName is the file with the operators' words as they were last known: one that starts while
@@ -18,7 +18,7 @@
 )
 
 // readWords reads them. A file that can't be read is said, and is as none: the fleet tells them.
-func (f *Fleet) readWords() (w member.Words) {
+func (f *Fleet) readWords() (w node.OverrideSet) {
 	b, err := f.dir.Read(wordsName)
 	if errors.Is(err, fs.ErrNotExist) || failpoint.Enabled(failpoint.ForgetOverrides) {
 		return w
@@ -28,7 +28,7 @@
 	}
 	if err != nil {
 		slog.Warn("the operators' words can't be read, until the fleet tells them hosts are as listed", "file", wordsName, "err", err)
-		return member.Words{}
+		return node.OverrideSet{}
 	}
 	return w
 }
@@ -48,7 +48,7 @@
 	}
 }
 
-func (f *Fleet) writeWords(w *member.Words) error {
+func (f *Fleet) writeWords(w *node.OverrideSet) error {
 	b, err := json.Marshal(w)
 	if err != nil {
 		return err
@@ -71,7 +71,7 @@
 }
 
 // hearWords takes over the words as they are now.
-func (f *Fleet) hearWords(w *member.Words) {
+func (f *Fleet) hearWords(w *node.OverrideSet) {
 	f.words.Store(w)
 	select {
 	case <-f.said: // an older one that waits
@@ -84,4 +84,4 @@
 }
 
 // Words are the operators' words as they are known here.
-func (f *Fleet) Words() *member.Words { return f.words.Load() }
+func (f *Fleet) Words() *node.OverrideSet { return f.words.Load() }
--- a/internal/fleet/calls.go
+++ b/internal/fleet/calls.go
@@ -107,9 +107,9 @@
 
 // holder is who owns a duty, as it is known here.
 func (f *Fleet) holder(duty string) (owner string, token uint64) {
-	for _, d := range f.c.Status().Duties {
+	for _, d := range f.c.Status().Leases {
 		if d.Name == duty {
-			return d.Owner, d.Token
+			return d.Holder, d.Token
 		}
 	}
 	return "", 0
--- a/internal/fleet/check.go
+++ b/internal/fleet/check.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"dunemoor/internal/cluster/duty"
-	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/cluster/node"
 	"dunemoor/internal/fleet/checks"
 )
 
@@ -115,7 +115,7 @@
 }
 
 // news takes the owner's word that hosts have answered.
-func (c *check) news(n member.News) {
+func (c *check) news(n node.Publication) {
 	var w good
 	if err := json.Unmarshal(n.Body, &w); err != nil {
 		slog.Warn("the fleet's word on hosts can't be read", "pool", c.pool, "err", err)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -143,8 +143,8 @@
 		for _, m := range s.Members {
 			away[m.Name] = m.Session == 0
 		}
-		for _, d := range s.Duties {
-			away[d.Name] = d.Owner == ""
+		for _, d := range s.Leases {
+			away[d.Name] = d.Holder == ""
 		}
 		for name, is := range away {
 			if !is {
--- a/internal/fleet/list.go
+++ b/internal/fleet/list.go
@@ -12,7 +12,7 @@
 
 	"dunemoor/balancer"
 	"dunemoor/internal/cluster/duty"
-	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/cluster/node"
 	"dunemoor/internal/discovery"
 	"dunemoor/internal/fleet/lists"
 )
@@ -92,7 +92,7 @@
 }
 
 // news takes an owner's word.
-func (l *list) news(n member.News) {
+func (l *list) news(n node.Publication) {
 	var t told
 	if err := json.Unmarshal(n.Body, &t); err != nil {
 		slog.Warn("a list of the fleet can't be read", "pool", l.pool, "err", err)
--- a/internal/fleet/words.go
+++ b/internal/fleet/words.go
@@ -10,7 +10,7 @@
 
 	"dunemoor/internal/admin"
 	"dunemoor/internal/cluster/lease"
-	"dunemoor/internal/cluster/member"
+	"dunemoor/internal/cluster/node"
 )
 
 // Paths of the operators' words.
@@ -29,8 +29,8 @@
 }
 
 // hearWords has the words take effect here; it comes from the fleet's loop, one at a time.
-func (f *Fleet) hearWords(w *member.Words) {
-	slog.Info("operators' words", "hosts", len(w.List), "index", w.Mod)
+func (f *Fleet) hearWords(w *node.OverrideSet) {
+	slog.Info("operators' words", "hosts", len(w.List), "index", w.ModRevision)
 	f.say()
 }
 
