--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -168,7 +168,12 @@
 	cfg := peer.Config{
 		Name: f.cfg.Name, Key: f.cfg.Key, Peers: peers,
 		Hello: func() node.Hello { return *f.hello.Load() },
-		Judge: func(h *node.Hello) string { return f.judge.Load().ValidateHello(h) },
+		Judge: func(h *node.Hello) string {
+			if err := f.judge.Load().ValidateHello(h); err != nil {
+				return err.Error()
+			}
+			return ""
+		},
 	}
 	if len(f.cfg.Relays) > 0 {
 		cfg.Streams, cfg.JudgeStream, cfg.Serve = (*handler)(f), f.judgeStream, f.isRelay(f.cfg.Name)
@@ -337,7 +342,7 @@
 	o := f.member.TakeOutput()
 	if o.ClusterID != 0 {
 		if err := f.disk.SetBirth(o.ClusterID); err != nil {
-			f.member.DiskFailed(duty.Now(), err)
+			f.member.WriteFailed(duty.Now(), err)
 		}
 	}
 	// Before anything is sent that goes beyond it.
@@ -472,7 +477,7 @@
 			f.post(func() {
 				f.writing = false
 				if err != nil {
-					m.DiskFailed(duty.Now(), err)
+					m.WriteFailed(duty.Now(), err)
 				} else {
 					m.Persisted(duty.Now(), b.ID)
 				}
--- a/internal/cluster/node/status.go
+++ b/internal/cluster/node/status.go
@@ -8,12 +8,12 @@
 	"dunemoor/internal/cluster/lease"
 )
 
-// Status is how a gateway stands in the fleet, as it knows.
+// Status describes a gateway in its fleet, as far as the gateway knows.
 type Status struct {
-	Fleet       string                `json:"id"` // of the fleet
+	Fleet       string                `json:"id"`
 	Name        string                `json:"name"`
 	ReplicaID   uint64                `json:"disk"`
-	Role        string                `json:"role"` // leader, keeper, learner, member, stopped
+	Role        string                `json:"role"` // one of the roles below
 	Reason      string                `json:"why,omitempty"`
 	Leader      string                `json:"leader"`
 	Term        uint64                `json:"term"`
@@ -21,24 +21,33 @@
 	Applied     uint64                `json:"applied"`
 	ClusterID   uint64                `json:"birth"`
 	Session     uint64                `json:"session"`
-	ExpiresInMS int64                 `json:"expires_in_ms"` // of our own session, by our own deadline
-	FreshMS     int64                 `json:"fresh_ms"`      // since the leader last confirmed what is shown; -1: never
+	ExpiresInMS int64                 `json:"expires_in_ms"` // of the session, by this gateway's deadline
+	FreshMS     int64                 `json:"fresh_ms"`      // since the leader last confirmed the view; -1: never
 	Members     []MemberStatus        `json:"members"`
 	Leases      []LeaseStatus         `json:"duties"`
 	Replicas    []lease.Replica       `json:"keepers"`
-	Transfers   []lease.LeaseTransfer `json:"changes,omitempty"` // the last changes of hands, where this gateway keeps the record
+	Transfers   []lease.LeaseTransfer `json:"changes,omitempty"` // the last ones, at a replica
 	Sessions    int                   `json:"sessions"`
-	Overrides   []OverrideStatus      `json:"words"` // operators', as this gateway goes by them
+	Overrides   []OverrideStatus      `json:"words"` // that this gateway applies
 }
 
-// WordStatus is an operator's word on a host.
+// Values of Status.Role.
+const (
+	statusLeader  = "leader"
+	statusReplica = "keeper"
+	statusLearner = "learner"
+	statusMember  = "member"  // it has no replica
+	statusStopped = "stopped" // its replica has stopped, see Status.Reason
+)
+
+// OverrideStatus is an operator's override of a host.
 type OverrideStatus struct {
 	Pool            string `json:"pool"`
 	Host            string `json:"host"`
 	Reason          string `json:"reason,omitempty"`
-	CreatedBy       string `json:"by"`      // the gateway that was asked
-	CreatedRevision uint64 `json:"since"`   // index of the record
-	RemainingMS     int64  `json:"left_ms"` // as last written down, by the minute; 0: until it is taken back
+	CreatedBy       string `json:"by"` // gateway that the operator called
+	CreatedRevision uint64 `json:"since"`
+	RemainingMS     int64  `json:"left_ms"` // as last recorded, by the minute; 0: until it is removed
 }
 
 // MemberStatus is one gateway of the fleet.
@@ -48,126 +57,125 @@
 	ReplicaID uint64 `json:"disk"`
 	Zone      string `json:"zone,omitempty"`
 	Machine   string `json:"machine,omitempty"`
-	// Expires is by the leader's clock, and known there only.
+	// ExpiresInMS is by the leader's clock, and known there only.
 	ExpiresInMS *int64 `json:"expires_in_ms,omitempty"`
 }
 
-// DutyStatus is one duty.
+// LeaseStatus is one lease.
 type LeaseStatus struct {
 	Name          string `json:"name"`
 	Holder        string `json:"owner"`
 	Token         uint64 `json:"token"`
-	SinceRevision uint64 `json:"since,omitempty"` // index of the record
+	SinceRevision uint64 `json:"since,omitempty"`
 	TransferTo    string `json:"to,omitempty"`
 }
 
-// changesShown bounds the changes of hands in a Status.
+// maxShownTransfers bounds the lease transfers in a Status.
 const maxShownTransfers = 16
 
-// Status tells how the gateway stands.
-func (m *Node) Status(now time.Duration) *Status {
-	n, _ := m.node.Status(CoordinationGroup)
+// Status returns the status as of now.
+func (n *Node) Status(now time.Duration) *Status {
+	raft := n.replica.status()
 	s := &Status{
-		Fleet: m.cfg.Fleet, Name: m.cfg.Name, ReplicaID: m.cfg.Disk.Replica, Role: "member", Leader: m.leader(), Term: n.Term,
-		Commit: n.Commit, Applied: n.Applied, ClusterID: m.birth, Session: m.session, FreshMS: -1,
+		Fleet: n.cfg.Fleet, Name: n.cfg.Name, ReplicaID: n.cfg.Disk.Replica, Role: statusMember, Leader: n.replica.leaderName(),
+		Term: raft.Term, Commit: raft.Commit, Applied: raft.Applied, ClusterID: n.replica.clusterID, Session: n.session.id, FreshMS: -1,
 		Members: []MemberStatus{}, Leases: []LeaseStatus{}, Replicas: []lease.Replica{}, Overrides: []OverrideStatus{},
 	}
-	for _, w := range m.said.List {
-		s.Overrides = append(s.Overrides, OverrideStatus{w.Pool, w.Host, w.Reason, w.CreatedBy, w.CreatedRevision, w.Remaining.Milliseconds()})
+	for _, o := range n.view.overrides.List {
+		s.Overrides = append(s.Overrides, OverrideStatus{o.Pool, o.Host, o.Reason, o.CreatedBy, o.CreatedRevision, o.Remaining.Milliseconds()})
 	}
-	if m.view.at > 0 {
-		s.FreshMS = (now - m.view.at).Milliseconds()
+	if n.view.confirmedAt > 0 {
+		s.FreshMS = (now - n.view.confirmedAt).Milliseconds()
 	}
-	if m.session != 0 {
-		s.ExpiresInMS = max(0, m.deadline-now).Milliseconds()
+	if n.session.id != 0 {
+		s.ExpiresInMS = max(0, n.session.deadline-now).Milliseconds()
 	}
-	k, keeps := m.st.Replicas[m.cfg.Disk.Replica]
-	if m.view.index >= m.st.Revision && len(m.view.keepers) > 0 && !slices.ContainsFunc(m.view.keepers, func(k lease.Replica) bool { return k.ID == m.cfg.Disk.Replica }) {
-		keeps = false // it was removed, and what it held of the record stands still since
+	isReplica := n.setRole(s)
+	if !isReplica && s.Role != statusStopped || s.Leader == "" {
+		s.Leader, s.Term = n.view.leader, max(s.Term, n.view.term)
 	}
-	switch err := m.Halted(); {
-	case err != nil:
-		s.Role, s.Reason, keeps = "stopped", err.Error(), false
-	case m.lead:
-		s.Role = "leader"
-	case keeps && k.Learner:
-		s.Role = "learner"
-	case keeps:
-		s.Role = "keeper"
+	if isReplica && n.replica.state.ClusterID != 0 {
+		n.addReplicaStatus(s, now)
+	} else {
+		n.addViewStatus(s)
 	}
-	if !keeps && s.Role != "stopped" || s.Leader == "" {
-		s.Leader, s.Term = m.view.lead, max(s.Term, m.view.term)
+	return s
+}
+
+// setRole sets the role, and reports whether this gateway has a replica that takes part.
+func (n *Node) setRole(s *Status) (isReplica bool) {
+	id := n.cfg.Disk.Replica
+	own, isReplica := n.replica.state.Replicas[id]
+	if n.view.revision >= n.replica.state.Revision && len(n.view.replicas) > 0 &&
+		!slices.ContainsFunc(n.view.replicas, func(r lease.Replica) bool { return r.ID == id }) {
+		isReplica = false // it was removed, and its copy of the state has not changed since
 	}
-	if keeps && m.st.ClusterID != 0 {
-		for _, name := range m.st.MemberNames() {
-			x := m.st.Members[name]
-			o := MemberStatus{Name: name, Session: x.Session, ReplicaID: x.DiskID, Zone: x.Zone, Machine: x.Machine}
-			if m.watch != nil && x.Session != 0 {
-				o.ExpiresInMS = new(m.watch.Remaining(now, x.Session).Milliseconds())
-			}
-			s.Members = append(s.Members, o)
-		}
-		for _, name := range slices.Sorted(maps.Keys(m.st.Leases)) {
-			d := m.st.Leases[name]
-			s.Leases = append(s.Leases, LeaseStatus{name, d.Holder, d.Token, d.SinceRevision, d.TransferTo})
-		}
-		for _, id := range slices.Sorted(maps.Keys(m.st.Replicas)) {
-			s.Replicas = append(s.Replicas, m.st.Replicas[id])
-		}
-		s.Transfers = slices.Clone(m.st.Transfers[max(0, len(m.st.Transfers)-maxShownTransfers):])
-		s.Sessions = len(m.st.Sessions)
-		return s
+	switch err := n.Halted(); {
+	case err != nil:
+		s.Role, s.Reason = statusStopped, err.Error()
+		return false
+	case n.leader != nil:
+		s.Role = statusLeader
+	case isReplica && own.Learner:
+		s.Role = statusLearner
+	case isReplica:
+		s.Role = statusReplica
 	}
-	for _, name := range slices.Sorted(maps.Keys(m.view.members)) {
-		x := m.view.members[name]
-		s.Members = append(s.Members, MemberStatus{Name: name, Session: x.Session, ReplicaID: x.DiskID, Zone: x.Zone, Machine: x.Machine})
-		if x.Session != 0 {
-			s.Sessions++
+	return isReplica
+}
+
+// addReplicaStatus adds what this gateway's replica of the state has.
+func (n *Node) addReplicaStatus(s *Status, now time.Duration) {
+	state := n.replica.state
+	for _, name := range state.MemberNames() {
+		m := state.Members[name]
+		status := MemberStatus{Name: name, Session: m.Session, ReplicaID: m.DiskID, Zone: m.Zone, Machine: m.Machine}
+		if n.leader != nil && m.Session != 0 {
+			status.ExpiresInMS = new(n.leader.expiry.Remaining(now, m.Session).Milliseconds())
 		}
+		s.Members = append(s.Members, status)
 	}
-	for _, name := range slices.Sorted(maps.Keys(m.view.duties)) {
-		d := m.view.duties[name]
-		s.Leases = append(s.Leases, LeaseStatus{Name: name, Holder: d.Holder, Token: d.Token, TransferTo: d.TransferTo})
+	for _, name := range slices.Sorted(maps.Keys(state.Leases)) {
+		l := state.Leases[name]
+		s.Leases = append(s.Leases, LeaseStatus{name, l.Holder, l.Token, l.SinceRevision, l.TransferTo})
 	}
-	if m.view.count > 0 {
-		s.Sessions = m.view.count
+	for _, id := range slices.Sorted(maps.Keys(state.Replicas)) {
+		s.Replicas = append(s.Replicas, state.Replicas[id])
 	}
-	s.Replicas = append(s.Replicas, m.view.keepers...)
-	return s
+	s.Transfers = slices.Clone(state.Transfers[max(0, len(state.Transfers)-maxShownTransfers):])
+	s.Sessions = len(state.Sessions)
 }
 
-// Holds returns the duties that are held now.
-func (m *Node) Grants() (list []Grant) {
-	for _, duty := range slices.Sorted(maps.Keys(m.holds)) {
-		list = append(list, *m.holds[duty])
+// addViewStatus adds what leaders have sent.
+func (n *Node) addViewStatus(s *Status) {
+	for _, name := range slices.Sorted(maps.Keys(n.view.members)) {
+		m := n.view.members[name]
+		s.Members = append(s.Members, MemberStatus{Name: name, Session: m.Session, ReplicaID: m.DiskID, Zone: m.Zone, Machine: m.Machine})
+		if m.Session != 0 {
+			s.Sessions++
+		}
 	}
-	return list
-}
-
-// Hold returns what is held of one duty.
-func (m *Node) Grant(duty string) (h Grant, ok bool) {
-	if x := m.holds[duty]; x != nil {
-		return *x, true
+	for _, name := range slices.Sorted(maps.Keys(n.view.leases)) {
+		l := n.view.leases[name]
+		s.Leases = append(s.Leases, LeaseStatus{Name: name, Holder: l.Holder, Token: l.Token, TransferTo: l.TransferTo})
+	}
+	if n.view.sessionCount > 0 {
+		s.Sessions = n.view.sessionCount
 	}
-	return h, false
+	s.Replicas = append(s.Replicas, n.view.replicas...)
 }
 
-// Leads says whether this gateway leads the record.
-func (m *Node) IsLeader() bool { return m.lead }
+// IsLeader reports whether this gateway leads the coordination group.
+func (n *Node) IsLeader() bool { return n.leader != nil }
 
-// Halted says why the replica here has stopped; nil while it has not.
-func (m *Node) Halted() error {
-	if m.copied != nil {
-		return m.copied
-	}
-	return m.node.Halted()
-}
+// Halted returns why the replica has stopped; nil while it runs.
+func (n *Node) Halted() error { return n.replica.halted() }
 
-// Session is the session that this gateway has; 0: none.
-func (m *Node) Session() uint64 { return m.session }
+// Session returns the ID of this gateway's session; 0: it has none.
+func (n *Node) Session() uint64 { return n.session.id }
 
-// State is the record as the replica here has it, for whoever checks it; it is not to be changed.
-func (m *Node) State() *lease.State { return m.st }
+// State returns the replica's copy of the coordination state, for checks. It must not be changed.
+func (n *Node) State() *lease.State { return n.replica.state }
 
-// Cleared says whether the replica here takes part: see Welcome.
-func (m *Node) Cleared() bool { return m.cleared }
+// Cleared reports whether the replica takes part: see HelloReply.
+func (n *Node) Cleared() bool { return n.replica.cleared }
--- a/internal/cluster/sim/world.go
+++ b/internal/cluster/sim/world.go
@@ -460,7 +460,7 @@
 	life := n.life
 	if o.ClusterID != 0 {
 		if err := n.d.SetBirth(o.ClusterID); err != nil {
-			n.m.DiskFailed(n.clock(), err)
+			n.m.WriteFailed(n.clock(), err)
 		}
 	}
 	if o.Write != nil {
@@ -547,7 +547,7 @@
 		if err := n.d.Write(b); err != nil {
 			n.come(func() {
 				if n.life == life {
-					n.m.DiskFailed(n.clock(), err)
+					n.m.WriteFailed(n.clock(), err)
 					n.drain()
 				}
 			})
