--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -20,9 +20,9 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"dunemoor/internal/cluster/disk"
-	"dunemoor/internal/cluster/duty"
 	"dunemoor/internal/cluster/failpoint"
 	"dunemoor/internal/cluster/lease"
+	"dunemoor/internal/cluster/leaseholder"
 	"dunemoor/internal/cluster/node"
 	"dunemoor/internal/cluster/peer"
 	"dunemoor/internal/cluster/quorum"
@@ -69,7 +69,7 @@
 	dir     *disk.Dir
 	disk    *disk.Disk
 	carrier *peer.Carrier
-	duties  *duty.Table
+	duties  *leaseholder.Runner
 	ln      net.Listener
 
 	events chan func()
@@ -117,8 +117,8 @@
 		Name: "dunemoor_fleet_write_seconds", Help: "Time of a write to the fleet's log with its fsync.",
 		Buckets: prometheus.ExponentialBuckets(0.0001, 2, 16),
 	})
-	f.duties = duty.NewTable(func(name string, token uint64) {
-		f.post(func() { f.member.ReleaseStopped(duty.Now(), name, token) })
+	f.duties = leaseholder.NewRunner(func(name string, token uint64) {
+		f.post(func() { f.member.ReleaseStopped(leaseholder.Now(), name, token) })
 	})
 	var err error
 	if f.dir, err = disk.OpenDir(cfg.DataDir); err != nil {
@@ -138,7 +138,7 @@
 // Register names the work of a duty that this gateway can hold, and what is done with the news
 // that its owner sends, and as its owner with others' wish to be told all; these come one at a
 // time and must not wait. Before Start.
-func (f *Fleet) Register(name string, w duty.Work, news func(node.Publication), want func(from string, body []byte)) {
+func (f *Fleet) Register(name string, w leaseholder.WorkFunc, news func(node.Publication), want func(from string, body []byte)) {
 	f.duties.Register(name, w)
 	if news != nil {
 		f.news[name] = news
@@ -268,7 +268,7 @@
 	for _, p := range f.peers() {
 		names = append(names, p.Name)
 	}
-	m, err := node.New(duty.Now(), node.Config{
+	m, err := node.New(leaseholder.Now(), node.Config{
 		Fleet: f.cfg.ID, Name: f.cfg.Name, Zone: f.cfg.Zone, Machine: f.cfg.Machine, Address: f.cfg.Listen, BootstrapReplicas: f.cfg.First,
 		Peers: names, CandidateLeases: f.duties.Names(), Seed: random(), Disk: f.disk.Identity(), Stored: stored, Overrides: *f.words.Load(),
 		UsesRelays: len(f.cfg.Relays) > 0,
@@ -280,8 +280,8 @@
 	f.judge.Store(m)
 	h := m.Hello()
 	f.hello.Store(&h)
-	f.relays(duty.Now(), &h)
-	f.show(duty.Now())
+	f.relays(leaseholder.Now(), &h)
+	f.show(leaseholder.Now())
 	slog.Info("fleet joined", "fleet", f.cfg.ID, "name", f.cfg.Name, "disk", h.ReplicaID, "boots", h.Boots)
 	return nil
 }
@@ -316,13 +316,13 @@
 				(<-f.events)()
 			}
 		case <-tick.C:
-			now := duty.Now()
+			now := leaseholder.Now()
 			f.member.Tick(now)
 			if f.relayed != nil {
 				f.relayed.tick(now)
 			}
 		case <-batch:
-			f.relayed.tick(duty.Now())
+			f.relayed.tick(leaseholder.Now())
 		}
 		f.step()
 	}
@@ -334,7 +334,7 @@
 	for f.relayed != nil && f.relayed.step(f) {
 		f.carryOut()
 	}
-	f.revive(duty.Now())
+	f.revive(leaseholder.Now())
 }
 
 // carryOut carries out what the member wants done.
@@ -342,7 +342,7 @@
 	o := f.member.TakeOutput()
 	if o.ClusterID != 0 {
 		if err := f.disk.SetBirth(o.ClusterID); err != nil {
-			f.member.WriteFailed(duty.Now(), err)
+			f.member.WriteFailed(leaseholder.Now(), err)
 		}
 	}
 	// Before anything is sent that goes beyond it.
@@ -355,17 +355,17 @@
 	}
 	for i := range o.Frames {
 		if f.relayed != nil {
-			f.relayed.send(f, duty.Now(), &o.Frames[i])
+			f.relayed.send(f, leaseholder.Now(), &o.Frames[i])
 		} else {
 			f.carrier.Send(&o.Frames[i])
 		}
 	}
 	if f.relayed != nil && f.relayed.client != nil {
 		if o.RenewalSent {
-			f.relayed.client.Asked(duty.Now())
+			f.relayed.client.Asked(leaseholder.Now())
 		}
 		if o.LeaderResponded {
-			f.relayed.client.Answered(duty.Now())
+			f.relayed.client.Answered(leaseholder.Now())
 		}
 	}
 	for _, d := range o.Outcomes {
@@ -375,7 +375,7 @@
 		}
 	}
 	if o.GrantsChanged {
-		f.duties.Set(o.Grants)
+		f.duties.Update(o.Grants)
 	}
 	for _, n := range o.Publications {
 		if take := f.news[n.Lease]; take != nil {
@@ -453,7 +453,7 @@
 		slog.Warn("the replica does not come back yet", "why", err.Error())
 		return
 	}
-	f.duties.Set(nil)
+	f.duties.Update(nil)
 	for id, c := range f.waiting {
 		delete(f.waiting, id)
 		c <- node.Outcome{ID: id}
@@ -477,9 +477,9 @@
 			f.post(func() {
 				f.writing = false
 				if err != nil {
-					m.WriteFailed(duty.Now(), err)
+					m.WriteFailed(leaseholder.Now(), err)
 				} else {
-					m.Persisted(duty.Now(), b.ID)
+					m.Persisted(leaseholder.Now(), b.ID)
 				}
 			})
 		}
@@ -492,10 +492,10 @@
 func (h *handler) Greet(x node.Hello) {
 	f := (*Fleet)(h)
 	f.post(func() {
-		f.member.ReceiveHello(duty.Now(), x)
+		f.member.ReceiveHello(leaseholder.Now(), x)
 		if f.relayed != nil {
 			f.relayed.greeted[x.Name]++
-			f.relayed.router.Up(duty.Now(), x.Name)
+			f.relayed.router.Up(leaseholder.Now(), x.Name)
 		}
 	})
 }
@@ -504,10 +504,10 @@
 	f := (*Fleet)(h)
 	f.post(func() {
 		if f.relayed != nil && (kind == relay.KindRecord || kind == relay.KindRoutes) {
-			f.relayed.router.FromRelay(duty.Now(), from, kind, body)
+			f.relayed.router.FromRelay(leaseholder.Now(), from, kind, body)
 			return
 		}
-		f.receive(duty.Now(), from, kind, body)
+		f.receive(leaseholder.Now(), from, kind, body)
 	})
 }
 
@@ -522,16 +522,16 @@
 func (h *handler) Lost(to string) {
 	f := (*Fleet)(h)
 	f.post(func() {
-		f.member.Unreachable(duty.Now(), to)
+		f.member.Unreachable(leaseholder.Now(), to)
 		if f.relayed != nil {
-			f.relayed.router.Down(duty.Now(), to)
+			f.relayed.router.Down(leaseholder.Now(), to)
 		}
 	})
 }
 
 func (h *handler) Snapshot(replica uint64, ok bool) {
 	f := (*Fleet)(h)
-	f.post(func() { f.member.SnapshotSent(duty.Now(), replica, ok) })
+	f.post(func() { f.member.SnapshotSent(leaseholder.Now(), replica, ok) })
 }
 
 // Errors of commands.
@@ -546,7 +546,7 @@
 func (f *Fleet) Do(ctx context.Context, c lease.Command) (lease.Result, error) {
 	done := make(chan node.Outcome, 1)
 	f.post(func() {
-		id := f.member.Propose(duty.Now(), c)
+		id := f.member.Propose(leaseholder.Now(), c)
 		if id == 0 {
 			done <- node.Outcome{Known: true, Result: lease.Result{Code: busy}}
 			return
@@ -572,14 +572,14 @@
 
 // Tell has the owner of a duty tell all other gateways something, or the one that is named; seq
 // grows from one to the next.
-func (f *Fleet) Tell(to string, h *duty.Hold, seq uint64, body []byte) {
-	f.post(func() { f.member.Publish(duty.Now(), to, h.Duty, h.Token, seq, body) })
+func (f *Fleet) Tell(to string, h *leaseholder.Lease, seq uint64, body []byte) {
+	f.post(func() { f.member.Publish(leaseholder.Now(), to, h.Name, h.Token, seq, body) })
 }
 
 // Want asks the owner of a duty, where another gateway is known to be it, for what it has, and
 // tells it what the duty's work here has to say.
 func (f *Fleet) Want(name string, body []byte) {
-	f.post(func() { f.member.RequestResync(duty.Now(), name, body) })
+	f.post(func() { f.member.RequestResync(leaseholder.Now(), name, body) })
 }
 
 // Status is how a gateway stands in its fleet.
@@ -592,14 +592,14 @@
 // Status is how this gateway stands in the fleet, as of a moment ago. It is made when it is asked
 // for, by the loop: not to be called from there.
 func (f *Fleet) Status() *Status {
-	if !f.stale.Load() && int64(duty.Now()) < f.shown.Load()+int64(statusEvery) {
+	if !f.stale.Load() && int64(leaseholder.Now()) < f.shown.Load()+int64(statusEvery) {
 		return f.status.Load()
 	}
 	made := make(chan struct{})
 	wait := time.NewTimer(statusMost)
 	defer wait.Stop()
 	do := func() {
-		if now := duty.Now(); f.stale.Load() || int64(now) >= f.shown.Load()+int64(statusEvery) {
+		if now := leaseholder.Now(); f.stale.Load() || int64(now) >= f.shown.Load()+int64(statusEvery) {
 			f.show(now)
 		}
 		close(made)
@@ -632,7 +632,7 @@
 	f.duties.Close()
 	ctx, cancel := context.WithTimeout(f.ctx, most)
 	defer cancel()
-	f.post(func() { f.member.TransferLeadership(duty.Now()) })
+	f.post(func() { f.member.TransferLeadership(leaseholder.Now()) })
 	for f.fresh().Role == "leader" && ctx.Err() == nil {
 		time.Sleep(handEvery)
 	}
--- a/internal/cluster/relays.go
+++ b/internal/cluster/relays.go
@@ -6,7 +6,7 @@
 	"log/slog"
 	"time"
 
-	"dunemoor/internal/cluster/duty"
+	"dunemoor/internal/cluster/leaseholder"
 	"dunemoor/internal/cluster/node"
 	"dunemoor/internal/cluster/peer"
 	"dunemoor/internal/cluster/relay"
@@ -116,7 +116,7 @@
 	if len(f.cfg.Relays) > 0 {
 		f.post(func() {
 			if f.relayed.greeted[to] > 0 { // what it was told before did not go out
-				f.relayed.router.Up(duty.Now(), to)
+				f.relayed.router.Up(leaseholder.Now(), to)
 			}
 		})
 	}
@@ -128,7 +128,7 @@
 	if len(f.cfg.Relays) > 0 {
 		f.post(func() {
 			if f.relayed.greeted[from]--; f.relayed.greeted[from] == 0 {
-				f.relayed.router.Down(duty.Now(), from)
+				f.relayed.router.Down(leaseholder.Now(), from)
 			}
 		})
 	}
@@ -136,7 +136,7 @@
 
 // frame takes a frame of a stream.
 func (r *relayed) frame(f *Fleet, s *peer.Stream, kind node.Kind, body []byte) {
-	now := duty.Now()
+	now := leaseholder.Now()
 	x := r.ids[s]
 	switch {
 	case r.router != nil && x == nil:
@@ -188,9 +188,9 @@
 	}
 	r.forget(s, x)
 	if r.router != nil {
-		r.router.Left(duty.Now(), x.name, x.epoch)
+		r.router.Left(leaseholder.Now(), x.name, x.epoch)
 	} else {
-		r.client.Ended(duty.Now(), x.epoch)
+		r.client.Ended(leaseholder.Now(), x.epoch)
 	}
 }
 
@@ -227,7 +227,7 @@
 
 // step carries out what Router or Client want done, and says whether the member got something.
 func (r *relayed) step(f *Fleet) (again bool) {
-	now := duty.Now()
+	now := leaseholder.Now()
 	if r.router != nil {
 		o := r.router.Drain()
 		for _, x := range o.ToStream {
--- a/internal/cluster/relays_test.go
+++ b/internal/cluster/relays_test.go
@@ -11,7 +11,7 @@
 	"sync"
 	"testing"
 
-	"dunemoor/internal/cluster/duty"
+	"dunemoor/internal/cluster/leaseholder"
 	"dunemoor/internal/cluster/node"
 	"dunemoor/internal/cluster/peer"
 	"dunemoor/internal/cluster/relay"
@@ -57,7 +57,7 @@
 		t.Fatal(err)
 	}
 	p := &part{Fleet: f}
-	f.Register("say", func(ctx context.Context, h *duty.Hold) {
+	f.Register("say", func(ctx context.Context, h *leaseholder.Lease) {
 		for {
 			select {
 			case <-ctx.Done():
--- a/internal/fleet/check.go
+++ b/internal/fleet/check.go
@@ -12,7 +12,7 @@
 	"sync/atomic"
 	"time"
 
-	"dunemoor/internal/cluster/duty"
+	"dunemoor/internal/cluster/leaseholder"
 	"dunemoor/internal/cluster/node"
 	"dunemoor/internal/fleet/checks"
 )
@@ -89,7 +89,7 @@
 		c.mu.Lock()
 		own := c.checker
 		if own != nil {
-			own.Said(duty.Now(), names)
+			own.Said(leaseholder.Now(), names)
 		}
 		c.mu.Unlock()
 		if own != nil {
@@ -110,7 +110,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.checker != nil {
-		c.checker.Said(duty.Now(), w.Hosts)
+		c.checker.Said(leaseholder.Now(), w.Hosts)
 	}
 }
 
@@ -139,7 +139,7 @@
 }
 
 // work is the duty's: while it is held, hosts are tried from here.
-func (c *check) work(ctx context.Context, h *duty.Hold) {
+func (c *check) work(ctx context.Context, h *leaseholder.Lease) {
 	own := checks.New()
 	c.mu.Lock()
 	c.checker, c.seq = own, 0
@@ -160,17 +160,17 @@
 		case <-tick.C:
 		}
 		c.mu.Lock()
-		due := own.Due(duty.Now())
+		due := own.Due(leaseholder.Now())
 		c.mu.Unlock()
 		for _, name := range due {
 			tries.Go(func() {
 				ok := c.try(h, name)
 				c.mu.Lock()
-				own.Tried(duty.Now(), name)
+				own.Tried(leaseholder.Now(), name)
 				c.seq++
 				seq := c.seq
 				c.mu.Unlock()
-				if b, err := json.Marshal(good{[]string{name}}); ok && err == nil && h.May() {
+				if b, err := json.Marshal(good{[]string{name}}); ok && err == nil && h.Valid() {
 					c.f.c.Tell("", h, seq, b)
 					c.hint([]string{name})
 				}
@@ -181,7 +181,7 @@
 
 // try asks a host once. The look at the hold is the last thing before the request goes out; what
 // lies between is for the host's fence, and a try changes nothing at a host that has none.
-func (c *check) try(h *duty.Hold, name string) (ok bool) {
+func (c *check) try(h *leaseholder.Lease, name string) (ok bool) {
 	p, known := c.f.poolNamed(c.pool)
 	if !known {
 		return false
@@ -195,10 +195,10 @@
 		slog.Warn("a host can't be tried", "pool", c.pool, "host", name, "err", err)
 		return false
 	}
-	r.Header.Set(HeaderDuty, h.Duty)
+	r.Header.Set(HeaderDuty, h.Name)
 	r.Header.Set(HeaderToken, strconv.FormatUint(h.Token, 10))
 	r.Header.Set("User-Agent", "dunemoor")
-	if !h.May() {
+	if !h.Valid() {
 		return false
 	}
 	answer, err := c.client.Do(r)
@@ -211,7 +211,7 @@
 	switch {
 	case answer.StatusCode == http.StatusPreconditionFailed:
 		c.fenced.Add(1)
-		slog.Warn("a host knows a later owner of the duty", "duty", h.Duty, "token", h.Token, "host", name)
+		slog.Warn("a host knows a later owner of the duty", "duty", h.Name, "token", h.Token, "host", name)
 	case answer.StatusCode >= 200 && answer.StatusCode < 400:
 		c.good.Add(1)
 		return true
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"dunemoor/internal/cluster"
-	"dunemoor/internal/cluster/duty"
 	"dunemoor/internal/cluster/lease"
+	"dunemoor/internal/cluster/leaseholder"
 	"dunemoor/internal/config"
 	"dunemoor/internal/discovery"
 	"dunemoor/internal/gateway"
@@ -128,7 +128,7 @@
 )
 
 // keepHouse is the work of housekeeping.
-func (f *Fleet) keepHouse(ctx context.Context, h *duty.Hold) {
+func (f *Fleet) keepHouse(ctx context.Context, h *leaseholder.Lease) {
 	gone := map[string]time.Duration{}
 	tick := time.NewTicker(houseEvery)
 	defer tick.Stop()
@@ -138,7 +138,7 @@
 			return
 		case <-tick.C:
 		}
-		s, now := f.c.Status(), duty.Now()
+		s, now := f.c.Status(), leaseholder.Now()
 		away := map[string]bool{}
 		for _, m := range s.Members {
 			away[m.Name] = m.Session == 0
@@ -158,7 +158,7 @@
 				delete(gone, name)
 				continue
 			}
-			if now < since+forgetAfter || !h.May() {
+			if now < since+forgetAfter || !h.Valid() {
 				continue
 			}
 			gone[name] = now
--- a/internal/fleet/list.go
+++ b/internal/fleet/list.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"dunemoor/balancer"
-	"dunemoor/internal/cluster/duty"
+	"dunemoor/internal/cluster/leaseholder"
 	"dunemoor/internal/cluster/node"
 	"dunemoor/internal/discovery"
 	"dunemoor/internal/fleet/lists"
@@ -50,7 +50,7 @@
 	to     discovery.Sink
 	state  *lists.Follower
 	hosts  map[string]discovery.Member
-	hold   *duty.Hold // nil: we are not the owner
+	hold   *leaseholder.Lease // nil: we are not the owner
 	seq    uint64
 	wanted time.Duration
 	beat   time.Duration
@@ -69,7 +69,7 @@
 }
 
 // work is the duty's: while it is held discovery is watched from here.
-func (l *list) work(ctx context.Context, h *duty.Hold) {
+func (l *list) work(ctx context.Context, h *leaseholder.Lease) {
 	if !l.post(func(x *listening) { x.own(h) }) {
 		return // begun anew in a moment
 	}
@@ -119,7 +119,7 @@
 
 // Run tells a pool of its hosts until ctx ends.
 func (l *list) Run(ctx context.Context, to discovery.Sink) {
-	x := &listening{list: l, to: to, state: lists.New(duty.Now()), hosts: map[string]discovery.Member{}}
+	x := &listening{list: l, to: to, state: lists.New(leaseholder.Now()), hosts: map[string]discovery.Member{}}
 	tick := time.NewTicker(lookEvery)
 	defer tick.Stop()
 	var watches sync.WaitGroup
@@ -143,7 +143,7 @@
 
 // look begins or ends the watch, and says that the list stands.
 func (x *listening) look(ctx context.Context, watches *sync.WaitGroup) {
-	now := duty.Now()
+	now := leaseholder.Now()
 	was := x.state.Alone()
 	due := x.state.Watch(now)
 	if alone := x.state.Alone(); alone && !was {
@@ -222,9 +222,9 @@
 }
 
 // own takes note of whether we hold the duty.
-func (x *listening) own(h *duty.Hold) {
+func (x *listening) own(h *leaseholder.Lease) {
 	x.hold, x.seq, x.beat = h, 0, 0
-	x.state.Own(duty.Now(), h != nil)
+	x.state.Own(leaseholder.Now(), h != nil)
 	if h != nil && x.state.Version() > 0 {
 		// Others may be behind what we know.
 		x.tell("", lists.Word{Kind: lists.Beat, Version: x.state.Version()}, nil)
@@ -240,16 +240,16 @@
 	}
 	x.seq++
 	if to == "" {
-		x.beat = duty.Now()
+		x.beat = leaseholder.Now()
 	}
-	if x.hold.May() {
+	if x.hold.Valid() {
 		x.f.c.Tell(to, x.hold, x.seq, b)
 	}
 }
 
 // hear takes an owner's word.
 func (x *listening) hear(token uint64, t *told) {
-	now := duty.Now()
+	now := leaseholder.Now()
 	alone := x.state.Alone()
 	switch x.state.Hear(now, token, t.Word) {
 	case lists.Take:
