--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -23,9 +23,9 @@
 	"dunemoor/internal/cluster/failpoint"
 	"dunemoor/internal/cluster/lease"
 	"dunemoor/internal/cluster/leaseholder"
+	"dunemoor/internal/cluster/multiraft"
 	"dunemoor/internal/cluster/node"
 	"dunemoor/internal/cluster/peer"
-	"dunemoor/internal/cluster/quorum"
 	"dunemoor/internal/cluster/relay"
 )
 
@@ -73,7 +73,7 @@
 	ln      net.Listener
 
 	events chan func()
-	writes chan *quorum.Batch
+	writes chan *multiraft.Batch
 	ctx    context.Context
 	cancel context.CancelFunc
 	all    sync.WaitGroup
@@ -109,7 +109,7 @@
 // New opens a gateway's part: its directory and its listener. Nothing runs before Start.
 func New(cfg Config) (*Fleet, error) {
 	f := &Fleet{
-		cfg: cfg, events: make(chan func(), eventsMost), writes: make(chan *quorum.Batch, 1), said: make(chan *node.OverrideSet, 1),
+		cfg: cfg, events: make(chan func(), eventsMost), writes: make(chan *multiraft.Batch, 1), said: make(chan *node.OverrideSet, 1),
 		waiting: map[uint64]chan<- node.Outcome{}, news: map[string]func(node.Publication){}, wants: map[string]func(string, []byte){},
 	}
 	f.ctx, f.cancel = context.WithCancel(context.Background())
@@ -202,7 +202,7 @@
 
 // open opens the disk. One that can't be trusted is set aside, and an empty one made: this
 // gateway is another replica from then on.
-func (f *Fleet) open() (map[quorum.Group]quorum.Stored, error) {
+func (f *Fleet) open() (map[multiraft.Group]multiraft.PersistedGroup, error) {
 	d, stored, err := disk.Open(f.dir, f.cfg.ID, f.cfg.Name, f.draw)
 	if errors.Is(err, disk.ErrCopy) || errors.Is(err, disk.ErrDamaged) {
 		slog.Warn("the disk is set aside, this gateway joins as a new replica", "dir", f.cfg.DataDir, "why", err.Error())
@@ -263,7 +263,7 @@
 }
 
 // join makes the member on the disk that is open.
-func (f *Fleet) join(stored map[quorum.Group]quorum.Stored) error {
+func (f *Fleet) join(stored map[multiraft.Group]multiraft.PersistedGroup) error {
 	var names []string
 	for _, p := range f.peers() {
 		names = append(names, p.Name)
--- a/internal/cluster/disk/compat_test.go
+++ b/internal/cluster/disk/compat_test.go
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/encoding/prototext"
 	"google.golang.org/protobuf/proto"
 
-	"dunemoor/internal/cluster/quorum"
+	"dunemoor/internal/cluster/multiraft"
 	"dunemoor/internal/testkit/compat"
 )
 
@@ -81,7 +81,7 @@
 }
 
 // describe is the contents of a disk as text.
-func describe(t *testing.T, stored map[quorum.Group]quorum.Stored) []any {
+func describe(t *testing.T, stored map[multiraft.Group]multiraft.PersistedGroup) []any {
 	t.Helper()
 	var list []any
 	text := func(m proto.Message) any {
@@ -93,7 +93,7 @@
 	}
 	for _, g := range slices.Sorted(maps.Keys(stored)) {
 		s := stored[g]
-		list = append(list, g, text(s.Hard), text(s.Snapshot))
+		list = append(list, g, text(s.HardState), text(s.Snapshot))
 		for _, e := range s.Entries {
 			list = append(list, text(e))
 		}
@@ -113,13 +113,13 @@
 	if err := d.SetBirth(77); err != nil {
 		t.Fatal(err)
 	}
-	for i, records := range [][]quorum.Record{
-		{{Group: 0, Snapshot: snapshot(1, `{"index":1}`), Ours: true, Hard: hard(1, 0, 1)}},
-		{{Group: 0, Entries: []*pb.Entry{entry(1, 2, "two"), entry(1, 3, "three")}}, {Group: 4, Entries: []*pb.Entry{entry(1, 1, "one")}, Hard: hard(1, 11, 0)}},
-		{{Group: 0, Entries: []*pb.Entry{entry(2, 3, "three again"), entry(2, 4, "four")}, Hard: hard(2, 12, 3)}},
-		{{Group: 4, Snapshot: snapshot(9, `{"index":9}`), Hard: hard(3, 12, 9)}},
+	for i, records := range [][]multiraft.LogRecord{
+		{{Group: 0, Snapshot: snapshot(1, `{"index":1}`), Local: true, HardState: hard(1, 0, 1)}},
+		{{Group: 0, Entries: []*pb.Entry{entry(1, 2, "two"), entry(1, 3, "three")}}, {Group: 4, Entries: []*pb.Entry{entry(1, 1, "one")}, HardState: hard(1, 11, 0)}},
+		{{Group: 0, Entries: []*pb.Entry{entry(2, 3, "three again"), entry(2, 4, "four")}, HardState: hard(2, 12, 3)}},
+		{{Group: 4, Snapshot: snapshot(9, `{"index":9}`), HardState: hard(3, 12, 9)}},
 	} {
-		if err := d.Write(&quorum.Batch{ID: uint64(i + 1), Records: records}); err != nil {
+		if err := d.Write(&multiraft.Batch{ID: uint64(i + 1), Records: records}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -138,8 +138,8 @@
 	compat.Values(t, "stored.txt", describe(t, stored)...)
 	compat.Bytes(t, "disk-opened/log-0000000000000002", old["log-0000000000000002"])
 	compat.Bytes(t, "disk-opened/"+identityName, old[identityName])
-	if e := stored[0].Entries; len(e) != 3 || string(e[1].GetData()) != "three again" || stored[0].Hard.GetCommit() != 3 {
-		t.Errorf("group 0: %s", prototext.Format(stored[0].Hard))
+	if e := stored[0].Entries; len(e) != 3 || string(e[1].GetData()) != "three again" || stored[0].HardState.GetCommit() != 3 {
+		t.Errorf("group 0: %s", prototext.Format(stored[0].HardState))
 	}
 	if _, _, err := Open(old, "fleet", "g2", func() uint64 { return 0 }); !errors.Is(err, ErrOther) {
 		t.Errorf("as another gateway: %v", err)
--- a/internal/cluster/disk/disk.go
+++ b/internal/cluster/disk/disk.go
@@ -16,7 +16,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"dunemoor/internal/cluster/failpoint"
-	"dunemoor/internal/cluster/quorum"
+	"dunemoor/internal/cluster/multiraft"
 )
 
 // Bounds.
@@ -81,7 +81,7 @@
 	file   File
 	seq    uint64
 	length int64
-	live   map[quorum.Group]*quorum.Stored
+	live   map[multiraft.Group]*multiraft.PersistedGroup
 	failed error
 	buf    []byte
 
@@ -91,12 +91,12 @@
 
 // Open opens the disk of a gateway of a fleet, or makes it where the directory is empty, with
 // draw for its identity. What it held is returned by group.
-func Open(fs FS, fleet, name string, draw func() uint64) (*Disk, map[quorum.Group]quorum.Stored, error) {
+func Open(fs FS, fleet, name string, draw func() uint64) (*Disk, map[multiraft.Group]multiraft.PersistedGroup, error) {
 	names, err := fs.Names()
 	if err != nil {
 		return nil, nil, err
 	}
-	d := &Disk{fs: fs, live: map[quorum.Group]*quorum.Stored{}}
+	d := &Disk{fs: fs, live: map[multiraft.Group]*multiraft.PersistedGroup{}}
 	var segments []uint64
 	for _, n := range names {
 		if rest, ok := strings.CutPrefix(n, segPrefix); ok {
@@ -159,12 +159,12 @@
 	if err := d.saveIdentity(); err != nil {
 		return nil, nil, err
 	}
-	stored := map[quorum.Group]quorum.Stored{}
+	stored := map[multiraft.Group]multiraft.PersistedGroup{}
 	for g, s := range d.live {
 		c := *s
 		c.Entries = slices.Clone(s.Entries)
-		if s.Hard != nil {
-			c.Hard = proto.Clone(s.Hard).(*pb.HardState)
+		if s.HardState != nil {
+			c.HardState = proto.Clone(s.HardState).(*pb.HardState)
 		}
 		stored[g] = c
 	}
@@ -216,7 +216,7 @@
 // of these, 4 of a checksum of what it carries, and that; numbers little-endian, CRC-32C.
 const recordHead = 17
 
-func appendRecord(b []byte, g quorum.Group, kind byte, carries []byte) []byte {
+func appendRecord(b []byte, g multiraft.Group, kind byte, carries []byte) []byte {
 	at := len(b)
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(carries)))
 	b = binary.LittleEndian.AppendUint32(b, uint32(g))
@@ -231,7 +231,7 @@
 
 // readRecord reads the record that b begins with. The two ways in which it can be wrong are told
 // apart: torn, as a write that was cut off leaves it, and damaged.
-func readRecord(b []byte) (g quorum.Group, kind byte, carries, rest []byte, err error) {
+func readRecord(b []byte) (g multiraft.Group, kind byte, carries, rest []byte, err error) {
 	if len(b) < recordHead {
 		return 0, 0, nil, nil, errTorn
 	}
@@ -255,7 +255,7 @@
 		}
 		return 0, 0, nil, nil, ErrDamaged
 	}
-	return quorum.Group(binary.LittleEndian.Uint32(b[4:])), b[8], carries, rest, nil
+	return multiraft.Group(binary.LittleEndian.Uint32(b[4:])), b[8], carries, rest, nil
 }
 
 // load reads a file; ok is false where not even its first batch is whole.
@@ -286,14 +286,14 @@
 
 // ReadLog reads the bytes of a file: what is in use at the end of its last whole batch, and how
 // many batches are whole. What is torn behind that is left out; what is damaged is an error.
-func ReadLog(b []byte) (live map[quorum.Group]*quorum.Stored, h head, whole int, err error) {
+func ReadLog(b []byte) (live map[multiraft.Group]*multiraft.PersistedGroup, h head, whole int, err error) {
 	type record struct {
-		g    quorum.Group
+		g    multiraft.Group
 		kind byte
 		b    []byte
 	}
 	var batch []record
-	live = map[quorum.Group]*quorum.Stored{}
+	live = map[multiraft.Group]*multiraft.PersistedGroup{}
 	for first := true; len(b) > 0; first = false {
 		g, kind, carries, rest, err := readRecord(b)
 		if errors.Is(err, errTorn) {
@@ -312,7 +312,7 @@
 			for _, r := range batch {
 				s := live[r.g]
 				if s == nil {
-					s = &quorum.Stored{}
+					s = &multiraft.PersistedGroup{}
 					live[r.g] = s
 				}
 				if err := keepBytes(s, r.kind, r.b); err != nil {
@@ -329,8 +329,8 @@
 }
 
 // keepBytes takes a record over into what is in use.
-func keepBytes(s *quorum.Stored, kind byte, b []byte) error {
-	r := quorum.Record{}
+func keepBytes(s *multiraft.PersistedGroup, kind byte, b []byte) error {
+	r := multiraft.LogRecord{}
 	var err error
 	switch kind {
 	case kindEntry:
@@ -338,10 +338,10 @@
 		err = proto.Unmarshal(b, e)
 		r.Entries = []*pb.Entry{e}
 	case kindHard:
-		r.Hard = &pb.HardState{}
-		err = proto.Unmarshal(b, r.Hard)
+		r.HardState = &pb.HardState{}
+		err = proto.Unmarshal(b, r.HardState)
 	case kindSnapshot, kindOurs:
-		r.Snapshot, r.Ours = &pb.Snapshot{}, kind == kindOurs
+		r.Snapshot, r.Local = &pb.Snapshot{}, kind == kindOurs
 		err = proto.Unmarshal(b, r.Snapshot)
 	default:
 		err = fmt.Errorf("a record of kind %d", kind)
@@ -356,11 +356,11 @@
 }
 
 // keep takes a record over into what is in use.
-func keep(s *quorum.Stored, r *quorum.Record) error {
+func keep(s *multiraft.PersistedGroup, r *multiraft.LogRecord) error {
 	if r.Snapshot != nil {
 		at := r.Snapshot.GetMetadata().GetIndex()
 		s.Snapshot = r.Snapshot
-		if !r.Ours {
+		if !r.Local {
 			s.Entries = nil
 		}
 		i := 0
@@ -384,15 +384,15 @@
 			s.Entries = append(s.Entries[:uint64(len(s.Entries))-(next-at):uint64(len(s.Entries))-(next-at)], e)
 		} // else the snapshot has it
 	}
-	if r.Hard != nil {
-		s.Hard = r.Hard
+	if r.HardState != nil {
+		s.HardState = r.HardState
 	}
 	return nil
 }
 
 // Write makes a batch last. An error is for good: nothing is written any more, as what the file
 // holds is not known.
-func (d *Disk) Write(b *quorum.Batch) error {
+func (d *Disk) Write(b *multiraft.Batch) error {
 	if d.failed != nil {
 		return d.failed
 	}
@@ -419,17 +419,17 @@
 }
 
 // add puts a record into the buffer and takes it over.
-func (d *Disk) add(r *quorum.Record) error {
+func (d *Disk) add(r *multiraft.LogRecord) error {
 	s := d.live[r.Group]
 	if s == nil {
-		s = &quorum.Stored{}
+		s = &multiraft.PersistedGroup{}
 		d.live[r.Group] = s
 	}
-	d.put(r.Group, &quorum.Stored{Snapshot: r.Snapshot, Entries: r.Entries, Hard: r.Hard}, r.Ours)
+	d.put(r.Group, &multiraft.PersistedGroup{Snapshot: r.Snapshot, Entries: r.Entries, HardState: r.HardState}, r.Local)
 	return keep(s, r)
 }
 
-func (d *Disk) put(g quorum.Group, s *quorum.Stored, ours bool) {
+func (d *Disk) put(g multiraft.Group, s *multiraft.PersistedGroup, ours bool) {
 	if s.Snapshot != nil {
 		kind := byte(kindSnapshot)
 		if ours {
@@ -440,12 +440,12 @@
 	for _, e := range s.Entries {
 		d.message(g, kindEntry, e)
 	}
-	if s.Hard != nil {
-		d.message(g, kindHard, s.Hard)
+	if s.HardState != nil {
+		d.message(g, kindHard, s.HardState)
 	}
 }
 
-func (d *Disk) message(g quorum.Group, kind byte, m proto.Message) {
+func (d *Disk) message(g multiraft.Group, kind byte, m proto.Message) {
 	b, err := proto.Marshal(m)
 	if err != nil {
 		panic(err) // it has no field that could fail
@@ -505,7 +505,7 @@
 		return err
 	}
 	d.buf = appendRecord(d.buf[:0], 0, kindHead, h)
-	groups := make([]quorum.Group, 0, len(d.live))
+	groups := make([]multiraft.Group, 0, len(d.live))
 	for g := range d.live {
 		groups = append(groups, g)
 	}
--- a/internal/cluster/disk/disk_test.go
+++ b/internal/cluster/disk/disk_test.go
@@ -12,11 +12,11 @@
 
 	pb "go.etcd.io/raft/v3/raftpb"
 
-	"dunemoor/internal/cluster/quorum"
+	"dunemoor/internal/cluster/multiraft"
 )
 
 // open opens a directory as g1's disk in fleet f.
-func open(t testing.TB, path string) (*Disk, *Dir, map[quorum.Group]quorum.Stored, error) {
+func open(t testing.TB, path string) (*Disk, *Dir, map[multiraft.Group]multiraft.PersistedGroup, error) {
 	t.Helper()
 	dir, err := OpenDir(path)
 	if err != nil {
@@ -30,12 +30,12 @@
 }
 
 // batch is entries of a group, from an index on.
-func batch(id uint64, g quorum.Group, from uint64, n int) *quorum.Batch {
-	r := quorum.Record{Group: g, Hard: &pb.HardState{Term: new(uint64(1)), Vote: new(uint64(2)), Commit: new(from - 1)}}
+func batch(id uint64, g multiraft.Group, from uint64, n int) *multiraft.Batch {
+	r := multiraft.LogRecord{Group: g, HardState: &pb.HardState{Term: new(uint64(1)), Vote: new(uint64(2)), Commit: new(from - 1)}}
 	for i := range n {
 		r.Entries = append(r.Entries, &pb.Entry{Term: new(uint64(1)), Index: new(from + uint64(i)), Data: fmt.Appendf(nil, "entry %d", from+uint64(i))})
 	}
-	return &quorum.Batch{ID: id, Records: []quorum.Record{r}}
+	return &multiraft.Batch{ID: id, Records: []multiraft.LogRecord{r}}
 }
 
 // written makes a disk of several batches and returns the bytes of its file.
@@ -47,7 +47,7 @@
 	}
 	defer dir.Close()
 	for i := range batches {
-		if err := d.Write(batch(uint64(i+1), quorum.Group(i%2), uint64(i/2*3+1), 3)); err != nil {
+		if err := d.Write(batch(uint64(i+1), multiraft.Group(i%2), uint64(i/2*3+1), 3)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -60,9 +60,9 @@
 }
 
 // said is what a log says, as text.
-func said(live map[quorum.Group]*quorum.Stored) (text string) {
+func said(live map[multiraft.Group]*multiraft.PersistedGroup) (text string) {
 	for _, g := range slices.Sorted(maps.Keys(live)) {
-		text += fmt.Sprint(g, live[g].Hard.GetCommit(), ":")
+		text += fmt.Sprint(g, live[g].HardState.GetCommit(), ":")
 		for _, e := range live[g].Entries {
 			text += fmt.Sprint(e.GetIndex(), string(e.GetData()), " ")
 		}
@@ -117,7 +117,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if id := d.Identity(); id.Boots != 2 || len(stored[0].Entries) != 6 || stored[1].Hard.GetVote() != 2 {
+	if id := d.Identity(); id.Boots != 2 || len(stored[0].Entries) != 6 || stored[1].HardState.GetVote() != 2 {
 		t.Errorf("%+v, %d entries", id, len(stored[0].Entries))
 	}
 	if _, err := OpenDir(path); err == nil {
@@ -163,7 +163,7 @@
 		b := batch(i+1, 0, i+1, 1)
 		b.Records[0].Entries[0].Data = data
 		if i%8 == 7 {
-			b.Records = append(b.Records, quorum.Record{Group: 0, Ours: true, Snapshot: &pb.Snapshot{Data: []byte("all"), Metadata: &pb.SnapshotMetadata{
+			b.Records = append(b.Records, multiraft.LogRecord{Group: 0, Local: true, Snapshot: &pb.Snapshot{Data: []byte("all"), Metadata: &pb.SnapshotMetadata{
 				Index: new(i - 1), Term: new(uint64(1)), ConfState: &pb.ConfState{}}}})
 		}
 		if err := d.Write(b); err != nil {
@@ -221,7 +221,7 @@
 				}
 				next += uint64(n)
 				if next%4096 < uint64(n) {
-					x.Records = append(x.Records, quorum.Record{Ours: true, Snapshot: &pb.Snapshot{Metadata: &pb.SnapshotMetadata{Index: new(next - 1), Term: new(uint64(1)), ConfState: &pb.ConfState{}}}})
+					x.Records = append(x.Records, multiraft.LogRecord{Local: true, Snapshot: &pb.Snapshot{Metadata: &pb.SnapshotMetadata{Index: new(next - 1), Term: new(uint64(1)), ConfState: &pb.ConfState{}}}})
 				}
 				if err := d.Write(x); err != nil {
 					b.Fatal(err)
--- a/internal/cluster/quorum/quorum.go
+++ b/internal/cluster/multiraft/quorum.go
@@ -3,7 +3,7 @@
 // messages and finished writes come in as calls, and what is to be written, sent and told comes
 // out of Drain. The algorithm is the library's; elections are timed here, as the library draws
 // its timeouts from the system's randomness and a simulation has to repeat itself.
-package quorum
+package multiraft
 
 import (
 	"context"
@@ -31,59 +31,59 @@
 	// HeartbeatTicks lie between two heartbeats: five may be lost.
 	HeartbeatTicks = 2
 	// entriesMost bounds the entries of one message, and of one read of the log.
-	entriesMost = 256 << 10
+	maxMessageBytes = 256 << 10
 	// uncommittedMost bounds what a leader takes on before a quorum has it: beyond, proposals
 	// are turned away.
-	uncommittedMost = 4 << 20
+	maxUncommittedBytes = 4 << 20
 	// inflightMost bounds what is out to one follower without its word.
-	inflightMost  = 64
-	inflightBytes = 2 << 20
+	maxInflightMessages = 64
+	maxInflightBytes    = 2 << 20
 	// pendingBytes bounds what waits for the disk while a write is out; a replica that is over
 	// it takes no further entries from its leader, who sends them again.
-	pendingBytes = 8 << 20
+	maxPendingBytes = 8 << 20
 	// compactBytes is how much of the log is applied before it is cut; keepEntries of it stay,
 	// so that one who is a little behind needs no snapshot.
-	compactBytes = 1 << 20
-	keepEntries  = 256
+	compactThreshold = 1 << 20
+	retainedEntries  = 256
 )
 
 // Group numbers a group within the fleet.
 type Group uint32
 
 // Machine is what a group's commands act on. Same commands, same state, everywhere.
-type Machine interface {
+type StateMachine interface {
 	// Apply carries out a command and returns what came of it.
 	Apply(index uint64, command []byte) any
 	// Changed tells of the members of the group behind a change, with what came with it.
-	Changed(index uint64, with []byte, conf *pb.ConfState)
+	MembersChanged(index uint64, with []byte, conf *pb.ConfState)
 	// Snapshot is the whole state as bytes, Restore takes it back.
 	Snapshot() []byte
 	Restore(state []byte) error
 }
 
 // Stored is what a disk holds of a group.
-type Stored struct {
-	Hard     *pb.HardState // nil: none
-	Snapshot *pb.Snapshot  // nil: none
-	Entries  []*pb.Entry   // behind the snapshot
+type PersistedGroup struct {
+	HardState *pb.HardState // nil: none
+	Snapshot  *pb.Snapshot  // nil: none
+	Entries   []*pb.Entry   // behind the snapshot
 }
 
 // Record is one change of what a disk holds of a group, in this order: the snapshot takes the
 // place of all up to its index, the entries that of all from their first on.
-type Record struct {
+type LogRecord struct {
 	Group    Group
 	Snapshot *pb.Snapshot
 	// Ours says that the snapshot was made here: entries behind it stay.
-	Ours    bool
-	Entries []*pb.Entry
-	Hard    *pb.HardState
+	Local     bool
+	Entries   []*pb.Entry
+	HardState *pb.HardState
 }
 
 // Batch is what is to be written and made to last, all or nothing of it being told. One is out at
 // a time.
 type Batch struct {
 	ID      uint64
-	Records []Record
+	Records []LogRecord
 
 	replies []reply
 }
@@ -91,7 +91,7 @@
 type reply struct {
 	group *group
 	msgs  []*pb.Message
-	rec   Record
+	rec   LogRecord
 }
 
 // Envelope is a message to another replica.
@@ -111,27 +111,27 @@
 
 // Read says that all up to Index was committed when it was asked for: a reader that has applied
 // as much sees the state as of then.
-type Read struct {
+type ReadIndex struct {
 	Group Group
 	ID    uint64
 	Index uint64
 }
 
 // Turn is a change of a group's leader as seen here.
-type Turn struct {
-	Group Group
-	Lead  uint64 // 0: none is known
-	Term  uint64
-	Ours  bool // we lead
+type LeaderChange struct {
+	Group  Group
+	Leader uint64 // 0: none is known
+	Term   uint64
+	IsSelf bool // we lead
 }
 
 // Out is what a node wants done.
-type Out struct {
-	Write   *Batch
-	Send    []Envelope
-	Results []Result
-	Reads   []Read
-	Turns   []Turn
+type Output struct {
+	Write         *Batch
+	Messages      []Envelope
+	Results       []Result
+	ReadIndexes   []ReadIndex
+	LeaderChanges []LeaderChange
 }
 
 // Node is one gateway's replicas. It is used by one goroutine.
@@ -140,7 +140,7 @@
 	rng     *rand.Rand
 	groups  map[Group]*group
 	order   []Group
-	out     Out
+	out     Output
 	waiting []reply // for the write that is out
 	bytes   int     // of entries in waiting
 	writing *Batch
@@ -152,7 +152,7 @@
 	id       Group
 	raw      *raft.RawNode
 	store    storage
-	machine  Machine
+	machine  StateMachine
 	conf     *pb.ConfState
 	applied  uint64
 	since    int // bytes applied since the last snapshot
@@ -198,7 +198,7 @@
 var quiet = &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}
 
 // Chatty has the library's log go to slog, as debugging.
-func Chatty() {
+func EnableDebugLog() {
 	if slog.Default().Enabled(context.Background(), slog.LevelDebug) {
 		quiet.Logger = slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug)
 	}
@@ -206,7 +206,7 @@
 
 // Add brings a group up from what the disk holds of it; nothing for a replica that waits for a
 // leader to bring it in.
-func (n *Node) Add(id Group, from Stored, m Machine) error {
+func (n *Node) Add(id Group, from PersistedGroup, m StateMachine) error {
 	if n.groups[id] != nil {
 		return fmt.Errorf("group %d is there", id)
 	}
@@ -224,18 +224,18 @@
 	if err := g.store.Append(from.Entries); err != nil {
 		return err
 	}
-	if from.Hard != nil {
+	if from.HardState != nil {
 		// What is behind the snapshot is committed at least up to it.
-		if from.Hard.GetCommit() < g.applied {
-			from.Hard.Commit = new(g.applied)
+		if from.HardState.GetCommit() < g.applied {
+			from.HardState.Commit = new(g.applied)
 		}
-		g.store.SetHardState(from.Hard)
+		g.store.SetHardState(from.HardState)
 	}
 	var err error
 	g.raw, err = raft.NewRawNode(&raft.Config{
 		ID: n.id, ElectionTick: ElectionTicks, HeartbeatTick: HeartbeatTicks, Storage: g.store, Applied: g.applied,
-		AsyncStorageWrites: true, MaxSizePerMsg: entriesMost, MaxUncommittedEntriesSize: uncommittedMost,
-		MaxInflightMsgs: inflightMost, MaxInflightBytes: inflightBytes,
+		AsyncStorageWrites: true, MaxSizePerMsg: maxMessageBytes, MaxUncommittedEntriesSize: maxUncommittedBytes,
+		MaxInflightMsgs: maxInflightMessages, MaxInflightBytes: maxInflightBytes,
 		CheckQuorum: !failpoint.Enabled(failpoint.SkipCheckQuorum), PreVote: !failpoint.Enabled(failpoint.SkipPreVote), StepDownOnRemoval: true, DisableProposalForwarding: true, Logger: quiet,
 	})
 	if err != nil {
@@ -250,11 +250,11 @@
 
 // Founding is what the founder of a group has on disk at first: its members, and the state that
 // all begin with.
-func Founding(voters []uint64, state []byte) Stored {
+func BootstrapState(voters []uint64, state []byte) PersistedGroup {
 	conf := &pb.ConfState{Voters: slices.Sorted(slices.Values(voters))}
-	return Stored{
-		Hard:     &pb.HardState{Term: new(uint64(1)), Vote: new(uint64(0)), Commit: new(uint64(1))},
-		Snapshot: &pb.Snapshot{Data: state, Metadata: &pb.SnapshotMetadata{ConfState: conf, Index: new(uint64(1)), Term: new(uint64(1))}},
+	return PersistedGroup{
+		HardState: &pb.HardState{Term: new(uint64(1)), Vote: new(uint64(0)), Commit: new(uint64(1))},
+		Snapshot:  &pb.Snapshot{Data: state, Metadata: &pb.SnapshotMetadata{ConfState: conf, Index: new(uint64(1)), Term: new(uint64(1))}},
 	}
 }
 
@@ -266,7 +266,7 @@
 // Halt ends all replicas here, for good: nothing is sent, taken or written from now on.
 func (n *Node) Halt(why error) {
 	if n.halted == nil {
-		n.halted, n.out = why, Out{}
+		n.halted, n.out = why, Output{}
 		n.waiting, n.writing = nil, nil
 	}
 }
@@ -275,13 +275,13 @@
 func (n *Node) Halted() error { return n.halted }
 
 // ErrContradicts is of a replica whose log is not what the others know of it.
-var ErrContradicts = errors.New("the log contradicts itself")
+var ErrLogContradiction = errors.New("the log contradicts itself")
 
 // guard keeps a fault of the library, which panics where a log contradicts itself, to the
 // replicas: the gateway serves on.
 func (n *Node) guard() {
 	if x := recover(); x != nil {
-		n.Halt(fmt.Errorf("%w: %v", ErrContradicts, x))
+		n.Halt(fmt.Errorf("%w: %v", ErrLogContradiction, x))
 	}
 }
 
@@ -318,7 +318,7 @@
 	}
 	switch m.GetType() {
 	case pb.MsgApp, pb.MsgSnap:
-		if n.bytes > pendingBytes {
+		if n.bytes > maxPendingBytes {
 			return
 		}
 		fallthrough
@@ -345,7 +345,7 @@
 		if g.state != raft.StateLeader {
 			clear(g.proposed) // what becomes of them is not known here
 		}
-		n.out.Turns = append(n.out.Turns, Turn{g.id, g.lead, g.term, g.state == raft.StateLeader})
+		n.out.LeaderChanges = append(n.out.LeaderChanges, LeaderChange{g.id, g.lead, g.term, g.state == raft.StateLeader})
 	}
 }
 
@@ -388,7 +388,7 @@
 }
 
 // Read asks up to where the log is committed, confirmed by a quorum from now on.
-func (n *Node) Read(id Group, number uint64) error {
+func (n *Node) RequestReadIndex(id Group, number uint64) error {
 	defer n.guard()
 	g := n.groups[id]
 	if n.halted != nil || g == nil {
@@ -403,7 +403,7 @@
 
 // Change has the members of a group changed, jointly where more than one changes; with goes to
 // the machines beside it. One is under way at a time: another is refused.
-func (n *Node) Change(id Group, cc *pb.ConfChangeV2) error {
+func (n *Node) ChangeMembers(id Group, cc *pb.ConfChangeV2) error {
 	defer n.guard()
 	g := n.groups[id]
 	if n.halted != nil || g == nil {
@@ -416,7 +416,7 @@
 }
 
 // Transfer hands the lead to another replica, if that is up to date.
-func (n *Node) Transfer(id Group, to uint64) {
+func (n *Node) TransferLeadership(id Group, to uint64) {
 	defer n.guard()
 	if g := n.groups[id]; n.halted == nil && g != nil && g.state == raft.StateLeader {
 		g.raw.TransferLeader(to)
@@ -425,7 +425,7 @@
 }
 
 // Lost tells that messages to a replica can't be delivered, or that a snapshot to it was not.
-func (n *Node) Lost(to uint64, snapshot bool) {
+func (n *Node) Unreachable(to uint64, snapshot bool) {
 	defer n.guard()
 	for _, id := range n.order {
 		g := n.groups[id]
@@ -441,7 +441,7 @@
 }
 
 // Delivered tells that a snapshot has reached a replica whole.
-func (n *Node) Delivered(to uint64) {
+func (n *Node) SnapshotSent(to uint64) {
 	defer n.guard()
 	for _, id := range n.order {
 		if g := n.groups[id]; n.halted == nil && g.state == raft.StateLeader {
@@ -451,7 +451,7 @@
 }
 
 // Written tells that a batch will last.
-func (n *Node) Written(id uint64) {
+func (n *Node) Persisted(id uint64) {
 	defer n.guard()
 	if n.halted != nil || n.writing == nil || n.writing.ID != id {
 		return
@@ -460,7 +460,7 @@
 	n.writing = nil
 	for i := range b.replies {
 		r := &b.replies[i]
-		if s := r.rec.Snapshot; s != nil && !r.rec.Ours {
+		if s := r.rec.Snapshot; s != nil && !r.rec.Local {
 			if r.group.store.ApplySnapshot(s) == nil {
 				if err := r.group.machine.Restore(s.GetData()); err != nil {
 					n.Halt(fmt.Errorf("group %d: snapshot: %w", r.group.id, err))
@@ -472,8 +472,8 @@
 		if len(r.rec.Entries) > 0 {
 			r.group.store.Append(r.rec.Entries)
 		}
-		if r.rec.Hard != nil {
-			r.group.store.SetHardState(r.rec.Hard)
+		if r.rec.HardState != nil {
+			r.group.store.SetHardState(r.rec.HardState)
 		}
 		for _, m := range r.msgs {
 			n.deliver(r.group, m)
@@ -488,14 +488,14 @@
 		g.raw.Step(m)
 		return
 	}
-	n.out.Send = append(n.out.Send, Envelope{g.id, m.GetTo(), m})
+	n.out.Messages = append(n.out.Messages, Envelope{g.id, m.GetTo(), m})
 }
 
 // Drain takes what is to be done.
-func (n *Node) Drain() Out {
+func (n *Node) TakeOutput() Output {
 	n.collect()
 	out := n.out
-	n.out = Out{}
+	n.out = Output{}
 	return out
 }
 
@@ -527,15 +527,15 @@
 	rd := g.raw.Ready()
 	for _, s := range rd.ReadStates {
 		if replica, id, _, ok := readHead(s.RequestCtx); ok && replica == n.id {
-			n.out.Reads = append(n.out.Reads, Read{g.id, id, s.Index})
+			n.out.ReadIndexes = append(n.out.ReadIndexes, ReadIndex{g.id, id, s.Index})
 		}
 	}
 	for _, m := range rd.Messages {
 		switch m.GetTo() {
 		case raft.LocalAppendThread:
-			r := reply{group: g, msgs: m.GetResponses(), rec: Record{Group: g.id, Entries: m.GetEntries()}}
+			r := reply{group: g, msgs: m.GetResponses(), rec: LogRecord{Group: g.id, Entries: m.GetEntries()}}
 			if m.Term != nil && m.Commit != nil {
-				r.rec.Hard = &pb.HardState{Term: new(m.GetTerm()), Vote: new(m.GetVote()), Commit: new(m.GetCommit())}
+				r.rec.HardState = &pb.HardState{Term: new(m.GetTerm()), Vote: new(m.GetVote()), Commit: new(m.GetCommit())}
 			}
 			if s := m.GetSnapshot(); !raft.IsEmptySnap(s) {
 				r.rec.Snapshot = s
@@ -551,7 +551,7 @@
 			if m.GetType() == pb.MsgHeartbeat {
 				n.tellKept(g, m)
 			}
-			n.out.Send = append(n.out.Send, Envelope{g.id, m.GetTo(), m})
+			n.out.Messages = append(n.out.Messages, Envelope{g.id, m.GetTo(), m})
 		}
 	}
 	n.look(g)
@@ -583,14 +583,14 @@
 					panic(err)
 				}
 				g.conf = g.raw.ApplyConfChange(&v1)
-				g.machine.Changed(e.GetIndex(), v1.GetContext(), g.conf)
+				g.machine.MembersChanged(e.GetIndex(), v1.GetContext(), g.conf)
 				continue
 			}
 			if err := proto.Unmarshal(e.GetData(), &cc); err != nil {
 				panic(err)
 			}
 			g.conf = g.raw.ApplyConfChange(&cc)
-			g.machine.Changed(e.GetIndex(), cc.GetContext(), g.conf)
+			g.machine.MembersChanged(e.GetIndex(), cc.GetContext(), g.conf)
 		default:
 			replica, id, command, ok := readHead(e.GetData())
 			if !ok {
@@ -603,7 +603,7 @@
 			}
 		}
 	}
-	if g.since >= compactBytes {
+	if g.since >= compactThreshold {
 		n.compact(g)
 	}
 }
@@ -615,20 +615,20 @@
 	if err != nil {
 		return // there is a newer one
 	}
-	if first, err := g.store.FirstIndex(); err == nil && g.applied > first+keepEntries {
-		g.store.Compact(g.applied - keepEntries)
+	if first, err := g.store.FirstIndex(); err == nil && g.applied > first+retainedEntries {
+		g.store.Compact(g.applied - retainedEntries)
 	}
-	n.waiting = append(n.waiting, reply{group: g, rec: Record{Group: g.id, Snapshot: s, Ours: true}})
+	n.waiting = append(n.waiting, reply{group: g, rec: LogRecord{Group: g.id, Snapshot: s, Local: true}})
 }
 
 // Status is how a group stands here.
 type Status struct {
-	Lead, Term, Commit, Applied uint64
+	Leader, Term, Commit, Applied uint64
 	// Kept is the term, and Last the last entry, that are on the disk.
-	Kept, Last uint64
-	Ours       bool
-	Conf       *pb.ConfState
-	Match      map[uint64]uint64 // where we lead: how far each replica is known to be
+	PersistedTerm, LastIndex uint64
+	IsLeader                 bool
+	Conf                     *pb.ConfState
+	Match                    map[uint64]uint64 // where we lead: how far each replica is known to be
 }
 
 // Status tells how a group stands.
@@ -641,10 +641,10 @@
 	last, _ := g.store.LastIndex()
 	hard, _, _ := g.store.InitialState()
 	s = Status{
-		Lead: b.Lead, Term: b.HardState.GetTerm(), Commit: b.HardState.GetCommit(), Applied: g.applied, Kept: hard.GetTerm(), Last: last,
-		Ours: g.state == raft.StateLeader && n.halted == nil, Conf: g.conf,
+		Leader: b.Lead, Term: b.HardState.GetTerm(), Commit: b.HardState.GetCommit(), Applied: g.applied, PersistedTerm: hard.GetTerm(), LastIndex: last,
+		IsLeader: g.state == raft.StateLeader && n.halted == nil, Conf: g.conf,
 	}
-	if s.Ours {
+	if s.IsLeader {
 		s.Match = map[uint64]uint64{}
 		g.raw.WithProgress(func(id uint64, _ raft.ProgressType, pr tracker.Progress) { s.Match[id] = pr.Match })
 	}
@@ -652,11 +652,11 @@
 }
 
 // Found has what a founder begins with written first: Add was given what no disk holds yet.
-func (n *Node) Found(id Group) {
+func (n *Node) Bootstrap(id Group) {
 	g := n.groups[id]
 	s, _ := g.store.MemoryStorage.Snapshot()
 	hard, _, _ := g.store.InitialState()
-	n.waiting = append(n.waiting, reply{group: g, rec: Record{Group: id, Snapshot: s, Ours: true, Hard: hard}})
+	n.waiting = append(n.waiting, reply{group: g, rec: LogRecord{Group: id, Snapshot: s, Local: true, HardState: hard}})
 	n.rest(g)
 	g.timeout = 1 // nobody else can begin
 }
--- a/internal/cluster/node/compat_test.go
+++ b/internal/cluster/node/compat_test.go
@@ -6,7 +6,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"dunemoor/internal/cluster/quorum"
+	"dunemoor/internal/cluster/multiraft"
 	"dunemoor/internal/testkit/compat"
 )
 
@@ -27,12 +27,12 @@
 		Commit: new(uint64(4)), Entries: []*raftpb.Entry{{Term: new(uint64(3)), Index: new(uint64(5)), Data: []byte("command")}},
 	}
 	h := &raftpb.Message{Type: raftpb.MsgHeartbeat.Enum(), To: new(uint64(2)), From: new(uint64(1)), Term: new(uint64(3))}
-	b := appendRaftMessage(nil, &quorum.Envelope{Group: CoordinationGroup, To: 2, Message: m})
-	b = appendRaftMessage(b, &quorum.Envelope{Group: 9, To: 2, Message: h})
+	b := appendRaftMessage(nil, &multiraft.Envelope{Group: CoordinationGroup, To: 2, Message: m})
+	b = appendRaftMessage(b, &multiraft.Envelope{Group: 9, To: 2, Message: h})
 	compat.Bytes(t, "raft.bin", b)
 	var got []*raftpb.Message
-	var groups []quorum.Group
-	err := DecodeRaftFrame(compat.Read(t, "raft.bin"), func(g quorum.Group, m *raftpb.Message) {
+	var groups []multiraft.Group
+	err := DecodeRaftFrame(compat.Read(t, "raft.bin"), func(g multiraft.Group, m *raftpb.Message) {
 		got, groups = append(got, m), append(groups, g)
 	})
 	if err != nil || len(got) != 2 || !proto.Equal(got[0], m) || !proto.Equal(got[1], h) || groups[0] != CoordinationGroup || groups[1] != 9 {
--- a/internal/cluster/node/leader.go
+++ b/internal/cluster/node/leader.go
@@ -11,7 +11,7 @@
 
 	"dunemoor/internal/cluster/failpoint"
 	"dunemoor/internal/cluster/lease"
-	"dunemoor/internal/cluster/quorum"
+	"dunemoor/internal/cluster/multiraft"
 )
 
 const (
@@ -67,15 +67,15 @@
 }
 
 // leaderChanged takes a change of the group's leader.
-func (n *Node) leaderChanged(t quorum.Turn) {
+func (n *Node) leaderChanged(t multiraft.LeaderChange) {
 	if t.Group != CoordinationGroup {
 		return
 	}
-	n.replica.leaderID = t.Lead
-	if t.Ours == (n.leader != nil) {
+	n.replica.leaderID = t.Leader
+	if t.IsSelf == (n.leader != nil) {
 		return
 	}
-	if t.Ours {
+	if t.IsSelf {
 		n.leader = &leader{
 			node: n, expiry: lease.NewExpiryTracker(n.now), proposers: map[uint64]proposer{}, proposedAt: map[string]time.Duration{},
 			rebalancedAt: n.now, replicasCheckedAt: n.now,
@@ -84,7 +84,7 @@
 		return
 	}
 	n.leader = nil // others retry the commands that were under way
-	n.logInfo("not leading the record any more", "term", t.Term, "lead", n.replica.names[t.Lead])
+	n.logInfo("not leading the record any more", "term", t.Term, "lead", n.replica.names[t.Leader])
 }
 
 // proposeOnce proposes a command of the leader's own, at most once in reproposeInterval for each key.
@@ -182,7 +182,7 @@
 	if len(s.Conf.GetVotersOutgoing()) > 0 {
 		return // a change is under way
 	}
-	caughtUp := func(id uint64) bool { return s.Match[id]+maxLearnerLag >= s.Last && s.Match[id] > 0 }
+	caughtUp := func(id uint64) bool { return s.Match[id]+maxLearnerLag >= s.LastIndex && s.Match[id] > 0 }
 	c, ok := lease.NextReplicaChange(r.state, caughtUp)
 	if !ok {
 		return
@@ -191,7 +191,7 @@
 		l.yieldLeadership(s)
 		return
 	}
-	if r.raft.Change(CoordinationGroup, confChange(c)) == nil {
+	if r.raft.ChangeMembers(CoordinationGroup, confChange(c)) == nil {
 		n.logInfo("changing the keepers of the record", "gateway", c.Member, "learn", c.AddLearner, "promote", c.Promote, "remove", c.Remove)
 	}
 }
@@ -220,11 +220,11 @@
 
 // yieldLeadership transfers the lead to any voter that is up to date, as this replica is to be
 // removed.
-func (l *leader) yieldLeadership(s quorum.Status) {
+func (l *leader) yieldLeadership(s multiraft.Status) {
 	r := l.node.replica
 	for id, match := range s.Match {
 		if id != l.node.cfg.Disk.Replica && match >= s.Commit && !r.state.Replicas[id].Learner {
-			r.raft.Transfer(CoordinationGroup, id)
+			r.raft.TransferLeadership(CoordinationGroup, id)
 			return
 		}
 	}
@@ -235,7 +235,7 @@
 func (n *Node) TransferLeadership(now time.Duration) {
 	n.now = now
 	s := n.replica.status()
-	if !s.Ours {
+	if !s.IsLeader {
 		return
 	}
 	var target uint64
@@ -245,7 +245,7 @@
 		}
 	}
 	if target != 0 {
-		n.replica.raft.Transfer(CoordinationGroup, target)
+		n.replica.raft.TransferLeadership(CoordinationGroup, target)
 	}
 }
 
@@ -269,7 +269,7 @@
 }
 
 // commandApplied answers the gateway whose command was applied.
-func (n *Node) commandApplied(r *quorum.Result) {
+func (n *Node) commandApplied(r *multiraft.Result) {
 	if n.leader == nil {
 		return
 	}
@@ -309,7 +309,7 @@
 func (l *leader) requestReadIndex() {
 	r := l.node.replica
 	r.proposalNumber++
-	if r.raft.Read(CoordinationGroup, r.proposalNumber) != nil {
+	if r.raft.RequestReadIndex(CoordinationGroup, r.proposalNumber) != nil {
 		return
 	}
 	l.unconfirmed = append(l.unconfirmed, l.queued...)
@@ -318,7 +318,7 @@
 }
 
 // readIndexConfirmed takes the confirmation of a quorum.
-func (l *leader) readIndexConfirmed(r quorum.Read) {
+func (l *leader) readIndexConfirmed(r multiraft.ReadIndex) {
 	if r.ID != l.readNumber {
 		return
 	}
--- a/internal/cluster/node/messages.go
+++ b/internal/cluster/node/messages.go
@@ -10,7 +10,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"dunemoor/internal/cluster/lease"
-	"dunemoor/internal/cluster/quorum"
+	"dunemoor/internal/cluster/multiraft"
 )
 
 // Kind is what a frame between two gateways carries.
@@ -130,7 +130,7 @@
 
 // appendRaftMessage appends a message to the body of a frame of KindRaft: the messages of all groups
 // for one gateway share a frame.
-func appendRaftMessage(dst []byte, e *quorum.Envelope) []byte {
+func appendRaftMessage(dst []byte, e *multiraft.Envelope) []byte {
 	b, err := proto.Marshal(e.Message)
 	if err != nil {
 		panic(err) // no field of it can fail
@@ -142,12 +142,12 @@
 
 // DecodeRaftFrame calls each for the messages in the body of a frame of KindRaft, up to the first that
 // is malformed.
-func DecodeRaftFrame(b []byte, each func(quorum.Group, *raftpb.Message)) error {
+func DecodeRaftFrame(b []byte, each func(multiraft.Group, *raftpb.Message)) error {
 	for len(b) > 0 {
 		if len(b) < raftHeaderBytes {
 			return fmt.Errorf("%w: Raft header is cut off", ErrMalformedFrame)
 		}
-		group, length := quorum.Group(binary.LittleEndian.Uint32(b)), binary.LittleEndian.Uint32(b[4:])
+		group, length := multiraft.Group(binary.LittleEndian.Uint32(b)), binary.LittleEndian.Uint32(b[4:])
 		if b = b[raftHeaderBytes:]; uint64(length) > uint64(len(b)) {
 			return fmt.Errorf("%w: Raft message is cut off", ErrMalformedFrame)
 		}
--- a/internal/cluster/node/node.go
+++ b/internal/cluster/node/node.go
@@ -18,11 +18,11 @@
 
 	"dunemoor/internal/cluster/disk"
 	"dunemoor/internal/cluster/lease"
-	"dunemoor/internal/cluster/quorum"
+	"dunemoor/internal/cluster/multiraft"
 )
 
 // CoordinationGroup is the Raft group that replicates the coordination state.
-const CoordinationGroup quorum.Group = 0
+const CoordinationGroup multiraft.Group = 0
 
 const (
 	// TickInterval is the time of one tick. Heartbeats are sent every 100 ms, and an election begins
@@ -48,7 +48,7 @@
 	CandidateLeases   []string // leases that it can hold
 	Seed              uint64
 	Disk              disk.Identity
-	Stored            map[quorum.Group]quorum.Stored
+	Stored            map[multiraft.Group]multiraft.PersistedGroup
 	Overrides         OverrideSet // as last known here
 
 	// UsesRelays is set in a fleet with relays. The relays are BootstrapReplicas and, at a relay, Peers;
@@ -91,7 +91,7 @@
 
 // Output is what a Node wants done, in this order.
 type Output struct {
-	Write          *quorum.Batch
+	Write          *multiraft.Batch
 	ClusterID      uint64 // to be stored on the disk; 0: nothing
 	Frames         []Frame
 	Outcomes       []Outcome
@@ -177,7 +177,7 @@
 	n.now = now
 	switch kind {
 	case KindRaft:
-		return DecodeRaftFrame(body, func(g quorum.Group, m *raftpb.Message) { n.replica.receive(from, g, m) })
+		return DecodeRaftFrame(body, func(g multiraft.Group, m *raftpb.Message) { n.replica.receive(from, g, m) })
 	case KindMessage:
 		m, err := DecodeMessage(body)
 		if err != nil {
@@ -273,7 +273,7 @@
 	for n.processRaft() {
 	}
 	if n.replica.raft.Halted() != nil && n.leader != nil {
-		n.leaderChanged(quorum.Turn{Group: CoordinationGroup})
+		n.leaderChanged(multiraft.LeaderChange{Group: CoordinationGroup})
 	}
 	n.replica.flushFrames()
 	n.view.dropExpired()
@@ -287,21 +287,21 @@
 
 // processRaft takes what the Raft groups have to say, and reports whether there may be more.
 func (n *Node) processRaft() (more bool) {
-	o := n.replica.raft.Drain()
-	more = len(o.Results)+len(o.Reads)+len(o.Turns)+len(o.Send) > 0 || o.Write != nil
+	o := n.replica.raft.TakeOutput()
+	more = len(o.Results)+len(o.ReadIndexes)+len(o.LeaderChanges)+len(o.Messages) > 0 || o.Write != nil
 	if o.Write != nil {
 		n.out.Write = o.Write
 	}
-	for _, t := range o.Turns {
+	for _, t := range o.LeaderChanges {
 		n.leaderChanged(t)
 	}
-	for i := range o.Send {
-		n.replica.queueMessage(&o.Send[i])
+	for i := range o.Messages {
+		n.replica.queueMessage(&o.Messages[i])
 	}
 	for i := range o.Results {
 		n.commandApplied(&o.Results[i])
 	}
-	for _, r := range o.Reads {
+	for _, r := range o.ReadIndexes {
 		if n.leader != nil {
 			n.leader.readIndexConfirmed(r)
 		}
@@ -344,7 +344,7 @@
 // Persisted reports that a batch is durable.
 func (n *Node) Persisted(now time.Duration, batch uint64) {
 	n.now = now
-	n.replica.raft.Written(batch)
+	n.replica.raft.Persisted(batch)
 }
 
 // Unreachable reports that frames can't be sent to a gateway.
@@ -357,8 +357,8 @@
 func (n *Node) SnapshotSent(now time.Duration, replica uint64, ok bool) {
 	n.now = now
 	if ok {
-		n.replica.raft.Delivered(replica)
+		n.replica.raft.SnapshotSent(replica)
 	} else {
-		n.replica.raft.Lost(replica, true)
+		n.replica.raft.Unreachable(replica, true)
 	}
 }
--- a/internal/cluster/node/replica.go
+++ b/internal/cluster/node/replica.go
@@ -12,7 +12,7 @@
 	"dunemoor/internal/cluster/disk"
 	"dunemoor/internal/cluster/failpoint"
 	"dunemoor/internal/cluster/lease"
-	"dunemoor/internal/cluster/quorum"
+	"dunemoor/internal/cluster/multiraft"
 )
 
 // helloInterval lies between two hellos of a replica that waits to be cleared.
@@ -23,7 +23,7 @@
 // older copy must not take part, and is recognized by what the others have seen of it.
 type replica struct {
 	node      *Node
-	raft      *quorum.Node
+	raft      *multiraft.Node
 	state     *lease.State
 	clusterID uint64
 	hello     Hello  // without what changes, see Node.Hello
@@ -51,7 +51,7 @@
 func newReplica(n *Node) *replica {
 	identity := n.cfg.Disk
 	return &replica{
-		node: n, raft: quorum.New(identity.Replica, n.cfg.Seed), state: lease.NewState(0), clusterID: identity.Birth,
+		node: n, raft: multiraft.New(identity.Replica, n.cfg.Seed), state: lease.NewState(0), clusterID: identity.Birth,
 		hello: Hello{
 			Fleet: n.cfg.Fleet, Format: FormatVersion, Name: n.cfg.Name, ReplicaID: identity.Replica, Boots: identity.Boots,
 			Address: n.cfg.Address,
@@ -70,7 +70,7 @@
 }
 
 // status returns the status of the coordination group.
-func (r *replica) status() quorum.Status {
+func (r *replica) status() multiraft.Status {
 	s, _ := r.raft.Status(CoordinationGroup)
 	return s
 }
@@ -93,7 +93,7 @@
 }
 
 // Changed implements quorum.Machine.
-func (m *stateMachine) Changed(index uint64, context []byte, conf *raftpb.ConfState) {
+func (m *stateMachine) MembersChanged(index uint64, context []byte, conf *raftpb.ConfState) {
 	var names replicaNames
 	if len(context) > 0 {
 		json.Unmarshal(context, &names) // names are for display: without them they are empty
@@ -120,7 +120,7 @@
 	h := n.replica.hello
 	h.ClusterID = n.replica.clusterID
 	s := n.replica.status()
-	h.Term, h.LastIndex = s.Kept, s.Last
+	h.Term, h.LastIndex = s.PersistedTerm, s.LastIndex
 	return h
 }
 
@@ -317,13 +317,13 @@
 	r.clusterID = r.node.rng.Uint64() | 1
 	state := lease.NewState(r.clusterID, replicas...).Encode()
 	// A new Raft node, as the present one was started without the group's members.
-	raft := quorum.New(cfg.Disk.Replica, cfg.Seed)
-	if err := raft.Add(CoordinationGroup, quorum.Founding(voters, state), (*stateMachine)(r)); err != nil {
+	raft := multiraft.New(cfg.Disk.Replica, cfg.Seed)
+	if err := raft.Add(CoordinationGroup, multiraft.BootstrapState(voters, state), (*stateMachine)(r)); err != nil {
 		r.halt(err)
 		return
 	}
 	r.raft = raft
-	r.raft.Found(CoordinationGroup)
+	r.raft.Bootstrap(CoordinationGroup)
 	r.cleared = true
 	r.node.out.ClusterID = r.clusterID
 	r.node.logInfo("fleet formed", "fleet", cfg.Fleet, "keepers", cfg.BootstrapReplicas)
@@ -349,7 +349,7 @@
 	}
 	r.raft.Halt(err)
 	r.node.logWarn("this gateway's replica of the record has stopped, requests are served on", "why", err.Error())
-	r.node.leaderChanged(quorum.Turn{Group: CoordinationGroup})
+	r.node.leaderChanged(multiraft.LeaderChange{Group: CoordinationGroup})
 }
 
 // tick advances the time of the Raft groups.
@@ -360,7 +360,7 @@
 }
 
 // receive takes a Raft message of another replica.
-func (r *replica) receive(from string, g quorum.Group, m *raftpb.Message) {
+func (r *replica) receive(from string, g multiraft.Group, m *raftpb.Message) {
 	if r.names[m.GetFrom()] != from || !r.cleared {
 		return // from a former disk of that gateway, or this replica may not take part
 	}
@@ -409,12 +409,12 @@
 }
 
 // queueMessage adds a Raft message to the frame for its gateway. A snapshot is a frame of its own.
-func (r *replica) queueMessage(e *quorum.Envelope) {
+func (r *replica) queueMessage(e *multiraft.Envelope) {
 	to, known := r.names[e.To]
 	isSnapshot := e.Message.GetType() == raftpb.MsgSnap
 	if h := r.hellos[to]; !known || h.ReplicaID != e.To {
 		if isSnapshot {
-			r.raft.Lost(e.To, true)
+			r.raft.Unreachable(e.To, true)
 		}
 		return // its gateway has another disk now, or has not connected yet
 	}
@@ -436,7 +436,7 @@
 // unreachable reports to Raft that messages to a gateway are lost.
 func (r *replica) unreachable(name string) {
 	if h, ok := r.hellos[name]; ok {
-		r.raft.Lost(h.ReplicaID, false)
+		r.raft.Unreachable(h.ReplicaID, false)
 	}
 }
 
--- a/internal/cluster/sim/world.go
+++ b/internal/cluster/sim/world.go
@@ -14,8 +14,8 @@
 	"dunemoor/internal/cluster/disk"
 	"dunemoor/internal/cluster/failpoint"
 	"dunemoor/internal/cluster/lease"
+	"dunemoor/internal/cluster/multiraft"
 	"dunemoor/internal/cluster/node"
-	"dunemoor/internal/cluster/quorum"
 	"dunemoor/internal/cluster/relay"
 )
 
@@ -109,7 +109,7 @@
 	up       bool
 	paused   bool
 	held     []func() // what has come while it was paused
-	writing  *quorum.Batch
+	writing  *multiraft.Batch
 	slow     time.Duration
 	fence    map[string]uint64 // of news taken
 	works    map[string]uint64 // duty: token of the work that runs
@@ -437,7 +437,7 @@
 		n.fs.full, n.fs.broken, n.slow, n.stopActing = false, nil, 0, 0
 		n.mute, n.slowStreams = false, 0
 		n.Resume()
-		if n.up && n.m.Halted() != nil && !errors.Is(n.m.Halted(), quorum.ErrContradicts) {
+		if n.up && n.m.Halted() != nil && !errors.Is(n.m.Halted(), multiraft.ErrLogContradiction) {
 			n.Kill() // an operator starts it again; one with an older disk has to find out itself
 		}
 		if !n.up {
@@ -528,7 +528,7 @@
 	}
 }
 
-func (n *Node) write(b *quorum.Batch, life int) {
+func (n *Node) write(b *multiraft.Batch, life int) {
 	n.writing = b
 	d := n.w.between(fsyncLeast, fsyncMost) + n.slow
 	done := func() {
