--- a/internal/cluster/disk/compare/compare_test.go
+++ b/internal/cluster/disk/compare/compare_test.go
@@ -16,7 +16,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 
 	"dunemoor/internal/cluster/disk"
-	"dunemoor/internal/cluster/quorum"
+	"dunemoor/internal/cluster/multiraft"
 )
 
 // store takes a commit: entries of a replicated log behind one another, and its hard state, so
@@ -47,13 +47,13 @@
 }
 
 func (s *segments) commit(index uint64, entries [][]byte) error {
-	r := quorum.Record{Group: quorum.Group(1), Hard: &pb.HardState{Term: new(uint64(1)), Vote: new(uint64(1)), Commit: new(index)}}
+	r := multiraft.LogRecord{Group: multiraft.Group(1), HardState: &pb.HardState{Term: new(uint64(1)), Vote: new(uint64(1)), Commit: new(index)}}
 	for i, data := range entries {
 		r.Entries = append(r.Entries, &pb.Entry{Term: new(uint64(1)), Index: new(index + uint64(i)), Data: data})
 	}
-	b := &quorum.Batch{ID: index, Records: []quorum.Record{r}}
+	b := &multiraft.Batch{ID: index, Records: []multiraft.LogRecord{r}}
 	if index%keepEntries < uint64(len(entries)) {
-		b.Records = append(b.Records, quorum.Record{Group: 1, Ours: true, Snapshot: &pb.Snapshot{Metadata: &pb.SnapshotMetadata{Index: new(index), Term: new(uint64(1)), ConfState: &pb.ConfState{}}}})
+		b.Records = append(b.Records, multiraft.LogRecord{Group: 1, LocalSnapshot: true, Snapshot: &pb.Snapshot{Metadata: &pb.SnapshotMetadata{Index: new(index), Term: new(uint64(1)), ConfState: &pb.ConfState{}}}})
 	}
 	return s.d.Write(b)
 }
--- a/internal/cluster/disk/compat_test.go
+++ b/internal/cluster/disk/compat_test.go
@@ -114,7 +114,7 @@
 		t.Fatal(err)
 	}
 	for i, records := range [][]multiraft.LogRecord{
-		{{Group: 0, Snapshot: snapshot(1, `{"index":1}`), Local: true, HardState: hard(1, 0, 1)}},
+		{{Group: 0, Snapshot: snapshot(1, `{"index":1}`), LocalSnapshot: true, HardState: hard(1, 0, 1)}},
 		{{Group: 0, Entries: []*pb.Entry{entry(1, 2, "two"), entry(1, 3, "three")}}, {Group: 4, Entries: []*pb.Entry{entry(1, 1, "one")}, HardState: hard(1, 11, 0)}},
 		{{Group: 0, Entries: []*pb.Entry{entry(2, 3, "three again"), entry(2, 4, "four")}, HardState: hard(2, 12, 3)}},
 		{{Group: 4, Snapshot: snapshot(9, `{"index":9}`), HardState: hard(3, 12, 9)}},
--- a/internal/cluster/disk/disk.go
+++ b/internal/cluster/disk/disk.go
@@ -341,7 +341,7 @@
 		r.HardState = &pb.HardState{}
 		err = proto.Unmarshal(b, r.HardState)
 	case kindSnapshot, kindOurs:
-		r.Snapshot, r.Local = &pb.Snapshot{}, kind == kindOurs
+		r.Snapshot, r.LocalSnapshot = &pb.Snapshot{}, kind == kindOurs
 		err = proto.Unmarshal(b, r.Snapshot)
 	default:
 		err = fmt.Errorf("a record of kind %d", kind)
@@ -360,7 +360,7 @@
 	if r.Snapshot != nil {
 		at := r.Snapshot.GetMetadata().GetIndex()
 		s.Snapshot = r.Snapshot
-		if !r.Local {
+		if !r.LocalSnapshot {
 			s.Entries = nil
 		}
 		i := 0
@@ -425,7 +425,7 @@
 		s = &multiraft.PersistedGroup{}
 		d.live[r.Group] = s
 	}
-	d.put(r.Group, &multiraft.PersistedGroup{Snapshot: r.Snapshot, Entries: r.Entries, HardState: r.HardState}, r.Local)
+	d.put(r.Group, &multiraft.PersistedGroup{Snapshot: r.Snapshot, Entries: r.Entries, HardState: r.HardState}, r.LocalSnapshot)
 	return keep(s, r)
 }
 
--- a/internal/cluster/disk/disk_test.go
+++ b/internal/cluster/disk/disk_test.go
@@ -163,7 +163,7 @@
 		b := batch(i+1, 0, i+1, 1)
 		b.Records[0].Entries[0].Data = data
 		if i%8 == 7 {
-			b.Records = append(b.Records, multiraft.LogRecord{Group: 0, Local: true, Snapshot: &pb.Snapshot{Data: []byte("all"), Metadata: &pb.SnapshotMetadata{
+			b.Records = append(b.Records, multiraft.LogRecord{Group: 0, LocalSnapshot: true, Snapshot: &pb.Snapshot{Data: []byte("all"), Metadata: &pb.SnapshotMetadata{
 				Index: new(i - 1), Term: new(uint64(1)), ConfState: &pb.ConfState{}}}})
 		}
 		if err := d.Write(b); err != nil {
@@ -221,7 +221,7 @@
 				}
 				next += uint64(n)
 				if next%4096 < uint64(n) {
-					x.Records = append(x.Records, multiraft.LogRecord{Local: true, Snapshot: &pb.Snapshot{Metadata: &pb.SnapshotMetadata{Index: new(next - 1), Term: new(uint64(1)), ConfState: &pb.ConfState{}}}})
+					x.Records = append(x.Records, multiraft.LogRecord{LocalSnapshot: true, Snapshot: &pb.Snapshot{Metadata: &pb.SnapshotMetadata{Index: new(next - 1), Term: new(uint64(1)), ConfState: &pb.ConfState{}}}})
 				}
 				if err := d.Write(x); err != nil {
 					b.Fatal(err)
--- a/internal/cluster/node/node.go
+++ b/internal/cluster/node/node.go
@@ -356,9 +356,5 @@
 // SnapshotSent reports the outcome of sending a snapshot to a replica.
 func (n *Node) SnapshotSent(now time.Duration, replica uint64, ok bool) {
 	n.now = now
-	if ok {
-		n.replica.raft.SnapshotSent(replica)
-	} else {
-		n.replica.raft.Unreachable(replica, true)
-	}
+	n.replica.raft.SnapshotSent(replica, ok)
 }
--- a/internal/cluster/node/replica.go
+++ b/internal/cluster/node/replica.go
@@ -78,7 +78,7 @@
 // stateMachine is the replica as the state machine of its Raft group.
 type stateMachine replica
 
-// Apply implements quorum.Machine.
+// Apply implements multiraft.StateMachine.
 func (m *stateMachine) Apply(index uint64, command []byte) any {
 	var c lease.Command
 	if err := json.Unmarshal(command, &c); err != nil {
@@ -92,7 +92,7 @@
 	Names map[uint64]string `json:"names"`
 }
 
-// Changed implements quorum.Machine.
+// MembersChanged implements multiraft.StateMachine.
 func (m *stateMachine) MembersChanged(index uint64, context []byte, conf *raftpb.ConfState) {
 	var names replicaNames
 	if len(context) > 0 {
@@ -107,10 +107,10 @@
 	m.state.SetReplicas(index, names.Names, voters, append(slices.Clone(conf.GetLearners()), conf.GetLearnersNext()...))
 }
 
-// Snapshot implements quorum.Machine.
+// Snapshot implements multiraft.StateMachine.
 func (m *stateMachine) Snapshot() []byte { return m.state.Encode() }
 
-// Restore implements quorum.Machine.
+// Restore implements multiraft.StateMachine.
 func (m *stateMachine) Restore(b []byte) error { return m.state.Decode(b) }
 
 // Hello returns the first message to another gateway, as of now. It is to be sent before anything
@@ -414,7 +414,7 @@
 	isSnapshot := e.Message.GetType() == raftpb.MsgSnap
 	if h := r.hellos[to]; !known || h.ReplicaID != e.To {
 		if isSnapshot {
-			r.raft.Unreachable(e.To, true)
+			r.raft.SnapshotSent(e.To, false)
 		}
 		return // its gateway has another disk now, or has not connected yet
 	}
@@ -436,7 +436,7 @@
 // unreachable reports to Raft that messages to a gateway are lost.
 func (r *replica) unreachable(name string) {
 	if h, ok := r.hellos[name]; ok {
-		r.raft.Unreachable(h.ReplicaID, false)
+		r.raft.Unreachable(h.ReplicaID)
 	}
 }
 
