--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -19,7 +19,6 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"dunemoor/internal/cluster/disk"
 	"dunemoor/internal/cluster/failpoint"
 	"dunemoor/internal/cluster/lease"
 	"dunemoor/internal/cluster/leaseholder"
@@ -27,6 +26,7 @@
 	"dunemoor/internal/cluster/node"
 	"dunemoor/internal/cluster/peer"
 	"dunemoor/internal/cluster/relay"
+	"dunemoor/internal/cluster/wal"
 )
 
 // Config is a gateway's part in a fleet, as its file says.
@@ -66,8 +66,8 @@
 type Fleet struct {
 	cfg     Config
 	member  *node.Node
-	dir     *disk.Dir
-	disk    *disk.Disk
+	dir     *wal.Dir
+	disk    *wal.Log
 	carrier *peer.Carrier
 	duties  *leaseholder.Runner
 	ln      net.Listener
@@ -121,7 +121,7 @@
 		f.post(func() { f.member.ReleaseStopped(leaseholder.Now(), name, token) })
 	})
 	var err error
-	if f.dir, err = disk.OpenDir(cfg.DataDir); err != nil {
+	if f.dir, err = wal.OpenDir(cfg.DataDir); err != nil {
 		return nil, fmt.Errorf("fleet.data_dir: %w", err)
 	}
 	if len(cfg.Relays) == 0 || f.isRelay(cfg.Name) {
@@ -203,13 +203,13 @@
 // open opens the disk. One that can't be trusted is set aside, and an empty one made: this
 // gateway is another replica from then on.
 func (f *Fleet) open() (map[multiraft.Group]multiraft.PersistedGroup, error) {
-	d, stored, err := disk.Open(f.dir, f.cfg.ID, f.cfg.Name, f.draw)
-	if errors.Is(err, disk.ErrCopy) || errors.Is(err, disk.ErrDamaged) {
+	d, stored, err := wal.Open(f.dir, f.cfg.ID, f.cfg.Name, f.draw)
+	if errors.Is(err, wal.ErrCopied) || errors.Is(err, wal.ErrCorrupt) {
 		slog.Warn("the disk is set aside, this gateway joins as a new replica", "dir", f.cfg.DataDir, "why", err.Error())
 		if err := f.setAside(); err != nil {
 			return nil, fmt.Errorf("fleet.data_dir: %w", err)
 		}
-		d, stored, err = disk.Open(f.dir, f.cfg.ID, f.cfg.Name, f.draw)
+		d, stored, err = wal.Open(f.dir, f.cfg.ID, f.cfg.Name, f.draw)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("fleet.data_dir: %s: %w", f.cfg.DataDir, err)
@@ -341,7 +341,7 @@
 func (f *Fleet) carryOut() {
 	o := f.member.TakeOutput()
 	if o.ClusterID != 0 {
-		if err := f.disk.SetBirth(o.ClusterID); err != nil {
+		if err := f.disk.SetClusterID(o.ClusterID); err != nil {
 			f.member.WriteFailed(leaseholder.Now(), err)
 		}
 	}
@@ -433,7 +433,7 @@
 	if f.halted == 0 {
 		f.halted = now
 	}
-	copied := errors.Is(err, disk.ErrCopy)
+	copied := errors.Is(err, wal.ErrCopied)
 	if f.writing || !copied && (!full(err) || now < f.halted+reviveEvery) {
 		return
 	}
@@ -472,8 +472,8 @@
 			began := time.Now()
 			err := f.disk.Write(b)
 			f.syncs.Observe(time.Since(began).Seconds())
-			f.counts.written.Store(f.disk.Written)
-			f.counts.synced.Store(f.disk.Synced)
+			f.counts.written.Store(f.disk.BytesWritten)
+			f.counts.synced.Store(f.disk.Syncs)
 			f.post(func() {
 				f.writing = false
 				if err != nil {
--- a/internal/cluster/node/leader.go
+++ b/internal/cluster/node/leader.go
@@ -187,7 +187,7 @@
 	if !ok {
 		return
 	}
-	if slices.Contains(c.Remove, n.cfg.Disk.Replica) {
+	if slices.Contains(c.Remove, n.cfg.Disk.ReplicaID) {
 		l.yieldLeadership(s)
 		return
 	}
@@ -223,7 +223,7 @@
 func (l *leader) yieldLeadership(s multiraft.Status) {
 	r := l.node.replica
 	for id, match := range s.Match {
-		if id != l.node.cfg.Disk.Replica && match >= s.Commit && !r.state.Replicas[id].Learner {
+		if id != l.node.cfg.Disk.ReplicaID && match >= s.Commit && !r.state.Replicas[id].Learner {
 			r.raft.TransferLeadership(CoordinationGroup, id)
 			return
 		}
@@ -240,7 +240,7 @@
 	}
 	var target uint64
 	for _, id := range s.Conf.GetVoters() {
-		if id != n.cfg.Disk.Replica && (target == 0 || s.Match[id] > s.Match[target]) {
+		if id != n.cfg.Disk.ReplicaID && (target == 0 || s.Match[id] > s.Match[target]) {
 			target = id
 		}
 	}
--- a/internal/cluster/node/node.go
+++ b/internal/cluster/node/node.go
@@ -16,9 +16,9 @@
 
 	"go.etcd.io/raft/v3/raftpb"
 
-	"dunemoor/internal/cluster/disk"
 	"dunemoor/internal/cluster/lease"
 	"dunemoor/internal/cluster/multiraft"
+	"dunemoor/internal/cluster/wal"
 )
 
 // CoordinationGroup is the Raft group that replicates the coordination state.
@@ -47,7 +47,7 @@
 	Peers             []string // the other gateways
 	CandidateLeases   []string // leases that it can hold
 	Seed              uint64
-	Disk              disk.Identity
+	Disk              wal.Identity
 	Stored            map[multiraft.Group]multiraft.PersistedGroup
 	Overrides         OverrideSet // as last known here
 
@@ -142,7 +142,7 @@
 
 // New returns the node of a gateway as its disk has it at now.
 func New(now time.Duration, cfg Config) (*Node, error) {
-	n := &Node{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Disk.Replica)), now: now, tickedAt: now}
+	n := &Node{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Disk.ReplicaID)), now: now, tickedAt: now}
 	n.replica = newReplica(n)
 	if err := n.replica.load(); err != nil {
 		return nil, err
@@ -332,7 +332,7 @@
 // the replica stops.
 func (n *Node) DiskOutdated(now time.Duration, reason string) {
 	n.now = now
-	n.replica.markOutdated(fmt.Errorf("%w: %s", disk.ErrCopy, reason))
+	n.replica.markOutdated(fmt.Errorf("%w: %s", wal.ErrCopied, reason))
 }
 
 // WriteFailed reports that a write has failed: the replica stops.
--- a/internal/cluster/node/node_test.go
+++ b/internal/cluster/node/node_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"dunemoor/internal/cluster/disk"
 	"dunemoor/internal/cluster/lease"
+	"dunemoor/internal/cluster/wal"
 )
 
 // start is the time at which nodes are made.
@@ -15,7 +15,7 @@
 
 func newNode(t *testing.T, cfg Config) *Node {
 	t.Helper()
-	cfg.Fleet, cfg.BootstrapReplicas, cfg.Disk = "f", []string{"r1"}, disk.Identity{Replica: 7, Boots: 1}
+	cfg.Fleet, cfg.BootstrapReplicas, cfg.Disk = "f", []string{"r1"}, wal.Identity{ReplicaID: 7, Boots: 1}
 	n, err := New(start, cfg)
 	if err != nil {
 		t.Fatal(err)
@@ -141,7 +141,7 @@
 func TestDiskOutdated(t *testing.T) {
 	n := newNode(t, Config{Name: "g1", UsesRelays: true})
 	n.DiskOutdated(start, "a relay knows a later stream")
-	if err := n.Halted(); !errors.Is(err, disk.ErrCopy) {
+	if err := n.Halted(); !errors.Is(err, wal.ErrCopied) {
 		t.Error(err)
 	}
 }
--- a/internal/cluster/node/proposals.go
+++ b/internal/cluster/node/proposals.go
@@ -33,7 +33,7 @@
 	// A reply to a proposal of the previous process may still arrive: it must not be taken for a reply
 	// to one of this process.
 	disk := n.cfg.Disk
-	return &proposals{node: n, lastID: uint64(uint16(disk.Replica))<<48 | disk.Boots<<32}
+	return &proposals{node: n, lastID: uint64(uint16(disk.ReplicaID))<<48 | disk.Boots<<32}
 }
 
 // Propose has a command carried out. Its Outcome has the ID that is returned, which is 0 where too
--- a/internal/cluster/node/replica.go
+++ b/internal/cluster/node/replica.go
@@ -9,10 +9,10 @@
 
 	"go.etcd.io/raft/v3/raftpb"
 
-	"dunemoor/internal/cluster/disk"
 	"dunemoor/internal/cluster/failpoint"
 	"dunemoor/internal/cluster/lease"
 	"dunemoor/internal/cluster/multiraft"
+	"dunemoor/internal/cluster/wal"
 )
 
 // helloInterval lies between two hellos of a replica that waits to be cleared.
@@ -51,15 +51,15 @@
 func newReplica(n *Node) *replica {
 	identity := n.cfg.Disk
 	return &replica{
-		node: n, raft: multiraft.New(identity.Replica, n.cfg.Seed), state: lease.NewState(0), clusterID: identity.Birth,
+		node: n, raft: multiraft.New(identity.ReplicaID, n.cfg.Seed), state: lease.NewState(0), clusterID: identity.ClusterID,
 		hello: Hello{
-			Fleet: n.cfg.Fleet, Format: FormatVersion, Name: n.cfg.Name, ReplicaID: identity.Replica, Boots: identity.Boots,
+			Fleet: n.cfg.Fleet, Format: FormatVersion, Name: n.cfg.Name, ReplicaID: identity.ReplicaID, Boots: identity.Boots,
 			Address: n.cfg.Address,
 		},
 		// A proposal of the previous process may still be committed: it must not be taken for one of
 		// this process.
 		proposalNumber: identity.Boots << 32,
-		frames:         map[string][]byte{}, hellos: map[string]Hello{}, names: map[uint64]string{identity.Replica: n.cfg.Name},
+		frames:         map[string][]byte{}, hellos: map[string]Hello{}, names: map[uint64]string{identity.ReplicaID: n.cfg.Name},
 		seen: map[uint64]*diskState{}, replies: map[string]*HelloReply{}, vouched: map[uint64]bool{},
 	}
 }
@@ -187,7 +187,7 @@
 
 func (r *replica) receiveHello(h Hello) {
 	r.hellos[h.Name] = h
-	if own := r.node.cfg.Disk.Replica; h.ReplicaID == own && own != 0 {
+	if own := r.node.cfg.Disk.ReplicaID; h.ReplicaID == own && own != 0 {
 		r.halt(fmt.Errorf("%s has a disk with the identity of this one: one of the two is a copy", h.Name))
 		return
 	}
@@ -232,7 +232,7 @@
 
 // receiveHelloReply takes what another gateway says of this disk.
 func (r *replica) receiveHelloReply(from string, reply *HelloReply) {
-	if reply.ReplicaID != r.node.cfg.Disk.Replica {
+	if reply.ReplicaID != r.node.cfg.Disk.ReplicaID {
 		return
 	}
 	if reply.Objection == "" {
@@ -242,7 +242,7 @@
 	}
 	// This counts also where the log was found to contradict itself just before: a leader's messages
 	// may arrive before its objection, and only the objection says what to do.
-	outdated := fmt.Errorf("%w: %s reports that %s", disk.ErrCopy, from, reply.Objection)
+	outdated := fmt.Errorf("%w: %s reports that %s", wal.ErrCopied, from, reply.Objection)
 	if failpoint.Enabled(failpoint.IgnoreLateObjection) {
 		r.halt(outdated)
 		return
@@ -284,7 +284,7 @@
 		return
 	}
 	voters := r.status().Conf.GetVoters()
-	if !slices.Contains(voters, r.node.cfg.Disk.Replica) {
+	if !slices.Contains(voters, r.node.cfg.Disk.ReplicaID) {
 		r.cleared = true // it has never voted
 		return
 	}
@@ -304,8 +304,8 @@
 	if r.clusterID != 0 || cfg.BootstrapReplicas[0] != cfg.Name || len(r.status().Conf.GetVoters()) > 0 || r.raft.Halted() != nil {
 		return
 	}
-	replicas := []lease.Replica{{ID: cfg.Disk.Replica, Name: cfg.Name}}
-	voters := []uint64{cfg.Disk.Replica}
+	replicas := []lease.Replica{{ID: cfg.Disk.ReplicaID, Name: cfg.Name}}
+	voters := []uint64{cfg.Disk.ReplicaID}
 	for _, name := range cfg.BootstrapReplicas[1:] {
 		h, ok := r.hellos[name]
 		if !ok || h.ClusterID != 0 {
@@ -317,7 +317,7 @@
 	r.clusterID = r.node.rng.Uint64() | 1
 	state := lease.NewState(r.clusterID, replicas...).Encode()
 	// A new Raft node, as the present one was started without the group's members.
-	raft := multiraft.New(cfg.Disk.Replica, cfg.Seed)
+	raft := multiraft.New(cfg.Disk.ReplicaID, cfg.Seed)
 	if err := raft.Add(CoordinationGroup, multiraft.BootstrapState(voters, state), (*stateMachine)(r)); err != nil {
 		r.halt(err)
 		return
@@ -442,7 +442,7 @@
 
 // leaderName returns the name of the leader as this replica knows it; "" where it does not.
 func (r *replica) leaderName() string {
-	if _, member := r.state.Replicas[r.node.cfg.Disk.Replica]; r.raft.Halted() != nil || r.leaderID == 0 || !member {
+	if _, member := r.state.Replicas[r.node.cfg.Disk.ReplicaID]; r.raft.Halted() != nil || r.leaderID == 0 || !member {
 		return "" // a replica that was removed is not told of leaders any more
 	}
 	return r.names[r.leaderID]
--- a/internal/cluster/node/session.go
+++ b/internal/cluster/node/session.go
@@ -49,7 +49,7 @@
 	s.opens++
 	cfg := &s.node.cfg
 	return lease.Command{Op: lease.OpOpenSession, Open: &lease.OpenRequest{
-		Name: cfg.Name, DiskID: cfg.Disk.Replica, OpenSequence: cfg.Disk.Boots<<32 | s.opens, Zone: cfg.Zone, Machine: cfg.Machine,
+		Name: cfg.Name, DiskID: cfg.Disk.ReplicaID, OpenSequence: cfg.Disk.Boots<<32 | s.opens, Zone: cfg.Zone, Machine: cfg.Machine,
 		Address: cfg.Address, CandidateLeases: cfg.CandidateLeases, Role: s.node.role(),
 	}}
 }
--- a/internal/cluster/node/status.go
+++ b/internal/cluster/node/status.go
@@ -77,7 +77,7 @@
 func (n *Node) Status(now time.Duration) *Status {
 	raft := n.replica.status()
 	s := &Status{
-		Fleet: n.cfg.Fleet, Name: n.cfg.Name, ReplicaID: n.cfg.Disk.Replica, Role: statusMember, Leader: n.replica.leaderName(),
+		Fleet: n.cfg.Fleet, Name: n.cfg.Name, ReplicaID: n.cfg.Disk.ReplicaID, Role: statusMember, Leader: n.replica.leaderName(),
 		Term: raft.Term, Commit: raft.Commit, Applied: raft.Applied, ClusterID: n.replica.clusterID, Session: n.session.id, FreshMS: -1,
 		Members: []MemberStatus{}, Leases: []LeaseStatus{}, Replicas: []lease.Replica{}, Overrides: []OverrideStatus{},
 	}
@@ -104,7 +104,7 @@
 
 // setRole sets the role, and reports whether this gateway has a replica that takes part.
 func (n *Node) setRole(s *Status) (isReplica bool) {
-	id := n.cfg.Disk.Replica
+	id := n.cfg.Disk.ReplicaID
 	own, isReplica := n.replica.state.Replicas[id]
 	if n.view.revision >= n.replica.state.Revision && len(n.view.replicas) > 0 &&
 		!slices.ContainsFunc(n.view.replicas, func(r lease.Replica) bool { return r.ID == id }) {
--- a/internal/cluster/sim/calm.go
+++ b/internal/cluster/sim/calm.go
@@ -137,7 +137,7 @@
 		if err := w.Run(w.between(time.Second, 3*time.Second)); err != nil {
 			return err
 		}
-		was := n.d.Identity().Replica
+		was := n.d.Identity().ReplicaID
 		n.Crash()
 		n.Restore(true)
 		if err := w.Run(w.between(0, time.Second)); err != nil {
@@ -147,7 +147,7 @@
 		if !w.Until(Bound, w.Whole) {
 			return w.failed("not whole after a disk was put back")
 		}
-		if n.d.Identity().Replica == was {
+		if n.d.Identity().ReplicaID == was {
 			return w.failed("a disk that was put back is taken for what it was")
 		}
 	}
--- a/internal/cluster/sim/fs.go
+++ b/internal/cluster/sim/fs.go
@@ -8,7 +8,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"dunemoor/internal/cluster/disk"
+	"dunemoor/internal/cluster/wal"
 )
 
 // memFS is a file system in memory that forgets what was not synced when its machine stops.
@@ -58,7 +58,7 @@
 
 func (h *handle) Close() error { return nil }
 
-func (m *memFS) Create(name string) (disk.File, error) {
+func (m *memFS) Create(name string) (wal.File, error) {
 	if m.files[name] != nil {
 		return nil, fs.ErrExist
 	}
@@ -68,16 +68,6 @@
 	return &handle{m, f}, nil
 }
 
-func (m *memFS) Append(name string, length int64) (disk.File, error) {
-	f := m.files[name]
-	if f == nil {
-		return nil, fs.ErrNotExist
-	}
-	f.data = f.data[:length]
-	f.synced = min(f.synced, len(f.data))
-	return &handle{m, f}, nil
-}
-
 func (m *memFS) Read(name string) ([]byte, error) {
 	f := m.files[name]
 	if f == nil {
--- a/internal/cluster/sim/nemesis.go
+++ b/internal/cluster/sim/nemesis.go
@@ -155,7 +155,7 @@
 	for _, k := range lead.m.Status(lead.clock()).Replicas {
 		found := false
 		for _, n := range w.Nodes {
-			if n.up && n.m.Halted() == nil && n.d.Identity().Replica == k.ID && n.doubt != k.ID {
+			if n.up && n.m.Halted() == nil && n.d.Identity().ReplicaID == k.ID && n.doubt != k.ID {
 				found = true
 			}
 		}
--- a/internal/cluster/sim/relays.go
+++ b/internal/cluster/sim/relays.go
@@ -146,7 +146,7 @@
 func (n *Node) begin(life int) {
 	w := n.w
 	id := n.d.Identity()
-	cfg := relay.Config{Name: n.name, Zone: w.zone(n.i), Region: "r", Replica: id.Replica, Boots: id.Boots, Seed: w.rng.Uint64()}
+	cfg := relay.Config{Name: n.name, Zone: w.zone(n.i), Region: "r", Replica: id.ReplicaID, Boots: id.Boots, Seed: w.rng.Uint64()}
 	n.relayed = relayed{streams: map[string]*stream{}, news: map[string]told{}, heardNews: map[string]int{}, marks: map[string]*got{}}
 	if w.relayNode(n) {
 		n.router = relay.NewRouter(n.clock(), cfg, w.relayList())
--- a/internal/cluster/sim/world.go
+++ b/internal/cluster/sim/world.go
@@ -11,12 +11,12 @@
 	"math/rand/v2"
 	"time"
 
-	"dunemoor/internal/cluster/disk"
 	"dunemoor/internal/cluster/failpoint"
 	"dunemoor/internal/cluster/lease"
 	"dunemoor/internal/cluster/multiraft"
 	"dunemoor/internal/cluster/node"
 	"dunemoor/internal/cluster/relay"
+	"dunemoor/internal/cluster/wal"
 )
 
 // Options are what a world is made of.
@@ -101,7 +101,7 @@
 	i        int
 	name     string
 	fs       *memFS
-	d        *disk.Disk
+	d        *wal.Log
 	m        *node.Node
 	rate     int64 // of its clock, in 10,000
 	offset   time.Duration
@@ -236,14 +236,14 @@
 	if failpoint.Enabled(failpoint.ReuseDiskIdentity) {
 		draw = func() uint64 { return uint64(n.i+1) << 8 }
 	}
-	d, stored, err := disk.Open(n.fs, "f", n.name, draw)
-	if errors.Is(err, disk.ErrCopy) || errors.Is(err, disk.ErrDamaged) {
+	d, stored, err := wal.Open(n.fs, "f", n.name, draw)
+	if errors.Is(err, wal.ErrCopied) || errors.Is(err, wal.ErrCorrupt) {
 		// The program sets such a disk aside and begins with an empty one.
 		if w.trace {
 			fmt.Println(w.Now, n.name, "sets its disk aside:", err)
 		}
 		n.fs = newFS(w.rng, &w.stamps)
-		d, stored, err = disk.Open(n.fs, "f", n.name, draw)
+		d, stored, err = wal.Open(n.fs, "f", n.name, draw)
 	}
 	if err != nil {
 		n.ended = err
@@ -394,7 +394,7 @@
 			}
 		}
 	}
-	n.old, n.doubt = nil, n.d.Identity().Replica
+	n.old, n.doubt = nil, n.d.Identity().ReplicaID
 }
 
 // Pause stops a process, Resume has it go on.
@@ -459,7 +459,7 @@
 	o := n.m.TakeOutput()
 	life := n.life
 	if o.ClusterID != 0 {
-		if err := n.d.SetBirth(o.ClusterID); err != nil {
+		if err := n.d.SetClusterID(o.ClusterID); err != nil {
 			n.m.WriteFailed(n.clock(), err)
 		}
 	}
@@ -514,7 +514,7 @@
 		n.work(o.Grants)
 	}
 	w.look(n, o.GrantsChanged)
-	if errors.Is(n.m.Halted(), disk.ErrCopy) && !n.aside {
+	if errors.Is(n.m.Halted(), wal.ErrCopied) && !n.aside {
 		// The program sets such a disk aside and comes back with an empty one.
 		n.aside = true
 		w.after(time.Second, func() {
--- a/internal/cluster/disk/compare/compare_test.go
+++ b/internal/cluster/wal/compare/compare_test.go
@@ -15,7 +15,7 @@
 	"go.etcd.io/bbolt"
 	pb "go.etcd.io/raft/v3/raftpb"
 
-	"dunemoor/internal/cluster/disk"
+	"dunemoor/internal/cluster/wal"
 	"dunemoor/internal/cluster/multiraft"
 )
 
@@ -33,16 +33,16 @@
 func key(index uint64) []byte { return binary.BigEndian.AppendUint64([]byte("e"), index) }
 
 type segments struct {
-	d   *disk.Disk
-	dir *disk.Dir
+	d   *wal.Log
+	dir *wal.Dir
 }
 
 func openSegments(path string) (store, error) {
-	dir, err := disk.OpenDir(path)
+	dir, err := wal.OpenDir(path)
 	if err != nil {
 		return nil, err
 	}
-	d, _, err := disk.Open(dir, "f", "g", func() uint64 { return 7 })
+	d, _, err := wal.Open(dir, "f", "g", func() uint64 { return 7 })
 	return &segments{d, dir}, err
 }
 
--- a/internal/cluster/disk/compat_test.go
+++ b/internal/cluster/wal/compat_test.go
@@ -1,4 +1,4 @@
-package disk
+package wal
 
 import (
 	"errors"
@@ -39,11 +39,6 @@
 	return &memoryFile{m, name}, nil
 }
 
-func (m memory) Append(name string, length int64) (File, error) {
-	m[name] = m[name][:length]
-	return &memoryFile{m, name}, nil
-}
-
 func (m memory) Read(name string) ([]byte, error) {
 	b, ok := m[name]
 	if !ok {
@@ -110,7 +105,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := d.SetBirth(77); err != nil {
+	if err := d.SetClusterID(77); err != nil {
 		t.Fatal(err)
 	}
 	for i, records := range [][]multiraft.LogRecord{
@@ -123,29 +118,29 @@
 			t.Fatal(err)
 		}
 	}
-	compat.Bytes(t, "disk/"+identityName, m[identityName])
+	compat.Bytes(t, "disk/"+identityFile, m[identityFile])
 	torn := appendRecord(slices.Clone(m[segment]), 0, kindEntry, []byte("a batch that did not come to its end"))
 	compat.Bytes(t, "disk/"+segment, torn[:len(torn)-9])
 
-	old := memory{identityName: slices.Clone(compat.Read(t, "disk/"+identityName)), segment: slices.Clone(compat.Read(t, "disk/"+segment))}
+	old := memory{identityFile: slices.Clone(compat.Read(t, "disk/"+identityFile)), segment: slices.Clone(compat.Read(t, "disk/"+segment))}
 	back, stored, err := Open(old, "fleet", "g1", func() uint64 { return 0 })
 	if err != nil {
 		t.Fatal(err)
 	}
-	if id := back.Identity(); id != (Identity{Format: 1, Fleet: "fleet", Name: "g1", Replica: 11, Birth: 77, Boots: 2}) {
+	if id := back.Identity(); id != (Identity{Format: 1, Fleet: "fleet", Name: "g1", ReplicaID: 11, ClusterID: 77, Boots: 2}) {
 		t.Errorf("identity: %+v", id)
 	}
 	compat.Values(t, "stored.txt", describe(t, stored)...)
 	compat.Bytes(t, "disk-opened/log-0000000000000002", old["log-0000000000000002"])
-	compat.Bytes(t, "disk-opened/"+identityName, old[identityName])
+	compat.Bytes(t, "disk-opened/"+identityFile, old[identityFile])
 	if e := stored[0].Entries; len(e) != 3 || string(e[1].GetData()) != "three again" || stored[0].HardState.GetCommit() != 3 {
 		t.Errorf("group 0: %s", prototext.Format(stored[0].HardState))
 	}
-	if _, _, err := Open(old, "fleet", "g2", func() uint64 { return 0 }); !errors.Is(err, ErrOther) {
+	if _, _, err := Open(old, "fleet", "g2", func() uint64 { return 0 }); !errors.Is(err, ErrForeign) {
 		t.Errorf("as another gateway: %v", err)
 	}
-	delete(old, identityName)
-	if _, _, err := Open(old, "fleet", "g1", func() uint64 { return 0 }); !errors.Is(err, ErrDamaged) {
+	delete(old, identityFile)
+	if _, _, err := Open(old, "fleet", "g1", func() uint64 { return 0 }); !errors.Is(err, ErrCorrupt) {
 		t.Errorf("without its identity: %v", err)
 	}
 }
