--- a/cmd/dunemoorctl/fleet.go
+++ b/cmd/dunemoorctl/fleet.go
@@ -236,8 +236,8 @@
 		} else {
 			fmt.Fprintf(w, "at relay %s for %v", r.Name, (time.Duration(r.SinceMS) * time.Millisecond).Round(time.Second))
 		}
-		if r.First != "" && r.First != r.Name {
-			fmt.Fprintf(w, ", would be at %s", r.First)
+		if r.Preferred != "" && r.Preferred != r.Name {
+			fmt.Fprintf(w, ", would be at %s", r.Preferred)
 		}
 		fmt.Fprintf(w, "; epoch %x, %d streams so far", r.Epoch, r.Moves)
 		for _, why := range slices.Sorted(maps.Keys(r.Ends)) {
@@ -246,11 +246,11 @@
 		fmt.Fprintln(w)
 	}
 	if r := s.Streams; r != nil {
-		fmt.Fprintf(w, "a relay: %d gateways here, %d at most, %d at all relays that are up:", r.Streams, r.Bound, r.Routes)
+		fmt.Fprintf(w, "a relay: %d gateways here, %d at most, %d at all relays that are up:", r.Streams, r.Limit, r.Routes)
 		for _, name := range slices.Sorted(maps.Keys(r.Relays)) {
 			fmt.Fprintf(w, " %s %d", name, r.Relays[name])
 		}
-		fmt.Fprintf(w, "\nstreams taken %d, refused %d, cut %d; words dropped %d, garbled %d\n", r.Joins, r.Refused, r.Cuts, r.Dropped, r.Bad)
+		fmt.Fprintf(w, "\nstreams taken %d, refused %d, cut %d; words dropped %d, garbled %d\n", r.Joins, r.Rejected, r.Closed, r.Dropped, r.Malformed)
 	}
 }
 
--- a/internal/cluster/clock_test.go
+++ b/internal/cluster/clock_test.go
@@ -15,7 +15,7 @@
 func TestNoWallClock(t *testing.T) {
 	wall := map[string]bool{"Unix": true, "UnixNano": true, "UnixMilli": true, "UnixMicro": true, "UTC": true, "Local": true, "Date": true, "ModTime": true}
 	shown := map[string]bool{
-		"cluster.go setAside":           true, // the name of what was set aside
+		"storage.go quarantine":         true, // the name of what was set aside
 		"failpoint/enabled.go WallTime": true, // of a failpoint
 	}
 	seen := 0
--- a/internal/cluster/node/leader.go
+++ b/internal/cluster/node/leader.go
@@ -154,7 +154,7 @@
 func (l *leader) publishChanges() {
 	n, state := l.node, l.node.replica.state
 	for _, t := range state.TakeTransfers() {
-		n.logInfo("duty changed hands", "duty", t.Lease, "from", t.From, "to", t.To, "token", t.Token, "cause", t.Cause, "index", t.Revision)
+		n.logInfo(LogLeaseTransferred, "duty", t.Lease, "from", t.From, "to", t.To, "token", t.Token, "cause", t.Cause, "index", t.Revision)
 	}
 	if l.seenRevision == 0 {
 		return // newly elected: gateways get the changes with their renewals
--- a/internal/cluster/relay/client.go
+++ b/internal/cluster/relay/client.go
@@ -1,6 +1,7 @@
 package relay
 
 import (
+	"maps"
 	"math/rand/v2"
 	"slices"
 	"time"
@@ -10,386 +11,330 @@
 )
 
 const (
-	// roundLeast and roundMost lie between two rounds by all relays, where none has taken the
-	// stream: the wait doubles, with as much again by chance.
-	roundLeast = 100 * time.Millisecond
-	roundMost  = 2 * time.Second
-	// avoidLeast and avoidMost are how long a relay is asked last that was left as renewals went
-	// unanswered by it: twice as long each time.
-	avoidLeast = 30 * time.Second
-	// overShare is how many gateways of a relay that holds more than its share look for another,
-	// one in so many at each look: within minutes it holds its share, and few have moved in vain.
-	overShare = 4
-	avoidMost = 10 * time.Minute
+	// minRoundDelay and maxRoundDelay bound the delay between two rounds by all relays, where none has
+	// accepted the stream: it doubles, with as much again by chance.
+	minRoundDelay = 100 * time.Millisecond
+	maxRoundDelay = 2 * time.Second
+	maxRoundShift = 10 // of minRoundDelay, which is then over maxRoundDelay
+	// minAvoidTime and maxAvoidTime bound how long a relay is tried last after renewals went without a
+	// reply by it: the time doubles with each such move.
+	minAvoidTime = 30 * time.Second
+	maxAvoidTime = 10 * time.Minute
+	// overloadMoveShare is how many gateways of a relay with more than its share of streams there are
+	// for each that moves, at each look: within minutes it has its share, and few have moved in vain.
+	overloadMoveShare = 4
+	// noRelay is the index of no relay.
+	noRelay = -1
 )
 
-// Client is a gateway's part. It is used as a Router is.
+// Causes for which a stream or an attempt ends, as counted in ClientStatus.
+const (
+	causePaused       = "stood still"
+	causeEnded        = "ended"
+	causeRejected     = "refused"
+	causeNotReached   = "not reached"
+	causeSilent       = "silent"
+	causeUnresponsive = "unanswered"
+)
+
+// Client is a gateway's part. It is used by one goroutine. Each call brings the time, on a clock that
+// does not go back and runs on while the process is paused.
 type Client struct {
-	cfg    Config
-	fleet  fleet
-	order  []int // of relays, as we would have them
-	rng    *rand.Rand
-	now    time.Duration
-	drawn  uint64 // epochs so far
-	cur    *way
-	trial  *way // that is being opened
-	tried  map[int]bool
-	rounds int           // without a stream taken
-	dialAt time.Duration // when the next is dialled; 0: none is to be
-	next   int           // the relay that is dialled next, whatever the order; -1: by that
-	must   bool
-	lookAt time.Duration
-	beat   []byte
-	marks  marks
+	cfg        Config
+	topology   topology
+	preference []int // of relays
+	rng        *rand.Rand
+	now        time.Duration
+	out        ClientOutput
+	lastEpoch  uint64 // of those of this process
+	current    *clientStream
+	attempt    *clientStream // that is being opened
+	selection  selection
+	filter     sequenceFilter
+	// heartbeat is the body of the relay's last one; nil: none has arrived.
+	heartbeat []byte
+	// reselectAt is when a preferred relay is looked for.
+	reselectAt time.Duration
 
-	asked    time.Duration // since when renewals go unanswered; 0: they do not
-	patience time.Duration
-	avoid    map[int]shunned
-	old      []uint64 // of a planted bug: streams that were not closed
-	out      ClientOut
-	moves    uint64
-	ends     map[string]uint64
+	// Of renewals without a reply.
+	unansweredSince time.Duration // 0: there is none
+	replyTimeout    time.Duration
+	avoided         map[int]avoidance // by relay
+
+	keptStreams []uint64 // epochs of streams that were not closed, by the failpoint KeepBothStreams
+	moves       uint64
+	ends        map[string]uint64
 }
 
-// way is a stream.
-type way struct {
-	relay       int
-	epoch       uint64
-	since       time.Duration
-	heard, sent time.Duration
-	better      bool // it was dialled for its relay's sake: nothing follows if it is not taken
+// selection is the choice of the relay that is dialled next.
+type selection struct {
+	tried  map[int]bool  // in this round
+	rounds int           // without a stream accepted
+	dialAt time.Duration // 0: none is to be dialled
+	next   int           // relay to dial whatever the preference; noRelay: by preference
+	force  bool          // see JoinRequest.Force
 }
 
-type shunned struct {
-	until, last time.Duration
+// clientStream is a stream.
+type clientStream struct {
+	relay            int
+	epoch            uint64
+	openedAt         time.Duration
+	heardAt, sentAt  time.Duration
+	forPreferredOnly bool // it was dialled for the sake of its relay: no other is tried if it is rejected
 }
 
-// NewClient returns the part of a gateway; its first Drain has a Dial.
+// avoidance is how long a relay is avoided.
+type avoidance struct{ until, last time.Duration }
+
+// NewClient returns the part of a gateway. Its first output has a Dial.
 func NewClient(now time.Duration, cfg Config, relays []Relay) *Client {
 	c := &Client{
-		cfg: cfg, fleet: newFleet(relays), rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Replica)), now: now, next: -1,
-		tried: map[int]bool{}, marks: marks{}, patience: answerMost, avoid: map[int]shunned{}, ends: map[string]uint64{},
+		cfg: cfg, topology: newTopology(relays), rng: rand.New(rand.NewPCG(cfg.Seed, cfg.ReplicaID)), now: now,
+		selection: selection{tried: map[int]bool{}, next: noRelay}, filter: sequenceFilter{}, replyTimeout: minReplyTimeout,
+		avoided: map[int]avoidance{}, ends: map[string]uint64{},
 	}
-	c.order = c.fleet.order(cfg.Name, cfg.Zone, cfg.Region)
+	c.preference = c.topology.preference(cfg.Name, cfg.Zone, cfg.Region)
 	c.dial()
 	return c
 }
 
-func (c *Client) chance(most time.Duration) time.Duration {
-	return time.Duration(c.rng.Int64N(int64(most) + 1))
+func (c *Client) randomDelay(limit time.Duration) time.Duration {
+	return time.Duration(c.rng.Int64N(int64(limit) + 1))
 }
 
-// touch brings the time: after a stop, what comes by the stream is from before.
-func (c *Client) touch(now time.Duration) {
-	stood := now - c.now
+// advance sets the time. After a pause of the process, what arrives by its streams is from before: they
+// are closed.
+func (c *Client) advance(now time.Duration) {
+	gap := now - c.now
 	c.now = now
-	if stood < stoodMost || failpoint.Enabled(failpoint.DeliverAfterPause) {
+	if gap < pauseThreshold || failpoint.Enabled(failpoint.DeliverAfterPause) {
 		return
 	}
-	if c.trial != nil {
-		c.out.Close = append(c.out.Close, c.trial.epoch)
-		c.trial = nil
+	if c.attempt != nil {
+		c.out.Close = append(c.out.Close, c.attempt.epoch)
+		c.attempt = nil
 	}
-	if c.cur != nil {
-		c.out.Close = append(c.out.Close, c.cur.epoch)
-		c.lost("stood still")
+	if c.current != nil {
+		c.out.Close = append(c.out.Close, c.current.epoch)
+		c.endCurrent(causePaused)
 	}
-	clear(c.tried)
-	c.asked = 0
-	c.soon(redialMost)
+	clear(c.selection.tried)
+	c.unansweredSince = 0
+	c.dialWithin(maxRedialDelay)
 }
 
-// soon has the next relay dialled within so long, by chance.
-func (c *Client) soon(most time.Duration) {
-	if c.trial == nil {
-		c.dialAt = c.now + c.chance(most) + 1
-	}
-}
-
-// lost is the end of the stream that there was.
-func (c *Client) lost(why string) {
-	c.ends[why]++
-	c.out.Lines = append(c.out.Lines, node.LogEntry{Warn: true, Message: "the stream to a relay of the fleet has ended", Args: []any{"relay", c.fleet.relays[c.cur.relay].Name, "why", why}})
-	c.cur = nil
+func (c *Client) log(warn bool, message string, args ...any) {
+	c.out.Log = append(c.out.Log, node.LogEntry{Warn: warn, Message: message, Args: args})
 }
 
-// pick is the relay to be dialled next: the first by our order that was not tried in this round,
-// those that are avoided behind all others; -1 where all were.
-func (c *Client) pick() int {
-	for _, shunned := range []bool{false, true} {
-		for _, i := range c.order {
-			if !c.tried[i] && (c.now < c.avoid[i].until) == shunned {
-				return i
-			}
-		}
-	}
-	return -1
+// endCurrent notes the end of the current stream.
+func (c *Client) endCurrent(cause string) {
+	c.ends[cause]++
+	c.log(true, "the stream to a relay of the fleet has ended", "relay", c.topology.relays[c.current.relay].Name, "why", cause)
+	c.current = nil
 }
 
-// dial opens the next stream.
-func (c *Client) dial() {
-	c.dialAt = 0
-	i := c.next
-	if c.next = -1; i < 0 {
-		i = c.pick()
-	}
-	if i < 0 {
-		// All were tried.
-		clear(c.tried)
-		c.must = false
-		if c.cur != nil && c.now < c.cur.heard+heardMost {
-			return // the one that there is is as good as any
+// Joined brings a relay's reply on a stream that was dialled.
+func (c *Client) Joined(now time.Duration, epoch uint64, r JoinReply) {
+	c.advance(now)
+	s := c.attempt
+	if s == nil || s.epoch != epoch {
+		if r.Accepted && (c.current == nil || c.current.epoch != epoch) {
+			c.out.Close = append(c.out.Close, epoch) // it is too late
 		}
-		wait := min(roundMost, roundLeast<<min(c.rounds, 10))
-		c.rounds++
-		c.dialAt = c.now + wait + c.chance(wait)
 		return
 	}
-	c.open(i, false)
-}
-
-func (c *Client) open(i int, better bool) {
-	c.drawn++
-	c.tried[i] = true
-	c.trial = &way{relay: i, epoch: c.cfg.Boots<<32 | c.drawn, since: c.now, better: better}
-	c.out.Dial = append(c.out.Dial, Dial{c.fleet.relays[i].Name, Join{Name: c.cfg.Name, Replica: c.cfg.Replica, Epoch: c.trial.epoch, Zone: c.cfg.Zone, Region: c.cfg.Region, Must: c.must}})
-	c.must = false
-}
-
-// move looks for another relay; the stream that there is goes on until one has taken us.
-func (c *Client) move(why string) {
-	if c.trial != nil || c.dialAt != 0 {
-		return // it is under way
-	}
-	c.ends[why]++
-	clear(c.tried)
-	c.tried[c.cur.relay] = true
-	c.dial()
-}
-
-// Joined brings a relay's answer on a stream that Drain had dialled.
-func (c *Client) Joined(now time.Duration, epoch uint64, a Answer) {
-	c.touch(now)
-	w := c.trial
-	if w == nil || w.epoch != epoch {
-		if a.Taken && (c.cur == nil || c.cur.epoch != epoch) {
-			c.out.Close = append(c.out.Close, epoch) // it comes too late
-		}
-		return
-	}
-	c.trial = nil
-	if a.Taken {
-		c.taken(w)
+	c.attempt = nil
+	if r.Accepted {
+		c.useStream(s)
 		return
 	}
 	c.out.Close = append(c.out.Close, epoch)
-	c.ends["refused"]++
-	if a.Older {
-		c.out.Older = true
+	c.ends[causeRejected]++
+	c.rejected(s, &r)
+}
+
+// rejected decides what to dial after a rejection.
+func (c *Client) rejected(s *clientStream, r *JoinReply) {
+	if r.Outdated {
+		c.out.Outdated = true
 	}
-	try := c.fleet.find(a.Try)
+	x, alternative := &c.selection, c.topology.find(r.Alternative)
 	switch {
-	case w.better && c.cur != nil:
-	case a.Older:
-		c.dialAt = now + max(a.In, roundLeast)
-	case try >= 0 && !c.tried[try]:
-		c.next = try
-		c.soon(0)
-	case a.Why == noRoom && c.pick() >= 0:
-		c.soon(0) // what that one knows of the others may be old
-	case a.Why == noRoom:
-		// None has room by what each knows: the emptiest has to.
-		if c.next, c.must = try, true; try < 0 {
-			c.next = w.relay
+	case s.forPreferredOnly && c.current != nil:
+	case r.Outdated:
+		x.dialAt = c.now + max(r.RetryAfter, minRoundDelay)
+	case alternative != noRelay && !x.tried[alternative]:
+		x.next = alternative
+		c.dialWithin(0)
+	case r.Reason == reasonNoCapacity && c.pick() != noRelay:
+		c.dialWithin(0) // what that relay knows of the others may be old
+	case r.Reason == reasonNoCapacity:
+		// No relay has capacity as far as each knows: the one with the fewest streams has to accept.
+		x.next, x.force = alternative, true
+		if alternative == noRelay {
+			x.next = s.relay
 		}
-		c.rounds++
-		clear(c.tried)
-		c.dialAt = now + a.In
-	default: // too many joins, or another has our name
-		clear(c.tried)
-		c.next = w.relay
-		c.dialAt = now + a.In
+		x.rounds++
+		clear(x.tried)
+		x.dialAt = c.now + r.RetryAfter
+	default: // too many joins, or another gateway has the name
+		clear(x.tried)
+		x.next = s.relay
+		x.dialAt = c.now + r.RetryAfter
 	}
 }
 
-// taken has a new stream take the place of the one before.
-func (c *Client) taken(w *way) {
-	if c.cur != nil {
+// useStream replaces the current stream by one that was accepted.
+func (c *Client) useStream(s *clientStream) {
+	if c.current != nil {
 		if failpoint.Enabled(failpoint.KeepBothStreams) {
-			c.old = append(c.old, c.cur.epoch)
+			c.keptStreams = append(c.keptStreams, c.current.epoch)
 		} else {
-			c.out.Close = append(c.out.Close, c.cur.epoch)
+			c.out.Close = append(c.out.Close, c.current.epoch)
 		}
 	}
-	w.since, w.heard, w.sent = c.now, c.now, c.now
-	c.cur = w
+	s.openedAt, s.heardAt, s.sentAt = c.now, c.now, c.now
+	c.current = s
 	c.moves++
-	c.rounds, c.dialAt, c.next, c.must, c.beat = 0, 0, -1, false, nil
-	clear(c.tried)
-	c.asked = 0
-	c.lookAt = c.now + betterLeast + c.chance(betterMost-betterLeast)
+	clear(c.selection.tried)
+	c.selection = selection{tried: c.selection.tried, next: noRelay}
+	c.heartbeat = nil
+	c.unansweredSince = 0
+	c.scheduleReselect()
 	if !failpoint.Enabled(failpoint.SkipResync) {
-		c.out.Moved = true
+		c.out.Reconnected = true
 	}
-	c.out.Lines = append(c.out.Lines, node.LogEntry{Message: "a relay of the fleet has taken our stream", Args: []any{"relay", c.fleet.relays[w.relay].Name, "epoch", w.epoch}})
+	c.log(false, "a relay of the fleet has taken our stream", "relay", c.topology.relays[s.relay].Name, "epoch", s.epoch)
 }
 
-// Ended tells that a stream has ended, or could not be opened within DialMost.
+// Ended reports that a stream has ended, or could not be opened within DialTimeout.
 func (c *Client) Ended(now time.Duration, epoch uint64) {
-	c.touch(now)
+	c.advance(now)
 	switch {
-	case c.trial != nil && c.trial.epoch == epoch:
-		better := c.trial.better
-		c.trial = nil
-		c.ends["not reached"]++
-		if !better || c.cur == nil {
-			c.soon(redialMost)
+	case c.attempt != nil && c.attempt.epoch == epoch:
+		onlyPreferred := c.attempt.forPreferredOnly
+		c.attempt = nil
+		c.ends[causeNotReached]++
+		if !onlyPreferred || c.current == nil {
+			c.dialWithin(maxRedialDelay)
 		}
-	case c.cur != nil && c.cur.epoch == epoch:
-		if c.trial == nil && c.dialAt == 0 {
-			clear(c.tried)
+	case c.current != nil && c.current.epoch == epoch:
+		if c.attempt == nil && c.selection.dialAt == 0 {
+			clear(c.selection.tried)
 		}
-		c.tried[c.cur.relay] = true
-		c.lost("ended")
-		if c.dialAt == 0 {
-			c.soon(redialMost)
+		c.selection.tried[c.current.relay] = true
+		c.endCurrent(causeEnded)
+		if c.selection.dialAt == 0 {
+			c.dialWithin(maxRedialDelay)
 		}
 	}
 }
 
-// Heard takes a frame of a stream, behind its Answer.
-func (c *Client) Heard(now time.Duration, epoch uint64, kind node.Kind, body []byte) {
-	c.touch(now)
+// Receive takes a frame of a stream, after the JoinReply.
+func (c *Client) Receive(now time.Duration, epoch uint64, kind node.Kind, body []byte) {
+	c.advance(now)
 	switch {
-	case c.cur != nil && c.cur.epoch == epoch:
-		c.cur.heard = now
-	case slices.Contains(c.old, epoch):
+	case c.current != nil && c.current.epoch == epoch:
+		c.current.heardAt = now
+	case slices.Contains(c.keptStreams, epoch):
 	default:
 		return
 	}
 	switch kind {
-	case KindBeat:
-		c.beat = body
+	case KindHeartbeat:
+		c.heartbeat = body
 	case KindRecord:
 		ReadRecords(body, func(r *Record) {
-			if r.From != "" && c.marks.take(r) {
-				c.out.ToMember = append(c.out.ToMember, *r)
+			if r.From != "" && c.filter.accept(r) {
+				c.out.ToNode = append(c.out.ToNode, *r)
 			}
 		})
 	}
 }
 
-// Send takes what our member sends; where there is no stream it is lost, and asked again.
-func (c *Client) Send(now time.Duration, s node.Frame) {
-	c.touch(now)
-	if c.cur == nil || s.Kind != node.KindMessage {
+// Send takes a frame of this gateway's node. Without a stream it is lost, and retried by the node.
+func (c *Client) Send(now time.Duration, f node.Frame) {
+	c.advance(now)
+	if c.current == nil || f.Kind != node.KindMessage {
 		return
 	}
-	c.cur.sent = now
-	x := Record{To: s.To, Kind: s.Kind, Body: s.Body}
-	if n := len(c.out.ToStream) - 1; n >= 0 && c.out.ToStream[n].Epoch == c.cur.epoch && c.out.ToStream[n].Kind == KindRecord && len(c.out.ToStream[n].Body) < batchMost {
-		c.out.ToStream[n].Body = AppendRecord(c.out.ToStream[n].Body, &x)
-		return
+	c.current.sentAt = now
+	r := Record{To: f.To, Kind: f.Kind, Body: f.Body}
+	if n := len(c.out.ToStream); n > 0 {
+		last := &c.out.ToStream[n-1]
+		if last.Epoch == c.current.epoch && last.Kind == KindRecord && len(last.Body) < maxBatchBytes {
+			last.Body = AppendRecord(last.Body, &r)
+			return
+		}
 	}
-	c.out.ToStream = append(c.out.ToStream, Frame{Epoch: c.cur.epoch, Kind: KindRecord, Body: AppendRecord(nil, &x)})
+	c.out.ToStream = append(c.out.ToStream, Frame{Epoch: c.current.epoch, Kind: KindRecord, Body: AppendRecord(nil, &r)})
 }
 
-// Asked tells that our member has asked for its session to go on (member.Out.Asked), Answered that a
-// leader's word came (member.Out.Answered).
-func (c *Client) Asked(now time.Duration) {
-	c.touch(now)
-	if c.asked == 0 && c.cur != nil {
-		c.asked = now
+// RenewalSent reports that the node has sent a renewal (node.Output.RenewalSent).
+func (c *Client) RenewalSent(now time.Duration) {
+	c.advance(now)
+	if c.unansweredSince == 0 && c.current != nil {
+		c.unansweredSince = now
 	}
 }
 
-// Answered is described at Asked.
-func (c *Client) Answered(now time.Duration) {
-	c.touch(now)
-	c.asked, c.patience = 0, answerMost
+// LeaderResponded reports that a leader's reply has arrived (node.Output.LeaderResponded).
+func (c *Client) LeaderResponded(now time.Duration) {
+	c.advance(now)
+	c.unansweredSince, c.replyTimeout = 0, minReplyTimeout
 }
 
-// Tick is to be called every TickEvery.
+// Tick is to be called every TickInterval.
 func (c *Client) Tick(now time.Duration) {
-	c.touch(now)
-	if c.trial != nil && now >= c.trial.since+2*DialMost {
-		c.out.Close = append(c.out.Close, c.trial.epoch)
-		c.Ended(now, c.trial.epoch)
+	c.advance(now)
+	if c.attempt != nil && now >= c.attempt.openedAt+2*DialTimeout {
+		c.out.Close = append(c.out.Close, c.attempt.epoch)
+		c.Ended(now, c.attempt.epoch)
 	}
-	if c.dialAt != 0 && now >= c.dialAt && c.trial == nil {
+	if c.selection.dialAt != 0 && now >= c.selection.dialAt && c.attempt == nil {
 		c.dial()
 	}
-	if c.cur == nil {
+	if c.current == nil {
 		return
 	}
 	switch {
-	case now >= c.cur.heard+heardMost:
-		c.move("silent")
-	case c.asked != 0 && now >= c.asked+c.patience && !failpoint.Enabled(failpoint.StayWithMuteRelay):
-		// It is there, and nothing comes of what it is given.
-		a := c.avoid[c.cur.relay]
-		a.last = min(avoidMost, max(avoidLeast, 2*a.last))
-		a.until = now + a.last
-		c.avoid[c.cur.relay] = a
-		c.patience = min(answerLongest, 2*c.patience)
-		c.patience += c.chance(c.patience / 8)
-		c.asked = 0
-		c.move("unanswered")
-	case now >= c.lookAt:
-		c.lookAt = now + betterLeast + c.chance(betterMost-betterLeast)
-		c.look()
+	case now >= c.current.heardAt+relayTimeout:
+		c.move(causeSilent)
+	case c.unansweredSince != 0 && now >= c.unansweredSince+c.replyTimeout && !failpoint.Enabled(failpoint.StayWithMuteRelay):
+		c.avoidCurrent()
+		c.move(causeUnresponsive)
+	case now >= c.reselectAt:
+		c.scheduleReselect()
+		c.reselect()
 	}
-	if c.cur != nil && now >= c.cur.sent+idleEvery {
-		c.cur.sent = now
-		c.out.ToStream = append(c.out.ToStream, Frame{Epoch: c.cur.epoch, Kind: KindIdle})
+	if c.current != nil && now >= c.current.sentAt+keepaliveInterval {
+		c.current.sentAt = now
+		c.out.ToStream = append(c.out.ToStream, Frame{Epoch: c.current.epoch, Kind: KindIdle})
 	}
 }
 
-// look goes to a relay that we would rather have, where that is said to be up and have room; and to
-// one that we would rather not, by chance, where ours holds more than its share.
-func (c *Client) look() {
-	if c.trial != nil || c.dialAt != 0 || c.beat == nil {
-		return
-	}
-	over := !c.fleet.room(c.beat, c.cur.relay) && c.rng.IntN(overShare) == 0
-	for _, i := range c.order {
-		if i == c.cur.relay {
-			if over {
-				continue
-			}
-			return
-		}
-		if c.now >= c.avoid[i].until && c.fleet.room(c.beat, i) {
-			clear(c.tried)
-			c.open(i, true)
-			return
-		}
-	}
-}
-
-// Drain takes what is to be done.
-func (c *Client) Drain() ClientOut {
+// TakeOutput returns what is to be done.
+func (c *Client) TakeOutput() ClientOutput {
 	out := c.out
-	c.out = ClientOut{}
+	c.out = ClientOutput{}
 	return out
 }
 
-// Current is the stream that there is.
+// Current returns the epoch of the current stream. It reports false where there is none.
 func (c *Client) Current() (epoch uint64, ok bool) {
-	if c.cur == nil {
+	if c.current == nil {
 		return 0, false
 	}
-	return c.cur.epoch, true
+	return c.current.epoch, true
 }
 
-// Status tells how the gateway stands.
+// Status returns the status of the connection.
 func (c *Client) Status() ClientStatus {
-	s := ClientStatus{First: c.fleet.relays[c.order[0]].Name, Moves: c.moves, Ends: map[string]uint64{}}
-	if c.cur != nil {
-		s.Relay, s.Epoch, s.Since = c.fleet.relays[c.cur.relay].Name, c.cur.epoch, c.cur.since
-	}
-	for why, n := range c.ends {
-		s.Ends[why] = n
+	s := ClientStatus{Preferred: c.topology.relays[c.preference[0]].Name, Moves: c.moves, Ends: maps.Clone(c.ends)}
+	if c.current != nil {
+		s.Relay, s.Epoch, s.Since = c.topology.relays[c.current.relay].Name, c.current.epoch, c.current.openedAt
 	}
 	return s
 }
--- a/internal/cluster/relay/compat_test.go
+++ b/internal/cluster/relay/compat_test.go
@@ -10,17 +10,17 @@
 
 // Relays and gateways of two builds understand one another.
 func TestCompatFormats(t *testing.T) {
-	compat.JSON(t, "join.json", &Join{})
-	compat.JSON(t, "answer.json", &Answer{})
-	compat.JSON(t, "routes.json", &routes{})
-	compat.Values(t, "kinds.txt", KindIdle, KindRecord, KindJoin, KindAnswer, KindBeat, KindRoutes, All)
+	compat.JSON(t, "join.json", &JoinRequest{})
+	compat.JSON(t, "answer.json", &JoinReply{})
+	compat.JSON(t, "routes.json", &routeUpdate{})
+	compat.Values(t, "kinds.txt", KindIdle, KindRecord, KindJoin, KindJoinReply, KindHeartbeat, KindRoutes, Broadcast)
 }
 
 func TestCompatRecords(t *testing.T) {
 	want := []Record{
 		{To: "g1", Kind: node.KindMessage, Body: []byte("from a gateway")},
-		{To: All, From: "g2", Replica: 1 << 40, Epoch: 3<<32 | 1, Seq: 300, Kind: node.KindMessage, Body: []byte("for all")},
-		{From: "r1", Replica: 5, Epoch: 6, Seq: 7, Kind: node.KindMessage},
+		{To: Broadcast, From: "g2", ReplicaID: 1 << 40, Epoch: 3<<32 | 1, Seq: 300, Kind: node.KindMessage, Body: []byte("for all")},
+		{From: "r1", ReplicaID: 5, Epoch: 6, Seq: 7, Kind: node.KindMessage},
 	}
 	var b []byte
 	for i := range want {
@@ -39,11 +39,11 @@
 
 // Gateways and relays of two builds draw the same order, and read one another's heartbeats.
 func TestCompatOrder(t *testing.T) {
-	f := newFleet([]Relay{{"r2", "z2", "north"}, {"r1", "z1", "north"}, {"r3", "z3", "south"}, {"r4", "z1", "north"}})
-	compat.Values(t, "order.txt", f.order("g1", "z1", "north"), f.order("g2", "z1", "north"), f.order("g3", "z3", "south"))
-	compat.Bytes(t, "beat.bin", f.beat(func(r *Relay) bool { return r.Zone != "z1" }))
+	f := newTopology([]Relay{{"r2", "z2", "north"}, {"r1", "z1", "north"}, {"r3", "z3", "south"}, {"r4", "z1", "north"}})
+	compat.Values(t, "order.txt", f.preference("g1", "z1", "north"), f.preference("g2", "z1", "north"), f.preference("g3", "z3", "south"))
+	compat.Bytes(t, "beat.bin", f.encodeHeartbeat(func(r *Relay) bool { return r.Zone != "z1" }))
 	for i, want := range []bool{false, true, true, false} {
-		if got := f.room(compat.Read(t, "beat.bin"), i); got != want {
+		if got := f.hasCapacity(compat.Read(t, "beat.bin"), i); got != want {
 			t.Errorf("relay %d has room: %v", i, got)
 		}
 	}
--- /dev/null
+++ b/internal/cluster/relay/filter.go
@@ -0,0 +1,72 @@
+package relay
+
+import "dunemoor/internal/cluster/failpoint"
+
+// Incarnation is one stream of one disk. Epochs of a disk only grow.
+type Incarnation struct{ ReplicaID, Epoch uint64 }
+
+// incarnations are the last streams that are known of a sender: the current one, and the last of the
+// disk that it had before under the same name.
+type incarnations struct{ current, previous Incarnation }
+
+// accept reports whether what comes by a stream is accepted, and notes the stream where it is a later
+// one, which is reported too.
+func (s *incarnations) accept(x Incarnation) (later, ok bool) {
+	switch {
+	case x == s.current:
+		return false, true
+	case x.ReplicaID == s.current.ReplicaID:
+		if x.Epoch < s.current.Epoch {
+			return false, failpoint.Enabled(failpoint.AcceptStaleStream)
+		}
+		s.current = x
+		return true, true
+	case x.ReplicaID == s.previous.ReplicaID && x.Epoch <= s.previous.Epoch && s.previous.Epoch > 0:
+		return false, failpoint.Enabled(failpoint.AcceptStaleStream)
+	}
+	if s.current.Epoch > 0 {
+		s.previous = s.current
+	}
+	s.current = x
+	return true, true
+}
+
+// maxSenders bounds the senders of a sequenceFilter: all members that a fleet may have, and its relays.
+const maxSenders = 8192
+
+// sequenceFilter accepts each record once, and none that is older than the last of its sender.
+type sequenceFilter map[string]*senderState
+
+type senderState struct {
+	incarnations
+	seq uint64 // of the last record accepted, of the current incarnation
+}
+
+// accept reports whether a record is accepted.
+func (f sequenceFilter) accept(r *Record) bool {
+	s := f[r.From]
+	if s == nil {
+		s = &senderState{}
+		f.add(r.From, s)
+	}
+	later, ok := s.incarnations.accept(Incarnation{r.ReplicaID, r.Epoch})
+	switch {
+	case !ok:
+		return false
+	case later || r.Seq > s.seq:
+		s.seq = r.Seq
+		return true
+	}
+	return failpoint.Enabled(failpoint.AcceptStaleStream)
+}
+
+// add adds a sender, in place of any other where there are too many.
+func (f sequenceFilter) add(name string, s *senderState) {
+	if len(f) >= maxSenders {
+		for other := range f {
+			delete(f, other)
+			break
+		}
+	}
+	f[name] = s
+}
--- /dev/null
+++ b/internal/cluster/relay/join.go
@@ -0,0 +1,148 @@
+package relay
+
+import "time"
+
+const (
+	// minRetryAfter and maxRetryAfter bound the random RetryAfter of a rejection.
+	minRetryAfter = 100 * time.Millisecond
+	maxRetryAfter = time.Second
+	// emptierBy is how many fewer streams a relay has to have to be sent a forced join: more than join
+	// it meanwhile.
+	emptierBy = minStreamLimit / 2
+)
+
+// Join takes the join request of a stream. If it is accepted, the stream lasts until StreamEnded, or
+// until RouterOutput.Closed names it.
+func (r *Router) Join(now time.Duration, j JoinRequest) JoinReply {
+	r.advance(now)
+	reply := r.checkJoin(&j)
+	if !reply.Accepted {
+		r.counts.rejected++
+		return reply
+	}
+	r.counts.joins++
+	if s := r.streams[j.Name]; s != nil {
+		r.closeStream(s, "the gateway has come back")
+	}
+	x := Incarnation{j.ReplicaID, j.Epoch}
+	g := r.route(j.Name)
+	r.clearRoute(j.Name, g)
+	g.accept(x)
+	r.setRoute(j.Name, r.cfg.Name)
+	r.streams[j.Name] = &routerStream{name: j.Name, index: len(r.streamNames), incarnation: x, heardAt: now, sentAt: now}
+	r.streamNames = append(r.streamNames, j.Name)
+	r.routes.announce(route{Name: j.Name, ReplicaID: j.ReplicaID, Epoch: j.Epoch})
+	return reply
+}
+
+// checkJoin decides whether a stream is accepted.
+func (r *Router) checkJoin(j *JoinRequest) JoinReply {
+	switch {
+	case j.Name == "" || j.Name == Broadcast || len(j.Name) > MaxNameBytes || j.Epoch == 0:
+		return JoinReply{Reason: "a join request needs the name of a gateway and an epoch", RetryAfter: time.Second}
+	case r.topology.find(j.Name) != noRelay:
+		return JoinReply{Reason: "a relay has that name", RetryAfter: time.Second}
+	}
+	if g := r.routes.known[j.Name]; g != nil {
+		switch {
+		case j.ReplicaID == g.current.ReplicaID && j.Epoch <= g.current.Epoch, j.ReplicaID == g.previous.ReplicaID && j.Epoch <= g.previous.Epoch:
+			return JoinReply{Reason: "a later stream of this disk is known", Outdated: true, RetryAfter: time.Second}
+		case j.ReplicaID != g.current.ReplicaID && r.isConnected(j.Name, g):
+			return JoinReply{Reason: "a live gateway with another disk has the name", RetryAfter: time.Second}
+		}
+	}
+	if _, rejoins := r.streams[j.Name]; !rejoins && !r.hasCapacityFor(j) {
+		alternative := r.mostCapacity(j.Zone, j.Region)
+		if alternative == r.cfg.Name {
+			alternative = "" // it may come back here, with Force
+		}
+		return JoinReply{Reason: reasonNoCapacity, Alternative: alternative, RetryAfter: r.retryAfter()}
+	}
+	if !r.takeJoinToken() {
+		return JoinReply{Reason: "too many joins", RetryAfter: r.retryAfter()}
+	}
+	return JoinReply{Accepted: true}
+}
+
+func (r *Router) hasCapacityFor(j *JoinRequest) bool {
+	if j.Force {
+		return len(r.streams) < MaxStreams && !r.isOtherEmptier()
+	}
+	return len(r.streams) < r.streamLimit()
+}
+
+// takeJoinToken takes a token of the bucket that limits the rate of joins.
+func (r *Router) takeJoinToken() bool {
+	r.joinTokens = min(MaxJoinRate, r.joinTokens+(r.now-r.tokensAt).Seconds()*MaxJoinRate)
+	r.tokensAt = r.now
+	if r.joinTokens < 1 {
+		return false
+	}
+	r.joinTokens--
+	return true
+}
+
+func (r *Router) retryAfter() time.Duration {
+	return minRetryAfter + time.Duration(r.rng.Int64N(int64(maxRetryAfter-minRetryAfter)))
+}
+
+// isConnected reports whether a gateway has a stream, as far as is known.
+func (r *Router) isConnected(name string, g *gatewayRoute) bool {
+	if l := r.links[g.relay]; l != nil {
+		return r.isUp(l)
+	}
+	s := r.streams[name]
+	return s != nil && r.now < s.heardAt+streamTimeout
+}
+
+// streamLimit returns how many streams each relay accepts at present.
+func (r *Router) streamLimit() int {
+	streams, relays := len(r.streams)+1, 1
+	for _, l := range r.links {
+		if r.isUp(l) {
+			streams, relays = streams+l.streams, relays+1
+		}
+	}
+	share := (streams*maxLoadPercent + 100*relays - 1) / (100 * relays) // rounded up
+	return min(MaxStreams, max(minStreamLimit, share))
+}
+
+// mostCapacity returns the relay with the most capacity, near ones first; where none has any, the one
+// with the fewest streams.
+func (r *Router) mostCapacity(zone, region string) string {
+	limit := r.streamLimit()
+	best, bestDistance, bestCapacity := "", farAway+1, 0
+	emptiest, fewest := "", 0
+	for i := range r.topology.relays {
+		x := &r.topology.relays[i]
+		streams := len(r.streams)
+		if x.Name != r.cfg.Name {
+			l := r.links[x.Name]
+			if !r.isUp(l) {
+				continue
+			}
+			streams = l.streams
+		}
+		if emptiest == "" || streams < fewest {
+			emptiest, fewest = x.Name, streams
+		}
+		distance, capacity := x.distance(zone, region), limit-streams
+		if capacity > 0 && (distance < bestDistance || distance == bestDistance && capacity > bestCapacity) {
+			best, bestDistance, bestCapacity = x.Name, distance, capacity
+		}
+	}
+	if best == "" {
+		return emptiest
+	}
+	return best
+}
+
+// isOtherEmptier reports whether another relay has clearly fewer streams.
+func (r *Router) isOtherEmptier() bool {
+	for _, l := range r.links {
+		if r.isUp(l) && l.streams+emptierBy < len(r.streams) {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/cluster/relay/relay.go
+++ b/internal/cluster/relay/relay.go
@@ -1,7 +1,9 @@
-// Package relay brings the words of a fleet's gateways to one another where the fleet has relays:
-// each gateway holds one stream to one relay, and only relays are connected with one another. A
-// Router is a relay's part, a Client a gateway's. Neither does I/O nor reads a clock: events come
-// in with the time, and what is to be sent, opened and closed comes out.
+// Package relay carries the messages of a fleet's gateways in a fleet with relays: each gateway has one
+// stream to one relay, and only relays are connected to one another. A [Router] is a relay's part, a
+// [Client] a gateway's.
+//
+// Neither does I/O nor reads a clock: events come in as method calls with the time, and what has to be
+// sent, opened and closed comes out of TakeOutput.
 package relay
 
 import (
@@ -10,171 +12,173 @@
 	"dunemoor/internal/cluster/node"
 )
 
-// All is the name of everybody but the sender.
-const All = node.Broadcast
+// Broadcast addresses everybody but the sender.
+const Broadcast = node.Broadcast
 
-// Kinds of frames beside those of member; 0 is of one that only says that the sender is there.
+// Kinds of frames beside those of package node.
 const (
-	KindIdle   node.Kind = 0
-	KindRecord node.Kind = 3 // records, one behind the other: on streams and between relays
-	KindJoin   node.Kind = 4 // a gateway's first frame on a stream: JSON, a Join
-	KindAnswer node.Kind = 5 // a relay's first: JSON, an Answer; the stream ends if it is not taken
-	KindBeat   node.Kind = 6 // a relay is there: a Beat
-	KindRoutes node.Kind = 7 // which gateways a relay holds, between relays
+	KindIdle      node.Kind = 0 // the sender is alive
+	KindRecord    node.Kind = 3 // records, one after the other: on streams and between relays
+	KindJoin      node.Kind = 4 // a gateway's first frame on a stream: JSON, a JoinRequest
+	KindJoinReply node.Kind = 5 // a relay's first frame: JSON, a JoinReply; the stream ends unless it is accepted
+	KindHeartbeat node.Kind = 6 // a relay is alive, and which relays have capacity
+	KindRoutes    node.Kind = 7 // which gateways have a stream to a relay, between relays
 )
 
 // Times.
 const (
-	// TickEvery is how often Tick is to be called, at relays and gateways: it is the most that a
-	// record waits at each relay for others to go with it (see batchEvery).
-	TickEvery = batchEvery
-	// beatEvery lies between two frames of a relay on a stream: two may come late or be lost
-	// before heardMost is over.
-	beatEvery = 500 * time.Millisecond
-	// idleEvery lies between two frames of a gateway on a stream.
-	idleEvery = time.Second
-	// heardMost is how long a gateway waits for anything from its relay. A session lasts 2.94 s by
-	// its owner's clock and is renewed each second: the last renewal before the relay died is 1 s
-	// old at most, so that 1 + heardMost + DialMost leaves 0.3 s for the renewal by the next relay.
-	heardMost = 1200 * time.Millisecond
-	// DialMost is how long a gateway waits for the answer to a join, the dial included; behind it
-	// whoever dials gives up and says that the stream has ended.
-	DialMost = 400 * time.Millisecond
-	// silentMost is how long a relay keeps a stream on which nothing comes: three times idleEvery.
-	silentMost = 3 * time.Second
-	// answerMost is how long renewals may go unanswered, though the relay is there, before the
-	// gateway takes another relay; it doubles with each such move up to answerLongest, as nobody
-	// is helped by a fleet that goes round while there is no leader.
-	answerMost    = 1300 * time.Millisecond
-	answerLongest = 20 * time.Second
-	// redialMost is the most that a gateway waits by chance before it dials the next relay, where
-	// a stream has ended: those of a relay that died come within it.
-	redialMost = 50 * time.Millisecond
-	// betterLeast and betterMost lie between two looks of a gateway for a relay that it would
-	// rather have: 4,700 gateways going home make 100 to 160 moves a second.
-	betterLeast = 30 * time.Second
-	betterMost  = 60 * time.Second
-	// batchEvery is how long records to another relay are gathered: a word crosses two relays
-	// within 40 ms, and 15 links carry 50 frames a second each at most.
-	batchEvery = 20 * time.Millisecond
+	// TickInterval is how often Tick is to be called, at relays and gateways.
+	TickInterval = batchInterval
+	// batchInterval is how long records for another relay are collected: a record passes two relays
+	// within 40 ms, and each of 15 links carries 50 frames a second at most.
+	batchInterval = 20 * time.Millisecond
+	// heartbeatInterval lies between two frames of a relay on a stream: two may be late or lost before
+	// relayTimeout is over.
+	heartbeatInterval = 500 * time.Millisecond
+	// keepaliveInterval lies between two frames of a gateway on a stream.
+	keepaliveInterval = time.Second
+	// relayTimeout is how long a gateway waits for any frame of its relay. A session lasts 2.94 s by its
+	// holder's clock and is renewed each second: the last renewal before the relay died is 1 s old at
+	// most, so that 1 s + relayTimeout + DialTimeout leaves 0.3 s for the renewal by the next relay.
+	relayTimeout = 1200 * time.Millisecond
+	// DialTimeout is how long a gateway waits for the reply to a join request, from the start of the
+	// dial. The dialler then reports the stream as ended.
+	DialTimeout = 400 * time.Millisecond
+	// streamTimeout is how long a relay keeps a stream without a frame: three keepalive intervals.
+	streamTimeout = 3 * time.Second
+	// minReplyTimeout is how long renewals may go without a reply, although the relay is alive, before
+	// the gateway chooses another relay. It doubles with each such move up to maxReplyTimeout, as moving
+	// does not help while the fleet has no leader.
+	minReplyTimeout = 1300 * time.Millisecond
+	maxReplyTimeout = 20 * time.Second
+	// maxRedialDelay bounds the random delay before a gateway dials again after a stream has ended: the
+	// gateways of a relay that died are spread over it.
+	maxRedialDelay = 50 * time.Millisecond
+	// minReselectInterval and maxReselectInterval bound the random interval at which a gateway looks for
+	// a relay that it prefers: 4,700 gateways returning home make 100 to 160 moves a second.
+	minReselectInterval = 30 * time.Second
+	maxReselectInterval = 60 * time.Second
 )
 
-// Bounds.
+// Limits.
 const (
-	// StreamsMost is how many streams a relay takes: 4,700 gateways on half of 16 relays are 588,
-	// and this is twice that.
-	StreamsMost = 1200
-	// JoinsMost is how many joins a relay takes in a second: those of a relay that died come to
-	// the others at some 25 each; a join costs a relay some 100 us with its handshake.
-	JoinsMost = 500
-	// QueueMost is how many bytes may wait for a gateway: who is further behind is cut, and comes
-	// back by version. 1,200 such are 300 MB at most, and a gateway at rest has none.
-	QueueMost = 256 << 10
-	// batchMost is how many bytes to another relay are gathered: more go at once.
-	batchMost = 64 << 10
-	// evenHundredths bounds a relay's load, in hundredths of the mean of those that are up: with a fourth
-	// more than the mean a gateway finds its first choice mostly.
-	evenHundredths = 125
-	// streamsLeast is how many streams a relay takes whatever the mean is: small fleets have no
-	// use for being even.
-	streamsLeast = 16
-	// NameMost is how many bytes a name has at most, RecordMost a record's body.
-	NameMost   = 96
-	RecordMost = 4 << 20
+	// MaxStreams is how many streams a relay accepts: 4,700 gateways on half of 16 relays are 588, and
+	// this is twice that.
+	MaxStreams = 1200
+	// MaxJoinRate is how many joins a relay accepts a second. The gateways of a relay that died make
+	// some 25 joins at each other one; a join costs a relay some 100 us with its handshake.
+	MaxJoinRate = 500
+	// MaxQueueBytes is how many bytes may wait for a gateway. One that is further behind is
+	// disconnected, and catches up by version. 1,200 of them are 300 MB at most; an idle one has none.
+	MaxQueueBytes = 256 << 10
+	// maxBatchBytes is how many bytes for another relay are collected before they are sent.
+	maxBatchBytes = 64 << 10
+	// maxLoadPercent bounds a relay's streams, as a percentage of the mean of the relays that are up:
+	// with a quarter more than the mean a gateway mostly gets the relay that it prefers.
+	maxLoadPercent = 125
+	// minStreamLimit is the least limit of a relay's streams: balance is of no use to a small fleet.
+	minStreamLimit = 16
+	// MaxNameBytes bounds a name, MaxRecordBytes the body of a record.
+	MaxNameBytes   = 96
+	MaxRecordBytes = 4 << 20
 )
 
-// Relay is one of the fleet's, as its file says.
+// Relay is one of the fleet's relays, from the configuration.
 type Relay struct{ Name, Zone, Region string }
 
-// Config is who a process is; Epochs grow with Boots, of its disk.
+// Config describes a process. Epochs grow with Boots, which is of its disk.
 type Config struct {
-	Name, Zone, Region   string
-	Replica, Boots, Seed uint64
+	Name, Zone, Region     string
+	ReplicaID, Boots, Seed uint64
 }
 
-// Join asks for a stream to be taken.
-type Join struct {
-	Name    string `json:"name"`
-	Replica uint64 `json:"replica"`
-	Epoch   uint64 `json:"epoch"`
-	Zone    string `json:"zone,omitempty"`
-	Region  string `json:"region,omitempty"`
-	// Must is set by who was refused by all for want of room, and asks the emptiest.
-	Must bool `json:"must,omitempty"`
+// JoinRequest asks a relay to accept a stream.
+type JoinRequest struct {
+	Name      string `json:"name"`
+	ReplicaID uint64 `json:"replica"`
+	Epoch     uint64 `json:"epoch"` // identifies the stream, and grows with each of this disk
+	Zone      string `json:"zone,omitempty"`
+	Region    string `json:"region,omitempty"`
+	// Force is set by a gateway that was rejected by all relays for want of capacity, in a request to
+	// the one with the fewest streams.
+	Force bool `json:"must,omitempty"`
 }
 
-// Answer is a relay's to a Join.
-type Answer struct {
-	Taken bool   `json:"taken"`
-	Why   string `json:"why,omitempty"`
-	// Try is a relay with room, In when to come back here; both of one that is not taken.
-	Try string        `json:"try,omitempty"`
-	In  time.Duration `json:"in,omitempty"` // ns
-	// Older says that a later stream of this disk is known: the disk was put back from a copy.
-	Older bool `json:"older,omitempty"`
+// JoinReply is a relay's reply to a JoinRequest.
+type JoinReply struct {
+	Accepted bool   `json:"taken"`
+	Reason   string `json:"why,omitempty"` // of a rejection
+	// Alternative is a relay with capacity, RetryAfter when to ask this one again; both of a rejection.
+	Alternative string        `json:"try,omitempty"`
+	RetryAfter  time.Duration `json:"in,omitempty"` // ns
+	// Outdated reports that a later stream of this disk is known: the disk is an older copy.
+	Outdated bool `json:"older,omitempty"`
 }
 
-// Frame is one to a stream, or to another relay.
+// reasonNoCapacity is the Reason of a relay with too many streams. Clients compare it.
+const reasonNoCapacity = "no room"
+
+// Frame is to be sent on a stream, or to another relay.
 type Frame struct {
-	Name  string // of the gateway or relay; a Client leaves it empty
+	Name  string // of the gateway or relay; empty from a Client
 	Epoch uint64 // of the stream; 0: to a relay
 	Kind  node.Kind
 	Body  []byte
 }
 
-// Stream is one that is to be cut.
-type Stream struct {
-	Name  string
-	Epoch uint64
-	Why   string
+// ClosedStream is a stream that a relay closes.
+type ClosedStream struct {
+	Name   string
+	Epoch  uint64
+	Reason string
 }
 
-// Out is what a Router wants done, in this order. What is for one stream or relay stays in order;
-// bodies are not changed any more and may be shared among frames.
-type Out struct {
+// RouterOutput is what a Router wants done, in this order. Frames of one stream or relay are in order;
+// their bodies are not changed any more and may be shared by several frames.
+type RouterOutput struct {
 	ToStream []Frame
 	ToRelay  []Frame
-	ToMember []Record // to member.Receive, by From, Kind and Body
-	Cut      []Stream // these have ended: no Left is to follow, nor does one harm
+	ToNode   []Record       // for node.Node.Receive, by From, Kind and Body
+	Closed   []ClosedStream // these have ended: no StreamEnded has to follow, though it does no harm
 }
 
-// RouterStatus is how a relay stands.
+// RouterStatus is the status of a relay.
 type RouterStatus struct {
 	Streams int            `json:"streams"`
-	Bound   int            `json:"bound"`  // streams that it takes now
+	Limit   int            `json:"bound"`  // of streams, at present
 	Routes  int            `json:"routes"` // gateways known at all relays
-	Relays  map[string]int `json:"relays"` // streams of each relay that is up, this one among them
+	Relays  map[string]int `json:"relays"` // streams of each relay that is up, this one included
 	// Counted since the start.
-	Joins, Refused, Cuts, Dropped, Bad uint64
+	Joins, Rejected, Closed, Dropped, Malformed uint64
 }
 
-// Dial is a stream to be opened: a connection, the Join on it, and then Joined or Ended.
+// Dial is a stream to be opened: a connection with the request on it, and then Joined or Ended.
 type Dial struct {
 	Relay string
-	Join  Join // its Epoch names the stream
+	Join  JoinRequest // its Epoch identifies the stream
 }
 
-// ClientOut is what a Client wants done, in this order.
-type ClientOut struct {
+// ClientOutput is what a Client wants done, in this order.
+type ClientOutput struct {
 	Dial     []Dial
 	ToStream []Frame
-	ToMember []Record
-	Close    []uint64 // epochs: no Ended is to follow, nor does one harm
-	// Moved says that the gateway has a stream anew: member.Moved is to be called, and what is known
-	// by version asked for again.
-	Moved bool
-	// Older says that a relay knows a later stream of this disk: it is a copy from before.
-	Older bool
-	Lines []node.LogEntry
+	ToNode   []Record
+	Close    []uint64 // epochs: no Ended has to follow, though it does no harm
+	// Reconnected reports that the gateway has a new stream: node.Node.Reconnected is to be called, and
+	// what is known by version to be requested again.
+	Reconnected bool
+	// Outdated reports that a relay knows a later stream of this disk, which is an older copy.
+	Outdated bool
+	Log      []node.LogEntry
 }
 
-// ClientStatus is how a gateway stands with its relay.
+// ClientStatus is the status of a gateway's connection.
 type ClientStatus struct {
-	Relay string        `json:"relay"` // "": none
-	Epoch uint64        `json:"epoch"`
-	Since time.Duration `json:"since"` // on the clock of the events
-	First string        `json:"first"` // the relay that it would have
-	Moves uint64        `json:"moves"` // streams that were taken since the start
-	// Ends counts what ended a stream or a try, by cause.
+	Relay     string        `json:"relay"` // "": none
+	Epoch     uint64        `json:"epoch"`
+	Since     time.Duration `json:"since"` // on the clock of the events
+	Preferred string        `json:"first"` // relay that it prefers to all others
+	Moves     uint64        `json:"moves"` // streams that were accepted since the start
+	// Ends counts the streams and attempts that ended, by cause.
 	Ends map[string]uint64 `json:"ends"`
 }
--- a/internal/cluster/relay/relay_test.go
+++ b/internal/cluster/relay/relay_test.go
@@ -51,7 +51,7 @@
 func (n *net) up(i int) {
 	n.boots++
 	x := n.relays[i]
-	n.routers[x.Name] = NewRouter(n.now, Config{Name: x.Name, Zone: x.Zone, Region: x.Region, Replica: uint64(i + 1), Boots: n.boots, Seed: n.rng.Uint64()}, n.relays)
+	n.routers[x.Name] = NewRouter(n.now, Config{Name: x.Name, Zone: x.Zone, Region: x.Region, ReplicaID: uint64(i + 1), Boots: n.boots, Seed: n.rng.Uint64()}, n.relays)
 	for name, o := range n.routers {
 		if name != x.Name {
 			o.Up(n.now, x.Name)
@@ -91,7 +91,7 @@
 		n.coming = append(n.coming, func() { n.clients[c.gateway].Ended(n.now, c.epoch) })
 	}
 	if tellRelay {
-		n.coming = append(n.coming, func() { c.router.Left(n.now, n.names[c.gateway], c.epoch) })
+		n.coming = append(n.coming, func() { c.router.StreamEnded(n.now, n.names[c.gateway], c.epoch) })
 	}
 }
 
@@ -99,7 +99,7 @@
 	i := len(n.clients)
 	n.names = append(n.names, name)
 	n.conns[name] = map[uint64]*conn{}
-	n.clients = append(n.clients, NewClient(n.now, Config{Name: name, Zone: zone, Region: region, Replica: uint64(1000 + i), Boots: 1, Seed: n.rng.Uint64()}, n.relays))
+	n.clients = append(n.clients, NewClient(n.now, Config{Name: name, Zone: zone, Region: region, ReplicaID: uint64(1000 + i), Boots: 1, Seed: n.rng.Uint64()}, n.relays))
 	return i
 }
 
@@ -130,7 +130,7 @@
 
 func (n *net) router(i int, r *Router) {
 	me := n.relays[i].Name
-	o := r.Drain()
+	o := r.TakeOutput()
 	for _, f := range o.ToStream {
 		c := n.conns[f.Name][f.Epoch]
 		if c == nil || c.router != r {
@@ -138,7 +138,7 @@
 		}
 		n.coming = append(n.coming, func() {
 			if !c.ended {
-				n.clients[c.gateway].Heard(n.now, f.Epoch, f.Kind, f.Body)
+				n.clients[c.gateway].Receive(n.now, f.Epoch, f.Kind, f.Body)
 			}
 		})
 	}
@@ -157,12 +157,12 @@
 			to.FromRelay(n.now, me, f.Kind, f.Body)
 		})
 	}
-	for k := range o.ToMember {
+	for k := range o.ToNode {
 		if n.heard != nil {
-			n.heard(me, &o.ToMember[k])
+			n.heard(me, &o.ToNode[k])
 		}
 	}
-	for _, s := range o.Cut {
+	for _, s := range o.Closed {
 		if c := n.conns[s.Name][s.Epoch]; c != nil && c.router == r {
 			n.end(c, true, false)
 		}
@@ -170,7 +170,7 @@
 }
 
 func (n *net) client(i int, c *Client) {
-	o := c.Drain()
+	o := c.TakeOutput()
 	for _, d := range o.Dial {
 		r := n.routers[d.Relay]
 		x := &conn{relay: d.Relay, router: r, gateway: i, epoch: d.Join.Epoch}
@@ -184,7 +184,7 @@
 				return
 			}
 			a := r.Join(n.now, d.Join)
-			x.accepted = a.Taken
+			x.accepted = a.Accepted
 			n.coming = append(n.coming, func() {
 				if !x.ended {
 					c.Joined(n.now, x.epoch, a)
@@ -201,9 +201,9 @@
 			})
 		}
 	}
-	for k := range o.ToMember {
+	for k := range o.ToNode {
 		if n.heard != nil {
-			n.heard(n.names[i], &o.ToMember[k])
+			n.heard(n.names[i], &o.ToNode[k])
 		}
 	}
 	for _, epoch := range o.Close {
@@ -211,7 +211,7 @@
 			n.end(x, false, x.accepted)
 		}
 	}
-	if o.Moved && n.moved != nil {
+	if o.Reconnected && n.moved != nil {
 		n.moved(n.names[i])
 	}
 }
@@ -267,12 +267,12 @@
 			if count != gateways {
 				for _, c := range n.clients {
 					if s := c.Status(); s.Relay == "" || n.routers[s.Relay] == nil || n.routers[s.Relay].Streams()[c.cfg.Name] != s.Epoch {
-						t.Logf("%s: %+v cur %+v trial %+v next %d must %v tried %v dial in %v rounds %d", c.cfg.Name, s, c.cur, c.trial, c.next, c.must, c.tried, c.dialAt-n.now, c.rounds)
+						t.Logf("%s: %+v current %+v attempt %+v selection %+v", c.cfg.Name, s, c.current, c.attempt, c.selection)
 					}
 				}
 				t.Fatalf("seed %d: %s: %d of %d gateways have a stream", seed, what, count, gateways)
 			}
-			most := max(streamsLeast, (gateways*evenHundredths+100*up-1)/(100*up))
+			most := max(minStreamLimit, (gateways*maxLoadPercent+100*up-1)/(100*up))
 			for name, load := range loads {
 				// Two joins of one moment know nothing of one another at two relays.
 				if load > most+up {
@@ -379,7 +379,7 @@
 		number++
 		from, to := everybody[n.rng.IntN(len(everybody))], everybody[n.rng.IntN(len(everybody))]
 		if n.rng.IntN(3) == 0 {
-			to = All
+			to = Broadcast
 		}
 		if from == to {
 			continue
@@ -390,7 +390,7 @@
 		} else if r := n.routers[from]; r != nil {
 			r.Send(n.now, s)
 		}
-		if want++; to == All {
+		if want++; to == Broadcast {
 			want += len(everybody) - 2
 		}
 		n.step()
@@ -409,7 +409,7 @@
 	draw := func() Record {
 		x := Record{To: []string{"", "*", "g1"}[r.IntN(3)], Kind: node.KindMessage, Body: bytes.Repeat([]byte{byte(r.Uint32())}, r.IntN(300))}
 		if r.IntN(2) == 0 {
-			x.From, x.Replica, x.Epoch, x.Seq = "g2", r.Uint64(), r.Uint64(), r.Uint64()>>r.IntN(64)
+			x.From, x.ReplicaID, x.Epoch, x.Seq = "g2", r.Uint64(), r.Uint64(), r.Uint64()>>r.IntN(64)
 		}
 		return x
 	}
@@ -423,7 +423,7 @@
 				case 0:
 					x.Kind = node.KindRaft
 				case 1:
-					x.To = string(bytes.Repeat([]byte("x"), NameMost+1))
+					x.To = string(bytes.Repeat([]byte("x"), MaxNameBytes+1))
 				case 2:
 					b = append(b, 3, byte(node.KindMessage), 200, 1)
 					continue
@@ -438,7 +438,7 @@
 			t.Fatalf("%d of %d bad records were told", n, bad)
 		}
 		if !slices.EqualFunc(list, read, func(x, y Record) bool {
-			return x.To == y.To && x.From == y.From && x.Replica == y.Replica && x.Epoch == y.Epoch && x.Seq == y.Seq && bytes.Equal(x.Body, y.Body)
+			return x.To == y.To && x.From == y.From && x.ReplicaID == y.ReplicaID && x.Epoch == y.Epoch && x.Seq == y.Seq && bytes.Equal(x.Body, y.Body)
 		}) {
 			t.Fatalf("%+v came as %+v", list, read)
 		}
--- /dev/null
+++ b/internal/cluster/relay/routes.go
@@ -0,0 +1,270 @@
+package relay
+
+import (
+	"encoding/binary"
+	"encoding/json"
+	"maps"
+	"slices"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"dunemoor/internal/cluster/failpoint"
+)
+
+const (
+	// routeSyncInterval is how often relays tell one another how many streams they have, with a checksum
+	// of their gateways: a relay that has missed an update requests all routes.
+	routeSyncInterval = time.Second
+	// maxKnownGateways bounds the gateways of which a relay knows something, connected or not.
+	maxKnownGateways = 8192
+)
+
+// routeTable is what a relay knows of which gateways are connected where.
+type routeTable struct {
+	known map[string]*gatewayRoute
+	// changed are the joins and leaves at this relay that the others were not told of yet.
+	changed []route
+	// checksum is of the gateways at this relay.
+	checksum   uint64
+	lastUpdate uint64 // numbers updates and requests
+}
+
+// gatewayRoute is a gateway that has or had a stream to any relay.
+type gatewayRoute struct {
+	incarnations
+	relay string // that has its stream; "": none
+}
+
+// routeUpdate is what relays send one another of their streams.
+type routeUpdate struct {
+	Epoch     uint64  `json:"e"` // of the relay's process
+	Seq       uint64  `json:"n"` // grows with each update
+	Full      bool    `json:"whole,omitempty"`
+	Joined    []route `json:"join,omitempty"`
+	Left      []route `json:"left,omitempty"`
+	Count     int     `json:"count"`
+	Checksum  uint64  `json:"sum"`
+	Request   uint64  `json:"ask,omitempty"`  // a full update is requested, with this as InReplyTo
+	InReplyTo uint64  `json:"echo,omitempty"` // the request
+}
+
+// route is a stream of a gateway.
+type route struct {
+	Name      string `json:"g"`
+	ReplicaID uint64 `json:"r"`
+	Epoch     uint64 `json:"e"`
+	left      bool
+}
+
+func (x *route) incarnation() Incarnation { return Incarnation{x.ReplicaID, x.Epoch} }
+
+// checksum returns the part of a route in the checksum of all routes, which is the XOR of the parts.
+func (x *route) checksum() uint64 {
+	b := binary.LittleEndian.AppendUint64(nil, x.ReplicaID)
+	b = binary.LittleEndian.AppendUint64(b, x.Epoch)
+	return xxhash.Sum64(append(b, x.Name...))
+}
+
+// announce notes a join or leave at this relay.
+func (t *routeTable) announce(x route) {
+	t.checksum ^= x.checksum()
+	t.changed = append(t.changed, x)
+}
+
+// nextUpdate returns the next number of an update or request.
+func (t *routeTable) nextUpdate() uint64 {
+	t.lastUpdate++
+	return t.lastUpdate
+}
+
+// route returns what is known of a gateway, which is added where it is unknown.
+func (r *Router) route(name string) *gatewayRoute {
+	known := r.routes.known
+	g := known[name]
+	if g != nil {
+		return g
+	}
+	if len(known) >= maxKnownGateways {
+		for _, other := range slices.Sorted(maps.Keys(known)) {
+			if known[other].relay == "" {
+				delete(known, other)
+			}
+		}
+	}
+	g = &gatewayRoute{}
+	known[name] = g
+	return g
+}
+
+// setRoute notes that a relay has a gateway's current stream.
+func (r *Router) setRoute(name, relay string) {
+	g := r.routes.known[name]
+	if l := r.links[relay]; l != nil {
+		l.checksum ^= g.checksum(name)
+	}
+	g.relay = relay
+}
+
+// clearRoute notes that no relay has a gateway's stream. It is to be called before what is known of the
+// gateway changes.
+func (r *Router) clearRoute(name string, g *gatewayRoute) {
+	if l := r.links[g.relay]; l != nil {
+		l.checksum ^= g.checksum(name)
+	}
+	g.relay = ""
+}
+
+func (g *gatewayRoute) checksum(name string) uint64 {
+	x := route{Name: name, ReplicaID: g.current.ReplicaID, Epoch: g.current.Epoch}
+	return x.checksum()
+}
+
+// learnRoute notes that another relay has a gateway's stream, and reports whether that is the latest
+// that is known.
+func (r *Router) learnRoute(relay, name string, x Incarnation) bool {
+	g := r.routes.known[name]
+	if g != nil && g.current == x {
+		if g.relay == relay {
+			return true
+		}
+		if r.streams[name] != nil {
+			return false // it is this relay's: an epoch is of one stream
+		}
+		r.clearRoute(name, g)
+		r.setRoute(name, relay)
+		return true
+	}
+	if g == nil {
+		g = r.route(name)
+	}
+	updated := g.incarnations
+	if later, ok := updated.accept(x); !later {
+		return ok
+	}
+	r.clearRoute(name, g)
+	g.incarnations = updated
+	if s := r.streams[name]; s != nil && !failpoint.Enabled(failpoint.KeepBothStreams) {
+		r.closeStream(s, "the gateway has gone to "+relay)
+	}
+	r.setRoute(name, relay)
+	return true
+}
+
+// requestRoutes requests all routes of another relay. What it sends before the reply is ignored.
+func (r *Router) requestRoutes(name string) {
+	l := r.links[name]
+	l.awaitReply, l.requestedAt = r.routes.nextUpdate(), r.now
+	r.sendRoutes(name, &routeUpdate{Request: l.awaitReply})
+}
+
+// sendRoutes sends an update to another relay.
+func (r *Router) sendRoutes(to string, u *routeUpdate) {
+	u.Epoch, u.Seq, u.Count, u.Checksum = r.epoch(), r.routes.nextUpdate(), len(r.streams), r.routes.checksum
+	b, err := json.Marshal(u)
+	if err != nil {
+		panic(err) // it consists of strings and numbers
+	}
+	r.links[to].updatedAt = r.now
+	r.flush(to)
+	r.out.ToRelay = append(r.out.ToRelay, Frame{Name: to, Kind: KindRoutes, Body: b})
+}
+
+// sendRouteChanges tells all other relays of joins and leaves.
+func (r *Router) sendRouteChanges() {
+	if len(r.routes.changed) == 0 {
+		return
+	}
+	var u routeUpdate
+	for _, x := range r.routes.changed {
+		// A join whose stream has ended meanwhile is told as left only.
+		if s := r.streams[x.Name]; x.left {
+			u.Left = append(u.Left, x)
+		} else if s != nil && s.incarnation.Epoch == x.Epoch {
+			u.Joined = append(u.Joined, x)
+		}
+	}
+	r.routes.changed = nil
+	for _, name := range r.linkNames {
+		update := u
+		r.sendRoutes(name, &update)
+	}
+}
+
+// allRoutes returns the streams of this relay.
+func (r *Router) allRoutes() (list []route) {
+	for _, name := range r.streamNames {
+		x := r.streams[name].incarnation
+		list = append(list, route{Name: name, ReplicaID: x.ReplicaID, Epoch: x.Epoch})
+	}
+	return list
+}
+
+// receiveRoutes takes an update of another relay.
+func (r *Router) receiveRoutes(relay string, l *link, u *routeUpdate) {
+	update := Incarnation{u.Epoch, u.Seq}
+	if update.ReplicaID < l.lastUpdate.ReplicaID || update.ReplicaID == l.lastUpdate.ReplicaID && update.Epoch <= l.lastUpdate.Epoch {
+		return // a later one has arrived
+	}
+	l.lastUpdate = update
+	if u.Request != 0 { // also while this relay awaits a reply: both may have been paused
+		r.sendRoutes(relay, &routeUpdate{Full: true, Joined: r.allRoutes(), InReplyTo: u.Request})
+	}
+	if l.awaitReply != 0 && u.InReplyTo != l.awaitReply {
+		return // it was held while this process was paused
+	}
+	l.heardAt, l.awaitReply, l.streams = r.now, 0, u.Count
+	r.applyRoutes(relay, u)
+	if u.Checksum != l.checksum && !u.Full && r.now >= l.requestedAt+routeSyncInterval {
+		// An update was missed. What arrives before the reply is not ignored in this case.
+		l.requestedAt = r.now
+		r.sendRoutes(relay, &routeUpdate{Request: r.routes.nextUpdate()})
+	}
+}
+
+// applyRoutes applies the routes of an update.
+func (r *Router) applyRoutes(relay string, u *routeUpdate) {
+	for i := range u.Left {
+		x := &u.Left[i]
+		// The stream may have come and gone between two updates: a relay with an earlier stream of that
+		// gateway has to close it, as what arrives by it is not accepted where the later one was known.
+		r.learnRoute(relay, x.Name, x.incarnation())
+		if g := r.routes.known[x.Name]; g != nil && g.relay == relay && g.current == x.incarnation() {
+			r.clearRoute(x.Name, g)
+		}
+	}
+	if u.Full {
+		joined := map[string]bool{}
+		for _, x := range u.Joined {
+			joined[x.Name] = true
+		}
+		for name, g := range r.routes.known {
+			if g.relay == relay && !joined[name] {
+				r.clearRoute(name, g)
+			}
+		}
+	}
+	for i := range u.Joined {
+		r.learnRoute(relay, u.Joined[i].Name, u.Joined[i].incarnation())
+	}
+}
+
+// Up reports a new connection from another relay's process, before anything that arrives by it.
+func (r *Router) Up(now time.Duration, relay string) {
+	r.advance(now)
+	l := r.links[relay]
+	if l == nil {
+		return
+	}
+	// It may be another process than before, whose updates are numbered from the beginning.
+	l.heardAt, l.lastUpdate = now, Incarnation{}
+	r.sendRoutes(relay, &routeUpdate{Full: true, Joined: r.allRoutes(), Request: r.routes.nextUpdate()})
+}
+
+// Down reports that another relay can't be reached.
+func (r *Router) Down(now time.Duration, relay string) {
+	r.advance(now)
+	if l := r.links[relay]; l != nil {
+		l.heardAt, l.batch = 0, nil
+	}
+}
--- a/internal/cluster/relays_test.go
+++ b/internal/cluster/relays_test.go
@@ -13,8 +13,8 @@
 
 	"dunemoor/internal/cluster/leaseholder"
 	"dunemoor/internal/cluster/node"
-	"dunemoor/internal/cluster/peer"
 	"dunemoor/internal/cluster/relay"
+	"dunemoor/internal/cluster/transport"
 	"dunemoor/internal/testkit"
 )
 
@@ -22,7 +22,7 @@
 
 // part is a member of a fleet without anything that serves, as it hears the news of one duty.
 type part struct {
-	*Fleet
+	*Cluster
 	mu   sync.Mutex
 	news []uint64
 }
@@ -45,9 +45,9 @@
 // join starts a part; the owner of the duty "say" tells numbers as they come.
 func join(t *testing.T, name string, relays []Relay, say <-chan uint64) *part {
 	t.Helper()
-	cfg := Config{ID: "f", Name: name, DataDir: filepath.Join(t.TempDir(), "disk"), Key: []byte(testKey), Relays: relays, Zone: "z1"}
+	cfg := Config{FleetID: "f", Name: name, DataDir: filepath.Join(t.TempDir(), "disk"), Key: []byte(testKey), Relays: relays, Zone: "z1"}
 	for _, r := range relays {
-		cfg.First = append(cfg.First, r.Name)
+		cfg.BootstrapReplicas = append(cfg.BootstrapReplicas, r.Name)
 		if r.Name == name {
 			cfg.Listen, cfg.Zone = r.Address, r.Zone
 		}
@@ -56,21 +56,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &part{Fleet: f}
+	p := &part{Cluster: f}
 	f.Register("say", func(ctx context.Context, h *leaseholder.Lease) {
 		for {
 			select {
 			case <-ctx.Done():
 				return
 			case n := <-say:
-				f.Tell("", h, n, binary.LittleEndian.AppendUint64(nil, n))
+				f.Publish("", h, n, binary.LittleEndian.AppendUint64(nil, n))
 			}
 		}
-	}, func(n node.Publication) {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		p.news = append(p.news, binary.LittleEndian.Uint64(n.Body))
-	}, nil)
+	}, p)
 	if err := f.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -78,6 +74,16 @@
 	return p
 }
 
+// ReceivePublication implements Subscriber.
+func (p *part) ReceivePublication(x node.Publication) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.news = append(p.news, binary.LittleEndian.Uint64(x.Body))
+}
+
+// Resync implements Subscriber: what was missed is not asked for.
+func (p *part) Resync(string, []byte) {}
+
 func (p *part) heard() []uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -223,20 +229,22 @@
 		{"another's replica", "g1", "g1", 9, g.Status().ReplicaID},
 		{"a relay's name", "r1", "r1", 9, 9},
 	} {
-		garbled, refused := r.carrier.Counts.Garbled.Load(), r.carrier.Counts.Refused.Load()
+		garbled, refused := r.transport.Counters.FramesMalformed.Load(), r.transport.Counters.ConnsRejected.Load()
 		to := &ends{why: make(chan error, 1)}
 		h := hello
 		h.Name, h.ReplicaID = c.name, c.replica
-		x := peer.New(peer.Config{
-			Name: c.name, Key: []byte(testKey), Hello: func() node.Hello { return h }, Judge: func(*node.Hello) string { return "" },
-			Streams: to, JudgeStream: func(*node.Hello) string { return "" },
+		x := transport.New(transport.Config{
+			Name: c.name, Key: []byte(testKey), Hello: func() node.Hello { return h }, Validate: func(*node.Hello) error { return nil },
+			StreamHandler: to, ValidateStream: func(*node.Hello) error { return nil },
 		}, nil, to)
 		x.Start()
-		x.Dial("r1", relays[0].Address, relay.KindJoin, asJSON(relay.Join{Name: c.says, Replica: c.as, Epoch: 1 << 60}))
+		x.Dial("r1", relays[0].Address, relay.KindJoin, encodeJSON(relay.JoinRequest{Name: c.says, ReplicaID: c.as, Epoch: 1 << 60}))
 		if err := <-to.why; err == nil || to.frames > 0 {
 			t.Errorf("%s: %v, %d frames", c.what, err, to.frames)
 		}
-		testkit.Until(t, c.what+" is counted", func() bool { return r.carrier.Counts.Garbled.Load()+r.carrier.Counts.Refused.Load() > garbled+refused })
+		testkit.Until(t, c.what+" is counted", func() bool {
+			return r.transport.Counters.FramesMalformed.Load()+r.transport.Counters.ConnsRejected.Load() > garbled+refused
+		})
 		x.Close()
 	}
 	was := g.Status().Relay
@@ -253,7 +261,7 @@
 	}
 	cuts := func() (n uint64) {
 		for _, p := range all {
-			n += p.Status().Streams.Cuts
+			n += p.Status().Streams.Closed
 		}
 		return n
 	}
@@ -271,9 +279,9 @@
 	why    chan error
 }
 
-func (e *ends) Greet(node.Hello)                            {}
-func (e *ends) Receive(string, node.Kind, []byte)           {}
-func (e *ends) Lost(string)                                 {}
-func (e *ends) Snapshot(uint64, bool)                       {}
-func (e *ends) Frame(_ *peer.Stream, _ node.Kind, _ []byte) { e.frames++ }
-func (e *ends) Ended(_ *peer.Stream, why error)             { e.why <- why }
+func (e *ends) ReceiveHello(node.Hello)                                {}
+func (e *ends) Receive(string, node.Kind, []byte)                      {}
+func (e *ends) Unreachable(string)                                     {}
+func (e *ends) SnapshotSent(uint64, bool)                              {}
+func (e *ends) StreamFrame(_ *transport.Stream, _ node.Kind, _ []byte) { e.frames++ }
+func (e *ends) StreamEnded(_ *transport.Stream, why error)             { e.why <- why }
--- a/internal/cluster/sim/relays.go
+++ b/internal/cluster/sim/relays.go
@@ -97,7 +97,7 @@
 	n := s.node[at]
 	delete(n.streams, s.name+fmt.Sprint(s.epoch))
 	if at == atRelay {
-		n.router.Left(n.clock(), s.name, s.epoch)
+		n.router.StreamEnded(n.clock(), s.name, s.epoch)
 	} else {
 		n.way.Ended(n.clock(), s.epoch)
 	}
@@ -146,7 +146,7 @@
 func (n *Node) begin(life int) {
 	w := n.w
 	id := n.d.Identity()
-	cfg := relay.Config{Name: n.name, Zone: w.zone(n.i), Region: "r", Replica: id.ReplicaID, Boots: id.Boots, Seed: w.rng.Uint64()}
+	cfg := relay.Config{Name: n.name, Zone: w.zone(n.i), Region: "r", ReplicaID: id.ReplicaID, Boots: id.Boots, Seed: w.rng.Uint64()}
 	n.relayed = relayed{streams: map[string]*stream{}, news: map[string]told{}, heardNews: map[string]int{}, marks: map[string]*got{}}
 	if w.relayNode(n) {
 		n.router = relay.NewRouter(n.clock(), cfg, w.relayList())
@@ -161,7 +161,7 @@
 	if n.life != life {
 		return
 	}
-	every := relay.TickEvery
+	every := relay.TickInterval
 	if n.way != nil {
 		every = node.TickInterval // it gathers nothing
 	}
@@ -205,7 +205,7 @@
 // anything.
 func (n *Node) carry() bool {
 	if n.router != nil {
-		o := n.router.Drain()
+		o := n.router.TakeOutput()
 		for _, f := range o.ToStream {
 			if n.mute && f.Kind == relay.KindRecord {
 				f.Kind, f.Body = relay.KindIdle, nil // it is there, that is all
@@ -214,7 +214,7 @@
 				n.count(len(f.Body))
 				s.node[atGateway].gotFrames++
 				s.node[atGateway].gotBytes += len(f.Body)
-				s.send(atGateway, func() { s.node[atGateway].way.Heard(s.node[atGateway].clock(), s.epoch, f.Kind, f.Body) })
+				s.send(atGateway, func() { s.node[atGateway].way.Receive(s.node[atGateway].clock(), s.epoch, f.Kind, f.Body) })
 			}
 		}
 		for _, f := range o.ToRelay {
@@ -223,17 +223,17 @@
 			}
 			n.send(node.Frame{To: f.Name, Kind: f.Kind, Body: f.Body})
 		}
-		for i := range o.ToMember {
-			n.take(&o.ToMember[i])
+		for i := range o.ToNode {
+			n.take(&o.ToNode[i])
 		}
-		for _, c := range o.Cut {
+		for _, c := range o.Closed {
 			if s := n.streams[c.Name+fmt.Sprint(c.Epoch)]; s != nil {
 				s.end(atRelay)
 			}
 		}
-		return len(o.ToMember) > 0
+		return len(o.ToNode) > 0
 	}
-	o := n.way.Drain()
+	o := n.way.TakeOutput()
 	for _, d := range o.Dial {
 		n.dial(d)
 	}
@@ -255,27 +255,27 @@
 			}
 		})
 	}
-	for i := range o.ToMember {
-		n.take(&o.ToMember[i])
+	for i := range o.ToNode {
+		n.take(&o.ToNode[i])
 	}
 	for _, epoch := range o.Close {
 		if s := n.streams[n.name+fmt.Sprint(epoch)]; s != nil {
 			s.end(atGateway)
 		}
 	}
-	if o.Moved {
+	if o.Reconnected {
 		n.moves = append(n.moves, n.w.Now)
 		n.m.Reconnected(n.clock())
 	}
-	if o.Older {
+	if o.Outdated {
 		n.m.DiskOutdated(n.clock(), "a relay knows a later stream")
 	}
 	if n.w.trace {
-		for _, l := range o.Lines {
+		for _, l := range o.Log {
 			fmt.Println(n.w.Now, n.name, l.Message, l.Args)
 		}
 	}
-	return len(o.ToMember) > 0 || o.Moved || o.Older
+	return len(o.ToNode) > 0 || o.Reconnected || o.Outdated
 }
 
 func (n *Node) count(bytes int) {
@@ -299,18 +299,18 @@
 	answered := false
 	s.send(atRelay, func() {
 		a := to.router.Join(to.clock(), d.Join)
-		if a.Taken {
+		if a.Accepted {
 			to.streams[key] = s
 		}
 		s.send(atGateway, func() {
 			answered = true
 			n.way.Joined(n.clock(), s.epoch, a)
 		})
-		if !a.Taken {
+		if !a.Accepted {
 			s.closed[atRelay] = true
 		}
 	})
-	w.after(relay.DialMost, func() {
+	w.after(relay.DialTimeout, func() {
 		n.come(func() {
 			if n.life == s.life[atGateway] && !answered && !s.closed[atGateway] && !s.told[atGateway] {
 				s.end(atGateway)
@@ -352,15 +352,15 @@
 		n.marks[r.From] = g
 	}
 	switch {
-	case g.replica == r.Replica && (r.Epoch < g.epoch || r.Epoch == g.epoch && r.Seq <= g.seq):
+	case g.replica == r.ReplicaID && (r.Epoch < g.epoch || r.Epoch == g.epoch && r.Seq <= g.seq):
 		w.bad("%s takes word %d of epoch %x of %s after word %d of epoch %x", n.name, r.Seq, r.Epoch, r.From, g.seq, g.epoch)
-	case g.replica != r.Replica && g.before[r.Replica] >= r.Epoch:
+	case g.replica != r.ReplicaID && g.before[r.ReplicaID] >= r.Epoch:
 		w.bad("%s takes a word of a disk that %s has no more", n.name, r.From)
 	}
-	if g.replica != r.Replica && g.replica != 0 {
+	if g.replica != r.ReplicaID && g.replica != 0 {
 		g.before[g.replica] = g.epoch
 	}
-	g.replica, g.epoch, g.seq = r.Replica, r.Epoch, r.Seq
+	g.replica, g.epoch, g.seq = r.ReplicaID, r.Epoch, r.Seq
 	if at, ok := w.sentAt[digest(r.Body)]; ok && w.Now-at > ageMost {
 		w.bad("%s takes a word of %s that was said %v ago", n.name, r.From, w.Now-at)
 	}
@@ -525,8 +525,8 @@
 		return w, err
 	}
 	for _, n := range w.Nodes[:w.Relays] {
-		if s := n.router.Status(); s.Streams > s.Bound {
-			return w, w.failed(fmt.Sprintf("%s holds %d streams, %d are its share", n.name, s.Streams, s.Bound))
+		if s := n.router.Status(); s.Streams > s.Limit {
+			return w, w.failed(fmt.Sprintf("%s holds %d streams, %d are its share", n.name, s.Streams, s.Limit))
 		}
 	}
 	return w, w.Linear()
--- a/internal/cluster/sim/world.go
+++ b/internal/cluster/sim/world.go
@@ -475,10 +475,10 @@
 	}
 	if n.way != nil {
 		if o.RenewalSent {
-			n.way.Asked(n.clock())
+			n.way.RenewalSent(n.clock())
 		}
 		if o.LeaderResponded {
-			n.way.Answered(n.clock())
+			n.way.LeaderResponded(n.clock())
 		}
 	}
 	if o.Reconnected {
--- /dev/null
+++ b/internal/cluster/status.go
@@ -0,0 +1,109 @@
+package cluster
+
+import (
+	"sync/atomic"
+	"time"
+
+	"dunemoor/internal/cluster/leaseholder"
+	"dunemoor/internal/cluster/node"
+)
+
+const (
+	// maxStatusAge is how old a status may be that is returned again, statusTimeout how long a caller
+	// waits for the loop to make a new one.
+	maxStatusAge  = 200 * time.Millisecond
+	statusTimeout = time.Second
+	// roleLeader is the Role of the leader in a status.
+	roleLeader = "leader"
+)
+
+// Status is a gateway's status in its fleet.
+type Status struct {
+	*node.Status
+	Relay   *RelayStatus   `json:"relay,omitempty"`   // at a gateway, in a fleet with relays
+	Streams *StreamsStatus `json:"streams,omitempty"` // at a relay
+}
+
+// RelayStatus is a gateway's connection to its relay.
+type RelayStatus struct {
+	Name      string            `json:"name"` // "": it has none at present
+	SinceMS   int64             `json:"since_ms"`
+	Epoch     uint64            `json:"epoch"`
+	Preferred string            `json:"first"` // relay that it prefers to all others
+	Moves     uint64            `json:"moves"` // streams that were accepted since the start
+	Ends      map[string]uint64 `json:"ends"`  // of streams and attempts, by cause
+}
+
+// StreamsStatus is the load of a relay.
+type StreamsStatus struct {
+	Streams int            `json:"streams"`
+	Limit   int            `json:"bound"`  // of streams, at present
+	Routes  int            `json:"routes"` // gateways known at all relays
+	Relays  map[string]int `json:"relays"` // streams of each relay that is up
+	// Counted since the start: streams that were accepted, rejected and closed by this relay, and
+	// records that were dropped as they came late or twice, or were malformed.
+	Joins     uint64 `json:"joins"`
+	Rejected  uint64 `json:"refused"`
+	Closed    uint64 `json:"cuts"`
+	Dropped   uint64 `json:"dropped"`
+	Malformed uint64 `json:"bad"`
+}
+
+// statusCache is the last status that the loop has made.
+type statusCache struct {
+	last   atomic.Pointer[Status]
+	madeAt atomic.Int64
+	stale  atomic.Bool // something was logged since
+}
+
+func (s *statusCache) invalidate() { s.stale.Store(true) }
+
+// isFresh reports whether the last status may be returned at now.
+func (s *statusCache) isFresh(now time.Duration) bool {
+	return !s.stale.Load() && int64(now) < s.madeAt.Load()+int64(maxStatusAge)
+}
+
+// updateStatus makes a status, on the loop.
+func (c *Cluster) updateStatus(now time.Duration) {
+	c.status.stale.Store(false)
+	s := &Status{Status: c.node.Status(now)}
+	if c.relaying != nil {
+		c.relaying.addStatus(now, s)
+	}
+	c.status.last.Store(s)
+	c.status.madeAt.Store(int64(now))
+}
+
+// Status returns this gateway's status in the fleet as of a moment ago. It waits for the loop, and must
+// not be called by it.
+func (c *Cluster) Status() *Status {
+	if c.status.isFresh(leaseholder.Now()) {
+		return c.status.last.Load()
+	}
+	done := make(chan struct{})
+	update := func() {
+		if now := leaseholder.Now(); !c.status.isFresh(now) {
+			c.updateStatus(now)
+		}
+		close(done)
+	}
+	timeout := time.NewTimer(statusTimeout)
+	defer timeout.Stop()
+	select {
+	case c.events <- update:
+		select {
+		case <-done:
+		case <-timeout.C:
+		case <-c.ctx.Done():
+		}
+	case <-timeout.C: // an old status is better than none
+	case <-c.ctx.Done():
+	}
+	return c.status.last.Load()
+}
+
+// freshStatus returns the status as of now.
+func (c *Cluster) freshStatus() *Status {
+	c.status.invalidate()
+	return c.Status()
+}
--- a/internal/cluster/peer/compat_test.go
+++ b/internal/cluster/transport/compat_test.go
@@ -1,4 +1,4 @@
-package peer
+package transport
 
 import (
 	"bufio"
@@ -13,8 +13,8 @@
 // Frames of each kind, one behind the other.
 func TestCompatFrames(t *testing.T) {
 	kinds := []byte{
-		kindIdle, byte(node.KindRaft), byte(node.KindMessage), byte(relay.KindRecord), byte(relay.KindJoin), byte(relay.KindAnswer),
-		byte(relay.KindBeat), byte(relay.KindRoutes), kindHead, kindPiece,
+		kindKeepalive, byte(node.KindRaft), byte(node.KindMessage), byte(relay.KindRecord), byte(relay.KindJoin), byte(relay.KindJoinReply),
+		byte(relay.KindHeartbeat), byte(relay.KindRoutes), kindSnapshotHeader, kindSnapshotChunk,
 	}
 	var b []byte
 	for i, k := range kinds {
@@ -32,13 +32,13 @@
 
 // What a handshake is made of.
 func TestCompatHandshake(t *testing.T) {
-	key, d, a := []byte("a key of 32 bytes for this test."), bytes.Repeat([]byte{1}, nonceBytes), bytes.Repeat([]byte{2}, nonceBytes)
+	key, d, a := []byte("a key of 32 bytes for this test."), bytes.Repeat([]byte{1}, nonceSize), bytes.Repeat([]byte{2}, nonceSize)
 	var b []byte
 	for _, who := range []byte("ADB") {
-		b = append(b, sign(key, who, d, a, []byte("text"))...)
+		b = append(b, mac(key, who, d, a, []byte("text"))...)
 	}
-	compat.Bytes(t, "macs.bin", appendShort(b, []byte("text")))
-	compat.Values(t, "handshake.txt", magic, version, nonceBytes, macBytes, purposeFrames, purposeSnapshot, purposeStream)
-	compat.JSON(t, "word.json", &word{})
-	compat.JSON(t, "about.json", &about{})
+	compat.Bytes(t, "macs.bin", appendPrefixed(b, []byte("text")))
+	compat.Values(t, "handshake.txt", magic, protocolVersion, nonceSize, macSize, purposeFrames, purposeSnapshot, purposeStream)
+	compat.JSON(t, "word.json", &handshakeResult{})
+	compat.JSON(t, "about.json", &snapshotHeader{})
 }
--- a/internal/cluster/peer/peer_test.go
+++ b/internal/cluster/transport/peer_test.go
@@ -1,4 +1,4 @@
-package peer
+package transport
 
 import (
 	"bufio"
@@ -17,14 +17,14 @@
 
 // end is a gateway as its carrier sees it.
 type end struct {
-	*Carrier
+	*Transport
 	mu     sync.Mutex
 	greets []string
 	got    []string
 	snaps  []bool
 }
 
-func (e *end) Greet(h node.Hello) {
+func (e *end) ReceiveHello(h node.Hello) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.greets = append(e.greets, h.Name)
@@ -41,9 +41,9 @@
 	return fmt.Sprintf("%s %d %d %s", from, kind, size, begins)
 }
 
-func (e *end) Lost(string) {}
+func (e *end) Unreachable(string) {}
 
-func (e *end) Snapshot(_ uint64, ok bool) {
+func (e *end) SnapshotSent(_ uint64, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.snaps = append(e.snaps, ok)
@@ -66,9 +66,9 @@
 	for i := range ends {
 		e := &end{}
 		hello := node.Hello{Fleet: "f", Format: node.FormatVersion, Name: names[i], ReplicaID: uint64(i + 1)}
-		e.Carrier = New(Config{
+		e.Transport = New(Config{
 			Name: names[i], Key: []byte(keys[i]), Peers: map[string]string{names[1-i]: by(lns[1-i].Addr().String())},
-			Hello: func() node.Hello { return hello }, Judge: func(*node.Hello) string { return "" },
+			Hello: func() node.Hello { return hello }, Validate: func(*node.Hello) error { return nil },
 		}, lns[i], e)
 		ends[i] = e
 		t.Cleanup(e.Close)
@@ -106,8 +106,8 @@
 func TestIdleCounts(t *testing.T) {
 	e := pair(t, [2]string{"key", "key"}, straight)
 	for i := range e {
-		c := &e[i].Counts
-		testkit.Until(t, "a frame counts that nobody asked for", func() bool { return c.Sent.Load() > 0 && c.SentBytes.Load() >= frameHead })
+		c := &e[i].Counters
+		testkit.Until(t, "a frame counts that nobody asked for", func() bool { return c.FramesSent.Load() > 0 && c.BytesSent.Load() >= frameHeaderBytes })
 	}
 	if n := e[0].count(&e[0].got) + e[1].count(&e[1].got); n > 0 {
 		t.Errorf("%d frames were handed on", n)
@@ -117,7 +117,7 @@
 // Who has another key is not let in, whichever side.
 func TestKey(t *testing.T) {
 	e := pair(t, [2]string{"key", "other"}, straight)
-	testkit.Until(t, "both are refused", func() bool { return e[0].Counts.Refused.Load() > 1 && e[1].Counts.Refused.Load() > 1 })
+	testkit.Until(t, "both are refused", func() bool { return e[0].Counters.ConnsRejected.Load() > 1 && e[1].Counters.ConnsRejected.Load() > 1 })
 	if e[0].count(&e[0].greets)+e[1].count(&e[1].greets) > 0 {
 		t.Error("one was let in")
 	}
--- /dev/null
+++ b/internal/cluster/transport/stream.go
@@ -0,0 +1,290 @@
+package transport
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"sync"
+	"time"
+
+	"dunemoor/internal/cluster/node"
+	"dunemoor/internal/cluster/relay"
+)
+
+const (
+	// maxWriteStall is how long a write of a stream may take while more than relay.MaxQueueBytes wait
+	// behind it. An endpoint list may be larger than that, and is sent at once if its receiver reads.
+	maxWriteStall = 100 * time.Millisecond
+	// streamReadBuffer is the size of a stream's buffer, and streamSendBuffer what the operating system
+	// keeps of what is sent: a relay has 1,200 streams.
+	streamReadBuffer = 4 << 10
+	streamSendBuffer = 64 << 10
+	// minSharedBody is from which size on a body is not copied: a body that is sent to all streams is
+	// shared by them.
+	minSharedBody = 4 << 10
+	// maxLoggedRejections bounds what is remembered of logged rejections.
+	maxLoggedRejections = 64
+)
+
+// StreamHandler takes what arrives by streams. It is called by many goroutines, for one stream in
+// order.
+type StreamHandler interface {
+	// StreamFrame brings a frame. The first of a stream that was accepted is a join request, the first
+	// of one that was dialled the reply to it.
+	StreamFrame(s *Stream, kind node.Kind, body []byte)
+	// StreamEnded is called last, once.
+	StreamEnded(s *Stream, err error)
+}
+
+// Stream is a connection between a gateway and its relay, for both directions.
+type Stream struct {
+	Name string // of the other side
+	// ReplicaID is that of the other side's hello. It is set at the relay, which accepted the stream.
+	ReplicaID uint64
+
+	transport *Transport
+	cancel    context.CancelFunc // of the dial; nil for an accepted stream
+
+	mu          sync.Mutex
+	conn        net.Conn // nil until the dial has succeeded
+	queue       net.Buffers
+	queueFrames int
+	queueBytes  int
+	writing     bool      // a goroutine writes the queue
+	writeBegan  time.Time // of the present write
+	finishing   bool      // it ends behind the queue
+	err         error     // why it has ended; nil while it is open
+}
+
+// Errors of a stream that was ended by this side.
+var (
+	// ErrStreamOverrun is of a stream whose other side is too far behind.
+	ErrStreamOverrun = errors.New("too much waits for the other side")
+	// ErrStreamClosed is of a stream that was closed.
+	ErrStreamClosed = errors.New("the stream was closed")
+)
+
+// Send sends a frame. It does not wait; the stream is ended where too much waits already. The body
+// must not be changed any more.
+func (s *Stream) Send(kind node.Kind, body []byte) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.err != nil || s.conn == nil || s.finishing {
+		return
+	}
+	size := frameHeaderBytes + len(body)
+	if s.overrun(size) || len(body) > maxFrameBytes {
+		s.end(ErrStreamOverrun)
+		s.transport.Counters.StreamsOverrun.Add(1)
+		return
+	}
+	if len(body) < minSharedBody {
+		s.queue = append(s.queue, AppendFrame(make([]byte, 0, size), byte(kind), body))
+	} else {
+		s.queue = append(s.queue, appendFrameHeader(make([]byte, 0, frameHeaderBytes), byte(kind), body), body)
+	}
+	s.queueFrames++
+	s.queueBytes += size
+	if !s.writing {
+		s.writing, s.writeBegan = true, time.Now()
+		go s.writeQueue()
+	}
+}
+
+// overrun reports whether so many more bytes are too much. The lock is held.
+func (s *Stream) overrun(size int) bool {
+	waiting := s.queueBytes + size
+	stalled := s.writing && time.Since(s.writeBegan) > maxWriteStall
+	return s.queueBytes > 0 && waiting > maxQueueBytes || waiting > relay.MaxQueueBytes && stalled
+}
+
+// writeQueue writes the queue until it is empty.
+func (s *Stream) writeQueue() {
+	for {
+		s.mu.Lock()
+		if s.err != nil || len(s.queue) == 0 {
+			s.writing = false
+			if s.finishing {
+				s.end(ErrStreamClosed)
+			}
+			s.mu.Unlock()
+			return
+		}
+		queue, frames, bytes := s.queue, s.queueFrames, s.queueBytes
+		s.queue, s.queueFrames, s.queueBytes, s.writeBegan = nil, 0, 0, time.Now()
+		s.mu.Unlock()
+		s.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+		if _, err := queue.WriteTo(s.conn); err != nil {
+			s.endWith(err)
+			continue
+		}
+		s.transport.Counters.FramesSent.Add(uint64(frames))
+		s.transport.Counters.BytesSent.Add(uint64(bytes))
+	}
+}
+
+// Close ends the stream.
+func (s *Stream) Close() { s.endWith(ErrStreamClosed) }
+
+// Finish ends the stream once everything that waits was sent.
+func (s *Stream) Finish() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.finishing = true
+	if !s.writing {
+		s.end(ErrStreamClosed)
+	}
+}
+
+// end ends the stream, unless it has ended. The lock is held.
+func (s *Stream) end(err error) {
+	if s.err != nil {
+		return
+	}
+	s.err, s.queue = err, nil
+	if s.cancel != nil {
+		s.cancel()
+	}
+	if s.conn != nil {
+		s.conn.Close()
+	}
+}
+
+// endWith ends the stream and returns why it has ended, which is err if it was open.
+func (s *Stream) endWith(err error) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.end(err)
+	return s.err
+}
+
+// readLoop receives frames until the stream ends. The first has to arrive before a deadline.
+func (s *Stream) readLoop(deadline time.Time) {
+	t := s.transport
+	in := bufio.NewReaderSize(s.conn, streamReadBuffer)
+	for {
+		s.conn.SetReadDeadline(deadline)
+		kind, body, err := ReadFrame(in)
+		if err != nil {
+			t.countMalformed(s.Name, err)
+			t.cfg.StreamHandler.StreamEnded(s, s.endWith(err))
+			return
+		}
+		t.Counters.FramesReceived.Add(1)
+		t.Counters.StreamBytesReceived.Add(uint64(frameHeaderBytes + len(body)))
+		t.cfg.StreamHandler.StreamFrame(s, node.Kind(kind), body)
+		deadline = time.Now().Add(silenceTimeout)
+	}
+}
+
+// serveStream serves a stream that was accepted.
+func (t *Transport) serveStream(conn net.Conn, h *node.Hello) {
+	t.Counters.StreamsAccepted.Add(1)
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		tcp.SetWriteBuffer(streamSendBuffer)
+	}
+	s := &Stream{transport: t, Name: h.Name, ReplicaID: h.ReplicaID, conn: conn}
+	s.readLoop(time.Now().Add(handshakeTimeout))
+}
+
+// Dial opens a stream to a relay and sends its first frame. The stream ends unless a frame arrives
+// within relay.DialTimeout.
+func (t *Transport) Dial(name, addr string, kind node.Kind, first []byte) *Stream {
+	ctx, cancel := context.WithCancel(t.ctx)
+	s := &Stream{transport: t, Name: name, cancel: cancel}
+	deadline := time.Now().Add(relay.DialTimeout)
+	t.goroutines.Go(func() {
+		defer cancel()
+		conn, err := t.connectStream(ctx, s, addr, deadline)
+		if err != nil {
+			err = s.endWith(err)
+			t.logStreamState(name, addr, err)
+			t.cfg.StreamHandler.StreamEnded(s, err)
+			return
+		}
+		t.logStreamState(name, addr, nil)
+		t.Counters.Dials.Add(1)
+		defer context.AfterFunc(t.ctx, func() { conn.Close() })()
+		s.Send(kind, first)
+		s.readLoop(deadline)
+	})
+	return s
+}
+
+// connectStream makes the connection of a stream.
+func (t *Transport) connectStream(ctx context.Context, s *Stream, addr string, deadline time.Time) (net.Conn, error) {
+	conn, err := (&net.Dialer{Deadline: deadline}).DialContext(ctx, "tcp", addr)
+	if err != nil {
+		return nil, err
+	}
+	defer context.AfterFunc(ctx, func() { conn.Close() })()
+	h, err := handshakeDial(conn, t.cfg.Key, purposeStream, deadline, t.cfg.Hello, t.cfg.ValidateStream)
+	if err == nil && h.Name != s.Name {
+		err = &RejectedError{Reason: fmt.Sprintf("the gateway at %s is %s", addr, h.Name)}
+	}
+	if err == nil {
+		err = s.setConn(conn)
+	}
+	if err != nil {
+		conn.Close()
+		return nil, err
+	}
+	return conn, nil
+}
+
+// setConn sets the connection, unless the stream has ended.
+func (s *Stream) setConn(conn net.Conn) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.err == nil {
+		s.conn = conn
+	}
+	return s.err
+}
+
+// logStreamState logs that there is no stream to a relay, when the state changes; err is nil for a
+// stream that was opened.
+func (t *Transport) logStreamState(name, addr string, err error) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if err == nil {
+		delete(t.loggedRelays, name)
+		return
+	}
+	state, rejected := connState(err)
+	if rejected {
+		t.Counters.ConnsRejected.Add(1)
+	}
+	if t.loggedRelays[name] == state || errors.Is(err, ErrStreamClosed) || t.ctx.Err() != nil {
+		return
+	}
+	t.loggedRelays[name] = state
+	level := slog.LevelInfo
+	if rejected {
+		level = slog.LevelWarn
+	}
+	slog.Log(t.ctx, level, "no stream to a relay of the fleet", "relay", name, "address", addr, "why", err.Error())
+}
+
+// logRejectedStream logs a stream that was rejected, once for each address and reason: a gateway that
+// is rejected dials again and again.
+func (t *Transport) logRejectedStream(from net.Addr, err error) {
+	t.Counters.ConnsRejected.Add(1)
+	host, _, _ := net.SplitHostPort(from.String())
+	key := host + " " + err.Error()
+	t.mu.Lock()
+	_, logged := t.loggedRejections[key]
+	if !logged {
+		if len(t.loggedRejections) >= maxLoggedRejections {
+			clear(t.loggedRejections)
+		}
+		t.loggedRejections[key] = struct{}{}
+	}
+	t.mu.Unlock()
+	if !logged {
+		slog.Warn("a stream to the fleet refused", "from", from.String(), "why", err.Error())
+	}
+}
--- a/internal/cluster/peer/stream_test.go
+++ b/internal/cluster/transport/stream_test.go
@@ -1,4 +1,4 @@
-package peer
+package transport
 
 import (
 	"bytes"
@@ -19,7 +19,7 @@
 
 // side is a relay or a gateway as its carrier sees it. A relay answers a join, and echoes the rest.
 type side struct {
-	*Carrier
+	*Transport
 	relay bool
 	deaf  bool // a relay that answers nothing
 
@@ -29,12 +29,12 @@
 	ends    []error
 }
 
-func (s *side) Greet(node.Hello)                  {}
+func (s *side) ReceiveHello(node.Hello)           {}
 func (s *side) Receive(string, node.Kind, []byte) {}
-func (s *side) Lost(string)                       {}
-func (s *side) Snapshot(uint64, bool)             {}
+func (s *side) Unreachable(string)                {}
+func (s *side) SnapshotSent(uint64, bool)         {}
 
-func (s *side) Frame(x *Stream, kind node.Kind, body []byte) {
+func (s *side) StreamFrame(x *Stream, kind node.Kind, body []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.got = append(s.got, frame(x.Name, kind, len(body), string(body[:min(8, len(body))])))
@@ -42,13 +42,13 @@
 	case !s.relay || s.deaf:
 	case kind == relay.KindJoin:
 		s.streams = append(s.streams, x)
-		x.Send(relay.KindAnswer, []byte("taken"))
+		x.Send(relay.KindJoinReply, []byte("taken"))
 	default:
 		x.Send(kind, body)
 	}
 }
 
-func (s *side) Ended(_ *Stream, why error) {
+func (s *side) StreamEnded(_ *Stream, why error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ends = append(s.ends, why)
@@ -70,13 +70,13 @@
 		ln = testkit.Listen(t, "127.0.0.1:0", nil)
 		addr = ln.Addr().String()
 	}
-	s.Carrier = New(Config{
-		Name: name, Key: []byte(key), Hello: func() node.Hello { return hello }, Judge: func(*node.Hello) string { return "a stream is no link" },
-		Streams: s, Serve: serve, JudgeStream: func(h *node.Hello) string {
+	s.Transport = New(Config{
+		Name: name, Key: []byte(key), Hello: func() node.Hello { return hello }, Validate: func(*node.Hello) error { return errors.New("it is for streams only") },
+		StreamHandler: s, AcceptStreams: serve, ValidateStream: func(h *node.Hello) error {
 			if h.Name == "stranger" {
-				return "it is a stranger"
+				return errors.New("it is a stranger")
 			}
-			return ""
+			return nil
 		},
 	}, ln, s)
 	t.Cleanup(s.Close)
@@ -91,7 +91,7 @@
 	g, _ := newSide(t, "g1", "key", false)
 	s := g.Dial("relay", addr, relay.KindJoin, []byte("join"))
 	testkit.Until(t, "the relay answers", func() bool { got, _ := g.seen(); return len(got) == 1 })
-	want := []string{frame("relay", relay.KindAnswer, 5, "taken")}
+	want := []string{frame("relay", relay.KindJoinReply, 5, "taken")}
 	for i := range 200 {
 		body := fmt.Appendf(nil, "n%03d", i)
 		if i%50 == 49 {
@@ -160,13 +160,13 @@
 	_, addr := newSide(t, "relay", "key", true)
 	g, _ := newSide(t, "g1", "key", false)
 	whole := 0 // bytes until the answer has come
-	first := frame("relay", relay.KindAnswer, 5, "taken")
+	first := frame("relay", relay.KindJoinReply, 5, "taken")
 	{
 		s := g.Dial("relay", addr, relay.KindJoin, []byte("join"))
 		testkit.Until(t, "the relay answers", func() bool { got, _ := g.seen(); return len(got) == 1 })
 		s.Close()
 		testkit.Until(t, "it ends", func() bool { _, ends := g.seen(); return len(ends) == 1 })
-		whole = len(magic) + 1 + nonceBytes + 2*macBytes + 2 + len(`{"hello":`) + frameHead + 5
+		whole = len(magic) + 1 + nonceSize + 2*macSize + 2 + len(`{"hello":`) + frameHeaderBytes + 5
 	}
 	for _, what := range []string{"end", "hang", "garble"} {
 		for at := 0; at < whole; at += 7 {
@@ -181,13 +181,13 @@
 	}
 	// Behind the handshake: a frame with a byte that is wrong ends the stream and is not taken.
 	g, _ = newSide(t, "g2", "key", false)
-	hello := len(magic) + 1 + nonceBytes + 2*macBytes + 2
+	hello := len(magic) + 1 + nonceSize + 2*macSize + 2
 	for at := hello; ; at++ { // the length of its hello is not known here
 		g, _ := newSide(t, "g2", "key", false)
 		g.Dial("relay", spoilt(t, addr, int64(at), "garble"), relay.KindJoin, []byte("join"))
 		testkit.Until(t, "the stream ends or is taken", func() bool { got, ends := g.seen(); return len(ends)+len(got) > 0 })
 		got, _ := g.seen()
-		garbled := g.Counts.Garbled.Load()
+		garbled := g.Counters.FramesMalformed.Load()
 		g.Close()
 		if len(got) > 0 && got[0] != first {
 			t.Fatalf("garbled at %d: got %v", at, got)
@@ -210,7 +210,7 @@
 	}
 	defer c.Close()
 	hello := node.Hello{Fleet: "f", Format: node.FormatVersion, Name: "g1", ReplicaID: 1}
-	if _, err := dial(c, []byte("key"), purposeStream, time.Now().Add(handshakeTime), func() node.Hello { return hello }, r.judgeRelay); err != nil {
+	if _, err := handshakeDial(c, []byte("key"), purposeStream, time.Now().Add(handshakeTimeout), func() node.Hello { return hello }, r.cfg.ValidateStream); err != nil {
 		t.Fatal(err)
 	}
 	testkit.Until(t, "the relay ends it", func() bool { _, ends := r.seen(); return len(ends) == 1 })
@@ -258,16 +258,16 @@
 		s.Send(relay.KindRecord, body)
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if s.bytes < relay.QueueMost {
-			return s.why != nil
+		if s.queueBytes < relay.MaxQueueBytes {
+			return s.err != nil
 		}
-		s.began = s.began.Add(-stuckMost) // it has hung for so long
+		s.writeBegan = s.writeBegan.Add(-maxWriteStall) // it has hung for so long
 		return true
 	})
 	s.Send(relay.KindRecord, body)
 	testkit.Until(t, "it is cut", func() bool { _, ends := r.seen(); return len(ends) == 1 })
-	if _, ends := r.seen(); !errors.Is(ends[0], ErrBehind) || r.Counts.StreamsBehind.Load() != 1 {
-		t.Errorf("it ended as %v, %d were behind", ends[0], r.Counts.StreamsBehind.Load())
+	if _, ends := r.seen(); !errors.Is(ends[0], ErrStreamOverrun) || r.Counters.StreamsOverrun.Load() != 1 {
+		t.Errorf("it ended as %v, %d were behind", ends[0], r.Counters.StreamsOverrun.Load())
 	}
 }
 
@@ -281,8 +281,8 @@
 	_, addr := newSide(t, "relay", "key", true)
 	_, other := newSide(t, "no relay", "key", false)
 	for _, c := range []struct{ name, key, dials, at, want, said string }{
-		{"g1", "other", "relay", addr, errKey.Error(), "it does not know the fleet's key"},
-		{"g2", "key", "no relay", other, "refused by it: no relay is no relay", "no stream to a relay of the fleet"},
+		{"g1", "other", "relay", addr, ErrWrongKey.Error(), "the other side does not know the fleet's key"},
+		{"g2", "key", "no relay", other, "refused by it: no relay is not a relay", "no stream to a relay of the fleet"},
 		{"g3", "key", "relay2", addr, "is relay", "no stream to a relay of the fleet"},
 		{"stranger", "key", "relay", addr, "refused by it: it is a stranger", "why=\"refused: it is a stranger\""},
 	} {
--- a/internal/cluster/wal/compare/compare_test.go
+++ b/internal/cluster/wal/compare/compare_test.go
@@ -15,8 +15,8 @@
 	"go.etcd.io/bbolt"
 	pb "go.etcd.io/raft/v3/raftpb"
 
-	"dunemoor/internal/cluster/wal"
 	"dunemoor/internal/cluster/multiraft"
+	"dunemoor/internal/cluster/wal"
 )
 
 // store takes a commit: entries of a replicated log behind one another, and its hard state, so
--- a/internal/fleet/calls.go
+++ b/internal/fleet/calls.go
@@ -32,7 +32,7 @@
 			if missing != "" {
 				return http.StatusBadRequest, missing + " is missing\n", ""
 			}
-			return answer(f.c.Do(ctx, c))
+			return answer(f.c.Propose(ctx, c))
 		}}
 	}
 	need := func(with url.Values, keys ...string) string {
@@ -85,7 +85,7 @@
 // known here.
 func (f *Fleet) move(ctx context.Context, duty, to string) (int, string, string) {
 	owner, token := f.holder(duty)
-	code, text, kind := answer(f.c.Do(ctx, lease.Command{Op: lease.OpTransfer, Lease: duty, Target: to}))
+	code, text, kind := answer(f.c.Propose(ctx, lease.Command{Op: lease.OpTransfer, Lease: duty, Target: to}))
 	if code != http.StatusOK || to != "" && owner == to {
 		return code, text, kind
 	}
@@ -118,7 +118,7 @@
 // answer words what came of a command: done, refused, or not known.
 func answer(r lease.Result, err error) (int, string, string) {
 	switch {
-	case errors.Is(err, cluster.ErrUnknown):
+	case errors.Is(err, cluster.ErrIndeterminate):
 		return http.StatusGatewayTimeout, err.Error() + "\n", ""
 	case err != nil:
 		return http.StatusServiceUnavailable, err.Error() + "\n", ""
--- a/internal/fleet/check.go
+++ b/internal/fleet/check.go
@@ -96,13 +96,13 @@
 			continue
 		}
 		if b, err := json.Marshal(good{names}); err == nil {
-			c.f.c.Want(c.name, b)
+			c.f.c.RequestResync(c.name, b)
 		}
 	}
 }
 
-// want takes another gateway's word on what it has given up.
-func (c *check) want(_ string, body []byte) {
+// Resync takes another gateway's word on what it has given up.
+func (c *check) Resync(_ string, body []byte) {
 	var w good
 	if err := json.Unmarshal(body, &w); err != nil {
 		return
@@ -114,8 +114,8 @@
 	}
 }
 
-// news takes the owner's word that hosts have answered.
-func (c *check) news(n node.Publication) {
+// ReceivePublication takes the owner's word that hosts have answered.
+func (c *check) ReceivePublication(n node.Publication) {
 	var w good
 	if err := json.Unmarshal(n.Body, &w); err != nil {
 		slog.Warn("the fleet's word on hosts can't be read", "pool", c.pool, "err", err)
@@ -171,7 +171,7 @@
 				seq := c.seq
 				c.mu.Unlock()
 				if b, err := json.Marshal(good{[]string{name}}); ok && err == nil && h.Valid() {
-					c.f.c.Tell("", h, seq, b)
+					c.f.c.Publish("", h, seq, b)
 					c.hint([]string{name})
 				}
 			})
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -20,7 +20,7 @@
 
 // Fleet is a gateway's part.
 type Fleet struct {
-	c      *cluster.Fleet
+	c      *cluster.Cluster
 	lists  map[string]*list // by pool
 	checks []*check
 	pools  atomic.Pointer[func(name string) (Pool, bool)]
@@ -37,8 +37,8 @@
 		return nil, err
 	}
 	cfg := cluster.Config{
-		ID: a.Fleet.ID, Name: a.Name, Zone: a.Fleet.Zone, Machine: a.Fleet.Machine, Listen: a.Fleet.Listen,
-		DataDir: a.Fleet.DataDir, Key: key, First: a.Fleet.First,
+		FleetID: a.Fleet.ID, Name: a.Name, Zone: a.Fleet.Zone, Machine: a.Fleet.Machine, Listen: a.Fleet.Listen,
+		DataDir: a.Fleet.DataDir, Key: key, BootstrapReplicas: a.Fleet.First,
 	}
 	for _, p := range a.Fleet.Peers {
 		cfg.Peers = append(cfg.Peers, cluster.Peer(p))
@@ -53,22 +53,22 @@
 	}
 	f := &Fleet{c: c, lists: map[string]*list{}}
 	f.ctx, f.cancel = context.WithCancel(context.Background())
-	c.OnWords = f.hearWords
+	c.OnOverrides = f.hearWords
 	if len(a.Fleet.Relays) == 0 || a.Fleet.IsRelay(a.Name) { // a gateway with a relay knows no other
-		c.Register(housekeeping, f.keepHouse, nil, nil)
+		c.Register(housekeeping, f.keepHouse, nil)
 	}
 	for _, p := range a.Pools {
 		if p.Check != "" {
 			k := newCheck(f, p.Name, p.Check)
 			f.checks = append(f.checks, k)
-			c.Register(k.name, k.work, k.news, k.want)
+			c.Register(k.name, k.work, k)
 		}
 		if p.Discovery == "" {
 			continue
 		}
 		l := &list{f: f, pool: p.Name, addr: p.Discovery, name: listPrefix + p.Name, inbox: make(chan func(*listening), inboxMost)}
 		f.lists[p.Name] = l
-		c.Register(l.name, l.work, l.news, l.want)
+		c.Register(l.name, l.work, l)
 	}
 	return f, nil
 }
@@ -162,7 +162,7 @@
 				continue
 			}
 			gone[name] = now
-			r, err := f.c.Do(ctx, lease.Command{Op: lease.OpCollectGarbage, Lease: housekeeping, Token: h.Token, Name: name})
+			r, err := f.c.Propose(ctx, lease.Command{Op: lease.OpCollectGarbage, Lease: housekeeping, Token: h.Token, Name: name})
 			if err == nil && r.Code == lease.OK {
 				slog.Info("forgotten by the fleet", "name", name)
 			}
--- a/internal/fleet/list.go
+++ b/internal/fleet/list.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// news takes an owner's word.
-func (l *list) news(n node.Publication) {
+// ReceivePublication takes an owner's word.
+func (l *list) ReceivePublication(n node.Publication) {
 	var t told
 	if err := json.Unmarshal(n.Body, &t); err != nil {
 		slog.Warn("a list of the fleet can't be read", "pool", l.pool, "err", err)
@@ -101,8 +101,8 @@
 	l.post(func(x *listening) { x.hear(n.Token, &t) })
 }
 
-// want is another gateway's wish for the whole list.
-func (l *list) want(from string, _ []byte) {
+// Resync is another gateway's wish for the whole list.
+func (l *list) Resync(from string, _ []byte) {
 	l.post(func(x *listening) {
 		if x.hold != nil && x.state.Version() > 0 {
 			x.tell(from, lists.Word{Kind: lists.Whole, Version: x.state.Version()}, slices.SortedFunc(maps.Values(x.hosts), byID))
@@ -243,7 +243,7 @@
 		x.beat = leaseholder.Now()
 	}
 	if x.hold.Valid() {
-		x.f.c.Tell(to, x.hold, x.seq, b)
+		x.f.c.Publish(to, x.hold, x.seq, b)
 	}
 }
 
@@ -271,6 +271,6 @@
 func (x *listening) ask(now time.Duration) {
 	if x.hold == nil && now >= x.wanted+wantEvery {
 		x.wanted = now
-		x.f.c.Want(x.name, nil)
+		x.f.c.RequestResync(x.name, nil)
 	}
 }
--- a/internal/fleet/metrics.go
+++ b/internal/fleet/metrics.go
@@ -18,7 +18,7 @@
 func (f *Fleet) metrics() func(context.Context, url.Values) (int, string, string) {
 	r := prometheus.NewRegistry()
 	r.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	f.c.Metrics(r)
+	f.c.RegisterMetrics(r)
 	for pool, l := range f.lists {
 		r.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 			Name: "dunemoor_discovery_watches_total", Help: "Watches of discovery begun from this gateway, of a pool whose list the fleet tells.",
--- a/internal/fleet/words.go
+++ b/internal/fleet/words.go
@@ -22,7 +22,7 @@
 // Drained is the hosts that operators want drained, by pool, as it is known here.
 func (f *Fleet) Drained() map[string][]string {
 	hosts := map[string][]string{}
-	for _, w := range f.c.Words().List {
+	for _, w := range f.c.Overrides().List {
 		hosts[w.Pool] = append(hosts[w.Pool], w.Host)
 	}
 	return hosts
@@ -50,7 +50,7 @@
 // do has a word written, again where nothing was done as it came late.
 func (f *Fleet) do(ctx context.Context, c lease.Command) (r lease.Result, err error) {
 	for range lateMost {
-		if r, err = f.c.Do(ctx, c); err != nil || r.Code != lease.Superseded {
+		if r, err = f.c.Propose(ctx, c); err != nil || r.Code != lease.Superseded {
 			break
 		}
 	}
