--- a/internal/cluster/shelf/failpoints_test.go
+++ b/internal/cluster/idempotency/failpoints_test.go
@@ -1,6 +1,6 @@
 //go:build failpoints
 
-package shelf
+package idempotency
 
 import (
 	"testing"
--- a/internal/cluster/shelf/shelf_test.go
+++ b/internal/cluster/idempotency/idempotency_test.go
@@ -1,4 +1,4 @@
-package shelf
+package idempotency
 
 import (
 	"bytes"
@@ -28,7 +28,7 @@
 	r        *rand.Rand
 	now      time.Duration
 	events   events
-	st       *State
+	st       *Partition
 	index    uint64
 	sent     map[string]time.Duration // by this leader: when the first sending was proposed
 	sessions uint64
@@ -37,7 +37,7 @@
 	live     map[uint64]bool
 	ran      map[string]map[string][]time.Duration // by key and group: runs that were no repeats
 	fences   map[string]uint64
-	effect   map[string]Effect
+	effect   map[string]Idempotency
 	final    map[string]string // as first seen
 	bad      error
 	seen     map[Code]int
@@ -75,21 +75,21 @@
 
 // apply proposes a command now; the answer comes later, to a gateway that may have gone.
 func (w *world) apply(c Command, then func(Result)) {
-	id := ID(c.Tenant, c.Key)
+	id := RequestID(c.Tenant, c.Key)
 	if at, ok := w.sent[id]; ok && w.now < at+window {
-		c.Left = at + window - w.now
+		c.WindowLeft = at + window - w.now
 	}
 	w.index++
 	res := w.st.Apply(w.index, &c)
 	w.seen[res.Code]++
-	if _, ok := w.sent[id]; c.Op == Send && res.Code == OK && !ok {
+	if _, ok := w.sent[id]; c.Op == OpSend && res.Code == OK && !ok {
 		w.sent[id] = w.now
 	}
 	w.look(id)
-	if e := w.st.Entries[id]; c.Op == Begin && (res.Code == Run || res.Code == Again || res.Code == Done) && e.Digest != c.Digest && w.bad == nil {
+	if e := w.st.Requests[id]; c.Op == OpBegin && (res.Code == Execute || res.Code == Retry || res.Code == Completed) && e.Digest != c.Digest && w.bad == nil {
 		w.bad = fmt.Errorf("%s: another request was taken for it", c.Key)
 	}
-	if c.Op == Take && (res.Code == Run || res.Code == Again) {
+	if c.Op == OpTakeUp && (res.Code == Execute || res.Code == Retry) {
 		if c.Token < w.highest && w.bad == nil {
 			w.bad = fmt.Errorf("%s was taken up under token %d after one under %d", c.Key, c.Token, w.highest)
 		}
@@ -100,17 +100,17 @@
 
 // look checks what must hold of an entry, and of what the shelf says that it takes.
 func (w *world) look(id string) {
-	if e := w.st.Entries[id]; e != nil && e.Phase.Final() {
-		now := fmt.Sprint(e.Phase, e.Answer)
+	if e := w.st.Requests[id]; e != nil && e.Phase.Final() {
+		now := fmt.Sprint(e.Phase, e.Response)
 		if was := w.final[id]; was != "" && was != now && w.bad == nil {
 			w.bad = fmt.Errorf("%s was final as %s and is %s", id, was, now)
 		}
 		w.final[id] = now
 	}
 	entries, size := 0, 0
-	for _, e := range w.st.Entries {
+	for _, e := range w.st.Requests {
 		entries, size = entries+1, size+e.size()
-		if e.Effect == Unsafe && e.Phase == Sending && e.Session == 0 && w.bad == nil {
+		if e.Idempotency == NonIdempotent && e.Phase == PhaseSending && e.Session == 0 && w.bad == nil {
 			w.bad = fmt.Errorf("%s is unsafe, may have run, nobody has it, and it has no final state", e.Key)
 		}
 	}
@@ -121,11 +121,11 @@
 
 // run has a gateway send a request that it was given, and end it.
 func (w *world) run(session uint64, c Command, res Result, until time.Duration) {
-	group := res.Group
+	group := res.Scope
 	if group == "" || w.r.IntN(4) == 0 { // some gateways go where they like
 		group = fmt.Sprint("cell", w.r.IntN(2))
 	}
-	w.apply(Command{Op: Send, Tenant: c.Tenant, Key: c.Key, Session: session, Fence: res.Fence, Group: group}, func(r Result) {
+	w.apply(Command{Op: OpSend, Tenant: c.Tenant, Key: c.Key, Session: session, Fence: res.Fence, Scope: group}, func(r Result) {
 		if r.Code != OK || !w.live[session] || until > 0 && w.now+20*time.Millisecond >= until {
 			return
 		}
@@ -141,7 +141,7 @@
 				return
 			}
 			w.after(answerIn, func() {
-				w.apply(Command{Op: End, Tenant: c.Tenant, Key: c.Key, Fence: res.Fence, Answer: &Answer{Status: status}}, func(Result) {})
+				w.apply(Command{Op: OpComplete, Tenant: c.Tenant, Key: c.Key, Fence: res.Fence, Response: &Response{Status: status}}, func(Result) {})
 			})
 		})
 	})
@@ -164,30 +164,30 @@
 }
 
 // client asks with one key at this gateway or that, in a while again.
-func (w *world) client(key string, effect Effect, promised bool) {
+func (w *world) client(key string, effect Idempotency, promised bool) {
 	w.effect[key] = effect
 	if len(w.live) > 0 {
 		list := slices.Sorted(maps.Keys(w.live))
 		session := list[w.r.IntN(len(list))]
-		c := Command{Op: Begin, Session: session, Tenant: "t", Key: key, Digest: "d" + key, Effect: effect, Keep: time.Hour}
+		c := Command{Op: OpBegin, Session: session, Tenant: "t", Key: key, Digest: "d" + key, Idempotency: effect, Retention: time.Hour}
 		if w.r.IntN(20) == 0 {
 			c.Digest = "another"
 		}
 		asked := w.now
 		switch {
 		case promised:
-			c.Op, c.Last = Put, 20*time.Second
+			c.Op, c.DeliverWithin = OpDefer, 20*time.Second
 			if w.r.IntN(8) == 0 {
-				c.Op = Cancel
+				c.Op = OpCancel
 			}
 			w.apply(c, func(Result) {})
 		default:
 			w.apply(c, func(r Result) {
 				switch r.Code {
-				case Run, Again:
+				case Execute, Retry:
 					until := time.Duration(0)
-					if r.Left > 0 {
-						until = asked + r.Left
+					if r.WindowLeft > 0 {
+						until = asked + r.WindowLeft
 					}
 					w.run(session, c, r, until)
 				}
@@ -203,15 +203,15 @@
 	if !w.live[session] {
 		return
 	}
-	for _, id := range slices.Sorted(maps.Keys(w.st.Entries)) {
-		if e := w.st.Entries[id]; e.Promised && !e.Phase.Final() {
-			c := Command{Op: Take, Session: session, Token: token, Tenant: e.Tenant, Key: e.Key, Effect: e.Effect}
+	for _, id := range slices.Sorted(maps.Keys(w.st.Requests)) {
+		if e := w.st.Requests[id]; e.Deferred && !e.Phase.Final() {
+			c := Command{Op: OpTakeUp, Session: session, Token: token, Tenant: e.Tenant, Key: e.Key, Idempotency: e.Idempotency}
 			asked := w.now
 			w.apply(c, func(r Result) {
-				if r.Code == Run || r.Code == Again {
+				if r.Code == Execute || r.Code == Retry {
 					until := time.Duration(0)
-					if r.Left > 0 {
-						until = asked + r.Left
+					if r.WindowLeft > 0 {
+						until = asked + r.WindowLeft
 					}
 					w.run(session, c, r, until)
 				}
@@ -228,7 +228,7 @@
 	s := w.sessions
 	w.live[s] = true
 	w.after(10*time.Second, func() {
-		w.apply(Command{Op: Gone, Session: s}, func(Result) {})
+		w.apply(Command{Op: OpEndSession, Session: s}, func(Result) {})
 		// It may live on, and not know; the session is no other's.
 		w.after(2*lasts, func() { delete(w.live, s) })
 		w.gateway()
@@ -239,20 +239,20 @@
 // play plays a world by a seed.
 func play(seed uint64) (*world, error) {
 	w := &world{
-		r: rand.New(rand.NewPCG(seed, 7)), st: New(), sent: map[string]time.Duration{}, live: map[uint64]bool{}, ran: map[string]map[string][]time.Duration{},
-		fences: map[string]uint64{}, effect: map[string]Effect{}, final: map[string]string{}, seen: map[Code]int{},
+		r: rand.New(rand.NewPCG(seed, 7)), st: NewPartition(), sent: map[string]time.Duration{}, live: map[uint64]bool{}, ran: map[string]map[string][]time.Duration{},
+		fences: map[string]uint64{}, effect: map[string]Idempotency{}, final: map[string]string{}, seen: map[Code]int{},
 	}
 	for range 4 {
 		w.gateway()
 	}
 	for i := range 12 {
-		w.client(fmt.Sprint("k", i), []Effect{Safe, Keyed, Unsafe}[i%3], i >= 6)
+		w.client(fmt.Sprint("k", i), []Idempotency{Idempotent, IdempotentWithKey, NonIdempotent}[i%3], i >= 6)
 	}
 	var lead func()
 	lead = func() { // another leads: when things were sent is known no more
 		clear(w.sent)
-		w.st.Apply(w.index, &Command{Op: Clock, By: time.Second})
-		if back := New(); back.Load(w.st.Save()) != nil || !bytes.Equal(back.Save(), w.st.Save()) {
+		w.st.Apply(w.index, &Command{Op: OpAdvanceClock, Elapsed: time.Second})
+		if back := NewPartition(); back.Decode(w.st.Encode()) != nil || !bytes.Equal(back.Encode(), w.st.Encode()) {
 			w.bad = fmt.Errorf("the shelf does not come back from its bytes")
 		} else {
 			w.st = back
@@ -270,7 +270,7 @@
 		for _, l := range groups {
 			runs += len(l)
 		}
-		if w.effect[key] != Safe && runs > 1 && w.bad == nil {
+		if w.effect[key] != Idempotent && runs > 1 && w.bad == nil {
 			w.bad = fmt.Errorf("%s, which is %s, ran %d times: %v", key, w.effect[key], runs, groups)
 		}
 	}
@@ -296,7 +296,7 @@
 			seen[c] += n
 		}
 	}
-	for _, c := range []Code{OK, Run, Again, Running, Done, InDoubt, Mismatch, Stale, Unknown, Refused} {
+	for _, c := range []Code{OK, Execute, Retry, InProgress, Completed, Indeterminate, KeyMismatch, Stale, UnknownRequest, Rejected} {
 		if seen[c] == 0 {
 			t.Errorf("%q never came up", c)
 		}
--- a/internal/cluster/copies/failpoints_test.go
+++ b/internal/cluster/placement/failpoints_test.go
@@ -1,6 +1,6 @@
 //go:build failpoints
 
-package copies
+package placement
 
 import (
 	"errors"
--- a/internal/cluster/copies/copies_test.go
+++ b/internal/cluster/placement/placement_test.go
@@ -1,4 +1,4 @@
-package copies
+package placement
 
 import (
 	"fmt"
@@ -27,9 +27,9 @@
 
 func newFleet(seed uint64, shelves, machines int) *fleet {
 	f := &fleet{r: rand.New(rand.NewPCG(seed, 1)), seed: seed}
-	f.Copies = 3
+	f.ReplicationFactor = 3
 	for i := range shelves {
-		f.Shelves = append(f.Shelves, Shelf{ID: i})
+		f.Partitions = append(f.Partitions, Partition{ID: i})
 	}
 	for i := range machines {
 		for k := range 1 + f.r.IntN(2) { // one or two gateways a machine
@@ -39,20 +39,20 @@
 		}
 	}
 	// A shelf begins with the copies that it is to have.
-	want := f.Want()
-	for i := range f.Shelves {
-		f.Shelves[i].Copies = want[i]
+	want := f.Targets()
+	for i := range f.Partitions {
+		f.Partitions[i].Replicas = want[i]
 	}
 	return f
 }
 
 // check looks at what must hold of every shelf at any time.
 func (f *fleet) check() {
-	for _, s := range f.Shelves {
+	for _, s := range f.Partitions {
 		machines := map[string]bool{}
-		for _, c := range s.Copies {
-			if m := f.by[c].Machine; machines[m] {
-				f.fail("shelf %d has two copies on a machine: %v", s.ID, s.Copies)
+		for _, c := range s.Replicas {
+			if m := f.byName[c].Machine; machines[m] {
+				f.fail("shelf %d has two copies on a machine: %v", s.ID, s.Replicas)
 			} else {
 				machines[m] = true
 			}
@@ -62,49 +62,49 @@
 
 // step carries out what is to be done next, some of it, and says whether there was anything.
 func (f *fleet) step() bool {
-	steps := f.Next()
+	steps := f.NextSteps()
 	seen := map[int]bool{}
 	for _, st := range steps {
-		s := &f.Shelves[st.Shelf]
-		if seen[st.Shelf] {
-			f.fail("two changes of shelf %d at once: %+v", st.Shelf, steps)
+		s := &f.Partitions[st.Partition]
+		if seen[st.Partition] {
+			f.fail("two changes of shelf %d at once: %+v", st.Partition, steps)
 		}
-		seen[st.Shelf] = true
+		seen[st.Partition] = true
 		if f.r.IntN(4) == 0 {
 			continue // it did not come through
 		}
-		before := f.living(s.Copies)
-		if 2*before <= len(s.Copies) && st.Remove != s.Learner {
-			f.fail("%+v of shelf %d, of whose %d copies %d live: it can't be carried out", st, st.Shelf, len(s.Copies), before)
+		before := f.countUp(s.Replicas)
+		if 2*before <= len(s.Replicas) && st.Remove != s.Learner {
+			f.fail("%+v of shelf %d, of whose %d copies %d live: it can't be carried out", st, st.Partition, len(s.Replicas), before)
 		}
 		switch {
-		case st.Learn != "":
-			s.Learner, s.Caught = st.Learn, false
+		case st.AddLearner != "":
+			s.Learner, s.LearnerCaughtUp = st.AddLearner, false
 			f.moved++
 			continue
 		case st.Promote != "":
-			if !s.Caught {
+			if !s.LearnerCaughtUp {
 				f.fail("%s gets its vote before it has the log", st.Promote)
 			}
-			s.Copies, s.Learner, s.Caught = append(s.Copies, st.Promote), "", false
+			s.Replicas, s.Learner, s.LearnerCaughtUp = append(s.Replicas, st.Promote), "", false
 		case st.Remove == s.Learner:
-			s.Learner, s.Caught = "", false
+			s.Learner, s.LearnerCaughtUp = "", false
 			continue
 		}
-		s.Copies = slices.DeleteFunc(s.Copies, func(c string) bool { return c == st.Remove })
-		if now := f.living(s.Copies); 2*now <= len(s.Copies) || now < min(before, f.Copies) {
-			f.fail("shelf %d has %d of %d copies behind %+v, %d lived before", s.ID, now, len(s.Copies), st, before)
+		s.Replicas = slices.DeleteFunc(s.Replicas, func(c string) bool { return c == st.Remove })
+		if now := f.countUp(s.Replicas); 2*now <= len(s.Replicas) || now < min(before, f.ReplicationFactor) {
+			f.fail("shelf %d has %d of %d copies behind %+v, %d lived before", s.ID, now, len(s.Replicas), st, before)
 		}
 	}
 	open := len(steps) > 0
-	for i := range f.Shelves {
-		if s := &f.Shelves[i]; s.Learner != "" && f.usable(s.Learner) && !s.Caught && f.r.IntN(3) > 0 {
-			s.Caught, open = true, true
+	for i := range f.Partitions {
+		if s := &f.Partitions[i]; s.Learner != "" && f.usable(s.Learner) && !s.LearnerCaughtUp && f.r.IntN(3) > 0 {
+			s.LearnerCaughtUp, open = true, true
 		}
 	}
 	f.check()
-	for _, s := range f.Shelves {
-		open = open || s.Learner != "" && !s.Caught // one that has the log may wait for a majority
+	for _, s := range f.Partitions {
+		open = open || s.Learner != "" && !s.LearnerCaughtUp // one that has the log may wait for a majority
 	}
 	return open
 }
@@ -124,8 +124,8 @@
 	for i := range f.Gateways {
 		if g := &f.Gateways[i]; g.Machine == name {
 			g.Up = up
-			for _, s := range f.Shelves {
-				if slices.Contains(s.Copies, g.Name) {
+			for _, s := range f.Partitions {
+				if slices.Contains(s.Replicas, g.Name) {
 					held++
 				}
 			}
@@ -162,19 +162,19 @@
 	}
 	f.prepare()
 	held := map[string]int{}
-	for _, s := range f.Shelves {
-		if f.living(s.Copies) != f.Copies || len(s.Copies) != f.Copies {
-			f.fail("shelf %d has %v", s.ID, s.Copies)
+	for _, s := range f.Partitions {
+		if f.countUp(s.Replicas) != f.ReplicationFactor || len(s.Replicas) != f.ReplicationFactor {
+			f.fail("shelf %d has %v", s.ID, s.Replicas)
 		}
-		for i, c := range s.Copies {
+		for i, c := range s.Replicas {
 			held[c]++
-			if !f.apart(s.Copies[:i], c, true) {
-				f.fail("shelf %d has two copies in a zone: %v", s.ID, s.Copies)
+			if !f.separated(s.Replicas[:i], c, true) {
+				f.fail("shelf %d has two copies in a zone: %v", s.ID, s.Replicas)
 			}
 		}
 	}
 	for name, n := range held {
-		if float64(n) > evenAt*f.share[name]+1 {
+		if float64(n) > maxRetainedLoad*f.share[name]+1 {
 			f.fail("%s holds %d copies, its share is %.1f", name, n, f.share[name])
 		}
 	}
@@ -208,9 +208,9 @@
 	f := newFleet(seed, 16, 2)
 	f.settle()
 	f.check()
-	for _, s := range f.Shelves {
-		if len(s.Copies) != 2 {
-			f.fail("shelf %d has %v", s.ID, s.Copies)
+	for _, s := range f.Partitions {
+		if len(s.Replicas) != 2 {
+			f.fail("shelf %d has %v", s.ID, s.Replicas)
 		}
 	}
 	f.Gateways = append(f.Gateways, Gateway{Name: "none", Machine: "m9", Zone: "z9", Up: true})
