--- a/balancer/api.go
+++ b/balancer/api.go
@@ -40,34 +40,34 @@
 type RequestID uint64
 
 // Effect says what a repeat of a request may do.
-type Effect uint8
+type Idempotency uint8
 
 // Effects of a class.
 const (
-	Safe   Effect = iota // may run any number of times
-	Keyed                // hosts of one Group drop repeats for a Window
-	Unsafe               // must never run twice
+	Idempotent        Idempotency = iota // may run any number of times
+	IdempotentWithKey                    // hosts of one Group drop repeats for a Window
+	NonIdempotent                        // must never run twice
 )
 
 // Group says which hosts drop the repeats of a keyed request.
-type Group uint8
+type DedupScope uint8
 
 // Groups of a keyed class.
 const (
-	GroupAll  Group = iota // every host
-	GroupZone              // the hosts of one zone
-	GroupCell              // the hosts of one cell
+	ScopeAll  DedupScope = iota // every host
+	ScopeZone                   // the hosts of one zone
+	ScopeCell                   // the hosts of one cell
 )
 
 // Class describes one kind of request.
 type Class struct {
-	Aim      time.Duration // an answer within it earns the full worth; 0: the Deadline
-	Deadline time.Duration // how long a client waits in all
-	Worth    float64       // worth of an answer; 0 counts as 1
-	Effect   Effect
-	Group    Group         // for Keyed
-	Window   time.Duration // for Keyed: counted from the first attempt that may have run
-	Retired  bool          // no more of it come: it is kept for requests under way
+	LatencyObjective time.Duration // an answer within it earns the full worth; 0: the Deadline
+	Deadline         time.Duration // how long a client waits in all
+	PriorityWeight   float64       // worth of an answer; 0 counts as 1
+	Idempotency      Idempotency
+	DedupScope       DedupScope    // for Keyed
+	DedupWindow      time.Duration // for Keyed: counted from the first attempt that may have run
+	Retired          bool          // no more of it come: it is kept for requests under way
 }
 
 // Tenant describes one customer. Quota is its requests a second over all
@@ -85,18 +85,18 @@
 	Tenants   []Tenant      // optional
 	Step      time.Duration // events are handled at most this often; 0: as they come
 
-	MaxAttempts    int           // attempts a request may have, one at a time; 0: 3
-	Cancel         bool          // Cancel actions are allowed
-	MaxRetryAfter  time.Duration // longest advice a client heeds; 0: advise nothing
-	OverQuotaWorth float64       // worth of a request beyond its tenant's quota, as a share; 0: none
+	MaxAttempts     int           // attempts a request may have, one at a time; 0: 3
+	Cancel          bool          // Cancel actions are allowed
+	MaxRetryAfter   time.Duration // longest advice a client heeds; 0: advise nothing
+	OverQuotaWeight float64       // worth of a request beyond its tenant's quota, as a share; 0: none
 
-	Ask       bool          // the host list must be asked for (Watch), it is not pushed
-	AskWithin time.Duration // longest time without a watch or a question; 0: 10 s
+	Poll        bool          // the host list must be asked for (Watch), it is not pushed
+	PollTimeout time.Duration // longest time without a watch or a question; 0: 10 s
 
-	ColdFrom       float64       // share of its capacity a host starts with; 0: 1, hosts start warm
-	WarmAfter      time.Duration // a host is warm this long after its start; 0: at once
-	OverloadFactor float64       // a cold host falls over at this multiple of its present capacity; 0: 2
-	Fall           time.Duration // kept up for this long; 0: 1 s
+	SlowStartShare  float64       // share of its capacity a host starts with; 0: 1, hosts start warm
+	SlowStartWindow time.Duration // a host is warm this long after its start; 0: at once
+	OverloadFactor  float64       // a cold host falls over at this multiple of its present capacity; 0: 2
+	OverloadWindow  time.Duration // kept up for this long; 0: 1 s
 }
 
 // HostState is what the host list says of a host.
@@ -132,11 +132,11 @@
 
 // Request is a client's request that now awaits one final answer.
 type Request struct {
-	ID     RequestID
-	Class  int           // index in Settings.Classes
-	Tenant int           // index in Settings.Tenants
-	Left   time.Duration // until the client gives up on this try; 0: it is due now
-	Repeat bool          // the client marks it as a repeat
+	ID        RequestID
+	Class     int           // index in Settings.Classes
+	Tenant    int           // index in Settings.Tenants
+	Remaining time.Duration // until the client gives up on this try; 0: it is due now
+	Duplicate bool          // the client marks it as a repeat
 }
 
 // Result says how an attempt ended.
@@ -191,11 +191,11 @@
 const (
 	Send   ActionKind = iota // start an attempt of Request at Host; none of it may go out behind At (0: at any time)
 	Cancel                   // call off Attempt of Request
-	Refuse                   // final answer: turned away, trying again is harmless; After is advice (0: none)
+	Reject                   // final answer: turned away, trying again is harmless; After is advice (0: none)
 	Fail                     // final answer: an error that promises nothing
 	Wake                     // call Timer with Token at At or soon after
 	Close                    // close the idle connections to Host
-	Watch                    // ask discovery for changes from now on
+	Poll                     // ask discovery for changes from now on
 	Log                      // a line for those on call, about Host if it is not 0
 )
 
@@ -224,13 +224,13 @@
 // Action is one thing for the gateway to do. Only the fields named at its kind
 // mean anything.
 type Action struct {
-	Kind    ActionKind
-	Request RequestID
-	Attempt int
-	Host    HostID
-	At      Time
-	After   time.Duration
-	Token   uint64
-	Text    string
-	Why     Cause // of Refuse and Fail
+	Kind       ActionKind
+	Request    RequestID
+	Attempt    int
+	Host       HostID
+	At         Time
+	RetryAfter time.Duration
+	Token      uint64
+	Text       string
+	Cause      Cause // of Refuse and Fail
 }
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -1,7 +1,6 @@
 package balancer
 
 import (
-	"bytes"
 	"fmt"
 	"math"
 	"math/rand"
@@ -21,11 +20,11 @@
 	return Settings{
 		Instances: 1, Step: ms, MaxAttempts: 4, Cancel: true, MaxRetryAfter: time.Second,
 		Classes: []Class{
-			{Aim: 400 * ms, Deadline: time.Second, Worth: 1},
-			{Aim: 400 * ms, Deadline: time.Second, Worth: 2, Effect: Keyed, Group: GroupCell, Window: 600 * ms},
-			{Aim: 400 * ms, Deadline: time.Second, Worth: 5, Effect: Unsafe},
+			{LatencyObjective: 400 * ms, Deadline: time.Second, PriorityWeight: 1},
+			{LatencyObjective: 400 * ms, Deadline: time.Second, PriorityWeight: 2, Idempotency: IdempotentWithKey, DedupScope: ScopeCell, DedupWindow: 600 * ms},
+			{LatencyObjective: 400 * ms, Deadline: time.Second, PriorityWeight: 5, Idempotency: NonIdempotent},
 		},
-		ColdFrom: 0.3, WarmAfter: 9 * time.Second, OverloadFactor: 2.5, Fall: time.Second,
+		SlowStartShare: 0.3, SlowStartWindow: 9 * time.Second, OverloadFactor: 2.5, OverloadWindow: time.Second,
 	}
 }
 
@@ -64,7 +63,7 @@
 
 func (g *gateway) drain() {
 	g.acts = g.acts[:0]
-	for _, a := range g.b.Drain(nil) {
+	for _, a := range g.b.TakeActions(nil) {
 		switch a.Kind {
 		case Log:
 			g.logs = append(g.logs, a.Text)
@@ -79,19 +78,19 @@
 }
 
 func (g *gateway) list(kind ListKind, hosts ...Host) {
-	g.b.Hosts(g.now, kind, hosts)
+	g.b.UpdateEndpoints(g.now, kind, hosts)
 	g.drain()
 }
 
 func (g *gateway) request(class int, left time.Duration) RequestID {
 	g.next++
-	g.b.Request(g.now, Request{ID: g.next, Class: class, Left: left})
+	g.b.Request(g.now, Request{ID: g.next, Class: class, Remaining: left})
 	g.drain()
 	return g.next
 }
 
 func (g *gateway) outcome(id RequestID, n int, r Result, took time.Duration) {
-	g.b.Outcome(g.now, Outcome{Request: id, Attempt: n, Result: r, Elapsed: took, Closed: r == OK})
+	g.b.AttemptEnded(g.now, Outcome{Request: id, Attempt: n, Result: r, Elapsed: took, Closed: r == OK})
 	g.drain()
 }
 
@@ -173,13 +172,13 @@
 	}
 	for _, s := range steps {
 		g.b.now += s.after
-		g.b.sample(h, s.rtt)
+		g.b.addSample(h, s.rtt)
 		if math.Abs(h.rtt-s.want) > 1e-12 {
 			t.Errorf("%s: estimate %v, want %v", s.name, h.rtt, s.want)
 		}
 	}
 	g.b.now += Time(tau * 1e9)
-	if got, want := g.b.estimate(h), 0.02/math.E; math.Abs(got-want) > 1e-9 {
+	if got, want := g.b.estimatedRTT(h), 0.02/math.E; math.Abs(got-want) > 1e-9 {
 		t.Errorf("read one decay later: %v, want %v", got, want)
 	}
 	if h.rtt != 0.02 {
@@ -214,7 +213,7 @@
 		g.outcome(id, 0, tt.result, tt.took)
 		got := h.rtt
 		if tt.result == Failed {
-			got = g.b.load(h, 0) / float64(h.pending+1)
+			got = g.b.score(h, 0) / float64(h.inFlight+1)
 		}
 		if math.Abs(got-tt.want) > 1e-9 {
 			t.Errorf("result %d after %v: estimate %v, want %v", tt.result, tt.took, got, tt.want)
@@ -236,7 +235,7 @@
 	for _, tt := range tests {
 		g := start(t, basic(), hosts(2)...)
 		for i, h := range g.b.hosts {
-			h.rtt, h.rttAt, h.sampled, h.pending, h.limit = tt.rtt[i], g.now, true, tt.pending[i], 10
+			h.rtt, h.rttAt, h.sampled, h.inFlight, h.concurrencyLimit = tt.rtt[i], g.now, true, tt.pending[i], 10
 		}
 		for range 20 {
 			if got := g.b.pick(&request{class: &g.b.set.Classes[0]}); got != g.b.hosts[tt.wantHost] {
@@ -295,7 +294,7 @@
 			drawn[h]++
 			kinds[list[h-1].Kind] = true
 		}
-		if len(got) < reachLeast || len(got) > n*2/3 {
+		if len(got) < minSubsetSize || len(got) > n*2/3 {
 			t.Errorf("instance %d uses %d of %d hosts", rank, len(got), n)
 		}
 		if len(kinds) != 3 {
@@ -319,13 +318,13 @@
 	}
 	set := basic()
 	g := start(t, set, list...)
-	if e := g.b.estimate(g.b.hosts[0]); e != seedShare*0.4 {
+	if e := g.b.estimatedRTT(g.b.hosts[0]); e != initialRTTShare*0.4 {
 		t.Errorf("estimate %v with nothing known, want the seed", e)
 	}
 	g.serve(60, 0, func(h HostID) time.Duration { return Time(20+60*(h%2)) * ms })
 	g.list(ListChanges, Host{ID: 11, Kind: 0}, Host{ID: 12, Kind: 1}, Host{ID: 13, Kind: -1})
 	n := len(g.b.hosts)
-	slow, fast, odd := g.b.estimate(g.b.hosts[n-3]), g.b.estimate(g.b.hosts[n-2]), g.b.estimate(g.b.hosts[n-1])
+	slow, fast, odd := g.b.estimatedRTT(g.b.hosts[n-3]), g.b.estimatedRTT(g.b.hosts[n-2]), g.b.estimatedRTT(g.b.hosts[n-1])
 	if math.Abs(slow-0.08) > 0.02 || math.Abs(fast-0.02) > 0.01 || odd <= fast || odd >= slow {
 		t.Errorf("seeds %v, %v and %v of no known kind, want about 0.08, 0.02 and between", slow, fast, odd)
 	}
@@ -362,15 +361,15 @@
 		h := g.b.byID[g.sole(Send).Host]
 		if gone {
 			g.now += 30 * ms
-			g.b.Gone(g.now, id)
+			g.b.ClientGone(g.now, id)
 			g.drain()
 		} else {
 			g.advance(600 * ms)
 		}
 		g.outcome(id, 0, Canceled, 600*ms)
-		if h.sampled == gone || (h.restUntil > g.now) == gone || (g.b.pressure.seen) == gone {
+		if h.sampled == gone || (h.restingUntil > g.now) == gone || (g.b.pressure.seen) == gone {
 			t.Errorf("client gone %v: sampled %v, rest until %v at %v, pressure %v",
-				gone, h.sampled, h.restUntil, g.now, g.b.pressure)
+				gone, h.sampled, h.restingUntil, g.now, g.b.pressure)
 		}
 	}
 }
@@ -383,14 +382,14 @@
 	g := start(t, set, hosts(10)...)
 	quick := func(HostID) time.Duration { return 40 * ms }
 	g.serve(100, 0, quick)
-	if p := g.b.pressure.mean; p > 1 || g.b.bound != 0 {
-		t.Fatalf("pressure %v, bound %v at usual answers, want neither over", p, g.b.bound)
+	if p := g.b.pressure.mean; p > 1 || g.b.sendRate != 0 {
+		t.Fatalf("pressure %v, bound %v at usual answers, want neither over", p, g.b.sendRate)
 	}
 	g.serve(12, 0, func(HostID) time.Duration { return 100 * ms }) // a quarter of the aim
-	if g.b.bound == 0 {
+	if g.b.sendRate == 0 {
 		t.Errorf("no bound at two and a half times the usual RTT, pressure %v", g.b.pressure.mean)
 	}
-	if l := g.b.lat[0].mean; l > 0.05 {
+	if l := g.b.classRTT[0].mean; l > 0.05 {
 		t.Errorf("usual RTT %v after a short jam, want about 0.04", l)
 	}
 }
@@ -415,16 +414,16 @@
 // crowded the hosts left to several times their usual RTT before a limit moved.
 func TestLimitIsJudgedByWhatIsUsual(t *testing.T) {
 	set := basic()
-	set.Classes[0] = Class{Aim: 5 * time.Second, Deadline: 20 * time.Second}
+	set.Classes[0] = Class{LatencyObjective: 5 * time.Second, Deadline: 20 * time.Second}
 	g := start(t, set, hosts(1)...)
 	h := g.b.hosts[0]
 	g.serve(100, 0, func(HostID) time.Duration { return 40 * ms })
-	h.limit = 20
+	h.concurrencyLimit = 20
 	id := g.request(0, 20*time.Second)
 	g.advance(300 * ms)
 	g.outcome(id, 0, OK, 300*ms) // far within its aim
-	if h.limit >= 20 {
-		t.Errorf("limit %v after an answer of many times the usual RTT, want it cut", h.limit)
+	if h.concurrencyLimit >= 20 {
+		t.Errorf("limit %v after an answer of many times the usual RTT, want it cut", h.concurrencyLimit)
 	}
 }
 
@@ -459,14 +458,14 @@
 			t.Errorf("closed host %d, which was not drawn", h)
 		}
 	}
-	if n := len(g.b.sets[setDrawn].list); n != g.b.reach() {
-		t.Errorf("%d hosts drawn, want %d", n, g.b.reach())
+	if n := len(g.b.sets[setSubset].list); n != g.b.subsetSize() {
+		t.Errorf("%d hosts drawn, want %d", n, g.b.subsetSize())
 	}
-	left := g.b.sets[setDrawn].list[0]
+	left := g.b.sets[setSubset].list[0]
 	g.closed = nil
 	g.list(ListChanges, Host{ID: left.ID, State: Draining})
 	g.serve(5, 0, quick)
-	if len(g.closed) == 0 || g.closed[0] != left.ID || left.drawn() {
+	if len(g.closed) == 0 || g.closed[0] != left.ID || left.inSubset() {
 		t.Errorf("closed %v, want first the drained host %d", g.closed, left.ID)
 	}
 }
@@ -487,7 +486,7 @@
 		t.Fatalf("actions %v, want the request to wait", g.acts)
 	}
 	done := g.advance(time.Second)
-	if len(done) != 1 || done[0].Kind != Refuse || done[0].Request != id {
+	if len(done) != 1 || done[0].Kind != Reject || done[0].Request != id {
 		t.Errorf("done %v, want one refusal", done)
 	}
 }
@@ -507,13 +506,13 @@
 	g := start(t, basic(), hosts(2)...)
 	for class := range g.b.set.Classes {
 		g.request(class, 0)
-		g.sole(Refuse)
+		g.sole(Reject)
 	}
 }
 
 // An attempt may still be connecting at the deadline and end only after it.
 func TestInFlightIsAnsweredAheadOfItsDeadline(t *testing.T) {
-	for class, want := range []ActionKind{Refuse, Fail, Fail} {
+	for class, want := range []ActionKind{Reject, Fail, Fail} {
 		g := start(t, basic(), hosts(2)...)
 		g.request(class, 500*ms)
 		g.sole(Send)
@@ -554,13 +553,13 @@
 }
 
 func TestKeyedStaysInItsGroup(t *testing.T) {
-	for group, same := range map[Group]func(a, b Host) bool{
-		GroupAll:  func(a, b Host) bool { return true },
-		GroupZone: func(a, b Host) bool { return a.Zone == b.Zone },
-		GroupCell: func(a, b Host) bool { return a.Cell == b.Cell },
+	for group, same := range map[DedupScope]func(a, b Host) bool{
+		ScopeAll:  func(a, b Host) bool { return true },
+		ScopeZone: func(a, b Host) bool { return a.Zone == b.Zone },
+		ScopeCell: func(a, b Host) bool { return a.Cell == b.Cell },
 	} {
 		set := basic()
-		set.Classes[1].Group = group
+		set.Classes[1].DedupScope = group
 		list := []Host{{ID: 1, Zone: 0, Cell: 0}, {ID: 2, Zone: 0, Cell: 1}, {ID: 3, Zone: 1, Cell: 2},
 			{ID: 4, Zone: 0, Cell: 0}, {ID: 5, Zone: 0, Cell: 1}, {ID: 6, Zone: 1, Cell: 2}}
 		other := 0
@@ -608,7 +607,7 @@
 		}
 		want := Time(0)
 		if class == 1 {
-			want = second + 600*ms - answerSteps*g.b.set.Step
+			want = second + 600*ms - answerMarginSteps*g.b.set.Step
 		}
 		if at := g.sole(Send).At; at != want {
 			t.Errorf("class %d: the repeat has to be out by %v, want %v", class, at-began, want-began)
@@ -643,7 +642,7 @@
 		g.sole(Send)
 		g.outcome(id, n, Full, ms)
 	}
-	g.sole(Refuse)
+	g.sole(Reject)
 }
 
 func TestDrainingAndRemovedHostsGetNothing(t *testing.T) {
@@ -673,7 +672,7 @@
 		t.Fatal("forgotten with an attempt in flight")
 	}
 	g.outcome(id, 0, OK, ms)
-	if len(g.b.hosts) != 0 || len(g.b.byID) != 0 || len(g.b.reqs) != 0 {
+	if len(g.b.hosts) != 0 || len(g.b.byID) != 0 || len(g.b.open) != 0 {
 		t.Error("host or request kept")
 	}
 }
@@ -686,16 +685,16 @@
 		g.outcome(id, 1, OK, ms)
 	}
 	fail()
-	first := g.b.hosts[0].ejectUntil - g.now
+	first := g.b.hosts[0].ejectedUntil - g.now
 	if got := g.serve(100, 0, func(HostID) time.Duration { return ms }); got[1] != 0 {
 		t.Fatalf("%d sends to the ejected host", got[1])
 	}
-	g.now = g.b.hosts[0].ejectUntil
+	g.now = g.b.hosts[0].ejectedUntil
 	fail()
-	if second := g.b.hosts[0].ejectUntil - g.now; second <= first {
+	if second := g.b.hosts[0].ejectedUntil - g.now; second <= first {
 		t.Errorf("back-off %v after %v, want it to grow", second, first)
 	}
-	g.now = g.b.hosts[0].ejectUntil
+	g.now = g.b.hosts[0].ejectedUntil
 	trial := g.sentTo(1, ms)
 	for range 20 {
 		id := g.request(0, time.Second)
@@ -705,7 +704,7 @@
 		g.outcome(id, 0, OK, ms)
 	}
 	g.outcome(trial, 0, OK, ms)
-	if h := g.b.hosts[0]; h.fails != 0 {
+	if h := g.b.hosts[0]; h.ejections != 0 {
 		t.Error("still ejected after the trial's answer")
 	}
 }
@@ -720,20 +719,20 @@
 	}
 	soon := g.request(0, 200*ms)
 	by := g.now + 500*ms
-	g.b.Stop(g.now, by)
+	g.b.Shutdown(g.now, by)
 	g.drain()
 	for _, a := range g.advance(300 * ms) {
-		if a.Kind == Refuse && a.Request != soon || a.Kind == Fail {
+		if a.Kind == Reject && a.Request != soon || a.Kind == Fail {
 			t.Errorf("request %d is answered 200 ms before it is due: %+v", a.Request, a)
 		}
 	}
 	answers := 0
 	for _, a := range g.advance(by - g.now) {
-		if a.Kind != Refuse && a.Kind != Fail {
+		if a.Kind != Reject && a.Kind != Fail {
 			continue
 		}
 		answers++
-		if class, ok := sent[a.Request]; !ok || (class == 0) != (a.Kind == Refuse) || a.Why != CauseDeadline {
+		if class, ok := sent[a.Request]; !ok || (class == 0) != (a.Kind == Reject) || a.Cause != CauseDeadline {
 			t.Errorf("request %d of class %d: %+v", a.Request, class, a)
 		}
 	}
@@ -750,25 +749,25 @@
 		g := start(t, basic(), hosts(2)...)
 		g.b.rng = seed
 		h := g.b.byID[1]
-		g.b.Hint(g.now, 1, ms)
-		if g.b.eject(h, CauseConnections); h.ejectUntil <= g.now+20*ms {
-			t.Fatalf("out for %v only", h.ejectUntil-g.now)
+		g.b.HealthCheckPassed(g.now, 1, ms)
+		if g.b.eject(h, CauseConnections); h.ejectedUntil <= g.now+20*ms {
+			t.Fatalf("out for %v only", h.ejectedUntil-g.now)
 		}
-		g.b.Hint(g.now, 1, 20*ms)
-		g.b.Hint(g.now, 9, 20*ms) // nobody's
-		if h.ejectUntil > g.now+20*ms {
-			t.Fatalf("out for %v after a hint", h.ejectUntil-g.now)
+		g.b.HealthCheckPassed(g.now, 1, 20*ms)
+		g.b.HealthCheckPassed(g.now, 9, 20*ms) // nobody's
+		if h.ejectedUntil > g.now+20*ms {
+			t.Fatalf("out for %v after a hint", h.ejectedUntil-g.now)
 		}
-		at = append(at, h.ejectUntil-g.now)
-		g.now = h.ejectUntil
+		at = append(at, h.ejectedUntil-g.now)
+		g.now = h.ejectedUntil
 		g.b.eject(h, CauseConnections)
-		until := h.ejectUntil
-		if g.b.Hint(g.now, 1, 20*ms); h.ejectUntil != until {
+		until := h.ejectedUntil
+		if g.b.HealthCheckPassed(g.now, 1, 20*ms); h.ejectedUntil != until {
 			t.Fatal("a second hint is taken though the first was wrong")
 		}
 		g.b.readmit(h)
 		g.b.eject(h, CauseConnections)
-		if g.b.Hint(g.now, 1, 20*ms); h.ejectUntil > g.now+20*ms {
+		if g.b.HealthCheckPassed(g.now, 1, 20*ms); h.ejectedUntil > g.now+20*ms {
 			t.Fatal("no hint is taken after the host has answered")
 		}
 	}
@@ -786,7 +785,7 @@
 		t.Fatalf("%d sends to the silent host", got[1])
 	}
 	g.outcome(held, 0, OK, 250*ms) // it only paused
-	if h := g.b.hosts[0]; h.fails != 0 {
+	if h := g.b.hosts[0]; h.ejections != 0 {
 		t.Error("still ejected after its answer")
 	}
 	g.advance(10 * time.Second) // its one long RTT decays
@@ -798,7 +797,7 @@
 // A host with one costly request that answers others is not silent.
 func TestHostThatAnswersOthersIsNotSilent(t *testing.T) {
 	g := start(t, basic(), hosts(1)...)
-	g.b.hosts[0].limit = 10
+	g.b.hosts[0].concurrencyLimit = 10
 	g.serve(30, 0, func(HostID) time.Duration { return 10 * ms })
 	g.request(0, time.Second)
 	for range 20 {
@@ -806,7 +805,7 @@
 		g.advance(20 * ms)
 		g.outcome(id, 0, OK, 10*ms)
 	}
-	if g.b.hosts[0].fails != 0 {
+	if g.b.hosts[0].ejections != 0 {
 		t.Error("ejected")
 	}
 }
@@ -820,13 +819,13 @@
 		h := g.b.byID[1]
 		held := g.sentTo(1, 10*ms)
 		g.advance(200 * ms)
-		if h.fails != 0 || !g.b.doubtful(h) {
-			t.Fatalf("ejected %d times, doubtful %v", h.fails, g.b.doubtful(h))
+		if h.ejections != 0 || !g.b.doubtful(h) {
+			t.Fatalf("ejected %d times, doubtful %v", h.ejections, g.b.doubtful(h))
 		}
 		if got := g.serve(30, 0, func(HostID) time.Duration { return ms }); got[1] != 0 {
 			t.Fatalf("%d sends to it while another is ready", got[1])
 		}
-		g.b.byID[2].restUntil = g.now + time.Minute // the other is not ready any more
+		g.b.byID[2].restingUntil = g.now + time.Minute // the other is not ready any more
 		g.b.recheck(g.b.byID[2])
 		g.request(2, time.Second)
 		for _, a := range g.acts {
@@ -845,17 +844,17 @@
 		if answers {
 			g.outcome(id, 0, OK, 10*ms)
 			g.advance(100 * ms)
-			if h.fails != 0 {
+			if h.ejections != 0 {
 				t.Error("ejected though it answers others")
 			}
 		} else {
 			g.advance(200 * ms)
-			if h.fails == 0 || h.why != CauseSilent {
-				t.Errorf("two attempts unanswered: ejected %d times, %v", h.fails, h.why)
+			if h.ejections == 0 || h.ejectCause != CauseSilent {
+				t.Errorf("two attempts unanswered: ejected %d times, %v", h.ejections, h.ejectCause)
 			}
 		}
 		g.outcome(held, 0, OK, 500*ms)
-		if h.fails != 0 {
+		if h.ejections != 0 {
 			t.Error("still out after its answer")
 		}
 	}
@@ -882,8 +881,8 @@
 	set := basic()
 	set.Instances, set.Step = 2, ms
 	set.Classes = []Class{
-		{Aim: 380 * ms, Deadline: 1340 * ms, Worth: 1},
-		{Aim: 130 * ms, Deadline: 400 * ms, Worth: 5, Effect: Unsafe},
+		{LatencyObjective: 380 * ms, Deadline: 1340 * ms, PriorityWeight: 1},
+		{LatencyObjective: 130 * ms, Deadline: 400 * ms, PriorityWeight: 5, Idempotency: NonIdempotent},
 	}
 	type job struct {
 		gw   int
@@ -924,7 +923,7 @@
 						break
 					}
 				}
-			case Refuse, Fail:
+			case Reject, Fail:
 				refused++
 			}
 		}
@@ -976,7 +975,7 @@
 		t.Errorf("sends by host: %v", got)
 	}
 	g.b.eject(g.b.byID[5], CauseConnections)
-	g.b.byID[5].why = CauseConnections
+	g.b.byID[5].ejectCause = CauseConnections
 	g.b.eject(g.b.byID[6], CauseConnections)
 	g.request(0, time.Second)
 	g.sole(Send) // connections fail everywhere, so the fault may be the path
@@ -1003,7 +1002,7 @@
 			out[a.Request] = true
 		}
 	}
-	if most := 2 * limitStart; len(out) != most {
+	if most := 2 * initialLimit; len(out) != most {
 		t.Fatalf("%d in flight at two new hosts, want %d", len(out), most)
 	}
 	worth := g.request(2, time.Second)
@@ -1024,10 +1023,10 @@
 	}
 	begin := g.now
 	for _, a := range g.advance(450 * ms) {
-		if a.Kind != Refuse {
+		if a.Kind != Reject {
 			t.Fatalf("action %v", a)
 		}
-		if g.b.reqs[a.Request] != nil {
+		if g.b.open[a.Request] != nil {
 			t.Error("refused request kept")
 		}
 	}
@@ -1040,16 +1039,16 @@
 func TestLateRequestsAreRefusedInEveryLine(t *testing.T) {
 	set := basic()
 	set.Classes[0].Deadline = 2 * time.Second
-	set.Classes[1].Deadline, set.Classes[1].Aim = 2*time.Second, 2*time.Second // worth more
+	set.Classes[1].Deadline, set.Classes[1].LatencyObjective = 2*time.Second, 2*time.Second // worth more
 	g := start(t, set)
 	low := g.request(0, 2*time.Second)
 	high := g.request(1, 2*time.Second)
 	for _, a := range g.advance(200 * ms) {
-		if a.Kind != Refuse || a.Request != low {
+		if a.Kind != Reject || a.Request != low {
 			t.Errorf("action %v, want only the late request of the lower line refused", a)
 		}
 	}
-	if g.b.reqs[low] != nil || g.b.reqs[high] == nil {
+	if g.b.open[low] != nil || g.b.open[high] == nil {
 		t.Error("the late request waits on, or the other was refused")
 	}
 }
@@ -1059,27 +1058,27 @@
 	h := g.b.hosts[0]
 	for range 40 {
 		g.b.now += 300 * ms
-		g.b.adjust(h, 0.8, g.b.aim, g.b.now)
+		g.b.adjustLimit(h, 0.8, g.b.shortestObjective, g.b.now)
 	}
-	if h.limit != limitLeast {
-		t.Errorf("limit %v after slow answers, want the least", h.limit)
+	if h.concurrencyLimit != minLimit {
+		t.Errorf("limit %v after slow answers, want the least", h.concurrencyLimit)
 	}
 	g.b.now += time.Second
 	for range 20 {
 		g.b.now += 300 * ms
-		g.b.adjust(h, 0.01, g.b.aim, g.b.now)
+		g.b.adjustLimit(h, 0.01, g.b.shortestObjective, g.b.now)
 	}
-	if h.limit != limitLeast {
-		t.Errorf("limit %v, want no growth while nothing waits", h.limit)
+	if h.concurrencyLimit != minLimit {
+		t.Errorf("limit %v, want no growth while nothing waits", h.concurrencyLimit)
 	}
 	g.b.queued = 1
 	for range 60 {
 		g.b.now += 300 * ms
-		h.pending = int(h.limit) - 1
-		g.b.adjust(h, 0.01, g.b.aim, g.b.now)
+		h.inFlight = int(h.concurrencyLimit) - 1
+		g.b.adjustLimit(h, 0.01, g.b.shortestObjective, g.b.now)
 	}
-	if h.limit < 4 {
-		t.Errorf("limit %v, want it to grow while requests wait", h.limit)
+	if h.concurrencyLimit < 4 {
+		t.Errorf("limit %v, want it to grow while requests wait", h.concurrencyLimit)
 	}
 }
 
@@ -1087,7 +1086,7 @@
 func TestLimitJudgesAClassByItsOwnAim(t *testing.T) {
 	set := basic()
 	set.Instances = 100
-	set.Classes[0] = Class{Aim: 1500 * ms, Deadline: 5 * time.Second}
+	set.Classes[0] = Class{LatencyObjective: 1500 * ms, Deadline: 5 * time.Second}
 	g := start(t, set, hosts(2)...)
 	for range 50 {
 		id := g.request(0, 5*time.Second)
@@ -1096,7 +1095,7 @@
 		g.outcome(id, 0, OK, 250*ms)
 	}
 	for _, h := range g.b.hosts {
-		if h.restUntil > 0 {
+		if h.restingUntil > 0 {
 			t.Errorf("host %d rests after ordinary answers", h.ID)
 		}
 	}
@@ -1121,7 +1120,7 @@
 					g.outcome(id, 0, OK, Time(aims*400)*ms)
 				}
 				for _, h := range g.b.hosts { // keeps the hosts' own limits out of this
-					h.limit, h.restUntil = 10, 0
+					h.concurrencyLimit, h.restingUntil = 10, 0
 				}
 				g.advance(400 * ms)
 			}
@@ -1146,20 +1145,20 @@
 func TestLimitIsCutOnceARound(t *testing.T) {
 	g := start(t, basic(), hosts(1)...)
 	h := g.b.hosts[0]
-	h.limit = 40
-	target := limitAims
+	h.concurrencyLimit = 40
+	target := limitObjectives
 	sent := g.b.now
 	g.b.now += 300 * ms
 	for range 5 { // the answers of one round
-		g.b.adjust(h, 2*target, g.b.aim, sent)
+		g.b.adjustLimit(h, 2*target, g.b.shortestObjective, sent)
 	}
-	if math.Abs(h.limit-20) > 1e-9 {
-		t.Fatalf("limit %v after a round at twice the target, want half of 40", h.limit)
+	if math.Abs(h.concurrencyLimit-20) > 1e-9 {
+		t.Fatalf("limit %v after a round at twice the target, want half of 40", h.concurrencyLimit)
 	}
 	g.b.now += 300 * ms
-	g.b.adjust(h, 2*target, g.b.aim, g.b.now-300*ms)
-	if math.Abs(h.limit-10) > 1e-9 {
-		t.Errorf("limit %v after the next round, want a quarter of 40", h.limit)
+	g.b.adjustLimit(h, 2*target, g.b.shortestObjective, g.b.now-300*ms)
+	if math.Abs(h.concurrencyLimit-10) > 1e-9 {
+		t.Errorf("limit %v after the next round, want a quarter of 40", h.concurrencyLimit)
 	}
 }
 
@@ -1173,23 +1172,23 @@
 	h := g.b.hosts[0]
 	for range 20 { // none is answered in time
 		g.b.now += time.Second
-		g.b.adjust(h, 6, g.b.aim, g.b.now-time.Second)
+		g.b.adjustLimit(h, 6, g.b.shortestObjective, g.b.now-time.Second)
 	}
-	limit, rest := h.limit, h.restUntil
+	limit, rest := h.concurrencyLimit, h.restingUntil
 	if limit >= 1 || rest <= g.b.now {
 		t.Fatalf("limit %v, rest until %v at %v, want both cut", limit, rest, g.b.now)
 	}
 	g.b.now = rest + ms
-	g.b.adjust(h, limitAims/4, g.b.aim, g.b.now-10*ms)
-	if h.lat.mean <= limitAims {
-		t.Fatalf("mean %v, want one that is still over the target", h.lat.mean)
+	g.b.adjustLimit(h, limitObjectives/4, g.b.shortestObjective, g.b.now-10*ms)
+	if h.recentRTT.mean <= limitObjectives {
+		t.Fatalf("mean %v, want one that is still over the target", h.recentRTT.mean)
 	}
-	if h.limit < limit || h.restUntil != rest {
-		t.Errorf("limit %v, rest until %v after a good answer, want %v and %v", h.limit, h.restUntil, limit, rest)
+	if h.concurrencyLimit < limit || h.restingUntil != rest {
+		t.Errorf("limit %v, rest until %v after a good answer, want %v and %v", h.concurrencyLimit, h.restingUntil, limit, rest)
 	}
 	g.b.now += ms
-	g.b.adjust(h, 6, g.b.aim, g.b.now)
-	if h.restUntil <= g.b.now {
+	g.b.adjustLimit(h, 6, g.b.shortestObjective, g.b.now)
+	if h.restingUntil <= g.b.now {
 		t.Error("a late answer does not make it rest")
 	}
 }
@@ -1207,8 +1206,8 @@
 	if len(g.acts) != 0 {
 		t.Fatalf("actions %v right after the refusal, want the request to wait", g.acts)
 	}
-	if h := g.b.hosts[0]; h.limit >= 1 || h.restUntil <= g.now {
-		t.Errorf("limit %v, rest until %v at %v, want both cut", h.limit, h.restUntil, g.now)
+	if h := g.b.hosts[0]; h.concurrencyLimit >= 1 || h.restingUntil <= g.now {
+		t.Errorf("limit %v, rest until %v at %v, want both cut", h.concurrencyLimit, h.restingUntil, g.now)
 	}
 }
 
@@ -1237,11 +1236,11 @@
 func TestOverQuotaWaitsBehind(t *testing.T) {
 	set := basic()
 	set.Tenants = []Tenant{{Quota: 1}, {Quota: 1000}}
-	set.OverQuotaWorth = 0.05
+	set.OverQuotaWeight = 0.05
 	g := start(t, set)
 	ask := func(tenant int) RequestID {
 		g.next++
-		g.b.Request(g.now, Request{ID: g.next, Tenant: tenant, Left: time.Second})
+		g.b.Request(g.now, Request{ID: g.next, Tenant: tenant, Remaining: time.Second})
 		return g.next
 	}
 	ask(0)
@@ -1259,19 +1258,19 @@
 	}
 }
 
-func (b *Balancer) drainQuiet() { b.acts = b.acts[:0] }
+func (b *Balancer) drainQuiet() { b.actions = b.actions[:0] }
 
 func TestRepeatsWaitBehind(t *testing.T) {
 	tests := []struct {
 		name   string
 		repeat Request
 	}{
-		{"marked", Request{Left: time.Second, Repeat: true}},
+		{"marked", Request{Remaining: time.Second, Duplicate: true}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			g := start(t, basic(), hosts(1)...)
-			for range limitStart {
+			for range initialLimit {
 				g.request(0, time.Second)
 			}
 			tt.repeat.ID = 1000
@@ -1297,12 +1296,12 @@
 	// Two warm hosts at 50 answers a second each, then the third restarts.
 	serve := func(n int) map[HostID]int { return g.serve(n, 0, func(HostID) time.Duration { return 10 * ms }) }
 	serve(600)
-	rate := g.b.warm.mean
+	rate := g.b.warmHostRate.mean
 	h := hosts(3)[2]
 	h.Started = g.now
 	g.list(ListChanges, h)
 	got := serve(100) // one second
-	most := rate*set.OverloadFactor*0.4*coldMargin + 2
+	most := rate*set.OverloadFactor*0.4*slowStartMargin + 2
 	if n := float64(got[3]); n > most || n == 0 {
 		t.Errorf("%v sends in the first second at a warm rate of %.0f, want 1 to %.0f", n, rate, most)
 	}
@@ -1326,7 +1325,7 @@
 				set.Rank = rank
 				g := start(t, set, list...)
 				if learnt {
-					g.b.warm.add(capacity / g.b.sharers())
+					g.b.warmHostRate.add(capacity / g.b.sharingInstances())
 				}
 				g.list(ListChanges, Host{ID: cold, Cell: list[0].Cell, Zone: list[0].Zone, Started: g.now})
 				for range 40 { // a Fall, more asked than the cold host can do
@@ -1337,16 +1336,16 @@
 						}
 						g.outcome(id, 0, Full, ms)
 					}
-					g.advance(set.Fall / 40)
+					g.advance(set.OverloadWindow / 40)
 				}
-				if g.b.byID[cold].drawn() {
+				if g.b.byID[cold].inSubset() {
 					drawn++
 				}
 			}
 			if drawn == 0 {
 				t.Errorf("%d instances: none draws from the cold host", instances)
 			}
-			if budget := capacity * set.ColdFrom * set.OverloadFactor; float64(sends) > budget {
+			if budget := capacity * set.SlowStartShare * set.OverloadFactor; float64(sends) > budget {
 				t.Errorf("%d instances, learnt %v: %d sends in a Fall, budget %.0f", instances, learnt, sends, budget)
 			}
 		}
@@ -1358,7 +1357,7 @@
 	list := hosts(1)
 	list[0].Started = time.Hour - time.Second
 	g := start(t, set, list...)
-	g.advance(set.Fall * 3 / 2)
+	g.advance(set.OverloadWindow * 3 / 2)
 	id := g.request(0, time.Second)
 	g.sole(Send)
 	g.outcome(id, 0, Full, ms)
@@ -1376,7 +1375,7 @@
 		g.now += idle
 		g.list(ListFull, Host{ID: 1}, Host{ID: 2, Started: g.now})
 		h := g.b.byID[2]
-		if gap := h.coldNext - g.now; gap <= 0 || gap > g.b.set.Fall*3/2 {
+		if gap := h.nextSlowStartSend - g.now; gap <= 0 || gap > g.b.set.OverloadWindow*3/2 {
 			t.Errorf("next send to the cold host %v from now after %v, want at most one and a half Falls", gap, idle)
 		}
 		g.list(ListFull, Host{ID: 1})
@@ -1428,7 +1427,7 @@
 
 func TestWatch(t *testing.T) {
 	set := basic()
-	set.Ask, set.Instances, set.Rank, set.AskWithin = true, 4, 2, 8*time.Second
+	set.Poll, set.Instances, set.Rank, set.PollTimeout = true, 4, 2, 8*time.Second
 	g := start(t, set, hosts(1)...)
 	watches := func(d time.Duration) int { return len(g.advance(d)) }
 	if n := watches(999 * ms); n != 0 {
@@ -1457,7 +1456,7 @@
 	if gaps[4] <= gaps[0] || gaps[4] > 8000 {
 		t.Errorf("gaps %v ms between questions, want them to grow and stay within AskWithin", gaps)
 	}
-	set.Ask = false
+	set.Poll = false
 	if g := start(t, set, hosts(1)...); len(g.advance(time.Minute)) != 0 {
 		t.Error("watches where the list is pushed")
 	}
@@ -1466,14 +1465,14 @@
 func TestStreamBelongsToItsAttempt(t *testing.T) {
 	g := start(t, basic(), hosts(2)...)
 	id := g.request(0, 500*ms)
-	g.b.Started(g.now, id, 0)
+	g.b.AttemptStarted(g.now, id, 0)
 	if done := g.advance(2 * time.Second); len(done) != 0 {
 		t.Errorf("done %v past the deadline of a stream that has begun", done)
 	}
-	g.b.Outcome(g.now, Outcome{Request: id, Result: Reset, Closed: true})
+	g.b.AttemptEnded(g.now, Outcome{Request: id, Result: Reset, Closed: true})
 	g.drain()
-	if len(g.acts) != 0 || len(g.b.reqs) != 0 {
-		t.Errorf("actions %v after a broken stream, %d requests kept", g.acts, len(g.b.reqs))
+	if len(g.acts) != 0 || len(g.b.open) != 0 {
+		t.Errorf("actions %v after a broken stream, %d requests kept", g.acts, len(g.b.open))
 	}
 }
 
@@ -1483,11 +1482,11 @@
 	g.outcome(id+99, 0, OK, ms)
 	g.outcome(id, 7, OK, ms)
 	g.outcome(id, -1, OK, ms)
-	g.b.Gone(g.now, id+99)
-	g.b.Started(g.now, id+99, 0)
-	g.b.Started(g.now, id, 9)
+	g.b.ClientGone(g.now, id+99)
+	g.b.AttemptStarted(g.now, id+99, 0)
+	g.b.AttemptStarted(g.now, id, 9)
 	g.b.Timer(g.now, math.MaxUint64)
-	g.b.Request(g.now, Request{ID: id, Left: time.Second}) // repeated
+	g.b.Request(g.now, Request{ID: id, Remaining: time.Second}) // repeated
 	g.b.Request(g.now, Request{ID: 500, Class: 9})
 	g.b.Request(g.now, Request{ID: 501, Class: -1})
 	g.drain()
@@ -1496,9 +1495,9 @@
 	}
 	g.outcome(id, 0, OK, -ms)
 	g.outcome(id, 0, OK, ms)
-	g.b.Gone(g.now, id)
+	g.b.ClientGone(g.now, id)
 	g.drain()
-	if len(g.acts) != 0 || len(g.b.reqs) != 0 || g.b.hosts[0].pending+g.b.hosts[1].pending != 0 {
+	if len(g.acts) != 0 || len(g.b.open) != 0 || g.b.hosts[0].inFlight+g.b.hosts[1].inFlight != 0 {
 		t.Errorf("actions %v, state kept", g.acts)
 	}
 }
@@ -1506,11 +1505,11 @@
 func TestGoneCancelsAndForgets(t *testing.T) {
 	g := start(t, basic(), hosts(1)...)
 	id := g.request(0, time.Second)
-	g.b.Gone(g.now, id)
+	g.b.ClientGone(g.now, id)
 	g.drain()
 	g.sole(Cancel)
 	g.outcome(id, 0, Canceled, ms)
-	if len(g.b.reqs) != 0 {
+	if len(g.b.open) != 0 {
 		t.Error("request kept")
 	}
 }
@@ -1522,21 +1521,21 @@
 		"rank: 1":            func(s *Settings) { s.Rank = 1 },
 		"rank: -1":           func(s *Settings) { s.Rank = -1 },
 		"classes":            func(s *Settings) { s.Classes = nil },
-		"fall: -1ns":         func(s *Settings) { s.Fall = -1 },
+		"fall: -1ns":         func(s *Settings) { s.OverloadWindow = -1 },
 		"step":               func(s *Settings) { s.Step = 2000 * time.Hour },
-		"ask within":         func(s *Settings) { s.AskWithin = math.MaxInt64 },
-		"warm after":         func(s *Settings) { s.WarmAfter = -1 },
+		"ask within":         func(s *Settings) { s.PollTimeout = math.MaxInt64 },
+		"warm after":         func(s *Settings) { s.SlowStartWindow = -1 },
 		"max retry after":    func(s *Settings) { s.MaxRetryAfter = -1 },
 		"max attempts":       func(s *Settings) { s.MaxAttempts = -1 },
 		"class 0: deadline":  func(s *Settings) { s.Classes[0].Deadline = 0 },
-		"class 0: aim":       func(s *Settings) { s.Classes[0].Aim = -1 },
-		"class 0: window":    func(s *Settings) { s.Classes[0].Window = -1 },
-		"class 1: unknown e": func(s *Settings) { s.Classes[1].Effect = 9 },
-		"class 1: unknown g": func(s *Settings) { s.Classes[1].Group = 9 },
-		"class 2: worth":     func(s *Settings) { s.Classes[2].Worth = math.NaN() },
-		"cold from":          func(s *Settings) { s.ColdFrom = math.Inf(1) },
+		"class 0: aim":       func(s *Settings) { s.Classes[0].LatencyObjective = -1 },
+		"class 0: window":    func(s *Settings) { s.Classes[0].DedupWindow = -1 },
+		"class 1: unknown e": func(s *Settings) { s.Classes[1].Idempotency = 9 },
+		"class 1: unknown g": func(s *Settings) { s.Classes[1].DedupScope = 9 },
+		"class 2: worth":     func(s *Settings) { s.Classes[2].PriorityWeight = math.NaN() },
+		"cold from":          func(s *Settings) { s.SlowStartShare = math.Inf(1) },
 		"overload factor":    func(s *Settings) { s.OverloadFactor = 1e300 },
-		"over-quota worth":   func(s *Settings) { s.OverQuotaWorth = math.NaN() },
+		"over-quota worth":   func(s *Settings) { s.OverQuotaWeight = math.NaN() },
 		"tenant 0: quota":    func(s *Settings) { s.Tenants = []Tenant{{Quota: -1}} },
 	}
 	for want, spoil := range bad {
@@ -1554,8 +1553,8 @@
 		t.Fatal(err)
 	}
 	s := b.set
-	if s.MaxAttempts != 3 || s.AskWithin != 10*time.Second || s.ColdFrom != 1 || s.Fall != time.Second ||
-		s.Classes[0].Aim != time.Second || s.Classes[0].Worth != 1 {
+	if s.MaxAttempts != 3 || s.PollTimeout != 10*time.Second || s.SlowStartShare != 1 || s.OverloadWindow != time.Second ||
+		s.Classes[0].LatencyObjective != time.Second || s.Classes[0].PriorityWeight != 1 {
 		t.Errorf("defaults %+v", s)
 	}
 }
@@ -1579,7 +1578,7 @@
 	if len(g.logs) != 1 || g.logs[0] != "host 1 ejected: silent" {
 		t.Fatalf("logs %q, want the first only", g.logs)
 	}
-	g.b.now += logEvery
+	g.b.now += logInterval
 	g.b.eject(g.b.hosts[20], CauseConnections)
 	g.drain()
 	if want := "host 15 ejected: connections fail (9 more such lines held back)"; g.logs[1] != want {
@@ -1613,7 +1612,7 @@
 	}
 	now := time.Hour
 	b.Start(now)
-	b.Hosts(now, ListSaved, hosts(12))
+	b.UpdateEndpoints(now, ListSaved, hosts(12))
 	return b, now
 }
 
@@ -1624,11 +1623,11 @@
 	round := func() {
 		id++
 		now += 5 * ms
-		b.Request(now, Request{ID: id, Left: time.Second})
-		acts = b.Drain(acts[:0])
-		b.Outcome(now+4*ms, Outcome{Request: id, Elapsed: 4 * ms, Closed: true})
+		b.Request(now, Request{ID: id, Remaining: time.Second})
+		acts = b.TakeActions(acts[:0])
+		b.AttemptEnded(now+4*ms, Outcome{Request: id, Elapsed: 4 * ms, Closed: true})
 		b.Timer(now+4*ms, tokenSweep<<tokenShift)
-		acts = b.Drain(acts[:0])
+		acts = b.TakeActions(acts[:0])
 	}
 	for range 1000 {
 		round()
@@ -1644,50 +1643,74 @@
 	bm.ReportAllocs()
 	for i := range bm.N {
 		now += 5 * ms
-		b.Request(now, Request{ID: RequestID(i), Left: time.Second})
-		b.Outcome(now+4*ms, Outcome{Request: RequestID(i), Elapsed: 4 * ms, Closed: true})
-		acts = b.Drain(acts[:0])
+		b.Request(now, Request{ID: RequestID(i), Remaining: time.Second})
+		b.AttemptEnded(now+4*ms, Outcome{Request: RequestID(i), Elapsed: 4 * ms, Closed: true})
+		acts = b.TakeActions(acts[:0])
 	}
 }
 
-// Whoever is on call reads the whole policy at night.
-func TestPolicyStaysReadable(t *testing.T) {
-	text, err := os.ReadFile("balancer.go")
+// policyFiles returns the names of the files that the deploy file names as the policy, and their contents.
+func policyFiles(t *testing.T) map[string]string {
+	t.Helper()
+	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
+	files := map[string]string{}
+	line := regexp.MustCompile(`(?m)^policy = \[(.*)\]$`).FindSubmatch(deploy)
+	for _, m := range regexp.MustCompile(`"balancer/(\w+\.go)"`).FindAllSubmatch(line[1], -1) {
+		text, err := os.ReadFile(string(m[1]))
+		if err != nil {
+			t.Fatal(err)
+		}
+		files[string(m[1])] = string(text)
+	}
+	if len(files) == 0 || files["balancer.go"] == "" {
+		t.Fatalf("the deploy file names %d files of the policy", len(files))
+	}
+	return files
+}
+
+// Whoever is on call reads the whole policy at night.
+func TestPolicyStaysReadable(t *testing.T) {
+	files := policyFiles(t)
 	lines := 0
-	for i, l := range bytes.Split(text, []byte("\n")) {
-		if len(bytes.TrimSpace(l)) > 0 {
-			lines++
+	for name, text := range files {
+		for i, l := range strings.Split(text, "\n") {
+			if len(strings.TrimSpace(l)) > 0 {
+				lines++
+			}
+			if n := len([]rune(strings.ReplaceAll(l, "\t", "    "))); n > 110 {
+				t.Errorf("%s:%d has %d characters", name, i+1, n)
+			}
 		}
-		if n := len([]rune(strings.ReplaceAll(string(l), "\t", "    "))); n > 110 {
-			t.Errorf("balancer.go:%d has %d characters", i+1, n)
+		if name != "balancer.go" && !strings.Contains(files["balancer.go"][:800], name) {
+			t.Errorf("the head of balancer.go does not name %s", name)
 		}
 	}
 	if lines > 1200 {
-		t.Errorf("balancer.go has %d lines that are not blank, 1200 at most", lines)
+		t.Errorf("the policy has %d lines that are not blank, 1200 at most", lines)
 	}
-	if !strings.Contains(string(text[:600]), "api.go") {
+	if !strings.Contains(files["balancer.go"][:800], "api.go") {
 		t.Error("the head of balancer.go does not name api.go")
 	}
 }
 
 // Whoever is on call looks lines up on the page; each must stand there as printed.
 func TestLogLinesAreOnTheOnCallPage(t *testing.T) {
-	code, err := os.ReadFile("balancer.go")
-	if err != nil {
-		t.Fatal(err)
+	code := ""
+	for _, text := range policyFiles(t) {
+		code += text
 	}
 	page, err := os.ReadFile("../docs/on-call.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	var lines []string
-	for _, m := range regexp.MustCompile(`b\.log\(log\w+, "([^"]*)"`).FindAllStringSubmatch(string(code), -1) {
+	for _, m := range regexp.MustCompile(`b\.log\(log\w+, "([^"]*)"`).FindAllStringSubmatch(code, -1) {
 		lines = append(lines, strings.TrimSuffix(m[1], "%s"))
 	}
-	for _, m := range regexp.MustCompile(`b\.eject\(h, (Cause\w+)`).FindAllStringSubmatch(string(code), -1) {
+	for _, m := range regexp.MustCompile(`b\.eject\(h, (Cause\w+)`).FindAllStringSubmatch(code, -1) {
 		name, ok := map[string]Cause{"CauseConnections": CauseConnections, "CauseSilent": CauseSilent}[m[1]]
 		if !ok {
 			t.Errorf("%s: the page is not checked for it", m[1])
@@ -1715,44 +1738,44 @@
 	f := &h.class[1]
 	fail := func() { // an attempt at h, whatever would be picked
 		r := &request{Request: Request{ID: 1 << 40, Class: 1}, class: &g.b.set.Classes[1]}
-		g.b.judge(&attempt{req: r, host: h, sent: g.now}, g.b.errs)
+		g.b.recordForClasses(&attempt{req: r, host: h, sent: g.now}, g.b.recordError)
 	}
 	for i := range 3 {
-		if g.b.shunned(h, 1) {
+		if g.b.excludedFor(h, 1) {
 			t.Fatalf("out after %d errors", i)
 		}
 		fail()
 	}
-	if !g.b.shunned(h, 1) || g.b.shunned(h, 0) || g.b.ejected(h) {
+	if !g.b.excludedFor(h, 1) || g.b.excludedFor(h, 0) || g.b.ejected(h) {
 		t.Fatal("after three errors it is not out for that class alone")
 	}
 	sent := func(class int) bool { return g.serve(20, class, func(HostID) time.Duration { return ms })[h.ID] > 0 }
 	if sent(1) || !sent(0) {
 		t.Error("it gets requests of that class, or none of another")
 	}
-	for g.now < f.until {
-		g.advance(f.until - g.now)
+	for g.now < f.excludedUntil {
+		g.advance(f.excludedUntil - g.now)
 	}
 	g.b.now = g.now
 	r := &request{Request: Request{ID: 1 << 41, Class: 1}, class: &g.b.set.Classes[1]}
 	g.b.send(r, h)
-	if !g.b.shunned(h, 1) {
+	if !g.b.excludedFor(h, 1) {
 		t.Error("a second request may go out beside the trial")
 	}
-	out := f.fails
+	out := f.exclusions
 	g.now += ms
 	g.b.now = g.now
 	fail()
-	if f.fails != out+1 || !g.b.shunned(h, 1) {
+	if f.exclusions != out+1 || !g.b.excludedFor(h, 1) {
 		t.Error("an error to the trial does not keep it out")
 	}
 	for range 4 {
-		g.b.serves(&attempt{host: h}, 1)
+		g.b.recordSuccess(&attempt{host: h}, 1)
 	}
-	if f.fails != 0 || g.b.shunned(h, 1) {
+	if f.exclusions != 0 || g.b.excludedFor(h, 1) {
 		t.Error("good answers do not bring it back")
 	}
-	g.b.hosts[1].class[1], h.class[1] = failing{until: g.now + time.Second, fails: 1}, failing{until: g.now + time.Second, fails: 1}
+	g.b.hosts[1].class[1], h.class[1] = classErrors{excludedUntil: g.now + time.Second, exclusions: 1}, classErrors{excludedUntil: g.now + time.Second, exclusions: 1}
 	g.drain()
 	g.request(1, time.Second)
 	g.sole(Send) // with errors everywhere one is as good as another
@@ -1766,22 +1789,22 @@
 		g := start(t, basic(), hosts(2)...)
 		h := g.b.hosts[0]
 		a := &attempt{req: &request{class: &g.b.set.Classes[0]}, host: h, sent: g.now}
-		g.b.judge(a, g.b.errs)
-		if g.b.shunned(h, class) {
+		g.b.recordForClasses(a, g.b.recordError)
+		if g.b.excludedFor(h, class) {
 			t.Errorf("class %d: out after one error, which may be chance", class)
 		}
-		g.b.judge(a, g.b.errs)
+		g.b.recordForClasses(a, g.b.recordError)
 		g.b.recheck(h)
-		if got := g.b.shunned(h, class); got != want {
+		if got := g.b.excludedFor(h, class); got != want {
 			t.Errorf("class %d: out %v after two errors to class 0", class, got)
 		}
 		if got := g.serve(20, class, func(HostID) time.Duration { return ms })[h.ID] == 0; want && !got {
 			t.Errorf("class %d: sent to it all the same", class)
 		}
 		for range 3 {
-			g.b.judge(a, g.b.serves)
+			g.b.recordForClasses(a, g.b.recordSuccess)
 		}
-		if f := h.class[class]; g.b.shunned(h, class) || f.fails != 0 {
+		if f := h.class[class]; g.b.excludedFor(h, class) || f.exclusions != 0 {
 			t.Errorf("class %d: not back after good answers to class 0: %+v", class, f)
 		}
 	}
@@ -1813,7 +1836,7 @@
 	if g.sole(Fail).Request != id { // it may have run
 		t.Error("another request was answered")
 	}
-	if got := g.b.estimate(h); got > 0.1 || g.b.ejected(h) { // the seed
+	if got := g.b.estimatedRTT(h); got > 0.1 || g.b.ejected(h) { // the seed
 		t.Errorf("estimate %v, ejected %v", got, g.b.ejected(h))
 	}
 	id = g.request(0, time.Second)
@@ -1821,7 +1844,7 @@
 	if g.sole(Send).Request != id {
 		t.Error("a safe request is not sent again")
 	}
-	if got := g.b.estimate(h); got < g.b.penalty {
+	if got := g.b.estimatedRTT(h); got < g.b.penalty {
 		t.Errorf("estimate %v after two in a row, want the penalty %v", got, g.b.penalty)
 	}
 }
@@ -1833,11 +1856,11 @@
 	for class, again := range []bool{true, true, false} {
 		g := start(t, basic(), hosts(1)...)
 		h := g.b.hosts[0]
-		h.limit = 8
-		g.b.mute = 1 // as learnt from those before
+		h.concurrencyLimit = 8
+		g.b.unansweredShare = 1 // as learnt from those before
 		id := g.request(class, time.Second)
 		g.advance(ms)
-		for range passedAfter {
+		for range overtakenAfter {
 			g.outcome(g.request(0, time.Second), 0, OK, ms)
 			g.advance(ms)
 		}
@@ -1850,7 +1873,7 @@
 			}
 			g.outcome(g.request(0, time.Second), 0, OK, ms) // others are answered meanwhile
 		}
-		if h.overdue(g.now) {
+		if g.b.hostOverdue(h) {
 			t.Errorf("class %d: the host gets nothing more", class)
 		}
 		if !again {
@@ -1874,11 +1897,11 @@
 func TestPassedByAttemptsThatAreAnswered(t *testing.T) {
 	for class, end := range map[int]Result{0: OK, 2: TimedOut} { // a safe one, an unsafe one
 		g := start(t, basic(), hosts(1)...)
-		g.b.hosts[0].limit = 8
+		g.b.hosts[0].concurrencyLimit = 8
 		for range 8 {
 			id := g.request(class, time.Second)
 			g.advance(ms)
-			for range passedAfter {
+			for range overtakenAfter {
 				g.outcome(g.request(0, time.Second), 0, OK, ms)
 				g.advance(ms)
 			}
@@ -1893,8 +1916,8 @@
 			g.outcome(id, 0, end, 300*ms)
 			g.advance(time.Second)
 		}
-		if calls := g.b.mute > muteMost; calls != (end == TimedOut) {
-			t.Errorf("eight ended with %d: calling off %v, share %v", end, calls, g.b.mute)
+		if calls := g.b.unansweredShare > maxUnansweredShare; calls != (end == TimedOut) {
+			t.Errorf("eight ended with %d: calling off %v, share %v", end, calls, g.b.unansweredShare)
 		}
 	}
 }
@@ -1905,16 +1928,16 @@
 func TestPassedByAttemptAndTheLimit(t *testing.T) {
 	g := start(t, basic(), hosts(1)...)
 	h := g.b.hosts[0]
-	h.limit = 8
+	h.concurrencyLimit = 8
 	g.request(0, time.Second)
 	g.advance(ms)
-	for range passedAfter {
+	for range overtakenAfter {
 		g.outcome(g.request(0, time.Second), 0, OK, ms)
 		g.advance(ms)
 	}
-	h.limit = 1
+	h.concurrencyLimit = 1
 	for _, mute := range []float64{0, 1} {
-		g.b.mute = mute
+		g.b.unansweredShare = mute
 		if at, want := g.b.atLimit(h), mute == 0; at != want {
 			t.Errorf("with a share of %v that stay silent: at its limit %v, want %v", mute, at, want)
 		}
--- a/balancer/checkpoint.go
+++ b/balancer/checkpoint.go
@@ -129,17 +129,17 @@
 	return i
 }
 
-func (s *state) means(list *[]mean) {
+func (s *state) means(list *[]movingAverage) {
 	n := s.count(len(*list))
 	if s.loading {
-		*list = make([]mean, n)
+		*list = make([]movingAverage, n)
 	}
 	for i := range *list {
 		s.mean(&(*list)[i])
 	}
 }
 
-func (s *state) mean(m *mean) {
+func (s *state) mean(m *movingAverage) {
 	s.f64(&m.mean)
 	s.f64(&m.dev)
 	s.flag(&m.seen)
@@ -147,7 +147,7 @@
 	whole(s, &m.at)
 }
 
-func (s *state) rate(r *rate) {
+func (s *state) rate(r *decayingRate) {
 	s.f64(&r.rate)
 	whole(s, &r.at)
 	if s.loading {
@@ -159,46 +159,46 @@
 func (b *Balancer) walk(s *state) {
 	whole(s, &b.rng)
 	whole(s, &b.now)
-	whole(s, &b.redrawAt)
-	whole(s, &b.lacked)
-	for _, n := range []*int{&b.outNow, &b.front} {
+	whole(s, &b.nextMove)
+	whole(s, &b.lastUnserved)
+	for _, n := range []*int{&b.inFlight, &b.scanned} {
 		whole(s, n)
 	}
-	s.flag(&b.laid)
-	s.flag(&b.redrawn)
-	for _, r := range []*rate{&b.rate, &b.sends, &b.served} {
+	s.flag(&b.ringBuilt)
+	s.flag(&b.subsetCurrent)
+	for _, r := range []*decayingRate{&b.requests, &b.sends, &b.successes} {
 		s.rate(r)
 	}
-	classes := len(b.lat)
-	s.means(&b.lat)
-	if s.loading && len(b.lat) != classes {
-		s.fail("it is of %d classes, the settings have %d", len(b.lat), classes)
+	classes := len(b.classRTT)
+	s.means(&b.classRTT)
+	if s.loading && len(b.classRTT) != classes {
+		s.fail("it is of %d classes, the settings have %d", len(b.classRTT), classes)
 		return
 	}
-	for i := range b.harm {
-		s.f64(&b.harm[i].share)
-		whole(s, &b.harm[i].at)
+	for i := range b.starvation {
+		s.f64(&b.starvation[i].share)
+		whole(s, &b.starvation[i].at)
 	}
-	s.means(&b.kinds)
-	for _, m := range []*mean{&b.all, &b.warm, &b.pressure} {
+	s.means(&b.kindRTT)
+	for _, m := range []*movingAverage{&b.anyRTT, &b.warmHostRate, &b.pressure} {
 		s.mean(m)
 	}
 	for i := range b.quota {
 		s.f64(&b.quota[i].tokens)
 		whole(s, &b.quota[i].at)
 	}
-	for _, t := range []*Time{&b.pressedAt, &b.grownAt, &b.filledAt, &b.sweepAt, &b.watchAt} {
+	for _, t := range []*Time{&b.sendRateCutAt, &b.sendRateGrownAt, &b.tokensAt, &b.sweepAt, &b.pollAt} {
 		whole(s, t)
 	}
-	for _, f := range []*float64{&b.bound, &b.tokens, &b.mute} {
+	for _, f := range []*float64{&b.sendRate, &b.sendTokens, &b.unansweredShare} {
 		s.f64(f)
 	}
-	s.flag(&b.watching)
-	whole(s, &b.watchFails)
-	for i := range b.lines {
-		whole(s, &b.lines[i].at)
-		s.flag(&b.lines[i].said)
-		whole(s, &b.lines[i].held)
+	s.flag(&b.polling)
+	whole(s, &b.pollFailures)
+	for i := range b.logs {
+		whole(s, &b.logs[i].at)
+		s.flag(&b.logs[i].logged)
+		whole(s, &b.logs[i].suppressed)
 	}
 	b.walkHosts(s)
 	b.walkRequests(s)
@@ -211,44 +211,44 @@
 	}
 	for i := range n {
 		if s.loading {
-			b.hosts[i] = &host{at: i, class: make([]failing, len(b.set.Classes)), stands: setNone}
+			b.hosts[i] = &host{index: i, class: make([]classErrors, len(b.set.Classes)), readySet: setNone}
 		}
 		h := b.hosts[i]
 		h.walk(s)
 		if s.loading {
 			b.byID[h.ID] = h
-			b.enlist(h)
+			b.addToKind(h)
 		}
 	}
 	for k := range b.sets {
 		b.walkList(s, &b.sets[k].list)
 		for i, h := range b.sets[k].list {
-			if h.in[k] = i + 1; k < setBusy {
-				h.stands = k
+			if h.position[k] = i + 1; k < setBusy {
+				h.readySet = k
 			}
 		}
 	}
-	b.walkList(s, &b.looks)
-	for i, h := range b.looks {
-		h.lookPos = i + 1
+	b.walkList(s, &b.rechecks)
+	for i, h := range b.rechecks {
+		h.recheckPosition = i + 1
 	}
 	if !s.loading {
 		return
 	}
 	for _, h := range b.hosts {
 		if h.ranked = h.rank(); h.ranked > 0 {
-			b.listed[h.ranked-1]++
+			b.readyHosts[h.ranked-1]++
 		}
-		h.counted.failing = h.counted.listed && h.fails > 0 // it follows from what is kept
-		b.tally.add(h.counted, 1)
+		h.counted.unrecovered = h.counted.ready && h.ejections > 0 // it follows from what is kept
+		b.counts.add(h.counted, 1)
 		for i := range h.class {
-			if h.class[i].shuns {
-				b.shuns[i].add(h.counted, 1)
+			if h.class[i].counted {
+				b.excluded[i].add(h.counted, 1)
 			}
 		}
 	}
-	if b.laid {
-		b.layRing()
+	if b.ringBuilt {
+		b.buildRing()
 	}
 }
 
@@ -261,7 +261,7 @@
 	for i := range n {
 		k := 0
 		if !s.loading {
-			k = (*list)[i].at
+			k = (*list)[i].index
 		}
 		k = s.index(k, len(b.hosts))
 		if k < 0 {
@@ -280,38 +280,38 @@
 	whole(s, &h.Cell)
 	whole(s, &h.Kind)
 	whole(s, &h.State)
-	h.mark = mix(uint64(h.ID))
-	for _, t := range []*Time{&h.Started, &h.rttAt, &h.heard, &h.cutAt, &h.restUntil, &h.ejectUntil, &h.coldAt, &h.coldNext, &h.look} {
+	h.ringHash = mix(uint64(h.ID))
+	for _, t := range []*Time{&h.Started, &h.rttAt, &h.lastResponse, &h.limitCutAt, &h.restingUntil, &h.ejectedUntil, &h.startedAt, &h.nextSlowStartSend, &h.recheckTime} {
 		whole(s, t)
 	}
-	for _, f := range []*float64{&h.rtt, &h.limit} {
+	for _, f := range []*float64{&h.rtt, &h.concurrencyLimit} {
 		s.f64(f)
 	}
-	for _, f := range []*bool{&h.sampled, &h.trialOut, &h.hinted, &h.cold, &h.failed,
-		&h.counted.listed, &h.counted.used, &h.counted.out, &h.counted.broken} {
+	for _, f := range []*bool{&h.sampled, &h.trialOut, &h.backoffCut, &h.warming, &h.hasErrors,
+		&h.counted.ready, &h.counted.inUse, &h.counted.ejected, &h.counted.broken} {
 		s.flag(f)
 	}
-	for _, n := range []*int{&h.spoilt, &h.fails} {
+	for _, n := range []*int{&h.brokenResponses, &h.ejections} {
 		whole(s, n)
 	}
-	whole(s, &h.why)
-	s.mean(&h.lat)
+	whole(s, &h.ejectCause)
+	s.mean(&h.recentRTT)
 	for i := range h.class {
 		f := &h.class[i]
 		s.f64(&f.share)
 		whole(s, &f.at)
-		whole(s, &f.fails)
-		whole(s, &f.outAt)
-		whole(s, &f.until)
-		s.flag(&f.shuns)
+		whole(s, &f.exclusions)
+		whole(s, &f.excludedAt)
+		whole(s, &f.excludedUntil)
+		s.flag(&f.counted)
 	}
 }
 
 // walkRequests goes over the requests in the order of their ids, then the lines, then
 // what is out at each host in the order sent.
 func (b *Balancer) walkRequests(s *state) {
-	ids := make([]RequestID, 0, len(b.reqs))
-	for id := range b.reqs {
+	ids := make([]RequestID, 0, len(b.open))
+	for id := range b.open {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
@@ -319,18 +319,18 @@
 	for i := range n {
 		r := &request{}
 		if !s.loading {
-			r = b.reqs[ids[i]]
+			r = b.open[ids[i]]
 		}
 		b.walkRequest(s, r)
 		if s.err != nil {
 			return
 		}
 		if s.loading {
-			b.reqs[r.ID] = r
+			b.open[r.ID] = r
 		}
 	}
-	for k := range b.bands {
-		n, next := 0, b.bands[k].head
+	for k := range b.queues {
+		n, next := 0, b.queues[k].head
 		for m := next; m != nil; m = m.next {
 			n++
 		}
@@ -343,25 +343,25 @@
 			if !s.loading {
 				continue
 			}
-			r := b.reqs[id]
+			r := b.open[id]
 			if r == nil || r.queued {
 				s.fail("a line names no request")
 				return
 			}
 			r.band = k
-			b.push(r, false)
+			b.addToQueue(r, false)
 		}
 	}
 	for _, h := range b.hosts {
-		n, next := h.pending, h.flight.head
+		n, next := h.inFlight, h.attempts.head
 		for n = s.count(n); n > 0; n-- {
 			var id RequestID
 			var k int
 			if !s.loading {
 				a := next.item
 				id, next = a.req.ID, next.next
-				for k = range a.req.atts {
-					if a.req.atts[k] == a {
+				for k = range a.req.attempts {
+					if a.req.attempts[k] == a {
 						break
 					}
 				}
@@ -371,15 +371,15 @@
 			if !s.loading {
 				continue
 			}
-			r := b.reqs[id]
-			if r == nil || k < 0 || k >= len(r.atts) || r.atts[k].ended || r.atts[k].host != h || r.atts[k].link.item != nil {
+			r := b.open[id]
+			if r == nil || k < 0 || k >= len(r.attempts) || r.attempts[k].ended || r.attempts[k].host != h || r.attempts[k].link.item != nil {
 				s.fail("a host names no attempt")
 				return
 			}
-			a := r.atts[k]
+			a := r.attempts[k]
 			a.link.item = a
-			h.flight.pushBack(&a.link)
-			h.pending++
+			h.attempts.pushBack(&a.link)
+			h.inFlight++
 		}
 	}
 }
@@ -393,23 +393,23 @@
 	}
 	r.class = &b.set.Classes[r.Class]
 	whole(s, &r.Tenant)
-	for _, t := range []*Time{&r.Left, &r.arrived, &r.deadline, &r.expires} {
+	for _, t := range []*Time{&r.Remaining, &r.arrived, &r.deadline, &r.waitUntil} {
 		whole(s, t)
 	}
 	whole(s, &r.band)
-	if r.band < 0 || r.band >= len(b.bands) {
+	if r.band < 0 || r.band >= len(b.queues) {
 		s.fail("a request in line %d", r.band)
 		return
 	}
-	for _, f := range []*bool{&r.Repeat, &r.done, &r.overdue, &r.bound} {
+	for _, f := range []*bool{&r.Duplicate, &r.done, &r.timedOut, &r.streaming} {
 		s.flag(f)
 	}
-	n := s.count(len(r.atts))
+	n := s.count(len(r.attempts))
 	for i := range n {
 		if s.loading {
-			r.atts = append(r.atts, &attempt{req: r})
+			r.attempts = append(r.attempts, &attempt{req: r})
 		}
-		a := r.atts[i]
+		a := r.attempts[i]
 		var h Host
 		live := false
 		if !s.loading {
@@ -421,15 +421,15 @@
 		whole(s, &h.Cell)
 		whole(s, &a.sent)
 		whole(s, &a.result)
-		whole(s, &a.later)
-		for _, f := range []*bool{&a.ended, &a.trial, &a.recall, &a.doubted} {
+		whole(s, &a.overtakenBy)
+		for _, f := range []*bool{&a.ended, &a.trial, &a.canceledStuck, &a.countedSilent} {
 			s.flag(f)
 		}
 		if !s.loading {
 			continue
 		}
 		if !a.ended {
-			r.out++
+			r.inFlight++
 		}
 		if live {
 			a.host = b.byID[h.ID]
--- a/balancer/checkpoint_test.go
+++ b/balancer/checkpoint_test.go
@@ -81,21 +81,24 @@
 // only where a replay goes wrong much later.
 func TestCheckpointNamesEveryField(t *testing.T) {
 	known := map[reflect.Type]string{
-		reflect.TypeFor[Balancer](): "rng now hosts sets looks laid redrawn front redrawAt rate reqs queued lacked outNow harm lat all kinds " +
-			"warm quota pressure pressedAt bound grownAt tokens filledAt mute sends served sweepAt watching watchAt watchFails lines bands | " +
-			"set acts byID band aim decay penalty ready freeReq freeAtt tally shuns byKind ring listed own from groups grouped touched",
-		reflect.TypeFor[host](): "Host rtt rttAt sampled pending flight heard limit lat cutAt restUntil class failed spoilt fails " +
-			"why ejectUntil trialOut hinted cold coldAt coldNext counted look | mark at in stands lookPos ranked place",
-		reflect.TypeFor[request]():  "Request arrived deadline expires band out done overdue bound queued atts | class link",
-		reflect.TypeFor[attempt]():  "req host sent ended result trial later recall doubted | link",
-		reflect.TypeFor[failing]():  "share at fails outAt until shuns |",
-		reflect.TypeFor[fading]():   "share at |",
-		reflect.TypeFor[rate]():     "rate at | seenAt seen",
-		reflect.TypeFor[standing](): "listed used out broken | failing",
-		reflect.TypeFor[mean]():     "mean dev seen n at |",
-		reflect.TypeFor[bucket]():   "tokens at | rate",
-		reflect.TypeFor[Host]():     "ID Zone Cell Kind State Started |",
-		reflect.TypeFor[Request]():  "ID Class Tenant Left Repeat |",
+		reflect.TypeFor[Balancer](): "rng now hosts sets rechecks ringBuilt subsetCurrent scanned nextMove requests open queued lastUnserved " +
+			"inFlight starvation classRTT anyRTT kindRTT warmHostRate quota pressure sendRateCutAt sendRate sendRateGrownAt " +
+			"sendTokens tokensAt unansweredShare sends successes sweepAt polling pollAt pollFailures logs queues | set " +
+			"actions byID bandOf shortestObjective decay penalty candidates freeRequests freeAttempts counts excluded " +
+			"byKind ring readyHosts ringPlace ringStart scopes scopesBuilt touched",
+		reflect.TypeFor[host](): "Host rtt rttAt sampled inFlight attempts lastResponse concurrencyLimit recentRTT limitCutAt restingUntil class " +
+			"hasErrors brokenResponses ejections ejectCause ejectedUntil trialOut backoffCut warming startedAt " +
+			"nextSlowStartSend counted recheckTime | ringHash index position readySet recheckPosition ranked ringPlace",
+		reflect.TypeFor[request]():       "Request arrived deadline waitUntil band inFlight done timedOut streaming queued attempts | class link",
+		reflect.TypeFor[attempt]():       "req host sent ended result trial overtakenBy canceledStuck countedSilent | link",
+		reflect.TypeFor[classErrors]():   "share at exclusions excludedAt excludedUntil counted |",
+		reflect.TypeFor[decayingShare](): "share at |",
+		reflect.TypeFor[decayingRate]():  "rate at | seenAt seen",
+		reflect.TypeFor[standing]():      "ready inUse ejected broken | unrecovered",
+		reflect.TypeFor[movingAverage](): "mean dev seen n at |",
+		reflect.TypeFor[tokenBucket]():   "tokens at | rate",
+		reflect.TypeFor[Host]():          "ID Zone Cell Kind State Started |",
+		reflect.TypeFor[Request]():       "ID Class Tenant Remaining Duplicate |",
 	}
 	for typ, text := range known {
 		names := strings.Fields(text)
@@ -114,14 +117,14 @@
 
 func TestViews(t *testing.T) {
 	g := start(t, basic(), hosts(3)...)
-	g.b.redraw()
+	g.b.refreshSubset()
 	if usable, ready := g.b.Usable(); usable != 3 || ready != 3 {
 		t.Errorf("%d of %d can be used", usable, ready)
 	}
 	g.b.eject(g.b.byID[1], CauseSilent)
 	g.b.recheck(g.b.byID[1])
 	// It counts until it has answered, also beyond its ejection.
-	g.b.now = g.b.byID[1].ejectUntil + 1
+	g.b.now = g.b.byID[1].ejectedUntil + 1
 	g.b.recheck(g.b.byID[1])
 	if usable, ready := g.b.Usable(); usable != 2 || ready != 3 {
 		t.Errorf("after an ejection %d of %d can be used", usable, ready)
@@ -132,16 +135,16 @@
 		t.Errorf("restored, %d of %d can be used", usable, ready)
 	}
 	g.b.now = g.now
-	g.b.byID[2].restUntil = g.now + ms
+	g.b.byID[2].restingUntil = g.now + ms
 	views := g.b.Views(nil)
 	var held []string
 	for i := range views {
-		held = append(held, views[i].Held(g.now))
+		held = append(held, views[i].Unavailable(g.now))
 	}
 	if !slices.Equal(held, []string{"ejected", "resting", ""}) && !slices.Equal(held, []string{"not drawn", "not drawn", "not drawn"}) {
 		t.Errorf("held: %q", held)
 	}
-	if views[0].Why != CauseSilent || views[0].Fails != 1 || views[0].Host != 1 {
+	if views[0].Cause != CauseSilent || views[0].Ejections != 1 || views[0].Host != 1 {
 		t.Errorf("view of an ejected host: %+v", views[0])
 	}
 }
@@ -149,7 +152,7 @@
 func BenchmarkCheckpoint(bm *testing.B) {
 	b, now := running(bm)
 	for i := range RequestID(40) {
-		b.Request(now, Request{ID: i, Left: basic().Classes[0].Deadline})
+		b.Request(now, Request{ID: i, Remaining: basic().Classes[0].Deadline})
 	}
 	var buf []byte
 	for bm.Loop() {
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -14,7 +14,7 @@
 	settings := balancer.Settings{
 		Instances: 1,
 		Cancel:    true,
-		Classes:   []balancer.Class{{Aim: 300 * time.Millisecond, Deadline: time.Second}},
+		Classes:   []balancer.Class{{LatencyObjective: 300 * time.Millisecond, Deadline: time.Second}},
 	}
 	b, err := balancer.New(settings, 42)
 	if err != nil {
@@ -25,14 +25,14 @@
 	timers := map[uint64]balancer.Time{} // a real gateway keeps a timer queue
 	var actions []balancer.Action        // ours; reused for every event
 	carryOut := func() {
-		actions = b.Drain(actions[:0])
+		actions = b.TakeActions(actions[:0])
 		for _, a := range actions {
 			switch a.Kind {
 			case balancer.Send:
 				fmt.Printf("send request %d to host %d\n", a.Request, a.Host)
 			case balancer.Cancel:
 				fmt.Printf("cancel attempt %d of request %d\n", a.Attempt, a.Request)
-			case balancer.Refuse:
+			case balancer.Reject:
 				fmt.Printf("answer request %d: busy\n", a.Request)
 			case balancer.Fail:
 				fmt.Printf("answer request %d: error\n", a.Request)
@@ -47,20 +47,20 @@
 	now := time.Minute
 	b.Start(now)
 	// After a restart the list saved on disk comes first; it may be stale.
-	b.Hosts(now, balancer.ListSaved, []balancer.Host{{ID: 7}})
-	b.Request(now, balancer.Request{ID: 1, Left: time.Second})
+	b.UpdateEndpoints(now, balancer.ListSaved, []balancer.Host{{ID: 7}})
+	b.Request(now, balancer.Request{ID: 1, Remaining: time.Second})
 	carryOut()
 
 	// The host refuses connections; nothing ran, so another host gets it.
 	now += 5 * time.Millisecond
-	b.Hosts(now, balancer.ListChanges, []balancer.Host{{ID: 8}})
-	b.Outcome(now, balancer.Outcome{Request: 1, Attempt: 0,
+	b.UpdateEndpoints(now, balancer.ListChanges, []balancer.Host{{ID: 8}})
+	b.AttemptEnded(now, balancer.Outcome{Request: 1, Attempt: 0,
 		Result: balancer.ConnectFailed, Elapsed: 5 * time.Millisecond})
 	carryOut()
 
 	// The answer went to the client.
 	now += 40 * time.Millisecond
-	b.Outcome(now, balancer.Outcome{Request: 1, Attempt: 1,
+	b.AttemptEnded(now, balancer.Outcome{Request: 1, Attempt: 1,
 		Result: balancer.OK, Elapsed: 40 * time.Millisecond, Closed: true})
 	carryOut()
 
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -34,7 +34,7 @@
 func (f *bank) list(changes ...Host) {
 	for _, g := range f.gates {
 		g.list(ListChanges, changes...)
-		g.b.redraw()
+		g.b.refreshSubset()
 	}
 }
 
@@ -45,7 +45,7 @@
 		for _, g := range f.gates {
 			g.advance(min(d, step))
 			g.b.now = g.now // as with any event
-			g.b.redraw()
+			g.b.refreshSubset()
 		}
 	}
 }
@@ -54,7 +54,7 @@
 func (f *bank) shared() map[HostID]int {
 	n := map[HostID]int{}
 	for _, g := range f.gates {
-		for _, h := range g.b.sets[setDrawn].list {
+		for _, h := range g.b.sets[setSubset].list {
 			n[h.ID]++
 		}
 	}
@@ -64,7 +64,7 @@
 // drawn is the hosts that a gateway draws from.
 func (f *bank) drawn(i int) map[HostID]bool {
 	is := map[HostID]bool{}
-	for _, h := range f.gates[i].b.sets[setDrawn].list {
+	for _, h := range f.gates[i].b.sets[setSubset].list {
 		is[h.ID] = true
 	}
 	return is
@@ -76,7 +76,7 @@
 // slowed down under it.
 func TestHostsAreSharedEvenlyWhileMostAreReplaced(t *testing.T) {
 	set := basic()
-	set.WarmAfter = 9 * time.Second
+	set.SlowStartWindow = 9 * time.Second
 	const gates, n = 80, 60
 	list := hosts(n)
 	f := startBank(t, set, gates, list)
@@ -90,9 +90,9 @@
 		}
 	}
 	for _, g := range f.gates {
-		g.b.redraw()
+		g.b.refreshSubset()
 	}
-	check("at first", list, reachSharers)
+	check("at first", list, minSharingInstances)
 	var cold []Host
 	for wave := range 2 {
 		old, left := list[wave*18:wave*18+18], list[wave*18+18:]
@@ -101,7 +101,7 @@
 		}
 		f.list(old...)
 		f.advance(time.Second)
-		warm := max(reachLeast, float64(reachSharers*len(left))/gates)
+		warm := max(minSubsetSize, float64(minSharingInstances*len(left))/gates)
 		check("draining", left, gates*warm/float64(len(left)))
 		var changes []Host
 		for i := range old {
@@ -121,8 +121,8 @@
 		check("replaced, warm", left, gates*warm/float64(len(left)))
 		check("replaced, cold", cold, gates*warm/float64(len(left)))
 	}
-	f.advance(2 * set.WarmAfter)
-	check("all warm", append(cold, list[36:]...), reachSharers)
+	f.advance(2 * set.SlowStartWindow)
+	check("all warm", append(cold, list[36:]...), minSharingInstances)
 }
 
 // playOverload plays twelve seconds of twice what the hosts of a bank can do, a third of it
@@ -133,8 +133,8 @@
 	set := basic()
 	set.Step, set.Instances = ms, gates
 	set.Classes = []Class{
-		{Aim: 380 * ms, Deadline: 1340 * ms, Worth: 1},
-		{Aim: 130 * ms, Deadline: 400 * ms, Worth: 5, Effect: Unsafe},
+		{LatencyObjective: 380 * ms, Deadline: 1340 * ms, PriorityWeight: 1},
+		{LatencyObjective: 130 * ms, Deadline: 400 * ms, PriorityWeight: 5, Idempotency: NonIdempotent},
 	}
 	r := rand.New(rand.NewSource(seed))
 	f := startBank(t, set, gates, hosts(n))
@@ -168,7 +168,7 @@
 			for len(out[h]) > 0 && out[h][0].end <= f.gates[0].now {
 				j := out[h][0]
 				out[h] = out[h][1:]
-				if counts && j.gate.now-j.sent <= set.Classes[j.class].Aim {
+				if counts && j.gate.now-j.sent <= set.Classes[j.class].LatencyObjective {
 					served[j.class]++
 				}
 				j.gate.outcome(j.id, 0, OK, j.gate.now-j.sent)
@@ -222,12 +222,12 @@
 			g.outcome(id, 0, OK, 10*ms)
 		}
 	}
-	g.b.harm[0].share = 1 // the least worth can't ask others for room
+	g.b.starvation[0].share = 1 // the least worth can't ask others for room
 	for range 50 {
 		id := g.request(0, time.Second)
 		g.sole(Send)
 		g.outcome(id, 0, OK, 10*ms)
-		g.b.harm[0].share = 1
+		g.b.starvation[0].share = 1
 	}
 }
 
@@ -239,7 +239,7 @@
 		g.request(2, time.Second)
 		g.advance(time.Second)
 	}
-	if x := g.b.harm[2].share; x != 0 {
+	if x := g.b.starvation[2].share; x != 0 {
 		t.Errorf("with no host there is, %.2f is asked for", x)
 	}
 	g.list(ListFull, hosts(1)...)
@@ -264,10 +264,10 @@
 			note(g.acts)
 		}
 	}
-	if x := g.b.harm[2].share; x < harmMost {
+	if x := g.b.starvation[2].share; x < maxStarvation {
 		t.Fatalf("behind a full host %.2f is asked for", x)
 	}
-	g.advance(time.Duration(5e9 * g.b.harmSpan()))
+	g.advance(time.Duration(5e9 * g.b.starvationSpan()))
 	for range 50 {
 		id := g.request(0, time.Second)
 		g.sole(Send)
@@ -280,7 +280,7 @@
 // calls for the list over the time that they have for it.
 func TestRestartOfMostGatewaysIsSpread(t *testing.T) {
 	set := basic()
-	set.Ask, set.AskWithin = true, 10*time.Second
+	set.Poll, set.PollTimeout = true, 10*time.Second
 	const gates, n, least = 80, 60, 56
 	r := rand.New(rand.NewSource(5))
 	f := &bank{t: t}
@@ -304,11 +304,11 @@
 		}
 		b.Start(g.now)
 		g.list(ListSaved, old...)
-		g.b.redraw()
+		g.b.refreshSubset()
 		f.gates = append(f.gates, g)
 	}
 	for h, x := range f.shared() {
-		if x > 3*reachSharers {
+		if x > 3*minSharingInstances {
 			t.Errorf("%d gateways draw from host %d", x, h)
 		}
 	}
@@ -316,7 +316,7 @@
 		for range 100 { // discovery is overbooked: each call fails
 			at := g.now
 			for _, a := range g.advance(100 * ms) {
-				if a.Kind == Watch {
+				if a.Kind == Poll {
 					calls[at/Time(time.Second)]++
 					g.list(ListFailed)
 				}
@@ -337,7 +337,7 @@
 		t.Errorf("%d calls in 10 s", total)
 	}
 	for i := range f.gates { // and the old list stands
-		if got := f.drawn(i); len(got) < reachLeast {
+		if got := f.drawn(i); len(got) < minSubsetSize {
 			t.Errorf("gateway %d draws from %d hosts", i, len(got))
 		}
 	}
@@ -354,7 +354,7 @@
 		list := hosts(c.n)
 		f := startBank(t, basic(), c.gates, list)
 		for _, g := range f.gates {
-			g.b.redraw()
+			g.b.refreshSubset()
 		}
 		var before []map[HostID]bool
 		for i := range f.gates {
@@ -383,7 +383,7 @@
 		}
 		got := f.shared()
 		for _, h := range f.gates[0].b.hosts {
-			if x := got[h.ID]; x < 1 || x > max(c.gates, 3*reachSharers) {
+			if x := got[h.ID]; x < 1 || x > max(c.gates, 3*minSharingInstances) {
 				t.Errorf("%d gateways: %d draw from host %d", c.gates, x, h.ID)
 			}
 		}
@@ -414,10 +414,10 @@
 		g.advance(500 * ms)
 	}
 	b := g.b
-	if len(b.byID) != 60 || len(b.hosts) != 60 || len(b.ring) > 60 || b.listed[0]+b.listed[1] != 60 ||
-		len(b.sets[setDrawn].list) > 60 || len(b.looks) > 60 || cap(b.ring) > 256 {
+	if len(b.byID) != 60 || len(b.hosts) != 60 || len(b.ring) > 60 || b.readyHosts[0]+b.readyHosts[1] != 60 ||
+		len(b.sets[setSubset].list) > 60 || len(b.rechecks) > 60 || cap(b.ring) > 256 {
 		t.Errorf("kept: %d by id, %d hosts, %d on the ring (room for %d), %v listed, %d drawn, %d to look at",
-			len(b.byID), len(b.hosts), len(b.ring), cap(b.ring), b.listed, len(b.sets[setDrawn].list), len(b.looks))
+			len(b.byID), len(b.hosts), len(b.ring), cap(b.ring), b.readyHosts, len(b.sets[setSubset].list), len(b.rechecks))
 	}
 	for _, l := range b.byKind {
 		if len(l.hosts) != 60 {
@@ -498,18 +498,18 @@
 	}
 	f.list(back...)
 	clear(sends)
-	play(set.WarmAfter)
+	play(set.SlowStartWindow)
 	capacity := float64(gates*rate) / (n - lost) // what a warm host did meanwhile, at least
 	used, budget := 0.0, 0.0
 	for _, h := range back {
 		times := sends[h.ID]
 		for i := range times {
 			k := i
-			for k < len(times) && times[k] < times[i]+set.Fall {
+			for k < len(times) && times[k] < times[i]+set.OverloadWindow {
 				k++
 			}
-			share := set.ColdFrom + (1-set.ColdFrom)*float64(times[i]-began)/float64(set.WarmAfter)
-			if most := capacity * share * set.OverloadFactor * set.Fall.Seconds(); float64(k-i) > most {
+			share := set.SlowStartShare + (1-set.SlowStartShare)*float64(times[i]-began)/float64(set.SlowStartWindow)
+			if most := capacity * share * set.OverloadFactor * set.OverloadWindow.Seconds(); float64(k-i) > most {
 				t.Fatalf("host %d: %d sends within a fall, %v after its start, %.0f are its budget",
 					h.ID, k-i, times[i]-began, most)
 			}
@@ -518,7 +518,7 @@
 			t.Errorf("host %d gets nothing while it is cold", h.ID)
 		}
 		used += float64(len(times))
-		budget += capacity * (1 + set.ColdFrom) / 2 * set.OverloadFactor * set.WarmAfter.Seconds()
+		budget += capacity * (1 + set.SlowStartShare) / 2 * set.OverloadFactor * set.SlowStartWindow.Seconds()
 	}
 	if t.Logf("%.0f sends to cold hosts of a budget of %.0f", used, budget); used < 0.15*budget {
 		t.Errorf("%.0f sends to cold hosts, a budget of %.0f: they are left unused", used, budget)
@@ -529,7 +529,7 @@
 // asked of the hosts; and when it is back the gateways do not come to it all at once.
 func TestAListThatIsLostStands(t *testing.T) {
 	set := basic()
-	set.Ask, set.AskWithin = true, 10*time.Second
+	set.Poll, set.PollTimeout = true, 10*time.Second
 	const gates, n = 80, 60
 	f := startBank(t, set, gates, hosts(n))
 	drained := Host{ID: 7, Zone: 3, Cell: 3, State: Draining}
@@ -540,7 +540,7 @@
 		g.list(ListFailed) // all watches end at once
 		for range 200 {
 			for _, a := range g.advance(100 * ms) {
-				if a.Kind != Watch {
+				if a.Kind != Poll {
 					continue
 				}
 				if since := g.now - began; since < 10*time.Second {
@@ -579,12 +579,12 @@
 	g := start(t, basic(), hosts(3)...)
 	for _, kind := range []ListKind{ListChanges, ListFull, ListSaved} {
 		g.list(kind, append(hosts(3), Host{ID: 2, State: Draining})...)
-		if len(g.b.hosts) != 3 || g.b.listed != [2]int{2, 0} || g.b.byID[2].State != Draining {
-			t.Errorf("list of kind %d: %d hosts, %v ready, host 2 in state %d", kind, len(g.b.hosts), g.b.listed, g.b.byID[2].State)
+		if len(g.b.hosts) != 3 || g.b.readyHosts != [2]int{2, 0} || g.b.byID[2].State != Draining {
+			t.Errorf("list of kind %d: %d hosts, %v ready, host 2 in state %d", kind, len(g.b.hosts), g.b.readyHosts, g.b.byID[2].State)
 		}
 		g.list(kind, append([]Host{{ID: 2, State: Draining}}, hosts(3)...)...)
-		if len(g.b.hosts) != 3 || g.b.listed != [2]int{3, 0} {
-			t.Errorf("list of kind %d: %d hosts, %v ready", kind, len(g.b.hosts), g.b.listed)
+		if len(g.b.hosts) != 3 || g.b.readyHosts != [2]int{3, 0} {
+			t.Errorf("list of kind %d: %d hosts, %v ready", kind, len(g.b.hosts), g.b.readyHosts)
 		}
 	}
 }
@@ -597,14 +597,14 @@
 		set.Instances = sharers
 		g := start(t, set, hosts(1)...)
 		h := g.b.hosts[0]
-		h.limit, h.restUntil = 0.4, g.now+time.Second
+		h.concurrencyLimit, h.restingUntil = 0.4, g.now+time.Second
 		g.b.recheck(h)
 		g.request(0, time.Second)
 		if len(g.acts) > 0 {
 			t.Fatalf("%d sharers: %v at once", sharers, g.acts)
 		}
-		early, then := g.advance(want-ms), g.advance(set.Classes[0].Aim/8)
-		if len(early) > 0 || len(then) != 1 || then[0].Kind != Refuse || then[0].Why != CauseWait {
+		early, then := g.advance(want-ms), g.advance(set.Classes[0].LatencyObjective/8)
+		if len(early) > 0 || len(then) != 1 || then[0].Kind != Reject || then[0].Cause != CauseWait {
 			t.Errorf("%d sharers: %v before %v, %v behind", sharers, early, want, then)
 		}
 	}
@@ -615,7 +615,7 @@
 func TestAnswerInNoTime(t *testing.T) {
 	g := start(t, basic(), hosts(1)...)
 	g.outcome(g.request(0, time.Second), 0, OK, 0)
-	if got := g.b.estimate(g.b.hosts[0]); !(got >= 0) {
+	if got := g.b.estimatedRTT(g.b.hosts[0]); !(got >= 0) {
 		t.Errorf("the estimate is %v", got)
 	}
 }
@@ -638,8 +638,8 @@
 			g.advance(40 * ms)
 			g.outcome(id, 0, OK, 40*ms)
 		}
-		if grown := h.limit > 2*limitStart/g.b.sharers(); grown != wanted || h.limit > 1.01 {
-			t.Errorf("wanted %v: the limit is %.3f, at first it was %.3f", wanted, h.limit, limitStart/g.b.sharers())
+		if grown := h.concurrencyLimit > 2*initialLimit/g.b.sharingInstances(); grown != wanted || h.concurrencyLimit > 1.01 {
+			t.Errorf("wanted %v: the limit is %.3f, at first it was %.3f", wanted, h.concurrencyLimit, initialLimit/g.b.sharingInstances())
 		}
 	}
 }
@@ -654,7 +654,7 @@
 	const each, minute = 500 * ms, 120 // hosts are replaced this often, and so many a minute
 	live := hosts(40)
 	b.Start(0)
-	b.Hosts(0, ListFull, live)
+	b.UpdateEndpoints(0, ListFull, live)
 	held := func() uint64 {
 		runtime.GC()
 		var m runtime.MemStats
@@ -667,14 +667,14 @@
 		now := Time(n) * each
 		old := &live[n%len(live)]
 		id := RequestID(n)
-		b.Request(now, Request{ID: id, Class: n % 3, Left: time.Second})
+		b.Request(now, Request{ID: id, Class: n % 3, Remaining: time.Second})
 		old.State = Removed
 		next := Host{ID: HostID(1000 + n), Cell: old.Cell, Started: now}
-		b.Hosts(now, ListChanges, []Host{*old, next})
+		b.UpdateEndpoints(now, ListChanges, []Host{*old, next})
 		*old = next
-		b.Outcome(now+ms, Outcome{Request: id, Result: OK, Elapsed: ms, Closed: true})
-		b.Gone(now+ms, id) // where no host was ready
-		if acts = b.Drain(acts[:0]); n == 5*minute {
+		b.AttemptEnded(now+ms, Outcome{Request: id, Result: OK, Elapsed: ms, Closed: true})
+		b.ClientGone(now+ms, id) // where no host was ready
+		if acts = b.TakeActions(acts[:0]); n == 5*minute {
 			early = held()
 		}
 	}
--- a/balancer/fuzz_test.go
+++ b/balancer/fuzz_test.go
@@ -67,18 +67,18 @@
 	h.set = Settings{
 		Instances: []int{1, 2, 5, 40, 300}[c[0]%5], Step: Time(1+c[1]%5) * ms, MaxAttempts: 1 + int(c[2]%4),
 		Cancel: c[3]&1 == 0, MaxRetryAfter: time.Second,
-		Ask: c[3]&4 != 0, AskWithin: 4 * time.Second,
-		ColdFrom: 0.2, WarmAfter: 5 * time.Second, OverloadFactor: 2.5, Fall: time.Second,
-		OverQuotaWorth: 0.1, Tenants: []Tenant{{Quota: 5}, {}},
+		Poll: c[3]&4 != 0, PollTimeout: 4 * time.Second,
+		SlowStartShare: 0.2, SlowStartWindow: 5 * time.Second, OverloadFactor: 2.5, OverloadWindow: time.Second,
+		OverQuotaWeight: 0.1, Tenants: []Tenant{{Quota: 5}, {}},
 	}
 	for i := range 5 {
-		cl := Class{Aim: Time(100+50*i) * ms, Deadline: Time(400+100*i) * ms, Worth: float64(1 + i),
-			Window: Time(c[4]) * 2 * ms}
+		cl := Class{LatencyObjective: Time(100+50*i) * ms, Deadline: Time(400+100*i) * ms, PriorityWeight: float64(1 + i),
+			DedupWindow: Time(c[4]) * 2 * ms}
 		if i > 0 {
-			cl.Effect, cl.Group = Keyed, Group(i-1)
+			cl.Idempotency, cl.DedupScope = IdempotentWithKey, DedupScope(i-1)
 		}
 		if i == 4 {
-			cl.Effect, cl.Group = Unsafe, GroupAll
+			cl.Idempotency, cl.DedupScope = NonIdempotent, ScopeAll
 		}
 		h.set.Classes = append(h.set.Classes, cl)
 	}
@@ -91,7 +91,7 @@
 		h.hosts[i] = Host{ID: HostID(i + 1), Zone: i / 3, Cell: i / 2, Kind: i % 2}
 	}
 	b.Start(h.now)
-	b.Hosts(h.now, ListSaved, h.hosts[:3+c[6]%4])
+	b.UpdateEndpoints(h.now, ListSaved, h.hosts[:3+c[6]%4])
 	for i := 3 + int(c[6]%4); i < len(h.hosts); i++ {
 		h.hosts[i].State = Removed
 	}
@@ -113,7 +113,7 @@
 		case 7:
 			h.leave(x)
 		case 8:
-			h.b.Hint(h.now, HostID(1+x%8), Time(x)*ms)
+			h.b.HealthCheckPassed(h.now, HostID(1+x%8), Time(x)*ms)
 			h.settle()
 			fallthrough
 		default:
@@ -130,12 +130,12 @@
 			h.finish(id, n, Canceled)
 		}
 	}
-	if len(h.b.reqs) != 0 || h.b.queued != 0 {
-		h.Fatalf("%d requests kept, %d waiting, after all has ended", len(h.b.reqs), h.b.queued)
+	if len(h.b.open) != 0 || h.b.queued != 0 {
+		h.Fatalf("%d requests kept, %d waiting, after all has ended", len(h.b.open), h.b.queued)
 	}
 	for _, x := range h.b.hosts {
-		if x.pending != 0 || x.flight.head != nil {
-			h.Fatalf("host %d has %d attempts after all have ended", x.ID, x.pending)
+		if x.inFlight != 0 || x.attempts.head != nil {
+			h.Fatalf("host %d has %d attempts after all have ended", x.ID, x.inFlight)
 		}
 	}
 }
@@ -146,7 +146,7 @@
 	left := cl.Deadline * Time(x/5) / 50
 	h.reqs[h.next] = &tracked{class: cl, deadline: h.now + left}
 	h.live = append(h.live, h.next)
-	h.b.Request(h.now, Request{ID: h.next, Class: x % 5, Tenant: x & 1, Left: left, Repeat: x&2 != 0})
+	h.b.Request(h.now, Request{ID: h.next, Class: x % 5, Tenant: x & 1, Remaining: left, Duplicate: x&2 != 0})
 	h.settle()
 }
 
@@ -174,11 +174,11 @@
 		r.answered = true
 		// Answers a second, faded over four Falls: no more than one host's part of it
 		// can have been learnt of a warm host.
-		span := 4 * h.set.Fall.Seconds()
+		span := 4 * h.set.OverloadWindow.Seconds()
 		h.served = h.served*math.Exp(-(h.now-h.servedAt).Seconds()/span) + 1/span
 		h.servedAt, h.rate = h.now, max(h.rate, h.served)
 	}
-	h.b.Outcome(h.now, Outcome{Request: id, Attempt: n, Result: result,
+	h.b.AttemptEnded(h.now, Outcome{Request: id, Attempt: n, Result: result,
 		Elapsed: h.now - a.sent, Closed: r.answered})
 	h.settle()
 }
@@ -188,7 +188,7 @@
 	e := &h.hosts[x%6]
 	switch how / 10 % 5 {
 	case 0:
-		h.b.Hosts(h.now, ListFailed, nil)
+		h.b.UpdateEndpoints(h.now, ListFailed, nil)
 		h.settle()
 		return
 	case 1:
@@ -202,7 +202,7 @@
 		h.cold[x%6] = nil
 	}
 	if x&64 == 0 {
-		h.b.Hosts(h.now, ListChanges, []Host{*e})
+		h.b.UpdateEndpoints(h.now, ListChanges, []Host{*e})
 	} else {
 		var list []Host
 		for _, e := range h.hosts {
@@ -210,7 +210,7 @@
 				list = append(list, e)
 			}
 		}
-		h.b.Hosts(h.now, ListFull, list)
+		h.b.UpdateEndpoints(h.now, ListFull, list)
 	}
 	h.settle()
 }
@@ -221,7 +221,7 @@
 	}
 	id := h.live[x%len(h.live)]
 	h.reqs[id].answered = true
-	h.b.Gone(h.now, id)
+	h.b.ClientGone(h.now, id)
 	h.settle()
 }
 
@@ -268,7 +268,7 @@
 
 // settle carries out the actions and checks them against the rules.
 func (h *history) settle() {
-	acts := h.b.Drain(nil)
+	acts := h.b.TakeActions(nil)
 	if h.acted != nil {
 		h.acted(acts)
 	}
@@ -286,7 +286,7 @@
 			if a.Host < 1 || int(a.Host) > len(h.hosts) {
 				h.Fatalf("closes unknown host %d", a.Host)
 			}
-		case Refuse, Fail:
+		case Reject, Fail:
 			h.answer(a)
 		}
 	}
@@ -315,12 +315,12 @@
 			continue
 		}
 		switch c := r.class; {
-		case c.Effect == Unsafe:
+		case c.Idempotency == NonIdempotent:
 			h.Fatalf("unsafe request %d sent again", a.Request)
-		case c.Effect == Keyed && h.now-p.sent > c.Window:
+		case c.Idempotency == IdempotentWithKey && h.now-p.sent > c.DedupWindow:
 			h.Fatalf("keyed request %d sent again after its window", a.Request)
-		case c.Effect == Keyed && c.Group == GroupZone && p.host.Zone != host.Zone,
-			c.Effect == Keyed && c.Group == GroupCell && p.host.Cell != host.Cell:
+		case c.Idempotency == IdempotentWithKey && c.DedupScope == ScopeZone && p.host.Zone != host.Zone,
+			c.Idempotency == IdempotentWithKey && c.DedupScope == ScopeCell && p.host.Cell != host.Cell:
 			h.Fatalf("keyed request %d left its group", a.Request)
 		}
 		break
@@ -333,19 +333,19 @@
 // that this instance can have learnt.
 func (h *history) checkCold(i int, host Host) {
 	age := h.now - host.Started
-	if host.Started == 0 || age >= h.set.WarmAfter {
+	if host.Started == 0 || age >= h.set.SlowStartWindow {
 		return
 	}
 	h.cold[i] = append(h.cold[i], h.now)
 	n := 0
 	for _, at := range h.cold[i] {
-		if h.now-at < h.set.Fall {
+		if h.now-at < h.set.OverloadWindow {
 			n++
 		}
 	}
-	share := h.set.ColdFrom + (1-h.set.ColdFrom)*age.Seconds()/h.set.WarmAfter.Seconds()
-	if most := 2 + h.rate*h.set.OverloadFactor*share*h.set.Fall.Seconds(); float64(n) > most {
-		h.Fatalf("%d sends within %v to cold host %d, budget %.1f", n, h.set.Fall, host.ID, most)
+	share := h.set.SlowStartShare + (1-h.set.SlowStartShare)*age.Seconds()/h.set.SlowStartWindow.Seconds()
+	if most := 2 + h.rate*h.set.OverloadFactor*share*h.set.OverloadWindow.Seconds(); float64(n) > most {
+		h.Fatalf("%d sends within %v to cold host %d, budget %.1f", n, h.set.OverloadWindow, host.ID, most)
 	}
 }
 
@@ -359,8 +359,8 @@
 		return
 	}
 	for _, p := range r.atts {
-		if c := r.class; (!p.ended || p.result.MayHaveRun()) && c.Effect != Safe &&
-			(c.Effect != Keyed || c.Group != GroupAll) {
+		if c := r.class; (!p.ended || p.result.MayHaveRun()) && c.Idempotency != Idempotent &&
+			(c.Idempotency != IdempotentWithKey || c.DedupScope != ScopeAll) {
 			h.Fatalf("request %d refused though it may have run", a.Request)
 		}
 	}
--- a/balancer/retune.go
+++ b/balancer/retune.go
@@ -25,27 +25,27 @@
 			return fmt.Errorf("retune: class %d goes on from %d", i, f)
 		}
 	}
-	for _, r := range b.reqs {
+	for _, r := range b.open {
 		if r.Class >= len(set.Classes) || !sameRules(*r.class, set.Classes[r.Class]) {
 			return errors.New("retune: a class with requests under way has other rules")
 		}
 	}
-	set.Ask = b.set.Ask
+	set.Poll = b.set.Poll
 	b.now, b.set = now, set
 
-	lat, harm := make([]mean, len(from)), make([]fading, len(from))
+	lat, harm := make([]movingAverage, len(from)), make([]decayingShare, len(from))
 	for i, f := range from {
 		if f >= 0 {
-			lat[i], harm[i] = b.lat[f], b.harm[f]
+			lat[i], harm[i] = b.classRTT[f], b.starvation[f]
 		}
 	}
-	b.lat, b.harm, b.shuns = lat, harm, make([]tally, len(from))
+	b.classRTT, b.starvation, b.excluded = lat, harm, make([]subsetCounts, len(from))
 	for _, h := range b.hosts {
-		class := make([]failing, len(from))
+		class := make([]classErrors, len(from))
 		for i, f := range from {
 			if f >= 0 {
 				class[i] = h.class[f]
-				class[i].shuns = false // it is counted anew
+				class[i].counted = false // it is counted anew
 			}
 		}
 		h.class = class
@@ -58,31 +58,31 @@
 	}
 
 	// What waits keeps its order in each line, and every request its part of its class.
-	parts := make(map[RequestID]int, len(b.reqs))
-	for id, r := range b.reqs {
-		for part, line := range b.band[r.Class] {
+	parts := make(map[RequestID]int, len(b.open))
+	for id, r := range b.open {
+		for part, line := range b.bandOf[r.Class] {
 			if line == r.band {
 				parts[id] = part
 			}
 		}
 	}
 	var waiting []*request
-	for i := range b.bands {
-		for n := b.bands[i].head; n != nil; n = b.bands[i].head {
+	for i := range b.queues {
+		for n := b.queues[i].head; n != nil; n = b.queues[i].head {
 			waiting = append(waiting, n.item)
 			b.dequeue(n.item)
 		}
 	}
-	b.layBands()
-	for id, r := range b.reqs {
+	b.orderQueues()
+	for id, r := range b.open {
 		r.class = &b.set.Classes[r.Class]
-		r.band = b.band[r.Class][parts[id]]
+		r.band = b.bandOf[r.Class][parts[id]]
 	}
 	for _, r := range waiting {
-		b.push(r, false)
+		b.addToQueue(r, false)
 	}
 
-	b.redrawn = false
+	b.subsetCurrent = false
 	for _, h := range b.hosts {
 		b.recheck(h)
 	}
--- a/balancer/retune_test.go
+++ b/balancer/retune_test.go
@@ -10,7 +10,7 @@
 func retuned() Settings {
 	set := basic()
 	set.Classes[0].Retired = true
-	set.Classes = append(set.Classes, Class{Aim: 400 * ms, Deadline: time.Second, Worth: 1, Effect: Unsafe})
+	set.Classes = append(set.Classes, Class{LatencyObjective: 400 * ms, Deadline: time.Second, PriorityWeight: 1, Idempotency: NonIdempotent})
 	return set
 }
 
@@ -28,10 +28,10 @@
 	if err := g.b.Retune(g.now, retuned(), []int{0, 1, 2, 0}); err != nil {
 		t.Fatal(err)
 	}
-	if got := g.b.hosts[0].rtt; got != before || !g.b.lat[3].seen || g.b.lat[3] != g.b.lat[0] {
-		t.Errorf("learnt before: rtt %v, now %v; latency of the class that goes on %v", before, got, g.b.lat[3])
+	if got := g.b.hosts[0].rtt; got != before || !g.b.classRTT[3].seen || g.b.classRTT[3] != g.b.classRTT[0] {
+		t.Errorf("learnt before: rtt %v, now %v; latency of the class that goes on %v", before, got, g.b.classRTT[3])
 	}
-	if acts := g.b.Drain(nil); len(acts) > 0 {
+	if acts := g.b.TakeActions(nil); len(acts) > 0 {
 		t.Errorf("it has decided: %v", acts)
 	}
 	g.outcome(old, 0, Reset, 10*ms) // safe as it came: it may have another
@@ -44,8 +44,8 @@
 		t.Errorf("an unsafe one of the class that came, after a reset: %v", g.acts)
 	}
 	g.outcome(old, 1, OK, 10*ms)
-	if len(g.b.reqs) != 0 {
-		t.Errorf("%d requests are left", len(g.b.reqs))
+	if len(g.b.open) != 0 {
+		t.Errorf("%d requests are left", len(g.b.open))
 	}
 }
 
@@ -60,7 +60,7 @@
 		t.Fatal(err)
 	}
 	g.outcome(id, 1, Failed, ms)
-	if len(g.acts) != 1 || g.acts[0].Kind != Refuse {
+	if len(g.acts) != 1 || g.acts[0].Kind != Reject {
 		t.Errorf("after the second of two: %v", g.acts)
 	}
 }
@@ -74,19 +74,19 @@
 		ids = append(ids, g.request(class, time.Second))
 	}
 	g.next++
-	g.b.Request(g.now, Request{ID: g.next, Class: 0, Left: time.Second, Repeat: true})
+	g.b.Request(g.now, Request{ID: g.next, Class: 0, Remaining: time.Second, Duplicate: true})
 	repeat := g.next
 	g.drain()
 	set := retuned()
-	set.Classes[1].Worth = 9 // not what requests are under: refused
+	set.Classes[1].PriorityWeight = 9 // not what requests are under: refused
 	if err := g.b.Retune(g.now, set, []int{0, 1, 2, -1}); err == nil {
 		t.Fatal("rules of a class with requests under way have changed")
 	}
 	if err := g.b.Retune(g.now, retuned(), []int{0, 1, 2, -1}); err != nil {
 		t.Fatal(err)
 	}
-	if g.b.queued != len(ids)+1 || len(g.b.reqs) != len(ids)+1 {
-		t.Fatalf("%d wait, %d are known", g.b.queued, len(g.b.reqs))
+	if g.b.queued != len(ids)+1 || len(g.b.open) != len(ids)+1 {
+		t.Fatalf("%d wait, %d are known", g.b.queued, len(g.b.open))
 	}
 	g.list(ListChanges, hosts(6)...)
 	var order []RequestID
@@ -145,7 +145,7 @@
 			g.outcome(id, 0, OK, 5*ms)
 		}
 	}
-	g.b.redrawn, g.b.now = false, g.now
+	g.b.subsetCurrent, g.b.now = false, g.now
 	for _, h := range g.b.hosts {
 		g.b.recheck(h)
 	}
--- a/balancer/scale_test.go
+++ b/balancer/scale_test.go
@@ -13,17 +13,17 @@
 // obvious way, and the judge of the other.
 func walked(b *Balancer, class int, ready []*host) []*host {
 	listed, out, shunned, broken := 0, 0, 0, 0
-	from := b.sets[setDrawn].list
-	open := func(h *host) bool { return h.State == Ready && !b.coldHold(h) && !b.atLimit(h) }
+	from := b.sets[setSubset].list
+	open := func(h *host) bool { return h.State == Ready && !b.pacedBySlowStart(h) && !b.atLimit(h) }
 	for _, h := range from {
 		switch {
 		case h.State != Ready:
-		case b.shunned(h, class):
+		case b.excludedFor(h, class):
 			shunned++
 		case b.ejected(h):
 			listed++
 			out++
-			if h.why == CauseConnections {
+			if h.ejectCause == CauseConnections {
 				broken++
 			}
 		default:
@@ -36,15 +36,15 @@
 	for _, h := range from {
 		switch {
 		case listed == 0 && shunned > 0 && open(h),
-			2*out > listed && b.ejected(h) && !b.shunned(h, class) && open(h) && (h.why != CauseConnections || broken == listed):
+			2*out > listed && b.ejected(h) && !b.excludedFor(h, class) && open(h) && (h.ejectCause != CauseConnections || broken == listed):
 			ready = append(ready, h)
 		}
 	}
-	if len(ready) == 0 && b.set.Classes[class].Effect != Unsafe {
+	if len(ready) == 0 && b.set.Classes[class].Idempotency != NonIdempotent {
 		for _, h := range from {
 			// Patience may have shrunk since it was looked at; the next sweep sees that.
-			seen := h.stands == setDoubtful || h.look <= b.now
-			if seen && h.State == Ready && !b.shunned(h, class) && !b.ejected(h) && !b.coldHold(h) && b.doubtful(h) {
+			seen := h.readySet == setDoubtful || h.recheckTime <= b.now
+			if seen && h.State == Ready && !b.excludedFor(h, class) && !b.ejected(h) && !b.pacedBySlowStart(h) && b.doubtful(h) {
 				ready = append(ready, h)
 			}
 		}
@@ -54,33 +54,33 @@
 
 // walk is the choice by a walk.
 func walk(b *Balancer, r *request) *host {
-	b.ready = walked(b, r.Class, b.ready[:0])
-	return b.choose(r)
+	b.candidates = walked(b, r.Class, b.candidates[:0])
+	return b.chooseCandidate(r)
 }
 
 // checkSets holds the sets against a walk, after any event and at the time of the next.
 func checkSets(t *testing.T, b *Balancer) {
 	t.Helper()
-	b.redraw()
+	b.refreshSubset()
 	used, listed := 0, 0
-	for _, h := range b.sets[setDrawn].list {
+	for _, h := range b.sets[setSubset].list {
 		if h.State != Ready {
 			t.Fatalf("host %d is drawn from though it is not ready", h.ID)
 		}
 		listed++
-		if b.inUse(h) {
+		if b.isInUse(h) {
 			used++
 		}
 	}
-	if used != b.tally.used || listed != b.tally.listed {
-		t.Fatalf("%d drawn from, %d of them in use; counted %+v", listed, used, b.tally)
+	if used != b.counts.inUse || listed != b.counts.ready {
+		t.Fatalf("%d drawn from, %d of them in use; counted %+v", listed, used, b.counts)
 	}
 	busy := 0
 	for _, h := range b.hosts {
-		if (h.pending > 0) != (h.in[setBusy] > 0) {
-			t.Fatalf("host %d has %d attempts out, busy: %v", h.ID, h.pending, h.in[setBusy])
+		if (h.inFlight > 0) != (h.position[setBusy] > 0) {
+			t.Fatalf("host %d has %d attempts out, busy: %v", h.ID, h.inFlight, h.position[setBusy])
 		}
-		busy += h.pending
+		busy += h.inFlight
 	}
 	for class := range b.set.Classes {
 		r := &request{Request: Request{Class: class}, class: &b.set.Classes[class]}
@@ -91,8 +91,8 @@
 		rng := b.rng
 		got := map[*host]bool{}
 		for range 40 * (len(want) + 1) { // what is drawn, again and again
-			if b.bound > 0 {
-				b.tokens, b.filledAt = boundBurst, b.now
+			if b.sendRate > 0 {
+				b.sendTokens, b.tokensAt = sendRateBurst, b.now
 			}
 			if h := b.pick(r); h != nil {
 				got[h] = true
@@ -139,8 +139,8 @@
 	}
 	g := &gatewayOf{b: b, now: time.Hour}
 	b.Start(g.now)
-	b.Hosts(g.now, ListFull, list)
-	g.acts = b.Drain(g.acts[:0])
+	b.UpdateEndpoints(g.now, ListFull, list)
+	g.acts = b.TakeActions(g.acts[:0])
 	return g, list
 }
 
@@ -157,8 +157,8 @@
 func (g *gatewayOf) round(inFlight int) {
 	g.next++
 	g.now += 200 * time.Microsecond
-	g.b.Request(g.now, Request{ID: g.next, Left: time.Second})
-	g.acts = g.b.Drain(g.acts[:0])
+	g.b.Request(g.now, Request{ID: g.next, Remaining: time.Second})
+	g.acts = g.b.TakeActions(g.acts[:0])
 	for _, a := range g.acts {
 		if a.Kind == Send {
 			g.out = append(g.out, a.Request)
@@ -168,12 +168,12 @@
 		id := g.out[0]
 		copy(g.out, g.out[1:])
 		g.out = g.out[:len(g.out)-1]
-		g.b.Outcome(g.now, Outcome{Request: id, Elapsed: 5 * ms, Closed: true})
-		g.acts = g.b.Drain(g.acts[:0])
+		g.b.AttemptEnded(g.now, Outcome{Request: id, Elapsed: 5 * ms, Closed: true})
+		g.acts = g.b.TakeActions(g.acts[:0])
 	}
 	if g.next%32 == 0 {
 		g.b.Timer(g.now, tokenSweep<<tokenShift)
-		g.acts = g.b.Drain(g.acts[:0])
+		g.acts = g.b.TakeActions(g.acts[:0])
 	}
 }
 
@@ -188,8 +188,8 @@
 	for i := range 2000 {
 		now = append(now, Host{ID: HostID(10_000 + i), Cell: i / 8, Zone: i % 4, Kind: i % 3, Started: g.now - time.Second})
 	}
-	g.b.Hosts(g.now, ListFull, now)
-	for _, a := range g.b.Drain(nil) {
+	g.b.UpdateEndpoints(g.now, ListFull, now)
+	for _, a := range g.b.TakeActions(nil) {
 		if a.Kind == Send && a.Host <= 2500 {
 			t.Fatal("sent to one that has left")
 		}
@@ -207,7 +207,7 @@
 		}
 	}
 	for len(g.out) > 0 {
-		g.b.Outcome(g.now, Outcome{Request: g.out[0], Elapsed: ms, Closed: true})
+		g.b.AttemptEnded(g.now, Outcome{Request: g.out[0], Elapsed: ms, Closed: true})
 		g.out = g.out[1:]
 	}
 	if n := len(g.b.hosts); n != 4500 || len(g.b.byID) != n {
@@ -221,22 +221,22 @@
 	}
 	checkSets(t, g.b) // all ejected: fail open
 	for _, h := range g.b.hosts {
-		h.why = CauseConnections
+		h.ejectCause = CauseConnections
 		g.b.recheck(h)
 	}
 	checkSets(t, g.b)
 	for _, h := range g.b.hosts[1:] {
-		h.fails, h.restUntil = 0, g.now+time.Minute
+		h.ejections, h.restingUntil = 0, g.now+time.Minute
 		g.b.recheck(h)
 	}
-	g.b.hosts[0].fails = 0
+	g.b.hosts[0].ejections = 0
 	g.b.recheck(g.b.hosts[0])
 	checkSets(t, g.b) // one ready
 	for i, h := range g.b.hosts {
-		h.restUntil, h.failed = 0, true
+		h.restingUntil, h.hasErrors = 0, true
 		for c := range h.class {
 			if i%2 == c%2 || c == 0 && i > 10 {
-				h.class[c].until = g.now + time.Minute
+				h.class[c].excludedUntil = g.now + time.Minute
 			}
 		}
 		g.b.recheck(h)
@@ -247,25 +247,25 @@
 // A keyed request that may have run is sent again only inside its group, whichever host
 // of it, and however large it is.
 func TestKeyedStaysInALargeGroup(t *testing.T) {
-	for _, group := range []Group{GroupCell, GroupZone} {
+	for _, group := range []DedupScope{ScopeCell, ScopeZone} {
 		set := basic()
-		set.Classes[1].Group = group
+		set.Classes[1].DedupScope = group
 		g, _ := fleet(t, 2000, set)
 		seen := map[HostID]bool{}
 		for range 200 {
 			g.next++
 			g.now += ms
-			g.b.Request(g.now, Request{ID: g.next, Class: 1, Left: time.Second})
+			g.b.Request(g.now, Request{ID: g.next, Class: 1, Remaining: time.Second})
 			first := onlySend(t, g.b)
-			g.b.Outcome(g.now, Outcome{Request: g.next, Result: Reset, Elapsed: ms})
+			g.b.AttemptEnded(g.now, Outcome{Request: g.next, Result: Reset, Elapsed: ms})
 			again := onlySend(t, g.b)
 			x, y := g.b.byID[first], g.b.byID[again]
-			if group == GroupCell && x.Cell != y.Cell || group == GroupZone && x.Zone != y.Zone {
+			if group == ScopeCell && x.Cell != y.Cell || group == ScopeZone && x.Zone != y.Zone {
 				t.Fatalf("sent to host %d, then to %d of another group", first, again)
 			}
 			seen[again] = true
-			g.b.Outcome(g.now, Outcome{Request: g.next, Attempt: 1, Elapsed: ms, Closed: true})
-			g.b.Drain(nil)
+			g.b.AttemptEnded(g.now, Outcome{Request: g.next, Attempt: 1, Elapsed: ms, Closed: true})
+			g.b.TakeActions(nil)
 		}
 		if len(seen) < 100 {
 			t.Errorf("200 repeats went to %d hosts only", len(seen))
@@ -275,7 +275,7 @@
 
 func onlySend(t *testing.T, b *Balancer) HostID {
 	t.Helper()
-	for _, a := range b.Drain(nil) {
+	for _, a := range b.TakeActions(nil) {
 		if a.Kind == Send {
 			return a.Host
 		}
@@ -340,10 +340,10 @@
 				one := list[n/2 : n/2+1]
 				for i := 0; b.Loop(); i++ {
 					one[0].ID = HostID(1_000_000 + i)
-					g.b.Hosts(g.now, ListChanges, one)
+					g.b.UpdateEndpoints(g.now, ListChanges, one)
 					one[0].State = Removed
 					g.round(16)
-					g.b.Hosts(g.now, ListChanges, one)
+					g.b.UpdateEndpoints(g.now, ListChanges, one)
 					one[0].State = Ready
 				}
 			})
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -13,7 +13,7 @@
 	maxFigure = 1e12
 	// askMost bounds AskWithin, from which the waits before a question follow: what changes counts as
 	// told 6 s after it could be heard, however long the settings let an instance go without.
-	askMost = 10 * time.Second
+	maxPollTimeout = 10 * time.Second
 )
 
 // check rejects what cannot be served, naming the field, and fills in defaults.
@@ -32,8 +32,8 @@
 		name string
 		d    time.Duration
 	}{
-		{"step", set.Step}, {"max retry after", set.MaxRetryAfter}, {"ask within", set.AskWithin},
-		{"warm after", set.WarmAfter}, {"fall", set.Fall},
+		{"step", set.Step}, {"max retry after", set.MaxRetryAfter}, {"ask within", set.PollTimeout},
+		{"warm after", set.SlowStartWindow}, {"fall", set.OverloadWindow},
 	} {
 		if f.d < 0 || f.d > maxTime {
 			return fmt.Errorf("settings: %s: %v is not between 0 and %v", f.name, f.d, maxTime)
@@ -43,8 +43,8 @@
 		name string
 		x    float64
 	}{
-		{"cold from", set.ColdFrom}, {"overload factor", set.OverloadFactor},
-		{"over-quota worth", set.OverQuotaWorth},
+		{"cold from", set.SlowStartShare}, {"overload factor", set.OverloadFactor},
+		{"over-quota worth", set.OverQuotaWeight},
 	} {
 		if !isFigure(f.x) {
 			return fmt.Errorf("settings: %s: %v is not between 0 and %v", f.name, f.x, maxFigure)
@@ -55,23 +55,23 @@
 	for i := range set.Classes {
 		c := &set.Classes[i]
 		switch {
-		case c.Aim < 0 || c.Aim > maxTime:
-			return fmt.Errorf("settings: class %d: aim: %v is not between 0 and %v", i, c.Aim, maxTime)
+		case c.LatencyObjective < 0 || c.LatencyObjective > maxTime:
+			return fmt.Errorf("settings: class %d: aim: %v is not between 0 and %v", i, c.LatencyObjective, maxTime)
 		case c.Deadline <= 0 || c.Deadline > maxTime:
 			return fmt.Errorf("settings: class %d: deadline: %v is not above 0 and up to %v", i, c.Deadline, maxTime)
-		case c.Window < 0 || c.Window > maxTime:
-			return fmt.Errorf("settings: class %d: window: %v is not between 0 and %v", i, c.Window, maxTime)
-		case c.Effect > Unsafe:
-			return fmt.Errorf("settings: class %d: unknown effect %d", i, c.Effect)
-		case c.Group > GroupCell:
-			return fmt.Errorf("settings: class %d: unknown group %d", i, c.Group)
-		case !isFigure(c.Worth):
-			return fmt.Errorf("settings: class %d: worth: %v is not between 0 and %v", i, c.Worth, maxFigure)
+		case c.DedupWindow < 0 || c.DedupWindow > maxTime:
+			return fmt.Errorf("settings: class %d: window: %v is not between 0 and %v", i, c.DedupWindow, maxTime)
+		case c.Idempotency > NonIdempotent:
+			return fmt.Errorf("settings: class %d: unknown effect %d", i, c.Idempotency)
+		case c.DedupScope > ScopeCell:
+			return fmt.Errorf("settings: class %d: unknown group %d", i, c.DedupScope)
+		case !isFigure(c.PriorityWeight):
+			return fmt.Errorf("settings: class %d: worth: %v is not between 0 and %v", i, c.PriorityWeight, maxFigure)
 		}
-		if c.Aim == 0 || c.Aim > c.Deadline {
-			c.Aim = c.Deadline
+		if c.LatencyObjective == 0 || c.LatencyObjective > c.Deadline {
+			c.LatencyObjective = c.Deadline
 		}
-		orDefault(&c.Worth, 1)
+		orDefault(&c.PriorityWeight, 1)
 		live = live || !c.Retired
 	}
 	if !live {
@@ -83,12 +83,12 @@
 		}
 	}
 	orDefault(&set.MaxAttempts, 3)
-	orDefault(&set.AskWithin, 10e9)
-	set.AskWithin = min(set.AskWithin, askMost)
-	orDefault(&set.ColdFrom, 1)
+	orDefault(&set.PollTimeout, 10e9)
+	set.PollTimeout = min(set.PollTimeout, maxPollTimeout)
+	orDefault(&set.SlowStartShare, 1)
 	orDefault(&set.OverloadFactor, 2)
-	orDefault(&set.Fall, 1e9)
-	set.ColdFrom = min(set.ColdFrom, 1)
+	orDefault(&set.OverloadWindow, 1e9)
+	set.SlowStartShare = min(set.SlowStartShare, 1)
 	return nil
 }
 
--- a/cmd/dunemoorctl/main_test.go
+++ b/cmd/dunemoorctl/main_test.go
@@ -15,7 +15,7 @@
 // recorded writes a small recording: two hosts, requests served in turn, under the seed.
 func recorded(t *testing.T, seed, claimed uint64) string {
 	t.Helper()
-	set := balancer.Settings{Instances: 1, Classes: []balancer.Class{{Aim: time.Second, Deadline: 2 * time.Second}}}
+	set := balancer.Settings{Instances: 1, Classes: []balancer.Class{{LatencyObjective: time.Second, Deadline: 2 * time.Second}}}
 	bal, err := balancer.New(set, seed)
 	if err != nil {
 		t.Fatal(err)
@@ -27,14 +27,14 @@
 	}
 	rec.Name(now, 1, "s-one")
 	rec.Start(now)
-	rec.Hosts(now, balancer.ListSaved, []balancer.Host{{ID: 1}, {ID: 2}, {ID: 3}})
-	rec.Drain(nil)
+	rec.UpdateEndpoints(now, balancer.ListSaved, []balancer.Host{{ID: 1}, {ID: 2}, {ID: 3}})
+	rec.TakeActions(nil)
 	for i := range balancer.RequestID(60) {
-		rec.Request(now, balancer.Request{ID: i + 1, Left: 2 * time.Second})
-		rec.Drain(nil)
+		rec.Request(now, balancer.Request{ID: i + 1, Remaining: 2 * time.Second})
+		rec.TakeActions(nil)
 		now += 5 * time.Millisecond
-		rec.Outcome(now, balancer.Outcome{Request: i + 1, Elapsed: 5 * time.Millisecond, Closed: true})
-		rec.Drain(nil)
+		rec.AttemptEnded(now, balancer.Outcome{Request: i + 1, Elapsed: 5 * time.Millisecond, Closed: true})
+		rec.TakeActions(nil)
 	}
 	path := filepath.Join(t.TempDir(), "x.dmf")
 	if err := os.WriteFile(path, rec.Dump(nil), 0o600); err != nil {
--- a/cmd/lab/scale_process.go
+++ b/cmd/lab/scale_process.go
@@ -627,15 +627,15 @@
 			hosts[i] = balancer.Host{ID: balancer.HostID(i + 1), Zone: i % 10, Cell: i / 3, Kind: 1}
 		}
 		before := heapNow()
-		b, err := balancer.New(balancer.Settings{Instances: 1, Cancel: true, MaxAttempts: 4, Classes: []balancer.Class{{Aim: time.Second, Deadline: 10 * time.Second, Worth: 1}}}, 7)
+		b, err := balancer.New(balancer.Settings{Instances: 1, Cancel: true, MaxAttempts: 4, Classes: []balancer.Class{{LatencyObjective: time.Second, Deadline: 10 * time.Second, PriorityWeight: 1}}}, 7)
 		if err != nil {
 			return nil, err
 		}
 		now := time.Minute
 		b.Start(now)
 		began := time.Now()
-		b.Hosts(now, balancer.ListFull, hosts)
-		actions := b.Drain(nil)
+		b.UpdateEndpoints(now, balancer.ListFull, hosts)
+		actions := b.TakeActions(nil)
 		c.add(n, "the first list", "ms", 0.01, float64(time.Since(began).Microseconds())/1000)
 		c.add(n, "memory of the module", "KB", 4, (heapNow()-before)/1024)
 		rounds := 2000
@@ -649,8 +649,8 @@
 			if i%2 == 0 {
 				h.State = balancer.Draining
 			}
-			b.Hosts(now, balancer.ListChanges, []balancer.Host{h})
-			actions = b.Drain(actions[:0])
+			b.UpdateEndpoints(now, balancer.ListChanges, []balancer.Host{h})
+			actions = b.TakeActions(actions[:0])
 		}
 		c.add(n, "a change of one host", "us", 0.1, float64(time.Since(began).Nanoseconds())/1e3/float64(rounds))
 		began = time.Now()
@@ -661,8 +661,8 @@
 			} else {
 				hosts[n-1].State = balancer.Ready
 			}
-			b.Hosts(now, balancer.ListFull, hosts)
-			actions = b.Drain(actions[:0])
+			b.UpdateEndpoints(now, balancer.ListFull, hosts)
+			actions = b.TakeActions(actions[:0])
 			if time.Since(began) > 2*time.Second {
 				rounds = 10 * (i + 1)
 				break
@@ -681,14 +681,14 @@
 			}
 			now += 100 * time.Microsecond
 			id := balancer.RequestID(i + 1)
-			b.Request(now, balancer.Request{ID: id, Left: 10 * time.Second})
-			actions = b.Drain(actions[:0])
+			b.Request(now, balancer.Request{ID: id, Remaining: 10 * time.Second})
+			actions = b.TakeActions(actions[:0])
 			for _, a := range actions {
 				if a.Kind == balancer.Send {
-					b.Outcome(now, balancer.Outcome{Request: a.Request, Attempt: a.Attempt, Result: balancer.OK, Elapsed: time.Millisecond, Closed: true})
+					b.AttemptEnded(now, balancer.Outcome{Request: a.Request, Attempt: a.Attempt, Result: balancer.OK, Elapsed: time.Millisecond, Closed: true})
 				}
 			}
-			actions = b.Drain(actions[:0])
+			actions = b.TakeActions(actions[:0])
 		}
 		c.add(n, "a request", "ns", 10, float64(time.Since(began).Nanoseconds())/float64(requests))
 		runtime.KeepAlive(b)
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -70,22 +70,22 @@
 	}
 	switch e.Code {
 	case wire.PeersKnown:
-		b.Hosts(now, e.List, e.Hosts)
+		b.UpdateEndpoints(now, e.List, e.Hosts)
 	case wire.Req:
 		b.Request(now, e.Request)
 	case wire.Flowing:
-		b.Started(now, e.Request.ID, e.Attempt)
+		b.AttemptStarted(now, e.Request.ID, e.Attempt)
 	case wire.AttemptEnd:
-		b.Outcome(now, e.Outcome)
+		b.AttemptEnded(now, e.Outcome)
 	case wire.Withdrawn:
-		b.Gone(now, e.Request.ID)
+		b.ClientGone(now, e.Request.ID)
 	case wire.Ring:
 		b.Timer(now, e.Token)
 	case wire.Halt:
 		delete(h.balancers, e.Instance)
 		return
 	}
-	h.acts = b.Drain(h.acts[:0])
+	h.acts = b.TakeActions(h.acts[:0])
 	for i := range h.acts {
 		h.out.Action(e.Instance, &h.acts[i])
 	}
--- a/cmd/standin/appliance.go
+++ b/cmd/standin/appliance.go
@@ -69,11 +69,11 @@
 			continue
 		}
 		for _, c := range a.Classes {
-			effect := map[balancer.Effect]standin.Effect{
-				balancer.Safe: standin.Safe, balancer.Keyed: standin.Keyed, balancer.Unsafe: standin.Unsafe,
-			}[c.Effect]
+			effect := map[balancer.Idempotency]standin.Effect{
+				balancer.Idempotent: standin.Safe, balancer.IdempotentWithKey: standin.Keyed, balancer.NonIdempotent: standin.Unsafe,
+			}[c.Idempotency]
 			classes = append(classes, standin.Class{
-				Name: r.Name + "/" + c.Name, Says: c.Name, Effect: effect, Share: 1, Timeout: c.Deadline, Window: c.Window,
+				Name: r.Name + "/" + c.Name, Says: c.Name, Effect: effect, Share: 1, Timeout: c.Deadline, Window: c.DedupWindow,
 				Path: r.Path, Host: host, Body: "something to do",
 			})
 		}
--- a/internal/config/appliance.go
+++ b/internal/config/appliance.go
@@ -300,10 +300,10 @@
 	Cell                    int
 }
 
-var effects = map[string]balancer.Effect{"safe": balancer.Safe, "keyed": balancer.Keyed, "unsafe": balancer.Unsafe}
+var effects = map[string]balancer.Idempotency{"safe": balancer.Idempotent, "keyed": balancer.IdempotentWithKey, "unsafe": balancer.NonIdempotent}
 
-var groups = map[string]balancer.Group{
-	"": balancer.GroupAll, "all": balancer.GroupAll, "zone": balancer.GroupZone, "cell": balancer.GroupCell,
+var groups = map[string]balancer.DedupScope{
+	"": balancer.ScopeAll, "all": balancer.ScopeAll, "zone": balancer.ScopeZone, "cell": balancer.ScopeCell,
 }
 
 // checker collects what is wrong with a file.
@@ -533,12 +533,12 @@
 	for i, x := range f.Class {
 		k := Class{Name: x.Name}
 		c.name("class", i, x.Name)
-		k.Aim, k.Deadline, k.Worth, k.Window = time.Duration(x.Aim), time.Duration(x.Limit), x.Worth, time.Duration(x.Window)
+		k.LatencyObjective, k.Deadline, k.PriorityWeight, k.DedupWindow = time.Duration(x.Aim), time.Duration(x.Limit), x.Worth, time.Duration(x.Window)
 		var ok bool
-		if k.Effect, ok = effects[x.Effect]; !ok {
+		if k.Idempotency, ok = effects[x.Effect]; !ok {
 			c.bad("class", i, "effect", "%q is none of safe, keyed, unsafe", x.Effect)
 		}
-		if k.Group, ok = groups[x.Group]; !ok {
+		if k.DedupScope, ok = groups[x.Group]; !ok {
 			c.bad("class", i, "group", "%q is none of all, zone, cell", x.Group)
 		}
 		switch {
@@ -550,16 +550,16 @@
 		if k.Deadline <= 0 || k.Deadline > longestTimeout {
 			c.bad("class", i, "deadline", "%v is not above 0 and up to %v", k.Deadline, longestTimeout)
 		}
-		if k.Aim < 0 || k.Deadline > 0 && k.Aim > k.Deadline {
-			c.bad("class", i, "aim", "%v is not between 0 and the deadline", k.Aim)
+		if k.LatencyObjective < 0 || k.Deadline > 0 && k.LatencyObjective > k.Deadline {
+			c.bad("class", i, "aim", "%v is not between 0 and the deadline", k.LatencyObjective)
 		}
-		if k.Window < 0 || k.Window > longestTimeout {
-			c.bad("class", i, "window", "%v is not between 0 and %v", k.Window, longestTimeout)
+		if k.DedupWindow < 0 || k.DedupWindow > longestTimeout {
+			c.bad("class", i, "window", "%v is not between 0 and %v", k.DedupWindow, longestTimeout)
 		}
-		if k.Effect == balancer.Keyed && k.Window == 0 {
+		if k.Idempotency == balancer.IdempotentWithKey && k.DedupWindow == 0 {
 			c.bad("class", i, "window", "is missing: for how long do hosts drop the repeats of a key")
 		}
-		c.within("class", i, "worth", k.Worth, 0, 1e6)
+		c.within("class", i, "worth", k.PriorityWeight, 0, 1e6)
 		a.Classes = append(a.Classes, k)
 	}
 }
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -50,7 +50,7 @@
 	if c.ConnIdle != time.Minute || c.DialTimeout != 250*time.Millisecond {
 		t.Errorf("caps %v, %v", c.ConnIdle, c.DialTimeout)
 	}
-	if c.Settings.Instances != 2 || c.Settings.Rank != 1 || c.Settings.Classes[1].Effect != balancer.Unsafe {
+	if c.Settings.Instances != 2 || c.Settings.Rank != 1 || c.Settings.Classes[1].Idempotency != balancer.NonIdempotent {
 		t.Errorf("settings %+v", c.Settings)
 	}
 	if len(c.Known.Servers) != 1 || c.Known.Version != 41 {
--- a/internal/discovery/told_test.go
+++ b/internal/discovery/told_test.go
@@ -245,8 +245,8 @@
 	e := engine.New(seed)
 	p, err := e.NewPool(engine.PoolConfig{
 		Settings: balancer.Settings{
-			Instances: of, Rank: rank, Ask: m.ask, AskWithin: m.askWithin,
-			Classes: []balancer.Class{{Aim: time.Second, Deadline: time.Second}},
+			Instances: of, Rank: rank, Poll: m.ask, PollTimeout: m.askWithin,
+			Classes: []balancer.Class{{LatencyObjective: time.Second, Deadline: time.Second}},
 		},
 		Seed: seed, Transport: g, Watch: g.watcher.Watch,
 	})
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -75,7 +75,7 @@
 	close(e.exit.set)
 	e.post(func(now balancer.Time) {
 		for p := range e.pools {
-			p.bal.Stop(now, e.clock.at(by))
+			p.bal.Shutdown(now, e.clock.at(by))
 			p.perform(now)
 		}
 	})
@@ -197,7 +197,7 @@
 	}
 	x.loose = true
 	p := x.pool
-	p.bal.Outcome(now, balancer.Outcome{Request: x.id, Attempt: len(x.attempts) - 1, Result: balancer.Canceled, Closed: true})
+	p.bal.AttemptEnded(now, balancer.Outcome{Request: x.id, Attempt: len(x.attempts) - 1, Result: balancer.Canceled, Closed: true})
 	p.perform(now)
 }
 
@@ -216,7 +216,7 @@
 		if x.loose {
 			x.attempts[len(x.attempts)-1]()
 		} else {
-			p.bal.Gone(now, x.id)
+			p.bal.ClientGone(now, x.id)
 		}
 		e.release(x)
 		p.perform(now)
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -126,9 +126,9 @@
 }
 
 var testClasses = []balancer.Class{
-	{Aim: time.Second, Deadline: 4 * time.Second},
-	{Aim: time.Second, Deadline: 4 * time.Second, Effect: balancer.Unsafe, Worth: 5},
-	{Aim: time.Second, Deadline: 4 * time.Second, Effect: balancer.Keyed, Group: balancer.GroupCell, Window: 2500 * time.Millisecond, Worth: 2},
+	{LatencyObjective: time.Second, Deadline: 4 * time.Second},
+	{LatencyObjective: time.Second, Deadline: 4 * time.Second, Idempotency: balancer.NonIdempotent, PriorityWeight: 5},
+	{LatencyObjective: time.Second, Deadline: 4 * time.Second, Idempotency: balancer.IdempotentWithKey, DedupScope: balancer.ScopeCell, DedupWindow: 2500 * time.Millisecond, PriorityWeight: 2},
 }
 
 func members(n int, started time.Time) discovery.MemberList {
@@ -150,7 +150,7 @@
 		Name: f.name, Transport: f, Seed: 3, Stop: func() { w.ended[f.name]++ },
 		Settings: balancer.Settings{
 			Instances: 1, Classes: testClasses, Step: 5 * time.Millisecond, MaxAttempts: 4, Cancel: true, MaxRetryAfter: 5 * time.Second,
-			ColdFrom: 0.4, WarmAfter: 6 * time.Second, OverloadFactor: 2.5, Fall: 1500 * time.Millisecond,
+			SlowStartShare: 0.4, SlowStartWindow: 6 * time.Second, OverloadFactor: 2.5, OverloadWindow: 1500 * time.Millisecond,
 		},
 	})
 	if err != nil {
@@ -618,7 +618,7 @@
 }
 
 func (m leavingBehind) Outcome(now balancer.Time, o balancer.Outcome) {
-	m.Module.Outcome(now, o)
+	m.Module.AttemptEnded(now, o)
 	m.leave()
 }
 
@@ -670,7 +670,7 @@
 		for _, tt := range []struct {
 			class  int
 			closes time.Duration
-		}{{report, testClasses[report].Window - 10*time.Millisecond}, {look, 0}} {
+		}{{report, testClasses[report].DedupWindow - 10*time.Millisecond}, {look, 0}} {
 			by = nil
 			began := time.Now()
 			_, a := w.ask(tt.class)
--- a/internal/engine/plan.go
+++ b/internal/engine/plan.go
@@ -67,7 +67,7 @@
 	return r.rule.SplitBy
 }
 
-func (r *Route) safe(class int) bool { return r.Classes[class].Effect == balancer.Safe }
+func (r *Route) safe(class int) bool { return r.Classes[class].Idempotency == balancer.Idempotent }
 
 // chain is a pool and those that stand in for it.
 type chain struct {
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -115,7 +115,7 @@
 
 func (p *Pool) members(now balancer.Time, kind balancer.ListKind, list discovery.MemberList) {
 	if kind == balancer.ListFailed {
-		p.bal.Hosts(now, kind, nil)
+		p.bal.UpdateEndpoints(now, kind, nil)
 		return
 	}
 	listed := map[balancer.HostID]bool{}
@@ -157,7 +157,7 @@
 			}
 		}
 	}
-	p.bal.Hosts(now, kind, entries)
+	p.bal.UpdateEndpoints(now, kind, entries)
 	for _, id := range gone {
 		delete(p.hosts, id) // what is still out there holds on to it
 	}
@@ -179,7 +179,7 @@
 			return
 		}
 		for _, v := range p.core.Views(nil) {
-			if h := p.hosts[v.Host]; h != nil && h.ready && v.Fails > 0 && len(names) < most {
+			if h := p.hosts[v.Host]; h != nil && h.ready && v.Ejections > 0 && len(names) < most {
 				names = append(names, h.id)
 			}
 		}
@@ -201,7 +201,7 @@
 func (p *Pool) Hint(name string, within time.Duration) {
 	p.engine.post(func(now balancer.Time) {
 		if h := p.hosts[hostID(name)]; h != nil && h.id == name && !p.ended {
-			p.bal.Hint(now, hostID(name), within)
+			p.bal.HealthCheckPassed(now, hostID(name), within)
 			p.perform(now)
 		}
 	})
@@ -234,8 +234,8 @@
 	e.open[x.id] = x
 	p.inside.Add(1)
 	p.bal.Request(now, balancer.Request{
-		ID: x.id, Class: x.Class, Tenant: x.Tenant, Repeat: x.Repeat,
-		Left: max(0, e.clock.at(e.capped(x.Deadline))-now),
+		ID: x.id, Class: x.Class, Tenant: x.Tenant, Duplicate: x.Repeat,
+		Remaining: max(0, e.clock.at(e.capped(x.Deadline))-now),
 	})
 	p.perform(now)
 }
@@ -300,7 +300,7 @@
 func (p *Pool) perform(now balancer.Time) {
 	e := p.engine
 	for again := true; again; {
-		p.acts = p.bal.Drain(p.acts[:0])
+		p.acts = p.bal.TakeActions(p.acts[:0])
 		for i := range p.acts {
 			a := &p.acts[i]
 			switch a.Kind {
@@ -310,7 +310,7 @@
 				if x := e.open[a.Request]; x != nil && a.Attempt < len(x.attempts) {
 					x.attempts[a.Attempt]()
 				}
-			case balancer.Refuse, balancer.Fail:
+			case balancer.Reject, balancer.Fail:
 				p.answer(now, a)
 			case balancer.Wake:
 				heap.Push(&e.timers, wake{a.At, a.Token, p})
@@ -318,7 +318,7 @@
 				if h := p.hosts[a.Host]; h != nil {
 					h.CloseIdle()
 				}
-			case balancer.Watch:
+			case balancer.Poll:
 				p.cfg.Watch()
 			case balancer.Log:
 				p.say(a)
@@ -328,7 +328,7 @@
 		// follows: in the end, the final answer.
 		again = len(p.denied) > 0
 		for _, o := range p.denied {
-			p.bal.Outcome(now, o)
+			p.bal.AttemptEnded(now, o)
 		}
 		p.denied = p.denied[:0]
 	}
@@ -435,7 +435,7 @@
 	// Asked once: whoever finishes it between the module's being told and its release says so by an
 	// event of its own, and until that the module may send again.
 	closed := x.Over()
-	p.bal.Outcome(now, balancer.Outcome{
+	p.bal.AttemptEnded(now, balancer.Outcome{
 		Request: x.id, Attempt: n, Result: outcome,
 		Elapsed: took, Closed: closed,
 	})
@@ -472,17 +472,17 @@
 	if x == nil {
 		return
 	}
-	if a.Kind == balancer.Refuse && p.moves(now, x) {
+	if a.Kind == balancer.Reject && p.moves(now, x) {
 		return
 	}
-	p.answered(a.Kind == balancer.Refuse)
+	p.answered(a.Kind == balancer.Reject)
 	final := Answer{Kind: Failed}
 	switch {
-	case a.Why == balancer.CauseSpent && x.last.Kind == Served:
+	case a.Cause == balancer.CauseSpent && x.last.Kind == Served:
 		// All that it may have had has ended, and this is what a host said.
 		final, x.last = x.last, Answer{}
-	case a.Kind == balancer.Refuse:
-		final = Answer{Kind: Refused, RetryAfter: a.After}
+	case a.Kind == balancer.Reject:
+		final = Answer{Kind: Refused, RetryAfter: a.RetryAfter}
 	}
 	if !x.finish(final) {
 		final.discard()
--- a/internal/flight/analysis.go
+++ b/internal/flight/analysis.go
@@ -166,7 +166,7 @@
 		if k := a.bucket(it.At); a.base != 0 && k >= 0 {
 			for i := range it.Views {
 				v := &it.Views[i]
-				a.viewed[v.Host] = enter(a.viewed[v.Host], k, v, v.Held(it.At))
+				a.viewed[v.Host] = enter(a.viewed[v.Host], k, v, v.Unavailable(it.At))
 			}
 		}
 	case ItemName:
@@ -227,7 +227,7 @@
 			a.answered(o.Request, r, func(c *ClassLine) {
 				took := e.At - r.at
 				c.Served++
-				if took <= a.set.Classes[r.class].Aim {
+				if took <= a.set.Classes[r.class].LatencyObjective {
 					c.InTime++
 				}
 				c.took = append(c.took, took)
@@ -248,16 +248,16 @@
 			if k >= 0 {
 				a.line(d.Host).Sent++
 			}
-		case balancer.Refuse, balancer.Fail:
-			if d.Why == balancer.CauseWait {
+		case balancer.Reject, balancer.Fail:
+			if d.Cause == balancer.CauseWait {
 				waited++
 			}
 			if r == nil || r.done {
 				continue
 			}
 			a.answered(d.Request, r, func(c *ClassLine) {
-				c.Why[d.Why]++
-				if d.Kind == balancer.Refuse {
+				c.Why[d.Cause]++
+				if d.Kind == balancer.Reject {
 					c.Refused++
 					a.Rates[k].Refused++
 				} else {
@@ -302,15 +302,15 @@
 	listed := 0
 	for i := range a.views {
 		v := &a.views[i]
-		word := v.Held(e.At)
-		if v.State == balancer.Ready && v.Drawn {
+		word := v.Unavailable(e.At)
+		if v.State == balancer.Ready && v.InSubset {
 			listed++
 			held[word]++
 		}
-		if v.Fails > 0 && a.fails[v.Host] == 0 {
+		if v.Ejections > 0 && a.fails[v.Host] == 0 {
 			a.ejected(v, e, cause)
 		}
-		a.fails[v.Host] = v.Fails
+		a.fails[v.Host] = v.Ejections
 		if !due {
 			continue
 		}
@@ -342,9 +342,9 @@
 	}
 	b.Looks++
 	b.Pending += float64(v.Pending)
-	b.Limit += v.Limit
+	b.Limit += v.ConcurrencyLimit
 	b.Mean += v.Mean
-	if word == "ejected" && v.Why == balancer.CauseSilent {
+	if word == "ejected" && v.Cause == balancer.CauseSilent {
 		word = "silent"
 	}
 	b.Held[word]++
@@ -371,8 +371,8 @@
 	if len(a.Ejected) >= ejectionsMost {
 		return
 	}
-	ej := Ejection{At: e.At, Host: v.Host, Why: v.Why, Pending: v.Pending, Class: -1}
-	if v.Why != balancer.CauseSilent && cause != nil && cause.host == v.Host {
+	ej := Ejection{At: e.At, Host: v.Host, Why: v.Cause, Pending: v.Pending, Class: -1}
+	if v.Cause != balancer.CauseSilent && cause != nil && cause.host == v.Host {
 		ej.Request, ej.Class, ej.Age = e.Outcome.Request, cause.class, e.At-cause.sent
 	} else {
 		for key, f := range a.out {
--- a/internal/flight/bench_test.go
+++ b/internal/flight/bench_test.go
@@ -20,8 +20,8 @@
 		b.Fatal(err)
 	}
 	rec.Start(at)
-	rec.Hosts(at, balancer.ListSaved, s.Lists[0].Hosts)
-	rec.Drain(nil)
+	rec.UpdateEndpoints(at, balancer.ListSaved, s.Lists[0].Hosts)
+	rec.TakeActions(nil)
 	return rec, at
 }
 
@@ -45,12 +45,12 @@
 			for b.Loop() {
 				id++
 				now += 5 * ms
-				m.Request(now, balancer.Request{ID: id, Left: time.Second})
-				acts = m.Drain(acts[:0])
-				m.Outcome(now+4*ms, balancer.Outcome{Request: id, Elapsed: 4 * ms, Closed: true})
-				acts = m.Drain(acts[:0])
+				m.Request(now, balancer.Request{ID: id, Remaining: time.Second})
+				acts = m.TakeActions(acts[:0])
+				m.AttemptEnded(now+4*ms, balancer.Outcome{Request: id, Elapsed: 4 * ms, Closed: true})
+				acts = m.TakeActions(acts[:0])
 				m.Timer(now+4*ms, 1<<56)
-				acts = m.Drain(acts[:0])
+				acts = m.TakeActions(acts[:0])
 			}
 		})
 	}
--- a/internal/flight/fit.go
+++ b/internal/flight/fit.go
@@ -100,7 +100,7 @@
 func (f *fit) event(bal *balancer.Balancer, e *Event, decided []balancer.Action) {
 	if f.Start == 0 {
 		f.Start = e.At
-		if known := bal.Listed(nil); e.Kind != EventHosts && len(known) > 0 {
+		if known := bal.Endpoints(nil); e.Kind != EventHosts && len(known) > 0 {
 			f.Sim.Lists = append(f.Sim.Lists, List{e.At, balancer.ListSaved, known}) // begun in mid-flight
 		}
 	}
@@ -135,13 +135,13 @@
 			f.out[key] = &fitAttempt{id: d.Request, class: a.Request.Class, sent: e.At}
 			f.at[key] = d.Host
 			f.Recorded.Attempts++
-		case balancer.Refuse, balancer.Fail:
+		case balancer.Reject, balancer.Fail:
 			if f.done[d.Request] {
 				continue
 			}
 			f.done[d.Request] = true
-			c.Why[int(d.Why)%len(c.Why)]++
-			if d.Kind == balancer.Refuse {
+			c.Why[int(d.Cause)%len(c.Why)]++
+			if d.Kind == balancer.Reject {
 				c.Refused++
 			} else {
 				c.Failed++
@@ -166,7 +166,7 @@
 	}
 	a.ended, a.result, a.took = e.At, o.Result, e.At-max(a.sent, h.lastEnd)
 	arrival := &f.Sim.Arrivals[f.reqs[o.Request]]
-	a.late = e.At >= arrival.At+arrival.Request.Left-arrival.Request.Left/16
+	a.late = e.At >= arrival.At+arrival.Request.Remaining-arrival.Request.Remaining/16
 	h.atts = append(h.atts, a)
 	if o.Result != balancer.OK {
 		return
@@ -187,10 +187,10 @@
 
 func aimOf(set *balancer.Settings, class int) time.Duration {
 	c := &set.Classes[class]
-	if c.Aim == 0 || c.Aim > c.Deadline {
+	if c.LatencyObjective == 0 || c.LatencyObjective > c.Deadline {
 		return c.Deadline
 	}
-	return c.Aim
+	return c.LatencyObjective
 }
 
 // unanswered says whether nothing came back from an attempt until its time was up.
--- a/internal/flight/fleet.go
+++ b/internal/flight/fleet.go
@@ -144,12 +144,12 @@
 		if it.Kind == ItemSession {
 			f.over(&m)
 			m = member{
-				began: it.Start.Wall, at: it.Start.At, warm: it.Start.Settings.WarmAfter,
+				began: it.Start.Wall, at: it.Start.At, warm: it.Start.Settings.SlowStartWindow,
 				started:  map[balancer.HostID]balancer.Time{},
 				requests: map[balancer.RequestID]*inFlight{},
 			}
 			for _, c := range it.Start.Settings.Classes {
-				m.aims = append(m.aims, c.Aim)
+				m.aims = append(m.aims, c.LatencyObjective)
 			}
 			f.at(&m, m.at).Starts++
 			continue
@@ -250,7 +250,7 @@
 	switch e.Kind {
 	case EventRequest:
 		s.Requests++
-		if e.Request.Repeat {
+		if e.Request.Duplicate {
 			s.Repeats++
 		}
 		f.asked(m, s, e)
@@ -323,12 +323,12 @@
 			s.using[a.Host] = map[uint64]struct{}{}
 		}
 		s.using[a.Host][session] = struct{}{}
-	case balancer.Refuse:
-		if int(a.Why) < len(s.Refused) {
-			s.Refused[a.Why]++
+	case balancer.Reject:
+		if int(a.Cause) < len(s.Refused) {
+			s.Refused[a.Cause]++
 			if q := m.requests[a.Request]; q != nil && !q.settled {
 				q.settled = true
-				q.count().Refused[a.Why]++
+				q.count().Refused[a.Cause]++
 			}
 		}
 	case balancer.Fail:
@@ -337,7 +337,7 @@
 			q.settled = true
 			q.count().Failed++
 		}
-	case balancer.Watch:
+	case balancer.Poll:
 		s.Watches++
 	case balancer.Close:
 		s.Closes++
@@ -355,7 +355,7 @@
 	q := &inFlight{at: e.At, class: class, in: s}
 	m.requests[e.Request.ID] = q
 	q.count().Requests++
-	if e.Request.Repeat {
+	if e.Request.Duplicate {
 		q.count().Repeats++
 	}
 }
--- a/internal/flight/flight_test.go
+++ b/internal/flight/flight_test.go
@@ -25,11 +25,11 @@
 		Settings: balancer.Settings{
 			Instances: 1 + int(seed%3), Step: ms, MaxAttempts: 4, Cancel: true, MaxRetryAfter: time.Second,
 			Classes: []balancer.Class{
-				{Aim: 200 * ms, Deadline: time.Second, Worth: 1},
-				{Aim: 200 * ms, Deadline: time.Second, Worth: 2, Effect: balancer.Keyed, Group: balancer.GroupCell, Window: 600 * ms},
-				{Aim: 100 * ms, Deadline: 400 * ms, Worth: 5, Effect: balancer.Unsafe},
+				{LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 1},
+				{LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 2, Idempotency: balancer.IdempotentWithKey, DedupScope: balancer.ScopeCell, DedupWindow: 600 * ms},
+				{LatencyObjective: 100 * ms, Deadline: 400 * ms, PriorityWeight: 5, Idempotency: balancer.NonIdempotent},
 			},
-			ColdFrom: 0.3, WarmAfter: 3 * time.Second, OverloadFactor: 2.5, Fall: time.Second,
+			SlowStartShare: 0.3, SlowStartWindow: 3 * time.Second, OverloadFactor: 2.5, OverloadWindow: time.Second,
 		},
 		Hosts: map[balancer.HostID]*SimHost{},
 		Rand:  rand.New(rand.NewPCG(seed, 7)),
@@ -48,7 +48,7 @@
 		class := r.IntN(3)
 		left := s.Settings.Classes[class].Deadline
 		a := Arrival{
-			Request: balancer.Request{ID: balancer.RequestID(i + 1), Class: class, Left: left, Repeat: r.IntN(9) == 0},
+			Request: balancer.Request{ID: balancer.RequestID(i + 1), Class: class, Remaining: left, Duplicate: r.IntN(9) == 0},
 			At:      t, Work: time.Duration(r.ExpFloat64() * float64(15*ms)),
 		}
 		if r.IntN(50) == 0 {
@@ -104,8 +104,8 @@
 		t.Fatal(err)
 	}
 	r.Start(now)
-	r.Hint(now+ms, 7, 20*ms)
-	r.Stop(now+2*ms, now+3*time.Second)
+	r.HealthCheckPassed(now+ms, 7, 20*ms)
+	r.Shutdown(now+2*ms, now+3*time.Second)
 	var got []Event
 	in := NewReader(bytes.NewReader(r.Dump(nil)))
 	for it := new(Item); ; {
@@ -428,7 +428,7 @@
 	rec, _ := New(bal, Start{Seed: 1, At: at, Settings: s.Settings, Wall: time.Now().Add(-9000 * time.Hour)}, 1, Options{Sink: &out})
 	for _, d := range []time.Duration{0, 5 * time.Hour, 4 * time.Hour} {
 		rec.Timer(at+d, 0)
-		rec.Drain(nil)
+		rec.TakeActions(nil)
 	}
 	rec.Flush()
 	var times []balancer.Time
--- a/internal/flight/format.go
+++ b/internal/flight/format.go
@@ -135,8 +135,8 @@
 	b = uv(b, uint64(q.ID))
 	b = iv(b, int64(q.Class))
 	b = iv(b, int64(q.Tenant))
-	b = iv(b, int64(q.Left))
-	return append(b, bit(q.Repeat))
+	b = iv(b, int64(q.Remaining))
+	return append(b, bit(q.Duplicate))
 }
 
 func putOutcome(b []byte, o *balancer.Outcome) []byte {
@@ -168,13 +168,13 @@
 	case balancer.Cancel:
 		b = uv(b, uint64(a.Request))
 		b = iv(b, int64(a.Attempt))
-	case balancer.Refuse:
+	case balancer.Reject:
 		b = uv(b, uint64(a.Request))
-		b = iv(b, int64(a.After))
-		b = append(b, byte(a.Why))
+		b = iv(b, int64(a.RetryAfter))
+		b = append(b, byte(a.Cause))
 	case balancer.Fail:
 		b = uv(b, uint64(a.Request))
-		b = append(b, byte(a.Why))
+		b = append(b, byte(a.Cause))
 	case balancer.Wake:
 		b = iv(b, int64(a.At))
 		b = uv(b, a.Token)
@@ -192,21 +192,21 @@
 // Of a view, limits and means are kept in thousandths, estimates in microseconds.
 func putView(b []byte, v *balancer.HostView, now balancer.Time) []byte {
 	b = binary.LittleEndian.AppendUint64(b, uint64(v.Host))
-	flags := byte(v.State) | bit(v.Drawn)<<2 | bit(v.Cold)<<3 | bit(v.Overdue)<<4 | byte(v.Why&7)<<5
+	flags := byte(v.State) | bit(v.InSubset)<<2 | bit(v.Warming)<<3 | bit(v.Overdue)<<4 | byte(v.Cause&7)<<5
 	b = append(b, flags)
 	b = iv(b, int64(v.Pending))
-	b = iv(b, int64(v.Limit*1e3))
+	b = iv(b, int64(v.ConcurrencyLimit*1e3))
 	b = iv(b, int64(v.Mean*1e3))
 	b = iv(b, int64(v.Estimate*1e6))
-	b = iv(b, int64(v.Fails))
-	for _, t := range []balancer.Time{v.EjectUntil, v.RestUntil, v.ColdNext} {
+	b = iv(b, int64(v.Ejections))
+	for _, t := range []balancer.Time{v.EjectedUntil, v.RestingUntil, v.NextSlowStartSend} {
 		if t <= now {
 			b = append(b, 0)
 		} else {
 			b = iv(b, int64(t-now))
 		}
 	}
-	return uv(b, v.Shunned)
+	return uv(b, v.ExcludedFor)
 }
 
 func bit(x bool) byte {
@@ -274,8 +274,8 @@
 func (t *taker) request() (q balancer.Request) {
 	q.ID = balancer.RequestID(t.uv())
 	q.Class, q.Tenant = int(t.iv()), int(t.iv())
-	q.Left = time.Duration(t.iv())
-	q.Repeat = t.u8() != 0
+	q.Remaining = time.Duration(t.iv())
+	q.Duplicate = t.u8() != 0
 	return q
 }
 
@@ -303,18 +303,18 @@
 		a.Request, a.Host, a.At = balancer.RequestID(t.uv()), balancer.HostID(t.u64()), balancer.Time(t.iv())
 	case balancer.Cancel:
 		a.Request, a.Attempt = balancer.RequestID(t.uv()), int(t.iv())
-	case balancer.Refuse:
-		a.Request, a.After = balancer.RequestID(t.uv()), time.Duration(t.iv())
-		a.Why = balancer.Cause(t.u8())
+	case balancer.Reject:
+		a.Request, a.RetryAfter = balancer.RequestID(t.uv()), time.Duration(t.iv())
+		a.Cause = balancer.Cause(t.u8())
 	case balancer.Fail:
-		a.Request, a.Why = balancer.RequestID(t.uv()), balancer.Cause(t.u8())
+		a.Request, a.Cause = balancer.RequestID(t.uv()), balancer.Cause(t.u8())
 	case balancer.Wake:
 		a.At, a.Token = balancer.Time(t.iv()), t.uv()
 	case balancer.Close:
 		a.Host = balancer.HostID(t.u64())
 	case balancer.Log:
 		a.Host, a.Text = balancer.HostID(t.u64()), t.text()
-	case balancer.Watch:
+	case balancer.Poll:
 	default:
 		t.err = fmt.Errorf("action of kind %d", kind)
 	}
@@ -324,16 +324,16 @@
 func (t *taker) view(now balancer.Time) (v balancer.HostView) {
 	v.Host = balancer.HostID(t.u64())
 	flags := t.u8()
-	v.State, v.Why = balancer.HostState(flags&3), balancer.Cause(flags>>5)
-	v.Drawn, v.Cold, v.Overdue = flags&4 != 0, flags&8 != 0, flags&16 != 0
+	v.State, v.Cause = balancer.HostState(flags&3), balancer.Cause(flags>>5)
+	v.InSubset, v.Warming, v.Overdue = flags&4 != 0, flags&8 != 0, flags&16 != 0
 	v.Pending = int(t.iv())
-	v.Limit, v.Mean, v.Estimate = float64(t.iv())/1e3, float64(t.iv())/1e3, float64(t.iv())/1e6
-	v.Fails = int(t.iv())
-	for _, to := range []*balancer.Time{&v.EjectUntil, &v.RestUntil, &v.ColdNext} {
+	v.ConcurrencyLimit, v.Mean, v.Estimate = float64(t.iv())/1e3, float64(t.iv())/1e3, float64(t.iv())/1e6
+	v.Ejections = int(t.iv())
+	for _, to := range []*balancer.Time{&v.EjectedUntil, &v.RestingUntil, &v.NextSlowStartSend} {
 		if d := t.iv(); d > 0 {
 			*to = now + balancer.Time(d)
 		}
 	}
-	v.Shunned = t.uv()
+	v.ExcludedFor = t.uv()
 	return v
 }
--- a/internal/flight/reader.go
+++ b/internal/flight/reader.go
@@ -69,21 +69,21 @@
 	case EventStart:
 		m.Start(e.At)
 	case EventHosts:
-		m.Hosts(e.At, e.List, e.Hosts)
+		m.UpdateEndpoints(e.At, e.List, e.Hosts)
 	case EventRequest:
 		m.Request(e.At, e.Request)
 	case EventStarted:
-		m.Started(e.At, e.Request.ID, e.Attempt)
+		m.AttemptStarted(e.At, e.Request.ID, e.Attempt)
 	case EventOutcome:
-		m.Outcome(e.At, e.Outcome)
+		m.AttemptEnded(e.At, e.Outcome)
 	case EventGone:
-		m.Gone(e.At, e.Request.ID)
+		m.ClientGone(e.At, e.Request.ID)
 	case EventTimer:
 		m.Timer(e.At, e.Token)
 	case EventHint:
-		m.Hint(e.At, e.Hint.Host, e.Hint.Within)
+		m.HealthCheckPassed(e.At, e.Hint.Host, e.Hint.Within)
 	case EventStop:
-		m.Stop(e.At, e.By)
+		m.Shutdown(e.At, e.By)
 	}
 }
 
--- a/internal/flight/recorder.go
+++ b/internal/flight/recorder.go
@@ -10,16 +10,16 @@
 // Module is the Balancer as a gateway's loop uses it; a Recorder stands in its place.
 type Module interface {
 	Start(now balancer.Time)
-	Hosts(now balancer.Time, kind balancer.ListKind, list []balancer.Host)
+	UpdateEndpoints(now balancer.Time, kind balancer.ListKind, list []balancer.Host)
 	Request(now balancer.Time, q balancer.Request)
-	Started(now balancer.Time, id balancer.RequestID, n int)
-	Outcome(now balancer.Time, o balancer.Outcome)
-	Gone(now balancer.Time, id balancer.RequestID)
+	AttemptStarted(now balancer.Time, id balancer.RequestID, n int)
+	AttemptEnded(now balancer.Time, o balancer.Outcome)
+	ClientGone(now balancer.Time, id balancer.RequestID)
 	Timer(now balancer.Time, token uint64)
-	Hint(now balancer.Time, id balancer.HostID, within balancer.Time)
-	Stop(now, by balancer.Time)
+	HealthCheckPassed(now balancer.Time, id balancer.HostID, within balancer.Time)
+	Shutdown(now, by balancer.Time)
 	Retune(now balancer.Time, set balancer.Settings, from []int) error
-	Drain(dst []balancer.Action) []balancer.Action
+	TakeActions(dst []balancer.Action) []balancer.Action
 }
 
 // Options say how much is recorded and where to.
@@ -224,13 +224,13 @@
 
 // Hosts is the module's, recorded. A list may be larger than a block: its block is then
 // larger too.
-func (r *Recorder) Hosts(now balancer.Time, kind balancer.ListKind, list []balancer.Host) {
+func (r *Recorder) UpdateEndpoints(now balancer.Time, kind balancer.ListKind, list []balancer.Host) {
 	r.event(now, recHosts, maxRecord+len(list)*32)
 	r.block = uv(append(r.block, byte(kind)), uint64(len(list)))
 	for i := range list {
 		r.block = putHost(r.block, &list[i])
 	}
-	r.bal.Hosts(now, kind, list)
+	r.bal.UpdateEndpoints(now, kind, list)
 }
 
 // Request is the module's, recorded.
@@ -241,24 +241,24 @@
 }
 
 // Started is the module's, recorded.
-func (r *Recorder) Started(now balancer.Time, id balancer.RequestID, n int) {
+func (r *Recorder) AttemptStarted(now balancer.Time, id balancer.RequestID, n int) {
 	r.event(now, recStarted, maxRecord)
 	r.block = iv(uv(r.block, uint64(id)), int64(n))
-	r.bal.Started(now, id, n)
+	r.bal.AttemptStarted(now, id, n)
 }
 
 // Outcome is the module's, recorded.
-func (r *Recorder) Outcome(now balancer.Time, o balancer.Outcome) {
+func (r *Recorder) AttemptEnded(now balancer.Time, o balancer.Outcome) {
 	r.event(now, recOutcome, maxRecord)
 	r.block = putOutcome(r.block, &o)
-	r.bal.Outcome(now, o)
+	r.bal.AttemptEnded(now, o)
 }
 
 // Gone is the module's, recorded.
-func (r *Recorder) Gone(now balancer.Time, id balancer.RequestID) {
+func (r *Recorder) ClientGone(now balancer.Time, id balancer.RequestID) {
 	r.event(now, recGone, maxRecord)
 	r.block = uv(r.block, uint64(id))
-	r.bal.Gone(now, id)
+	r.bal.ClientGone(now, id)
 }
 
 // Timer is the module's, recorded.
@@ -269,17 +269,17 @@
 }
 
 // Hint is the module's, recorded.
-func (r *Recorder) Hint(now balancer.Time, id balancer.HostID, within balancer.Time) {
+func (r *Recorder) HealthCheckPassed(now balancer.Time, id balancer.HostID, within balancer.Time) {
 	r.event(now, recHint, maxRecord)
 	r.block = iv(appendID(r.block, id), int64(within))
-	r.bal.Hint(now, id, within)
+	r.bal.HealthCheckPassed(now, id, within)
 }
 
 // Stop is the module's, recorded.
-func (r *Recorder) Stop(now, by balancer.Time) {
+func (r *Recorder) Shutdown(now, by balancer.Time) {
 	r.event(now, recStop, maxRecord)
 	r.block = iv(r.block, int64(by-now))
-	r.bal.Stop(now, by)
+	r.bal.Shutdown(now, by)
 }
 
 // Classes names the classes that a Retune brings, for those who read.
@@ -307,9 +307,9 @@
 }
 
 // Drain is the module's, recorded.
-func (r *Recorder) Drain(dst []balancer.Action) []balancer.Action {
+func (r *Recorder) TakeActions(dst []balancer.Action) []balancer.Action {
 	n := len(dst)
-	dst = r.bal.Drain(dst)
+	dst = r.bal.TakeActions(dst)
 	for i := range dst[n:] {
 		r.block = putAction(r.block, &dst[n+i])
 	}
--- a/internal/flight/replay.go
+++ b/internal/flight/replay.go
@@ -145,7 +145,7 @@
 	p.event.Hosts = append(p.hosts[:0], e.Hosts...) // the reader will use its own anew
 	p.hosts = p.event.Hosts
 	e.Tell(p.bal)
-	p.acts = p.bal.Drain(p.acts[:0])
+	p.acts = p.bal.TakeActions(p.acts[:0])
 }
 
 // settle compares the actions of the last event.
@@ -191,10 +191,10 @@
 		return fmt.Sprintf("Send %d to %x until %v", a.Request, uint64(a.Host), a.At)
 	case balancer.Cancel:
 		return fmt.Sprintf("Cancel %d/%d", a.Request, a.Attempt)
-	case balancer.Refuse:
-		return fmt.Sprintf("Refuse %d (%v) after %v", a.Request, a.Why, a.After)
+	case balancer.Reject:
+		return fmt.Sprintf("Refuse %d (%v) after %v", a.Request, a.Cause, a.RetryAfter)
 	case balancer.Fail:
-		return fmt.Sprintf("Fail %d (%v)", a.Request, a.Why)
+		return fmt.Sprintf("Fail %d (%v)", a.Request, a.Cause)
 	case balancer.Wake:
 		return fmt.Sprintf("Wake %x at %v", a.Token, a.At)
 	case balancer.Close:
--- a/internal/flight/sim.go
+++ b/internal/flight/sim.go
@@ -130,7 +130,7 @@
 	end := start
 	for i := range s.Lists {
 		l := &s.Lists[i]
-		s.at(l.At, func() { s.tell(m, func() { m.Hosts(s.now, l.Kind, l.Hosts) }) })
+		s.at(l.At, func() { s.tell(m, func() { m.UpdateEndpoints(s.now, l.Kind, l.Hosts) }) })
 	}
 	for i := range s.Arrivals {
 		a := &s.Arrivals[i]
@@ -150,7 +150,7 @@
 		if !r.done {
 			s.sum.Unheard++
 		}
-		if r.ran > 1 && s.Settings.Classes[r.Request.Class].Effect == balancer.Unsafe {
+		if r.ran > 1 && s.Settings.Classes[r.Request.Class].Idempotency == balancer.NonIdempotent {
 			s.sum.Twice++
 		}
 	}
@@ -172,7 +172,7 @@
 // tell tells the module of an event and carries out what it decides.
 func (s *Sim) tell(m Module, event func()) {
 	event()
-	s.acts = m.Drain(s.acts[:0])
+	s.acts = m.TakeActions(s.acts[:0])
 	for _, a := range s.acts {
 		switch a.Kind {
 		case balancer.Send:
@@ -182,12 +182,12 @@
 				j := r.jobs[a.Attempt]
 				s.at(s.now, func() { s.end(m, j, balancer.Canceled) })
 			}
-		case balancer.Refuse, balancer.Fail:
+		case balancer.Reject, balancer.Fail:
 			if r := s.reqs[a.Request]; r != nil && !r.done {
 				r.done = true
 				c := &s.sum.Classes[r.Request.Class]
-				c.Why[int(a.Why)%len(c.Why)]++
-				if a.Kind == balancer.Refuse {
+				c.Why[int(a.Cause)%len(c.Why)]++
+				if a.Kind == balancer.Reject {
 					c.Refused++
 				} else {
 					c.Failed++
@@ -201,7 +201,7 @@
 }
 
 func (s *Sim) arrive(m Module, a *Arrival) {
-	r := &simRequest{Arrival: *a, deadline: a.At + a.Request.Left}
+	r := &simRequest{Arrival: *a, deadline: a.At + a.Request.Remaining}
 	s.reqs[a.Request.ID] = r
 	s.sum.Classes[a.Request.Class].Asked++
 	if a.GoneAt > 0 {
@@ -209,7 +209,7 @@
 			if !r.done {
 				r.done = true
 				s.sum.Classes[r.Request.Class].Left++
-				s.tell(m, func() { m.Gone(s.now, r.Request.ID) })
+				s.tell(m, func() { m.ClientGone(s.now, r.Request.ID) })
 			}
 		})
 	}
@@ -295,7 +295,7 @@
 		}
 	}
 	s.tell(m, func() {
-		m.Outcome(s.now, balancer.Outcome{
+		m.AttemptEnded(s.now, balancer.Outcome{
 			Request: r.Request.ID, Attempt: j.n, Result: result, Elapsed: s.now - j.sent, Closed: r.done,
 		})
 	})
@@ -303,8 +303,8 @@
 
 func (s *Sim) aim(class int) time.Duration {
 	c := &s.Settings.Classes[class]
-	if c.Aim == 0 || c.Aim > c.Deadline {
+	if c.LatencyObjective == 0 || c.LatencyObjective > c.Deadline {
 		return c.Deadline
 	}
-	return c.Aim
+	return c.LatencyObjective
 }
--- a/internal/front/gate.go
+++ b/internal/front/gate.go
@@ -297,11 +297,11 @@
 			return Bad(http.StatusBadRequest, "%s: unknown tenant", headTenant)
 		}
 	}
-	if safe := rules.Effect == balancer.Safe; safe != (m.Method == http.MethodGet) ||
+	if safe := rules.Idempotency == balancer.Idempotent; safe != (m.Method == http.MethodGet) ||
 		!safe && m.Method != http.MethodPost || safe && m.Length != 0 {
 		return Bad(http.StatusBadRequest, "a request of this class has another method")
 	}
-	if rules.Effect == balancer.Keyed && key == "" {
+	if rules.Idempotency == balancer.IdempotentWithKey && key == "" {
 		// Without it no host would drop the repeat that the module may send.
 		return Bad(http.StatusBadRequest, "%s: missing, the class needs one", headKey)
 	}
@@ -339,7 +339,7 @@
 	switch m.Method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodTrace:
 	default:
-		keyed := e.Route.Classes[p.Class].Effect == balancer.Keyed
+		keyed := e.Route.Classes[p.Class].Idempotency == balancer.IdempotentWithKey
 		if key := m.Header[headKey]; keyed && (len(key) != 1 || key[0] == "") ||
 			!keyed && !slices.Contains(p.Repeatable, m.Method) {
 			e.Class = p.Unsafe
--- a/internal/front/http1/clients_test.go
+++ b/internal/front/http1/clients_test.go
@@ -57,9 +57,9 @@
 	set := balancer.Settings{
 		Instances: 1, MaxAttempts: 4, Cancel: true, MaxRetryAfter: second, Step: 5 * time.Millisecond,
 		Classes: []balancer.Class{
-			{Aim: 10 * second, Deadline: 60 * second},
-			{Aim: 10 * second, Deadline: 60 * second, Effect: balancer.Unsafe},
-			{Aim: 10 * second, Deadline: 60 * second, Effect: balancer.Keyed, Window: 30 * second},
+			{LatencyObjective: 10 * second, Deadline: 60 * second},
+			{LatencyObjective: 10 * second, Deadline: 60 * second, Idempotency: balancer.NonIdempotent},
+			{LatencyObjective: 10 * second, Deadline: 60 * second, Idempotency: balancer.IdempotentWithKey, DedupWindow: 30 * second},
 		},
 	}
 	pool, err := e.NewPool(engine.PoolConfig{Settings: set, Transport: transport})
--- a/internal/gateway/appliance.go
+++ b/internal/gateway/appliance.go
@@ -398,7 +398,7 @@
 func settings(p config.Pool, classes []balancer.Class) balancer.Settings {
 	return balancer.Settings{
 		Instances: 1, Classes: classes, MaxAttempts: 4, Cancel: true, MaxRetryAfter: retryAfterMost,
-		ColdFrom: p.Cold.From, WarmAfter: p.Cold.WarmAfter, OverloadFactor: overloadFactor, Fall: overloadTime,
+		SlowStartShare: p.Cold.From, SlowStartWindow: p.Cold.WarmAfter, OverloadFactor: overloadFactor, OverloadWindow: overloadTime,
 	}
 }
 
@@ -501,10 +501,10 @@
 		c.index[k.Name], c.once[i] = i, i
 	}
 	for i, k := range a.Classes {
-		if k.Effect == balancer.Unsafe {
+		if k.Idempotency == balancer.NonIdempotent {
 			continue
 		}
-		k.Effect, k.Window = balancer.Unsafe, 0
+		k.Idempotency, k.DedupWindow = balancer.NonIdempotent, 0
 		c.once[i] = len(c.list)
 		c.list, c.names = append(c.list, k.Class), append(c.names, k.Name+" once")
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -144,7 +144,7 @@
 		ConnIdle: cfg.ConnIdle, DialTimeout: cfg.DialTimeout, Budget: g.gate.Bodies,
 	})
 	g.transport, g.shared = transport, shared
-	g.watcher = discovery.NewWatcher(cfg.Discovery, cfg.Settings.Ask, cfg.Known.Version)
+	g.watcher = discovery.NewWatcher(cfg.Discovery, cfg.Settings.Poll, cfg.Known.Version)
 	pc := engine.PoolConfig{
 		Settings: cfg.Settings, Seed: cfg.Seed, Zones: cfg.Zones, Kinds: cfg.Kinds, Transport: transport, Watch: g.watcher.Watch,
 	}
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -53,7 +53,7 @@
 func rankList(c *classes) []overload.Rank {
 	ranks := make([]overload.Rank, len(c.list))
 	for i, k := range c.list {
-		ranks[i] = overload.Rank{Worth: cmp.Or(k.Worth, 1), Aim: cmp.Or(k.Aim, k.Deadline)}
+		ranks[i] = overload.Rank{Worth: cmp.Or(k.PriorityWeight, 1), Aim: cmp.Or(k.LatencyObjective, k.Deadline)}
 	}
 	return ranks
 }
--- a/internal/gateway/long_test.go
+++ b/internal/gateway/long_test.go
@@ -134,7 +134,7 @@
 	host := testkit.NewHost(t, testkit.Says(testkit.Good))
 	cfg := testConfig(host)
 	for i := range cfg.Settings.Classes {
-		cfg.Settings.Classes[i].Aim, cfg.Settings.Classes[i].Deadline = 200*time.Millisecond, 200*time.Millisecond
+		cfg.Settings.Classes[i].LatencyObjective, cfg.Settings.Classes[i].Deadline = 200*time.Millisecond, 200*time.Millisecond
 	}
 	g := startGateway(t, cfg)
 	const n = 2 * front.MaxHeld
--- a/internal/gateway/recording_test.go
+++ b/internal/gateway/recording_test.go
@@ -31,7 +31,7 @@
 		},
 		Trigger: flight.Trigger{Share: 0.5, Within: time.Hour, Least: 20, Pause: time.Hour},
 	}
-	cfg.Settings.Classes[0].Aim = 200 * time.Millisecond // a fifth of it is waited for a host
+	cfg.Settings.Classes[0].LatencyObjective = 200 * time.Millisecond // a fifth of it is waited for a host
 	g := startGateway(t, cfg, rc)
 	for range 30 {
 		if resp, body := g.ask("look", "/hidden-path", ""); resp.StatusCode != 200 || body != "secret" {
--- a/internal/gateway/retune_test.go
+++ b/internal/gateway/retune_test.go
@@ -19,12 +19,12 @@
 
 // classes is testConfig with other classes, in the order given.
 func withClasses(cfg config.Platform, names ...string) *config.Platform {
-	effects := map[string]balancer.Effect{"look": balancer.Safe, "book": balancer.Unsafe, "next": balancer.Unsafe}
+	effects := map[string]balancer.Idempotency{"look": balancer.Idempotent, "book": balancer.NonIdempotent, "next": balancer.NonIdempotent}
 	cfg.Classes, cfg.Settings.Classes = map[string]int{}, nil
 	for i, name := range names {
 		cfg.Classes[name] = i
 		cfg.Settings.Classes = append(cfg.Settings.Classes, balancer.Class{
-			Aim: 10 * time.Second, Deadline: 60 * time.Second, Effect: effects[name],
+			LatencyObjective: 10 * time.Second, Deadline: 60 * time.Second, Idempotency: effects[name],
 		})
 	}
 	return &cfg
--- a/internal/hunt/hunt.go
+++ b/internal/hunt/hunt.go
@@ -215,7 +215,7 @@
 			end, warm := t.At+t.For, time.Duration(0)
 			switch t.Kind {
 			case model.Crash, model.Vanish, model.Drain:
-				warm = c.Settings.WarmAfter
+				warm = c.Settings.SlowStartWindow
 			case model.Gateway:
 				if at >= t.At && at < end {
 					gone += hit
--- a/internal/hunt/hunt_test.go
+++ b/internal/hunt/hunt_test.go
@@ -14,10 +14,10 @@
 	return model.Config{
 		Length: 20 * time.Second, Gateways: 2,
 		Settings: balancer.Settings{
-			Instances: 1, MaxAttempts: 4, Cancel: true, ColdFrom: 0.3, WarmAfter: 2 * time.Second, OverloadFactor: 2, Fall: time.Second,
+			Instances: 1, MaxAttempts: 4, Cancel: true, SlowStartShare: 0.3, SlowStartWindow: 2 * time.Second, OverloadFactor: 2, OverloadWindow: time.Second,
 			Classes: []balancer.Class{
-				{Aim: 250 * time.Millisecond, Deadline: time.Second, Worth: 1, Effect: balancer.Safe},
-				{Aim: 250 * time.Millisecond, Deadline: time.Second, Worth: 5, Effect: balancer.Unsafe},
+				{LatencyObjective: 250 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1, Idempotency: balancer.Idempotent},
+				{LatencyObjective: 250 * time.Millisecond, Deadline: time.Second, PriorityWeight: 5, Idempotency: balancer.NonIdempotent},
 			},
 		},
 		Hosts:   []model.Kind{{Count: 8, Cores: 1, Slots: 8, Queue: 16, Conns: 100}},
--- a/internal/model/fleet.go
+++ b/internal/model/fleet.go
@@ -100,14 +100,14 @@
 		return // it was called before the gateway died, or a later one goes on
 	}
 	if g.news = well && w.blind == 0; !g.news {
-		w.tell(g, func() { g.bal.Hosts(w.now, balancer.ListFailed, nil) })
+		w.tell(g, func() { g.bal.UpdateEndpoints(w.now, balancer.ListFailed, nil) })
 		return
 	}
 	for _, h := range w.hosts {
 		w.noteTold(g, h)
 	}
 	list := w.listed()
-	w.tell(g, func() { g.bal.Hosts(w.now, balancer.ListFull, list) })
+	w.tell(g, func() { g.bal.UpdateEndpoints(w.now, balancer.ListFull, list) })
 }
 
 // listed is the list as it is.
@@ -141,9 +141,9 @@
 	}
 	w.blind++
 	for _, g := range w.gateways {
-		if g.up && w.cfg.Settings.Ask && g.news {
+		if g.up && w.cfg.Settings.Poll && g.news {
 			g.news = false
-			w.tell(g, func() { g.bal.Hosts(w.now, balancer.ListFailed, nil) })
+			w.tell(g, func() { g.bal.UpdateEndpoints(w.now, balancer.ListFailed, nil) })
 		}
 	}
 }
--- a/internal/model/gateway.go
+++ b/internal/model/gateway.go
@@ -17,15 +17,15 @@
 	if err != nil {
 		return err
 	}
-	g.bal, g.up, g.left, g.news = bal, true, 0, !w.cfg.Settings.Ask
+	g.bal, g.up, g.left, g.news = bal, true, 0, !w.cfg.Settings.Poll
 	g.idle, g.open = map[int]idleSet{}, map[balancer.RequestID]*request{}
 	list := w.listed()
-	if set.Ask {
+	if set.Poll {
 		how = balancer.ListSaved // a whole list comes of asking only
 	}
 	w.tell(g, func() {
 		bal.Start(w.now)
-		bal.Hosts(w.now, how, list)
+		bal.UpdateEndpoints(w.now, how, list)
 	})
 	return nil
 }
@@ -37,7 +37,7 @@
 // tell tells a gateway's module of an event and carries out what it decides.
 func (w *world) tell(g *gateway, what func()) {
 	what()
-	w.acts = g.bal.Drain(w.acts[:0])
+	w.acts = g.bal.TakeActions(w.acts[:0])
 	for _, a := range w.acts {
 		switch a.Kind {
 		case balancer.Send:
@@ -47,15 +47,15 @@
 				r.attempts[a.Attempt].called = true
 				w.queue.push(answerAt(w.now, balancer.Canceled, uint64(a.Attempt), r))
 			}
-		case balancer.Refuse:
+		case balancer.Reject:
 			if r := g.open[a.Request]; r != nil {
-				w.why(r, a.Why)
-				w.final(r, outcomeRefused, a.After)
+				w.why(r, a.Cause)
+				w.final(r, outcomeRefused, a.RetryAfter)
 				w.forget(r)
 			}
 		case balancer.Fail:
 			if r := g.open[a.Request]; r != nil {
-				w.why(r, a.Why)
+				w.why(r, a.Cause)
 				w.final(r, outcomeFailed, 0)
 				w.forget(r)
 			}
@@ -67,7 +67,7 @@
 				w.hosts[id].conns -= set.n
 			}
 			delete(g.idle, id)
-		case balancer.Watch:
+		case balancer.Poll:
 			w.call(g)
 		}
 	}
@@ -199,7 +199,7 @@
 		w.final(r, outcomeServed, 0)
 	}
 	w.tell(g, func() {
-		g.bal.Outcome(w.now, balancer.Outcome{Request: r.id, Attempt: n, Result: result, Elapsed: w.now - a.sent, Closed: r.over})
+		g.bal.AttemptEnded(w.now, balancer.Outcome{Request: r.id, Attempt: n, Result: result, Elapsed: w.now - a.sent, Closed: r.over})
 	})
 	w.forget(r)
 }
@@ -342,11 +342,11 @@
 
 // hear tells a gateway how a host is by now.
 func (w *world) hear(g *gateway, h *host) {
-	if g.news || !w.cfg.Settings.Ask {
+	if g.news || !w.cfg.Settings.Poll {
 		w.noteTold(g, h)
 	}
 	if g.up && g.news {
-		w.tell(g, func() { g.bal.Hosts(w.now, balancer.ListChanges, []balancer.Host{w.entry(h)}) })
+		w.tell(g, func() { g.bal.UpdateEndpoints(w.now, balancer.ListChanges, []balancer.Host{w.entry(h)}) })
 	}
 }
 
--- a/internal/model/host.go
+++ b/internal/model/host.go
@@ -74,11 +74,11 @@
 // warmth is the share of its capacity that a host has.
 func (w *world) warmth(h *host) float64 {
 	set := &w.cfg.Settings
-	if h.started == 0 || set.WarmAfter == 0 {
+	if h.started == 0 || set.SlowStartWindow == 0 {
 		return 1
 	}
-	age := float64(w.now-h.started) / float64(set.WarmAfter)
-	from := set.ColdFrom
+	age := float64(w.now-h.started) / float64(set.SlowStartWindow)
+	from := set.SlowStartShare
 	if from == 0 {
 		from = 1
 	}
@@ -191,11 +191,11 @@
 		r.ranAt, r.ranBy = w.now, h
 		return
 	}
-	switch set.Effect {
-	case balancer.Unsafe:
+	switch set.Idempotency {
+	case balancer.NonIdempotent:
 		w.broke(RuleTwice, "request %d, unsafe, ran %d times, at host %d with attempt %d", r.id, r.ran, h.id, n)
-	case balancer.Keyed:
-		if set.Group == balancer.GroupZone && h.Zone != r.ranBy.Zone || set.Group == balancer.GroupCell && h.cell != r.ranBy.cell || w.now > r.ranAt+set.Window {
+	case balancer.IdempotentWithKey:
+		if set.DedupScope == balancer.ScopeZone && h.Zone != r.ranBy.Zone || set.DedupScope == balancer.ScopeCell && h.cell != r.ranBy.cell || w.now > r.ranAt+set.DedupWindow {
 			w.broke(RuleTwice, "request %d, keyed, ran again outside its group or window, at host %d", r.id, h.id)
 		}
 	}
@@ -237,7 +237,7 @@
 	h.started = w.now
 	h.at = w.now
 	for i := range coldSteps { // its speed rises in steps
-		w.queue.push(event{at: w.now + w.cfg.Settings.WarmAfter*time.Duration(i+1)/coldSteps, kind: evWarm, a: int32(h.id), n: uint64(h.life)})
+		w.queue.push(event{at: w.now + w.cfg.Settings.SlowStartWindow*time.Duration(i+1)/coldSteps, kind: evWarm, a: int32(h.id), n: uint64(h.life)})
 	}
 	w.settle(h)
 }
@@ -263,13 +263,13 @@
 	}
 	h.cold = append(h.cold, coldWork{w.now, r.work})
 	h.coldSum += r.work
-	for h.cold[0].at < w.now-set.Fall {
+	for h.cold[0].at < w.now-set.OverloadWindow {
 		h.coldSum -= h.cold[0].work
 		h.cold = h.cold[1:]
 	}
-	can := w.size(h) * w.warmth(h) * float64(h.Cores) * set.Fall.Seconds()
+	can := w.size(h) * w.warmth(h) * float64(h.Cores) * set.OverloadWindow.Seconds()
 	if h.coldSum > set.OverloadFactor*can+coldSlack*w.longest {
-		w.broke(RuleCold, "host %d, %.2f warm, was sent %.3f s of work in %v, and can do %.3f", h.id, w.warmth(h), h.coldSum, set.Fall, can)
+		w.broke(RuleCold, "host %d, %.2f warm, was sent %.3f s of work in %v, and can do %.3f", h.id, w.warmth(h), h.coldSum, set.OverloadWindow, can)
 	}
 }
 
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -17,11 +17,11 @@
 	return Config{
 		Seed: seed, Length: 20 * time.Second, Gateways: 3,
 		Settings: balancer.Settings{
-			MaxAttempts: 4, Cancel: true, MaxRetryAfter: time.Second, ColdFrom: 0.3, WarmAfter: 5 * time.Second, OverloadFactor: 2, Fall: time.Second,
+			MaxAttempts: 4, Cancel: true, MaxRetryAfter: time.Second, SlowStartShare: 0.3, SlowStartWindow: 5 * time.Second, OverloadFactor: 2, OverloadWindow: time.Second,
 			Classes: []balancer.Class{
-				{Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 1},
-				{Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 5, Effect: balancer.Unsafe},
-				{Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 2, Effect: balancer.Keyed, Group: balancer.GroupCell, Window: 2500 * time.Millisecond},
+				{LatencyObjective: 200 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1},
+				{LatencyObjective: 200 * time.Millisecond, Deadline: time.Second, PriorityWeight: 5, Idempotency: balancer.NonIdempotent},
+				{LatencyObjective: 200 * time.Millisecond, Deadline: time.Second, PriorityWeight: 2, Idempotency: balancer.IdempotentWithKey, DedupScope: balancer.ScopeCell, DedupWindow: 2500 * time.Millisecond},
 			},
 		},
 		Hosts: []Kind{{Count: 12, Cores: 2, Slots: 8, Queue: 16, Conns: 200}},
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -243,7 +243,7 @@
 		w.cfg.Net.Connect = 100 * time.Millisecond
 	}
 	w.cfg.Settings.Instances = cfg.Gateways
-	w.cfg.Settings.Ask = cfg.Lists.Call > 0
+	w.cfg.Settings.Poll = cfg.Lists.Call > 0
 	w.front, w.clients, w.lists = stream(cfg.Seed, "front", 0), stream(cfg.Seed, "clients", 0), stream(cfg.Seed, "lists", 0)
 	w.early = stream(cfg.Seed, "early", 0)
 	part, sum := stream(cfg.Seed, "parts", 0), 0.0
@@ -256,7 +256,7 @@
 		w.parts = append(w.parts, sum)
 	}
 	for i, t := range cfg.Classes {
-		w.sum.Classes = append(w.sum.Classes, ClassSummary{Name: t.Name, Worth: cmp.Or(cfg.Settings.Classes[i].Worth, 1), Took: hdrhistogram.New(1, tookMost.Microseconds(), 3)})
+		w.sum.Classes = append(w.sum.Classes, ClassSummary{Name: t.Name, Worth: cmp.Or(cfg.Settings.Classes[i].PriorityWeight, 1), Took: hdrhistogram.New(1, tookMost.Microseconds(), 3)})
 		w.arrive = append(w.arrive, stream(cfg.Seed, "arrive "+t.Name, 0))
 		w.works = append(w.works, stream(cfg.Seed, "work "+t.Name, 0))
 		w.longest = max(w.longest, t.Work.Seconds())
@@ -448,7 +448,7 @@
 		w.queue.push(event{at: w.now + (r.until-w.now)/earlyPart, kind: evLeave, n: 1, r: r})
 	}
 	w.tell(g, func() {
-		g.bal.Request(w.now, balancer.Request{ID: r.id, Class: r.class, Left: r.until - w.now, Repeat: r.try > 0})
+		g.bal.Request(w.now, balancer.Request{ID: r.id, Class: r.class, Remaining: r.until - w.now, Duplicate: r.try > 0})
 	})
 }
 
@@ -533,7 +533,7 @@
 	switch o {
 	case outcomeServed:
 		c.Took.RecordValue(max(1, took.Microseconds())) // it fails beyond tookMost only
-		aim := w.cfg.Settings.Classes[r.class].Aim
+		aim := w.cfg.Settings.Classes[r.class].LatencyObjective
 		if aim == 0 {
 			aim = w.cfg.Settings.Classes[r.class].Deadline
 		}
@@ -559,13 +559,13 @@
 	}
 	if early {
 		r.over, r.try = true, math.MaxInt // it does not come again
-		w.tell(r.gateway, func() { r.gateway.bal.Gone(w.now, r.id) })
+		w.tell(r.gateway, func() { r.gateway.bal.ClientGone(w.now, r.id) })
 		w.retry(r, outcomeLeft, 0)
 		w.forget(r)
 		return
 	}
 	w.broke(RuleLost, "request %d has no answer when its time is up", r.id)
 	r.over = true
-	w.tell(r.gateway, func() { r.gateway.bal.Gone(w.now, r.id) })
+	w.tell(r.gateway, func() { r.gateway.bal.ClientGone(w.now, r.id) })
 	w.retry(r, outcomeLeft, 0)
 }
--- a/internal/places/places_test.go
+++ b/internal/places/places_test.go
@@ -10,8 +10,8 @@
 	"dunemoor/balancer"
 )
 
-func class(name string, effect balancer.Effect) Class {
-	return Class{name, balancer.Class{Aim: time.Second, Deadline: time.Second, Effect: effect}}
+func class(name string, effect balancer.Idempotency) Class {
+	return Class{name, balancer.Class{LatencyObjective: time.Second, Deadline: time.Second, Idempotency: effect}}
 }
 
 // show is a list as its names, those retired in brackets.
@@ -28,8 +28,8 @@
 }
 
 func TestNext(t *testing.T) {
-	look, book, strict := class("look", balancer.Safe), class("book", balancer.Unsafe), class("look", balancer.Unsafe)
-	more := class("more", balancer.Safe)
+	look, book, strict := class("look", balancer.Idempotent), class("book", balancer.NonIdempotent), class("look", balancer.NonIdempotent)
+	more := class("more", balancer.Idempotent)
 	none, all := func(int) bool { return false }, func(int) bool { return true }
 	gone := look
 	gone.Rules.Retired = true
@@ -71,7 +71,7 @@
 			var wanted []Class
 			for _, n := range names {
 				if rng.IntN(2) == 0 {
-					wanted = append(wanted, class(n, balancer.Effect(rng.IntN(3))))
+					wanted = append(wanted, class(n, balancer.Idempotency(rng.IntN(3))))
 				}
 			}
 			if len(wanted) == 0 {
@@ -86,7 +86,7 @@
 				t.Fatalf("seed %d: %d numbers, %d before", seed, len(list), len(now))
 			}
 			for n, rules := range under {
-				if got := list[n].Rules; got.Effect != rules.Effect {
+				if got := list[n].Rules; got.Idempotency != rules.Idempotency {
 					t.Fatalf("seed %d: rules under number %d have changed", seed, n)
 				}
 			}
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -240,7 +240,7 @@
 	m.Length, m.Gateways, m.Skew = time.Duration(f.Length), f.Gateways, f.Skew
 	m.Settings = balancer.Settings{
 		Instances: 1, MaxAttempts: f.Module.Attempts, Cancel: true, MaxRetryAfter: time.Duration(f.Module.RetryAfter),
-		ColdFrom: f.Module.ColdFrom, WarmAfter: time.Duration(f.Module.WarmAfter), OverloadFactor: f.Module.Overload, Fall: time.Duration(f.Module.Fall),
+		SlowStartShare: f.Module.ColdFrom, SlowStartWindow: time.Duration(f.Module.WarmAfter), OverloadFactor: f.Module.Overload, OverloadWindow: time.Duration(f.Module.Fall),
 	}
 	for _, h := range f.Hosts {
 		m.Hosts = append(m.Hosts, model.Kind{
@@ -259,8 +259,8 @@
 			bad("class", i, "group", "%q is none of %s", c.Group, strings.Join(groups, ", "))
 		}
 		m.Settings.Classes = append(m.Settings.Classes, balancer.Class{
-			Aim: time.Duration(c.Aim), Deadline: time.Duration(c.Deadline), Worth: c.Worth, Effect: balancer.Effect(max(effect, 0)),
-			Group: balancer.Group(max(group, 0)), Window: time.Duration(c.Window),
+			LatencyObjective: time.Duration(c.Aim), Deadline: time.Duration(c.Deadline), PriorityWeight: c.Worth, Idempotency: balancer.Idempotency(max(effect, 0)),
+			DedupScope: balancer.DedupScope(max(group, 0)), DedupWindow: time.Duration(c.Window),
 		})
 		m.Classes = append(m.Classes, model.Traffic{Name: c.Name, Rate: c.Rate, Work: time.Duration(c.Work), Dist: model.Dist(c.Dist), CV: c.CV})
 	}
@@ -304,7 +304,7 @@
 	m, k := &s.Model, &s.Model.Settings
 	f := file{
 		About: s.About, Seed: int64(s.Seed), Length: config.Span(m.Length), Gateways: m.Gateways, Skew: m.Skew,
-		Module:  module{k.MaxAttempts, config.Span(k.MaxRetryAfter), k.ColdFrom, config.Span(k.WarmAfter), k.OverloadFactor, config.Span(k.Fall)},
+		Module:  module{k.MaxAttempts, config.Span(k.MaxRetryAfter), k.SlowStartShare, config.Span(k.SlowStartWindow), k.OverloadFactor, config.Span(k.OverloadWindow)},
 		Clients: clients{m.Clients.Retries, config.Span(m.Clients.Backoff), m.Clients.Jitter, m.Clients.Honour, config.Span(m.Clients.Notice), m.Clients.Early, m.Clients.Hasty},
 		Net:     network{config.Span(m.Net.Delay), m.Net.Spread, config.Span(m.Net.Handshake), config.Span(m.Net.Connect)},
 		Lists:   lists{config.Span(m.Lists.Delay), config.Span(m.Lists.Silent), config.Span(m.Lists.Spread), config.Span(m.Lists.Call)},
@@ -316,8 +316,8 @@
 	for i, t := range m.Classes {
 		c := k.Classes[i]
 		f.Class = append(f.Class, class{
-			t.Name, effects[c.Effect], groups[c.Group], config.Span(c.Window), t.Rate, config.Span(t.Work), string(t.Dist), t.CV,
-			config.Span(c.Aim), config.Span(c.Deadline), c.Worth,
+			t.Name, effects[c.Idempotency], groups[c.DedupScope], config.Span(c.DedupWindow), t.Rate, config.Span(t.Work), string(t.Dist), t.CV,
+			config.Span(c.LatencyObjective), config.Span(c.Deadline), c.PriorityWeight,
 		})
 	}
 	for _, b := range m.Bursts {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -54,13 +54,13 @@
 	return math.MaxInt64
 }
 
-var effects = map[string]balancer.Effect{
-	"idempotent": balancer.Safe, "deduplicated": balancer.Keyed, "at_most_once": balancer.Unsafe,
+var effects = map[string]balancer.Idempotency{
+	"idempotent": balancer.Idempotent, "deduplicated": balancer.IdempotentWithKey, "at_most_once": balancer.NonIdempotent,
 }
 
-var groups = map[string]balancer.Group{
-	"": balancer.GroupAll, "all": balancer.GroupAll,
-	"zone": balancer.GroupZone, "cell": balancer.GroupCell,
+var groups = map[string]balancer.DedupScope{
+	"": balancer.ScopeAll, "all": balancer.ScopeAll,
+	"zone": balancer.ScopeZone, "cell": balancer.ScopeCell,
 }
 
 // ParseSettings reads the settings object of a Hello.
@@ -72,10 +72,10 @@
 	}
 	out = balancer.Settings{
 		Instances: in.Balancers, Rank: in.Rank, Step: in.Step.span(),
-		MaxAttempts: in.Caps.MaxAttempts, Cancel: in.Caps.Cancel, OverQuotaWorth: in.OverShare,
-		Ask: in.Discovery == "subscribe", AskWithin: in.Obligations.AskWithin.span(),
-		ColdFrom: in.Obligations.ColdFrom, WarmAfter: in.Obligations.WarmAfter.span(),
-		OverloadFactor: in.Obligations.OverloadFactor, Fall: in.Obligations.Fall.span(),
+		MaxAttempts: in.Caps.MaxAttempts, Cancel: in.Caps.Cancel, OverQuotaWeight: in.OverShare,
+		Poll: in.Discovery == "subscribe", PollTimeout: in.Obligations.AskWithin.span(),
+		SlowStartShare: in.Obligations.ColdFrom, SlowStartWindow: in.Obligations.WarmAfter.span(),
+		OverloadFactor: in.Obligations.OverloadFactor, OverloadWindow: in.Obligations.Fall.span(),
 	}
 	if in.Caps.RetryAfter {
 		out.MaxRetryAfter = in.Caps.MaxRetryAfter.span()
@@ -90,8 +90,8 @@
 			return out, fmt.Errorf("settings: class %d: unknown group %q", i, c.Group)
 		}
 		out.Classes = append(out.Classes, balancer.Class{
-			Aim: c.Promise.span(), Deadline: c.HardLimit.span(), Worth: c.Importance,
-			Effect: effect, Group: group, Window: c.Window.span(),
+			LatencyObjective: c.Promise.span(), Deadline: c.HardLimit.span(), PriorityWeight: c.Importance,
+			Idempotency: effect, DedupScope: group, DedupWindow: c.Window.span(),
 		})
 	}
 	for _, t := range in.Tenants {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -167,9 +167,9 @@
 		e.Request.Class = int(f.u8())
 		e.Request.Tenant = int(f.u16())
 		f.u32() // expected work
-		e.Request.Left = f.time()
+		e.Request.Remaining = f.time()
 		f.u64() // routing key
-		e.Request.Repeat = f.u8()&flagRepeat != 0
+		e.Request.Duplicate = f.u8()&flagRepeat != 0
 	case Flowing:
 		e.Request.ID = balancer.RequestID(f.u32())
 		e.Attempt = int(f.u16())
@@ -352,10 +352,10 @@
 		w.record(withdraw, instance, 10)
 		w.u32(uint32(a.Request))
 		w.u16(uint16(a.Attempt))
-	case balancer.Refuse:
+	case balancer.Reject:
 		w.record(busy, instance, 12)
 		w.u32(uint32(a.Request))
-		w.u32(uint32(a.After / unit))
+		w.u32(uint32(a.RetryAfter / unit))
 	case balancer.Fail:
 		w.record(fail, instance, 8)
 		w.u32(uint32(a.Request))
@@ -367,7 +367,7 @@
 		w.record(letGo, instance, 10)
 		w.u32(uint32(a.Host))
 		w.u16(uint16(a.Host >> 32))
-	case balancer.Watch:
+	case balancer.Poll:
 		w.record(tail, instance, 5)
 		w.buf = append(w.buf, 1)
 	case balancer.Log:
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -60,7 +60,7 @@
 	}{
 		{"request", "02 03000000 c4913a5d 01 0200 e02e0000 80a90300 640ad2557c3bf091 03",
 			Event{Code: Req, Instance: 3, Request: balancer.Request{
-				ID: 0x5d3a91c4, Class: 1, Tenant: 2, Left: 240 * time.Millisecond, Repeat: true}}},
+				ID: 0x5d3a91c4, Class: 1, Tenant: 2, Remaining: 240 * time.Millisecond, Duplicate: true}}},
 		{"attempt end", "04 03000000 c4913a5d 0100 0a124a07 2b23 2e01 44480000 01 01 0000803f",
 			Event{Code: AttemptEnd, Instance: 3, Outcome: balancer.Outcome{Request: 0x5d3a91c4, Attempt: 1,
 				Result: balancer.Full, Elapsed: 18500 * time.Microsecond, Closed: true}}},
@@ -161,7 +161,7 @@
 		// At is when it has to be out: no time to give it up at, which is what stands on the wire.
 		{balancer.Action{Kind: balancer.Send, Request: 0x5d3a91c4, Host: host, At: 8492506 * time.Microsecond},
 			"40 16000000 03000000 c4913a5d 0a124a07 2b23 0000000000000000"},
-		{balancer.Action{Kind: balancer.Refuse, Request: 0x5d3a91c4, After: 250 * time.Millisecond},
+		{balancer.Action{Kind: balancer.Reject, Request: 0x5d3a91c4, RetryAfter: 250 * time.Millisecond},
 			"41 0c000000 03000000 c4913a5d 90d00300"},
 		{balancer.Action{Kind: balancer.Fail, Request: 0x0e6f2b19}, "42 08000000 03000000 192b6f0e"},
 		{balancer.Action{Kind: balancer.Cancel, Request: 0x5d3a91c4, Attempt: 2},
@@ -170,7 +170,7 @@
 			"44 14000000 03000000 7afa870000000000 4d00000000000000"},
 		{balancer.Action{Kind: balancer.Log, Text: "hi 7"}, "48 0a000000 03000000 0400 68692037"},
 		{balancer.Action{Kind: balancer.Close, Host: 0x232b074a120a}, "46 0a000000 03000000 0a124a07 2b23"},
-		{balancer.Action{Kind: balancer.Watch}, "4a 05000000 03000000 01"},
+		{balancer.Action{Kind: balancer.Poll}, "4a 05000000 03000000 01"},
 	}
 	for _, tt := range tests {
 		var out bytes.Buffer
@@ -216,15 +216,15 @@
 		t.Fatal(err)
 	}
 	want := balancer.Settings{
-		Instances: 4, Rank: 2, Step: 2 * time.Millisecond, Ask: true, AskWithin: 10 * time.Second,
-		OverQuotaWorth: 0.05, Cancel: true,
+		Instances: 4, Rank: 2, Step: 2 * time.Millisecond, Poll: true, PollTimeout: 10 * time.Second,
+		OverQuotaWeight: 0.05, Cancel: true,
 		MaxAttempts: 3, MaxRetryAfter: 600 * time.Millisecond,
-		ColdFrom: 0.31, Fall: time.Second, OverloadFactor: 2.5, WarmAfter: 8900 * time.Millisecond,
+		SlowStartShare: 0.31, OverloadWindow: time.Second, OverloadFactor: 2.5, SlowStartWindow: 8900 * time.Millisecond,
 		Tenants: []balancer.Tenant{{Quota: 104}},
 		Classes: []balancer.Class{
-			{Aim: 300 * time.Millisecond, Deadline: 1200 * time.Millisecond, Worth: 2,
-				Effect: balancer.Keyed, Group: balancer.GroupCell, Window: 5 * time.Second},
-			{Deadline: time.Microsecond, Effect: balancer.Unsafe},
+			{LatencyObjective: 300 * time.Millisecond, Deadline: 1200 * time.Millisecond, PriorityWeight: 2,
+				Idempotency: balancer.IdempotentWithKey, DedupScope: balancer.ScopeCell, DedupWindow: 5 * time.Second},
+			{Deadline: time.Microsecond, Idempotency: balancer.NonIdempotent},
 		},
 	}
 	if !reflect.DeepEqual(got, want) {
