--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -183,20 +183,7 @@
 	}
 	switch a.result {
 	case OK:
-		h.brokenResponses = 0
-		b.recordForClasses(a, b.recordSuccess)
-		b.countOvertaken(a)
-		b.addSample(h, b.normalizeRTT(a, rtt))
-		b.adjustLimit(h, relative, objective, a.sent)
-		b.adjustSendRate(a, rtt)
-		if !a.req.done {
-			b.recordStarvation(a.req, false)
-		}
-		if !h.warming && b.counts.inUse > 0 {
-			b.successes.add(b.now, b.rateSpan())
-			b.warmHostRate.add(b.successes.now(b.now, b.rateSpan()) / float64(b.counts.inUse))
-		}
-		b.readmit(h)
+		b.observeSuccess(a, rtt, relative)
 	case Full:
 		// A host that is full takes no more. Its rejections are fast: one that gives nothing else would
 		// attract everything that waits.
@@ -242,3 +229,22 @@
 		b.eject(h, CauseConnections)
 	}
 }
+
+// observeSuccess learns from a good response.
+func (b *Balancer) observeSuccess(a *attempt, rtt, relative float64) {
+	h := a.host
+	h.brokenResponses = 0
+	b.recordForClasses(a, b.recordSuccess)
+	b.countOvertaken(a)
+	b.addSample(h, b.normalizeRTT(a, rtt))
+	b.adjustLimit(h, relative, a.req.class.LatencyObjective, a.sent)
+	b.adjustSendRate(a, rtt)
+	if !a.req.done {
+		b.recordStarvation(a.req, false)
+	}
+	if !h.warming && b.counts.inUse > 0 {
+		b.successes.add(b.now, b.rateSpan())
+		b.warmHostRate.add(b.successes.now(b.now, b.rateSpan()) / float64(b.counts.inUse))
+	}
+	b.readmit(h)
+}
--- a/balancer/checkpoint.go
+++ b/balancer/checkpoint.go
@@ -5,19 +5,18 @@
 	"errors"
 	"fmt"
 	"math"
-	"slices"
 )
 
-// A checkpoint is the whole state of a Balancer as bytes. A Balancer restored from it
-// acts from there on exactly as the one it was taken from, so that a recording can be
-// replayed from any checkpoint and not only from the start.
+// A checkpoint is the complete state of a Balancer as bytes. A Balancer restored from it acts exactly as the
+// one that it was taken from, so that a recording can be replayed from any checkpoint and not only from the
+// start.
 //
-// One walk over the state serves both ways: what is saved is what is loaded.
+// One walk over the state serves both directions: what is saved is what is loaded.
 
-// checkpointVersion changes with every change of what a checkpoint holds.
+// checkpointVersion changes whenever the contents of a checkpoint change.
 const checkpointVersion = 4
 
-// Checkpoint appends the state to dst. The actions decided must have been drained.
+// Checkpoint appends the state to dst. The actions decided before must have been taken.
 func (b *Balancer) Checkpoint(dst []byte) []byte {
 	s := state{buf: dst}
 	version := uint64(checkpointVersion)
@@ -26,8 +25,7 @@
 	return s.buf
 }
 
-// Restore returns the Balancer that a checkpoint was taken of. The settings must be
-// those that it ran with.
+// Restore returns the Balancer that a checkpoint was taken of. The settings must be those that it had.
 func Restore(set Settings, data []byte) (*Balancer, error) {
 	b, err := New(set, 0)
 	if err != nil {
@@ -41,7 +39,7 @@
 	}
 	b.walk(&s)
 	if s.err == nil && len(s.buf) > 0 {
-		s.err = errors.New("bytes are left over")
+		s.err = errors.New("it is followed by more bytes")
 	}
 	if s.err != nil {
 		return nil, fmt.Errorf("checkpoint: %w", s.err)
@@ -49,7 +47,7 @@
 	return b, nil
 }
 
-// state is the walk: with loading unset each step appends, else it takes.
+// state is the walk: each step appends to buf, or takes from it when loading.
 type state struct {
 	buf     []byte
 	loading bool
@@ -99,7 +97,7 @@
 	*v = x != 0
 }
 
-// whole walks any whole number, signed or not.
+// whole walks an integer, signed or not.
 func whole[T ~int | ~int64 | ~uint8 | ~uint64](s *state, v *T) {
 	z := int64(*v)
 	x := uint64(z<<1) ^ uint64(z>>63)
@@ -107,8 +105,8 @@
 	*v = T(int64(x>>1) ^ -int64(x&1))
 }
 
-// count walks a number of items, each of which takes a byte at least: it guards against
-// a length that would have memory taken for what is not there.
+// count walks a number of items, each of which has at least a byte: it guards against allocating memory for
+// items that are not there.
 func (s *state) count(n int) int {
 	x := uint64(n)
 	s.u64(&x)
@@ -151,11 +149,11 @@
 	s.f64(&r.rate)
 	whole(s, &r.at)
 	if s.loading {
-		r.seenAt = -1 // what was worked out is worked out again
+		r.seenAt = -1 // it is computed again
 	}
 }
 
-// walk goes over all state but the settings and what follows from them.
+// walk walks the state, without the settings and what is derived from them.
 func (b *Balancer) walk(s *state) {
 	whole(s, &b.rng)
 	whole(s, &b.now)
@@ -203,245 +201,3 @@
 	b.walkHosts(s)
 	b.walkRequests(s)
 }
-
-func (b *Balancer) walkHosts(s *state) {
-	n := s.count(len(b.hosts))
-	if s.loading {
-		b.hosts = make([]*host, n)
-	}
-	for i := range n {
-		if s.loading {
-			b.hosts[i] = &host{index: i, class: make([]classErrors, len(b.set.Classes)), readySet: setNone}
-		}
-		h := b.hosts[i]
-		h.walk(s)
-		if s.loading {
-			b.byID[h.ID] = h
-			b.addToKind(h)
-		}
-	}
-	for k := range b.sets {
-		b.walkList(s, &b.sets[k].list)
-		for i, h := range b.sets[k].list {
-			if h.position[k] = i + 1; k < setBusy {
-				h.readySet = k
-			}
-		}
-	}
-	b.walkList(s, &b.rechecks)
-	for i, h := range b.rechecks {
-		h.recheckPosition = i + 1
-	}
-	if !s.loading {
-		return
-	}
-	for _, h := range b.hosts {
-		if h.ranked = h.rank(); h.ranked > 0 {
-			b.readyHosts[h.ranked-1]++
-		}
-		h.counted.unrecovered = h.counted.ready && h.ejections > 0 // it follows from what is kept
-		b.counts.add(h.counted, 1)
-		for i := range h.class {
-			if h.class[i].counted {
-				b.excluded[i].add(h.counted, 1)
-			}
-		}
-	}
-	if b.ringBuilt {
-		b.buildRing()
-	}
-}
-
-// walkList walks a list of hosts, each by its place among all.
-func (b *Balancer) walkList(s *state, list *[]*host) {
-	n := s.count(len(*list))
-	if s.loading {
-		*list = make([]*host, 0, n)
-	}
-	for i := range n {
-		k := 0
-		if !s.loading {
-			k = (*list)[i].index
-		}
-		k = s.index(k, len(b.hosts))
-		if k < 0 {
-			s.fail("a list names no host")
-			return
-		}
-		if s.loading {
-			*list = append(*list, b.hosts[k])
-		}
-	}
-}
-
-func (h *host) walk(s *state) {
-	whole(s, &h.ID)
-	whole(s, &h.Zone)
-	whole(s, &h.Cell)
-	whole(s, &h.Kind)
-	whole(s, &h.State)
-	h.ringHash = mix(uint64(h.ID))
-	for _, t := range []*Time{&h.Started, &h.rttAt, &h.lastResponse, &h.limitCutAt, &h.restingUntil, &h.ejectedUntil, &h.startedAt, &h.nextSlowStartSend, &h.recheckTime} {
-		whole(s, t)
-	}
-	for _, f := range []*float64{&h.rtt, &h.concurrencyLimit} {
-		s.f64(f)
-	}
-	for _, f := range []*bool{&h.sampled, &h.trialOut, &h.backoffCut, &h.warming, &h.hasErrors,
-		&h.counted.ready, &h.counted.inUse, &h.counted.ejected, &h.counted.broken} {
-		s.flag(f)
-	}
-	for _, n := range []*int{&h.brokenResponses, &h.ejections} {
-		whole(s, n)
-	}
-	whole(s, &h.ejectCause)
-	s.mean(&h.recentRTT)
-	for i := range h.class {
-		f := &h.class[i]
-		s.f64(&f.share)
-		whole(s, &f.at)
-		whole(s, &f.exclusions)
-		whole(s, &f.excludedAt)
-		whole(s, &f.excludedUntil)
-		s.flag(&f.counted)
-	}
-}
-
-// walkRequests goes over the requests in the order of their ids, then the lines, then
-// what is out at each host in the order sent.
-func (b *Balancer) walkRequests(s *state) {
-	ids := make([]RequestID, 0, len(b.open))
-	for id := range b.open {
-		ids = append(ids, id)
-	}
-	slices.Sort(ids)
-	n := s.count(len(ids))
-	for i := range n {
-		r := &request{}
-		if !s.loading {
-			r = b.open[ids[i]]
-		}
-		b.walkRequest(s, r)
-		if s.err != nil {
-			return
-		}
-		if s.loading {
-			b.open[r.ID] = r
-		}
-	}
-	for k := range b.queues {
-		n, next := 0, b.queues[k].head
-		for m := next; m != nil; m = m.next {
-			n++
-		}
-		for n = s.count(n); n > 0; n-- {
-			var id RequestID
-			if !s.loading {
-				id, next = next.item.ID, next.next
-			}
-			whole(s, &id)
-			if !s.loading {
-				continue
-			}
-			r := b.open[id]
-			if r == nil || r.queued {
-				s.fail("a line names no request")
-				return
-			}
-			r.band = k
-			b.addToQueue(r, false)
-		}
-	}
-	for _, h := range b.hosts {
-		n, next := h.inFlight, h.attempts.head
-		for n = s.count(n); n > 0; n-- {
-			var id RequestID
-			var k int
-			if !s.loading {
-				a := next.item
-				id, next = a.req.ID, next.next
-				for k = range a.req.attempts {
-					if a.req.attempts[k] == a {
-						break
-					}
-				}
-			}
-			whole(s, &id)
-			whole(s, &k)
-			if !s.loading {
-				continue
-			}
-			r := b.open[id]
-			if r == nil || k < 0 || k >= len(r.attempts) || r.attempts[k].ended || r.attempts[k].host != h || r.attempts[k].link.item != nil {
-				s.fail("a host names no attempt")
-				return
-			}
-			a := r.attempts[k]
-			a.link.item = a
-			h.attempts.pushBack(&a.link)
-			h.inFlight++
-		}
-	}
-}
-
-func (b *Balancer) walkRequest(s *state, r *request) {
-	whole(s, &r.ID)
-	whole(s, &r.Class)
-	if r.Class < 0 || r.Class >= len(b.set.Classes) {
-		s.fail("a request of class %d", r.Class)
-		return
-	}
-	r.class = &b.set.Classes[r.Class]
-	whole(s, &r.Tenant)
-	for _, t := range []*Time{&r.Remaining, &r.arrived, &r.deadline, &r.waitUntil} {
-		whole(s, t)
-	}
-	whole(s, &r.band)
-	if r.band < 0 || r.band >= len(b.queues) {
-		s.fail("a request in line %d", r.band)
-		return
-	}
-	for _, f := range []*bool{&r.Duplicate, &r.done, &r.timedOut, &r.streaming} {
-		s.flag(f)
-	}
-	n := s.count(len(r.attempts))
-	for i := range n {
-		if s.loading {
-			r.attempts = append(r.attempts, &attempt{req: r})
-		}
-		a := r.attempts[i]
-		var h Host
-		live := false
-		if !s.loading {
-			h, live = a.host.Host, b.byID[a.host.ID] == a.host
-		}
-		s.flag(&live)
-		whole(s, &h.ID)
-		whole(s, &h.Zone)
-		whole(s, &h.Cell)
-		whole(s, &a.sent)
-		whole(s, &a.result)
-		whole(s, &a.overtakenBy)
-		for _, f := range []*bool{&a.ended, &a.trial, &a.canceledStuck, &a.countedSilent} {
-			s.flag(f)
-		}
-		if !s.loading {
-			continue
-		}
-		if !a.ended {
-			r.inFlight++
-		}
-		if live {
-			a.host = b.byID[h.ID]
-		} else if a.ended {
-			// It was forgotten after the attempt ended: only its zone and cell still
-			// count, for the repeats of a keyed request.
-			h.State = Removed
-			a.host = &host{Host: h}
-		}
-		if a.host == nil {
-			s.fail("an attempt at no host")
-			return
-		}
-	}
-}
--- a/balancer/retune.go
+++ b/balancer/retune.go
@@ -5,63 +5,81 @@
 	"fmt"
 )
 
-// New settings while a Balancer serves. Nothing here decides anything.
-
-// Retune takes over settings. What was learnt of hosts stays, and so do requests and attempts.
-// Classes are known by their place: a class with a request under way must stand in its place
-// with its rules as they were, marked Retired if no more of it come. from says for each place
-// whose learning it goes on from, by the place in the settings before; -1 for nobody's. Whether
-// the list must be asked for is settled at the start: Ask stays as it was. On an error nothing
-// has changed. The actions decided before must have been drained; this decides none.
+// Retune takes over new settings while the Balancer serves. What was learnt of hosts stays, and so do
+// requests and attempts. Classes are identified by their index: a class with an open request must keep its
+// index and its rules, marked Retired if no more of it arrive. For each class, from is the index of the
+// previous class whose learnt state it continues; -1: none. Settings.Poll stays as it was at the start. On an
+// error nothing has changed. The actions decided before must have been taken; Retune decides none.
 func (b *Balancer) Retune(now Time, set Settings, from []int) error {
 	if err := check(&set); err != nil {
 		return err
 	}
+	if err := b.checkRetune(&set, from); err != nil {
+		return err
+	}
+	set.Poll = b.set.Poll
+	b.now, b.set = now, set
+	b.continueClasses(from)
+	quota := b.quota
+	b.quota = nil
+	b.derive()
+	for i := range min(len(quota), len(b.quota)) {
+		b.quota[i].tokens, b.quota[i].at = quota[i].tokens, quota[i].at
+	}
+	b.requeue()
+	b.subsetCurrent = false
+	for _, h := range b.hosts {
+		b.recheck(h)
+	}
+	return nil
+}
+
+// checkRetune returns an error for settings that don't fit the classes that there are.
+func (b *Balancer) checkRetune(set *Settings, from []int) error {
 	if len(from) != len(set.Classes) {
-		return fmt.Errorf("retune: %d classes go on from %d", len(set.Classes), len(from))
+		return fmt.Errorf("retune: %d classes continue %d", len(set.Classes), len(from))
 	}
 	for i, f := range from {
 		if f < -1 || f >= len(b.set.Classes) {
-			return fmt.Errorf("retune: class %d goes on from %d", i, f)
+			return fmt.Errorf("retune: class %d continues class %d, which does not exist", i, f)
 		}
 	}
 	for _, r := range b.open {
 		if r.Class >= len(set.Classes) || !sameRules(*r.class, set.Classes[r.Class]) {
-			return errors.New("retune: a class with requests under way has other rules")
+			return errors.New("retune: a class with open requests has other rules")
 		}
 	}
-	set.Poll = b.set.Poll
-	b.now, b.set = now, set
+	return nil
+}
 
-	lat, harm := make([]movingAverage, len(from)), make([]decayingShare, len(from))
+// continueClasses gives each class the learnt state of the one that it continues.
+func (b *Balancer) continueClasses(from []int) {
+	rtt, starvation := make([]movingAverage, len(from)), make([]decayingShare, len(from))
 	for i, f := range from {
 		if f >= 0 {
-			lat[i], harm[i] = b.classRTT[f], b.starvation[f]
+			rtt[i], starvation[i] = b.classRTT[f], b.starvation[f]
 		}
 	}
-	b.classRTT, b.starvation, b.excluded = lat, harm, make([]subsetCounts, len(from))
+	b.classRTT, b.starvation, b.excluded = rtt, starvation, make([]subsetCounts, len(from))
 	for _, h := range b.hosts {
 		class := make([]classErrors, len(from))
 		for i, f := range from {
 			if f >= 0 {
 				class[i] = h.class[f]
-				class[i].counted = false // it is counted anew
+				class[i].counted = false // it is counted again by recheck
 			}
 		}
 		h.class = class
 	}
-	quota := b.quota
-	b.quota = nil
-	b.derive()
-	for i := range min(len(quota), len(b.quota)) {
-		b.quota[i].tokens, b.quota[i].at = quota[i].tokens, quota[i].at
-	}
+}
 
-	// What waits keeps its order in each line, and every request its part of its class.
+// requeue orders the queues anew. Queued requests keep their order in each queue, and each request its part
+// of its class.
+func (b *Balancer) requeue() {
 	parts := make(map[RequestID]int, len(b.open))
 	for id, r := range b.open {
-		for part, line := range b.bandOf[r.Class] {
-			if line == r.band {
+		for part, band := range b.bandOf[r.Class] {
+			if band == r.band {
 				parts[id] = part
 			}
 		}
@@ -81,15 +99,9 @@
 	for _, r := range waiting {
 		b.addToQueue(r, false)
 	}
-
-	b.subsetCurrent = false
-	for _, h := range b.hosts {
-		b.recheck(h)
-	}
-	return nil
 }
 
-// sameRules says whether two classes are alike but for being retired.
+// sameRules reports whether two classes differ in Retired at most.
 func sameRules(a, c Class) bool {
 	a.Retired, c.Retired = false, false
 	return a == c
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -65,6 +65,11 @@
 			return b.lessLoaded(r, x, y)
 		}
 	}
+	return b.chooseGathered(r, set, n, useExcluded)
+}
+
+// chooseGathered chooses among the hosts of n sets from one on that are still ready.
+func (b *Balancer) chooseGathered(r *request, set, n int, useExcluded bool) *host {
 	b.candidates = b.candidates[:0]
 	for k := set; k < set+n; k++ {
 		for i := len(b.sets[k].list) - 1; i >= 0; i-- { // a host that leaves the set is replaced by the last
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Settings beyond these are a mistake of whoever wrote them, and would overflow.
+// Limits of settings. What exceeds them is a mistake, and would overflow.
 const (
 	maxTime   = 1000 * time.Hour
 	maxCount  = 1 << 20
 	maxFigure = 1e12
-	// askMost bounds AskWithin, from which the waits before a question follow: what changes counts as
-	// told 6 s after it could be heard, however long the settings let an instance go without.
+	// maxPollTimeout bounds PollTimeout, from which the backoff of polls follows: a change counts as known 6 s
+	// after it could be learnt, however long a poll the settings allow.
 	maxPollTimeout = 10 * time.Second
 )
 
-// check rejects what cannot be served, naming the field, and fills in defaults.
+// check returns an error that names the field for invalid settings, and sets defaults.
 func check(set *Settings) error {
 	switch {
 	case set.Instances < 1 || set.Instances > maxCount:
@@ -50,23 +50,32 @@
 			return fmt.Errorf("settings: %s: %v is not between 0 and %v", f.name, f.x, maxFigure)
 		}
 	}
+	if err := checkClasses(set); err != nil {
+		return err
+	}
+	for i, t := range set.Tenants {
+		if !isFigure(t.Quota) {
+			return fmt.Errorf("settings: tenant %d: quota: %v is not between 0 and %v", i, t.Quota, maxFigure)
+		}
+	}
+	orDefault(&set.MaxAttempts, 3)
+	orDefault(&set.PollTimeout, 10e9)
+	set.PollTimeout = min(set.PollTimeout, maxPollTimeout)
+	orDefault(&set.SlowStartShare, 1)
+	orDefault(&set.OverloadFactor, 2)
+	orDefault(&set.OverloadWindow, 1e9)
+	set.SlowStartShare = min(set.SlowStartShare, 1)
+	return nil
+}
+
+// checkClasses checks the classes, of which it makes a copy to set defaults in.
+func checkClasses(set *Settings) error {
 	set.Classes = append([]Class(nil), set.Classes...)
 	live := false
 	for i := range set.Classes {
 		c := &set.Classes[i]
-		switch {
-		case c.LatencyObjective < 0 || c.LatencyObjective > maxTime:
-			return fmt.Errorf("settings: class %d: aim: %v is not between 0 and %v", i, c.LatencyObjective, maxTime)
-		case c.Deadline <= 0 || c.Deadline > maxTime:
-			return fmt.Errorf("settings: class %d: deadline: %v is not above 0 and up to %v", i, c.Deadline, maxTime)
-		case c.DedupWindow < 0 || c.DedupWindow > maxTime:
-			return fmt.Errorf("settings: class %d: window: %v is not between 0 and %v", i, c.DedupWindow, maxTime)
-		case c.Idempotency > NonIdempotent:
-			return fmt.Errorf("settings: class %d: unknown effect %d", i, c.Idempotency)
-		case c.DedupScope > ScopeCell:
-			return fmt.Errorf("settings: class %d: unknown group %d", i, c.DedupScope)
-		case !isFigure(c.PriorityWeight):
-			return fmt.Errorf("settings: class %d: worth: %v is not between 0 and %v", i, c.PriorityWeight, maxFigure)
+		if err := checkClass(i, c); err != nil {
+			return err
 		}
 		if c.LatencyObjective == 0 || c.LatencyObjective > c.Deadline {
 			c.LatencyObjective = c.Deadline
@@ -77,24 +86,31 @@
 	if !live {
 		return errors.New("settings: classes: all are retired")
 	}
-	for i, t := range set.Tenants {
-		if !isFigure(t.Quota) {
-			return fmt.Errorf("settings: tenant %d: quota: %v is not between 0 and %v", i, t.Quota, maxFigure)
-		}
+	return nil
+}
+
+func checkClass(i int, c *Class) error {
+	switch {
+	case c.LatencyObjective < 0 || c.LatencyObjective > maxTime:
+		return fmt.Errorf("settings: class %d: aim: %v is not between 0 and %v", i, c.LatencyObjective, maxTime)
+	case c.Deadline <= 0 || c.Deadline > maxTime:
+		return fmt.Errorf("settings: class %d: deadline: %v is not above 0 and up to %v", i, c.Deadline, maxTime)
+	case c.DedupWindow < 0 || c.DedupWindow > maxTime:
+		return fmt.Errorf("settings: class %d: window: %v is not between 0 and %v", i, c.DedupWindow, maxTime)
+	case c.Idempotency > NonIdempotent:
+		return fmt.Errorf("settings: class %d: unknown effect %d", i, c.Idempotency)
+	case c.DedupScope > ScopeCell:
+		return fmt.Errorf("settings: class %d: unknown group %d", i, c.DedupScope)
+	case !isFigure(c.PriorityWeight):
+		return fmt.Errorf("settings: class %d: worth: %v is not between 0 and %v", i, c.PriorityWeight, maxFigure)
 	}
-	orDefault(&set.MaxAttempts, 3)
-	orDefault(&set.PollTimeout, 10e9)
-	set.PollTimeout = min(set.PollTimeout, maxPollTimeout)
-	orDefault(&set.SlowStartShare, 1)
-	orDefault(&set.OverloadFactor, 2)
-	orDefault(&set.OverloadWindow, 1e9)
-	set.SlowStartShare = min(set.SlowStartShare, 1)
 	return nil
 }
 
-// isFigure is false for NaN too.
+// isFigure reports whether x is in range, which NaN is not.
 func isFigure(x float64) bool { return x >= 0 && x <= maxFigure }
 
+// orDefault sets *v where it is zero.
 func orDefault[T int | float64 | Time](v *T, def T) {
 	if *v == 0 {
 		*v = def
