--- a/cmd/dunemoor/path_test.go
+++ b/cmd/dunemoor/path_test.go
@@ -114,7 +114,7 @@
 	for _, p := range asked {
 		p.ready(b)
 	}
-	until(b, "the fleet has formed", func() bool { return strings.Contains(asked[1].out.String(), "session begun") })
+	until(b, "the fleet has formed", func() bool { return strings.Contains(asked[1].out.String(), "session opened") })
 	for b.Loop() {
 		var rest, objects, requests [2]float64
 		var cpu [2]time.Duration
--- a/cmd/lab/scale_fleet.go
+++ b/cmd/lab/scale_fleet.go
@@ -482,7 +482,7 @@
 			if err := p.Start(ctx); err != nil {
 				return err
 			}
-			at, err := f.Wait(ctx, "session begun", began, 1, wholeMost)
+			at, err := f.Wait(ctx, "session opened", began, 1, wholeMost)
 			if err != nil {
 				return err
 			}
@@ -517,7 +517,7 @@
 				return err
 			}
 			started := time.Since(began)
-			at, err = f.Wait(ctx, "session begun", began, n, wholeMost)
+			at, err = f.Wait(ctx, "session opened", began, n, wholeMost)
 			if err != nil {
 				return err
 			}
@@ -640,7 +640,7 @@
 			stop := busiest()
 			began := time.Now()
 			lead.Kill()
-			at, err := f.Wait(ctx, "leading the record", began, 1, wholeMost)
+			at, err := f.Wait(ctx, "became leader", began, 1, wholeMost)
 			if err != nil {
 				return err
 			}
@@ -652,7 +652,7 @@
 			s.add("leader killed", "s until another leads", 0.1, n, at.Sub(began).Seconds())
 			s.add("leader killed", "s until its session has lapsed everywhere", 0.1, n, whole.Seconds())
 			s.add("leader killed", "KB in the busiest second, a gateway", 0.5, n, most/float64(n)/1000)
-			lapsed := len(f.Events("session lapsed", began))
+			lapsed := len(f.Events("session expired", began))
 			if err := lead.Start(ctx); err != nil {
 				return err
 			}
@@ -679,14 +679,14 @@
 				return err
 			}
 			s.add("a tenth killed", "s until their sessions have lapsed everywhere", 0.1, n, time.Since(began).Seconds())
-			lapsedTenth := len(f.Events("session lapsed", began))
+			lapsedTenth := len(f.Events("session expired", began))
 			began = time.Now()
 			for _, p := range list {
 				if err := p.Start(ctx); err != nil {
 					return err
 				}
 			}
-			if at, err = f.Wait(ctx, "session begun", began, gone, wholeMost); err != nil {
+			if at, err = f.Wait(ctx, "session opened", began, gone, wholeMost); err != nil {
 				return err
 			}
 			s.add("a tenth killed", "s until they have sessions again", 0.05, n, at.Sub(began).Seconds())
--- a/cmd/lab/scale_relays.go
+++ b/cmd/lab/scale_relays.go
@@ -245,7 +245,7 @@
 							return err
 						}
 					}
-					if _, err := f.Wait(ctx, "leading the record", began, 1, wholeMost); err != nil {
+					if _, err := f.Wait(ctx, "became leader", began, 1, wholeMost); err != nil {
 						return err
 					}
 				}
@@ -271,7 +271,7 @@
 				if err != nil {
 					return err
 				}
-				lapsed := len(f.Events("session lapsed", began))
+				lapsed := len(f.Events("session expired", began))
 				s.add(fault.name, "gateways that moved", 1, n, float64(len(times)))
 				s.add(fault.name, "s until half of them were with another", 0.01, n, part(times, 0.5))
 				s.add(fault.name, "s, 99 in 100", 0.01, n, part(times, 0.99))
--- a/internal/cluster/commands.go
+++ b/internal/cluster/commands.go
@@ -12,9 +12,9 @@
 // Errors of commands.
 var (
 	// ErrIndeterminate is returned where it is unknown whether a command was carried out.
-	ErrIndeterminate = errors.New("what came of it is not known: the record could not be reached in time")
+	ErrIndeterminate = errors.New("the outcome is unknown: no leader has replied in time")
 	// ErrBusy is returned where too many commands are pending. Nothing was done.
-	ErrBusy = errors.New("too many commands are out, nothing was done")
+	ErrBusy = errors.New("too many commands are pending, nothing was done")
 )
 
 // Propose has a command carried out and returns its result. The error is ErrIndeterminate or ErrBusy.
--- a/internal/cluster/loop.go
+++ b/internal/cluster/loop.go
@@ -170,7 +170,7 @@
 func (c *Cluster) receive(now time.Duration, from string, kind node.Kind, body []byte) {
 	if err := c.node.Receive(now, from, kind, body); err != nil {
 		c.transport.Counters.FramesMalformed.Add(1)
-		slog.Warn("a frame of the fleet can't be read", "gateway", from, "why", err.Error())
+		slog.Warn("malformed frame dropped", "gateway", from, "why", err.Error())
 	}
 }
 
--- a/internal/cluster/metrics.go
+++ b/internal/cluster/metrics.go
@@ -11,7 +11,7 @@
 
 func newWriteHistogram() prometheus.Histogram {
 	return prometheus.NewHistogram(prometheus.HistogramOpts{
-		Name: metricPrefix + "write_seconds", Help: "Time of a write to the fleet's log with its fsync.",
+		Name: metricPrefix + "write_seconds", Help: "Time of a write to the write-ahead log with its fsync.",
 		Buckets: prometheus.ExponentialBuckets(0.0001, 2, 16),
 	})
 }
@@ -46,27 +46,27 @@
 func (c *Cluster) RegisterMetrics(registerer prometheus.Registerer) {
 	r := registry{registerer}
 	n := &c.transport.Counters
-	r.counter("frames_sent_total", "Frames sent to other gateways, also those that only say that a connection is there.", &n.FramesSent)
+	r.counter("frames_sent_total", "Frames sent to other gateways, keepalives included.", &n.FramesSent)
 	r.counter("frame_bytes_sent_total", "Bytes of frames sent to other gateways, without headers of IP and TCP.", &n.BytesSent)
-	r.counter("frames_received_total", "Frames that came from other gateways.", &n.FramesReceived)
-	r.counter("frames_lost_total", "Frames not sent: their gateway was away, or too much waited for it.", &n.FramesLost)
-	r.counter("frames_garbled_total", "Frames that could not be read; their connection was ended.", &n.FramesMalformed)
-	r.counter("connections_refused_total", "Connections refused, by us or by the other side: key, fleet, format, name.", &n.ConnsRejected)
-	r.counter("connections_total", "Connections made to other gateways.", &n.Dials)
-	r.counter("snapshots_sent_total", "Snapshots of the record sent whole.", &n.SnapshotsSent)
-	r.counter("duty_changes_total", "Changes of hands of duties, as the leader of the record saw them.", &c.counters.transfers)
-	r.counter("news_fenced_total", "Words of owners of before that were not taken here.", &c.counters.stalePublications)
+	r.counter("frames_received_total", "Frames received from other gateways.", &n.FramesReceived)
+	r.counter("frames_lost_total", "Frames lost: their gateway could not be reached, or its queue was full.", &n.FramesLost)
+	r.counter("frames_garbled_total", "Malformed frames; their connections were closed.", &n.FramesMalformed)
+	r.counter("connections_refused_total", "Connections rejected by either side, for key, fleet, format or name.", &n.ConnsRejected)
+	r.counter("connections_total", "Connections opened to other gateways.", &n.Dials)
+	r.counter("snapshots_sent_total", "Snapshots of the coordination state sent.", &n.SnapshotsSent)
+	r.counter("duty_changes_total", "Leases granted or freed, as seen by the leader.", &c.counters.transfers)
+	r.counter("news_fenced_total", "Publications of former lease holders that were rejected.", &c.counters.stalePublications)
 	if len(c.cfg.Relays) > 0 {
 		c.registerRelayMetrics(r)
 	}
-	r.gauge("term", "The record's term as known here.", func() float64 { return float64(c.Status().Term) })
-	r.gauge("commit_index", "Index up to which the record is committed, as known here.", func() float64 { return float64(c.Status().Commit) })
-	r.gauge("applied_index", "Index up to which the record is applied here.", func() float64 { return float64(c.Status().Applied) })
-	r.flag("leader", "1 where this gateway leads the record.", func() bool { return c.Status().Role == roleLeader })
-	r.flag("session", "1 where this gateway has a session with its fleet.", func() bool { return c.Status().Session != 0 })
-	r.gauge("duties_held", "Duties that this gateway owns.", c.leasesHeld)
-	r.counter("disk_bytes_written_total", "Bytes written to the fleet's log.", &c.counters.bytesWritten)
-	r.counter("disk_syncs_total", "Fsyncs of the fleet's log.", &c.counters.syncs)
+	r.gauge("term", "Raft term as known here.", func() float64 { return float64(c.Status().Term) })
+	r.gauge("commit_index", "Committed index of the log, as known here.", func() float64 { return float64(c.Status().Commit) })
+	r.gauge("applied_index", "Index of the log up to which the state is applied here.", func() float64 { return float64(c.Status().Applied) })
+	r.flag("leader", "1 if this gateway is the leader.", func() bool { return c.Status().Role == roleLeader })
+	r.flag("session", "1 if this gateway has a session.", func() bool { return c.Status().Session != 0 })
+	r.gauge("duties_held", "Leases that this gateway holds.", c.leasesHeld)
+	r.counter("disk_bytes_written_total", "Bytes written to the write-ahead log.", &c.counters.bytesWritten)
+	r.counter("disk_syncs_total", "Fsyncs of the write-ahead log.", &c.counters.syncs)
 	r.MustRegister(c.writeSeconds)
 }
 
@@ -82,7 +82,7 @@
 
 // registerRelayMetrics registers the metrics of a fleet with relays.
 func (c *Cluster) registerRelayMetrics(r registry) {
-	r.counter("stream_bytes_received_total", "Bytes of frames that came by streams; frame_bytes_sent_total has what went.", &c.transport.Counters.StreamBytesReceived)
+	r.counter("stream_bytes_received_total", "Bytes of frames received by streams; frame_bytes_sent_total counts those sent.", &c.transport.Counters.StreamBytesReceived)
 	if c.isRelay(c.cfg.Name) {
 		c.registerRouterMetrics(r)
 	} else {
@@ -92,9 +92,9 @@
 
 // registerClientMetrics registers the metrics of a gateway with a stream to a relay.
 func (c *Cluster) registerClientMetrics(r registry) {
-	r.flag("relay_connected", "1 where this gateway has a stream to a relay.", func() bool { return c.Status().Relay.Name != "" })
-	r.counterFunc("relay_moves_total", "Streams to relays that were taken.", func() float64 { return float64(c.Status().Relay.Moves) })
-	r.counterFunc("relay_ends_total", "Streams to relays, and tries, that ended, for any cause; the status has them by cause.", func() (n float64) {
+	r.flag("relay_connected", "1 if this gateway has a stream to a relay.", func() bool { return c.Status().Relay.Name != "" })
+	r.counterFunc("relay_moves_total", "Streams that a relay has accepted.", func() float64 { return float64(c.Status().Relay.Moves) })
+	r.counterFunc("relay_ends_total", "Streams to relays and attempts that ended, for any cause; the status has them by cause.", func() (n float64) {
 		for _, count := range c.Status().Relay.Ends {
 			n += float64(count)
 		}
@@ -107,14 +107,14 @@
 	streams := func(value func(*StreamsStatus) uint64) func() float64 {
 		return func() float64 { return float64(value(c.Status().Streams)) }
 	}
-	r.gauge("streams", "Gateways that are connected with this relay.", func() float64 { return float64(c.Status().Streams.Streams) })
-	r.gauge("streams_bound", "Gateways that this relay takes as things are.", func() float64 { return float64(c.Status().Streams.Limit) })
-	r.gauge("routes", "Gateways that are known to be connected with any relay.", func() float64 { return float64(c.Status().Streams.Routes) })
-	r.gauge("relays_up", "Relays that are connected with this one both ways, and itself.", func() float64 { return float64(len(c.Status().Streams.Relays)) })
-	r.counter("streams_behind_total", "Streams that were ended as too much waited for their gateway.", &c.transport.Counters.StreamsOverrun)
-	r.counterFunc("streams_joined_total", "Streams of gateways that were taken.", streams(func(s *StreamsStatus) uint64 { return s.Joins }))
-	r.counterFunc("streams_refused_total", "Streams of gateways that were not taken, for want of room or of time.", streams(func(s *StreamsStatus) uint64 { return s.Rejected }))
-	r.counterFunc("streams_cut_total", "Streams that this relay cut: silent, too far behind, or known later elsewhere.", streams(func(s *StreamsStatus) uint64 { return s.Closed }))
-	r.counterFunc("records_dropped_total", "Words that were not passed on: they came late, twice, or for nobody that is known.", streams(func(s *StreamsStatus) uint64 { return s.Dropped }))
-	r.counterFunc("records_garbled_total", "Words that could not be read; those beside them were passed on.", streams(func(s *StreamsStatus) uint64 { return s.Malformed }))
+	r.gauge("streams", "Gateways with a stream to this relay.", func() float64 { return float64(c.Status().Streams.Streams) })
+	r.gauge("streams_bound", "Present limit of streams at this relay.", func() float64 { return float64(c.Status().Streams.Limit) })
+	r.gauge("routes", "Gateways known to have a stream to any relay.", func() float64 { return float64(c.Status().Streams.Routes) })
+	r.gauge("relays_up", "Relays connected with this one in both directions, and itself.", func() float64 { return float64(len(c.Status().Streams.Relays)) })
+	r.counter("streams_behind_total", "Streams closed as too much waited for their gateway.", &c.transport.Counters.StreamsOverrun)
+	r.counterFunc("streams_joined_total", "Streams of gateways that were accepted.", streams(func(s *StreamsStatus) uint64 { return s.Joins }))
+	r.counterFunc("streams_refused_total", "Streams of gateways that were rejected, for want of capacity or as there were too many joins.", streams(func(s *StreamsStatus) uint64 { return s.Rejected }))
+	r.counterFunc("streams_cut_total", "Streams that this relay closed: silent, too far behind, or superseded at another relay.", streams(func(s *StreamsStatus) uint64 { return s.Closed }))
+	r.counterFunc("records_dropped_total", "Records dropped: they came late, twice, or for an unknown gateway.", streams(func(s *StreamsStatus) uint64 { return s.Dropped }))
+	r.counterFunc("records_garbled_total", "Malformed records; others in the same frame were forwarded.", streams(func(s *StreamsStatus) uint64 { return s.Malformed }))
 }
--- a/internal/cluster/node/leader.go
+++ b/internal/cluster/node/leader.go
@@ -80,11 +80,11 @@
 			node: n, expiry: lease.NewExpiryTracker(n.now), proposers: map[uint64]proposer{}, proposedAt: map[string]time.Duration{},
 			rebalancedAt: n.now, replicasCheckedAt: n.now,
 		}
-		n.logInfo("leading the record", "term", t.Term)
+		n.logInfo("became leader", "term", t.Term)
 		return
 	}
 	n.leader = nil // others retry the commands that were under way
-	n.logInfo("not leading the record any more", "term", t.Term, "lead", n.replica.names[t.Leader])
+	n.logInfo("lost leadership", "term", t.Term, "leader", n.replica.names[t.Leader])
 }
 
 // proposeOnce proposes a command of the leader's own, at most once in reproposeInterval for each key.
@@ -154,7 +154,7 @@
 func (l *leader) publishChanges() {
 	n, state := l.node, l.node.replica.state
 	for _, t := range state.TakeTransfers() {
-		n.logInfo(LogLeaseTransferred, "duty", t.Lease, "from", t.From, "to", t.To, "token", t.Token, "cause", t.Cause, "index", t.Revision)
+		n.logInfo(LogLeaseTransferred, "lease", t.Lease, "from", t.From, "to", t.To, "token", t.Token, "cause", t.Cause, "index", t.Revision)
 	}
 	if l.seenRevision == 0 {
 		return // newly elected: gateways get the changes with their renewals
@@ -192,7 +192,7 @@
 		return
 	}
 	if r.raft.ChangeMembers(CoordinationGroup, confChange(c)) == nil {
-		n.logInfo("changing the keepers of the record", "gateway", c.Member, "learn", c.AddLearner, "promote", c.Promote, "remove", c.Remove)
+		n.logInfo("changing replicas", "gateway", c.Member, "add_learner", c.AddLearner, "promote", c.Promote, "remove", c.Remove)
 	}
 }
 
--- a/internal/cluster/node/publications.go
+++ b/internal/cluster/node/publications.go
@@ -92,6 +92,6 @@
 	p.node.out.StalePublications++
 	if p.rejected[pub.Lease] != pub.Token {
 		p.rejected[pub.Lease] = pub.Token
-		p.node.logWarn("word of an owner of before not taken", "duty", pub.Lease, "token", pub.Token, "from", from, "now", f.token)
+		p.node.logWarn("stale publication rejected", "lease", pub.Lease, "token", pub.Token, "from", from, "current_token", f.token)
 	}
 }
--- a/internal/cluster/node/replica.go
+++ b/internal/cluster/node/replica.go
@@ -197,7 +197,7 @@
 		s := r.diskStateOf(h.ReplicaID)
 		s.boots, s.term = max(s.boots, h.Boots), max(s.term, h.Term)
 	} else {
-		r.node.logWarn("another gateway has an older copy of its disk", "gateway", h.Name, "why", reply.Objection)
+		r.node.logWarn("another gateway's disk is an older copy", "gateway", h.Name, "why", reply.Objection)
 	}
 	r.replies[h.Name] = reply
 	r.node.send(h.Name, &Message{HelloReply: reply})
@@ -326,7 +326,7 @@
 	r.raft.Bootstrap(CoordinationGroup)
 	r.cleared = true
 	r.node.out.ClusterID = r.clusterID
-	r.node.logInfo("fleet formed", "fleet", cfg.Fleet, "keepers", cfg.BootstrapReplicas)
+	r.node.logInfo("fleet bootstrapped", "fleet", cfg.Fleet, "replicas", cfg.BootstrapReplicas)
 }
 
 // adoptClusterID notes the cluster ID that came with the state.
@@ -348,7 +348,7 @@
 		return
 	}
 	r.raft.Halt(err)
-	r.node.logWarn("this gateway's replica of the record has stopped, requests are served on", "why", err.Error())
+	r.node.logWarn("replica stopped, requests are still served", "why", err.Error())
 	r.node.leaderChanged(multiraft.LeaderChange{Group: CoordinationGroup})
 }
 
--- a/internal/cluster/node/session.go
+++ b/internal/cluster/node/session.go
@@ -59,13 +59,13 @@
 	n := s.node
 	n.proposals.finish(p, Outcome{})
 	if r.Code != lease.OK {
-		n.logWarn("the fleet does not take this gateway", "why", r.Reason)
+		n.logWarn("session rejected by the fleet", "why", r.Reason)
 		s.openProposal = n.proposals.addAt(n.now+lease.RenewInterval, s.openCommand())
 		return
 	}
 	s.id, s.lastRequest, s.lastSeq, s.ackedSeq = r.Session, 0, 0, 0
 	n.view.revision = 0
-	n.logInfo("session begun", "session", r.Session)
+	n.logInfo("session opened", "session", r.Session)
 	s.renew()
 }
 
@@ -113,7 +113,7 @@
 	case r.Unconfirmed:
 		s.renewDelay = 0 // renewed once the leader knows that its replies arrive
 	case r.Expired:
-		s.expired("the record has it no more")
+		s.expired("the leader does not know it")
 	case r.Delta == nil:
 		s.redirected(r)
 	default:
@@ -145,7 +145,7 @@
 
 // expired ends the session as this gateway knows it.
 func (s *session) expired(reason string) {
-	s.node.logWarn("session lapsed", "session", s.id, "why", reason)
+	s.node.logWarn("session expired", "session", s.id, "why", reason)
 	s.id, s.deadline, s.openProposal = 0, 0, 0
 	clear(s.sentAt)
 	s.node.view.dropAll()
--- a/internal/cluster/node/view.go
+++ b/internal/cluster/node/view.go
@@ -96,7 +96,7 @@
 		g = &Grant{Lease: l.Name, Token: l.Token, Deadline: v.node.session.deadline}
 		v.grants[l.Name] = g
 		v.node.out.GrantsChanged = true
-		v.node.logInfo("duty taken up", "duty", l.Name, "token", l.Token)
+		v.node.logInfo("lease acquired", "lease", l.Name, "token", l.Token)
 	}
 	if releasing := l.TransferTo != "" && l.TransferTo != v.node.cfg.Name; releasing != g.Releasing {
 		g.Releasing = releasing
@@ -134,7 +134,7 @@
 	if g := v.grants[name]; g != nil {
 		delete(v.grants, name)
 		v.node.out.GrantsChanged = true
-		v.node.logInfo("duty laid down", "duty", name, "token", g.Token)
+		v.node.logInfo("lease no longer held", "lease", name, "token", g.Token)
 	}
 }
 
--- a/internal/cluster/overrides.go
+++ b/internal/cluster/overrides.go
@@ -29,7 +29,7 @@
 		err = json.Unmarshal(b, &set)
 	}
 	if err != nil {
-		slog.Warn("the operators' words can't be read, until the fleet tells them hosts are as listed", "file", overridesFile, "err", err)
+		slog.Warn("read overrides failed, hosts are as listed until the fleet sends them", "file", overridesFile, "err", err)
 		return node.OverrideSet{}
 	}
 	return set
@@ -44,7 +44,7 @@
 			return
 		case set := <-c.saveOverrides:
 			if err := c.writeOverrides(set); err != nil {
-				slog.Error("the operators' words can't be kept, a restart may forget them until the fleet tells them", "err", err)
+				slog.Error("save overrides failed, a restart may lose them until the fleet sends them", "err", err)
 			}
 		}
 	}
--- a/internal/cluster/relay/client.go
+++ b/internal/cluster/relay/client.go
@@ -131,7 +131,7 @@
 // endCurrent notes the end of the current stream.
 func (c *Client) endCurrent(cause string) {
 	c.ends[cause]++
-	c.log(true, "the stream to a relay of the fleet has ended", "relay", c.topology.relays[c.current.relay].Name, "why", cause)
+	c.log(true, "stream to relay ended", "relay", c.topology.relays[c.current.relay].Name, "why", cause)
 	c.current = nil
 }
 
@@ -206,7 +206,7 @@
 	if !failpoint.Enabled(failpoint.SkipResync) {
 		c.out.Reconnected = true
 	}
-	c.log(false, "a relay of the fleet has taken our stream", "relay", c.topology.relays[s.relay].Name, "epoch", s.epoch)
+	c.log(false, "stream to relay opened", "relay", c.topology.relays[s.relay].Name, "epoch", s.epoch)
 }
 
 // Ended reports that a stream has ended, or could not be opened within DialTimeout.
--- a/internal/cluster/relaying.go
+++ b/internal/cluster/relaying.go
@@ -148,7 +148,7 @@
 	var j relay.JoinRequest
 	if kind != relay.KindJoin || json.Unmarshal(body, &j) != nil || j.Name != s.Name || j.ReplicaID != s.ReplicaID {
 		c.transport.Counters.FramesMalformed.Add(1)
-		slog.Warn("a stream of the fleet dropped, it does not begin with its gateway's join", "gateway", s.Name)
+		slog.Warn("stream without a valid join request closed", "gateway", s.Name)
 		s.Close()
 		return
 	}
@@ -256,7 +256,7 @@
 	c.receiveRecords(leaseholder.Now(), o.ToNode)
 	for _, closed := range o.Closed {
 		if s := r.byID[streamID{closed.Name, closed.Epoch}]; s != nil {
-			slog.Info("a gateway's stream is cut", "gateway", closed.Name, "epoch", closed.Epoch, "why", closed.Reason)
+			slog.Info("stream closed by relay", "gateway", closed.Name, "epoch", closed.Epoch, "why", closed.Reason)
 			r.remove(s, r.streams[s])
 			s.Close()
 		}
--- a/internal/cluster/storage.go
+++ b/internal/cluster/storage.go
@@ -31,7 +31,7 @@
 func (c *Cluster) openLog() (map[multiraft.Group]multiraft.PersistedGroup, error) {
 	log, stored, err := wal.Open(c.dir, c.cfg.FleetID, c.cfg.Name, c.drawReplicaID)
 	if errors.Is(err, wal.ErrCopied) || errors.Is(err, wal.ErrCorrupt) {
-		slog.Warn("the disk is set aside, this gateway joins as a new replica", "dir", c.cfg.DataDir, "why", err.Error())
+		slog.Warn("data directory quarantined, joining as a new replica", "dir", c.cfg.DataDir, "why", err.Error())
 		if err := c.quarantine(); err != nil {
 			return nil, fmt.Errorf("fleet.data_dir: %w", err)
 		}
@@ -130,12 +130,12 @@
 	c.log.Close()
 	if copied {
 		if err := c.quarantine(); err != nil {
-			slog.Error("a disk that can't be trusted can't be set aside", "dir", c.cfg.DataDir, "err", err)
+			slog.Error("quarantine of the data directory failed", "dir", c.cfg.DataDir, "err", err)
 			return
 		}
 	}
 	if err := c.startNode(); err != nil {
-		slog.Warn("the replica does not come back yet", "why", err.Error())
+		slog.Warn("replica restart failed, retrying", "why", err.Error())
 		return
 	}
 	c.runner.Update(nil)
--- a/internal/cluster/transport/accept.go
+++ b/internal/cluster/transport/accept.go
@@ -34,7 +34,7 @@
 			return
 		}
 		if err != nil {
-			slog.Warn("connections of the fleet are not taken", "err", err)
+			slog.Warn("accepting connections failed, retrying", "err", err)
 			select {
 			case <-t.ctx.Done():
 				return
@@ -123,7 +123,7 @@
 		return
 	}
 	t.Counters.ConnsRejected.Add(1)
-	slog.Warn("a connection to the fleet refused", "from", conn.RemoteAddr().String(), "why", err.Error())
+	slog.Warn("incoming connection rejected", "from", conn.RemoteAddr().String(), "why", err.Error())
 }
 
 // serveFrames receives frames until the connection ends.
@@ -170,6 +170,6 @@
 func (t *Transport) countMalformed(gateway string, err error) {
 	if errors.Is(err, ErrFrameChecksum) || errors.Is(err, ErrFrameTooLarge) {
 		t.Counters.FramesMalformed.Add(1)
-		slog.Warn("a frame of the fleet dropped, and its connection", "gateway", gateway, "why", err.Error())
+		slog.Warn("malformed frame, connection closed", "gateway", gateway, "why", err.Error())
 	}
 }
--- a/internal/cluster/transport/peer.go
+++ b/internal/cluster/transport/peer.go
@@ -118,7 +118,7 @@
 	if rejected {
 		level = slog.LevelWarn
 	}
-	slog.Log(t.ctx, level, "no connection to a gateway of the fleet", "gateway", p.name, "address", p.addr, "why", err.Error())
+	slog.Log(t.ctx, level, "connection to peer failed, retrying", "gateway", p.name, "address", p.addr, "why", err.Error())
 }
 
 // dialPeer opens a connection to a peer.
--- a/internal/cluster/transport/snapshot.go
+++ b/internal/cluster/transport/snapshot.go
@@ -49,7 +49,7 @@
 			t.Counters.SnapshotsSent.Add(1)
 			return true
 		}
-		slog.Info("a snapshot was not sent", "gateway", p.name, "bytes", len(f.Body), "try", i+1, "why", err.Error())
+		slog.Info("snapshot not sent, retrying", "gateway", p.name, "bytes", len(f.Body), "attempt", i+1, "why", err.Error())
 		select {
 		case <-t.ctx.Done():
 			return false
--- a/internal/cluster/transport/stream.go
+++ b/internal/cluster/transport/stream.go
@@ -266,7 +266,7 @@
 	if rejected {
 		level = slog.LevelWarn
 	}
-	slog.Log(t.ctx, level, "no stream to a relay of the fleet", "relay", name, "address", addr, "why", err.Error())
+	slog.Log(t.ctx, level, "stream to relay failed, retrying", "relay", name, "address", addr, "why", err.Error())
 }
 
 // logRejectedStream logs a stream that was rejected, once for each address and reason: a gateway that
@@ -285,6 +285,6 @@
 	}
 	t.mu.Unlock()
 	if !logged {
-		slog.Warn("a stream to the fleet refused", "from", from.String(), "why", err.Error())
+		slog.Warn("incoming stream rejected", "from", from.String(), "why", err.Error())
 	}
 }
--- a/internal/cluster/transport/stream_test.go
+++ b/internal/cluster/transport/stream_test.go
@@ -282,8 +282,8 @@
 	_, other := newSide(t, "no relay", "key", false)
 	for _, c := range []struct{ name, key, dials, at, want, said string }{
 		{"g1", "other", "relay", addr, ErrWrongKey.Error(), "the other side does not know the fleet's key"},
-		{"g2", "key", "no relay", other, "refused by it: no relay is not a relay", "no stream to a relay of the fleet"},
-		{"g3", "key", "relay2", addr, "is relay", "no stream to a relay of the fleet"},
+		{"g2", "key", "no relay", other, "refused by it: no relay is not a relay", "stream to relay failed, retrying"},
+		{"g3", "key", "relay2", addr, "is relay", "stream to relay failed, retrying"},
 		{"stranger", "key", "relay", addr, "refused by it: it is a stranger", "why=\"refused: it is a stranger\""},
 	} {
 		g, _ := newSide(t, c.name, c.key, false)
--- a/internal/fleet/list.go
+++ b/internal/fleet/list.go
@@ -147,7 +147,7 @@
 	was := x.state.Alone()
 	due := x.state.Watch(now)
 	if alone := x.state.Alone(); alone && !was {
-		slog.Info("no word on the hosts from the fleet, watching discovery from here", "pool", x.pool)
+		slog.Info("no endpoint updates from the fleet, watching discovery directly", "pool", x.pool)
 	}
 	switch {
 	case due && x.cancel == nil:
@@ -263,7 +263,7 @@
 		x.ask(now)
 	}
 	if alone && !x.state.Alone() {
-		slog.Info("the fleet tells of the hosts again", "pool", x.pool, "version", x.state.Version())
+		slog.Info("endpoint updates from the fleet resumed", "pool", x.pool, "version", x.state.Version())
 	}
 }
 
--- a/internal/nemesis/history.go
+++ b/internal/nemesis/history.go
@@ -122,9 +122,9 @@
 var field = regexp.MustCompile(`(\w+)=("(?:[^"\\]|\\.)*"|\S*)`)
 
 var kinds = map[string]string{
-	"duty taken up": TakenUp, "duty laid down": LaidDown, "duty changed hands": Changed, "leading the record": Leads,
-	"session lapsed": Lapsed, "the disk is set aside, this gateway joins as a new replica": SetAside, "fleet formed": HasFormed,
-	"word of an owner of before not taken": Fenced,
+	"lease acquired": TakenUp, "lease no longer held": LaidDown, "lease transferred": Changed, "became leader": Leads,
+	"session expired": Lapsed, "data directory quarantined, joining as a new replica": SetAside, "fleet bootstrapped": HasFormed,
+	"stale publication rejected": Fenced,
 }
 
 // heard takes a line of a gateway's log.
@@ -141,7 +141,7 @@
 		switch m[1] {
 		case "msg":
 			e.Kind = kinds[v]
-		case "duty":
+		case "lease":
 			e.Duty = v
 		case "token":
 			e.Token, _ = strconv.ParseUint(v, 10, 64)
--- a/internal/nemesis/nemesis_test.go
+++ b/internal/nemesis/nemesis_test.go
@@ -132,7 +132,7 @@
 	ctl(0, "GATEWAY", "members")
 	ctl(2, "refused: there is no duty nothing", "move", "nothing", "g2")
 	ctl(2, "refused: g9 is no living member", "move", "list/calendar", "g9")
-	ctl(2, "refused: g4 does not hold the record", "remove", "g4")
+	ctl(2, "refused: g4 is not a replica", "remove", "g4")
 	ctl(0, "done", "add", "g4")
 	f.Keepers++
 	whole(t, f)
@@ -228,7 +228,7 @@
 func TestOldOwner(t *testing.T) {
 	t.Parallel()
 	for _, guard := range []string{"", "token-peer"} {
-		f := start(t, Options{Bin: planted, Gateways: 3, Keepers: 3, Nodes: 3, Seed: 4, Env: []string{"DUNEMOOR_STOP_AT=acting list/calendar", "DUNEMOOR_PLANTED=" + guard}})
+		f := start(t, Options{Bin: planted, Gateways: 3, Keepers: 3, Nodes: 3, Seed: 4, Env: []string{"DUNEMOOR_STOP_AT=acting list/calendar", "DUNEMOOR_FAILPOINT=" + guard}})
 		ctx, cancel := context.WithTimeout(context.Background(), formTime)
 		defer cancel()
 		var owner *Gateway
@@ -427,9 +427,9 @@
 		replace []string
 		want    string
 	}{
-		{"another key", []string{"/key\"", "/other\""}, "it does not know the fleet's key"},
-		{"another's disk", []string{`id = "trial"`, `id = "rial"`}, "the disk is another's"},
-		{"another fleet", []string{`id = "trial"`, `id = "rial"`, "/g3\"", "/g3-other\""}, `refused by it: it is of fleet`},
+		{"another key", []string{"/key\"", "/other\""}, "the other side does not know the fleet's key"},
+		{"another's disk", []string{`id = "trial"`, `id = "rial"`}, "the disk belongs to another gateway"},
+		{"another fleet", []string{`id = "trial"`, `id = "rial"`, "/g3\"", "/g3-other\""}, `refused by it: its fleet is`},
 		{"a taken name", []string{"name = \"g3\"\nadmin", "name = \"g1\"\nadmin", "peer]]\nname = \"g1\"", "peer]]\nname = \"g3\"", "/g3\"", "/g3-second\""},
 			"another gateway with the name g1 is connected"},
 	} {
--- a/internal/nemesis/relays_test.go
+++ b/internal/nemesis/relays_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// undisturbed checks that behind the n-th event no gateway's session lapsed, and none of the duties
+// undisturbed checks that behind the n-th event no gateway's session expired, and none of the duties
 // that gateways hold changed hands. While another is elected to lead, an owner's own deadline may
 // pass: it lays the duty down until it is confirmed, and nobody else has it. With a leader it does
 // not.
--- a/internal/scale/hollow/host.go
+++ b/internal/scale/hollow/host.go
@@ -127,7 +127,7 @@
 }
 
 // told are the lines of the log that are passed on as events, as the program words them.
-var told = []string{"session begun", "session lapsed", "leading the record", "fleet formed", "duty taken up"}
+var told = []string{"session opened", "session expired", "became leader", "fleet bootstrapped", "lease acquired"}
 
 // WordEvent is of a word that has taken effect at a gateway.
 const WordEvent = "word"
