--- a/cmd/dunemoor/main.go
+++ b/cmd/dunemoor/main.go
@@ -92,7 +92,7 @@
 			return err
 		}
 		if part != nil {
-			part.Use(func(name string) (fleet.Pool, bool) {
+			part.SetPools(func(name string) (fleet.Pool, bool) {
 				p := g.Pool(name)
 				return p, p != nil
 			}, g.Drained)
--- a/cmd/dunemoorctl/fleet.go
+++ b/cmd/dunemoorctl/fleet.go
@@ -136,10 +136,10 @@
 		table("words", "Operators' words on hosts, as this gateway goes by them", printWords),
 		table("members", "The gateways of the fleet", printMembers),
 		table("duties", "The duties, and who owns each", printDuties),
-		act("resign DUTY", "Have the owner of a duty give it to another gateway", fleet.PathResign, "duty"),
-		act("move DUTY GATEWAY", "Have the owner of a duty give it to a gateway", fleet.PathMove, "duty", "to"),
-		act("add GATEWAY", "Have a gateway hold a copy of the record from now on", fleet.PathAdd, "gateway"),
-		act("remove GATEWAY", "Have a gateway hold none any more", fleet.PathRemove, "gateway"),
+		act("resign DUTY", "Have the owner of a duty give it to another gateway", fleet.PathRelease, "duty"),
+		act("move DUTY GATEWAY", "Have the owner of a duty give it to a gateway", fleet.PathTransfer, "duty", "to"),
+		act("add GATEWAY", "Have a gateway hold a copy of the record from now on", fleet.PathAddReplica, "gateway"),
+		act("remove GATEWAY", "Have a gateway hold none any more", fleet.PathRemoveReplica, "gateway"),
 	)
 	return cmd
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -617,7 +617,7 @@
 	leave func()
 }
 
-func (m leavingBehind) Outcome(now balancer.Time, o balancer.Outcome) {
+func (m leavingBehind) AttemptEnded(now balancer.Time, o balancer.Outcome) {
 	m.Module.AttemptEnded(now, o)
 	m.leave()
 }
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -173,7 +173,7 @@
 }
 
 // GivenUp is the names of hosts that were given up and have not answered since, most at most.
-func (p *Pool) GivenUp(most int) (names []string) {
+func (p *Pool) EjectedHosts(most int) (names []string) {
 	p.ask(func(balancer.Time) {
 		if usable, ready := p.core.Usable(); usable == ready {
 			return
@@ -198,7 +198,7 @@
 }
 
 // Hint says that a host that was given up may be worth a try, some time within.
-func (p *Pool) Hint(name string, within time.Duration) {
+func (p *Pool) HealthCheckPassed(name string, within time.Duration) {
 	p.engine.post(func(now balancer.Time) {
 		if h := p.hosts[hostID(name)]; h != nil && h.id == name && !p.ended {
 			p.bal.HealthCheckPassed(now, hostID(name), within)
--- a/internal/fleet/calls.go
+++ b/internal/fleet/calls.go
@@ -5,6 +5,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"maps"
 	"net/http"
 	"net/url"
 	"time"
@@ -14,122 +15,145 @@
 	"dunemoor/internal/cluster/lease"
 )
 
-// Paths of the operators' calls.
+// Paths of the operators' calls, with their parameters.
 const (
-	PathFleet   = "/admin/fleet"
-	PathMetrics = "/admin/metrics"
-	PathMove    = "/admin/fleet/move"   // duty, to
-	PathResign  = "/admin/fleet/resign" // duty
-	PathAdd     = "/admin/fleet/add"    // gateway
-	PathRemove  = "/admin/fleet/remove" // gateway
+	PathFleet         = "/admin/fleet"
+	PathMetrics       = "/admin/metrics"
+	PathTransfer      = "/admin/fleet/move"   // duty, to
+	PathRelease       = "/admin/fleet/resign" // duty
+	PathAddReplica    = "/admin/fleet/add"    // gateway
+	PathRemoveReplica = "/admin/fleet/remove" // gateway
 )
 
-// Calls are the operators' calls about the fleet.
-func (f *Fleet) Calls() map[string]admin.Call {
-	command := func(make func(url.Values) (lease.Command, string)) admin.Call {
-		return admin.Call{Method: http.MethodPost, Do: func(ctx context.Context, with url.Values) (int, string, string) {
-			c, missing := make(with)
-			if missing != "" {
-				return http.StatusBadRequest, missing + " is missing\n", ""
-			}
-			return answer(f.c.Propose(ctx, c))
-		}}
-	}
-	need := func(with url.Values, keys ...string) string {
-		for _, k := range keys {
-			if with.Get(k) == "" {
-				return k
-			}
+const (
+	// transferTimeout is how long a transfer is waited for: a holder that is gone has expired by then. It is
+	// polled for every transferPollInterval.
+	transferTimeout      = 3 * time.Second
+	transferPollInterval = 20 * time.Millisecond
+)
+
+// response is the response to a call, as plain text.
+type response struct {
+	status int
+	text   string
+}
+
+// errMissing is the error of a call without a parameter.
+type errMissing string
+
+func (e errMissing) Error() string { return string(e) + " is missing" }
+
+func badRequest(err error) response { return response{http.StatusBadRequest, err.Error() + "\n"} }
+
+// post returns a call that changes something.
+func post(do func(context.Context, url.Values) response) admin.Call {
+	return admin.Call{Method: http.MethodPost, Do: func(ctx context.Context, v url.Values) (int, string, string) {
+		r := do(ctx, v)
+		return r.status, r.text, ""
+	}}
+}
+
+// require returns an error for the first parameter that is missing.
+func require(v url.Values, names ...string) error {
+	for _, name := range names {
+		if v.Get(name) == "" {
+			return errMissing(name)
 		}
-		return ""
 	}
+	return nil
+}
+
+// Calls returns the operators' calls about the fleet, by path.
+func (f *Fleet) Calls() map[string]admin.Call {
 	calls := map[string]admin.Call{
-		PathFleet: {Method: http.MethodGet, Do: func(context.Context, url.Values) (int, string, string) {
-			text, err := json.MarshalIndent(f.c.Status(), "", "  ")
-			if err != nil {
-				return http.StatusInternalServerError, err.Error() + "\n", ""
-			}
-			return http.StatusOK, string(text) + "\n", "application/json"
-		}},
-		PathMetrics: {Method: http.MethodGet, Do: f.metrics()},
-		PathMove: {Method: http.MethodPost, Do: func(ctx context.Context, v url.Values) (int, string, string) {
-			if missing := need(v, "duty", "to"); missing != "" {
-				return http.StatusBadRequest, missing + " is missing\n", ""
+		PathFleet:   {Method: http.MethodGet, Do: f.statusCall},
+		PathMetrics: {Method: http.MethodGet, Do: f.metricsCall()},
+		PathTransfer: post(func(ctx context.Context, v url.Values) response {
+			if err := require(v, "duty", "to"); err != nil {
+				return badRequest(err)
 			}
-			return f.move(ctx, v.Get("duty"), v.Get("to"))
-		}},
-		PathResign: {Method: http.MethodPost, Do: func(ctx context.Context, v url.Values) (int, string, string) {
-			if missing := need(v, "duty"); missing != "" {
-				return http.StatusBadRequest, missing + " is missing\n", ""
-			}
-			return f.move(ctx, v.Get("duty"), "")
-		}},
-		PathAdd: command(func(v url.Values) (lease.Command, string) {
-			return lease.Command{Op: lease.OpAddReplica, Name: v.Get("gateway")}, need(v, "gateway")
+			return f.transfer(ctx, v.Get("duty"), v.Get("to"))
 		}),
-		PathRemove: command(func(v url.Values) (lease.Command, string) {
-			return lease.Command{Op: lease.OpRemoveReplica, Name: v.Get("gateway")}, need(v, "gateway")
+		PathRelease: post(func(ctx context.Context, v url.Values) response {
+			if err := require(v, "duty"); err != nil {
+				return badRequest(err)
+			}
+			return f.transfer(ctx, v.Get("duty"), "")
 		}),
+		PathAddReplica:    f.replicaCall(lease.OpAddReplica),
+		PathRemoveReplica: f.replicaCall(lease.OpRemoveReplica),
 	}
-	f.wordCalls(calls)
+	maps.Copy(calls, f.overrideCalls())
 	return calls
 }
 
-// How long a planned change of hands is waited for, and how often it is looked.
-const (
-	movedMost  = 3 * time.Second // an owner that is gone has lapsed by then
-	movedEvery = 20 * time.Millisecond
-)
+// statusCall returns the status as JSON.
+func (f *Fleet) statusCall(context.Context, url.Values) (int, string, string) {
+	text, err := json.MarshalIndent(f.cluster.Status(), "", "  ")
+	if err != nil {
+		return http.StatusInternalServerError, err.Error() + "\n", ""
+	}
+	return http.StatusOK, string(text) + "\n", "application/json"
+}
 
-// move has a duty given to another gateway, and waits until that has happened as far as it is
-// known here.
-func (f *Fleet) move(ctx context.Context, duty, to string) (int, string, string) {
-	owner, token := f.holder(duty)
-	code, text, kind := answer(f.c.Propose(ctx, lease.Command{Op: lease.OpTransfer, Lease: duty, Target: to}))
-	if code != http.StatusOK || to != "" && owner == to {
-		return code, text, kind
+// replicaCall returns the call that adds or removes a replica.
+func (f *Fleet) replicaCall(op lease.Op) admin.Call {
+	return post(func(ctx context.Context, v url.Values) response {
+		if err := require(v, "gateway"); err != nil {
+			return badRequest(err)
+		}
+		return resultResponse(f.cluster.Propose(ctx, lease.Command{Op: op, Name: v.Get("gateway")}))
+	})
+}
+
+// transfer transfers a lease to another gateway, or to any where the target is empty, and waits until that
+// has happened as far as is known here.
+func (f *Fleet) transfer(ctx context.Context, name, target string) response {
+	holder, token := f.holder(name)
+	r := resultResponse(f.cluster.Propose(ctx, lease.Command{Op: lease.OpTransfer, Lease: name, Target: target}))
+	if r.status != http.StatusOK || target != "" && holder == target {
+		return r
 	}
-	end := time.Now().Add(movedMost)
+	end := time.Now().Add(transferTimeout)
 	for {
-		if now, next := f.holder(duty); now != "" && next != token && (to == "" || now == to) {
-			return http.StatusOK, fmt.Sprintf("done: %s owns it, token %d\n", now, next), ""
+		if now, next := f.holder(name); now != "" && next != token && (target == "" || now == target) {
+			return response{http.StatusOK, fmt.Sprintf("done: %s owns it, token %d\n", now, next)}
 		}
 		if time.Now().After(end) {
-			return http.StatusGatewayTimeout, fmt.Sprintf("asked, and not seen to have happened after %v: see the fleet's duties\n", movedMost), ""
+			text := fmt.Sprintf("asked, and not seen to have happened after %v: see the fleet's duties\n", transferTimeout)
+			return response{http.StatusGatewayTimeout, text}
 		}
 		select {
 		case <-ctx.Done():
-			return http.StatusGatewayTimeout, ctx.Err().Error() + "\n", ""
-		case <-time.After(movedEvery):
+			return response{http.StatusGatewayTimeout, ctx.Err().Error() + "\n"}
+		case <-time.After(transferPollInterval):
 		}
 	}
 }
 
-// holder is who owns a duty, as it is known here.
-func (f *Fleet) holder(duty string) (owner string, token uint64) {
-	for _, d := range f.c.Status().Leases {
-		if d.Name == duty {
-			return d.Holder, d.Token
+// holder returns the holder of a lease and its token, as known here.
+func (f *Fleet) holder(name string) (holder string, token uint64) {
+	for _, l := range f.cluster.Status().Leases {
+		if l.Name == name {
+			return l.Holder, l.Token
 		}
 	}
 	return "", 0
 }
 
-// answer words what came of a command: done, refused, or not known.
-func answer(r lease.Result, err error) (int, string, string) {
+// resultResponse returns the response for the result of a command.
+func resultResponse(r lease.Result, err error) response {
 	switch {
 	case errors.Is(err, cluster.ErrIndeterminate):
-		return http.StatusGatewayTimeout, err.Error() + "\n", ""
+		return response{http.StatusGatewayTimeout, err.Error() + "\n"}
 	case err != nil:
-		return http.StatusServiceUnavailable, err.Error() + "\n", ""
+		return response{http.StatusServiceUnavailable, err.Error() + "\n"}
 	case r.Code == lease.NoSession:
-		return http.StatusServiceUnavailable, "this gateway has no session with its fleet, nothing was done\n", ""
+		return response{http.StatusServiceUnavailable, "this gateway has no session with its fleet, nothing was done\n"}
+	case r.Code != lease.OK && r.Reason != "":
+		return response{http.StatusConflict, fmt.Sprintf("refused: %s\n", r.Reason)}
 	case r.Code != lease.OK:
-		why := r.Reason
-		if why == "" {
-			why = string(r.Code)
-		}
-		return http.StatusConflict, fmt.Sprintf("refused: %s\n", why), ""
+		return response{http.StatusConflict, fmt.Sprintf("refused: %s\n", r.Code)}
 	}
-	return http.StatusOK, "done\n", ""
+	return response{http.StatusOK, "done\n"}
 }
--- a/internal/fleet/compat_test.go
+++ b/internal/fleet/compat_test.go
@@ -3,18 +3,18 @@
 import (
 	"testing"
 
-	"dunemoor/internal/fleet/lists"
+	"dunemoor/internal/fleet/endpoints"
 	"dunemoor/internal/testkit/compat"
 )
 
 // What holders of leases send to the gateways of their fleet.
 func TestCompatBodies(t *testing.T) {
-	compat.JSON(t, "list.json", &told{})
-	compat.JSON(t, "hosts.json", &good{})
-	compat.Values(t, "headers.txt", HeaderDuty, HeaderToken)
-	compat.Values(t, "kinds.txt", lists.Beat, lists.Whole, lists.Changes)
+	compat.JSON(t, "list.json", &endpointPublication{})
+	compat.JSON(t, "hosts.json", &hostReport{})
+	compat.Values(t, "headers.txt", HeaderLease, HeaderToken)
+	compat.Values(t, "kinds.txt", endpoints.KindHeartbeat, endpoints.KindFull, endpoints.KindChanges)
 }
 
 func TestCompatPaths(t *testing.T) {
-	compat.Values(t, "paths.txt", PathFleet, PathMetrics, PathMove, PathResign, PathAdd, PathRemove, PathDrain, PathUndrain)
+	compat.Values(t, "paths.txt", PathFleet, PathMetrics, PathTransfer, PathRelease, PathAddReplica, PathRemoveReplica, PathDrain, PathUndrain)
 }
--- /dev/null
+++ b/internal/fleet/endpoints.go
@@ -0,0 +1,290 @@
+package fleet
+
+import (
+	"cmp"
+	"context"
+	"encoding/json"
+	"log/slog"
+	"maps"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"dunemoor/balancer"
+	"dunemoor/internal/cluster/leaseholder"
+	"dunemoor/internal/cluster/node"
+	"dunemoor/internal/discovery"
+	"dunemoor/internal/fleet/endpoints"
+)
+
+const (
+	// listLeasePrefix begins the names of the leases to watch discovery for the fleet; the pool follows.
+	listLeasePrefix = "list/"
+	// maxListEvents bounds what waits for a pool's list; events over it are lost, and asked for again.
+	maxListEvents = 64
+	// watchCheckInterval is how often it is checked whether discovery has to be watched.
+	watchCheckInterval = 250 * time.Millisecond
+	// minResyncInterval is the least time between two requests for the full list.
+	minResyncInterval = watchCheckInterval
+	// memberGone is the state of a host that has left the list.
+	memberGone = "gone"
+)
+
+// endpointPublication is what the holder of a list lease publishes.
+type endpointPublication struct {
+	endpoints.Update
+	Hosts []discovery.Member `json:"hosts,omitempty"`
+}
+
+// endpointList is the endpoint list of a pool by way of the fleet. It is a gateway.Source.
+type endpointList struct {
+	fleet      *Fleet
+	pool, addr string
+	lease      string
+	events     chan func(*listFollower)
+	watches    atomic.Uint64 // of discovery, begun since the start
+}
+
+func newEndpointList(f *Fleet, pool, addr string) *endpointList {
+	return &endpointList{fleet: f, pool: pool, addr: addr, lease: listLeasePrefix + pool, events: make(chan func(*listFollower), maxListEvents)}
+}
+
+// listFollower is an endpointList while it runs. It belongs to one goroutine.
+type listFollower struct {
+	*endpointList
+	sink          discovery.Sink
+	state         *endpoints.Follower
+	hosts         map[string]discovery.Member // the full list
+	held          *leaseholder.Lease          // nil: this gateway is not the holder
+	seq           uint64                      // of the last publication
+	resyncAt      time.Duration               // when the full list was last requested
+	publishedAt   time.Duration               // when the last publication was sent to all
+	cancelWatch   context.CancelFunc          // nil: discovery is not watched
+	watchSequence uint64                      // of the last watch
+}
+
+// post lets the list's goroutine do something. It reports false where too much waits.
+func (l *endpointList) post(do func(*listFollower)) bool {
+	select {
+	case l.events <- do:
+		return true
+	default:
+		return false
+	}
+}
+
+// hold is the work under the list lease: discovery is watched while it runs.
+func (l *endpointList) hold(ctx context.Context, held *leaseholder.Lease) {
+	if !l.post(func(x *listFollower) { x.setHeld(held) }) {
+		return // it is started again
+	}
+	<-ctx.Done()
+	stopped := make(chan struct{})
+	stop := func(x *listFollower) {
+		if x.held == held {
+			x.setHeld(nil)
+		}
+		close(stopped)
+	}
+	select {
+	case l.events <- stop:
+		select {
+		case <-stopped:
+		case <-l.fleet.ctx.Done():
+		}
+	case <-l.fleet.ctx.Done():
+	}
+}
+
+// ReceivePublication implements cluster.Subscriber.
+func (l *endpointList) ReceivePublication(p node.Publication) {
+	var update endpointPublication
+	if err := json.Unmarshal(p.Body, &update); err != nil {
+		slog.Warn("malformed endpoint publication", "pool", l.pool, "err", err)
+		return
+	}
+	l.post(func(x *listFollower) { x.receive(p.Token, &update) })
+}
+
+// Resync implements cluster.Subscriber: another gateway asks for the full list.
+func (l *endpointList) Resync(from string, _ []byte) {
+	l.post(func(x *listFollower) {
+		if x.held == nil || x.state.Version() == 0 {
+			return
+		}
+		byID := func(a, b discovery.Member) int { return cmp.Compare(a.ID, b.ID) }
+		full := endpoints.Update{Kind: endpoints.KindFull, Version: x.state.Version()}
+		x.publish(from, full, slices.SortedFunc(maps.Values(x.hosts), byID))
+	})
+}
+
+// Run passes the list to a sink until ctx ends.
+func (l *endpointList) Run(ctx context.Context, sink discovery.Sink) {
+	x := &listFollower{
+		endpointList: l, sink: sink, state: endpoints.NewFollower(leaseholder.Now()), hosts: map[string]discovery.Member{},
+	}
+	tick := time.NewTicker(watchCheckInterval)
+	defer tick.Stop()
+	var watches sync.WaitGroup
+	defer watches.Wait()
+	defer func() {
+		if x.cancelWatch != nil {
+			x.cancelWatch()
+		}
+	}()
+	for {
+		x.check(ctx, &watches)
+		select {
+		case <-ctx.Done():
+			return
+		case do := <-l.events:
+			do(x)
+		case <-tick.C:
+		}
+	}
+}
+
+// check starts or ends the watch of discovery, and publishes a heartbeat if one is due.
+func (x *listFollower) check(ctx context.Context, watches *sync.WaitGroup) {
+	now := leaseholder.Now()
+	wasUnassisted := x.state.Unassisted()
+	watch := x.state.ShouldWatch(now)
+	if x.state.Unassisted() && !wasUnassisted {
+		slog.Info("no endpoint updates from the fleet, watching discovery directly", "pool", x.pool)
+	}
+	switch {
+	case watch && x.cancelWatch == nil:
+		x.startWatch(ctx, watches)
+	case !watch && x.cancelWatch != nil:
+		x.cancelWatch()
+		x.cancelWatch = nil
+	}
+	if !watch && x.state.Version() == 0 {
+		x.requestResync(now)
+	}
+	if x.held != nil && x.state.Version() > 0 && now >= x.publishedAt+endpoints.HeartbeatInterval {
+		x.publishHeartbeat()
+	}
+}
+
+func (x *listFollower) startWatch(ctx context.Context, watches *sync.WaitGroup) {
+	watchCtx, cancel := context.WithCancel(ctx)
+	x.cancelWatch = cancel
+	x.watchSequence++
+	x.watches.Add(1)
+	w := discovery.NewWatcher(x.addr, false, x.state.Version())
+	sink := &watchSink{x.endpointList, watchCtx, x.watchSequence}
+	watches.Go(func() { w.Run(watchCtx, sink) })
+}
+
+// watchSink is the sink of one watch of discovery.
+type watchSink struct {
+	*endpointList
+	ctx      context.Context
+	sequence uint64
+}
+
+// Members implements discovery.Sink.
+func (s *watchSink) Members(kind balancer.ListKind, list discovery.MemberList) {
+	receive := func(x *listFollower) {
+		if x.watchSequence == s.sequence && x.cancelWatch != nil {
+			x.receiveDirect(kind, list)
+		}
+	}
+	select {
+	case s.events <- receive:
+	case <-s.ctx.Done():
+	}
+}
+
+// receiveDirect takes a list of discovery itself, and publishes it if this gateway is the holder.
+func (x *listFollower) receiveDirect(kind balancer.ListKind, list discovery.MemberList) {
+	from := x.state.Version()
+	full := kind != balancer.ListChanges
+	if kind == balancer.ListFailed || !x.state.ReceiveDirect(list.Version, full) {
+		return
+	}
+	x.store(full, list.Servers)
+	x.sink.Members(kind, list)
+	if x.held == nil {
+		return
+	}
+	u := endpoints.Update{Kind: endpoints.KindChanges, From: from, Version: list.Version}
+	if full {
+		u.Kind = endpoints.KindFull
+	}
+	x.publish("", u, list.Servers)
+}
+
+// store keeps the full list, for gateways that ask for it.
+func (x *listFollower) store(full bool, hosts []discovery.Member) {
+	if full {
+		clear(x.hosts)
+	}
+	for _, h := range hosts {
+		if h.State == memberGone {
+			delete(x.hosts, h.ID)
+		} else {
+			x.hosts[h.ID] = h
+		}
+	}
+}
+
+// setHeld notes whether this gateway is the holder.
+func (x *listFollower) setHeld(held *leaseholder.Lease) {
+	x.held, x.seq, x.publishedAt = held, 0, 0
+	x.state.SetHolder(leaseholder.Now(), held != nil)
+	if held != nil && x.state.Version() > 0 {
+		x.publishHeartbeat() // others may know less
+	}
+}
+
+func (x *listFollower) publishHeartbeat() {
+	x.publish("", endpoints.Update{Kind: endpoints.KindHeartbeat, Version: x.state.Version()}, nil)
+}
+
+// publish publishes an update to all gateways, or to one, while the lease is valid.
+func (x *listFollower) publish(to string, u endpoints.Update, hosts []discovery.Member) {
+	b, err := json.Marshal(endpointPublication{u, hosts})
+	if err != nil {
+		slog.Error("encode endpoint publication failed", "pool", x.pool, "err", err)
+		return
+	}
+	x.seq++
+	if to == "" {
+		x.publishedAt = leaseholder.Now()
+	}
+	if x.held.Valid() {
+		x.fleet.cluster.Publish(to, x.held, x.seq, b)
+	}
+}
+
+// receive takes the update of a holder.
+func (x *listFollower) receive(token uint64, p *endpointPublication) {
+	now := leaseholder.Now()
+	wasUnassisted := x.state.Unassisted()
+	switch x.state.Receive(now, token, p.Update) {
+	case endpoints.Apply:
+		full := p.Kind == endpoints.KindFull
+		x.store(full, p.Hosts)
+		kind := balancer.ListChanges
+		if full {
+			kind = balancer.ListFull
+		}
+		x.sink.Members(kind, discovery.MemberList{Version: p.Version, Full: full, Servers: p.Hosts})
+	case endpoints.Outdated:
+		x.requestResync(now)
+	}
+	if wasUnassisted && !x.state.Unassisted() {
+		slog.Info("endpoint updates from the fleet resumed", "pool", x.pool, "version", x.state.Version())
+	}
+}
+
+// requestResync asks the holder for the full list, but not too often.
+func (x *listFollower) requestResync(now time.Duration) {
+	if x.held == nil && now >= x.resyncAt+minResyncInterval {
+		x.resyncAt = now
+		x.fleet.cluster.RequestResync(x.lease, nil)
+	}
+}
--- a/internal/fleet/lists/lists_test.go
+++ b/internal/fleet/endpoints/endpoints_test.go
@@ -1,4 +1,4 @@
-package lists
+package endpoints
 
 import (
 	"math/rand/v2"
@@ -13,7 +13,7 @@
 
 type sent struct {
 	token uint64
-	word  Word
+	word  Update
 }
 
 // Whatever is lost, and whenever owners change, also to one that knows less: no word of a new
@@ -23,15 +23,15 @@
 	for seed := range uint64(3000) {
 		r := rand.New(rand.NewPCG(seed, 1))
 		now, truth := time.Hour, uint64(10)
-		f := New(now)
+		f := NewFollower(now)
 		o := owner{token: 1, version: truth}
 		hear := func(s sent) Verdict {
 			was, from := f.Version(), f.token
-			v := f.Hear(now, s.token, s.word)
-			if v == Take && s.token != from && f.Version() < was {
+			v := f.Receive(now, s.token, s.word)
+			if v == Apply && s.token != from && f.Version() < was {
 				t.Fatalf("seed %d: owner %d took the list from %d back to %d", seed, s.token, was, f.Version())
 			}
-			if v == Take && s.word.Kind == Changes && s.word.From != was {
+			if v == Apply && s.word.Kind == KindChanges && s.word.From != was {
 				t.Fatalf("seed %d: changes from %d were taken at %d", seed, s.word.From, was)
 			}
 			return v
@@ -42,35 +42,35 @@
 			switch r.IntN(5) {
 			case 0, 1: // discovery changes, and its owner tells
 				truth++
-				s := sent{o.token, Word{Changes, o.version, truth}}
+				s := sent{o.token, Update{KindChanges, o.version, truth}}
 				o.version = truth
-				if !lost && hear(s) == Behind {
-					hear(sent{o.token, Word{Whole, 0, o.version}})
+				if !lost && hear(s) == Outdated {
+					hear(sent{o.token, Update{KindFull, 0, o.version}})
 				}
 			case 2:
-				if !lost && hear(sent{o.token, Word{Beat, 0, o.version}}) == Behind && r.IntN(2) == 0 {
-					hear(sent{o.token, Word{Whole, 0, o.version}})
+				if !lost && hear(sent{o.token, Update{KindHeartbeat, 0, o.version}}) == Outdated && r.IntN(2) == 0 {
+					hear(sent{o.token, Update{KindFull, 0, o.version}})
 				}
 			case 3: // another owner, that may be behind; the one of before still says something
 				old := o
 				o = owner{o.token + 1, truth - uint64(r.IntN(3))}
-				hear(sent{o.token, Word{Beat, 0, o.version}})
+				hear(sent{o.token, Update{KindHeartbeat, 0, o.version}})
 				before := f.Version()
-				if f.token == o.token && hear(sent{old.token, Word{Whole, 0, old.version + 5}}) != Ignore {
+				if f.token == o.token && hear(sent{old.token, Update{KindFull, 0, old.version + 5}}) != Ignore {
 					t.Fatalf("seed %d: an owner of before was listened to", seed)
 				} else if f.Version() != before && f.token == o.token {
 					t.Fatalf("seed %d: an owner of before changed the list", seed)
 				}
 			case 4:
-				if f.Watch(now) && !f.Direct(truth, r.IntN(2) == 0) && f.Version() < truth {
+				if f.ShouldWatch(now) && !f.ReceiveDirect(truth, r.IntN(2) == 0) && f.Version() < truth {
 					t.Fatalf("seed %d: discovery's own word on %d did not count at %d", seed, truth, f.Version())
 				}
 			}
 		}
 		o.version = truth
 		for range 2 { // a beat tells that something was missed, and the whole is asked for
-			if hear(sent{o.token, Word{Beat, 0, o.version}}) == Behind {
-				hear(sent{o.token, Word{Whole, 0, o.version}})
+			if hear(sent{o.token, Update{KindHeartbeat, 0, o.version}}) == Outdated {
+				hear(sent{o.token, Update{KindFull, 0, o.version}})
 			}
 		}
 		if f.Version() != truth {
@@ -82,26 +82,26 @@
 // Without a good word for Quiet a gateway watches by itself, until it hears one again; an owner
 // watches always. The same owner's word counts though discovery counts anew.
 func TestAlone(t *testing.T) {
-	f := New(0)
-	if f.Watch(First - 1) {
+	f := NewFollower(0)
+	if f.ShouldWatch(StartupTimeout - 1) {
 		t.Error("it watches before an owner could have spoken")
 	}
-	if !f.Watch(First) || !f.Alone() || !f.Direct(7, true) {
+	if !f.ShouldWatch(StartupTimeout) || !f.Unassisted() || !f.ReceiveDirect(7, true) {
 		t.Error("it does not watch by itself")
 	}
-	if f.Hear(First, 3, Word{Beat, 0, 6}) != Ignore || !f.Alone() {
+	if f.Receive(StartupTimeout, 3, Update{KindHeartbeat, 0, 6}) != Ignore || !f.Unassisted() {
 		t.Error("an owner that knows less is listened to")
 	}
-	if f.Hear(First, 3, Word{Whole, 0, 8}) != Take || f.Watch(First+Quiet-1) {
+	if f.Receive(StartupTimeout, 3, Update{KindFull, 0, 8}) != Apply || f.ShouldWatch(StartupTimeout+PublicationTimeout-1) {
 		t.Error("it goes on by itself though it was told")
 	}
-	if f.Hear(First, 3, Word{Whole, 0, 2}) != Take || f.Version() != 2 {
+	if f.Receive(StartupTimeout, 3, Update{KindFull, 0, 2}) != Apply || f.Version() != 2 {
 		t.Error("discovery counts anew, and its owner is not believed")
 	}
-	if f.Own(First, true); !f.Watch(First) || f.Alone() || f.Hear(First, 9, Word{Whole, 0, 20}) != Ignore {
+	if f.SetHolder(StartupTimeout, true); !f.ShouldWatch(StartupTimeout) || f.Unassisted() || f.Receive(StartupTimeout, 9, Update{KindFull, 0, 20}) != Ignore {
 		t.Error("an owner does not watch, or listens to another")
 	}
-	if f.Own(time.Minute, false); f.Watch(time.Minute + Quiet - 1) {
+	if f.SetHolder(time.Minute, false); f.ShouldWatch(time.Minute + PublicationTimeout - 1) {
 		t.Error("who was the owner leaves the next no time")
 	}
 }
--- a/internal/fleet/checks/checks_test.go
+++ b/internal/fleet/healthcheck/healthcheck_test.go
@@ -1,4 +1,4 @@
-package checks
+package healthcheck
 
 import (
 	"fmt"
@@ -13,15 +13,15 @@
 func TestChecker(t *testing.T) {
 	for seed := range uint64(40) {
 		r := rand.New(rand.NewPCG(seed, 2))
-		c := New()
+		c := NewChecker()
 		type try struct{ ends time.Duration }
 		out, said, last, tries := map[string]try{}, map[string]time.Duration{}, map[string]time.Duration{}, map[string]int{}
 		steady := "h0"
-		most := 1 + r.IntN(2*HostsMost)
+		most := 1 + r.IntN(2*MaxHosts)
 		for now := time.Hour; now < time.Hour+2*time.Minute; now += 50 * time.Millisecond {
 			for name, x := range out {
 				if now >= x.ends {
-					c.Tried(now, name)
+					c.Checked(now, name)
 					last[name] = now
 					delete(out, name)
 				}
@@ -30,20 +30,20 @@
 				for range r.IntN(40) {
 					names = append(names, fmt.Sprint("h", r.IntN(most)))
 				}
-				c.Said(now, names)
+				c.Report(now, names)
 				for _, name := range names {
 					said[name] = now
 				}
 			}
 			for _, name := range c.Due(now) {
 				_, twice := out[name]
-				if twice || said[name] == 0 || now > said[name]+Stands || last[name] > 0 && now < last[name]+Every {
+				if twice || said[name] == 0 || now > said[name]+ReportTTL || last[name] > 0 && now < last[name]+Interval {
 					t.Fatalf("seed %d: %s is tried at %v: out %v, said at %v, tried last at %v", seed, name, now, twice, said[name], last[name])
 				}
 				out[name] = try{now + time.Duration(r.Int64N(int64(Timeout)))}
 				tries[name]++
 			}
-			if len(out) > AtOnce || len(c.hosts) > HostsMost {
+			if len(out) > MaxConcurrent || len(c.hosts) > MaxHosts {
 				t.Fatalf("seed %d: %d tries out, %d hosts kept", seed, len(out), len(c.hosts))
 			}
 		}
--- a/internal/fleet/metrics.go
+++ b/internal/fleet/metrics.go
@@ -12,46 +12,44 @@
 	"github.com/prometheus/common/expfmt"
 )
 
-const checksHelp = "Tries of hosts on behalf of the fleet: good, bad, or fenced by a host that knows a later owner."
+const checksHelp = "Health checks on behalf of the fleet: good, bad, or fenced by a host that knows a later holder of the lease."
 
-// metrics answers a scraper, in the text format of Prometheus.
-func (f *Fleet) metrics() func(context.Context, url.Values) (int, string, string) {
+// registry returns all metrics of the gateway's part.
+func (f *Fleet) registry() *prometheus.Registry {
 	r := prometheus.NewRegistry()
 	r.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	f.c.RegisterMetrics(r)
-	for pool, l := range f.lists {
-		r.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
-			Name: "dunemoor_discovery_watches_total", Help: "Watches of discovery begun from this gateway, of a pool whose list the fleet tells.",
-			ConstLabels: prometheus.Labels{"pool": pool},
-		}, func() float64 { return float64(l.calls.Load()) }))
+	f.cluster.RegisterMetrics(r)
+	for pool, l := range f.endpointLists {
+		registerCounter(r, "dunemoor_discovery_watches_total", "Watches of discovery begun by this gateway, of a pool whose list the fleet publishes.",
+			prometheus.Labels{"pool": pool}, &l.watches)
 	}
-	for _, k := range f.checks {
-		for _, x := range []struct {
-			name, result, help string
-			from               *atomic.Uint64
-		}{
-			{"checks_total", "good", checksHelp, &k.good},
-			{"checks_total", "bad", checksHelp, &k.bad},
-			{"checks_total", "fenced", checksHelp, &k.fenced},
-			{"hints_total", "", "Hosts that the fleet's checker said may be worth a try, as heard here.", &k.hints},
-		} {
-			labels := prometheus.Labels{"pool": k.pool}
-			if x.result != "" {
-				labels["result"] = x.result
-			}
-			r.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "dunemoor_fleet_" + x.name, Help: x.help, ConstLabels: labels},
-				func() float64 { return float64(x.from.Load()) }))
-		}
+	for _, c := range f.healthChecks {
+		registerCounter(r, "dunemoor_fleet_checks_total", checksHelp, prometheus.Labels{"pool": c.pool, "result": "good"}, &c.passed)
+		registerCounter(r, "dunemoor_fleet_checks_total", checksHelp, prometheus.Labels{"pool": c.pool, "result": "bad"}, &c.failed)
+		registerCounter(r, "dunemoor_fleet_checks_total", checksHelp, prometheus.Labels{"pool": c.pool, "result": "fenced"}, &c.fenced)
+		registerCounter(r, "dunemoor_fleet_hints_total", "Hosts that have passed a health check of the fleet, as received here.",
+			prometheus.Labels{"pool": c.pool}, &c.received)
 	}
+	return r
+}
+
+func registerCounter(r *prometheus.Registry, name, help string, labels prometheus.Labels, value *atomic.Uint64) {
+	opts := prometheus.CounterOpts{Name: name, Help: help, ConstLabels: labels}
+	r.MustRegister(prometheus.NewCounterFunc(opts, func() float64 { return float64(value.Load()) }))
+}
+
+// metricsCall returns the call of a scraper, in the text format of Prometheus.
+func (f *Fleet) metricsCall() func(context.Context, url.Values) (int, string, string) {
+	r := f.registry()
 	return func(context.Context, url.Values) (int, string, string) {
-		all, err := r.Gather()
+		families, err := r.Gather()
 		if err != nil {
 			return http.StatusInternalServerError, err.Error() + "\n", ""
 		}
 		var b bytes.Buffer
 		format := expfmt.NewFormat(expfmt.TypeTextPlain)
 		e := expfmt.NewEncoder(&b, format)
-		for _, m := range all {
+		for _, m := range families {
 			if err := e.Encode(m); err != nil {
 				return http.StatusInternalServerError, err.Error() + "\n", ""
 			}
--- a/internal/gateway/appliance.go
+++ b/internal/gateway/appliance.go
@@ -28,8 +28,8 @@
 	responders "dunemoor/internal/host/fastcgi"
 	hosts "dunemoor/internal/host/http1"
 	"dunemoor/internal/overload"
+	"dunemoor/internal/override"
 	"dunemoor/internal/route"
-	"dunemoor/internal/words"
 )
 
 const (
@@ -78,7 +78,7 @@
 // worded is the list of a pool with operators' words on its hosts.
 type worded struct {
 	mu    sync.Mutex
-	words *words.Pool
+	words *override.Filter
 	pool  *engine.Pool
 }
 
@@ -87,7 +87,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if kind != balancer.ListFailed {
-		list.Servers = s.words.Listed(kind == balancer.ListFull, list.Servers)
+		list.Servers = s.words.ApplyList(kind == balancer.ListFull, list.Servers)
 	}
 	s.pool.Members(kind, list)
 }
@@ -96,7 +96,7 @@
 func (s *worded) say(drained []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if changed := s.words.Said(drained); len(changed) > 0 {
+	if changed := s.words.SetDrained(drained); len(changed) > 0 {
 		s.pool.Members(balancer.ListChanges, discovery.MemberList{Servers: changed})
 	}
 }
@@ -428,7 +428,7 @@
 		p.cancel()
 		return nil, err
 	}
-	p.worded = &worded{words: words.New(g.box.drainedOf(cfg.Name)), pool: p.Pool}
+	p.worded = &worded{words: override.NewFilter(g.box.drainedOf(cfg.Name)), pool: p.Pool}
 	go p.transport.Run(p.ctx)
 	return p, nil
 }
--- a/internal/words/words_test.go
+++ b/internal/override/override_test.go
@@ -1,4 +1,4 @@
-package words
+package override
 
 import (
 	"math/rand/v2"
@@ -24,12 +24,12 @@
 			return list
 		}
 		drained := draw()
-		p := New(drained)
+		p := NewFilter(drained)
 		listed, told := map[string]string{}, map[string]string{}
 		for range 40 {
 			if r.IntN(2) == 0 {
 				drained = draw()
-				for _, h := range p.Said(drained) {
+				for _, h := range p.SetDrained(drained) {
 					told[h.ID] = h.State
 				}
 			} else {
@@ -45,7 +45,7 @@
 						listed[id] = list[len(list)-1].State
 					}
 				}
-				for _, h := range p.Listed(whole, list) {
+				for _, h := range p.ApplyList(whole, list) {
 					told[h.ID] = h.State
 				}
 			}
--- a/internal/scale/hollow/host.go
+++ b/internal/scale/hollow/host.go
@@ -225,7 +225,7 @@
 		}
 	}
 	words := 0
-	part.Use(func(string) (fleet.Pool, bool) { return unheard{}, true }, func(hosts map[string][]string) {
+	part.SetPools(func(string) (fleet.Pool, bool) { return unheard{}, true }, func(hosts map[string][]string) {
 		n := 0
 		for _, list := range hosts {
 			n += len(list)
@@ -248,9 +248,9 @@
 type unheard struct{}
 
 func (unheard) Members(balancer.ListKind, discovery.MemberList) {}
-func (unheard) GivenUp(int) []string                            { return nil }
+func (unheard) EjectedHosts(int) []string                       { return nil }
 func (unheard) Address(string) string                           { return "" }
-func (unheard) Hint(string, time.Duration)                      {}
+func (unheard) HealthCheckPassed(string, time.Duration)         {}
 
 func (h *host) named(name string) *gateway {
 	h.mu.Lock()
