--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -193,7 +193,7 @@
 		want   float64 // -1: the seed stays
 	}{
 		{OK, 300 * ms, 0.3},
-		{Failed, 2 * ms, 0.4}, // the base penalty: one aim
+		{Failed, 2 * ms, 0.4}, // the base penalty: one latency objective
 		{Full, 2 * ms, 0.4},
 		{Failed, 700 * ms, 0.7},
 		{TimedOut, 600 * ms, 0.6},
@@ -245,7 +245,7 @@
 	}
 }
 
-// Of many hosts only the two drawn are compared: the second best is drawn
+// Of many hosts only the two chosen are compared: the second best is drawn
 // without the best often enough to get a share, the worst never wins.
 func TestTwoAreDrawn(t *testing.T) {
 	g := start(t, basic(), hosts(4)...)
@@ -283,7 +283,7 @@
 	for i := range list {
 		list[i].Kind = i % 3
 	}
-	drawn := map[HostID]int{} // instances that use the host
+	users := map[HostID]int{} // instances that use the host
 	for rank := range instances {
 		set := basic()
 		set.Instances, set.Rank = instances, rank
@@ -291,7 +291,7 @@
 		kinds := map[int]bool{}
 		got := g.serve(40, 0, func(HostID) time.Duration { return 200 * ms })
 		for h := range got {
-			drawn[h]++
+			users[h]++
 			kinds[list[h-1].Kind] = true
 		}
 		if len(got) < minSubsetSize || len(got) > n*2/3 {
@@ -303,7 +303,7 @@
 	}
 	least, most := instances, 0
 	for _, h := range list {
-		least, most = min(least, drawn[h.ID]), max(most, drawn[h.ID])
+		least, most = min(least, users[h.ID]), max(most, users[h.ID])
 	}
 	if most-least > 4 {
 		t.Errorf("hosts are used by %d to %d instances", least, most)
@@ -374,7 +374,7 @@
 	}
 }
 
-// ksa-charging fresh-big (crash at full size): hosts tipped at a third of the aim, far
+// ksa-charging fresh-big (crash at full size): hosts tipped at a third of the latency objective, far
 // from late; answers must be judged against what is usual for their class too.
 func TestPressureIsJudgedByWhatIsUsual(t *testing.T) {
 	set := basic()
@@ -385,7 +385,7 @@
 	if p := g.b.pressure.mean; p > 1 || g.b.sendRate != 0 {
 		t.Fatalf("pressure %v, bound %v at usual answers, want neither over", p, g.b.sendRate)
 	}
-	g.serve(12, 0, func(HostID) time.Duration { return 100 * ms }) // a quarter of the aim
+	g.serve(12, 0, func(HostID) time.Duration { return 100 * ms }) // a quarter of the latency objective
 	if g.b.sendRate == 0 {
 		t.Errorf("no bound at two and a half times the usual RTT, pressure %v", g.b.pressure.mean)
 	}
@@ -410,7 +410,7 @@
 	}
 }
 
-// glasgow rough-1: with limits judged by each class's own generous aim alone, a crash
+// glasgow rough-1: with limits judged by each class's own generous latency objective alone, a crash
 // crowded the hosts left to several times their usual RTT before a limit moved.
 func TestLimitIsJudgedByWhatIsUsual(t *testing.T) {
 	set := basic()
@@ -421,7 +421,7 @@
 	h.concurrencyLimit = 20
 	id := g.request(0, 20*time.Second)
 	g.advance(300 * ms)
-	g.outcome(id, 0, OK, 300*ms) // far within its aim
+	g.outcome(id, 0, OK, 300*ms) // far within its latency objective
 	if h.concurrencyLimit >= 20 {
 		t.Errorf("limit %v after an answer of many times the usual RTT, want it cut", h.concurrencyLimit)
 	}
@@ -450,16 +450,16 @@
 		}
 	}
 	if moved > 1 {
-		t.Errorf("%d hosts are new after a list change that took no drawn host, one may move at a time", moved)
+		t.Errorf("%d hosts are new after a list change that took no host of the subset, one may move at a time", moved)
 	}
 	g.serve(100, 0, quick) // long enough to move nearer on the ring, one host at a time
 	for _, h := range g.closed {
 		if before[h] == 0 {
-			t.Errorf("closed host %d, which was not drawn", h)
+			t.Errorf("closed host %d, which was not in the subset", h)
 		}
 	}
 	if n := len(g.b.sets[setSubset].list); n != g.b.subsetSize() {
-		t.Errorf("%d hosts drawn, want %d", n, g.b.subsetSize())
+		t.Errorf("%d hosts in the subset, want %d", n, g.b.subsetSize())
 	}
 	left := g.b.sets[setSubset].list[0]
 	g.closed = nil
@@ -586,7 +586,7 @@
 	g.sole(Fail)
 }
 
-// A repeat says by when it has to be out, so that what a dial takes counts as well: the window runs
+// A retry says by when it has to be out, so that what a dial takes counts as well: the window runs
 // from the first attempt that may have run. All else may go out at any time.
 func TestRepeatsSayWhenTheirWindowCloses(t *testing.T) {
 	for class := range basic().Classes {
@@ -610,7 +610,7 @@
 			want = second + 600*ms - answerMarginSteps*g.b.set.Step
 		}
 		if at := g.sole(Send).At; at != want {
-			t.Errorf("class %d: the repeat has to be out by %v, want %v", class, at-began, want-began)
+			t.Errorf("class %d: the retry has to be out by %v, want %v", class, at-began, want-began)
 		}
 	}
 }
@@ -962,7 +962,7 @@
 	return asked, refused
 }
 
-// Hosts to which connections fail are spared by fail-open while any other is up: each try
+// Hosts to which connections fail are spared by fail-open while any other is up: each attempt
 // there uses up one of a request's attempts at once.
 func TestFailOpenSparesBrokenHosts(t *testing.T) {
 	g := start(t, basic(), hosts(6)...)
@@ -1005,14 +1005,14 @@
 	if most := 2 * initialLimit; len(out) != most {
 		t.Fatalf("%d in flight at two new hosts, want %d", len(out), most)
 	}
-	worth := g.request(2, time.Second)
+	heaviest := g.request(2, time.Second)
 	for id := range out {
 		g.now += 10 * ms
 		g.outcome(id, 0, OK, 10*ms)
 		break
 	}
-	if len(g.acts) == 0 || g.acts[0].Request != worth {
-		t.Errorf("actions %v, want the unsafe request, worth most, first", g.acts)
+	if len(g.acts) == 0 || g.acts[0].Request != heaviest {
+		t.Errorf("actions %v, want the non-idempotent request, of the highest weight, first", g.acts)
 	}
 }
 
@@ -1031,7 +1031,7 @@
 		}
 	}
 	if g.b.queued != 0 {
-		t.Errorf("%d still wait %v later, past their aim", g.b.queued, g.now-begin)
+		t.Errorf("%d still wait %v later, past their latency objective", g.b.queued, g.now-begin)
 	}
 }
 
@@ -1039,7 +1039,7 @@
 func TestLateRequestsAreRefusedInEveryLine(t *testing.T) {
 	set := basic()
 	set.Classes[0].Deadline = 2 * time.Second
-	set.Classes[1].Deadline, set.Classes[1].LatencyObjective = 2*time.Second, 2*time.Second // worth more
+	set.Classes[1].Deadline, set.Classes[1].LatencyObjective = 2*time.Second, 2*time.Second // of a higher weight
 	g := start(t, set)
 	low := g.request(0, 2*time.Second)
 	high := g.request(1, 2*time.Second)
@@ -1082,7 +1082,7 @@
 	}
 }
 
-// Ordinary answers of a class with a long aim must not rest hosts.
+// Ordinary answers of a class with a long latency objective must not rest hosts.
 func TestLimitJudgesAClassByItsOwnAim(t *testing.T) {
 	set := basic()
 	set.Instances = 100
@@ -1102,7 +1102,7 @@
 }
 
 // lahore-main big days: where each instance has less than one attempt at a host,
-// in-flight limits cannot bound what the bank sends; the rate of sends must.
+// in-flight limits cannot bound what the fleet sends; the rate of sends must.
 func TestOverloadBoundsTheRate(t *testing.T) {
 	set := basic()
 	set.Instances = 200
@@ -1132,7 +1132,7 @@
 	}
 	low, high := run(0.9)
 	if low > 50 || high < 2*low {
-		t.Errorf("%d of little worth and %d of much sent while answers are late, want few and more", low, high)
+		t.Errorf("%d of low and %d of high weight sent while responses are late, want few and more", low, high)
 	}
 	run(0.1)
 	if low, high := run(0.1); low != 100 || high != 100 {
@@ -1262,8 +1262,8 @@
 
 func TestRepeatsWaitBehind(t *testing.T) {
 	tests := []struct {
-		name   string
-		repeat Request
+		name      string
+		duplicate Request
 	}{
 		{"marked", Request{Remaining: time.Second, Duplicate: true}},
 	}
@@ -1273,18 +1273,18 @@
 			for range initialLimit {
 				g.request(0, time.Second)
 			}
-			tt.repeat.ID = 1000
-			g.b.Request(g.now, tt.repeat)
+			tt.duplicate.ID = 1000
+			g.b.Request(g.now, tt.duplicate)
 			first := g.request(0, time.Second)
 			g.now += 10 * ms
 			g.outcome(1, 0, OK, 10*ms)
 			if len(g.acts) == 0 || g.acts[0].Kind != Send || g.acts[0].Request != first {
-				t.Fatalf("actions %v, want the first try %d sent before the repeat", g.acts, first)
+				t.Fatalf("actions %v, want the first attempt %d sent before the duplicate", g.acts, first)
 			}
 			g.now += 10 * ms
 			g.outcome(2, 0, OK, 20*ms)
 			if len(g.acts) == 0 || g.acts[0].Kind != Send || g.acts[0].Request != 1000 {
-				t.Fatalf("actions %v, want the repeat sent next", g.acts)
+				t.Fatalf("actions %v, want the duplicate sent next", g.acts)
 			}
 		})
 	}
@@ -1311,39 +1311,39 @@
 	}
 }
 
-// ksa-charging big-2 and incidents i306d78, i53255a: each instance sent a cold host one
+// ksa-charging big-2 and incidents i306d78, i53255a: each instance sent a warming host one
 // attempt a Fall at least, and hundreds of them pushed it over.
-func TestColdBudgetHoldsForTheWholeBank(t *testing.T) {
+func TestSlowStartBudgetHoldsForTheWholeFleet(t *testing.T) {
 	for _, instances := range []int{1, 30, 300, 1200} {
 		for _, learnt := range []bool{false, true} {
 			set := basic()
 			set.Instances = instances
 			list := hosts(max(2, instances/6))
-			cold := list[0].ID
-			drawn, sends, capacity := 0, 0, 60.0 // a warm host's answers a second
+			starting := list[0].ID
+			users, sends, capacity := 0, 0, 60.0 // a warm host's answers a second
 			for rank := range instances {
 				set.Rank = rank
 				g := start(t, set, list...)
 				if learnt {
 					g.b.warmHostRate.add(capacity / g.b.sharingInstances())
 				}
-				g.list(ListChanges, Host{ID: cold, Cell: list[0].Cell, Zone: list[0].Zone, Started: g.now})
-				for range 40 { // a Fall, more asked than the cold host can do
+				g.list(ListChanges, Host{ID: starting, Cell: list[0].Cell, Zone: list[0].Zone, Started: g.now})
+				for range 40 { // an overload window, with more requests than the warming host can do
 					id := g.request(0, time.Second)
 					if len(g.acts) == 1 && g.acts[0].Kind == Send {
-						if g.acts[0].Host == cold {
+						if g.acts[0].Host == starting {
 							sends++
 						}
 						g.outcome(id, 0, Full, ms)
 					}
 					g.advance(set.OverloadWindow / 40)
 				}
-				if g.b.byID[cold].inSubset() {
-					drawn++
+				if g.b.byID[starting].inSubset() {
+					users++
 				}
 			}
-			if drawn == 0 {
-				t.Errorf("%d instances: none draws from the cold host", instances)
+			if users == 0 {
+				t.Errorf("%d instances: none uses the warming host", instances)
 			}
 			if budget := capacity * set.SlowStartShare * set.OverloadFactor; float64(sends) > budget {
 				t.Errorf("%d instances, learnt %v: %d sends in a Fall, budget %.0f", instances, learnt, sends, budget)
@@ -1367,7 +1367,7 @@
 }
 
 // Found by fuzzing: a learnt rate decayed to almost nothing turned into a gap
-// below zero, and the cold host was not paced at all.
+// below zero, and the warming host was not paced at all.
 func TestColdHostIsPacedAfterALongIdleTime(t *testing.T) {
 	g := start(t, basic(), Host{ID: 1})
 	g.serve(20, 0, func(HostID) time.Duration { return 10 * ms })
@@ -1376,13 +1376,13 @@
 		g.list(ListFull, Host{ID: 1}, Host{ID: 2, Started: g.now})
 		h := g.b.byID[2]
 		if gap := h.nextSlowStartSend - g.now; gap <= 0 || gap > g.b.set.OverloadWindow*3/2 {
-			t.Errorf("next send to the cold host %v from now after %v, want at most one and a half Falls", gap, idle)
+			t.Errorf("next send to the warming host %v from now after %v, want at most one and a half overload windows", gap, idle)
 		}
 		g.list(ListFull, Host{ID: 1})
 	}
 }
 
-// Altered sites: a lone host that came back cold got one request a Fall, as no
+// Altered sites: a lone host that came back and was warming got one request an overload window, as no
 // other host was there to learn from.
 func TestLoneColdHostUsesWhatWasLearnt(t *testing.T) {
 	g := start(t, basic(), hosts(1)...)
@@ -1408,7 +1408,7 @@
 	}
 }
 
-// Found by fuzzing: a cold host that left the list and came back had its pacing
+// Found by fuzzing: a warming host that left the list and came back had its pacing
 // forgotten.
 func TestColdPacingOutlivesAFlappingList(t *testing.T) {
 	list := hosts(1)
@@ -1783,7 +1783,7 @@
 
 // What must not run twice is lost with an error, so the second in a row from a host, to whatever class,
 // keeps it from there, and good answers to any class let it go there again. It guards against losing what
-// is worth most once for every class and gateway that learns of an ill host by itself.
+// has the highest weight once for every class and gateway that learns of a failing host by itself.
 func TestErrorKeepsUnsafeRequestsAway(t *testing.T) {
 	for class, want := range []bool{false, false, true} {
 		g := start(t, basic(), hosts(2)...)
@@ -1936,10 +1936,10 @@
 		g.advance(ms)
 	}
 	h.concurrencyLimit = 1
-	for _, mute := range []float64{0, 1} {
-		g.b.unansweredShare = mute
-		if at, want := g.b.atLimit(h), mute == 0; at != want {
-			t.Errorf("with a share of %v that stay silent: at its limit %v, want %v", mute, at, want)
+	for _, share := range []float64{0, 1} {
+		g.b.unansweredShare = share
+		if at, want := g.b.atLimit(h), share == 0; at != want {
+			t.Errorf("with a share of %v that stay silent: at its limit %v, want %v", share, at, want)
 		}
 	}
 }
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// bank is many gateways of one bank, each with a Balancer of its own, that hear of the
+// gatewayFleet is many gateways, each with a Balancer of its own, that hear of the
 // same hosts.
-type bank struct {
+type gatewayFleet struct {
 	t     *testing.T
 	gates []*gateway
 }
 
-func startBank(t *testing.T, set Settings, n int, list []Host) *bank {
-	f := &bank{t: t}
+func startFleet(t *testing.T, set Settings, n int, list []Host) *gatewayFleet {
+	f := &gatewayFleet{t: t}
 	set.Instances = n
 	for set.Rank = range n {
 		b, err := New(set, uint64(set.Rank)+1) // as in service each has a seed of its own
@@ -31,7 +31,7 @@
 }
 
 // list tells every gateway of changes and has each choose anew.
-func (f *bank) list(changes ...Host) {
+func (f *gatewayFleet) list(changes ...Host) {
 	for _, g := range f.gates {
 		g.list(ListChanges, changes...)
 		g.b.refreshSubset()
@@ -39,7 +39,7 @@
 }
 
 // advance lets time pass; every gateway chooses often enough.
-func (f *bank) advance(d time.Duration) {
+func (f *gatewayFleet) advance(d time.Duration) {
 	const step = 100 * time.Millisecond
 	for ; d > 0; d -= step {
 		for _, g := range f.gates {
@@ -51,7 +51,7 @@
 }
 
 // shared is by host how many gateways draw from it.
-func (f *bank) shared() map[HostID]int {
+func (f *gatewayFleet) shared() map[HostID]int {
 	n := map[HostID]int{}
 	for _, g := range f.gates {
 		for _, h := range g.b.sets[setSubset].list {
@@ -61,8 +61,8 @@
 	return n
 }
 
-// drawn is the hosts that a gateway draws from.
-func (f *bank) drawn(i int) map[HostID]bool {
+// subset returns the hosts that a gateway uses.
+func (f *gatewayFleet) subset(i int) map[HostID]bool {
 	is := map[HostID]bool{}
 	for _, h := range f.gates[i].b.sets[setSubset].list {
 		is[h.ID] = true
@@ -70,7 +70,7 @@
 	return is
 }
 
-// Six in ten hosts of a fleet are replaced by cold ones while 80 gateways look on, as in a
+// Six in ten hosts of a fleet are replaced by starting ones while 80 gateways look on, as in a
 // release. Hosts that drained counted in the order of hosts, so that those behind them had
 // several times the gateways of others: up to 35 where 10 were the even share, and they
 // slowed down under it.
@@ -79,7 +79,7 @@
 	set.SlowStartWindow = 9 * time.Second
 	const gates, n = 80, 60
 	list := hosts(n)
-	f := startBank(t, set, gates, list)
+	f := startFleet(t, set, gates, list)
 	check := func(when string, ids []Host, even float64) {
 		t.Helper()
 		got := f.shared()
@@ -93,7 +93,7 @@
 		g.b.refreshSubset()
 	}
 	check("at first", list, minSharingInstances)
-	var cold []Host
+	var started []Host
 	for wave := range 2 {
 		old, left := list[wave*18:wave*18+18], list[wave*18+18:]
 		for i := range old {
@@ -109,24 +109,24 @@
 			changes = append(changes, old[i], Host{
 				ID: 1000 + old[i].ID, Zone: old[i].Zone, Cell: old[i].Cell, Started: f.gates[0].now,
 			})
-			cold = append(cold, changes[len(changes)-1])
+			started = append(started, changes[len(changes)-1])
 			if i%6 == 5 { // some at a time
 				f.list(changes...)
 				changes = nil
 				f.advance(200 * time.Millisecond)
-				check("cold ones come", cold, gates*warm/float64(len(left)))
+				check("new ones start", started, gates*warm/float64(len(left)))
 			}
 		}
 		f.advance(time.Second)
 		check("replaced, warm", left, gates*warm/float64(len(left)))
-		check("replaced, cold", cold, gates*warm/float64(len(left)))
+		check("replaced, warming", started, gates*warm/float64(len(left)))
 	}
 	f.advance(2 * set.SlowStartWindow)
-	check("all warm", append(cold, list[36:]...), minSharingInstances)
+	check("all warm", append(started, list[36:]...), minSharingInstances)
 }
 
-// playOverload plays twelve seconds of twice what the hosts of a bank can do, a third of it
-// bookings with a tight aim and five times the worth, and returns how much of each class was
+// playOverload plays twelve seconds of twice what the hosts of a fleet can do, a third of it
+// bookings with a tight latency objective and five times the weight, and returns how much of each class was
 // asked and served in time in the last ten.
 func playOverload(t *testing.T, seed int64) (asked, served [2]int) {
 	const gates, n = 20, 15
@@ -137,7 +137,7 @@
 		{LatencyObjective: 130 * ms, Deadline: 400 * ms, PriorityWeight: 5, Idempotency: NonIdempotent},
 	}
 	r := rand.New(rand.NewSource(seed))
-	f := startBank(t, set, gates, hosts(n))
+	f := startFleet(t, set, gates, hosts(n))
 	type job struct {
 		gate      *gateway
 		id        RequestID
@@ -195,8 +195,8 @@
 	return asked, served
 }
 
-// Where the hosts are full, what is worth little leaves room for what is worth most: the
-// latter waits the least, as its aim is tight, and was the first to be turned away.
+// Where the hosts are full, requests of low weight leave capacity to those of high weight: the
+// latter wait the least, as their latency objective is tight, and were the first to be rejected.
 func TestUnderOverloadTheWorthiestIsServedFirst(t *testing.T) {
 	var asked, served [2]int
 	for seed := range int64(2) {
@@ -222,7 +222,7 @@
 			g.outcome(id, 0, OK, 10*ms)
 		}
 	}
-	g.b.starvation[0].share = 1 // the least worth can't ask others for room
+	g.b.starvation[0].share = 1 // the lowest weight can't claim capacity from others
 	for range 50 {
 		id := g.request(0, time.Second)
 		g.sole(Send)
@@ -283,7 +283,7 @@
 	set.Poll, set.PollTimeout = true, 10*time.Second
 	const gates, n, least = 80, 60, 56
 	r := rand.New(rand.NewSource(5))
-	f := &bank{t: t}
+	f := &gatewayFleet{t: t}
 	calls := map[Time]int{} // by second
 	set.Instances = gates
 	began := Time(time.Hour)
@@ -337,28 +337,28 @@
 		t.Errorf("%d calls in 10 s", total)
 	}
 	for i := range f.gates { // and the old list stands
-		if got := f.drawn(i); len(got) < minSubsetSize {
-			t.Errorf("gateway %d draws from %d hosts", i, len(got))
+		if got := f.subset(i); len(got) < minSubsetSize {
+			t.Errorf("gateway %d uses %d hosts", i, len(got))
 		}
 	}
 }
 
 // Of a fleet in which one host in ten is replaced, a gateway changes that many, and some more
 // as places slide: none with all hosts its own, up to half where 500 share 120 hosts. Each
-// host has its gateways, in a bank of one, of 80 and of 500.
+// host has its gateways, in a fleet of one, of 80 and of 500.
 func TestGatewayChangesWhatWasReplaced(t *testing.T) {
 	for _, c := range []struct {
 		gates, n int
 		most     float64
 	}{{1, 12, 0.1}, {80, 60, 0.35}, {500, 120, 0.5}} {
 		list := hosts(c.n)
-		f := startBank(t, basic(), c.gates, list)
+		f := startFleet(t, basic(), c.gates, list)
 		for _, g := range f.gates {
 			g.b.refreshSubset()
 		}
 		var before []map[HostID]bool
 		for i := range f.gates {
-			before = append(before, f.drawn(i))
+			before = append(before, f.subset(i))
 		}
 		var changes []Host
 		for i := range c.n / 10 { // one in ten, at once and warm
@@ -370,7 +370,7 @@
 		f.advance(20 * time.Second)
 		held, changed := 0, 0
 		for i, old := range before {
-			now := f.drawn(i)
+			now := f.subset(i)
 			for h := range old {
 				held++
 				if !now[h] {
@@ -387,8 +387,8 @@
 				t.Errorf("%d gateways: %d draw from host %d", c.gates, x, h.ID)
 			}
 		}
-		if c.gates == 1 && len(f.drawn(0)) != c.n {
-			t.Errorf("a gateway alone draws from %d of %d hosts", len(f.drawn(0)), c.n)
+		if c.gates == 1 && len(f.subset(0)) != c.n {
+			t.Errorf("a gateway alone uses %d of %d hosts", len(f.subset(0)), c.n)
 		}
 	}
 }
@@ -416,7 +416,7 @@
 	b := g.b
 	if len(b.byID) != 60 || len(b.hosts) != 60 || len(b.ring) > 60 || b.readyHosts[0]+b.readyHosts[1] != 60 ||
 		len(b.sets[setSubset].list) > 60 || len(b.rechecks) > 60 || cap(b.ring) > 256 {
-		t.Errorf("kept: %d by id, %d hosts, %d on the ring (room for %d), %v listed, %d drawn, %d to look at",
+		t.Errorf("kept: %d by id, %d hosts, %d on the ring (room for %d), %v listed, %d in the subset, %d to check again",
 			len(b.byID), len(b.hosts), len(b.ring), cap(b.ring), b.readyHosts, len(b.sets[setSubset].list), len(b.rechecks))
 	}
 	for _, l := range b.byKind {
@@ -426,8 +426,8 @@
 	}
 }
 
-// A zone is lost and comes back cold, to 80 gateways that all want its hosts: what all send
-// to each of them stays within the budget of a cold host in every window, and the hosts are
+// A zone is lost and comes back warming, to 80 gateways that all want its hosts: what all send
+// to each of them stays within the slow-start budget of a host in every window, and the hosts are
 // used by a good part of it.
 func TestZoneBackColdIsWarmedWithinItsBudget(t *testing.T) {
 	set := basic()
@@ -436,7 +436,7 @@
 	for i := range list {
 		list[i].Zone, list[i].Kind = i%3, 0
 	}
-	f := startBank(t, set, gates, list)
+	f := startFleet(t, set, gates, list)
 	r := rand.New(rand.NewSource(9))
 	type answer struct {
 		g    *gateway
@@ -515,23 +515,23 @@
 			}
 		}
 		if len(times) == 0 {
-			t.Errorf("host %d gets nothing while it is cold", h.ID)
+			t.Errorf("host %d gets nothing while it is warming", h.ID)
 		}
 		used += float64(len(times))
 		budget += capacity * (1 + set.SlowStartShare) / 2 * set.OverloadFactor * set.SlowStartWindow.Seconds()
 	}
-	if t.Logf("%.0f sends to cold hosts of a budget of %.0f", used, budget); used < 0.15*budget {
-		t.Errorf("%.0f sends to cold hosts, a budget of %.0f: they are left unused", used, budget)
+	if t.Logf("%.0f sends to warming hosts of a budget of %.0f", used, budget); used < 0.15*budget {
+		t.Errorf("%.0f sends to warming hosts, a budget of %.0f: they are left unused", used, budget)
 	}
 }
 
-// Discovery is out for ten seconds: what was told before stands, drains too, whatever is
+// Discovery is out for ten seconds: the last list stays, drains too, whatever is
 // asked of the hosts; and when it is back the gateways do not come to it all at once.
 func TestAListThatIsLostStands(t *testing.T) {
 	set := basic()
 	set.Poll, set.PollTimeout = true, 10*time.Second
 	const gates, n = 80, 60
-	f := startBank(t, set, gates, hosts(n))
+	f := startFleet(t, set, gates, hosts(n))
 	drained := Host{ID: 7, Zone: 3, Cell: 3, State: Draining}
 	f.list(drained)
 	back := map[int]int{} // calls that are answered, by second since it is back
@@ -553,7 +553,7 @@
 			id := g.request(0, time.Second)
 			for _, a := range g.acts {
 				if a.Kind == Send && a.Host == drained.ID {
-					t.Fatalf("a send to host %d, %v after it was told to drain", a.Host, g.now-began)
+					t.Fatalf("a send to host %d, %v after the list said that it drains", a.Host, g.now-began)
 				}
 				if a.Kind == Send {
 					g.outcome(id, 0, OK, 10*ms)
@@ -561,7 +561,7 @@
 			}
 		}
 		if len(g.b.hosts) != n {
-			t.Errorf("%d hosts are known, %d were told", len(g.b.hosts), n)
+			t.Errorf("%d hosts are known, %d were listed", len(g.b.hosts), n)
 		}
 	}
 	for second, c := range back {
--- a/balancer/fuzz_test.go
+++ b/balancer/fuzz_test.go
@@ -11,7 +11,7 @@
 
 // FuzzRules plays random legal histories of events and checks after each that
 // the four rules hold: every request one answer in time and nothing after it,
-// no effect twice, nothing to hosts that drain or are gone, no cold host over
+// no effect twice, nothing to hosts that drain or are gone, no warming host over
 // its budget.
 func FuzzRules(f *testing.F) {
 	for seed := range int64(24) {
@@ -44,21 +44,21 @@
 
 type history struct {
 	*testing.T
-	b     *Balancer
-	set   Settings
-	now   Time
-	wakes []Action
-	next  RequestID
-	reqs  map[RequestID]*tracked
-	live  []RequestID // with attempts out or without an answer
-	hosts [6]Host
-	cold  [6][]Time // sends while cold
-	rate  float64   // highest rate of good answers so far
+	b       *Balancer
+	set     Settings
+	now     Time
+	wakes   []Action
+	next    RequestID
+	reqs    map[RequestID]*tracked
+	live    []RequestID // with attempts out or without an answer
+	hosts   [6]Host
+	warming [6][]Time // sends while warming
+	rate    float64   // highest rate of good answers so far
 
 	served   float64
 	servedAt Time
 
-	acted func([]Action) // if set, told of what was decided
+	acted func([]Action) // if set, called with what was decided
 	after func()         // if set, called after each event
 }
 
@@ -109,7 +109,7 @@
 		case 3, 4, 5:
 			h.end(x, Result(data[0]/10%8))
 		case 6:
-			h.news(x, data[0])
+			h.updateList(x, data[0])
 		case 7:
 			h.leave(x)
 		case 8:
@@ -183,8 +183,8 @@
 	h.settle()
 }
 
-// news changes a host on the list, or the list fails.
-func (h *history) news(x int, how byte) {
+// updateList changes a host on the list, or the list fails.
+func (h *history) updateList(x int, how byte) {
 	e := &h.hosts[x%6]
 	switch how / 10 % 5 {
 	case 0:
@@ -199,7 +199,7 @@
 		e.State = Ready
 	case 4:
 		e.State, e.Started = Ready, max(h.now-Time(x)*8*ms, 1)
-		h.cold[x%6] = nil
+		h.warming[x%6] = nil
 	}
 	if x&64 == 0 {
 		h.b.UpdateEndpoints(h.now, ListChanges, []Host{*e})
@@ -336,16 +336,16 @@
 	if host.Started == 0 || age >= h.set.SlowStartWindow {
 		return
 	}
-	h.cold[i] = append(h.cold[i], h.now)
+	h.warming[i] = append(h.warming[i], h.now)
 	n := 0
-	for _, at := range h.cold[i] {
+	for _, at := range h.warming[i] {
 		if h.now-at < h.set.OverloadWindow {
 			n++
 		}
 	}
 	share := h.set.SlowStartShare + (1-h.set.SlowStartShare)*age.Seconds()/h.set.SlowStartWindow.Seconds()
 	if most := 2 + h.rate*h.set.OverloadFactor*share*h.set.OverloadWindow.Seconds(); float64(n) > most {
-		h.Fatalf("%d sends within %v to cold host %d, budget %.1f", n, h.set.OverloadWindow, host.ID, most)
+		h.Fatalf("%d sends within %v to warming host %d, budget %.1f", n, h.set.OverloadWindow, host.ID, most)
 	}
 }
 
--- a/balancer/retune_test.go
+++ b/balancer/retune_test.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// What waits is served in the order of the new worths, within a line as it came, and repeats
-// stay behind first tries: it guards against requests lost between two sets of lines.
+// What waits is served in the order of the new weights, within a queue as it came, and duplicates
+// stay behind first attempts: it guards against requests lost between two sets of queues.
 func TestRetuneKeepsWhatWaits(t *testing.T) {
 	g := start(t, basic())
 	var ids []RequestID
@@ -75,7 +75,7 @@
 	}
 	g.next++
 	g.b.Request(g.now, Request{ID: g.next, Class: 0, Remaining: time.Second, Duplicate: true})
-	repeat := g.next
+	duplicate := g.next
 	g.drain()
 	set := retuned()
 	set.Classes[1].PriorityWeight = 9 // not what requests are under: refused
@@ -95,7 +95,7 @@
 			order = append(order, a.Request)
 		}
 	}
-	want := []RequestID{ids[2], ids[4], ids[1], ids[0], ids[3], repeat}
+	want := []RequestID{ids[2], ids[4], ids[1], ids[0], ids[3], duplicate}
 	if len(order) != len(want) {
 		t.Fatalf("sent %v, want %v", order, want)
 	}
--- a/balancer/scale_test.go
+++ b/balancer/scale_test.go
@@ -12,14 +12,14 @@
 // it did before there were sets; the doubtful ones where no other is ready. It is the
 // obvious way, and the judge of the other.
 func walked(b *Balancer, class int, ready []*host) []*host {
-	listed, out, shunned, broken := 0, 0, 0, 0
+	listed, out, excluded, broken := 0, 0, 0, 0
 	from := b.sets[setSubset].list
 	open := func(h *host) bool { return h.State == Ready && !b.pacedBySlowStart(h) && !b.atLimit(h) }
 	for _, h := range from {
 		switch {
 		case h.State != Ready:
 		case b.excludedFor(h, class):
-			shunned++
+			excluded++
 		case b.ejected(h):
 			listed++
 			out++
@@ -35,7 +35,7 @@
 	}
 	for _, h := range from {
 		switch {
-		case listed == 0 && shunned > 0 && open(h),
+		case listed == 0 && excluded > 0 && open(h),
 			2*out > listed && b.ejected(h) && !b.excludedFor(h, class) && open(h) && (h.ejectCause != CauseConnections || broken == listed):
 			ready = append(ready, h)
 		}
@@ -177,8 +177,8 @@
 	}
 }
 
-// Five thousand hosts: half leave at once and 2,000 new cold ones come in the same event;
-// then all are ejected; then one is ready; then a class is shunned at all but a few.
+// Five thousand hosts: half leave at once and 2,000 new ones start in the same event;
+// then all are ejected; then one is ready; then a class is excluded at all but a few.
 func TestLargeListTurnsOver(t *testing.T) {
 	g, list := fleet(t, 5000, basic())
 	for range 2000 {
@@ -241,7 +241,7 @@
 		}
 		g.b.recheck(h)
 	}
-	checkSets(t, g.b) // every class shunned somewhere, one nearly everywhere
+	checkSets(t, g.b) // every class excluded somewhere, one nearly everywhere
 }
 
 // A keyed request that may have run is sent again only inside its group, whichever host
@@ -268,7 +268,7 @@
 			g.b.TakeActions(nil)
 		}
 		if len(seen) < 100 {
-			t.Errorf("200 repeats went to %d hosts only", len(seen))
+			t.Errorf("200 duplicates went to %d hosts only", len(seen))
 		}
 	}
 }
--- a/cmd/lab/fleet.go
+++ b/cmd/lab/fleet.go
@@ -57,7 +57,7 @@
 					for seed := range next {
 						o := sim.Mixed(seed)
 						if gateways > 0 {
-							o.Nodes, o.Keepers, o.Duties = gateways, keepers, duties
+							o.Nodes, o.Replicas, o.Leases = gateways, keepers, duties
 						}
 						var err error
 						switch story {
@@ -68,7 +68,7 @@
 						case "put-back":
 							err = sim.PutBack(seed)
 						case "words":
-							err = sim.Words(seed)
+							err = sim.Overrides(seed)
 						case "late":
 							err = sim.Late(seed)
 						case "relays":
@@ -131,13 +131,13 @@
 			t := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', tabwriter.AlignRight)
 			fmt.Fprintln(t, "gateways\tkeepers\tduties\tformed s\teven s\tleader frames/s\tbytes/s\tkeeper frames/s\tbytes/s\tmember frames/s\tbytes/s\tnext leader s\tduties owned s\tbusiest frames/s\tcalm\tlapsed\t")
 			for _, n := range sizes {
-				c, err := sim.Measure(sim.Options{Seed: seed, Nodes: n, Keepers: min(keepers, n), Duties: duties})
+				c, err := sim.Measure(sim.Options{Seed: seed, Nodes: n, Replicas: min(keepers, n), Leases: duties})
 				if err != nil {
 					return err
 				}
-				fmt.Fprintf(t, "%d\t%d\t%d\t%.2f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.1f\t%.0f\t%.2f\t%.2f\t%d\t%d\t%d\t\n", c.Gateways, c.Keepers, c.Duties, c.FormedIn.Seconds(), c.EvenIn.Seconds(),
-					c.LeaderFrames, c.LeaderBytes, c.KeeperFrames, c.KeeperBytes, c.MemberFrames, c.MemberBytes,
-					c.LeadIn.Seconds(), c.OwnedIn.Seconds(), c.BusiestRate, c.CalmRate, c.Lapsed)
+				fmt.Fprintf(t, "%d\t%d\t%d\t%.2f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.1f\t%.0f\t%.2f\t%.2f\t%d\t%d\t%d\t\n", c.Gateways, c.Replicas, c.Leases, c.FormedIn.Seconds(), c.BalancedIn.Seconds(),
+					c.LeaderFrames, c.LeaderBytes, c.ReplicaFrames, c.ReplicaBytes, c.GatewayFrames, c.GatewayBytes,
+					c.NextLeaderIn.Seconds(), c.LeasesGrantedIn.Seconds(), c.BusiestRate, c.CalmRate, c.ExpiredSessions)
 				t.Flush()
 			}
 			return nil
--- a/cmd/lab/scale_fleet.go
+++ b/cmd/lab/scale_fleet.go
@@ -716,7 +716,7 @@
 			return nil, ctx.Err()
 		}
 		began := time.Now()
-		if _, err := sim.Measure(sim.Options{Seed: 1, Nodes: n, Keepers: min(fleetKeepers, n), Duties: duties}); err != nil {
+		if _, err := sim.Measure(sim.Options{Seed: 1, Nodes: n, Replicas: min(fleetKeepers, n), Leases: duties}); err != nil {
 			return nil, err
 		}
 		s.add("a fleet played", "s", 0.02, n, time.Since(began).Seconds())
--- a/internal/cluster/clock_test.go
+++ b/internal/cluster/clock_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// The clock on the wall may jump by hours either way. Nothing here reads it but to show it: what
-// is compared is the time since something, which no one sets.
+// The wall clock may jump by hours in either direction. Nothing here reads it except to show it: what is compared are
+// durations of a clock that nobody sets.
 func TestNoWallClock(t *testing.T) {
 	wall := map[string]bool{"Unix": true, "UnixNano": true, "UnixMilli": true, "UnixMicro": true, "UTC": true, "Local": true, "Date": true, "ModTime": true}
 	shown := map[string]bool{
@@ -40,7 +40,7 @@
 				}
 				seen++
 				if !shown[path+" "+name] {
-					t.Errorf("%s: %s reads the clock on the wall (%s)", set.Position(n.Pos()), name, s.Sel.Name)
+					t.Errorf("%s: %s reads the wall clock (%s)", set.Position(n.Pos()), name, s.Sel.Name)
 				}
 				return true
 			})
@@ -48,6 +48,6 @@
 		return nil
 	})
 	if err != nil || seen == 0 {
-		t.Errorf("looked at nothing: %v", err)
+		t.Errorf("nothing was checked: %v", err)
 	}
 }
--- a/internal/cluster/compat_test.go
+++ b/internal/cluster/compat_test.go
@@ -22,7 +22,7 @@
 func TestCompatMetrics(t *testing.T) {
 	relays := relaysOf(t, 2)
 	names := map[string]bool{}
-	for _, p := range []*part{join(t, "r1", relays, nil), join(t, "g1", relays, nil)} {
+	for _, p := range []*member{join(t, "r1", relays, nil), join(t, "g1", relays, nil)} {
 		r := prometheus.NewRegistry()
 		p.RegisterMetrics(r)
 		families, err := r.Gather()
@@ -46,7 +46,7 @@
 	compat.Values(t, "metrics.txt", list...)
 }
 
-// The operators' words that an earlier build kept are read at a start, and kept in the same form.
+// Overrides that an earlier build has saved are read at a start, and saved in the same form.
 func TestCompatWords(t *testing.T) {
 	dir := t.TempDir()
 	f, err := New(Config{FleetID: "f", Name: "g1", Listen: "127.0.0.1:0", DataDir: dir, Key: []byte(testKey), BootstrapReplicas: []string{"g1"}})
@@ -55,10 +55,10 @@
 	}
 	defer f.dir.Close()
 	defer f.listener.Close()
-	words := node.OverrideSet{ClusterID: 5, ModRevision: 6, List: []lease.Override{
+	saved := node.OverrideSet{ClusterID: 5, ModRevision: 6, List: []lease.Override{
 		{Pool: "web", Host: "w1", Reason: "disk", CreatedBy: "g2", Remaining: 3600e9, CreatedRevision: 4}, {Pool: "web", Host: "w2", CreatedBy: "g1", CreatedRevision: 6},
 	}}
-	if err := f.writeOverrides(&words); err != nil {
+	if err := f.writeOverrides(&saved); err != nil {
 		t.Fatal(err)
 	}
 	b, err := os.ReadFile(filepath.Join(dir, "words.json"))
@@ -69,7 +69,7 @@
 	if err := os.WriteFile(filepath.Join(dir, "words.json"), compat.Read(t, "words.json"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if got := f.readOverrides(); got.ClusterID != 5 || got.ModRevision != 6 || !slices.Equal(got.List, words.List) {
+	if got := f.readOverrides(); got.ClusterID != 5 || got.ModRevision != 6 || !slices.Equal(got.List, saved.List) {
 		t.Errorf("read back: %+v", got)
 	}
 }
--- a/internal/cluster/idempotency/idempotency_test.go
+++ b/internal/cluster/idempotency/idempotency_test.go
@@ -14,31 +14,31 @@
 	"dunemoor/internal/testkit"
 )
 
-// Of the world below, in its own time.
+// Times of the simulation below.
 const (
-	window   = 2 * time.Second // in which a group drops repeats
-	lasts    = 3 * time.Second // a session without its gateway
+	window   = 2 * time.Second // in which a scope drops duplicates
+	lasts    = 3 * time.Second // how long a session outlives its gateway
 	answerIn = 300 * time.Millisecond
 	worldFor = 90 * time.Second
 )
 
-// world is a shelf with gateways that ask it, stop anywhere for any time, and go; hosts in groups that
-// drop the repeats of a key within a window, and that know the highest fence they were shown of it.
+// world is a partition with gateways that use it, pause anywhere for any time, and go. Its hosts are in scopes
+// that drop duplicates of a key within a window, and keep the highest fence that they have seen of it.
 type world struct {
 	r        *rand.Rand
 	now      time.Duration
 	events   events
 	st       *Partition
 	index    uint64
-	sent     map[string]time.Duration // by this leader: when the first sending was proposed
+	sent     map[string]time.Duration // by this leader: when the first send was proposed
 	sessions uint64
 	token    uint64
-	highest  uint64 // of the owners that took promises up
+	highest  uint64 // token under which a deferred request was taken up
 	live     map[uint64]bool
-	ran      map[string]map[string][]time.Duration // by key and group: runs that were no repeats
+	ran      map[string]map[string][]time.Duration // by key and scope: executions that were no duplicates
 	fences   map[string]uint64
-	effect   map[string]Idempotency
-	final    map[string]string // as first seen
+	kind     map[string]Idempotency
+	final    map[string]string // by request: its final phase as first seen
 	bad      error
 	seen     map[Code]int
 }
@@ -64,8 +64,8 @@
 	heap.Push(&w.events, event{w.now + time.Duration(w.r.Int64N(int64(most))) + 1, do})
 }
 
-// stalls is after, and now and then for long enough that all that was believed is over.
-func (w *world) stalls(do func()) {
+// pauses is like after, but sometimes takes so long that all sessions and windows are over.
+func (w *world) pauses(do func()) {
 	if w.r.IntN(6) == 0 {
 		w.after(4*lasts, do)
 		return
@@ -73,7 +73,7 @@
 	w.after(20*time.Millisecond, do)
 }
 
-// apply proposes a command now; the answer comes later, to a gateway that may have gone.
+// apply proposes a command now. Its result arrives later, at a gateway that may be gone.
 func (w *world) apply(c Command, then func(Result)) {
 	id := RequestID(c.Tenant, c.Key)
 	if at, ok := w.sent[id]; ok && w.now < at+window {
@@ -85,7 +85,7 @@
 	if _, ok := w.sent[id]; c.Op == OpSend && res.Code == OK && !ok {
 		w.sent[id] = w.now
 	}
-	w.look(id)
+	w.check(id)
 	if e := w.st.Requests[id]; c.Op == OpBegin && (res.Code == Execute || res.Code == Retry || res.Code == Completed) && e.Digest != c.Digest && w.bad == nil {
 		w.bad = fmt.Errorf("%s: another request was taken for it", c.Key)
 	}
@@ -98,8 +98,8 @@
 	w.after(30*time.Millisecond, func() { then(res) })
 }
 
-// look checks what must hold of an entry, and of what the shelf says that it takes.
-func (w *world) look(id string) {
+// check checks the invariants of a request, and the size that the partition counts.
+func (w *world) check(id string) {
 	if e := w.st.Requests[id]; e != nil && e.Phase.Final() {
 		now := fmt.Sprint(e.Phase, e.Response)
 		if was := w.final[id]; was != "" && was != now && w.bad == nil {
@@ -107,37 +107,37 @@
 		}
 		w.final[id] = now
 	}
-	entries, size := 0, 0
+	requests, size := 0, 0
 	for _, e := range w.st.Requests {
-		entries, size = entries+1, size+e.size()
+		requests, size = requests+1, size+e.size()
 		if e.Idempotency == NonIdempotent && e.Phase == PhaseSending && e.Session == 0 && w.bad == nil {
-			w.bad = fmt.Errorf("%s is unsafe, may have run, nobody has it, and it has no final state", e.Key)
+			w.bad = fmt.Errorf("%s is non-idempotent, may have run, no session has it, and it has no final phase", e.Key)
 		}
 	}
 	if size != w.st.Bytes && w.bad == nil {
-		w.bad = fmt.Errorf("%d entries have %d bytes, the shelf says %d", entries, size, w.st.Bytes)
+		w.bad = fmt.Errorf("%d requests have %d bytes, the partition counts %d", requests, size, w.st.Bytes)
 	}
 }
 
-// run has a gateway send a request that it was given, and end it.
+// run has a gateway send a request that it was given, and complete it.
 func (w *world) run(session uint64, c Command, res Result, until time.Duration) {
-	group := res.Scope
-	if group == "" || w.r.IntN(4) == 0 { // some gateways go where they like
-		group = fmt.Sprint("cell", w.r.IntN(2))
+	scope := res.Scope
+	if scope == "" || w.r.IntN(4) == 0 { // some gateways choose another scope
+		scope = fmt.Sprint("cell", w.r.IntN(2))
 	}
-	w.apply(Command{Op: OpSend, Tenant: c.Tenant, Key: c.Key, Session: session, Fence: res.Fence, Scope: group}, func(r Result) {
+	w.apply(Command{Op: OpSend, Tenant: c.Tenant, Key: c.Key, Session: session, Fence: res.Fence, Scope: scope}, func(r Result) {
 		if r.Code != OK || !w.live[session] || until > 0 && w.now+20*time.Millisecond >= until {
 			return
 		}
-		// Between its look and the byte it may stand still. One that sends a keyed request again
-		// may not: that is the one step that no fence and no host stops, see docs/design/copies.md.
-		step := w.stalls
+		// Between its check and the first byte it may be paused. A gateway that sends a request with a key
+		// again may not: that is the one step that no fence and no host stops, see docs/design/copies.md.
+		step := w.pauses
 		if until > 0 {
 			step = func(do func()) { w.after(20*time.Millisecond, do) }
 		}
 		step(func() {
-			status, ok := w.host(c, group, res.Fence)
-			if !ok || !w.live[session] || w.r.IntN(4) == 0 { // its answer is lost
+			status, ok := w.host(c, scope, res.Fence)
+			if !ok || !w.live[session] || w.r.IntN(4) == 0 { // the response is lost
 				return
 			}
 			w.after(answerIn, func() {
@@ -147,8 +147,8 @@
 	})
 }
 
-// host is a request's arrival at a host of a group.
-func (w *world) host(c Command, group string, fence uint64) (status int, ok bool) {
+// host is a request's arrival at a host of a scope.
+func (w *world) host(c Command, scope string, fence uint64) (status int, ok bool) {
 	if fence < w.fences[c.Key] {
 		return 0, false
 	}
@@ -156,26 +156,26 @@
 	if w.ran[c.Key] == nil {
 		w.ran[c.Key] = map[string][]time.Duration{}
 	}
-	if l := w.ran[c.Key][group]; len(l) > 0 && w.now < l[len(l)-1]+window {
-		return 200 + len(l), true // dropped as a repeat
+	if l := w.ran[c.Key][scope]; len(l) > 0 && w.now < l[len(l)-1]+window {
+		return 200 + len(l), true // dropped as a duplicate
 	}
-	w.ran[c.Key][group] = append(w.ran[c.Key][group], w.now)
-	return 200 + len(w.ran[c.Key][group]), true
+	w.ran[c.Key][scope] = append(w.ran[c.Key][scope], w.now)
+	return 200 + len(w.ran[c.Key][scope]), true
 }
 
-// client asks with one key at this gateway or that, in a while again.
-func (w *world) client(key string, effect Idempotency, promised bool) {
-	w.effect[key] = effect
+// client sends a request with one key at any gateway, again and again.
+func (w *world) client(key string, kind Idempotency, deferred bool) {
+	w.kind[key] = kind
 	if len(w.live) > 0 {
 		list := slices.Sorted(maps.Keys(w.live))
 		session := list[w.r.IntN(len(list))]
-		c := Command{Op: OpBegin, Session: session, Tenant: "t", Key: key, Digest: "d" + key, Idempotency: effect, Retention: time.Hour}
+		c := Command{Op: OpBegin, Session: session, Tenant: "t", Key: key, Digest: "d" + key, Idempotency: kind, Retention: time.Hour}
 		if w.r.IntN(20) == 0 {
 			c.Digest = "another"
 		}
-		asked := w.now
+		proposed := w.now
 		switch {
-		case promised:
+		case deferred:
 			c.Op, c.DeliverWithin = OpDefer, 20*time.Second
 			if w.r.IntN(8) == 0 {
 				c.Op = OpCancel
@@ -187,18 +187,18 @@
 				case Execute, Retry:
 					until := time.Duration(0)
 					if r.WindowLeft > 0 {
-						until = asked + r.WindowLeft
+						until = proposed + r.WindowLeft
 					}
 					w.run(session, c, r, until)
 				}
 			})
 		}
 	}
-	w.after(2*time.Second, func() { w.client(key, effect, promised) })
+	w.after(2*time.Second, func() { w.client(key, kind, deferred) })
 }
 
-// deliver is an owner of the shelf that takes promises up, as long as it believes itself: it may
-// stand still and go on under its old token.
+// deliver is a holder of the partition's lease that takes up deferred requests. It may be paused, and go on with
+// its old token.
 func (w *world) deliver(session, token uint64) {
 	if !w.live[session] {
 		return
@@ -206,12 +206,12 @@
 	for _, id := range slices.Sorted(maps.Keys(w.st.Requests)) {
 		if e := w.st.Requests[id]; e.Deferred && !e.Phase.Final() {
 			c := Command{Op: OpTakeUp, Session: session, Token: token, Tenant: e.Tenant, Key: e.Key, Idempotency: e.Idempotency}
-			asked := w.now
+			proposed := w.now
 			w.apply(c, func(r Result) {
 				if r.Code == Execute || r.Code == Retry {
 					until := time.Duration(0)
 					if r.WindowLeft > 0 {
-						until = asked + r.WindowLeft
+						until = proposed + r.WindowLeft
 					}
 					w.run(session, c, r, until)
 				}
@@ -219,28 +219,28 @@
 			break
 		}
 	}
-	w.stalls(func() { w.deliver(session, token) })
+	w.pauses(func() { w.deliver(session, token) })
 }
 
-// gateway is a session's life; when it ends another begins.
+// gateway is a session; when it ends another begins.
 func (w *world) gateway() {
 	w.sessions++
 	s := w.sessions
 	w.live[s] = true
 	w.after(10*time.Second, func() {
 		w.apply(Command{Op: OpEndSession, Session: s}, func(Result) {})
-		// It may live on, and not know; the session is no other's.
+		// The gateway may go on without knowing; nobody else has its session.
 		w.after(2*lasts, func() { delete(w.live, s) })
 		w.gateway()
 	})
 	w.after(4*time.Second, func() { w.token++; w.deliver(s, w.token) })
 }
 
-// play plays a world by a seed.
+// play plays a simulation by a seed.
 func play(seed uint64) (*world, error) {
 	w := &world{
 		r: rand.New(rand.NewPCG(seed, 7)), st: NewPartition(), sent: map[string]time.Duration{}, live: map[uint64]bool{}, ran: map[string]map[string][]time.Duration{},
-		fences: map[string]uint64{}, effect: map[string]Idempotency{}, final: map[string]string{}, seen: map[Code]int{},
+		fences: map[string]uint64{}, kind: map[string]Idempotency{}, final: map[string]string{}, seen: map[Code]int{},
 	}
 	for range 4 {
 		w.gateway()
@@ -248,30 +248,30 @@
 	for i := range 12 {
 		w.client(fmt.Sprint("k", i), []Idempotency{Idempotent, IdempotentWithKey, NonIdempotent}[i%3], i >= 6)
 	}
-	var lead func()
-	lead = func() { // another leads: when things were sent is known no more
+	var changeLeader func()
+	changeLeader = func() { // the new leader does not know when requests were sent
 		clear(w.sent)
 		w.st.Apply(w.index, &Command{Op: OpAdvanceClock, Elapsed: time.Second})
 		if back := NewPartition(); back.Decode(w.st.Encode()) != nil || !bytes.Equal(back.Encode(), w.st.Encode()) {
-			w.bad = fmt.Errorf("the shelf does not come back from its bytes")
+			w.bad = fmt.Errorf("the partition is not restored from its snapshot")
 		} else {
 			w.st = back
 		}
-		w.after(10*time.Second, lead)
+		w.after(10*time.Second, changeLeader)
 	}
-	lead()
+	changeLeader()
 	for w.bad == nil && w.now < worldFor {
 		e := heap.Pop(&w.events).(event)
 		w.now = e.at
 		e.do()
 	}
-	for key, groups := range w.ran {
+	for key, scopes := range w.ran {
 		runs := 0
-		for _, l := range groups {
+		for _, l := range scopes {
 			runs += len(l)
 		}
-		if w.effect[key] != Idempotent && runs > 1 && w.bad == nil {
-			w.bad = fmt.Errorf("%s, which is %s, ran %d times: %v", key, w.effect[key], runs, groups)
+		if w.kind[key] != Idempotent && runs > 1 && w.bad == nil {
+			w.bad = fmt.Errorf("%s, which is %s, ran %d times: %v", key, w.kind[key], runs, scopes)
 		}
 	}
 	if w.bad != nil {
@@ -280,11 +280,11 @@
 	return w, nil
 }
 
-// Each guard is taken out in turn, in a build of its own, and found: see TestEachGuard.
+// Each failpoint is enabled in turn, in a build of its own, and the fault is found: see TestEachFailpoint.
 func TestFailpoints(t *testing.T) { testkit.FailpointBuild(t, failpoint.Available) }
 
-// Nothing that must not runs twice, whoever stops where; a final state stays; the bytes held are
-// as counted. All that the machine can say comes up in it.
+// No non-idempotent request and none with a key runs twice, whatever is paused where; a final phase stays; the
+// bytes are as counted. All results occur.
 func TestHistories(t *testing.T) {
 	seen := map[Code]int{}
 	for seed := range uint64(150) {
@@ -298,7 +298,7 @@
 	}
 	for _, c := range []Code{OK, Execute, Retry, InProgress, Completed, Indeterminate, KeyMismatch, Stale, UnknownRequest, Rejected} {
 		if seen[c] == 0 {
-			t.Errorf("%q never came up", c)
+			t.Errorf("%q never occurred", c)
 		}
 	}
 	t.Log(seen)
--- a/internal/cluster/lease/delta_test.go
+++ b/internal/cluster/lease/delta_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// Thousands of gateways that open sessions at once are told of one another by their number: a compact
+// Thousands of gateways that open sessions at once learn of one another by their number: a compact
 // delta neither collects nor sorts their names.
 func TestCompactDeltaAllocations(t *testing.T) {
 	s := NewState(1)
--- a/internal/cluster/node/compat_test.go
+++ b/internal/cluster/node/compat_test.go
@@ -10,7 +10,7 @@
 	"dunemoor/internal/testkit/compat"
 )
 
-// Gateways of two builds talk with one another, and operators' tools read the status.
+// Gateways of two builds exchange messages, and operators' tools read the status.
 func TestCompatFormats(t *testing.T) {
 	compat.JSON(t, "talk.json", &Message{})
 	compat.JSON(t, "hello.json", &Hello{})
--- a/internal/cluster/placement/placement_test.go
+++ b/internal/cluster/placement/placement_test.go
@@ -10,12 +10,12 @@
 	"dunemoor/internal/testkit"
 )
 
-// fleet is a fleet that carries the plan's steps out, all the while that machines come and go.
+// fleet carries out the steps of a plan while machines come and go.
 type fleet struct {
 	Plan
 	r     *rand.Rand
 	seed  uint64
-	moved int // copies that were begun to be brought up
+	moved int // learners that were added
 	bad   error
 }
 
@@ -25,10 +25,10 @@
 	}
 }
 
-func newFleet(seed uint64, shelves, machines int) *fleet {
+func newFleet(seed uint64, partitions, machines int) *fleet {
 	f := &fleet{r: rand.New(rand.NewPCG(seed, 1)), seed: seed}
 	f.ReplicationFactor = 3
-	for i := range shelves {
+	for i := range partitions {
 		f.Partitions = append(f.Partitions, Partition{ID: i})
 	}
 	for i := range machines {
@@ -38,21 +38,21 @@
 			})
 		}
 	}
-	// A shelf begins with the copies that it is to have.
-	want := f.Targets()
+	// A partition begins with its target replicas.
+	targets := f.Targets()
 	for i := range f.Partitions {
-		f.Partitions[i].Replicas = want[i]
+		f.Partitions[i].Replicas = targets[i]
 	}
 	return f
 }
 
-// check looks at what must hold of every shelf at any time.
+// check checks the invariants of all partitions.
 func (f *fleet) check() {
 	for _, s := range f.Partitions {
 		machines := map[string]bool{}
 		for _, c := range s.Replicas {
 			if m := f.byName[c].Machine; machines[m] {
-				f.fail("shelf %d has two copies on a machine: %v", s.ID, s.Replicas)
+				f.fail("partition %d has two replicas on a machine: %v", s.ID, s.Replicas)
 			} else {
 				machines[m] = true
 			}
@@ -60,22 +60,22 @@
 	}
 }
 
-// step carries out what is to be done next, some of it, and says whether there was anything.
+// step carries out some of the next steps, and reports whether there are any.
 func (f *fleet) step() bool {
 	steps := f.NextSteps()
 	seen := map[int]bool{}
 	for _, st := range steps {
 		s := &f.Partitions[st.Partition]
 		if seen[st.Partition] {
-			f.fail("two changes of shelf %d at once: %+v", st.Partition, steps)
+			f.fail("two changes of partition %d at once: %+v", st.Partition, steps)
 		}
 		seen[st.Partition] = true
 		if f.r.IntN(4) == 0 {
-			continue // it did not come through
+			continue // it failed
 		}
 		before := f.countUp(s.Replicas)
 		if 2*before <= len(s.Replicas) && st.Remove != s.Learner {
-			f.fail("%+v of shelf %d, of whose %d copies %d live: it can't be carried out", st, st.Partition, len(s.Replicas), before)
+			f.fail("%+v of partition %d, of whose %d replicas %d are up: it can't be committed", st, st.Partition, len(s.Replicas), before)
 		}
 		switch {
 		case st.AddLearner != "":
@@ -84,7 +84,7 @@
 			continue
 		case st.Promote != "":
 			if !s.LearnerCaughtUp {
-				f.fail("%s gets its vote before it has the log", st.Promote)
+				f.fail("%s is promoted before it has caught up", st.Promote)
 			}
 			s.Replicas, s.Learner, s.LearnerCaughtUp = append(s.Replicas, st.Promote), "", false
 		case st.Remove == s.Learner:
@@ -93,7 +93,7 @@
 		}
 		s.Replicas = slices.DeleteFunc(s.Replicas, func(c string) bool { return c == st.Remove })
 		if now := f.countUp(s.Replicas); 2*now <= len(s.Replicas) || now < min(before, f.ReplicationFactor) {
-			f.fail("shelf %d has %d of %d copies behind %+v, %d lived before", s.ID, now, len(s.Replicas), st, before)
+			f.fail("partition %d has %d of %d replicas up after %+v, %d before", s.ID, now, len(s.Replicas), st, before)
 		}
 	}
 	open := len(steps) > 0
@@ -104,22 +104,22 @@
 	}
 	f.check()
 	for _, s := range f.Partitions {
-		open = open || s.Learner != "" && !s.LearnerCaughtUp // one that has the log may wait for a majority
+		open = open || s.Learner != "" && !s.LearnerCaughtUp // a learner that has caught up may wait for a majority
 	}
 	return open
 }
 
-// settle steps until nothing is left to do.
+// settle carries out steps until none is left.
 func (f *fleet) settle() {
 	for range 20_000 {
 		if f.bad != nil || !f.step() {
 			return
 		}
 	}
-	f.fail("it does not come to an end")
+	f.fail("the steps do not end")
 }
 
-// machine sets all gateways of a machine up or down, and returns how many copies they hold.
+// machine sets all gateways of a machine up or down, and returns how many replicas they have.
 func (f *fleet) machine(name string, up bool) (held int) {
 	for i := range f.Gateways {
 		if g := &f.Gateways[i]; g.Machine == name {
@@ -134,8 +134,8 @@
 	return held
 }
 
-// play loses machines, one or two at once, and has them come back, and returns how much was moved
-// beside what was lost: for the losses, and with what machines were given that came back.
+// play loses machines, one or two at once, and has them return. It returns how many replicas were moved for each
+// that was lost: for the losses alone, and with those that returned machines were given.
 func play(seed uint64) (worst, total float64, err error) {
 	f := newFleet(seed, 64, 8+int(seed%5))
 	f.settle()
@@ -164,26 +164,26 @@
 	held := map[string]int{}
 	for _, s := range f.Partitions {
 		if f.countUp(s.Replicas) != f.ReplicationFactor || len(s.Replicas) != f.ReplicationFactor {
-			f.fail("shelf %d has %v", s.ID, s.Replicas)
+			f.fail("partition %d has %v", s.ID, s.Replicas)
 		}
 		for i, c := range s.Replicas {
 			held[c]++
 			if !f.separated(s.Replicas[:i], c, true) {
-				f.fail("shelf %d has two copies in a zone: %v", s.ID, s.Replicas)
+				f.fail("partition %d has two replicas in a zone: %v", s.ID, s.Replicas)
 			}
 		}
 	}
 	for name, n := range held {
 		if float64(n) > maxRetainedLoad*f.share[name]+1 {
-			f.fail("%s holds %d copies, its share is %.1f", name, n, f.share[name])
+			f.fail("%s has %d replicas, its share is %.1f", name, n, f.share[name])
 		}
 	}
 	return float64(f.moved-back) / float64(lost), float64(f.moved) / float64(lost), f.bad
 }
 
-// Machines are lost with their disks and come back, at whatever moment: copies are never on one
-// machine, a shelf never loses its majority by a step, all have their copies in the end, in zones of
-// their own, and what is moved is at most 1.5 times what was lost.
+// Machines are lost with their disks and return, at any moment: replicas are never on one machine, a partition
+// never loses its majority by a step, all have their replicas in the end, in zones of their own, and at most 1.5
+// times as many are moved as were lost.
 func TestMachinesComeAndGo(t *testing.T) {
 	most, all := 0.0, 0.0
 	for seed := range uint64(60) {
@@ -193,29 +193,28 @@
 		}
 		most, all = max(most, worst), max(all, total)
 	}
-	t.Logf("moved at most %.2f times what was lost, and %.2f with what machines were given that came back", most, all)
+	t.Logf("moved at most %.2f times what was lost, and %.2f with what returned machines were given", most, all)
 	if most > 1.5 {
 		t.Errorf("moved %.2f times what was lost", most)
 	}
 }
 
-// Each guard is taken out in turn, in a build of its own, and found: see TestEachGuard.
+// Each failpoint is enabled in turn, in a build of its own, and the fault is found: see TestEachFailpoint.
 func TestFailpoints(t *testing.T) { testkit.FailpointBuild(t, failpoint.Available) }
 
-// playFew has fewer machines than copies: each has one, and nothing is moved about; one with no
-// weight has none.
+// playFew has fewer machines than replicas: each has one, and nothing is moved; a gateway without weight has none.
 func playFew(seed uint64) error {
 	f := newFleet(seed, 16, 2)
 	f.settle()
 	f.check()
 	for _, s := range f.Partitions {
 		if len(s.Replicas) != 2 {
-			f.fail("shelf %d has %v", s.ID, s.Replicas)
+			f.fail("partition %d has %v", s.ID, s.Replicas)
 		}
 	}
 	f.Gateways = append(f.Gateways, Gateway{Name: "none", Machine: "m9", Zone: "z9", Up: true})
 	if f.step() {
-		f.fail("one with no weight is given copies")
+		f.fail("a gateway without weight is given replicas")
 	}
 	return f.bad
 }
--- a/internal/cluster/relay/relay_test.go
+++ b/internal/cluster/relay/relay_test.go
@@ -12,21 +12,20 @@
 	"dunemoor/internal/cluster/node"
 )
 
-// net is relays and gateways without members, joined by ways that keep their order and take a step.
+// net is relays and gateways without nodes, on connections that keep the order and take one step.
 type net struct {
-	t       *testing.T
-	rng     *rand.Rand
-	now     time.Duration
-	relays  []Relay
-	routers map[string]*Router // those that are up
-	clients []*Client
-	names   []string
-	conns   map[string]map[uint64]*conn // by gateway
-	coming  []func()
-	boots   uint64
-	// Told of what members are given.
-	heard func(at string, r *Record)
-	moved func(at string)
+	t        *testing.T
+	rng      *rand.Rand
+	now      time.Duration
+	relays   []Relay
+	routers  map[string]*Router // those that are up
+	clients  []*Client
+	names    []string
+	conns    map[string]map[uint64]*conn // by gateway
+	pending  []func()
+	boots    uint64
+	received func(at string, r *Record) // called with what nodes are given
+	moved    func(at string)            // called when a gateway has reached another relay
 }
 
 type conn struct {
@@ -60,7 +59,7 @@
 	}
 }
 
-// kill ends a relay's process: its streams end.
+// kill ends a relay's process, and with it its streams.
 func (n *net) kill(i int) {
 	r := n.routers[n.relays[i].Name]
 	delete(n.routers, n.relays[i].Name)
@@ -88,10 +87,10 @@
 	c.ended = true
 	delete(n.conns[n.names[c.gateway]], c.epoch)
 	if tellGateway {
-		n.coming = append(n.coming, func() { n.clients[c.gateway].Ended(n.now, c.epoch) })
+		n.pending = append(n.pending, func() { n.clients[c.gateway].Ended(n.now, c.epoch) })
 	}
 	if tellRelay {
-		n.coming = append(n.coming, func() { c.router.StreamEnded(n.now, n.names[c.gateway], c.epoch) })
+		n.pending = append(n.pending, func() { c.router.StreamEnded(n.now, n.names[c.gateway], c.epoch) })
 	}
 }
 
@@ -111,9 +110,9 @@
 
 func (n *net) step() {
 	n.now += netStep
-	coming := n.coming
-	n.coming = nil
-	for _, do := range coming {
+	pending := n.pending
+	n.pending = nil
+	for _, do := range pending {
 		do()
 	}
 	for i, x := range n.relays {
@@ -136,7 +135,7 @@
 		if c == nil || c.router != r {
 			continue
 		}
-		n.coming = append(n.coming, func() {
+		n.pending = append(n.pending, func() {
 			if !c.ended {
 				n.clients[c.gateway].Receive(n.now, f.Epoch, f.Kind, f.Body)
 			}
@@ -144,13 +143,13 @@
 	}
 	for _, f := range o.ToRelay {
 		to := n.routers[f.Name]
-		n.coming = append(n.coming, func() {
+		n.pending = append(n.pending, func() {
 			if to == nil || n.routers[f.Name] != to {
 				return
 			}
 			if f.Kind == node.KindMessage {
-				if n.heard != nil {
-					n.heard(f.Name, &Record{From: me, Kind: f.Kind, Body: f.Body})
+				if n.received != nil {
+					n.received(f.Name, &Record{From: me, Kind: f.Kind, Body: f.Body})
 				}
 				return
 			}
@@ -158,8 +157,8 @@
 		})
 	}
 	for k := range o.ToNode {
-		if n.heard != nil {
-			n.heard(me, &o.ToNode[k])
+		if n.received != nil {
+			n.received(me, &o.ToNode[k])
 		}
 	}
 	for _, s := range o.Closed {
@@ -179,13 +178,13 @@
 			n.end(x, true, false)
 			continue
 		}
-		n.coming = append(n.coming, func() {
+		n.pending = append(n.pending, func() {
 			if x.ended {
 				return
 			}
 			a := r.Join(n.now, d.Join)
 			x.accepted = a.Accepted
-			n.coming = append(n.coming, func() {
+			n.pending = append(n.pending, func() {
 				if !x.ended {
 					c.Joined(n.now, x.epoch, a)
 				}
@@ -194,7 +193,7 @@
 	}
 	for _, f := range o.ToStream {
 		if x := n.conns[n.names[i]][f.Epoch]; x != nil {
-			n.coming = append(n.coming, func() {
+			n.pending = append(n.pending, func() {
 				if n.routers[x.relay] == x.router {
 					x.router.FromStream(n.now, n.names[i], f.Epoch, f.Kind, f.Body)
 				}
@@ -202,8 +201,8 @@
 		}
 	}
 	for k := range o.ToNode {
-		if n.heard != nil {
-			n.heard(n.names[i], &o.ToNode[k])
+		if n.received != nil {
+			n.received(n.names[i], &o.ToNode[k])
 		}
 	}
 	for _, epoch := range o.Close {
@@ -216,8 +215,8 @@
 	}
 }
 
-// served is how many gateways have a stream, and the streams of each relay that is up.
-func (n *net) served() (count int, loads map[string]int) {
+// connected returns how many gateways have a stream, and the streams of each relay that is up.
+func (n *net) connected() (count int, loads map[string]int) {
 	loads = map[string]int{}
 	for _, c := range n.clients {
 		if s := c.Status(); s.Relay != "" && n.routers[s.Relay] != nil && n.routers[s.Relay].Streams()[c.cfg.Name] == s.Epoch {
@@ -228,11 +227,11 @@
 	return count, loads
 }
 
-// settle plays for so long, and then until no gateway is just moving.
+// settle plays for a duration, and then until no gateway is between two relays.
 func (n *net) settle(d time.Duration) (count int, loads map[string]int) {
 	n.run(d)
 	for range 100 {
-		if count, loads = n.served(); count == len(n.clients) {
+		if count, loads = n.connected(); count == len(n.clients) {
 			break
 		}
 		n.step()
@@ -240,7 +239,7 @@
 	return count, loads
 }
 
-// sixteen is relays in ten zones of three regions.
+// sixteen returns relays in ten zones of three regions.
 func sixteen() (list []Relay) {
 	for i := range 16 {
 		zone := i % 10
@@ -249,8 +248,8 @@
 	return list
 }
 
-// Whatever zones the gateways are in: all have a stream soon, no relay has more than its share by a
-// fourth, neither with all relays nor with half, and they are even again once those are back.
+// Whatever zones the gateways are in: all have a stream soon, no relay has more than a quarter over its share,
+// neither with all relays nor with half, and loads are balanced again once those are back.
 func TestBoundedLoad(t *testing.T) {
 	for seed := range uint64(4) {
 		n := newNet(t, seed, sixteen())
@@ -258,7 +257,7 @@
 		for i := range gateways {
 			zone := n.rng.IntN(10)
 			if seed%2 == 1 {
-				zone = min(zone, n.rng.IntN(10), n.rng.IntN(10)) // most are in few
+				zone = min(zone, n.rng.IntN(10), n.rng.IntN(10)) // most gateways are in few zones
 			}
 			n.add(fmt.Sprint("g", i), fmt.Sprint("z", zone), fmt.Sprint("region", zone%3))
 		}
@@ -274,7 +273,7 @@
 			}
 			most := max(minStreamLimit, (gateways*maxLoadPercent+100*up-1)/(100*up))
 			for name, load := range loads {
-				// Two joins of one moment know nothing of one another at two relays.
+				// Two relays that are joined at once do not know of one another's join.
 				if load > most+up {
 					t.Errorf("seed %d: %s: %s has %d streams, %d at most of %d relays: %v", seed, what, name, load, most, up, loads)
 				}
@@ -286,18 +285,18 @@
 			n.kill(i)
 		}
 		count, loads = n.settle(10 * time.Second)
-		check("on half of them", 8, loads, count)
+		check("with half of the relays", 8, loads, count)
 		for i, x := range n.relays {
 			if n.routers[x.Name] == nil {
 				n.up(i)
 			}
 		}
 		count, loads = n.settle(4 * time.Minute)
-		check("back", 16, loads, count)
+		check("with all relays again", 16, loads, count)
 	}
 }
 
-// While nothing fails nothing is lost, whoever says something to whom, and it comes in order.
+// While nothing fails no record is lost, whoever sends to whom, and records arrive in order.
 func TestNothingLost(t *testing.T) {
 	for seed := range uint64(10) {
 		n := newNet(t, seed, sixteen()[:4])
@@ -309,8 +308,8 @@
 	}
 }
 
-// While gateways lose their streams and relays are killed: nothing comes twice, nothing comes
-// behind what was said later, and who may have missed something is told to ask for it.
+// While gateways lose their streams and relays are killed: no record arrives twice or after a later one, and a
+// gateway that may have missed one is notified.
 func TestMoves(t *testing.T) {
 	for seed := range uint64(20) {
 		n := newNet(t, seed, sixteen()[:4])
@@ -342,39 +341,39 @@
 			}
 		}
 		n.run(10 * time.Second)
-		if count, _ := n.served(); count != 12 {
+		if count, _ := n.connected(); count != 12 {
 			t.Fatalf("seed %d: %d of 12 have a stream", seed, count)
 		}
-		n.play(seed, 200, true, func() {}) // and all is as at first
+		n.play(seed, 200, true, func() {}) // nothing is lost again
 	}
 }
 
-// play has members say numbered things and looks at what comes.
-func (n *net) play(seed uint64, words int, all bool, fault func()) {
+// play has nodes send numbered records and checks what arrives.
+func (n *net) play(seed uint64, records int, all bool, fault func()) {
 	t := n.t
 	t.Helper()
 	everybody := slices.Clone(n.names)
 	for _, x := range n.relays {
 		everybody = append(everybody, x.Name)
 	}
-	type line struct{ from, at string }
-	last, missed, got, want := map[line]uint64{}, map[line]bool{}, 0, 0
+	type path struct{ from, at string }
+	last, missed, got, want := map[path]uint64{}, map[path]bool{}, 0, 0
 	n.moved = func(at string) {
 		for _, from := range everybody {
-			missed[line{from, at}] = true
+			missed[path{from, at}] = true
 		}
 	}
-	n.heard = func(at string, r *Record) {
+	n.received = func(at string, r *Record) {
 		no := binary.LittleEndian.Uint64(r.Body)
-		k := line{r.From, at}
+		k := path{r.From, at}
 		if no <= last[k] {
-			t.Fatalf("seed %d at %v: %s takes word %d of %s behind word %d", seed, n.now, at, no, r.From, last[k])
+			t.Fatalf("seed %d at %v: %s accepts record %d of %s after record %d", seed, n.now, at, no, r.From, last[k])
 		}
 		last[k] = no
 		got++
 	}
 	number := uint64(0)
-	for range words {
+	for range records {
 		fault()
 		number++
 		from, to := everybody[n.rng.IntN(len(everybody))], everybody[n.rng.IntN(len(everybody))]
@@ -396,14 +395,13 @@
 		n.step()
 	}
 	n.run(time.Second)
-	n.heard, n.moved = nil, nil
+	n.received, n.moved = nil, nil
 	if all && got != want {
-		t.Errorf("seed %d: %d of %d words came, and nothing has failed", seed, got, want)
+		t.Errorf("seed %d: %d of %d records arrived, and nothing has failed", seed, got, want)
 	}
 }
 
-// A record that can't be read or is refused takes no other along, and whatever comes is read
-// without a panic.
+// A malformed or rejected record affects no other, and reading any bytes does not panic.
 func TestRecords(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	draw := func() Record {
@@ -435,12 +433,12 @@
 		}
 		var read []Record
 		if n := ReadRecords(b, func(x *Record) { read = append(read, *x) }); n != bad {
-			t.Fatalf("%d of %d bad records were told", n, bad)
+			t.Fatalf("%d of %d malformed records were counted", n, bad)
 		}
 		if !slices.EqualFunc(list, read, func(x, y Record) bool {
 			return x.To == y.To && x.From == y.From && x.ReplicaID == y.ReplicaID && x.Epoch == y.Epoch && x.Seq == y.Seq && bytes.Equal(x.Body, y.Body)
 		}) {
-			t.Fatalf("%+v came as %+v", list, read)
+			t.Fatalf("%+v was read as %+v", list, read)
 		}
 		for range 20 {
 			c := slices.Clone(b)
--- a/internal/cluster/relays_test.go
+++ b/internal/cluster/relays_test.go
@@ -20,14 +20,14 @@
 
 const testKey = "this key is of a test and of nothing else"
 
-// part is a member of a fleet without anything that serves, as it hears the news of one duty.
-type part struct {
+// member is a cluster without a gateway, with the publications of one lease that it has received.
+type member struct {
 	*Cluster
-	mu   sync.Mutex
-	news []uint64
+	mu           sync.Mutex
+	publications []uint64
 }
 
-// relaysOf lays out relays on an address of the loopback that is drawn.
+// relaysOf returns relays on a random loopback address.
 func relaysOf(t *testing.T, n int) (list []Relay) {
 	t.Helper()
 	host := fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254))
@@ -42,8 +42,8 @@
 	return list
 }
 
-// join starts a part; the owner of the duty "say" tells numbers as they come.
-func join(t *testing.T, name string, relays []Relay, say <-chan uint64) *part {
+// join starts a member. The holder of the lease "say" publishes the numbers that it is given.
+func join(t *testing.T, name string, relays []Relay, numbers <-chan uint64) *member {
 	t.Helper()
 	cfg := Config{FleetID: "f", Name: name, DataDir: filepath.Join(t.TempDir(), "disk"), Key: []byte(testKey), Relays: relays, Zone: "z1"}
 	for _, r := range relays {
@@ -56,13 +56,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &part{Cluster: f}
+	p := &member{Cluster: f}
 	f.Register("say", func(ctx context.Context, h *leaseholder.Lease) {
 		for {
 			select {
 			case <-ctx.Done():
 				return
-			case n := <-say:
+			case n := <-numbers:
 				f.Publish("", h, n, binary.LittleEndian.AppendUint64(nil, n))
 			}
 		}
@@ -75,50 +75,50 @@
 }
 
 // ReceivePublication implements Subscriber.
-func (p *part) ReceivePublication(x node.Publication) {
+func (p *member) ReceivePublication(x node.Publication) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.news = append(p.news, binary.LittleEndian.Uint64(x.Body))
+	p.publications = append(p.publications, binary.LittleEndian.Uint64(x.Body))
 }
 
-// Resync implements Subscriber: what was missed is not asked for.
-func (p *part) Resync(string, []byte) {}
+// Resync implements Subscriber: it publishes nothing again.
+func (p *member) Resync(string, []byte) {}
 
-func (p *part) heard() []uint64 {
+func (p *member) received() []uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([]uint64{}, p.news...)
+	return append([]uint64{}, p.publications...)
 }
 
-// at is the relay of a gateway.
-func (p *part) at() string { return p.Status().Relay.Name }
+// at returns the relay of a gateway.
+func (p *member) at() string { return p.Status().Relay.Name }
 
-// A fleet of relays and gateways, on sockets: all are of it, each hears what an owner tells all,
-// once and in order, and who loses its relay goes to another with the session that it has.
+// A fleet of relays and gateways, on sockets: all have a session, each receives what a holder publishes, once and in
+// order, and a gateway that loses its relay goes to another with the session that it has.
 func TestRelayed(t *testing.T) {
-	relays, say := relaysOf(t, 3), make(chan uint64)
-	var all, gateways []*part
+	relays, numbers := relaysOf(t, 3), make(chan uint64)
+	var all, gateways []*member
 	for _, r := range relays {
-		all = append(all, join(t, r.Name, relays, say))
+		all = append(all, join(t, r.Name, relays, numbers))
 	}
 	for i := range 6 {
-		gateways = append(gateways, join(t, fmt.Sprintf("g%d", i+1), relays, say))
+		gateways = append(gateways, join(t, fmt.Sprintf("g%d", i+1), relays, numbers))
 	}
 	all = append(all, gateways...)
 	for _, p := range all {
 		testkit.Until(t, p.cfg.Name+" has a session", func() bool { return p.Status().Session != 0 })
 	}
 	var n uint64
-	heard := func(parts []*part, least uint64) bool { // all but the owner
+	received := func(members []*member, least uint64) bool { // all but the holder
 		missing := 0
-		for _, p := range parts {
-			if h := p.heard(); len(h) == 0 || h[len(h)-1] < least {
+		for _, p := range members {
+			if h := p.received(); len(h) == 0 || h[len(h)-1] < least {
 				missing++
 			}
 		}
 		return missing <= 1
 	}
-	testkit.Until(t, "all know the owner", func() bool {
+	testkit.Until(t, "all know the holder", func() bool {
 		for _, p := range all {
 			if s := p.Status(); len(s.Leases) != 1 || s.Leases[0].Holder == "" {
 				return false
@@ -128,13 +128,13 @@
 	})
 	for n < 100 {
 		n++
-		say <- n
+		numbers <- n
 	}
-	testkit.Until(t, "all but the owner have heard", func() bool { return heard(all, n) })
+	testkit.Until(t, "all but the holder have received all", func() bool { return received(all, n) })
 	for _, p := range all {
-		for i, x := range p.heard() {
+		for i, x := range p.received() {
 			if x != uint64(i+1) {
-				t.Fatalf("%s heard %v", p.cfg.Name, p.heard())
+				t.Fatalf("%s received %v", p.cfg.Name, p.received())
 			}
 		}
 	}
@@ -145,12 +145,12 @@
 	if streams != len(gateways) {
 		t.Errorf("%d streams of %d gateways", streams, len(gateways))
 	}
-	was, at := map[*part]uint64{}, map[*part]string{}
+	was, at := map[*member]uint64{}, map[*member]string{}
 	for _, p := range gateways {
 		was[p], at[p] = p.Status().Session, p.at()
 	}
 	lost := gateways[0].at()
-	var left []*part
+	var left []*member
 	for _, p := range all {
 		if p.cfg.Name == lost {
 			p.Close()
@@ -175,10 +175,10 @@
 			t.Errorf("%s had session %d, and has %d", p.cfg.Name, was[p], s.Session)
 		}
 		if at[p] == lost && (s.Relay.Ends["ended"] == 0 || s.Relay.Ends["silent"] > 0) {
-			t.Errorf("%s left its relay for %v: it was told of the end", p.cfg.Name, s.Relay.Ends)
+			t.Errorf("%s left its relay for %v: it was notified of the end", p.cfg.Name, s.Relay.Ends)
 		}
 	}
-	testkit.Until(t, "the duty has an owner who is there", func() bool {
+	testkit.Until(t, "the lease has a holder that is up", func() bool {
 		for _, p := range left {
 			if s := p.Status(); len(s.Leases) != 1 || s.Leases[0].Holder == "" || s.Leases[0].Holder == lost {
 				return false
@@ -186,20 +186,20 @@
 		}
 		return true
 	})
-	// What was told to one that was just moving is lost; what comes behind it is not.
+	// What was published while a gateway moved is lost; what follows is not.
 	least := n + 1
-	testkit.Until(t, "all that are left hear the owner again", func() bool {
+	testkit.Until(t, "all that are left receive publications again", func() bool {
 		n++
-		say <- n
-		return heard(left, least)
+		numbers <- n
+		return received(left, least)
 	})
 	for _, p := range left {
-		if !slices.IsSorted(p.heard()) || len(slices.Compact(p.heard())) != len(p.heard()) {
-			t.Errorf("%s heard %v", p.cfg.Name, p.heard())
+		if !slices.IsSorted(p.received()) || len(slices.Compact(p.received())) != len(p.received()) {
+			t.Errorf("%s received %v", p.cfg.Name, p.received())
 		}
 	}
-	// The relay is replaced, with an empty disk: its epochs begin anew, and the others hear it.
-	left = append(left, join(t, lost, relays, say))
+	// The relay is replaced, with an empty disk: its epochs begin anew, and the others accept it.
+	left = append(left, join(t, lost, relays, numbers))
 	for _, p := range left {
 		if p.Status().Streams == nil {
 			continue
@@ -211,13 +211,13 @@
 	}
 }
 
-// Who knows the key and says in its join that it is another is not taken for it, and a second
-// gateway under a name gets no stream while the first is there.
+// A process that has the key and claims another name in its join is rejected, and a second gateway with a name gets
+// no stream while the first is connected.
 func TestRelayPretenders(t *testing.T) {
-	relays, say := relaysOf(t, 3), make(chan uint64)
-	r := join(t, "r1", relays, say) // in the zone of all gateways
-	all := []*part{r, join(t, "r2", relays, say), join(t, "r3", relays, say)}
-	g := join(t, "g1", relays, say)
+	relays, numbers := relaysOf(t, 3), make(chan uint64)
+	r := join(t, "r1", relays, numbers) // in the zone of all gateways
+	all := []*member{r, join(t, "r2", relays, numbers), join(t, "r3", relays, numbers)}
+	g := join(t, "g1", relays, numbers)
 	testkit.Until(t, "g1 has a session", func() bool { return g.Status().Session != 0 })
 	hello := *r.hello.Load()
 	for _, c := range []struct {
@@ -229,7 +229,7 @@
 		{"another's replica", "g1", "g1", 9, g.Status().ReplicaID},
 		{"a relay's name", "r1", "r1", 9, 9},
 	} {
-		garbled, refused := r.transport.Counters.FramesMalformed.Load(), r.transport.Counters.ConnsRejected.Load()
+		malformed, rejected := r.transport.Counters.FramesMalformed.Load(), r.transport.Counters.ConnsRejected.Load()
 		to := &ends{why: make(chan error, 1)}
 		h := hello
 		h.Name, h.ReplicaID = c.name, c.replica
@@ -243,13 +243,13 @@
 			t.Errorf("%s: %v, %d frames", c.what, err, to.frames)
 		}
 		testkit.Until(t, c.what+" is counted", func() bool {
-			return r.transport.Counters.FramesMalformed.Load()+r.transport.Counters.ConnsRejected.Load() > garbled+refused
+			return r.transport.Counters.FramesMalformed.Load()+r.transport.Counters.ConnsRejected.Load() > malformed+rejected
 		})
 		x.Close()
 	}
 	was := g.Status().Relay
-	second := join(t, "g1", relays, say)
-	testkit.Until(t, "the second is refused", func() bool {
+	second := join(t, "g1", relays, numbers)
+	testkit.Until(t, "the second is rejected", func() bool {
 		n := uint64(0)
 		for _, k := range second.Status().Relay.Ends {
 			n += k
@@ -259,21 +259,21 @@
 	if now := g.Status().Relay; second.at() != "" || now.Epoch != was.Epoch {
 		t.Errorf("the second is at %q, the first at %q by epoch %x, before %x", second.at(), now.Name, now.Epoch, was.Epoch)
 	}
-	cuts := func() (n uint64) {
+	closed := func() (n uint64) {
 		for _, p := range all {
 			n += p.Status().Streams.Closed
 		}
 		return n
 	}
-	before := cuts()
+	before := closed()
 	g.Close()
 	testkit.Until(t, "the second takes the place of the first", func() bool { return second.at() != "" && second.Status().Session != 0 })
-	if n := cuts() - before; n > 0 {
-		t.Errorf("%d streams were cut: the relay was told of the end", n)
+	if n := closed() - before; n > 0 {
+		t.Errorf("%d streams were closed: the relay was notified of the end", n)
 	}
 }
 
-// ends is a side that waits for the end of a stream.
+// ends waits for the end of a stream.
 type ends struct {
 	frames int
 	why    chan error
--- a/internal/cluster/sim/cost.go
+++ b/internal/cluster/sim/cost.go
@@ -1,7 +1,6 @@
 package sim
 
 import (
-	"fmt"
 	"maps"
 	"slices"
 	"time"
@@ -11,119 +10,139 @@
 
 // Cost is what a fleet sends when nothing happens, and what the death of its leader takes.
 type Cost struct {
-	Gateways, Keepers, Duties int
-	FormedIn                  time.Duration // until each gateway has a session and each duty an owner
-	EvenIn                    time.Duration // until none holds far more duties than another
-	// Of the calm second: frames and bytes sent, by the leader, by another keeper and by a gateway
-	// that holds no replica (the median of each kind).
-	LeaderFrames, KeeperFrames, MemberFrames float64
-	LeaderBytes, KeeperBytes, MemberBytes    float64
-	// Behind the leader's death.
-	LeadIn      time.Duration // until another leads
-	OwnedIn     time.Duration // until the duties of the dead one have owners
-	BusiestRate int           // frames in the fleet's busiest 100 ms behind it, a second
-	CalmRate    int           // the same before it
-	Lapsed      int           // sessions of living gateways that lapsed
+	Gateways, Replicas, Leases int
+	FormedIn                   time.Duration // until each node has a session and each lease a holder
+	BalancedIn                 time.Duration // until no node has far more leases than another
+
+	// Frames and bytes a second when nothing happens: of the leader, and of the median other replica and
+	// gateway without a replica.
+	LeaderFrames, ReplicaFrames, GatewayFrames float64
+	LeaderBytes, ReplicaBytes, GatewayBytes    float64
+	CalmRate                                   int // frames a second in the busiest 100 ms
+
+	// After the leader's death.
+	NextLeaderIn    time.Duration // until another leads
+	LeasesGrantedIn time.Duration // until the leases of the dead leader have holders
+	BusiestRate     int           // frames a second in the busiest 100 ms
+	ExpiredSessions int           // of nodes that live
 }
 
-// costSpan is how long is counted.
-const costSpan = 10 * time.Second
+const (
+	// measureTime is how long is counted.
+	measureTime = 10 * time.Second
+	// rateInterval is what a rate is counted over.
+	rateInterval = 100 * time.Millisecond
+	// balanceTimeout bounds how long a fleet takes to balance its leases.
+	balanceTimeout = 5 * time.Minute
+	// noActs is an ActInterval for fleets whose work is not to be counted.
+	noActs = time.Hour
+)
 
-// Measure plays a fleet that nobody disturbs, and then kills its leader.
+// Measure plays a fleet that nothing disturbs, and then kills its leader.
 func Measure(o Options) (c Cost, err error) {
-	o.ActEvery = time.Hour // what the duties are for costs what it costs
+	o.ActInterval = noActs
 	w := New(o)
-	c.Gateways, c.Keepers, c.Duties = o.Nodes, o.Keepers, o.Duties
-	for _, n := range w.Nodes {
-		n.Start()
-	}
-	if !w.Until(3*Bound, w.Whole) {
-		return c, w.failed("the fleet did not form")
+	c.Gateways, c.Replicas, c.Leases = o.Nodes, o.Replicas, o.Leases
+	if err := w.form(3 * RecoveryTimeout); err != nil {
+		return c, err
 	}
 	c.FormedIn = w.Now
-	// At first all duties are with the gateways that came first.
-	if !w.Until(5*time.Minute, func() bool { return w.Whole() && len(lease.Rebalance(w.Leader().m.State())) == 0 }) {
-		return c, w.failed("the duties are not spread")
+	// At first all leases are with the nodes that came first.
+	if !w.Until(balanceTimeout, func() bool { return w.Recovered() && len(lease.Rebalance(w.Leader().node.State())) == 0 }) {
+		return c, w.failed("the leases are not balanced")
 	}
-	c.EvenIn = w.Now
+	c.BalancedIn = w.Now
 	if err := w.Run(2 * lease.TTL); err != nil {
 		return c, err
 	}
+	if err := w.measureCalm(&c); err != nil {
+		return c, err
+	}
+	return c, w.measureLeaderDeath(&c)
+}
+
+// measureCalm counts what is sent when nothing happens.
+func (w *World) measureCalm(c *Cost) (err error) {
 	for _, n := range w.Nodes {
-		n.frames, n.bytes = 0, 0
+		n.sentFrames, n.sentBytes = 0, 0
 	}
-	if c.CalmRate, err = w.busiest(costSpan); err != nil {
-		return c, err
+	if c.CalmRate, err = w.busiestRate(measureTime); err != nil {
+		return err
 	}
-	lead := w.Leader()
-	keeps := map[string]bool{}
-	for _, k := range lead.m.Status(lead.clock()).Replicas {
-		keeps[k.Name] = true
+	leader := w.Leader()
+	isReplica := map[string]bool{}
+	for _, r := range leader.node.Status(leader.clock()).Replicas {
+		isReplica[r.Name] = true
 	}
-	var keepers, members []*Node
+	var replicas, gateways []*Node
 	for _, n := range w.Nodes {
-		if n != lead && keeps[n.name] {
-			keepers = append(keepers, n)
-		} else if n != lead {
-			members = append(members, n)
+		if n != leader && isReplica[n.name] {
+			replicas = append(replicas, n)
+		} else if n != leader {
+			gateways = append(gateways, n)
 		}
 	}
-	a := func(list []*Node) (frames, bytes float64) {
-		if len(list) == 0 {
-			return 0, 0
-		}
-		slices.SortFunc(list, func(x, y *Node) int { return x.bytes - y.bytes })
-		n := list[len(list)/2]
-		return float64(n.frames) / costSpan.Seconds(), float64(n.bytes) / costSpan.Seconds()
-	}
-	c.LeaderFrames, c.LeaderBytes = a([]*Node{lead})
-	c.KeeperFrames, c.KeeperBytes = a(keepers)
-	c.MemberFrames, c.MemberBytes = a(members)
+	c.LeaderFrames, c.LeaderBytes = medianSent([]*Node{leader})
+	c.ReplicaFrames, c.ReplicaBytes = medianSent(replicas)
+	c.GatewayFrames, c.GatewayBytes = medianSent(gateways)
+	return nil
+}
 
-	before := map[*Node]uint64{}
-	for _, n := range w.Nodes {
-		before[n] = n.m.Session()
+// medianSent returns the frames and bytes a second of the node with the median of bytes.
+func medianSent(list []*Node) (frames, bytes float64) {
+	if len(list) == 0 {
+		return 0, 0
 	}
-	lead.Kill()
+	slices.SortFunc(list, func(x, y *Node) int { return x.sentBytes - y.sentBytes })
+	n := list[len(list)/2]
+	return float64(n.sentFrames) / measureTime.Seconds(), float64(n.sentBytes) / measureTime.Seconds()
+}
+
+// measureLeaderDeath kills the leader and measures what follows.
+func (w *World) measureLeaderDeath(c *Cost) error {
+	leader, before := w.Leader(), w.sessions()
+	leader.Kill()
 	killed := w.Now
 	for w.Now < killed+3*lease.TTL {
-		rate, err := w.busiest(100 * time.Millisecond)
+		rate, err := w.busiestRate(rateInterval)
 		if err != nil {
-			return c, err
+			return err
 		}
 		c.BusiestRate = max(c.BusiestRate, rate)
 		next := w.Leader()
 		if next == nil {
 			continue
 		}
-		if c.LeadIn == 0 {
-			c.LeadIn = w.Now - killed
+		if c.NextLeaderIn == 0 {
+			c.NextLeaderIn = w.Now - killed
 		}
-		if c.OwnedIn == 0 && !slices.ContainsFunc(slices.Collect(maps.Values(next.m.State().Leases)), func(d *lease.Lease) bool {
-			return d.HolderSession == 0 || d.HolderSession == before[lead]
-		}) {
-			c.OwnedIn = w.Now - killed
+		if c.LeasesGrantedIn == 0 && allGranted(next.State(), before[leader]) {
+			c.LeasesGrantedIn = w.Now - killed
 		}
 	}
-	for _, n := range w.Nodes {
-		if n != lead && n.m.Session() != before[n] {
-			c.Lapsed++
-		}
-	}
-	if c.Lapsed > 0 {
-		return c, w.failed(fmt.Sprintf("%d sessions of living gateways lapsed as the leader died", c.Lapsed))
+	c.ExpiredSessions = len(w.changedSessions(before, leader))
+	if c.ExpiredSessions > 0 {
+		return w.failed("%d sessions of living nodes expired as the leader died", c.ExpiredSessions)
 	}
-	return c, w.Bad
+	return w.Violation
+}
+
+// allGranted reports whether all leases have a holder other than one session.
+func allGranted(s *lease.State, ended uint64) bool {
+	return !slices.ContainsFunc(slices.Collect(maps.Values(s.Leases)), func(l *lease.Lease) bool {
+		return l.HolderSession == 0 || l.HolderSession == ended
+	})
 }
 
-// busiest plays for so long and returns the rate of frames in the busiest tenth of a second.
-func (w *World) busiest(d time.Duration) (rate int, err error) {
+// busiestRate plays for a duration and returns the frames a second in the busiest rateInterval.
+func (w *World) busiestRate(d time.Duration) (rate int, err error) {
+	perSecond := int(time.Second / rateInterval)
 	for end := w.Now + d; w.Now < end; {
-		was := w.Frames
-		if err := w.Run(100 * time.Millisecond); err != nil {
+		before := w.Frames
+		if err := w.Run(rateInterval); err != nil {
 			return rate, err
 		}
-		rate = max(rate, 10*(w.Frames-was))
+		rate = max(rate, perSecond*(w.Frames-before))
 	}
 	return rate, nil
 }
--- a/internal/cluster/sim/failpoints_test.go
+++ b/internal/cluster/sim/failpoints_test.go
@@ -13,11 +13,11 @@
 	"dunemoor/internal/testkit"
 )
 
-// Each failpoint is enabled in turn, and a story has to find the fault.
+// Each failpoint is enabled in turn, and a scenario has to find the fault.
 func TestEachFailpoint(t *testing.T) {
 	testkit.EachFailpoint(t, failpoint.Cluster, failpoint.Enable, 600, func(seed uint64) error {
-		stories := map[string]func(uint64) error{"mixed": playMixed, "calm": Calm, "flicker": Flicker, "put-back": PutBack, "words": Words, "again": playAgain}
-		for name, play := range stories {
+		scenarios := map[string]func(uint64) error{"mixed": playMixed, "calm": Calm, "flicker": Flicker, "put-back": PutBack, "words": Overrides, "again": playDuplicates}
+		for name, play := range scenarios {
 			if err := play(seed); err != nil {
 				return fmt.Errorf("%s: %w", name, firstLine(err))
 			}
@@ -32,15 +32,15 @@
 	})
 }
 
-// playAgain has commands come again behind others: each has its one effect, and its first answer.
-func playAgain(seed uint64) error {
+// playDuplicates applies a command again after others: it has one effect, and its first result.
+func playDuplicates(seed uint64) error {
 	s := lease.NewState(1)
 	s.Apply(1, &lease.Command{Op: lease.OpOpenSession, Open: &lease.OpenRequest{Name: "g", DiskID: 1, OpenSequence: 1}})
-	claim := lease.Command{Op: lease.OpAcquire, Session: 1, Request: 1, Lease: "d"}
-	first := s.Apply(2, &claim)
+	acquire := lease.Command{Op: lease.OpAcquire, Session: 1, Request: 1, Lease: "d"}
+	first := s.Apply(2, &acquire)
 	s.Apply(3, &lease.Command{Op: lease.OpRelease, Session: 1, Request: 2, Lease: "d", Token: first.Token})
-	if again := s.Apply(4, &claim); again != first || s.Leases["d"].HolderSession != 0 {
-		return fmt.Errorf("seed %d: a claim that came again was answered %+v after %+v, and %d owns the duty", seed, again, first, s.Leases["d"].HolderSession)
+	if again := s.Apply(4, &acquire); again != first || s.Leases["d"].HolderSession != 0 {
+		return fmt.Errorf("seed %d: a duplicate acquisition had the result %+v after %+v, and session %d holds the lease", seed, again, first, s.Leases["d"].HolderSession)
 	}
 	return nil
 }
--- a/internal/cluster/sim/fs.go
+++ b/internal/cluster/sim/fs.go
@@ -11,52 +11,54 @@
 	"dunemoor/internal/cluster/wal"
 )
 
-// memFS is a file system in memory that forgets what was not synced when its machine stops.
+// memFS is a file system in memory that loses what was not synced when its machine crashes. It is a wal.FS.
 type memFS struct {
 	rng     *rand.Rand
 	files   map[string]*memFile
-	lasting map[string]*memFile // names as of the last Sync
-	stamps  *int
-	full    bool  // writes fail for want of room
-	broken  error // syncs fail
+	durable map[string]*memFile // names as of the last Sync
+	stamps  *int                // files created so far in all file systems: the identity of a file
+	full    bool                // writes fail for lack of space
+	broken  error               // syncs fail with it
 }
 
+// memFile is a file with its data.
 type memFile struct {
 	data   []byte
-	synced int // how much of it lasts
-	stamp  int
+	synced int // how much of it is durable
+	stamp  int // its identity
 }
 
 func newFS(rng *rand.Rand, stamps *int) *memFS {
-	return &memFS{rng: rng, files: map[string]*memFile{}, lasting: map[string]*memFile{}, stamps: stamps}
+	return &memFS{rng: rng, files: map[string]*memFile{}, durable: map[string]*memFile{}, stamps: stamps}
 }
 
 var errFull = errors.New("no space left on device")
 
-type handle struct {
-	fs *memFS
-	f  *memFile
+// memHandle is an open file.
+type memHandle struct {
+	fs   *memFS
+	file *memFile
 }
 
-func (h *handle) Write(b []byte) (int, error) {
+func (h *memHandle) Write(b []byte) (int, error) {
 	if h.fs.full {
 		n := h.fs.rng.IntN(len(b) + 1)
-		h.f.data = append(h.f.data, b[:n]...)
+		h.file.data = append(h.file.data, b[:n]...)
 		return n, errFull
 	}
-	h.f.data = append(h.f.data, b...)
+	h.file.data = append(h.file.data, b...)
 	return len(b), nil
 }
 
-func (h *handle) Sync() error {
+func (h *memHandle) Sync() error {
 	if h.fs.broken != nil {
 		return h.fs.broken
 	}
-	h.f.synced = len(h.f.data)
+	h.file.synced = len(h.file.data)
 	return nil
 }
 
-func (h *handle) Close() error { return nil }
+func (h *memHandle) Close() error { return nil }
 
 func (m *memFS) Create(name string) (wal.File, error) {
 	if m.files[name] != nil {
@@ -65,7 +67,7 @@
 	*m.stamps++
 	f := &memFile{stamp: *m.stamps}
 	m.files[name] = f
-	return &handle{m, f}, nil
+	return &memHandle{m, f}, nil
 }
 
 func (m *memFS) Read(name string) ([]byte, error) {
@@ -97,7 +99,7 @@
 	if m.broken != nil {
 		return m.broken
 	}
-	m.lasting = maps.Clone(m.files)
+	m.durable = maps.Clone(m.files)
 	return nil
 }
 
@@ -109,38 +111,38 @@
 	return fmt.Sprint(f.stamp), nil
 }
 
-// crash is what a machine's stop leaves: names and bytes that were synced, and of the others what
-// chance will have.
+// crash leaves what a crash of the machine does: names and bytes that were synced, and of the others what
+// chance leaves.
 func (m *memFS) crash() {
 	for _, name := range slices.Sorted(maps.Keys(m.files)) {
-		if f := m.files[name]; m.lasting[name] != f && m.rng.IntN(2) == 0 {
+		if f := m.files[name]; m.durable[name] != f && m.rng.IntN(2) == 0 {
 			delete(m.files, name)
-			if was := m.lasting[name]; was != nil {
-				m.files[name] = was
+			if earlier := m.durable[name]; earlier != nil {
+				m.files[name] = earlier
 			}
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(m.lasting)) {
+	for _, name := range slices.Sorted(maps.Keys(m.durable)) {
 		if m.files[name] == nil && m.rng.IntN(2) == 0 {
-			m.files[name] = m.lasting[name] // it was removed or renamed, and that did not last
+			m.files[name] = m.durable[name] // it was removed or renamed, which was not durable
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(m.files)) {
 		f := m.files[name]
 		f.data = f.data[:f.synced+m.rng.IntN(len(f.data)-f.synced+1)]
 	}
-	m.lasting = maps.Clone(m.files)
+	m.durable = maps.Clone(m.files)
 	m.full, m.broken = false, nil
 }
 
-// copied is a copy of all that is there: other files with the same bytes.
+// copied returns a copy: other files with the same bytes.
 func (m *memFS) copied() *memFS {
-	c := newFS(m.rng, m.stamps)
+	copied := newFS(m.rng, m.stamps)
 	for _, name := range slices.Sorted(maps.Keys(m.files)) {
 		f := m.files[name]
 		*m.stamps++
-		c.files[name] = &memFile{slices.Clone(f.data), len(f.data), *m.stamps}
+		copied.files[name] = &memFile{slices.Clone(f.data), len(f.data), *m.stamps}
 	}
-	c.lasting = maps.Clone(c.files)
-	return c
+	copied.durable = maps.Clone(copied.files)
+	return copied
 }
--- a/internal/cluster/sim/history.go
+++ b/internal/cluster/sim/history.go
@@ -11,98 +11,101 @@
 	"dunemoor/internal/cluster/node"
 )
 
-// history is what clients asked of locks and were told.
-type history struct{ ops []op }
+// lockHistory is what clients asked of locks, with the replies.
+type lockHistory struct{ operations []lockOperation }
 
-// op is a claim of a lock or its return.
-type op struct {
+// lockOperation is the acquisition or release of a lock.
+type lockOperation struct {
 	client  int
 	lock    string
-	claim   bool
-	token   uint64 // given back
+	acquire bool
+	token   uint64 // that is released
 	began   time.Duration
-	ended   time.Duration // 0: nobody knows
+	ended   time.Duration // 0: the outcome is unknown
 	ok      bool
-	held    bool
-	granted uint64
+	held    bool   // another client has the lock
+	granted uint64 // the token of the grant
 }
 
-// client claims locks and gives them back, one command at a time.
-type client struct {
-	n    *Node
-	out  *op
-	id   uint64
-	has  map[string]uint64
-	life int
+// lockClient acquires and releases locks, one command at a time.
+type lockClient struct {
+	node        *Node
+	incarnation int
+	pending     *lockOperation // nil: no command is under way
+	proposal    uint64         // of the pending command
+	tokens      map[string]uint64
 }
 
-// clientEvery is the mean time between two commands of a client.
-const clientEvery = 150 * time.Millisecond
+// clientInterval is the mean time between two commands of a client.
+const clientInterval = 150 * time.Millisecond
 
-func (c *client) start(life int) {
-	c.life, c.has, c.out, c.id = life, map[string]uint64{}, nil, 0
-	c.next()
+// start begins anew with the node's process.
+func (c *lockClient) start() {
+	c.incarnation, c.tokens, c.pending, c.proposal = c.node.incarnation, map[string]uint64{}, nil, 0
+	c.schedule()
 }
 
-func (c *client) next() {
-	w := c.n.w
-	life := c.life
-	w.after(w.between(0, 2*clientEvery), func() {
-		c.n.come(func() {
-			if c.n.life != life || c.life != life || w.Locks == 0 {
+// schedule has the next command proposed after a while.
+func (c *lockClient) schedule() {
+	w := c.node.world
+	incarnation := c.incarnation
+	w.after(w.between(0, 2*clientInterval), func() {
+		c.node.deliver(func() {
+			if c.node.incarnation != incarnation || c.incarnation != incarnation || w.Locks == 0 {
 				return
 			}
-			if c.out == nil && c.n.m.Session() != 0 {
-				c.ask()
+			if c.pending == nil && c.node.node.Session() != 0 {
+				c.propose()
 			}
-			c.next()
+			c.schedule()
 		})
 	})
 }
 
-func (c *client) ask() {
-	w := c.n.w
-	lock := fmt.Sprintf("lock%d", w.rng.IntN(w.Locks))
-	o := &op{client: c.n.i, lock: lock, claim: c.has[lock] == 0, token: c.has[lock], began: w.Now}
-	cmd := lease.Command{Op: lease.OpAcquire, Lease: lock}
-	if !o.claim {
-		cmd = lease.Command{Op: lease.OpRelease, Lease: lock, Token: o.token}
-		delete(c.has, lock)
+// propose releases a lock that the client has, or acquires one that it has not.
+func (c *lockClient) propose() {
+	w := c.node.world
+	lock := lockName(w.rng.IntN(w.Locks))
+	o := &lockOperation{client: c.node.index, lock: lock, acquire: c.tokens[lock] == 0, token: c.tokens[lock], began: w.Now}
+	command := lease.Command{Op: lease.OpAcquire, Lease: lock}
+	if !o.acquire {
+		command = lease.Command{Op: lease.OpRelease, Lease: lock, Token: o.token}
+		delete(c.tokens, lock)
 	}
-	c.out = o
-	if c.id = c.n.m.Propose(c.n.clock(), cmd); c.id == 0 {
-		c.out = nil
+	c.pending = o
+	if c.proposal = c.node.node.Propose(c.node.clock(), command); c.proposal == 0 {
+		c.pending = nil
 		return
 	}
-	w.ops.ops = append(w.ops.ops, *o)
-	c.n.drain()
+	w.history.operations = append(w.history.operations, *o)
+	c.node.processOutput()
 }
 
-// done is the answer to a command.
-func (c *client) done(d node.Outcome) {
-	if c.out == nil || d.ID != c.id {
+// receive handles the outcome of a command.
+func (c *lockClient) receive(outcome node.Outcome) {
+	if c.pending == nil || outcome.ID != c.proposal {
 		return
 	}
-	o := c.out
-	c.out = nil
-	h := c.n.w.ops
-	i := slices.IndexFunc(h.ops, func(x op) bool { return x.client == o.client && x.began == o.began && x.ended == 0 })
+	o := c.pending
+	c.pending = nil
+	h := c.node.world.history
+	i := slices.IndexFunc(h.operations, func(x lockOperation) bool { return x.client == o.client && x.began == o.began && x.ended == 0 })
 	switch {
-	case !d.Known:
-		return // it may have had its effect, or may yet
-	case d.Result.Code == lease.NoSession || d.Result.Code == lease.ResultExpired:
-		h.ops = slices.Delete(h.ops, i, i+1) // it had none
+	case !outcome.Known:
+		return // it may have had its effect, or may still have it
+	case outcome.Result.Code == lease.NoSession || outcome.Result.Code == lease.ResultExpired:
+		h.operations = slices.Delete(h.operations, i, i+1) // it had none
 		return
 	}
-	x := &h.ops[i]
-	x.ended, x.ok, x.held, x.granted = c.n.w.Now, d.Result.Code == lease.OK, d.Result.Code == lease.LeaseHeld, d.Result.Token
-	if x.claim && x.ok {
-		c.has[x.lock] = x.granted
+	x := &h.operations[i]
+	x.ended, x.ok, x.held, x.granted = c.node.world.Now, outcome.Result.Code == lease.OK, outcome.Result.Code == lease.LeaseHeld, outcome.Result.Token
+	if x.acquire && x.ok {
+		c.tokens[x.lock] = x.granted
 	}
 }
 
-// lost is the end of a client's process: what was out is not known.
-func (c *client) lost() { c.out = nil }
+// reset ends with the node's process: the outcome of a pending command is unknown.
+func (c *lockClient) reset() { c.pending = nil }
 
 // lockState is a lock as the model has it.
 type lockState struct {
@@ -110,62 +113,62 @@
 	client int
 }
 
-// nobody stands for a client that is not known.
-const nobody = -1
+// unknownClient stands for a client whose acquisition has had no reply.
+const unknownClient = -1
 
-// model is a lock: a claim gets it where it is free, under a higher token than before; its return
-// under that token frees it. That a session lapses frees it as well, at any time: a lock that is
-// found free may have been so by that, so a grant is right as long as its token is new. What must
-// never be is a token twice or a lower one.
-var model = porcupine.Model{
+// lockModel is the sequential specification of a lock. An acquisition gets the lock where it is free, with
+// a higher token than before; the release with that token frees it. An expired session frees it too, at
+// any time: a lock that is found free may have been freed so, and a grant is right as long as its token is
+// new. What must never happen is a token twice, or a lower one.
+var lockModel = porcupine.Model{
 	Init: func() any { return lockState{} },
 	Step: func(state, input, output any) (bool, any) {
-		s, in, out := state.(lockState), input.(op), output.(op)
+		s, in, out := state.(lockState), input.(lockOperation), output.(lockOperation)
 		switch {
 		case out.ended == 0:
-			return true, s // unknown: taken as if it had not been; a grant shows by its token
-		case in.claim && out.ok:
-			// Whoever has it and does not know, as its return was not answered, is told so again.
-			return out.granted > s.token || out.granted == s.token && (in.client == s.client || s.client == nobody), lockState{out.granted, in.client}
-		case in.claim && out.held:
+			return true, s // unknown: treated as if it had not happened; a grant shows by its token
+		case in.acquire && out.ok:
+			// A client that has the lock and does not know, as its release had no reply, is told so again.
+			again := out.granted == s.token && (in.client == s.client || s.client == unknownClient)
+			return out.granted > s.token || again, lockState{out.granted, in.client}
+		case in.acquire && out.held:
 			if out.granted > s.token {
-				return true, lockState{out.granted, nobody} // by one whose answer was not seen yet
+				return true, lockState{out.granted, unknownClient} // by a client whose reply was not seen yet
 			}
 			return out.granted == s.token, s
-		case in.claim:
+		case in.acquire:
 			return true, s
 		case out.ok:
 			return in.token == s.token, s
 		}
-		return true, s // given back too late
+		return true, s // released too late
 	},
 }
 
-// Linear checks the clients' history: for each lock there is one order of all commands, each
-// between its asking and its answer, that a single lock would have answered so.
-func (w *World) Linear() error {
+// CheckLinearizable checks the history of the clients: for each lock there is an order of all commands,
+// each between its proposal and its reply, in which a single lock would have replied the same.
+func (w *World) CheckLinearizable() error {
 	byLock := map[string][]porcupine.Operation{}
-	for _, o := range w.ops.ops {
-		end := o.ended
-		if end == 0 {
+	for _, o := range w.history.operations {
+		if o.ended == 0 {
 			continue
 		}
-		byLock[o.lock] = append(byLock[o.lock], porcupine.Operation{ClientId: o.client, Input: o, Call: int64(o.began), Output: o, Return: int64(end)})
+		byLock[o.lock] = append(byLock[o.lock], porcupine.Operation{ClientId: o.client, Input: o, Call: int64(o.began), Output: o, Return: int64(o.ended)})
 	}
-	for lock, ops := range byLock {
-		if !porcupine.CheckOperations(model, ops) {
-			return fmt.Errorf("seed %d: no order of the %d commands for %s explains their answers", w.Seed, len(ops), lock)
+	for lock, operations := range byLock {
+		if !porcupine.CheckOperations(lockModel, operations) {
+			return fmt.Errorf("seed %d: no order of the %d commands for %s explains their replies", w.Seed, len(operations), lock)
 		}
 	}
 	return nil
 }
 
-// Commands is how many commands of clients were answered.
-func (w *World) Commands() (n int) {
-	for _, o := range w.ops.ops {
+// Commands returns how many commands of clients have had a reply.
+func (w *World) Commands() (count int) {
+	for _, o := range w.history.operations {
 		if o.ended != 0 {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
--- a/internal/cluster/transport/peer_test.go
+++ b/internal/cluster/transport/peer_test.go
@@ -15,11 +15,11 @@
 	"dunemoor/internal/testkit"
 )
 
-// end is a gateway as its carrier sees it.
+// end is a gateway as its transport sees it.
 type end struct {
 	*Transport
 	mu     sync.Mutex
-	greets []string
+	hellos []string
 	got    []string
 	snaps  []bool
 }
@@ -27,7 +27,7 @@
 func (e *end) ReceiveHello(h node.Hello) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.greets = append(e.greets, h.Name)
+	e.hellos = append(e.hellos, h.Name)
 }
 
 func (e *end) Receive(from string, kind node.Kind, body []byte) {
@@ -36,7 +36,7 @@
 	e.got = append(e.got, frame(from, kind, len(body), string(body[:min(8, len(body))])))
 }
 
-// frame is one in words: from whom, of what kind, how long, and how it begins.
+// frame describes a frame: its sender, its kind, its size, and how it begins.
 func frame(from string, kind node.Kind, size int, begins string) string {
 	return fmt.Sprintf("%s %d %d %s", from, kind, size, begins)
 }
@@ -55,7 +55,7 @@
 	return len(*of)
 }
 
-// pair is two gateways that know one another; by is what may stand between them.
+// pair returns two gateways that are peers; by is what may be between them.
 func pair(t *testing.T, keys [2]string, by func(addr string) string) (ends [2]*end) {
 	t.Helper()
 	var lns [2]net.Listener
@@ -80,14 +80,14 @@
 
 func straight(addr string) string { return addr }
 
-// Frames come in the order in which they were sent, behind the hello, and a snapshot beside them.
+// Frames arrive in the order in which they were sent, after the hello, and a snapshot beside them.
 func TestCarry(t *testing.T) {
 	e := pair(t, [2]string{"key", "key"}, straight)
-	testkit.Until(t, "both have connected", func() bool { return e[0].count(&e[0].greets) > 0 && e[1].count(&e[1].greets) > 0 })
+	testkit.Until(t, "both have connected", func() bool { return e[0].count(&e[0].hellos) > 0 && e[1].count(&e[1].hellos) > 0 })
 	for i := range 100 {
 		e[0].Send(&node.Frame{To: "b", Kind: node.KindMessage, Body: fmt.Appendf(nil, "n%03d", i)})
 	}
-	testkit.Until(t, "all have come", func() bool { return e[1].count(&e[1].got) == 100 })
+	testkit.Until(t, "all have arrived", func() bool { return e[1].count(&e[1].got) == 100 })
 	for i, got := range e[1].got {
 		if want := frame("a", node.KindMessage, 4, fmt.Sprintf("n%03d", i)); got != want {
 			t.Fatalf("frame %d is %q, want %q", i, got, want)
@@ -95,36 +95,35 @@
 	}
 	big := bytes.Repeat([]byte("snapshot"), 200_000)
 	e[0].Send(&node.Frame{To: "b", Kind: node.KindRaft, Body: big, SnapshotTo: 2})
-	testkit.Until(t, "the snapshot has come", func() bool { return e[1].count(&e[1].got) == 101 })
+	testkit.Until(t, "the snapshot has arrived", func() bool { return e[1].count(&e[1].got) == 101 })
 	testkit.Until(t, "its sender knows", func() bool { e[0].mu.Lock(); defer e[0].mu.Unlock(); return len(e[0].snaps) == 1 && e[0].snaps[0] })
 	if got := e[1].got[100]; got != frame("a", node.KindRaft, len(big), "snapshot") {
 		t.Errorf("the snapshot is %q", got)
 	}
 }
 
-// What only says that a connection is there counts as sent too.
+// Idle frames count as sent too.
 func TestIdleCounts(t *testing.T) {
 	e := pair(t, [2]string{"key", "key"}, straight)
 	for i := range e {
 		c := &e[i].Counters
-		testkit.Until(t, "a frame counts that nobody asked for", func() bool { return c.FramesSent.Load() > 0 && c.BytesSent.Load() >= frameHeaderBytes })
+		testkit.Until(t, "an idle frame counts", func() bool { return c.FramesSent.Load() > 0 && c.BytesSent.Load() >= frameHeaderBytes })
 	}
 	if n := e[0].count(&e[0].got) + e[1].count(&e[1].got); n > 0 {
-		t.Errorf("%d frames were handed on", n)
+		t.Errorf("%d frames were delivered", n)
 	}
 }
 
-// Who has another key is not let in, whichever side.
+// A peer with another key is rejected, on either side.
 func TestKey(t *testing.T) {
 	e := pair(t, [2]string{"key", "other"}, straight)
-	testkit.Until(t, "both are refused", func() bool { return e[0].Counters.ConnsRejected.Load() > 1 && e[1].Counters.ConnsRejected.Load() > 1 })
-	if e[0].count(&e[0].greets)+e[1].count(&e[1].greets) > 0 {
-		t.Error("one was let in")
+	testkit.Until(t, "both are rejected", func() bool { return e[0].Counters.ConnsRejected.Load() > 1 && e[1].Counters.ConnsRejected.Load() > 1 })
+	if e[0].count(&e[0].hellos)+e[1].count(&e[1].hellos) > 0 {
+		t.Error("one was accepted")
 	}
 }
 
-// breaking passes a connection on until so many bytes have gone, and then ends it; the next goes
-// through whole.
+// breaking returns a proxy that ends the first connection after a number of bytes; the next are passed on whole.
 func breaking(t *testing.T, after int64) func(addr string) string {
 	return func(addr string) string {
 		ln := testkit.Listen(t, "127.0.0.1:0", nil)
@@ -160,20 +159,20 @@
 	}
 }
 
-// A snapshot that breaks off goes on from where it was.
+// A snapshot that is interrupted resumes where it was.
 func TestSnapshotResumes(t *testing.T) {
 	e := pair(t, [2]string{"key", "key"}, breaking(t, 1<<20))
-	testkit.Until(t, "both have connected", func() bool { return e[0].count(&e[0].greets) > 0 && e[1].count(&e[1].greets) > 0 })
+	testkit.Until(t, "both have connected", func() bool { return e[0].count(&e[0].hellos) > 0 && e[1].count(&e[1].hellos) > 0 })
 	big := bytes.Repeat([]byte("snapshot"), 400_000)
 	e[0].Send(&node.Frame{To: "b", Kind: node.KindRaft, Body: big, SnapshotTo: 2})
-	testkit.Until(t, "the snapshot has come", func() bool { return e[1].count(&e[1].got) == 1 })
+	testkit.Until(t, "the snapshot has arrived", func() bool { return e[1].count(&e[1].got) == 1 })
 	if got := e[1].got[0]; got != frame("a", node.KindRaft, len(big), "snapshot") {
 		t.Errorf("the snapshot is %q", got)
 	}
 }
 
-// A frame is read as it was written, and one with any byte changed is not read as another: its
-// kind and what it carries are under the checksum, and a length that is wrong breaks it.
+// A frame is read as it was written, and one with any bit changed is not read as another: kind and body are under
+// the checksum, and a wrong length breaks it.
 func TestFrames(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
 	for range 200 {
@@ -192,7 +191,7 @@
 	}
 }
 
-// Whatever comes, reading ends and takes no more memory than has come.
+// Whatever arrives, reading ends and takes no more memory than has arrived.
 func FuzzReadFrame(f *testing.F) {
 	f.Add(AppendFrame(nil, 1, []byte("body")))
 	f.Add([]byte{255, 255, 127, 0, 1, 0, 0, 0, 0})
--- a/internal/cluster/transport/stream_test.go
+++ b/internal/cluster/transport/stream_test.go
@@ -17,11 +17,11 @@
 	"dunemoor/internal/testkit"
 )
 
-// side is a relay or a gateway as its carrier sees it. A relay answers a join, and echoes the rest.
+// side is a relay or a gateway as its transport sees it. A relay replies to a join, and echoes the rest.
 type side struct {
 	*Transport
 	relay bool
-	deaf  bool // a relay that answers nothing
+	mute  bool // a relay that replies to nothing
 
 	mu      sync.Mutex
 	streams []*Stream
@@ -39,7 +39,7 @@
 	defer s.mu.Unlock()
 	s.got = append(s.got, frame(x.Name, kind, len(body), string(body[:min(8, len(body))])))
 	switch {
-	case !s.relay || s.deaf:
+	case !s.relay || s.mute:
 	case kind == relay.KindJoin:
 		s.streams = append(s.streams, x)
 		x.Send(relay.KindJoinReply, []byte("taken"))
@@ -60,7 +60,7 @@
 	return append(frames, s.got...), append(ends, s.ends...)
 }
 
-// newSide makes a relay, which listens, or a gateway, which does not.
+// newSide returns a relay, which listens, or a gateway, which does not.
 func newSide(t *testing.T, name, key string, serve bool) (s *side, addr string) {
 	t.Helper()
 	s = &side{relay: serve}
@@ -84,13 +84,13 @@
 	return s, addr
 }
 
-// A stream carries frames both ways in their order, large ones too, and ends on both sides when one
-// of them ends it.
+// A stream carries frames in both directions and in order, large ones too, and ends on both sides when one of them
+// ends it.
 func TestStream(t *testing.T) {
 	r, addr := newSide(t, "relay", "key", true)
 	g, _ := newSide(t, "g1", "key", false)
 	s := g.Dial("relay", addr, relay.KindJoin, []byte("join"))
-	testkit.Until(t, "the relay answers", func() bool { got, _ := g.seen(); return len(got) == 1 })
+	testkit.Until(t, "the relay replies", func() bool { got, _ := g.seen(); return len(got) == 1 })
 	want := []string{frame("relay", relay.KindJoinReply, 5, "taken")}
 	for i := range 200 {
 		body := fmt.Appendf(nil, "n%03d", i)
@@ -100,7 +100,7 @@
 		s.Send(relay.KindRecord, body)
 		want = append(want, frame("relay", relay.KindRecord, len(body), string(body[:min(8, len(body))])))
 	}
-	testkit.Until(t, "all have come back", func() bool { got, _ := g.seen(); return len(got) == len(want) })
+	testkit.Until(t, "all have returned", func() bool { got, _ := g.seen(); return len(got) == len(want) })
 	if got, _ := g.seen(); fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Errorf("got %v", got)
 	}
@@ -111,8 +111,8 @@
 	testkit.Until(t, "both know its end", func() bool { _, a := g.seen(); _, b := r.seen(); return len(a) == 1 && len(b) == 1 })
 }
 
-// spoilt passes a connection on, and does something at a byte of what the relay sends.
-func spoilt(t *testing.T, to string, at int64, what string) string {
+// disturb returns a proxy that does something at a byte of what the relay sends.
+func disturb(t *testing.T, to string, at int64, what string) string {
 	ln := testkit.Listen(t, "127.0.0.1:0", nil)
 	over := make(chan struct{})
 	t.Cleanup(func() { ln.Close(); close(over) })
@@ -154,24 +154,24 @@
 	return ln.Addr().String()
 }
 
-// A stream that ends, hangs or garbles at any byte of what its relay says first ends for the
-// gateway, once, and nothing is taken that the relay did not say.
-func TestStreamSpoilt(t *testing.T) {
+// A stream that ends, hangs or is corrupted at any byte of what its relay sends first ends for the gateway, once, and
+// nothing is accepted that the relay did not send.
+func TestStreamDisturbed(t *testing.T) {
 	_, addr := newSide(t, "relay", "key", true)
 	g, _ := newSide(t, "g1", "key", false)
-	whole := 0 // bytes until the answer has come
+	whole := 0 // bytes until the reply has arrived
 	first := frame("relay", relay.KindJoinReply, 5, "taken")
 	{
 		s := g.Dial("relay", addr, relay.KindJoin, []byte("join"))
-		testkit.Until(t, "the relay answers", func() bool { got, _ := g.seen(); return len(got) == 1 })
+		testkit.Until(t, "the relay replies", func() bool { got, _ := g.seen(); return len(got) == 1 })
 		s.Close()
 		testkit.Until(t, "it ends", func() bool { _, ends := g.seen(); return len(ends) == 1 })
 		whole = len(magic) + 1 + nonceSize + 2*macSize + 2 + len(`{"hello":`) + frameHeaderBytes + 5
 	}
-	for _, what := range []string{"end", "hang", "garble"} {
+	for _, what := range []string{"end", "hang", "corrupt"} {
 		for at := 0; at < whole; at += 7 {
 			g, _ := newSide(t, "g1", "key", false)
-			g.Dial("relay", spoilt(t, addr, int64(at), what), relay.KindJoin, []byte("join"))
+			g.Dial("relay", disturb(t, addr, int64(at), what), relay.KindJoin, []byte("join"))
 			testkit.Until(t, fmt.Sprintf("%s at %d ends the stream", what, at), func() bool { _, ends := g.seen(); return len(ends) == 1 })
 			if got, _ := g.seen(); len(got) > 0 && got[0] != first {
 				t.Errorf("%s at %d: got %v", what, at, got)
@@ -179,29 +179,29 @@
 			g.Close()
 		}
 	}
-	// Behind the handshake: a frame with a byte that is wrong ends the stream and is not taken.
+	// After the handshake: a frame with a wrong byte ends the stream and is not accepted.
 	g, _ = newSide(t, "g2", "key", false)
 	hello := len(magic) + 1 + nonceSize + 2*macSize + 2
 	for at := hello; ; at++ { // the length of its hello is not known here
 		g, _ := newSide(t, "g2", "key", false)
-		g.Dial("relay", spoilt(t, addr, int64(at), "garble"), relay.KindJoin, []byte("join"))
-		testkit.Until(t, "the stream ends or is taken", func() bool { got, ends := g.seen(); return len(ends)+len(got) > 0 })
+		g.Dial("relay", disturb(t, addr, int64(at), "corrupt"), relay.KindJoin, []byte("join"))
+		testkit.Until(t, "the stream ends or is accepted", func() bool { got, ends := g.seen(); return len(ends)+len(got) > 0 })
 		got, _ := g.seen()
-		garbled := g.Counters.FramesMalformed.Load()
+		malformed := g.Counters.FramesMalformed.Load()
 		g.Close()
 		if len(got) > 0 && got[0] != first {
-			t.Fatalf("garbled at %d: got %v", at, got)
+			t.Fatalf("corrupted at %d: got %v", at, got)
 		}
-		if len(got) > 0 { // the byte is behind all that is said
+		if len(got) > 0 { // the byte is after all that is sent
 			break
 		}
-		if at > 4096 || garbled > 1 {
-			t.Fatalf("at byte %d nothing was taken yet, %d garbled", at, garbled)
+		if at > 4096 || malformed > 1 {
+			t.Fatalf("at byte %d nothing was accepted yet, %d malformed", at, malformed)
 		}
 	}
 }
 
-// A gateway that says nothing behind the handshake is not waited for longer than for that.
+// A gateway that sends nothing after the handshake is not waited for longer than for the handshake.
 func TestStreamSilent(t *testing.T) {
 	r, addr := newSide(t, "relay", "key", true)
 	c, err := net.Dial("tcp", addr)
@@ -216,15 +216,14 @@
 	testkit.Until(t, "the relay ends it", func() bool { _, ends := r.seen(); return len(ends) == 1 })
 }
 
-// A gateway that reads nothing is cut off once too much waits for it, and the relay's memory for it
-// stays bounded.
-func TestStreamBehind(t *testing.T) {
+// A gateway that reads nothing is closed once too much waits for it, and the relay's memory for it stays bounded.
+func TestStreamOverrun(t *testing.T) {
 	r, addr := newSide(t, "relay", "key", true)
 	stop := make(chan struct{})
-	hangs := testkit.Listen(t, "127.0.0.1:0", nil)
-	t.Cleanup(func() { hangs.Close() })
-	go func() { // takes what the relay answers to the join, and reads nothing more
-		c, err := hangs.Accept()
+	stalled := testkit.Listen(t, "127.0.0.1:0", nil)
+	t.Cleanup(func() { stalled.Close() })
+	go func() { // passes on the reply to the join, and reads nothing more
+		c, err := stalled.Accept()
 		if err != nil {
 			return
 		}
@@ -250,7 +249,7 @@
 	}()
 	defer close(stop)
 	g, _ := newSide(t, "g1", "key", false)
-	g.Dial("relay", hangs.Addr().String(), relay.KindJoin, []byte("join"))
+	g.Dial("relay", stalled.Addr().String(), relay.KindJoin, []byte("join"))
 	testkit.Until(t, "the relay has the stream", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return len(r.streams) == 1 })
 	s := r.streams[0]
 	body := make([]byte, 32<<10)
@@ -265,15 +264,15 @@
 		return true
 	})
 	s.Send(relay.KindRecord, body)
-	testkit.Until(t, "it is cut", func() bool { _, ends := r.seen(); return len(ends) == 1 })
+	testkit.Until(t, "it is closed", func() bool { _, ends := r.seen(); return len(ends) == 1 })
 	if _, ends := r.seen(); !errors.Is(ends[0], ErrStreamOverrun) || r.Counters.StreamsOverrun.Load() != 1 {
-		t.Errorf("it ended as %v, %d were behind", ends[0], r.Counters.StreamsOverrun.Load())
+		t.Errorf("it ended with %v, %d were overrun", ends[0], r.Counters.StreamsOverrun.Load())
 	}
 }
 
-// Who has another key, is no relay, or not the one that was dialled is refused, and a gateway that
-// the relay does not want; each is said once, however often it comes.
-func TestStreamRefused(t *testing.T) {
+// Rejected are a side with another key, one that is no relay or not the one that was dialed, and a gateway that the
+// relay does not accept. Each is logged once, however often it tries.
+func TestStreamRejected(t *testing.T) {
 	var logged lines
 	was := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(&logged, nil)))
@@ -289,23 +288,22 @@
 		g, _ := newSide(t, c.name, c.key, false)
 		for i := range 3 {
 			g.Dial(c.dials, c.at, relay.KindJoin, []byte("join"))
-			testkit.Until(t, c.name+" is refused", func() bool { _, ends := g.seen(); return len(ends) == i+1 })
+			testkit.Until(t, c.name+" is rejected", func() bool { _, ends := g.seen(); return len(ends) == i+1 })
 		}
 		if got, ends := g.seen(); len(got) > 0 || !strings.Contains(ends[0].Error(), c.want) {
 			t.Errorf("%s: got %v, %v", c.name, got, ends)
 		}
-		testkit.Until(t, c.said+" is said of "+c.name, func() bool { return logged.count(c.said) > 0 })
+		testkit.Until(t, c.said+" is logged of "+c.name, func() bool { return logged.count(c.said) > 0 })
 		g.Close()
 	}
-	// At the first it is the gateway that hangs up, and at the third: one line of each. At the others
-	// both have something to say.
-	testkit.Until(t, "all is said", func() bool { return logged.count("") >= 6 })
+	// In the first and third case it is the gateway that closes: one line each. In the others both sides log.
+	testkit.Until(t, "all is logged", func() bool { return logged.count("") >= 6 })
 	if n := logged.count(""); n > 6 {
 		t.Errorf("%d lines were logged\n%s", n, logged.text())
 	}
 }
 
-// lines is what was logged.
+// lines collects what was logged.
 type lines struct {
 	mu  sync.Mutex
 	all bytes.Buffer
@@ -323,7 +321,7 @@
 	return l.all.String()
 }
 
-// count is how many lines have a text in them.
+// count returns how many lines contain a text.
 func (l *lines) count(text string) (n int) {
 	for _, line := range strings.Split(strings.TrimSpace(l.text()), "\n") {
 		if line != "" && strings.Contains(line, text) {
--- a/internal/fleet/healthcheck/healthcheck_test.go
+++ b/internal/fleet/healthcheck/healthcheck_test.go
@@ -7,23 +7,22 @@
 	"time"
 )
 
-// Whatever gateways say and however long tries take: no host is tried that nobody has given up
-// lately, none twice at once or sooner than Every, no more than AtOnce are out, and each that goes
-// on being given up is tried.
+// Whatever gateways report and however long checks take: no host is checked that was not reported lately, none twice at
+// once or sooner than Interval, no more than MaxConcurrent checks run, and a host that is reported all the time is checked.
 func TestChecker(t *testing.T) {
 	for seed := range uint64(40) {
 		r := rand.New(rand.NewPCG(seed, 2))
 		c := NewChecker()
-		type try struct{ ends time.Duration }
-		out, said, last, tries := map[string]try{}, map[string]time.Duration{}, map[string]time.Duration{}, map[string]int{}
+		type check struct{ ends time.Duration }
+		running, reported, last, checks := map[string]check{}, map[string]time.Duration{}, map[string]time.Duration{}, map[string]int{}
 		steady := "h0"
 		most := 1 + r.IntN(2*MaxHosts)
 		for now := time.Hour; now < time.Hour+2*time.Minute; now += 50 * time.Millisecond {
-			for name, x := range out {
+			for name, x := range running {
 				if now >= x.ends {
 					c.Checked(now, name)
 					last[name] = now
-					delete(out, name)
+					delete(running, name)
 				}
 			}
 			if names := []string{steady}; r.IntN(10) == 0 {
@@ -32,23 +31,23 @@
 				}
 				c.Report(now, names)
 				for _, name := range names {
-					said[name] = now
+					reported[name] = now
 				}
 			}
 			for _, name := range c.Due(now) {
-				_, twice := out[name]
-				if twice || said[name] == 0 || now > said[name]+ReportTTL || last[name] > 0 && now < last[name]+Interval {
-					t.Fatalf("seed %d: %s is tried at %v: out %v, said at %v, tried last at %v", seed, name, now, twice, said[name], last[name])
+				_, twice := running[name]
+				if twice || reported[name] == 0 || now > reported[name]+ReportTTL || last[name] > 0 && now < last[name]+Interval {
+					t.Fatalf("seed %d: %s is checked at %v: running %v, reported at %v, last checked at %v", seed, name, now, twice, reported[name], last[name])
 				}
-				out[name] = try{now + time.Duration(r.Int64N(int64(Timeout)))}
-				tries[name]++
+				running[name] = check{now + time.Duration(r.Int64N(int64(Timeout)))}
+				checks[name]++
 			}
-			if len(out) > MaxConcurrent || len(c.hosts) > MaxHosts {
-				t.Fatalf("seed %d: %d tries out, %d hosts kept", seed, len(out), len(c.hosts))
+			if len(running) > MaxConcurrent || len(c.hosts) > MaxHosts {
+				t.Fatalf("seed %d: %d checks running, %d hosts kept", seed, len(running), len(c.hosts))
 			}
 		}
-		if tries[steady] < 10 {
-			t.Errorf("seed %d: of %d hosts one that was always given up was tried %d times in two minutes", seed, most, tries[steady])
+		if checks[steady] < 10 {
+			t.Errorf("seed %d: of %d hosts one that was always reported was checked %d times in two minutes", seed, most, checks[steady])
 		}
 	}
 }
--- a/internal/override/override_test.go
+++ b/internal/override/override_test.go
@@ -8,8 +8,8 @@
 	"dunemoor/internal/discovery"
 )
 
-// Whatever lists and words come in whatever order: what was passed on last of each host is what
-// the rule makes of the last list and the last words.
+// Whatever lists and overrides arrive in whatever order: the last state of each host that was passed on is what the rule
+// makes of the last list and the last overrides.
 func TestRule(t *testing.T) {
 	ids := []string{"a", "b", "c", "d"}
 	states := []string{"ready", "draining", "gone"}
@@ -25,18 +25,18 @@
 		}
 		drained := draw()
 		p := NewFilter(drained)
-		listed, told := map[string]string{}, map[string]string{}
+		listed, applied := map[string]string{}, map[string]string{}
 		for range 40 {
 			if r.IntN(2) == 0 {
 				drained = draw()
 				for _, h := range p.SetDrained(drained) {
-					told[h.ID] = h.State
+					applied[h.ID] = h.State
 				}
 			} else {
-				whole := r.IntN(3) == 0
-				if whole {
+				full := r.IntN(3) == 0
+				if full {
 					clear(listed)
-					clear(told) // those that a whole list does not name are gone
+					clear(applied) // hosts that a full list does not name are gone
 				}
 				var list []discovery.Member
 				for _, id := range ids {
@@ -45,16 +45,16 @@
 						listed[id] = list[len(list)-1].State
 					}
 				}
-				for _, h := range p.ApplyList(whole, list) {
-					told[h.ID] = h.State
+				for _, h := range p.ApplyList(full, list) {
+					applied[h.ID] = h.State
 				}
 			}
 			for id, want := range listed {
 				if want == "ready" && slices.Contains(drained, id) {
 					want = "draining"
 				}
-				if told[id] != want {
-					t.Fatalf("seed %d: %s is told as %q, not %q, with words on %v", seed, id, told[id], want, drained)
+				if applied[id] != want {
+					t.Fatalf("seed %d: %s is passed on as %q, not %q, with overrides of %v", seed, id, applied[id], want, drained)
 				}
 			}
 		}
