--- a/internal/config/recording.go
+++ b/internal/config/recording.go
@@ -80,8 +80,8 @@
 		}
 	}
 	c := &engine.RecordingConfig{
-		Ring: f.RingKB << 10, ViewEvery: time.Duration(f.ViewEvery), Dir: f.Dir,
-		File: f.File, FileSize: int64(f.FileMB) << 20,
+		RingBytes: f.RingKB << 10, ViewInterval: time.Duration(f.ViewEvery), Dir: f.Dir,
+		File: f.File, MaxFileBytes: int64(f.FileMB) << 20,
 		Trigger: flight.Trigger{
 			Share: f.Trigger.Refused, Within: time.Duration(f.Trigger.Within),
 			Least: f.Trigger.Least, Pause: time.Duration(f.Trigger.Pause),
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -65,7 +65,7 @@
 				slog.Info("host list read", "file", f.path, "hosts", len(list.Servers))
 			}
 			f.told, f.said = true, ""
-			to.Members(balancer.ListFull, list)
+			to.UpdateEndpoints(balancer.ListFull, list)
 			return
 		}
 	} else {
--- a/internal/discovery/file_test.go
+++ b/internal/discovery/file_test.go
@@ -15,7 +15,7 @@
 // told collects what a source tells.
 type told chan MemberList
 
-func (c told) Members(kind balancer.ListKind, list MemberList) {
+func (c told) UpdateEndpoints(kind balancer.ListKind, list MemberList) {
 	if kind != balancer.ListFull {
 		panic("a file has only whole lists")
 	}
--- a/internal/discovery/members.go
+++ b/internal/discovery/members.go
@@ -2,9 +2,9 @@
 
 import "dunemoor/balancer"
 
-// Sink is told of the hosts. Calls come one at a time.
+// Sink receives the endpoint list. Calls come one at a time.
 type Sink interface {
-	Members(kind balancer.ListKind, list MemberList)
+	UpdateEndpoints(kind balancer.ListKind, list MemberList)
 }
 
 // MemberList is the list of hosts, or changes of it, in discovery's form.
--- a/internal/discovery/told_test.go
+++ b/internal/discovery/told_test.go
@@ -248,12 +248,12 @@
 			Instances: of, Rank: rank, Poll: m.ask, PollTimeout: m.askWithin,
 			Classes: []balancer.Class{{LatencyObjective: time.Second, Deadline: time.Second}},
 		},
-		Seed: seed, Transport: g, Watch: g.watcher.Watch,
+		Seed: seed, Transport: g, Poll: g.watcher.Watch,
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.Members(balancer.ListSaved, discovery.MemberList{Version: 1, Servers: []discovery.Member{
+	p.UpdateEndpoints(balancer.ListSaved, discovery.MemberList{Version: 1, Servers: []discovery.Member{
 		{ID: "s-1", Addr: "127.0.0.1:1", State: "ready"}, {ID: "s-2", Addr: "127.0.0.1:2", State: "ready"},
 	}})
 	all.Go(func() { e.Run(ctx) })
@@ -418,7 +418,7 @@
 // failures is a Sink that counts the calls that failed.
 type failures struct{ n atomic.Int64 }
 
-func (f *failures) Members(kind balancer.ListKind, _ discovery.MemberList) {
+func (f *failures) UpdateEndpoints(kind balancer.ListKind, _ discovery.MemberList) {
 	if kind == balancer.ListFailed {
 		f.n.Add(1)
 	}
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -150,7 +150,7 @@
 		}
 		if d.ask {
 			take(d.asked) // what was asked for meanwhile is what this call was for
-			to.Members(balancer.ListFailed, MemberList{})
+			to.UpdateEndpoints(balancer.ListFailed, MemberList{})
 			continue
 		}
 		select {
@@ -204,7 +204,7 @@
 	stream := &stream{from: resp.Body, beat: func() {
 		if d.ask && !heard && version > 0 && d.told(moves, version) {
 			// The call that the module asked for has been answered: nothing has changed.
-			to.Members(balancer.ListChanges, MemberList{Version: version})
+			to.UpdateEndpoints(balancer.ListChanges, MemberList{Version: version})
 		}
 		alive()
 	}}
@@ -235,7 +235,7 @@
 		if !d.told(moves, list.Version) {
 			return heard, errMoved
 		}
-		to.Members(kind, list)
+		to.UpdateEndpoints(kind, list)
 	}
 }
 
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -73,7 +73,7 @@
 // news is a Sink that keeps what it is told.
 type news chan string
 
-func (c news) Members(kind balancer.ListKind, list MemberList) {
+func (c news) UpdateEndpoints(kind balancer.ListKind, list MemberList) {
 	var ids []string
 	for _, m := range list.Servers {
 		ids = append(ids, m.ID+" "+m.State)
--- /dev/null
+++ b/internal/engine/attempts.go
@@ -0,0 +1,196 @@
+package engine
+
+import (
+	"context"
+	"time"
+
+	"dunemoor/balancer"
+)
+
+const (
+	// maxAttempts is how many attempts a request has at most, whatever pools it comes to.
+	maxAttempts = 4
+	// streamedRetryAfter is when a client may retry a request whose only attempt never ran, and of which not
+	// enough is kept for another: soon, as a single host was at fault.
+	streamedRetryAfter = 50 * time.Millisecond
+)
+
+// admit gives a request to the pool's balancer.
+func (p *Pool) admit(now balancer.Time, x *Request) {
+	e := p.engine
+	e.lastID++
+	x.id, x.pool, x.attempts = e.lastID, p, x.attempts[:0]
+	e.requests[x.id] = x
+	p.openRequests.Add(1)
+	p.bal.Request(now, balancer.Request{
+		ID: x.id, Class: x.Class, Tenant: x.Tenant, Duplicate: x.Duplicate,
+		Remaining: max(0, e.clock.at(e.beforeShutdown(x.Deadline))-now),
+	})
+	p.perform(now)
+}
+
+// send starts an attempt. Its end comes back as one event, whatever happens.
+func (p *Pool) send(now balancer.Time, a *balancer.Action) {
+	e := p.engine
+	x, h := e.requests[a.Request], p.hosts[a.Host]
+	if x == nil || h == nil {
+		// The balancer names only hosts that it was given, and keeps no request longer than the engine.
+		panic("engine: attempt of an unknown request or host")
+	}
+	n := len(x.attempts)
+	if x.attemptsSent > 0 && !p.mayRetry(now, x) {
+		x.attempts = append(x.attempts, func() {})
+		p.denied = append(p.denied, balancer.Outcome{Request: x.id, Attempt: n, Result: balancer.NotSent, Closed: x.Finished()})
+		return
+	}
+	x.WriteBy = time.Time{}
+	if a.At > 0 {
+		x.WriteBy = e.clock.time(a.At)
+	}
+	ctx, cancel := e.attemptContext(x)
+	x.attempts = append(x.attempts, cancel)
+	x.inFlight++
+	x.attemptsSent++
+	go func() {
+		// Measured here and not by the loop: time that an event waits for the loop, or for a core, is no
+		// latency of the host.
+		sent := time.Now()
+		result := h.Attempt(ctx, x)
+		elapsed := time.Since(sent)
+		cancel()
+		e.post(func(now balancer.Time) { p.attemptEnded(now, x, n, elapsed, result) })
+	}()
+}
+
+// attemptContext returns the context of an attempt. While the body is arriving Do ends it instead of a deadline.
+func (e *Engine) attemptContext(x *Request) (context.Context, context.CancelFunc) {
+	if x.Body.Whole() {
+		return context.WithDeadline(e.ctx, e.beforeShutdown(x.Deadline))
+	}
+	return context.WithCancel(e.ctx)
+}
+
+// mayRetry reports whether a request may have another attempt, beside what the balancer allows. A trial has one
+// attempt in the pool that it tries, and where another pool may still serve the request, the last attempt is kept
+// for that.
+func (p *Pool) mayRetry(now balancer.Time, x *Request) bool {
+	lastHere := x.trial || x.attemptsSent >= maxAttempts-1
+	if len(x.attempts) > 0 && len(x.chain.pools) > 1 && lastHere && (x.neverRan || x.Route.idempotent(x.Class)) {
+		if _, ok := x.chain.state.Next(now, x.position, x.trial); ok {
+			return false
+		}
+	}
+	return x.attemptsSent < maxAttempts && (x.Route.budget == nil || x.Route.budget.Retry(now))
+}
+
+// attemptEnded handles the end of an attempt. The first successful response ends the request, and the balancer is
+// notified.
+func (p *Pool) attemptEnded(now balancer.Time, x *Request, n int, elapsed time.Duration, r Result) {
+	x.inFlight--
+	outcome := r.Outcome
+	if r.PartlySent && x.Route.Plain != nil && outcome == balancer.ConnectFailed {
+		outcome = balancer.Reset // a server of plain HTTP may act on a part
+	}
+	if r.HasResponse {
+		outcome = p.useResponse(x, &r.Response)
+	}
+	if x.streaming {
+		p.finishStreamed(x, outcome)
+		return
+	}
+	x.neverRan = x.neverRan && !outcome.MayHaveRun()
+	x.neverConnected = x.neverConnected && (outcome == balancer.ConnectFailed || outcome == balancer.NotSent)
+	// Read once: whoever finishes the request between this event and its release reports that by an event of its
+	// own, and until then the balancer may send another attempt.
+	closed := x.Finished()
+	p.bal.AttemptEnded(now, balancer.Outcome{
+		Request: x.id, Attempt: n, Result: outcome,
+		Elapsed: elapsed, Closed: closed,
+	})
+	if closed {
+		p.engine.release(x)
+	}
+	p.perform(now)
+}
+
+// useResponse classifies a response of a host. A success becomes the final response; another is kept where the
+// client may get it.
+func (p *Pool) useResponse(x *Request, r *Response) balancer.Result {
+	outcome := x.Route.Classify(r)
+	switch {
+	case outcome == balancer.OK && x.respond(*r):
+		p.countResponse(false)
+	case outcome != balancer.OK && x.Route.ForwardsFailures && !x.Finished():
+		x.lastResponse.discard()
+		x.lastResponse = *r
+	default:
+		r.discard()
+	}
+	return outcome
+}
+
+// finishStreamed handles the end of the only attempt of a request whose body was passed on: the client gets what
+// the host responded, a rejection where the request provably never ran, or a failure.
+func (p *Pool) finishStreamed(x *Request, outcome balancer.Result) {
+	if !x.Finished() {
+		final := Response{Kind: Failed}
+		if x.lastResponse.Kind == Served {
+			final, x.lastResponse = x.lastResponse, Response{}
+		} else if x.neverRan && !outcome.MayHaveRun() {
+			final = Response{Kind: Rejected, RetryAfter: min(streamedRetryAfter, p.cfg.Settings.MaxRetryAfter)}
+		}
+		if x.respond(final) {
+			p.countResponse(final.Kind == Rejected)
+		} else {
+			final.discard()
+		}
+	}
+	p.engine.release(x)
+}
+
+// finalResponse gives the balancer's final response, unless another pool of the chain may still serve the request.
+func (p *Pool) finalResponse(now balancer.Time, a *balancer.Action) {
+	e := p.engine
+	x := e.requests[a.Request]
+	if x == nil {
+		return
+	}
+	if a.Kind == balancer.Reject && p.failOver(now, x) {
+		return
+	}
+	p.countResponse(a.Kind == balancer.Reject)
+	final := Response{Kind: Failed}
+	switch {
+	case a.Cause == balancer.CauseSpent && x.lastResponse.Kind == Served:
+		// All its attempts have ended, and this is what a host responded.
+		final, x.lastResponse = x.lastResponse, Response{}
+	case a.Kind == balancer.Reject:
+		final = Response{Kind: Rejected, RetryAfter: a.RetryAfter}
+	}
+	if !x.respond(final) {
+		final.discard()
+	}
+	e.release(x)
+}
+
+// failOver has a request that its pool rejects go on to the next pool of its chain: only where connections to this
+// one failed or the request was a trial, and where it never ran. Rejections of a pool that is full stand, as the
+// requests would overload the next one.
+func (p *Pool) failOver(now balancer.Time, x *Request) bool {
+	if len(x.chain.pools) < 2 || x.inFlight > 0 || x.Finished() || x.attemptsSent >= maxAttempts || !x.Deadline.After(p.engine.clock.time(now)) {
+		return false
+	}
+	mayRunElsewhere := x.neverRan || x.Route.idempotent(x.Class)
+	unreachable := x.attemptsSent > 0 && x.neverConnected
+	if !mayRunElsewhere || !x.trial && !unreachable {
+		return false
+	}
+	next, ok := x.chain.state.Next(now, x.position, x.trial)
+	if !ok {
+		return false
+	}
+	x.position, x.trial = next, false
+	p.engine.leavePool(x)
+	p.failingOver = append(p.failingOver, x)
+	return true
+}
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -21,7 +21,7 @@
 
 // The tests here run in virtual time, on transports without sockets.
 
-// fake is a Transport whose hosts do what a script says. It keeps a ledger of what went out.
+// fake is a Transport whose hosts follow a script. It records what was sent.
 type fake struct {
 	name   string
 	mu     sync.Mutex
@@ -52,7 +52,7 @@
 	return f.total
 }
 
-// of is how often a request went out.
+// of returns how often a request was sent.
 func (f *fake) of(x *Request) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -77,12 +77,12 @@
 	return script(ctx, h.id, x)
 }
 
-// says answers with a status after a time.
+// says responds with a status after a time.
 func says(status int, after time.Duration) func(context.Context, string, *Request) Result {
 	return func(ctx context.Context, host string, _ *Request) Result {
 		select {
 		case <-time.After(after):
-			return Result{Answered: true, Answer: Answer{Kind: Served, Status: status, Body: body.Held([]byte(host))}}
+			return Result{HasResponse: true, Response: Response{Kind: Served, Status: status, Body: body.Held([]byte(host))}}
 		case <-ctx.Done():
 			if ctx.Err() == context.DeadlineExceeded {
 				return Ended(balancer.TimedOut)
@@ -92,7 +92,7 @@
 	}
 }
 
-// ends ends attempts without an answer.
+// ends ends attempts without a response.
 func ends(outcome balancer.Result) func(context.Context, string, *Request) Result {
 	return func(context.Context, string, *Request) Result {
 		time.Sleep(time.Millisecond)
@@ -143,7 +143,7 @@
 	return list
 }
 
-// pool makes one of n warm hosts.
+// pool returns a pool of n hosts, none of them warming up.
 func (w *world) pool(f *fake, n int) *Pool {
 	w.Helper()
 	p, err := w.NewPool(PoolConfig{
@@ -156,28 +156,28 @@
 	if err != nil {
 		w.Fatal(err)
 	}
-	p.Members(balancer.ListFull, members(n, time.Time{}))
+	p.UpdateEndpoints(balancer.ListFull, members(n, time.Time{}))
 	return p
 }
 
-// route is a route of the protocol's form, or a plain one.
+// testRoute returns a route of the platform's protocol, or a plain one.
 func testRoute(plain bool) *Route {
-	r := &Route{Name: "r", Classes: testClasses, Judge: func(a *Answer) balancer.Result {
+	r := &Route{Name: "r", Classes: testClasses, Classify: func(a *Response) balancer.Result {
 		return route.Protocol(a.Status, a.Header.Get("X-Not-Processed") == "1")
 	}}
 	if plain {
-		r.PassOn, r.Plain = true, &Plain{Class: look, Unsafe: book, Timeout: 4 * time.Second}
-		r.Judge = func(a *Answer) balancer.Result { return route.Plain(a.Status, false, route.DefaultFailures) }
+		r.ForwardsFailures, r.Plain = true, &Plain{Class: look, NonIdempotentClass: book, Timeout: 4 * time.Second}
+		r.Classify = func(a *Response) balancer.Result { return route.Plain(a.Status, false, route.DefaultFailures) }
 	}
 	return r
 }
 
-// use puts a plan of one route into use: the first pool, and the others in its place.
-func (w *world) use(r *Route, retry *Retries, pools ...*Pool) *Plan {
-	uses := []PoolUse{{Pool: pools[0], Need: route.DefaultNeed}}
+// use puts a Snapshot of one route into use: the first pool, with the others as fallback.
+func (w *world) use(r *Route, retry *Retries, pools ...*Pool) *Snapshot {
+	uses := []PoolUse{{Pool: pools[0], MinShare: route.DefaultNeed}}
 	for _, p := range pools[1:] {
 		uses[0].Fallback = append(uses[0].Fallback, p.Name)
-		uses = append(uses, PoolUse{Pool: p, Need: route.DefaultNeed})
+		uses = append(uses, PoolUse{Pool: p, MinShare: route.DefaultNeed})
 	}
 	var retries []Retries
 	if retry != nil {
@@ -188,14 +188,14 @@
 	if len(wrong) > 0 {
 		w.Fatal(wrong[0])
 	}
-	plan := w.NewPlan(table, []*Route{r}, retries, uses...)
+	plan := w.NewSnapshot(table, []*Route{r}, retries, uses...)
 	w.Use(plan)
 	return plan
 }
 
-// ask makes a request on the plan in use, and waits for its answer.
-func (w *world) ask(class int) (*Request, Answer) {
-	plan := w.Plan()
+// ask makes a request on the Snapshot in use, and waits for its response.
+func (w *world) ask(class int) (*Request, Response) {
+	plan := w.Snapshot()
 	defer plan.Release()
 	x := &Request{Method: "GET", Target: "/", Route: plan.routes[0], Class: class, Deadline: time.Now().Add(testClasses[class].Deadline)}
 	a, there := w.Do(context.Background(), x)
@@ -205,7 +205,7 @@
 	return x, a
 }
 
-// tally is what became of requests.
+// tally counts what became of requests.
 type tally struct {
 	mu      sync.Mutex
 	kinds   map[Kind]int
@@ -213,7 +213,7 @@
 	advised int
 }
 
-// load asks at a rate for a time, and waits for all answers.
+// load makes requests at a rate for a time, and waits for all responses.
 func (w *world) load(rate int, span time.Duration, class func(i int) int) *tally {
 	t := &tally{kinds: map[Kind]int{}}
 	var all sync.WaitGroup
@@ -226,7 +226,7 @@
 			t.mu.Lock()
 			defer t.mu.Unlock()
 			t.kinds[a.Kind]++
-			if a.Kind == Refused {
+			if a.Kind == Rejected {
 				t.slowest = max(t.slowest, time.Since(began))
 				if a.RetryAfter > 0 {
 					t.advised++
@@ -243,8 +243,8 @@
 	return []int{look, look, look, look, book, book, book, report, look, report}[i%10]
 }
 
-// What may have run in one pool never goes to another, whatever stands in for it: hosts there
-// do not know it, and would run it again.
+// A request that may have run in one pool never goes to a fallback: hosts there do not know it, and would run it
+// again.
 func TestWhatMayHaveRunStaysInItsPool(t *testing.T) {
 	for _, outcome := range []balancer.Result{balancer.Reset, balancer.TimedOut, balancer.Spoilt, balancer.Canceled} {
 		for _, class := range []int{book, report} {
@@ -264,9 +264,9 @@
 	}
 }
 
-// Where connections to a whole pool are refused nothing has run, so each request goes on to
-// the next one, once, and four attempts are the most in all.
-func TestRefusedConnectionsLeadOn(t *testing.T) {
+// Where connections to a whole pool are refused nothing has run, so each request fails over to the next one, once,
+// with four attempts at most in all.
+func TestRefusedConnectionsFailOver(t *testing.T) {
 	inWorld(t, func(w *world) {
 		a, b := newFake("a", ends(balancer.ConnectFailed)), newFake("b", says(200, time.Millisecond))
 		w.use(testRoute(false), nil, w.pool(a, 3), w.pool(b, 3))
@@ -276,7 +276,7 @@
 			if answer.Kind == Served {
 				served++
 			}
-			if n := a.of(x) + b.of(x); n > attemptsMost || b.of(x) > 1 {
+			if n := a.of(x) + b.of(x); n > maxAttempts || b.of(x) > 1 {
 				t.Fatalf("%d attempts, %d of them in the second pool", n, b.of(x))
 			}
 			time.Sleep(10 * time.Millisecond)
@@ -291,18 +291,18 @@
 		for i := range 100 {
 			began := time.Now()
 			x, answer := w.ask(mixed(i))
-			if took := time.Since(began); answer.Kind != Refused || answer.RetryAfter == 0 || took > 250*time.Millisecond {
-				t.Errorf("answer %d after %v, advice %v", answer.Kind, took, answer.RetryAfter)
+			if took := time.Since(began); answer.Kind != Rejected || answer.RetryAfter == 0 || took > 250*time.Millisecond {
+				t.Errorf("response %d after %v, Retry-After %v", answer.Kind, took, answer.RetryAfter)
 			}
-			if n := a.of(x) + b.of(x); n > attemptsMost {
+			if n := a.of(x) + b.of(x); n > maxAttempts {
 				t.Errorf("%d attempts", n)
 			}
 		}
 	})
 }
 
-// A pool that is full keeps its refusals: it guards against pushing over the next one with
-// what the first could not take.
+// Rejections of a pool that is full stand: it guards against overloading the next one with what the first could not
+// take.
 func TestFullPoolDoesNotSpill(t *testing.T) {
 	inWorld(t, func(w *world) {
 		full := func(context.Context, string, *Request) Result { return Ended(balancer.Full) }
@@ -319,10 +319,10 @@
 	})
 }
 
-// The first pool dies whole under load and comes back; the one in its place has just been
-// started. No unsafe request runs twice, what is refused is refused at once with advice, the
-// cold hosts are not pushed over, and traffic goes back once.
-func TestPoolDiesWhole(t *testing.T) {
+// The first pool fails whole under load and comes back; the hosts of its fallback are warming up. No non-idempotent
+// request runs twice, rejections come at once with Retry-After, the warming hosts are not overloaded, and traffic
+// goes back once.
+func TestWholePoolFails(t *testing.T) {
 	inWorld(t, func(w *world) {
 		const rate = 100
 		a, b := newFake("a", says(200, 20*time.Millisecond)), newFake("b", says(200, 20*time.Millisecond))
@@ -332,13 +332,13 @@
 			t.Fatalf("while all is well: %v, %d went to the second pool", got.kinds, b.count())
 		}
 		a.is(ends(balancer.ConnectFailed))
-		pb.Members(balancer.ListFull, members(2, time.Now()))
+		pb.UpdateEndpoints(balancer.ListFull, members(2, time.Now()))
 		got := w.load(rate, 6*time.Second, mixed)
-		if got.slowest > 250*time.Millisecond || got.advised != got.kinds[Refused] || got.kinds[Failed] > 0 {
-			t.Errorf("refusals took up to %v, %d of %d with advice; %v", got.slowest, got.advised, got.kinds[Refused], got.kinds)
+		if got.slowest > 250*time.Millisecond || got.advised != got.kinds[Rejected] || got.kinds[Failed] > 0 {
+			t.Errorf("rejections took up to %v, %d of %d with Retry-After; %v", got.slowest, got.advised, got.kinds[Rejected], got.kinds)
 		}
-		// A warm host carries an eighth of the load and what a pool needs beyond it; a cold one
-		// starts with 0.4 of that and falls over at 2.5 times what it can do, kept up for 1.5 s.
+		// A host carries an eighth of the load and what a pool needs beyond it. A warming one starts with 0.4 of that
+		// and is overloaded by 2.5 times what it can do, kept up for 1.5 s.
 		const most = 26 // of 25.2: 100 / 8 x 1.4 x 0.4 x 2.5 x 1.5
 		for id, times := range b.times {
 			for i := range times {
@@ -349,7 +349,7 @@
 					}
 				}
 				if n > most {
-					t.Fatalf("cold host %s has had %d attempts in 1.5 s, %d push it over", id, n, most)
+					t.Fatalf("warming host %s has had %d attempts in 1.5 s, %d overload it", id, n, most)
 				}
 			}
 		}
@@ -357,7 +357,7 @@
 			t.Errorf("with the second pool warm: %v", got.kinds)
 		}
 		a.is(says(200, 20*time.Millisecond))
-		// Which pool serves, second by second: it must turn once, in steps.
+		// Which pool serves, second by second: it must change once, in steps.
 		before, turned, last := b.count(), 0, -1
 		for range 40 {
 			w.load(rate, time.Second, mixed)
@@ -374,21 +374,21 @@
 		for _, f := range []*fake{a, b} {
 			for x, n := range f.sent {
 				if x.Class == book && n > 1 && f == b {
-					t.Errorf("an unsafe request went out %d times in %s", n, f.name)
+					t.Errorf("a non-idempotent request was sent %d times in %s", n, f.name)
 				}
 			}
 		}
 	})
 }
 
-// 200 requests are in flight at a reload that takes their pool out: each ends there, the pool
-// ends with the last of them, once, and what comes meanwhile goes to the new one.
+// 200 requests are in flight at a reload that removes their pool: each ends there, the pool is closed with the last of
+// them, once, and new requests go to the new pool.
 func TestReloadUnderLoad(t *testing.T) {
 	inWorld(t, func(w *world) {
 		release := make(chan struct{})
 		a, b := newFake("a", func(context.Context, string, *Request) Result {
 			<-release
-			return Result{Answered: true, Answer: Answer{Kind: Served, Status: 200}}
+			return Result{HasResponse: true, Response: Response{Kind: Served, Status: 200}}
 		}), newFake("b", says(200, time.Millisecond))
 		pa := w.pool(a, 120)
 		w.use(testRoute(false), nil, pa)
@@ -409,10 +409,10 @@
 			time.Sleep(100 * time.Microsecond)
 		}
 		synctest.Wait()
-		if n := pa.Inside(); n != 200 {
+		if n := pa.OpenRequests(); n != 200 {
 			t.Fatalf("%d in flight", n)
 		}
-		held := w.Plan() // a client whose body is still coming
+		held := w.Snapshot() // a client whose body is still coming
 		pb := w.pool(b, 6)
 		w.use(testRoute(false), nil, pb)
 		for range 50 {
@@ -431,7 +431,7 @@
 		}
 		x := &Request{Method: "GET", Target: "/", Route: held.routes[0], Class: look, Deadline: time.Now().Add(time.Second)}
 		if got, _ := w.Do(context.Background(), x); got.Kind != Served || a.of(x) != 1 {
-			t.Errorf("the last request on the old plan: %+v", got)
+			t.Errorf("the last request on the old Snapshot: %+v", got)
 		}
 		held.Release()
 		synctest.Wait()
@@ -440,8 +440,8 @@
 		}
 		done := make(chan struct{})
 		w.post(func(balancer.Time) {
-			if len(w.pools) != 1 || len(w.left) != 0 || len(w.open) != 0 {
-				t.Errorf("left behind: %d pools, %d plans, %d requests", len(w.pools), len(w.left), len(w.open))
+			if len(w.pools) != 1 || len(w.superseded) != 0 || len(w.requests) != 0 {
+				t.Errorf("left behind: %d pools, %d Snapshots, %d requests", len(w.pools), len(w.superseded), len(w.requests))
 			}
 			close(done)
 		})
@@ -449,12 +449,12 @@
 	})
 }
 
-// A pool that is made while requests leave the old plan is there for the next: it guards
-// against its being swept with the rest.
+// A pool that is made while requests leave the old Snapshot is there for the next: it guards against its being swept
+// with the rest.
 func TestNewPoolIsNotSwept(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.use(testRoute(false), nil, w.pool(newFake("a", says(200, 0)), 3))
-		held := w.Plan()
+		held := w.Snapshot()
 		w.use(testRoute(false), nil, w.pool(newFake("b", says(200, 0)), 3))
 		c := w.pool(newFake("c", says(200, 0)), 3)
 		held.Release()
@@ -464,17 +464,17 @@
 			t.Errorf("the new pool: %+v", got)
 		}
 		d := w.pool(newFake("d", says(200, 0)), 3) // a reload that fails drops what it has made
-		w.Drop()
+		w.DropUnused()
 		synctest.Wait()
-		if w.ended["a"] != 1 || w.ended["b"] != 1 || w.ended["c"] != 0 || w.ended["d"] != 1 || d.Inside() != 0 {
+		if w.ended["a"] != 1 || w.ended["b"] != 1 || w.ended["c"] != 0 || w.ended["d"] != 1 || d.OpenRequests() != 0 {
 			t.Errorf("ended: %v", w.ended)
 		}
 	})
 }
 
-// A plan that changes nothing keeps what is known: it guards against a reload that gives a dead
-// pool its traffic back, or fills a spent budget.
-func TestPlansAdoptWhatIsTheSame(t *testing.T) {
+// A Snapshot that changes nothing keeps the state: it guards against a reload that gives a dead pool its traffic back,
+// or fills a spent budget.
+func TestSnapshotsAdoptState(t *testing.T) {
 	inWorld(t, func(w *world) {
 		a, b := newFake("a", ends(balancer.ConnectFailed)), newFake("b", says(200, time.Millisecond))
 		pa, pb := w.pool(a, 4), w.pool(b, 4)
@@ -487,16 +487,16 @@
 			t.Errorf("%d attempts at the dead pool in the second after the reload", n)
 		}
 		if next.routes[0].budget != old.routes[0].budget || next.chains[0].state != old.chains[0].state {
-			t.Error("budget or chain begin anew though nothing has changed")
+			t.Error("budget or failover chain begin anew though nothing has changed")
 		}
 		other := w.use(testRoute(false), &Retries{Share: 0.5, Floor: 1}, pa, pb)
 		if other.routes[0].budget == next.routes[0].budget {
-			t.Error("a budget of other figures goes on with the old ones")
+			t.Error("a budget of other figures keeps the old state")
 		}
 	})
 }
 
-// Retries stay within the route's budget however many fail, and each request has its answer.
+// Retries stay within the route's budget however many attempts fail, and each request has its response.
 func TestRetryBudgetHolds(t *testing.T) {
 	for _, retry := range []Retries{{0, 0}, {0.2, 1}, {3, 0}} {
 		inWorld(t, func(w *world) {
@@ -507,21 +507,21 @@
 			retries := f.total - tries
 			most := retry.Share*float64(tries) + 20*retry.Floor + max(1, retry.Floor)
 			if float64(retries) > most {
-				t.Errorf("%+v: %d retries of %d tries, %.0f at most", retry, retries, tries, most)
+				t.Errorf("%+v: %d retries of %d attempts, %.0f at most", retry, retries, tries, most)
 			}
 			if retry.Share > 0 && float64(retries) < most/4 {
-				t.Errorf("%+v: only %d retries of %d tries", retry, retries, tries)
+				t.Errorf("%+v: only %d retries of %d attempts", retry, retries, tries)
 			}
-			if n := got.kinds[Refused] + got.kinds[Failed]; n != 1000 {
-				t.Errorf("%+v: answers %v", retry, got.kinds)
+			if n := got.kinds[Rejected] + got.kinds[Failed]; n != 1000 {
+				t.Errorf("%+v: responses %v", retry, got.kinds)
 			}
 		})
 	}
 }
 
-// On a plain route the client gets what a host said: any answer that is no failure at once, and
-// the last failure when there is no other attempt.
-func TestPlainRoutePassesOn(t *testing.T) {
+// On a plain route the client gets a host's response: one that is no failure at once, and the last failure when there
+// is no other attempt.
+func TestPlainRouteForwardsFailures(t *testing.T) {
 	for _, c := range []struct {
 		status, class, attempts int
 	}{
@@ -531,23 +531,23 @@
 		inWorld(t, func(w *world) {
 			var freed atomic.Int64
 			f := newFake("a", func(context.Context, string, *Request) Result {
-				return Result{Answered: true, Answer: Answer{Kind: Served, Status: c.status, Free: func() { freed.Add(1) }}}
+				return Result{HasResponse: true, Response: Response{Kind: Served, Status: c.status, Free: func() { freed.Add(1) }}}
 			})
 			w.use(testRoute(true), nil, w.pool(f, 6))
 			x, got := w.ask(c.class)
 			got.Release()
 			synctest.Wait()
 			if got.Kind != Served || got.Status != c.status || f.of(x) != c.attempts {
-				t.Errorf("%d: answered %+v after %d attempts, want %d", c.status, got, f.of(x), c.attempts)
+				t.Errorf("%d: responded %+v after %d attempts, want %d", c.status, got, f.of(x), c.attempts)
 			}
 			if freed.Load() != int64(c.attempts) {
-				t.Errorf("%d: %d answers of %d were released", c.status, freed.Load(), c.attempts)
+				t.Errorf("%d: %d responses of %d were released", c.status, freed.Load(), c.attempts)
 			}
 		})
 	}
 }
 
-// A burst of 404s is no sign of a host that fails; a burst of 500s is.
+// A burst of 404s does not eject a host; a burst of 500s does.
 func TestNotFoundEjectsNobody(t *testing.T) {
 	for status, shunned := range map[int]bool{404: false, 500: true} {
 		inWorld(t, func(w *world) {
@@ -566,33 +566,33 @@
 	}
 }
 
-// An answer that nobody waits for any more is released, and so is one that a better one took
-// the place of: it guards the memory that large answers hold.
-func TestAnswersAreReleased(t *testing.T) {
+// A response that nobody waits for is released, and so is one that a better one replaced: it guards the memory that
+// large responses hold.
+func TestResponsesAreReleased(t *testing.T) {
 	inWorld(t, func(w *world) {
 		var freed atomic.Int64
 		f := newFake("a", func(context.Context, string, *Request) Result {
 			time.Sleep(time.Second)
-			return Result{Answered: true, Answer: Answer{Kind: Served, Status: 200, Free: func() { freed.Add(1) }}}
+			return Result{HasResponse: true, Response: Response{Kind: Served, Status: 200, Free: func() { freed.Add(1) }}}
 		})
 		p := w.pool(f, 3)
 		w.use(testRoute(false), nil, p)
 		ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 		defer cancel()
-		plan := w.Plan()
+		plan := w.Snapshot()
 		x := &Request{Route: plan.routes[0], Class: look, Deadline: time.Now().Add(4 * time.Second)}
 		if _, there := w.Do(ctx, x); there {
-			t.Error("an answer after the client has gone")
+			t.Error("a response after the client has gone")
 		}
 		plan.Release()
 		time.Sleep(2 * time.Second)
-		if freed.Load() != 1 || p.Inside() != 0 {
-			t.Errorf("%d answers were released, %d requests are kept", freed.Load(), p.Inside())
+		if freed.Load() != 1 || p.OpenRequests() != 0 {
+			t.Errorf("%d responses were released, %d requests are kept", freed.Load(), p.OpenRequests())
 		}
 	})
 }
 
-// A request whose client had gone when it was read is not begun, and what it holds is given back.
+// A request whose client had gone when it was read is not begun, and its memory is returned.
 func TestClientGoneBeforeItsRequestIsRead(t *testing.T) {
 	inWorld(t, func(w *world) {
 		f := newFake("a", says(200, time.Second))
@@ -603,27 +603,27 @@
 		done := 0
 		x := &Request{Method: "GET", Target: "/", Route: plan.routes[0], Deadline: time.Now().Add(time.Second), Done: func() { done++ }}
 		if _, there := w.Do(ctx, x); there {
-			t.Error("it has an answer")
+			t.Error("it has a response")
 		}
-		if synctest.Wait(); f.count() != 0 || done != 1 || p.Inside() != 0 {
-			t.Errorf("%d attempts, given back %d times, %d inside", f.count(), done, p.Inside())
+		if synctest.Wait(); f.count() != 0 || done != 1 || p.OpenRequests() != 0 {
+			t.Errorf("%d attempts, released %d times, %d open", f.count(), done, p.OpenRequests())
 		}
 	})
 }
 
-// leavingBehind is a module whose client leaves right behind the end of an attempt.
-type leavingBehind struct {
+// leavingAfter is a Balancer whose client leaves right after the end of an attempt.
+type leavingAfter struct {
 	flight.Module
 	leave func()
 }
 
-func (m leavingBehind) AttemptEnded(now balancer.Time, o balancer.Outcome) {
+func (m leavingAfter) AttemptEnded(now balancer.Time, o balancer.Outcome) {
 	m.Module.AttemptEnded(now, o)
 	m.leave()
 }
 
-// A client leaves as the end of an attempt is being told, which calls for another: the request is kept
-// until its leaving is told too. It guards against an attempt of what has been forgotten, which ends the process.
+// A client leaves while the end of an attempt is handled, which calls for another: the request is kept until its leaving
+// is handled too. It guards against an attempt of a request that was forgotten, which ends the process.
 func TestClientLeavesAsItsAttemptEnds(t *testing.T) {
 	inWorld(t, func(w *world) {
 		f := newFake("a", ends(balancer.Full))
@@ -631,27 +631,27 @@
 		plan := w.use(testRoute(false), nil, p)
 		ctx, leave := context.WithCancel(context.Background())
 		x := &Request{Method: "GET", Target: "/", Route: plan.routes[0], Class: look, Deadline: time.Now().Add(time.Second)}
-		p.ask(func(balancer.Time) {
-			p.bal = leavingBehind{p.bal, func() {
+		p.do(func(balancer.Time) {
+			p.bal = leavingAfter{p.bal, func() {
 				leave()
-				for !x.Over() {
+				for !x.Finished() {
 					runtime.Gosched() // it is finished by a goroutine of its own
 				}
 			}}
 		})
 		if _, there := w.Do(ctx, x); there {
-			t.Error("it has an answer")
+			t.Error("it has a response")
 		}
 		time.Sleep(time.Second) // the attempt that was begun, which the fake host does not call off, ends
-		if synctest.Wait(); p.Inside() != 0 {
-			t.Errorf("%d inside", p.Inside())
+		if synctest.Wait(); p.OpenRequests() != 0 {
+			t.Errorf("%d open", p.OpenRequests())
 		}
 	})
 }
 
-// A repeat of a keyed request is told when its window closes, counted from the first attempt that
-// may have run, and does not go out behind it. A safe one may go at any time.
-func TestRepeatIsOutByItsWindow(t *testing.T) {
+// A retry of a request with an idempotency key has the end of its window, counted from the first attempt that may have
+// run, and is not sent after it. An idempotent request may be retried at any time.
+func TestRetryIsSentWithinItsWindow(t *testing.T) {
 	inWorld(t, func(w *world) {
 		var by []time.Time
 		f := newFake("a", nil)
@@ -662,7 +662,7 @@
 				return Ended(balancer.Reset)
 			}
 			if time.Sleep(1400 * time.Millisecond); x.MayWrite() { // a dial that is slow
-				return Result{Answered: true, Answer: Answer{Kind: Served, Status: 200}}
+				return Result{HasResponse: true, Response: Response{Kind: Served, Status: 200}}
 			}
 			return Ended(balancer.NotSent)
 		})
@@ -684,7 +684,7 @@
 				return Ended(balancer.Reset)
 			}
 			if time.Sleep(1500 * time.Millisecond); x.MayWrite() {
-				t.Error("a repeat may go out behind its window")
+				t.Error("a retry may be sent after its window")
 			}
 			return Ended(balancer.NotSent)
 		})
@@ -694,17 +694,16 @@
 	})
 }
 
-// endless is a body of which one byte has come, and no other will.
+// endless is a body of which one byte has arrived, and no other will.
 type endless struct{ closed chan struct{} }
 
 func (s *endless) Read([]byte) (int, error) { <-s.closed; return 0, body.ErrTaken }
 func (s *endless) Trailer() http.Header     { return nil }
 func (s *endless) Close(bool)               { close(s.closed) }
 
-// Once the gateway ends all is due by its exit: what is out at hosts that answer none, what its
-// client has yet to send to its end, and what comes later. The module knows, and refuses what
-// can be asked elsewhere.
-func TestExitIsDueForAll(t *testing.T) {
+// Once the gateway ends all responses are due by its deadline: of attempts at hosts that do not respond, of requests
+// whose body is incomplete, and of later requests. The balancer knows, and rejects what can be sent elsewhere.
+func TestShutdownDeadlineHoldsForAll(t *testing.T) {
 	inWorld(t, func(w *world) {
 		f := newFake("a", says(200, time.Hour))
 		p := w.pool(f, 3)
@@ -713,7 +712,7 @@
 		var all sync.WaitGroup
 		ask := func(what string, class int, b body.Body, want Kind) {
 			all.Go(func() {
-				plan := w.Plan()
+				plan := w.Snapshot()
 				defer plan.Release()
 				x := &Request{Method: "POST", Route: plan.routes[0], Class: class, Body: b, Deadline: time.Now().Add(4 * time.Second)}
 				a, there := w.Do(context.Background(), x)
@@ -722,29 +721,28 @@
 				}
 			})
 		}
-		ask("safe", look, body.Body{}, Refused)
+		ask("safe", look, body.Body{}, Rejected)
 		ask("unsafe", book, body.Body{}, Failed)
 		slow := body.NewFlow(&endless{make(chan struct{})}, 1<<20)
 		ask("on its way", book, body.Flowing([]byte("x"), slow), Failed)
 		synctest.Wait()
 		w.Stop(began.Add(most))
-		ask("behind", look, body.Body{}, Refused)
+		ask("behind", look, body.Body{}, Rejected)
 		all.Wait()
 		slow.Close()
-		if synctest.Wait(); p.Inside() != 0 {
-			t.Errorf("%d requests are kept", p.Inside())
+		if synctest.Wait(); p.OpenRequests() != 0 {
+			t.Errorf("%d requests are kept", p.OpenRequests())
 		}
 	})
 }
 
-// The client has its one answer in time even if the loop is stuck, and nothing goes out behind
-// it that was not out before.
-func TestAnswerWhenTheLoopIsLate(t *testing.T) {
+// The client has its one response in time even if the loop is stuck, and nothing is sent after it.
+func TestResponseWhenTheLoopIsLate(t *testing.T) {
 	inWorld(t, func(w *world) {
 		var late []string // written by an attempt, read when all have ended
 		f := newFake("a", nil)
 		f.is(func(_ context.Context, host string, x *Request) Result {
-			if x.Over() {
+			if x.Finished() {
 				late = append(late, host) // a transport looks again, and sends nothing
 				return Ended(balancer.NotSent)
 			}
@@ -756,17 +754,17 @@
 		w.post(func(balancer.Time) { <-stuck })
 		began := time.Now()
 		if _, got := w.ask(look); got.Kind != Failed || time.Since(began) > 4*time.Second {
-			t.Errorf("answer %+v after %v", got, time.Since(began))
+			t.Errorf("response %+v after %v", got, time.Since(began))
 		}
 		close(stuck)
 		synctest.Wait()
-		if p.Inside() != 0 || len(late) != f.total {
-			t.Errorf("%d requests are kept; %d attempts, %d of them knew that it was over", p.Inside(), f.total, len(late))
+		if p.OpenRequests() != 0 || len(late) != f.total {
+			t.Errorf("%d requests are kept; %d attempts, %d of them knew that it was finished", p.OpenRequests(), f.total, len(late))
 		}
 	})
 }
 
-// A pool without hosts refuses at once, with advice, and says that it is not ready.
+// A pool without hosts rejects at once, with Retry-After, and is not ready.
 func TestPoolWithoutHosts(t *testing.T) {
 	inWorld(t, func(w *world) {
 		f := newFake("a", says(200, 0))
@@ -775,10 +773,10 @@
 		for what, list := range map[string]discovery.MemberList{
 			"no member": {Full: true}, "all draining": {Full: true, Servers: []discovery.Member{{ID: "h-1", Addr: "127.0.0.1:9", State: "draining"}}},
 		} {
-			p.Members(balancer.ListFull, list)
+			p.UpdateEndpoints(balancer.ListFull, list)
 			for class := range testClasses {
 				began := time.Now()
-				if _, got := w.ask(class); got.Kind != Refused || got.RetryAfter == 0 || time.Since(began) > 250*time.Millisecond {
+				if _, got := w.ask(class); got.Kind != Rejected || got.RetryAfter == 0 || time.Since(began) > 250*time.Millisecond {
 					t.Errorf("%s: %+v after %v", what, got, time.Since(began))
 				}
 			}
@@ -786,14 +784,14 @@
 				t.Errorf("%s: ready %t, %d attempts", what, p.Ready(), f.total)
 			}
 		}
-		p.Members(balancer.ListFull, members(1, time.Time{}))
+		p.UpdateEndpoints(balancer.ListFull, members(1, time.Time{}))
 		if _, got := w.ask(look); got.Kind != Served || !p.Ready() {
 			t.Errorf("with a host: %+v", got)
 		}
 	})
 }
 
-// The figures of a split hold in the engine, and one key stays at one pool.
+// The shares of a split hold in the engine, and a key stays at one pool.
 func TestSplitKeepsKeys(t *testing.T) {
 	inWorld(t, func(w *world) {
 		a, b := newFake("a", says(200, 0)), newFake("b", says(200, 0))
@@ -804,7 +802,7 @@
 			t.Fatal(wrong[0])
 		}
 		r := testRoute(true)
-		w.Use(w.NewPlan(table, []*Route{r}, nil, PoolUse{Pool: pa, Need: 1}, PoolUse{Pool: pb, Need: 1}))
+		w.Use(w.NewSnapshot(table, []*Route{r}, nil, PoolUse{Pool: pa, MinShare: 1}, PoolUse{Pool: pb, MinShare: 1}))
 		if r.SplitBy() != "X-Household" {
 			t.Errorf("split by %q", r.SplitBy())
 		}
--- a/internal/engine/headers.go
+++ b/internal/engine/headers.go
@@ -2,7 +2,7 @@
 
 import "net/http"
 
-// HeaderRules change the headers of what passes a route. Names are as net/http spells them.
+// HeaderRules change the headers of messages on a route. Names are in net/http's canonical form.
 type HeaderRules struct {
 	Remove []string
 	Set    map[string]string
--- a/internal/engine/parts_test.go
+++ b/internal/engine/parts_test.go
@@ -9,7 +9,7 @@
 	"dunemoor/balancer"
 )
 
-// Ids must map alike at every gateway and after a restart, and apart from one another.
+// IDs map to the same number at every gateway and after a restart, and to different ones.
 func TestHostIDs(t *testing.T) {
 	seen := map[balancer.HostID]string{}
 	for i := range 1000 {
@@ -19,14 +19,14 @@
 		}
 		seen[hostID(id)] = id
 	}
-	// FNV-1a of "a" as its authors publish it: another build must agree.
+	// FNV-1a of "a" as its authors publish it: other builds must agree.
 	if got := hostID("a"); got != 0xaf63dc4c8601ec8c {
 		t.Errorf("%x is not the published hash", got)
 	}
 }
 
-// started_ms is Unix time, and the module's clock must agree with it.
-func TestStartTimesAreOnTheModulesClock(t *testing.T) {
+// started_ms is Unix time, and the balancers' clock agrees with it.
+func TestStartTimesAreOnTheBalancersClock(t *testing.T) {
 	c := clock{time.Now()}
 	at := time.Now().Add(-3 * time.Second)
 	started := balancer.Time(at.UnixMilli()) * balancer.Time(time.Millisecond)
@@ -38,10 +38,10 @@
 	}
 }
 
-// A name that is forgotten gets a new number, never that of another: attempts of hosts
-// in the old zone may still be out, and a keyed request must not leave its group.
+// A name that was forgotten gets a new number, never that of another: attempts at hosts in the old zone may still be in
+// flight, and a request with an idempotency key must not leave its scope.
 func TestNumbersAreNotGivenTwice(t *testing.T) {
-	n := newNumbers(map[string]int{"a": 0})
+	n := newNameIndex(map[string]int{"a": 0})
 	seen := map[int]string{0: "a"}
 	for i := range 1000 {
 		name := fmt.Sprint("zone-", i)
@@ -55,7 +55,7 @@
 		}
 		n.forget(nil, nil)
 	}
-	if len(n.other) > namesSpare {
+	if len(n.other) > maxSpareNames {
 		t.Errorf("%d numbers are kept", len(n.other))
 	}
 }
--- a/internal/engine/recording.go
+++ b/internal/engine/recording.go
@@ -11,18 +11,18 @@
 	"dunemoor/internal/flight"
 )
 
-// RecordingConfig says what the flight recorder keeps and where it writes.
+// RecordingConfig is what the flight recorder keeps, and where it writes.
 type RecordingConfig struct {
-	Ring      int           // bytes kept in memory, of each pool
-	ViewEvery time.Duration // between two views of the hosts
-	Dir       string        // where dumps go
-	File      string        // all is written there, if it is set
-	FileSize  int64         // bytes, twice at most
-	Trigger   flight.Trigger
-	Dumped    func(path string, err error) // called when a dump was written; nil: it is logged
+	RingBytes    int           // kept in memory, of each pool
+	ViewInterval time.Duration // between two views of the hosts
+	Dir          string        // of dumps
+	File         string        // if set, everything is written to it
+	MaxFileBytes int64         // of one file; there are two at most
+	Trigger      flight.Trigger
+	OnDump       func(path string, err error) // called when a dump was written; nil: it is logged
 }
 
-// Recording is what a pool's recorder is told.
+// Recording is the configuration of a pool's recorder.
 type Recording struct {
 	*RecordingConfig
 	Name    string   // of the gateway, or of gateway and pool
@@ -31,25 +31,25 @@
 
 // recording is the flight recorder of a Pool. rec and trigger belong to the loop.
 type recording struct {
-	cfg     *Recording
-	rec     *flight.Recorder
-	trigger flight.Trigger
-	file    *flight.File
-	dumping atomic.Bool // one at a time: a dump holds the ring once more
-	end     func()      // has the file written and closed
+	cfg      *Recording
+	rec      *flight.Recorder
+	trigger  flight.Trigger
+	file     *flight.File
+	dumping  atomic.Bool // one at a time: a dump holds the ring once more
+	stopFile func()      // writes the rest and closes the file
 }
 
-// startRecording has all that passes between the loop and the module recorded.
+// startRecording records all events and actions between the loop and the balancer.
 func (p *Pool) startRecording(rc *Recording) error {
 	r := &recording{cfg: rc, trigger: rc.Trigger}
-	opts := flight.Options{Ring: rc.Ring, ViewEvery: rc.ViewEvery}
+	opts := flight.Options{Ring: rc.RingBytes, ViewEvery: rc.ViewInterval}
 	if rc.File != "" {
-		r.file = flight.NewFile(rc.File, rc.FileSize)
+		r.file = flight.NewFile(rc.File, rc.MaxFileBytes)
 		opts.Sink = r.file
 	}
 	clock := p.engine.clock
 	start := flight.Start{
-		Name: rc.Name, Build: build(), Seed: p.cfg.Seed, Wall: clock.start, At: clock.at(clock.start),
+		Name: rc.Name, Build: buildRevision(), Seed: p.cfg.Seed, Wall: clock.start, At: clock.at(clock.start),
 		Settings: p.cfg.Settings, Classes: rc.Classes,
 	}
 	var err error
@@ -64,7 +64,7 @@
 			defer close(done)
 			r.file.Run(ctx)
 		}()
-		r.end = func() {
+		r.stopFile = func() {
 			cancel()
 			<-done
 		}
@@ -72,20 +72,20 @@
 	return nil
 }
 
-// endRecording has the last of the recording written; it may wait for that at the exit only.
+// endRecording writes the rest of the recording; only at the exit may it wait for that.
 func (p *Pool) endRecording(wait bool) {
 	if r := p.record; r != nil {
 		r.rec.Flush()
-		if r.end != nil && wait {
-			r.end()
-		} else if r.end != nil {
-			go r.end()
+		if r.stopFile != nil && wait {
+			r.stopFile()
+		} else if r.stopFile != nil {
+			go r.stopFile()
 		}
 	}
 }
 
-// build names the revision that the program was built from, where that is known.
-func build() string {
+// buildRevision returns the revision that the program was built from, where that is known.
+func buildRevision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return ""
@@ -106,7 +106,7 @@
 	slog.Info("flight recording written", "path", path)
 }
 
-// Dump has the rings written to the folder of dumps. It does not wait for that.
+// Dump writes the rings to the folder of dumps. It does not wait for that.
 func (e *Engine) Dump() {
 	e.post(func(balancer.Time) {
 		for p := range e.pools {
@@ -115,7 +115,7 @@
 	})
 }
 
-// dump copies the ring, which takes some 50 us, and leaves the rest to a goroutine.
+// dump copies the ring, which takes some 50 us, and writes it in a goroutine.
 func (p *Pool) dump() {
 	r := p.record
 	if r == nil || r.cfg.Dir == "" || !r.dumping.CompareAndSwap(false, true) {
@@ -126,17 +126,17 @@
 	go func() {
 		path, err := flight.WriteDump(r.cfg.Dir, r.cfg.Name, at, data)
 		r.dumping.Store(false)
-		if r.cfg.Dumped != nil {
-			r.cfg.Dumped(path, err)
+		if r.cfg.OnDump != nil {
+			r.cfg.OnDump(path, err)
 		} else {
 			logDump(path, err)
 		}
 	}()
 }
 
-// answered tells the trigger of a final answer.
-func (p *Pool) answered(refused bool) {
-	if r := p.record; r != nil && r.trigger.Answered(time.Since(p.engine.clock.start), refused) {
+// countResponse reports a final response to the trigger.
+func (p *Pool) countResponse(rejected bool) {
+	if r := p.record; r != nil && r.trigger.Answered(time.Since(p.engine.clock.start), rejected) {
 		p.dump()
 	}
 }
--- /dev/null
+++ b/internal/engine/transport.go
@@ -0,0 +1,23 @@
+package engine
+
+import "context"
+
+// Transport makes attempts by one protocol at the hosts of one pool, and keeps the connections to them.
+type Transport interface {
+	// Host returns the Endpoint of a new host.
+	Host(id string) Endpoint
+	// Run does periodic work until ctx ends; then it closes idle connections, and others once their attempts
+	// have ended.
+	Run(ctx context.Context)
+}
+
+// Endpoint is a host of a Transport. Update and CloseIdle are called by the loop and must not wait; Attempt is
+// called by goroutines of its own.
+type Endpoint interface {
+	// Update applies what the endpoint list says. Where usable is false no new request may be sent.
+	Update(addr string, started int64, usable bool)
+	CloseIdle()
+	// Attempt sends a request at most once, and returns how that ended. ctx ends when the attempt is to be given
+	// up. Attempt checks MayWrite and usable again before the first byte is sent, and WriteBy while it writes.
+	Attempt(ctx context.Context, x *Request) Result
+}
--- a/internal/fleet/endpoints.go
+++ b/internal/fleet/endpoints.go
@@ -185,8 +185,8 @@
 	sequence uint64
 }
 
-// Members implements discovery.Sink.
-func (s *watchSink) Members(kind balancer.ListKind, list discovery.MemberList) {
+// UpdateEndpoints implements discovery.Sink.
+func (s *watchSink) UpdateEndpoints(kind balancer.ListKind, list discovery.MemberList) {
 	receive := func(x *listFollower) {
 		if x.watchSequence == s.sequence && x.cancelWatch != nil {
 			x.receiveDirect(kind, list)
@@ -206,7 +206,7 @@
 		return
 	}
 	x.store(full, list.Servers)
-	x.sink.Members(kind, list)
+	x.sink.UpdateEndpoints(kind, list)
 	if x.held == nil {
 		return
 	}
@@ -272,7 +272,7 @@
 		if full {
 			kind = balancer.ListFull
 		}
-		x.sink.Members(kind, discovery.MemberList{Version: p.Version, Full: full, Servers: p.Hosts})
+		x.sink.UpdateEndpoints(kind, discovery.MemberList{Version: p.Version, Full: full, Servers: p.Hosts})
 	case endpoints.Outdated:
 		x.requestResync(now)
 	}
--- a/internal/front/fastcgi/request.go
+++ b/internal/front/fastcgi/request.go
@@ -136,7 +136,7 @@
 	switch a.Kind {
 	case engine.Served:
 		r.pass(x, &a)
-	case engine.Refused:
+	case engine.Rejected:
 		after := ""
 		if a.RetryAfter > 0 {
 			after = "Retry-After: " + front.RetryAfter(a.RetryAfter, x.Route.Plain != nil) + "\r\n"
@@ -174,7 +174,7 @@
 	}
 	src := &stdin{r: r, x: x, length: length, meter: body.Meter{Pace: pace}}
 	if s != nil {
-		src.most = s.MaxBody
+		src.most = s.MaxBodyBytes
 	}
 	held, err := x.Page(most)
 	if err != nil {
@@ -278,10 +278,10 @@
 var buffers = sync.Pool{New: func() any { b := make([]byte, 0, recordMost+1024); return &b }}
 
 // pass passes on an answer, as it comes.
-func (r *request) pass(x *front.Entry, a *engine.Answer) {
+func (r *request) pass(x *front.Entry, a *engine.Response) {
 	h := front.EndToEnd(a.Header.Clone())
 	if p := x.Route.Plain; p != nil {
-		p.Answers.Apply(h)
+		p.ResponseHeaders.Apply(h)
 	}
 	delete(h, "Status")
 	if n := a.Body.Len(); n > 0 || a.Body.Whole() && x.Method != http.MethodHead && a.Status != http.StatusNoContent && a.Status != http.StatusNotModified {
--- a/internal/front/gate.go
+++ b/internal/front/gate.go
@@ -160,7 +160,7 @@
 type Entry struct {
 	engine.Request
 	gate *Gate
-	plan *engine.Plan
+	plan *engine.Snapshot
 	id   string // "": it is not remembered
 
 	client  uint64 // key of the client
@@ -176,7 +176,7 @@
 // guards the hosts: a request that they can't read ends its connection there. With no error
 // the caller calls End once the request has its answer.
 func (g *Gate) Begin(m *Message, came time.Time) (*Entry, error) {
-	plan := g.Engine.Plan()
+	plan := g.Engine.Snapshot()
 	if plan == nil {
 		return nil, Bad(http.StatusServiceUnavailable, "starting")
 	}
@@ -212,7 +212,7 @@
 	}
 	most := int64(MaxHeld)
 	if s := e.Route.Streams; s != nil {
-		most = s.MaxBody
+		most = s.MaxBodyBytes
 	} else if m.Length < 0 {
 		return Bad(http.StatusBadRequest, "the body needs a Content-Length")
 	}
@@ -288,7 +288,7 @@
 		return Bad(http.StatusBadRequest, "%s: missing or malformed", headID)
 	}
 	var ok bool
-	if e.Class, ok = r.Names[class]; !ok {
+	if e.Class, ok = r.ClassNames[class]; !ok {
 		return Bad(http.StatusBadRequest, "%s: unknown class", headClass)
 	}
 	rules := &r.Classes[e.Class]
@@ -305,8 +305,8 @@
 		// Without it no host would drop the repeat that the module may send.
 		return Bad(http.StatusBadRequest, "%s: missing, the class needs one", headKey)
 	}
-	e.Repeat = retried == "1"
-	if err := e.admit(m, e.Repeat); err != nil {
+	e.Duplicate = retried == "1"
+	if err := e.admit(m, e.Duplicate); err != nil {
 		return err
 	}
 	delete(EndToEnd(e.Header), headTimeout) // hosts are told their own
@@ -341,14 +341,14 @@
 	default:
 		keyed := e.Route.Classes[p.Class].Idempotency == balancer.IdempotentWithKey
 		if key := m.Header[headKey]; keyed && (len(key) != 1 || key[0] == "") ||
-			!keyed && !slices.Contains(p.Repeatable, m.Method) {
-			e.Class = p.Unsafe
+			!keyed && !slices.Contains(p.RetryableMethods, m.Method) {
+			e.Class = p.NonIdempotentClass
 		}
 	}
 	if retried := m.Header[headRetried]; len(retried) == 1 && retried[0] == "1" {
-		e.Repeat = true
+		e.Duplicate = true
 	}
-	if err := e.admit(m, e.Repeat); err != nil {
+	if err := e.admit(m, e.Duplicate); err != nil {
 		return err
 	}
 	e.left = min(p.Timeout, e.Route.Classes[e.Class].Deadline)
@@ -361,7 +361,7 @@
 	if m.Peer.Addr.IsValid() {
 		Forward(e.Header, m.Peer, m.Host)
 	}
-	p.Requests.Apply(e.Header)
+	p.RequestHeaders.Apply(e.Header)
 	if id := m.Header[headID]; len(id) != 1 || !wellFormed(id[0]) {
 		e.Header[headID] = []string{fmt.Sprintf("%016x", rand.Uint64())}
 	}
@@ -409,9 +409,9 @@
 // HoldMost is how much of its body a request may hold now whose body may flow.
 func (e *Entry) HoldMost() int64 {
 	if e.gate.Bodies.Near(body.Requests) {
-		return min(e.Route.Streams.Hold, holdLess)
+		return min(e.Route.Streams.BufferBytes, holdLess)
 	}
-	return e.Route.Streams.Hold
+	return e.Route.Streams.BufferBytes
 }
 
 // Arrived says when the last byte of the request came: its time counts from there. Of a body
@@ -421,7 +421,7 @@
 }
 
 // ArrivedLate is Arrived for a body that flows, once the request is at the engine.
-func (e *Entry) ArrivedLate(at time.Time) { e.Request.Came(e.due(at)) }
+func (e *Entry) ArrivedLate(at time.Time) { e.Request.BodyArrived(e.due(at)) }
 
 func (e *Entry) due(at time.Time) time.Time {
 	return at.Add(e.left - answerMargin)
@@ -457,7 +457,7 @@
 	if g.waits.Load() {
 		return false, "starting\n"
 	}
-	plan := g.Engine.Plan()
+	plan := g.Engine.Snapshot()
 	if plan == nil {
 		return false, "starting\n"
 	}
--- a/internal/front/http1/clients_test.go
+++ b/internal/front/http1/clients_test.go
@@ -72,17 +72,17 @@
 	for i, h := range cfg.hosts {
 		list.Servers = append(list.Servers, discovery.Member{ID: fmt.Sprint("s-", i), Addr: h.Addr(), State: "ready"})
 	}
-	pool.Members(balancer.ListFull, list)
-	e.Use(e.NewPlan(nil, []*engine.Route{{
-		Classes: set.Classes, Names: map[string]int{"look": 0, "book": 1, "report": 2},
+	pool.UpdateEndpoints(balancer.ListFull, list)
+	e.Use(e.NewSnapshot(nil, []*engine.Route{{
+		Classes: set.Classes, ClassNames: map[string]int{"look": 0, "book": 1, "report": 2},
 		Streams: cfg.streams,
-		Judge: func(a *engine.Answer) balancer.Result {
+		Classify: func(a *engine.Response) balancer.Result {
 			if cfg.judged != nil {
 				cfg.judged()
 			}
 			return route.Protocol(a.Status, a.Header.Get("X-Not-Processed") == "1")
 		},
-	}}, nil, engine.PoolUse{Pool: pool, Need: 1}))
+	}}, nil, engine.PoolUse{Pool: pool, MinShare: 1}))
 	g := &testGateway{T: t, gate: front.NewGate(e, body.NewBudget(64<<20))}
 	g.server = New(g.gate, Options{Sockets: cfg.Sockets * 48 / 100, Spare: cfg.Sockets * 2 / 100, Longest: 60 * second})
 	ln := testkit.Listen(t, "127.0.0.1:0", nil)
--- a/internal/front/http1/leaving_test.go
+++ b/internal/front/http1/leaving_test.go
@@ -147,7 +147,7 @@
 					io.WriteString(c, testkit.Good)
 					return true
 				}))
-				cfg.streams = &engine.Streams{Hold: 64 << 10, Pace: body.Pace{Idle: testkit.Patience}, Upload: body.Pace{Idle: testkit.Patience}}
+				cfg.streams = &engine.Streams{BufferBytes: 64 << 10, Pace: body.Pace{Idle: testkit.Patience}, Upload: body.Pace{Idle: testkit.Patience}}
 				g := startGateway(t, cfg)
 				begin := func(length, sent int) *net.TCPConn {
 					c := g.dial().(*net.TCPConn)
@@ -162,9 +162,9 @@
 				testkit.Until(t, "the host is full", func() bool { n, _, _ := cfg.hosts[0].Counts(); return n == out })
 				c := begin(1<<20, 100<<10)
 				inside := func() (n int64) {
-					plan := g.gate.Engine.Plan()
+					plan := g.gate.Engine.Snapshot()
 					defer plan.Release()
-					plan.Pools(func(p *engine.Pool) { n = p.Inside() })
+					plan.Pools(func(p *engine.Pool) { n = p.OpenRequests() })
 					return n
 				}
 				testkit.Until(t, "it waits", func() bool { return inside() == out+1 })
--- a/internal/front/http1/plain.go
+++ b/internal/front/http1/plain.go
@@ -34,7 +34,7 @@
 	asks := c.req.Expect && plain != nil
 	most := x.HoldMost()
 	source := &clientSource{
-		c: c, body: c.body, x: x, meter: body.Meter{Pace: streams.Upload}, most: streams.MaxBody,
+		c: c, body: c.body, x: x, meter: body.Meter{Pace: streams.Upload}, most: streams.MaxBodyBytes,
 		alarm: body.Alarm{Set: c.SetReadDeadline},
 	}
 	if n > 0 && n <= most && !asks {
@@ -174,7 +174,7 @@
 // may go on.
 func (s *Server) serveStreams(c *clientConn, x *front.Entry) bool {
 	if x.Upgrade != "" {
-		if n := x.Route.Plain.Tunnels.Add(1); n > int64(x.Route.Plain.Upgrades) {
+		if n := x.Route.Plain.Tunnels.Add(1); n > int64(x.Route.Plain.MaxTunnels) {
 			x.Route.Plain.Tunnels.Add(-1)
 			s.turnAway(c, front.Bad(http.StatusServiceUnavailable, "too many connections have gone over to another protocol"))
 			return false
@@ -217,7 +217,7 @@
 		if err == body.ErrTaken {
 			break
 		}
-		err = (&clientSource{most: x.Route.Streams.MaxBody}).bad(err)
+		err = (&clientSource{most: x.Route.Streams.MaxBodyBytes}).bad(err)
 		if c.fail(front.Status(err), err.Error(), "") == nil {
 			s.linger(c, flow)
 		}
@@ -251,7 +251,7 @@
 const chunkRoom = 8
 
 // pass passes on an answer as it comes. An error says that it could not be finished.
-func (s *Server) pass(ctx context.Context, c *clientConn, x *front.Entry, a *engine.Answer) error {
+func (s *Server) pass(ctx context.Context, c *clientConn, x *front.Entry, a *engine.Response) error {
 	buf := s.gate.Bodies.Buffer()
 	if buf == nil {
 		a.Release() // the host has done it: no refusal, which would promise that it has not
@@ -261,7 +261,7 @@
 	flow := a.Body.Flow()
 	h := front.EndToEnd(a.Header)
 	if x.Route.Plain != nil {
-		x.Route.Plain.Answers.Apply(h)
+		x.Route.Plain.ResponseHeaders.Apply(h)
 	}
 	if err := flow.Take(); err != nil {
 		return err
@@ -338,7 +338,7 @@
 
 // tunnel passes bytes both ways between a client and a host that have gone over to another
 // protocol, until both have ended, one breaks, or the gateway stops.
-func (s *Server) tunnel(c *clientConn, x *front.Entry, a *engine.Answer) {
+func (s *Server) tunnel(c *clientConn, x *front.Entry, a *engine.Response) {
 	s.clients.gone(c) // it counts no more
 	nc := c.TCPConn
 	h := a.Header
--- a/internal/front/http1/server.go
+++ b/internal/front/http1/server.go
@@ -470,7 +470,7 @@
 		x.Drop()
 		return nil, err
 	}
-	if p := x.Route.Plain; p != nil && p.Upgrades > 0 && c.body == nil {
+	if p := x.Route.Plain; p != nil && p.MaxTunnels > 0 && c.body == nil {
 		x.Upgrade = r.Upgrade
 	}
 	x.Client = c
@@ -504,13 +504,13 @@
 }
 
 // write gives a client an answer that is there whole.
-func (s *Server) write(c *clientConn, x *engine.Request, a *engine.Answer) error {
+func (s *Server) write(c *clientConn, x *engine.Request, a *engine.Response) error {
 	switch a.Kind {
 	case engine.Served:
 		said := a.Header["Content-Length"]
 		h := front.EndToEnd(a.Header)
 		if x.Route.Plain != nil {
-			x.Route.Plain.Answers.Apply(h)
+			x.Route.Plain.ResponseHeaders.Apply(h)
 		}
 		length := int64(noLength)
 		if a.Body.Len() > 0 || !httpwire.Bodyless(x.Method, a.Status) {
@@ -521,7 +521,7 @@
 			}
 		}
 		return c.send(a.Status, h, length, a.Body.Bytes())
-	case engine.Refused:
+	case engine.Rejected:
 		after := ""
 		if a.RetryAfter > 0 {
 			after = front.RetryAfter(a.RetryAfter, x.Route.Plain != nil)
--- a/internal/front/limits.go
+++ b/internal/front/limits.go
@@ -141,7 +141,7 @@
 	// Who came back too soon is held to it while there is no room, and never for what is worth
 	// most.
 	spared := l.Overload == nil || rand.Float64() < l.Overload.Room() ||
-		e.Route.First != nil && e.Route.First[e.Class] == slices.Max(e.Route.First)
+		e.Route.FirstRanks != nil && e.Route.FirstRanks[e.Class] == slices.Max(e.Route.FirstRanks)
 	if l.Clients != nil && m.Peer.Addr.IsValid() {
 		var v fair.Verdict
 		switch v, soon = l.Clients.Begin(e.gate.Engine.Now(), e.client, repeat, spared); v {
@@ -154,10 +154,10 @@
 		}
 		e.counted = true
 	}
-	if l.Overload != nil && e.Route.First != nil {
-		rank := e.Route.First[e.Class]
+	if l.Overload != nil && e.Route.FirstRanks != nil {
+		rank := e.Route.FirstRanks[e.Class]
 		if repeat || soon {
-			rank = e.Route.Repeat[e.Class]
+			rank = e.Route.DuplicateRanks[e.Class]
 		}
 		if !l.Overload.Admit(rank, rand.Float64()) {
 			return turned(ByOverload)
--- a/internal/gateway/appliance.go
+++ b/internal/gateway/appliance.go
@@ -89,7 +89,7 @@
 	if kind != balancer.ListFailed {
 		list.Servers = s.words.ApplyList(kind == balancer.ListFull, list.Servers)
 	}
-	s.pool.Members(kind, list)
+	s.pool.UpdateEndpoints(kind, list)
 }
 
 // say takes the words as they are now.
@@ -97,7 +97,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if changed := s.words.SetDrained(drained); len(changed) > 0 {
-		s.pool.Members(balancer.ListChanges, discovery.MemberList{Servers: changed})
+		s.pool.UpdateEndpoints(balancer.ListChanges, discovery.MemberList{Servers: changed})
 	}
 }
 
@@ -127,7 +127,7 @@
 	once atomic.Bool
 }
 
-func (f *feed) Members(kind balancer.ListKind, list discovery.MemberList) {
+func (f *feed) UpdateEndpoints(kind balancer.ListKind, list discovery.MemberList) {
 	if f.now.Load() != f {
 		return // it was replaced: a last word of the old source must not undo the new one's
 	}
@@ -244,7 +244,7 @@
 			p.source()
 			p.cancel()
 		}
-		g.engine.Drop()
+		g.engine.DropUnused()
 		return err
 	}
 	listeners := map[string]net.Listener{}
@@ -281,7 +281,7 @@
 			}
 		}
 		pools[cfg.Name] = p
-		uses = append(uses, engine.PoolUse{Pool: p.Pool, Need: cfg.Need, Fallback: a.Pools[i].Fallback})
+		uses = append(uses, engine.PoolUse{Pool: p.Pool, MinShare: cfg.Need, Fallback: a.Pools[i].Fallback})
 	}
 	var routes []*engine.Route
 	var retries []engine.Retries
@@ -289,7 +289,7 @@
 		routes = append(routes, routeOf(a.Table.Routes()[i].Name, r, classes, g.engine.Overload != nil))
 		retries = append(retries, engine.Retries{Share: r.RetryShare, Floor: r.RetryFloor})
 	}
-	plan := g.engine.NewPlan(a.Table, routes, retries, uses...)
+	plan := g.engine.NewSnapshot(a.Table, routes, retries, uses...)
 
 	// From here on nothing fails.
 	for i, cfg := range a.Pools {
@@ -457,7 +457,7 @@
 			return err
 		}
 		if err == nil {
-			f.Members(balancer.ListFull, list)
+			f.UpdateEndpoints(balancer.ListFull, list)
 		}
 		go discovery.NewFile(cfg.File).Run(ctx, f)
 	case cfg.Discovery != "":
@@ -470,7 +470,7 @@
 			}
 		}
 	default:
-		f.Members(balancer.ListFull, memberList(cfg.Members))
+		f.UpdateEndpoints(balancer.ListFull, memberList(cfg.Members))
 	}
 	return nil
 }
@@ -514,25 +514,25 @@
 // routeOf is a route of the file for the engine.
 func routeOf(name string, r config.Route, c *classes, shed bool) *engine.Route {
 	out := &engine.Route{
-		Name: name, Classes: c.list, Names: c.index, Streams: protocolStreams(),
-		Judge: func(a *engine.Answer) balancer.Result { return route.Protocol(a.Status, unseen(a)) },
+		Name: name, Classes: c.list, ClassNames: c.index, Streams: protocolStreams(),
+		Classify: func(a *engine.Response) balancer.Result { return route.Protocol(a.Status, unseen(a)) },
 	}
 	if shed {
-		out.First, out.Repeat, _ = overload.Ranks(rankList(c))
+		out.FirstRanks, out.DuplicateRanks, _ = overload.Ranks(rankList(c))
 	}
 	if r.Class == "" {
 		return out
 	}
 	i := c.index[r.Class]
 	out.Plain = &engine.Plain{
-		Class: i, Unsafe: c.once[i], Timeout: r.Timeout, Repeatable: r.Repeatable,
-		Upgrades: r.Upgrades, Requests: r.Request, Answers: r.Answer,
+		Class: i, NonIdempotentClass: c.once[i], Timeout: r.Timeout, RetryableMethods: r.Repeatable,
+		MaxTunnels: r.Upgrades, RequestHeaders: r.Request, ResponseHeaders: r.Answer,
 	}
 	pace := body.Pace{Idle: r.Idle, Least: r.LeastRate}
-	out.Streams = &engine.Streams{Hold: r.Hold, MaxBody: r.MaxBody, Stream: r.Stream, Pace: pace, Upload: pace}
-	out.PassOn = true
+	out.Streams = &engine.Streams{BufferBytes: r.Hold, MaxBodyBytes: r.MaxBody, HeadDeadlineOnly: r.Stream, Pace: pace, Upload: pace}
+	out.ForwardsFailures = true
 	failures := r.Failures
-	out.Judge = func(a *engine.Answer) balancer.Result { return route.Plain(a.Status, unseen(a), failures) }
+	out.Classify = func(a *engine.Response) balancer.Result { return route.Plain(a.Status, unseen(a), failures) }
 	return out
 }
 
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -59,7 +59,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		plan := g.engine.Plan() // all of it is in use
+		plan := g.engine.Snapshot() // all of it is in use
 		plan.Release()
 		b.ReportMetric(float64(used()-before)/pools, "bytes/pool")
 		g.Close()
@@ -110,7 +110,7 @@
 			panic(err)
 		}
 		addr = g.box.listeners["127.0.0.1:0"].Addr().String()
-		waited = &g.engine.Waited
+		waited = &g.engine.LoopDelays
 	case "dunemoor-cgi":
 		web, cgi, _ := strings.Cut(host, ";")
 		text := strings.Replace(watching, "sockets = 1024", "memory_mb = 64\nsockets = 1024", 1) + poolText("http", "", web) + cgiPool("cgi", "", cgi) + webListener
--- a/internal/gateway/churn_test.go
+++ b/internal/gateway/churn_test.go
@@ -52,7 +52,7 @@
 				list = append(list, member(replaced, "gone"))
 			}
 			replaced++
-			g.pool.Members(balancer.ListChanges, discovery.MemberList{Servers: list})
+			g.pool.UpdateEndpoints(balancer.ListChanges, discovery.MemberList{Servers: list})
 			if err := testkit.Asked(c); err != nil {
 				t.Fatal(err)
 			}
@@ -75,7 +75,7 @@
 	if after := heap(); after > before+3000*100 {
 		t.Errorf("the heap went from %d to %d bytes over 3000 hosts", before, after)
 	}
-	if n := g.pool.Inside(); n > 1 {
+	if n := g.pool.OpenRequests(); n > 1 {
 		t.Errorf("%d requests are kept", n)
 	}
 }
--- a/internal/gateway/fastcgi_test.go
+++ b/internal/gateway/fastcgi_test.go
@@ -308,9 +308,9 @@
 	testkit.Until(t, "the host is full", func() bool { return held.Load() == most })
 	w.Write(webRequest(50, fastcgi.KeepConn, webParams("POST", "/queued", "CONTENT_LENGTH", "0"), "", true))
 	inside := func() (n int64) {
-		plan := g.engine.Plan()
+		plan := g.engine.Snapshot()
 		defer plan.Release()
-		plan.Pools(func(p *engine.Pool) { n += p.Inside() })
+		plan.Pools(func(p *engine.Pool) { n += p.OpenRequests() })
 		return n
 	}
 	testkit.Until(t, "it waits", func() bool { return inside() == most+1 })
@@ -357,9 +357,9 @@
 	}
 	testkit.Until(t, "the host is full", func() bool { return held.Load() == most })
 	inside := func() (n int64) {
-		plan := g.engine.Plan()
+		plan := g.engine.Snapshot()
 		defer plan.Release()
-		plan.Pools(func(p *engine.Pool) { n += p.Inside() })
+		plan.Pools(func(p *engine.Pool) { n += p.OpenRequests() })
 		return n
 	}
 	left := dialWeb(t, g.cgiAddr())
--- a/internal/gateway/flow_test.go
+++ b/internal/gateway/flow_test.go
@@ -822,7 +822,7 @@
 	}
 	all.Wait()
 	pool := g.box.pools["p"]
-	testkit.Until(t, "no request is kept", func() bool { return pool.Inside() == 0 })
+	testkit.Until(t, "no request is kept", func() bool { return pool.OpenRequests() == 0 })
 	for c := range 3 {
 		testkit.Until(t, "no memory is held", func() bool { used, _ := g.gate.Bodies.Used(bodyCause(c)); return used == 0 })
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -146,7 +146,7 @@
 	g.transport, g.shared = transport, shared
 	g.watcher = discovery.NewWatcher(cfg.Discovery, cfg.Settings.Poll, cfg.Known.Version)
 	pc := engine.PoolConfig{
-		Settings: cfg.Settings, Seed: cfg.Seed, Zones: cfg.Zones, Kinds: cfg.Kinds, Transport: transport, Watch: g.watcher.Watch,
+		Settings: cfg.Settings, Seed: cfg.Seed, Zones: cfg.Zones, Kinds: cfg.Kinds, Transport: transport, Poll: g.watcher.Watch,
 	}
 	if rc != nil {
 		classes := make([]string, len(cfg.Classes))
@@ -162,7 +162,7 @@
 	}
 	go transport.Run(g.ctx)
 	go g.engine.Run(g.ctx)
-	pool.Members(balancer.ListSaved, cfg.Known)
+	pool.UpdateEndpoints(balancer.ListSaved, cfg.Known)
 	g.pool, g.classes = pool, named(cfg)
 	g.engine.Use(g.platformPlan(cfg))
 	if !shared {
@@ -194,14 +194,14 @@
 // answer, or makes one, may rest for longer.
 func protocolStreams() *engine.Streams {
 	return &engine.Streams{
-		Hold: front.MaxHeld, MaxBody: front.MaxBody, Stream: true,
+		BufferBytes: front.MaxHeld, MaxBodyBytes: front.MaxBody, HeadDeadlineOnly: true,
 		Pace:   body.Pace{Idle: 10 * time.Second},
 		Upload: body.Pace{Idle: 2 * time.Second, Least: 8 << 10},
 	}
 }
 
 // platformPlan is the one route to the one pool, for the classes of cfg by their numbers.
-func (g *Gateway) platformPlan(cfg *config.Platform) *engine.Plan {
+func (g *Gateway) platformPlan(cfg *config.Platform) *engine.Snapshot {
 	names := make(map[string]int, len(cfg.Classes))
 	rules := make([]balancer.Class, len(g.classes))
 	for i, c := range g.classes {
@@ -209,10 +209,10 @@
 			names[c.Name] = i
 		}
 	}
-	return g.engine.NewPlan(nil, []*engine.Route{{
-		Classes: rules, Names: names, Tenants: cfg.Tenants, Streams: protocolStreams(),
-		Judge: func(a *engine.Answer) balancer.Result { return route.Protocol(a.Status, unseen(a)) },
-	}}, nil, engine.PoolUse{Pool: g.pool, Need: 1})
+	return g.engine.NewSnapshot(nil, []*engine.Route{{
+		Classes: rules, ClassNames: names, Tenants: cfg.Tenants, Streams: protocolStreams(),
+		Classify: func(a *engine.Response) balancer.Result { return route.Protocol(a.Status, unseen(a)) },
+	}}, nil, engine.PoolUse{Pool: g.pool, MinShare: 1})
 }
 
 // named is the classes of a configuration in their order.
@@ -231,7 +231,7 @@
 // keep what they came under. On an error nothing has changed.
 func (g *Gateway) Retune(cfg *config.Platform) error {
 	was := g.classes
-	err := g.engine.Retune(g.pool, func(inUse func(int) bool) (balancer.Settings, []int, []string, *engine.Plan) {
+	err := g.engine.Retune(g.pool, func(inUse func(int) bool) (balancer.Settings, []int, []string, *engine.Snapshot) {
 		list, from := places.Next(was, named(cfg), inUse)
 		set := cfg.Settings
 		set.Classes = make([]balancer.Class, len(list))
@@ -265,8 +265,8 @@
 	first chan struct{}
 }
 
-func (s *newsSink) Members(kind balancer.ListKind, list discovery.MemberList) {
-	s.Sink.Members(kind, list)
+func (s *newsSink) UpdateEndpoints(kind balancer.ListKind, list discovery.MemberList) {
+	s.Sink.UpdateEndpoints(kind, list)
 	if kind != balancer.ListFailed {
 		s.once.Do(func() { close(s.first) })
 	}
@@ -334,7 +334,7 @@
 func (g *Gateway) Move(addr string) { g.watcher.Move(addr) }
 
 // unseen says whether a host proves to have turned a request away unseen.
-func unseen(a *engine.Answer) bool { return a.Header.Get("X-Not-Processed") == "1" }
+func unseen(a *engine.Response) bool { return a.Header.Get("X-Not-Processed") == "1" }
 
 // memoryOf is the limit in bytes.
 func memoryOf(mb int) int64 { return int64(cmp.Or(mb, config.DefaultMemoryMB)) << 20 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -66,7 +66,7 @@
 		t.Fatal(err)
 	}
 	g := &testGateway{T: t, Gateway: gw, cfg: cfg, url: "http://" + ln.Addr().String()}
-	plan := gw.engine.Plan()
+	plan := gw.engine.Snapshot()
 	plan.Pools(func(p *engine.Pool) { g.pool = p })
 	plan.Release()
 	t.Cleanup(gw.Close)
@@ -79,7 +79,7 @@
 	return testkit.Ask(g, g.url, class, path, body, headers...)
 }
 
-func (g *testGateway) openRequests() int64 { return g.pool.Inside() }
+func (g *testGateway) openRequests() int64 { return g.pool.OpenRequests() }
 
 // A host must get the request as the client sent it.
 func TestRequestGoesOnUnchanged(t *testing.T) {
@@ -241,12 +241,12 @@
 	if status := get(); status != 503 {
 		t.Errorf("with no hosts: status %d", status)
 	}
-	g.pool.Members(balancer.ListChanges, discovery.MemberList{Servers: []discovery.Member{{ID: "s-1", Addr: "127.0.0.1:1", State: "ready"}}})
+	g.pool.UpdateEndpoints(balancer.ListChanges, discovery.MemberList{Servers: []discovery.Member{{ID: "s-1", Addr: "127.0.0.1:1", State: "ready"}}})
 	testkit.Until(t, "health is good with a host", func() bool { return get() == 200 })
-	g.pool.Members(balancer.ListChanges, discovery.MemberList{Servers: []discovery.Member{{ID: "s-1", Addr: "127.0.0.1:1", State: "draining"}}})
+	g.pool.UpdateEndpoints(balancer.ListChanges, discovery.MemberList{Servers: []discovery.Member{{ID: "s-1", Addr: "127.0.0.1:1", State: "draining"}}})
 	testkit.Until(t, "health is bad with the last host draining", func() bool { return get() == 503 })
 	g.gate.Stop(time.Now().Add(time.Minute))
-	g.pool.Members(balancer.ListChanges, discovery.MemberList{Servers: []discovery.Member{{ID: "s-1", Addr: "127.0.0.1:1", State: "ready"}}})
+	g.pool.UpdateEndpoints(balancer.ListChanges, discovery.MemberList{Servers: []discovery.Member{{ID: "s-1", Addr: "127.0.0.1:1", State: "ready"}}})
 	if status := get(); status != 503 {
 		t.Errorf("while stopping: status %d", status)
 	}
@@ -261,7 +261,7 @@
 		return discovery.Member{ID: id, Addr: h.Addr(), State: state}
 	}
 	asks := func(what string, kind balancer.ListKind, want *testkit.Host, list ...discovery.Member) {
-		g.pool.Members(kind, discovery.MemberList{Servers: list})
+		g.pool.UpdateEndpoints(kind, discovery.MemberList{Servers: list})
 		a, _, _ := first.Counts()
 		b, _, _ := second.Counts()
 		for range 8 {
--- a/internal/gateway/recording_test.go
+++ b/internal/gateway/recording_test.go
@@ -22,8 +22,8 @@
 	dir := t.TempDir()
 	dumps := make(chan string, 8)
 	rc := &engine.RecordingConfig{
-		Ring: 128 << 10, ViewEvery: time.Millisecond, Dir: dir, File: filepath.Join(dir, "all.dmf"), FileSize: 1 << 20,
-		Dumped: func(path string, err error) {
+		RingBytes: 128 << 10, ViewInterval: time.Millisecond, Dir: dir, File: filepath.Join(dir, "all.dmf"), MaxFileBytes: 1 << 20,
+		OnDump: func(path string, err error) {
 			if err != nil {
 				t.Error(err)
 			}
@@ -65,7 +65,7 @@
 
 	// The host goes: what comes is refused, and the trigger writes the ring once.
 	h.Close()
-	g.pool.Members(balancer.ListFull, discovery.MemberList{}) // no host is listed any more
+	g.pool.UpdateEndpoints(balancer.ListFull, discovery.MemberList{}) // no host is listed any more
 	for range 50 {
 		g.ask("look", "/", "")
 	}
@@ -84,8 +84,8 @@
 	dir := t.TempDir()
 	g, err := StartAppliance(parse(t, head+poolText("one", "", a.Addr())+poolText("two", "", b.Addr())+
 		routeText("r", "pool = \"one\"\nclass = \"lookup\"")+routeText("s", "path = \"/two\"\npool = \"two\"\nclass = \"lookup\"")),
-		&engine.RecordingConfig{Ring: 128 << 10, ViewEvery: time.Millisecond, Dir: dir, File: filepath.Join(dir, "all.dmf"), FileSize: 1 << 20,
-			Dumped: func(path string, err error) {
+		&engine.RecordingConfig{RingBytes: 128 << 10, ViewInterval: time.Millisecond, Dir: dir, File: filepath.Join(dir, "all.dmf"), MaxFileBytes: 1 << 20,
+			OnDump: func(path string, err error) {
 				if err != nil {
 					t.Error(err)
 				}
--- a/internal/gateway/retune_test.go
+++ b/internal/gateway/retune_test.go
@@ -102,7 +102,7 @@
 
 // A recording goes on over new settings, and all of it replays.
 func TestRetuneIsRecorded(t *testing.T) {
-	rc := &engine.RecordingConfig{Ring: 1 << 20, Dir: t.TempDir(), File: t.TempDir() + "/all.dmf", FileSize: 8 << 20}
+	rc := &engine.RecordingConfig{RingBytes: 1 << 20, Dir: t.TempDir(), File: t.TempDir() + "/all.dmf", MaxFileBytes: 8 << 20}
 	cfg := withClasses(*testConfig(testkit.NewHost(t, testkit.Says(testkit.Good))), "look", "book")
 	g := startGateway(t, cfg, rc)
 	ask := func(class string) {
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -44,7 +44,7 @@
 	state, _ := g.gate.Draining()
 	s := Status{
 		State: state.String(), IDs: g.gate.Open(), Clients: g.server.Counts(),
-		Bodies: map[string]Bytes{}, Refused: map[string]int64{}, Loop: delayOf(&g.engine.Waited),
+		Bodies: map[string]Bytes{}, Refused: map[string]int64{}, Loop: delayOf(&g.engine.LoopDelays),
 	}
 	s.Ready, s.Detail = g.gate.Health()
 	for _, c := range body.Causes() {
--- a/internal/host/fastcgi/conn.go
+++ b/internal/host/fastcgi/conn.go
@@ -283,7 +283,7 @@
 		c.done(k, false)
 		return c.failed(ctx, x, k, up, err)
 	}
-	a := engine.Answer{Kind: engine.Served, Status: status, Header: header}
+	a := engine.Response{Kind: engine.Served, Status: status, Header: header}
 	length, err := fastcgi.Length(header)
 	if err != nil {
 		up.stop()
@@ -291,7 +291,7 @@
 		return engine.Ended(balancer.Spoilt)
 	}
 	s := &answer{c: c, k: k, up: up, length: length, meter: body.Meter{Pace: pace(x)}, header: header}
-	if st := streams(x); st.Stream {
+	if st := streams(x); st.HeadDeadlineOnly {
 		s.meter.Least = 0
 	} else if due, known := x.Due(); known {
 		s.due = due
@@ -309,13 +309,13 @@
 	default:
 		a.Body = body.Flowing(held, body.NewFlow(s, length))
 	}
-	return engine.Result{Answered: true, Answer: a}
+	return engine.Result{HasResponse: true, Response: a}
 }
 
 // streams is how bodies flow on the request's route.
 func streams(x *engine.Request) *engine.Streams {
 	if x.Route == nil || x.Route.Streams == nil {
-		return &engine.Streams{Stream: true, Pace: body.Pace{Idle: stallAlone}}
+		return &engine.Streams{HeadDeadlineOnly: true, Pace: body.Pace{Idle: stallAlone}}
 	}
 	return x.Route.Streams
 }
@@ -362,7 +362,7 @@
 	if ctx.Err() != nil {
 		return engine.Ended(balancer.Canceled)
 	}
-	return engine.Result{Outcome: balancer.ConnectFailed, Part: told}
+	return engine.Result{Outcome: balancer.ConnectFailed, PartlySent: told}
 }
 
 // failed is the result of an attempt that brought no answer.
@@ -382,7 +382,7 @@
 	case err == io.EOF:
 		return ended(k.end)
 	case !sent:
-		return engine.Result{Outcome: balancer.ConnectFailed, Part: true}
+		return engine.Result{Outcome: balancer.ConnectFailed, PartlySent: true}
 	}
 	return engine.Ended(balancer.Reset)
 }
--- a/internal/host/fastcgi/transport.go
+++ b/internal/host/fastcgi/transport.go
@@ -353,7 +353,7 @@
 			return engine.Ended(balancer.ConnectFailed)
 		}
 		r := c.exchange(ctx, x)
-		if used && !r.Answered && r.Outcome == balancer.ConnectFailed && ctx.Err() == nil && !(r.Part && plain(x)) && !begun(x) {
+		if used && !r.HasResponse && r.Outcome == balancer.ConnectFailed && ctx.Err() == nil && !(r.PartlySent && plain(x)) && !begun(x) {
 			// It ended before the last byte was out: nothing ran, and that tells nothing of the
 			// host. Each round uses up one connection.
 			continue
--- a/internal/host/fastcgi/transport_test.go
+++ b/internal/host/fastcgi/transport_test.go
@@ -130,15 +130,15 @@
 	ctx, cancel := context.WithDeadline(context.Background(), x.Deadline)
 	defer cancel()
 	r := h.Attempt(ctx, x)
-	text := append([]byte(nil), r.Answer.Body.Bytes()...)
+	text := append([]byte(nil), r.Response.Body.Bytes()...)
 	var err error
-	if f := r.Answer.Body.Flow(); f != nil {
+	if f := r.Response.Body.Flow(); f != nil {
 		f.Take()
 		var rest []byte
 		rest, err = io.ReadAll(f)
 		text = append(text, rest...)
 	}
-	r.Answer.Release()
+	r.Response.Release()
 	return r, string(text), err
 }
 
@@ -195,8 +195,8 @@
 			r := startResponder(t, "", func(nc net.Conn, id uint16, _ map[string]string, _ string) { c.script(nc, id) })
 			_, h := hostAt(t, r.Addr().String())
 			res, text, err := attempt(h, ask("POST", "/book", "one booking"))
-			if (c.want == balancer.OK) != res.Answered || !res.Answered && res.Outcome != c.want || text != c.text || err != nil {
-				t.Errorf("%v, answered %t with %q, %v; want %v with %q", res.Outcome, res.Answered, text, err, c.want, c.text)
+			if (c.want == balancer.OK) != res.HasResponse || !res.HasResponse && res.Outcome != c.want || text != c.text || err != nil {
+				t.Errorf("%v, answered %t with %q, %v; want %v with %q", res.Outcome, res.HasResponse, text, err, c.want, c.text)
 			}
 			if n := r.runs.Load(); n != 1 {
 				t.Errorf("it came %d times", n)
@@ -211,7 +211,7 @@
 	addr := ln.Addr().String()
 	ln.Close()
 	_, h := hostAt(t, addr)
-	if r, _, _ := attempt(h, ask("POST", "/", "x")); r.Answered || r.Outcome != balancer.ConnectFailed || r.Part {
+	if r, _, _ := attempt(h, ask("POST", "/", "x")); r.HasResponse || r.Outcome != balancer.ConnectFailed || r.PartlySent {
 		t.Errorf("nobody listens: %+v", r)
 	}
 	ln = testkit.Listen(t, "127.0.0.1:0", nil)
@@ -231,8 +231,8 @@
 	}()
 	_, h = hostAt(t, ln.Addr().String())
 	r, _, _ := attempt(h, ask("POST", "/", strings.Repeat("x", 24<<20)))
-	if r.Answered || r.Outcome != balancer.ConnectFailed || !r.Part {
-		t.Errorf("reset within the body: answered %t, %v, part %t", r.Answered, r.Outcome, r.Part)
+	if r.HasResponse || r.Outcome != balancer.ConnectFailed || !r.PartlySent {
+		t.Errorf("reset within the body: answered %t, %v, part %t", r.HasResponse, r.Outcome, r.PartlySent)
 	}
 }
 
@@ -244,7 +244,7 @@
 	})
 	tr, h := hostAt(t, r.Addr().String())
 	for i := range 20 {
-		if res, text, err := attempt(h, ask("POST", "/", "x")); !res.Answered || text != "good" || err != nil {
+		if res, text, err := attempt(h, ask("POST", "/", "x")); !res.HasResponse || text != "good" || err != nil {
 			// The end may come just as the next request is written: then it may have run.
 			if res.Outcome != balancer.Reset || r.runs.Load() > int64(i+1) {
 				t.Errorf("request %d: %v %q %v", i, res.Outcome, text, err)
@@ -320,8 +320,8 @@
 		all.Go(func() {
 			text := strings.Repeat("abc", []int{0, 1, 1000, 30_000, 70_000}[i%5])
 			res, got, err := attempt(h, ask("POST", fmt.Sprintf("/p/%d", i), text))
-			if !res.Answered || res.Answer.Status != 201 || got != strings.ToUpper(text) || err != nil || res.Answer.Header.Get("X-Path") != fmt.Sprintf("/p/%d", i) {
-				t.Errorf("request %d: %v, %d, %d bytes of %d, %v", i, res.Outcome, res.Answer.Status, len(got), len(text), err)
+			if !res.HasResponse || res.Response.Status != 201 || got != strings.ToUpper(text) || err != nil || res.Response.Header.Get("X-Path") != fmt.Sprintf("/p/%d", i) {
+				t.Errorf("request %d: %v, %d, %d bytes of %d, %v", i, res.Outcome, res.Response.Status, len(got), len(text), err)
 			}
 		})
 	}
@@ -371,7 +371,7 @@
 	for range 2 {
 		go func() {
 			res, text, err := attempt(h, ask("POST", "/", ""))
-			texts <- fmt.Sprint(res.Answered, text, err)
+			texts <- fmt.Sprint(res.HasResponse, text, err)
 		}()
 	}
 	<-both
@@ -420,7 +420,7 @@
 	go func() { given <- h.Attempt(ctx, ask("POST", "/held", "")) }()
 	testkit.Until(t, "the other is out", func() bool { return r.runs.Load() == 3 })
 	cancel()
-	if res := <-given; res.Answered || res.Outcome != balancer.Canceled {
+	if res := <-given; res.HasResponse || res.Outcome != balancer.Canceled {
 		t.Errorf("given up: %+v", res)
 	}
 	testkit.Until(t, "it is aborted", func() bool { return r.aborts.Load() == 1 })
@@ -485,7 +485,7 @@
 	testkit.Until(t, "it waits for its turn", func() bool { return c.in.Len() == 3 })
 	client.left.Store(true)
 	close(hold)
-	if res := <-result; res.Answered || res.Outcome != balancer.NotSent {
+	if res := <-result; res.HasResponse || res.Outcome != balancer.NotSent {
 		t.Errorf("%+v, want NotSent", res)
 	}
 	all.Wait()
@@ -545,8 +545,8 @@
 		})
 		_, h := hostAt(t, r.Addr().String())
 		res, got, err := attempt(h, ask("POST", "/", ""))
-		if !res.Answered || (err == nil) != (c.whole && c.name != "shorter than its length") || err == nil && got != text {
-			t.Errorf("%s: answered %t, %d bytes, %v", c.name, res.Answered, len(got), err)
+		if !res.HasResponse || (err == nil) != (c.whole && c.name != "shorter than its length") || err == nil && got != text {
+			t.Errorf("%s: answered %t, %d bytes, %v", c.name, res.HasResponse, len(got), err)
 		}
 	}
 }
@@ -574,7 +574,7 @@
 			change(h, x)
 			return nil
 		}
-		if got, _, _ := attempt(h, x); got.Answered || got.Outcome != balancer.NotSent {
+		if got, _, _ := attempt(h, x); got.HasResponse || got.Outcome != balancer.NotSent {
 			t.Errorf("%s: %+v, want NotSent", name, got)
 		}
 		if n := r.runs.Load(); n != 0 {
--- a/internal/host/http1/flow.go
+++ b/internal/host/http1/flow.go
@@ -44,7 +44,7 @@
 }
 
 // heldWhole is for routes that say nothing of how bodies flow: answers do, at any pace.
-var heldWhole = engine.Streams{Stream: true, Pace: body.Pace{Idle: headTime}}
+var heldWhole = engine.Streams{HeadDeadlineOnly: true, Pace: body.Pace{Idle: headTime}}
 
 // expects says whether the host is to be asked before the body is sent: where nothing of it
 // has been asked of the client yet.
@@ -200,7 +200,7 @@
 		case ctx.Err() != nil:
 			return engine.Ended(balancer.Canceled)
 		}
-		return engine.Result{Outcome: balancer.ConnectFailed, Part: n > 0}
+		return engine.Result{Outcome: balancer.ConnectFailed, PartlySent: n > 0}
 	}
 	wrote := time.Now()
 	up := p.newUpload(c, x)
@@ -220,7 +220,7 @@
 		case up.client || ctx.Err() != nil && !whole:
 			return engine.Ended(balancer.Canceled)
 		case !whole && strict:
-			return engine.Result{Outcome: balancer.ConnectFailed, Part: true}
+			return engine.Result{Outcome: balancer.ConnectFailed, PartlySent: true}
 		case errors.Is(ctx.Err(), context.DeadlineExceeded):
 			return engine.Ended(balancer.TimedOut)
 		case ctx.Err() != nil:
@@ -244,7 +244,7 @@
 	default:
 		c.settle(p, up, keeps(a.Header, c))
 	}
-	return engine.Result{Answered: true, Answer: a}
+	return engine.Result{HasResponse: true, Response: a}
 }
 
 // joinMost is up to which size the held part of a body is copied behind the head: beyond, one
@@ -293,7 +293,7 @@
 // readAnswer reads the head of the final answer, and its body where that is short; else rest
 // is where the body flows from. What comes but is no answer that is sure to be whole is errMalformed,
 // at once where it can be told: it guards clients against being served with what no host made.
-func (c *conn) readAnswer(t *Transport, x *engine.Request, up *upload) (a engine.Answer, rest *answerSource, err error) {
+func (c *conn) readAnswer(t *Transport, x *engine.Request, up *upload) (a engine.Response, rest *answerSource, err error) {
 	began := false
 	defer func() {
 		c.within(0)
@@ -352,7 +352,7 @@
 // frame finds how the body of an answer ends (RFC 9112, 6.3), and reads the part that is held.
 // Two ways that disagree are none: what is passed on so would be read otherwise by the next in
 // the chain.
-func (c *conn) frame(t *Transport, x *engine.Request, up *upload, a *engine.Answer) (*answerSource, error) {
+func (c *conn) frame(t *Transport, x *engine.Request, up *upload, a *engine.Response) (*answerSource, error) {
 	c.limit.N = noLimit
 	if bodyless(x.Method, a.Status) {
 		return nil, nil
@@ -361,7 +361,7 @@
 	lengths, encodings := a.Header["Content-Length"], a.Header["Transfer-Encoding"]
 	s := &answerSource{t: t, c: c, x: x, up: up, header: a.Header, length: -1, meter: body.Meter{Pace: flow.Pace}}
 	s.alarm.Set = c.SetReadDeadline
-	if due, known := x.Due(); flow.Stream {
+	if due, known := x.Due(); flow.HeadDeadlineOnly {
 		s.meter.Least = 0 // an event stream says something when there is something to say
 	} else if known {
 		s.due = due
@@ -423,7 +423,7 @@
 
 // holdSome reads up to k of the n bytes of an answer. If that is all, or memory is short, it is
 // as if there were no other way.
-func (c *conn) holdSome(s *answerSource, a *engine.Answer, k, n int64) (*answerSource, error) {
+func (c *conn) holdSome(s *answerSource, a *engine.Response, k, n int64) (*answerSource, error) {
 	if !s.t.take(k) {
 		return s, nil
 	}
@@ -447,7 +447,7 @@
 // holdOpen reads up to maxBody of an answer whose length is not known, for as long as more of it
 // is there or comes within holdTime: whether it will be a long one can't be told, and then its
 // time is that of its first bytes.
-func (c *conn) holdOpen(s *answerSource, a *engine.Answer) (*answerSource, error) {
+func (c *conn) holdOpen(s *answerSource, a *engine.Response) (*answerSource, error) {
 	held := body.Page(maxBody)
 	got, err, until := 0, error(nil), time.Now().Add(holdTime)
 	for got < len(held) && err == nil {
--- a/internal/host/http1/transport.go
+++ b/internal/host/http1/transport.go
@@ -444,7 +444,7 @@
 		}
 		reused := c.reused
 		r := p.exchange(ctx, c, x)
-		if !r.Answered && r.Outcome == balancer.ConnectFailed && reused && ctx.Err() == nil && !(plain(x) && r.Part) && !begun(x) {
+		if !r.HasResponse && r.Outcome == balancer.ConnectFailed && reused && ctx.Err() == nil && !(plain(x) && r.PartlySent) && !begun(x) {
 			// It closed after the look and before the last byte: nothing ran, and
 			// that tells nothing of the host. Each round uses up one idle connection.
 			continue
--- a/internal/host/http1/transport_test.go
+++ b/internal/host/http1/transport_test.go
@@ -40,15 +40,15 @@
 }
 
 // told is what a Result tells the module, by the rule of the platform's protocol.
-func told(r engine.Result) (balancer.Result, engine.Answer) {
-	if !r.Answered {
-		return r.Outcome, r.Answer
+func told(r engine.Result) (balancer.Result, engine.Response) {
+	if !r.HasResponse {
+		return r.Outcome, r.Response
 	}
-	return route.Protocol(r.Answer.Status, r.Answer.Header.Get("X-Not-Processed") == "1"), r.Answer
+	return route.Protocol(r.Response.Status, r.Response.Header.Get("X-Not-Processed") == "1"), r.Response
 }
 
 // tryOnce makes one attempt with plenty of time.
-func tryOnce(t *testing.T, p *Transport, h *host, x *engine.Request) (balancer.Result, engine.Answer) {
+func tryOnce(t *testing.T, p *Transport, h *host, x *engine.Request) (balancer.Result, engine.Response) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testkit.Patience)
 	defer cancel()
@@ -217,7 +217,7 @@
 			ctx, cancel := context.WithTimeout(context.Background(), testkit.Patience)
 			r := p.attempt(ctx, h, x)
 			cancel()
-			if !r.Answered || r.Answer.Body.Len() != 0 {
+			if !r.HasResponse || r.Response.Body.Len() != 0 {
 				t.Errorf("%s %q: %+v", c.method, c.answer, r)
 			}
 		}
--- a/internal/scale/hollow/host.go
+++ b/internal/scale/hollow/host.go
@@ -247,7 +247,7 @@
 // unheard is the pool of a gateway that serves nobody.
 type unheard struct{}
 
-func (unheard) Members(balancer.ListKind, discovery.MemberList) {}
+func (unheard) UpdateEndpoints(balancer.ListKind, discovery.MemberList) {}
 func (unheard) EjectedHosts(int) []string                       { return nil }
 func (unheard) Address(string) string                           { return "" }
 func (unheard) HealthCheckPassed(string, time.Duration)         {}
