--- a/cmd/dunemoor/main.go
+++ b/cmd/dunemoor/main.go
@@ -95,7 +95,7 @@
 			part.SetPools(func(name string) (fleet.Pool, bool) {
 				p := g.Pool(name)
 				return p, p != nil
-			}, g.Drained)
+			}, g.SetDrained)
 		}
 		if calls != nil {
 			g.Admin(calls, about)
@@ -118,7 +118,7 @@
 		if g, err = gateway.StartPlatform(cfg, rc, ln); err != nil {
 			return err
 		}
-		g.ShareBy(os.TempDir(), func(part float64) { limitMemory(part * float64(cfg.MemoryMB)) })
+		g.ShareMachine(os.TempDir(), func(part float64) { limitMemory(part * float64(cfg.MemoryMB)) })
 		if calls != nil {
 			g.Admin(calls, nil)
 		}
@@ -178,7 +178,7 @@
 func run(g *gateway.Gateway, part *fleet.Fleet, reload func() error, stop, hup, usr1 <-chan os.Signal) error {
 	for {
 		select {
-		case err := <-g.Broken():
+		case err := <-g.ListenerErrors():
 			return err
 		case <-hup:
 			if err := reload(); err != nil {
@@ -213,7 +213,7 @@
 	if err := g.Retune(cfg); err != nil {
 		return err
 	}
-	g.Move(cfg.Discovery)
+	g.SetDiscovery(cfg.Discovery)
 	slog.Info("configuration reloaded", "discovery", cfg.Discovery, "classes", len(cfg.Classes))
 	return nil
 }
--- a/internal/places/places_test.go
+++ b/internal/classid/classid_test.go
@@ -1,4 +1,4 @@
-package places
+package classid
 
 import (
 	"math/rand/v2"
@@ -14,7 +14,7 @@
 	return Class{name, balancer.Class{LatencyObjective: time.Second, Deadline: time.Second, Idempotency: effect}}
 }
 
-// show is a list as its names, those retired in brackets.
+// show returns the names of a list, retired ones in brackets.
 func show(list []Class) string {
 	var s []string
 	for _, c := range list {
@@ -27,7 +27,7 @@
 	return strings.Join(s, " ")
 }
 
-func TestNext(t *testing.T) {
+func TestAssign(t *testing.T) {
 	look, book, strict := class("look", balancer.Idempotent), class("book", balancer.NonIdempotent), class("look", balancer.NonIdempotent)
 	more := class("more", balancer.Idempotent)
 	none, all := func(int) bool { return false }, func(int) bool { return true }
@@ -45,28 +45,28 @@
 		{"one appears", []Class{look}, []Class{look, book}, all, "look book", []int{0, -1}},
 		{"one vanishes", []Class{look, book}, []Class{book}, none, "(look) book", []int{0, 1}},
 		{"the last vanishes", []Class{book, look}, []Class{book}, none, "book (look)", []int{0, 1}},
-		{"it is forgotten once nobody is under it", []Class{book, gone}, []Class{book}, none, "book", []int{0}},
+		{"it is forgotten once no request uses it", []Class{book, gone}, []Class{book}, none, "book", []int{0}},
 		{"but not before", []Class{book, gone}, []Class{book}, all, "book (look)", []int{0, 1}},
 		{"it comes again", []Class{gone, book}, []Class{look, book}, all, "look book", []int{0, 1}},
 		{"with stricter rules", []Class{look, book}, []Class{strict, book}, none, "(look) book look", []int{0, 1, 0}},
-		{"a place that is free is used", []Class{gone, book}, []Class{book, more}, none, "more book", []int{-1, 1}},
+		{"a free number is used", []Class{gone, book}, []Class{book, more}, none, "more book", []int{-1, 1}},
 		{"one that is in use is not", []Class{gone, book}, []Class{book, more}, all, "(look) book more", []int{0, 1, -1}},
 	} {
-		list, from := Next(c.now, c.wanted, c.inUse)
+		list, from := Assign(c.now, c.wanted, c.inUse)
 		if got := show(list); got != c.want || !slices.Equal(from, c.from) {
 			t.Errorf("%s: %s from %v, want %s from %v", c.name, got, from, c.want, c.from)
 		}
 	}
 }
 
-// Whatever changes come: a number with requests under it keeps its rules, each class that is
-// wanted has one number, and no more numbers are kept than are needed.
+// Whatever changes come: a number that requests use keeps its rules, each wanted class has one number, and no more
+// numbers are kept than are needed.
 func TestNumbersKeepTheirRules(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e"}
 	for seed := range uint64(500) {
 		rng := rand.New(rand.NewPCG(seed, 0))
 		var now []Class
-		under := map[int]balancer.Class{} // numbers with requests, and the rules they came under
+		under := map[int]balancer.Class{} // numbers that requests use, with their rules
 		for range 40 {
 			var wanted []Class
 			for _, n := range names {
@@ -81,7 +81,7 @@
 			for n := range under {
 				most = max(most, n+1)
 			}
-			list, from := Next(now, wanted, func(i int) bool { _, used := under[i]; return used })
+			list, from := Assign(now, wanted, func(i int) bool { _, used := under[i]; return used })
 			if len(list) != len(from) || len(list) > max(len(now), most)+len(wanted) {
 				t.Fatalf("seed %d: %d numbers, %d before", seed, len(list), len(now))
 			}
--- a/internal/gateway/appliance_test.go
+++ b/internal/gateway/appliance_test.go
@@ -31,12 +31,12 @@
 }
 
 // appliance is a gateway by a file, in this process.
-type appliance struct {
+type testAppliance struct {
 	*Gateway
 	urls []string
 }
 
-func startAppliance(t *testing.T, text string) *appliance {
+func startAppliance(t *testing.T, text string) *testAppliance {
 	t.Helper()
 	file := parse(t, text)
 	g, err := StartAppliance(file, nil, nil, nil)
@@ -44,9 +44,9 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(g.Close)
-	a := &appliance{Gateway: g}
+	a := &testAppliance{Gateway: g}
 	for _, l := range file.Listeners {
-		a.urls = append(a.urls, "http://"+g.box.listeners[listenerKey(l)].Addr().String())
+		a.urls = append(a.urls, "http://"+g.appliance.listeners[listenerKey(l)].Addr().String())
 	}
 	return a
 }
@@ -392,7 +392,7 @@
 			t.Errorf("%s: %d %q, want %d", url, resp.StatusCode, text, want)
 		}
 	}
-	pool := g.box.pools["p"].Pool
+	pool := g.appliance.pools["p"].Pool
 	get(g.urls[0]+"/q", 200)
 	var goroutines int
 	for round := range 5 {
@@ -428,7 +428,7 @@
 			_, accepted, ended := other.Counts()
 			return accepted == ended
 		})
-		if g.box.pools["p"].Pool != pool {
+		if g.appliance.pools["p"].Pool != pool {
 			t.Error("a pool in which nothing has changed was made anew")
 		}
 		if round == 1 {
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -109,7 +109,7 @@
 		if err != nil {
 			panic(err)
 		}
-		addr = g.box.listeners["127.0.0.1:0"].Addr().String()
+		addr = g.appliance.listeners["127.0.0.1:0"].Addr().String()
 		waited = &g.engine.LoopDelays
 	case "dunemoor-cgi":
 		web, cgi, _ := strings.Cut(host, ";")
@@ -125,7 +125,7 @@
 		if err != nil {
 			panic(err)
 		}
-		addr = g.box.listeners["127.0.0.1:0"].Addr().String() + ";" + g.box.listeners[fastCGIKey+"127.0.0.2:0"].Addr().String()
+		addr = g.appliance.listeners["127.0.0.1:0"].Addr().String() + ";" + g.appliance.listeners[fastCGIKey+"127.0.0.2:0"].Addr().String()
 	case "floor":
 		// What any server pays that answers: a read and a write, and nothing looked at.
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
--- /dev/null
+++ b/internal/gateway/classes.go
@@ -0,0 +1,58 @@
+package gateway
+
+import (
+	"dunemoor/balancer"
+	"dunemoor/internal/body"
+	"dunemoor/internal/config"
+	"dunemoor/internal/engine"
+	"dunemoor/internal/overload"
+	"dunemoor/internal/route"
+)
+
+// classes are those of an appliance as its balancers number them: the file's in their order, and after them, for each
+// that may be retried, one that may not.
+type classes struct {
+	list          []balancer.Class
+	names         []string
+	index         map[string]int
+	nonIdempotent []int // by the number of a class of the file: the number of the one that may not be retried
+}
+
+func newClasses(a *config.Appliance) *classes {
+	c := &classes{index: map[string]int{}, nonIdempotent: make([]int, len(a.Classes))}
+	for i, k := range a.Classes {
+		c.list, c.names = append(c.list, k.Class), append(c.names, k.Name)
+		c.index[k.Name], c.nonIdempotent[i] = i, i
+	}
+	for i, k := range a.Classes {
+		if k.Idempotency == balancer.NonIdempotent {
+			continue
+		}
+		k.Idempotency, k.DedupWindow = balancer.NonIdempotent, 0
+		c.nonIdempotent[i] = len(c.list)
+		c.list, c.names = append(c.list, k.Class), append(c.names, k.Name+" once")
+	}
+	return c
+}
+
+// newRoute returns a route of the file for the engine.
+func newRoute(name string, r config.Route, c *classes, shedsLoad bool) *engine.Route {
+	out := &engine.Route{Name: name, Classes: c.list, ClassNames: c.index, Streams: protocolStreams(), Classify: classifyProtocol}
+	if shedsLoad {
+		out.FirstRanks, out.DuplicateRanks, _ = overload.Ranks(classRanks(c))
+	}
+	if r.Class == "" {
+		return out
+	}
+	i := c.index[r.Class]
+	out.Plain = &engine.Plain{
+		Class: i, NonIdempotentClass: c.nonIdempotent[i], Timeout: r.Timeout, RetryableMethods: r.Repeatable,
+		MaxTunnels: r.Upgrades, RequestHeaders: r.Request, ResponseHeaders: r.Answer,
+	}
+	pace := body.Pace{Idle: r.Idle, Least: r.LeastRate}
+	out.Streams = &engine.Streams{BufferBytes: r.Hold, MaxBodyBytes: r.MaxBody, HeadDeadlineOnly: r.Stream, Pace: pace, Upload: pace}
+	out.ForwardsFailures = true
+	failures := r.Failures
+	out.Classify = func(a *engine.Response) balancer.Result { return route.Plain(a.Status, notProcessed(a), failures) }
+	return out
+}
--- a/internal/gateway/fastcgi_test.go
+++ b/internal/gateway/fastcgi_test.go
@@ -26,8 +26,8 @@
 const webListener = "\n[[listener]]\nname = \"cgi\"\naddress = \"127.0.0.2:0\"\nprotocol = \"fastcgi\"\ntrusted = [\"127.0.0.0/8\"]\n"
 
 // cgiAddr is where web servers connect.
-func (a *appliance) cgiAddr() string {
-	return a.box.listeners[fastCGIKey+"127.0.0.2:0"].Addr().String()
+func (a *testAppliance) cgiAddr() string {
+	return a.appliance.listeners[fastCGIKey+"127.0.0.2:0"].Addr().String()
 }
 
 // webSide is a web server whose records a test writes by hand.
--- a/internal/gateway/flow_test.go
+++ b/internal/gateway/flow_test.go
@@ -821,7 +821,7 @@
 		})
 	}
 	all.Wait()
-	pool := g.box.pools["p"]
+	pool := g.appliance.pools["p"]
 	testkit.Until(t, "no request is kept", func() bool { return pool.OpenRequests() == 0 })
 	for c := range 3 {
 		testkit.Until(t, "no memory is held", func() bool { used, _ := g.gate.Bodies.Used(bodyCause(c)); return used == 0 })
--- a/internal/gateway/forward_test.go
+++ b/internal/gateway/forward_test.go
@@ -19,7 +19,7 @@
 )
 
 // forwardBox is a gateway in front of one host that says what headers it got.
-func forwardBox(t *testing.T, listener, route string) (*appliance, *testkit.Host) {
+func forwardBox(t *testing.T, listener, route string) (*testAppliance, *testkit.Host) {
 	t.Helper()
 	host := testkit.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nServer: theirs\r\nX-Old: 1\r\nSet-Cookie: a=1\r\nSet-Cookie: b=2\r\n"+
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,6 @@
-// Package gateway puts a gateway together: fronts, engine, pools with their transports, and
-// where their hosts are told, for the platform or as an appliance that stands by itself.
+// Package gateway assembles a gateway from frontends, engine, pools with their transports, and the sources of
+// endpoint lists. There are two kinds: a gateway of the platform, and an appliance with a configuration file of
+// its own.
 package gateway
 
 import (
@@ -11,9 +12,9 @@
 	"sync"
 	"time"
 
-	"dunemoor/balancer"
 	"dunemoor/internal/admin"
 	"dunemoor/internal/body"
+	"dunemoor/internal/classid"
 	"dunemoor/internal/config"
 	"dunemoor/internal/discovery"
 	"dunemoor/internal/engine"
@@ -21,32 +22,28 @@
 	fcgi "dunemoor/internal/front/fastcgi"
 	"dunemoor/internal/front/http1"
 	hosts "dunemoor/internal/host/http1"
-	"dunemoor/internal/places"
-	"dunemoor/internal/route"
-	"dunemoor/internal/sole"
 )
 
-// Shares of the descriptors, in hundredths. Clients hold a third of all at most for
-// their requests; each request out holds one to a host, and the more of those stay
-// idle beside, the fewer handshakes. What is left, 19 at the least, is for the listener, two
-// watches of discovery and the runtime: nobody else may take it (config.SharedSockets).
+// Shares of the file descriptors, in percent. Clients have a third of all at most for their requests; each request
+// in flight has one to a host, and the more of those stay idle, the fewer handshakes there are. What is left, 19 at
+// least, is for the listener, two watches of discovery and the runtime: nobody else may use it
+// (config.SharedSockets).
 const (
-	clientSockets = 48
-	clientSpare   = 2
+	clientPercent = 48
+	sparePercent  = 2
 )
 
-// largeShare is the part of the memory limit that large answers may fill, all together,
-// until their clients have them.
-const largeShare = 1.0 / 4
+// largeResponseShare is the share of the memory limit that large responses may fill, all together, until their
+// clients have them.
+const largeResponseShare = 1.0 / 4
 
-// Gateway is one that serves. Its methods are called from one goroutine.
+// Gateway is a running gateway. Its methods are called from one goroutine, unless they say otherwise.
 type Gateway struct {
-	engine *engine.Engine
-	gate   *front.Gate
-	server *http1.Server
-	// responder is the front for web servers that speak FastCGI, nil where none can.
-	responder *fcgi.Server
-	broken    chan error // a listener that ended by itself
+	engine         *engine.Engine
+	gate           *front.Gate
+	server         *http1.Server
+	fastCGI        *fcgi.Server // nil: no listener speaks FastCGI
+	listenerErrors chan error
 
 	ctx    context.Context // of all that runs
 	cancel context.CancelFunc
@@ -54,241 +51,102 @@
 	sockets int
 	memory  int64
 
-	watcher *discovery.Watcher // of the platform
-	half    func()             // leaves half of what the machine has to another process; nil: there is none
-	box     *box               // of an appliance
+	appliance *appliance // nil: of the platform
 
 	// Of the platform.
-	pool      *engine.Pool
-	classes   []places.Class // by their number
-	transport *hosts.Transport
-	shared    bool // the platform holds the socket for clients
+	watcher      *discovery.Watcher
+	pool         *engine.Pool
+	classes      []classid.Class // by their number
+	transport    *hosts.Transport
+	sharesSocket bool   // the platform holds the socket for clients
+	useHalf      func() // leaves half of the machine to another process; nil: there is none
 }
 
-// newGateway makes one that has no pool yet.
+// newGateway returns a Gateway without pools.
 func newGateway(seed uint64, sockets int, memory int64, o http1.Options) *Gateway {
-	g := &Gateway{engine: engine.New(seed), broken: make(chan error, 1), sockets: sockets, memory: memory}
+	g := &Gateway{engine: engine.New(seed), listenerErrors: make(chan error, 1), sockets: sockets, memory: memory}
 	g.gate = front.NewGate(g.engine, body.NewBudget(memory))
-	o.Sockets, o.Spare = clientParts(sockets)
+	o.Sockets, o.Spare = clientSocketLimits(sockets)
 	g.server = http1.New(g.gate, o)
 	g.ctx, g.cancel = context.WithCancel(context.Background())
 	go g.server.Drain(g.ctx)
 	return g
 }
 
-// clientParts is how many of so many descriptors are for clients, and how many more before a
-// new connection is closed at once.
-func clientParts(sockets int) (most, spare int) {
+// clientSocketLimits returns how many of the descriptors are for clients, and how many more there may be before a new
+// connection is closed at once.
+func clientSocketLimits(sockets int) (limit, spare int) {
 	sockets = config.SharedSockets(sockets)
-	most = sockets * clientSockets / 100
-	return most, sockets*(clientSockets+clientSpare)/100 - most
+	limit = sockets * clientPercent / 100
+	return limit, sockets*(clientPercent+sparePercent)/100 - limit
 }
 
-// serve takes requests from ln.
-func (g *Gateway) serve(ln net.Listener) { g.serveBy(g.server.Serve, ln) }
+// serve accepts requests by HTTP/1.1 from ln.
+func (g *Gateway) serve(ln net.Listener) { g.serveWith(g.server.Serve, ln) }
 
-// serveBy has a front take requests from ln.
-func (g *Gateway) serveBy(serve func(net.Listener) error, ln net.Listener) {
+// serveWith has a frontend accept requests from ln.
+func (g *Gateway) serveWith(serve func(net.Listener) error, ln net.Listener) {
 	go func() {
 		if err := serve(ln); err != nil {
-			select {
-			case g.broken <- fmt.Errorf("listen: %s: %w", ln.Addr(), err):
-			default: // another has said so
-			}
+			g.reportListenerError(fmt.Errorf("listen: %s: %w", ln.Addr(), err))
 		}
 	}()
 }
 
-// Broken tells of a listener that has ended by itself.
-func (g *Gateway) Broken() <-chan error { return g.broken }
+// reportListenerError reports that a listener has ended by itself. Only the first is kept.
+func (g *Gateway) reportListenerError(err error) {
+	select {
+	case g.listenerErrors <- err:
+	default:
+	}
+}
+
+// ListenerErrors receives the error of a listener that has ended by itself.
+func (g *Gateway) ListenerErrors() <-chan error { return g.listenerErrors }
 
-// Dump has what the flight recorder holds written out.
+// Dump writes the contents of the flight recorder to files.
 func (g *Gateway) Dump() { g.engine.Dump() }
 
-// Stop ends service in order: all that was taken is answered. It waits for what is recorded
-// to be written, for so long at most.
-func (g *Gateway) Stop(recorded time.Duration) {
-	if g.half != nil {
-		g.half()
+// Stop shuts the gateway down gracefully: all requests get their response. It waits for recordings to be written, at
+// most for the timeout.
+func (g *Gateway) Stop(timeout time.Duration) {
+	if g.useHalf != nil {
+		g.useHalf()
 	}
-	var fronts sync.WaitGroup
-	if g.responder != nil {
-		fronts.Go(g.responder.Stop)
+	var frontends sync.WaitGroup
+	if g.fastCGI != nil {
+		frontends.Go(g.fastCGI.Stop)
 	}
 	g.server.Stop()
-	fronts.Wait()
+	frontends.Wait()
 	g.cancel()
-	g.engine.Wait(recorded)
+	g.engine.Wait(timeout)
 }
 
-// Close ends it all at once.
+// Close ends the gateway at once.
 func (g *Gateway) Close() {
 	g.server.Close()
-	if g.responder != nil {
-		g.responder.Close()
+	if g.fastCGI != nil {
+		g.fastCGI.Close()
 	}
 	g.cancel()
 	g.engine.Wait(time.Minute)
 }
 
-// StartPlatform serves on ln as the platform says.
-func StartPlatform(cfg *config.Platform, rc *engine.RecordingConfig, ln net.Listener) (*Gateway, error) {
-	longest := time.Duration(0)
-	for _, c := range cfg.Settings.Classes {
-		longest = max(longest, c.Deadline)
-	}
-	shared := cfg.ClientsFD > 0
-	g := newGateway(cfg.Seed, cfg.Sockets, cfg.Memory(), http1.Options{Longest: longest, Shared: shared})
-	transport := hosts.New(hosts.Options{
-		Sockets: int(config.HostSockets(cfg.Sockets)), Memory: int64(largeShare * float64(cfg.Memory())),
-		ConnIdle: cfg.ConnIdle, DialTimeout: cfg.DialTimeout, Budget: g.gate.Bodies,
-	})
-	g.transport, g.shared = transport, shared
-	g.watcher = discovery.NewWatcher(cfg.Discovery, cfg.Settings.Poll, cfg.Known.Version)
-	pc := engine.PoolConfig{
-		Settings: cfg.Settings, Seed: cfg.Seed, Zones: cfg.Zones, Kinds: cfg.Kinds, Transport: transport, Poll: g.watcher.Watch,
-	}
-	if rc != nil {
-		classes := make([]string, len(cfg.Classes))
-		for name, i := range cfg.Classes {
-			classes[i] = name
-		}
-		pc.Recording = &engine.Recording{RecordingConfig: rc, Name: cfg.Name, Classes: classes}
-	}
-	pool, err := g.engine.NewPool(pc)
-	if err != nil {
-		g.cancel()
-		return nil, err
-	}
-	go transport.Run(g.ctx)
-	go g.engine.Run(g.ctx)
-	pool.UpdateEndpoints(balancer.ListSaved, cfg.Known)
-	g.pool, g.classes = pool, named(cfg)
-	g.engine.Use(g.platformPlan(cfg))
-	if !shared {
-		go g.watcher.Run(g.ctx, pool)
-		g.serve(ln)
-		return g, nil
-	}
-	// Another process serves meanwhile: there is time to hear of the hosts as they are now.
-	g.gate.Wait()
-	heard := newsSink{Sink: pool, first: make(chan struct{})}
-	go g.watcher.Run(g.ctx, &heard)
-	go func() {
-		select {
-		case <-heard.first:
-		case <-time.After(listTime):
-		case <-g.ctx.Done():
-			return
-		}
-		g.serve(ln)
-		g.gate.Go()
-	}()
-	return g, nil
-}
-
-// protocolStreams is how bodies flow in our own protocol: up to 64 KiB are held whole, so that
-// a request can be sent again; the time of a longer answer is for its first bytes. Clients may
-// send 64 kB a second, in pieces: an eighth of that is slow, and without a byte for 2 s nothing
-// more will come, as whoever sends what is bad is owed an error within 3 s. Whoever takes an
-// answer, or makes one, may rest for longer.
-func protocolStreams() *engine.Streams {
-	return &engine.Streams{
-		BufferBytes: front.MaxHeld, MaxBodyBytes: front.MaxBody, HeadDeadlineOnly: true,
-		Pace:   body.Pace{Idle: 10 * time.Second},
-		Upload: body.Pace{Idle: 2 * time.Second, Least: 8 << 10},
-	}
-}
-
-// platformPlan is the one route to the one pool, for the classes of cfg by their numbers.
-func (g *Gateway) platformPlan(cfg *config.Platform) *engine.Snapshot {
-	names := make(map[string]int, len(cfg.Classes))
-	rules := make([]balancer.Class, len(g.classes))
-	for i, c := range g.classes {
-		if rules[i] = c.Rules; !c.Rules.Retired {
-			names[c.Name] = i
-		}
-	}
-	return g.engine.NewSnapshot(nil, []*engine.Route{{
-		Classes: rules, ClassNames: names, Tenants: cfg.Tenants, Streams: protocolStreams(),
-		Classify: func(a *engine.Response) balancer.Result { return route.Protocol(a.Status, unseen(a)) },
-	}}, nil, engine.PoolUse{Pool: g.pool, MinShare: 1})
-}
-
-// named is the classes of a configuration in their order.
-func named(cfg *config.Platform) []places.Class {
-	list := make([]places.Class, len(cfg.Settings.Classes))
-	for i, c := range cfg.Settings.Classes {
-		list[i].Rules = c
-	}
-	for name, i := range cfg.Classes {
-		list[i].Name = name
-	}
-	return list
-}
-
-// Retune has the settings of cfg take effect for what comes from now on; requests under way
-// keep what they came under. On an error nothing has changed.
-func (g *Gateway) Retune(cfg *config.Platform) error {
-	was := g.classes
-	err := g.engine.Retune(g.pool, func(inUse func(int) bool) (balancer.Settings, []int, []string, *engine.Snapshot) {
-		list, from := places.Next(was, named(cfg), inUse)
-		set := cfg.Settings
-		set.Classes = make([]balancer.Class, len(list))
-		names := make([]string, len(list))
-		for i, c := range list {
-			set.Classes[i], names[i] = c.Rules, c.Name
-		}
-		g.classes = list
-		return set, from, names, g.platformPlan(cfg)
-	})
-	if err != nil {
-		g.classes = was
-		return err
-	}
-	longest := time.Duration(0)
-	for _, c := range cfg.Settings.Classes {
-		longest = max(longest, c.Deadline)
-	}
-	g.server.SetLongest(longest)
-	return nil
-}
-
-// listTime is how long a gateway that takes over from another waits for discovery to speak
-// before it serves by the list that it was given: it must be ready within 6 s.
-const listTime = 2 * time.Second
-
-// newsSink tells when the first news of the hosts has come.
-type newsSink struct {
-	discovery.Sink
-	once  sync.Once
-	first chan struct{}
-}
-
-func (s *newsSink) UpdateEndpoints(kind balancer.ListKind, list discovery.MemberList) {
-	s.Sink.UpdateEndpoints(kind, list)
-	if kind != balancer.ListFailed {
-		s.once.Do(func() { close(s.first) })
-	}
-}
-
-// Admin answers the calls of operators on ln, with those of other parts by their paths.
+// Admin serves the operators' calls on ln, with the calls of other parts by their paths.
 func (g *Gateway) Admin(ln net.Listener, others map[string]admin.Call) {
 	go func() {
 		if err := admin.New(g, others).Serve(g.ctx, ln); err != nil {
-			select {
-			case g.broken <- fmt.Errorf("admin: %s: %w", ln.Addr(), err):
-			default: // another has said so
-			}
+			g.reportListenerError(fmt.Errorf("admin: %s: %w", ln.Addr(), err))
 		}
 	}()
 }
 
-// Ready says whether requests can be served, and if not why.
+// Ready reports whether requests can be served, and if not why.
 func (g *Gateway) Ready() (bool, string) { return g.gate.Health() }
 
-// Quiesce begins a drain: health says no, and connections end so that all have had what they
-// came for. A second call changes nothing.
+// Quiesce begins a drain: the health check fails, and connections end once their clients have their responses. A
+// second call changes nothing.
 func (g *Gateway) Quiesce() {
 	g.gate.Quiesce()
 	slog.Info("draining")
@@ -300,41 +158,5 @@
 	slog.Info("drain ended, serving")
 }
 
-// ShareBy has the gateway use half of what the machine has while another process that claims
-// the same folder runs, as where one takes over from the other; limit is told the part of the
-// memory. It is called before Stop, and changes nothing where the platform holds no socket.
-func (g *Gateway) ShareBy(dir string, limit func(part float64)) {
-	if g.transport == nil || !g.shared {
-		return
-	}
-	use := func(part int) { // in halves
-		limit(float64(part) / 2)
-		g.server.Limit(clientParts(g.sockets * part / 2))
-		g.transport.Limit(int(config.HostSockets(g.sockets*part/2)), int64(largeShare*float64(g.memory)*float64(part)/2))
-	}
-	g.half = func() { use(1) }
-	_, alone, err := sole.Try(dir)
-	if err != nil {
-		slog.Warn("whether another gateway runs is not known, using half of the limits", "err", err)
-	}
-	if alone {
-		return // the claim is kept until the process ends
-	}
-	use(1)
-	if err == nil {
-		go func() {
-			if _, err := sole.Wait(g.ctx, dir); err == nil {
-				use(2)
-			}
-		}()
-	}
-}
-
-// Move has the list of hosts come from another address.
-func (g *Gateway) Move(addr string) { g.watcher.Move(addr) }
-
-// unseen says whether a host proves to have turned a request away unseen.
-func unseen(a *engine.Response) bool { return a.Header.Get("X-Not-Processed") == "1" }
-
-// memoryOf is the limit in bytes.
-func memoryOf(mb int) int64 { return int64(cmp.Or(mb, config.DefaultMemoryMB)) << 20 }
+// memoryBytes returns the memory limit in bytes.
+func memoryBytes(mb int) int64 { return int64(cmp.Or(mb, config.DefaultMemoryMB)) << 20 }
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -24,7 +24,7 @@
 
 // limitBox is a gateway with limits in front of one host, with a route for lookups and one for
 // bookings.
-func limitBox(t *testing.T, limits string, host *testkit.Host) *appliance {
+func limitBox(t *testing.T, limits string, host *testkit.Host) *testAppliance {
 	t.Helper()
 	text := strings.Replace(watching, "[[listener]]", limits+"\n[[listener]]", 1)
 	return startAppliance(t, text+poolText("p", "", host.Addr())+
@@ -37,7 +37,7 @@
 	host := testkit.NewHost(t, testkit.Says(testkit.Good))
 	// The peer is a proxy that is trusted, so each request may be another client's.
 	g := limitBox(t, "", host)
-	for _, ln := range g.box.listeners {
+	for _, ln := range g.appliance.listeners {
 		g.server.Tune(ln, http1.ListenOptions{Trusted: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")}})
 	}
 	g.engine.Sample(overload.Sample{Heap: 1})
@@ -96,7 +96,7 @@
 }
 
 // underPressure is a box that sheds what is worth least, its host, and a client's connection to it.
-func underPressure(t *testing.T) (*testkit.Host, *appliance, net.Conn, *bufio.Reader) {
+func underPressure(t *testing.T) (*testkit.Host, *testAppliance, net.Conn, *bufio.Reader) {
 	host := testkit.NewHost(t, testkit.Says(testkit.Good))
 	g := limitBox(t, "", host)
 	g.engine.Sample(overload.Sample{Heap: 1})
@@ -262,7 +262,7 @@
 
 // The process knows how it stands: what is sampled is in bounds and moves.
 func TestMeter(t *testing.T) {
-	m := newMeter(64<<20, 1024)
+	m := newProcessMeter(64<<20, 1024)
 	m.sample()
 	for range 1000 {
 		done := make(chan struct{})
@@ -297,7 +297,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := fmt.Sprint(g.later(file(c.now))); got != c.want {
+		if got := fmt.Sprint(g.needRestart(file(c.now))); got != c.want {
 			t.Errorf("from %q to %q: %s, want %s", c.was, c.now, got, c.want)
 		}
 		g.Close()
--- /dev/null
+++ b/internal/gateway/pool.go
@@ -0,0 +1,171 @@
+package gateway
+
+import (
+	"context"
+	"log/slog"
+	"math/rand/v2"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"sync/atomic"
+	"time"
+
+	"dunemoor/balancer"
+	"dunemoor/internal/config"
+	"dunemoor/internal/discovery"
+	"dunemoor/internal/engine"
+	responders "dunemoor/internal/host/fastcgi"
+	hosts "dunemoor/internal/host/http1"
+	"dunemoor/internal/override"
+)
+
+const (
+	// maxRetryAfter is the longest Retry-After of a rejection.
+	maxRetryAfter = 5 * time.Second
+	// A host that has just started is taken to be overloaded by overloadFactor times what it can do, kept up for
+	// overloadWindow. They matter only where the file says how hosts start.
+	overloadFactor = 2.5
+	overloadWindow = 1500 * time.Millisecond
+	// reloadListTimeout is how long a reload waits for the discovery of a new pool to name a host, so that requests do
+	// not find the pool empty.
+	reloadListTimeout = 2 * time.Second
+	// memberReady is the state of hosts that the file lists.
+	memberReady = "ready"
+)
+
+// transport makes the attempts of a pool, by any protocol.
+type transport interface {
+	engine.Transport
+	Limit(sockets int, memory int64)
+}
+
+// appliancePool is a pool with the source of its endpoint list.
+type appliancePool struct {
+	*engine.Pool
+	cfg         config.Pool
+	transport   transport
+	ctx         context.Context
+	cancel      context.CancelFunc
+	settings    balancer.Settings
+	newSource   SourceFunc
+	stopSource  context.CancelFunc
+	currentSink *atomic.Pointer[endpointSink]
+	overrides   *overrideFilter
+}
+
+// balancerSettings returns the settings of a pool's balancer.
+func balancerSettings(p config.Pool, classes []balancer.Class) balancer.Settings {
+	return balancer.Settings{
+		Instances: 1, Classes: classes, MaxAttempts: 4, Cancel: true, MaxRetryAfter: maxRetryAfter,
+		SlowStartShare: p.Cold.From, SlowStartWindow: p.Cold.WarmAfter, OverloadFactor: overloadFactor, OverloadWindow: overloadWindow,
+	}
+}
+
+// newPool returns a pool without endpoints.
+func (g *Gateway) newPool(a *config.Appliance, cfg config.Pool, set balancer.Settings, classNames []string) (*appliancePool, error) {
+	p := &appliancePool{cfg: cfg, settings: set, newSource: g.appliance.newSource, stopSource: func() {}, currentSink: new(atomic.Pointer[endpointSink])}
+	if cfg.Protocol == config.FastCGI {
+		p.transport = responders.New(responders.Options{Budget: g.gate.Bodies, Root: cfg.Root, Params: cfg.Params})
+	} else {
+		p.transport = hosts.New(hosts.Options{Budget: g.gate.Bodies})
+	}
+	p.ctx, p.cancel = context.WithCancel(g.ctx)
+	var err error
+	p.Pool, err = g.engine.NewPool(engine.PoolConfig{
+		Name: cfg.Name, Settings: set, Seed: rand.Uint64(), Transport: p.transport,
+		Stop:      p.cancel, // the source ends with it
+		Recording: poolRecording(g.appliance.recording, a.Name, cfg.Name, classNames),
+	})
+	if err != nil {
+		p.cancel()
+		return nil, err
+	}
+	p.overrides = &overrideFilter{filter: override.NewFilter(g.appliance.drainedHosts(cfg.Name)), pool: p.Pool}
+	go p.transport.Run(p.ctx)
+	return p, nil
+}
+
+// poolRecording returns the recording of a pool, with a file of its own.
+func poolRecording(rc *engine.RecordingConfig, gateway, pool string, classNames []string) *engine.Recording {
+	if rc == nil {
+		return nil
+	}
+	own := *rc
+	if own.File != "" {
+		ext := filepath.Ext(own.File)
+		own.File = strings.TrimSuffix(own.File, ext) + "-" + pool + ext
+	}
+	return &engine.Recording{RecordingConfig: &own, Name: gateway + "-" + pool, Classes: classNames}
+}
+
+// equalProtocols reports whether two pools use the same protocol, with the same parameters.
+func equalProtocols(p, q config.Pool) bool {
+	return p.Protocol == q.Protocol && p.Root == q.Root && reflect.DeepEqual(p.Params, q.Params)
+}
+
+// equalSources reports whether two pools have their endpoint lists from the same place.
+func equalSources(p, q config.Pool) bool {
+	return p.File == q.File && p.Discovery == q.Discovery && reflect.DeepEqual(p.Members, q.Members)
+}
+
+// setSource has the pool's endpoint list come from where cfg says, and from nowhere else any more. With required set
+// there has to be a list; otherwise the pool may begin without one.
+func (p *appliancePool) setSource(cfg config.Pool, required bool) error {
+	ctx, cancel := context.WithCancel(p.ctx)
+	sink := &endpointSink{target: p.overrides, current: p.currentSink, firstList: make(chan struct{})}
+	p.stopSource = cancel
+	p.currentSink.Store(sink)
+	switch {
+	case cfg.File != "":
+		list, err := discovery.ReadFile(cfg.File)
+		if err != nil && required {
+			return err
+		}
+		if err == nil {
+			sink.UpdateEndpoints(balancer.ListFull, list)
+		}
+		go discovery.NewFile(cfg.File).Run(ctx, sink)
+	case cfg.Discovery != "":
+		go p.newSource(cfg.Name, cfg.Discovery).Run(ctx, sink)
+		if required {
+			select {
+			case <-sink.firstList:
+			case <-time.After(reloadListTimeout):
+				slog.Warn("no host is told yet", "pool", cfg.Name, "discovery", cfg.Discovery)
+			}
+		}
+	default:
+		sink.UpdateEndpoints(balancer.ListFull, memberList(cfg.Members))
+	}
+	return nil
+}
+
+// memberList returns the endpoint list of hosts that the file lists.
+func memberList(members []config.Member) discovery.MemberList {
+	list := discovery.MemberList{Full: true}
+	for _, m := range members {
+		list.Servers = append(list.Servers, discovery.Member{
+			ID: m.ID, Addr: m.Address, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, State: memberReady,
+		})
+	}
+	return list
+}
+
+// poolShares returns the share of descriptors and memory for hosts that each pool has: its own, where the file sets one,
+// and an equal part of the rest otherwise.
+func poolShares(a *config.Appliance) []float64 {
+	shares, left, unset := make([]float64, len(a.Pools)), 1.0, 0
+	for i, p := range a.Pools {
+		shares[i] = p.Sockets
+		left -= p.Sockets
+		if p.Sockets == 0 {
+			unset++
+		}
+	}
+	for i := range shares {
+		if shares[i] == 0 {
+			shares[i] = left / float64(unset)
+		}
+	}
+	return shares
+}
--- a/internal/gateway/recording_test.go
+++ b/internal/gateway/recording_test.go
@@ -95,7 +95,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(g.Close)
-	url := "http://" + g.box.listeners["127.0.0.1:0"].Addr().String()
+	url := "http://" + g.appliance.listeners["127.0.0.1:0"].Addr().String()
 	for range 20 {
 		fetch(t, "GET", url+"/", "")
 		fetch(t, "GET", url+"/two", "")
--- /dev/null
+++ b/internal/gateway/reload.go
@@ -0,0 +1,180 @@
+package gateway
+
+import (
+	"fmt"
+	"log/slog"
+	"net"
+	"reflect"
+	"slices"
+	"strings"
+
+	"dunemoor/internal/config"
+	"dunemoor/internal/discovery"
+	"dunemoor/internal/engine"
+	fcgi "dunemoor/internal/front/fastcgi"
+	"dunemoor/internal/front/http1"
+	"dunemoor/internal/overload"
+)
+
+// change is a configuration that is about to be used. All that can fail is done before anything changes.
+type change struct {
+	file      *config.Appliance
+	classes   *classes
+	listeners map[string]net.Listener
+	opened    []net.Listener // by this change
+	pools     map[string]*appliancePool
+	made      []*appliancePool // by this change
+	snapshot  *engine.Snapshot
+}
+
+// apply puts a file into use, all at once. On an error nothing has changed.
+func (g *Gateway) apply(a *config.Appliance, running bool) error {
+	c := &change{file: a, classes: newClasses(a), listeners: map[string]net.Listener{}, pools: map[string]*appliancePool{}}
+	if err := g.prepare(c, running); err != nil {
+		g.revert(c)
+		return err
+	}
+	g.commit(c)
+	return nil
+}
+
+// prepare does all of a change that can fail.
+func (g *Gateway) prepare(c *change, running bool) error {
+	if err := g.openListeners(c); err != nil {
+		return err
+	}
+	var uses []engine.PoolUse
+	for _, cfg := range c.file.Pools {
+		p, err := g.preparePool(c, cfg, running)
+		if err != nil {
+			return fmt.Errorf("pool %s: %w", cfg.Name, err)
+		}
+		c.pools[cfg.Name] = p
+		uses = append(uses, engine.PoolUse{Pool: p.Pool, MinShare: cfg.Need, Fallback: cfg.Fallback})
+	}
+	var routes []*engine.Route
+	var retries []engine.Retries
+	for i, r := range c.file.Routes {
+		routes = append(routes, newRoute(c.file.Table.Routes()[i].Name, r, c.classes, g.engine.Overload != nil))
+		retries = append(retries, engine.Retries{Share: r.RetryShare, Floor: r.RetryFloor})
+	}
+	c.snapshot = g.engine.NewSnapshot(c.file.Table, routes, retries, uses...)
+	return nil
+}
+
+// openListeners opens the listeners that are new.
+func (g *Gateway) openListeners(c *change) error {
+	for _, l := range c.file.Listeners {
+		ln := g.appliance.listeners[listenerKey(l)]
+		if ln == nil {
+			var err error
+			if ln, err = listen(l); err != nil {
+				return fmt.Errorf("listener %s: %w", l.Name, err)
+			}
+			c.opened = append(c.opened, ln)
+		}
+		c.listeners[listenerKey(l)] = ln
+	}
+	return nil
+}
+
+// preparePool returns the pool that is in use, or a new one where settings or protocol have changed.
+func (g *Gateway) preparePool(c *change, cfg config.Pool, running bool) (*appliancePool, error) {
+	set := balancerSettings(cfg, c.classes.list)
+	p := g.appliance.pools[cfg.Name]
+	if p == nil || !reflect.DeepEqual(p.settings, set) || !equalProtocols(p.cfg, cfg) {
+		p, err := g.newPool(c.file, cfg, set, c.classes.names)
+		if err != nil {
+			return nil, err
+		}
+		c.made = append(c.made, p)
+		return p, p.setSource(cfg, running)
+	}
+	if cfg.File != "" && cfg.File != p.cfg.File {
+		if _, err := discovery.ReadFile(cfg.File); err != nil {
+			return nil, err
+		}
+	}
+	return p, nil
+}
+
+// revert undoes prepare.
+func (g *Gateway) revert(c *change) {
+	for _, ln := range c.opened {
+		ln.Close()
+	}
+	for _, p := range c.made {
+		p.stopSource()
+		p.cancel()
+	}
+	g.engine.DropUnused()
+}
+
+// commit puts a prepared change into use. Nothing in it fails.
+func (g *Gateway) commit(c *change) {
+	g.commitPools(c)
+	g.server.SetLongest(longestDeadline(c.file))
+	if l := g.gate.Limits; l.Clients != nil {
+		l.Clients.Set(c.file.Limits.Clients)
+	}
+	if controller := g.engine.Overload; controller != nil {
+		_, _, n := overload.Ranks(classRanks(c.classes))
+		controller.SetRanks(n)
+	}
+	g.engine.Use(c.snapshot)
+	b := g.appliance
+	b.pools, b.file = c.pools, c.file
+	b.published.Store(&c.pools)
+	for name, p := range c.pools {
+		p.overrides.setDrained(b.drainedHosts(name)) // what changed while it was made
+	}
+	g.commitListeners(c)
+}
+
+// commitPools sets the limits and sources of pools.
+func (g *Gateway) commitPools(c *change) {
+	shares := poolShares(c.file)
+	for i, cfg := range c.file.Pools {
+		p := c.pools[cfg.Name]
+		p.transport.Limit(int(shares[i]*config.HostSockets(g.sockets)), int64(shares[i]*largeResponseShare*float64(g.memory)))
+		if p == g.appliance.pools[cfg.Name] && !equalSources(p.cfg, cfg) {
+			p.stopSource()
+			if err := p.setSource(cfg, false); err != nil {
+				slog.Error("members not read", "pool", cfg.Name, "err", err)
+			}
+		}
+		p.cfg = cfg
+	}
+}
+
+// commitListeners closes the listeners that are gone, and serves the new ones.
+func (g *Gateway) commitListeners(c *change) {
+	b := g.appliance
+	for key, ln := range b.listeners {
+		if c.listeners[key] != nil {
+			continue
+		}
+		if strings.HasPrefix(key, fastCGIKey) {
+			g.fastCGI.Leave(ln)
+		} else {
+			g.server.Leave(ln)
+		}
+	}
+	if g.fastCGI == nil && slices.ContainsFunc(c.file.Listeners, func(l config.Listener) bool { return l.Protocol == config.FastCGI }) {
+		g.startFastCGI()
+	}
+	for _, l := range c.file.Listeners {
+		ln := c.listeners[listenerKey(l)]
+		serve := g.server.Serve
+		if l.Protocol == config.FastCGI {
+			g.fastCGI.Tune(ln, fcgi.ListenOptions{Trusted: l.Trusted})
+			serve = g.fastCGI.Serve
+		} else {
+			g.server.Tune(ln, http1.ListenOptions{Trusted: l.Trusted, Proxy: l.Proxy})
+		}
+		if slices.Contains(c.opened, ln) {
+			g.serveWith(serve, ln)
+		}
+	}
+	b.listeners = c.listeners
+}
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -7,53 +7,52 @@
 	"dunemoor/internal/overload"
 )
 
-// Status is what a gateway counts, for operators. All of it is read beside the loop, which is
-// never asked and never waited for.
+// Status is what a gateway counts, for operators. All of it is read beside the loop, which is never waited for.
 type Status struct {
 	State    string           `json:"state"`    // serving, or how far a drain has gone
-	Ready    bool             `json:"ready"`    // as health has it
-	Detail   string           `json:"detail"`   // what health says
-	IDs      int              `json:"ids"`      // of our protocol that are in use by open requests
+	Ready    bool             `json:"ready"`    // as the health check reports
+	Detail   string           `json:"detail"`   // text of the health check
+	IDs      int              `json:"ids"`      // of the platform's protocol, in use by open requests
 	Pressure float64          `json:"pressure"` // ranks of classes that are shed; 0: none
-	Shed     float64          `json:"shed"`     // share of requests that is to be turned away, what is worth most left out
+	Shed     float64          `json:"shed"`     // share of requests that is to be rejected, those of the highest rank left out
 	Clients  http1.Counts     `json:"clients"`
-	Bodies   map[string]Bytes `json:"bodies"`  // by what memory is taken for
-	Refused  map[string]int64 `json:"refused"` // at the gate since the start, by cause
+	Bodies   map[string]Bytes `json:"bodies"`  // memory by its use
+	Refused  map[string]int64 `json:"refused"` // rejections at admission since the start, by reason
 	Loop     Delay            `json:"loop"`    // how long requests waited for the loop since the start
 }
 
 // Delay is how long something took, in microseconds, to within an eighth.
 type Delay struct {
-	P50  int64 `json:"p50_us"`
-	P99  int64 `json:"p99_us"`
-	Most int64 `json:"most_us"`
+	P50 int64 `json:"p50_us"`
+	P99 int64 `json:"p99_us"`
+	Max int64 `json:"most_us"`
 }
 
-func delayOf(h *overload.Delays) Delay {
+func newDelay(h *overload.Delays) Delay {
 	return Delay{h.Quantile(0.5).Microseconds(), h.Quantile(0.99).Microseconds(), h.Most().Microseconds()}
 }
 
-// Bytes are how many are taken, and how many may be.
+// Bytes are how many are in use, and how many may be.
 type Bytes struct {
 	Used int64 `json:"used"`
-	Most int64 `json:"most"`
+	Max  int64 `json:"most"`
 }
 
-// Status is what the gateway counts now.
+// Status returns what the gateway counts now. It may be called by any goroutine.
 func (g *Gateway) Status() any {
 	state, _ := g.gate.Draining()
 	s := Status{
 		State: state.String(), IDs: g.gate.Open(), Clients: g.server.Counts(),
-		Bodies: map[string]Bytes{}, Refused: map[string]int64{}, Loop: delayOf(&g.engine.LoopDelays),
+		Bodies: map[string]Bytes{}, Refused: map[string]int64{}, Loop: newDelay(&g.engine.LoopDelays),
 	}
 	s.Ready, s.Detail = g.gate.Health()
-	for _, c := range body.Causes() {
-		used, most := g.gate.Bodies.Used(c)
-		s.Bodies[c.String()] = Bytes{used, most}
+	for _, cause := range body.Causes() {
+		used, limit := g.gate.Bodies.Used(cause)
+		s.Bodies[cause.String()] = Bytes{used, limit}
 	}
 	if l := g.gate.Limits; l != nil {
-		for _, why := range front.Refusals() {
-			s.Refused[why.String()] = l.Refused(why)
+		for _, reason := range front.Refusals() {
+			s.Refused[reason.String()] = l.Refused(reason)
 		}
 		if l.Overload != nil {
 			s.Pressure, s.Shed = l.Overload.Pressure(), l.Overload.Shed()
--- a/internal/gateway/status_test.go
+++ b/internal/gateway/status_test.go
@@ -44,10 +44,10 @@
 	for range 4 {
 		fetch(t, "GET", g.urls[0]+"/", "")
 	}
-	if s := status(); s.Loop.Most == 0 || s.Loop.P99 > s.Loop.Most || s.Loop.P50 > s.Loop.P99 {
+	if s := status(); s.Loop.Max == 0 || s.Loop.P99 > s.Loop.Max || s.Loop.P50 > s.Loop.P99 {
 		t.Errorf("requests waited %+v for the loop", s.Loop)
 	}
-	if s := status(); s.Refused["client rate"] != 2 || s.Refused["overload"] != 0 || len(s.Bodies) != 3 || s.Bodies["flows"].Most == 0 {
+	if s := status(); s.Refused["client rate"] != 2 || s.Refused["overload"] != 0 || len(s.Bodies) != 3 || s.Bodies["flows"].Max == 0 {
 		t.Errorf("after two refusals: %+v", s)
 	}
 	// Who waits to be asked for a body and is turned away ends with the answer: what comes then
--- a/internal/sole/sole_test.go
+++ b/internal/instancelock/instancelock_test.go
@@ -1,4 +1,4 @@
-package sole
+package instancelock
 
 import (
 	"context"
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// TestMain lets the test binary be the other process: it claims a folder, says so, and stays.
+// TestMain lets the test binary be the other process: it takes the lock of a directory, says so, and stays.
 func TestMain(m *testing.M) {
 	if dir := os.Getenv("SOLE_TEST_DIR"); dir != "" {
-		if _, ok, err := Try(dir); !ok || err != nil {
+		if _, ok, err := TryLock(dir); !ok || err != nil {
 			os.Exit(1)
 		}
 		os.Stdout.WriteString("claimed")
@@ -21,8 +21,8 @@
 	os.Exit(m.Run())
 }
 
-// Whoever waits comes to its claim when the other is killed: it guards against a gateway that
-// makes do with half of a machine for good.
+// A process that waits gets the lock when the other is killed: it guards against a gateway that keeps to half of a
+// machine for good.
 func TestClaimOutlivesNoProcess(t *testing.T) {
 	dir := t.TempDir()
 	other := exec.Command(os.Args[0])
@@ -39,12 +39,12 @@
 	if _, err := out.Read(make([]byte, 16)); err != nil {
 		t.Fatal(err)
 	}
-	if _, ok, err := Try(dir); ok || err != nil {
-		t.Fatalf("two processes are the only one: %t, %v", ok, err)
+	if _, ok, err := TryLock(dir); ok || err != nil {
+		t.Fatalf("two processes hold the lock: %t, %v", ok, err)
 	}
 	got := make(chan error, 1)
 	go func() {
-		c, err := Wait(context.Background(), dir)
+		c, err := WaitLock(context.Background(), dir)
 		if err == nil {
 			c.Release()
 		}
@@ -54,17 +54,17 @@
 	if err := <-got; err != nil {
 		t.Fatal(err)
 	}
-	c, ok, err := Try(dir)
+	c, ok, err := TryLock(dir)
 	if !ok || err != nil {
-		t.Fatalf("a claim that was given up is not free: %t, %v", ok, err)
+		t.Fatalf("a lock that was released is not free: %t, %v", ok, err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if _, err := Wait(ctx, dir); err != context.Canceled {
-		t.Errorf("who leaves off waiting gets %v", err)
+	if _, err := WaitLock(ctx, dir); err != context.Canceled {
+		t.Errorf("a canceled wait returns %v", err)
 	}
 	c.Release()
-	if _, _, err := Try(dir + "/none"); err == nil {
-		t.Error("a folder that is not there can be claimed")
+	if _, _, err := TryLock(dir + "/none"); err == nil {
+		t.Error("a directory that does not exist can be locked")
 	}
 }
