--- a/internal/scale/hollow/host.go
+++ b/internal/scale/hollow/host.go
@@ -248,9 +248,9 @@
 type unheard struct{}
 
 func (unheard) UpdateEndpoints(balancer.ListKind, discovery.MemberList) {}
-func (unheard) EjectedHosts(int) []string                       { return nil }
-func (unheard) Address(string) string                           { return "" }
-func (unheard) HealthCheckPassed(string, time.Duration)         {}
+func (unheard) EjectedHosts(int) []string                               { return nil }
+func (unheard) Address(string) string                                   { return "" }
+func (unheard) HealthCheckPassed(string, time.Duration)                 {}
 
 func (h *host) named(name string) *gateway {
 	h.mu.Lock()
