--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,6 +1,6 @@
-// Package admin is the gateway's second address, where operators ask it how it is and have it
-// drain. It speaks HTTP/1.1 with one call to a connection and has a server of its own: what
-// clients do on theirs neither fills its lines nor uses up its connections.
+// Package admin is the gateway's second address, where operators ask for its state and have it drain. It speaks HTTP/1.1
+// with one call for each connection and has a server of its own: clients neither fill its queues nor use up its
+// connections.
 package admin
 
 import (
@@ -28,54 +28,58 @@
 )
 
 const (
-	// ConnsMost is how many connections may be open; beyond, the one that has been silent
-	// longest is closed. Callers come a few at a time, and some stay and say nothing.
-	ConnsMost = 16
-	// callTime is for a call to arrive. Some callers stay for 4 s with half a call: they are
-	// let stay, as they cost a descriptor only.
-	callTime   = 5 * time.Second
-	answerTime = time.Second
-	maxHead    = 4 << 10
+	// MaxConns is how many connections may be open; beyond, the one that has been silent longest is closed. Callers
+	// come a few at a time, and some stay without a call.
+	MaxConns = 16
+	// readTimeout is for a call to arrive. Some callers stay for 4 s with half a call: that costs only a descriptor.
+	readTimeout = 5 * time.Second
+	// responseTime is for a response to be written.
+	responseTime   = time.Second
+	maxHeaderBytes = 4 << 10
+	// callTimeout is how long a Call may take: its caller still gets a response then.
+	callTimeout = 4 * time.Second
+
+	typeText = "text/plain; charset=utf-8"
+	typeJSON = "application/json"
 )
 
-// Target is what the calls are about. None of its methods may wait.
+// Target is what the calls act on. None of its methods may wait.
 type Target interface {
-	// Ready says whether the process is ready to serve, with a line for people.
+	// Ready reports whether the process is ready to serve, with a line of text.
 	Ready() (ok bool, text string)
 	Quiesce()
 	Resume()
-	// Status is what is counted, to be written as JSON.
+	// Status returns what is counted, to be written as JSON.
 	Status() any
 }
 
-// Server answers calls.
-type Server struct {
-	http http.Server
-
-	others map[string]Call
-
-	mu     sync.Mutex
-	silent list.List // connections that have brought no whole call yet, oldest first
-	places map[net.Conn]*list.Element
-	open   int
-}
-
-// Call is one of a part that has calls of its own. Do may wait, until ctx ends at the latest.
+// Call is an operators' call. Do may wait until ctx ends; contentType may be empty for plain text.
 type Call struct {
 	Method string
-	Do     func(ctx context.Context, with url.Values) (status int, text, kind string)
+	Do     func(ctx context.Context, with url.Values) (status int, text, contentType string)
 }
 
-// callMost is how long a Call may take: its caller still gets an answer then.
-const callMost = 4 * time.Second
+// Server serves calls.
+type Server struct {
+	http  http.Server
+	calls map[string]Call // by path
+
+	mu       sync.Mutex
+	silent   list.List // connections without a call so far, oldest first
+	elements map[net.Conn]*list.Element
+	open     int
+}
 
-// New returns a Server that has calls carried out at a Target, and others by their paths.
+// New returns a Server for the calls on a Target, and others by their paths.
 func New(to Target, others map[string]Call) *Server {
-	s := &Server{places: map[net.Conn]*list.Element{}, others: others}
+	s := &Server{elements: map[net.Conn]*list.Element{}, calls: targetCalls(to)}
+	for path, c := range others {
+		s.calls[path] = c
+	}
 	s.http = http.Server{
-		Handler: s.calls(to), ConnState: s.track,
+		Handler: http.HandlerFunc(s.serveCall), ConnState: s.track,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) },
-		ReadTimeout: callTime, WriteTimeout: callTime + answerTime, MaxHeaderBytes: maxHead,
+		ReadTimeout: readTimeout, WriteTimeout: readTimeout + responseTime, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog:                     log.New(io.Discard, "", 0), // it would have a line for each bad caller
 		DisableGeneralOptionsHandler: true,
 	}
@@ -83,7 +87,7 @@
 	return s
 }
 
-// Serve answers calls on ln until ctx ends.
+// Serve serves calls on ln until ctx ends.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
 	defer context.AfterFunc(ctx, func() { s.http.Close() })()
 	if err := s.http.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
@@ -92,83 +96,79 @@
 	return nil
 }
 
-type connKey struct{} // of the connection among a call's context values
+// connKey is the key of the connection among the values of a call's context.
+type connKey struct{}
 
-// calls is what each call does.
-func (s *Server) calls(to Target) http.Handler {
-	type call struct {
-		method string
-		do     func() (int, string)
-		kind   string // of the answer; "": lines for people
+// targetCalls returns the calls on a Target.
+func targetCalls(to Target) map[string]Call {
+	text := func(method string, do func() (int, string)) Call {
+		return Call{method, func(context.Context, url.Values) (int, string, string) {
+			status, body := do()
+			return status, body, typeText
+		}}
 	}
-	list := map[string]call{
-		PathHealth: {http.MethodGet, func() (int, string) {
-			ok, text := to.Ready()
+	return map[string]Call{
+		PathHealth: text(http.MethodGet, func() (int, string) {
+			ok, body := to.Ready()
 			if !ok {
-				return http.StatusServiceUnavailable, text
+				return http.StatusServiceUnavailable, body
 			}
-			return http.StatusOK, text
-		}, ""},
-		PathQuiesce: {http.MethodPost, func() (int, string) {
+			return http.StatusOK, body
+		}),
+		PathQuiesce: text(http.MethodPost, func() (int, string) {
 			to.Quiesce()
 			return http.StatusOK, "draining\n"
-		}, ""},
-		PathResume: {http.MethodPost, func() (int, string) {
+		}),
+		PathResume: text(http.MethodPost, func() (int, string) {
 			to.Resume()
 			return http.StatusOK, "serving\n"
-		}, ""},
-		PathStatus: {http.MethodGet, func() (int, string) {
-			text, err := json.MarshalIndent(to.Status(), "", "  ")
+		}),
+		PathStatus: {http.MethodGet, func(context.Context, url.Values) (int, string, string) {
+			body, err := json.MarshalIndent(to.Status(), "", "  ")
 			if err != nil {
-				return http.StatusInternalServerError, err.Error() + "\n"
+				return http.StatusInternalServerError, err.Error() + "\n", typeJSON
 			}
-			return http.StatusOK, string(text) + "\n"
-		}, "application/json"},
+			return http.StatusOK, string(body) + "\n", typeJSON
+		}},
 	}
-	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s.mu.Lock()
-		s.heard(r.Context().Value(connKey{}).(net.Conn))
-		s.mu.Unlock()
-		status, text, kind := http.StatusNotFound, "no such call\n", ""
-		if c, ok := s.others[r.URL.Path]; ok {
-			if r.Method == c.Method {
-				ctx, cancel := context.WithTimeout(r.Context(), callMost)
-				status, text, kind = c.Do(ctx, r.URL.Query())
-				cancel()
-			} else {
-				w.Header().Set("Allow", c.Method)
-				status, text = http.StatusMethodNotAllowed, "this call is by "+c.Method+"\n"
-			}
-		} else if c, ok := list[r.URL.Path]; ok {
-			if r.Method == c.method {
-				status, text = c.do()
-				kind = c.kind
-			} else {
-				w.Header().Set("Allow", c.method)
-				status, text = http.StatusMethodNotAllowed, "this call is by "+c.method+"\n"
-			}
+}
+
+// serveCall serves one call.
+func (s *Server) serveCall(w http.ResponseWriter, r *http.Request) {
+	s.mu.Lock()
+	s.hasCalled(r.Context().Value(connKey{}).(net.Conn))
+	s.mu.Unlock()
+	status, text, contentType := http.StatusNotFound, "no such call\n", ""
+	if c, ok := s.calls[r.URL.Path]; ok {
+		if r.Method == c.Method {
+			ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
+			status, text, contentType = c.Do(ctx, r.URL.Query())
+			cancel()
+		} else {
+			w.Header().Set("Allow", c.Method)
+			status, text = http.StatusMethodNotAllowed, "this call is by "+c.Method+"\n"
 		}
-		w.Header().Set("Content-Type", cmp.Or(kind, "text/plain; charset=utf-8"))
-		w.Header().Set("Content-Length", strconv.Itoa(len(text)))
-		w.WriteHeader(status)
-		io.WriteString(w, text) // if it fails the caller has gone
-	})
+	}
+	w.Header().Set("Content-Type", cmp.Or(contentType, typeText))
+	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
+	w.WriteHeader(status)
+	io.WriteString(w, text) // if it fails the caller has gone
 }
 
-// track keeps the connections within their number: it guards against callers who stay and say
-// nothing, and would in time hold all descriptors.
+// track bounds the number of connections: it guards against callers who stay without a call, and would in time use up
+// all descriptors.
 func (s *Server) track(c net.Conn, state http.ConnState) {
 	var victim net.Conn
 	s.mu.Lock()
 	switch state {
 	case http.StateNew:
 		s.open++
-		s.places[c] = s.silent.PushBack(c)
-		if s.open > ConnsMost {
+		s.elements[c] = s.silent.PushBack(c)
+		if s.open > MaxConns {
 			victim = s.silent.Front().Value.(net.Conn)
 		}
 	case http.StateClosed, http.StateHijacked:
-		s.heard(c)
+		s.hasCalled(c)
 		s.open--
 	}
 	s.mu.Unlock()
@@ -177,10 +177,10 @@
 	}
 }
 
-// heard takes a connection from the line of the silent; mu is held.
-func (s *Server) heard(c net.Conn) {
-	if e := s.places[c]; e != nil {
+// hasCalled removes a connection from the silent ones; mu is held.
+func (s *Server) hasCalled(c net.Conn) {
+	if e := s.elements[c]; e != nil {
 		s.silent.Remove(e)
-		delete(s.places, c)
+		delete(s.elements, c)
 	}
 }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -39,7 +39,7 @@
 	return to, ln.Addr().String()
 }
 
-// call makes a call and says what came.
+// call makes a call and returns the status.
 func call(t *testing.T, addr, method, path string) int {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -57,7 +57,7 @@
 	}
 	resp.Body.Close()
 	if !resp.Close {
-		t.Errorf("%s %s: the connection goes on", method, path)
+		t.Errorf("%s %s: the connection stays open", method, path)
 	}
 	return resp.StatusCode
 }
@@ -80,17 +80,17 @@
 		}
 	}
 	if q, r := to.quiesced.Load(), to.resumed.Load(); q != 2 || r != 1 {
-		t.Errorf("%d drains and %d ends of one were asked for", q, r)
+		t.Errorf("%d drains and %d ends of a drain were called for", q, r)
 	}
 }
 
-// Callers who say nothing or half a call keep nobody from an answer, and hold no more than
-// their share of connections.
+// Callers without a call, or with half of one, keep nobody from a response, and have no more than their share of
+// connections.
 func TestSilentCallers(t *testing.T) {
 	to, addr := serve(t)
 	to.ready.Store(true)
 	var silent []net.Conn
-	for i := range 3 * ConnsMost {
+	for i := range 3 * MaxConns {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -106,11 +106,11 @@
 			t.Errorf("health: %d", got)
 		}
 	}
-	// The first to have come was closed to make room.
+	// The first connection was closed in favor of others.
 	if _, err := silent[0].Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "timeout") {
 		t.Errorf("the oldest silent caller is still there: %v", err)
 	}
 	if to.quiesced.Load() != 0 {
-		t.Error("half a call was carried out")
+		t.Error("half a call was served")
 	}
 }
