--- a/cmd/dunemoorctl/appliance.go
+++ b/cmd/dunemoorctl/appliance.go
@@ -111,7 +111,7 @@
 	fmt.Fprintf(out, "route %q, line %d: %s\n", r.Name, r.Line, strings.Join(why, ", "))
 	own := a.Routes[r.Index]
 	if own.Class != "" {
-		fmt.Fprintf(out, "class %s, %v; any answer of a host is passed on, %v count as failures\n", own.Class, own.Timeout, own.Failures)
+		fmt.Fprintf(out, "class %s, %v; any answer of a host is passed on, %v count as failures\n", own.Class, own.Timeout, own.FailureStatuses)
 	} else {
 		fmt.Fprintln(out, "class and time as the request says")
 	}
@@ -138,7 +138,7 @@
 	for _, s := range r.Split {
 		i := slices.IndexFunc(a.Pools, func(p config.Pool) bool { return p.Name == s.Pool })
 		if f := a.Pools[i].Fallback; len(f) > 0 {
-			fmt.Fprintf(out, "%s needs %.3g%% of its hosts; below, a part goes to %s\n", s.Pool, 100*a.Pools[i].Need, strings.Join(f, ", then "))
+			fmt.Fprintf(out, "%s needs %.3g%% of its hosts; below, a part goes to %s\n", s.Pool, 100*a.Pools[i].MinShare, strings.Join(f, ", then "))
 		}
 	}
 	return nil
--- /dev/null
+++ b/internal/config/checker.go
@@ -0,0 +1,104 @@
+package config
+
+import (
+	"net"
+	"strconv"
+	"strings"
+)
+
+// checker collects the mistakes of a file.
+type checker struct {
+	*Text
+	errors []error
+}
+
+// bad records a mistake at a key of the n-th table of a name.
+func (c *checker) bad(table string, n int, key, format string, args ...any) {
+	line := c.Line(table, n, key)
+	if c.LeftOut(line) {
+		return // it was reported when the line was read
+	}
+	field := strings.TrimPrefix(table+"."+key, ".")
+	c.errors = append(c.errors, c.Errorf(line, strings.TrimSuffix(field, "."), format, args...))
+}
+
+// within records a mistake where x is out of bounds.
+func (c *checker) within(table string, n int, key string, x, low, high float64) {
+	if !(x >= low && x <= high) {
+		c.bad(table, n, key, "%v is not between %v and %v", x, low, high)
+	}
+}
+
+// maxNameBytes is how long a name may be: names are in logs, file names and status lines.
+const maxNameBytes = 64
+
+// name records a mistake where a name could not be in a log, a file name or a terminal as it is. The caller reports an
+// empty one.
+func (c *checker) name(table string, n int, name string) { c.nameAt(table, n, "name", name) }
+
+// nameAt is name for a name at another key.
+func (c *checker) nameAt(table string, n int, key, name string) {
+	if len(name) > maxNameBytes {
+		c.bad(table, n, key, "is longer than %d characters", maxNameBytes)
+		return
+	}
+	for _, r := range name {
+		if !isAlphanumeric(r) && !strings.ContainsRune("-_.:[]", r) {
+			c.bad(table, n, key, "%q has %q in it: letters, digits, '-', '_', '.' and ':' only", name, r)
+			return
+		}
+	}
+}
+
+// uniqueName records a mistake where a name is missing or taken. taken has the index of each name so far.
+func (c *checker) uniqueName(table string, n int, name string, taken map[string]int) {
+	first, isTaken := taken[name]
+	switch {
+	case name == "":
+		c.bad(table, n, "name", "is missing")
+	case isTaken:
+		c.bad(table, n, "name", "%q is taken (line %d)", name, c.Line(table, first, "name"))
+	}
+	taken[name] = n
+}
+
+// uniqueAddress records a mistake where an address is no host:port or that of another. taken has the name at each address
+// so far.
+func (c *checker) uniqueAddress(table string, n int, name, address string, taken map[string]string) {
+	if !isHostPort(address, 1) {
+		c.bad(table, n, "address", "%q is no host:port", address)
+	} else if other := taken[address]; other != "" {
+		c.bad(table, n, "address", "%q is that of %s", address, other)
+	}
+	taken[address] = name
+}
+
+func isAlphanumeric(r rune) bool {
+	return r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9'
+}
+
+// isToken reports whether s is a token of RFC 9110, section 5.6.2.
+func isToken(s string) bool {
+	return s != "" && !strings.ContainsFunc(s, func(r rune) bool {
+		return !isAlphanumeric(r) && !strings.ContainsRune("!#$%&'*+-.^_`|~", r)
+	})
+}
+
+// maxUnixPath is the longest path of a socket, with the byte that ends it (unix(7)).
+const maxUnixPath = 108
+
+// isUnixPath reports whether an address names a socket of the file system.
+func isUnixPath(addr string) bool {
+	path, ok := strings.CutPrefix(addr, "unix:")
+	return ok && strings.HasPrefix(path, "/") && len(path) < maxUnixPath
+}
+
+// isHostPort reports whether an address is host:port; port 0 is for listeners only.
+func isHostPort(addr string, minPort uint64) bool {
+	_, port, err := net.SplitHostPort(addr)
+	if err != nil {
+		return false
+	}
+	n, err := strconv.ParseUint(port, 10, 16)
+	return err == nil && n >= minPort
+}
--- a/internal/config/fastcgi_test.go
+++ b/internal/config/fastcgi_test.go
@@ -23,7 +23,7 @@
 		}
 	}
 	for _, p := range a.Pools {
-		if p.Protocol == FastCGI && p.Root == "/srv/streets" && p.Params["APP_ENV"] == "production" {
+		if p.Protocol == FastCGI && p.ScriptRoot == "/srv/streets" && p.Params["APP_ENV"] == "production" {
 			pools++
 		}
 	}
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"net/url"
 	"os"
 	"slices"
 	"strings"
@@ -10,120 +9,125 @@
 
 // Fleet is a gateway's part in a fleet.
 type Fleet struct {
-	ID      string
-	Listen  string // where other gateways connect; "": with relays nobody connects to a gateway
-	DataDir string
-	KeyFile string
-	First   []string // gateways that hold the fleet's record at first
-	Peers   []FleetPeer
-	Relays  []FleetRelay // in the order of the file; none: all gateways are connected with all
-	Zone    string       // of this gateway
-	Region  string       // of this gateway, where there are relays
-	Machine string
+	ID                string
+	Listen            string // where other gateways connect; "": with relays nobody connects to a gateway
+	DataDir           string
+	KeyFile           string
+	BootstrapReplicas []string // names of gateways
+	Peers             []FleetPeer
+	Relays            []FleetRelay // in the order of the file; none: all gateways are connected with all
+	Zone              string       // of this gateway
+	Region            string       // of this gateway, where there are relays
+	Machine           string
 }
 
-// FleetRelay is a control machine that carries the words of the fleet's gateways.
+// FleetRelay is a machine that relays messages of the fleet's gateways.
 type FleetRelay struct{ Name, Address, Zone, Region string }
 
-// IsRelay says whether a gateway of this name is one of the relays.
+// FleetPeer is another gateway of the fleet.
+type FleetPeer struct{ Name, Address, Zone, Machine string }
+
+// IsRelay reports whether a gateway with a name is one of the relays.
 func (f *Fleet) IsRelay(name string) bool {
 	return slices.ContainsFunc(f.Relays, func(r FleetRelay) bool { return r.Name == name })
 }
 
-// FleetPeer is another gateway of the fleet.
-type FleetPeer struct{ Name, Address, Zone, Machine string }
-
-// Bounds of the fleet's part.
+// Bounds of the part for a fleet.
 const (
-	maxPeers  = 1023 // with this gateway as many as a full mesh has place for
-	maxRelays = 64   // each is connected with each other one, both ways
-	firstMost = 9    // each that holds the record costs every change a message
-	keyLeast  = 32   // bytes: as long as what is made of it
-	keyMost   = 4096
+	maxPeers             = 1023 // with this gateway as many as a full mesh allows
+	maxRelays            = 64   // each is connected with every other, in both directions
+	maxBootstrapReplicas = 9    // each costs every change a message
+	minKeyBytes          = 32   // as long as what is derived from it
+	maxKeyBytes          = 4096
+	// keyFileMode are the permissions that a key file must not have.
+	keyFileMode = 0o077
 )
 
-// fleet checks the fleet's part.
+// fleet checks the part for a fleet.
 func (c *checker) fleet(a *Appliance, f *fleetFile) {
 	if f == nil {
 		return
 	}
-	out := &Fleet{ID: f.ID, Listen: f.Listen, DataDir: f.DataDir, KeyFile: f.KeyFile, First: f.First}
-	bad := func(key, format string, args ...any) { c.bad("fleet", 0, key, format, args...) }
+	out := &Fleet{ID: f.ID, Listen: f.Listen, DataDir: f.DataDir, KeyFile: f.KeyFile, BootstrapReplicas: f.First}
 	if f.ID == "" {
-		bad("id", "is missing: what the fleet is called, the same at all its gateways")
+		c.bad("fleet", 0, "id", "is missing: what the fleet is called, the same at all its gateways")
 	}
 	c.nameAt("fleet", 0, "id", f.ID)
-	connects := len(f.Relay) > 0 && !slices.ContainsFunc(f.Relay, func(r relayFile) bool { return r.Name == a.Name })
-	switch {
-	case connects && f.Listen != "":
-		bad("listen", "is for relays: this gateway connects to one, and nobody to it")
-	case !connects && !hostPort(f.Listen, 1):
-		bad("listen", "%q is no address like \"10.0.0.4:7400\"", f.Listen)
-	}
+	c.fleetListen(a.Name, f)
 	if !strings.HasPrefix(f.DataDir, "/") {
-		bad("data_dir", "%q is no path from the root", f.DataDir)
+		c.bad("fleet", 0, "data_dir", "%q is no path from the root", f.DataDir)
 	}
 	if f.KeyFile == "" {
-		bad("key_file", "is missing: a file with the key that the fleet's gateways share")
+		c.bad("fleet", 0, "key_file", "is missing: a file with the key that the fleet's gateways share")
+	}
+	peers := c.peers(a.Name, f, out)
+	c.relays(a.Name, f, out)
+	c.bootstrapReplicas(a.Name, peers, out)
+	a.Fleet = out
+}
+
+// fleetListen checks the address for other gateways, which a gateway with a stream to a relay has not.
+func (c *checker) fleetListen(name string, f *fleetFile) {
+	hasStream := len(f.Relay) > 0 && !slices.ContainsFunc(f.Relay, func(r relayFile) bool { return r.Name == name })
+	switch {
+	case hasStream && f.Listen != "":
+		c.bad("fleet", 0, "listen", "is for relays: this gateway connects to one, and nobody to it")
+	case !hasStream && !isHostPort(f.Listen, 1):
+		c.bad("fleet", 0, "listen", "%q is no address like \"10.0.0.4:7400\"", f.Listen)
 	}
-	known := map[string]int{}
+}
+
+// peers reads the other gateways of a full mesh, and returns the index of each name.
+func (c *checker) peers(name string, f *fleetFile, out *Fleet) map[string]int {
 	if len(f.Peer) > maxPeers {
 		c.bad("fleet.peer", maxPeers, "", "more than %d", maxPeers)
 	}
-	at := map[string]string{}
+	names, addresses := map[string]int{}, map[string]string{}
 	for i, p := range f.Peer {
 		c.name("fleet.peer", i, p.Name)
-		first, taken := known[p.Name]
-		switch {
-		case p.Name == "":
-			c.bad("fleet.peer", i, "name", "is missing")
-		case taken:
-			c.bad("fleet.peer", i, "name", "%q is taken (line %d)", p.Name, c.Line("fleet.peer", first, "name"))
-		}
-		known[p.Name] = i
-		if p.Name == a.Name {
+		c.uniqueName("fleet.peer", i, p.Name, names)
+		if p.Name == name {
 			out.Zone, out.Machine = p.Zone, p.Machine // all gateways may have the same list
 			continue
 		}
-		if !hostPort(p.Address, 1) {
-			c.bad("fleet.peer", i, "address", "%q is no host:port", p.Address)
-		} else if other := at[p.Address]; other != "" {
-			c.bad("fleet.peer", i, "address", "%q is that of %s", p.Address, other)
-		}
-		at[p.Address] = p.Name
+		c.uniqueAddress("fleet.peer", i, p.Name, p.Address, addresses)
 		out.Peers = append(out.Peers, FleetPeer(p))
 	}
-	c.relays(a, f, out)
+	return names
+}
+
+// bootstrapReplicas checks the gateways that form the fleet.
+func (c *checker) bootstrapReplicas(name string, peers map[string]int, out *Fleet) {
+	bad := func(format string, args ...any) { c.bad("fleet", 0, "first", format, args...) }
+	list := out.BootstrapReplicas
 	switch {
-	case len(f.First) == 0:
-		bad("first", "is missing: the gateways that hold the fleet's record at first; three or five, as most of them have to be up")
-	case len(f.First) > firstMost:
-		bad("first", "%d gateways, %d at most", len(f.First), firstMost)
+	case len(list) == 0:
+		bad("is missing: the gateways that hold the fleet's record at first; three or five, as most of them have to be up")
+	case len(list) > maxBootstrapReplicas:
+		bad("%d gateways, %d at most", len(list), maxBootstrapReplicas)
 	}
-	for i, name := range f.First {
-		_, ok := known[name]
+	for i, replica := range list {
+		_, isPeer := peers[replica]
 		switch {
 		case len(out.Relays) > 0:
-			if !out.IsRelay(name) {
-				bad("first", "%q is no relay: in a fleet that has some they hold the record", name)
+			if !out.IsRelay(replica) {
+				bad("%q is no relay: in a fleet that has some they hold the record", replica)
 			}
-		case !ok && name != a.Name:
-			bad("first", "%q is neither a peer nor this gateway", name)
+		case !isPeer && replica != name:
+			bad("%q is neither a peer nor this gateway", replica)
 		}
-		if slices.Contains(f.First[:i], name) {
-			bad("first", "%q is there twice", name)
+		if slices.Contains(list[:i], replica) {
+			bad("%q is there twice", replica)
 		}
 	}
-	a.Fleet = out
 }
 
-// relays checks the relays, and where this gateway stands among them.
-func (c *checker) relays(a *Appliance, f *fleetFile, out *Fleet) {
-	bad := func(key, format string, args ...any) { c.bad("fleet", 0, key, format, args...) }
+// relays checks the relays, and the place of this gateway.
+func (c *checker) relays(name string, f *fleetFile, out *Fleet) {
 	if len(f.Relay) == 0 {
 		for _, own := range []struct{ key, value string }{{"zone", f.Zone}, {"region", f.Region}} {
 			if own.value != "" {
-				bad(own.key, "is for fleets with [[fleet.relay]]; among peers it stands with each [[fleet.peer]]")
+				c.bad("fleet", 0, own.key, "is for fleets with [[fleet.relay]]; among peers it stands with each [[fleet.peer]]")
 			}
 		}
 		return
@@ -137,54 +141,34 @@
 	c.nameAt("fleet", 0, "zone", f.Zone)
 	c.nameAt("fleet", 0, "region", f.Region)
 	out.Zone, out.Region = f.Zone, f.Region
-	named, at := map[string]int{}, map[string]string{}
+	names, addresses := map[string]int{}, map[string]string{}
 	var regions []string
 	for i, r := range f.Relay {
 		c.name("fleet.relay", i, r.Name)
 		c.nameAt("fleet.relay", i, "zone", r.Zone)
 		c.nameAt("fleet.relay", i, "region", r.Region)
-		first, taken := named[r.Name]
-		switch {
-		case r.Name == "":
-			c.bad("fleet.relay", i, "name", "is missing")
-		case taken:
-			c.bad("fleet.relay", i, "name", "%q is taken (line %d)", r.Name, c.Line("fleet.relay", first, "name"))
-		}
-		named[r.Name] = i
-		if !hostPort(r.Address, 1) {
-			c.bad("fleet.relay", i, "address", "%q is no host:port", r.Address)
-		} else if other := at[r.Address]; other != "" {
-			c.bad("fleet.relay", i, "address", "%q is that of %s", r.Address, other)
-		}
-		at[r.Address] = r.Name
+		c.uniqueName("fleet.relay", i, r.Name, names)
+		c.uniqueAddress("fleet.relay", i, r.Name, r.Address, addresses)
 		if !slices.Contains(regions, r.Region) {
 			regions = append(regions, r.Region)
 		}
-		if r.Name == a.Name {
-			for _, x := range []struct{ key, own, relay string }{{"zone", f.Zone, r.Zone}, {"region", f.Region, r.Region}} {
-				if x.own != "" && x.own != x.relay {
-					bad(x.key, "%q, and as a relay it is in %q (line %d)", x.own, x.relay, c.Line("fleet.relay", i, x.key))
-				}
-			}
+		if r.Name == name {
+			c.ownRelay(i, f, &r)
 			out.Zone, out.Region = r.Zone, r.Region
 		}
 		out.Relays = append(out.Relays, FleetRelay(r))
 	}
 	if !slices.Contains(regions, out.Region) {
-		bad("region", "no relay is in region %q, they are in %q", out.Region, regions)
+		c.bad("fleet", 0, "region", "no relay is in region %q, they are in %q", out.Region, regions)
 	}
 }
 
-// check checks the path by which the fleet tries a pool's hosts.
-func (c *checker) check(i int, p *Pool, fleet bool) {
-	switch u, err := url.ParseRequestURI(p.Check); {
-	case p.Check == "":
-	case !fleet:
-		c.bad("pool", i, "check", "needs [fleet]: it is one gateway that tries hosts for all")
-	case p.Protocol == FastCGI:
-		c.bad("pool", i, "check", "is for pools with protocol = %q", HTTP1)
-	case err != nil || !strings.HasPrefix(p.Check, "/") || u.Fragment != "" || strings.ContainsFunc(p.Check, func(r rune) bool { return r <= ' ' || r >= 0x7f }):
-		c.bad("pool", i, "check", "%q is no path like \"/alive\"", p.Check)
+// ownRelay checks that a relay's own zone and region agree with its entry.
+func (c *checker) ownRelay(i int, f *fleetFile, r *relayFile) {
+	for _, x := range []struct{ key, own, relay string }{{"zone", f.Zone, r.Zone}, {"region", f.Region, r.Region}} {
+		if x.own != "" && x.own != x.relay {
+			c.bad("fleet", 0, x.key, "%q, and as a relay it is in %q (line %d)", x.own, x.relay, c.Line("fleet.relay", i, x.key))
+		}
 	}
 }
 
@@ -194,18 +178,18 @@
 	if err != nil {
 		return nil, fmt.Errorf("fleet.key_file: %w", err)
 	}
-	if info.Mode().Perm()&0o077 != 0 {
+	if info.Mode().Perm()&keyFileMode != 0 {
 		return nil, fmt.Errorf("fleet.key_file: %s: others than its owner may use it (mode %04o): chmod 600", path, info.Mode().Perm())
 	}
-	if info.Size() > keyMost {
-		return nil, fmt.Errorf("fleet.key_file: %s: %d bytes, %d at most", path, info.Size(), keyMost)
+	if info.Size() > maxKeyBytes {
+		return nil, fmt.Errorf("fleet.key_file: %s: %d bytes, %d at most", path, info.Size(), maxKeyBytes)
 	}
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("fleet.key_file: %w", err)
 	}
-	if b = []byte(strings.TrimSpace(string(b))); len(b) < keyLeast {
-		return nil, fmt.Errorf("fleet.key_file: %s: %d bytes, %d at least: head -c 32 /dev/urandom | base64", path, len(b), keyLeast)
+	if b = []byte(strings.TrimSpace(string(b))); len(b) < minKeyBytes {
+		return nil, fmt.Errorf("fleet.key_file: %s: %d bytes, %d at least: head -c 32 /dev/urandom | base64", path, len(b), minKeyBytes)
 	}
 	return b, nil
 }
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -18,7 +18,7 @@
 	}
 	good := string(b)
 	a, wrong := ParseAppliance("f", good)
-	if len(wrong) > 0 || a.Fleet.ID != "glasgow" || len(a.Fleet.Peers) != 2 || a.Fleet.Machine != "m1" || len(a.Fleet.First) != 3 {
+	if len(wrong) > 0 || a.Fleet.ID != "glasgow" || len(a.Fleet.Peers) != 2 || a.Fleet.Machine != "m1" || len(a.Fleet.BootstrapReplicas) != 3 {
 		t.Fatalf("%+v, %v", a, wrong)
 	}
 	for _, c := range []struct{ old, new, want string }{
@@ -120,16 +120,16 @@
 		mode os.FileMode
 		want string
 	}{
-		{strings.Repeat("k", keyLeast) + "\n", 0o600, ""},
-		{strings.Repeat("k", keyLeast), 0o640, "others than its owner"},
-		{strings.Repeat("k", keyLeast-1) + "\n", 0o600, "31 bytes, 32 at least"},
-		{strings.Repeat("k", keyMost+1), 0o600, "4096 at most"},
+		{strings.Repeat("k", minKeyBytes) + "\n", 0o600, ""},
+		{strings.Repeat("k", minKeyBytes), 0o640, "others than its owner"},
+		{strings.Repeat("k", minKeyBytes-1) + "\n", 0o600, "31 bytes, 32 at least"},
+		{strings.Repeat("k", maxKeyBytes+1), 0o600, "4096 at most"},
 	} {
 		os.Remove(path)
 		if err := os.WriteFile(path, []byte(c.text), c.mode); err != nil {
 			t.Fatal(err)
 		}
-		if key, err := ReadKey(path); (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) || err == nil && len(key) != keyLeast {
+		if key, err := ReadKey(path); (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) || err == nil && len(key) != minKeyBytes {
 			t.Errorf("%d bytes, mode %o: %d, %v, want %q", len(c.text), c.mode, len(key), err, c.want)
 		}
 	}
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -6,12 +6,9 @@
 	"errors"
 	"fmt"
 	"log/slog"
-	"maps"
 	"net"
 	"os"
-	"slices"
 	"strconv"
-	"strings"
 	"syscall"
 	"time"
 
@@ -20,46 +17,60 @@
 	"dunemoor/internal/wire"
 )
 
-// Platform is what a gateway is told at its start by the platform that runs it.
+// Platform is the configuration of a gateway of the platform.
 type Platform struct {
 	Name   string
 	Listen string // where clients connect
-	Admin  string // the second address, for calls of operators; "": none
-	// ClientsFD is the descriptor of a socket that listens for clients, held by the platform
-	// and shared with other processes; 0: there is none, and Listen is ours to open.
+	Admin  string // address of the operators' calls; "": none
+	// ClientsFD is the descriptor of a socket that listens for clients, held by the platform and shared with other
+	// processes; 0: there is none, and the gateway opens Listen.
 	ClientsFD int
-	Discovery string // where the list of hosts comes from
+	Discovery string // address of the service that has the endpoint list
 	Seed      uint64
 
 	Cores    float64
 	MemoryMB int
-	Sockets  int // file descriptors that the process may hold
+	Sockets  int // file descriptors that the process may have
 
-	Known    discovery.MemberList // the hosts as this gateway last had them
+	Known    discovery.MemberList // the endpoint list that this gateway had last
 	Settings balancer.Settings
 
-	// Names as they stand in requests and lists; the module knows their index.
+	// Names in requests and lists, with their numbers in the balancer.
 	Classes map[string]int
 	Tenants map[string]int
 	Zones   map[string]int
 	Kinds   map[string]int
 
-	shape *shape // of the file: what one that is read later must have
+	keys *keySet // of the file: a later one must have them too
 
 	ConnIdle    time.Duration // a host closes a connection that was idle this long
-	DialTimeout time.Duration // a connection that is not up by then has failed
+	DialTimeout time.Duration
 }
 
-// Defaults of what the file may leave out.
+// Defaults and bounds of the platform's configuration.
 const (
 	defaultConnIdle    = time.Minute
 	defaultDialTimeout = 250 * time.Millisecond
+	// maxSpan bounds the times of the settings object.
+	maxSpan = time.Hour
+	// firstFreeDescriptor is the first that is not standard input, output or error.
+	firstFreeDescriptor = 3
 )
 
-// Memory is how many bytes the process may fill.
+// Variables of the environment.
+const (
+	envConfig    = "GW_CONFIG"
+	envName      = "GW_NAME"
+	envListen    = "GW_LISTEN"
+	envDiscovery = "GW_DISCOVERY"
+	envAdmin     = "GW_ADMIN"
+	envFD        = "GW_FD"
+)
+
+// Memory returns how many bytes the process may use.
 func (c *Platform) Memory() int64 { return int64(cmp.Or(c.MemoryMB, DefaultMemoryMB)) << 20 }
 
-// platformFile is the form of GW_CONFIG.
+// platformFile is the form of the file that GW_CONFIG names.
 type platformFile struct {
 	Name      string
 	Listen    string
@@ -77,7 +88,7 @@
 	fd int // GW_FD
 }
 
-// names is what the settings object holds beside the module's part.
+// names is what the settings object has beside the balancer's part.
 type names struct {
 	Classes []named
 	Tenants []named
@@ -92,59 +103,69 @@
 
 type named struct{ Name string }
 
-// LoadPlatform reads the configuration from the file that GW_CONFIG names; the other
-// GW_ variables go before what the file says. An error is one plain line that
-// names the field at fault.
+// LoadPlatform reads the file that GW_CONFIG names; the other GW_ variables take precedence over it. An error is one line
+// that names the field at fault.
 func LoadPlatform(getenv func(string) string) (*Platform, error) {
-	path := getenv("GW_CONFIG")
+	path := getenv(envConfig)
 	if path == "" {
-		return nil, errors.New("GW_CONFIG: not set")
+		return nil, errors.New(envConfig + ": not set")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("GW_CONFIG: %w", err)
+		return nil, fmt.Errorf("%s: %w", envConfig, err)
 	}
 	var f platformFile
-	if err := json.Unmarshal(text, &f); err != nil {
-		return nil, fmt.Errorf("GW_CONFIG: %s: %w", path, err)
+	var all any
+	for _, v := range []any{&f, &all} {
+		if err := json.Unmarshal(text, v); err != nil {
+			return nil, fmt.Errorf("%s: %s: %w", envConfig, path, err)
+		}
 	}
+	if err := f.applyEnvironment(getenv); err != nil {
+		return nil, err
+	}
+	c, err := f.config()
+	if err != nil {
+		return nil, err
+	}
+	c.keys = newKeySet(all)
+	c.limitSockets()
+	return c, nil
+}
+
+// applyEnvironment replaces values by those of the environment.
+func (f *platformFile) applyEnvironment(getenv func(string) string) (err error) {
 	for _, v := range []struct {
 		name string
 		to   *string
-	}{{"GW_NAME", &f.Name}, {"GW_LISTEN", &f.Listen}, {"GW_DISCOVERY", &f.Discovery}, {"GW_ADMIN", &f.Admin}} {
+	}{{envName, &f.Name}, {envListen, &f.Listen}, {envDiscovery, &f.Discovery}, {envAdmin, &f.Admin}} {
 		if s := getenv(v.name); s != "" {
 			*v.to = s
 		}
 	}
-	if s := getenv("GW_FD"); s != "" {
-		if f.fd, err = strconv.Atoi(s); err != nil || f.fd < 3 {
-			return nil, fmt.Errorf("GW_FD: %q is no number of a descriptor from 3 on", s)
+	if s := getenv(envFD); s != "" {
+		if f.fd, err = strconv.Atoi(s); err != nil || f.fd < firstFreeDescriptor {
+			return fmt.Errorf("%s: %q is no number of a descriptor from %d on", envFD, s, firstFreeDescriptor)
 		}
 	}
-	c, err := f.config()
-	if err != nil {
-		return nil, err
-	}
-	var all any
-	if err := json.Unmarshal(text, &all); err != nil {
-		return nil, fmt.Errorf("GW_CONFIG: %s: %w", path, err)
-	}
-	c.shape = shapeOf(all)
-	// What the system does not let the process have can't be parted among clients and hosts.
+	return nil
+}
+
+// limitSockets limits Sockets to what the system allows the process: more can't be divided among clients and hosts.
+func (c *Platform) limitSockets() {
 	var files syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files) == nil && files.Cur < uint64(c.Sockets) {
 		slog.Warn("fewer descriptors than limits.sockets", "sockets", c.Sockets, "RLIMIT_NOFILE", files.Cur)
 		c.Sockets = int(files.Cur)
 	}
-	return c, nil
 }
 
-// ReloadPlatform reads the file anew. Here its discovery goes before GW_DISCOVERY, which
-// the process was started with and cannot have changed since. What the file had at the start
-// it must have still: it guards against taking for a wish what was left out by mistake.
+// ReloadPlatform reads the file again. Here its discovery takes precedence over GW_DISCOVERY, which the process was started
+// with and can't have changed since. The file must have all keys that the first one had: it guards against applying what was
+// left out by mistake.
 func ReloadPlatform(getenv func(string) string, first *Platform) (*Platform, error) {
 	c, err := LoadPlatform(func(name string) string {
-		if name == "GW_DISCOVERY" {
+		if name == envDiscovery {
 			return ""
 		}
 		return getenv(name)
@@ -152,108 +173,27 @@
 	if err != nil {
 		return nil, err
 	}
-	if key := first.shape.lacks(c.shape, ""); key != "" {
-		return nil, fmt.Errorf("GW_CONFIG: %s: missing", key)
+	if key := first.keys.missing(c.keys, ""); key != "" {
+		return nil, fmt.Errorf("%s: %s: missing", envConfig, key)
 	}
 	return c, nil
 }
 
-// shape is which keys a JSON value has, without what they hold.
-type shape struct {
-	keys map[string]*shape // of an object
-	each *shape            // what all objects of a list have; nil: there are none
-	list bool
-}
-
-// shapeOf is the shape of a decoded value; null is no value.
-func shapeOf(v any) *shape {
-	switch v := v.(type) {
-	case map[string]any:
-		s := &shape{keys: make(map[string]*shape, len(v))}
-		for key, x := range v {
-			if x != nil {
-				s.keys[key] = shapeOf(x)
-			}
-		}
-		return s
-	case []any:
-		s := &shape{list: true}
-		for _, x := range v {
-			e := shapeOf(x)
-			if e.keys == nil {
-				continue
-			}
-			if s.each == nil {
-				s.each = e
-			} else {
-				s.each = s.each.common(e)
-			}
-		}
-		return s
-	}
-	return &shape{}
-}
-
-// common is what two objects have both.
-func (s *shape) common(o *shape) *shape {
-	both := &shape{keys: map[string]*shape{}}
-	for key, x := range s.keys {
-		if y := o.keys[key]; y != nil && x.keys != nil && y.keys != nil {
-			both.keys[key] = x.common(y)
-		} else if y != nil {
-			both.keys[key] = x
-		}
-	}
-	return both
-}
-
-// lacks names a key of s that o lacks, "" if there is none.
-func (s *shape) lacks(o *shape, at string) string {
-	if s.list && !o.list {
-		return at
-	}
-	if s.each != nil && o.each != nil {
-		return s.each.lacks(o.each, at+"[]")
-	}
-	for _, key := range slices.Sorted(maps.Keys(s.keys)) {
-		x, in := o.keys[key], strings.TrimPrefix(at+"."+key, ".")
-		if x == nil {
-			return in
-		}
-		if missing := s.keys[key].lacks(x, in); missing != "" {
-			return missing
-		}
-	}
-	return ""
-}
-
+// config checks the file and returns its configuration.
 func (f *platformFile) config() (*Platform, error) {
 	c := &Platform{
 		ClientsFD: f.fd, Name: f.Name, Listen: f.Listen, Admin: f.Admin, Discovery: f.Discovery,
 		Cores: f.Limits.Cores, MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets, Known: f.Known,
 	}
-	addrs := []struct{ field, addr string }{{"listen", f.Listen}, {"discovery", f.Discovery}}
-	if f.Admin != "" {
-		addrs = append(addrs, struct{ field, addr string }{"admin", f.Admin})
-	}
-	for _, a := range addrs {
-		if _, _, err := net.SplitHostPort(a.addr); err != nil {
-			return nil, fmt.Errorf("%s: %q is no host:port", a.field, a.addr)
-		}
+	if err := f.checkAddresses(); err != nil {
+		return nil, err
 	}
 	var err error
 	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("seed: %q is no hexadecimal number of 64 bits", f.Seed)
 	}
-	switch {
-	case c.Cores < 0:
-		return nil, fmt.Errorf("limits.cores: %v is below 0", c.Cores)
-	case c.MemoryMB < 0:
-		return nil, fmt.Errorf("limits.memory_mb: %d is below 0", c.MemoryMB)
-	case c.Sockets < 0 || c.Sockets > 0 && c.Sockets < 64:
-		return nil, fmt.Errorf("limits.sockets: %d is too few, 64 at least", c.Sockets)
-	case c.Sockets == 0:
-		c.Sockets = defaultSockets
+	if err := c.checkLimits(); err != nil {
+		return nil, err
 	}
 	if len(f.Settings) == 0 {
 		return nil, errors.New("settings: missing")
@@ -271,40 +211,71 @@
 	if m := n.Caps.MaxAttempts; m != nil && !(*m > 0) {
 		return nil, fmt.Errorf("settings: caps.max_attempts: %v is not above 0", *m)
 	}
-	for _, t := range []struct {
-		field string
-		list  []named
-		to    *map[string]int
-	}{{"classes", n.Classes, &c.Classes}, {"tenants", n.Tenants, &c.Tenants}} {
-		list := make([]string, len(t.list))
-		for i, e := range t.list {
-			list[i] = e.Name
-		}
-		if *t.to, err = index(t.field, list); err != nil {
-			return nil, err
-		}
-	}
-	if c.Zones, err = index("azs", n.Zones); err != nil {
-		return nil, err
-	}
-	if c.Kinds, err = index("kinds", n.Kinds); err != nil {
+	if err := c.setNames(&n); err != nil {
 		return nil, err
 	}
-	if c.ConnIdle, err = micros("caps.conn_idle", n.Caps.ConnIdle, defaultConnIdle); err != nil {
+	if c.ConnIdle, err = microseconds("caps.conn_idle", n.Caps.ConnIdle, defaultConnIdle); err != nil {
 		return nil, err
 	}
-	c.DialTimeout, err = micros("caps.dial_timeout", n.Caps.DialTimeout, defaultDialTimeout)
+	c.DialTimeout, err = microseconds("caps.dial_timeout", n.Caps.DialTimeout, defaultDialTimeout)
 	return c, err
 }
 
-// index numbers names in the order of the settings, as the module does.
-func index(field string, list []string) (map[string]int, error) {
+func (f *platformFile) checkAddresses() error {
+	addresses := []struct{ field, address string }{{"listen", f.Listen}, {"discovery", f.Discovery}}
+	if f.Admin != "" {
+		addresses = append(addresses, struct{ field, address string }{"admin", f.Admin})
+	}
+	for _, a := range addresses {
+		if _, _, err := net.SplitHostPort(a.address); err != nil {
+			return fmt.Errorf("%s: %q is no host:port", a.field, a.address)
+		}
+	}
+	return nil
+}
+
+// checkLimits checks the limits and sets their defaults.
+func (c *Platform) checkLimits() error {
+	switch {
+	case c.Cores < 0:
+		return fmt.Errorf("limits.cores: %v is below 0", c.Cores)
+	case c.MemoryMB < 0:
+		return fmt.Errorf("limits.memory_mb: %d is below 0", c.MemoryMB)
+	case c.Sockets < 0 || c.Sockets > 0 && c.Sockets < minSockets:
+		return fmt.Errorf("limits.sockets: %d is too few, %d at least", c.Sockets, minSockets)
+	}
+	c.Sockets = cmp.Or(c.Sockets, defaultSockets)
+	return nil
+}
+
+// setNames numbers classes, tenants, zones and kinds.
+func (c *Platform) setNames(n *names) (err error) {
+	namesOf := func(list []named) (names []string) {
+		for _, x := range list {
+			names = append(names, x.Name)
+		}
+		return names
+	}
+	for _, x := range []struct {
+		field string
+		list  []string
+		to    *map[string]int
+	}{{"classes", namesOf(n.Classes), &c.Classes}, {"tenants", namesOf(n.Tenants), &c.Tenants}, {"azs", n.Zones, &c.Zones}, {"kinds", n.Kinds, &c.Kinds}} {
+		if *x.to, err = numberNames(x.field, x.list); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// numberNames numbers names in the order of the settings, as the balancer does.
+func numberNames(field string, list []string) (map[string]int, error) {
 	m := make(map[string]int, len(list))
 	for i, name := range list {
 		if name == "" {
 			return nil, fmt.Errorf("settings: %s: entry %d has no name", field, i)
 		}
-		if _, twice := m[name]; twice {
+		if _, exists := m[name]; exists {
 			return nil, fmt.Errorf("settings: %s: %q is there twice", field, name)
 		}
 		m[name] = i
@@ -312,12 +283,12 @@
 	return m, nil
 }
 
-// micros converts a span in microseconds; 0 stands for the default.
-func micros(field string, us float64, def time.Duration) (time.Duration, error) {
+// microseconds converts a number of microseconds; 0 stands for the default.
+func microseconds(field string, us float64, byDefault time.Duration) (time.Duration, error) {
 	if us == 0 {
-		return def, nil
+		return byDefault, nil
 	}
-	if !(us > 0 && us < float64(time.Hour/time.Microsecond)) {
+	if !(us > 0 && us < float64(maxSpan/time.Microsecond)) {
 		return 0, fmt.Errorf("settings: %s: %v is not between 0 and an hour", field, us)
 	}
 	return time.Duration(us * float64(time.Microsecond)), nil
--- a/internal/config/recording.go
+++ b/internal/config/recording.go
@@ -11,94 +11,104 @@
 	"dunemoor/internal/flight"
 )
 
-// Bounds of what a recording may take. A ring below the least holds too little between two
-// checkpoints; beyond the most it would crowd out the requests.
+// Defaults and bounds of recordings. A smaller ring holds too little between two checkpoints; a larger one would take
+// memory from requests.
 const (
-	ringLeast     = 128 << 10
-	ringMost      = 256 << 20
-	ringDefault   = 1 << 20
-	viewDefault   = 250 * time.Millisecond
-	fileDefault   = 64 << 20
-	fileLeast     = 1 << 20
-	withinDefault = 5 * time.Second
-	pauseDefault  = time.Minute
-	leastDefault  = 50
+	defaultRingBytes     = 1 << 20
+	minRingBytes         = 128 << 10
+	maxRingBytes         = 256 << 20
+	defaultViewInterval  = 250 * time.Millisecond
+	defaultFileBytes     = 64 << 20
+	minFileBytes         = 1 << 20
+	defaultTriggerWithin = 5 * time.Second
+	defaultTriggerPause  = time.Minute
+	defaultTriggerLeast  = 50
 )
 
-// recordingFile is the form of the file. Spans are text like "250ms".
+// recordingFile is the form of the flight recorder's file.
 type recordingFile struct {
-	RingKB    int    `toml:"ring_kb"`
-	ViewEvery Span   `toml:"view_every"`
-	Dir       string `toml:"dir"`
-	File      string `toml:"file"`
-	FileMB    int    `toml:"file_mb"`
+	RingKB    int      `toml:"ring_kb"`
+	ViewEvery Duration `toml:"view_every"`
+	Dir       string   `toml:"dir"`
+	File      string   `toml:"file"`
+	FileMB    int      `toml:"file_mb"`
 	Trigger   struct {
-		Refused float64 `toml:"refused"`
-		Within  Span    `toml:"within"`
-		Least   int     `toml:"least"`
-		Pause   Span    `toml:"pause"`
+		Refused float64  `toml:"refused"`
+		Within  Duration `toml:"within"`
+		Least   int      `toml:"least"`
+		Pause   Duration `toml:"pause"`
 	} `toml:"trigger"`
 }
 
-// LoadRecording reads the file. An error is one line that names file, line and field.
+// LoadRecording reads the flight recorder's file. It returns the first mistake.
 func LoadRecording(path string) (*engine.RecordingConfig, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	f := recordingFile{
-		RingKB: ringDefault >> 10, ViewEvery: Span(viewDefault), FileMB: fileDefault >> 20,
-	}
-	f.Trigger.Within, f.Trigger.Pause, f.Trigger.Least = Span(withinDefault), Span(pauseDefault), leastDefault
+	f := recordingFile{RingKB: defaultRingBytes >> 10, ViewEvery: Duration(defaultViewInterval), FileMB: defaultFileBytes >> 20}
+	f.Trigger.Within, f.Trigger.Pause, f.Trigger.Least = Duration(defaultTriggerWithin), Duration(defaultTriggerPause), defaultTriggerLeast
 	file := NewText(path, string(text))
 	if err := file.Decode(&f); err != nil {
 		return nil, err
 	}
-	line := func(key string) int {
-		if table, last, ok := strings.Cut(key, "."); ok {
-			return file.Line(table, 0, last)
-		}
-		return file.Line("", 0, key)
-	}
-	within := func(key string, x, least, most float64) error {
-		if x >= least && x <= most {
-			return nil
-		}
-		return file.Error(line(key), key, "%v is not between %v and %v", x, least, most)
-	}
-	for _, err := range []error{
-		within("ring_kb", float64(f.RingKB), ringLeast>>10, ringMost>>10),
-		within("view_every", time.Duration(f.ViewEvery).Seconds(), 0, math.MaxInt32),
-		within("file_mb", float64(f.FileMB), fileLeast>>20, math.MaxInt32),
-		within("trigger.refused", f.Trigger.Refused, 0, 1),
-		within("trigger.within", time.Duration(f.Trigger.Within).Seconds(), 0.1, 3600),
-		within("trigger.least", float64(f.Trigger.Least), 1, math.MaxInt32),
-		within("trigger.pause", time.Duration(f.Trigger.Pause).Seconds(), 1, math.MaxInt32),
-	} {
-		if err != nil {
+	for _, check := range []func(*Text, *recordingFile) error{checkRecordingBounds, checkRecordingPaths} {
+		if err := check(file, &f); err != nil {
 			return nil, err
 		}
 	}
-	c := &engine.RecordingConfig{
+	return &engine.RecordingConfig{
 		RingBytes: f.RingKB << 10, ViewInterval: time.Duration(f.ViewEvery), Dir: f.Dir,
 		File: f.File, MaxFileBytes: int64(f.FileMB) << 20,
 		Trigger: flight.Trigger{
 			Share: f.Trigger.Refused, Within: time.Duration(f.Trigger.Within),
 			Least: f.Trigger.Least, Pause: time.Duration(f.Trigger.Pause),
 		},
+	}, nil
+}
+
+// dottedLine returns the line of a key of the top, or of a table ("table.key").
+func (t *Text) dottedLine(key string) int {
+	if table, last, ok := strings.Cut(key, "."); ok {
+		return t.Line(table, 0, last)
 	}
-	if c.Dir == "" && c.Trigger.Share > 0 {
-		return nil, file.Error(line("trigger.refused"), "trigger.refused", "dir is not set, where would the recording go")
-	}
-	if c.Dir != "" {
-		if st, err := os.Stat(c.Dir); err != nil || !st.IsDir() {
-			return nil, file.Error(line("dir"), "dir", "%s is no folder", c.Dir)
+	return t.Line("", 0, key)
+}
+
+func checkRecordingBounds(file *Text, f *recordingFile) error {
+	for _, x := range []struct {
+		key              string
+		value, low, high float64
+	}{
+		{"ring_kb", float64(f.RingKB), minRingBytes >> 10, maxRingBytes >> 10},
+		{"view_every", time.Duration(f.ViewEvery).Seconds(), 0, math.MaxInt32},
+		{"file_mb", float64(f.FileMB), minFileBytes >> 20, math.MaxInt32},
+		{"trigger.refused", f.Trigger.Refused, 0, 1},
+		{"trigger.within", time.Duration(f.Trigger.Within).Seconds(), 0.1, 3600},
+		{"trigger.least", float64(f.Trigger.Least), 1, math.MaxInt32},
+		{"trigger.pause", time.Duration(f.Trigger.Pause).Seconds(), 1, math.MaxInt32},
+	} {
+		if !(x.value >= x.low && x.value <= x.high) {
+			return file.Errorf(file.dottedLine(x.key), x.key, "%v is not between %v and %v", x.value, x.low, x.high)
 		}
 	}
-	if c.File != "" {
-		if st, err := os.Stat(filepath.Dir(c.File)); err != nil || !st.IsDir() {
-			return nil, file.Error(line("file"), "file", "%s is in no folder", c.File)
-		}
+	return nil
+}
+
+func checkRecordingPaths(file *Text, f *recordingFile) error {
+	if f.Dir == "" && f.Trigger.Refused > 0 {
+		return file.Errorf(file.dottedLine("trigger.refused"), "trigger.refused", "dir is not set, where would the recording go")
 	}
-	return c, nil
+	if f.Dir != "" && !isDir(f.Dir) {
+		return file.Errorf(file.dottedLine("dir"), "dir", "%s is no folder", f.Dir)
+	}
+	if f.File != "" && !isDir(filepath.Dir(f.File)) {
+		return file.Errorf(file.dottedLine("file"), "file", "%s is in no folder", f.File)
+	}
+	return nil
+}
+
+func isDir(path string) bool {
+	info, err := os.Stat(path)
+	return err == nil && info.IsDir()
 }
--- a/internal/config/recording_test.go
+++ b/internal/config/recording_test.go
@@ -23,11 +23,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.RingBytes != 256<<10 || c.ViewInterval != 100*time.Millisecond || c.Dir != dir || c.MaxFileBytes != fileDefault ||
-		c.Trigger.Share != 0.25 || c.Trigger.Within != 2*time.Second || c.Trigger.Pause != pauseDefault || c.Trigger.Least != leastDefault {
+	if c.RingBytes != 256<<10 || c.ViewInterval != 100*time.Millisecond || c.Dir != dir || c.MaxFileBytes != defaultFileBytes ||
+		c.Trigger.Share != 0.25 || c.Trigger.Within != 2*time.Second || c.Trigger.Pause != defaultTriggerPause || c.Trigger.Least != defaultTriggerLeast {
 		t.Errorf("%+v", c)
 	}
-	if c, err = LoadRecording(writeFile(t, "")); err != nil || c.RingBytes != ringDefault || c.Trigger.Share != 0 {
+	if c, err = LoadRecording(writeFile(t, "")); err != nil || c.RingBytes != defaultRingBytes || c.Trigger.Share != 0 {
 		t.Errorf("an empty file: %+v, %v", c, err)
 	}
 }
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -90,7 +90,7 @@
 	if err := json.Unmarshal([]byte(platformText), &all); err != nil {
 		t.Fatal(err)
 	}
-	was := shapeOf(all)
+	was := newKeySet(all)
 	keys := 0
 	var cut func(v any)
 	cut = func(v any) {
@@ -102,7 +102,7 @@
 				}
 				keys++
 				delete(v, key)
-				if was.lacks(shapeOf(all), "") == "" {
+				if was.missing(newKeySet(all), "") == "" {
 					t.Errorf("%s is not missed", key)
 				}
 				v[key] = x
@@ -115,7 +115,7 @@
 		}
 	}
 	cut(all)
-	if keys < 20 || was.lacks(shapeOf(all), "") != "" {
+	if keys < 20 || was.missing(newKeySet(all), "") != "" {
 		t.Errorf("%d keys were cut", keys)
 	}
 }
--- a/internal/config/lines_test.go
+++ b/internal/config/text_test.go
@@ -39,7 +39,7 @@
 		}
 	}
 	for key, want := range map[string]int{"name": 2, "limits.memory_mb": 9, "route.path": 12, "route.headers.X-A": 16, "limits": 8, "none.x": 0} {
-		if got := text.anyLine(key); got != want {
+		if got := text.firstLine(key); got != want {
 			t.Errorf("%s: line %d, want %d", key, got, want)
 		}
 	}
@@ -48,7 +48,7 @@
 func TestDecodeNamesTheLine(t *testing.T) {
 	type form struct {
 		Name  string
-		Limit Span
+		Limit Duration
 		Route []struct{ Path string }
 	}
 	for text, want := range map[string]string{
@@ -70,7 +70,7 @@
 		}
 	}
 	var v form
-	if err := NewText("f", "name = \"x\"\nlimit = \"2s\"").Decode(&v); err != nil || v.Limit != Span(2e9) {
+	if err := NewText("f", "name = \"x\"\nlimit = \"2s\"").Decode(&v); err != nil || v.Limit != Duration(2e9) {
 		t.Errorf("%+v, %v", v, err)
 	}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -48,8 +48,8 @@
 		c.Register(housekeepingLease, f.collectGarbage, nil)
 	}
 	for _, p := range a.Pools {
-		if p.Check != "" {
-			h := newHealthCheck(f, p.Name, p.Check)
+		if p.HealthCheckPath != "" {
+			h := newHealthCheck(f, p.Name, p.HealthCheckPath)
 			f.healthChecks = append(f.healthChecks, h)
 			c.Register(h.lease, h.run, h)
 		}
@@ -70,7 +70,7 @@
 	}
 	cfg := cluster.Config{
 		FleetID: a.Fleet.ID, Name: a.Name, Zone: a.Fleet.Zone, Region: a.Fleet.Region, Machine: a.Fleet.Machine,
-		Listen: a.Fleet.Listen, DataDir: a.Fleet.DataDir, Key: key, BootstrapReplicas: a.Fleet.First,
+		Listen: a.Fleet.Listen, DataDir: a.Fleet.DataDir, Key: key, BootstrapReplicas: a.Fleet.BootstrapReplicas,
 	}
 	for _, p := range a.Fleet.Peers {
 		cfg.Peers = append(cfg.Peers, cluster.Peer(p))
--- a/internal/gateway/appliance.go
+++ b/internal/gateway/appliance.go
@@ -81,11 +81,11 @@
 	}{
 		{"admin", file.Admin != a.Admin}, {"limits.cores", old.Cores != limits.Cores}, {"limits.memory_mb", old.MemoryMB != limits.MemoryMB},
 		{"limits.sockets", old.Sockets != limits.Sockets}, {"limits.head_kb", old.HeadKB != limits.HeadKB},
-		{"limits.headers", old.Headers != limits.Headers}, {"limits.overload", old.NoOverload != limits.NoOverload},
+		{"limits.headers", old.Headers != limits.Headers}, {"limits.overload", old.NoLoadShedding != limits.NoLoadShedding},
 		// The limits of clients take effect at once, where there is a table to keep them in.
 		{"limits.client", g.gate.Limits.Clients == nil && old.Clients != limits.Clients},
-		{"limits.client.table_kb", old.ClientsKB != limits.ClientsKB},
-		{"limits.tenants", old.Tenants != limits.Tenants || old.TenantName != limits.TenantName},
+		{"limits.client.table_kb", old.ClientTableKB != limits.ClientTableKB},
+		{"limits.tenants", old.Tenants != limits.Tenants || old.TenantHeader != limits.TenantHeader},
 		{"fleet", !reflect.DeepEqual(file.Fleet, a.Fleet) || !equalChecks(file.Pools, a.Pools)},
 		{"tenant", !slices.Equal(file.Tenants, a.Tenants)},
 	} {
@@ -101,8 +101,8 @@
 	paths := func(pools []config.Pool) map[string]string {
 		m := map[string]string{}
 		for _, p := range pools {
-			if p.Check != "" {
-				m[p.Name] = p.Check
+			if p.HealthCheckPath != "" {
+				m[p.Name] = p.HealthCheckPath
 			}
 		}
 		return m
--- a/internal/gateway/classes.go
+++ b/internal/gateway/classes.go
@@ -46,13 +46,13 @@
 	}
 	i := c.index[r.Class]
 	out.Plain = &engine.Plain{
-		Class: i, NonIdempotentClass: c.nonIdempotent[i], Timeout: r.Timeout, RetryableMethods: r.Repeatable,
-		MaxTunnels: r.Upgrades, RequestHeaders: r.Request, ResponseHeaders: r.Answer,
+		Class: i, NonIdempotentClass: c.nonIdempotent[i], Timeout: r.Timeout, RetryableMethods: r.RetryableMethods,
+		MaxTunnels: r.MaxTunnels, RequestHeaders: r.RequestHeaders, ResponseHeaders: r.ResponseHeaders,
 	}
-	pace := body.Pace{Idle: r.Idle, Least: r.LeastRate}
-	out.Streams = &engine.Streams{BufferBytes: r.Hold, MaxBodyBytes: r.MaxBody, HeadDeadlineOnly: r.Stream, Pace: pace, Upload: pace}
+	pace := body.Pace{Idle: r.IdleTimeout, Least: r.MinRate}
+	out.Streams = &engine.Streams{BufferBytes: r.BufferBytes, MaxBodyBytes: r.MaxBodyBytes, HeadDeadlineOnly: r.HeadDeadlineOnly, Pace: pace, Upload: pace}
 	out.ForwardsFailures = true
-	failures := r.Failures
+	failures := r.FailureStatuses
 	out.Classify = func(a *engine.Response) balancer.Result { return route.Plain(a.Status, notProcessed(a), failures) }
 	return out
 }
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -21,14 +21,14 @@
 
 // setLimits sets up load shedding and the limits of clients and tenants.
 func (g *Gateway) setLimits(a *config.Appliance) {
-	l := &front.Limits{Base: minRetryAfter, Most: maxGateRetryAfter, TenantName: a.Limits.TenantName, TenantOf: map[string]int{}}
-	if !a.Limits.NoOverload {
+	l := &front.Limits{Base: minRetryAfter, Most: maxGateRetryAfter, TenantName: a.Limits.TenantHeader, TenantOf: map[string]int{}}
+	if !a.Limits.NoLoadShedding {
 		_, _, n := overload.Ranks(classRanks(newClasses(a)))
 		l.Overload = overload.New(n)
 		g.engine.Overload = l.Overload
 	}
-	if c := a.Limits.Clients; c != (fair.ClientLimits{}) || !a.Limits.NoOverload {
-		l.Clients = fair.NewClients(c, a.Limits.ClientsKB<<10, rand.Uint64())
+	if c := a.Limits.Clients; c != (fair.ClientLimits{}) || !a.Limits.NoLoadShedding {
+		l.Clients = fair.NewClients(c, a.Limits.ClientTableKB<<10, rand.Uint64())
 	}
 	if len(a.Tenants) > 0 {
 		l.Tenants = fair.NewTenants(a.Tenants, a.Limits.Tenants)
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -57,7 +57,7 @@
 func balancerSettings(p config.Pool, classes []balancer.Class) balancer.Settings {
 	return balancer.Settings{
 		Instances: 1, Classes: classes, MaxAttempts: 4, Cancel: true, MaxRetryAfter: maxRetryAfter,
-		SlowStartShare: p.Cold.From, SlowStartWindow: p.Cold.WarmAfter, OverloadFactor: overloadFactor, OverloadWindow: overloadWindow,
+		SlowStartShare: p.SlowStart.Share, SlowStartWindow: p.SlowStart.Window, OverloadFactor: overloadFactor, OverloadWindow: overloadWindow,
 	}
 }
 
@@ -65,7 +65,7 @@
 func (g *Gateway) newPool(a *config.Appliance, cfg config.Pool, set balancer.Settings, classNames []string) (*appliancePool, error) {
 	p := &appliancePool{cfg: cfg, settings: set, newSource: g.appliance.newSource, stopSource: func() {}, currentSink: new(atomic.Pointer[endpointSink])}
 	if cfg.Protocol == config.FastCGI {
-		p.transport = responders.New(responders.Options{Budget: g.gate.Bodies, Root: cfg.Root, Params: cfg.Params})
+		p.transport = responders.New(responders.Options{Budget: g.gate.Bodies, Root: cfg.ScriptRoot, Params: cfg.Params})
 	} else {
 		p.transport = hosts.New(hosts.Options{Budget: g.gate.Bodies})
 	}
@@ -100,7 +100,7 @@
 
 // equalProtocols reports whether two pools use the same protocol, with the same parameters.
 func equalProtocols(p, q config.Pool) bool {
-	return p.Protocol == q.Protocol && p.Root == q.Root && reflect.DeepEqual(p.Params, q.Params)
+	return p.Protocol == q.Protocol && p.ScriptRoot == q.ScriptRoot && reflect.DeepEqual(p.Params, q.Params)
 }
 
 // equalSources reports whether two pools have their endpoint lists from the same place.
@@ -156,9 +156,9 @@
 func poolShares(a *config.Appliance) []float64 {
 	shares, left, unset := make([]float64, len(a.Pools)), 1.0, 0
 	for i, p := range a.Pools {
-		shares[i] = p.Sockets
-		left -= p.Sockets
-		if p.Sockets == 0 {
+		shares[i] = p.SocketShare
+		left -= p.SocketShare
+		if p.SocketShare == 0 {
 			unset++
 		}
 	}
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -50,7 +50,7 @@
 			return fmt.Errorf("pool %s: %w", cfg.Name, err)
 		}
 		c.pools[cfg.Name] = p
-		uses = append(uses, engine.PoolUse{Pool: p.Pool, MinShare: cfg.Need, Fallback: cfg.Fallback})
+		uses = append(uses, engine.PoolUse{Pool: p.Pool, MinShare: cfg.MinShare, Fallback: cfg.Fallback})
 	}
 	var routes []*engine.Route
 	var retries []engine.Retries
@@ -167,10 +167,10 @@
 		ln := c.listeners[listenerKey(l)]
 		serve := g.server.Serve
 		if l.Protocol == config.FastCGI {
-			g.fastCGI.Tune(ln, fcgi.ListenOptions{Trusted: l.Trusted})
+			g.fastCGI.Tune(ln, fcgi.ListenOptions{Trusted: l.TrustedProxies})
 			serve = g.fastCGI.Serve
 		} else {
-			g.server.Tune(ln, http1.ListenOptions{Trusted: l.Trusted, Proxy: l.Proxy})
+			g.server.Tune(ln, http1.ListenOptions{Trusted: l.TrustedProxies, Proxy: l.ProxyProtocol})
 		}
 		if slices.Contains(c.opened, ln) {
 			g.serveWith(serve, ln)
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -103,106 +103,106 @@
 
 // file is the form of the text.
 type file struct {
-	About    string      `toml:"about,omitempty"`
-	Seed     int64       `toml:"seed,omitzero"`
-	Length   config.Span `toml:"length"`
-	Gateways int         `toml:"gateways"`
-	Skew     float64     `toml:"skew,omitzero"`
-	Module   module      `toml:"module"`
-	Hosts    []hosts     `toml:"hosts"`
-	Class    []class     `toml:"class"`
-	Clients  clients     `toml:"clients"`
-	Net      network     `toml:"net"`
-	Lists    lists       `toml:"lists"`
-	Burst    []burst     `toml:"burst,omitempty"`
-	Trouble  []trouble   `toml:"trouble,omitempty"`
-	Expect   expect      `toml:"expect"`
+	About    string          `toml:"about,omitempty"`
+	Seed     int64           `toml:"seed,omitzero"`
+	Length   config.Duration `toml:"length"`
+	Gateways int             `toml:"gateways"`
+	Skew     float64         `toml:"skew,omitzero"`
+	Module   module          `toml:"module"`
+	Hosts    []hosts         `toml:"hosts"`
+	Class    []class         `toml:"class"`
+	Clients  clients         `toml:"clients"`
+	Net      network         `toml:"net"`
+	Lists    lists           `toml:"lists"`
+	Burst    []burst         `toml:"burst,omitempty"`
+	Trouble  []trouble       `toml:"trouble,omitempty"`
+	Expect   expect          `toml:"expect"`
 }
 
 type module struct {
-	Attempts   int         `toml:"attempts,omitzero"`
-	RetryAfter config.Span `toml:"retry_after,omitzero"`
-	ColdFrom   float64     `toml:"cold_from,omitzero"`
-	WarmAfter  config.Span `toml:"warm_after,omitzero"`
-	Overload   float64     `toml:"overload,omitzero"`
-	Fall       config.Span `toml:"fall,omitzero"`
+	Attempts   int             `toml:"attempts,omitzero"`
+	RetryAfter config.Duration `toml:"retry_after,omitzero"`
+	ColdFrom   float64         `toml:"cold_from,omitzero"`
+	WarmAfter  config.Duration `toml:"warm_after,omitzero"`
+	Overload   float64         `toml:"overload,omitzero"`
+	Fall       config.Duration `toml:"fall,omitzero"`
 }
 
 type hosts struct {
-	Count      int         `toml:"count"`
-	Cores      int         `toml:"cores"`
-	Speed      float64     `toml:"speed,omitzero"`
-	Slots      int         `toml:"slots,omitzero"`
-	Queue      int         `toml:"queue,omitzero"`
-	Conns      int         `toml:"conns,omitzero"`
-	Zone       int         `toml:"zone,omitzero"`
-	CrowdAt    float64     `toml:"crowd_at,omitzero"`
-	CrowdEnd   float64     `toml:"crowd_end,omitzero"`
-	Slower     float64     `toml:"slower,omitzero"`
-	CrowdAfter config.Span `toml:"crowd_after,omitzero"`
-	Cell       int         `toml:"cell,omitzero"`
+	Count      int             `toml:"count"`
+	Cores      int             `toml:"cores"`
+	Speed      float64         `toml:"speed,omitzero"`
+	Slots      int             `toml:"slots,omitzero"`
+	Queue      int             `toml:"queue,omitzero"`
+	Conns      int             `toml:"conns,omitzero"`
+	Zone       int             `toml:"zone,omitzero"`
+	CrowdAt    float64         `toml:"crowd_at,omitzero"`
+	CrowdEnd   float64         `toml:"crowd_end,omitzero"`
+	Slower     float64         `toml:"slower,omitzero"`
+	CrowdAfter config.Duration `toml:"crowd_after,omitzero"`
+	Cell       int             `toml:"cell,omitzero"`
 }
 
 type class struct {
-	Name     string      `toml:"name"`
-	Effect   string      `toml:"effect"`
-	Group    string      `toml:"group,omitempty"`
-	Window   config.Span `toml:"window,omitzero"`
-	Rate     float64     `toml:"rate"`
-	Work     config.Span `toml:"work"`
-	Dist     string      `toml:"dist,omitempty"`
-	CV       float64     `toml:"cv,omitzero"`
-	Aim      config.Span `toml:"aim,omitzero"`
-	Deadline config.Span `toml:"deadline,omitzero"`
-	Worth    float64     `toml:"worth,omitzero"`
+	Name     string          `toml:"name"`
+	Effect   string          `toml:"effect"`
+	Group    string          `toml:"group,omitempty"`
+	Window   config.Duration `toml:"window,omitzero"`
+	Rate     float64         `toml:"rate"`
+	Work     config.Duration `toml:"work"`
+	Dist     string          `toml:"dist,omitempty"`
+	CV       float64         `toml:"cv,omitzero"`
+	Aim      config.Duration `toml:"aim,omitzero"`
+	Deadline config.Duration `toml:"deadline,omitzero"`
+	Worth    float64         `toml:"worth,omitzero"`
 }
 
 type clients struct {
-	Retries int         `toml:"retries,omitzero"`
-	Backoff config.Span `toml:"backoff,omitzero"`
-	Jitter  float64     `toml:"jitter,omitzero"`
-	Honour  float64     `toml:"honour,omitzero"`
-	Notice  config.Span `toml:"notice,omitzero"`
-	Early   float64     `toml:"early,omitzero"`
-	Hasty   float64     `toml:"hasty,omitzero"`
+	Retries int             `toml:"retries,omitzero"`
+	Backoff config.Duration `toml:"backoff,omitzero"`
+	Jitter  float64         `toml:"jitter,omitzero"`
+	Honour  float64         `toml:"honour,omitzero"`
+	Notice  config.Duration `toml:"notice,omitzero"`
+	Early   float64         `toml:"early,omitzero"`
+	Hasty   float64         `toml:"hasty,omitzero"`
 }
 
 type network struct {
-	Delay     config.Span `toml:"delay,omitzero"`
-	Spread    float64     `toml:"spread,omitzero"`
-	Handshake config.Span `toml:"handshake,omitzero"`
-	Connect   config.Span `toml:"connect,omitzero"`
+	Delay     config.Duration `toml:"delay,omitzero"`
+	Spread    float64         `toml:"spread,omitzero"`
+	Handshake config.Duration `toml:"handshake,omitzero"`
+	Connect   config.Duration `toml:"connect,omitzero"`
 }
 
 type lists struct {
-	Delay  config.Span `toml:"delay,omitzero"`
-	Silent config.Span `toml:"silent,omitzero"`
-	Spread config.Span `toml:"spread,omitzero"`
-	Call   config.Span `toml:"call,omitzero"`
+	Delay  config.Duration `toml:"delay,omitzero"`
+	Silent config.Duration `toml:"silent,omitzero"`
+	Spread config.Duration `toml:"spread,omitzero"`
+	Call   config.Duration `toml:"call,omitzero"`
 }
 
 type burst struct {
-	At    config.Span `toml:"at"`
-	For   config.Span `toml:"for"`
-	Times float64     `toml:"times"`
-	Class string      `toml:"class,omitempty"`
+	At    config.Duration `toml:"at"`
+	For   config.Duration `toml:"for"`
+	Times float64         `toml:"times"`
+	Class string          `toml:"class,omitempty"`
 }
 
 type trouble struct {
-	Kind  string      `toml:"kind"`
-	At    config.Span `toml:"at"`
-	For   config.Span `toml:"for"`
-	Part  float64     `toml:"part"`
-	Size  float64     `toml:"size,omitzero"`
-	Steps int         `toml:"steps,omitzero"`
+	Kind  string          `toml:"kind"`
+	At    config.Duration `toml:"at"`
+	For   config.Duration `toml:"for"`
+	Part  float64         `toml:"part"`
+	Size  float64         `toml:"size,omitzero"`
+	Steps int             `toml:"steps,omitzero"`
 }
 
 type expect struct {
-	InTime    float64     `toml:"in_time,omitzero"`
-	EndFrom   config.Span `toml:"end_from,omitzero"`
-	EndInTime float64     `toml:"end_in_time,omitzero"`
-	Worth     float64     `toml:"worth,omitzero"`
-	Class     float64     `toml:"class,omitzero"`
+	InTime    float64         `toml:"in_time,omitzero"`
+	EndFrom   config.Duration `toml:"end_from,omitzero"`
+	EndInTime float64         `toml:"end_in_time,omitzero"`
+	Worth     float64         `toml:"worth,omitzero"`
+	Class     float64         `toml:"class,omitzero"`
 	Budget
 }
 
@@ -230,7 +230,7 @@
 		if table != "" {
 			name = table + "." + field
 		}
-		wrong = append(wrong, text.Error(text.Line(table, n, field), name, format, args...))
+		wrong = append(wrong, text.Errorf(text.Line(table, n, field), name, format, args...))
 	}
 	s := &Scenario{Name: strings.TrimSuffix(filepath.Base(path), ".toml"), About: f.About, Seed: uint64(max(f.Seed, 0))}
 	if f.Seed < 0 {
@@ -303,28 +303,28 @@
 func (s *Scenario) Text() (string, error) {
 	m, k := &s.Model, &s.Model.Settings
 	f := file{
-		About: s.About, Seed: int64(s.Seed), Length: config.Span(m.Length), Gateways: m.Gateways, Skew: m.Skew,
-		Module:  module{k.MaxAttempts, config.Span(k.MaxRetryAfter), k.SlowStartShare, config.Span(k.SlowStartWindow), k.OverloadFactor, config.Span(k.OverloadWindow)},
-		Clients: clients{m.Clients.Retries, config.Span(m.Clients.Backoff), m.Clients.Jitter, m.Clients.Honour, config.Span(m.Clients.Notice), m.Clients.Early, m.Clients.Hasty},
-		Net:     network{config.Span(m.Net.Delay), m.Net.Spread, config.Span(m.Net.Handshake), config.Span(m.Net.Connect)},
-		Lists:   lists{config.Span(m.Lists.Delay), config.Span(m.Lists.Silent), config.Span(m.Lists.Spread), config.Span(m.Lists.Call)},
-		Expect:  expect{s.Expect.InTime, config.Span(s.Expect.EndFrom), s.Expect.EndInTime, s.Expect.Worth, s.Expect.Class, s.Expect.Most},
+		About: s.About, Seed: int64(s.Seed), Length: config.Duration(m.Length), Gateways: m.Gateways, Skew: m.Skew,
+		Module:  module{k.MaxAttempts, config.Duration(k.MaxRetryAfter), k.SlowStartShare, config.Duration(k.SlowStartWindow), k.OverloadFactor, config.Duration(k.OverloadWindow)},
+		Clients: clients{m.Clients.Retries, config.Duration(m.Clients.Backoff), m.Clients.Jitter, m.Clients.Honour, config.Duration(m.Clients.Notice), m.Clients.Early, m.Clients.Hasty},
+		Net:     network{config.Duration(m.Net.Delay), m.Net.Spread, config.Duration(m.Net.Handshake), config.Duration(m.Net.Connect)},
+		Lists:   lists{config.Duration(m.Lists.Delay), config.Duration(m.Lists.Silent), config.Duration(m.Lists.Spread), config.Duration(m.Lists.Call)},
+		Expect:  expect{s.Expect.InTime, config.Duration(s.Expect.EndFrom), s.Expect.EndInTime, s.Expect.Worth, s.Expect.Class, s.Expect.Most},
 	}
 	for _, h := range m.Hosts {
-		f.Hosts = append(f.Hosts, hosts{h.Count, h.Cores, h.Speed, h.Slots, h.Queue, h.Conns, h.Zone, h.CrowdAt, h.CrowdEnd, h.Slower, config.Span(h.CrowdAfter), h.Cell})
+		f.Hosts = append(f.Hosts, hosts{h.Count, h.Cores, h.Speed, h.Slots, h.Queue, h.Conns, h.Zone, h.CrowdAt, h.CrowdEnd, h.Slower, config.Duration(h.CrowdAfter), h.Cell})
 	}
 	for i, t := range m.Classes {
 		c := k.Classes[i]
 		f.Class = append(f.Class, class{
-			t.Name, effects[c.Idempotency], groups[c.DedupScope], config.Span(c.DedupWindow), t.Rate, config.Span(t.Work), string(t.Dist), t.CV,
-			config.Span(c.LatencyObjective), config.Span(c.Deadline), c.PriorityWeight,
+			t.Name, effects[c.Idempotency], groups[c.DedupScope], config.Duration(c.DedupWindow), t.Rate, config.Duration(t.Work), string(t.Dist), t.CV,
+			config.Duration(c.LatencyObjective), config.Duration(c.Deadline), c.PriorityWeight,
 		})
 	}
 	for _, b := range m.Bursts {
-		f.Burst = append(f.Burst, burst{config.Span(b.At), config.Span(b.For), b.Times, b.Class})
+		f.Burst = append(f.Burst, burst{config.Duration(b.At), config.Duration(b.For), b.Times, b.Class})
 	}
 	for _, t := range m.Troubles {
-		f.Trouble = append(f.Trouble, trouble{string(t.Kind), config.Span(t.At), config.Span(t.For), t.Part, t.Size, t.Steps})
+		f.Trouble = append(f.Trouble, trouble{string(t.Kind), config.Duration(t.At), config.Duration(t.For), t.Part, t.Size, t.Steps})
 	}
 	var out strings.Builder
 	enc := toml.NewEncoder(&out)
