--- a/cmd/lab/scale_process.go
+++ b/cmd/lab/scale_process.go
@@ -18,8 +18,8 @@
 	"time"
 
 	"dunemoor/balancer"
-	"dunemoor/internal/fair"
 	"dunemoor/internal/nemesis"
+	"dunemoor/internal/ratelimit"
 	"dunemoor/internal/route"
 	"dunemoor/internal/scale"
 )
@@ -723,19 +723,19 @@
 		alone = []int{1000, 3000, 10_000, 30_000}
 	}
 	for _, n := range alone {
-		list := make([]fair.Tenant, n)
+		list := make([]ratelimit.Tenant, n)
 		for i := range list {
-			list[i] = fair.Tenant{Name: fmt.Sprint("tenant-", i), Weight: 1}
+			list[i] = ratelimit.Tenant{Name: fmt.Sprint("tenant-", i), Weight: 1}
 		}
 		before := heapNow()
-		t := fair.NewTenants(list, fair.TenantLimits{Rate: 1e7, Concurrent: 1 << 20})
+		t := ratelimit.NewTenants(list, ratelimit.TenantLimits{Rate: 1e7, Concurrent: 1 << 20})
 		c.add(n, "the shares alone: memory", "KB", 4, (heapNow()-before)/1024)
 		runtime.KeepAlive(list) // it is in both
-		now, asked, began := fair.Time(0), 0, time.Now()
+		now, asked, began := ratelimit.Time(0), 0, time.Now()
 		for time.Since(began) < 200*time.Millisecond {
-			now += fair.Time(time.Millisecond)
+			now += ratelimit.Time(time.Millisecond)
 			i := asked * 7919 % n
-			if t.Begin(now, i) == fair.Admitted {
+			if t.Begin(now, i) == ratelimit.Admitted {
 				t.End(i)
 			}
 			asked++
--- a/internal/config/appliance.go
+++ b/internal/config/appliance.go
@@ -11,7 +11,7 @@
 
 	"dunemoor/balancer"
 	"dunemoor/internal/engine"
-	"dunemoor/internal/fair"
+	"dunemoor/internal/ratelimit"
 	"dunemoor/internal/route"
 )
 
@@ -20,7 +20,7 @@
 	Name      string
 	Admin     string // address of the operators' calls; "": none
 	Limits    Limits
-	Tenants   []fair.Tenant
+	Tenants   []ratelimit.Tenant
 	Listeners []Listener
 	Classes   []Class
 	Pools     []Pool
@@ -40,9 +40,9 @@
 	HeadKB         int // of a request
 	Headers        int // of a request on a plain route
 	NoLoadShedding bool
-	Clients        fair.ClientLimits
+	Clients        ratelimit.ClientLimits
 	ClientTableKB  int
-	Tenants        fair.TenantLimits
+	Tenants        ratelimit.TenantLimits
 	TenantHeader   string // names the tenant
 }
 
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -5,7 +5,7 @@
 	"net/textproto"
 	"slices"
 
-	"dunemoor/internal/fair"
+	"dunemoor/internal/ratelimit"
 )
 
 // Defaults and bounds of limits.
@@ -54,7 +54,7 @@
 // clientLimits reads what one client may use.
 func (c *checker) clientLimits(a *Appliance, f *applianceFile) {
 	l, x := &a.Limits, &f.Limits.Client
-	l.Clients = fair.ClientLimits{Rate: x.Rate, Burst: cmp.Or(x.Burst, burstFactor*x.Rate), Concurrent: x.Concurrent}
+	l.Clients = ratelimit.ClientLimits{Rate: x.Rate, Burst: cmp.Or(x.Burst, burstFactor*x.Rate), Concurrent: x.Concurrent}
 	l.ClientTableKB = cmp.Or(x.TableKB, defaultClientTableKB)
 	c.within("limits.client", 0, "rate", l.Clients.Rate, 0, 1e6)
 	c.within("limits.client", 0, "burst", l.Clients.Burst, 0, 1e6)
@@ -65,7 +65,7 @@
 // tenantLimits reads what tenants may use.
 func (c *checker) tenantLimits(a *Appliance, f *applianceFile) {
 	l, x := &a.Limits, &f.Limits.Tenants
-	l.Tenants = fair.TenantLimits{Rate: x.Rate, Concurrent: x.Concurrent}
+	l.Tenants = ratelimit.TenantLimits{Rate: x.Rate, Concurrent: x.Concurrent}
 	l.TenantHeader = cmp.Or(textproto.CanonicalMIMEHeaderKey(x.Header), defaultTenantHeader)
 	c.within("limits.tenants", 0, "rate", l.Tenants.Rate, 0, 1e7)
 	c.within("limits.tenants", 0, "concurrent", float64(l.Tenants.Concurrent), 0, 1<<20)
@@ -77,14 +77,14 @@
 			c.bad("tenant", i, "name", "is missing")
 		}
 		c.name("tenant", i, t.Name)
-		if slices.ContainsFunc(a.Tenants, func(o fair.Tenant) bool { return o.Name == t.Name }) {
+		if slices.ContainsFunc(a.Tenants, func(o ratelimit.Tenant) bool { return o.Name == t.Name }) {
 			c.bad("tenant", i, "name", "%q is taken", t.Name)
 		}
 		weight := cmp.Or(t.Weight, 1)
 		c.within("tenant", i, "weight", weight, 0.001, 1e6)
-		a.Tenants = append(a.Tenants, fair.Tenant{Name: t.Name, Weight: weight})
+		a.Tenants = append(a.Tenants, ratelimit.Tenant{Name: t.Name, Weight: weight})
 	}
-	if len(f.Tenant) > 0 && l.Tenants == (fair.TenantLimits{}) {
+	if len(f.Tenant) > 0 && l.Tenants == (ratelimit.TenantLimits{}) {
 		c.bad("tenant", 0, "name", "limits.tenants sets neither rate nor concurrent: what would they share")
 	}
 }
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -35,17 +35,17 @@
 	}
 }
 
-// Who asks twice gets what was asked for first: it guards against a drain that never ends as
-// its caller repeats a call whose answer was lost.
-func TestAskedTwice(t *testing.T) {
+// A repeated call changes nothing: it guards against a drain that never ends as its caller repeats a call whose response
+// was lost.
+func TestRepeatedCall(t *testing.T) {
 	d := Drain{}.Quiesce(0, times).Quiesce(1800*ms, times)
 	if got := d.State(1900 * ms); got != Closing {
-		t.Errorf("the second call put it back to %v", got)
+		t.Errorf("the second call returned it to %v", got)
 	}
 }
 
-// Any order of calls, at any times: a drain only goes forward until it is called off, calling
-// it off serves at once, and the next one begins from its start.
+// Any order of calls, at any times: a drain only advances until Resume, Resume serves at once, and the next drain begins
+// from its start.
 func TestAnyOrder(t *testing.T) {
 	for seed := range uint64(2000) {
 		rng := rand.New(rand.NewPCG(seed, 0))
--- a/internal/front/limits.go
+++ b/internal/front/limits.go
@@ -12,16 +12,16 @@
 	"sync/atomic"
 	"time"
 
-	"dunemoor/internal/fair"
 	"dunemoor/internal/overload"
+	"dunemoor/internal/ratelimit"
 )
 
 // Limits turn requests away before they cost anything: for the gateway's own sake, and so that
 // no client or tenant takes what others need. What is nil does not bind.
 type Limits struct {
 	Overload   *overload.Controller
-	Clients    *fair.Clients
-	Tenants    *fair.Tenants
+	Clients    *ratelimit.Clients
+	Tenants    *ratelimit.Tenants
 	TenantOf   map[string]int // by the value of TenantName
 	TenantName string         // header
 	Base, Most time.Duration  // of the advice when to come back
@@ -123,15 +123,15 @@
 		l.counts[why].Add(1)
 		level := 0.0
 		if l.Overload != nil {
-			level = l.Overload.Level()
+			level = l.Overload.BackoffLevel()
 		}
-		after := overload.Advice(level, l.Base, l.Most, e.client)
+		after := overload.RetryAfter(level, l.Base, l.Most, e.client)
 		if e.counted {
 			l.Clients.End(e.client)
 			e.counted = false
 		}
 		if l.Clients != nil && why != ByRepeats {
-			l.Clients.Away(e.gate.Engine.Now(), e.client, after)
+			l.Clients.SetRetryAfter(e.gate.Engine.Now(), e.client, after)
 		}
 		return &Turned{why, after, soon && !m.Peer.Trusted}
 	}
@@ -140,16 +140,16 @@
 	}
 	// Who came back too soon is held to it while there is no room, and never for what is worth
 	// most.
-	spared := l.Overload == nil || rand.Float64() < l.Overload.Room() ||
+	spared := l.Overload == nil || rand.Float64() < l.Overload.IdleShare() ||
 		e.Route.FirstRanks != nil && e.Route.FirstRanks[e.Class] == slices.Max(e.Route.FirstRanks)
 	if l.Clients != nil && m.Peer.Addr.IsValid() {
-		var v fair.Verdict
+		var v ratelimit.Decision
 		switch v, soon = l.Clients.Begin(e.gate.Engine.Now(), e.client, repeat, spared); v {
-		case fair.Rate:
+		case ratelimit.Rate:
 			return turned(ByRate)
-		case fair.Concurrent:
+		case ratelimit.Concurrent:
 			return turned(ByConcurrent)
-		case fair.Repeats:
+		case ratelimit.Duplicates:
 			return turned(ByRepeats)
 		}
 		e.counted = true
@@ -166,7 +166,7 @@
 	if l.Tenants != nil {
 		name, _ := e.header(l.TenantName)
 		if i, known := l.TenantOf[name]; known {
-			if l.Tenants.Begin(e.gate.Engine.Now(), i) != fair.Admitted {
+			if l.Tenants.Begin(e.gate.Engine.Now(), i) != ratelimit.Admitted {
 				return turned(ByTenant)
 			}
 			e.tenant = i + 1
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"dunemoor/internal/config"
-	"dunemoor/internal/fair"
 	"dunemoor/internal/front"
 	"dunemoor/internal/overload"
+	"dunemoor/internal/ratelimit"
 )
 
 const (
@@ -27,11 +27,11 @@
 		l.Overload = overload.New(n)
 		g.engine.Overload = l.Overload
 	}
-	if c := a.Limits.Clients; c != (fair.ClientLimits{}) || !a.Limits.NoLoadShedding {
-		l.Clients = fair.NewClients(c, a.Limits.ClientTableKB<<10, rand.Uint64())
+	if c := a.Limits.Clients; c != (ratelimit.ClientLimits{}) || !a.Limits.NoLoadShedding {
+		l.Clients = ratelimit.NewClients(c, a.Limits.ClientTableKB<<10, rand.Uint64())
 	}
 	if len(a.Tenants) > 0 {
-		l.Tenants = fair.NewTenants(a.Tenants, a.Limits.Tenants)
+		l.Tenants = ratelimit.NewTenants(a.Tenants, a.Limits.Tenants)
 		for i, t := range a.Tenants {
 			l.TenantOf[t.Name] = i
 		}
@@ -43,7 +43,7 @@
 func classRanks(c *classes) []overload.Rank {
 	ranks := make([]overload.Rank, len(c.list))
 	for i, k := range c.list {
-		ranks[i] = overload.Rank{Worth: cmp.Or(k.PriorityWeight, 1), Aim: cmp.Or(k.LatencyObjective, k.Deadline)}
+		ranks[i] = overload.Rank{Weight: cmp.Or(k.PriorityWeight, 1), LatencyObjective: cmp.Or(k.LatencyObjective, k.Deadline)}
 	}
 	return ranks
 }
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -115,7 +115,7 @@
 	g.commitPools(c)
 	g.server.SetLongest(longestDeadline(c.file))
 	if l := g.gate.Limits; l.Clients != nil {
-		l.Clients.Set(c.file.Limits.Clients)
+		l.Clients.SetLimits(c.file.Limits.Clients)
 	}
 	if controller := g.engine.Overload; controller != nil {
 		_, _, n := overload.Ranks(classRanks(c.classes))
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -29,7 +29,7 @@
 }
 
 func newDelay(h *overload.Delays) Delay {
-	return Delay{h.Quantile(0.5).Microseconds(), h.Quantile(0.99).Microseconds(), h.Most().Microseconds()}
+	return Delay{h.Quantile(0.5).Microseconds(), h.Quantile(0.99).Microseconds(), h.Max().Microseconds()}
 }
 
 // Bytes are how many are in use, and how many may be.
--- a/internal/overload/delays.go
+++ b/internal/overload/delays.go
@@ -7,31 +7,31 @@
 	"time"
 )
 
-// Delays counts durations by size, to tell quantiles of them to within an eighth. Add allocates
-// nothing and never waits; any goroutine may call any of it. The zero value counts none.
+// Delays counts durations in buckets, for quantiles to within an eighth. Add allocates
+// nothing and never waits. Its methods may be called by any goroutine. The zero value is ready to use.
 type Delays struct {
 	counts [delayBuckets]atomic.Uint64
-	most   atomic.Int64
+	max    atomic.Int64
 }
 
 const (
-	// stepBits gives each power of two 8 buckets: a quantile is told as the upper end of one.
+	// stepBits gives each power of two 8 buckets: a quantile is the upper end of one.
 	stepBits = 3
-	// delayBits is of the longest that is told apart, 2^40 ns or 18 minutes: no request waits so
-	// long. All above count as that.
+	// delayBits is of the longest duration with a bucket, 2^40 ns or 18 minutes: no request waits so
+	// long. Longer ones count as that.
 	delayBits    = 40
 	delayBuckets = (delayBits - stepBits + 1) << stepBits
 )
 
-// Add counts a duration; one below 0, of a clock that was set back, counts as 0.
+// Add counts a duration. A negative one, of a clock that was set back, counts as 0.
 func (h *Delays) Add(d time.Duration) {
 	d = max(d, 0)
 	h.counts[bucket(d)].Add(1)
-	for old := h.most.Load(); int64(d) > old && !h.most.CompareAndSwap(old, int64(d)); old = h.most.Load() {
+	for old := h.max.Load(); int64(d) > old && !h.max.CompareAndSwap(old, int64(d)); old = h.max.Load() {
 	}
 }
 
-// bucket is the number of the one that takes d.
+// bucket returns the index of the bucket of d.
 func bucket(d time.Duration) int {
 	n := uint64(min(d, 1<<delayBits-1))
 	if n < 1<<stepBits {
@@ -41,7 +41,7 @@
 	return (shift+1)<<stepBits + int(n>>shift)&(1<<stepBits-1)
 }
 
-// upper is the longest that a bucket takes.
+// upper returns the longest duration in a bucket.
 func upper(i int) time.Duration {
 	if i < 1<<stepBits {
 		return time.Duration(i)
@@ -50,8 +50,8 @@
 	return time.Duration((uint64(i&(1<<stepBits-1)|1<<stepBits)+1)<<shift - 1)
 }
 
-// Quantile is what the part q of all that was counted stayed within, the longest of all at most.
-// It is 0 when nothing was.
+// Quantile returns what the share q of the durations stayed within, at most the longest of all.
+// It returns 0 when there is none.
 func (h *Delays) Quantile(q float64) time.Duration {
 	var counts [delayBuckets]uint64
 	total := uint64(0)
@@ -62,11 +62,11 @@
 	need, seen := uint64(math.Ceil(q*float64(total))), uint64(0)
 	for i, n := range counts {
 		if seen += n; n > 0 && seen >= need {
-			return min(upper(i), h.Most())
+			return min(upper(i), h.Max())
 		}
 	}
-	return h.Most()
+	return h.Max()
 }
 
-// Most is the longest that was counted.
-func (h *Delays) Most() time.Duration { return time.Duration(h.most.Load()) }
+// Max returns the longest duration.
+func (h *Delays) Max() time.Duration { return time.Duration(h.max.Load()) }
--- a/internal/overload/delays_test.go
+++ b/internal/overload/delays_test.go
@@ -26,8 +26,8 @@
 				t.Errorf("up to %d, quantile %v: %d, want %d to %d", most, q, got, want, want+want/8)
 			}
 		}
-		if h.Most() != all[len(all)-1] {
-			t.Errorf("up to %d: most %d, want %d", most, h.Most(), all[len(all)-1])
+		if h.Max() != all[len(all)-1] {
+			t.Errorf("up to %d: most %d, want %d", most, h.Max(), all[len(all)-1])
 		}
 	}
 }
@@ -35,13 +35,13 @@
 // What is out of bounds is counted at them.
 func TestDelaysBounds(t *testing.T) {
 	var h Delays
-	if h.Quantile(0.99) != 0 || h.Most() != 0 {
+	if h.Quantile(0.99) != 0 || h.Max() != 0 {
 		t.Error("none were counted, and yet there is a quantile")
 	}
 	h.Add(-time.Second)
 	h.Add(1 << 62)
-	if low, high := h.Quantile(0.5), h.Quantile(1); low != 0 || high != 1<<delayBits-1 || h.Most() != 1<<62 {
-		t.Errorf("%v, %v, %v", low, high, h.Most())
+	if low, high := h.Quantile(0.5), h.Quantile(1); low != 0 || high != 1<<delayBits-1 || h.Max() != 1<<62 {
+		t.Errorf("%v, %v, %v", low, high, h.Max())
 	}
 	for d := time.Duration(1); d < 1<<delayBits; d += d/9 + 1 {
 		if i := bucket(d); upper(i) < d || i > 0 && upper(i-1) >= d {
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -28,7 +28,7 @@
 
 func TestRanks(t *testing.T) {
 	first, repeat, n := Ranks([]Rank{
-		{Worth: 1, Aim: 2 * time.Second}, {Worth: 5, Aim: time.Second}, {Worth: 2, Aim: 2 * time.Second}, {Worth: 1, Aim: time.Second}, {Worth: 1, Aim: 2 * time.Second},
+		{Weight: 1, LatencyObjective: 2 * time.Second}, {Weight: 5, LatencyObjective: time.Second}, {Weight: 2, LatencyObjective: 2 * time.Second}, {Weight: 1, LatencyObjective: time.Second}, {Weight: 1, LatencyObjective: 2 * time.Second},
 	})
 	// Repeats of 1, 2 and 5 are worth 0.25, 0.5 and 1.25.
 	for i, want := range []int{3, 7, 6, 4, 3} {
@@ -180,7 +180,7 @@
 // none while all is in use: it guards against a bound on them that outlives its reason.
 func TestRoom(t *testing.T) {
 	c, now := New(6), Time(time.Hour)
-	if c.Room() != 1 {
+	if c.IdleShare() != 1 {
 		t.Error("nothing is shed, and there is no room")
 	}
 	step := func(n int, s Sample) float64 {
@@ -188,7 +188,7 @@
 			now += Interval
 			c.Sample(now, s)
 		}
-		return c.Room()
+		return c.IdleShare()
 	}
 	if r := step(20, Sample{Poll: 20 * Target, Busy: 1}); r != 0 {
 		t.Errorf("room %v while all wait", r)
@@ -276,7 +276,7 @@
 		c.Sample(now, s)
 		return c.Pressure()
 	}
-	if p := set(Sample{Heap: heapFrom, Files: 0.9}); p != 0 {
+	if p := set(Sample{Heap: heapThreshold, Files: 0.9}); p != 0 {
 		t.Errorf("pressure %v below the bounds", p)
 	}
 	if p := set(Sample{Heap: 0.925}); math.Abs(p-5) > 1e-9 {
@@ -356,12 +356,12 @@
 		}
 		return last, time.Hour
 	}
-	spread, took := peak(func(p float64, id uint64) time.Duration { return Advice(p, time.Second, 30*time.Second, id) })
+	spread, took := peak(func(p float64, id uint64) time.Duration { return RetryAfter(p, time.Second, 30*time.Second, id) })
 	step, tookStep := peak(func(p float64, _ uint64) time.Duration { return 2 * time.Second })
 	// Ordinary clients are told whole seconds, and come back as far into one as they came: so
 	// their base is longer, and they are spread over several.
 	whole, _ := peak(func(p float64, id uint64) time.Duration {
-		return (Advice(p, 4*time.Second, 30*time.Second, id) + time.Second - 1).Truncate(time.Second)
+		return (RetryAfter(p, 4*time.Second, 30*time.Second, id) + time.Second - 1).Truncate(time.Second)
 	})
 	if whole > 20*capacity {
 		t.Errorf("most in 100 ms: %d where whole seconds are told", whole)
@@ -371,11 +371,11 @@
 	if spread > 4*capacity || step < 20*capacity {
 		t.Errorf("most in 100 ms: %d with advice that is spread, %d without", spread, step)
 	}
-	if a, b := Advice(2, time.Second, 30*time.Second, 7), Advice(2, time.Second, 30*time.Second, 7); a != b {
+	if a, b := RetryAfter(2, time.Second, 30*time.Second, 7), RetryAfter(2, time.Second, 30*time.Second, 7); a != b {
 		t.Errorf("one client is told %v and %v", a, b)
 	}
 	for p := range 20 {
-		if d := Advice(float64(p), time.Second, 30*time.Second, uint64(p)); d > 30*time.Second || d < 500*time.Millisecond {
+		if d := RetryAfter(float64(p), time.Second, 30*time.Second, uint64(p)); d > 30*time.Second || d < 500*time.Millisecond {
 			t.Errorf("advice of %v", d)
 		}
 	}
--- a/internal/fair/fair_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -1,4 +1,4 @@
-package fair
+package ratelimit
 
 import (
 	"fmt"
@@ -19,7 +19,7 @@
 				n++
 				c.End(7)
 			} else if v != Rate {
-				t.Fatalf("turned away for %v", v)
+				t.Fatalf("rejected for %v", v)
 			}
 		}
 		return n
@@ -30,12 +30,12 @@
 	if n := admitted(10*time.Second, 5); n != 50 {
 		t.Errorf("%d of 50 below the rate", n)
 	}
-	// A clock that jumps back gives nothing, and takes nothing for good.
+	// A clock that jumps back gives nothing, and takes nothing forever.
 	now -= time.Hour
 	if n := admitted(time.Second, 1000); n > 21 {
 		t.Errorf("%d after a jump back", n)
 	}
-	c.Set(ClientLimits{Rate: 1, Burst: 1})
+	c.SetLimits(ClientLimits{Rate: 1, Burst: 1})
 	now += 3 * time.Hour
 	if n := admitted(10*time.Second, 100); n > 12 {
 		t.Errorf("%d of a rate of 1 in 10 s, lowered by a reload", n)
@@ -53,22 +53,22 @@
 	now := Time(time.Hour)
 	for i := range 5 {
 		v, _ := c.Begin(now, 7, false, false)
-		if want := map[bool]Verdict{true: Admitted, false: Concurrent}[i < 3]; v != want {
+		if want := map[bool]Decision{true: Admitted, false: Concurrent}[i < 3]; v != want {
 			t.Errorf("request %d: %v", i, v)
 		}
 	}
 	if v, _ := c.Begin(now, 8, false, false); v != Admitted {
-		t.Error("another client is held to it")
+		t.Error("another client is limited by it")
 	}
-	c.Set(ClientLimits{Concurrent: 1}) // a reload below what is in use
+	c.SetLimits(ClientLimits{Concurrent: 1}) // a reload below what is in use
 	c.End(7)
 	c.End(7)
 	if v, _ := c.Begin(now, 7, false, false); v != Concurrent {
-		t.Errorf("one is out and may be: %v", v)
+		t.Errorf("one is in flight and may be: %v", v)
 	}
 	c.End(7)
 	if v, _ := c.Begin(now, 7, false, false); v != Admitted {
-		t.Errorf("none is out: %v", v)
+		t.Errorf("none is in flight: %v", v)
 	}
 	c.End(7)
 	c.End(7) // once too often takes nothing from anybody
@@ -77,9 +77,8 @@
 	}
 }
 
-// Repeats live off first tries; one who comes back sooner than it was told to repeats, whatever
-// it says.
-func TestRepeats(t *testing.T) {
+// First requests allow duplicates; a request before the client's Retry-After is a duplicate, whatever it says.
+func TestDuplicates(t *testing.T) {
 	c := NewClients(ClientLimits{}, 64<<10, 1)
 	now := Time(time.Hour)
 	n := 0
@@ -87,12 +86,12 @@
 		now += time.Millisecond
 		if v, _ := c.Begin(now, 7, true, false); v == Admitted {
 			n++
-		} else if v != Repeats {
+		} else if v != Duplicates {
 			t.Fatal(v)
 		}
 	}
-	if n != repeatMost {
-		t.Errorf("%d repeats without a first try", n)
+	if n != maxSavedDuplicates {
+		t.Errorf("%d duplicates without a first request", n)
 	}
 	for range 10 {
 		now += time.Millisecond
@@ -105,31 +104,30 @@
 			n++
 		}
 	}
-	if n != 10*repeatPart {
-		t.Errorf("%d repeats for 10 first tries", n)
+	if n != 10*duplicatesPerFirst {
+		t.Errorf("%d duplicates for 10 first requests", n)
 	}
-	c.Away(now, 8, 10*time.Second)
+	c.SetRetryAfter(now, 8, 10*time.Second)
 	if _, again := c.Begin(now+5*time.Second, 8, false, false); !again {
-		t.Error("back after half of the time, and not taken for a repeat")
+		t.Error("back after half of the time, and not taken for a duplicate")
 	}
 	if v, soon := c.Begin(now+6*time.Second, 8, false, true); soon || v != Admitted {
-		t.Error("what is worth most is held to it")
+		t.Error("a request of the highest weight is limited by it")
 	}
 	if _, again := c.Begin(now+11*time.Second, 8, false, false); again {
-		t.Error("back after its time, and taken for a repeat")
+		t.Error("back after its time, and taken for a duplicate")
 	}
 }
 
-// A million clients in a minute: the table keeps its size, and those that ask all the while keep
-// what is known of them.
+// A million clients in a minute: the table keeps its size, and clients that send requests all the time keep their entry.
 func TestMillionClients(t *testing.T) {
-	if n := unsafe.Sizeof(entry{}); n != entryBytes {
+	if n := unsafe.Sizeof(clientEntry{}); n != entryBytes {
 		t.Fatalf("an entry has %d bytes, %d are said", n, entryBytes)
 	}
 	const bytes = 512 << 10
 	c := NewClients(ClientLimits{Rate: 5, Burst: 10}, bytes, 3)
-	if c.Bytes() > bytes || c.Bytes() < bytes/2 {
-		t.Errorf("%d bytes of %d", c.Bytes(), bytes)
+	if c.TableBytes() > bytes || c.TableBytes() < bytes/2 {
+		t.Errorf("%d bytes of %d", c.TableBytes(), bytes)
 	}
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -156,12 +154,12 @@
 		t.Errorf("the heap went from %d to %d bytes", before.HeapAlloc, after.HeapAlloc)
 	}
 	if over > 5*60+10+20 {
-		t.Errorf("%d of the one client were let in, %d may be", over, 5*60+10)
+		t.Errorf("%d of the one client were admitted, %d may be", over, 5*60+10)
 	}
 }
 
-// One tenant floods at 50 times its share: the others have all that they ask for, and what they
-// leave is lent and taken back within a second.
+// One tenant floods at 50 times its share: the others get all that they request, and what they leave is lent and taken
+// back within a second.
 func TestTenantFlood(t *testing.T) {
 	list := []Tenant{{"a", 1}, {"b", 1}, {"c", 2}}
 	ts := NewTenants(list, TenantLimits{Rate: 400})
@@ -187,14 +185,14 @@
 	}
 	play(10*time.Second, 5000, 90, 190) // 50 times its share of 100
 	if got[1] != asked[1] || got[2] != asked[2] {
-		t.Errorf("of %v asked, %v were let in", asked, got)
+		t.Errorf("of %v requested, %v were admitted", asked, got)
 	}
 	if sum := got[0] + got[1] + got[2]; sum < 3900 || sum > 4500 {
 		t.Errorf("%d of 4,000 are used", sum)
 	}
 	play(10*time.Second, 5000, 0, 0) // all is lent
 	if got[0] < 3900 || got[0] > 4500 {
-		t.Errorf("%d of 4,000 are lent to the one who asks", got[0])
+		t.Errorf("%d of 4,000 are lent to the only tenant with requests", got[0])
 	}
 	play(time.Second, 5000, 100, 200) // and taken back
 	if got[1] < 98 || got[2] < 198 {
@@ -211,7 +209,7 @@
 	}
 }
 
-// Places are shared alike: a fifth is not lent, and those who come back find them.
+// Places are shared in the same way: a fifth is not lent, and tenants that return find them.
 func TestTenantPlaces(t *testing.T) {
 	ts := NewTenants([]Tenant{{"a", 1}, {"b", 1}}, TenantLimits{Concurrent: 100})
 	n := 0
@@ -219,7 +217,7 @@
 		n++
 	}
 	if n != 80 {
-		t.Errorf("%d places of 100 for the one who asks", n)
+		t.Errorf("%d places of 100 for the only tenant with requests", n)
 	}
 	for i := range 50 {
 		if ts.Begin(0, 1) != Admitted {
@@ -234,7 +232,7 @@
 		ts.End(0)
 	}
 	if ts.Begin(0, 0) != Admitted {
-		t.Error("its own place is not given back")
+		t.Error("its own place is not returned")
 	}
 }
 
