--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -487,7 +487,7 @@
 	}
 	done := g.advance(time.Second)
 	if len(done) != 1 || done[0].Kind != Reject || done[0].Request != id {
-		t.Errorf("done %v, want one refusal", done)
+		t.Errorf("done %v, want one rejection", done)
 	}
 }
 
@@ -710,7 +710,7 @@
 }
 
 // A gateway that ends owes what is open its answer by then, however long its clients would wait:
-// a refusal where nothing can have come of it, a failure else. Requests due sooner keep their time.
+// a rejection where nothing can have come of it, a failure else. Requests due sooner keep their time.
 func TestStopIsDueForWhatIsOpen(t *testing.T) {
 	g := start(t, basic(), hosts(4)...)
 	sent := map[RequestID]int{}
@@ -810,7 +810,7 @@
 	}
 }
 
-// One attempt that takes long is no proof of silence: its host is doubtful. It gets
+// One attempt that takes long is no proof of silence: its host is suspected. It gets
 // nothing while another is ready, then one request that can be sent again, which tells.
 func TestDoubtfulHost(t *testing.T) {
 	for _, answers := range []bool{true, false} {
@@ -819,8 +819,8 @@
 		h := g.b.byID[1]
 		held := g.sentTo(1, 10*ms)
 		g.advance(200 * ms)
-		if h.ejections != 0 || !g.b.doubtful(h) {
-			t.Fatalf("ejected %d times, doubtful %v", h.ejections, g.b.doubtful(h))
+		if h.ejections != 0 || !g.b.suspected(h) {
+			t.Fatalf("ejected %d times, suspected %v", h.ejections, g.b.suspected(h))
 		}
 		if got := g.serve(30, 0, func(HostID) time.Duration { return ms }); got[1] != 0 {
 			t.Fatalf("%d sends to it while another is ready", got[1])
@@ -830,16 +830,16 @@
 		g.request(2, time.Second)
 		for _, a := range g.acts {
 			if a.Kind == Send {
-				t.Fatal("an unsafe request tells whether it is silent")
+				t.Fatal("a non-idempotent request is used to test for silence")
 			}
 		}
-		g.advance(300 * ms) // it is refused
+		g.advance(300 * ms) // it is rejected
 		id := g.request(0, time.Second)
 		if a := g.sole(Send); a.Host != 1 {
 			t.Fatalf("sent to %d", a.Host)
 		}
 		if g.request(0, time.Second); len(g.acts) > 0 {
-			t.Fatalf("a second one in doubt: %v", g.acts)
+			t.Fatalf("a second one while the host is suspected: %v", g.acts)
 		}
 		if answers {
 			g.outcome(id, 0, OK, 10*ms)
@@ -864,20 +864,20 @@
 // attempt in 25 is never answered, as its connection has gone silent: the situation of the
 // incident r42c44a. There each such attempt kept its host from all others until the
 // client's deadline, half the hosts were out as silent at any time, and a third of all that
-// came was refused.
+// came was rejected.
 func TestSilentConnectionsDoNotStarveTheFleet(t *testing.T) {
-	asked, refused := 0, 0
+	asked, rejected := 0, 0
 	for seed := range int64(10) { // one alone says little
 		a, r := playSilentConnections(t, seed+1)
-		asked, refused = asked+a, refused+r
+		asked, rejected = asked+a, rejected+r
 	}
-	if float64(refused) > 0.05*float64(asked) {
-		t.Errorf("%d of %d refused or failed", refused, asked)
+	if float64(rejected) > 0.05*float64(asked) {
+		t.Errorf("%d of %d rejected or failed", rejected, asked)
 	}
-	t.Logf("%d of %d refused or failed", refused, asked)
+	t.Logf("%d of %d rejected or failed", rejected, asked)
 }
 
-func playSilentConnections(t *testing.T, seed int64) (asked, refused int) {
+func playSilentConnections(t *testing.T, seed int64) (asked, rejected int) {
 	set := basic()
 	set.Instances, set.Step = 2, ms
 	set.Classes = []Class{
@@ -924,7 +924,7 @@
 					}
 				}
 			case Reject, Fail:
-				refused++
+				rejected++
 			}
 		}
 	}
@@ -959,7 +959,7 @@
 			handle(i, g.acts)
 		}
 	}
-	return asked, refused
+	return asked, rejected
 }
 
 // Hosts to which connections fail are spared by fail-open while any other is up: each attempt
@@ -1027,7 +1027,7 @@
 			t.Fatalf("action %v", a)
 		}
 		if g.b.open[a.Request] != nil {
-			t.Error("refused request kept")
+			t.Error("rejected request kept")
 		}
 	}
 	if g.b.queued != 0 {
@@ -1045,11 +1045,11 @@
 	high := g.request(1, 2*time.Second)
 	for _, a := range g.advance(200 * ms) {
 		if a.Kind != Reject || a.Request != low {
-			t.Errorf("action %v, want only the late request of the lower line refused", a)
+			t.Errorf("action %v, want only the late request of the lower queue rejected", a)
 		}
 	}
 	if g.b.open[low] != nil || g.b.open[high] == nil {
-		t.Error("the late request waits on, or the other was refused")
+		t.Error("the late request waits on, or the other was rejected")
 	}
 }
 
@@ -1107,7 +1107,7 @@
 	set := basic()
 	set.Instances = 200
 	g := start(t, set, hosts(20)...)
-	run := func(aims float64) (low, high int) {
+	run := func(objectives float64) (low, high int) {
 		for range 100 {
 			for _, class := range []int{0, 2} {
 				id := g.request(class, time.Second)
@@ -1117,7 +1117,7 @@
 					} else {
 						high++
 					}
-					g.outcome(id, 0, OK, Time(aims*400)*ms)
+					g.outcome(id, 0, OK, Time(objectives*400)*ms)
 				}
 				for _, h := range g.b.hosts { // keeps the hosts' own limits out of this
 					h.concurrencyLimit, h.restingUntil = 10, 0
@@ -1194,7 +1194,7 @@
 }
 
 // serra incident ic8b233: hosts that turned all away at once, while the others
-// were at their limits, drew all that waited.
+// were at their limits, got all that waited.
 func TestFullHostIsGivenLess(t *testing.T) {
 	set := basic()
 	set.Instances = 4
@@ -1204,7 +1204,7 @@
 	g.now += ms
 	g.outcome(id, 0, Full, ms)
 	if len(g.acts) != 0 {
-		t.Fatalf("actions %v right after the refusal, want the request to wait", g.acts)
+		t.Fatalf("actions %v right after the rejection, want the request to wait", g.acts)
 	}
 	if h := g.b.hosts[0]; h.concurrencyLimit >= 1 || h.restingUntil <= g.now {
 		t.Errorf("limit %v, rest until %v at %v, want both cut", h.concurrencyLimit, h.restingUntil, g.now)
@@ -1689,7 +1689,7 @@
 		}
 	}
 	if lines > 1200 {
-		t.Errorf("the policy has %d lines that are not blank, 1200 at most", lines)
+		t.Errorf("the policy has %d non-blank lines, 1200 at most", lines)
 	}
 	if !strings.Contains(files["balancer.go"][:800], "api.go") {
 		t.Error("the head of balancer.go does not name api.go")
@@ -1895,7 +1895,7 @@
 // Attempts that were passed by are called off only where such ones stay silent: requests
 // that take long are answered yet, and calling them off does their work twice.
 func TestPassedByAttemptsThatAreAnswered(t *testing.T) {
-	for class, end := range map[int]Result{0: OK, 2: TimedOut} { // a safe one, an unsafe one
+	for class, end := range map[int]Result{0: OK, 2: TimedOut} { // an idempotent one, a non-idempotent one
 		g := start(t, basic(), hosts(1)...)
 		g.b.hosts[0].concurrencyLimit = 8
 		for range 8 {
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -15,7 +15,7 @@
 
 // atLimit reports whether a host holds as much from this instance as it may. A limit below one, on a host
 // whose mean RTT is over the target, means that it is used for that share of the time. A host whose oldest
-// attempt has taken longer than the target of the limit, or that is doubtful, gets no other attempt either.
+// attempt has taken longer than the target of the limit, or that is suspected, gets no other attempt either.
 func (b *Balancer) atLimit(h *host) bool {
 	oldest, notOvertaken := h.oldest()
 	held := h.inFlight
@@ -25,7 +25,7 @@
 	if b.now < h.restingUntil || held > 0 && float64(held+1) > h.concurrencyLimit {
 		return true
 	}
-	return notOvertaken > 0 && b.overdue(oldest) || b.doubtful(h)
+	return notOvertaken > 0 && b.overdue(oldest) || b.suspected(h)
 }
 
 // overdue reports whether an attempt has taken so long that its host gets no other.
@@ -33,9 +33,9 @@
 	return float64(b.now-a.sent) > overdueObjectives*float64(a.req.class.LatencyObjective)
 }
 
-// doubtful reports whether a host has a single attempt in flight that takes longer than it should: either
+// suspected reports whether a host has a single attempt in flight that takes longer than it should: either
 // the host is silent or the request is costly.
-func (b *Balancer) doubtful(h *host) bool {
+func (b *Balancer) suspected(h *host) bool {
 	oldest, notOvertaken := h.oldest()
 	return notOvertaken == 1 && b.now >= h.restingUntil && b.now-oldest.sent >= b.silenceTimeout(oldest.req)
 }
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// shared is by host how many gateways draw from it.
+// shared returns by host how many gateways use it.
 func (f *gatewayFleet) shared() map[HostID]int {
 	n := map[HostID]int{}
 	for _, g := range f.gates {
@@ -85,7 +85,7 @@
 		got := f.shared()
 		for _, h := range ids {
 			if x := float64(got[h.ID]); x < 1 || x > 2*even {
-				t.Errorf("%s: %v gateways draw from host %d, an even share is %.1f", when, x, h.ID, even)
+				t.Errorf("%s: %v gateways use host %d, an even share is %.1f", when, x, h.ID, even)
 			}
 		}
 	}
@@ -309,7 +309,7 @@
 	}
 	for h, x := range f.shared() {
 		if x > 3*minSharingInstances {
-			t.Errorf("%d gateways draw from host %d", x, h)
+			t.Errorf("%d gateways use host %d", x, h)
 		}
 	}
 	for _, g := range f.gates {
@@ -384,7 +384,7 @@
 		got := f.shared()
 		for _, h := range f.gates[0].b.hosts {
 			if x := got[h.ID]; x < 1 || x > max(c.gates, 3*minSharingInstances) {
-				t.Errorf("%d gateways: %d draw from host %d", c.gates, x, h.ID)
+				t.Errorf("%d gateways: %d use host %d", c.gates, x, h.ID)
 			}
 		}
 		if c.gates == 1 && len(f.subset(0)) != c.n {
@@ -589,23 +589,23 @@
 	}
 }
 
-// What waits is refused the sooner the more gateways share a host, as a place there then comes free
+// What waits is rejected the sooner the more gateways share a host, as a place there then comes free
 // by the answers of others. It guards against requests that only get old.
 func TestLinesAreShortWhereManyShareAHost(t *testing.T) {
-	for sharers, want := range map[int]time.Duration{1: 80 * ms, 4: 20 * ms, 20: 4 * ms} {
+	for gateways, want := range map[int]time.Duration{1: 80 * ms, 4: 20 * ms, 20: 4 * ms} {
 		set := basic()
-		set.Instances = sharers
+		set.Instances = gateways
 		g := start(t, set, hosts(1)...)
 		h := g.b.hosts[0]
 		h.concurrencyLimit, h.restingUntil = 0.4, g.now+time.Second
 		g.b.recheck(h)
 		g.request(0, time.Second)
 		if len(g.acts) > 0 {
-			t.Fatalf("%d sharers: %v at once", sharers, g.acts)
+			t.Fatalf("%d gateways: %v at once", gateways, g.acts)
 		}
 		early, then := g.advance(want-ms), g.advance(set.Classes[0].LatencyObjective/8)
 		if len(early) > 0 || len(then) != 1 || then[0].Kind != Reject || then[0].Cause != CauseWait {
-			t.Errorf("%d sharers: %v before %v, %v behind", sharers, early, want, then)
+			t.Errorf("%d gateways: %v before %v, %v after", gateways, early, want, then)
 		}
 	}
 }
@@ -621,7 +621,7 @@
 }
 
 // A host's limit below one grows where a request found no host while the answered one was out, also
-// where that one was refused long before the answer; not where none was wanted, and not above one. It guards against a busy
+// where that one was rejected long before the answer; not where none was wanted, and not above one. It guards against a busy
 // gateway that stays at its even part of hosts that have room.
 func TestLimitGrowsWhereAHostWasWanted(t *testing.T) {
 	for _, wanted := range []bool{true, false} {
--- a/balancer/fuzz_test.go
+++ b/balancer/fuzz_test.go
@@ -316,12 +316,12 @@
 		}
 		switch c := r.class; {
 		case c.Idempotency == NonIdempotent:
-			h.Fatalf("unsafe request %d sent again", a.Request)
+			h.Fatalf("non-idempotent request %d sent again", a.Request)
 		case c.Idempotency == IdempotentWithKey && h.now-p.sent > c.DedupWindow:
-			h.Fatalf("keyed request %d sent again after its window", a.Request)
+			h.Fatalf("request %d with a key sent again after its window", a.Request)
 		case c.Idempotency == IdempotentWithKey && c.DedupScope == ScopeZone && p.host.Zone != host.Zone,
 			c.Idempotency == IdempotentWithKey && c.DedupScope == ScopeCell && p.host.Cell != host.Cell:
-			h.Fatalf("keyed request %d left its group", a.Request)
+			h.Fatalf("request %d with a key left its scope", a.Request)
 		}
 		break
 	}
@@ -361,7 +361,7 @@
 	for _, p := range r.atts {
 		if c := r.class; (!p.ended || p.result.MayHaveRun()) && c.Idempotency != Idempotent &&
 			(c.Idempotency != IdempotentWithKey || c.DedupScope != ScopeAll) {
-			h.Fatalf("request %d refused though it may have run", a.Request)
+			h.Fatalf("request %d rejected though it may have run", a.Request)
 		}
 	}
 }
--- a/balancer/hostset.go
+++ b/balancer/hostset.go
@@ -92,7 +92,7 @@
 	}
 	until(h.restingUntil)
 	if a, notOvertaken := h.oldest(); notOvertaken == 1 {
-		until(a.sent + b.silenceTimeout(a.req)) // the host may be doubtful from then on
+		until(a.sent + b.silenceTimeout(a.req)) // the host may be suspected from then on
 	}
 	b.moveToSet(h, set)
 	for i := 0; h.hasErrors && i < len(h.class); i++ {
--- a/balancer/retune_test.go
+++ b/balancer/retune_test.go
@@ -41,7 +41,7 @@
 	strict := g.request(3, time.Second)
 	g.outcome(strict, 0, Reset, 10*ms)
 	if len(g.acts) != 1 || g.acts[0].Kind != Fail {
-		t.Errorf("an unsafe one of the class that came, after a reset: %v", g.acts)
+		t.Errorf("a non-idempotent one of the new class, after a reset: %v", g.acts)
 	}
 	g.outcome(old, 1, OK, 10*ms)
 	if len(g.b.open) != 0 {
@@ -78,7 +78,7 @@
 	duplicate := g.next
 	g.drain()
 	set := retuned()
-	set.Classes[1].PriorityWeight = 9 // not what requests are under: refused
+	set.Classes[1].PriorityWeight = 9 // not what requests are under: rejected
 	if err := g.b.Retune(g.now, set, []int{0, 1, 2, -1}); err == nil {
 		t.Fatal("rules of a class with requests under way have changed")
 	}
--- a/balancer/scale_test.go
+++ b/balancer/scale_test.go
@@ -9,7 +9,7 @@
 )
 
 // walked is what pick would choose among for a class if it walked all hosts drawn from, as
-// it did before there were sets; the doubtful ones where no other is ready. It is the
+// it did before there were sets; suspected ones where no other is ready. It is the
 // obvious way, and the judge of the other.
 func walked(b *Balancer, class int, ready []*host) []*host {
 	listed, out, excluded, broken := 0, 0, 0, 0
@@ -44,7 +44,7 @@
 		for _, h := range from {
 			// Patience may have shrunk since it was looked at; the next sweep sees that.
 			seen := h.readySet == setDoubtful || h.recheckTime <= b.now
-			if seen && h.State == Ready && !b.excludedFor(h, class) && !b.ejected(h) && !b.pacedBySlowStart(h) && b.doubtful(h) {
+			if seen && h.State == Ready && !b.excludedFor(h, class) && !b.ejected(h) && !b.pacedBySlowStart(h) && b.suspected(h) {
 				ready = append(ready, h)
 			}
 		}
@@ -244,7 +244,7 @@
 	checkSets(t, g.b) // every class excluded somewhere, one nearly everywhere
 }
 
-// A keyed request that may have run is sent again only inside its group, whichever host
+// A request with a key that may have run is sent again only inside its scope, whichever host
 // of it, and however large it is.
 func TestKeyedStaysInALargeGroup(t *testing.T) {
 	for _, group := range []DedupScope{ScopeCell, ScopeZone} {
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -178,7 +178,7 @@
 	case h.State != Ready || b.pacedBySlowStart(h):
 		return setNone
 	case b.atLimit(h):
-		if !ejected && b.doubtful(h) {
+		if !ejected && b.suspected(h) {
 			return setDoubtful
 		}
 		return setNone
