--- a/cmd/dunemoorctl/appliance.go
+++ b/cmd/dunemoorctl/appliance.go
@@ -81,7 +81,7 @@
 // explain says where a request would go.
 func explain(cmd *cobra.Command, a *config.Appliance, method, target, hostHeader string, h http.Header) error {
 	out := cmd.OutOrStdout()
-	host, path, err := route.Target(target, hostHeader)
+	host, path, err := route.ParseTarget(target, hostHeader)
 	if err != nil {
 		return fmt.Errorf("answered 400: %w", err)
 	}
--- a/internal/config/appliance_test.go
+++ b/internal/config/appliance_test.go
@@ -19,7 +19,7 @@
 		t.Fatal(wrong)
 	}
 	if a.Name != "depot-1" || len(a.Pools) != 5 || len(a.Classes) != 3 || a.Classes[1].Idempotency != balancer.NonIdempotent ||
-		a.Classes[2].DedupWindow != 2500*time.Millisecond || a.Pools[0].MinShare != route.DefaultNeed || a.Listeners[0].Protocol != "http1" ||
+		a.Classes[2].DedupWindow != 2500*time.Millisecond || a.Pools[0].MinShare != route.DefaultMinShare || a.Listeners[0].Protocol != "http1" ||
 		a.Pools[3].Members[0].ID != "127.0.0.1:9201" || a.Routes[0].RetryShare != defaultRetryShare || a.Routes[1].RetryShare != 0.1 {
 		t.Errorf("%+v", a)
 	}
--- a/internal/config/pools.go
+++ b/internal/config/pools.go
@@ -36,7 +36,7 @@
 	index := map[string]int{}
 	for i, x := range f.Pool {
 		p := Pool{
-			Name: x.Name, File: x.File, Discovery: x.Discovery, MinShare: cmp.Or(x.Need, route.DefaultNeed), Fallback: x.Fallback, SocketShare: x.Sockets,
+			Name: x.Name, File: x.File, Discovery: x.Discovery, MinShare: cmp.Or(x.Need, route.DefaultMinShare), Fallback: x.Fallback, SocketShare: x.Sockets,
 			SlowStart: SlowStart{x.ColdFrom, time.Duration(x.WarmAfter)},
 			Protocol:  x.Protocol, ScriptRoot: x.Root, Params: x.Params, HealthCheckPath: x.Check,
 		}
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -75,7 +75,7 @@
 	r.RequestHeaders, r.ResponseHeaders = c.headers(i, "request", x.Request), c.headers(i, "answer", x.Answer)
 	c.plainOnly(i, x, &r)
 	if x.Failures == nil {
-		r.FailureStatuses = route.DefaultFailures
+		r.FailureStatuses = route.DefaultFailureStatuses
 	}
 	for _, status := range x.Failures {
 		if status < 400 || status > 599 {
--- a/internal/discovery/export_test.go
+++ b/internal/discovery/export_test.go
@@ -8,8 +8,8 @@
 
 // What tests from outside the package use.
 const (
-	Heartbeat = heartbeat
-	WatchDial = watchDial
+	Heartbeat = heartbeatInterval
+	WatchDial = dialTimeout
 )
 
 // DialBy has calls go out on connections of a test. Call it before Run.
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -16,33 +16,33 @@
 )
 
 const (
-	// fileEvery is how often a file is looked at: a change is told within it. Polling needs
-	// no privileges and sees renames, links and network disks alike.
-	fileEvery = time.Second
-	// fileMost bounds a file: 5,000 hosts are under 1 MB.
-	fileMost = 16 << 20
+	// fileInterval is how often a file is read: a change is noticed within it. Polling needs no privileges, and works with
+	// renames, links and network disks.
+	fileInterval = time.Second
+	// maxFileBytes bounds a file: 5,000 hosts are under 1 MB.
+	maxFileBytes = 16 << 20
 )
 
-// File tells of the hosts in a file, in the form of discovery's whole list, and again when
-// that changes. A file that can't be read or used changes nothing: the last good one stands.
+// File sends the endpoint list of a file, in the form of discovery's full list, and again when it changes. A file that
+// can't be read or is malformed changes nothing: the last good list stays in use.
 type File struct {
-	path  string
-	Every time.Duration // between two looks; set before Run
+	path     string
+	Interval time.Duration // between two reads; set before Run
 
-	seen []byte // as it was last, good or bad
-	said string // the last error, so that each is logged once
-	told bool   // a good one has been
+	text     []byte // as it was last, good or bad
+	logged   string // the last error, so that each is logged once
+	received bool   // a good list was read
 }
 
 // NewFile returns a File.
-func NewFile(path string) *File { return &File{path: path, Every: fileEvery} }
+func NewFile(path string) *File { return &File{path: path, Interval: fileInterval} }
 
-// Run looks at the file until ctx ends, at once for the first time.
+// Run reads the file until ctx ends, for the first time at once.
 func (f *File) Run(ctx context.Context, to Sink) {
-	tick := time.NewTicker(f.Every)
+	tick := time.NewTicker(f.Interval)
 	defer tick.Stop()
 	for {
-		f.look(to)
+		f.read(to)
 		select {
 		case <-ctx.Done():
 			return
@@ -51,55 +51,56 @@
 	}
 }
 
-// look reads the file and tells of it if it has changed.
-func (f *File) look(to Sink) {
-	text, err := readMost(f.path, fileMost)
+// read reads the file and sends the list if it has changed.
+func (f *File) read(to Sink) {
+	text, err := readBounded(f.path, maxFileBytes)
 	if err == nil {
-		if f.seen != nil && bytes.Equal(text, f.seen) {
+		if f.text != nil && bytes.Equal(text, f.text) {
 			return
 		}
-		f.seen = text
+		f.text = text
 		var list MemberList
 		if list, err = ParseFile(f.path, text); err == nil {
-			if f.told || f.said != "" {
+			if f.received || f.logged != "" {
 				slog.Info("host list read", "file", f.path, "hosts", len(list.Servers))
 			}
-			f.told, f.said = true, ""
+			f.received, f.logged = true, ""
 			to.UpdateEndpoints(balancer.ListFull, list)
 			return
 		}
 	} else {
-		f.seen = nil // when it is back it is read anew
+		f.text = nil // when it is back it is read again
 	}
-	if err.Error() != f.said {
-		f.said = err.Error()
+	if err.Error() != f.logged {
+		f.logged = err.Error()
 		slog.Error("host list not read, the last one stands", "err", err)
 	}
 }
 
-// ReadFile reads the list of hosts in a file.
+// ReadFile reads the endpoint list of a file.
 func ReadFile(path string) (MemberList, error) {
-	text, err := readMost(path, fileMost)
+	text, err := readBounded(path, maxFileBytes)
 	if err != nil {
 		return MemberList{}, err
 	}
 	return ParseFile(path, text)
 }
 
-func readMost(path string, most int64) ([]byte, error) {
+// readBounded reads a file of at most limit bytes.
+func readBounded(path string, limit int64) ([]byte, error) {
 	in, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer in.Close()
-	text, err := io.ReadAll(io.LimitReader(in, most+1))
-	if err == nil && int64(len(text)) > most {
-		err = fmt.Errorf("%s: more than %d bytes", path, most)
+	text, err := io.ReadAll(io.LimitReader(in, limit+1))
+	if err == nil && int64(len(text)) > limit {
+		err = fmt.Errorf("%s: more than %d bytes", path, limit)
 	}
 	return text, err
 }
 
-// fileForm is the form of a file, with all that discovery may say: weights are not used.
+// fileForm is the form of a file, with all keys of discovery: weights are not used.
 type fileForm struct {
 	Version uint64 `json:"version"`
 	Full    bool   `json:"full"`
@@ -115,39 +116,41 @@
 	} `json:"servers"`
 }
 
-// ParseFile reads the text of a file of hosts. It is strict, as whoever writes it is not a
-// program: an unknown field, an id twice or an address that is none is an error with its
-// line. An empty list is one, so that a file cut short does not take all hosts away.
+// ParseError is a mistake in a file of hosts.
+type ParseError struct {
+	Path string
+	Line int
+	Text string
+}
+
+func (e *ParseError) Error() string { return fmt.Sprintf("%s:%d: %s", e.Path, e.Line, e.Text) }
+
+// fileParser reads a file of hosts.
+type fileParser struct {
+	path string
+	text []byte
+}
+
+// errorAt returns a ParseError at an offset of the text.
+func (p *fileParser) errorAt(offset int64, format string, args ...any) error {
+	before := p.text[:min(max(offset, 0), int64(len(p.text)))]
+	return &ParseError{p.path, 1 + bytes.Count(before, []byte("\n")), fmt.Sprintf(format, args...)}
+}
+
+// ParseFile reads the text of a file of hosts. It is strict, as files are written by people: an unknown field, a duplicate ID
+// or a malformed address is a ParseError. So is an empty list: a file that was cut short must not remove all hosts.
 func ParseFile(path string, text []byte) (MemberList, error) {
-	var form fileForm
-	bad := func(offset int64, format string, args ...any) (MemberList, error) {
-		line := 1 + bytes.Count(text[:min(max(offset, 0), int64(len(text)))], []byte("\n"))
-		return MemberList{}, fmt.Errorf("%s:%d: %s", path, line, fmt.Sprintf(format, args...))
-	}
-	d := json.NewDecoder(bytes.NewReader(text))
-	d.DisallowUnknownFields()
-	if err := d.Decode(&form); err != nil {
-		var syntax *json.SyntaxError
-		var typ *json.UnmarshalTypeError
-		switch {
-		case errors.Is(err, io.ErrUnexpectedEOF):
-			return bad(int64(len(text)), "it is cut short")
-		case errors.As(err, &syntax):
-			return bad(syntax.Offset, "%v", err)
-		case errors.As(err, &typ):
-			return bad(typ.Offset, "%s: is a %s, wants a %s", typ.Field, typ.Value, typ.Type)
-		}
-		return bad(d.InputOffset(), "%v", err)
-	}
-	if d.More() {
-		return bad(d.InputOffset(), "something follows the list")
+	p := &fileParser{path, text}
+	form, err := p.decode()
+	if err != nil {
+		return MemberList{}, err
 	}
 	list := MemberList{Version: form.Version, Full: true}
 	if len(form.Servers) == 0 {
-		return bad(0, "servers: there is none")
+		return MemberList{}, p.errorAt(0, "servers: there is none")
 	}
 	ids := map[string]bool{}
-	at := int64(0) // each host is looked for behind the one before
+	at := int64(0) // each host is looked for after the one before
 	for i := range form.Servers {
 		m := &form.Servers[i]
 		if k := bytes.Index(text[at:], []byte(`"`+m.ID+`"`)); k >= 0 {
@@ -155,17 +158,40 @@
 		}
 		switch {
 		case m.ID == "":
-			return bad(at, "host %d: it has no id", i+1)
+			return MemberList{}, p.errorAt(at, "host %d: it has no id", i+1)
 		case ids[m.ID]:
-			return bad(at, "id: %q is there twice", m.ID)
-		case m.State != "ready" && m.State != "draining":
-			return bad(at, "host %s: state: %q is neither ready nor draining", m.ID, m.State)
+			return MemberList{}, p.errorAt(at, "id: %q is there twice", m.ID)
+		case m.State != stateReady && m.State != stateDraining:
+			return MemberList{}, p.errorAt(at, "host %s: state: %q is neither ready nor draining", m.ID, m.State)
 		}
 		if _, port, err := net.SplitHostPort(m.Addr); err != nil || port == "" {
-			return bad(at, "host %s: addr: %q is no host:port", m.ID, m.Addr)
+			return MemberList{}, p.errorAt(at, "host %s: addr: %q is no host:port", m.ID, m.Addr)
 		}
 		ids[m.ID] = true
 		list.Servers = append(list.Servers, Member{m.ID, m.Addr, m.Zone, m.Kind, m.Cell, m.State, m.StartedMS})
 	}
 	return list, nil
 }
+
+// decode decodes the JSON of a file.
+func (p *fileParser) decode() (form fileForm, err error) {
+	d := json.NewDecoder(bytes.NewReader(p.text))
+	d.DisallowUnknownFields()
+	if err := d.Decode(&form); err != nil {
+		var syntaxError *json.SyntaxError
+		var typeError *json.UnmarshalTypeError
+		switch {
+		case errors.Is(err, io.ErrUnexpectedEOF):
+			return form, p.errorAt(int64(len(p.text)), "it is cut short")
+		case errors.As(err, &syntaxError):
+			return form, p.errorAt(syntaxError.Offset, "%v", err)
+		case errors.As(err, &typeError):
+			return form, p.errorAt(typeError.Offset, "%s: is a %s, wants a %s", typeError.Field, typeError.Value, typeError.Type)
+		}
+		return form, p.errorAt(d.InputOffset(), "%v", err)
+	}
+	if d.More() {
+		return form, p.errorAt(d.InputOffset(), "something follows the list")
+	}
+	return form, nil
+}
--- a/internal/discovery/file_test.go
+++ b/internal/discovery/file_test.go
@@ -57,7 +57,7 @@
 		{"back as it was", func() { write(strings.Replace(one, `"a"`, `"b"`, 1)) }, "b"},
 	} {
 		step.do()
-		f.look(c)
+		f.read(c)
 		got := ""
 		select {
 		case list := <-c:
@@ -71,7 +71,7 @@
 		}
 	}
 	// And by itself, until its end.
-	f.Every = time.Millisecond
+	f.Interval = time.Millisecond
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); f.Run(ctx, c) }()
--- a/internal/discovery/members.go
+++ b/internal/discovery/members.go
@@ -7,14 +7,14 @@
 	UpdateEndpoints(kind balancer.ListKind, list MemberList)
 }
 
-// MemberList is the list of hosts, or changes of it, in discovery's form.
+// MemberList is the endpoint list, or changes of it, in discovery's form.
 type MemberList struct {
 	Version uint64
 	Full    bool
 	Servers []Member
 }
 
-// Member is one host of the list.
+// Member is a host of the list.
 type Member struct {
 	ID        string
 	Addr      string
@@ -25,12 +25,19 @@
 	StartedMS int64 `json:"started_ms"`
 }
 
-// HostState reads the state of a member; a host of which we cannot tell gets nothing new.
+// States of members.
+const (
+	stateReady    = "ready"
+	stateDraining = "draining"
+	stateGone     = "gone"
+)
+
+// HostState returns the state of a member. A host with an unknown state gets no new requests.
 func (m *Member) HostState() balancer.HostState {
 	switch m.State {
-	case "ready":
+	case stateReady:
 		return balancer.Ready
-	case "gone":
+	case stateGone:
 		return balancer.Removed
 	}
 	return balancer.Draining
--- a/internal/discovery/told_test.go
+++ b/internal/discovery/told_test.go
@@ -248,7 +248,7 @@
 			Instances: of, Rank: rank, Poll: m.ask, PollTimeout: m.askWithin,
 			Classes: []balancer.Class{{LatencyObjective: time.Second, Deadline: time.Second}},
 		},
-		Seed: seed, Transport: g, Poll: g.watcher.Watch,
+		Seed: seed, Transport: g, Poll: g.watcher.Poll,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -342,7 +342,7 @@
 						moves.Go(func() {
 							time.Sleep(20*time.Second + time.Duration(i)*110*time.Millisecond)
 							at := time.Now()
-							g.watcher.Move("discovery:2")
+							g.watcher.SetAddress("discovery:2")
 							took[i] = (<-g.drains).Sub(at)
 						})
 					}
@@ -449,14 +449,14 @@
 			}
 		}
 		expect("not asked", 0, 0, 0)
-		w.Watch()
+		w.Poll()
 		expect("asked", 1, 0, 0)
-		w.Watch()
-		w.Move("discovery:2")
+		w.Poll()
+		w.SetAddress("discovery:2")
 		expect("moved", 1, 1, 0)
 		time.Sleep(3 * time.Minute) // the watch there ends
 		expect("lost", 1, 1, 1)
-		w.Watch()
+		w.Poll()
 		expect("asked again", 1, 2, 2)
 		cancel()
 		all.Wait()
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -1,5 +1,4 @@
-// Package discovery tells a gateway of the hosts that there are: from a service that is
-// watched, or from a file.
+// Package discovery provides the endpoint list of a pool: from a service that is watched, or from a file.
 package discovery
 
 import (
@@ -22,36 +21,36 @@
 	// PathMembers is where the service has the list.
 	PathMembers = "/catalog/members"
 
-	// heartbeat is how often an empty line comes on a watch while nothing changes.
-	heartbeat = 2 * time.Second
-	// watchSilence is how long a call may bring nothing before it is given up: a heartbeat is missing
-	// then, and half of one is for a busy machine. What a silent watch misses counts as told 6 s
-	// after its silence began, which may be right behind a heartbeat, and what discovery has 6 s after
-	// it can be reached, which may be right behind the begin of a call that hangs: a new call must
-	// have brought it by then, in its turn where it is one of a whole fleet's.
-	watchSilence = heartbeat + heartbeat/2
-	watchDial    = time.Second
-	// watchBackoff is the time before a new call, doubled to watchMost. An agent answers at once and
-	// at no cost, and what it has counts as told also without a watch: drains that it gets as
-	// discovery returns have to be heard within the grace for them, half a second and more.
-	watchBackoff = 50 * time.Millisecond
-	watchMost    = 250 * time.Millisecond
-	maxList      = 16 << 20 // bytes of one list, white space aside
+	// heartbeatInterval is how often a watch sends an empty line while nothing changes.
+	heartbeatInterval = 2 * time.Second
+	// maxSilence is how long a call may be silent before it is given up: a heartbeat is missing then, and half of one is for
+	// a busy machine. What a silent watch misses counts as known 6 s after its silence began, which may be right after a
+	// heartbeat, and what discovery has 6 s after it can be reached, which may be right after the begin of a call that hangs:
+	// a new call must have brought it by then, in its turn where it is one of a whole fleet's.
+	maxSilence  = heartbeatInterval + heartbeatInterval/2
+	dialTimeout = time.Second
+	// minBackoff is the time before a new call, doubled to maxBackoff. An agent answers at once and at no cost, and what it
+	// has counts as known also without a watch: drains that it receives as discovery returns have to be known within the
+	// grace period for them, half a second and more.
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 250 * time.Millisecond
+	// callsAfterMove is how many calls are made at once after a change of the address.
+	callsAfterMove = 2
 )
 
 // Watcher follows the list of a discovery service.
 type Watcher struct {
-	ask     bool // a watch begins only when the module asks for it
-	asked   chan struct{}
-	moved   chan struct{} // the address has changed
-	client  http.Client
-	Silence time.Duration // after which a watch is taken for dead; set before Run
+	polled     bool          // a watch begins only when Poll is called
+	polls      chan struct{} // receives after Poll
+	moved      chan struct{} // receives after a change of the address
+	client     http.Client
+	MaxSilence time.Duration // after which a watch is given up; set before Run
 
-	mu      sync.Mutex
-	addr    string
-	moves   int                     // times that addr has changed
-	version uint64                  // of the list at addr as told to the loop
-	leave   context.CancelCauseFunc // ends the watch that is on
+	mu          sync.Mutex
+	addr        string
+	moves       int                     // changes of addr
+	version     uint64                  // of the list at addr that was sent to the Sink
+	cancelWatch context.CancelCauseFunc // of the current watch
 }
 
 var (
@@ -59,31 +58,30 @@
 	errMoved  = errors.New("discovery has moved")
 )
 
-// NewWatcher returns a Watcher of the service at addr that starts from the version known.
-// With ask set a watch begins only when Watch is called, and each that ends is told as
-// failed.
-func NewWatcher(addr string, ask bool, known uint64) *Watcher {
+// NewWatcher returns a Watcher of the service at addr that starts from the version known. With polled set a watch begins only
+// when Poll is called, and each that ends is reported as failed.
+func NewWatcher(addr string, polled bool, known uint64) *Watcher {
 	return &Watcher{
-		addr: addr, ask: ask, version: known,
-		asked: make(chan struct{}, 1), moved: make(chan struct{}, 1),
-		Silence: watchSilence,
+		addr: addr, polled: polled, version: known,
+		polls: make(chan struct{}, 1), moved: make(chan struct{}, 1),
+		MaxSilence: maxSilence,
 		client: http.Client{Transport: &http.Transport{
-			DialContext: (&net.Dialer{Timeout: watchDial}).DialContext, DisableKeepAlives: true,
+			DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext, DisableKeepAlives: true,
 		}},
 	}
 }
 
-// Watch asks for changes from now on, where they do not come by themselves.
-func (d *Watcher) Watch() {
+// Poll asks for changes from now on, where a watch does not begin by itself.
+func (d *Watcher) Poll() {
 	select {
-	case d.asked <- struct{}{}:
-	default: // asked already
+	case d.polls <- struct{}{}:
+	default: // it was called before
 	}
 }
 
-// Move makes another address the source of the list, at once. What was told stays
-// in use until the new one has said otherwise; versions there count anew.
-func (d *Watcher) Move(addr string) {
+// SetAddress has the list come from another address, at once. The current list stays in use until the new address has sent
+// one; versions there count anew.
+func (d *Watcher) SetAddress(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if addr == d.addr {
@@ -93,16 +91,15 @@
 	d.moves++
 	select {
 	case d.moved <- struct{}{}:
-	default: // Run has yet to see the one before
+	default: // Run has yet to see the change before
 	}
-	if d.leave != nil {
-		d.leave(errMoved) // by then the item above is there
+	if d.cancelWatch != nil {
+		d.cancelWatch(errMoved) // after the send above
 	}
 }
 
-// told takes note of a version, unless the watch that brought it has been left: it
-// guards against a last line of the old address coming after a move.
-func (d *Watcher) told(moves int, version uint64) bool {
+// setVersion records a version, unless the address has changed since: it guards against a last line of the old address.
+func (d *Watcher) setVersion(moves int, version uint64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.moves != moves {
@@ -112,87 +109,128 @@
 	return true
 }
 
-// Run watches the list until ctx ends. A call that fails is made again, soon at first; where the
-// module has to ask, it is told instead and decides when. A new address is called once more at once.
+// watchState is what Run knows of its calls.
+type watchState struct {
+	backoff   time.Duration
+	lost      bool // the loss of the watch was logged
+	immediate int  // calls that wait for nothing
+}
+
+// reset is the state after a call that was answered.
+func (s *watchState) reset(immediate int) { *s = watchState{minBackoff, false, immediate} }
+
+// Run watches the list until ctx ends. A call that fails is repeated, soon at first; where the balancer polls, it is notified
+// instead and decides when. After a change of the address a failed call is repeated once at once.
 func (d *Watcher) Run(ctx context.Context, to Sink) {
-	backoff, lost := watchBackoff, false
-	ahead := 0 // calls that wait for nothing
+	var s watchState
+	s.reset(0)
 	for ctx.Err() == nil {
-		if ahead > 0 {
-			ahead--
-		} else if d.ask {
-			select {
-			case <-ctx.Done():
-				return
-			case <-d.asked:
-			case <-d.moved:
-				ahead = 1
-			}
+		if !d.waitForPoll(ctx, &s) {
+			return
 		}
-		heard, err := d.watch(ctx, to)
+		received, err := d.watch(ctx, to)
 		if ctx.Err() != nil {
 			return
 		}
 		if errors.Is(err, errMoved) {
-			take(d.moved)
-			backoff, lost, ahead = watchBackoff, false, 2
+			drain(d.moved)
+			s.reset(callsAfterMove)
 			continue
 		}
-		if heard {
-			backoff, lost, ahead = watchBackoff, false, 0
+		if received {
+			s.reset(0)
 		}
-		if !lost {
+		if !s.lost {
 			slog.Warn("watch of the host list lost, watching anew", "err", err)
-			lost = true
+			s.lost = true
 		}
-		if ahead > 0 {
+		if s.immediate > 0 {
 			continue
 		}
-		if d.ask {
-			take(d.asked) // what was asked for meanwhile is what this call was for
+		if d.polled {
+			drain(d.polls) // this call was for what was polled meanwhile
 			to.UpdateEndpoints(balancer.ListFailed, MemberList{})
 			continue
 		}
-		select {
-		case <-ctx.Done():
-		case <-d.moved:
-			backoff, lost, ahead = watchBackoff, false, 2
-			continue
-		case <-time.After(backoff):
-		}
-		backoff = min(2*backoff, watchMost)
+		d.waitBackoff(ctx, &s)
+	}
+}
+
+// waitForPoll waits until a call is to be made. It returns false where ctx has ended.
+func (d *Watcher) waitForPoll(ctx context.Context, s *watchState) bool {
+	if s.immediate > 0 {
+		s.immediate--
+		return true
+	}
+	if !d.polled {
+		return true
+	}
+	select {
+	case <-ctx.Done():
+		return false
+	case <-d.polls:
+	case <-d.moved:
+		s.immediate = callsAfterMove - 1
+	}
+	return true
+}
+
+// waitBackoff waits before a call is repeated.
+func (d *Watcher) waitBackoff(ctx context.Context, s *watchState) {
+	select {
+	case <-ctx.Done():
+	case <-d.moved:
+		s.reset(callsAfterMove)
+		return
+	case <-time.After(s.backoff):
 	}
+	s.backoff = min(2*s.backoff, maxBackoff)
 }
 
-// take takes an item out, if there is one.
-func take(c chan struct{}) {
+// drain receives an item, if there is one.
+func drain(c chan struct{}) {
 	select {
 	case <-c:
 	default:
 	}
 }
 
-// watch holds one watch until it ends and says whether it brought anything.
-func (d *Watcher) watch(ctx context.Context, to Sink) (heard bool, err error) {
+// call is one watch.
+type call struct {
+	watcher  *Watcher
+	to       Sink
+	addr     string
+	moves    int    // of the watcher, when the call began
+	version  uint64 // of the last list
+	received bool   // anything
+	silence  *time.Timer
+}
+
+// watch makes one call until it ends, and reports whether it received anything.
+func (d *Watcher) watch(ctx context.Context, to Sink) (received bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	d.mu.Lock()
-	addr, version, moves := d.addr, d.version, d.moves
-	d.leave = cancel
+	c := &call{watcher: d, to: to, addr: d.addr, moves: d.moves, version: d.version}
+	d.cancelWatch = cancel
 	d.mu.Unlock()
-	silence := time.AfterFunc(d.Silence, func() { cancel(errSilent) })
-	defer silence.Stop()
-	defer func() {
-		if cause := context.Cause(ctx); cause == errSilent || cause == errMoved {
-			err = cause
-		}
-	}()
-	url := "http://" + addr + PathMembers + "?stream=1&index=" + strconv.FormatUint(version, 10)
+	c.silence = time.AfterFunc(d.MaxSilence, func() { cancel(errSilent) })
+	defer c.silence.Stop()
+	received, err = c.run(ctx)
+	if cause := context.Cause(ctx); cause == errSilent || cause == errMoved {
+		err = cause
+	}
+	return received, err
+}
+
+// run makes the call and reads its lists.
+func (c *call) run(ctx context.Context) (received bool, err error) {
+	url := "http://" + c.addr + PathMembers + "?stream=1&index=" + strconv.FormatUint(c.version, 10)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return false, err
 	}
-	resp, err := d.client.Do(req)
+	resp, err := c.watcher.client.Do(req)
 	if err != nil {
 		return false, err
 	}
@@ -200,78 +238,59 @@
 	if resp.StatusCode != http.StatusOK {
 		return false, fmt.Errorf("discovery answers %s", resp.Status)
 	}
-	alive := func() { silence.Reset(d.Silence); heard = true }
-	stream := &stream{from: resp.Body, beat: func() {
-		if d.ask && !heard && version > 0 && d.told(moves, version) {
-			// The call that the module asked for has been answered: nothing has changed.
-			to.UpdateEndpoints(balancer.ListChanges, MemberList{Version: version})
-		}
-		alive()
-	}}
-	for in := json.NewDecoder(stream); ; {
+	stream := &stream{from: resp.Body, onHeartbeat: c.heartbeat}
+	for decoder := json.NewDecoder(stream); ; {
 		var list MemberList
-		if err := in.Decode(&list); err == io.EOF {
-			return heard, io.ErrUnexpectedEOF // a watch has no end of its own
-		} else if !malformed(err) {
-			return heard, err
-		} else if err != nil {
-			// What it said is lost, and comes again behind the last version that was read
-			// whole: the whole list is the dearest there is, and no gateway is alone in this.
+		switch err := decoder.Decode(&list); {
+		case err == io.EOF:
+			return c.received, io.ErrUnexpectedEOF // a watch does not end by itself
+		case isMalformed(err):
+			// The list is lost, and comes again after the last version that was read whole: the full list is the most
+			// expensive, and all gateways receive the same.
 			return false, fmt.Errorf("discovery's list: %w", err)
+		case err != nil:
+			return c.received, err
 		}
-		alive()
+		c.alive()
 		stream.size = 0
-		if !list.Full && list.Version < version {
-			// Changes from before what is known: the service counts anew, or tells of
-			// another list. Nothing of it may be used, and only the whole list tells.
-			d.told(moves, 0)
-			return false, fmt.Errorf("discovery tells changes of version %d behind %d", list.Version, version)
-		}
-		version = list.Version
-		kind := balancer.ListChanges
-		if list.Full {
-			kind = balancer.ListFull
-		}
-		if !d.told(moves, list.Version) {
-			return heard, errMoved
+		if received, err := c.apply(list); err != nil {
+			return received, err
 		}
-		to.UpdateEndpoints(kind, list)
 	}
 }
 
-// malformed says whether what came is no list, or there is no error; else the connection has failed.
-func malformed(err error) bool {
-	var syntax *json.SyntaxError
-	var kind *json.UnmarshalTypeError
-	return err == nil || errors.As(err, &syntax) || errors.As(err, &kind)
+// alive records a sign of life.
+func (c *call) alive() {
+	c.silence.Reset(c.watcher.MaxSilence)
+	c.received = true
 }
 
-// stream is what comes on a watch: lists in JSON, indented or not, and empty lines between them. A
-// list whose bytes trickle in is no sign of life before it is whole.
-type stream struct {
-	from io.Reader
-	beat func() // called at each empty line
-	line bool   // the line holds something
-	size int    // bytes since the last list, white space aside
+// heartbeat handles an empty line.
+func (c *call) heartbeat() {
+	d := c.watcher
+	if d.polled && !c.received && c.version > 0 && d.setVersion(c.moves, c.version) {
+		// The call that the balancer polled for has been answered: nothing has changed.
+		c.to.UpdateEndpoints(balancer.ListChanges, MemberList{Version: c.version})
+	}
+	c.alive()
 }
 
-var errLongList = fmt.Errorf("discovery's list is longer than %d bytes", maxList)
-
-func (s *stream) Read(b []byte) (int, error) {
-	n, err := s.from.Read(b)
-	for _, c := range b[:n] {
-		switch {
-		case c == '\n' && !s.line:
-			s.beat()
-		case c == '\n':
-			s.line = false
-		case c != ' ' && c != '\t' && c != '\r':
-			s.line = true
-			s.size++
-		}
+// apply passes on a list. received is what watch reports where the call ends by it.
+func (c *call) apply(list MemberList) (received bool, err error) {
+	if !list.Full && list.Version < c.version {
+		// Changes from before the known version: the service counts anew, or has another list. None of them may be used, and
+		// only the full list helps.
+		c.watcher.setVersion(c.moves, 0)
+		return false, fmt.Errorf("discovery tells changes of version %d behind %d", list.Version, c.version)
+	}
+	c.version = list.Version
+	kind := balancer.ListChanges
+	if list.Full {
+		kind = balancer.ListFull
 	}
-	if s.size > maxList {
-		return 0, errLongList
+	if !c.watcher.setVersion(c.moves, list.Version) {
+		return c.received, errMoved
 	}
-	return n, err
+	c.to.UpdateEndpoints(kind, list)
+	return c.received, nil
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -126,7 +126,7 @@
 func TestSilentWatch(t *testing.T) {
 	disco := newWatchServer(t)
 	d := NewWatcher(disco.addr(), false, 0)
-	d.Silence = 50 * time.Millisecond
+	d.MaxSilence = 50 * time.Millisecond
 	watch(t, d)
 	testkit.Until(t, "a second watch", func() bool { return len(disco.asked()) > 1 })
 }
@@ -206,7 +206,7 @@
 		"behind a heartbeat": func(c net.Conn, falls func()) {
 			io.WriteString(c, watchHead)
 			for range 30 {
-				time.Sleep(heartbeat)
+				time.Sleep(heartbeatInterval)
 				io.WriteString(c, "\n")
 			}
 			falls()
@@ -222,7 +222,7 @@
 				if _, err := io.WriteString(c, drains[i:i+1]); err != nil {
 					return
 				}
-				time.Sleep(heartbeat / 4)
+				time.Sleep(heartbeatInterval / 4)
 			}
 		},
 		"before it begins": func(_ net.Conn, falls func()) { falls() },
@@ -256,7 +256,7 @@
 	d := NewWatcher(disco.addr(), true, 0)
 	sink := watch(t, d)
 	for n := 1; n <= 2; n++ {
-		d.Watch()
+		d.Poll()
 		disco.lines <- ""
 		if got, want := <-sink, fmt.Sprint(balancer.ListFailed, " "); got != want {
 			t.Errorf("told %q, want %q", got, want)
--- a/internal/engine/do.go
+++ b/internal/engine/do.go
@@ -120,7 +120,7 @@
 		x.chain = r.chains[r.rule.Pool(x.Key, e.rng.Uint64())]
 	}
 	if r.budget != nil {
-		r.budget.Try(now)
+		r.budget.FirstAttempt(now)
 	}
 	if c := x.chain; len(c.pools) > 1 {
 		x.position, x.trial = c.state.Trial(now, r.idempotent(x.Class))
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -163,21 +163,23 @@
 // testRoute returns a route of the platform's protocol, or a plain one.
 func testRoute(plain bool) *Route {
 	r := &Route{Name: "r", Classes: testClasses, Classify: func(a *Response) balancer.Result {
-		return route.Protocol(a.Status, a.Header.Get("X-Not-Processed") == "1")
+		return route.ClassifyProtocol(a.Status, a.Header.Get("X-Not-Processed") == "1")
 	}}
 	if plain {
 		r.ForwardsFailures, r.Plain = true, &Plain{Class: look, NonIdempotentClass: book, Timeout: 4 * time.Second}
-		r.Classify = func(a *Response) balancer.Result { return route.Plain(a.Status, false, route.DefaultFailures) }
+		r.Classify = func(a *Response) balancer.Result {
+			return route.ClassifyPlain(a.Status, false, route.DefaultFailureStatuses)
+		}
 	}
 	return r
 }
 
 // use puts a Snapshot of one route into use: the first pool, with the others as fallback.
 func (w *world) use(r *Route, retry *Retries, pools ...*Pool) *Snapshot {
-	uses := []PoolUse{{Pool: pools[0], MinShare: route.DefaultNeed}}
+	uses := []PoolUse{{Pool: pools[0], MinShare: route.DefaultMinShare}}
 	for _, p := range pools[1:] {
 		uses[0].Fallback = append(uses[0].Fallback, p.Name)
-		uses = append(uses, PoolUse{Pool: p, MinShare: route.DefaultNeed})
+		uses = append(uses, PoolUse{Pool: p, MinShare: route.DefaultMinShare})
 	}
 	var retries []Retries
 	if retry != nil {
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -228,6 +228,6 @@
 	}
 	p.published = current
 	for _, c := range p.chains {
-		c.chain.state.Usable(now, c.position, current.usable, current.hosts)
+		c.chain.state.SetUsable(now, c.position, current.usable, current.hosts)
 	}
 }
--- a/internal/front/gate.go
+++ b/internal/front/gate.go
@@ -200,7 +200,7 @@
 		if m.Target != "" && m.Target[0] != '/' {
 			host = m.Named
 		}
-		if q.Host, q.Path, err = route.Target(m.Target, host); err != nil {
+		if q.Host, q.Path, err = route.ParseTarget(m.Target, host); err != nil {
 			return Bad(http.StatusBadRequest, "%v", err)
 		}
 		if e.Route = e.plan.Route(&q); e.Route == nil {
--- a/internal/front/http1/clients_test.go
+++ b/internal/front/http1/clients_test.go
@@ -80,7 +80,7 @@
 			if cfg.judged != nil {
 				cfg.judged()
 			}
-			return route.Protocol(a.Status, a.Header.Get("X-Not-Processed") == "1")
+			return route.ClassifyProtocol(a.Status, a.Header.Get("X-Not-Processed") == "1")
 		},
 	}}, nil, engine.PoolUse{Pool: pool, MinShare: 1}))
 	g := &testGateway{T: t, gate: front.NewGate(e, body.NewBudget(64<<20))}
--- a/internal/gateway/classes.go
+++ b/internal/gateway/classes.go
@@ -53,6 +53,8 @@
 	out.Streams = &engine.Streams{BufferBytes: r.BufferBytes, MaxBodyBytes: r.MaxBodyBytes, HeadDeadlineOnly: r.HeadDeadlineOnly, Pace: pace, Upload: pace}
 	out.ForwardsFailures = true
 	failures := r.FailureStatuses
-	out.Classify = func(a *engine.Response) balancer.Result { return route.Plain(a.Status, notProcessed(a), failures) }
+	out.Classify = func(a *engine.Response) balancer.Result {
+		return route.ClassifyPlain(a.Status, notProcessed(a), failures)
+	}
 	return out
 }
--- a/internal/gateway/platform.go
+++ b/internal/gateway/platform.go
@@ -87,7 +87,7 @@
 // platformPoolConfig returns the configuration of the only pool.
 func (g *Gateway) platformPoolConfig(cfg *config.Platform, rc *engine.RecordingConfig) engine.PoolConfig {
 	pc := engine.PoolConfig{
-		Settings: cfg.Settings, Seed: cfg.Seed, Zones: cfg.Zones, Kinds: cfg.Kinds, Transport: g.transport, Poll: g.watcher.Watch,
+		Settings: cfg.Settings, Seed: cfg.Seed, Zones: cfg.Zones, Kinds: cfg.Kinds, Transport: g.transport, Poll: g.watcher.Poll,
 	}
 	if rc != nil {
 		names := make([]string, len(cfg.Classes))
@@ -127,7 +127,7 @@
 
 // classifyProtocol classifies a response by the platform's protocol.
 func classifyProtocol(r *engine.Response) balancer.Result {
-	return route.Protocol(r.Status, notProcessed(r))
+	return route.ClassifyProtocol(r.Status, notProcessed(r))
 }
 
 // notProcessed reports whether a host proves that it has not processed a request.
@@ -176,7 +176,7 @@
 }
 
 // SetDiscovery has the endpoint list come from another address.
-func (g *Gateway) SetDiscovery(addr string) { g.watcher.Move(addr) }
+func (g *Gateway) SetDiscovery(addr string) { g.watcher.SetAddress(addr) }
 
 // ShareMachine limits the gateway to half of the machine while another process that has the lock in the same directory
 // runs, as where one takes over from the other. setMemory is called with the gateway's share of the memory. ShareMachine
--- a/internal/host/http1/transport_test.go
+++ b/internal/host/http1/transport_test.go
@@ -44,7 +44,7 @@
 	if !r.HasResponse {
 		return r.Outcome, r.Response
 	}
-	return route.Protocol(r.Response.Status, r.Response.Header.Get("X-Not-Processed") == "1"), r.Response
+	return route.ClassifyProtocol(r.Response.Status, r.Response.Header.Get("X-Not-Processed") == "1"), r.Response
 }
 
 // tryOnce makes one attempt with plenty of time.
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -183,7 +183,7 @@
 		"/a#b":                              "",
 		strings.Repeat("/a", maxSegments+1): "",
 	} {
-		got, err := Path(path)
+		got, err := NormalizePath(path)
 		if got != want || (err == nil) != (want != "") {
 			t.Errorf("%q: %q, %v, want %q", path, got, err, want)
 		}
@@ -193,7 +193,7 @@
 		"": "", ".": "", "a..b": "", ".a": "", "a:b": "", "a:999999": "", "[::1": "", "[x]": "", "a b": "", "a/b": "", "u@h": "", "a%41": "",
 		strings.Repeat("a", 254): "",
 	} {
-		got, err := Host(host)
+		got, err := NormalizeHost(host)
 		if got != want || (err == nil) != (want != "") {
 			t.Errorf("host %q: %q, %v, want %q", host, got, err, want)
 		}
@@ -206,14 +206,14 @@
 		{"http://h.org:80/a", "H.ORG", "h.org", "/a", nil},
 		{"HTTP://h.org", "h.org", "h.org", "/", nil},
 		{"http://h.org?q", "h.org", "h.org", "/", nil},
-		{"http://other/a", "h.org", "", "", ErrHosts},
-		{"ftp://h.org/a", "h.org", "", "", ErrPath},
-		{"h.org:443", "h.org", "", "", ErrPath},
-		{"*", "h.org", "", "", ErrPath},
-		{"/a", "", "", "", ErrHost},
-		{"http://u:p@h.org/", "h.org", "", "", ErrHost},
+		{"http://other/a", "h.org", "", "", ErrConflictingHosts},
+		{"ftp://h.org/a", "h.org", "", "", ErrAmbiguousPath},
+		{"h.org:443", "h.org", "", "", ErrAmbiguousPath},
+		{"*", "h.org", "", "", ErrAmbiguousPath},
+		{"/a", "", "", "", ErrMalformedHost},
+		{"http://u:p@h.org/", "h.org", "", "", ErrMalformedHost},
 	} {
-		host, path, err := Target(c.target, c.header)
+		host, path, err := ParseTarget(c.target, c.header)
 		if !errors.Is(err, c.err) || err == nil && (host != c.host || path != c.path) {
 			t.Errorf("%s at %s: %q %q %v, want %q %q %v", c.target, c.header, host, path, err, c.host, c.path, c.err)
 		}
@@ -234,7 +234,7 @@
 			}
 		}
 		prefix := strings.TrimSuffix(r.Path, "/")
-		if len(r.Hosts) > 0 && host == 0 || q.Path != prefix && !strings.HasPrefix(q.Path, prefix+"/") || !r.takes(q) {
+		if len(r.Hosts) > 0 && host == 0 || q.Path != prefix && !strings.HasPrefix(q.Path, prefix+"/") || !r.matches(q) {
 			continue
 		}
 		method := 0
@@ -391,7 +391,7 @@
 
 // Traffic moves as hosts go below what a pool needs, at once; it comes back late and slowly.
 func TestFallback(t *testing.T) {
-	c := NewChain(DefaultNeed, DefaultNeed)
+	c := NewChain(DefaultMinShare, DefaultMinShare)
 	now := Time(time.Hour)
 	share := func() float64 { return c.Shares(now, nil)[0] }
 	near := func(what string, got, want float64) {
@@ -400,36 +400,36 @@
 			t.Errorf("%s: the first gets %.3f, want %.3f", what, got, want)
 		}
 	}
-	c.Usable(now, 0, 10, 10)
-	c.Usable(now, 1, 4, 4)
+	c.SetUsable(now, 0, 10, 10)
+	c.SetUsable(now, 1, 4, 4)
 	near("all well", share(), 1)
-	c.Usable(now, 0, 8, 10)
+	c.SetUsable(now, 0, 8, 10)
 	near("8 of 10 are enough", share(), 1)
-	c.Usable(now, 0, 5, 10)
+	c.SetUsable(now, 0, 5, 10)
 	near("5 of 10", share(), 0.7)
-	c.Usable(now, 0, 0, 10)
+	c.SetUsable(now, 0, 0, 10)
 	near("none", share(), 0)
-	c.Usable(now, 0, 10, 10)
+	c.SetUsable(now, 0, 10, 10)
 	near("back this instant", share(), 0)
 	now += settleTime
 	near("settled", share(), 0)
 	now += returnTime / 2
 	near("half way", share(), 0.5)
-	c.Usable(now, 0, 0, 10)
+	c.SetUsable(now, 0, 0, 10)
 	near("gone again", share(), 0)
 	now += time.Hour
-	c.Usable(now, 0, 10, 10)
+	c.SetUsable(now, 0, 10, 10)
 	now += settleTime + returnTime
 	near("long after", share(), 1)
 
 	// A host that comes and goes within settleTime moves nothing back.
-	c.Usable(now, 0, 0, 10)
+	c.SetUsable(now, 0, 0, 10)
 	moved := false
 	for range 50 {
 		now += settleTime / 2
-		c.Usable(now, 0, 10, 10)
+		c.SetUsable(now, 0, 10, 10)
 		now += settleTime / 2
-		c.Usable(now, 0, 0, 10)
+		c.SetUsable(now, 0, 0, 10)
 		moved = moved || share() > 0
 	}
 	if moved {
@@ -437,13 +437,13 @@
 	}
 
 	// Both weak: each gets its part of what they carry. Both gone: the first refuses.
-	c.Usable(now, 1, 1, 4)
+	c.SetUsable(now, 1, 1, 4)
 	near("the first gone, the second weak", share(), 0)
-	c.Usable(now, 1, 0, 4)
+	c.SetUsable(now, 1, 0, 4)
 	near("both gone", share(), 1)
 	d := NewChain(1, 1)
-	d.Usable(now, 0, 2, 10)
-	d.Usable(now, 1, 1, 10)
+	d.SetUsable(now, 0, 2, 10)
+	d.SetUsable(now, 1, 1, 10)
 	if s := d.Shares(now, nil); math.Abs(s[0]-2.0/3) > 1e-9 || math.Abs(s[0]+s[1]-1) > 1e-9 {
 		t.Errorf("0.2 and 0.1 of what is needed: %v", s)
 	}
@@ -463,7 +463,7 @@
 			now += time.Duration(r.Int64N(int64(time.Second)))
 			if news {
 				hosts := r.IntN(12)
-				c.Usable(now, r.IntN(3), r.IntN(hosts+1), hosts)
+				c.SetUsable(now, r.IntN(3), r.IntN(hosts+1), hosts)
 			}
 			s := c.Shares(now, nil)
 			sum := 0.0
@@ -491,7 +491,7 @@
 	got, tries := 0, 0
 	for range 60_000 { // a minute of 1,000 first tries a second, each failing
 		now += time.Millisecond
-		b.Try(now)
+		b.FirstAttempt(now)
 		tries++
 		if b.Retry(now) {
 			got++
@@ -509,7 +509,7 @@
 		t.Errorf("%d retries at once after a quiet hour", burst)
 	}
 	none := NewBudget(0, 0)
-	none.Try(now)
+	none.FirstAttempt(now)
 	if none.Retry(now) {
 		t.Error("a budget of nothing lets one through")
 	}
@@ -548,7 +548,7 @@
 			for i := 0; b.Loop(); i++ {
 				q := Request{Method: "GET"}
 				var err error
-				if q.Host, q.Path, err = Target(matches[i%64].Path, "example.org"); err != nil || table.Match(&q) == nil {
+				if q.Host, q.Path, err = ParseTarget(matches[i%64].Path, "example.org"); err != nil || table.Match(&q) == nil {
 					b.Fatal(err)
 				}
 			}
@@ -570,8 +570,8 @@
 func TestTrials(t *testing.T) {
 	now := Time(time.Hour)
 	c := NewChain(1, 1)
-	c.Usable(now, 0, 4, 4)
-	c.Usable(now, 1, 4, 4)
+	c.SetUsable(now, 0, 4, 4)
+	c.SetUsable(now, 1, 4, 4)
 	trials := func(span Time, safe func(i int) bool) (n int) {
 		for i := range int(span / (10 * time.Millisecond)) {
 			now += 10 * time.Millisecond
@@ -589,24 +589,24 @@
 	if n := trials(time.Minute, always); n != 0 {
 		t.Errorf("%d trials of a pool that is well", n)
 	}
-	c.Usable(now, 0, 0, 4)
+	c.SetUsable(now, 0, 0, 4)
 	if n := trials(10*time.Second, always); n < 35 || n > 41 {
-		t.Errorf("%d trials in 10 s, one every %v is wanted", n, trialEvery)
+		t.Errorf("%d trials in 10 s, one every %v is wanted", n, trialInterval)
 	}
 	if n := trials(30*time.Second, never); n < 4 || n > 6 {
-		t.Errorf("%d trials in 30 s with what may not be sent again, one every %v is wanted", n, trialAny)
+		t.Errorf("%d trials in 30 s with what may not be sent again, one every %v is wanted", n, idempotentTrialTime)
 	}
-	c.Usable(now, 0, 0, 0)
+	c.SetUsable(now, 0, 0, 0)
 	if n := trials(10*time.Second, always); n != 0 {
 		t.Errorf("%d trials of a pool without hosts", n)
 	}
-	c.Usable(now, 0, 0, 4)
-	c.Usable(now, 0, 1, 4)
+	c.SetUsable(now, 0, 0, 4)
+	c.SetUsable(now, 0, 1, 4)
 	if n := trials(10*time.Second, always); n != 0 {
 		t.Errorf("%d trials of a pool that is on its way back", n)
 	}
 	single := NewChain(1)
-	single.Usable(now, 0, 0, 3)
+	single.SetUsable(now, 0, 0, 3)
 	if _, ok := single.Next(now, 0, true); ok {
 		t.Error("a pool by itself leads on")
 	}
@@ -628,7 +628,7 @@
 	} {
 		c := NewChain(1, 1, 1)
 		for i, n := range x.usable {
-			c.Usable(now, i, n, 3)
+			c.SetUsable(now, i, n, 3)
 		}
 		got, ok := c.Next(now, x.from, x.trial)
 		if !ok {
@@ -644,8 +644,8 @@
 // are no numbers.
 func TestNothingAnywhere(t *testing.T) {
 	c := NewChain(1, 1)
-	c.Usable(0, 0, 0, 4)
-	c.Usable(0, 1, 0, 4)
+	c.SetUsable(0, 0, 0, 4)
+	c.SetUsable(0, 1, 0, 4)
 	if s := c.Shares(time.Second, nil); s[0] != 1 || s[1] != 0 {
 		t.Errorf("shares %v", s)
 	}
@@ -657,22 +657,22 @@
 	b := NewBudget(0.5, 0)
 	now := Time(time.Hour)
 	for range 100_000 {
-		b.Try(now)
+		b.FirstAttempt(now)
 	}
 	n := 0
 	for b.Retry(now) {
 		n++
 	}
-	if n != 0.5*budgetTries {
-		t.Errorf("%d retries saved up, %v is the most", n, 0.5*budgetTries)
+	if n != 0.5*maxSavedAttempts {
+		t.Errorf("%d retries saved up, %v is the most", n, 0.5*maxSavedAttempts)
 	}
 	f := NewBudget(0, 1)
 	f.Retry(now)
 	if f.Retry(now - time.Minute); f.Retry(now) {
 		t.Error("going back in time has filled it")
 	}
-	if f.at != now {
-		t.Errorf("its clock went back by %v", now-f.at)
+	if f.filled != now {
+		t.Errorf("its clock went back by %v", now-f.filled)
 	}
 	if !f.Retry(now + time.Second) {
 		t.Error("a second later there is none")
