--- a/internal/flight/recorder.go
+++ b/internal/flight/recorder.go
@@ -222,7 +222,7 @@
 	r.bal.Start(now)
 }
 
-// Hosts is the module's, recorded. A list may be larger than a block: its block is then
+// UpdateEndpoints records the event and passes it on. A list may be larger than a block: its block is then
 // larger too.
 func (r *Recorder) UpdateEndpoints(now balancer.Time, kind balancer.ListKind, list []balancer.Host) {
 	r.event(now, recHosts, maxRecord+len(list)*32)
@@ -233,49 +233,49 @@
 	r.bal.UpdateEndpoints(now, kind, list)
 }
 
-// Request is the module's, recorded.
+// Request records the event and passes it on.
 func (r *Recorder) Request(now balancer.Time, q balancer.Request) {
 	r.event(now, recRequest, maxRecord)
 	r.block = putRequest(r.block, &q)
 	r.bal.Request(now, q)
 }
 
-// Started is the module's, recorded.
+// AttemptStarted records the event and passes it on.
 func (r *Recorder) AttemptStarted(now balancer.Time, id balancer.RequestID, n int) {
 	r.event(now, recStarted, maxRecord)
 	r.block = iv(uv(r.block, uint64(id)), int64(n))
 	r.bal.AttemptStarted(now, id, n)
 }
 
-// Outcome is the module's, recorded.
+// AttemptEnded records the event and passes it on.
 func (r *Recorder) AttemptEnded(now balancer.Time, o balancer.Outcome) {
 	r.event(now, recOutcome, maxRecord)
 	r.block = putOutcome(r.block, &o)
 	r.bal.AttemptEnded(now, o)
 }
 
-// Gone is the module's, recorded.
+// ClientGone records the event and passes it on.
 func (r *Recorder) ClientGone(now balancer.Time, id balancer.RequestID) {
 	r.event(now, recGone, maxRecord)
 	r.block = uv(r.block, uint64(id))
 	r.bal.ClientGone(now, id)
 }
 
-// Timer is the module's, recorded.
+// Timer records the event and passes it on.
 func (r *Recorder) Timer(now balancer.Time, token uint64) {
 	r.event(now, recTimer, maxRecord)
 	r.block = uv(r.block, token)
 	r.bal.Timer(now, token)
 }
 
-// Hint is the module's, recorded.
+// HealthCheckPassed records the event and passes it on.
 func (r *Recorder) HealthCheckPassed(now balancer.Time, id balancer.HostID, within balancer.Time) {
 	r.event(now, recHint, maxRecord)
 	r.block = iv(appendID(r.block, id), int64(within))
 	r.bal.HealthCheckPassed(now, id, within)
 }
 
-// Stop is the module's, recorded.
+// Shutdown records the event and passes it on.
 func (r *Recorder) Shutdown(now, by balancer.Time) {
 	r.event(now, recStop, maxRecord)
 	r.block = iv(r.block, int64(by-now))
@@ -306,7 +306,7 @@
 	return nil
 }
 
-// Drain is the module's, recorded.
+// TakeActions passes on the actions and records them.
 func (r *Recorder) TakeActions(dst []balancer.Action) []balancer.Action {
 	n := len(dst)
 	dst = r.bal.TakeActions(dst)
