--- a/balancer/compat_test.go
+++ b/balancer/compat_test.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"testing"
 
-	"dunemoor/internal/testkit/compat"
+	"dunemoor/internal/testutil/compat"
 )
 
 // Recordings hold checkpoints, which later builds restore: the bytes after a fixed history are
--- a/cmd/dunemoor/appliance_test.go
+++ b/cmd/dunemoor/appliance_test.go
@@ -12,18 +12,18 @@
 	"testing"
 	"time"
 
-	"dunemoor/internal/standin"
+	"dunemoor/internal/experiment/fakes"
 )
 
 // box is an appliance's file for a fleet, with or without a second pool for a path of its own.
-func box(listen string, first, second *standin.Fleet) string {
+func box(listen string, first, second *fakes.Fleet) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "name = \"box\"\n[[listener]]\naddress = %q\n", listen)
 	for _, c := range []string{"lookup|safe|", "book|unsafe|", "report|keyed|window = \"2500ms\"\ngroup = \"cell\""} {
 		f := strings.Split(c, "|")
 		fmt.Fprintf(&b, "[[class]]\nname = %q\neffect = %q\naim = \"5s\"\ndeadline = \"20s\"\nworth = 1\n%s\n", f[0], f[1], f[2])
 	}
-	pool := func(name string, f *standin.Fleet) {
+	pool := func(name string, f *fakes.Fleet) {
 		fmt.Fprintf(&b, "[[pool]]\nname = %q\nmembers = [\n", name)
 		for i, n := range f.Nodes {
 			fmt.Fprintf(&b, "  { id = %q, address = %q, cell = %d },\n", n.Name, n.Addr(), i/3)
@@ -42,12 +42,12 @@
 // The program serves by a file; SIGHUP reads it anew under load, time and again, one that is in
 // error changes nothing, and SIGTERM ends it with nothing unanswered.
 func TestAppliance(t *testing.T) {
-	ledger := standin.NewLedger()
-	behaviour := standin.Behaviour{Work: 2 * time.Millisecond, Cores: 8}
-	var fleets [2]*standin.Fleet
+	ledger := fakes.NewLedger()
+	behaviour := fakes.Behaviour{Work: 2 * time.Millisecond, Cores: 8}
+	var fleets [2]*fakes.Fleet
 	for i := range fleets {
 		var err error
-		if fleets[i], err = standin.StartService(fmt.Sprint("f", i), 4, 3, behaviour, ledger); err != nil {
+		if fleets[i], err = fakes.StartService(fmt.Sprint("f", i), 4, 3, behaviour, ledger); err != nil {
 			t.Fatal(err)
 		}
 		defer fleets[i].Close()
@@ -75,11 +75,11 @@
 	if resp.StatusCode != 200 {
 		t.Errorf("status: %d", resp.StatusCode)
 	}
-	classes := standin.Classes()
+	classes := fakes.Classes()
 	for i := range classes {
 		classes[i].Timeout = 20 * time.Second
 	}
-	load := standin.Load{URL: p.url, Rate: 200, Count: 1200, Classes: classes, Seed: 9, Retries: 2}
+	load := fakes.Load{URL: p.url, Rate: 200, Count: 1200, Classes: classes, Seed: 9, Retries: 2}
 	var wait sync.WaitGroup
 	wait.Go(func() {
 		if err := load.Run(context.Background(), ledger); err != nil {
@@ -117,7 +117,7 @@
 	if broken := c.Broken(); broken != "" {
 		t.Errorf("rules broken: %s; twice %v, harm %v", broken, c.Twice, c.Harm)
 	}
-	if c.Ends[standin.Served]*100 < 98*c.Asked {
+	if c.Ends[fakes.Served]*100 < 98*c.Asked {
 		t.Errorf("of %d asked: %v", c.Asked, c.Ends)
 	}
 }
@@ -126,8 +126,8 @@
 // waited meanwhile is answered, and nothing is turned away for it once it goes on. It guards
 // against taking a pause for overload.
 func TestPauseShedsNothing(t *testing.T) {
-	ledger := standin.NewLedger()
-	fleet, err := standin.StartService("f", 4, 3, standin.Behaviour{Work: 2 * time.Millisecond, Cores: 8}, ledger)
+	ledger := fakes.NewLedger()
+	fleet, err := fakes.StartService("f", 4, 3, fakes.Behaviour{Work: 2 * time.Millisecond, Cores: 8}, ledger)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -138,16 +138,16 @@
 	}
 	p := startAs(t, path, listen, "-appliance", path)
 	p.ready(t)
-	classes := standin.Classes()
+	classes := fakes.Classes()
 	for i := range classes {
 		classes[i].Timeout = 20 * time.Second
 	}
 	// So few that a machine with little time to spare is not made busy: only the pause counts.
-	load := standin.Load{URL: p.url, Rate: 60, Count: 300, Classes: classes, Seed: 9}
+	load := fakes.Load{URL: p.url, Rate: 60, Count: 300, Classes: classes, Seed: 9}
 	done := make(chan error, 1)
 	go func() { done <- load.Run(context.Background(), ledger) }()
 	for range 3 {
-		until(t, "it serves", func() bool { c := ledger.Count(); return c.Ends[standin.Served] > 50 })
+		until(t, "it serves", func() bool { c := ledger.Count(); return c.Ends[fakes.Served] > 50 })
 		if err := p.Process.Signal(syscall.SIGSTOP); err != nil {
 			t.Fatal(err)
 		}
@@ -155,14 +155,14 @@
 		if err := p.Process.Signal(syscall.SIGCONT); err != nil {
 			t.Fatal(err)
 		}
-		served := ledger.Count().Ends[standin.Served]
-		until(t, "it serves again", func() bool { return ledger.Count().Ends[standin.Served] > served+50 || len(done) > 0 })
+		served := ledger.Count().Ends[fakes.Served]
+		until(t, "it serves again", func() bool { return ledger.Count().Ends[fakes.Served] > served+50 || len(done) > 0 })
 	}
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
 	c := ledger.Count()
-	if broken := c.Broken(); broken != "" || c.Ends[standin.Served] != c.Asked {
+	if broken := c.Broken(); broken != "" || c.Ends[fakes.Served] != c.Asked {
 		t.Errorf("of %d asked %v; rules broken: %s", c.Asked, c.Ends, broken)
 	}
 }
--- a/cmd/dunemoor/fleet_test.go
+++ b/cmd/dunemoor/fleet_test.go
@@ -6,28 +6,28 @@
 	"testing"
 	"time"
 
-	"dunemoor/internal/standin"
+	"dunemoor/internal/experiment/fakes"
 )
 
 // A fleet in which nodes crash, hang, reset, turn away, drain and come back cold, under a
 // mixed load through the program: nothing that must not run twice does, nothing is lost,
 // and nearly all that does not meet a fault is served.
 func TestFleetInTrouble(t *testing.T) {
-	healthy := standin.Behaviour{Work: 3 * time.Millisecond, Cores: 4, Cold: time.Second, ColdFrom: 0.4}
-	fleet, err := standin.StartFleet(6, 11, healthy)
+	healthy := fakes.Behaviour{Work: 3 * time.Millisecond, Cores: 4, Cold: time.Second, ColdFrom: 0.4}
+	fleet, err := fakes.StartFleet(6, 11, healthy)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer fleet.Close()
-	classes := standin.Classes()
+	classes := fakes.Classes()
 	for i := range classes {
 		classes[i].Timeout = 20 * time.Second // long, as machines are noisy
 	}
 	listen := freeAddr(t)
 	p := start(t, string(fleet.Config("n0", listen, classes)), listen)
 	p.ready(t)
-	served := func() int { c := fleet.Ledger.Count(); return c.Ends[standin.Served] }
-	load := standin.Load{URL: p.url, Rate: 150, Count: 900, Classes: classes, Seed: 5, Retries: 2}
+	served := func() int { c := fleet.Ledger.Count(); return c.Ends[fakes.Served] }
+	load := fakes.Load{URL: p.url, Rate: 150, Count: 900, Classes: classes, Seed: 5, Retries: 2}
 	var wait sync.WaitGroup
 	wait.Add(1)
 	go func() {
@@ -40,23 +40,23 @@
 		t.Helper()
 		until(t, "requests are served", func() bool { return served() >= n })
 	}
-	with := func(m standin.Mode, bytes int, share float64) standin.Behaviour {
+	with := func(m fakes.Mode, bytes int, share float64) fakes.Behaviour {
 		b := healthy
 		b.Mode, b.Byte, b.Share = m, bytes, share
 		return b
 	}
 	after(50)
 	fleet.Nodes[0].Crash()
-	fleet.Nodes[1].Behave(with(standin.ResetAt, 20, 0.5))
+	fleet.Nodes[1].Behave(with(fakes.ResetAt, 20, 0.5))
 	after(150)
-	fleet.Nodes[2].Behave(with(standin.Full, 0, 0))
+	fleet.Nodes[2].Behave(with(fakes.Full, 0, 0))
 	fleet.List(3, "draining")
 	after(250)
 	if err := fleet.Nodes[0].Start(); err != nil {
 		t.Fatal(err)
 	}
 	fleet.List(0, "ready")
-	fleet.Nodes[1].Behave(with(standin.CloseAt, 0, 0.3))
+	fleet.Nodes[1].Behave(with(fakes.CloseAt, 0, 0.3))
 	after(400)
 	fleet.Nodes[2].Behave(healthy)
 	fleet.List(3, "ready")
@@ -71,7 +71,7 @@
 	if broken := c.Broken(); broken != "" {
 		t.Errorf("rules broken: %s; twice %v, harm %v, stray %v", broken, c.Twice, c.Harm, c.Stray)
 	}
-	if c.Ends[standin.Served]*100 < 85*c.Asked {
+	if c.Ends[fakes.Served]*100 < 85*c.Asked {
 		t.Errorf("of %d asked: %v", c.Asked, c.Ends)
 	}
 	t.Logf("of %d asked: %v", c.Asked, c.Ends)
--- a/cmd/dunemoor/main_test.go
+++ b/cmd/dunemoor/main_test.go
@@ -21,7 +21,7 @@
 	"testing"
 	"time"
 
-	"dunemoor/internal/flight"
+	"dunemoor/internal/flightrecorder"
 )
 
 const patience = 30 * time.Second // for a condition: long, as machines are noisy
@@ -469,7 +469,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		rep, err := flight.Replay(flight.NewReader(f), nil, nil)
+		rep, err := flightrecorder.Replay(flightrecorder.NewReader(f), nil, nil)
 		f.Close()
 		if err != nil || rep.First != nil || len(rep.Losses) > 0 || rep.Events < 4 {
 			t.Errorf("%s: %+v, %v", filepath.Base(path), rep, err)
--- a/cmd/dunemoorctl/flight.go
+++ b/cmd/dunemoorctl/flight.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"dunemoor/internal/flight"
+	"dunemoor/internal/flightrecorder"
 )
 
 func flightCommand() *cobra.Command {
@@ -18,7 +18,7 @@
 }
 
 func showCommand() *cobra.Command {
-	var win flight.Window
+	var win flightrecorder.Window
 	var ejections int
 	var host, plot string
 	cmd := &cobra.Command{
@@ -30,7 +30,7 @@
 				return err
 			}
 			defer f.Close()
-			a, err := flight.Analyse(f, win)
+			a, err := flightrecorder.Analyse(f, win)
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
@@ -59,7 +59,7 @@
 		Use: "fleet FILE...", Args: cobra.MinimumNArgs(1),
 		Short: "Count over the recordings of many gateways, by second: sends, refusals, repeats, calls for lists",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			fleet := flight.NewFleet()
+			fleet := flightrecorder.NewFleet()
 			for _, path := range args {
 				f, err := os.Open(path)
 				if err != nil {
@@ -81,7 +81,7 @@
 	return cmd
 }
 
-func writePlot(a *flight.Analysis, path string) error {
+func writePlot(a *flightrecorder.Analysis, path string) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return err
@@ -105,7 +105,7 @@
 				return err
 			}
 			defer f.Close()
-			rep, err := flight.Replay(flight.NewReader(f), nil, nil)
+			rep, err := flightrecorder.Replay(flightrecorder.NewReader(f), nil, nil)
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
@@ -140,7 +140,7 @@
 				return err
 			}
 			defer in.Close()
-			f, err := flight.Fit(in)
+			f, err := flightrecorder.Fit(in)
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
--- a/cmd/dunemoorctl/main_test.go
+++ b/cmd/dunemoorctl/main_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"dunemoor/balancer"
-	"dunemoor/internal/flight"
+	"dunemoor/internal/flightrecorder"
 )
 
 // recorded writes a small recording: two hosts, requests served in turn, under the seed.
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	now := balancer.Time(time.Hour)
-	rec, err := flight.New(bal, flight.Start{Name: "n7", Seed: claimed, At: now, Settings: set, Classes: []string{"look"}}, 1, flight.Options{})
+	rec, err := flightrecorder.New(bal, flightrecorder.Start{Name: "n7", Seed: claimed, At: now, Settings: set, Classes: []string{"look"}}, 1, flightrecorder.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/lab/fleet.go
+++ b/cmd/experiment/fleet.go
@@ -19,7 +19,7 @@
 	"github.com/spf13/cobra"
 
 	"dunemoor/internal/cluster/sim"
-	"dunemoor/internal/nemesis"
+	"dunemoor/internal/experiment/faulttest"
 )
 
 // fleetCommand plays fleets of gateways under faults: in virtual time, or as processes.
@@ -156,7 +156,7 @@
 
 // fleet starts processes of the program as a fleet, and waits until it is whole. Whoever asks for it
 // closes it.
-func fleet(ctx context.Context, o nemesis.Options) (*nemesis.Fleet, error) {
+func fleet(ctx context.Context, o faulttest.Options) (*faulttest.Fleet, error) {
 	if err := os.MkdirAll(o.Dir, 0o700); err != nil {
 		return nil, err
 	}
@@ -164,7 +164,7 @@
 	if o.Dir, err = filepath.Abs(o.Dir); err != nil {
 		return nil, err
 	}
-	f, err := nemesis.New(o)
+	f, err := faulttest.New(o)
 	if err != nil {
 		return nil, err
 	}
@@ -193,7 +193,7 @@
 		Use: "run [FILE]", Args: cobra.MaximumNArgs(1),
 		Short: "Put faults into a fleet of processes on loopback, by a file (TOML) or a seed, and check what they did",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			f, err := fleet(cmd.Context(), nemesis.Options{Bin: bin, Dir: dir, Gateways: gateways, Keepers: keepers, Nodes: 3, Seed: max(seed, 1)})
+			f, err := fleet(cmd.Context(), faulttest.Options{Bin: bin, Dir: dir, Gateways: gateways, Keepers: keepers, Nodes: 3, Seed: max(seed, 1)})
 			if err != nil {
 				return err
 			}
@@ -202,16 +202,16 @@
 			for _, g := range f.Gateways {
 				names = append(names, g.Name)
 			}
-			plan := nemesis.Draw(seed, d, names)
+			plan := faulttest.Draw(seed, d, names)
 			if len(args) > 0 {
-				if plan, err = nemesis.ReadPlan(args[0]); err != nil {
+				if plan, err = faulttest.ReadPlan(args[0]); err != nil {
 					return err
 				}
 			}
 			if err := f.Play(cmd.Context(), plan, nil); err != nil {
 				return fmt.Errorf("seed %d: %w; the logs are in %s", plan.Seed, err, f.Dir)
 			}
-			bad := nemesis.Check(f.History.Events())
+			bad := faulttest.Check(f.History.Events())
 			for _, b := range bad {
 				fmt.Fprintln(cmd.OutOrStdout(), b)
 			}
@@ -263,7 +263,7 @@
 }
 
 func idle(ctx context.Context, out io.Writer, bin, dir string, n, keepers int, span time.Duration) error {
-	f, err := fleet(ctx, nemesis.Options{Bin: bin, Dir: dir, Gateways: n, Keepers: keepers, Nodes: 3, Seed: 1})
+	f, err := fleet(ctx, faulttest.Options{Bin: bin, Dir: dir, Gateways: n, Keepers: keepers, Nodes: 3, Seed: 1})
 	if err != nil {
 		return err
 	}
@@ -319,11 +319,11 @@
 		Use: "check HISTORY", Args: cobra.ExactArgs(1),
 		Short: "Check the history of a run again",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			events, err := nemesis.Read(args[0])
+			events, err := faulttest.Read(args[0])
 			if err != nil {
 				return err
 			}
-			bad := nemesis.Check(events)
+			bad := faulttest.Check(events)
 			for _, b := range bad {
 				fmt.Fprintln(cmd.OutOrStdout(), b)
 			}
--- a/cmd/lab/guards.go
+++ b/cmd/experiment/guards.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"dunemoor/internal/nemesis"
+	"dunemoor/internal/experiment/faulttest"
 )
 
 // fleetGuards takes guards out one at a time, in a build that can, and says what processes show of it.
@@ -18,7 +18,7 @@
 		Short: "Take guards out one at a time among processes of a build with the tag failpoints, and say what is seen of it",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var bad []error
-			for _, s := range nemesis.Stories {
+			for _, s := range faulttest.Stories {
 				for _, out := range []string{"", s.Guard} {
 					seen, err := guard(cmd, s, out, bin, filepath.Join(dir, s.Guard+"-"+out))
 					if err == nil && (seen != "") != (out != "") {
@@ -39,14 +39,14 @@
 }
 
 // guard plays one story with a guard out, or with none.
-func guard(cmd *cobra.Command, s nemesis.Story, out, bin, dir string) (string, error) {
-	f, err := fleet(cmd.Context(), nemesis.Options{Bin: bin, Dir: dir, Gateways: 3, Keepers: 3, Nodes: 1, Seed: 9, Env: []string{"DUNEMOOR_FAILPOINT=" + out}})
+func guard(cmd *cobra.Command, s faulttest.Story, out, bin, dir string) (string, error) {
+	f, err := fleet(cmd.Context(), faulttest.Options{Bin: bin, Dir: dir, Gateways: 3, Keepers: 3, Nodes: 1, Seed: 9, Env: []string{"DUNEMOOR_FAILPOINT=" + out}})
 	if err != nil {
 		return "", err
 	}
 	defer f.Close()
 	if s.Jumps {
-		if f.Bin, err = nemesis.BuildJumps(f.Dir); err != nil {
+		if f.Bin, err = faulttest.BuildJumps(f.Dir); err != nil {
 			return "", err
 		}
 		for _, g := range f.Gateways {
--- a/cmd/lab/hands.go
+++ b/cmd/experiment/hands.go
@@ -13,16 +13,16 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/spf13/cobra"
 
-	"dunemoor/internal/nemesis"
+	"dunemoor/internal/experiment/faulttest"
 )
 
 // hands is how long a duty was without an owner, by cause, over several fleets.
 type hands struct {
 	mu    sync.Mutex
-	spans map[nemesis.Cause]*hdrhistogram.Histogram
+	spans map[faulttest.Cause]*hdrhistogram.Histogram
 }
 
-func (h *hands) add(cause nemesis.Cause, gap time.Duration) {
+func (h *hands) add(cause faulttest.Cause, gap time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.spans[cause] == nil {
@@ -40,26 +40,26 @@
 		Use: "hands", Args: cobra.NoArgs,
 		Short: "Have a duty change hands among processes on loopback under load, for each cause; how long it had no owner",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			ctx, causes := cmd.Context(), nemesis.Causes
+			ctx, causes := cmd.Context(), faulttest.Causes
 			if len(only) > 0 {
 				causes = nil
 				for _, name := range only {
-					if !slices.Contains(nemesis.Causes, nemesis.Cause(name)) {
-						return fmt.Errorf("--cause: %q is none of %q", name, nemesis.Causes)
+					if !slices.Contains(faulttest.Causes, faulttest.Cause(name)) {
+						return fmt.Errorf("--cause: %q is none of %q", name, faulttest.Causes)
 					}
-					causes = append(causes, nemesis.Cause(name))
+					causes = append(causes, faulttest.Cause(name))
 				}
 			}
 			if fleets < 1 || rounds < 1 || gateways < 3 {
 				return errors.New("--fleets and --rounds: 1 or more; --gateways: 3 or more, one of which is spared")
 			}
-			h := &hands{spans: map[nemesis.Cause]*hdrhistogram.Histogram{}}
+			h := &hands{spans: map[faulttest.Cause]*hdrhistogram.Histogram{}}
 			var all sync.WaitGroup
 			errs := make([]error, fleets)
 			counts := make([]string, fleets)
 			for i := range fleets {
 				// One after another: ports that were found free are taken before the next looks.
-				f, err := fleet(ctx, nemesis.Options{Bin: bin, Dir: filepath.Join(dir, fmt.Sprint(i+1)), Gateways: gateways, Keepers: keepers, Nodes: 3, Seed: uint64(i + 1)})
+				f, err := fleet(ctx, faulttest.Options{Bin: bin, Dir: filepath.Join(dir, fmt.Sprint(i+1)), Gateways: gateways, Keepers: keepers, Nodes: 3, Seed: uint64(i + 1)})
 				if err != nil {
 					errs[i] = err
 					break
@@ -96,7 +96,7 @@
 
 // play has a duty of one fleet change hands so many times for each cause, under load, and says
 // what clients and hosts have seen.
-func (h *hands) play(ctx context.Context, f *nemesis.Fleet, causes []nemesis.Cause, rounds int) (string, error) {
+func (h *hands) play(ctx context.Context, f *faulttest.Fleet, causes []faulttest.Cause, rounds int) (string, error) {
 	spare := f.Gateways[len(f.Gateways)-1]
 	stop := f.Load(spare)
 	var err error
@@ -115,7 +115,7 @@
 	if taken > 0 {
 		err = errors.Join(err, fmt.Errorf("%d acts of old owners were taken", taken))
 	}
-	if bad := nemesis.Check(f.History.Events()); len(bad) > 0 {
+	if bad := faulttest.Check(f.History.Events()); len(bad) > 0 {
 		err = errors.Join(err, fmt.Errorf("%d things that must never be, the first: %s", len(bad), bad[0]))
 	}
 	return fmt.Sprintf("%d requests %v; acts of old owners: %d tried, %d taken", count.Asked, count.Ends, tried, taken), errors.Join(err, broken)
--- a/cmd/lab/hunt.go
+++ b/cmd/experiment/hunt.go
@@ -15,9 +15,9 @@
 
 	"github.com/spf13/cobra"
 
-	"dunemoor/internal/hunt"
-	"dunemoor/internal/model"
-	"dunemoor/internal/scenario"
+	"dunemoor/internal/experiment/scenario"
+	"dunemoor/internal/experiment/scenariosearch"
+	"dunemoor/internal/experiment/simulator"
 )
 
 const (
@@ -34,7 +34,7 @@
 	var minutes float64
 	var dir string
 	var set []string
-	r := hunt.Ranges{}
+	r := scenariosearch.Ranges{}
 	cmd := &cobra.Command{
 		Use: "hunt FILE", Args: cobra.ExactArgs(1),
 		Short: "Search round a scenario for what is served worse than it could be, and make it small",
@@ -51,7 +51,7 @@
 			ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 			defer stop()
 			began := time.Now()
-			s := hunt.New(r, seed)
+			s := scenariosearch.New(r, seed)
 			said := began
 			for s.Played() < runs && ctx.Err() == nil && (minutes == 0 || time.Since(began).Minutes() < minutes) {
 				batch := s.Next(min(huntBatch, runs-s.Played()))
@@ -64,7 +64,7 @@
 				}
 				if time.Since(said) > 10*time.Second {
 					said = time.Now()
-					fmt.Fprintf(cmd.ErrOrStderr(), "%d played in %.0f s, the worst: %s %.3f\n", s.Played(), said.Sub(began).Seconds(), hunt.Kinds(s.Worst()[0].Config), s.Worst()[0].Score)
+					fmt.Fprintf(cmd.ErrOrStderr(), "%d played in %.0f s, the worst: %s %.3f\n", s.Played(), said.Sub(began).Seconds(), scenariosearch.Kinds(s.Worst()[0].Config), s.Worst()[0].Score)
 				}
 			}
 			out := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
@@ -72,7 +72,7 @@
 			// Of the same kinds one is enough here.
 			var seen []string
 			for _, f := range s.Worst() {
-				kinds := hunt.Kinds(f.Config)
+				kinds := scenariosearch.Kinds(f.Config)
 				if len(seen) == finds {
 					break
 				}
@@ -80,7 +80,7 @@
 					continue
 				}
 				seen = append(seen, kinds)
-				small := hunt.Shrink(f, shrinkRuns, model.Run)
+				small := scenariosearch.Shrink(f, shrinkRuns, simulator.Run)
 				file := ""
 				if dir != "" {
 					if file, err = write(dir, len(seen), small); err != nil {
@@ -88,7 +88,7 @@
 					}
 				}
 				fmt.Fprintf(out, "%s\t%.3f\t%.3f\t%.3f\t%d\t%s %.3f of %.3f, %d gateways, %d hosts, %v\t%s\n", kinds, f.Score, f.Got, f.Possible, f.Broken,
-					hunt.Kinds(small.Config), small.Got, small.Possible, small.Config.Gateways, small.Config.Hosts[0].Count, small.Config.Length, file)
+					scenariosearch.Kinds(small.Config), small.Got, small.Possible, small.Config.Gateways, small.Config.Hosts[0].Count, small.Config.Length, file)
 			}
 			return out.Flush()
 		},
@@ -111,15 +111,15 @@
 }
 
 // playAll plays candidates on all cores.
-func playAll(batch []hunt.Candidate) ([]*model.Summary, error) {
-	sums, errs := make([]*model.Summary, len(batch)), make([]error, len(batch))
+func playAll(batch []scenariosearch.Candidate) ([]*simulator.Summary, error) {
+	sums, errs := make([]*simulator.Summary, len(batch)), make([]error, len(batch))
 	var all sync.WaitGroup
 	turns := make(chan struct{}, runtime.GOMAXPROCS(0))
 	for i, c := range batch {
 		all.Go(func() {
 			turns <- struct{}{}
 			defer func() { <-turns }()
-			sums[i], errs[i] = model.Run(c.Config)
+			sums[i], errs[i] = simulator.Run(c.Config)
 		})
 	}
 	all.Wait()
@@ -128,16 +128,16 @@
 
 // write keeps a find as a scenario that expects what it has now, less a little: it is mended when
 // that can be raised, and has become worse when it is missed.
-func write(dir string, n int, f hunt.Find) (string, error) {
+func write(dir string, n int, f scenariosearch.Find) (string, error) {
 	s := &scenario.Scenario{
-		About: fmt.Sprintf("Found by a hunt: %s, %.3f in time where %.3f seemed possible", hunt.Kinds(f.Config), f.Got, f.Possible),
+		About: fmt.Sprintf("Found by a hunt: %s, %.3f in time where %.3f seemed possible", scenariosearch.Kinds(f.Config), f.Got, f.Possible),
 		Seed:  f.Config.Seed, Model: f.Config, Expect: scenario.Expect{InTime: float64(int(f.Got*100)) / 100},
 	}
 	text, err := s.Text()
 	if err != nil {
 		return "", err
 	}
-	file := filepath.Join(dir, fmt.Sprintf("found-%d-%s.toml", n, hunt.Kinds(f.Config)))
+	file := filepath.Join(dir, fmt.Sprintf("found-%d-%s.toml", n, scenariosearch.Kinds(f.Config)))
 	if _, wrong := scenario.Parse(file, text); len(wrong) > 0 {
 		return "", errors.Join(wrong...)
 	}
--- a/cmd/lab/main.go
+++ b/cmd/experiment/main.go
@@ -1,4 +1,4 @@
-// Command lab plays fleets in virtual time and says what becomes of their requests.
+// Command experiment plays fleets in virtual time and says what becomes of their requests.
 package main
 
 import (
@@ -10,14 +10,14 @@
 
 func main() {
 	if err := root().Execute(); err != nil {
-		fmt.Fprintf(os.Stderr, "lab: %v\n", err)
+		fmt.Fprintf(os.Stderr, "experiment: %v\n", err)
 		os.Exit(1)
 	}
 }
 
 func root() *cobra.Command {
 	cmd := &cobra.Command{
-		Use: "lab", Short: "Play a fleet of gateways, hosts and clients in virtual time",
+		Use: "experiment", Short: "Play a fleet of gateways, hosts and clients in virtual time",
 		SilenceUsage: true, SilenceErrors: true,
 	}
 	cmd.CompletionOptions.DisableDefaultCmd = true
--- a/cmd/lab/run.go
+++ b/cmd/experiment/run.go
@@ -13,19 +13,19 @@
 
 	"github.com/spf13/cobra"
 
-	"dunemoor/internal/model"
-	"dunemoor/internal/scenario"
+	"dunemoor/internal/experiment/scenario"
+	"dunemoor/internal/experiment/simulator"
 )
 
 // played is one run of a scenario.
 type played struct {
-	Scenario string         `json:"scenario"`
-	Seed     uint64         `json:"seed"`
-	InTime   float64        `json:"in_time"`
-	Missed   []string       `json:"missed,omitempty"`
-	Summary  *model.Summary `json:"summary"`
-	Classes  []latency      `json:"latency"`
-	Took     time.Duration  `json:"-"`
+	Scenario string             `json:"scenario"`
+	Seed     uint64             `json:"seed"`
+	InTime   float64            `json:"in_time"`
+	Missed   []string           `json:"missed,omitempty"`
+	Summary  *simulator.Summary `json:"summary"`
+	Classes  []latency          `json:"latency"`
+	Took     time.Duration      `json:"-"`
 	err      error
 }
 
@@ -58,7 +58,7 @@
 	c := s.Model
 	c.Seed = seed
 	began := time.Now()
-	sum, err := model.Run(c)
+	sum, err := simulator.Run(c)
 	if err != nil {
 		return played{Scenario: s.Name, Seed: seed, err: err}
 	}
--- a/cmd/lab/scale.go
+++ b/cmd/experiment/scale.go
@@ -16,7 +16,7 @@
 
 	"github.com/spf13/cobra"
 
-	"dunemoor/internal/scale"
+	"dunemoor/internal/experiment/scaletest"
 )
 
 // scalePart measures one thing at several sizes. Files of this package register theirs by
@@ -28,7 +28,7 @@
 	Sizes []int  // measured by default
 	Small []int  // of the test: seconds
 	Takes string // with Sizes, about
-	Run   func(ctx context.Context, e *scaleEnv, sizes []int) (*scale.Report, error)
+	Run   func(ctx context.Context, e *scaleEnv, sizes []int) (*scaletest.Report, error)
 }
 
 // scaleParts are all of them by name.
@@ -106,7 +106,7 @@
 			}
 			defer os.RemoveAll(dir)
 			e := &scaleEnv{Dir: dir, Said: cmd.ErrOrStderr(), Small: small, bin: bin}
-			reports := []*scale.Report{}
+			reports := []*scaletest.Report{}
 			var failed []error
 			for _, name := range args {
 				r, err := scaleRun(cmd.Context(), e, scaleParts[name], sizes)
@@ -117,7 +117,7 @@
 					continue
 				}
 				reports = append(reports, r)
-				if err := scale.Table(cmd.OutOrStdout(), r); err != nil {
+				if err := scaletest.Table(cmd.OutOrStdout(), r); err != nil {
 					return err
 				}
 			}
@@ -141,7 +141,7 @@
 }
 
 // scaleRun has a part measure, and names in its report how.
-func scaleRun(ctx context.Context, e *scaleEnv, p *scalePart, sizes []int) (*scale.Report, error) {
+func scaleRun(ctx context.Context, e *scaleEnv, p *scalePart, sizes []int) (*scaletest.Report, error) {
 	if ctx == nil {
 		ctx = context.Background()
 	}
--- a/cmd/lab/scale_fleet.go
+++ b/cmd/experiment/scale_fleet.go
@@ -14,9 +14,9 @@
 
 	"dunemoor/internal/cluster/lease"
 	"dunemoor/internal/cluster/sim"
-	"dunemoor/internal/scale"
-	"dunemoor/internal/scale/hollow"
-	"dunemoor/internal/standin"
+	"dunemoor/internal/experiment/fakes"
+	"dunemoor/internal/experiment/scaletest"
+	"dunemoor/internal/experiment/scaletest/hollow"
 )
 
 // What is asked of a gateway's control at the size to design for.
@@ -43,14 +43,14 @@
 	registerScale(&scalePart{
 		Name: "mesh", By: "gateway", Sizes: []int{8, 12, 24, 48, 80}, Small: []int{4, 6}, Takes: "1 min",
 		About: "a fleet at rest, hollow gateways: bytes and packets by the kernel, CPU, memory, connections, by role",
-		Run: func(ctx context.Context, e *scaleEnv, sizes []int) (*scale.Report, error) {
+		Run: func(ctx context.Context, e *scaleEnv, sizes []int) (*scaletest.Report, error) {
 			return atRest(ctx, e, sizes, "", 0)
 		},
 	})
 	registerScale(&scalePart{
 		Name: "mesh-real", By: "gateway", Sizes: []int{8, 12, 24, 48, 80}, Small: []int{4, 5}, Takes: "1 min",
 		About: "the same with processes of the program: how far hollow ones stand for them",
-		Run: func(ctx context.Context, e *scaleEnv, sizes []int) (*scale.Report, error) {
+		Run: func(ctx context.Context, e *scaleEnv, sizes []int) (*scaletest.Report, error) {
 			bin, err := e.Program(ctx)
 			if err != nil {
 				return nil, err
@@ -85,7 +85,7 @@
 	})
 	registerScale(&scalePart{
 		Name: "sim", By: "gateway", Sizes: []int{25, 50, 100, 175, 250}, Small: []int{4, 6}, Takes: "1 min",
-		About: "the time that `lab fleet cost` takes itself to play a fleet of 500 duties",
+		About: "the time that `experiment fleet cost` takes itself to play a fleet of 500 duties",
 		Run:   simPart,
 	})
 }
@@ -109,7 +109,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	d := standin.StartDiscovery(standin.Member{ID: "h1", Addr: "127.0.0.1:9", State: "ready", Kind: "a", Weight: 1})
+	d := fakes.StartDiscovery(fakes.Member{ID: "h1", Addr: "127.0.0.1:9", State: "ready", Kind: "a", Weight: 1})
 	o.Host, o.Discovery = []string{self, "scale", "hollow-host"}, d.Addr()
 	if o.Keepers = fleetKeepers; o.Gateways < fleetAlone {
 		o.Keepers = min(3, o.Gateways)
@@ -153,32 +153,32 @@
 type seriesBy struct {
 	by    string
 	asked float64
-	list  []scale.Series
+	list  []scaletest.Series
 }
 
 func (s *seriesBy) add(name, unit string, resolution float64, size int, value float64) {
-	i := slices.IndexFunc(s.list, func(x scale.Series) bool { return x.Name == name && x.Unit == unit })
+	i := slices.IndexFunc(s.list, func(x scaletest.Series) bool { return x.Name == name && x.Unit == unit })
 	if i < 0 {
 		i = len(s.list)
-		s.list = append(s.list, scale.Series{Name: name, Unit: unit, By: s.by, Resolution: resolution, Asked: s.asked})
+		s.list = append(s.list, scaletest.Series{Name: name, Unit: unit, By: s.by, Resolution: resolution, Asked: s.asked})
 	}
-	s.list[i].Points = append(s.list[i].Points, scale.Point{Size: float64(size), Value: value})
+	s.list[i].Points = append(s.list[i].Points, scaletest.Point{Size: float64(size), Value: value})
 }
 
 // passes is where the line of a series passes what is allowed.
-func (s *seriesBy) passes(name, unit string, most float64, where string) (list []scale.Break) {
+func (s *seriesBy) passes(name, unit string, most float64, where string) (list []scaletest.Break) {
 	for i := range s.list {
 		x := &s.list[i]
 		if x.Name != name || x.Unit != unit {
 			continue
 		}
-		if f, err := x.Fit(); err == nil && f.Shape == scale.Line && f.Slope > 0 {
+		if f, err := x.Fit(); err == nil && f.Shape == scaletest.Line && f.Slope > 0 {
 			at := max(0, (most-f.Intercept)/f.Slope)
 			what := fmt.Sprintf("by the line, a %s passes the %v %s allowed", name, most, unit)
 			if at == 0 {
 				what = fmt.Sprintf("a %s takes more than the %v %s allowed at any size", name, most, unit)
 			}
-			list = append(list, scale.Break{By: s.by, Size: float64(int(at)), Where: where, What: what})
+			list = append(list, scaletest.Break{By: s.by, Size: float64(int(at)), Where: where, What: what})
 		}
 	}
 	return list
@@ -290,17 +290,17 @@
 }
 
 // sorted has the roles come in the order of rolesShown.
-func (s *seriesBy) sorted() []scale.Series {
-	slices.SortStableFunc(s.list, func(a, b scale.Series) int {
+func (s *seriesBy) sorted() []scaletest.Series {
+	slices.SortStableFunc(s.list, func(a, b scaletest.Series) int {
 		return cmp.Compare(slices.Index(rolesShown, a.Name), slices.Index(rolesShown, b.Name))
 	})
 	return s.list
 }
 
 // atRest measures fleets at rest by their size, hollow or of the program.
-func atRest(ctx context.Context, e *scaleEnv, sizes []int, bin string, real int) (*scale.Report, error) {
+func atRest(ctx context.Context, e *scaleEnv, sizes []int, bin string, real int) (*scaletest.Report, error) {
 	s := &seriesBy{by: "gateway", asked: gatewaysAsked}
-	r := &scale.Report{}
+	r := &scaletest.Report{}
 	settle, count := fleetSpan(e)
 	for _, n := range sizes {
 		err := func() error {
@@ -339,10 +339,10 @@
 	r.Breaks = append(r.Breaks, s.passes("member", "CPU ms/s", cpuAsked, "internal/cluster/peer: Carrier.hold and serve, two goroutines and a timer a link")...)
 	r.Breaks = append(r.Breaks, s.passes("member", "MB resident", memoryAsked, "internal/cluster/peer: Carrier.serve, a reader of 64 KiB a connection")...)
 	r.Breaks = append(r.Breaks,
-		scale.Break{By: "gateway", Size: lease.MaxMembers, What: "the record refuses the next member", Where: "internal/cluster/lease: MembersMost, State.open"},
-		scale.Break{By: "gateway", Size: 1024, What: "a file with more peers is refused", Where: "internal/config: maxPeers"},
-		scale.Break{By: "gateway", Size: 2201, What: "further connections that come in are closed at once; from 1,101 on where all come back at once, as each has two while one replaces the other", Where: "internal/cluster/peer: connsMost"},
-		scale.Break{By: "gateway", Size: 4096, What: "a leader drops renewals and commands that come while as many wait for a quorum; they come again 0.3 to 0.6 s later", Where: "internal/cluster/member: renewsMost in hearRenew, hearAsk"},
+		scaletest.Break{By: "gateway", Size: lease.MaxMembers, What: "the record refuses the next member", Where: "internal/cluster/lease: MembersMost, State.open"},
+		scaletest.Break{By: "gateway", Size: 1024, What: "a file with more peers is refused", Where: "internal/config: maxPeers"},
+		scaletest.Break{By: "gateway", Size: 2201, What: "further connections that come in are closed at once; from 1,101 on where all come back at once, as each has two while one replaces the other", Where: "internal/cluster/peer: connsMost"},
+		scaletest.Break{By: "gateway", Size: 4096, What: "a leader drops renewals and commands that come while as many wait for a quorum; they come again 0.3 to 0.6 s later", Where: "internal/cluster/member: renewsMost in hearRenew, hearAsk"},
 	)
 	r.Notes = append(r.Notes, "bytes are of both directions, counted by the kernel (TCP_INFO) with 52 bytes of IP and TCP a segment; packets too")
 	return r, nil
@@ -351,9 +351,9 @@
 // dutiesFleet is the size of the fleet by which duties are measured.
 const dutiesFleet = 12
 
-func dutiesPart(ctx context.Context, e *scaleEnv, sizes []int) (*scale.Report, error) {
+func dutiesPart(ctx context.Context, e *scaleEnv, sizes []int) (*scaletest.Report, error) {
 	s := &seriesBy{by: "pool"}
-	r := &scale.Report{}
+	r := &scaletest.Report{}
 	settle, count := fleetSpan(e)
 	n := dutiesFleet
 	if e.Small {
@@ -404,7 +404,7 @@
 	}
 	r.Series = s.list
 	r.Breaks = append(r.Breaks, s.passes("gateway (median)", "bytes/s", bytesAsked, "internal/fleet: listening.look, a beat of each list to each gateway every 2 s (lists.BeatEvery)")...)
-	r.Breaks = append(r.Breaks, scale.Break{By: "pool", Size: lease.MaxLeases, What: "the record takes no further duty", Where: "internal/cluster/lease: DutiesMost"})
+	r.Breaks = append(r.Breaks, scaletest.Break{By: "pool", Size: lease.MaxLeases, What: "the record takes no further duty", Where: "internal/cluster/lease: DutiesMost"})
 	return r, nil
 }
 
@@ -462,9 +462,9 @@
 	}
 }
 
-func joinsPart(ctx context.Context, e *scaleEnv, sizes []int) (*scale.Report, error) {
+func joinsPart(ctx context.Context, e *scaleEnv, sizes []int) (*scaletest.Report, error) {
 	s := &seriesBy{by: "gateway", asked: gatewaysAsked}
-	r := &scale.Report{}
+	r := &scaletest.Report{}
 	settle, _ := fleetSpan(e)
 	for _, n := range sizes {
 		err := func() error {
@@ -553,9 +553,9 @@
 // changesFleet is the size of the fleet by which changes are measured.
 const changesFleet = 24
 
-func changesPart(ctx context.Context, e *scaleEnv, sizes []int) (*scale.Report, error) {
+func changesPart(ctx context.Context, e *scaleEnv, sizes []int) (*scaletest.Report, error) {
 	s := &seriesBy{by: "change"}
-	r := &scale.Report{}
+	r := &scaletest.Report{}
 	settle, count := fleetSpan(e)
 	n := changesFleet
 	if e.Small {
@@ -620,9 +620,9 @@
 	return r, nil
 }
 
-func lostPart(ctx context.Context, e *scaleEnv, sizes []int) (*scale.Report, error) {
+func lostPart(ctx context.Context, e *scaleEnv, sizes []int) (*scaletest.Report, error) {
 	s := &seriesBy{by: "gateway", asked: gatewaysAsked}
-	r := &scale.Report{}
+	r := &scaletest.Report{}
 	settle, _ := fleetSpan(e)
 	for _, n := range sizes {
 		err := func() error {
@@ -702,10 +702,10 @@
 	return r, nil
 }
 
-// simDuties are those of `lab fleet cost`.
+// simDuties are those of `experiment fleet cost`.
 const simDuties = 500
 
-func simPart(ctx context.Context, e *scaleEnv, sizes []int) (*scale.Report, error) {
+func simPart(ctx context.Context, e *scaleEnv, sizes []int) (*scaletest.Report, error) {
 	s := &seriesBy{by: "gateway", asked: gatewaysAsked}
 	duties := simDuties
 	if e.Small {
@@ -721,14 +721,14 @@
 		}
 		s.add("a fleet played", "s", 0.02, n, time.Since(began).Seconds())
 	}
-	return &scale.Report{Series: s.list}, nil
+	return &scaletest.Report{Series: s.list}, nil
 }
 
 // recordPart times what a leader does over its record: for each renewal, each tick and each look at
 // how things stand. It is one goroutine that does all of it (internal/cluster, Fleet.loop).
-func recordPart(ctx context.Context, e *scaleEnv, sizes []int) (*scale.Report, error) {
+func recordPart(ctx context.Context, e *scaleEnv, sizes []int) (*scaletest.Report, error) {
 	s := &seriesBy{by: "gateway", asked: gatewaysAsked}
-	r := &scale.Report{}
+	r := &scaletest.Report{}
 	for _, n := range sizes {
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
@@ -750,10 +750,10 @@
 	r.Series = s.list
 	for i := range s.list {
 		if x := &s.list[i]; x.Name == "all gateways' answers of a second" {
-			slices.SortFunc(x.Points, func(a, b scale.Point) int { return cmp.Compare(a.Size, b.Size) })
+			slices.SortFunc(x.Points, func(a, b scaletest.Point) int { return cmp.Compare(a.Size, b.Size) })
 			for _, p := range x.Points {
 				if p.Value > 1000 {
-					r.Breaks = append(r.Breaks, scale.Break{By: "gateway", Size: p.Size, What: "the first size at which answers to renewals alone take more than the one core that the loop has", Where: "internal/cluster/lease: State.Since"})
+					r.Breaks = append(r.Breaks, scaletest.Break{By: "gateway", Size: p.Size, What: "the first size at which answers to renewals alone take more than the one core that the loop has", Where: "internal/cluster/lease: State.Since"})
 					break
 				}
 			}
--- a/cmd/lab/scale_fleet_test.go
+++ b/cmd/experiment/scale_fleet_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"dunemoor/internal/scale"
+	"dunemoor/internal/experiment/scaletest"
 )
 
 // Parts run hollow gateways in processes of their own program, which here is the test.
@@ -23,7 +23,7 @@
 }
 
 // value is what a report has of a series at a size.
-func value(t *testing.T, r *scale.Report, name, unit string, size float64) float64 {
+func value(t *testing.T, r *scaletest.Report, name, unit string, size float64) float64 {
 	t.Helper()
 	for _, s := range r.Series {
 		for _, p := range s.Points {
@@ -41,10 +41,10 @@
 	if testing.Short() {
 		t.Skip("fleets of processes")
 	}
-	for name, check := range map[string]func(t *testing.T, r *scale.Report, sizes []int){
+	for name, check := range map[string]func(t *testing.T, r *scaletest.Report, sizes []int){
 		"mesh":      checkRest,
 		"mesh-real": checkRest,
-		"duties": func(t *testing.T, r *scale.Report, sizes []int) {
+		"duties": func(t *testing.T, r *scaletest.Report, sizes []int) {
 			for _, n := range sizes {
 				// A list each, and housekeeping. What is told of them in a second is not compared: at a
 				// start of two and of four lists that goes by the machine.
@@ -56,7 +56,7 @@
 				}
 			}
 		},
-		"joins": func(t *testing.T, r *scale.Report, sizes []int) {
+		"joins": func(t *testing.T, r *scaletest.Report, sizes []int) {
 			for _, n := range sizes {
 				// Two connections to each other gateway, three segments to open each and four at least
 				// of the carrier's own handshake.
@@ -68,7 +68,7 @@
 				}
 			}
 		},
-		"fleet-changes": func(t *testing.T, r *scale.Report, sizes []int) {
+		"fleet-changes": func(t *testing.T, r *scaletest.Report, sizes []int) {
 			for _, n := range sizes {
 				if x := value(t, r, "leader", "fsyncs/s", float64(n)); x <= 0 {
 					t.Errorf("%d changes a second: %v fsyncs", n, x)
@@ -80,7 +80,7 @@
 				}
 			}
 		},
-		"lost": func(t *testing.T, r *scale.Report, sizes []int) {
+		"lost": func(t *testing.T, r *scaletest.Report, sizes []int) {
 			for _, n := range sizes {
 				for unit, name := range map[string]string{
 					"s until another leads": "leader killed", "s until their sessions have lapsed everywhere": "a tenth killed", "s until they have sessions again": "a tenth killed",
@@ -91,7 +91,7 @@
 				}
 			}
 		},
-		"relays": func(t *testing.T, r *scale.Report, sizes []int) {
+		"relays": func(t *testing.T, r *scaletest.Report, sizes []int) {
 			for _, n := range sizes {
 				// One stream, whatever the size.
 				if x := value(t, r, "gateway", "connections", float64(n)); x != 1 {
@@ -103,7 +103,7 @@
 				}
 			}
 		},
-		"relays-lost": func(t *testing.T, r *scale.Report, sizes []int) {
+		"relays-lost": func(t *testing.T, r *scaletest.Report, sizes []int) {
 			for _, n := range sizes {
 				if x := value(t, r, "all relays restarted", "gateways that moved", float64(n)); x != float64(n) {
 					t.Errorf("%v of %d gateways came back to relays that were all restarted", x, n)
@@ -115,14 +115,14 @@
 				}
 			}
 		},
-		"record": func(t *testing.T, r *scale.Report, sizes []int) {
+		"record": func(t *testing.T, r *scaletest.Report, sizes []int) {
 			for _, n := range sizes {
 				if x := value(t, r, "a whole view", "KB of JSON", float64(n)); x <= 0 {
 					t.Errorf("%d gateways: %v KB", n, x)
 				}
 			}
 		},
-		"sim": func(t *testing.T, r *scale.Report, sizes []int) {
+		"sim": func(t *testing.T, r *scaletest.Report, sizes []int) {
 			for _, n := range sizes {
 				if x := value(t, r, "a fleet played", "s", float64(n)); x <= 0 {
 					t.Errorf("%d gateways: %v s", n, x)
@@ -147,7 +147,7 @@
 	}
 }
 
-func checkRest(t *testing.T, r *scale.Report, sizes []int) {
+func checkRest(t *testing.T, r *scaletest.Report, sizes []int) {
 	for _, n := range sizes {
 		for _, role := range []string{"leader", "member"} {
 			// One connection each way between two.
--- a/cmd/lab/scale_process.go
+++ b/cmd/experiment/scale_process.go
@@ -18,10 +18,10 @@
 	"time"
 
 	"dunemoor/balancer"
-	"dunemoor/internal/nemesis"
+	"dunemoor/internal/experiment/faulttest"
+	"dunemoor/internal/experiment/scaletest"
 	"dunemoor/internal/ratelimit"
 	"dunemoor/internal/route"
-	"dunemoor/internal/scale"
 )
 
 // The parts that need one process of the program.
@@ -65,7 +65,7 @@
 
 // gatewayProcess is the program with a file, in a process of its own.
 type gatewayProcess struct {
-	p      *nemesis.Process
+	p      *faulttest.Process
 	file   string
 	listen string // where clients connect
 
@@ -94,7 +94,7 @@
 	if err := os.WriteFile(g.file, []byte(text), 0o600); err != nil {
 		return nil, err
 	}
-	if g.p, err = nemesis.StartProcess("box", bin, []string{"--appliance", g.file}, env, io.Discard, g.heard); err != nil {
+	if g.p, err = faulttest.StartProcess("box", bin, []string{"--appliance", g.file}, env, io.Discard, g.heard); err != nil {
 		return nil, err
 	}
 	if err := g.said(ctx, "msg=serving", 1); err != nil {
@@ -314,17 +314,17 @@
 type collected struct {
 	by    string
 	asked float64
-	list  []scale.Series
+	list  []scaletest.Series
 }
 
 func (c *collected) add(size int, name, unit string, resolution, value float64) {
 	for i := range c.list {
 		if c.list[i].Name == name {
-			c.list[i].Points = append(c.list[i].Points, scale.Point{Size: float64(size), Value: value})
+			c.list[i].Points = append(c.list[i].Points, scaletest.Point{Size: float64(size), Value: value})
 			return
 		}
 	}
-	c.list = append(c.list, scale.Series{Name: name, Unit: unit, By: c.by, Asked: c.asked, Resolution: resolution, Points: []scale.Point{{Size: float64(size), Value: value}}})
+	c.list = append(c.list, scaletest.Series{Name: name, Unit: unit, By: c.by, Asked: c.asked, Resolution: resolution, Points: []scaletest.Point{{Size: float64(size), Value: value}}})
 }
 
 func (c *collected) cpu(size int, name string, d time.Duration, of int) {
@@ -382,9 +382,9 @@
 	memoryNote = "memory_mb = 4096, so that the collector is not pressed; 1 MB is 2^20 bytes; CPU is of all threads, in ticks of 10 ms"
 )
 
-func scaleRoutes(ctx context.Context, e *scaleEnv, sizes []int) (*scale.Report, error) {
+func scaleRoutes(ctx context.Context, e *scaleEnv, sizes []int) (*scaletest.Report, error) {
 	c := &collected{by: "route", asked: askedRoutes}
-	r := &scale.Report{Notes: []string{memoryNote, "the longest answer is of one request at a time to a pool without a live host, while reloads go on"}}
+	r := &scaletest.Report{Notes: []string{memoryNote, "the longest answer is of one request at a time to a pool without a live host, while reloads go on"}}
 	pools := manyPools
 	if e.Small {
 		pools = 10
@@ -407,7 +407,7 @@
 	r.Series = c.list
 	for _, s := range r.Series {
 		f, err := s.Fit()
-		if err != nil || f.Shape != scale.Power || f.Exponent < 1.5 {
+		if err != nil || f.Shape != scaletest.Power || f.Exponent < 1.5 {
 			continue
 		}
 		where := map[string]string{
@@ -416,7 +416,7 @@
 			"longest answer during reloads": "internal/engine/plan.go: Plan.adopt, in the engine's loop: nothing is decided meanwhile",
 		}[s.Name]
 		last := s.Points[len(s.Points)-1]
-		r.Breaks = append(r.Breaks, scale.Break{By: "route", Size: last.Size, Where: where,
+		r.Breaks = append(r.Breaks, scaletest.Break{By: "route", Size: last.Size, Where: where,
 			What: fmt.Sprintf("%s grows by the power %.1f: %.0f %s", s.Name, f.Exponent, last.Value, s.Unit)})
 	}
 	return r, nil
@@ -447,9 +447,9 @@
 	return float64(time.Since(began).Nanoseconds()) / looks, nil
 }
 
-func scalePools(ctx context.Context, e *scaleEnv, sizes []int) (*scale.Report, error) {
+func scalePools(ctx context.Context, e *scaleEnv, sizes []int) (*scaletest.Report, error) {
 	c := &collected{by: "pool", asked: askedPools}
-	r := &scale.Report{Notes: []string{memoryNote, "one host and one route a pool"}}
+	r := &scaletest.Report{Notes: []string{memoryNote, "one host and one route a pool"}}
 	for _, n := range sizes {
 		head, err := boxText()
 		if err != nil {
@@ -467,7 +467,7 @@
 }
 
 // refusal is what the program says of a file that goes beyond a cap; none where it serves.
-func refusal(ctx context.Context, e *scaleEnv, size int, by, where, text string) ([]scale.Break, error) {
+func refusal(ctx context.Context, e *scaleEnv, size int, by, where, text string) ([]scaletest.Break, error) {
 	head, err := boxText()
 	if err != nil {
 		return nil, err
@@ -478,7 +478,7 @@
 		if i := strings.Index(said, "box.toml:"); i >= 0 {
 			said = said[i:]
 		}
-		return []scale.Break{{By: by, Size: float64(size), What: said, Where: where}}, nil
+		return []scaletest.Break{{By: by, Size: float64(size), What: said, Where: where}}, nil
 	}
 	g.p.Kill()
 	return nil, nil
@@ -502,9 +502,9 @@
 	return os.Rename(path+".new", path)
 }
 
-func scaleHosts(ctx context.Context, e *scaleEnv, sizes []int) (*scale.Report, error) {
+func scaleHosts(ctx context.Context, e *scaleEnv, sizes []int) (*scaletest.Report, error) {
 	c := &collected{by: "host", asked: askedHosts}
-	r := &scale.Report{Notes: []string{memoryNote, "the program looks at the file once a second (fileEvery, internal/discovery/file.go) and reads it whole: that is its CPU at rest",
+	r := &scaletest.Report{Notes: []string{memoryNote, "the program looks at the file once a second (fileEvery, internal/discovery/file.go) and reads it whole: that is its CPU at rest",
 		"a change is CPU from the write of the file to the first second after it is in force, less as much at rest"}}
 	dir, err := e.Sub("hosts")
 	if err != nil {
@@ -542,13 +542,13 @@
 	}
 	g, err := startGateway(ctx, e, head+text)
 	if err != nil {
-		r.Breaks = append(r.Breaks, scale.Break{By: "host", Size: file, What: err.Error(), Where: "internal/discovery/file.go: fileMost"})
+		r.Breaks = append(r.Breaks, scaletest.Break{By: "host", Size: file, What: err.Error(), Where: "internal/discovery/file.go: fileMost"})
 		return r, nil
 	}
 	defer g.p.Kill()
 	// It serves without hosts where the list is refused, and says so.
 	if err := g.said(ctx, "host list not read", 1); err == nil {
-		r.Breaks = append(r.Breaks, scale.Break{By: "host", Size: file, What: fmt.Sprintf("a file of %d bytes is not read, the pool has no host", info.Size()), Where: "internal/discovery/file.go: fileMost, read by readMost"})
+		r.Breaks = append(r.Breaks, scaletest.Break{By: "host", Size: file, What: fmt.Sprintf("a file of %d bytes is not read, the pool has no host", info.Size()), Where: "internal/discovery/file.go: fileMost, read by readMost"})
 	}
 	return r, nil
 }
@@ -617,9 +617,9 @@
 	return float64(m.HeapAlloc)
 }
 
-func scaleModule(_ context.Context, e *scaleEnv, sizes []int) (*scale.Report, error) {
+func scaleModule(_ context.Context, e *scaleEnv, sizes []int) (*scaletest.Report, error) {
 	c := &collected{by: "host", asked: askedHosts}
-	r := &scale.Report{Notes: []string{"in this process, one thread; a request is Request, Drain, Outcome and Drain, its pick among all hosts"}}
+	r := &scaletest.Report{Notes: []string{"in this process, one thread; a request is Request, Drain, Outcome and Drain, its pick among all hosts"}}
 	for _, n := range sizes {
 		fmt.Fprintf(e.Said, "%d hosts in the module\n", n)
 		hosts := make([]balancer.Host, n)
@@ -706,9 +706,9 @@
 	return b.String()
 }
 
-func scaleTenants(ctx context.Context, e *scaleEnv, sizes []int) (*scale.Report, error) {
+func scaleTenants(ctx context.Context, e *scaleEnv, sizes []int) (*scaletest.Report, error) {
 	c := &collected{by: "tenant", asked: askedTenants}
-	r := &scale.Report{Notes: []string{memoryNote}}
+	r := &scaletest.Report{Notes: []string{memoryNote}}
 	for _, n := range sizes {
 		head, err := boxText()
 		if err != nil {
@@ -754,10 +754,10 @@
 // changesFor is how long reloads come at a rate.
 const changesFor = 5 * time.Second
 
-func scaleChanges(ctx context.Context, e *scaleEnv, sizes []int) (*scale.Report, error) {
+func scaleChanges(ctx context.Context, e *scaleEnv, sizes []int) (*scaletest.Report, error) {
 	peak := askedADay / (24 * time.Hour).Seconds() * peakFactor
 	c := &collected{by: "change", asked: peak * changesFor.Seconds()}
-	r := &scale.Report{Notes: []string{memoryNote,
+	r := &scaletest.Report{Notes: []string{memoryNote,
 		fmt.Sprintf("sizes are changes in %v; asked for: %d a day, the busiest hour %d times the mean one (assumed: working hours 3, the busiest of them nearly 2): %.2f a second", changesFor, askedADay, peakFactor, peak)}}
 	routes, pools, length := 1000, manyPools, changesFor
 	if e.Small {
@@ -780,7 +780,7 @@
 
 // scaleChangesAt has reloads come at even distances, each once the last is in force: more than one
 // at a time the program would take for one (its signal waits in a channel of one place).
-func scaleChangesAt(ctx context.Context, e *scaleEnv, c *collected, n int, length time.Duration, text string, r *scale.Report) error {
+func scaleChangesAt(ctx context.Context, e *scaleEnv, c *collected, n int, length time.Duration, text string, r *scaletest.Report) error {
 	g, err := startGateway(ctx, e, text)
 	if err != nil {
 		return err
@@ -808,7 +808,7 @@
 	}
 	c.cpu(n, fmt.Sprintf("%v with so many reloads", length), cpu, 1)
 	if late > 0 {
-		r.Breaks = append(r.Breaks, scale.Break{By: "change", Size: float64(n), What: fmt.Sprintf("%d of them due before the last was in force; the program would take them for one", late),
+		r.Breaks = append(r.Breaks, scaletest.Break{By: "change", Size: float64(n), What: fmt.Sprintf("%d of them due before the last was in force; the program would take them for one", late),
 			Where: "cmd/dunemoor/main.go: main, the channel hup of one place"})
 	}
 	return nil
--- a/cmd/lab/scale_relays.go
+++ b/cmd/experiment/scale_relays.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"dunemoor/internal/scale"
-	"dunemoor/internal/scale/hollow"
+	"dunemoor/internal/experiment/scaletest"
+	"dunemoor/internal/experiment/scaletest/hollow"
 )
 
 func init() {
@@ -65,9 +65,9 @@
 	return list[min(len(list)-1, int(share*float64(len(list))))]
 }
 
-func relaysRest(ctx context.Context, e *scaleEnv, sizes []int) (*scale.Report, error) {
+func relaysRest(ctx context.Context, e *scaleEnv, sizes []int) (*scaletest.Report, error) {
 	s := &seriesBy{by: "gateway", asked: gatewaysAsked}
-	r := &scale.Report{}
+	r := &scaletest.Report{}
 	settle, count := fleetSpan(e)
 	for _, n := range sizes {
 		err := func() error {
@@ -188,9 +188,9 @@
 // standsStill is a relay that is stopped, so that its connections do not end.
 const standsStill = "a relay stands still"
 
-func relaysLost(ctx context.Context, e *scaleEnv, sizes []int) (*scale.Report, error) {
+func relaysLost(ctx context.Context, e *scaleEnv, sizes []int) (*scaletest.Report, error) {
 	s := &seriesBy{by: "gateway", asked: gatewaysAsked}
-	r := &scale.Report{}
+	r := &scaletest.Report{}
 	settle, _ := fleetSpan(e)
 	after := 6 * time.Second // two sessions: whoever lapses has by then
 	if e.Small {
--- a/cmd/lab/sweep.go
+++ b/cmd/experiment/sweep.go
@@ -12,7 +12,7 @@
 
 	"github.com/spf13/cobra"
 
-	"dunemoor/internal/scenario"
+	"dunemoor/internal/experiment/scenario"
 )
 
 // knobs are what can be changed from the command line.
--- a/cmd/standin/appliance.go
+++ b/cmd/fakes/appliance.go
@@ -8,7 +8,7 @@
 
 	"dunemoor/balancer"
 	"dunemoor/internal/config"
-	"dunemoor/internal/standin"
+	"dunemoor/internal/experiment/fakes"
 )
 
 // photo is the size of what is sent where a route takes nothing but POST: more than is held.
@@ -16,7 +16,7 @@
 
 // standFor starts a node for each member that an appliance's file lists, and makes classes of
 // requests by its routes. listen becomes the address of the first listener.
-func standFor(path string, seed uint64, b standin.Behaviour, listen, web *string) (*standin.Fleet, []standin.Class, error) {
+func standFor(path string, seed uint64, b fakes.Behaviour, listen, web *string) (*fakes.Fleet, []fakes.Class, error) {
 	a, wrong := config.LoadAppliance(path)
 	if len(wrong) > 0 {
 		return nil, nil, errors.Join(wrong...)
@@ -28,11 +28,11 @@
 			*listen = l.Address
 		}
 	}
-	fleet := standin.NewFleet(standin.NewLedger())
+	fleet := fakes.NewFleet(fakes.NewLedger())
 	for _, p := range a.Pools {
 		for i, m := range p.Members {
 			if p.Protocol == config.FastCGI {
-				r, err := standin.StartResponderAt(m.Address, m.ID, fmt.Sprint(p.Name, m.Cell), fleet.Ledger, seed+uint64(i), b.Work)
+				r, err := fakes.StartResponderAt(m.Address, m.ID, fmt.Sprint(p.Name, m.Cell), fleet.Ledger, seed+uint64(i), b.Work)
 				if err != nil {
 					fleet.Close()
 					return nil, nil, err
@@ -40,7 +40,7 @@
 				fleet.Responders = append(fleet.Responders, r)
 				continue
 			}
-			n, err := standin.StartNodeAt(m.Address, m.ID, fmt.Sprint(p.Name, m.Cell), fleet.Ledger, seed+uint64(i), b)
+			n, err := fakes.StartNodeAt(m.Address, m.ID, fmt.Sprint(p.Name, m.Cell), fleet.Ledger, seed+uint64(i), b)
 			if err != nil {
 				fleet.Close()
 				return nil, nil, err
@@ -51,7 +51,7 @@
 	if len(fleet.Nodes) == 0 {
 		return nil, nil, fmt.Errorf("%s: no pool has members of its own", path)
 	}
-	var classes []standin.Class
+	var classes []fakes.Class
 	for i, r := range a.Table.Routes() {
 		own := a.Routes[i]
 		host := ""
@@ -59,20 +59,20 @@
 			host = strings.Replace(r.Hosts[0], "*", "any", 1)
 		}
 		if own.Class != "" {
-			effect, body := standin.Safe, ""
+			effect, body := fakes.Safe, ""
 			if len(r.Methods) > 0 && !slices.Contains(r.Methods, "GET") {
-				effect, body = standin.Unsafe, strings.Repeat("a photo ", photo/8)
+				effect, body = fakes.Unsafe, strings.Repeat("a photo ", photo/8)
 			}
-			classes = append(classes, standin.Class{
+			classes = append(classes, fakes.Class{
 				Name: r.Name, Effect: effect, Body: body, Share: 1, Timeout: own.Timeout, Path: r.Path, Host: host, Plain: true,
 			})
 			continue
 		}
 		for _, c := range a.Classes {
-			effect := map[balancer.Idempotency]standin.Effect{
-				balancer.Idempotent: standin.Safe, balancer.IdempotentWithKey: standin.Keyed, balancer.NonIdempotent: standin.Unsafe,
+			effect := map[balancer.Idempotency]fakes.Effect{
+				balancer.Idempotent: fakes.Safe, balancer.IdempotentWithKey: fakes.Keyed, balancer.NonIdempotent: fakes.Unsafe,
 			}[c.Idempotency]
-			classes = append(classes, standin.Class{
+			classes = append(classes, fakes.Class{
 				Name: r.Name + "/" + c.Name, Says: c.Name, Effect: effect, Share: 1, Timeout: c.Deadline, Window: c.DedupWindow,
 				Path: r.Path, Host: host, Body: "something to do",
 			})
--- a/cmd/standin/main.go
+++ b/cmd/fakes/main.go
@@ -1,4 +1,4 @@
-// Command standin starts a small fleet of stand-in nodes on loopback, writes a gateway's
+// Command fakes starts a small fleet of stand-in nodes on loopback, writes a gateway's
 // configuration for it, asks that gateway for a while, and counts what became of it all. It
 // ends by itself; the exit code is 1 if a rule was broken.
 package main
@@ -17,12 +17,12 @@
 	"syscall"
 	"time"
 
-	"dunemoor/internal/standin"
+	"dunemoor/internal/experiment/fakes"
 )
 
 func main() {
 	if err := run(os.Args[1:]); err != nil {
-		fmt.Fprintf(os.Stderr, "standin: %v\n", err)
+		fmt.Fprintf(os.Stderr, "fakes: %v\n", err)
 		os.Exit(1)
 	}
 }
@@ -35,9 +35,9 @@
 	last time.Duration
 }
 
-var modes = map[string]standin.Mode{
-	"full": standin.Full, "errors": standin.Errors, "hang": standin.Hang, "reset": standin.ResetAt, "close": standin.CloseAt,
-	"silent": standin.Silent,
+var modes = map[string]fakes.Mode{
+	"full": fakes.Full, "errors": fakes.Errors, "hang": fakes.Hang, "reset": fakes.ResetAt, "close": fakes.CloseAt,
+	"silent": fakes.Silent,
 }
 
 // parseFaults reads "crash:0@3s+4s,hang:2@8s+2s".
@@ -66,7 +66,7 @@
 }
 
 func run(args []string) error {
-	flags := flag.NewFlagSet("standin", flag.ContinueOnError)
+	flags := flag.NewFlagSet("fakes", flag.ContinueOnError)
 	nodes := flags.Int("nodes", 6, "nodes, 1 to 64")
 	rate := flags.Float64("rate", 100, "requests a second")
 	count := flags.Int("count", 2000, "requests in all")
@@ -84,15 +84,15 @@
 	if *nodes < 1 || *nodes > 64 {
 		return fmt.Errorf("-nodes: %d is not from 1 to 64", *nodes)
 	}
-	healthy := standin.Behaviour{Work: *work, Cores: *cores, Cold: 3 * time.Second, ColdFrom: 0.4}
-	var fleet *standin.Fleet
-	classes := standin.Classes()
+	healthy := fakes.Behaviour{Work: *work, Cores: *cores, Cold: 3 * time.Second, ColdFrom: 0.4}
+	var fleet *fakes.Fleet
+	classes := fakes.Classes()
 	web := "" // where web servers ask by FastCGI; "": nowhere
 	var err error
 	if *box != "" {
 		fleet, classes, err = standFor(*box, *seed, healthy, listen, &web)
 	} else {
-		fleet, err = standin.StartFleet(*nodes, *seed, healthy)
+		fleet, err = fakes.StartFleet(*nodes, *seed, healthy)
 	}
 	if err != nil {
 		return err
@@ -120,10 +120,10 @@
 	for _, f := range list {
 		time.AfterFunc(f.at, func() { happen(fleet, f, healthy) })
 	}
-	load := standin.Load{URL: url, Rate: *rate, Count: *count, Classes: classes, Seed: *seed, Retries: 2}
+	load := fakes.Load{URL: url, Rate: *rate, Count: *count, Classes: classes, Seed: *seed, Retries: 2}
 	ends, loads := make(chan error, 2), 1
 	if web != "" {
-		server := &standin.WebServer{Addr: web}
+		server := &fakes.WebServer{Addr: web}
 		defer server.Close()
 		by := load // half of the clients ask through a web server
 		by.Transport, by.Seed = server, *seed+1
@@ -148,7 +148,7 @@
 }
 
 // happen has a fault begin, and end after its time.
-func happen(fleet *standin.Fleet, f fault, healthy standin.Behaviour) {
+func happen(fleet *fakes.Fleet, f fault, healthy fakes.Behaviour) {
 	n := fleet.Nodes[f.node]
 	fmt.Printf("%s: %s\n", n.Name, f.mode)
 	back := func() { n.Behave(healthy) }
@@ -164,7 +164,7 @@
 		}
 	case "silent":
 		b := healthy
-		b.Mode = standin.Silent
+		b.Mode = fakes.Silent
 		n.Behave(b)
 		back = func() { // the machine is back: what was open is reset
 			n.Behave(healthy)
@@ -210,7 +210,7 @@
 	}
 }
 
-func print(c *standin.Count) {
+func print(c *fakes.Count) {
 	names := make([]string, 0, len(c.ByClass))
 	for name := range c.ByClass {
 		names = append(names, name)
@@ -223,8 +223,8 @@
 		for _, n := range by {
 			asked += n
 		}
-		fmt.Printf("%-20s %8d %8d %8d %8d %8d\n", name, asked, by[standin.Served], by[standin.Refused], by[standin.Failed],
-			by[standin.Lost]+by[standin.Nothing]+by[standin.Open])
+		fmt.Printf("%-20s %8d %8d %8d %8d %8d\n", name, asked, by[fakes.Served], by[fakes.Refused], by[fakes.Failed],
+			by[fakes.Lost]+by[fakes.Nothing]+by[fakes.Open])
 	}
-	fmt.Printf("%d runs on the nodes, %d ran twice that must not, %d unanswered\n", c.Runs, len(c.Twice), c.Ends[standin.Nothing]+c.Ends[standin.Open])
+	fmt.Printf("%d runs on the nodes, %d ran twice that must not, %d unanswered\n", c.Runs, len(c.Twice), c.Ends[fakes.Nothing]+c.Ends[fakes.Open])
 }
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -10,7 +10,8 @@
 	"runtime/debug"
 
 	"dunemoor/balancer"
-	"dunemoor/internal/wire"
+	"dunemoor/internal/protocol"
+	"dunemoor/internal/simwire"
 )
 
 func main() {
@@ -23,15 +24,15 @@
 
 // run serves batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
-	h := host{balancers: map[uint32]*balancer.Balancer{}, out: wire.NewWriter(out)}
-	r := wire.NewReader(in)
+	h := host{balancers: map[uint32]*balancer.Balancer{}, out: simwire.NewWriter(out)}
+	r := simwire.NewReader(in)
 	for n := 1; ; n++ {
 		now, err := r.Batch()
 		if err == io.EOF {
 			return nil
 		}
 		for more := err == nil; more; {
-			var e wire.Event
+			var e simwire.Event
 			if more, err = r.Next(&e); more {
 				h.handle(now, &e)
 			}
@@ -48,20 +49,20 @@
 // host holds the balancers by instance number. They share nothing.
 type host struct {
 	balancers map[uint32]*balancer.Balancer
-	out       *wire.Writer
+	out       *simwire.Writer
 	acts      []balancer.Action
 }
 
 // handle gives one event to its balancer and collects the actions. An instance
 // that cannot go on is reported and then left alone.
-func (h *host) handle(now balancer.Time, e *wire.Event) {
+func (h *host) handle(now balancer.Time, e *simwire.Event) {
 	defer func() {
 		if p := recover(); p != nil {
 			delete(h.balancers, e.Instance)
 			h.out.Crash(e.Instance, fmt.Sprintf("%v\n%s", p, debug.Stack()))
 		}
 	}()
-	if e.Code == wire.Hello {
+	if e.Code == simwire.Hello {
 		h.start(now, e)
 	}
 	b := h.balancers[e.Instance]
@@ -69,19 +70,19 @@
 		return
 	}
 	switch e.Code {
-	case wire.PeersKnown:
+	case simwire.PeersKnown:
 		b.UpdateEndpoints(now, e.List, e.Hosts)
-	case wire.Req:
+	case simwire.Req:
 		b.Request(now, e.Request)
-	case wire.Flowing:
+	case simwire.Flowing:
 		b.AttemptStarted(now, e.Request.ID, e.Attempt)
-	case wire.AttemptEnd:
+	case simwire.AttemptEnd:
 		b.AttemptEnded(now, e.Outcome)
-	case wire.Withdrawn:
+	case simwire.Withdrawn:
 		b.ClientGone(now, e.Request.ID)
-	case wire.Ring:
+	case simwire.Ring:
 		b.Timer(now, e.Token)
-	case wire.Halt:
+	case simwire.Halt:
 		delete(h.balancers, e.Instance)
 		return
 	}
@@ -91,9 +92,9 @@
 	}
 }
 
-func (h *host) start(now balancer.Time, e *wire.Event) {
+func (h *host) start(now balancer.Time, e *simwire.Event) {
 	delete(h.balancers, e.Instance)
-	set, err := wire.ParseSettings(e.Settings)
+	set, err := protocol.ParseSettings(e.Settings)
 	if err != nil {
 		h.out.Crash(e.Instance, err.Error())
 		return
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"testing"
 
-	"dunemoor/internal/testkit"
+	"dunemoor/internal/testutil"
 )
 
 // target counts the calls.
@@ -24,7 +24,7 @@
 func (t *target) Status() any           { return map[string]int{"open": 7} }
 
 func serve(t *testing.T) (*target, string) {
-	ln := testkit.Listen(t, "127.0.0.1:0", nil)
+	ln := testutil.Listen(t, "127.0.0.1:0", nil)
 	to := &target{}
 	s := New(to, nil)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/admin/compat_test.go
+++ b/internal/admin/compat_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"dunemoor/internal/testkit/compat"
+	"dunemoor/internal/testutil/compat"
 )
 
 func TestCompatPaths(t *testing.T) {
--- a/internal/cluster/compat_test.go
+++ b/internal/cluster/compat_test.go
@@ -10,7 +10,7 @@
 
 	"dunemoor/internal/cluster/lease"
 	"dunemoor/internal/cluster/node"
-	"dunemoor/internal/testkit/compat"
+	"dunemoor/internal/testutil/compat"
 )
 
 // What operators' tools read at /admin/fleet.
--- a/internal/cluster/failpoint/walljump.go
+++ b/internal/cluster/failpoint/walljump.go
@@ -12,7 +12,7 @@
 )
 
 // wallJump is added to the seconds of the wall clock by a runtime that is built for that: see
-// internal/nemesis/clock.go.
+// internal/experiment/faulttest/clock.go.
 //
 //go:linkname wallJump runtime.wallJump
 var wallJump int64
--- a/internal/cluster/idempotency/compat_test.go
+++ b/internal/cluster/idempotency/compat_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"dunemoor/internal/testkit/compat"
+	"dunemoor/internal/testutil/compat"
 )
 
 func TestCompatFormats(t *testing.T) {
--- a/internal/cluster/idempotency/idempotency_test.go
+++ b/internal/cluster/idempotency/idempotency_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"dunemoor/internal/cluster/failpoint"
-	"dunemoor/internal/testkit"
+	"dunemoor/internal/testutil"
 )
 
 // Times of the simulation below.
@@ -281,7 +281,7 @@
 }
 
 // Each failpoint is enabled in turn, in a build of its own, and the fault is found: see TestEachFailpoint.
-func TestFailpoints(t *testing.T) { testkit.FailpointBuild(t, failpoint.Available) }
+func TestFailpoints(t *testing.T) { testutil.FailpointBuild(t, failpoint.Available) }
 
 // No non-idempotent request and none with a key runs twice, whatever is paused where; a final phase stays; the
 // bytes are as counted. All results occur.
--- a/internal/cluster/lease/compat_test.go
+++ b/internal/cluster/lease/compat_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"dunemoor/internal/testkit/compat"
+	"dunemoor/internal/testutil/compat"
 )
 
 // What is in the log and in snapshots was written by earlier builds.
--- a/internal/cluster/leaseholder/runner_test.go
+++ b/internal/cluster/leaseholder/runner_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"dunemoor/internal/cluster/node"
-	"dunemoor/internal/testkit"
+	"dunemoor/internal/testutil"
 )
 
 // events are what was seen, in order.
@@ -27,7 +27,7 @@
 // expect waits for events, and fails where there are others.
 func (e *events) expect(t *testing.T, want ...string) {
 	t.Helper()
-	testkit.Until(t, "the events have happened", func() bool {
+	testutil.Until(t, "the events have happened", func() bool {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		return len(e.list) >= len(want)
--- a/internal/cluster/node/compat_test.go
+++ b/internal/cluster/node/compat_test.go
@@ -7,7 +7,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"dunemoor/internal/cluster/multiraft"
-	"dunemoor/internal/testkit/compat"
+	"dunemoor/internal/testutil/compat"
 )
 
 // Gateways of two builds exchange messages, and operators' tools read the status.
--- a/internal/cluster/placement/failpoints_test.go
+++ b/internal/cluster/placement/failpoints_test.go
@@ -7,12 +7,12 @@
 	"testing"
 
 	"dunemoor/internal/cluster/failpoint"
-	"dunemoor/internal/testkit"
+	"dunemoor/internal/testutil"
 )
 
 // Each failpoint is enabled in turn, and the plays find it.
 func TestEachFailpoint(t *testing.T) {
-	testkit.EachFailpoint(t, failpoint.Placement, failpoint.Enable, 60, func(seed uint64) error {
+	testutil.EachFailpoint(t, failpoint.Placement, failpoint.Enable, 60, func(seed uint64) error {
 		_, _, err := play(seed)
 		return errors.Join(err, playFew(seed))
 	})
--- a/internal/cluster/placement/placement_test.go
+++ b/internal/cluster/placement/placement_test.go
@@ -7,7 +7,7 @@
 	"testing"
 
 	"dunemoor/internal/cluster/failpoint"
-	"dunemoor/internal/testkit"
+	"dunemoor/internal/testutil"
 )
 
 // fleet carries out the steps of a plan while machines come and go.
@@ -200,7 +200,7 @@
 }
 
 // Each failpoint is enabled in turn, in a build of its own, and the fault is found: see TestEachFailpoint.
-func TestFailpoints(t *testing.T) { testkit.FailpointBuild(t, failpoint.Available) }
+func TestFailpoints(t *testing.T) { testutil.FailpointBuild(t, failpoint.Available) }
 
 // playFew has fewer machines than replicas: each has one, and nothing is moved; a gateway without weight has none.
 func playFew(seed uint64) error {
--- a/internal/cluster/relay/compat_test.go
+++ b/internal/cluster/relay/compat_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"dunemoor/internal/cluster/node"
-	"dunemoor/internal/testkit/compat"
+	"dunemoor/internal/testutil/compat"
 )
 
 // Relays and gateways of two builds understand one another.
--- a/internal/cluster/sim/failpoints_test.go
+++ b/internal/cluster/sim/failpoints_test.go
@@ -10,12 +10,12 @@
 
 	"dunemoor/internal/cluster/failpoint"
 	"dunemoor/internal/cluster/lease"
-	"dunemoor/internal/testkit"
+	"dunemoor/internal/testutil"
 )
 
 // Each failpoint is enabled in turn, and a scenario has to find the fault.
 func TestEachFailpoint(t *testing.T) {
-	testkit.EachFailpoint(t, failpoint.Cluster, failpoint.Enable, 600, func(seed uint64) error {
+	testutil.EachFailpoint(t, failpoint.Cluster, failpoint.Enable, 600, func(seed uint64) error {
 		scenarios := map[string]func(uint64) error{"mixed": playMixed, "calm": Calm, "flicker": Flicker, "put-back": PutBack, "words": Overrides, "again": playDuplicates}
 		for name, play := range scenarios {
 			if err := play(seed); err != nil {
@@ -24,7 +24,7 @@
 		}
 		return nil
 	})
-	testkit.EachFailpoint(t, failpoint.Relay, failpoint.Enable, 600, func(seed uint64) error {
+	testutil.EachFailpoint(t, failpoint.Relay, failpoint.Enable, 600, func(seed uint64) error {
 		if err := Relays(seed); err != nil {
 			return firstLine(err)
 		}
--- a/internal/cluster/sim/sim_test.go
+++ b/internal/cluster/sim/sim_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"dunemoor/internal/cluster/failpoint"
-	"dunemoor/internal/testkit"
+	"dunemoor/internal/testutil"
 )
 
 var (
@@ -96,7 +96,7 @@
 }
 
 // Each failpoint is enabled in turn, in a build of its own, and the fault is found: see TestEachFailpoint.
-func TestFailpoints(t *testing.T) { testkit.FailpointBuild(t, failpoint.Available) }
+func TestFailpoints(t *testing.T) { testutil.FailpointBuild(t, failpoint.Available) }
 
 // Scenarios beside random faults: see their comments.
 func TestCalm(t *testing.T) {
--- a/internal/cluster/transport/compat_test.go
+++ b/internal/cluster/transport/compat_test.go
@@ -7,7 +7,7 @@
 
 	"dunemoor/internal/cluster/node"
 	"dunemoor/internal/cluster/relay"
-	"dunemoor/internal/testkit/compat"
+	"dunemoor/internal/testutil/compat"
 )
 
 // Frames of each kind, one behind the other.
--- a/internal/cluster/wal/compat_test.go
+++ b/internal/cluster/wal/compat_test.go
@@ -12,7 +12,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"dunemoor/internal/cluster/multiraft"
-	"dunemoor/internal/testkit/compat"
+	"dunemoor/internal/testutil/compat"
 )
 
 // memory is a directory in memory, in which each file has one stamp: that of the directory that
--- a/internal/config/compat_test.go
+++ b/internal/config/compat_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"dunemoor/internal/testkit/compat"
+	"dunemoor/internal/testutil/compat"
 )
 
 // Every key that the files may have.
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -14,7 +14,7 @@
 
 	"dunemoor/balancer"
 	"dunemoor/internal/discovery"
-	"dunemoor/internal/wire"
+	"dunemoor/internal/protocol"
 )
 
 // Platform is the configuration of a gateway of the platform.
@@ -198,7 +198,7 @@
 	if len(f.Settings) == 0 {
 		return nil, errors.New("settings: missing")
 	}
-	if c.Settings, err = wire.ParseSettings(f.Settings); err != nil {
+	if c.Settings, err = protocol.ParseSettings(f.Settings); err != nil {
 		return nil, err
 	}
 	if _, err := balancer.New(c.Settings, c.Seed); err != nil {
--- a/internal/config/recording.go
+++ b/internal/config/recording.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"dunemoor/internal/engine"
-	"dunemoor/internal/flight"
+	"dunemoor/internal/flightrecorder"
 )
 
 // Defaults and bounds of recordings. A smaller ring holds too little between two checkpoints; a larger one would take
@@ -60,7 +60,7 @@
 	return &engine.RecordingConfig{
 		RingBytes: f.RingKB << 10, ViewInterval: time.Duration(f.ViewEvery), Dir: f.Dir,
 		File: f.File, MaxFileBytes: int64(f.FileMB) << 20,
-		Trigger: flight.Trigger{
+		Trigger: flightrecorder.Trigger{
 			Share: f.Trigger.Refused, Within: time.Duration(f.Trigger.Within),
 			Least: f.Trigger.Least, Pause: time.Duration(f.Trigger.Pause),
 		},
--- a/internal/discovery/compat_test.go
+++ b/internal/discovery/compat_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"dunemoor/internal/testkit/compat"
+	"dunemoor/internal/testutil/compat"
 )
 
 // Every key of a list of hosts, from a service and from a file.
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -15,7 +15,7 @@
 	"dunemoor/balancer"
 	"dunemoor/internal/body"
 	"dunemoor/internal/discovery"
-	"dunemoor/internal/flight"
+	"dunemoor/internal/flightrecorder"
 	"dunemoor/internal/route"
 )
 
@@ -615,7 +615,7 @@
 
 // leavingAfter is a Balancer whose client leaves right after the end of an attempt.
 type leavingAfter struct {
-	flight.Module
+	flightrecorder.Module
 	leave func()
 }
 
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"dunemoor/balancer"
-	"dunemoor/internal/flight"
+	"dunemoor/internal/flightrecorder"
 )
 
 // PoolConfig is the configuration of a Pool.
@@ -36,8 +36,8 @@
 
 	// The following belongs to the loop.
 	core        *balancer.Balancer
-	bal         flight.Module // core, or the recorder in front of it
-	record      *recording    // nil: nothing is recorded
+	bal         flightrecorder.Module // core, or the recorder in front of it
+	record      *recording            // nil: nothing is recorded
 	actions     []balancer.Action
 	denied      []balancer.Outcome // attempts that a retry budget denied
 	failingOver []*Request
--- a/internal/engine/recording.go
+++ b/internal/engine/recording.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"dunemoor/balancer"
-	"dunemoor/internal/flight"
+	"dunemoor/internal/flightrecorder"
 )
 
 // RecordingConfig is what the flight recorder keeps, and where it writes.
@@ -18,7 +18,7 @@
 	Dir          string        // of dumps
 	File         string        // if set, everything is written to it
 	MaxFileBytes int64         // of one file; there are two at most
-	Trigger      flight.Trigger
+	Trigger      flightrecorder.Trigger
 	OnDump       func(path string, err error) // called when a dump was written; nil: it is logged
 }
 
@@ -32,9 +32,9 @@
 // recording is the flight recorder of a Pool. rec and trigger belong to the loop.
 type recording struct {
 	cfg      *Recording
-	rec      *flight.Recorder
-	trigger  flight.Trigger
-	file     *flight.File
+	rec      *flightrecorder.Recorder
+	trigger  flightrecorder.Trigger
+	file     *flightrecorder.File
 	dumping  atomic.Bool // one at a time: a dump holds the ring once more
 	stopFile func()      // writes the rest and closes the file
 }
@@ -42,18 +42,18 @@
 // startRecording records all events and actions between the loop and the balancer.
 func (p *Pool) startRecording(rc *Recording) error {
 	r := &recording{cfg: rc, trigger: rc.Trigger}
-	opts := flight.Options{Ring: rc.RingBytes, ViewEvery: rc.ViewInterval}
+	opts := flightrecorder.Options{Ring: rc.RingBytes, ViewEvery: rc.ViewInterval}
 	if rc.File != "" {
-		r.file = flight.NewFile(rc.File, rc.MaxFileBytes)
+		r.file = flightrecorder.NewFile(rc.File, rc.MaxFileBytes)
 		opts.Sink = r.file
 	}
 	clock := p.engine.clock
-	start := flight.Start{
+	start := flightrecorder.Start{
 		Name: rc.Name, Build: buildRevision(), Seed: p.cfg.Seed, Wall: clock.start, At: clock.at(clock.start),
 		Settings: p.cfg.Settings, Classes: rc.Classes,
 	}
 	var err error
-	if r.rec, err = flight.New(p.core, start, uint64(clock.start.UnixNano()), opts); err != nil {
+	if r.rec, err = flightrecorder.New(p.core, start, uint64(clock.start.UnixNano()), opts); err != nil {
 		return err
 	}
 	p.bal, p.record = r.rec, r
@@ -124,7 +124,7 @@
 	data := r.rec.Dump(nil)
 	at := time.Now()
 	go func() {
-		path, err := flight.WriteDump(r.cfg.Dir, r.cfg.Name, at, data)
+		path, err := flightrecorder.WriteDump(r.cfg.Dir, r.cfg.Name, at, data)
 		r.dumping.Store(false)
 		if r.cfg.OnDump != nil {
 			r.cfg.OnDump(path, err)
--- a/internal/capacity/capacity.go
+++ b/internal/experiment/capacity/capacity.go
@@ -160,7 +160,7 @@
 // line says whether products of the slope mean anything.
 func (s *Slope) line() bool { return s.Shape == "line" || s.Shape == "flat" }
 
-// Measured reads what `lab scale --json` wrote. A slope's name is made of part, series and unit, in
+// Measured reads what `experiment scale --json` wrote. A slope's name is made of part, series and unit, in
 // lower case and with _ for whatever is no letter or digit: mesh_member_bytes_s.
 func Measured(report []byte) (list []Slope, err error) {
 	var parts []struct {
--- a/internal/capacity/capacity_test.go
+++ b/internal/experiment/capacity/capacity_test.go
@@ -92,7 +92,7 @@
 
 // The page agrees with itself and with what was measured, which is kept beside it as lab scale wrote it.
 func TestPage(t *testing.T) {
-	const docs = "../../docs"
+	const docs = "../../../docs"
 	text, err := os.ReadFile(filepath.Join(docs, "CAPACITY.md"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/standin/discovery.go
+++ b/internal/experiment/fakes/discovery.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"encoding/json"
--- a/internal/standin/ledger.go
+++ b/internal/experiment/fakes/ledger.go
@@ -1,7 +1,7 @@
-// Package standin has scripted stand-ins for what a gateway talks to: nodes, discovery and
+// Package fakes has scripted stand-ins for what a gateway talks to: nodes, discovery and
 // clients, on loopback sockets. They keep a ledger, so that 'ran twice' and 'never answered'
 // are counted facts. They know nothing of the gateway's code but the form of FastCGI's records.
-package standin
+package fakes
 
 import (
 	"fmt"
--- a/internal/nemesis/compat_test.go
+++ b/internal/experiment/faulttest/compat_test.go
@@ -1,9 +1,9 @@
-package nemesis
+package faulttest
 
 import (
 	"testing"
 
-	"dunemoor/internal/testkit/compat"
+	"dunemoor/internal/testutil/compat"
 )
 
 // Every key that a plan of faults may have, and the kinds of faults.
--- a/internal/nemesis/fleet.go
+++ b/internal/experiment/faulttest/fleet.go
@@ -1,4 +1,4 @@
-package nemesis
+package faulttest
 
 import (
 	"bufio"
@@ -19,7 +19,7 @@
 	"sync"
 	"time"
 
-	"dunemoor/internal/standin"
+	"dunemoor/internal/experiment/fakes"
 )
 
 // Options are what a fleet of processes is made of.
@@ -108,7 +108,7 @@
 type Fleet struct {
 	Options
 	Gateways []*Gateway
-	Hosts    *standin.Fleet
+	Hosts    *fakes.Fleet
 	History  *History
 	links    map[[2]int]*Link
 	log      *os.File
@@ -150,7 +150,7 @@
 	if f.History, err = NewHistory(filepath.Join(o.Dir, "history.jsonl")); err != nil {
 		return nil, err
 	}
-	if f.Hosts, err = standin.StartFleet(o.Nodes, o.Seed, standin.Behaviour{Work: 2 * time.Millisecond, Cores: 8}); err != nil {
+	if f.Hosts, err = fakes.StartFleet(o.Nodes, o.Seed, fakes.Behaviour{Work: 2 * time.Millisecond, Cores: 8}); err != nil {
 		return nil, err
 	}
 	ports, err := reserve(3 * o.Gateways)
@@ -216,7 +216,7 @@
 // serving writes what a gateway's file has for requests.
 func (f *Fleet) serving(b *strings.Builder, g *Gateway) {
 	fmt.Fprintf(b, "[[listener]]\naddress = %q\n", g.listen)
-	for _, c := range standin.Classes() {
+	for _, c := range fakes.Classes() {
 		effect := [...]string{"safe", "keyed", "unsafe"}[c.Effect]
 		fmt.Fprintf(b, "[[class]]\nname = %q\neffect = %q\naim = \"2s\"\ndeadline = \"10s\"\nworth = 1\n", c.Name, effect)
 		if c.Window > 0 {
--- a/internal/nemesis/hands.go
+++ b/internal/experiment/faulttest/hands.go
@@ -1,4 +1,4 @@
-package nemesis
+package faulttest
 
 import (
 	"context"
--- a/internal/nemesis/load.go
+++ b/internal/experiment/faulttest/load.go
@@ -1,4 +1,4 @@
-package nemesis
+package faulttest
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"dunemoor/internal/standin"
+	"dunemoor/internal/experiment/fakes"
 )
 
 const (
@@ -18,24 +18,24 @@
 
 // Load has clients ask at a gateway until stop is called, which says what was asked and which
 // rules were broken.
-func (f *Fleet) Load(g *Gateway) (stop func() (standin.Count, error)) {
+func (f *Fleet) Load(g *Gateway) (stop func() (fakes.Count, error)) {
 	ctx, cancel := context.WithCancel(context.Background())
-	classes := standin.Classes()
+	classes := fakes.Classes()
 	for i := range classes {
 		classes[i].Timeout = loadTime
 	}
-	l := standin.Load{URL: g.URL(), Rate: loadRate, Count: loadCount, Classes: classes, Seed: f.Seed, Retries: 2}
+	l := fakes.Load{URL: g.URL(), Rate: loadRate, Count: loadCount, Classes: classes, Seed: f.Seed, Retries: 2}
 	var wait sync.WaitGroup
 	var failed error
 	wait.Go(func() { failed = l.Run(ctx, f.Hosts.Ledger) })
-	return func() (standin.Count, error) {
+	return func() (fakes.Count, error) {
 		cancel()
 		wait.Wait()
 		c := f.Hosts.Ledger.Count()
 		switch broken := c.Broken(); {
 		case broken != "":
 			return c, fmt.Errorf("of %d requests %v: %s", c.Asked, c.Ends, broken)
-		case c.Ends[standin.Served] == 0:
+		case c.Ends[fakes.Served] == 0:
 			return c, fmt.Errorf("of %d requests %v: none was served", c.Asked, c.Ends)
 		case failed != nil && !errors.Is(failed, context.Canceled):
 			return c, failed
--- a/internal/nemesis/nemesis_test.go
+++ b/internal/experiment/faulttest/nemesis_test.go
@@ -1,4 +1,4 @@
-package nemesis
+package faulttest
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"dunemoor/internal/standin"
+	"dunemoor/internal/experiment/fakes"
 )
 
 // built is the program, built once for all tests here; planted is it with the tag failpoints,
@@ -299,7 +299,7 @@
 		owner := f.Owner(duty)
 		asked := f.Gateways[(slices.Index(f.Gateways, owner)+1)%3]
 		load(t, f, asked)
-		host.Behave(standin.Behaviour{Work: 2 * time.Millisecond, Cores: 8, Mode: standin.ResetAt})
+		host.Behave(fakes.Behaviour{Work: 2 * time.Millisecond, Cores: 8, Mode: fakes.ResetAt})
 		n := f.History.Len()
 		if err := owner.StopAt(ctx, "acting "+duty); err != nil {
 			t.Fatal(err)
--- a/internal/nemesis/process.go
+++ b/internal/experiment/faulttest/process.go
@@ -1,6 +1,6 @@
-// Package nemesis starts several processes of the program, puts faults in between them and checks
+// Package faulttest starts several processes of the program, puts faults in between them and checks
 // what they did. It knows the program by its files, its addresses and its log alone.
-package nemesis
+package faulttest
 
 import (
 	"bufio"
--- a/internal/scale/scale.go
+++ b/internal/experiment/scaletest/scale.go
@@ -1,7 +1,7 @@
-// Package scale works out from measurements at several sizes what a unit costs: a slope with its
+// Package scaletest works out from measurements at several sizes what a unit costs: a slope with its
 // error, an intercept, whether the points lie on a line at all, and how far beyond the largest
 // size measured the line is asked to reach. It has no I/O but the table's writer.
-package scale
+package scaletest
 
 import (
 	"fmt"
--- a/internal/scale/scale_test.go
+++ b/internal/experiment/scaletest/scale_test.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"math"
--- a/internal/scenario/compat_test.go
+++ b/internal/experiment/scenario/compat_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"dunemoor/internal/testkit/compat"
+	"dunemoor/internal/testutil/compat"
 )
 
 // Every key that a scenario may have.
--- a/internal/scenario/scenario.go
+++ b/internal/experiment/scenario/scenario.go
@@ -15,7 +15,7 @@
 
 	"dunemoor/balancer"
 	"dunemoor/internal/config"
-	"dunemoor/internal/model"
+	"dunemoor/internal/experiment/simulator"
 )
 
 // Scenario is a file's content.
@@ -23,7 +23,7 @@
 	Name   string
 	About  string
 	Seed   uint64 // that it is played with where no other is asked for; 0: 1
-	Model  model.Config
+	Model  simulator.Config
 	Expect Expect
 }
 
@@ -48,7 +48,7 @@
 }
 
 // over says what a second has too much of.
-func (b *Budget) over(s *model.Second) string {
+func (b *Budget) over(s *simulator.Second) string {
 	for _, x := range []struct {
 		name      string
 		got, most int
@@ -64,10 +64,10 @@
 }
 
 // Missed says what does not hold in a run.
-func (s *Scenario) Missed(r *model.Summary) (missed []string) {
+func (s *Scenario) Missed(r *simulator.Summary) (missed []string) {
 	for rule, n := range r.Broken {
 		if n > 0 {
-			missed = append(missed, fmt.Sprintf("%v: %d times", model.Rule(rule), n))
+			missed = append(missed, fmt.Sprintf("%v: %d times", simulator.Rule(rule), n))
 		}
 	}
 	if got := r.InTime(); got < s.Expect.InTime {
@@ -243,7 +243,7 @@
 		SlowStartShare: f.Module.ColdFrom, SlowStartWindow: time.Duration(f.Module.WarmAfter), OverloadFactor: f.Module.Overload, OverloadWindow: time.Duration(f.Module.Fall),
 	}
 	for _, h := range f.Hosts {
-		m.Hosts = append(m.Hosts, model.Kind{
+		m.Hosts = append(m.Hosts, simulator.Kind{
 			Count: h.Count, Cores: h.Cores, Speed: h.Speed, Slots: h.Slots, Queue: h.Queue, Conns: h.Conns, Zone: h.Zone,
 			CrowdAt: h.CrowdAt, CrowdEnd: h.CrowdEnd, Slower: h.Slower, CrowdAfter: time.Duration(h.CrowdAfter), Cell: h.Cell,
 		})
@@ -262,16 +262,16 @@
 			LatencyObjective: time.Duration(c.Aim), Deadline: time.Duration(c.Deadline), PriorityWeight: c.Worth, Idempotency: balancer.Idempotency(max(effect, 0)),
 			DedupScope: balancer.DedupScope(max(group, 0)), DedupWindow: time.Duration(c.Window),
 		})
-		m.Classes = append(m.Classes, model.Traffic{Name: c.Name, Rate: c.Rate, Work: time.Duration(c.Work), Dist: model.Dist(c.Dist), CV: c.CV})
+		m.Classes = append(m.Classes, simulator.Traffic{Name: c.Name, Rate: c.Rate, Work: time.Duration(c.Work), Dist: simulator.Dist(c.Dist), CV: c.CV})
 	}
-	m.Clients = model.Clients{Retries: f.Clients.Retries, Backoff: time.Duration(f.Clients.Backoff), Jitter: f.Clients.Jitter, Honour: f.Clients.Honour, Notice: time.Duration(f.Clients.Notice), Early: f.Clients.Early, Hasty: f.Clients.Hasty}
-	m.Net = model.Net{Delay: time.Duration(f.Net.Delay), Spread: f.Net.Spread, Handshake: time.Duration(f.Net.Handshake), Connect: time.Duration(f.Net.Connect)}
-	m.Lists = model.Lists{Delay: time.Duration(f.Lists.Delay), Silent: time.Duration(f.Lists.Silent), Spread: time.Duration(f.Lists.Spread), Call: time.Duration(f.Lists.Call)}
+	m.Clients = simulator.Clients{Retries: f.Clients.Retries, Backoff: time.Duration(f.Clients.Backoff), Jitter: f.Clients.Jitter, Honour: f.Clients.Honour, Notice: time.Duration(f.Clients.Notice), Early: f.Clients.Early, Hasty: f.Clients.Hasty}
+	m.Net = simulator.Net{Delay: time.Duration(f.Net.Delay), Spread: f.Net.Spread, Handshake: time.Duration(f.Net.Handshake), Connect: time.Duration(f.Net.Connect)}
+	m.Lists = simulator.Lists{Delay: time.Duration(f.Lists.Delay), Silent: time.Duration(f.Lists.Silent), Spread: time.Duration(f.Lists.Spread), Call: time.Duration(f.Lists.Call)}
 	for _, b := range f.Burst {
-		m.Bursts = append(m.Bursts, model.Burst{At: time.Duration(b.At), For: time.Duration(b.For), Times: b.Times, Class: b.Class})
+		m.Bursts = append(m.Bursts, simulator.Burst{At: time.Duration(b.At), For: time.Duration(b.For), Times: b.Times, Class: b.Class})
 	}
 	for _, t := range f.Trouble {
-		m.Troubles = append(m.Troubles, model.Trouble{Kind: model.TroubleKind(t.Kind), At: time.Duration(t.At), For: time.Duration(t.For), Part: t.Part, Size: t.Size, Steps: t.Steps})
+		m.Troubles = append(m.Troubles, simulator.Trouble{Kind: simulator.TroubleKind(t.Kind), At: time.Duration(t.At), For: time.Duration(t.For), Part: t.Part, Size: t.Size, Steps: t.Steps})
 	}
 	s.Expect = Expect{f.Expect.InTime, time.Duration(f.Expect.EndFrom), f.Expect.EndInTime, f.Expect.Worth, f.Expect.Class, f.Expect.Budget}
 	for _, x := range []struct {
--- a/internal/scenario/scenario_test.go
+++ b/internal/experiment/scenario/scenario_test.go
@@ -8,13 +8,13 @@
 	"testing"
 	"time"
 
-	"dunemoor/internal/model"
+	"dunemoor/internal/experiment/simulator"
 )
 
 // Every scenario of the library is right, says what it is about, and keeps the rules and what it
 // expects, with one seed.
 func TestLibrary(t *testing.T) {
-	paths, err := filepath.Glob("../../scenarios/*.toml")
+	paths, err := filepath.Glob("../../../scenarios/*.toml")
 	if err != nil || len(paths) < 20 {
 		t.Fatalf("%d scenarios, %v", len(paths), err)
 	}
@@ -29,7 +29,7 @@
 				t.Error("it does not say what it is about, or expects nothing")
 			}
 			s.Model.Seed = max(s.Seed, 1)
-			sum, err := model.Run(s.Model)
+			sum, err := simulator.Run(s.Model)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -43,7 +43,7 @@
 // A scenario that is written is read as the same one: it guards against a find of a search that
 // can't be played again.
 func TestTextIsReadAsTheSame(t *testing.T) {
-	paths, err := filepath.Glob("../../scenarios/*.toml")
+	paths, err := filepath.Glob("../../../scenarios/*.toml")
 	if err != nil || len(paths) < 20 {
 		t.Fatalf("%d scenarios, %v", len(paths), err)
 	}
@@ -69,7 +69,7 @@
 
 // Mistakes are all said at once, each with its line and field.
 func TestMistakes(t *testing.T) {
-	text, err := os.ReadFile("../../scenarios/a-fifth-of-the-hosts-die.toml")
+	text, err := os.ReadFile("../../../scenarios/a-fifth-of-the-hosts-die.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -110,9 +110,9 @@
 
 // What is expected is held against a run: it guards against an expectation that nothing misses.
 func TestMissed(t *testing.T) {
-	sum := &model.Summary{
-		Classes: []model.ClassSummary{{Asked: 60, InTime: 60, Worth: 1}, {Asked: 40, InTime: 30, Worth: 5}},
-		Seconds: []model.Second{{Asked: 50, InTime: 50}, {Asked: 50, InTime: 40, Handshakes: 7, ColdSends: 7, DeadSends: 7, ListCalls: 7}},
+	sum := &simulator.Summary{
+		Classes: []simulator.ClassSummary{{Asked: 60, InTime: 60, Worth: 1}, {Asked: 40, InTime: 30, Worth: 5}},
+		Seconds: []simulator.Second{{Asked: 50, InTime: 50}, {Asked: 50, InTime: 40, Handshakes: 7, ColdSends: 7, DeadSends: 7, ListCalls: 7}},
 	}
 	for _, tt := range []struct {
 		expect Expect
@@ -125,7 +125,7 @@
 		{Expect{Most: Budget{7, 7, 7, 7}}, 0, 0}, {Expect{Most: Budget{Handshakes: 6}}, 0, 1}, {Expect{Most: Budget{ColdSends: 6}}, 0, 1},
 		{Expect{Most: Budget{DeadSends: 6}}, 0, 1}, {Expect{Most: Budget{ListCalls: 6}}, 0, 1},
 	} {
-		sum.Broken[model.RuleDrain] = tt.broken
+		sum.Broken[simulator.RuleDrain] = tt.broken
 		if got := (&Scenario{Expect: tt.expect}).Missed(sum); len(got) != tt.want {
 			t.Errorf("%+v, %d broken: %q", tt.expect, tt.broken, got)
 		}
--- a/internal/hunt/hunt.go
+++ b/internal/experiment/scenariosearch/hunt.go
@@ -1,7 +1,7 @@
-// Package hunt looks for fleets and troubles that the decision module serves worse than it could,
+// Package scenariosearch looks for fleets and troubles that the decision module serves worse than it could,
 // and makes what it finds small. It does no I/O, starts no goroutine and reads no clock: what is
 // to be played is asked for with Next and told with Tell, and the same seed asks for the same.
-package hunt
+package scenariosearch
 
 import (
 	"math"
@@ -9,17 +9,17 @@
 	"slices"
 	"time"
 
-	"dunemoor/internal/model"
+	"dunemoor/internal/experiment/simulator"
 )
 
 // Candidate is something to be played.
 type Candidate struct {
-	Config model.Config // with its seed
+	Config simulator.Config // with its seed
 }
 
 // Find is what came of a Candidate.
 type Find struct {
-	Config   model.Config
+	Config   simulator.Config
 	Got      float64 // share in time
 	Possible float64 // share that a gateway that knows all could have served, at least roughly
 	Broken   int     // rules broken
@@ -28,7 +28,7 @@
 
 // Ranges are what is searched, round a Config that is served well.
 type Ranges struct {
-	Base     model.Config
+	Base     simulator.Config
 	Load     [2]float64 // of the base's rates
 	Troubles int        // at once, most
 	Bursts   int
@@ -97,7 +97,7 @@
 }
 
 // Tell says what came of a candidate.
-func (s *Search) Tell(c Candidate, sum *model.Summary) {
+func (s *Search) Tell(c Candidate, sum *simulator.Summary) {
 	s.played++
 	s.worst = append(s.worst, Judge(c.Config, sum))
 	slices.SortStableFunc(s.worst, func(a, b Find) int {
@@ -119,7 +119,7 @@
 }
 
 // Kinds names what goes wrong in a Config, each kind once.
-func Kinds(c model.Config) string {
+func Kinds(c simulator.Config) string {
 	var kinds []string
 	for _, t := range c.Troubles {
 		kinds = append(kinds, string(t.Kind))
@@ -142,7 +142,7 @@
 }
 
 // Judge says how bad a run was: by how much less was served than could have been.
-func Judge(c model.Config, sum *model.Summary) Find {
+func Judge(c simulator.Config, sum *simulator.Summary) Find {
 	f := Find{Config: c, Got: sum.InTime(), Possible: Possible(c)}
 	for _, n := range sum.Broken {
 		f.Broken += n
@@ -160,7 +160,7 @@
 // that has just failed nothing for as long as it takes to notice. Gateways that die lose what was
 // on them, and what comes until clients notice, or until they are back where none is left. Hosts that came back cold count from where they
 // are warm.
-func Possible(c model.Config) float64 {
+func Possible(c simulator.Config) float64 {
 	work, rates := 0.0, 0.0 // of all classes, a second
 	for _, t := range c.Classes {
 		work += t.Rate * t.Work.Seconds()
@@ -198,25 +198,25 @@
 		for _, t := range c.Troubles {
 			left := 1.0 // of what the part that is hit can do
 			switch t.Kind {
-			case model.Slow:
+			case simulator.Slow:
 				left = 1 / t.Size
-			case model.Errors:
+			case simulator.Errors:
 				left = 1 - t.Size
 			default:
 				left = 0
 			}
 			// At least one is hit, as the model has it.
 			n := float64(hosts)
-			if t.Kind == model.Gateway {
+			if t.Kind == simulator.Gateway {
 				n = float64(c.Gateways)
 			}
 			hit := max(1, math.Floor(t.Part*n+0.5)) / n
 			part := (1 - left) * hit
 			end, warm := t.At+t.For, time.Duration(0)
 			switch t.Kind {
-			case model.Crash, model.Vanish, model.Drain:
+			case simulator.Crash, simulator.Vanish, simulator.Drain:
 				warm = c.Settings.SlowStartWindow
-			case model.Gateway:
+			case simulator.Gateway:
 				if at >= t.At && at < end {
 					gone += hit
 				}
@@ -243,7 +243,7 @@
 }
 
 // fresh draws a candidate within the ranges.
-func (s *Search) fresh() model.Config {
+func (s *Search) fresh() simulator.Config {
 	c := clone(s.ranges.Base)
 	c.Seed = 1 + s.rng.Uint64N(1<<31)
 	c.Length = s.ranges.Length
@@ -265,7 +265,7 @@
 }
 
 // bred changes a thing or three of what was bad.
-func (s *Search) bred(from model.Config) model.Config {
+func (s *Search) bred(from simulator.Config) simulator.Config {
 	c := clone(from)
 	for range 1 + s.rng.IntN(3) {
 		switch s.rng.IntN(8) {
@@ -309,7 +309,7 @@
 	return c
 }
 
-func (s *Search) clients(c *model.Config) {
+func (s *Search) clients(c *simulator.Config) {
 	c.Clients.Retries = s.rng.IntN(6)
 	c.Clients.Honour = s.rng.Float64()
 	c.Clients.Jitter = s.rng.Float64()
@@ -320,25 +320,25 @@
 }
 
 // reckoned are the troubles that Possible knows the price of.
-var reckoned = []model.TroubleKind{model.Crash, model.Vanish, model.Hang, model.Slow, model.Errors, model.Drain, model.Unheard, model.Gateway}
+var reckoned = []simulator.TroubleKind{simulator.Crash, simulator.Vanish, simulator.Hang, simulator.Slow, simulator.Errors, simulator.Drain, simulator.Unheard, simulator.Gateway}
 
-func (s *Search) trouble(c *model.Config) model.Trouble {
-	t := model.Trouble{
+func (s *Search) trouble(c *simulator.Config) simulator.Trouble {
+	t := simulator.Trouble{
 		Kind: reckoned[s.rng.IntN(len(reckoned))],
 		At:   s.span(0, c.Length*2/3), For: s.span(500*time.Millisecond, c.Length/3),
 		Part: s.between(0.02, 0.6),
 	}
 	switch t.Kind {
-	case model.Slow:
+	case simulator.Slow:
 		t.Size = s.between(1.5, 20)
-	case model.Errors:
+	case simulator.Errors:
 		t.Size = s.between(0.05, 1)
 	}
 	return t
 }
 
-func (s *Search) burst(c *model.Config) model.Burst {
-	return model.Burst{At: s.span(0, c.Length*2/3), For: s.span(500*time.Millisecond, c.Length/3), Times: s.between(1.2, 4)}
+func (s *Search) burst(c *simulator.Config) simulator.Burst {
+	return simulator.Burst{At: s.span(0, c.Length*2/3), For: s.span(500*time.Millisecond, c.Length/3), Times: s.between(1.2, 4)}
 }
 
 func (s *Search) between(low, high float64) float64 {
@@ -356,21 +356,21 @@
 }
 
 // clone is a Config that shares nothing that is changed here.
-func clone(c model.Config) model.Config {
+func clone(c simulator.Config) simulator.Config {
 	c.Hosts, c.Classes = slices.Clone(c.Hosts), slices.Clone(c.Classes)
 	c.Bursts, c.Troubles = slices.Clone(c.Bursts), slices.Clone(c.Troubles)
 	c.Settings.Classes = slices.Clone(c.Settings.Classes)
 	return c
 }
 
-func scale(c *model.Config, by float64) {
+func scale(c *simulator.Config, by float64) {
 	for i := range c.Classes {
 		c.Classes[i].Rate = math.Round(c.Classes[i].Rate*by*100) / 100
 	}
 }
 
 // perHost is the work that is asked of a host of the first kind, a second.
-func perHost(c model.Config) (work float64) {
+func perHost(c simulator.Config) (work float64) {
 	for _, t := range c.Classes {
 		work += t.Rate * t.Work.Seconds()
 	}
--- a/internal/hunt/hunt_test.go
+++ b/internal/experiment/scenariosearch/hunt_test.go
@@ -1,4 +1,4 @@
-package hunt
+package scenariosearch
 
 import (
 	"reflect"
@@ -6,12 +6,12 @@
 	"time"
 
 	"dunemoor/balancer"
-	"dunemoor/internal/model"
+	"dunemoor/internal/experiment/simulator"
 )
 
 // base is a small fleet at half of what it can do.
-func base() model.Config {
-	return model.Config{
+func base() simulator.Config {
+	return simulator.Config{
 		Length: 20 * time.Second, Gateways: 2,
 		Settings: balancer.Settings{
 			Instances: 1, MaxAttempts: 4, Cancel: true, SlowStartShare: 0.3, SlowStartWindow: 2 * time.Second, OverloadFactor: 2, OverloadWindow: time.Second,
@@ -20,9 +20,9 @@
 				{LatencyObjective: 250 * time.Millisecond, Deadline: time.Second, PriorityWeight: 5, Idempotency: balancer.NonIdempotent},
 			},
 		},
-		Hosts:   []model.Kind{{Count: 8, Cores: 1, Slots: 8, Queue: 16, Conns: 100}},
-		Classes: []model.Traffic{{Name: "a", Rate: 150, Work: 20 * time.Millisecond}, {Name: "b", Rate: 50, Work: 20 * time.Millisecond}},
-		Net:     model.Net{Delay: 200 * time.Microsecond}, Lists: model.Lists{Delay: 100 * time.Millisecond, Silent: time.Second},
+		Hosts:   []simulator.Kind{{Count: 8, Cores: 1, Slots: 8, Queue: 16, Conns: 100}},
+		Classes: []simulator.Traffic{{Name: "a", Rate: 150, Work: 20 * time.Millisecond}, {Name: "b", Rate: 50, Work: 20 * time.Millisecond}},
+		Net:     simulator.Net{Delay: 200 * time.Microsecond}, Lists: simulator.Lists{Delay: 100 * time.Millisecond, Silent: time.Second},
 	}
 }
 
@@ -44,12 +44,12 @@
 	scale(&c, 2.8) // 11.2 cores of work for 8, of which 0.7 are counted
 	near("too much", Possible(c), 0.5)
 	c = base()
-	c.Bursts = []model.Burst{{At: 0, For: 10 * time.Second, Times: 2.8}}
+	c.Bursts = []simulator.Burst{{At: 0, For: 10 * time.Second, Times: 2.8}}
 	near("too much for half of the time", Possible(c), (2.8*0.5+1)/3.8)
 	c = base()
-	c.Troubles = []model.Trouble{{Kind: model.Hang, At: 10 * time.Second, For: 5 * time.Second, Part: 0.25}}
+	c.Troubles = []simulator.Trouble{{Kind: simulator.Hang, At: 10 * time.Second, For: 5 * time.Second, Part: 0.25}}
 	near("a quarter hangs: what goes there until it is noticed", Possible(c), 1-0.25*3/20)
-	c.Troubles = []model.Trouble{{Kind: model.Gateway, At: 10 * time.Second, For: 5 * time.Second, Part: 0.01}}
+	c.Troubles = []simulator.Trouble{{Kind: simulator.Gateway, At: 10 * time.Second, For: 5 * time.Second, Part: 0.01}}
 	near("one gateway of two", Possible(c), 1-0.5*2/20)
 	c.Troubles[0].Part = 1
 	near("both gateways", Possible(c), 1-5.0/20)
@@ -71,7 +71,7 @@
 				if c.Config.Gateways > 6 || c.Config.Hosts[0].Count > 12 || len(c.Config.Troubles) > 3 || len(c.Config.Bursts) > 1 || perHost(c.Config) > 1.2*1.01*perHost(base()) {
 					t.Fatalf("seed %d: out of the ranges: %+v", seed, c.Config)
 				}
-				sum, err := model.Run(c.Config)
+				sum, err := simulator.Run(c.Config)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -111,8 +111,8 @@
 // against breeding from the best.
 func TestSearchFindsTheWorse(t *testing.T) {
 	// A stand-in for the model: the more gateways, the worse.
-	judge := func(c model.Config) *model.Summary {
-		return &model.Summary{Classes: []model.ClassSummary{{Asked: 100, InTime: int(100*Possible(c)) - c.Gateways}}}
+	judge := func(c simulator.Config) *simulator.Summary {
+		return &simulator.Summary{Classes: []simulator.ClassSummary{{Asked: 100, InTime: int(100*Possible(c)) - c.Gateways}}}
 	}
 	r := ranges()
 	r.Gateways, r.Bursts = 64, 0
@@ -133,19 +133,19 @@
 	c.Gateways, c.Hosts[0].Count, c.Length, c.Seed = 12, 40, time.Minute, 99
 	scale(&c, 5)
 	c.Clients.Retries, c.Clients.Backoff = 3, time.Second
-	c.Bursts = []model.Burst{{At: time.Second, For: time.Second, Times: 2}}
-	c.Troubles = []model.Trouble{
-		{Kind: model.Slow, At: 3 * time.Second, For: time.Second, Part: 0.1, Size: 3},
-		{Kind: model.Errors, At: 8100 * time.Millisecond, For: 2 * time.Second, Part: 0.33, Size: 1},
-		{Kind: model.Hang, At: 9 * time.Second, For: time.Second, Part: 0.1},
+	c.Bursts = []simulator.Burst{{At: time.Second, For: time.Second, Times: 2}}
+	c.Troubles = []simulator.Trouble{
+		{Kind: simulator.Slow, At: 3 * time.Second, For: time.Second, Part: 0.1, Size: 3},
+		{Kind: simulator.Errors, At: 8100 * time.Millisecond, For: 2 * time.Second, Part: 0.33, Size: 1},
+		{Kind: simulator.Hang, At: 9 * time.Second, For: time.Second, Part: 0.1},
 	}
 	runs := 0
-	play := func(c model.Config) (*model.Summary, error) { // errors with two gateways or more are bad
+	play := func(c simulator.Config) (*simulator.Summary, error) { // errors with two gateways or more are bad
 		runs++
-		sum := &model.Summary{Classes: []model.ClassSummary{{Asked: 1000, InTime: int(1000 * Possible(c))}}}
+		sum := &simulator.Summary{Classes: []simulator.ClassSummary{{Asked: 1000, InTime: int(1000 * Possible(c))}}}
 		if c.Gateways >= 2 && Kinds(c) != "load" {
 			for _, t := range c.Troubles {
-				if t.Kind == model.Errors {
+				if t.Kind == simulator.Errors {
 					sum.Classes[0].InTime -= 400
 				}
 			}
@@ -170,10 +170,10 @@
 		t.Errorf("%d runs, want 5", runs)
 	}
 	// A broken rule stays broken, however good the rest is.
-	broken := func(c model.Config) (*model.Summary, error) {
-		sum := &model.Summary{Classes: []model.ClassSummary{{Asked: 1, InTime: 1}}}
+	broken := func(c simulator.Config) (*simulator.Summary, error) {
+		sum := &simulator.Summary{Classes: []simulator.ClassSummary{{Asked: 1, InTime: 1}}}
 		if len(c.Bursts) > 0 {
-			sum.Broken[model.RuleTwice] = 1
+			sum.Broken[simulator.RuleTwice] = 1
 		}
 		return sum, nil
 	}
--- a/internal/hunt/shrink.go
+++ b/internal/experiment/scenariosearch/shrink.go
@@ -1,10 +1,10 @@
-package hunt
+package scenariosearch
 
 import (
 	"slices"
 	"time"
 
-	"dunemoor/internal/model"
+	"dunemoor/internal/experiment/simulator"
 )
 
 // keepPart is how much of a find's score must be left in what it is made smaller to.
@@ -12,22 +12,22 @@
 
 // smaller are the ways to make a Config simpler, the largest cuts first. Each says whether there
 // was anything to cut.
-var smaller = []func(c *model.Config, i int) (cut bool, more bool){
-	func(c *model.Config, i int) (bool, bool) { // without a trouble
+var smaller = []func(c *simulator.Config, i int) (cut bool, more bool){
+	func(c *simulator.Config, i int) (bool, bool) { // without a trouble
 		if i >= len(c.Troubles) {
 			return false, false
 		}
 		c.Troubles = slices.Delete(c.Troubles, i, i+1)
 		return true, true
 	},
-	func(c *model.Config, i int) (bool, bool) { // without a burst
+	func(c *simulator.Config, i int) (bool, bool) { // without a burst
 		if i >= len(c.Bursts) {
 			return false, false
 		}
 		c.Bursts = slices.Delete(c.Bursts, i, i+1)
 		return true, true
 	},
-	func(c *model.Config, i int) (bool, bool) { // without a class, if another is left
+	func(c *simulator.Config, i int) (bool, bool) { // without a class, if another is left
 		if i >= len(c.Classes) || len(c.Classes) == 1 {
 			return false, false
 		}
@@ -39,12 +39,12 @@
 		}
 		return true, true
 	},
-	func(c *model.Config, _ int) (bool, bool) { // half of the gateways
+	func(c *simulator.Config, _ int) (bool, bool) { // half of the gateways
 		was := c.Gateways
 		c.Gateways = max(was/2, 1)
 		return c.Gateways < was, false
 	},
-	func(c *model.Config, _ int) (bool, bool) { // half of the hosts, and of the load with them
+	func(c *simulator.Config, _ int) (bool, bool) { // half of the hosts, and of the load with them
 		was := c.Hosts[0].Count
 		c.Hosts[0].Count = max(was/2, 2)
 		if c.Hosts[0].Count == was {
@@ -53,7 +53,7 @@
 		scale(c, float64(c.Hosts[0].Count)/float64(was))
 		return true, false
 	},
-	func(c *model.Config, _ int) (bool, bool) { // no longer than until some time behind the last trouble
+	func(c *simulator.Config, _ int) (bool, bool) { // no longer than until some time behind the last trouble
 		end := 5 * time.Second
 		for _, t := range c.Troubles {
 			end = max(end, t.At+t.For+5*time.Second)
@@ -67,22 +67,22 @@
 		c.Length = end
 		return true, false
 	},
-	func(c *model.Config, _ int) (bool, bool) { // clients that ask once
+	func(c *simulator.Config, _ int) (bool, bool) { // clients that ask once
 		was := c.Clients
-		c.Clients = model.Clients{Notice: was.Notice}
+		c.Clients = simulator.Clients{Notice: was.Notice}
 		return c.Clients != was, false
 	},
-	func(c *model.Config, _ int) (bool, bool) { // news at once
+	func(c *simulator.Config, _ int) (bool, bool) { // news at once
 		was := c.Lists
-		c.Lists = model.Lists{}
+		c.Lists = simulator.Lists{}
 		return c.Lists != was, false
 	},
-	func(c *model.Config, _ int) (bool, bool) { // a plain network
+	func(c *simulator.Config, _ int) (bool, bool) { // a plain network
 		was := c.Net.Spread
 		c.Net.Spread = 0
 		return was != 0, false
 	},
-	func(c *model.Config, i int) (bool, bool) { // troubles at whole seconds
+	func(c *simulator.Config, i int) (bool, bool) { // troubles at whole seconds
 		if i >= len(c.Troubles) {
 			return false, false
 		}
@@ -95,7 +95,7 @@
 		}
 		return *t != was, true
 	},
-	func(c *model.Config, _ int) (bool, bool) { // the first seed
+	func(c *simulator.Config, _ int) (bool, bool) { // the first seed
 		was := c.Seed
 		c.Seed = 1
 		return was != 1, false
@@ -104,7 +104,7 @@
 
 // Shrink makes a find smaller while most of its score, or a broken rule, is left, with at most so many runs. play
 // gives what comes of a Config; where that is an error the cut is not made.
-func Shrink(f Find, runs int, play func(model.Config) (*model.Summary, error)) Find {
+func Shrink(f Find, runs int, play func(simulator.Config) (*simulator.Summary, error)) Find {
 	least, broken := keepPart*f.Score, f.Broken > 0
 	for again := true; again; {
 		again = false
--- a/internal/model/chance.go
+++ b/internal/experiment/simulator/chance.go
@@ -1,4 +1,4 @@
-package model
+package simulator
 
 import (
 	"fmt"
--- a/internal/model/config.go
+++ b/internal/experiment/simulator/config.go
@@ -1,8 +1,8 @@
-// Package model plays a fleet in virtual time: clients that ask and ask again, gateways that run
+// Package simulator plays a fleet in virtual time: clients that ask and ask again, gateways that run
 // the real decision module, a network, hosts that queue, share their cores, start cold, crowd and
 // fail. It does no I/O, starts no goroutine and reads no clock; the same Config and seed give the
 // same run on any machine. The four rules are looked at with every event.
-package model
+package simulator
 
 import (
 	"fmt"
--- a/internal/fleet/compat_test.go
+++ b/internal/fleet/compat_test.go
@@ -4,7 +4,7 @@
 	"testing"
 
 	"dunemoor/internal/fleet/endpoints"
-	"dunemoor/internal/testkit/compat"
+	"dunemoor/internal/testutil/compat"
 )
 
 // What holders of leases send to the gateways of their fleet.
--- a/internal/flight/compat_test.go
+++ b/internal/flightrecorder/compat_test.go
@@ -1,10 +1,10 @@
-package flight
+package flightrecorder
 
 import (
 	"bytes"
 	"testing"
 
-	"dunemoor/internal/testkit/compat"
+	"dunemoor/internal/testutil/compat"
 )
 
 // A recording of an earlier build is replayed without a difference, and what is recorded of the
--- a/internal/flight/format.go
+++ b/internal/flightrecorder/format.go
@@ -1,10 +1,10 @@
-// Package flight records what happens between a gateway's loop and its Balancer, reads
+// Package flightrecorder records what happens between a gateway's loop and its Balancer, reads
 // such recordings, replays them and tries other builds of the module on them.
 //
 // A recording is a row of blocks, each whole in itself: a block that is torn, lost or
 // overwritten takes nothing else with it, and what stands between two blocks is passed
 // over. docs/design/flight.md has the form byte by byte.
-package flight
+package flightrecorder
 
 import (
 	"encoding/binary"
--- a/internal/flight/recorder.go
+++ b/internal/flightrecorder/recorder.go
@@ -1,4 +1,4 @@
-package flight
+package flightrecorder
 
 import (
 	"encoding/json"
--- a/internal/front/fastcgi/message_test.go
+++ b/internal/frontend/fastcgi/message_test.go
@@ -7,7 +7,7 @@
 	"testing"
 
 	"dunemoor/internal/fastcgi"
-	"dunemoor/internal/front"
+	"dunemoor/internal/frontend"
 )
 
 func params(pairs ...string) (b []byte) {
@@ -41,7 +41,7 @@
 		{"a name that is none", params("", "x"), "", "", 0, 400},
 	} {
 		m, _, err := message(c.in)
-		var bad *front.BadRequest
+		var bad *frontend.BadRequest
 		switch {
 		case c.status != 0 && (!errors.As(err, &bad) || bad.Status != c.status):
 			t.Errorf("%s: %v", c.name, err)
--- a/internal/front/fastcgi/request.go
+++ b/internal/frontend/fastcgi/request.go
@@ -16,7 +16,7 @@
 	"dunemoor/internal/body"
 	"dunemoor/internal/engine"
 	"dunemoor/internal/fastcgi"
-	"dunemoor/internal/front"
+	"dunemoor/internal/frontend"
 )
 
 // request is one on a connection, from its parameters to its END_REQUEST.
@@ -34,17 +34,17 @@
 
 // message makes the head of a request from its parameters (RFC 3875, 4.1). remote is whom the web
 // server names as its client; Length is -1 where it is not told.
-func message(params []byte) (m front.Message, remote string, err error) {
+func message(params []byte) (m frontend.Message, remote string, err error) {
 	m.Header = http.Header{}
 	vars := map[string]string{}
 	err = fastcgi.Vars(params, func(name, value []byte) error {
 		if len(name) == 0 || strings.ContainsAny(string(value), "\x00\r\n") {
-			return front.Bad(http.StatusBadRequest, "a parameter that can't be one")
+			return frontend.Bad(http.StatusBadRequest, "a parameter that can't be one")
 		}
 		key := string(name)
 		h := fastcgi.HeaderOf(key)
 		if _, twice := vars[key]; twice || h != "" && m.Header[h] != nil {
-			return front.Bad(http.StatusBadRequest, "%.64q is there more than once", key)
+			return frontend.Bad(http.StatusBadRequest, "%.64q is there more than once", key)
 		}
 		vars[key] = string(value)
 		if h != "" && h != "Host" && h != "Content-Length" && h != "Content-Type" {
@@ -53,9 +53,9 @@
 		return nil
 	})
 	if err != nil {
-		var bad *front.BadRequest
+		var bad *frontend.BadRequest
 		if !errors.As(err, &bad) {
-			err = front.Bad(http.StatusBadRequest, "%v", err)
+			err = frontend.Bad(http.StatusBadRequest, "%v", err)
 		}
 		return m, "", err
 	}
@@ -79,14 +79,14 @@
 		m.Peer.Proto = "https"
 	}
 	if m.Method == "" || m.Target == "" || strings.ContainsAny(m.Method+m.Target+m.Host, " \t") {
-		return m, "", front.Bad(http.StatusBadRequest, "REQUEST_METHOD or REQUEST_URI: missing or malformed")
+		return m, "", frontend.Bad(http.StatusBadRequest, "REQUEST_METHOD or REQUEST_URI: missing or malformed")
 	}
-	front.EndToEnd(m.Header) // what concerns the client's own connection
+	frontend.EndToEnd(m.Header) // what concerns the client's own connection
 	m.Length = -1
 	if v := vars["CONTENT_LENGTH"]; v != "" {
 		n, err := strconv.ParseInt(v, 10, 64)
 		if err != nil || n < 0 || strings.Trim(v, "0123456789") != "" {
-			return m, "", front.Bad(http.StatusBadRequest, "CONTENT_LENGTH: %.32q is no length", v)
+			return m, "", frontend.Bad(http.StatusBadRequest, "CONTENT_LENGTH: %.32q is no length", v)
 		}
 		m.Length = n
 	} else {
@@ -99,7 +99,7 @@
 }
 
 // serve has a request answered, and ends it, whatever happens.
-func (r *request) serve(m front.Message, remote string, bad error, came time.Time) {
+func (r *request) serve(m frontend.Message, remote string, bad error, came time.Time) {
 	defer r.in.Close()
 	defer r.cancel()
 	if bad != nil {
@@ -139,7 +139,7 @@
 	case engine.Rejected:
 		after := ""
 		if a.RetryAfter > 0 {
-			after = "Retry-After: " + front.RetryAfter(a.RetryAfter, x.Route.Plain != nil) + "\r\n"
+			after = "Retry-After: " + frontend.RetryAfter(a.RetryAfter, x.Route.Plain != nil) + "\r\n"
 		}
 		r.say(http.StatusServiceUnavailable, after, "turned away, trying again is harmless")
 	default:
@@ -163,8 +163,8 @@
 }
 
 // read reads the part of the body that is held; what is more flows.
-func (r *request) read(x *front.Entry, length int64) error {
-	pace, most := body.Pace{Idle: halfTime}, int64(front.MaxHeld)
+func (r *request) read(x *frontend.Entry, length int64) error {
+	pace, most := body.Pace{Idle: halfTime}, int64(frontend.MaxHeld)
 	s := x.Route.Streams
 	if s != nil {
 		pace, most = s.Upload, x.HoldMost()
@@ -197,7 +197,7 @@
 	case err != nil:
 		return err
 	case s == nil:
-		return front.Bad(http.StatusRequestEntityTooLarge, "the body is longer than %d bytes", front.MaxHeld)
+		return frontend.Bad(http.StatusRequestEntityTooLarge, "the body is longer than %d bytes", frontend.MaxHeld)
 	}
 	x.Body = body.Flowing(held[:n], body.NewFlow(src, length))
 	x.Arrived(time.Now())
@@ -207,7 +207,7 @@
 // stdin is where a request's body flows from.
 type stdin struct {
 	r      *request
-	x      *front.Entry
+	x      *frontend.Entry
 	meter  body.Meter
 	length int64 // -1: not told
 	most   int64 // 0: any
@@ -223,9 +223,9 @@
 	case errors.Is(err, os.ErrDeadlineExceeded), slow != nil && err == nil:
 		return n, errSlow
 	case s.most > 0 && s.read > s.most:
-		return 0, front.Bad(http.StatusRequestEntityTooLarge, "the body is longer than %d bytes", s.most)
+		return 0, frontend.Bad(http.StatusRequestEntityTooLarge, "the body is longer than %d bytes", s.most)
 	case s.length >= 0 && s.read > s.length, err == errEnd && s.length > s.read:
-		return 0, front.Bad(http.StatusBadRequest, "STDIN is not as long as CONTENT_LENGTH says")
+		return 0, frontend.Bad(http.StatusBadRequest, "STDIN is not as long as CONTENT_LENGTH says")
 	case err == errEnd:
 		if !s.x.Body.Whole() {
 			s.x.ArrivedLate(time.Now())
@@ -247,12 +247,12 @@
 		r.finish(nil)
 		return
 	}
-	var turned *front.Turned
-	after, status := "", front.Status(err)
+	var turned *frontend.Turned
+	after, status := "", frontend.Status(err)
 	if errors.As(err, &turned) {
-		after = "Retry-After: " + front.RetryAfter(turned.After, true) + "\r\n"
+		after = "Retry-After: " + frontend.RetryAfter(turned.After, true) + "\r\n"
 	} else if status == http.StatusServiceUnavailable {
-		after = "Retry-After: " + front.RetryAfter(front.FullRetryAfter, true) + "\r\n"
+		after = "Retry-After: " + frontend.RetryAfter(frontend.FullRetryAfter, true) + "\r\n"
 	}
 	r.say(status, after, err.Error())
 }
@@ -278,8 +278,8 @@
 var buffers = sync.Pool{New: func() any { b := make([]byte, 0, recordMost+1024); return &b }}
 
 // pass passes on an answer, as it comes.
-func (r *request) pass(x *front.Entry, a *engine.Response) {
-	h := front.EndToEnd(a.Header.Clone())
+func (r *request) pass(x *frontend.Entry, a *engine.Response) {
+	h := frontend.EndToEnd(a.Header.Clone())
 	if p := x.Route.Plain; p != nil {
 		p.ResponseHeaders.Apply(h)
 	}
--- a/internal/front/fastcgi/server.go
+++ b/internal/frontend/fastcgi/server.go
@@ -19,7 +19,7 @@
 	"dunemoor/internal/body"
 	"dunemoor/internal/drain"
 	"dunemoor/internal/fastcgi"
-	"dunemoor/internal/front"
+	"dunemoor/internal/frontend"
 )
 
 // Options are what a Server is told.
@@ -59,7 +59,7 @@
 
 // Server is the side of the web servers, on any number of listeners.
 type Server struct {
-	gate *front.Gate
+	gate *frontend.Gate
 	o    Options
 
 	mu        sync.Mutex
@@ -70,7 +70,7 @@
 }
 
 // New returns a Server that brings its requests through gate.
-func New(gate *front.Gate, o Options) *Server {
+func New(gate *frontend.Gate, o Options) *Server {
 	return &Server{gate: gate, o: o, listeners: map[net.Listener]*atomic.Pointer[ListenOptions]{}, conns: map[*conn]struct{}{}}
 }
 
@@ -310,7 +310,7 @@
 	return true
 }
 
-var errSlow = front.Bad(http.StatusRequestTimeout, "the body comes too slowly")
+var errSlow = frontend.Bad(http.StatusRequestTimeout, "the body comes too slowly")
 
 // gone has all requests of a connection that has ended called off: nobody waits.
 func (c *conn) gone() {
@@ -363,7 +363,7 @@
 	c.mu.Unlock()
 	c.in.Half(func(id uint16, _ bool) {
 		if r := c.find(id); r != nil {
-			r.in.End(front.Bad(http.StatusBadRequest, "%v", err))
+			r.in.End(frontend.Bad(http.StatusBadRequest, "%v", err))
 		} else {
 			c.in.Ended(id)
 			c.say(id, http.StatusBadRequest, err.Error())
@@ -393,8 +393,8 @@
 }
 
 // peer is who a request comes from: the web server, or whom it names where it is trusted.
-func (c *conn) peer(remote string) front.Peer {
-	p := front.Peer{Proto: "http"}
+func (c *conn) peer(remote string) frontend.Peer {
+	p := frontend.Peer{Proto: "http"}
 	if a, ok := c.nc.RemoteAddr().(*net.TCPAddr); ok {
 		p.Addr = a.AddrPort().Addr().Unmap()
 	} else {
@@ -413,7 +413,7 @@
 	r.ctx, r.cancel = context.WithCancel(context.Background())
 	m, remote, perr := message(params)
 	if err != nil {
-		perr = front.Bad(http.StatusRequestHeaderFieldsTooLarge, "the parameters are longer than %d bytes", fastcgi.ParamsMost)
+		perr = frontend.Bad(http.StatusRequestHeaderFieldsTooLarge, "the parameters are longer than %d bytes", fastcgi.ParamsMost)
 	}
 	c.mu.Lock()
 	c.reqs[id] = r
@@ -439,7 +439,7 @@
 	c.mu.Unlock()
 	if r.in.Write(part, wait) == body.ErrFull {
 		// Its host may take as long as it likes to be written to: nobody waits for that.
-		err := front.Bad(http.StatusBadGateway, "its host takes the body too slowly, it may have been done")
+		err := frontend.Bad(http.StatusBadGateway, "its host takes the body too slowly, it may have been done")
 		r.why.Store(&err)
 		r.cancel()
 		r.in.End(err)
--- a/internal/front/fastcgi/server_test.go
+++ b/internal/frontend/fastcgi/server_test.go
@@ -10,14 +10,14 @@
 	"dunemoor/internal/body"
 	"dunemoor/internal/engine"
 	"dunemoor/internal/fastcgi"
-	"dunemoor/internal/front"
+	"dunemoor/internal/frontend"
 )
 
 // A request whose bytes have come in part when connections begin to end is read on and answered:
 // it guards against a close by another than the goroutine that reads.
 func TestHalfARequestAsConnectionsEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := New(front.NewGate(engine.New(1), body.NewBudget(1<<20)), Options{Conns: 8})
+		s := New(frontend.NewGate(engine.New(1), body.NewBudget(1<<20)), Options{Conns: 8})
 		ours, theirs := net.Pipe()
 		c := newConn(s, theirs, &ListenOptions{})
 		s.conns[c] = struct{}{}
--- a/internal/front/gate.go
+++ b/internal/frontend/gate.go
@@ -1,6 +1,6 @@
-// Package front has what the fronts of all protocols share: the gate through which requests
+// Package frontend has what the fronts of all protocols share: the gate through which requests
 // come in, checked, counted and with their route. It decides nothing about them.
-package front
+package frontend
 
 import (
 	"errors"
--- a/internal/front/http1/conn.go
+++ b/internal/frontend/http1/conn.go
@@ -21,7 +21,7 @@
 	"github.com/pires/go-proxyproto"
 
 	"dunemoor/internal/body"
-	"dunemoor/internal/front"
+	"dunemoor/internal/frontend"
 	"dunemoor/internal/httpwire"
 )
 
@@ -35,7 +35,7 @@
 	id    uint64 // among those watched for leaving
 	opts  *ListenOptions
 
-	peer front.Peer
+	peer frontend.Peer
 
 	ctx  context.Context // ends when the client leaves
 	left context.CancelFunc
@@ -231,7 +231,7 @@
 			c.r, c.w = 0, copy(c.buf, peek(in, n))
 		}
 	}
-	c.peer = front.Peer{Addr: addr, Proto: "http", Trusted: c.opts.trusts(addr)}
+	c.peer = frontend.Peer{Addr: addr, Proto: "http", Trusted: c.opts.trusts(addr)}
 	return nil
 }
 
@@ -336,7 +336,7 @@
 
 var (
 	errNoRequest = errors.New("http1: no request comes")
-	errLongHead  = front.Bad(http.StatusRequestHeaderFieldsTooLarge, "the head is too long")
+	errLongHead  = frontend.Bad(http.StatusRequestHeaderFieldsTooLarge, "the head is too long")
 )
 
 // readHead reads a head. errNoRequest says that none will come; any other error is answered.
@@ -360,7 +360,7 @@
 			}
 			if err != nil {
 				c.req = httpwire.Request{}
-				return front.Bad(httpwire.Status(err), "%v", err)
+				return frontend.Bad(httpwire.Status(err), "%v", err)
 			}
 			if c.req.Length != 0 {
 				c.body = newBodyReader(c)
@@ -389,7 +389,7 @@
 	}
 	c.idleBy = time.Time{} // reading it has set others
 	if b.end == nil {
-		if b.chunks != nil || b.left > front.MaxHeld {
+		if b.chunks != nil || b.left > frontend.MaxHeld {
 			return false
 		}
 		c.SetReadDeadline(time.Now().Add(requestTimeout))
@@ -521,7 +521,7 @@
 		return
 	}
 	b := httpwire.AppendStatus(nil, false, status)
-	b = append(httpwire.AppendFields(b, front.EndToEnd(header.Clone())), "\r\n"...)
+	b = append(httpwire.AppendFields(b, frontend.EndToEnd(header.Clone())), "\r\n"...)
 	c.ahead(b) // if it fails the client has gone
 }
 
--- a/internal/front/http1/leaving_test.go
+++ b/internal/frontend/http1/leaving_test.go
@@ -15,7 +15,7 @@
 
 	"dunemoor/internal/body"
 	"dunemoor/internal/engine"
-	"dunemoor/internal/testkit"
+	"dunemoor/internal/testutil"
 )
 
 // leaves are the ways in which a client leaves.
@@ -52,13 +52,13 @@
 // However an attempt ends and however its client has left by then, there is no other: the look
 // before the first byte sees it, also where nobody has heard of it yet.
 func TestNoFurtherAttemptBehindAClose(t *testing.T) {
-	ends := map[string]testkit.Script{
-		"error":       testkit.Says(testkit.Errored),
-		"turned away": testkit.Says(testkit.TurnedAway),
-		"reset":       testkit.BreakOff,
-		"noise":       testkit.Says("\x00noise\r\n\r\n"),
+	ends := map[string]testutil.Script{
+		"error":       testutil.Says(testutil.Errored),
+		"turned away": testutil.Says(testutil.TurnedAway),
+		"reset":       testutil.BreakOff,
+		"noise":       testutil.Says("\x00noise\r\n\r\n"),
 		"cut": func(c net.Conn, _ *http.Request, _ int) bool {
-			io.WriteString(c, testkit.Good[:len(testkit.Good)-1])
+			io.WriteString(c, testutil.Good[:len(testutil.Good)-1])
 			return false
 		},
 	}
@@ -69,22 +69,22 @@
 				var attempts atomic.Int64
 				script := func(c net.Conn, r *http.Request, n int) bool {
 					if attempts.Add(1) > 1 {
-						io.WriteString(c, testkit.Good)
+						io.WriteString(c, testutil.Good)
 						return true
 					}
 					out <- struct{}{}
 					<-say
 					return end(c, r, n)
 				}
-				g := startGateway(t, withHosts(testkit.NewHost(t, script), testkit.NewHost(t, script)))
+				g := startGateway(t, withHosts(testutil.NewHost(t, script), testutil.NewHost(t, script)))
 				c := g.dial().(*net.TCPConn)
-				io.WriteString(c, testkit.Look(testkit.NewID()))
+				io.WriteString(c, testutil.Look(testutil.NewID()))
 				<-out
 				g.deaf()
 				leave(c)
-				testkit.Until(t, "its end has come", func() bool { return g.ended() == 1 })
+				testutil.Until(t, "its end has come", func() bool { return g.ended() == 1 })
 				close(say)
-				testkit.Until(t, "it is over", func() bool { return g.gate.Open() == 0 })
+				testutil.Until(t, "it is over", func() bool { return g.gate.Open() == 0 })
 				if n := attempts.Load(); n != 1 {
 					t.Errorf("%d attempts", n)
 				}
@@ -101,10 +101,10 @@
 	say, held, release := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	cfg := withHosts()
 	for range hosts {
-		cfg.hosts = append(cfg.hosts, testkit.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
+		cfg.hosts = append(cfg.hosts, testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
 			attempts.Add(1)
 			<-say
-			io.WriteString(c, testkit.Errored)
+			io.WriteString(c, testutil.Errored)
 			said.Add(1)
 			return true
 		}))
@@ -115,20 +115,20 @@
 	conns := make([]*net.TCPConn, clients)
 	for i := range conns {
 		conns[i] = g.dial().(*net.TCPConn)
-		io.WriteString(conns[i], testkit.Look(testkit.NewID()))
+		io.WriteString(conns[i], testutil.Look(testutil.NewID()))
 	}
 	const out = 4 * hosts // what hosts get at first
-	testkit.Until(t, "all are taken, and most wait", func() bool { return g.gate.Open() == clients && attempts.Load() == out })
+	testutil.Until(t, "all are taken, and most wait", func() bool { return g.gate.Open() == clients && attempts.Load() == out })
 	close(say)
 	<-held // the loop is, by the first error
-	testkit.Until(t, "all errors are said", func() bool { return said.Load() == out })
+	testutil.Until(t, "all errors are said", func() bool { return said.Load() == out })
 	g.deaf()
 	for i, c := range conns {
 		leaves[[]string{"end", "half end", "reset"}[i%3]](c)
 	}
-	testkit.Until(t, "their ends have come", func() bool { return g.ended() == clients })
+	testutil.Until(t, "their ends have come", func() bool { return g.ended() == clients })
 	close(release)
-	testkit.Until(t, "all is over", func() bool { return g.gate.Open() == 0 })
+	testutil.Until(t, "all is over", func() bool { return g.gate.Open() == 0 })
 	if n := attempts.Load(); n != out {
 		t.Errorf("%d attempts for clients that had gone", n-out)
 	}
@@ -142,24 +142,24 @@
 		for _, deaf := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, deaf %t", how, deaf), func(t *testing.T) {
 				release := make(chan struct{})
-				cfg := withHosts(testkit.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
+				cfg := withHosts(testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
 					<-release
-					io.WriteString(c, testkit.Good)
+					io.WriteString(c, testutil.Good)
 					return true
 				}))
-				cfg.streams = &engine.Streams{BufferBytes: 64 << 10, Pace: body.Pace{Idle: testkit.Patience}, Upload: body.Pace{Idle: testkit.Patience}}
+				cfg.streams = &engine.Streams{BufferBytes: 64 << 10, Pace: body.Pace{Idle: testutil.Patience}, Upload: body.Pace{Idle: testutil.Patience}}
 				g := startGateway(t, cfg)
 				begin := func(length, sent int) *net.TCPConn {
 					c := g.dial().(*net.TCPConn)
 					fmt.Fprintf(c, "POST /api/1 HTTP/1.1\r\nHost: a\r\nX-Priority-Class: book\r\nX-Timeout: 60\r\nX-Request-ID: %s\r\nContent-Length: %d\r\n\r\n%s",
-						testkit.NewID(), length, strings.Repeat("x", sent))
+						testutil.NewID(), length, strings.Repeat("x", sent))
 					return c
 				}
 				const out = 4 // what a host gets at first
 				for range out {
 					begin(1, 1)
 				}
-				testkit.Until(t, "the host is full", func() bool { n, _, _ := cfg.hosts[0].Counts(); return n == out })
+				testutil.Until(t, "the host is full", func() bool { n, _, _ := cfg.hosts[0].Counts(); return n == out })
 				c := begin(1<<20, 100<<10)
 				inside := func() (n int64) {
 					plan := g.gate.Engine.Snapshot()
@@ -167,24 +167,24 @@
 					plan.Pools(func(p *engine.Pool) { n = p.OpenRequests() })
 					return n
 				}
-				testkit.Until(t, "it waits", func() bool { return inside() == out+1 })
+				testutil.Until(t, "it waits", func() bool { return inside() == out+1 })
 				if deaf {
 					g.deaf()
 				}
 				leave(c)
 				if deaf {
-					testkit.Until(t, "its end has come", func() bool { return g.ended() == 1 })
+					testutil.Until(t, "its end has come", func() bool { return g.ended() == 1 })
 				} else {
-					testkit.Until(t, "it is forgotten", func() bool { return inside() == out })
-					c.SetReadDeadline(time.Now().Add(testkit.Patience))
+					testutil.Until(t, "it is forgotten", func() bool { return inside() == out })
+					c.SetReadDeadline(time.Now().Add(testutil.Patience))
 					if text, _ := io.ReadAll(c); len(text) > 0 { // of a half end
 						t.Errorf("it waited for %q", text)
 					}
 				}
 				close(release)
-				testkit.Until(t, "all is over", func() bool { return inside() == 0 })
+				testutil.Until(t, "all is over", func() bool { return inside() == 0 })
 				g.end()
-				testkit.Until(t, "the host has read all", func() bool { _, conns, ended := cfg.hosts[0].Counts(); return conns == ended })
+				testutil.Until(t, "the host has read all", func() bool { _, conns, ended := cfg.hosts[0].Counts(); return conns == ended })
 				if n, _, _ := cfg.hosts[0].Counts(); n != out {
 					t.Errorf("the host got %d requests", n)
 				}
--- a/internal/front/http1/plain.go
+++ b/internal/frontend/http1/plain.go
@@ -15,7 +15,7 @@
 
 	"dunemoor/internal/body"
 	"dunemoor/internal/engine"
-	"dunemoor/internal/front"
+	"dunemoor/internal/frontend"
 	"dunemoor/internal/httpwire"
 )
 
@@ -27,7 +27,7 @@
 )
 
 // readStreams reads the part of the body that is held. What is more flows.
-func (s *Server) readStreams(c *clientConn, x *front.Entry) error {
+func (s *Server) readStreams(c *clientConn, x *frontend.Entry) error {
 	plain, streams := x.Route.Plain, x.Route.Streams
 	n := c.req.Length
 	// Hosts that speak our protocol do not ask for a body: it is asked for here, by reading it.
@@ -73,7 +73,7 @@
 type clientSource struct {
 	c     *clientConn
 	body  *bodyReader
-	x     *front.Entry
+	x     *frontend.Entry
 	meter body.Meter
 	alarm body.Alarm
 	most  int64 // bytes; 0: any
@@ -145,7 +145,7 @@
 }
 
 // Trailer is what came behind the body.
-func (s *clientSource) Trailer() http.Header { return front.Trailer(s.body.Trailer()) }
+func (s *clientSource) Trailer() http.Header { return frontend.Trailer(s.body.Trailer()) }
 
 // Close ends a Read that waits, and returns once none is on: the connection is its own again.
 func (s *clientSource) Close(whole bool) {
@@ -163,20 +163,20 @@
 func (s *clientSource) bad(err error) error {
 	switch {
 	case err == errTooLong:
-		return front.Bad(http.StatusRequestEntityTooLarge, "the body is longer than %d bytes", s.most)
+		return frontend.Bad(http.StatusRequestEntityTooLarge, "the body is longer than %d bytes", s.most)
 	case err == body.ErrSlow || errors.Is(err, os.ErrDeadlineExceeded):
-		return front.Bad(http.StatusRequestTimeout, "the body comes too slowly")
+		return frontend.Bad(http.StatusRequestTimeout, "the body comes too slowly")
 	}
-	return front.Bad(http.StatusBadRequest, "the body did not arrive, or can't be read")
+	return frontend.Bad(http.StatusBadRequest, "the body did not arrive, or can't be read")
 }
 
 // serveStreams has a request answered, with what flows either way, and says whether the connection
 // may go on.
-func (s *Server) serveStreams(c *clientConn, x *front.Entry) bool {
+func (s *Server) serveStreams(c *clientConn, x *frontend.Entry) bool {
 	if x.Upgrade != "" {
 		if n := x.Route.Plain.Tunnels.Add(1); n > int64(x.Route.Plain.MaxTunnels) {
 			x.Route.Plain.Tunnels.Add(-1)
-			s.turnAway(c, front.Bad(http.StatusServiceUnavailable, "too many connections have gone over to another protocol"))
+			s.turnAway(c, frontend.Bad(http.StatusServiceUnavailable, "too many connections have gone over to another protocol"))
 			return false
 		}
 		defer x.Route.Plain.Tunnels.Add(-1)
@@ -218,7 +218,7 @@
 			break
 		}
 		err = (&clientSource{most: x.Route.Streams.MaxBodyBytes}).bad(err)
-		if c.fail(front.Status(err), err.Error(), "") == nil {
+		if c.fail(frontend.Status(err), err.Error(), "") == nil {
 			s.linger(c, flow)
 		}
 		return false
@@ -251,7 +251,7 @@
 const chunkRoom = 8
 
 // pass passes on an answer as it comes. An error says that it could not be finished.
-func (s *Server) pass(ctx context.Context, c *clientConn, x *front.Entry, a *engine.Response) error {
+func (s *Server) pass(ctx context.Context, c *clientConn, x *frontend.Entry, a *engine.Response) error {
 	buf := s.gate.Bodies.Buffer()
 	if buf == nil {
 		a.Release() // the host has done it: no refusal, which would promise that it has not
@@ -259,7 +259,7 @@
 	}
 	defer s.gate.Bodies.Return(buf)
 	flow := a.Body.Flow()
-	h := front.EndToEnd(a.Header)
+	h := frontend.EndToEnd(a.Header)
 	if x.Route.Plain != nil {
 		x.Route.Plain.ResponseHeaders.Apply(h)
 	}
@@ -312,7 +312,7 @@
 		}
 		if err == io.EOF && chunked {
 			c.SetWriteDeadline(time.Now().Add(writeTimeout))
-			_, err = c.TCPConn.Write(lastChunk(nil, front.Trailer(flow.Trailer())))
+			_, err = c.TCPConn.Write(lastChunk(nil, frontend.Trailer(flow.Trailer())))
 			return err
 		}
 		if err == io.EOF {
@@ -338,12 +338,12 @@
 
 // tunnel passes bytes both ways between a client and a host that have gone over to another
 // protocol, until both have ended, one breaks, or the gateway stops.
-func (s *Server) tunnel(c *clientConn, x *front.Entry, a *engine.Response) {
+func (s *Server) tunnel(c *clientConn, x *frontend.Entry, a *engine.Response) {
 	s.clients.gone(c) // it counts no more
 	nc := c.TCPConn
 	h := a.Header
 	protocol := h.Get("Upgrade")
-	front.EndToEnd(h)
+	frontend.EndToEnd(h)
 	h.Set("Upgrade", protocol)
 	head := append(c.beginHead(nil, http.StatusSwitchingProtocols), "Connection: Upgrade\r\n"...)
 	head = append(httpwire.AppendFields(head, h), crlf...)
--- a/internal/front/http1/server.go
+++ b/internal/frontend/http1/server.go
@@ -21,7 +21,7 @@
 	"dunemoor/internal/body"
 	"dunemoor/internal/drain"
 	"dunemoor/internal/engine"
-	"dunemoor/internal/front"
+	"dunemoor/internal/frontend"
 	"dunemoor/internal/httpwire"
 )
 
@@ -68,7 +68,7 @@
 	// What a client goes on sending behind its last answer is read for lingerTime, lingerBytes at
 	// most: enough for whoever was a little over the limit to see why.
 	lingerTime  = 500 * time.Millisecond
-	lingerBytes = 4 * front.MaxHeld
+	lingerBytes = 4 * frontend.MaxHeld
 	idleTimeout = 15 * time.Second // for a connection with no request: some are never used again
 	// idleLeast is how long a connection with no request is left open even when there
 	// is need of room: a close sooner may cross a request that the client has begun.
@@ -88,7 +88,7 @@
 
 // Server is the side of the clients, on any number of listeners.
 type Server struct {
-	gate     *front.Gate
+	gate     *frontend.Gate
 	plain    bool // there may be plain routes
 	shared   bool
 	headMost int
@@ -106,7 +106,7 @@
 }
 
 // New returns a Server that brings its requests through gate.
-func New(gate *front.Gate, o Options) *Server {
+func New(gate *frontend.Gate, o Options) *Server {
 	s := &Server{
 		gate: gate, plain: o.Plain, shared: o.Shared, headMost: cmp.Or(o.Head, maxRequestHead),
 		listeners: map[net.Listener]*atomic.Pointer[ListenOptions]{}, leave: make(chan struct{}),
@@ -358,10 +358,10 @@
 	}
 	x, err := s.read(c, came)
 	if err != nil {
-		var turned *front.Turned
+		var turned *frontend.Turned
 		if errors.As(err, &turned) && s.passable(c) {
 			// The connection goes on: a new one would cost more than this answer.
-			if c.fail(turned.Status(), turned.Error(), front.RetryAfter(turned.After, s.plain)) != nil {
+			if c.fail(turned.Status(), turned.Error(), frontend.RetryAfter(turned.After, s.plain)) != nil {
 				return false
 			}
 			if turned.Soon {
@@ -396,7 +396,7 @@
 // costs less than a new connection.
 func (s *Server) passable(c *clientConn) bool {
 	b := c.body
-	return b == nil || b.end == nil && !b.unasked && b.chunks == nil && b.left <= front.MaxHeld
+	return b == nil || b.end == nil && !b.unasked && b.chunks == nil && b.left <= frontend.MaxHeld
 }
 
 // pauseMost is how long a connection is left unread whose client came back sooner than it was
@@ -424,9 +424,9 @@
 // answer: what comes behind a bad request is not to be trusted, and a body that is
 // not read would be taken for the next one.
 func (s *Server) turnAway(c *clientConn, err error) {
-	status, after := front.Status(err), ""
+	status, after := frontend.Status(err), ""
 	if status == http.StatusServiceUnavailable {
-		after = front.RetryAfter(front.FullRetryAfter, s.plain)
+		after = frontend.RetryAfter(frontend.FullRetryAfter, s.plain)
 	}
 	c.close = true
 	if c.fail(status, err.Error(), after) != nil {
@@ -448,9 +448,9 @@
 var textPlain = http.Header{"Content-Type": {"text/plain; charset=utf-8"}}
 
 // read reads a request, whole but for what flows on a plain route. With no error it is entered.
-func (s *Server) read(c *clientConn, came time.Time) (*front.Entry, error) {
+func (s *Server) read(c *clientConn, came time.Time) (*frontend.Entry, error) {
 	r := &c.req
-	x, err := s.gate.Begin(&front.Message{
+	x, err := s.gate.Begin(&frontend.Message{
 		Method: r.Method, Target: r.Target, Host: r.Host, Named: r.Named, Header: r.Header, Length: r.Length, Peer: s.peer(c), Odd: r.Old,
 	}, came)
 	if err != nil {
@@ -479,15 +479,15 @@
 }
 
 // peer is who the request comes from, where there are routes that want to know.
-func (s *Server) peer(c *clientConn) front.Peer {
+func (s *Server) peer(c *clientConn) frontend.Peer {
 	if !s.plain {
-		return front.Peer{}
+		return frontend.Peer{}
 	}
 	return c.peer
 }
 
 // readWhole reads a body with a length.
-func readWhole(c *clientConn, x *front.Entry) error {
+func readWhole(c *clientConn, x *frontend.Entry) error {
 	n := c.req.Length
 	if err := x.Hold(n); err != nil {
 		return err
@@ -497,7 +497,7 @@
 		c.SetReadDeadline(time.Now().Add(requestTimeout))
 	}
 	if k, err := io.ReadFull(c.body, text); int64(k) < n {
-		return front.Bad(http.StatusBadRequest, "the body did not arrive: %v", err)
+		return frontend.Bad(http.StatusBadRequest, "the body did not arrive: %v", err)
 	}
 	x.Body = body.Held(text)
 	return nil
@@ -508,7 +508,7 @@
 	switch a.Kind {
 	case engine.Served:
 		said := a.Header["Content-Length"]
-		h := front.EndToEnd(a.Header)
+		h := frontend.EndToEnd(a.Header)
 		if x.Route.Plain != nil {
 			x.Route.Plain.ResponseHeaders.Apply(h)
 		}
@@ -524,7 +524,7 @@
 	case engine.Rejected:
 		after := ""
 		if a.RetryAfter > 0 {
-			after = front.RetryAfter(a.RetryAfter, x.Route.Plain != nil)
+			after = frontend.RetryAfter(a.RetryAfter, x.Route.Plain != nil)
 		}
 		return c.fail(http.StatusServiceUnavailable, "turned away, trying again is harmless", after)
 	}
--- a/internal/front/http1/source_test.go
+++ b/internal/frontend/http1/source_test.go
@@ -6,14 +6,14 @@
 	"time"
 
 	"dunemoor/internal/body"
-	"dunemoor/internal/front"
-	"dunemoor/internal/testkit"
+	"dunemoor/internal/frontend"
+	"dunemoor/internal/testutil"
 )
 
 // A read that ends as we gave the body up is not taken for a client that is too slow: it guards
 // against blaming the client, with 408, for a host that broke off.
 func TestGivenUpIsNotTooSlow(t *testing.T) {
-	ln := testkit.Listen(t, "127.0.0.1:0", nil)
+	ln := testutil.Listen(t, "127.0.0.1:0", nil)
 	defer ln.Close()
 	client, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	s := &clientSource{
-		c: c, body: &bodyReader{c: c, left: 1}, x: &front.Entry{}, meter: body.Meter{Pace: body.Pace{Idle: time.Minute}},
+		c: c, body: &bodyReader{c: c, left: 1}, x: &frontend.Entry{}, meter: body.Meter{Pace: body.Pace{Idle: time.Minute}},
 		alarm: body.Alarm{Set: c.SetReadDeadline},
 	}
 	flow := body.NewFlow(s, -1)
@@ -42,7 +42,7 @@
 		_, err := flow.Read(make([]byte, 1))
 		ended <- err
 	}()
-	testkit.Until(t, "it is being read", func() bool {
+	testutil.Until(t, "it is being read", func() bool {
 		if s.busy.TryLock() {
 			s.busy.Unlock()
 			return false
--- a/internal/front/ids_test.go
+++ b/internal/frontend/ids_test.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"fmt"
--- a/internal/gateway/appliance.go
+++ b/internal/gateway/appliance.go
@@ -15,7 +15,7 @@
 	"dunemoor/internal/config"
 	"dunemoor/internal/discovery"
 	"dunemoor/internal/engine"
-	"dunemoor/internal/front/http1"
+	"dunemoor/internal/frontend/http1"
 )
 
 // appliance is the state of a gateway with a configuration file of its own.
--- a/internal/gateway/appliance_test.go
+++ b/internal/gateway/appliance_test.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"dunemoor/internal/config"
-	"dunemoor/internal/standin"
-	"dunemoor/internal/testkit"
+	"dunemoor/internal/experiment/fakes"
+	"dunemoor/internal/testutil"
 )
 
 // parse reads an appliance's file that has to be right.
@@ -116,7 +116,7 @@
 		}
 	}
 	client := http.Client{
-		Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testkit.Patience,
+		Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testutil.Patience,
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 	resp, err := client.Do(r)
@@ -136,7 +136,7 @@
 func TestPlainClients(t *testing.T) {
 	var last *http.Request
 	var mu sync.Mutex
-	host := testkit.NewHost(t, func(c net.Conn, r *http.Request, _ int) bool {
+	host := testutil.NewHost(t, func(c net.Conn, r *http.Request, _ int) bool {
 		mu.Lock()
 		last = r
 		mu.Unlock()
@@ -214,9 +214,9 @@
 		{"POST", "report", nil, 1}, {"POST", "report", []string{"Idempotency-Key", "k"}, 2},
 	} {
 		var hosts []string
-		var list []*testkit.Host
+		var list []*testutil.Host
 		for range 6 {
-			h := testkit.NewHost(t, testkit.Says(testkit.Errored))
+			h := testutil.NewHost(t, testutil.Says(testutil.Errored))
 			list, hosts = append(list, h), append(hosts, h.Addr())
 		}
 		requests := func() (n int) {
@@ -246,8 +246,8 @@
 // A path that can't be matched without doubt is 400, whatever the routes; what is matched goes
 // to the host byte for byte.
 func TestPathTricksOnSockets(t *testing.T) {
-	host := testkit.NewHost(t, testkit.Says(testkit.Good))
-	secret := testkit.NewHost(t, testkit.Says(testkit.Good))
+	host := testutil.NewHost(t, testutil.Says(testutil.Good))
+	secret := testutil.NewHost(t, testutil.Says(testutil.Good))
 	g := startAppliance(t, head+poolText("open", "", host.Addr())+poolText("secret", "", secret.Addr())+
 		routeText("all", "pool = \"open\"\nclass = \"lookup\"\nhosts = [\"h.org\"]")+
 		routeText("secret", "pool = \"secret\"\nclass = \"lookup\"\npath = \"/secret\"\nhosts = [\"h.org\"]"))
@@ -294,17 +294,17 @@
 // crash whole, another's hang, and the file is read anew time and again: nothing that must not
 // runs twice, nothing is unanswered, and what can be served is.
 func TestThreeServices(t *testing.T) {
-	healthy := standin.Behaviour{Work: 2 * time.Millisecond, Cores: 8}
+	healthy := fakes.Behaviour{Work: 2 * time.Millisecond, Cores: 8}
 	names := []string{"calendar", "address", "remind"}
 	text, later := head, head
-	var ledgers []*standin.Ledger
-	var firsts []*standin.Fleet
+	var ledgers []*fakes.Ledger
+	var firsts []*fakes.Fleet
 	for _, name := range names {
-		ledger := standin.NewLedger()
-		var fleets [2]*standin.Fleet
+		ledger := fakes.NewLedger()
+		var fleets [2]*fakes.Fleet
 		for i := range fleets {
 			var err error
-			if fleets[i], err = standin.StartService(fmt.Sprint(name, i), 4, uint64(i), healthy, ledger); err != nil {
+			if fleets[i], err = fakes.StartService(fmt.Sprint(name, i), 4, uint64(i), healthy, ledger); err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(fleets[i].Close)
@@ -319,11 +319,11 @@
 	g := startAppliance(t, text)
 	var wait sync.WaitGroup
 	for i, name := range names {
-		classes := standin.Classes()
+		classes := fakes.Classes()
 		for k := range classes {
 			classes[k].Path, classes[k].Timeout = "/"+name+"/x", 20*time.Second
 		}
-		load := standin.Load{URL: g.urls[0], Rate: 100, Count: 500, Classes: classes, Seed: uint64(i + 1), Retries: 2}
+		load := fakes.Load{URL: g.urls[0], Rate: 100, Count: 500, Classes: classes, Seed: uint64(i + 1), Retries: 2}
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
@@ -334,9 +334,9 @@
 	}
 	served := func(i, n int) {
 		t.Helper()
-		testkit.Until(t, "requests are served", func() bool {
+		testutil.Until(t, "requests are served", func() bool {
 			c := ledgers[i].Count()
-			return c.Ends[standin.Served] >= n
+			return c.Ends[fakes.Served] >= n
 		})
 	}
 	served(0, 50)
@@ -344,7 +344,7 @@
 		n.Crash() // all of the first pool
 	}
 	hang := healthy
-	hang.Mode, hang.Share = standin.ResetAt, 0.3
+	hang.Mode, hang.Share = fakes.ResetAt, 0.3
 	firsts[1].Nodes[0].Behave(hang)
 	for round := range 6 {
 		next := text
@@ -367,7 +367,7 @@
 		if broken := c.Broken(); broken != "" {
 			t.Errorf("%s: rules broken: %s; twice %v, harm %v", name, broken, c.Twice, c.Harm)
 		}
-		if c.Ends[standin.Served]*100 < 85*c.Asked {
+		if c.Ends[fakes.Served]*100 < 85*c.Asked {
 			t.Errorf("%s: of %d asked %v", name, c.Asked, c.Ends)
 		}
 		t.Logf("%s: of %d asked %v", name, c.Asked, c.Ends)
@@ -377,11 +377,11 @@
 // A reload opens and closes listeners, keeps the pools that stand, ends those that are out with
 // all their connections and goroutines, and one that can't be done changes nothing.
 func TestReloadLeavesNothingBehind(t *testing.T) {
-	host := testkit.NewHost(t, testkit.Says(testkit.Good))
-	other := testkit.NewHost(t, testkit.Says(testkit.Good))
+	host := testutil.NewHost(t, testutil.Says(testutil.Good))
+	other := testutil.NewHost(t, testutil.Says(testutil.Good))
 	base := head + poolText("p", "", host.Addr()) + routeText("r", "pool = \"p\"\nclass = \"lookup\"")
 	g := startAppliance(t, base)
-	second := testkit.Listen(t, "127.0.0.1:0", nil)
+	second := testutil.Listen(t, "127.0.0.1:0", nil)
 	free := second.Addr().String()
 	second.Close()
 	wide := strings.Replace(base, "[[class]]", "[[listener]]\nname = \"more\"\naddress = \""+free+"\"\n[[class]]", 1) +
@@ -416,7 +416,7 @@
 		if err := g.Reload(parse(t, base)); err != nil {
 			t.Fatal(err)
 		}
-		testkit.Until(t, "the listener is closed", func() bool {
+		testutil.Until(t, "the listener is closed", func() bool {
 			c, err := net.Dial("tcp", free)
 			if err == nil {
 				c.Close()
@@ -424,7 +424,7 @@
 			return err != nil
 		})
 		get(g.urls[0]+"/q", 200) // served by p again
-		testkit.Until(t, "the connections of the pool that is out have ended", func() bool {
+		testutil.Until(t, "the connections of the pool that is out have ended", func() bool {
 			_, accepted, ended := other.Counts()
 			return accepted == ended
 		})
@@ -435,15 +435,15 @@
 			goroutines = runtime.NumGoroutine()
 		}
 	}
-	testkit.Until(t, "no goroutine is left of what was taken out", func() bool { return runtime.NumGoroutine() <= goroutines })
+	testutil.Until(t, "no goroutine is left of what was taken out", func() bool { return runtime.NumGoroutine() <= goroutines })
 }
 
 // Members of a file are followed, also from one file to another, and a reload to a file that
 // can't be read changes nothing.
 func TestMembersFromFiles(t *testing.T) {
-	first, second := testkit.NewHost(t, testkit.Says(testkit.Good)), testkit.NewHost(t, testkit.Says(testkit.Good))
+	first, second := testutil.NewHost(t, testutil.Says(testutil.Good)), testutil.NewHost(t, testutil.Says(testutil.Good))
 	dir := t.TempDir()
-	write := func(name string, h *testkit.Host) string {
+	write := func(name string, h *testutil.Host) string {
 		path := filepath.Join(dir, name)
 		text := fmt.Sprintf("{\"servers\":[{\"id\":%q,\"addr\":%q,\"state\":\"ready\"}]}", h.Addr(), h.Addr())
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -456,9 +456,9 @@
 	}
 	one := write("one.json", first)
 	g := startAppliance(t, text(one))
-	reaches := func(what string, h *testkit.Host) {
+	reaches := func(what string, h *testutil.Host) {
 		t.Helper()
-		testkit.Until(t, what, func() bool {
+		testutil.Until(t, what, func() bool {
 			before, _, _ := h.Counts()
 			resp, _ := fetch(t, "GET", g.urls[0]+"/", "")
 			after, _, _ := h.Counts()
@@ -484,13 +484,13 @@
 // With discovery down at the start the pool refuses at once, health names it, and it serves as
 // soon as discovery has told.
 func TestDiscoveryDownAtTheStart(t *testing.T) {
-	fleet, err := standin.StartService("s", 3, 3, standin.Behaviour{}, standin.NewLedger())
+	fleet, err := fakes.StartService("s", 3, 3, fakes.Behaviour{}, fakes.NewLedger())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer fleet.Close()
-	static := testkit.NewHost(t, testkit.Says(testkit.Good))
-	ln := testkit.Listen(t, "127.0.0.1:0", nil)
+	static := testutil.NewHost(t, testutil.Says(testutil.Good))
+	ln := testutil.Listen(t, "127.0.0.1:0", nil)
 	addr := ln.Addr().String()
 	ln.Close()
 	g := startAppliance(t, head+"[[pool]]\nname = \"told\"\ndiscovery = \""+addr+"\"\n"+poolText("static", "", static.Addr())+
@@ -500,7 +500,7 @@
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" || strings.Contains(resp.Header.Get("Retry-After"), ".") {
 		t.Errorf("answered %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
-	if took := time.Since(began); took > testkit.Patience/4 {
+	if took := time.Since(began); took > testutil.Patience/4 {
 		t.Errorf("it took %v", took)
 	}
 	if resp, text := fetch(t, "GET", g.urls[0]+"/_health", ""); resp.StatusCode != 200 || !strings.Contains(text, "pool told: no host") {
@@ -520,7 +520,7 @@
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
 	}))
-	testkit.Until(t, "the pool serves", func() bool {
+	testutil.Until(t, "the pool serves", func() bool {
 		resp, _ := fetch(t, "GET", g.urls[0]+"/told", "")
 		return resp.StatusCode == 200
 	})
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -26,9 +26,9 @@
 	"time"
 
 	"dunemoor/internal/config"
+	"dunemoor/internal/experiment/fakes"
 	"dunemoor/internal/fastcgi"
 	"dunemoor/internal/overload"
-	"dunemoor/internal/standin"
 )
 
 // BenchmarkIdlePool tells what a pool that gets no requests costs in memory, goroutines
@@ -690,7 +690,7 @@
 	for b.Loop() {
 		c := startChild(b, "dunemoor-cgi", web.Listener.Addr().String()+";"+ln.Addr().String())
 		byHTTP, byCGI, _ := strings.Cut(strings.TrimPrefix(c.url, "http://"), ";")
-		server := &standin.WebServer{Addr: byCGI}
+		server := &fakes.WebServer{Addr: byCGI}
 		clients := map[string]http.RoundTripper{"http": &http.Transport{MaxIdleConnsPerHost: 16}, "cgi": server}
 		type way struct {
 			name, client, path string
@@ -772,7 +772,7 @@
 	for b.Loop() {
 		c := startChild(b, "dunemoor-cgi", web.Listener.Addr().String()+";127.0.0.1:1")
 		_, byCGI, _ := strings.Cut(strings.TrimPrefix(c.url, "http://"), ";")
-		server := &standin.WebServer{Addr: byCGI, Conns: 4}
+		server := &fakes.WebServer{Addr: byCGI, Conns: 4}
 		var left, failed, refused atomic.Int64
 		left.Store(count)
 		var all sync.WaitGroup
--- a/internal/gateway/churn_test.go
+++ b/internal/gateway/churn_test.go
@@ -13,7 +13,7 @@
 
 	"dunemoor/balancer"
 	"dunemoor/internal/discovery"
-	"dunemoor/internal/testkit"
+	"dunemoor/internal/testutil"
 )
 
 // Hosts are replaced all day, each by a new id at the same address, in zones and of
@@ -53,7 +53,7 @@
 			}
 			replaced++
 			g.pool.UpdateEndpoints(balancer.ListChanges, discovery.MemberList{Servers: list})
-			if err := testkit.Asked(c); err != nil {
+			if err := testutil.Asked(c); err != nil {
 				t.Fatal(err)
 			}
 			if n := connections.Load(); n != int64(replaced) {
--- a/internal/gateway/compat_test.go
+++ b/internal/gateway/compat_test.go
@@ -4,8 +4,8 @@
 	"testing"
 
 	"dunemoor/internal/body"
-	"dunemoor/internal/front"
-	"dunemoor/internal/testkit/compat"
+	"dunemoor/internal/frontend"
+	"dunemoor/internal/testutil/compat"
 )
 
 // What operators' tools read at /admin/status.
@@ -15,7 +15,7 @@
 	for _, c := range body.Causes() {
 		causes = append(causes, c)
 	}
-	for _, r := range front.Refusals() {
+	for _, r := range frontend.Refusals() {
 		refusals = append(refusals, r)
 	}
 	compat.Values(t, "body-causes.txt", causes...)
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"dunemoor/internal/drain"
-	"dunemoor/internal/testkit"
+	"dunemoor/internal/testutil"
 )
 
 // dialClient is a client with a connection of its own.
@@ -23,7 +23,7 @@
 	t.Cleanup(func() { c.Close() })
 	in := bufio.NewReader(c)
 	return func() (*http.Response, error) {
-		fmt.Fprintf(c, "GET /api/1 HTTP/1.1\r\nHost: x\r\nX-Request-ID: %s\r\nX-Priority-Class: look\r\nX-Timeout: 30\r\n\r\n", testkit.NewID())
+		fmt.Fprintf(c, "GET /api/1 HTTP/1.1\r\nHost: x\r\nX-Request-ID: %s\r\nX-Priority-Class: look\r\nX-Timeout: 30\r\n\r\n", testutil.NewID())
 		resp, err := http.ReadResponse(in, nil)
 		if err == nil {
 			resp.Body.Close()
@@ -44,7 +44,7 @@
 // A drain: health says no at once, connections that are kept stay of use for a while and then
 // end with their answers, those without a request are closed, and a call later all is as before.
 func TestDrain(t *testing.T) {
-	g := startGateway(t, testConfig(testkit.NewHost(t, testkit.Says(testkit.Good))))
+	g := startGateway(t, testConfig(testutil.NewHost(t, testutil.Says(testutil.Good))))
 	g.Resume() // no drain is on: it changes nothing
 	if got := g.health(); got != 200 {
 		t.Fatalf("health: %d", got)
@@ -66,11 +66,11 @@
 	if resp, err := ask(); err != nil || resp.StatusCode != 200 {
 		t.Errorf("a kept connection just after the call: %v, %v", resp, err)
 	}
-	testkit.Until(t, "connections leave", func() bool { s, _ := g.gate.Draining(); return s >= drain.Leaving })
+	testutil.Until(t, "connections leave", func() bool { s, _ := g.gate.Draining(); return s >= drain.Leaving })
 	if resp, err := ask(); err != nil || resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("once connections leave: %v, %v", resp, err)
 	}
-	idle.SetReadDeadline(time.Now().Add(testkit.Patience))
+	idle.SetReadDeadline(time.Now().Add(testutil.Patience))
 	if _, err := idle.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "timeout") {
 		t.Errorf("a connection without a request is held: %v", err)
 	}
@@ -98,7 +98,7 @@
 // that cuts what it should wait for.
 func TestDrainWaitsForWhatIsOut(t *testing.T) {
 	release := make(chan struct{})
-	host := testkit.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
+	host := testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
 		<-release
 		_, err := c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
 		return err == nil
@@ -113,9 +113,9 @@
 		}
 		answer <- err
 	}()
-	testkit.Until(t, "it is out", func() bool { return g.openRequests() == 1 })
+	testutil.Until(t, "it is out", func() bool { return g.openRequests() == 1 })
 	g.Quiesce()
-	testkit.Until(t, "connections are closed", func() bool { s, _ := g.gate.Draining(); return s == drain.Closing })
+	testutil.Until(t, "connections are closed", func() bool { s, _ := g.gate.Draining(); return s == drain.Closing })
 	close(release)
 	if err := <-answer; err != nil {
 		t.Error(err)
--- a/internal/gateway/fastcgi_test.go
+++ b/internal/gateway/fastcgi_test.go
@@ -16,10 +16,10 @@
 	"time"
 
 	"dunemoor/internal/engine"
+	"dunemoor/internal/experiment/fakes"
 	"dunemoor/internal/fastcgi"
-	"dunemoor/internal/front"
-	"dunemoor/internal/standin"
-	"dunemoor/internal/testkit"
+	"dunemoor/internal/frontend"
+	"dunemoor/internal/testutil"
 )
 
 // webListener is a listener for web servers.
@@ -48,7 +48,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(testkit.Patience))
+	c.SetDeadline(time.Now().Add(testutil.Patience))
 	return &webSide{T: t, Conn: c, out: map[uint16]string{}, ended: map[uint16][]fastcgi.End{}}
 }
 
@@ -195,7 +195,7 @@
 		t.Errorf("%d bad requests went on", n)
 	}
 	// The connection has survived all that; bodies of any size flow.
-	for _, n := range []int{0, 1, front.MaxHeld, front.MaxHeld + 1, 2_000_000} {
+	for _, n := range []int{0, 1, frontend.MaxHeld, frontend.MaxHeld + 1, 2_000_000} {
 		if status, text := w.ask(3, webParams("POST", "/", "CONTENT_LENGTH", fmt.Sprint(n)), strings.Repeat("y", n)); status != 201 || text != fmt.Sprintf("POST / %d", n) {
 			t.Errorf("%d bytes: %d %q", n, status, text)
 		}
@@ -255,10 +255,10 @@
 		}
 	}
 	w.Write(webRequest(1, fastcgi.KeepConn, webParams("POST", "/hold", "CONTENT_LENGTH", "1"), "x", true))
-	testkit.Until(t, "it is out", func() bool { return held.Load() == 1 })
+	testutil.Until(t, "it is out", func() bool { return held.Load() == 1 })
 	abort(1)
 	check("while it is out", 1)
-	testkit.Until(t, "the attempt is called off", func() bool { return left.Load() == 1 })
+	testutil.Until(t, "the attempt is called off", func() bool { return left.Load() == 1 })
 	w.Write(webRequest(2, fastcgi.KeepConn, webParams("POST", "/", "CONTENT_LENGTH", "100"), "half", false))
 	abort(2)
 	check("half way through STDIN", 2)
@@ -275,10 +275,10 @@
 		w.out[id] = "over"
 	}
 	w.Write(webRequest(5, fastcgi.KeepConn, webParams("GET", "/hold"), "", true))
-	testkit.Until(t, "it is out", func() bool { return held.Load() == 2 })
+	testutil.Until(t, "it is out", func() bool { return held.Load() == 2 })
 	w.Close()
-	testkit.Until(t, "the end of a connection is its clients leaving", func() bool { return left.Load() == 2 })
-	testkit.Until(t, "nothing is held", func() bool {
+	testutil.Until(t, "the end of a connection is its clients leaving", func() bool { return left.Load() == 2 })
+	testutil.Until(t, "nothing is held", func() bool {
 		for i := range 3 {
 			if n, _ := g.gate.Bodies.Used(bodyCause(i)); n != 0 {
 				return false
@@ -305,7 +305,7 @@
 	for id := range uint16(most) {
 		w.Write(webRequest(id+1, fastcgi.KeepConn, webParams("POST", "/hold", "CONTENT_LENGTH", "0"), "", true))
 	}
-	testkit.Until(t, "the host is full", func() bool { return held.Load() == most })
+	testutil.Until(t, "the host is full", func() bool { return held.Load() == most })
 	w.Write(webRequest(50, fastcgi.KeepConn, webParams("POST", "/queued", "CONTENT_LENGTH", "0"), "", true))
 	inside := func() (n int64) {
 		plan := g.engine.Snapshot()
@@ -313,12 +313,12 @@
 		plan.Pools(func(p *engine.Pool) { n += p.OpenRequests() })
 		return n
 	}
-	testkit.Until(t, "it waits", func() bool { return inside() == most+1 })
+	testutil.Until(t, "it waits", func() bool { return inside() == most+1 })
 	w.Write(fastcgi.AppendEnd(nil, fastcgi.AbortRequest, 50))
 	if text, ok := w.until(50); !ok || text != "" {
 		t.Errorf("%q, ended %t", text, ok)
 	}
-	testkit.Until(t, "it is forgotten", func() bool { return inside() == most })
+	testutil.Until(t, "it is forgotten", func() bool { return inside() == most })
 	if n := queued.Load(); n != 0 {
 		t.Errorf("it went out %d times", n)
 	}
@@ -355,7 +355,7 @@
 	for id := range uint16(most) {
 		w.Write(webRequest(id+1, fastcgi.KeepConn, webParams("POST", "/hold", "CONTENT_LENGTH", "0"), "", true))
 	}
-	testkit.Until(t, "the host is full", func() bool { return held.Load() == most })
+	testutil.Until(t, "the host is full", func() bool { return held.Load() == most })
 	inside := func() (n int64) {
 		plan := g.engine.Snapshot()
 		defer plan.Release()
@@ -365,11 +365,11 @@
 	left := dialWeb(t, g.cgiAddr())
 	body := strings.Repeat("x", 160<<10) // more than is held of it and read ahead, by what its connection has room for
 	left.Write(webRequest(1, fastcgi.KeepConn, webParams("POST", "/queued", "CONTENT_LENGTH", "1000000"), body, false))
-	testkit.Until(t, "it waits", func() bool { return inside() == most+1 })
+	testutil.Until(t, "it waits", func() bool { return inside() == most+1 })
 	left.Close()
-	testkit.Until(t, "its end has come", func() bool { return closeWait(t, left) })
+	testutil.Until(t, "its end has come", func() bool { return closeWait(t, left) })
 	release()
-	testkit.Until(t, "all is over", func() bool { return inside() == 0 })
+	testutil.Until(t, "all is over", func() bool { return inside() == 0 })
 	if status, _ := w.ask(50, webParams("GET", "/"), ""); status != 200 {
 		t.Errorf("status %d", status)
 	}
@@ -388,7 +388,7 @@
 	g := startAppliance(t, uploads("", addr)+webListener)
 	w := dialWeb(t, g.cgiAddr())
 	w.Write(webRequest(1, fastcgi.KeepConn, webParams("GET", "/"), "", true))
-	testkit.Until(t, "it is out", func() bool { return hits.Load() == 1 })
+	testutil.Until(t, "it is out", func() bool { return hits.Load() == 1 })
 	w.Write(webRequest(2, fastcgi.KeepConn, webParams("POST", "/", "CONTENT_LENGTH", "9"), "half", false))
 	w.Write(fastcgi.AppendBegin(nil, 1, fastcgi.Begin{Role: fastcgi.Responder}))
 	if text, ok := w.until(2); !ok || !strings.HasPrefix(text, "Status: 400") {
@@ -477,7 +477,7 @@
 			t.Errorf("a new connection, %d: %d %q", i, status, text)
 		}
 	}
-	testkit.Until(t, "those that bring nothing more are ended", func() bool {
+	testutil.Until(t, "those that bring nothing more are ended", func() bool {
 		for i := range 3 {
 			if n, _ := g.gate.Bodies.Used(bodyCause(i)); n > 1<<20 {
 				return false
@@ -500,17 +500,17 @@
 // house: both have the same service counted, no booking runs twice, nobody is left without an
 // answer.
 func TestProtocolsMixed(t *testing.T) {
-	ledger := standin.NewLedger()
+	ledger := fakes.NewLedger()
 	work := 2 * time.Millisecond
-	nodes, err := standin.StartService("n", 4, 5, standin.Behaviour{Work: work, Cores: 8}, ledger)
+	nodes, err := fakes.StartService("n", 4, 5, fakes.Behaviour{Work: work, Cores: 8}, ledger)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer nodes.Close()
-	var responders []*standin.Responder
+	var responders []*fakes.Responder
 	var addrs []string
 	for i := range 4 {
-		r, err := standin.StartResponder(fmt.Sprint("r-", i), "r", ledger, uint64(i), work)
+		r, err := fakes.StartResponder(fmt.Sprint("r-", i), "r", ledger, uint64(i), work)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -523,19 +523,19 @@
 	}
 	g := startAppliance(t, text+webListener)
 	// Connections enough for all that a slow machine lets pile up.
-	web := &standin.WebServer{Addr: g.cgiAddr(), Conns: 10}
+	web := &fakes.WebServer{Addr: g.cgiAddr(), Conns: 10}
 	defer web.Close()
 	var loads sync.WaitGroup
 	const rate, count = 60, 240 // of each of the four; a slow machine keeps up too
 	for i, by := range []http.RoundTripper{nil, web} {
 		for k, pool := range []string{"http", "cgi"} {
-			classes := standin.Classes()
+			classes := fakes.Classes()
 			for n := range classes {
 				c := &classes[n]
 				c.Says, c.Name = c.Name, fmt.Sprintf("%s by %s at %s", c.Name, []string{"http", "cgi"}[i], pool)
 				c.Path, c.Timeout = "/"+pool+"/x", 20*time.Second
 			}
-			load := standin.Load{URL: g.urls[0], Rate: rate, Count: count, Classes: classes, Seed: uint64(10*i + k), Retries: 2, Transport: by}
+			load := fakes.Load{URL: g.urls[0], Rate: rate, Count: count, Classes: classes, Seed: uint64(10*i + k), Retries: 2, Transport: by}
 			loads.Go(func() {
 				if err := load.Run(context.Background(), ledger); err != nil {
 					t.Error(err)
@@ -553,8 +553,8 @@
 			responders[(i+1)%4].Crash()
 			time.Sleep(200 * time.Millisecond)
 			// Meanwhile a connection of another process may have taken the port: the host stays down for as long.
-			testkit.Until(t, "the node has its address again", func() bool { return nodes.Nodes[i%4].Start() == nil })
-			testkit.Until(t, "the responder has its address again", func() bool { return responders[(i+1)%4].Start() == nil })
+			testutil.Until(t, "the node has its address again", func() bool { return nodes.Nodes[i%4].Start() == nil })
+			testutil.Until(t, "the responder has its address again", func() bool { return responders[(i+1)%4].Start() == nil })
 			continue
 		}
 		break
@@ -569,7 +569,7 @@
 		for _, k := range ends {
 			n += k
 		}
-		shares[name] = 100 * float64(ends[standin.Served]) / float64(n)
+		shares[name] = 100 * float64(ends[fakes.Served]) / float64(n)
 		if shares[name] < 80 {
 			t.Errorf("%s: %.1f%% served of %d: %v", name, shares[name], n, ends)
 		}
@@ -588,7 +588,7 @@
 	}
 	left.SetUnlinkOnClose(false)
 	left.Close()
-	r, err := standin.StartResponder("r", "r", standin.NewLedger(), 1, 0)
+	r, err := fakes.StartResponder("r", "r", fakes.NewLedger(), 1, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -600,7 +600,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.SetDeadline(time.Now().Add(testkit.Patience))
+	c.SetDeadline(time.Now().Add(testutil.Patience))
 	w := &webSide{T: t, Conn: c, out: map[uint16]string{}, ended: map[uint16][]fastcgi.End{}}
 	defer c.Close()
 	if status, text := w.ask(1, webParams("GET", "/", "HTTP_X_REQUEST_ID", "abc"), ""); status != 200 || text != "done abc" {
@@ -626,7 +626,7 @@
 	var runs atomic.Int64
 	var addrs []string
 	for range 2 {
-		ln := testkit.Listen(t, "127.0.0.1:0", nil)
+		ln := testutil.Listen(t, "127.0.0.1:0", nil)
 		defer ln.Close()
 		addrs = append(addrs, ln.Addr().String())
 		go func() {
--- a/internal/gateway/flow_test.go
+++ b/internal/gateway/flow_test.go
@@ -22,7 +22,7 @@
 	"time"
 
 	"dunemoor/internal/body"
-	"dunemoor/internal/testkit"
+	"dunemoor/internal/testutil"
 )
 
 // peer is a host made of net/http's server, which knows nothing of the gateway's code.
@@ -80,7 +80,7 @@
 		io.Copy(w, noise(9, back))
 	})
 	g := startAppliance(t, uploads("max_body = \"64MiB\"", addr))
-	client := &http.Client{Timeout: testkit.Patience}
+	client := &http.Client{Timeout: testutil.Patience}
 	defer client.CloseIdleConnections()
 	for _, n := range []int64{0, 1, 65535, 65536, 65537, 1 << 20, 20 << 20} {
 		for _, chunked := range []bool{false, true} {
@@ -121,7 +121,7 @@
 			}
 		}
 	}
-	testkit.Until(t, "nothing is held", func() bool {
+	testutil.Until(t, "nothing is held", func() bool {
 		for c := range 3 {
 			if used, _ := g.gate.Bodies.Used(bodyCause(c)); used != 0 {
 				return false
@@ -166,7 +166,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(testkit.Patience))
+	c.SetDeadline(time.Now().Add(testutil.Patience))
 	fmt.Fprintf(c, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n", all)
 	sent := make(chan int64, 1)
 	go func() {
@@ -214,7 +214,7 @@
 		g := startAppliance(t, uploads("hold = \"8KiB\"\nretry_share = 3.0\nretry_floor = 100.0", nodes...))
 		r, _ := http.NewRequest("PUT", g.urls[0]+"/", noise(5, c.n))
 		r.ContentLength = c.n
-		resp, err := (&http.Client{Timeout: testkit.Patience}).Do(r)
+		resp, err := (&http.Client{Timeout: testutil.Patience}).Do(r)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -225,7 +225,7 @@
 		g.Close()
 	}
 	// Connections that are refused prove that nothing ran, also while the body is still coming.
-	ln := testkit.Listen(t, "127.0.0.1:0", nil)
+	ln := testutil.Listen(t, "127.0.0.1:0", nil)
 	dead := ln.Addr().String()
 	ln.Close()
 	var requests atomic.Int64
@@ -247,7 +247,7 @@
 		}()
 		r, _ := http.NewRequest("POST", g.urls[0]+"/", in)
 		r.ContentLength = 1 << 20
-		resp, err := (&http.Client{Timeout: testkit.Patience}).Do(r)
+		resp, err := (&http.Client{Timeout: testutil.Patience}).Do(r)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -272,9 +272,9 @@
 		"no last chunk":           "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("4\r\nxxxx\r\n", 50_000),
 		"broken chunks":           "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("4\r\nxxxx\r\n", 50_000) + "zz\r\n",
 	} {
-		var hosts []*testkit.Host
+		var hosts []*testutil.Host
 		for range 2 {
-			hosts = append(hosts, testkit.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
+			hosts = append(hosts, testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
 				io.WriteString(c, text)
 				return false
 			}))
@@ -302,7 +302,7 @@
 	// One that is ended by its connection is whole when that ends in order, and not when it is
 	// reset.
 	for _, reset := range []bool{false, true} {
-		host := testkit.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
+		host := testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
 			io.WriteString(c, "HTTP/1.0 200 OK\r\n\r\n"+strings.Repeat("x", 100_000))
 			if reset {
 				time.Sleep(100 * time.Millisecond) // else the reset takes the bytes with it
@@ -329,7 +329,7 @@
 func TestEarlyAnswer(t *testing.T) {
 	for _, reads := range []bool{false, true} {
 		var requests atomic.Int64
-		host := testkit.Listen(t, "127.0.0.1:0", nil)
+		host := testutil.Listen(t, "127.0.0.1:0", nil)
 		defer host.Close()
 		go func() {
 			for {
@@ -348,7 +348,7 @@
 					if reads {
 						io.Copy(io.Discard, in)
 					} else {
-						time.Sleep(testkit.Patience / 20)
+						time.Sleep(testutil.Patience / 20)
 					}
 				}()
 			}
@@ -358,7 +358,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.SetDeadline(time.Now().Add(testkit.Patience))
+		c.SetDeadline(time.Now().Add(testutil.Patience))
 		fmt.Fprintf(c, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n", 30<<20)
 		go io.Copy(c, noise(1, 20<<20))
 		in := bufio.NewReader(c)
@@ -422,7 +422,7 @@
 			}
 		}()
 	}
-	testkit.Until(t, "both stand still", func() bool {
+	testutil.Until(t, "both stand still", func() bool {
 		a, b := wrote.Load(), read.Load()
 		time.Sleep(100 * time.Millisecond)
 		return a > 0 && b > 0 && a == wrote.Load() && b == read.Load()
@@ -464,7 +464,7 @@
 		r.Header.Set("Expect", "100-continue")
 		r.Header.Set("X-Want", want)
 		r = r.WithContext(httptrace.WithClientTrace(context.Background(), &httptrace.ClientTrace{Got100Continue: func() { told.Add(1) }}))
-		client := &http.Client{Timeout: testkit.Patience, Transport: &http.Transport{ExpectContinueTimeout: testkit.Patience, DisableKeepAlives: true}}
+		client := &http.Client{Timeout: testutil.Patience, Transport: &http.Transport{ExpectContinueTimeout: testutil.Patience, DisableKeepAlives: true}}
 		resp, err := client.Do(r)
 		if err != nil {
 			t.Fatal(err)
@@ -510,7 +510,7 @@
 
 // What readers of HTTP disagree on goes to no host: each case hides a request, or might.
 func TestSmuggling(t *testing.T) {
-	host := testkit.NewHost(t, testkit.Says(testkit.Good))
+	host := testutil.NewHost(t, testutil.Says(testutil.Good))
 	g := startAppliance(t, uploads("max_body = \"1MiB\"", host.Addr()))
 	post := "POST / HTTP/1.1\r\nHost: a\r\n"
 	hidden := "0\r\n\r\nGET /hidden HTTP/1.1\r\nHost: a\r\n\r\n"
@@ -541,7 +541,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.SetDeadline(time.Now().Add(testkit.Patience))
+		c.SetDeadline(time.Now().Add(testutil.Patience))
 		io.WriteString(c, text)
 		c.(*net.TCPConn).CloseWrite()
 		in := bufio.NewReader(c)
@@ -580,7 +580,7 @@
 		"not asked for":     "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n",
 		"noise":             "\x80\x01\x02",
 	} {
-		host := testkit.NewHost(t, testkit.Says(text))
+		host := testutil.NewHost(t, testutil.Says(text))
 		g := startAppliance(t, uploads("", host.Addr()))
 		if resp, body := fetch(t, "POST", g.urls[0]+"/", "b"); resp.StatusCode != 502 {
 			t.Errorf("%s: %d %q", name, resp.StatusCode, body)
@@ -611,7 +611,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.SetDeadline(time.Now().Add(testkit.Patience))
+		c.SetDeadline(time.Now().Add(testutil.Patience))
 		fmt.Fprintf(c, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: %s\r\n\r\nabc", text)
 		if text != "10" {
 			c.Write(make([]byte, 100_000))
@@ -646,7 +646,7 @@
 			}
 		}
 	})
-	other := testkit.NewHost(t, testkit.Says(testkit.Good))
+	other := testutil.NewHost(t, testutil.Says(testutil.Good))
 	g := startAppliance(t, uploads("stream = true\ntimeout = \"1s\"", addr)[:0]+strings.Replace(uploads("stream = true", addr), "timeout = \"15s\"", "timeout = \"1s\"", 1))
 	var streams []*bufio.Reader
 	for range 10 {
@@ -695,7 +695,7 @@
 // A connection goes over to another protocol where the route allows it, bytes pass both ways,
 // their number is bounded, and at a drain WebSocket's clients are told.
 func TestUpgrade(t *testing.T) {
-	echo := testkit.Listen(t, "127.0.0.1:0", nil)
+	echo := testutil.Listen(t, "127.0.0.1:0", nil)
 	defer echo.Close()
 	go func() {
 		for {
@@ -728,7 +728,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.SetDeadline(time.Now().Add(testkit.Patience))
+		c.SetDeadline(time.Now().Add(testutil.Patience))
 		fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: a\r\nConnection: keep-alive, Upgrade\r\nUpgrade: websocket\r\nSec-WebSocket-Key: y\r\n\r\n", path)
 		in := bufio.NewReader(c)
 		resp, err := http.ReadResponse(in, nil)
@@ -772,7 +772,7 @@
 		t.Errorf("the end of one side: %q, %v", rest, err)
 	}
 	b.Close()
-	testkit.Until(t, "there is room again", func() bool {
+	testutil.Until(t, "there is room again", func() bool {
 		c, in, resp := open("/ws")
 		defer c.Close()
 		if resp.StatusCode == 101 {
@@ -822,11 +822,11 @@
 	}
 	all.Wait()
 	pool := g.appliance.pools["p"]
-	testkit.Until(t, "no request is kept", func() bool { return pool.OpenRequests() == 0 })
+	testutil.Until(t, "no request is kept", func() bool { return pool.OpenRequests() == 0 })
 	for c := range 3 {
-		testkit.Until(t, "no memory is held", func() bool { used, _ := g.gate.Bodies.Used(bodyCause(c)); return used == 0 })
+		testutil.Until(t, "no memory is held", func() bool { used, _ := g.gate.Bodies.Used(bodyCause(c)); return used == 0 })
 	}
-	testkit.Until(t, "no goroutine is left", func() bool {
+	testutil.Until(t, "no goroutine is left", func() bool {
 		http.DefaultClient.CloseIdleConnections()
 		return runtime.NumGoroutine() <= before+8 // idle connections to the host
 	})
@@ -922,7 +922,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(testkit.Patience))
+	c.SetDeadline(time.Now().Add(testutil.Patience))
 	io.WriteString(c, "GET / HTTP/1.0\r\nHost: a\r\n\r\n")
 	in := bufio.NewReader(c)
 	for line := ""; line != "data: 1\n"; {
@@ -945,7 +945,7 @@
 // To an HTTP/1.0 client the connection's end is the answer's: where the host breaks off it sees a
 // reset, and never a clean end.
 func TestOldClientSeesWhatBreaksOff(t *testing.T) {
-	host := testkit.NewHost(t, func(c net.Conn, r *http.Request, _ int) bool {
+	host := testutil.NewHost(t, func(c net.Conn, r *http.Request, _ int) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n")
 		if r.URL.Path == "/whole" {
 			io.WriteString(c, "0\r\n\r\n")
@@ -959,7 +959,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.SetDeadline(time.Now().Add(testkit.Patience))
+		c.SetDeadline(time.Now().Add(testutil.Patience))
 		io.WriteString(c, "GET "+path+" HTTP/1.0\r\nHost: a\r\n\r\n")
 		got, err := io.ReadAll(c)
 		if (err == nil) != whole || whole && !strings.HasSuffix(string(got), "\r\n\r\nfirst") {
--- a/internal/gateway/forward_test.go
+++ b/internal/gateway/forward_test.go
@@ -14,14 +14,14 @@
 	"github.com/pires/go-proxyproto"
 
 	"dunemoor/internal/config"
-	"dunemoor/internal/front"
-	"dunemoor/internal/testkit"
+	"dunemoor/internal/frontend"
+	"dunemoor/internal/testutil"
 )
 
 // forwardBox is a gateway in front of one host that says what headers it got.
-func forwardBox(t *testing.T, listener, route string) (*testAppliance, *testkit.Host) {
+func forwardBox(t *testing.T, listener, route string) (*testAppliance, *testutil.Host) {
 	t.Helper()
-	host := testkit.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
+	host := testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nServer: theirs\r\nX-Old: 1\r\nSet-Cookie: a=1\r\nSet-Cookie: b=2\r\n"+
 			"Connection: X-Hop\r\nX-Hop: 1\r\nRetry-After: 7\r\n\r\n")
 		return true
@@ -31,7 +31,7 @@
 }
 
 // said is what the last request at a host says of its client.
-func said(h *testkit.Host) (list [4]string) {
+func said(h *testutil.Host) (list [4]string) {
 	h.Mu.Lock()
 	defer h.Mu.Unlock()
 	r := h.Requests[len(h.Requests)-1]
@@ -67,7 +67,7 @@
 		g.Close()
 	}
 	h := http.Header{}
-	front.Forward(h, front.Peer{Addr: netip.MustParseAddr("2001:db8::1%eth0"), Proto: "https"}, "h.org")
+	frontend.Forward(h, frontend.Peer{Addr: netip.MustParseAddr("2001:db8::1%eth0"), Proto: "https"}, "h.org")
 	if got := h.Get("Forwarded"); got != "for=\"[2001:db8::1]\";host=h.org;proto=https" || h.Get("X-Forwarded-For") != "2001:db8::1" {
 		t.Errorf("%v", h)
 	}
@@ -111,7 +111,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		nc.SetDeadline(time.Now().Add(testkit.Patience))
+		nc.SetDeadline(time.Now().Add(testutil.Patience))
 		io.WriteString(nc, c.sent)
 		if c.from == "" {
 			nc.(*net.TCPConn).CloseWrite() // nothing more comes; one who waits for an answer does not do so
@@ -127,7 +127,7 @@
 			t.Errorf("%s: answered %d, %d requests at the host", c.name, got, n)
 		}
 		if c.from != "" {
-			testkit.Until(t, c.name+": the host has it", func() bool { n, _, _ := host.Counts(); return n > 0 })
+			testutil.Until(t, c.name+": the host has it", func() bool { n, _, _ := host.Counts(); return n > 0 })
 			if s := said(host); s[0] != c.from {
 				t.Errorf("%s: the host is told %q", c.name, s)
 			}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -18,10 +18,10 @@
 	"dunemoor/internal/config"
 	"dunemoor/internal/discovery"
 	"dunemoor/internal/engine"
-	"dunemoor/internal/front"
-	fcgi "dunemoor/internal/front/fastcgi"
-	"dunemoor/internal/front/http1"
-	hosts "dunemoor/internal/host/http1"
+	"dunemoor/internal/frontend"
+	fcgi "dunemoor/internal/frontend/fastcgi"
+	"dunemoor/internal/frontend/http1"
+	hosts "dunemoor/internal/upstream/http1"
 )
 
 // Shares of the file descriptors, in percent. Clients have a third of all at most for their requests; each request
@@ -40,7 +40,7 @@
 // Gateway is a running gateway. Its methods are called from one goroutine, unless they say otherwise.
 type Gateway struct {
 	engine         *engine.Engine
-	gate           *front.Gate
+	gate           *frontend.Gate
 	server         *http1.Server
 	fastCGI        *fcgi.Server // nil: no listener speaks FastCGI
 	listenerErrors chan error
@@ -65,7 +65,7 @@
 // newGateway returns a Gateway without pools.
 func newGateway(seed uint64, sockets int, memory int64, o http1.Options) *Gateway {
 	g := &Gateway{engine: engine.New(seed), listenerErrors: make(chan error, 1), sockets: sockets, memory: memory}
-	g.gate = front.NewGate(g.engine, body.NewBudget(memory))
+	g.gate = frontend.NewGate(g.engine, body.NewBudget(memory))
 	o.Sockets, o.Spare = clientSocketLimits(sockets)
 	g.server = http1.New(g.gate, o)
 	g.ctx, g.cancel = context.WithCancel(context.Background())
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"dunemoor/internal/config"
-	"dunemoor/internal/front"
+	"dunemoor/internal/frontend"
 	"dunemoor/internal/overload"
 	"dunemoor/internal/ratelimit"
 )
@@ -21,7 +21,7 @@
 
 // setLimits sets up load shedding and the limits of clients and tenants.
 func (g *Gateway) setLimits(a *config.Appliance) {
-	l := &front.Limits{Base: minRetryAfter, Most: maxGateRetryAfter, TenantName: a.Limits.TenantHeader, TenantOf: map[string]int{}}
+	l := &frontend.Limits{Base: minRetryAfter, Most: maxGateRetryAfter, TenantName: a.Limits.TenantHeader, TenantOf: map[string]int{}}
 	if !a.Limits.NoLoadShedding {
 		_, _, n := overload.Ranks(classRanks(newClasses(a)))
 		l.Overload = overload.New(n)
--- a/internal/gateway/list_test.go
+++ b/internal/gateway/list_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"dunemoor/internal/testkit"
+	"dunemoor/internal/testutil"
 )
 
 // scriptedList is discovery on a loopback socket: each call is handed to the test, which writes to it
@@ -52,7 +52,7 @@
 	select {
 	case c := <-s.calls:
 		return c
-	case <-time.After(testkit.Patience):
+	case <-time.After(testutil.Patience):
 		t.Fatal("discovery is not called")
 		return nil
 	}
@@ -63,7 +63,7 @@
 	c.w.(http.Flusher).Flush()
 }
 
-func entry(id string, h *testkit.Host, state string) string {
+func entry(id string, h *testutil.Host, state string) string {
 	return fmt.Sprintf(`{"id":%q,"addr":%q,"state":%q}`, id, h.Addr(), state)
 }
 
@@ -78,14 +78,14 @@
 	release := make(chan struct{})
 	once := sync.OnceFunc(func() { close(release) })
 	defer once()
-	drains := testkit.NewHost(t, func(c net.Conn, r *http.Request, _ int) bool {
+	drains := testutil.NewHost(t, func(c net.Conn, r *http.Request, _ int) bool {
 		if strings.HasSuffix(r.URL.Path, "/slow") {
 			<-release
 		}
-		io.WriteString(c, testkit.Good)
+		io.WriteString(c, testutil.Good)
 		return true
 	})
-	stays := testkit.NewHost(t, testkit.Says(testkit.Good))
+	stays := testutil.NewHost(t, testutil.Says(testutil.Good))
 	list := newScriptedList(t)
 	cfg := testConfig()
 	cfg.Discovery = list.addr
@@ -93,7 +93,7 @@
 
 	watch := list.next(t)
 	watch.line(whole(41, entry("s-1", drains, "ready")))
-	testkit.Until(t, "the host is known", func() bool { return g.pool.Address("s-1") != "" })
+	testutil.Until(t, "the host is known", func() bool { return g.pool.Address("s-1") != "" })
 	if resp, _ := g.ask("look", "/api/quick", ""); resp.StatusCode != 200 { // it leaves a connection that is kept
 		t.Fatalf("status %d", resp.StatusCode)
 	}
@@ -113,7 +113,7 @@
 			answers <- nil
 		}()
 	}
-	testkit.Until(t, "three are under way", func() bool { n, _, _ := drains.Counts(); return n == 1+len(classes) })
+	testutil.Until(t, "three are under way", func() bool { n, _, _ := drains.Counts(); return n == 1+len(classes) })
 
 	close(watch.ended)
 	watch = list.next(t)
@@ -121,14 +121,14 @@
 		t.Errorf("asked for what comes behind %s", watch.index)
 	}
 	watch.line(whole(43, entry("s-2", stays, "ready")))
-	testkit.Until(t, "the list is in use", func() bool { return g.pool.Address("s-2") != "" })
+	testutil.Until(t, "the list is in use", func() bool { return g.pool.Address("s-2") != "" })
 	for range 4 {
 		for _, class := range classes {
 			body := "b"
 			if class == "look" {
 				body = ""
 			}
-			if resp, _ := g.ask(class, "/api/quick", body, "Idempotency-Key", testkit.NewID()); resp.StatusCode != 200 {
+			if resp, _ := g.ask(class, "/api/quick", body, "Idempotency-Key", testutil.NewID()); resp.StatusCode != 200 {
 				t.Errorf("%s: status %d", class, resp.StatusCode)
 			}
 		}
@@ -142,10 +142,10 @@
 			t.Errorf("under way at the host that is gone: %v", err)
 		}
 	}
-	testkit.Until(t, "its connections are closed", func() bool { _, opened, ended := drains.Counts(); return opened == ended })
+	testutil.Until(t, "its connections are closed", func() bool { _, opened, ended := drains.Counts(); return opened == ended })
 
 	watch.line(whole(44, entry("s-1", drains, "ready")))
-	testkit.Until(t, "the list is in use", func() bool { return g.pool.Address("s-1") != "" })
+	testutil.Until(t, "the list is in use", func() bool { return g.pool.Address("s-1") != "" })
 	if resp, _ := g.ask("look", "/api/quick", ""); resp.StatusCode != 200 {
 		t.Errorf("listed again: status %d", resp.StatusCode)
 	}
@@ -157,14 +157,14 @@
 // A watch that has fallen silent is opened anew also while the gateway stops, and what it tells then
 // is acted on: clients go on using the connections that they have. It guards the order of Stop.
 func TestListIsHeardWhileStopping(t *testing.T) {
-	drains, stays := testkit.NewHost(t, testkit.Says(testkit.Good)), testkit.NewHost(t, testkit.Says(testkit.Good))
+	drains, stays := testutil.NewHost(t, testutil.Says(testutil.Good)), testutil.NewHost(t, testutil.Says(testutil.Good))
 	list := newScriptedList(t)
 	cfg := testConfig()
 	cfg.Discovery = list.addr
 	g := startGateway(t, cfg)
 	watch := list.next(t)
 	watch.line(whole(41, entry("s-1", drains, "ready")))
-	testkit.Until(t, "the host is known", func() bool { return g.pool.Address("s-1") != "" })
+	testutil.Until(t, "the host is known", func() bool { return g.pool.Address("s-1") != "" })
 	ask, _ := dialClient(t, g)
 	if resp, err := ask(); err != nil || resp.StatusCode != 200 {
 		t.Fatal(resp, err)
@@ -172,9 +172,9 @@
 	watch = list.next(t) // the first says nothing more
 	stopped := make(chan struct{})
 	go func() { g.Stop(0); close(stopped) }()
-	testkit.Until(t, "the gateway stops", func() bool { return !g.ready() })
+	testutil.Until(t, "the gateway stops", func() bool { return !g.ready() })
 	watch.line(whole(43, entry("s-1", drains, "draining"), entry("s-2", stays, "ready")))
-	testkit.Until(t, "the list is in use", func() bool { return g.pool.Address("s-2") != "" && g.pool.Address("s-1") == "" })
+	testutil.Until(t, "the list is in use", func() bool { return g.pool.Address("s-2") != "" && g.pool.Address("s-1") == "" })
 	if resp, err := ask(); err != nil || resp.StatusCode != 200 {
 		t.Fatal(resp, err)
 	}
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -8,7 +8,7 @@
 	"syscall"
 
 	"dunemoor/internal/config"
-	fcgi "dunemoor/internal/front/fastcgi"
+	fcgi "dunemoor/internal/frontend/fastcgi"
 )
 
 const (
--- a/internal/gateway/long_test.go
+++ b/internal/gateway/long_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"dunemoor/internal/front"
-	"dunemoor/internal/testkit"
+	"dunemoor/internal/frontend"
+	"dunemoor/internal/testutil"
 )
 
 // sample is n bytes that differ.
@@ -34,7 +34,7 @@
 	g.Cleanup(func() { c.Close() })
 	var all bytes.Buffer
 	fmt.Fprintf(&all, "POST /api/1 HTTP/1.1\r\nHost: a\r\nX-Priority-Class: %s\r\nX-Timeout: 60\r\nX-Request-ID: %s\r\nIdempotency-Key: k\r\n%s\r\n",
-		class, testkit.NewID(), framing)
+		class, testutil.NewID(), framing)
 	all.Write(body)
 	for rest := all.Bytes(); len(rest) > 0; rest = rest[min(piece, len(rest)):] {
 		if _, err := c.Write(rest[:min(piece, len(rest))]); err != nil {
@@ -65,7 +65,7 @@
 func TestLongRequests(t *testing.T) {
 	var sums atomic.Value
 	var ran atomic.Int64
-	host := testkit.NewHost(t, func(c net.Conn, r *http.Request, _ int) bool { return false })
+	host := testutil.NewHost(t, func(c net.Conn, r *http.Request, _ int) bool { return false })
 	host.Close()
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		h := sha256.New()
@@ -77,13 +77,13 @@
 		sums.Store(fmt.Sprintf("%d %x", n, h.Sum(nil)))
 		io.WriteString(w, "good")
 	})}
-	ln := testkit.Listen(t, "127.0.0.1:0", nil)
+	ln := testutil.Listen(t, "127.0.0.1:0", nil)
 	go server.Serve(ln)
 	defer server.Close()
 	cfg := testConfig(host)
 	cfg.Known.Servers[0].Addr = ln.Addr().String()
 	g := startGateway(t, cfg)
-	for _, n := range []int{1, front.MaxHeld - 1, front.MaxHeld, front.MaxHeld + 1, 3 << 20} {
+	for _, n := range []int{1, frontend.MaxHeld - 1, frontend.MaxHeld, frontend.MaxHeld + 1, 3 << 20} {
 		body := sample(n)
 		want := fmt.Sprintf("%d %x", n, sha256.Sum256(body))
 		for _, f := range []struct {
@@ -112,12 +112,12 @@
 
 // A request in chunks may hide another behind a length: no host gets either.
 func TestLongRequestsAreFramedOnce(t *testing.T) {
-	host := testkit.NewHost(t, testkit.Says(testkit.Good))
+	host := testutil.NewHost(t, testutil.Says(testutil.Good))
 	g := startGateway(t, testConfig(host))
 	for _, framing := range []string{
 		"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n", "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n",
 		"Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n", "Content-Length: 5\r\nContent-Length: 6\r\n",
-		"Transfer-Encoding: gzip, chunked\r\n", "Transfer-Encoding: chunked\nX: y\r\n", fmt.Sprintf("Content-Length: %d\r\n", front.MaxBody+1),
+		"Transfer-Encoding: gzip, chunked\r\n", "Transfer-Encoding: chunked\nX: y\r\n", fmt.Sprintf("Content-Length: %d\r\n", frontend.MaxBody+1),
 	} {
 		resp, _, err := g.message("book", framing, []byte("0\r\n\r\nGET /api/2 HTTP/1.1\r\nHost: a\r\n\r\n"), 1<<20)
 		if err != nil || resp.StatusCode < 400 || !resp.Close {
@@ -131,19 +131,19 @@
 
 // An upload takes as long as it takes: the time of a request counts from its last byte.
 func TestUploadIsNotTimed(t *testing.T) {
-	host := testkit.NewHost(t, testkit.Says(testkit.Good))
+	host := testutil.NewHost(t, testutil.Says(testutil.Good))
 	cfg := testConfig(host)
 	for i := range cfg.Settings.Classes {
 		cfg.Settings.Classes[i].LatencyObjective, cfg.Settings.Classes[i].Deadline = 200*time.Millisecond, 200*time.Millisecond
 	}
 	g := startGateway(t, cfg)
-	const n = 2 * front.MaxHeld
+	const n = 2 * frontend.MaxHeld
 	c, err := net.Dial("tcp", strings.TrimPrefix(g.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	fmt.Fprintf(c, "POST /api/1 HTTP/1.1\r\nHost: a\r\nX-Priority-Class: book\r\nX-Timeout: 0.2\r\nX-Request-ID: %s\r\nContent-Length: %d\r\n\r\n", testkit.NewID(), n)
+	fmt.Fprintf(c, "POST /api/1 HTTP/1.1\r\nHost: a\r\nX-Priority-Class: book\r\nX-Timeout: 0.2\r\nX-Request-ID: %s\r\nContent-Length: %d\r\n\r\n", testutil.NewID(), n)
 	body := sample(n)
 	for i := range 8 { // 0.8 s in all
 		c.Write(body[i*n/8 : (i+1)*n/8])
@@ -159,7 +159,7 @@
 // and the client is told that trying again is harmless. Nothing is sent anywhere else.
 func TestUploadBrokenOff(t *testing.T) {
 	var conns atomic.Int64
-	ln := testkit.Listen(t, "127.0.0.1:0", nil)
+	ln := testutil.Listen(t, "127.0.0.1:0", nil)
 	defer ln.Close()
 	go func() {
 		for {
@@ -175,7 +175,7 @@
 			}()
 		}
 	}()
-	cfg := testConfig(testkit.NewHost(t, testkit.Hang))
+	cfg := testConfig(testutil.NewHost(t, testutil.Hang))
 	cfg.Known.Servers[0].Addr = ln.Addr().String()
 	g := startGateway(t, cfg)
 	const n = 24 << 20 // more than all buffers on the way take
@@ -185,7 +185,7 @@
 	}
 	// The reset may reach a client that is still writing before the answer does; it must not
 	// be another answer, and no second attempt.
-	testkit.Until(t, "it is over", func() bool { return g.openRequests() == 0 })
+	testutil.Until(t, "it is over", func() bool { return g.openRequests() == 0 })
 	if got := conns.Load(); got != 1 {
 		t.Errorf("%d attempts", got)
 	}
@@ -203,7 +203,7 @@
 		{"the end of the connection", "Connection: close\r\n", string(body)},
 	} {
 		t.Run(f.name, func(t *testing.T) {
-			host := testkit.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
+			host := testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
 				io.WriteString(c, "HTTP/1.1 200 OK\r\n"+f.head+"\r\n")
 				for rest := f.text; rest != ""; rest = rest[min(len(rest), 100_000):] {
 					if _, err := io.WriteString(c, rest[:min(len(rest), 100_000)]); err != nil {
@@ -224,7 +224,7 @@
 					t.Errorf("%d bytes of %d, %v", len(got), n, err)
 				}
 			}
-			testkit.Until(t, "it is over", func() bool { return g.openRequests() == 0 })
+			testutil.Until(t, "it is over", func() bool { return g.openRequests() == 0 })
 		})
 	}
 }
@@ -236,7 +236,7 @@
 	body := sample(n)
 	for _, head := range []string{fmt.Sprintf("Content-Length: %d\r\n\r\n", n), fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n", n), "Connection: close\r\n\r\n"} {
 		rest := make(chan struct{})
-		host := testkit.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
+		host := testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n"+head)
 			c.Write(body[:n/2])
 			<-rest
@@ -251,7 +251,7 @@
 		if err != nil || resp.StatusCode != 200 {
 			t.Fatal(resp, err)
 		}
-		c.SetReadDeadline(time.Now().Add(testkit.Patience))
+		c.SetReadDeadline(time.Now().Add(testutil.Patience))
 		if _, err := io.ReadFull(resp.Body, make([]byte, n/2)); err != nil {
 			t.Errorf("%q: of what has come: %v", head, err)
 		}
@@ -266,7 +266,7 @@
 // never glued to another.
 func TestLongAnswerBrokenOff(t *testing.T) {
 	for _, head := range []string{"Content-Length: 4000000\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n3d0900\r\n"} {
-		host := testkit.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
+		host := testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n"+head)
 			c.Write(sample(2_000_000))
 			return false
@@ -292,7 +292,7 @@
 	r, _ := http.NewRequest("GET", url+"/api/1", nil)
 	r.Header.Set("X-Priority-Class", "look")
 	r.Header.Set("X-Timeout", "60")
-	r.Header.Set("X-Request-ID", testkit.NewID())
+	r.Header.Set("X-Request-ID", testutil.NewID())
 	return r
 }
 
@@ -300,13 +300,13 @@
 // comes in pieces is an answer.
 func TestShortAnswersInPieces(t *testing.T) {
 	var first atomic.Bool
-	host := func() *testkit.Host {
-		return testkit.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
+	host := func() *testutil.Host {
+		return testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
 			if first.CompareAndSwap(false, true) {
 				io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ngo") // and no more
 				return true
 			}
-			for _, b := range []byte(testkit.Good) {
+			for _, b := range []byte(testutil.Good) {
 				c.Write([]byte{b})
 				time.Sleep(time.Millisecond)
 			}
--- a/internal/gateway/platform.go
+++ b/internal/gateway/platform.go
@@ -12,11 +12,11 @@
 	"dunemoor/internal/config"
 	"dunemoor/internal/discovery"
 	"dunemoor/internal/engine"
-	"dunemoor/internal/front"
-	"dunemoor/internal/front/http1"
-	hosts "dunemoor/internal/host/http1"
+	"dunemoor/internal/frontend"
+	"dunemoor/internal/frontend/http1"
 	"dunemoor/internal/instancelock"
 	"dunemoor/internal/route"
+	hosts "dunemoor/internal/upstream/http1"
 )
 
 // firstListTimeout is how long a gateway that takes over from another waits for discovery before it serves by the list
@@ -105,7 +105,7 @@
 // an error within 3 s. Receivers of responses, and hosts, may pause for longer.
 func protocolStreams() *engine.Streams {
 	return &engine.Streams{
-		BufferBytes: front.MaxHeld, MaxBodyBytes: front.MaxBody, HeadDeadlineOnly: true,
+		BufferBytes: frontend.MaxHeld, MaxBodyBytes: frontend.MaxBody, HeadDeadlineOnly: true,
 		Pace:   body.Pace{Idle: 10 * time.Second},
 		Upload: body.Pace{Idle: 2 * time.Second, Least: 8 << 10},
 	}
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -14,9 +14,9 @@
 	"dunemoor/internal/config"
 	"dunemoor/internal/discovery"
 	"dunemoor/internal/engine"
-	responders "dunemoor/internal/host/fastcgi"
-	hosts "dunemoor/internal/host/http1"
 	"dunemoor/internal/override"
+	responders "dunemoor/internal/upstream/fastcgi"
+	hosts "dunemoor/internal/upstream/http1"
 )
 
 const (
--- a/internal/gateway/property_test.go
+++ b/internal/gateway/property_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"dunemoor/internal/testkit"
+	"dunemoor/internal/testutil"
 )
 
 // exchangePlan is one request of the property test, drawn from a seed: what goes up, what comes
@@ -49,7 +49,7 @@
 	l := &ledger{began: map[string]int{}, whole: map[string]string{}, plans: map[string]*exchangePlan{}}
 	var nodes []string
 	for i := range 3 {
-		ln := testkit.Listen(t, "127.0.0.1:0", nil)
+		ln := testutil.Listen(t, "127.0.0.1:0", nil)
 		t.Cleanup(func() { ln.Close() })
 		nodes = append(nodes, ln.Addr().String())
 		go func() {
@@ -194,7 +194,7 @@
 		return err
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(testkit.Patience))
+	c.SetDeadline(time.Now().Add(testutil.Patience))
 	var w io.Writer = c
 	fmt.Fprintf(c, "%s / HTTP/1.1\r\nHost: a\r\nX-Request-Id: %s\r\n", p.method, p.id)
 	switch {
--- a/internal/gateway/recording_test.go
+++ b/internal/gateway/recording_test.go
@@ -10,14 +10,14 @@
 	"dunemoor/balancer"
 	"dunemoor/internal/discovery"
 	"dunemoor/internal/engine"
-	"dunemoor/internal/flight"
-	"dunemoor/internal/testkit"
+	"dunemoor/internal/flightrecorder"
+	"dunemoor/internal/testutil"
 )
 
 // Through the whole gateway: what is recorded replays alike, names its hosts and holds
 // neither bodies nor keys nor ids of clients.
 func TestRecordingOfAGateway(t *testing.T) {
-	h := testkit.NewHost(t, testkit.Says("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecret"))
+	h := testutil.NewHost(t, testutil.Says("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecret"))
 	cfg := testConfig(h)
 	dir := t.TempDir()
 	dumps := make(chan string, 8)
@@ -29,7 +29,7 @@
 			}
 			dumps <- path
 		},
-		Trigger: flight.Trigger{Share: 0.5, Within: time.Hour, Least: 20, Pause: time.Hour},
+		Trigger: flightrecorder.Trigger{Share: 0.5, Within: time.Hour, Least: 20, Pause: time.Hour},
 	}
 	cfg.Settings.Classes[0].LatencyObjective = 200 * time.Millisecond // a fifth of it is waited for a host
 	g := startGateway(t, cfg, rc)
@@ -45,7 +45,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		rep, err := flight.Replay(flight.NewReader(bytes.NewReader(data)), nil, nil)
+		rep, err := flightrecorder.Replay(flightrecorder.NewReader(bytes.NewReader(data)), nil, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -79,7 +79,7 @@
 
 // An appliance records each pool by itself: every dump replays alike and names its own hosts.
 func TestRecordingOfAnAppliance(t *testing.T) {
-	a, b := testkit.NewHost(t, testkit.Says(testkit.Good)), testkit.NewHost(t, testkit.Says(testkit.Good))
+	a, b := testutil.NewHost(t, testutil.Says(testutil.Good)), testutil.NewHost(t, testutil.Says(testutil.Good))
 	dumps := make(chan string, 8)
 	dir := t.TempDir()
 	g, err := StartAppliance(parse(t, head+poolText("one", "", a.Addr())+poolText("two", "", b.Addr())+
@@ -110,7 +110,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		rep, err := flight.Replay(flight.NewReader(bytes.NewReader(data)), nil, nil)
+		rep, err := flightrecorder.Replay(flightrecorder.NewReader(bytes.NewReader(data)), nil, nil)
 		if err != nil || rep.First != nil || rep.Events < 40 || len(rep.Losses) > 0 {
 			t.Errorf("%s: %+v, %v", path, rep, err)
 		}
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -11,8 +11,8 @@
 	"dunemoor/internal/config"
 	"dunemoor/internal/discovery"
 	"dunemoor/internal/engine"
-	fcgi "dunemoor/internal/front/fastcgi"
-	"dunemoor/internal/front/http1"
+	fcgi "dunemoor/internal/frontend/fastcgi"
+	"dunemoor/internal/frontend/http1"
 	"dunemoor/internal/overload"
 )
 
