--- a/internal/gateway/retune_test.go
+++ b/internal/gateway/retune_test.go
@@ -13,8 +13,8 @@
 	"dunemoor/balancer"
 	"dunemoor/internal/config"
 	"dunemoor/internal/engine"
-	"dunemoor/internal/flight"
-	"dunemoor/internal/testkit"
+	"dunemoor/internal/flightrecorder"
+	"dunemoor/internal/testutil"
 )
 
 // classes is testConfig with other classes, in the order given.
@@ -35,8 +35,8 @@
 func TestRetuneUnderLoad(t *testing.T) {
 	hold := make(chan struct{})
 	var held atomic.Int64
-	host := func() *testkit.Host {
-		return testkit.NewHost(t, func(c net.Conn, r *http.Request, _ int) bool {
+	host := func() *testutil.Host {
+		return testutil.NewHost(t, func(c net.Conn, r *http.Request, _ int) bool {
 			if r.URL.Path == "/api/held" {
 				if held.Add(1) == 1 { // the first time it breaks, once it is told to
 					<-hold
@@ -44,7 +44,7 @@
 					return false
 				}
 			}
-			_, err := fmt.Fprint(c, testkit.Good)
+			_, err := fmt.Fprint(c, testutil.Good)
 			return err == nil
 		})
 	}
@@ -55,7 +55,7 @@
 		resp, text := g.ask("look", "/api/held", "")
 		out <- fmt.Sprint(resp.StatusCode, text)
 	}()
-	testkit.Until(t, "it is out", func() bool { return held.Load() == 1 })
+	testutil.Until(t, "it is out", func() bool { return held.Load() == 1 })
 	if resp, _ := g.ask("next", "/api/1", "x"); resp.StatusCode != 400 {
 		t.Errorf("a class that is yet to come: %d", resp.StatusCode)
 	}
@@ -103,7 +103,7 @@
 // A recording goes on over new settings, and all of it replays.
 func TestRetuneIsRecorded(t *testing.T) {
 	rc := &engine.RecordingConfig{RingBytes: 1 << 20, Dir: t.TempDir(), File: t.TempDir() + "/all.dmf", MaxFileBytes: 8 << 20}
-	cfg := withClasses(*testConfig(testkit.NewHost(t, testkit.Says(testkit.Good))), "look", "book")
+	cfg := withClasses(*testConfig(testutil.NewHost(t, testutil.Says(testutil.Good))), "look", "book")
 	g := startGateway(t, cfg, rc)
 	ask := func(class string) {
 		if resp, _ := g.ask(class, "/api/1", ""); resp.StatusCode != 200 {
@@ -115,13 +115,13 @@
 		t.Fatal(err)
 	}
 	ask("next")
-	testkit.Until(t, "all is over", func() bool { return g.openRequests() == 0 })
+	testutil.Until(t, "all is over", func() bool { return g.openRequests() == 0 })
 	g.Close()
 	data, err := os.ReadFile(rc.File)
 	if err != nil {
 		t.Fatal(err)
 	}
-	rep, err := flight.Replay(flight.NewReader(bytes.NewReader(data)), nil, nil)
+	rep, err := flightrecorder.Replay(flightrecorder.NewReader(bytes.NewReader(data)), nil, nil)
 	if err != nil || rep.First != nil || rep.Sessions != 2 || rep.Foreign > 0 || rep.Skipped > 0 || len(rep.Losses) > 0 || rep.Events < 4 {
 		t.Errorf("%+v, %v", rep, err)
 	}
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -2,8 +2,8 @@
 
 import (
 	"dunemoor/internal/body"
-	"dunemoor/internal/front"
-	"dunemoor/internal/front/http1"
+	"dunemoor/internal/frontend"
+	"dunemoor/internal/frontend/http1"
 	"dunemoor/internal/overload"
 )
 
@@ -51,7 +51,7 @@
 		s.Bodies[cause.String()] = Bytes{used, limit}
 	}
 	if l := g.gate.Limits; l != nil {
-		for _, reason := range front.Refusals() {
+		for _, reason := range frontend.Refusals() {
 			s.Refused[reason.String()] = l.Refused(reason)
 		}
 		if l.Overload != nil {
--- a/internal/gateway/status_test.go
+++ b/internal/gateway/status_test.go
@@ -10,15 +10,15 @@
 	"strings"
 	"testing"
 
-	"dunemoor/internal/testkit"
+	"dunemoor/internal/testutil"
 )
 
 // What is turned away and what is held is told, by cause, over the second address.
 func TestStatus(t *testing.T) {
-	host := testkit.NewHost(t, testkit.Says(testkit.Good))
+	host := testutil.NewHost(t, testutil.Says(testutil.Good))
 	g := startAppliance(t, strings.Replace(head, "[[listener]]", "[limits.client]\nrate = 0.001\nburst = 3.0\n[[listener]]", 1)+
 		poolText("p", "", host.Addr())+routeText("r", "pool = \"p\"\nclass = \"lookup\"\nmax_body = \"1MiB\""))
-	ln := testkit.Listen(t, "127.0.0.1:0", nil)
+	ln := testutil.Listen(t, "127.0.0.1:0", nil)
 	g.Admin(ln, nil)
 	status := func() (s Status) {
 		t.Helper()
@@ -38,9 +38,9 @@
 	}
 	defer c.Close()
 	fmt.Fprintf(c, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\nhalf", most)
-	testkit.Until(t, "a body is held", func() bool { s := status(); return s.Bodies["requests"].Used == most && s.Clients.Open == 1 })
+	testutil.Until(t, "a body is held", func() bool { s := status(); return s.Bodies["requests"].Used == most && s.Clients.Open == 1 })
 	io.WriteString(c, strings.Repeat("x", most-len("half")))
-	testkit.Until(t, "it is given back", func() bool { s := status(); return s.Bodies["requests"].Used == 0 && s.Clients.Idle == 1 })
+	testutil.Until(t, "it is given back", func() bool { s := status(); return s.Bodies["requests"].Used == 0 && s.Clients.Idle == 1 })
 	for range 4 {
 		fetch(t, "GET", g.urls[0]+"/", "")
 	}
--- a/internal/wire/settings.go
+++ b/internal/protocol/settings.go
@@ -1,4 +1,6 @@
-package wire
+// Package protocol reads the settings object that the platform hands to each gateway, and maps the
+// field names of its protocol to the terms that the rest of the code uses.
+package protocol
 
 import (
 	"encoding/json"
@@ -43,6 +45,9 @@
 	}
 }
 
+// unit is the unit of all times in the settings object.
+const unit = time.Microsecond
+
 // micros is a span of time in microseconds, whole or not.
 type micros float64
 
@@ -63,7 +68,7 @@
 	"zone": balancer.ScopeZone, "cell": balancer.ScopeCell,
 }
 
-// ParseSettings reads the settings object of a Hello.
+// ParseSettings reads the settings object, in JSON.
 func ParseSettings(text []byte) (balancer.Settings, error) {
 	var in settings
 	var out balancer.Settings
--- a/internal/wire/wire.go
+++ b/internal/simwire/simwire.go
@@ -1,6 +1,6 @@
-// Package wire translates between the simulator's binary frames and the
+// Package simwire translates between the simulator's binary frames and the
 // events and actions of package balancer. It decides nothing.
-package wire
+package simwire
 
 import (
 	"bufio"
--- a/internal/testkit/failpoints.go
+++ b/internal/testutil/failpoints.go
@@ -1,4 +1,4 @@
-package testkit
+package testutil
 
 import (
 	"os/exec"
--- a/internal/testkit/testkit.go
+++ b/internal/testutil/testkit.go
@@ -1,6 +1,6 @@
-// Package testkit has what tests of several packages share: hosts on loopback sockets whose
+// Package testutil has what tests of several packages share: hosts on loopback sockets whose
 // answers are written by a script, and waiting on conditions. Only tests import it.
-package testkit
+package testutil
 
 import (
 	"bufio"
--- a/internal/host/fastcgi/transport_test.go
+++ b/internal/upstream/fastcgi/transport_test.go
@@ -19,7 +19,7 @@
 	"dunemoor/internal/body"
 	"dunemoor/internal/engine"
 	"dunemoor/internal/fastcgi"
-	"dunemoor/internal/testkit"
+	"dunemoor/internal/testutil"
 )
 
 // responder is one whose answers are written by a script, byte by byte.
@@ -71,7 +71,7 @@
 }
 
 func startResponder(t testing.TB, values string, script func(c net.Conn, id uint16, vars map[string]string, body string)) *responder {
-	r := &responder{Listener: testkit.Listen(t, "127.0.0.1:0", nil), values: values, script: script}
+	r := &responder{Listener: testutil.Listen(t, "127.0.0.1:0", nil), values: values, script: script}
 	t.Cleanup(func() { r.Close() })
 	go func() {
 		for {
@@ -120,8 +120,8 @@
 }
 
 func ask(method, target, text string) *engine.Request {
-	x := &engine.Request{Method: method, Target: target, Host: "calendar.example.org", Deadline: time.Now().Add(testkit.Patience),
-		Header: http.Header{"X-Request-Id": {testkit.NewID()}, "Content-Type": {"text/plain"}, "Bad_Name": {"x"}, "Proxy": {"http://evil"}, "Cookie": {"a=1", "b=2"}}}
+	x := &engine.Request{Method: method, Target: target, Host: "calendar.example.org", Deadline: time.Now().Add(testutil.Patience),
+		Header: http.Header{"X-Request-Id": {testutil.NewID()}, "Content-Type": {"text/plain"}, "Bad_Name": {"x"}, "Proxy": {"http://evil"}, "Cookie": {"a=1", "b=2"}}}
 	x.Body = body.Held([]byte(text))
 	return x
 }
@@ -207,14 +207,14 @@
 
 // Where nobody listens, or a connection ends ahead of the last byte, nothing ran.
 func TestNeverRan(t *testing.T) {
-	ln := testkit.Listen(t, "127.0.0.1:0", nil)
+	ln := testutil.Listen(t, "127.0.0.1:0", nil)
 	addr := ln.Addr().String()
 	ln.Close()
 	_, h := hostAt(t, addr)
 	if r, _, _ := attempt(h, ask("POST", "/", "x")); r.HasResponse || r.Outcome != balancer.ConnectFailed || r.PartlySent {
 		t.Errorf("nobody listens: %+v", r)
 	}
-	ln = testkit.Listen(t, "127.0.0.1:0", nil)
+	ln = testutil.Listen(t, "127.0.0.1:0", nil)
 	defer ln.Close()
 	go func() { // reads a part and resets
 		for {
@@ -251,7 +251,7 @@
 			}
 		}
 	}
-	testkit.Until(t, "connections are counted down", func() bool {
+	testutil.Until(t, "connections are counted down", func() bool {
 		tr.mu.Lock()
 		defer tr.mu.Unlock()
 		return tr.open == 0
@@ -292,7 +292,7 @@
 // The standard library's implementation of the protocol understands us, and we it: bodies of
 // all sizes both ways, many at once on a few connections, as it says that it can.
 func TestStandardPeer(t *testing.T) {
-	ln := testkit.Listen(t, "127.0.0.1:0", nil)
+	ln := testutil.Listen(t, "127.0.0.1:0", nil)
 	defer ln.Close()
 	go fcgi.Serve(ln, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var b []byte
@@ -310,7 +310,7 @@
 	}))
 	tr, h := hostAt(t, ln.Addr().String())
 	attempt(h, ask("POST", "/", "first"))
-	testkit.Until(t, "it has said what it can", func() bool {
+	testutil.Until(t, "it has said what it can", func() bool {
 		tr.mu.Lock()
 		defer tr.mu.Unlock()
 		return h.can.Multiplexes
@@ -362,7 +362,7 @@
 	})
 	tr, h := hostAt(t, r.Addr().String())
 	attempt(h, ask("POST", "/first", "")) // it learns that it can
-	testkit.Until(t, "it has said what it can", func() bool {
+	testutil.Until(t, "it has said what it can", func() bool {
 		tr.mu.Lock()
 		defer tr.mu.Unlock()
 		return h.can.Multiplexes
@@ -379,7 +379,7 @@
 	if a == b || !strings.HasPrefix(a, "truefor ") || !strings.HasPrefix(b, "truefor ") {
 		t.Errorf("%s and %s", a, b)
 	}
-	testkit.Until(t, "the connection is gone", func() bool {
+	testutil.Until(t, "the connection is gone", func() bool {
 		tr.mu.Lock()
 		defer tr.mu.Unlock()
 		return tr.open == 0
@@ -404,7 +404,7 @@
 	})
 	tr, h := hostAt(t, r.Addr().String())
 	attempt(h, ask("POST", "/first", ""))
-	testkit.Until(t, "it has said what it can", func() bool {
+	testutil.Until(t, "it has said what it can", func() bool {
 		tr.mu.Lock()
 		defer tr.mu.Unlock()
 		return h.can.Multiplexes
@@ -414,16 +414,16 @@
 		_, text, _ := attempt(h, ask("POST", "/kept", ""))
 		kept <- text
 	}()
-	testkit.Until(t, "it is out", func() bool { return r.runs.Load() == 2 })
+	testutil.Until(t, "it is out", func() bool { return r.runs.Load() == 2 })
 	ctx, cancel := context.WithCancel(context.Background())
 	given := make(chan engine.Result, 1)
 	go func() { given <- h.Attempt(ctx, ask("POST", "/held", "")) }()
-	testkit.Until(t, "the other is out", func() bool { return r.runs.Load() == 3 })
+	testutil.Until(t, "the other is out", func() bool { return r.runs.Load() == 3 })
 	cancel()
 	if res := <-given; res.HasResponse || res.Outcome != balancer.Canceled {
 		t.Errorf("given up: %+v", res)
 	}
-	testkit.Until(t, "it is aborted", func() bool { return r.aborts.Load() == 1 })
+	testutil.Until(t, "it is aborted", func() bool { return r.aborts.Load() == 1 })
 	close(hold)
 	if got := <-kept; got != "kept" {
 		t.Errorf("the other got %q", got)
@@ -451,7 +451,7 @@
 	})
 	tr, h := hostAt(t, r.Addr().String())
 	attempt(h, ask("POST", "/first", ""))
-	testkit.Until(t, "it has said what it can", func() bool {
+	testutil.Until(t, "it has said what it can", func() bool {
 		tr.mu.Lock()
 		defer tr.mu.Unlock()
 		return h.can.Multiplexes && len(h.conns) == 1
@@ -468,9 +468,9 @@
 		})
 	}
 	others("/stall", 0)
-	testkit.Until(t, "it is out", func() bool { return r.runs.Load() == 2 })
+	testutil.Until(t, "it is out", func() bool { return r.runs.Load() == 2 })
 	others("/big", 32<<20) // more than all buffers on the way take
-	testkit.Until(t, "it is being written", func() bool {
+	testutil.Until(t, "it is being written", func() bool {
 		if c.wmu.TryLock() {
 			c.wmu.Unlock()
 			return false
@@ -482,7 +482,7 @@
 	x.Client = client
 	result := make(chan engine.Result, 1)
 	go func() { res, _, _ := attempt(h, x); result <- res }()
-	testkit.Until(t, "it waits for its turn", func() bool { return c.in.Len() == 3 })
+	testutil.Until(t, "it waits for its turn", func() bool { return c.in.Len() == 3 })
 	client.left.Store(true)
 	close(hold)
 	if res := <-result; res.HasResponse || res.Outcome != balancer.NotSent {
--- a/internal/host/http1/transport_test.go
+++ b/internal/upstream/http1/transport_test.go
@@ -18,11 +18,11 @@
 	"dunemoor/internal/body"
 	"dunemoor/internal/engine"
 	"dunemoor/internal/route"
-	"dunemoor/internal/testkit"
+	"dunemoor/internal/testutil"
 )
 
 func newTestPool() *Transport {
-	return New(Options{DialTimeout: testkit.Patience, Sockets: 1024, Memory: 16 << 20})
+	return New(Options{DialTimeout: testutil.Patience, Sockets: 1024, Memory: 16 << 20})
 }
 
 // pooled is a host as the loop keeps it.
@@ -35,7 +35,7 @@
 func newExchange(text string) *engine.Request {
 	return &engine.Request{
 		Method: http.MethodPost, Target: "/api/1", Host: "service.internal", Header: http.Header{},
-		Body: body.Held([]byte(text)), Deadline: time.Now().Add(testkit.Patience),
+		Body: body.Held([]byte(text)), Deadline: time.Now().Add(testutil.Patience),
 	}
 }
 
@@ -50,7 +50,7 @@
 // tryOnce makes one attempt with plenty of time.
 func tryOnce(t *testing.T, p *Transport, h *host, x *engine.Request) (balancer.Result, engine.Response) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), testkit.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testutil.Patience)
 	defer cancel()
 	return told(p.attempt(ctx, h, x))
 }
@@ -69,20 +69,20 @@
 		want         balancer.Result
 		kept         int // connections kept for the next attempt
 	}{
-		{"good", testkit.Good, balancer.OK, 1},
-		{"good after 100", "HTTP/1.1 100 Continue\r\n\r\n" + testkit.Good, balancer.OK, 1},
+		{"good", testutil.Good, balancer.OK, 1},
+		{"good after 100", "HTTP/1.1 100 Continue\r\n\r\n" + testutil.Good, balancer.OK, 1},
 		{"good, chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\n0\r\n\r\n", balancer.OK, 1},
 		{"good, then closing", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\ngood", balancer.OK, 0},
-		{"error", testkit.Errored, balancer.Failed, 1},
-		{"turned away", testkit.TurnedAway, balancer.Full, 1},
+		{"error", testutil.Errored, balancer.Failed, 1},
+		{"turned away", testutil.TurnedAway, balancer.Full, 1},
 		{"turned away as over", "HTTP/1.1 504 Over\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", balancer.Full, 1},
 		{"503 without the proof", "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", balancer.Failed, 1},
 		{"proof on another status", "HTTP/1.1 500 Oops\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", balancer.Failed, 1},
 		{"proof that is none", "HTTP/1.1 503 Full\r\nX-Not-Processed: 0\r\nContent-Length: 0\r\n\r\n", balancer.Failed, 1},
-		{"good after others", "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + testkit.Good, balancer.OK, 1},
+		{"good after others", "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + testutil.Good, balancer.OK, 1},
 		{"good with an odd report", "HTTP/1.1 200 OK\r\nX-Server-Load: \x80;;=\r\nContent-Length: 4\r\n\r\ngood", balancer.OK, 1},
-		{"good, and a second copy", testkit.Good + testkit.Good, balancer.OK, 0},
-		{"good, and noise", testkit.Good + "\x80\x01HTTP\r\n\r\n", balancer.OK, 0},
+		{"good, and a second copy", testutil.Good + testutil.Good, balancer.OK, 0},
+		{"good, and noise", testutil.Good + "\x80\x01HTTP\r\n\r\n", balancer.OK, 0},
 		{"good and chunked, and noise", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\n0\r\n\r\n\x80", balancer.OK, 0},
 		{"good, chunked, with a trailer", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4;a=b\r\ngood\r\n0\r\nX-Sum: 1\r\n\r\n", balancer.OK, 1},
 		{"3 GB announced", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\ngood", balancer.Spoilt, 0},
@@ -105,7 +105,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			p, server := newTestPool(), testkit.NewHost(t, testkit.Says(tt.answer))
+			p, server := newTestPool(), testutil.NewHost(t, testutil.Says(tt.answer))
 			h := pooled(p, server.Addr())
 			got, a := tryOnce(t, p, h, newExchange("b"))
 			if got != tt.want {
@@ -139,7 +139,7 @@
 		chunked += fmt.Sprintf("%x\r\n%s\r\n", len(part), part)
 	}
 	for _, large := range []string{fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", n, text), chunked + "0\r\n\r\n"} {
-		p, server := newTestPool(), testkit.NewHost(t, testkit.Says(large))
+		p, server := newTestPool(), testutil.NewHost(t, testutil.Says(large))
 		h := pooled(p, server.Addr())
 		for _, room := range []int64{0, n - 1, 10 * n} {
 			p.Limit(1024, room)
@@ -179,7 +179,7 @@
 // A long answer that its host does not end is seen to be cut, and its connection is not used
 // again.
 func TestLargeAnswerCut(t *testing.T) {
-	p, server := newTestPool(), testkit.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
+	p, server := newTestPool(), testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 4<<20, strings.Repeat("x", 2<<20))
 		return false
 	})
@@ -209,12 +209,12 @@
 		{"GET", "HTTP/1.1 304 Not Modified\r\nContent-Length: 4\r\n\r\n"},
 		{"DELETE", "HTTP/1.1 204 No Content\r\n\r\n"},
 	} {
-		p, server := newTestPool(), testkit.NewHost(t, testkit.Says(c.answer))
+		p, server := newTestPool(), testutil.NewHost(t, testutil.Says(c.answer))
 		h := pooled(p, server.Addr())
 		x := newExchange("")
 		x.Method = c.method
 		for range 2 {
-			ctx, cancel := context.WithTimeout(context.Background(), testkit.Patience)
+			ctx, cancel := context.WithTimeout(context.Background(), testutil.Patience)
 			r := p.attempt(ctx, h, x)
 			cancel()
 			if !r.HasResponse || r.Response.Body.Len() != 0 {
@@ -231,11 +231,11 @@
 // attempt. It guards against connections of a pool that a reload took out.
 func TestNothingStaysOpen(t *testing.T) {
 	release := make(chan struct{})
-	p, server := newTestPool(), testkit.NewHost(t, func(c net.Conn, _ *http.Request, n int) bool {
+	p, server := newTestPool(), testutil.NewHost(t, func(c net.Conn, _ *http.Request, n int) bool {
 		if n == 1 {
 			<-release
 		}
-		io.WriteString(c, testkit.Good)
+		io.WriteString(c, testutil.Good)
 		return true
 	})
 	h := pooled(p, server.Addr())
@@ -252,7 +252,7 @@
 		got, _ := tryOnce(t, p, h, newExchange("b"))
 		ended <- got
 	}()
-	testkit.Until(t, "the second request is out", func() bool { n, _, _ := server.Counts(); return n == 2 })
+	testutil.Until(t, "the second request is out", func() bool { n, _, _ := server.Counts(); return n == 2 })
 	p.put(c)
 	cancel()
 	<-done
@@ -260,7 +260,7 @@
 	if got := <-ended; got != balancer.OK {
 		t.Errorf("the request that was out: %v", got)
 	}
-	testkit.Until(t, "all connections have ended", func() bool {
+	testutil.Until(t, "all connections have ended", func() bool {
 		_, accepted, ended := server.Counts()
 		return accepted == 2 && ended == 2
 	})
@@ -278,7 +278,7 @@
 		"no answer": "",
 	} {
 		p := newTestPool()
-		server := testkit.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
+		server := testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
 			io.WriteString(c, text)
 			return false
 		})
@@ -310,14 +310,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p, flows := newTestPool(), make(chan struct{})
-			server := testkit.NewHost(t, func(c net.Conn, r *http.Request, n int) bool {
+			server := testutil.NewHost(t, func(c net.Conn, r *http.Request, n int) bool {
 				io.WriteString(c, tt.text)
 				if tt.flows {
 					<-flows
 				} else if err := unread(c); err != nil {
 					t.Error(err)
 				}
-				return testkit.BreakOff(c, r, n)
+				return testutil.BreakOff(c, r, n)
 			})
 			h := pooled(p, server.Addr())
 			got, a := tryOnce(t, p, h, newExchange("b"))
@@ -355,7 +355,7 @@
 	if err != nil {
 		return err
 	}
-	for left, until := 1, time.Now().Add(testkit.Patience); left > 0; time.Sleep(time.Millisecond) {
+	for left, until := 1, time.Now().Add(testutil.Patience); left > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
 			return errors.New("what was written stays unread")
 		}
@@ -369,7 +369,7 @@
 
 func TestConnectionRefused(t *testing.T) {
 	p := newTestPool()
-	ln := testkit.Listen(t, "127.0.0.1:0", nil)
+	ln := testutil.Listen(t, "127.0.0.1:0", nil)
 	h := pooled(p, ln.Addr().String())
 	ln.Close()
 	if got, _ := tryOnce(t, p, h, newExchange("b")); got != balancer.ConnectFailed {
@@ -418,7 +418,7 @@
 		t.Errorf("result %v, want ConnectFailed", got)
 	}
 	// A longer limit in the settings must not keep the proof back.
-	if took := time.Since(began); took > testkit.Patience/2 {
+	if took := time.Since(began); took > testutil.Patience/2 {
 		t.Errorf("it took %v to give up the dial", took)
 	}
 }
@@ -437,7 +437,7 @@
 }
 
 func TestResetBeforeTheLastByte(t *testing.T) {
-	ln := testkit.Listen(t, "127.0.0.1:0", small(syscall.SO_RCVBUF))
+	ln := testutil.Listen(t, "127.0.0.1:0", small(syscall.SO_RCVBUF))
 	defer ln.Close()
 	go func() {
 		for {
@@ -446,7 +446,7 @@
 				return
 			}
 			c.Read(make([]byte, 1))
-			testkit.BreakOff(c, nil, 0)
+			testutil.BreakOff(c, nil, 0)
 			c.Close()
 		}
 	}()
@@ -459,7 +459,7 @@
 }
 
 func TestResetAfterTheLastByte(t *testing.T) {
-	p, server := newTestPool(), testkit.NewHost(t, testkit.BreakOff)
+	p, server := newTestPool(), testutil.NewHost(t, testutil.BreakOff)
 	if got, _ := tryOnce(t, p, pooled(p, server.Addr()), newExchange("b")); got != balancer.Reset {
 		t.Errorf("result %v, want Reset", got)
 	}
@@ -471,8 +471,8 @@
 // A connection that the host closed while it was idle must not cost a request.
 func TestStaleIdleConnection(t *testing.T) {
 	p := newTestPool()
-	server := testkit.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
-		io.WriteString(c, testkit.Good)
+	server := testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
+		io.WriteString(c, testutil.Good)
 		return false
 	})
 	h := pooled(p, server.Addr())
@@ -483,7 +483,7 @@
 		p.mu.Lock()
 		c := p.idle[h][0]
 		p.mu.Unlock()
-		testkit.Until(t, "the idle connection is seen to be closed", func() bool { return !p.isQuiet(c) })
+		testutil.Until(t, "the idle connection is seen to be closed", func() bool { return !p.isQuiet(c) })
 	}
 	p.sweep()
 	if open, idle := p.counts(h); open != 0 || idle != 0 {
@@ -495,8 +495,8 @@
 // answer would be taken for another's.
 func TestUnaskedAnswerIsNotTakenForAnothers(t *testing.T) {
 	p := newTestPool()
-	server := testkit.NewHost(t, func(c net.Conn, _ *http.Request, n int) bool {
-		io.WriteString(c, testkit.Good)
+	server := testutil.NewHost(t, func(c net.Conn, _ *http.Request, n int) bool {
+		io.WriteString(c, testutil.Good)
 		return true
 	})
 	h := pooled(p, server.Addr())
@@ -509,7 +509,7 @@
 		t.Fatal(err)
 	}
 	c.Write([]byte("GET / HTTP/1.1\r\nHost: a\r\n\r\n")) // brings an answer that nobody reads
-	testkit.Until(t, "the answer is there", func() bool { return !p.isQuiet(c) })
+	testutil.Until(t, "the answer is there", func() bool { return !p.isQuiet(c) })
 	if got, _ := tryOnce(t, p, h, newExchange("b")); got != balancer.OK {
 		t.Errorf("result %v", got)
 	}
@@ -528,19 +528,19 @@
 // another request, and what comes meanwhile, a second answer or a part of one, ends them: the next
 // request is not served it.
 func TestStrayBehindAnAnswer(t *testing.T) {
-	for _, stray := range []string{testkit.Good, "HTTP/1.1 2"} {
+	for _, stray := range []string{testutil.Good, "HTTP/1.1 2"} {
 		p, taken := newTestPool(), make(chan struct{})
 		p.strayRest = 500 * time.Millisecond
-		server := testkit.NewHost(t, func(c net.Conn, _ *http.Request, n int) bool {
+		server := testutil.NewHost(t, func(c net.Conn, _ *http.Request, n int) bool {
 			switch n {
 			case 0:
-				io.WriteString(c, testkit.Good+stray) // at once: this is how it is learnt
+				io.WriteString(c, testutil.Good+stray) // at once: this is how it is learnt
 			case 1:
-				io.WriteString(c, testkit.Good)
+				io.WriteString(c, testutil.Good)
 				<-taken
 				io.WriteString(c, stray)
 			default:
-				io.WriteString(c, strings.Replace(testkit.Good, "good", "next", 1))
+				io.WriteString(c, strings.Replace(testutil.Good, "good", "next", 1))
 			}
 			return true
 		})
@@ -555,7 +555,7 @@
 		}
 		go func() {
 			for _, idle := p.counts(h); idle != 0; _, idle = p.counts(h) {
-				time.Sleep(testkit.PollEvery)
+				time.Sleep(testutil.PollEvery)
 			}
 			close(taken)
 		}()
@@ -573,7 +573,7 @@
 // Handshakes cost hosts work, so idle connections are used again, in turn: it guards
 // against writing to one that its host is about to end behind an answer.
 func TestConnectionsAreUsedInTurn(t *testing.T) {
-	p, server := newTestPool(), testkit.NewHost(t, testkit.Says(testkit.Good))
+	p, server := newTestPool(), testutil.NewHost(t, testutil.Says(testutil.Good))
 	h := pooled(p, server.Addr())
 	ctx := context.Background()
 	a, errA := p.get(ctx, h)
@@ -592,7 +592,7 @@
 	}
 	tryOnce(t, p, h, newExchange("b"))
 	tryOnce(t, p, h, newExchange("b"))
-	testkit.Until(t, "both dials are accepted", func() bool {
+	testutil.Until(t, "both dials are accepted", func() bool {
 		_, accepted, _ := server.Counts()
 		return accepted == 2
 	})
@@ -613,14 +613,14 @@
 		"moved":     func(p *Transport, h *host) { p.update(h, "127.0.0.1:1", 0, true) },
 		"draining":  func(p *Transport, h *host) { p.update(h, h.addr, 0, false) },
 	} {
-		p, server := newTestPool(), testkit.NewHost(t, testkit.Says(testkit.Good))
+		p, server := newTestPool(), testutil.NewHost(t, testutil.Says(testutil.Good))
 		h := pooled(p, server.Addr())
 		tryOnce(t, p, h, newExchange("b"))
 		change(p, h)
 		if open, idle := p.counts(h); open != 0 || idle != 0 {
 			t.Errorf("%s: %d connections open and %d idle", name, open, idle)
 		}
-		testkit.Until(t, name+": the host sees its connection end", func() bool {
+		testutil.Until(t, name+": the host sees its connection end", func() bool {
 			_, _, ended := server.Counts()
 			return ended == 1
 		})
@@ -642,13 +642,13 @@
 			return context.WithCancel(context.Background())
 		}, balancer.Canceled},
 	} {
-		p, server := newTestPool(), testkit.NewHost(t, testkit.Hang)
+		p, server := newTestPool(), testutil.NewHost(t, testutil.Hang)
 		h := pooled(p, server.Addr())
 		ctx, cancel := tt.ctx()
 		if tt.want == balancer.Canceled {
 			go func() {
 				for requests := 0; requests == 0; requests, _, _ = server.Counts() {
-					time.Sleep(testkit.PollEvery)
+					time.Sleep(testutil.PollEvery)
 				}
 				cancel()
 			}()
@@ -663,7 +663,7 @@
 			t.Errorf("%s: result %v, want %v", tt.name, got, want)
 		}
 		cancel()
-		testkit.Until(t, tt.name+": the host sees the connection end", func() bool {
+		testutil.Until(t, tt.name+": the host sees the connection end", func() bool {
 			_, accepted, ended := server.Counts()
 			return accepted == ended
 		})
@@ -680,9 +680,9 @@
 	for _, answers := range []bool{false, true} {
 		p := newTestPool()
 		p.unheardLeast = 0
-		server := testkit.NewHost(t, func(c net.Conn, r *http.Request, _ int) bool {
+		server := testutil.NewHost(t, func(c net.Conn, r *http.Request, _ int) bool {
 			if r.URL.Path != "/hang" {
-				io.WriteString(c, testkit.Good)
+				io.WriteString(c, testutil.Good)
 			}
 			return true
 		})
@@ -702,7 +702,7 @@
 			got, _ := told(p.attempt(ctx, h, x))
 			done <- got
 		}()
-		testkit.Until(t, "the host has the request", func() bool {
+		testutil.Until(t, "the host has the request", func() bool {
 			requests, _, _ := server.Counts()
 			return requests == 1
 		})
@@ -738,7 +738,7 @@
 		"its client leaves during a dial": func(_ *Transport, _ *host, x *engine.Request) { x.Client = gone{} },
 		"its window closes during a dial": func(_ *Transport, _ *host, x *engine.Request) { x.WriteBy = time.Now() },
 	} {
-		p, server := newTestPool(), testkit.NewHost(t, testkit.Says(testkit.Good))
+		p, server := newTestPool(), testutil.NewHost(t, testutil.Says(testutil.Good))
 		h, x := pooled(p, server.Addr()), newExchange("b")
 		p.dialer.Control = func(_, _ string, _ syscall.RawConn) error {
 			change(p, h, x)
@@ -748,7 +748,7 @@
 			t.Errorf("%s: result %v, want NotSent", name, got)
 		}
 		p.closeIdle(h)
-		testkit.Until(t, name+": the connection ends", func() bool {
+		testutil.Until(t, name+": the connection ends", func() bool {
 			_, accepted, ended := server.Counts()
 			return accepted == 1 && ended == 1
 		})
@@ -761,7 +761,7 @@
 // What has to be out by a time is not written behind it, also where its host takes the first bytes
 // and then no more: it never had the last, which proves that it did not run.
 func TestWriteEndsWithTheWindow(t *testing.T) {
-	ln := testkit.Listen(t, "127.0.0.1:0", small(syscall.SO_RCVBUF))
+	ln := testutil.Listen(t, "127.0.0.1:0", small(syscall.SO_RCVBUF))
 	p := newTestPool()
 	p.dialer.Control = small(syscall.SO_SNDBUF)
 	h := pooled(p, ln.Addr().String())
@@ -778,7 +778,7 @@
 // Connections stay within the budget: an idle one makes room, and with none the
 // attempt is not sent, which proves that it did not run.
 func TestConnectionBudget(t *testing.T) {
-	p, first, second := newTestPool(), testkit.NewHost(t, testkit.Says(testkit.Good)), testkit.NewHost(t, testkit.Hang)
+	p, first, second := newTestPool(), testutil.NewHost(t, testutil.Says(testutil.Good)), testutil.NewHost(t, testutil.Hang)
 	p.budget = 1
 	a, b := pooled(p, first.Addr()), pooled(p, second.Addr())
 	tryOnce(t, p, a, newExchange("b"))
@@ -788,7 +788,7 @@
 		got, _ := told(p.attempt(ctx, b, newExchange("b")))
 		done <- got
 	}()
-	testkit.Until(t, "the second host gets its request", func() bool {
+	testutil.Until(t, "the second host gets its request", func() bool {
 		requests, _, _ := second.Counts()
 		return requests == 1
 	})
