--- a/internal/httpwire/chunked.go
+++ b/internal/httpwire/chunked.go
@@ -16,8 +16,8 @@
 	maxOverheadBytes = 16 << 10
 )
 
-// Chunks decodes a chunked body (RFC 9112, 7.1). The zero value is ready to decode a body from its first byte.
-type Chunks struct {
+// ChunkedDecoder decodes a chunked body (RFC 9112, 7.1). The zero value is ready to decode a body from its first byte.
+type ChunkedDecoder struct {
 	state         chunkState
 	remaining     int64 // content bytes of the current chunk that are still to come
 	sizeDigits    int   // digits of the current size line so far
@@ -44,19 +44,19 @@
 )
 
 // Done reports whether the body is complete, with its trailer section.
-func (c *Chunks) Done() bool { return c.state == stateDone }
+func (c *ChunkedDecoder) Done() bool { return c.state == stateDone }
 
-// Data returns how many content bytes of the current chunk are still to come. The caller may read up to that
+// Remaining returns how many content bytes of the current chunk are still to come. The caller may read up to that
 // many directly from their source; it reports them by Took.
-func (c *Chunks) Data() int64 {
+func (c *ChunkedDecoder) Remaining() int64 {
 	if c.state != stateData {
 		return 0
 	}
 	return c.remaining
 }
 
-// Took advances the decoder by n content bytes, at most Data, which the caller has read from their source.
-func (c *Chunks) Took(n int64) {
+// Consume advances the decoder by n content bytes, at most Data, which the caller has read from their source.
+func (c *ChunkedDecoder) Consume(n int64) {
 	c.remaining -= n
 	if c.remaining == 0 {
 		c.state = stateDataCR
@@ -66,12 +66,12 @@
 // Next decodes bytes from the front of src. It returns the number of bytes that it has used and, as a part of
 // src, the content among them. It returns at the end of each piece of content and never uses bytes behind the
 // body. After an error the decoder can't be used any more.
-func (c *Chunks) Next(src []byte) (used int, content []byte, err error) {
+func (c *ChunkedDecoder) Next(src []byte) (used int, content []byte, err error) {
 	for used < len(src) && c.state != stateDone {
 		if c.state == stateData {
 			n := int(min(c.remaining, int64(len(src)-used)))
 			content = src[used : used+n]
-			c.Took(int64(n))
+			c.Consume(int64(n))
 			return used + n, content, nil
 		}
 		b := src[used]
@@ -88,7 +88,7 @@
 }
 
 // framingByte decodes a byte that is not content.
-func (c *Chunks) framingByte(b byte) error {
+func (c *ChunkedDecoder) framingByte(b byte) error {
 	switch c.state {
 	case stateSize, stateExtension:
 		return c.sizeLineByte(b)
@@ -114,7 +114,7 @@
 }
 
 // sizeLineByte decodes a byte of a chunk's size or extensions.
-func (c *Chunks) sizeLineByte(b byte) error {
+func (c *ChunkedDecoder) sizeLineByte(b byte) error {
 	c.sizeLineBytes++
 	if c.sizeLineBytes > maxSizeLineBytes {
 		return ErrChunkOverhead
@@ -144,7 +144,7 @@
 
 // startChunk begins the content of a chunk whose size line is complete. A chunk of size 0 has none and is
 // followed by the trailer section.
-func (c *Chunks) startChunk() {
+func (c *ChunkedDecoder) startChunk() {
 	c.overhead = max(0, c.overhead-freeOverheadBytes-c.remaining)
 	c.sizeLineBytes = 0
 	c.sizeDigits = 0
@@ -156,7 +156,7 @@
 }
 
 // trailerByte decodes a byte of the trailer section.
-func (c *Chunks) trailerByte(b byte) error {
+func (c *ChunkedDecoder) trailerByte(b byte) error {
 	c.trailerText = append(c.trailerText, b)
 	n := len(c.trailerText)
 	if n > maxTrailerBytes {
--- a/internal/httpwire/chunked_test.go
+++ b/internal/httpwire/chunked_test.go
@@ -11,7 +11,7 @@
 )
 
 // decode decodes a chunked body that arrives in pieces of a size.
-func decode(text []byte, pieceSize int) (content []byte, decoder Chunks, used int, err error) {
+func decode(text []byte, pieceSize int) (content []byte, decoder ChunkedDecoder, used int, err error) {
 	for used < len(text) && !decoder.Done() && err == nil {
 		var n int
 		var part []byte
@@ -79,18 +79,18 @@
 }
 
 func TestChunkedDecoderCountsContentReadDirectly(t *testing.T) {
-	var decoder Chunks
+	var decoder ChunkedDecoder
 	used, content, err := decoder.Next([]byte("5\r\n"))
-	if used != 3 || content != nil || err != nil || decoder.Data() != 5 {
-		t.Fatalf("size line: used %d, content %q, error %v, remaining %d, want 3, none, nil, 5", used, content, err, decoder.Data())
+	if used != 3 || content != nil || err != nil || decoder.Remaining() != 5 {
+		t.Fatalf("size line: used %d, content %q, error %v, remaining %d, want 3, none, nil, 5", used, content, err, decoder.Remaining())
 	}
-	decoder.Took(3)
+	decoder.Consume(3)
 	if used, content, err = decoder.Next([]byte("de\r\n")); used != 2 || string(content) != "de" || err != nil {
 		t.Fatalf("rest of the chunk: used %d, content %q, error %v, want 2, \"de\", nil", used, content, err)
 	}
 	used, _, err = decoder.Next([]byte("\r\n0\r\n\r\nx"))
-	if used != 7 || err != nil || !decoder.Done() || decoder.Data() != 0 {
-		t.Fatalf("last chunk: used %d, error %v, done %t, remaining %d, want 7, nil, true, 0", used, err, decoder.Done(), decoder.Data())
+	if used != 7 || err != nil || !decoder.Done() || decoder.Remaining() != 0 {
+		t.Fatalf("last chunk: used %d, error %v, done %t, remaining %d, want 7, nil, true, 0", used, err, decoder.Done(), decoder.Remaining())
 	}
 }
 
--- a/internal/httpwire/errors.go
+++ b/internal/httpwire/errors.go
@@ -5,8 +5,8 @@
 	"net/http"
 )
 
-// Errors of ParseRequest and Chunks. They are returned as they are, not wrapped. The texts of those that
-// ParseRequest returns are sent to clients in response bodies.
+// Errors of ParseRequest and Chunks. They are returned as they are, not wrapped. Their texts are
+// sent to clients in response bodies.
 var (
 	// ErrMalformed reports a request line, header section or trailer section that violates the grammar.
 	ErrMalformed = errors.New("the head can't be read")
@@ -23,13 +23,13 @@
 	// ErrTrailerField reports a field that is not allowed in a trailer section.
 	ErrTrailerField = errors.New("what frames a message can't stand behind its body")
 	// ErrChunk reports a chunk that violates the grammar.
-	ErrChunk = errors.New("invalid chunk")
+	ErrChunk = errors.New("a chunk can't be read")
 	// ErrChunkOverhead reports chunk extensions, chunk sizes or a trailer section that are too long.
-	ErrChunkOverhead = errors.New("too many bytes around chunks")
+	ErrChunkOverhead = errors.New("there is more around the chunks than they could require")
 )
 
-// Status returns the status code of the response to a request that failed with an error of this package.
-func Status(err error) int {
+// StatusForError returns the status code of the response to a request that failed with an error of this package.
+func StatusForError(err error) int {
 	switch err {
 	case ErrTransferEncoding:
 		return http.StatusNotImplemented
--- a/internal/httpwire/header.go
+++ b/internal/httpwire/header.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// HeadEnd returns the index behind the empty line that ends a header section, or -1 if b does not contain one.
+// HeaderEnd returns the index behind the empty line that ends a header section, or -1 if b does not contain one.
 // Bytes before index from have been searched by an earlier call. A line that ends without CR counts as well:
 // Parse rejects it, and need not wait for more.
-func HeadEnd(b []byte, from int) int {
+func HeaderEnd(b []byte, from int) int {
 	for i := max(0, from-3); ; {
 		n := bytes.IndexByte(b[i:], '\n')
 		if n < 0 {
--- a/internal/httpwire/request.go
+++ b/internal/httpwire/request.go
@@ -12,34 +12,34 @@
 
 // Request is the request line and header section of a request.
 type Request struct {
-	Method string
-	Target string // as received
-	Host   string // of the target, or else of the Host field (RFC 9112, 3.3)
-	Named  string // of the Host field, which Header does not contain
-	Header http.Header
-	// Length is the length of the body in bytes, -1 if it is chunked.
-	Length int64
-	// Old is set for HTTP/1.0.
-	Old bool
+	Method     string
+	Target     string // as received
+	Host       string // of the target, or else of the Host field (RFC 9112, 3.3)
+	HostHeader string // of the Host field, which Header does not contain
+	Header     http.Header
+	// ContentLength is the length of the body in bytes, -1 if it is chunked.
+	ContentLength int64
+	// HTTP10 is set for HTTP/1.0.
+	HTTP10 bool
 	// Close is set if the connection is to be closed after the response.
 	Close bool
-	// Expect is set if the client waits for a 100 response before it sends the body.
-	Expect bool
+	// ExpectContinue is set if the client waits for a 100 response before it sends the body.
+	ExpectContinue bool
 	// Upgrade is the protocol that the client asks to switch to, "" for none.
 	Upgrade string
 }
 
-// Blank returns the length of the empty line that may precede a request (RFC 9112, 2.2), 0 if there is none.
-func Blank(b []byte) int {
+// LeadingEmptyLine returns the length of the empty line that may precede a request (RFC 9112, 2.2), 0 if there is none.
+func LeadingEmptyLine(b []byte) int {
 	if len(b) >= 2 && b[0] == '\r' && b[1] == '\n' {
 		return 2
 	}
 	return 0
 }
 
-// Parse parses a request line and header section, which b contains up to and including the empty line, into r.
+// ParseRequest parses a request line and header section, which b contains up to and including the empty line, into r.
 // r keeps no part of b. An error is one of those that this package declares; Status has its status code.
-func Parse(b []byte, r *Request) error {
+func ParseRequest(b []byte, r *Request) error {
 	*r = Request{}
 	text := string(b) // one copy, which all strings of r share
 	line, fieldLines, ok := cutLine(text)
@@ -80,7 +80,7 @@
 	switch {
 	case version == "HTTP/1.1":
 	case version == "HTTP/1.0":
-		r.Old = true
+		r.HTTP10 = true
 	case isHTTPVersion(version):
 		return ErrVersion
 	default:
@@ -125,21 +125,21 @@
 	hosts := r.Header["Host"]
 	switch len(hosts) {
 	case 0:
-		if !r.Old {
+		if !r.HTTP10 {
 			return ErrHost
 		}
 	case 1:
 		if !hostChars.containsAll(hosts[0]) {
 			return ErrHost
 		}
-		r.Named = hosts[0]
+		r.HostHeader = hosts[0]
 		delete(r.Header, "Host")
 	default:
 		return ErrHost
 	}
 	r.Host = targetHost
 	if targetHost == "" {
-		r.Host = r.Named
+		r.Host = r.HostHeader
 	}
 	return nil
 }
@@ -151,19 +151,19 @@
 	switch {
 	case len(lengths)+len(codings) == 0:
 		return nil
-	case len(codings) == 1 && !r.Old && !strings.EqualFold(codings[0], "chunked"):
+	case len(codings) == 1 && !r.HTTP10 && !strings.EqualFold(codings[0], "chunked"):
 		return ErrTransferEncoding
 	case len(lengths)+len(codings) > 1:
 		return ErrFraming
 	case len(codings) == 1:
-		if r.Old {
+		if r.HTTP10 {
 			return ErrFraming
 		}
-		r.Length = -1
+		r.ContentLength = -1
 		return checkTrailerNames(r.Header["Trailer"])
 	}
 	length, err := parseContentLength(lengths[0])
-	r.Length = length
+	r.ContentLength = length
 	return err
 }
 
@@ -222,11 +222,11 @@
 			}
 		}
 	}
-	if r.Old && !keepAlive {
+	if r.HTTP10 && !keepAlive {
 		r.Close = true
 	}
 	protocols := r.Header["Upgrade"]
-	if upgrade && len(protocols) == 1 && !r.Old {
+	if upgrade && len(protocols) == 1 && !r.HTTP10 {
 		r.Upgrade = protocols[0]
 	}
 }
@@ -234,12 +234,12 @@
 // parseExpectation reads the Expect field (RFC 9110, 10.1.1), which has no meaning in HTTP/1.0.
 func (r *Request) parseExpectation() error {
 	expectations := r.Header["Expect"]
-	if len(expectations) == 0 || r.Old {
+	if len(expectations) == 0 || r.HTTP10 {
 		return nil
 	}
 	if len(expectations) > 1 || !strings.EqualFold(expectations[0], "100-continue") {
 		return ErrExpectation
 	}
-	r.Expect = r.Length != 0
+	r.ExpectContinue = r.ContentLength != 0
 	return nil
 }
--- a/internal/httpwire/response.go
+++ b/internal/httpwire/response.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Bodyless reports whether a response to a request with the method has no body, whatever its header section
+// ResponseHasNoBody reports whether a response to a request with the method has no body, whatever its header section
 // says (RFC 9112, 6.3).
-func Bodyless(method string, status int) bool {
+func ResponseHasNoBody(method string, status int) bool {
 	switch {
 	case method == http.MethodHead, status < http.StatusOK:
 		return true
@@ -20,9 +20,9 @@
 	return false
 }
 
-// AppendStatus appends a status line to b and returns the extended slice. The version is HTTP/1.0 if http10 is
+// AppendStatusLine appends a status line to b and returns the extended slice. The version is HTTP/1.0 if http10 is
 // set and HTTP/1.1 otherwise.
-func AppendStatus(b []byte, http10 bool, status int) []byte {
+func AppendStatusLine(b []byte, http10 bool, status int) []byte {
 	version := "HTTP/1.1 "
 	if http10 {
 		version = "HTTP/1.0 "
@@ -34,10 +34,10 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendFields appends the field lines of a header, without the empty line that ends the section, and returns
+// AppendHeader appends the field lines of a header, without the empty line that ends the section, and returns
 // the extended slice. Values of one field keep their order. To prevent response splitting, line breaks in
 // values are replaced by spaces and fields with an invalid name are left out.
-func AppendFields(b []byte, header http.Header) []byte {
+func AppendHeader(b []byte, header http.Header) []byte {
 	for name, values := range header {
 		if !Token(name) {
 			continue
--- a/internal/httpwire/response_test.go
+++ b/internal/httpwire/response_test.go
@@ -7,11 +7,11 @@
 )
 
 func TestAppendHeaderPreventsResponseSplitting(t *testing.T) {
-	got := string(AppendFields(nil, http.Header{"X-A": {"a\r\nX-B: b\nc"}, "X C": {"d"}, "": {"e"}, "X\r\nD": {"f"}}))
+	got := string(AppendHeader(nil, http.Header{"X-A": {"a\r\nX-B: b\nc"}, "X C": {"d"}, "": {"e"}, "X\r\nD": {"f"}}))
 	if want := "X-A: a  X-B: b c\r\n"; got != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
-	got = string(AppendFields(nil, http.Header{"Set-Cookie": {"a", "b"}}))
+	got = string(AppendHeader(nil, http.Header{"Set-Cookie": {"a", "b"}}))
 	if want := "Set-Cookie: a\r\nSet-Cookie: b\r\n"; got != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
