--- a/internal/cluster/lease/compat_test.go
+++ b/internal/cluster/lease/compat_test.go
@@ -83,3 +83,36 @@
 		t.Errorf("read back, it is written as %s", again)
 	}
 }
+
+// Causes of transfers and reasons of rejections are stored in snapshots and in the results that a session keeps, so
+// replicas of different builds have to write the same ones. The texts here are those of the first build that stored them.
+func TestCompatStoredTexts(t *testing.T) {
+	for _, text := range []struct{ name, got, want string }{
+		{"causeExpired", causeExpired, "lapsed"},
+		{"causeClosed", causeClosed, "closed"},
+		{"causeRestarted", causeRestarted, "restarted"},
+		{"causeAssigned", causeAssigned, "assigned"},
+		{"causeAcquired", causeAcquired, "claimed"},
+		{"causeReleased", causeReleased, "resigned"},
+		{"causeTransferred", causeTransferred, "moved"},
+		{"causeTakenAway", causeTakenAway, "taken away"},
+		{"reasonLeaseNotCreated", reasonLeaseNotCreated, "no such duty can be made"},
+		{"reasonUnknownLease", reasonUnknownLease, "there is no duty %s"},
+		{"reasonNoHolder", reasonNoHolder, "nobody holds %s"},
+		{"reasonNotLive", reasonNotLive, "%s is no living member"},
+		{"reasonNoCandidate", reasonNoCandidate, "%s does not offer to hold %s"},
+		{"reasonValueTooLong", reasonValueTooLong, "a key has %d bytes at most, a value %d"},
+		{"reasonTooManyValues", reasonTooManyValues, "a duty keeps %d values"},
+		{"reasonBadOverride", reasonBadOverride, "a word names a pool and a host, neither of them too long"},
+		{"reasonLongReason", reasonLongReason, "a reason has %d bytes at most"},
+		{"reasonLongOverride", reasonLongOverride, "a word that ends by itself lasts %v at most"},
+		{"reasonTooManyOverrides", reasonTooManyOverrides, "the fleet keeps %d words at most"},
+		{"reasonNoOverride", reasonNoOverride, "there is no word on that host"},
+		{"reasonSuperseded", reasonSuperseded, "a later command of this gateway went before it, nothing was done"},
+		{"reasonUnknownOp", reasonUnknownOp, "there is no command %q"},
+	} {
+		if text.got != text.want {
+			t.Errorf("%s is %q, stored by earlier builds as %q", text.name, text.got, text.want)
+		}
+	}
+}
