--- a/internal/engine/attempts.go
+++ b/internal/engine/attempts.go
@@ -7,14 +7,6 @@
 	"dunemoor/balancer"
 )
 
-const (
-	// maxAttempts is how many attempts a request has at most, whatever pools it comes to.
-	maxAttempts = 4
-	// streamedRetryAfter is when a client may retry a request whose only attempt never ran, and of which not
-	// enough is kept for another: soon, as a single host was at fault.
-	streamedRetryAfter = 50 * time.Millisecond
-)
-
 // admit gives a request to the pool's balancer.
 func (p *Pool) admit(now balancer.Time, x *Request) {
 	e := p.engine
@@ -70,19 +62,6 @@
 	return context.WithCancel(e.ctx)
 }
 
-// mayRetry reports whether a request may have another attempt, beside what the balancer allows. A trial has one
-// attempt in the pool that it tries, and where another pool may still serve the request, the last attempt is kept
-// for that.
-func (p *Pool) mayRetry(now balancer.Time, x *Request) bool {
-	lastHere := x.trial || x.attemptsSent >= maxAttempts-1
-	if len(x.attempts) > 0 && len(x.chain.pools) > 1 && lastHere && (x.neverRan || x.Route.idempotent(x.Class)) {
-		if _, ok := x.chain.state.Next(now, x.position, x.trial); ok {
-			return false
-		}
-	}
-	return x.attemptsSent < maxAttempts && (x.Route.budget == nil || x.Route.budget.Retry(now))
-}
-
 // attemptEnded handles the end of an attempt. The first successful response ends the request, and the balancer is
 // notified.
 func (p *Pool) attemptEnded(now balancer.Time, x *Request, n int, elapsed time.Duration, r Result) {
@@ -137,7 +116,7 @@
 		if x.lastResponse.Kind == Served {
 			final, x.lastResponse = x.lastResponse, Response{}
 		} else if x.neverRan && !outcome.MayHaveRun() {
-			final = Response{Kind: Rejected, RetryAfter: min(streamedRetryAfter, p.cfg.Settings.MaxRetryAfter)}
+			final = Response{Kind: Rejected, RetryAfter: p.streamedRetryAfter()}
 		}
 		if x.respond(final) {
 			p.countResponse(final.Kind == Rejected)
@@ -172,25 +151,3 @@
 	}
 	e.release(x)
 }
-
-// failOver has a request that its pool rejects go on to the next pool of its chain: only where connections to this
-// one failed or the request was a trial, and where it never ran. Rejections of a pool that is full stand, as the
-// requests would overload the next one.
-func (p *Pool) failOver(now balancer.Time, x *Request) bool {
-	if len(x.chain.pools) < 2 || x.inFlight > 0 || x.Finished() || x.attemptsSent >= maxAttempts || !x.Deadline.After(p.engine.clock.time(now)) {
-		return false
-	}
-	mayRunElsewhere := x.neverRan || x.Route.idempotent(x.Class)
-	unreachable := x.attemptsSent > 0 && x.neverConnected
-	if !mayRunElsewhere || !x.trial && !unreachable {
-		return false
-	}
-	next, ok := x.chain.state.Next(now, x.position, x.trial)
-	if !ok {
-		return false
-	}
-	x.position, x.trial = next, false
-	p.engine.leavePool(x)
-	p.failingOver = append(p.failingOver, x)
-	return true
-}
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -278,7 +278,7 @@
 			if answer.Kind == Served {
 				served++
 			}
-			if n := a.of(x) + b.of(x); n > maxAttempts || b.of(x) > 1 {
+			if n := a.of(x) + b.of(x); n > MaxAttempts || b.of(x) > 1 {
 				t.Fatalf("%d attempts, %d of them in the second pool", n, b.of(x))
 			}
 			time.Sleep(10 * time.Millisecond)
@@ -296,7 +296,7 @@
 			if took := time.Since(began); answer.Kind != Rejected || answer.RetryAfter == 0 || took > 250*time.Millisecond {
 				t.Errorf("response %d after %v, Retry-After %v", answer.Kind, took, answer.RetryAfter)
 			}
-			if n := a.of(x) + b.of(x); n > maxAttempts {
+			if n := a.of(x) + b.of(x); n > MaxAttempts {
 				t.Errorf("%d attempts", n)
 			}
 		}
--- /dev/null
+++ b/internal/engine/retry.go
@@ -0,0 +1,95 @@
+package engine
+
+import (
+	"time"
+
+	"dunemoor/balancer"
+)
+
+// Whether a request gets another attempt is decided in three places, each of which can only deny it:
+//
+//   - balancer (Balancer.mayRetry): in one pool, by the class's idempotency, its deduplication window, the time left
+//     and Settings.MaxAttempts. It decides first.
+//   - mayRetry below: over all pools of the failover chain, by MaxAttempts and by whether the last attempt is better
+//     kept for the next pool.
+//   - route.Budget: over all requests of a route, by the share of retries among its attempts.
+//
+// failOver then decides whether a request that its pool rejects goes on to the next pool.
+
+const (
+	// MaxAttempts is how many attempts a request has at most over all pools of its chain. The balancer of each pool
+	// is given the same bound, and counts only its own attempts.
+	MaxAttempts = 4
+	// maxStreamedRetryAfter is the longest Retry-After of a streamed request whose only attempt never ran. It is short,
+	// as a single host was at fault.
+	maxStreamedRetryAfter = 50 * time.Millisecond
+)
+
+// mayRetry reports whether a request may have a further attempt that the balancer wants, and counts it in the route's
+// retry budget.
+func (p *Pool) mayRetry(now balancer.Time, x *Request) bool {
+	if p.keepsLastAttempt(now, x) {
+		return false
+	}
+	if x.attemptsSent >= MaxAttempts {
+		return false
+	}
+	budget := x.Route.budget
+	return budget == nil || budget.Retry(now)
+}
+
+// keepsLastAttempt reports whether a request's last attempt is kept for the next pool of its chain, which may still
+// serve it. A trial request has one attempt in the pool that it tries.
+func (p *Pool) keepsLastAttempt(now balancer.Time, x *Request) bool {
+	attemptedHere := len(x.attempts) > 0
+	hasOtherPools := len(x.chain.pools) > 1
+	isLastHere := x.trial || x.attemptsSent >= MaxAttempts-1
+	if !attemptedHere || !hasOtherPools || !isLastHere || !x.mayRunElsewhere() {
+		return false
+	}
+	_, hasNext := x.chain.state.Next(now, x.position, x.trial)
+	return hasNext
+}
+
+// mayRunElsewhere reports whether a request may run at another pool: it provably never ran, or it is idempotent. Pools do
+// not share deduplication, so an idempotency key does not help here.
+func (x *Request) mayRunElsewhere() bool {
+	return x.neverRan || x.Route.idempotent(x.Class)
+}
+
+// failOver has a request that its pool rejects go on to the next pool of its chain: only where connections to this
+// one failed or the request was a trial, and where it may run elsewhere. Rejections of a pool that is full stand, as the
+// requests would overload the next one.
+func (p *Pool) failOver(now balancer.Time, x *Request) bool {
+	if !p.mayFailOver(now, x) {
+		return false
+	}
+	next, ok := x.chain.state.Next(now, x.position, x.trial)
+	if !ok {
+		return false
+	}
+	x.position = next
+	x.trial = false
+	p.engine.leavePool(x)
+	p.failingOver = append(p.failingOver, x)
+	return true
+}
+
+// mayFailOver reports whether a request that its pool rejects may go on to another pool, if there is one that is ready.
+func (p *Pool) mayFailOver(now balancer.Time, x *Request) bool {
+	if len(x.chain.pools) < 2 || x.inFlight > 0 || x.Finished() || x.attemptsSent >= MaxAttempts {
+		return false
+	}
+	if !x.Deadline.After(p.engine.clock.time(now)) {
+		return false
+	}
+	unreachable := x.attemptsSent > 0 && x.neverConnected
+	return x.mayRunElsewhere() && (x.trial || unreachable)
+}
+
+// streamedRetryAfter returns when a client may retry a streamed request whose only attempt never ran: the gateway has not
+// kept enough of its body to retry itself. Other values of Retry-After come from the balancer (a request that its pool
+// rejects), from package overload (load shedding) and from the frontends (no memory for bodies).
+func (p *Pool) streamedRetryAfter() time.Duration {
+	return min(maxStreamedRetryAfter, p.cfg.Settings.MaxRetryAfter)
+}
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -56,7 +56,7 @@
 // balancerSettings returns the settings of a pool's balancer.
 func balancerSettings(p config.Pool, classes []balancer.Class) balancer.Settings {
 	return balancer.Settings{
-		Instances: 1, Classes: classes, MaxAttempts: 4, Cancel: true, MaxRetryAfter: maxRetryAfter,
+		Instances: 1, Classes: classes, MaxAttempts: engine.MaxAttempts, Cancel: true, MaxRetryAfter: maxRetryAfter,
 		SlowStartShare: p.SlowStart.Share, SlowStartWindow: p.SlowStart.Window, OverloadFactor: overloadFactor, OverloadWindow: overloadWindow,
 	}
 }
