--- a/balancer/api.go
+++ b/balancer/api.go
@@ -140,15 +140,15 @@
 
 // Results. Those marked as proof prove that the attempt never ran; after any other it may have.
 const (
-	OK            Result = iota
-	Failed               // the host answered with an error
-	Full                 // the host rejected it unseen (proof)
-	TimedOut             // no response in time
-	ConnectFailed        // no connection (proof)
-	Reset                // the connection broke
-	Canceled             // canceled by a Cancel action
-	NotSent              // the gateway did not send it (proof)
-	Spoilt               // what arrived is no valid response
+	OK              Result = iota
+	Failed                 // the host answered with an error
+	Full                   // the host rejected it unseen (proof)
+	TimedOut               // no response in time
+	ConnectFailed          // no connection (proof)
+	Reset                  // the connection broke
+	Canceled               // canceled by a Cancel action
+	NotSent                // the gateway did not send it (proof)
+	InvalidResponse        // what arrived is no valid response
 )
 
 // MayHaveRun reports whether an attempt with this result may have run.
@@ -169,14 +169,14 @@
 
 // Causes.
 const (
-	CauseNone        Cause = iota
-	CauseLate              // it arrived with no time left to be sent
-	CauseWait              // it waited for a host as long as it may
-	CauseDeadline          // its deadline has come, with an attempt in flight or none
-	CauseSpent             // its attempts have ended and it may not be retried
-	CauseConnections       // of a host: connections fail
-	CauseSilent            // of a host: it takes requests and answers none
-	CauseYield             // it left capacity to a class of higher priority
+	CauseNone              Cause = iota
+	CauseArrivedLate             // it arrived with no time left to be sent
+	CauseQueueTimeout            // it waited for a host as long as it may
+	CauseDeadlineExceeded        // its deadline has come, with an attempt in flight or none
+	CauseNoMoreAttempts          // its attempts have ended and it may not be retried
+	CauseConnectionsFailed       // of a host: connections fail
+	CauseSilent                  // of a host: it takes requests and answers none
+	CauseLowerPriority           // it left capacity to a class of higher priority
 )
 
 // ActionKind says what the gateway is to do.
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -40,9 +40,9 @@
 	b.wake(max(now, r.deadline-b.answerMargin()), tokenAnswer<<tokenShift|uint64(q.ID))
 	switch {
 	case now+b.answerMargin() >= r.deadline:
-		b.answer(r, CauseLate)
+		b.answer(r, CauseArrivedLate)
 	case b.yieldsToStarving(r):
-		b.answer(r, CauseYield)
+		b.answer(r, CauseLowerPriority)
 	default:
 		b.dispatch(r, false)
 	}
@@ -121,7 +121,7 @@
 		}
 	case tokenAnswer:
 		if r := b.open[RequestID(token&(1<<tokenShift-1))]; r != nil && !r.done && !r.streaming {
-			b.answer(r, CauseDeadline)
+			b.answer(r, CauseDeadlineExceeded)
 		}
 	}
 }
@@ -198,7 +198,7 @@
 		}
 		b.recordForClasses(a, b.recordError)
 		b.readmit(h)
-	case Spoilt:
+	case InvalidResponse:
 		// The host did the work and took that long. What breaks responses on their way may do so to any
 		// host's, but a host that gives nothing else counts as failing.
 		h.brokenResponses++
@@ -222,11 +222,11 @@
 		// As with broken responses, what resets connections may do so to any host's.
 		b.addSample(h, rtt)
 		if h.brokenResponses++; h.brokenResponses >= maxBrokenResponses {
-			b.eject(h, CauseConnections)
+			b.eject(h, CauseConnectionsFailed)
 		}
 	case ConnectFailed:
 		b.addSample(h, rtt)
-		b.eject(h, CauseConnections)
+		b.eject(h, CauseConnectionsFailed)
 	}
 }
 
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -732,7 +732,7 @@
 			continue
 		}
 		answers++
-		if class, ok := sent[a.Request]; !ok || (class == 0) != (a.Kind == Reject) || a.Cause != CauseDeadline {
+		if class, ok := sent[a.Request]; !ok || (class == 0) != (a.Kind == Reject) || a.Cause != CauseDeadlineExceeded {
 			t.Errorf("request %d of class %d: %+v", a.Request, class, a)
 		}
 	}
@@ -750,7 +750,7 @@
 		g.b.rng = seed
 		h := g.b.byID[1]
 		g.b.HealthCheckPassed(g.now, 1, ms)
-		if g.b.eject(h, CauseConnections); h.ejectedUntil <= g.now+20*ms {
+		if g.b.eject(h, CauseConnectionsFailed); h.ejectedUntil <= g.now+20*ms {
 			t.Fatalf("out for %v only", h.ejectedUntil-g.now)
 		}
 		g.b.HealthCheckPassed(g.now, 1, 20*ms)
@@ -760,13 +760,13 @@
 		}
 		at = append(at, h.ejectedUntil-g.now)
 		g.now = h.ejectedUntil
-		g.b.eject(h, CauseConnections)
+		g.b.eject(h, CauseConnectionsFailed)
 		until := h.ejectedUntil
 		if g.b.HealthCheckPassed(g.now, 1, 20*ms); h.ejectedUntil != until {
 			t.Fatal("a second hint is taken though the first was wrong")
 		}
 		g.b.readmit(h)
-		g.b.eject(h, CauseConnections)
+		g.b.eject(h, CauseConnectionsFailed)
 		if g.b.HealthCheckPassed(g.now, 1, 20*ms); h.ejectedUntil > g.now+20*ms {
 			t.Fatal("no hint is taken after the host has answered")
 		}
@@ -967,16 +967,16 @@
 func TestFailOpenSparesBrokenHosts(t *testing.T) {
 	g := start(t, basic(), hosts(6)...)
 	for id := HostID(1); id <= 4; id++ {
-		g.b.eject(g.b.byID[id], CauseConnections)
+		g.b.eject(g.b.byID[id], CauseConnectionsFailed)
 	}
 	g.b.eject(g.b.byID[5], CauseSilent)
 	got := g.serve(40, 0, func(HostID) time.Duration { return ms })
 	if got[5] == 0 || got[6] == 0 || got[1]+got[2]+got[3]+got[4] != 0 {
 		t.Errorf("sends by host: %v", got)
 	}
-	g.b.eject(g.b.byID[5], CauseConnections)
-	g.b.byID[5].ejectCause = CauseConnections
-	g.b.eject(g.b.byID[6], CauseConnections)
+	g.b.eject(g.b.byID[5], CauseConnectionsFailed)
+	g.b.byID[5].ejectCause = CauseConnectionsFailed
+	g.b.eject(g.b.byID[6], CauseConnectionsFailed)
 	g.request(0, time.Second)
 	g.sole(Send) // connections fail everywhere, so the fault may be the path
 }
@@ -1579,7 +1579,7 @@
 		t.Fatalf("logs %q, want the first only", g.logs)
 	}
 	g.b.now += logInterval
-	g.b.eject(g.b.hosts[20], CauseConnections)
+	g.b.eject(g.b.hosts[20], CauseConnectionsFailed)
 	g.drain()
 	if want := "host 15 ejected: connections fail (9 more such lines held back)"; g.logs[1] != want {
 		t.Errorf("log %q, want %q", g.logs[1], want)
@@ -1711,7 +1711,7 @@
 		lines = append(lines, strings.TrimSuffix(m[1], "%s"))
 	}
 	for _, m := range regexp.MustCompile(`b\.eject\(h, (Cause\w+)`).FindAllStringSubmatch(code, -1) {
-		name, ok := map[string]Cause{"CauseConnections": CauseConnections, "CauseSilent": CauseSilent}[m[1]]
+		name, ok := map[string]Cause{"CauseConnections": CauseConnectionsFailed, "CauseSilent": CauseSilent}[m[1]]
 		if !ok {
 			t.Errorf("%s: the page is not checked for it", m[1])
 		}
@@ -1832,7 +1832,7 @@
 	g := start(t, basic(), hosts(1)...)
 	h := g.b.hosts[0]
 	id := g.request(2, time.Second)
-	g.outcome(id, 0, Spoilt, 5*ms)
+	g.outcome(id, 0, InvalidResponse, 5*ms)
 	if g.sole(Fail).Request != id { // it may have run
 		t.Error("another request was answered")
 	}
@@ -1840,7 +1840,7 @@
 		t.Errorf("estimate %v, ejected %v", got, g.b.ejected(h))
 	}
 	id = g.request(0, time.Second)
-	g.outcome(id, 0, Spoilt, 5*ms)
+	g.outcome(id, 0, InvalidResponse, 5*ms)
 	if g.sole(Send).Request != id {
 		t.Error("a safe request is not sent again")
 	}
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -604,7 +604,7 @@
 			t.Fatalf("%d gateways: %v at once", gateways, g.acts)
 		}
 		early, then := g.advance(want-ms), g.advance(set.Classes[0].LatencyObjective/8)
-		if len(early) > 0 || len(then) != 1 || then[0].Kind != Reject || then[0].Cause != CauseWait {
+		if len(early) > 0 || len(then) != 1 || then[0].Kind != Reject || then[0].Cause != CauseQueueTimeout {
 			t.Errorf("%d gateways: %v before %v, %v after", gateways, early, want, then)
 		}
 	}
--- a/balancer/hostset.go
+++ b/balancer/hostset.go
@@ -81,7 +81,7 @@
 	if now.ready = h.inSubset() && h.State == Ready; now.ready {
 		set = b.readySetOf(h)
 		now.inUse, now.ejected = b.isInUse(h), b.ejected(h)
-		now.broken, now.unrecovered = now.ejected && h.ejectCause == CauseConnections, h.ejections > 0
+		now.broken, now.unrecovered = now.ejected && h.ejectCause == CauseConnectionsFailed, h.ejections > 0
 	}
 	if h.ejections > 0 {
 		until(h.ejectedUntil)
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -145,7 +145,7 @@
 	}
 	acted := b.unansweredShare > maxUnansweredShare
 	switch a.result {
-	case OK, Failed, Full, Spoilt:
+	case OK, Failed, Full, InvalidResponse:
 		b.unansweredShare -= unansweredWeight * b.unansweredShare
 	case TimedOut, Canceled:
 		if a.result == TimedOut || a.req.timedOut {
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -24,7 +24,7 @@
 	for i := range b.queues {
 		for n := b.queues[i].head; n != nil && b.now >= n.item.waitUntil; n = b.queues[i].head {
 			b.log(logRefuse, "refusing: hosts are full, %d requests wait", b.queued)
-			b.answer(n.item, CauseWait)
+			b.answer(n.item, CauseQueueTimeout)
 		}
 	}
 	for i := range b.queues {
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -29,7 +29,7 @@
 	case b.mayRetry(r):
 		b.dispatch(r, true)
 	default:
-		b.answer(r, CauseSpent)
+		b.answer(r, CauseNoMoreAttempts)
 	}
 }
 
@@ -46,7 +46,7 @@
 // is known to be harmless.
 func (b *Balancer) answer(r *request, cause Cause) {
 	r.timedOut = true
-	if cause == CauseWait {
+	if cause == CauseQueueTimeout {
 		b.recordStarvation(r, true)
 	}
 	c, anywhere := r.class, r.firstThatMayRun() == nil
--- a/balancer/scale_test.go
+++ b/balancer/scale_test.go
@@ -23,7 +23,7 @@
 		case b.ejected(h):
 			listed++
 			out++
-			if h.ejectCause == CauseConnections {
+			if h.ejectCause == CauseConnectionsFailed {
 				broken++
 			}
 		default:
@@ -36,7 +36,7 @@
 	for _, h := range from {
 		switch {
 		case listed == 0 && excluded > 0 && open(h),
-			2*out > listed && b.ejected(h) && !b.excludedFor(h, class) && open(h) && (h.ejectCause != CauseConnections || broken == listed):
+			2*out > listed && b.ejected(h) && !b.excludedFor(h, class) && open(h) && (h.ejectCause != CauseConnectionsFailed || broken == listed):
 			ready = append(ready, h)
 		}
 	}
@@ -221,7 +221,7 @@
 	}
 	checkSets(t, g.b) // all ejected: fail open
 	for _, h := range g.b.hosts {
-		h.ejectCause = CauseConnections
+		h.ejectCause = CauseConnectionsFailed
 		g.b.recheck(h)
 	}
 	checkSets(t, g.b)
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -152,7 +152,7 @@
 			excluded++
 		} else if h.State == Ready {
 			ejected := b.ejected(h)
-			broken := ejected && h.ejectCause == CauseConnections
+			broken := ejected && h.ejectCause == CauseConnectionsFailed
 			counts.add(standing{ready: true, ejected: ejected, broken: broken}, 1)
 		}
 	}
@@ -184,7 +184,7 @@
 		return setNone
 	case !ejected:
 		return setReady
-	case h.ejectCause == CauseConnections:
+	case h.ejectCause == CauseConnectionsFailed:
 		return setBroken
 	}
 	return setSilent
--- a/balancer/view.go
+++ b/balancer/view.go
@@ -7,10 +7,10 @@
 	InSubset          bool    // this instance uses it
 	Warming           bool    // it started less than SlowStartWindow ago
 	Overdue           bool    // its oldest attempt has taken long, and it gets no other
-	Pending           int     // attempts in flight
+	InFlight          int     // attempts in flight
 	ConcurrencyLimit  float64 // attempts that it may hold from this instance
-	Mean              float64 // RTT of its last responses, in objectives
-	Estimate          float64 // RTT by which it is chosen, in seconds
+	RecentRTT         float64 // RTT of its last responses, in objectives
+	EstimatedRTT      float64 // RTT by which it is chosen, in seconds
 	Cause             Cause   // of its last ejection
 	Ejections         int     // since its last response; 0: it is not ejected
 	EjectedUntil      Time    // it gets nothing until then, and then one trial request
@@ -27,7 +27,7 @@
 	for _, h := range b.hosts {
 		v := HostView{
 			Host: h.ID, State: h.State, InSubset: h.inSubset(), Warming: h.warming, Overdue: b.hostOverdue(h),
-			Pending: h.inFlight, ConcurrencyLimit: h.concurrencyLimit, Mean: h.recentRTT.mean, Estimate: b.estimatedRTT(h),
+			InFlight: h.inFlight, ConcurrencyLimit: h.concurrencyLimit, RecentRTT: h.recentRTT.mean, EstimatedRTT: b.estimatedRTT(h),
 			Cause: h.ejectCause, Ejections: h.ejections, EjectedUntil: h.ejectedUntil, RestingUntil: h.restingUntil,
 			NextSlowStartSend: h.nextSlowStartSend,
 		}
@@ -58,7 +58,7 @@
 		return "resting"
 	case v.Overdue:
 		return "overdue"
-	case v.Pending > 0 && float64(v.Pending+1) > v.ConcurrencyLimit:
+	case v.InFlight > 0 && float64(v.InFlight+1) > v.ConcurrencyLimit:
 		return "full"
 	}
 	return ""
--- a/cmd/dunemoor/appliance_test.go
+++ b/cmd/dunemoor/appliance_test.go
@@ -75,7 +75,7 @@
 	if resp.StatusCode != 200 {
 		t.Errorf("status: %d", resp.StatusCode)
 	}
-	classes := fakes.Classes()
+	classes := fakes.DefaultClasses()
 	for i := range classes {
 		classes[i].Timeout = 20 * time.Second
 	}
@@ -114,11 +114,11 @@
 		t.Errorf("exit code %d: %s", code, p.out.String())
 	}
 	c := ledger.Count()
-	if broken := c.Broken(); broken != "" {
-		t.Errorf("rules broken: %s; twice %v, harm %v", broken, c.Twice, c.Harm)
+	if broken := c.Violations(); broken != "" {
+		t.Errorf("rules broken: %s; twice %v, harm %v", broken, c.RanTwice, c.RejectedAfterExecution)
 	}
-	if c.Ends[fakes.Served]*100 < 98*c.Asked {
-		t.Errorf("of %d asked: %v", c.Asked, c.Ends)
+	if c.Outcomes[fakes.Served]*100 < 98*c.Requests {
+		t.Errorf("of %d asked: %v", c.Requests, c.Outcomes)
 	}
 }
 
@@ -138,7 +138,7 @@
 	}
 	p := startAs(t, path, listen, "-appliance", path)
 	p.ready(t)
-	classes := fakes.Classes()
+	classes := fakes.DefaultClasses()
 	for i := range classes {
 		classes[i].Timeout = 20 * time.Second
 	}
@@ -147,7 +147,7 @@
 	done := make(chan error, 1)
 	go func() { done <- load.Run(context.Background(), ledger) }()
 	for range 3 {
-		until(t, "it serves", func() bool { c := ledger.Count(); return c.Ends[fakes.Served] > 50 })
+		until(t, "it serves", func() bool { c := ledger.Count(); return c.Outcomes[fakes.Served] > 50 })
 		if err := p.Process.Signal(syscall.SIGSTOP); err != nil {
 			t.Fatal(err)
 		}
@@ -155,15 +155,15 @@
 		if err := p.Process.Signal(syscall.SIGCONT); err != nil {
 			t.Fatal(err)
 		}
-		served := ledger.Count().Ends[fakes.Served]
-		until(t, "it serves again", func() bool { return ledger.Count().Ends[fakes.Served] > served+50 || len(done) > 0 })
+		served := ledger.Count().Outcomes[fakes.Served]
+		until(t, "it serves again", func() bool { return ledger.Count().Outcomes[fakes.Served] > served+50 || len(done) > 0 })
 	}
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
 	c := ledger.Count()
-	if broken := c.Broken(); broken != "" || c.Ends[fakes.Served] != c.Asked {
-		t.Errorf("of %d asked %v; rules broken: %s", c.Asked, c.Ends, broken)
+	if broken := c.Violations(); broken != "" || c.Outcomes[fakes.Served] != c.Requests {
+		t.Errorf("of %d asked %v; rules broken: %s", c.Requests, c.Outcomes, broken)
 	}
 }
 
--- a/cmd/dunemoor/fleet_test.go
+++ b/cmd/dunemoor/fleet_test.go
@@ -19,14 +19,14 @@
 		t.Fatal(err)
 	}
 	defer fleet.Close()
-	classes := fakes.Classes()
+	classes := fakes.DefaultClasses()
 	for i := range classes {
 		classes[i].Timeout = 20 * time.Second // long, as machines are noisy
 	}
 	listen := freeAddr(t)
 	p := start(t, string(fleet.Config("n0", listen, classes)), listen)
 	p.ready(t)
-	served := func() int { c := fleet.Ledger.Count(); return c.Ends[fakes.Served] }
+	served := func() int { c := fleet.Ledger.Count(); return c.Outcomes[fakes.Served] }
 	load := fakes.Load{URL: p.url, Rate: 150, Count: 900, Classes: classes, Seed: 5, Retries: 2}
 	var wait sync.WaitGroup
 	wait.Add(1)
@@ -68,11 +68,11 @@
 	}
 	wait.Wait()
 	c := fleet.Ledger.Count()
-	if broken := c.Broken(); broken != "" {
-		t.Errorf("rules broken: %s; twice %v, harm %v, stray %v", broken, c.Twice, c.Harm, c.Stray)
+	if broken := c.Violations(); broken != "" {
+		t.Errorf("rules broken: %s; twice %v, harm %v, stray %v", broken, c.RanTwice, c.RejectedAfterExecution, c.Unrequested)
 	}
-	if c.Ends[fakes.Served]*100 < 85*c.Asked {
-		t.Errorf("of %d asked: %v", c.Asked, c.Ends)
+	if c.Outcomes[fakes.Served]*100 < 85*c.Requests {
+		t.Errorf("of %d asked: %v", c.Requests, c.Outcomes)
 	}
-	t.Logf("of %d asked: %v", c.Asked, c.Ends)
+	t.Logf("of %d asked: %v", c.Requests, c.Outcomes)
 }
--- a/cmd/dunemoor/main_test.go
+++ b/cmd/dunemoor/main_test.go
@@ -471,7 +471,7 @@
 		}
 		rep, err := flightrecorder.Replay(flightrecorder.NewReader(f), nil, nil)
 		f.Close()
-		if err != nil || rep.First != nil || len(rep.Losses) > 0 || rep.Events < 4 {
+		if err != nil || rep.Divergence != nil || len(rep.Losses) > 0 || rep.Events < 4 {
 			t.Errorf("%s: %+v, %v", filepath.Base(path), rep, err)
 		}
 	}
--- a/cmd/dunemoorctl/flight.go
+++ b/cmd/dunemoorctl/flight.go
@@ -114,12 +114,12 @@
 				fmt.Fprintf(out, "missing: %s\n", l)
 			}
 			fmt.Fprintf(out, "%d sessions, %d events, %d actions alike, %d checkpoints agree, %d events skipped\n",
-				rep.Sessions, rep.Events, rep.Actions, rep.Checked, rep.Skipped)
-			if rep.Foreign > 0 {
-				fmt.Fprintf(out, "%d checkpoints are of another build: %s\n", rep.Foreign, rep.ForeignWhy)
+				rep.Sessions, rep.Events, rep.Actions, rep.Checked, rep.SkippedEvents)
+			if rep.ForeignCheckpoints > 0 {
+				fmt.Fprintf(out, "%d checkpoints are of another build: %s\n", rep.ForeignCheckpoints, rep.ForeignWhy)
 			}
-			if rep.First != nil {
-				fmt.Fprintf(out, "first difference: %v\n", rep.First)
+			if rep.Divergence != nil {
+				fmt.Fprintf(out, "first difference: %v\n", rep.Divergence)
 				return errDiffers
 			}
 			return nil
--- a/cmd/dunemoorctl/main_test.go
+++ b/cmd/dunemoorctl/main_test.go
@@ -21,11 +21,11 @@
 		t.Fatal(err)
 	}
 	now := balancer.Time(time.Hour)
-	rec, err := flightrecorder.New(bal, flightrecorder.Start{Name: "n7", Seed: claimed, At: now, Settings: set, Classes: []string{"look"}}, 1, flightrecorder.Options{})
+	rec, err := flightrecorder.New(bal, flightrecorder.SessionStart{Name: "n7", Seed: claimed, At: now, Settings: set, Classes: []string{"look"}}, 1, flightrecorder.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	rec.Name(now, 1, "s-one")
+	rec.NameHost(now, 1, "s-one")
 	rec.Start(now)
 	rec.UpdateEndpoints(now, balancer.ListSaved, []balancer.Host{{ID: 1}, {ID: 2}, {ID: 3}})
 	rec.TakeActions(nil)
--- a/cmd/experiment/hands.go
+++ b/cmd/experiment/hands.go
@@ -118,5 +118,5 @@
 	if bad := faulttest.Check(f.History.Events()); len(bad) > 0 {
 		err = errors.Join(err, fmt.Errorf("%d things that must never be, the first: %s", len(bad), bad[0]))
 	}
-	return fmt.Sprintf("%d requests %v; acts of old owners: %d tried, %d taken", count.Asked, count.Ends, tried, taken), errors.Join(err, broken)
+	return fmt.Sprintf("%d requests %v; acts of old owners: %d tried, %d taken", count.Requests, count.Outcomes, tried, taken), errors.Join(err, broken)
 }
--- a/cmd/fakes/appliance.go
+++ b/cmd/fakes/appliance.go
@@ -59,21 +59,21 @@
 			host = strings.Replace(r.Hosts[0], "*", "any", 1)
 		}
 		if own.Class != "" {
-			effect, body := fakes.Safe, ""
+			effect, body := fakes.Idempotent, ""
 			if len(r.Methods) > 0 && !slices.Contains(r.Methods, "GET") {
-				effect, body = fakes.Unsafe, strings.Repeat("a photo ", photo/8)
+				effect, body = fakes.NonIdempotent, strings.Repeat("a photo ", photo/8)
 			}
 			classes = append(classes, fakes.Class{
-				Name: r.Name, Effect: effect, Body: body, Share: 1, Timeout: own.Timeout, Path: r.Path, Host: host, Plain: true,
+				Name: r.Name, Idempotency: effect, Body: body, Share: 1, Timeout: own.Timeout, Path: r.Path, Host: host, WithoutPlatformHeaders: true,
 			})
 			continue
 		}
 		for _, c := range a.Classes {
-			effect := map[balancer.Idempotency]fakes.Effect{
-				balancer.Idempotent: fakes.Safe, balancer.IdempotentWithKey: fakes.Keyed, balancer.NonIdempotent: fakes.Unsafe,
+			effect := map[balancer.Idempotency]fakes.Idempotency{
+				balancer.Idempotent: fakes.Idempotent, balancer.IdempotentWithKey: fakes.IdempotentWithKey, balancer.NonIdempotent: fakes.NonIdempotent,
 			}[c.Idempotency]
 			classes = append(classes, fakes.Class{
-				Name: r.Name + "/" + c.Name, Says: c.Name, Effect: effect, Share: 1, Timeout: c.Deadline, Window: c.DedupWindow,
+				Name: r.Name + "/" + c.Name, ClassHeader: c.Name, Idempotency: effect, Share: 1, Timeout: c.Deadline, Window: c.DedupWindow,
 				Path: r.Path, Host: host, Body: "something to do",
 			})
 		}
--- a/cmd/fakes/main.go
+++ b/cmd/fakes/main.go
@@ -86,7 +86,7 @@
 	}
 	healthy := fakes.Behaviour{Work: *work, Cores: *cores, Cold: 3 * time.Second, ColdFrom: 0.4}
 	var fleet *fakes.Fleet
-	classes := fakes.Classes()
+	classes := fakes.DefaultClasses()
 	web := "" // where web servers ask by FastCGI; "": nowhere
 	var err error
 	if *box != "" {
@@ -141,7 +141,7 @@
 	}
 	c := fleet.Ledger.Count()
 	print(&c)
-	if broken := c.Broken(); broken != "" {
+	if broken := c.Violations(); broken != "" {
 		return fmt.Errorf("rules broken: %s", broken)
 	}
 	return nil
@@ -223,8 +223,8 @@
 		for _, n := range by {
 			asked += n
 		}
-		fmt.Printf("%-20s %8d %8d %8d %8d %8d\n", name, asked, by[fakes.Served], by[fakes.Refused], by[fakes.Failed],
-			by[fakes.Lost]+by[fakes.Nothing]+by[fakes.Open])
+		fmt.Printf("%-20s %8d %8d %8d %8d %8d\n", name, asked, by[fakes.Served], by[fakes.Rejected], by[fakes.Failed],
+			by[fakes.ConnectionLost]+by[fakes.Unanswered]+by[fakes.Open])
 	}
-	fmt.Printf("%d runs on the nodes, %d ran twice that must not, %d unanswered\n", c.Runs, len(c.Twice), c.Ends[fakes.Nothing]+c.Ends[fakes.Open])
+	fmt.Printf("%d runs on the nodes, %d ran twice that must not, %d unanswered\n", c.Executions, len(c.RanTwice), c.Outcomes[fakes.Unanswered]+c.Outcomes[fakes.Open])
 }
--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -12,23 +12,23 @@
 // says how it is kept; those who pass it on ask only what they need.
 type Body struct {
 	held []byte
-	flow *Flow
+	flow *Stream
 }
 
-// Held is a Body that is in memory whole. It keeps the slice.
-func Held(b []byte) Body { return Body{held: b} }
+// NewBuffered is a Body that is in memory whole. It keeps the slice.
+func NewBuffered(b []byte) Body { return Body{held: b} }
 
-// Flowing is a Body of which only the first part is in memory.
-func Flowing(held []byte, f *Flow) Body { return Body{held, f} }
+// NewStreamed is a Body of which only the first part is in memory.
+func NewStreamed(held []byte, f *Stream) Body { return Body{held, f} }
 
-// Whole says whether all of it is in memory.
-func (b Body) Whole() bool { return b.flow == nil }
+// Buffered says whether all of it is in memory.
+func (b Body) Buffered() bool { return b.flow == nil }
 
 // Bytes is the part that is in memory; it must not be changed.
 func (b Body) Bytes() []byte { return b.held }
 
-// Flow is what comes behind that part, nil for nothing.
-func (b Body) Flow() *Flow { return b.flow }
+// Stream is what comes behind that part, nil for nothing.
+func (b Body) Stream() *Stream { return b.flow }
 
 // Len is the number of bytes in all, -1 where that is not known.
 func (b Body) Len() int64 {
@@ -49,12 +49,12 @@
 	Close(whole bool)
 }
 
-// ErrTaken says that a flow has been begun by another, or has ended.
-var ErrTaken = errors.New("body: what flows is read once")
+// ErrConsumed says that a flow has been begun by another, or has ended.
+var ErrConsumed = errors.New("body: what flows is read once")
 
-// Flow is the part of a body that is not in memory. It is taken once: what has been let go
+// Stream is the part of a body that is not in memory. It is taken once: what has been let go
 // does not come again.
-type Flow struct {
+type Stream struct {
 	source Source
 	length int64
 
@@ -66,18 +66,18 @@
 	err    error // that reading ended with, but for io.EOF
 }
 
-// NewFlow returns a flow of a body of a length in all, -1 where that is not known.
-func NewFlow(source Source, length int64) *Flow { return &Flow{source: source, length: length} }
+// NewStream returns a flow of a body of a length in all, -1 where that is not known.
+func NewStream(source Source, length int64) *Stream { return &Stream{source: source, length: length} }
 
-// OnBegin has f called before the first byte is let go. It is set before the flow is passed on.
-func (f *Flow) OnBegin(begin func()) { f.begin = begin }
+// OnConsume has f called before the first byte is let go. It is set before the flow is passed on.
+func (f *Stream) OnConsume(begin func()) { f.begin = begin }
 
-// Take makes the caller the one who reads the flow. Whoever comes second gets ErrTaken.
-func (f *Flow) Take() error {
+// Consume makes the caller the one who reads the flow. Whoever comes second gets ErrTaken.
+func (f *Stream) Consume() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.taken || f.closed {
-		return ErrTaken
+		return ErrConsumed
 	}
 	f.taken = true
 	if f.begin != nil {
@@ -86,15 +86,15 @@
 	return nil
 }
 
-// Taken says whether the flow has been begun: from then on nothing can be sent again.
-func (f *Flow) Taken() bool {
+// Consumed says whether the flow has been begun: from then on nothing can be sent again.
+func (f *Stream) Consumed() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.taken
 }
 
 // Read reads on. Only who has taken the flow calls it.
-func (f *Flow) Read(p []byte) (int, error) {
+func (f *Stream) Read(p []byte) (int, error) {
 	n, err := f.source.Read(p)
 	if err != nil {
 		f.mu.Lock()
@@ -105,17 +105,17 @@
 }
 
 // Err is what reading ended with: nil while it goes on, io.EOF if the body came whole.
-func (f *Flow) Err() error {
+func (f *Stream) Err() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.err
 }
 
 // Trailer is what came behind the last byte.
-func (f *Flow) Trailer() http.Header { return f.source.Trailer() }
+func (f *Stream) Trailer() http.Header { return f.source.Trailer() }
 
 // Close ends the flow; a Read that waits ends with an error. Further calls do nothing.
-func (f *Flow) Close() {
+func (f *Stream) Close() {
 	f.mu.Lock()
 	if f.closed {
 		f.mu.Unlock()
--- a/internal/body/body_test.go
+++ b/internal/body/body_test.go
@@ -27,15 +27,15 @@
 // a second attempt that would send what the first has let go.
 func TestFlowIsTakenOnce(t *testing.T) {
 	s := &source{left: 10}
-	f := NewFlow(s, 10)
+	f := NewStream(s, 10)
 	begun := 0
-	f.OnBegin(func() {
+	f.OnConsume(func() {
 		if begun++; s.left != 10 {
 			t.Error("a byte was let go before")
 		}
 	})
-	if f.Taken() || f.Take() != nil || f.Take() != ErrTaken || !f.Taken() || begun != 1 {
-		t.Errorf("taken %t, begun %d times", f.Taken(), begun)
+	if f.Consumed() || f.Consume() != nil || f.Consume() != ErrConsumed || !f.Consumed() || begun != 1 {
+		t.Errorf("taken %t, begun %d times", f.Consumed(), begun)
 	}
 	if n, err := io.Copy(io.Discard, f); n != 10 || err != nil || f.Err() != io.EOF {
 		t.Errorf("%d, %v, %v", n, err, f.Err())
@@ -46,12 +46,12 @@
 		t.Errorf("closed %v", s.closed)
 	}
 	s = &source{left: 10}
-	f = NewFlow(s, 10)
+	f = NewStream(s, 10)
 	f.Close()
-	if f.Take() != ErrTaken || len(s.closed) != 1 || s.closed[0] {
+	if f.Consume() != ErrConsumed || len(s.closed) != 1 || s.closed[0] {
 		t.Errorf("a closed flow: closed %v", s.closed)
 	}
-	if b := Flowing([]byte("ab"), f); b.Whole() || b.Len() != 10 || len(b.Bytes()) != 2 || Held([]byte("ab")).Len() != 2 || !Held(nil).Whole() {
+	if b := NewStreamed([]byte("ab"), f); b.Buffered() || b.Len() != 10 || len(b.Bytes()) != 2 || NewBuffered([]byte("ab")).Len() != 2 || !NewBuffered(nil).Buffered() {
 		t.Error("lengths")
 	}
 }
@@ -59,30 +59,30 @@
 // A peer is too slow by the time that it was waited for alone, over a window: one byte at a time
 // is found out, a pause of the other side is not held against it.
 func TestPace(t *testing.T) {
-	m := Meter{Pace: Pace{Idle: 30 * time.Second, Least: 100}}
+	m := Meter{Pace: Pace{IdleTimeout: 30 * time.Second, MinRate: 100}}
 	for i := range 9 {
-		if err := m.Moved(1, time.Second); err != nil {
+		if err := m.Record(1, time.Second); err != nil {
 			t.Fatalf("after %d s: %v", i+1, err)
 		}
 	}
-	if m.Wait() != time.Second {
-		t.Errorf("it may wait %v in the last second of a window", m.Wait())
+	if m.Timeout() != time.Second {
+		t.Errorf("it may wait %v in the last second of a window", m.Timeout())
 	}
-	if m.Moved(1, time.Second) != ErrSlow {
+	if m.Record(1, time.Second) != ErrTooSlow {
 		t.Error("ten bytes in ten seconds are fast enough")
 	}
 	for range 100 {
-		if err := m.Moved(100, time.Second); err != nil {
+		if err := m.Record(100, time.Second); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for range 1000 { // what the other side takes does not count
-		if err := m.Moved(1, time.Millisecond); err != nil {
+		if err := m.Record(1, time.Millisecond); err != nil {
 			t.Fatal(err)
 		}
 	}
-	any := Meter{Pace: Pace{Idle: time.Minute}}
-	if any.Moved(0, time.Hour) != nil || any.Wait() != time.Minute {
+	any := Meter{Pace: Pace{IdleTimeout: time.Minute}}
+	if any.Record(0, time.Hour) != nil || any.Timeout() != time.Minute {
 		t.Error("without a least rate any is fast enough")
 	}
 }
@@ -90,40 +90,40 @@
 // What is taken is bounded by cause, given back whole, and less is taken near the end.
 func TestBudget(t *testing.T) {
 	b := NewBudget(1 << 20)
-	_, most := b.Used(Requests)
-	if most != 1<<17 || !b.Take(Requests, most) || b.Take(Requests, 1) {
+	_, most := b.Used(RequestBodies)
+	if most != 1<<17 || !b.Reserve(RequestBodies, most) || b.Reserve(RequestBodies, 1) {
 		t.Errorf("%d bytes for requests", most)
 	}
-	if !b.Take(Answers, 1<<18) || b.Take(Answers, 1) {
+	if !b.Reserve(ResponseBodies, 1<<18) || b.Reserve(ResponseBodies, 1) {
 		t.Error("one cause takes the part of another")
 	}
-	b.Give(Requests, most)
-	if b.Near(Requests) || !b.Near(Answers) {
+	b.Release(RequestBodies, most)
+	if b.NearLimit(RequestBodies) || !b.NearLimit(ResponseBodies) {
 		t.Error("near its end")
 	}
 	var bufs []*[]byte
 	sizes := map[int]int{}
 	for {
-		buf := b.Buffer()
+		buf := b.AcquireBuffer()
 		if buf == nil {
 			break
 		}
 		sizes[len(*buf)]++
 		bufs = append(bufs, buf)
 	}
-	if used, most := b.Used(Flows); used > most || sizes[largeBuffer] != 2 || sizes[smallBuffer] != 0 {
+	if used, most := b.Used(StreamBuffers); used > most || sizes[largeBuffer] != 2 || sizes[smallBuffer] != 0 {
 		t.Errorf("%d of %d bytes, buffers %v", used, most, sizes)
 	}
 	for _, buf := range bufs {
-		b.Return(buf)
+		b.ReleaseBuffer(buf)
 	}
 	for c := range causes {
 		used, _ := b.Used(c)
-		if c != Answers && used != 0 {
+		if c != ResponseBodies && used != 0 {
 			t.Errorf("%v: %d bytes were not given back", c, used)
 		}
 	}
-	Recycle(make([]byte, 10)) // not of a pool
+	FreePage(make([]byte, 10)) // not of a pool
 }
 
 // A deadline is set anew only when a quarter of its time has passed, and is never nearer than
@@ -131,10 +131,10 @@
 func TestAlarm(t *testing.T) {
 	set := 0
 	var last time.Time
-	a := Alarm{Set: func(at time.Time) error { set++; last = at; return nil }}
+	a := LazyDeadline{SetDeadline: func(at time.Time) error { set++; last = at; return nil }}
 	now := time.Unix(1000, 0)
 	for range 10_000 {
-		a.Within(now, 10*time.Second)
+		a.Reset(now, 10*time.Second)
 		if d := last.Sub(now); d < 10*time.Second || d > 12500*time.Millisecond {
 			t.Fatalf("%v from now", d)
 		}
@@ -143,7 +143,7 @@
 	if set < 4 || set > 6 {
 		t.Errorf("set %d times in 10 s", set)
 	}
-	a.Within(now, time.Second)
+	a.Reset(now, time.Second)
 	if d := last.Sub(now); d > 1250*time.Millisecond {
 		t.Errorf("a shorter wait is %v", d)
 	}
@@ -152,13 +152,13 @@
 // What is held for a body is less than twice what is counted for it: it guards against bodies of a
 // few KiB that keep large buffers, which no budget knows of.
 func TestPagesFit(t *testing.T) {
-	for _, n := range []int64{1, 2048, 2049, 4096, 4097, 5 << 10, 8 << 10, 33 << 10, PageMost, PageMost + 1} {
+	for _, n := range []int64{1, 2048, 2049, 4096, 4097, 5 << 10, 8 << 10, 33 << 10, MaxPooledPage, MaxPooledPage + 1} {
 		for range 2 { // made, and of the pool
-			p := Page(n)
+			p := AllocPage(n)
 			if int64(len(p)) != n || int64(cap(p)) >= max(2*n, smallBuffer+1) {
 				t.Errorf("%d bytes: length %d, memory %d", n, len(p), cap(p))
 			}
-			Recycle(p)
+			FreePage(p)
 		}
 	}
 }
--- a/internal/body/budget.go
+++ b/internal/body/budget.go
@@ -6,28 +6,28 @@
 	"sync/atomic"
 )
 
-// Cause is what memory for bodies is taken for.
-type Cause uint8
+// Purpose is what memory for bodies is taken for.
+type Purpose uint8
 
 // Causes.
 const (
-	Requests Cause = iota // held parts of requests
-	Answers               // answers held whole beyond 64 KiB
-	Flows                 // buffers of what flows
+	RequestBodies  Purpose = iota // held parts of requests
+	ResponseBodies                // answers held whole beyond 64 KiB
+	StreamBuffers                 // buffers of what flows
 	causes
 )
 
 var causeNames = [...]string{"requests", "answers", "flows"}
 
-// Causes are all of them.
-func Causes() []Cause { return []Cause{Requests, Answers, Flows} }
+// Purposes are all of them.
+func Purposes() []Purpose { return []Purpose{RequestBodies, ResponseBodies, StreamBuffers} }
 
 // String names the cause, for counters.
-func (c Cause) String() string { return causeNames[c] }
+func (c Purpose) String() string { return causeNames[c] }
 
 // Shares of the process's memory that bodies may take, by cause. A request out holds its body
 // and a copy as sent, an answer as much again; buffers are used once.
-var shares = [causes]float64{Requests: 1.0 / 8, Answers: 1.0 / 4, Flows: 1.0 / 8}
+var shares = [causes]float64{RequestBodies: 1.0 / 8, ResponseBodies: 1.0 / 4, StreamBuffers: 1.0 / 8}
 
 // Budget is the one owner of the memory that bodies in flight take. Each cause has its part:
 // downloads can't keep out bookings.
@@ -44,8 +44,8 @@
 	return b
 }
 
-// Take takes n bytes, or none and says so.
-func (b *Budget) Take(c Cause, n int64) bool {
+// Reserve takes n bytes, or none and says so.
+func (b *Budget) Reserve(c Purpose, n int64) bool {
 	if b.used[c].Add(n) > b.most[c].Load() {
 		b.used[c].Add(-n)
 		return false
@@ -53,14 +53,14 @@
 	return true
 }
 
-// Give gives n bytes back.
-func (b *Budget) Give(c Cause, n int64) { b.used[c].Add(-n) }
+// Release gives n bytes back.
+func (b *Budget) Release(c Purpose, n int64) { b.used[c].Add(-n) }
 
 // Used is how many bytes are taken for a cause, and how many may be.
-func (b *Budget) Used(c Cause) (used, most int64) { return b.used[c].Load(), b.most[c].Load() }
+func (b *Budget) Used(c Purpose) (used, most int64) { return b.used[c].Load(), b.most[c].Load() }
 
-// Near says whether a cause's part is three quarters used: then less is held of each body.
-func (b *Budget) Near(c Cause) bool {
+// NearLimit says whether a cause's part is three quarters used: then less is held of each body.
+func (b *Budget) NearLimit(c Purpose) bool {
 	used, most := b.Used(c)
 	return used*4 > most*3
 }
@@ -72,8 +72,8 @@
 	smallBuffer = 4 << 10
 )
 
-// PageMost is the largest Page that is pooled.
-const PageMost = largeBuffer
+// MaxPooledPage is the largest Page that is pooled.
+const MaxPooledPage = largeBuffer
 
 // pages are pools of memory for bodies that are held, of smallBuffer bytes and twice that and so
 // on up to PageMost. It guards against counting a body of a few KiB and holding a large buffer for
@@ -85,10 +85,10 @@
 // pageOf is the place of the least page that n bytes fit.
 func pageOf(n int64) int { return max(0, bits.Len64(uint64(n-1))-bits.Len64(smallBuffer-1)) }
 
-// Page takes memory for n bytes to be held, of a pool where that pays. What it belongs to is
+// AllocPage takes memory for n bytes to be held, of a pool where that pays. What it belongs to is
 // accounted by the caller.
-func Page(n int64) []byte {
-	if n <= smallBuffer/2 || n > PageMost {
+func AllocPage(n int64) []byte {
+	if n <= smallBuffer/2 || n > MaxPooledPage {
 		return make([]byte, n)
 	}
 	i := pageOf(n)
@@ -98,9 +98,9 @@
 	return make([]byte, smallBuffer<<i)[:n]
 }
 
-// Recycle gives a Page back. Nobody may look at it any more.
-func Recycle(b []byte) {
-	if n := int64(cap(b)); n >= smallBuffer && n <= PageMost && n&(n-1) == 0 {
+// FreePage gives a Page back. Nobody may look at it any more.
+func FreePage(b []byte) {
+	if n := int64(cap(b)); n >= smallBuffer && n <= MaxPooledPage && n&(n-1) == 0 {
 		b = b[:n]
 		pages[pageOf(n)].Put(&b)
 	}
@@ -109,20 +109,20 @@
 var large, small = sync.Pool{New: func() any { b := make([]byte, largeBuffer); return &b }},
 	sync.Pool{New: func() any { b := make([]byte, smallBuffer); return &b }}
 
-// Buffer takes a buffer to copy a flow by, nil if there is no memory for one.
-func (b *Budget) Buffer() *[]byte {
+// AcquireBuffer takes a buffer to copy a flow by, nil if there is no memory for one.
+func (b *Budget) AcquireBuffer() *[]byte {
 	switch {
-	case !b.Near(Flows) && b.Take(Flows, largeBuffer):
+	case !b.NearLimit(StreamBuffers) && b.Reserve(StreamBuffers, largeBuffer):
 		return large.Get().(*[]byte)
-	case b.Take(Flows, smallBuffer):
+	case b.Reserve(StreamBuffers, smallBuffer):
 		return small.Get().(*[]byte)
 	}
 	return nil
 }
 
-// Return gives a buffer back.
-func (b *Budget) Return(buf *[]byte) {
-	b.Give(Flows, int64(len(*buf)))
+// ReleaseBuffer gives a buffer back.
+func (b *Budget) ReleaseBuffer(buf *[]byte) {
+	b.Release(StreamBuffers, int64(len(*buf)))
 	if len(*buf) == largeBuffer {
 		large.Put(buf)
 	} else {
--- a/internal/body/pipe.go
+++ b/internal/body/pipe.go
@@ -22,8 +22,8 @@
 	more, room chan struct{} // hold an item when something has changed
 }
 
-// ErrFull says that a pipe's reader has not made room in time.
-var ErrFull = errors.New("body: nobody takes what comes")
+// ErrPipeFull says that a pipe's reader has not made room in time.
+var ErrPipeFull = errors.New("body: nobody takes what comes")
 
 // NewPipe returns a Pipe that holds so many bytes at most.
 func NewPipe(most int) *Pipe {
@@ -68,14 +68,14 @@
 		select {
 		case <-p.room:
 		case <-timer.C:
-			return ErrFull
+			return ErrPipeFull
 		}
 	}
 }
 
-// End ends the flow behind what is in it: io.EOF where it is whole, or why it is not. Only the
+// CloseWrite ends the flow behind what is in it: io.EOF where it is whole, or why it is not. Only the
 // first call counts.
-func (p *Pipe) End(err error) {
+func (p *Pipe) CloseWrite(err error) {
 	p.mu.Lock()
 	if p.end == nil {
 		p.end = err
@@ -101,7 +101,7 @@
 		}
 		end := p.end
 		if p.closed {
-			end = ErrTaken
+			end = ErrConsumed
 		}
 		p.mu.Unlock()
 		if end != nil {
@@ -122,8 +122,8 @@
 	}
 }
 
-// Close is called by the reader: what comes is dropped from now on, and a Read that waits ends.
-func (p *Pipe) Close() {
+// CloseRead is called by the reader: what comes is dropped from now on, and a Read that waits ends.
+func (p *Pipe) CloseRead() {
 	p.mu.Lock()
 	p.closed, p.buf, p.at = true, nil, 0
 	p.mu.Unlock()
--- a/internal/body/pipe_test.go
+++ b/internal/body/pipe_test.go
@@ -28,7 +28,7 @@
 				}
 				rest = rest[n:]
 			}
-			p.End(io.EOF)
+			p.CloseWrite(io.EOF)
 		}()
 		var got []byte
 		b := make([]byte, 1+rng.IntN(200))
@@ -57,7 +57,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		p := NewPipe(10)
 		began := time.Now()
-		if err := p.Write(make([]byte, 11), time.Second); err != ErrFull || time.Since(began) != time.Second {
+		if err := p.Write(make([]byte, 11), time.Second); err != ErrPipeFull || time.Since(began) != time.Second {
 			t.Errorf("%v after %v", err, time.Since(began))
 		}
 		if n, err := p.Read(make([]byte, 20), 0); n != 10 || err != nil {
@@ -73,11 +73,11 @@
 		full := make(chan error, 1)
 		go func() { full <- p.Write(make([]byte, 30), time.Hour) }()
 		synctest.Wait()
-		p.Close()
+		p.CloseRead()
 		if err := <-full; err != nil {
 			t.Errorf("to nobody: %v", err)
 		}
-		if _, err := p.Read(make([]byte, 1), time.Hour); err != ErrTaken {
+		if _, err := p.Read(make([]byte, 1), time.Hour); err != ErrConsumed {
 			t.Errorf("a closed pipe: %v", err)
 		}
 	})
--- a/internal/cluster/leaseholder/runner_test.go
+++ b/internal/cluster/leaseholder/runner_test.go
@@ -27,7 +27,7 @@
 // expect waits for events, and fails where there are others.
 func (e *events) expect(t *testing.T, want ...string) {
 	t.Helper()
-	testutil.Until(t, "the events have happened", func() bool {
+	testutil.WaitUntil(t, "the events have happened", func() bool {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		return len(e.list) >= len(want)
--- a/internal/cluster/relays_test.go
+++ b/internal/cluster/relays_test.go
@@ -106,7 +106,7 @@
 	}
 	all = append(all, gateways...)
 	for _, p := range all {
-		testutil.Until(t, p.cfg.Name+" has a session", func() bool { return p.Status().Session != 0 })
+		testutil.WaitUntil(t, p.cfg.Name+" has a session", func() bool { return p.Status().Session != 0 })
 	}
 	var n uint64
 	received := func(members []*member, least uint64) bool { // all but the holder
@@ -118,7 +118,7 @@
 		}
 		return missing <= 1
 	}
-	testutil.Until(t, "all know the holder", func() bool {
+	testutil.WaitUntil(t, "all know the holder", func() bool {
 		for _, p := range all {
 			if s := p.Status(); len(s.Leases) != 1 || s.Leases[0].Holder == "" {
 				return false
@@ -130,7 +130,7 @@
 		n++
 		numbers <- n
 	}
-	testutil.Until(t, "all but the holder have received all", func() bool { return received(all, n) })
+	testutil.WaitUntil(t, "all but the holder have received all", func() bool { return received(all, n) })
 	for _, p := range all {
 		for i, x := range p.received() {
 			if x != uint64(i+1) {
@@ -159,9 +159,9 @@
 		}
 	}
 	for _, p := range gateways {
-		testutil.Until(t, p.cfg.Name+" is at another relay", func() bool { at := p.at(); return at != "" && at != lost })
+		testutil.WaitUntil(t, p.cfg.Name+" is at another relay", func() bool { at := p.at(); return at != "" && at != lost })
 	}
-	testutil.Until(t, "a leader has confirmed all", func() bool {
+	testutil.WaitUntil(t, "a leader has confirmed all", func() bool {
 		for _, p := range gateways {
 			if s := p.Status(); s.Leader == lost || s.Leader == "" {
 				return false
@@ -178,7 +178,7 @@
 			t.Errorf("%s left its relay for %v: it was notified of the end", p.cfg.Name, s.Relay.Ends)
 		}
 	}
-	testutil.Until(t, "the lease has a holder that is up", func() bool {
+	testutil.WaitUntil(t, "the lease has a holder that is up", func() bool {
 		for _, p := range left {
 			if s := p.Status(); len(s.Leases) != 1 || s.Leases[0].Holder == "" || s.Leases[0].Holder == lost {
 				return false
@@ -188,7 +188,7 @@
 	})
 	// What was published while a gateway moved is lost; what follows is not.
 	least := n + 1
-	testutil.Until(t, "all that are left receive publications again", func() bool {
+	testutil.WaitUntil(t, "all that are left receive publications again", func() bool {
 		n++
 		numbers <- n
 		return received(left, least)
@@ -204,7 +204,7 @@
 		if p.Status().Streams == nil {
 			continue
 		}
-		testutil.Until(t, p.cfg.Name+" knows of all relays and gateways", func() bool {
+		testutil.WaitUntil(t, p.cfg.Name+" knows of all relays and gateways", func() bool {
 			s := p.Status().Streams
 			return len(s.Relays) == len(relays) && s.Routes == len(gateways)
 		})
@@ -218,7 +218,7 @@
 	r := join(t, "r1", relays, numbers) // in the zone of all gateways
 	all := []*member{r, join(t, "r2", relays, numbers), join(t, "r3", relays, numbers)}
 	g := join(t, "g1", relays, numbers)
-	testutil.Until(t, "g1 has a session", func() bool { return g.Status().Session != 0 })
+	testutil.WaitUntil(t, "g1 has a session", func() bool { return g.Status().Session != 0 })
 	hello := *r.hello.Load()
 	for _, c := range []struct {
 		what        string
@@ -242,14 +242,14 @@
 		if err := <-to.why; err == nil || to.frames > 0 {
 			t.Errorf("%s: %v, %d frames", c.what, err, to.frames)
 		}
-		testutil.Until(t, c.what+" is counted", func() bool {
+		testutil.WaitUntil(t, c.what+" is counted", func() bool {
 			return r.transport.Counters.FramesMalformed.Load()+r.transport.Counters.ConnsRejected.Load() > malformed+rejected
 		})
 		x.Close()
 	}
 	was := g.Status().Relay
 	second := join(t, "g1", relays, numbers)
-	testutil.Until(t, "the second is rejected", func() bool {
+	testutil.WaitUntil(t, "the second is rejected", func() bool {
 		n := uint64(0)
 		for _, k := range second.Status().Relay.Ends {
 			n += k
@@ -267,7 +267,7 @@
 	}
 	before := closed()
 	g.Close()
-	testutil.Until(t, "the second takes the place of the first", func() bool { return second.at() != "" && second.Status().Session != 0 })
+	testutil.WaitUntil(t, "the second takes the place of the first", func() bool { return second.at() != "" && second.Status().Session != 0 })
 	if n := closed() - before; n > 0 {
 		t.Errorf("%d streams were closed: the relay was notified of the end", n)
 	}
--- a/internal/cluster/transport/peer_test.go
+++ b/internal/cluster/transport/peer_test.go
@@ -83,11 +83,11 @@
 // Frames arrive in the order in which they were sent, after the hello, and a snapshot beside them.
 func TestCarry(t *testing.T) {
 	e := pair(t, [2]string{"key", "key"}, straight)
-	testutil.Until(t, "both have connected", func() bool { return e[0].count(&e[0].hellos) > 0 && e[1].count(&e[1].hellos) > 0 })
+	testutil.WaitUntil(t, "both have connected", func() bool { return e[0].count(&e[0].hellos) > 0 && e[1].count(&e[1].hellos) > 0 })
 	for i := range 100 {
 		e[0].Send(&node.Frame{To: "b", Kind: node.KindMessage, Body: fmt.Appendf(nil, "n%03d", i)})
 	}
-	testutil.Until(t, "all have arrived", func() bool { return e[1].count(&e[1].got) == 100 })
+	testutil.WaitUntil(t, "all have arrived", func() bool { return e[1].count(&e[1].got) == 100 })
 	for i, got := range e[1].got {
 		if want := frame("a", node.KindMessage, 4, fmt.Sprintf("n%03d", i)); got != want {
 			t.Fatalf("frame %d is %q, want %q", i, got, want)
@@ -95,8 +95,8 @@
 	}
 	big := bytes.Repeat([]byte("snapshot"), 200_000)
 	e[0].Send(&node.Frame{To: "b", Kind: node.KindRaft, Body: big, SnapshotTo: 2})
-	testutil.Until(t, "the snapshot has arrived", func() bool { return e[1].count(&e[1].got) == 101 })
-	testutil.Until(t, "its sender knows", func() bool { e[0].mu.Lock(); defer e[0].mu.Unlock(); return len(e[0].snaps) == 1 && e[0].snaps[0] })
+	testutil.WaitUntil(t, "the snapshot has arrived", func() bool { return e[1].count(&e[1].got) == 101 })
+	testutil.WaitUntil(t, "its sender knows", func() bool { e[0].mu.Lock(); defer e[0].mu.Unlock(); return len(e[0].snaps) == 1 && e[0].snaps[0] })
 	if got := e[1].got[100]; got != frame("a", node.KindRaft, len(big), "snapshot") {
 		t.Errorf("the snapshot is %q", got)
 	}
@@ -107,7 +107,7 @@
 	e := pair(t, [2]string{"key", "key"}, straight)
 	for i := range e {
 		c := &e[i].Counters
-		testutil.Until(t, "an idle frame counts", func() bool { return c.FramesSent.Load() > 0 && c.BytesSent.Load() >= frameHeaderBytes })
+		testutil.WaitUntil(t, "an idle frame counts", func() bool { return c.FramesSent.Load() > 0 && c.BytesSent.Load() >= frameHeaderBytes })
 	}
 	if n := e[0].count(&e[0].got) + e[1].count(&e[1].got); n > 0 {
 		t.Errorf("%d frames were delivered", n)
@@ -117,7 +117,7 @@
 // A peer with another key is rejected, on either side.
 func TestKey(t *testing.T) {
 	e := pair(t, [2]string{"key", "other"}, straight)
-	testutil.Until(t, "both are rejected", func() bool { return e[0].Counters.ConnsRejected.Load() > 1 && e[1].Counters.ConnsRejected.Load() > 1 })
+	testutil.WaitUntil(t, "both are rejected", func() bool { return e[0].Counters.ConnsRejected.Load() > 1 && e[1].Counters.ConnsRejected.Load() > 1 })
 	if e[0].count(&e[0].hellos)+e[1].count(&e[1].hellos) > 0 {
 		t.Error("one was accepted")
 	}
@@ -162,10 +162,10 @@
 // A snapshot that is interrupted resumes where it was.
 func TestSnapshotResumes(t *testing.T) {
 	e := pair(t, [2]string{"key", "key"}, breaking(t, 1<<20))
-	testutil.Until(t, "both have connected", func() bool { return e[0].count(&e[0].hellos) > 0 && e[1].count(&e[1].hellos) > 0 })
+	testutil.WaitUntil(t, "both have connected", func() bool { return e[0].count(&e[0].hellos) > 0 && e[1].count(&e[1].hellos) > 0 })
 	big := bytes.Repeat([]byte("snapshot"), 400_000)
 	e[0].Send(&node.Frame{To: "b", Kind: node.KindRaft, Body: big, SnapshotTo: 2})
-	testutil.Until(t, "the snapshot has arrived", func() bool { return e[1].count(&e[1].got) == 1 })
+	testutil.WaitUntil(t, "the snapshot has arrived", func() bool { return e[1].count(&e[1].got) == 1 })
 	if got := e[1].got[0]; got != frame("a", node.KindRaft, len(big), "snapshot") {
 		t.Errorf("the snapshot is %q", got)
 	}
--- a/internal/cluster/transport/stream_test.go
+++ b/internal/cluster/transport/stream_test.go
@@ -90,7 +90,7 @@
 	r, addr := newSide(t, "relay", "key", true)
 	g, _ := newSide(t, "g1", "key", false)
 	s := g.Dial("relay", addr, relay.KindJoin, []byte("join"))
-	testutil.Until(t, "the relay replies", func() bool { got, _ := g.seen(); return len(got) == 1 })
+	testutil.WaitUntil(t, "the relay replies", func() bool { got, _ := g.seen(); return len(got) == 1 })
 	want := []string{frame("relay", relay.KindJoinReply, 5, "taken")}
 	for i := range 200 {
 		body := fmt.Appendf(nil, "n%03d", i)
@@ -100,7 +100,7 @@
 		s.Send(relay.KindRecord, body)
 		want = append(want, frame("relay", relay.KindRecord, len(body), string(body[:min(8, len(body))])))
 	}
-	testutil.Until(t, "all have returned", func() bool { got, _ := g.seen(); return len(got) == len(want) })
+	testutil.WaitUntil(t, "all have returned", func() bool { got, _ := g.seen(); return len(got) == len(want) })
 	if got, _ := g.seen(); fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Errorf("got %v", got)
 	}
@@ -108,7 +108,7 @@
 		t.Errorf("the relay got %s first", got[0])
 	}
 	s.Finish()
-	testutil.Until(t, "both know its end", func() bool { _, a := g.seen(); _, b := r.seen(); return len(a) == 1 && len(b) == 1 })
+	testutil.WaitUntil(t, "both know its end", func() bool { _, a := g.seen(); _, b := r.seen(); return len(a) == 1 && len(b) == 1 })
 }
 
 // disturb returns a proxy that does something at a byte of what the relay sends.
@@ -163,16 +163,16 @@
 	first := frame("relay", relay.KindJoinReply, 5, "taken")
 	{
 		s := g.Dial("relay", addr, relay.KindJoin, []byte("join"))
-		testutil.Until(t, "the relay replies", func() bool { got, _ := g.seen(); return len(got) == 1 })
+		testutil.WaitUntil(t, "the relay replies", func() bool { got, _ := g.seen(); return len(got) == 1 })
 		s.Close()
-		testutil.Until(t, "it ends", func() bool { _, ends := g.seen(); return len(ends) == 1 })
+		testutil.WaitUntil(t, "it ends", func() bool { _, ends := g.seen(); return len(ends) == 1 })
 		whole = len(magic) + 1 + nonceSize + 2*macSize + 2 + len(`{"hello":`) + frameHeaderBytes + 5
 	}
 	for _, what := range []string{"end", "hang", "corrupt"} {
 		for at := 0; at < whole; at += 7 {
 			g, _ := newSide(t, "g1", "key", false)
 			g.Dial("relay", disturb(t, addr, int64(at), what), relay.KindJoin, []byte("join"))
-			testutil.Until(t, fmt.Sprintf("%s at %d ends the stream", what, at), func() bool { _, ends := g.seen(); return len(ends) == 1 })
+			testutil.WaitUntil(t, fmt.Sprintf("%s at %d ends the stream", what, at), func() bool { _, ends := g.seen(); return len(ends) == 1 })
 			if got, _ := g.seen(); len(got) > 0 && got[0] != first {
 				t.Errorf("%s at %d: got %v", what, at, got)
 			}
@@ -185,7 +185,7 @@
 	for at := hello; ; at++ { // the length of its hello is not known here
 		g, _ := newSide(t, "g2", "key", false)
 		g.Dial("relay", disturb(t, addr, int64(at), "corrupt"), relay.KindJoin, []byte("join"))
-		testutil.Until(t, "the stream ends or is accepted", func() bool { got, ends := g.seen(); return len(ends)+len(got) > 0 })
+		testutil.WaitUntil(t, "the stream ends or is accepted", func() bool { got, ends := g.seen(); return len(ends)+len(got) > 0 })
 		got, _ := g.seen()
 		malformed := g.Counters.FramesMalformed.Load()
 		g.Close()
@@ -213,7 +213,7 @@
 	if _, err := handshakeDial(c, []byte("key"), purposeStream, time.Now().Add(handshakeTimeout), func() node.Hello { return hello }, r.cfg.ValidateStream); err != nil {
 		t.Fatal(err)
 	}
-	testutil.Until(t, "the relay ends it", func() bool { _, ends := r.seen(); return len(ends) == 1 })
+	testutil.WaitUntil(t, "the relay ends it", func() bool { _, ends := r.seen(); return len(ends) == 1 })
 }
 
 // A gateway that reads nothing is closed once too much waits for it, and the relay's memory for it stays bounded.
@@ -250,10 +250,10 @@
 	defer close(stop)
 	g, _ := newSide(t, "g1", "key", false)
 	g.Dial("relay", stalled.Addr().String(), relay.KindJoin, []byte("join"))
-	testutil.Until(t, "the relay has the stream", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return len(r.streams) == 1 })
+	testutil.WaitUntil(t, "the relay has the stream", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return len(r.streams) == 1 })
 	s := r.streams[0]
 	body := make([]byte, 32<<10)
-	testutil.Until(t, "more waits than may", func() bool {
+	testutil.WaitUntil(t, "more waits than may", func() bool {
 		s.Send(relay.KindRecord, body)
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -264,7 +264,7 @@
 		return true
 	})
 	s.Send(relay.KindRecord, body)
-	testutil.Until(t, "it is closed", func() bool { _, ends := r.seen(); return len(ends) == 1 })
+	testutil.WaitUntil(t, "it is closed", func() bool { _, ends := r.seen(); return len(ends) == 1 })
 	if _, ends := r.seen(); !errors.Is(ends[0], ErrStreamOverrun) || r.Counters.StreamsOverrun.Load() != 1 {
 		t.Errorf("it ended with %v, %d were overrun", ends[0], r.Counters.StreamsOverrun.Load())
 	}
@@ -288,16 +288,16 @@
 		g, _ := newSide(t, c.name, c.key, false)
 		for i := range 3 {
 			g.Dial(c.dials, c.at, relay.KindJoin, []byte("join"))
-			testutil.Until(t, c.name+" is rejected", func() bool { _, ends := g.seen(); return len(ends) == i+1 })
+			testutil.WaitUntil(t, c.name+" is rejected", func() bool { _, ends := g.seen(); return len(ends) == i+1 })
 		}
 		if got, ends := g.seen(); len(got) > 0 || !strings.Contains(ends[0].Error(), c.want) {
 			t.Errorf("%s: got %v, %v", c.name, got, ends)
 		}
-		testutil.Until(t, c.said+" is logged of "+c.name, func() bool { return logged.count(c.said) > 0 })
+		testutil.WaitUntil(t, c.said+" is logged of "+c.name, func() bool { return logged.count(c.said) > 0 })
 		g.Close()
 	}
 	// In the first and third case it is the gateway that closes: one line each. In the others both sides log.
-	testutil.Until(t, "all is logged", func() bool { return logged.count("") >= 6 })
+	testutil.WaitUntil(t, "all is logged", func() bool { return logged.count("") >= 6 })
 	if n := logged.count(""); n > 6 {
 		t.Errorf("%d lines were logged\n%s", n, logged.text())
 	}
--- a/internal/config/recording.go
+++ b/internal/config/recording.go
@@ -61,8 +61,8 @@
 		RingBytes: f.RingKB << 10, ViewInterval: time.Duration(f.ViewEvery), Dir: f.Dir,
 		File: f.File, MaxFileBytes: int64(f.FileMB) << 20,
 		Trigger: flightrecorder.Trigger{
-			Share: f.Trigger.Refused, Within: time.Duration(f.Trigger.Within),
-			Least: f.Trigger.Least, Pause: time.Duration(f.Trigger.Pause),
+			RejectedShare: f.Trigger.Refused, Window: time.Duration(f.Trigger.Within),
+			MinResponses: f.Trigger.Least, MinInterval: time.Duration(f.Trigger.Pause),
 		},
 	}, nil
 }
--- a/internal/config/recording_test.go
+++ b/internal/config/recording_test.go
@@ -24,10 +24,10 @@
 		t.Fatal(err)
 	}
 	if c.RingBytes != 256<<10 || c.ViewInterval != 100*time.Millisecond || c.Dir != dir || c.MaxFileBytes != defaultFileBytes ||
-		c.Trigger.Share != 0.25 || c.Trigger.Within != 2*time.Second || c.Trigger.Pause != defaultTriggerPause || c.Trigger.Least != defaultTriggerLeast {
+		c.Trigger.RejectedShare != 0.25 || c.Trigger.Window != 2*time.Second || c.Trigger.MinInterval != defaultTriggerPause || c.Trigger.MinResponses != defaultTriggerLeast {
 		t.Errorf("%+v", c)
 	}
-	if c, err = LoadRecording(writeFile(t, "")); err != nil || c.RingBytes != defaultRingBytes || c.Trigger.Share != 0 {
+	if c, err = LoadRecording(writeFile(t, "")); err != nil || c.RingBytes != defaultRingBytes || c.Trigger.RejectedShare != 0 {
 		t.Errorf("an empty file: %+v, %v", c, err)
 	}
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -128,7 +128,7 @@
 	d := NewWatcher(disco.addr(), false, 0)
 	d.MaxSilence = 50 * time.Millisecond
 	watch(t, d)
-	testutil.Until(t, "a second watch", func() bool { return len(disco.asked()) > 1 })
+	testutil.WaitUntil(t, "a second watch", func() bool { return len(disco.asked()) > 1 })
 }
 
 // Lists may come indented, several in a line, or in pieces that end anywhere; what is behind one that
@@ -165,7 +165,7 @@
 	}
 	disco.lines <- whole[:6]
 	disco.lines <- whole // within the other: no list
-	testutil.Until(t, "a new watch behind a list that was cut off", func() bool { return len(disco.asked()) == 2 })
+	testutil.WaitUntil(t, "a new watch behind a list that was cut off", func() bool { return len(disco.asked()) == 2 })
 }
 
 // virtualWatch is a watch on a connection in memory, in virtual time.
--- a/internal/engine/attempts.go
+++ b/internal/engine/attempts.go
@@ -56,7 +56,7 @@
 
 // attemptContext returns the context of an attempt. While the body is arriving Do ends it instead of a deadline.
 func (e *Engine) attemptContext(x *Request) (context.Context, context.CancelFunc) {
-	if x.Body.Whole() {
+	if x.Body.Buffered() {
 		return context.WithDeadline(e.ctx, e.beforeShutdown(x.Deadline))
 	}
 	return context.WithCancel(e.ctx)
@@ -140,7 +140,7 @@
 	p.countResponse(a.Kind == balancer.Reject)
 	final := Response{Kind: Failed}
 	switch {
-	case a.Cause == balancer.CauseSpent && x.lastResponse.Kind == Served:
+	case a.Cause == balancer.CauseNoMoreAttempts && x.lastResponse.Kind == Served:
 		// All its attempts have ended, and this is what a host responded.
 		final, x.lastResponse = x.lastResponse, Response{}
 	case a.Kind == balancer.Reject:
--- a/internal/engine/do.go
+++ b/internal/engine/do.go
@@ -23,9 +23,9 @@
 		return Response{}, false
 	}
 	x.response, x.shutdown = make(chan Response, 1), &e.shutdown
-	if f := x.Body.Flow(); f != nil {
+	if f := x.Body.Stream(); f != nil {
 		x.bodyArrived = make(chan struct{}, 1)
-		f.OnBegin(func() { e.post(func(now balancer.Time) { e.beginStreaming(now, x) }) })
+		f.OnConsume(func() { e.post(func(now balancer.Time) { e.beginStreaming(now, x) }) })
 	}
 	e.enqueue(x)
 	return e.await(ctx, x)
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -84,7 +84,7 @@
 		h = &host{Endpoint: p.cfg.Transport.Host(m.ID), id: m.ID}
 		p.hosts[entry.ID] = h
 		if p.record != nil {
-			p.record.rec.Name(now, entry.ID, m.ID)
+			p.record.rec.NameHost(now, entry.ID, m.ID)
 		}
 	case h.id != m.ID:
 		// Two names with one HostID would be taken for one host.
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -82,7 +82,7 @@
 	return func(ctx context.Context, host string, _ *Request) Result {
 		select {
 		case <-time.After(after):
-			return Result{HasResponse: true, Response: Response{Kind: Served, Status: status, Body: body.Held([]byte(host))}}
+			return Result{HasResponse: true, Response: Response{Kind: Served, Status: status, Body: body.NewBuffered([]byte(host))}}
 		case <-ctx.Done():
 			if ctx.Err() == context.DeadlineExceeded {
 				return Ended(balancer.TimedOut)
@@ -248,7 +248,7 @@
 // A request that may have run in one pool never goes to a fallback: hosts there do not know it, and would run it
 // again.
 func TestWhatMayHaveRunStaysInItsPool(t *testing.T) {
-	for _, outcome := range []balancer.Result{balancer.Reset, balancer.TimedOut, balancer.Spoilt, balancer.Canceled} {
+	for _, outcome := range []balancer.Result{balancer.Reset, balancer.TimedOut, balancer.InvalidResponse, balancer.Canceled} {
 		for _, class := range []int{book, report} {
 			inWorld(t, func(w *world) {
 				a, b := newFake("a", ends(outcome)), newFake("b", says(200, time.Millisecond))
@@ -615,12 +615,12 @@
 
 // leavingAfter is a Balancer whose client leaves right after the end of an attempt.
 type leavingAfter struct {
-	flightrecorder.Module
+	flightrecorder.Balancer
 	leave func()
 }
 
 func (m leavingAfter) AttemptEnded(now balancer.Time, o balancer.Outcome) {
-	m.Module.AttemptEnded(now, o)
+	m.Balancer.AttemptEnded(now, o)
 	m.leave()
 }
 
@@ -699,7 +699,7 @@
 // endless is a body of which one byte has arrived, and no other will.
 type endless struct{ closed chan struct{} }
 
-func (s *endless) Read([]byte) (int, error) { <-s.closed; return 0, body.ErrTaken }
+func (s *endless) Read([]byte) (int, error) { <-s.closed; return 0, body.ErrConsumed }
 func (s *endless) Trailer() http.Header     { return nil }
 func (s *endless) Close(bool)               { close(s.closed) }
 
@@ -725,8 +725,8 @@
 		}
 		ask("safe", look, body.Body{}, Rejected)
 		ask("unsafe", book, body.Body{}, Failed)
-		slow := body.NewFlow(&endless{make(chan struct{})}, 1<<20)
-		ask("on its way", book, body.Flowing([]byte("x"), slow), Failed)
+		slow := body.NewStream(&endless{make(chan struct{})}, 1<<20)
+		ask("on its way", book, body.NewStreamed([]byte("x"), slow), Failed)
 		synctest.Wait()
 		w.Stop(began.Add(most))
 		ask("behind", look, body.Body{}, Rejected)
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -36,8 +36,8 @@
 
 	// The following belongs to the loop.
 	core        *balancer.Balancer
-	bal         flightrecorder.Module // core, or the recorder in front of it
-	record      *recording            // nil: nothing is recorded
+	bal         flightrecorder.Balancer // core, or the recorder in front of it
+	record      *recording              // nil: nothing is recorded
 	actions     []balancer.Action
 	denied      []balancer.Outcome // attempts that a retry budget denied
 	failingOver []*Request
--- a/internal/engine/recording.go
+++ b/internal/engine/recording.go
@@ -42,13 +42,13 @@
 // startRecording records all events and actions between the loop and the balancer.
 func (p *Pool) startRecording(rc *Recording) error {
 	r := &recording{cfg: rc, trigger: rc.Trigger}
-	opts := flightrecorder.Options{Ring: rc.RingBytes, ViewEvery: rc.ViewInterval}
+	opts := flightrecorder.Options{RingBytes: rc.RingBytes, ViewInterval: rc.ViewInterval}
 	if rc.File != "" {
 		r.file = flightrecorder.NewFile(rc.File, rc.MaxFileBytes)
 		opts.Sink = r.file
 	}
 	clock := p.engine.clock
-	start := flightrecorder.Start{
+	start := flightrecorder.SessionStart{
 		Name: rc.Name, Build: buildRevision(), Seed: p.cfg.Seed, Wall: clock.start, At: clock.at(clock.start),
 		Settings: p.cfg.Settings, Classes: rc.Classes,
 	}
@@ -136,7 +136,7 @@
 
 // countResponse reports a final response to the trigger.
 func (p *Pool) countResponse(rejected bool) {
-	if r := p.record; r != nil && r.trigger.Answered(time.Since(p.engine.clock.start), rejected) {
+	if r := p.record; r != nil && r.trigger.ObserveResponse(time.Since(p.engine.clock.start), rejected) {
 		p.dump()
 	}
 }
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -91,7 +91,7 @@
 // Due returns when the response is due: the Deadline, or later where a body has arrived since, and the shutdown
 // at the latest. known is false while the body is arriving and there is no shutdown: then nothing is due yet.
 func (x *Request) Due() (at time.Time, known bool) {
-	at, known = x.Deadline, x.Body.Whole()
+	at, known = x.Deadline, x.Body.Buffered()
 	if d := x.dueAfterBody.Load(); !known && d != 0 {
 		at, known = processStart.Add(time.Duration(d)), true
 	}
--- a/internal/engine/response.go
+++ b/internal/engine/response.go
@@ -48,7 +48,7 @@
 
 // Release is called by the last owner of a Response; a second time it does nothing.
 func (r *Response) Release() {
-	if f := r.Body.Flow(); f != nil {
+	if f := r.Body.Stream(); f != nil {
 		f.Close()
 	}
 	if r.Tunnel != nil {
@@ -59,7 +59,7 @@
 
 // discard releases a response from the loop, which must not wait for a streamed body to end.
 func (r *Response) discard() {
-	if r.Body.Whole() && r.Tunnel == nil {
+	if r.Body.Buffered() && r.Tunnel == nil {
 		r.Release()
 		return
 	}
--- a/internal/engine/retune.go
+++ b/internal/engine/retune.go
@@ -31,14 +31,14 @@
 	used := e.classesInUse(p)
 	set, from, names, s := settle(func(class int) bool { return used[class] })
 	if p.record != nil {
-		p.record.rec.Classes(names)
+		p.record.rec.SetClassNames(names)
 	}
 	if err := p.bal.Retune(now, set, from); err != nil {
 		return err
 	}
 	if p.record != nil {
 		for id, h := range p.hosts {
-			p.record.rec.Name(now, id, h.id)
+			p.record.rec.NameHost(now, id, h.id)
 		}
 	}
 	e.use(now, s)
--- a/internal/experiment/fakes/client.go
+++ b/internal/experiment/fakes/client.go
@@ -16,16 +16,16 @@
 
 // Class is a kind of request that clients make.
 type Class struct {
-	Name    string
-	Effect  Effect
-	Share   float64 // of the requests; they need not sum up to 1
-	Timeout time.Duration
-	Body    string
-	Path    string        // "" is "/api/NAME"
-	Host    string        // for the Host header; "": that of the URL
-	Says    string        // what is said as the class; "": the name
-	Plain   bool          // an ordinary client: it sends none of our headers but an id to be known by
-	Window  time.Duration // of Keyed
+	Name                   string
+	Idempotency            Idempotency
+	Share                  float64 // of the requests; they need not sum up to 1
+	Timeout                time.Duration
+	Body                   string
+	Path                   string        // "" is "/api/NAME"
+	Host                   string        // for the Host header; "": that of the URL
+	ClassHeader            string        // what is said as the class; "": the name
+	WithoutPlatformHeaders bool          // an ordinary client: it sends none of our headers but an id to be known by
+	Window                 time.Duration // of Keyed
 }
 
 // Load is clients that ask at a rate, whether answers come or not.
@@ -95,7 +95,7 @@
 	for try := 0; ; try++ {
 		id := fmt.Sprintf("%s-%d", base, try)
 		outcome, after := Do(client, l.URL, c, id, try > 0, ledger)
-		if outcome != Refused || try >= l.Retries {
+		if outcome != Rejected || try >= l.Retries {
 			return
 		}
 		time.Sleep(after)
@@ -104,13 +104,13 @@
 
 // Do makes one request and enters it. after is what a refusal advises.
 func Do(client *http.Client, url string, c *Class, id string, again bool, ledger *Ledger) (o Outcome, after time.Duration) {
-	ask := Ask{Class: c.Name, Effect: c.Effect, Window: c.Window}
+	ask := ClientRequest{Class: c.Name, Effect: c.Idempotency, Window: c.Window}
 	method := http.MethodPost
 	body := c.Body
-	if c.Effect == Safe {
+	if c.Idempotency == Idempotent {
 		method, body = http.MethodGet, ""
 	}
-	if c.Effect == Keyed {
+	if c.Idempotency == IdempotentWithKey {
 		ask.Key = "key-" + id
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
@@ -126,8 +126,8 @@
 	r.GetBody = nil // net/http must not send it again by itself
 	r.Host = c.Host
 	r.Header.Set("X-Request-Id", id)
-	if !c.Plain {
-		r.Header.Set("X-Priority-Class", cmp.Or(c.Says, c.Name))
+	if !c.WithoutPlatformHeaders {
+		r.Header.Set("X-Priority-Class", cmp.Or(c.ClassHeader, c.Name))
 		r.Header.Set("X-Timeout", strconv.FormatFloat(c.Timeout.Seconds(), 'f', 3, 64))
 	}
 	if ask.Key != "" {
@@ -149,9 +149,9 @@
 		}
 	}
 	if ctx.Err() != nil {
-		return Nothing, 0
+		return Unanswered, 0
 	}
-	return Lost, 0
+	return ConnectionLost, 0
 }
 
 func judge(status int, text, id string) Outcome {
@@ -159,9 +159,9 @@
 	case status == http.StatusOK && text == Answer(id):
 		return Served
 	case status == http.StatusOK:
-		return Lost // served with what no node made for it
+		return ConnectionLost // served with what no node made for it
 	case status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable:
-		return Refused
+		return Rejected
 	}
 	return Failed
 }
--- a/internal/experiment/fakes/fastcgi.go
+++ b/internal/experiment/fakes/fastcgi.go
@@ -106,7 +106,7 @@
 	r.mu.Lock()
 	work := time.Duration(r.rng.ExpFloat64() * float64(r.work))
 	r.mu.Unlock()
-	if !r.ledger.Ran(Run{ID: id, Key: q.Header.Get("Idempotency-Key"), Node: r.Name, Group: r.Group, At: time.Now()}) {
+	if !r.ledger.Ran(Execution{ID: id, Key: q.Header.Get("Idempotency-Key"), Node: r.Name, Group: r.Group, At: time.Now()}) {
 		time.Sleep(work)
 	}
 	answer := Answer(id)
@@ -117,8 +117,8 @@
 // WebServer is a web server that passes its clients' requests on by FastCGI, many at once on a few
 // connections: an http.RoundTripper, so that what asks by HTTP can ask by it.
 type WebServer struct {
-	Addr  string
-	Conns int // 0: 4; a gateway refuses what more than fastcgi.ReqsMost ask at once on one
+	Addr           string
+	MaxConnections int // 0: 4; a gateway refuses what more than fastcgi.ReqsMost ask at once on one
 
 	mu     sync.Mutex
 	conns  []*webConn
@@ -142,7 +142,7 @@
 
 type webCall struct {
 	out  bytes.Buffer
-	end  fastcgi.End
+	end  fastcgi.EndRequestBody
 	err  error
 	done chan struct{}
 }
@@ -161,7 +161,7 @@
 	if err != nil {
 		return nil, err
 	}
-	id := c.in.Open()
+	id := c.in.OpenRequest()
 	k := &webCall{done: make(chan struct{})}
 	c.mu.Lock()
 	if err = c.err; err == nil {
@@ -171,11 +171,11 @@
 	if err != nil {
 		return nil, err
 	}
-	out := fastcgi.AppendBegin(nil, id, fastcgi.Begin{Role: fastcgi.Responder, Flags: fastcgi.KeepConn})
+	out := fastcgi.AppendBeginRequest(nil, id, fastcgi.BeginRequestBody{Role: fastcgi.Responder, Flags: fastcgi.KeepConn})
 	out = fastcgi.AppendStream(out, fastcgi.Params, id, Params(r, len(body)))
-	out = fastcgi.AppendEnd(out, fastcgi.Params, id)
+	out = fastcgi.AppendStreamEnd(out, fastcgi.Params, id)
 	out = fastcgi.AppendStream(out, fastcgi.Stdin, id, body)
-	out = fastcgi.AppendEnd(out, fastcgi.Stdin, id)
+	out = fastcgi.AppendStreamEnd(out, fastcgi.Stdin, id)
 	if err := c.write(out); err != nil {
 		return nil, err
 	}
@@ -183,22 +183,22 @@
 	case <-k.done:
 	case <-r.Context().Done():
 		s.Aborts.Add(1)
-		c.write(fastcgi.AppendEnd(nil, fastcgi.AbortRequest, id))
+		c.write(fastcgi.AppendStreamEnd(nil, fastcgi.AbortRequest, id))
 		return nil, r.Context().Err()
 	}
 	if k.err != nil {
 		return nil, k.err
 	}
-	if k.end.Status == fastcgi.Overloaded && k.out.Len() == 0 {
+	if k.end.ProtocolStatus == fastcgi.Overloaded && k.out.Len() == 0 {
 		// It has an answer: no.
 		return &http.Response{StatusCode: http.StatusServiceUnavailable, Header: http.Header{}, Body: http.NoBody, Request: r}, nil
 	}
-	status, header, n, err := fastcgi.ParseAnswer(k.out.Bytes())
-	if err != nil || n == 0 || k.end.App != 0 || k.end.Status != fastcgi.RequestComplete {
+	status, header, n, err := fastcgi.ParseResponseHeader(k.out.Bytes())
+	if err != nil || n == 0 || k.end.AppStatus != 0 || k.end.ProtocolStatus != fastcgi.RequestComplete {
 		return nil, fmt.Errorf("%w: %v, %v, %d bytes", errEnded, k.end, err, k.out.Len())
 	}
 	text := k.out.Bytes()[n:]
-	if length, err := fastcgi.Length(header); err != nil || length >= 0 && length != int64(len(text)) && r.Method != http.MethodHead {
+	if length, err := fastcgi.ContentLength(header); err != nil || length >= 0 && length != int64(len(text)) && r.Method != http.MethodHead {
 		return nil, fmt.Errorf("%w: %d bytes of %d", errEnded, len(text), length)
 	}
 	return &http.Response{StatusCode: status, Header: header, Body: io.NopCloser(bytes.NewReader(text)), Request: r}, nil
@@ -217,7 +217,7 @@
 		b = fastcgi.AppendPair(b, p[0], p[1])
 	}
 	for name, v := range r.Header {
-		if key := fastcgi.VarOf(name); key != "" {
+		if key := fastcgi.ParamName(name); key != "" {
 			b = fastcgi.AppendPair(b, key, v[0])
 		}
 	}
@@ -229,8 +229,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.conns == nil {
-		s.conns = make([]*webConn, max(s.Conns, 1))
-		if s.Conns == 0 {
+		s.conns = make([]*webConn, max(s.MaxConnections, 1))
+		if s.MaxConnections == 0 {
 			s.conns = make([]*webConn, 4)
 		}
 	}
@@ -304,18 +304,18 @@
 	return c.calls[id]
 }
 
-// Output is part of an answer.
-func (c *webConn) Output(id uint16, part []byte) {
+// Stdout is part of an answer.
+func (c *webConn) Stdout(id uint16, part []byte) {
 	if k := c.find(id); k != nil {
 		k.out.Write(part)
 	}
 }
 
-// Errors is what would go into a log.
-func (c *webConn) Errors(uint16, []byte) {}
+// Stderr is what would go into a log.
+func (c *webConn) Stderr(uint16, []byte) {}
 
-// End is the end of an answer.
-func (c *webConn) End(id uint16, e fastcgi.End) {
+// EndRequest is the end of an answer.
+func (c *webConn) EndRequest(id uint16, e fastcgi.EndRequestBody) {
 	c.mu.Lock()
 	k := c.calls[id]
 	delete(c.calls, id)
@@ -329,5 +329,5 @@
 // Values is not asked for.
 func (c *webConn) Values(fastcgi.Values) {}
 
-// Stray is what must not come.
-func (c *webConn) Stray() { c.Conn.Close() }
+// UnsolicitedRecord is what must not come.
+func (c *webConn) UnsolicitedRecord() { c.Conn.Close() }
--- a/internal/experiment/fakes/fleet.go
+++ b/internal/experiment/fakes/fleet.go
@@ -116,12 +116,12 @@
 	}
 }
 
-// Classes are those of the example: a lookup, a booking and a report.
-func Classes() []Class {
+// DefaultClasses are those of the example: a lookup, a booking and a report.
+func DefaultClasses() []Class {
 	return []Class{
-		{Name: "lookup", Effect: Safe, Share: 5, Timeout: 4 * time.Second},
-		{Name: "book", Effect: Unsafe, Share: 3, Timeout: 2 * time.Second, Body: "one booking"},
-		{Name: "report", Effect: Keyed, Share: 2, Timeout: 4 * time.Second, Window: 2500 * time.Millisecond, Body: "one report"},
+		{Name: "lookup", Idempotency: Idempotent, Share: 5, Timeout: 4 * time.Second},
+		{Name: "book", Idempotency: NonIdempotent, Share: 3, Timeout: 2 * time.Second, Body: "one booking"},
+		{Name: "report", Idempotency: IdempotentWithKey, Share: 2, Timeout: 4 * time.Second, Window: 2500 * time.Millisecond, Body: "one report"},
 	}
 }
 
@@ -130,10 +130,10 @@
 	type object map[string]any
 	list := []object{}
 	for _, c := range classes {
-		effect := [...]string{"idempotent", "deduplicated", "at_most_once"}[c.Effect]
+		effect := [...]string{"idempotent", "deduplicated", "at_most_once"}[c.Idempotency]
 		list = append(list, object{
 			"name": c.Name, "effect": effect, "group": "cell", "promise": c.Timeout.Microseconds() / 2,
-			"hard_limit": c.Timeout.Microseconds(), "importance": 1 + int(c.Effect), "window": c.Window.Microseconds(),
+			"hard_limit": c.Timeout.Microseconds(), "importance": 1 + int(c.Idempotency), "window": c.Window.Microseconds(),
 		})
 	}
 	text, err := json.MarshalIndent(object{
--- a/internal/experiment/fakes/ledger.go
+++ b/internal/experiment/fakes/ledger.go
@@ -11,18 +11,18 @@
 	"time"
 )
 
-// Effect says what a repeat of a request may do, as the clients mean it.
-type Effect uint8
+// Idempotency says what a repeat of a request may do, as the clients mean it.
+type Idempotency uint8
 
 // Effects.
 const (
-	Safe   Effect = iota
-	Keyed         // nodes of one group drop repeats of a key for a window
-	Unsafe        // must never run twice
+	Idempotent        Idempotency = iota
+	IdempotentWithKey             // nodes of one group drop repeats of a key for a window
+	NonIdempotent                 // must never run twice
 )
 
-// Run is one request that a node began to work on.
-type Run struct {
+// Execution is one request that a node began to work on.
+type Execution struct {
 	ID, Key string
 	Node    string
 	Group   string
@@ -34,12 +34,12 @@
 
 // Outcomes.
 const (
-	Open    Outcome = iota // asked, and nothing has come yet
-	Served                 // 200 with the answer that a node made for it
-	Refused                // 429 or 503
-	Failed                 // any other answer
-	Lost                   // the connection ended without one, or what came was no answer to it
-	Nothing                // the time was up and nothing had come
+	Open           Outcome = iota // asked, and nothing has come yet
+	Served                        // 200 with the answer that a node made for it
+	Rejected                      // 429 or 503
+	Failed                        // any other answer
+	ConnectionLost                // the connection ended without one, or what came was no answer to it
+	Unanswered                    // the time was up and nothing had come
 	outcomes
 )
 
@@ -47,10 +47,10 @@
 
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Ask is a request of a client.
-type Ask struct {
+// ClientRequest is a request of a client.
+type ClientRequest struct {
 	Class   string
-	Effect  Effect
+	Effect  Idempotency
 	Key     string
 	Window  time.Duration // of Keyed
 	Outcome Outcome
@@ -61,8 +61,8 @@
 // Ledger holds what was asked and what ran. Its size is that of the test: it forgets nothing.
 type Ledger struct {
 	mu   sync.Mutex
-	asks map[string]*Ask
-	runs map[string][]Run // by id
+	asks map[string]*ClientRequest
+	runs map[string][]Execution // by id
 	made map[string]string
 	ends int
 	// Stray are ids that ran and were never asked for.
@@ -108,11 +108,11 @@
 
 // NewLedger returns an empty Ledger.
 func NewLedger() *Ledger {
-	return &Ledger{asks: map[string]*Ask{}, runs: map[string][]Run{}, made: map[string]string{}, acts: map[string]*acts{}}
+	return &Ledger{asks: map[string]*ClientRequest{}, runs: map[string][]Execution{}, made: map[string]string{}, acts: map[string]*acts{}}
 }
 
 // Asked enters a request before it is sent.
-func (l *Ledger) Asked(id string, a Ask) {
+func (l *Ledger) Asked(id string, a ClientRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.asks[id] = &a
@@ -130,7 +130,7 @@
 
 // Ran enters that a node begins a request, and says whether it drops it as the repeat of a
 // key that its group has seen within the window.
-func (l *Ledger) Ran(r Run) (dropped bool) {
+func (l *Ledger) Ran(r Execution) (dropped bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.asks[r.ID]
@@ -138,7 +138,7 @@
 		l.stray = append(l.stray, r.ID)
 		return false
 	}
-	if a.Effect == Keyed {
+	if a.Effect == IdempotentWithKey {
 		for _, other := range l.runs[r.ID] {
 			if other.Group == r.Group && r.At.Sub(other.At) <= a.Window {
 				return true
@@ -151,49 +151,49 @@
 
 // Count sums up a ledger.
 type Count struct {
-	Asked   int
-	Ends    [outcomes]int
-	ByClass map[string][outcomes]int
-	Runs    int
-	Twice   []string // what must not run twice and did
-	Harm    []string // refused, which says that trying again is harmless, yet it may have run
-	Stray   []string
+	Requests               int
+	Outcomes               [outcomes]int
+	ByClass                map[string][outcomes]int
+	Executions             int
+	RanTwice               []string // what must not run twice and did
+	RejectedAfterExecution []string // refused, which says that trying again is harmless, yet it may have run
+	Unrequested            []string
 }
 
 // Count counts, as of now.
 func (l *Ledger) Count() Count {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c := Count{ByClass: map[string][outcomes]int{}, Stray: slices.Clone(l.stray)}
+	c := Count{ByClass: map[string][outcomes]int{}, Unrequested: slices.Clone(l.stray)}
 	for id, a := range l.asks {
-		c.Asked++
-		c.Ends[a.Outcome]++
+		c.Requests++
+		c.Outcomes[a.Outcome]++
 		by := c.ByClass[a.Class]
 		by[a.Outcome]++
 		c.ByClass[a.Class] = by
 		n := len(l.runs[id])
-		c.Runs += n
-		if a.Effect != Safe && n > 1 {
-			c.Twice = append(c.Twice, id)
+		c.Executions += n
+		if a.Effect != Idempotent && n > 1 {
+			c.RanTwice = append(c.RanTwice, id)
 		}
-		if a.Effect == Unsafe && a.Outcome == Refused && n > 0 {
-			c.Harm = append(c.Harm, id)
+		if a.Effect == NonIdempotent && a.Outcome == Rejected && n > 0 {
+			c.RejectedAfterExecution = append(c.RejectedAfterExecution, id)
 		}
 	}
-	slices.Sort(c.Twice)
-	slices.Sort(c.Harm)
+	slices.Sort(c.RanTwice)
+	slices.Sort(c.RejectedAfterExecution)
 	return c
 }
 
-// Broken names the rules that are broken; none is "".
-func (c *Count) Broken() string {
+// Violations names the rules that are broken; none is "".
+func (c *Count) Violations() string {
 	var s []string
 	for _, x := range []struct {
 		what string
 		n    int
 	}{
-		{"ran twice", len(c.Twice)}, {"refused though they ran", len(c.Harm)}, {"ran and were never asked for", len(c.Stray)},
-		{"lost", c.Ends[Lost]}, {"never answered", c.Ends[Nothing] + c.Ends[Open]},
+		{"ran twice", len(c.RanTwice)}, {"refused though they ran", len(c.RejectedAfterExecution)}, {"ran and were never asked for", len(c.Unrequested)},
+		{"lost", c.Outcomes[ConnectionLost]}, {"never answered", c.Outcomes[Unanswered] + c.Outcomes[Open]},
 	} {
 		if x.n > 0 {
 			s = append(s, fmt.Sprintf("%d %s", x.n, x.what))
--- a/internal/experiment/fakes/node.go
+++ b/internal/experiment/fakes/node.go
@@ -227,7 +227,7 @@
 	if b.Crowd > 0 && held >= int64(b.Crowd) {
 		work = time.Duration(float64(work) * max(1, b.Slower))
 	}
-	dropped := n.ledger.Ran(Run{ID: id, Key: r.Header.Get("Idempotency-Key"), Node: n.Name, Group: n.Group, At: time.Now()})
+	dropped := n.ledger.Ran(Execution{ID: id, Key: r.Header.Get("Idempotency-Key"), Node: n.Name, Group: n.Group, At: time.Now()})
 	if !dropped {
 		time.Sleep(work)
 	}
--- a/internal/experiment/fakes/standin_test.go
+++ b/internal/experiment/fakes/standin_test.go
@@ -37,7 +37,7 @@
 // raw sends one request by hand and returns what comes back until the end, and how that was.
 func raw(t *testing.T, n *Node, l *Ledger, id string) (string, error) {
 	t.Helper()
-	l.Asked(id, Ask{Class: "book", Effect: Unsafe})
+	l.Asked(id, ClientRequest{Class: "book", Effect: NonIdempotent})
 	c, err := net.Dial("tcp", n.Addr())
 	if err != nil {
 		return "", err
@@ -81,8 +81,8 @@
 		if got != c.want || (err != nil) != c.broken {
 			t.Errorf("%s: %q, %v, want %q", c.name, got, err, c.want)
 		}
-		if count := l.Count(); count.Runs != c.runs {
-			t.Errorf("%s: ran %d times, want %d", c.name, count.Runs, c.runs)
+		if count := l.Count(); count.Executions != c.runs {
+			t.Errorf("%s: ran %d times, want %d", c.name, count.Executions, c.runs)
 		}
 	}
 }
@@ -104,7 +104,7 @@
 	}
 	n.Behave(Behaviour{Mode: Hang, Queue: 1})
 	for _, id := range []string{"c", "d"} { // one hangs; the next hangs too, as hanging takes no core
-		l.Asked(id, Ask{})
+		l.Asked(id, ClientRequest{})
 		c, err := net.Dial("tcp", n.Addr())
 		if err != nil {
 			t.Fatal(err)
@@ -122,15 +122,15 @@
 func TestLedger(t *testing.T) {
 	l := NewLedger()
 	now := time.Now()
-	ask := func(id string, e Effect) { l.Asked(id, Ask{Class: "c", Effect: e, Window: time.Second}) }
-	ask("safe", Safe)
-	ask("once", Unsafe)
-	ask("twice", Unsafe)
-	ask("keyed", Keyed)
-	ask("outside", Keyed)
-	ask("late", Keyed)
-	ask("harm", Unsafe)
-	ask("open", Safe)
+	ask := func(id string, e Idempotency) { l.Asked(id, ClientRequest{Class: "c", Effect: e, Window: time.Second}) }
+	ask("safe", Idempotent)
+	ask("once", NonIdempotent)
+	ask("twice", NonIdempotent)
+	ask("keyed", IdempotentWithKey)
+	ask("outside", IdempotentWithKey)
+	ask("late", IdempotentWithKey)
+	ask("harm", NonIdempotent)
+	ask("open", Idempotent)
 	for _, r := range []struct {
 		id, group string
 		after     time.Duration
@@ -140,29 +140,29 @@
 		{"keyed", "0", 0, false}, {"keyed", "0", time.Second, true}, {"outside", "0", 0, false}, {"outside", "1", 0, false},
 		{"late", "0", 0, false}, {"late", "0", 1100 * time.Millisecond, false}, {"harm", "0", 0, false}, {"never", "0", 0, false},
 	} {
-		if got := l.Ran(Run{ID: r.id, Group: r.group, At: now.Add(r.after)}); got != r.dropped {
+		if got := l.Ran(Execution{ID: r.id, Group: r.group, At: now.Add(r.after)}); got != r.dropped {
 			t.Errorf("%s: dropped %v", r.id, got)
 		}
 	}
 	for _, id := range []string{"safe", "once", "twice", "keyed", "outside", "late"} {
 		l.Ended(id, Served, 200, time.Millisecond)
 	}
-	l.Ended("harm", Refused, 503, 0)
+	l.Ended("harm", Rejected, 503, 0)
 	l.Ended("harm", Served, 200, 0) // only the first end counts
 	c := l.Count()
-	if strings.Join(c.Twice, " ") != "late outside twice" || strings.Join(c.Harm, " ") != "harm" || strings.Join(c.Stray, " ") != "never" {
-		t.Errorf("twice %v, harm %v, stray %v", c.Twice, c.Harm, c.Stray)
+	if strings.Join(c.RanTwice, " ") != "late outside twice" || strings.Join(c.RejectedAfterExecution, " ") != "harm" || strings.Join(c.Unrequested, " ") != "never" {
+		t.Errorf("twice %v, harm %v, stray %v", c.RanTwice, c.RejectedAfterExecution, c.Unrequested)
 	}
-	if c.Ends[Open] != 1 || l.Open() != 1 || c.Ends[Refused] != 1 {
-		t.Errorf("ends %v, %d open", c.Ends, l.Open())
+	if c.Outcomes[Open] != 1 || l.Open() != 1 || c.Outcomes[Rejected] != 1 {
+		t.Errorf("ends %v, %d open", c.Outcomes, l.Open())
 	}
 	for _, want := range []string{"3 ran twice", "1 refused though", "1 ran and were never", "1 never answered"} {
-		if !strings.Contains(c.Broken(), want) {
-			t.Errorf("%q lacks %q", c.Broken(), want)
+		if !strings.Contains(c.Violations(), want) {
+			t.Errorf("%q lacks %q", c.Violations(), want)
 		}
 	}
 	clean := NewLedger().Count()
-	if s := clean.Broken(); s != "" {
+	if s := clean.Violations(); s != "" {
 		t.Errorf("an empty ledger: %q", s)
 	}
 }
@@ -170,15 +170,15 @@
 // Straight to a node, clients see what it does, and judge what was made for another.
 func TestLoad(t *testing.T) {
 	n, l := node(t, Behaviour{Mode: Errors, Share: 0.25})
-	load := Load{URL: "http://" + n.Addr(), Rate: 2000, Count: 200, Classes: Classes(), Seed: 3}
+	load := Load{URL: "http://" + n.Addr(), Rate: 2000, Count: 200, Classes: DefaultClasses(), Seed: 3}
 	if err := load.Run(context.Background(), l); err != nil {
 		t.Fatal(err)
 	}
 	c := l.Count()
-	if c.Asked != 200 || c.Ends[Served]+c.Ends[Failed] != 200 || c.Ends[Failed] < 20 || c.Ends[Failed] > 80 || c.Broken() != "" {
-		t.Errorf("%+v, %s", c.Ends, c.Broken())
+	if c.Requests != 200 || c.Outcomes[Served]+c.Outcomes[Failed] != 200 || c.Outcomes[Failed] < 20 || c.Outcomes[Failed] > 80 || c.Violations() != "" {
+		t.Errorf("%+v, %s", c.Outcomes, c.Violations())
 	}
-	if judge(200, "done y", "x") != Lost || judge(429, "", "x") != Refused || judge(502, "", "x") != Failed {
+	if judge(200, "done y", "x") != ConnectionLost || judge(429, "", "x") != Rejected || judge(502, "", "x") != Failed {
 		t.Error("answers are judged wrongly")
 	}
 	for _, url := range []string{"http://10.0.0.1:80", "http://example.org:80", "http://[2001:db8::1]:80"} {
--- a/internal/experiment/faulttest/fleet.go
+++ b/internal/experiment/faulttest/fleet.go
@@ -216,8 +216,8 @@
 // serving writes what a gateway's file has for requests.
 func (f *Fleet) serving(b *strings.Builder, g *Gateway) {
 	fmt.Fprintf(b, "[[listener]]\naddress = %q\n", g.listen)
-	for _, c := range fakes.Classes() {
-		effect := [...]string{"safe", "keyed", "unsafe"}[c.Effect]
+	for _, c := range fakes.DefaultClasses() {
+		effect := [...]string{"safe", "keyed", "unsafe"}[c.Idempotency]
 		fmt.Fprintf(b, "[[class]]\nname = %q\neffect = %q\naim = \"2s\"\ndeadline = \"10s\"\nworth = 1\n", c.Name, effect)
 		if c.Window > 0 {
 			fmt.Fprintf(b, "group = \"cell\"\nwindow = %q\n", c.Window)
--- a/internal/experiment/faulttest/load.go
+++ b/internal/experiment/faulttest/load.go
@@ -20,7 +20,7 @@
 // rules were broken.
 func (f *Fleet) Load(g *Gateway) (stop func() (fakes.Count, error)) {
 	ctx, cancel := context.WithCancel(context.Background())
-	classes := fakes.Classes()
+	classes := fakes.DefaultClasses()
 	for i := range classes {
 		classes[i].Timeout = loadTime
 	}
@@ -32,11 +32,11 @@
 		cancel()
 		wait.Wait()
 		c := f.Hosts.Ledger.Count()
-		switch broken := c.Broken(); {
+		switch broken := c.Violations(); {
 		case broken != "":
-			return c, fmt.Errorf("of %d requests %v: %s", c.Asked, c.Ends, broken)
-		case c.Ends[fakes.Served] == 0:
-			return c, fmt.Errorf("of %d requests %v: none was served", c.Asked, c.Ends)
+			return c, fmt.Errorf("of %d requests %v: %s", c.Requests, c.Outcomes, broken)
+		case c.Outcomes[fakes.Served] == 0:
+			return c, fmt.Errorf("of %d requests %v: none was served", c.Requests, c.Outcomes)
 		case failed != nil && !errors.Is(failed, context.Canceled):
 			return c, failed
 		}
--- a/internal/experiment/faulttest/relays_test.go
+++ b/internal/experiment/faulttest/relays_test.go
@@ -237,8 +237,8 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	served := f.Hosts.Ledger.Count().Asked
-	if err := f.Until(context.Background(), "it serves on", formTime, func() bool { return f.Hosts.Ledger.Count().Asked > served+50 }); err != nil {
+	served := f.Hosts.Ledger.Count().Requests
+	if err := f.Until(context.Background(), "it serves on", formTime, func() bool { return f.Hosts.Ledger.Count().Requests > served+50 }); err != nil {
 		t.Fatal(err)
 	}
 	for _, r := range f.Gateways[:f.Relays] {
--- a/internal/experiment/faulttest/words_test.go
+++ b/internal/experiment/faulttest/words_test.go
@@ -43,8 +43,8 @@
 					f.Seed++
 				}()
 				time.Sleep(told)
-				at, all := f.Hosts.Ledger.RanAt(host), f.Hosts.Ledger.Count().Runs
-				until("a hundred requests run", func() bool { return f.Hosts.Ledger.Count().Runs >= all+100 })
+				at, all := f.Hosts.Ledger.RanAt(host), f.Hosts.Ledger.Count().Executions
+				until("a hundred requests run", func() bool { return f.Hosts.Ledger.Count().Executions >= all+100 })
 				return f.Hosts.Ledger.RanAt(host) - at
 			}
 			if used() == 0 {
--- a/internal/experiment/simulator/world.go
+++ b/internal/experiment/simulator/world.go
@@ -164,7 +164,7 @@
 }
 
 // causes is how many the module tells apart for requests.
-const causes = int(balancer.CauseYield) + 1
+const causes = int(balancer.CauseLowerPriority) + 1
 
 // Second is what became of the first tries of a second.
 type Second struct {
--- a/internal/fastcgi/bench_test.go
+++ b/internal/fastcgi/bench_test.go
@@ -39,9 +39,9 @@
 func (r *responder) Reply([]byte)                        {}
 func (r *responder) Body(id uint16, _ []byte, end bool) {
 	if end {
-		r.s.Ended(id)
+		r.s.RequestEnded(id)
 		r.out = AppendStream(r.out[:0], Stdout, id, []byte("Status: 200 OK\r\nContent-Type: text/plain\r\n\r\ndone"))
-		r.out = AppendEndRequest(AppendEnd(r.out, Stdout, id), id, End{})
+		r.out = AppendEndRequest(AppendStreamEnd(r.out, Stdout, id), id, EndRequestBody{})
 		r.Write(r.out)
 	}
 }
@@ -71,14 +71,14 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				if rest = more; ev == More {
+				if rest = more; ev == NeedMore {
 					n, err := c.Read(buf)
 					if err != nil {
 						b.Fatal(err)
 					}
 					rest = buf[:n]
 				}
-				over = ev == Done && scan.Head().Type == EndRequest
+				over = ev == RecordEnd && scan.Header().Type == EndRequest
 			}
 		}
 	}
--- a/internal/fastcgi/cgi.go
+++ b/internal/fastcgi/cgi.go
@@ -15,10 +15,10 @@
 // HeadMost bounds the head of an answer: many times what there is to say.
 const HeadMost = 16 << 10
 
-// ParseAnswer reads the head of a CGI answer (RFC 3875, 6.2 and 6.3) off the front of what a
+// ParseResponseHeader reads the head of a CGI answer (RFC 3875, 6.2 and 6.3) off the front of what a
 // responder has put out: no Status is 200, or 302 where there is a Location. n is where the body
 // begins, 0 where the head is not whole yet.
-func ParseAnswer(out []byte) (status int, header http.Header, n int, err error) {
+func ParseResponseHeader(out []byte) (status int, header http.Header, n int, err error) {
 	header = http.Header{}
 	for rest := out; ; {
 		i := bytes.IndexByte(rest, '\n')
@@ -60,8 +60,8 @@
 	return status, header, n, nil
 }
 
-// Length is the length that a head gives, -1 where it gives none. Two are none, and an error.
-func Length(h http.Header) (int64, error) {
+// ContentLength is the length that a head gives, -1 where it gives none. Two are none, and an error.
+func ContentLength(h http.Header) (int64, error) {
 	switch v := h["Content-Length"]; len(v) {
 	case 0:
 		return -1, nil
@@ -85,18 +85,18 @@
 	return len(b) > 0
 }
 
-// VarOf is the name of the parameter that a header goes by, "" for one that must not be one: a
+// ParamName is the name of the parameter that a header goes by, "" for one that must not be one: a
 // name with an underscore would be taken for another's with a dash, and HTTP_PROXY is what many
 // programs take for the proxy that they are to use (httpoxy, CVE-2016-5385).
-func VarOf(header string) string {
+func ParamName(header string) string {
 	if strings.Contains(header, "_") || strings.EqualFold(header, "Proxy") {
 		return ""
 	}
 	return "HTTP_" + strings.ToUpper(strings.ReplaceAll(header, "-", "_"))
 }
 
-// HeaderOf is the header that a parameter stands for, "" for none.
-func HeaderOf(name string) string {
+// HeaderName is the header that a parameter stands for, "" for none.
+func HeaderName(name string) string {
 	rest, ok := strings.CutPrefix(name, "HTTP_")
 	if !ok || rest == "" || strings.EqualFold(rest, "PROXY") || !token([]byte(rest)) || strings.Contains(rest, "-") {
 		return ""
--- a/internal/fastcgi/client.go
+++ b/internal/fastcgi/client.go
@@ -12,13 +12,13 @@
 
 // Heard is what a Client makes of a responder's records, in their order. Output may wait.
 type Heard interface {
-	Output(id uint16, part []byte) // STDOUT
-	Errors(id uint16, part []byte) // STDERR
-	End(id uint16, e End)
+	Stdout(id uint16, part []byte) // STDOUT
+	Stderr(id uint16, part []byte) // STDERR
+	EndRequest(id uint16, e EndRequestBody)
 	// Values is the answer to a GET_VALUES; 0 stands for what it does not tell.
 	Values(v Values)
-	// Stray says that something came that belongs to no request.
-	Stray()
+	// UnsolicitedRecord says that something came that belongs to no request.
+	UnsolicitedRecord()
 }
 
 // Values are what a responder says of itself (4.1).
@@ -49,9 +49,9 @@
 // NewClient returns a Client.
 func NewClient(heard Heard) *Client { return &Client{heard: heard, ids: map[uint16]*clientRequest{}} }
 
-// Open gives out the id of a new request. An id is used again as late as can be: what comes late
+// OpenRequest gives out the id of a new request. An id is used again as late as can be: what comes late
 // for one that has ended must not be taken for the next.
-func (c *Client) Open() uint16 {
+func (c *Client) OpenRequest() uint16 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for {
@@ -88,14 +88,14 @@
 		}
 		b = rest
 		switch ev {
-		case More:
+		case NeedMore:
 			return nil
-		case Start:
-			err = c.start(c.scan.Head())
-		case Part:
-			c.part(c.scan.Head(), part)
-		case Done:
-			err = c.done(c.scan.Head())
+		case RecordStart:
+			err = c.start(c.scan.Header())
+		case RecordContent:
+			c.part(c.scan.Header(), part)
+		case RecordEnd:
+			err = c.done(c.scan.Header())
 		}
 		if err != nil {
 			return err
@@ -121,7 +121,7 @@
 			return ErrBody
 		}
 		if r := c.find(h.ID); r == nil || r.shut && h.Type == Stdout && h.Content > 0 {
-			c.heard.Stray()
+			c.heard.UnsolicitedRecord()
 		}
 	case GetValuesResult:
 		if h.Content > valuesMost {
@@ -138,11 +138,11 @@
 	switch h.Type {
 	case Stdout:
 		if r := c.find(h.ID); r != nil && !r.shut {
-			c.heard.Output(h.ID, part)
+			c.heard.Stdout(h.ID, part)
 		}
 	case Stderr:
 		if c.find(h.ID) != nil {
-			c.heard.Errors(h.ID, part)
+			c.heard.Stderr(h.ID, part)
 		}
 	case EndRequest:
 		c.n += copy(c.fixed[c.n:], part)
@@ -166,7 +166,7 @@
 			return err
 		}
 		c.Drop(h.ID)
-		c.heard.End(h.ID, e)
+		c.heard.EndRequest(h.ID, e)
 	case GetValuesResult:
 		var v Values
 		for b := c.values; len(b) > 0; {
--- a/internal/fastcgi/record.go
+++ b/internal/fastcgi/record.go
@@ -133,11 +133,11 @@
 	return b
 }
 
-// AppendEnd puts the record behind b that ends a stream (3.3).
-func AppendEnd(b []byte, t Type, id uint16) []byte { return AppendHead(b, Head{Type: t, ID: id}) }
+// AppendStreamEnd puts the record behind b that ends a stream (3.3).
+func AppendStreamEnd(b []byte, t Type, id uint16) []byte { return AppendHead(b, Head{Type: t, ID: id}) }
 
-// Begin is the body of a BEGIN_REQUEST (5.1).
-type Begin struct {
+// BeginRequestBody is the body of a BEGIN_REQUEST (5.1).
+type BeginRequestBody struct {
 	Role  Role
 	Flags uint8
 }
@@ -146,38 +146,38 @@
 var ErrBody = errors.New("fastcgi: the body of a record has not its form")
 
 // ParseBegin reads the body of a BEGIN_REQUEST.
-func ParseBegin(b []byte) (Begin, error) {
+func ParseBegin(b []byte) (BeginRequestBody, error) {
 	if len(b) != 8 {
-		return Begin{}, ErrBody
+		return BeginRequestBody{}, ErrBody
 	}
-	return Begin{Role: Role(binary.BigEndian.Uint16(b)), Flags: b[2]}, nil
+	return BeginRequestBody{Role: Role(binary.BigEndian.Uint16(b)), Flags: b[2]}, nil
 }
 
-// AppendBegin puts a BEGIN_REQUEST behind b.
-func AppendBegin(b []byte, id uint16, g Begin) []byte {
+// AppendBeginRequest puts a BEGIN_REQUEST behind b.
+func AppendBeginRequest(b []byte, id uint16, g BeginRequestBody) []byte {
 	b = AppendHead(b, Head{Type: BeginRequest, ID: id, Content: 8})
 	return append(b, byte(g.Role>>8), byte(g.Role), g.Flags, 0, 0, 0, 0, 0)
 }
 
-// End is the body of an END_REQUEST (5.5).
-type End struct {
-	App    uint32 // the program's exit status
-	Status Status
+// EndRequestBody is the body of an END_REQUEST (5.5).
+type EndRequestBody struct {
+	AppStatus      uint32 // the program's exit status
+	ProtocolStatus Status
 }
 
 // ParseEnd reads the body of an END_REQUEST.
-func ParseEnd(b []byte) (End, error) {
+func ParseEnd(b []byte) (EndRequestBody, error) {
 	if len(b) != 8 {
-		return End{}, ErrBody
+		return EndRequestBody{}, ErrBody
 	}
-	return End{App: binary.BigEndian.Uint32(b), Status: Status(b[4])}, nil
+	return EndRequestBody{AppStatus: binary.BigEndian.Uint32(b), ProtocolStatus: Status(b[4])}, nil
 }
 
 // AppendEndRequest puts an END_REQUEST behind b.
-func AppendEndRequest(b []byte, id uint16, e End) []byte {
+func AppendEndRequest(b []byte, id uint16, e EndRequestBody) []byte {
 	b = AppendHead(b, Head{Type: EndRequest, ID: id, Content: 8})
-	b = binary.BigEndian.AppendUint32(b, e.App)
-	return append(b, byte(e.Status), 0, 0, 0)
+	b = binary.BigEndian.AppendUint32(b, e.AppStatus)
+	return append(b, byte(e.ProtocolStatus), 0, 0, 0)
 }
 
 // AppendUnknown puts an UNKNOWN_TYPE behind b, the answer to a management record that is not
--- a/internal/fastcgi/scan.go
+++ b/internal/fastcgi/scan.go
@@ -5,10 +5,10 @@
 
 // Events.
 const (
-	More  Event = iota // the bytes are used up
-	Start              // a record's head is whole: Head
-	Part               // a part of its content
-	Done               // the record has ended, its padding included
+	NeedMore      Event = iota // the bytes are used up
+	RecordStart                // a record's head is whole: Head
+	RecordContent              // a part of its content
+	RecordEnd                  // the record has ended, its padding included
 )
 
 // Scanner cuts a stream of bytes into records. The zero value is at the start of one.
@@ -20,8 +20,8 @@
 	content, padding int // still to come
 }
 
-// Head is that of the record under way.
-func (s *Scanner) Head() Head { return s.head }
+// Header is that of the record under way.
+func (s *Scanner) Header() Head { return s.head }
 
 // Between says whether the stream is at the start of a record.
 func (s *Scanner) Between() bool { return !s.inside && s.got == 0 }
@@ -33,27 +33,27 @@
 		n := copy(s.raw[s.got:], b)
 		s.got, b = s.got+n, b[n:]
 		if s.got < HeadLen {
-			return More, nil, b, nil
+			return NeedMore, nil, b, nil
 		}
 		if s.head, err = ParseHead(s.raw[:]); err != nil {
-			return More, nil, b, err
+			return NeedMore, nil, b, err
 		}
 		s.got, s.inside, s.content, s.padding = 0, true, s.head.Content, s.head.Padding
-		return Start, nil, b, nil
+		return RecordStart, nil, b, nil
 	}
 	if s.content > 0 {
 		if len(b) == 0 {
-			return More, nil, nil, nil
+			return NeedMore, nil, nil, nil
 		}
 		n := min(s.content, len(b))
 		s.content -= n
-		return Part, b[:n], b[n:], nil
+		return RecordContent, b[:n], b[n:], nil
 	}
 	n := min(s.padding, len(b))
 	s.padding, b = s.padding-n, b[n:]
 	if s.padding > 0 {
-		return More, nil, b, nil
+		return NeedMore, nil, b, nil
 	}
 	s.inside = false
-	return Done, nil, b, nil
+	return RecordEnd, nil, b, nil
 }
--- a/internal/fastcgi/server.go
+++ b/internal/fastcgi/server.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// ReqsMost is how many requests a connection may carry at once, as FCGI_MAX_REQS says.
-	ReqsMost = 32
-	// ParamsMost bounds the parameters of a request: what heads of HTTP may have, eight times.
-	ParamsMost = 64 << 10
+	// MaxRequestsPerConn is how many requests a connection may carry at once, as FCGI_MAX_REQS says.
+	MaxRequestsPerConn = 32
+	// MaxParamsBytes bounds the parameters of a request: what heads of HTTP may have, eight times.
+	MaxParamsBytes = 64 << 10
 	// valuesMost bounds what a GET_VALUES may ask: the three names there are take 48 bytes.
 	valuesMost = 512
 )
@@ -71,22 +71,22 @@
 	return &Server{calls: calls, conns: strconv.Itoa(conns), reqs: map[uint16]*serverRequest{}}
 }
 
-// Open is how many requests have not ended.
-func (s *Server) Open() int {
+// NumOpen is how many requests have not ended.
+func (s *Server) NumOpen() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.reqs)
 }
 
-// Ended says that the END_REQUEST of a request is out, or about to be: its id may come anew.
-func (s *Server) Ended(id uint16) {
+// RequestEnded says that the END_REQUEST of a request is out, or about to be: its id may come anew.
+func (s *Server) RequestEnded(id uint16) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.reqs, id)
 }
 
-// Half calls f with each request that has not come whole.
-func (s *Server) Half(f func(id uint16, begun bool)) {
+// ForEachIncomplete calls f with each request that has not come whole.
+func (s *Server) ForEachIncomplete(f func(id uint16, begun bool)) {
 	s.mu.Lock()
 	var ids []uint16
 	var begun []bool
@@ -116,14 +116,14 @@
 		}
 		b = rest
 		switch ev {
-		case More:
+		case NeedMore:
 			return nil
-		case Start:
-			err = s.start(s.scan.Head())
-		case Part:
-			err = s.part(s.scan.Head(), part)
-		case Done:
-			err = s.done(s.scan.Head())
+		case RecordStart:
+			err = s.start(s.scan.Header())
+		case RecordContent:
+			err = s.part(s.scan.Header(), part)
+		case RecordEnd:
+			err = s.done(s.scan.Header())
 		}
 		if err != nil {
 			return err
@@ -172,7 +172,7 @@
 		s.n += copy(s.fixed[s.n:], part)
 	case Params:
 		if r := s.find(h.ID); r != nil && !r.long {
-			if r.long = len(r.params)+len(part) > ParamsMost; r.long {
+			if r.long = len(r.params)+len(part) > MaxParamsBytes; r.long {
 				r.params = nil
 			} else {
 				r.params = append(r.params, part...)
@@ -239,7 +239,7 @@
 		return err
 	}
 	s.mu.Lock()
-	full := len(s.reqs) >= ReqsMost
+	full := len(s.reqs) >= MaxRequestsPerConn
 	if !full && g.Role == Responder {
 		s.reqs[id] = &serverRequest{keep: g.Flags&KeepConn != 0}
 	}
@@ -255,8 +255,8 @@
 
 // end ends a request that never came to anybody.
 func (s *Server) end(id uint16, status Status) {
-	s.Ended(id)
-	s.out = AppendEndRequest(s.out[:0], id, End{Status: status})
+	s.RequestEnded(id)
+	s.out = AppendEndRequest(s.out[:0], id, EndRequestBody{ProtocolStatus: status})
 	s.calls.Reply(s.out)
 }
 
@@ -279,7 +279,7 @@
 		case MaxConns:
 			pairs = AppendPair(pairs, MaxConns, s.conns)
 		case MaxReqs:
-			pairs = AppendPair(pairs, MaxReqs, strconv.Itoa(ReqsMost))
+			pairs = AppendPair(pairs, MaxReqs, strconv.Itoa(MaxRequestsPerConn))
 		case MpxsConns:
 			pairs = AppendPair(pairs, MpxsConns, "1")
 		}
@@ -289,8 +289,8 @@
 	return nil
 }
 
-// Vars calls f with each of a request's parameters. The slices are part of params.
-func Vars(params []byte, f func(name, value []byte) error) error {
+// ForEachParam calls f with each of a request's parameters. The slices are part of params.
+func ForEachParam(params []byte, f func(name, value []byte) error) error {
 	for len(params) > 0 {
 		name, value, rest, ok := Pair(params)
 		if !ok {
--- a/internal/flightrecorder/analysis.go
+++ b/internal/flightrecorder/analysis.go
@@ -139,7 +139,7 @@
 		return nil, err
 	}
 	a.Report = *rep
-	if a.First != nil {
+	if a.Divergence != nil {
 		a.asViewed()
 	}
 	for _, h := range a.Hosts {
@@ -249,7 +249,7 @@
 				a.line(d.Host).Sent++
 			}
 		case balancer.Reject, balancer.Fail:
-			if d.Cause == balancer.CauseWait {
+			if d.Cause == balancer.CauseQueueTimeout {
 				waited++
 			}
 			if r == nil || r.done {
@@ -341,9 +341,9 @@
 		b.Held = map[string]int{}
 	}
 	b.Looks++
-	b.Pending += float64(v.Pending)
+	b.Pending += float64(v.InFlight)
 	b.Limit += v.ConcurrencyLimit
-	b.Mean += v.Mean
+	b.Mean += v.RecentRTT
 	if word == "ejected" && v.Cause == balancer.CauseSilent {
 		word = "silent"
 	}
@@ -371,7 +371,7 @@
 	if len(a.Ejected) >= ejectionsMost {
 		return
 	}
-	ej := Ejection{At: e.At, Host: v.Host, Why: v.Cause, Pending: v.Pending, Class: -1}
+	ej := Ejection{At: e.At, Host: v.Host, Why: v.Cause, Pending: v.InFlight, Class: -1}
 	if v.Cause != balancer.CauseSilent && cause != nil && cause.host == v.Host {
 		ej.Request, ej.Class, ej.Age = e.Outcome.Request, cause.class, e.At-cause.sent
 	} else {
@@ -428,14 +428,14 @@
 	for _, l := range a.Losses {
 		fmt.Fprintf(w, "missing: %s\n", l)
 	}
-	if a.Skipped > 0 {
-		fmt.Fprintf(w, "missing: %d events could not be replayed, as the state before them is not known\n", a.Skipped)
+	if a.SkippedEvents > 0 {
+		fmt.Fprintf(w, "missing: %d events could not be replayed, as the state before them is not known\n", a.SkippedEvents)
 	}
-	if a.Foreign > 0 {
-		fmt.Fprintf(w, "%d checkpoints are of another build: %s\n", a.Foreign, a.ForeignWhy)
+	if a.ForeignCheckpoints > 0 {
+		fmt.Fprintf(w, "%d checkpoints are of another build: %s\n", a.ForeignCheckpoints, a.ForeignWhy)
 	}
-	if a.First != nil {
-		fmt.Fprintf(w, "this build decides otherwise: %v\n", a.First)
+	if a.Divergence != nil {
+		fmt.Fprintf(w, "this build decides otherwise: %v\n", a.Divergence)
 		fmt.Fprintln(w, "so the hosts are shown as the recorded views have them, and what held requests back is not known")
 	}
 	span := a.To - a.From
--- a/internal/flightrecorder/analysis_test.go
+++ b/internal/flightrecorder/analysis_test.go
@@ -61,12 +61,12 @@
 	}
 	why := map[balancer.Cause]int{}
 	for _, e := range a.Ejected {
-		if e.Host == 1 && e.Why == balancer.CauseConnections && e.Class < 0 {
+		if e.Host == 1 && e.Why == balancer.CauseConnectionsFailed && e.Class < 0 {
 			t.Errorf("the ejection at %v names no request", e.At)
 		}
 		why[e.Why]++
 	}
-	if why[balancer.CauseConnections] == 0 || why[balancer.CauseSilent] == 0 {
+	if why[balancer.CauseConnectionsFailed] == 0 || why[balancer.CauseSilent] == 0 {
 		t.Errorf("ejections by cause: %v", why)
 	}
 	var text strings.Builder
@@ -138,7 +138,7 @@
 func TestPlotIsWellFormed(t *testing.T) {
 	var out sink
 	rec, _ := record(t, spoiltDay(), 6, Options{})
-	rec.Name(balancer.Time(2*time.Hour), 2, `<&">`)
+	rec.NameHost(balancer.Time(2*time.Hour), 2, `<&">`)
 	a, err := Analyse(bytes.NewReader(rec.Dump(nil)), Window{})
 	if err != nil {
 		t.Fatal(err)
@@ -231,7 +231,7 @@
 
 // A recording begun in mid-flight has its hosts from the checkpoint.
 func TestFitInMidFlight(t *testing.T) {
-	rec, _ := record(t, day(5, 12000), 5, Options{Ring: leastRing})
+	rec, _ := record(t, day(5, 12000), 5, Options{RingBytes: leastRing})
 	f, err := Fit(bytes.NewReader(rec.Dump(nil)))
 	if err != nil {
 		t.Fatal(err)
@@ -257,9 +257,9 @@
 func TestOtherBuildIsShownByItsViews(t *testing.T) {
 	s := day(6, 3000)
 	var same, other sink
-	record(t, s, 6, Options{Sink: &same, ViewEvery: 50 * ms})
+	record(t, s, 6, Options{Sink: &same, ViewInterval: 50 * ms})
 	bal, _ := balancer.New(s.Settings, 5)
-	New(bal, Start{Seed: 5, At: s.Lists[0].At, Settings: s.Settings}, 1006, Options{Sink: &other})
+	New(bal, SessionStart{Seed: 5, At: s.Lists[0].At, Settings: s.Settings}, 1006, Options{Sink: &other})
 	mixed := append(bytes.Clone(other.Bytes()), same.Bytes()[firstBlock(t, same.Bytes()):]...)
 	want, err := Analyse(bytes.NewReader(same.Bytes()), Window{})
 	if err != nil || want.Viewed {
--- a/internal/flightrecorder/bench_test.go
+++ b/internal/flightrecorder/bench_test.go
@@ -15,7 +15,7 @@
 		b.Fatal(err)
 	}
 	at := s.Lists[0].At
-	rec, err := New(bal, Start{Seed: 1, At: at, Settings: s.Settings}, 1, Options{Ring: 1 << 20})
+	rec, err := New(bal, SessionStart{Seed: 1, At: at, Settings: s.Settings}, 1, Options{RingBytes: 1 << 20})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -35,7 +35,7 @@
 		}
 		b.Run(name, func(b *testing.B) {
 			rec, now := benchRecorder(b)
-			var m Module = rec
+			var m Balancer = rec
 			if !recorded {
 				m = rec.bal
 			}
@@ -72,7 +72,7 @@
 
 // BenchmarkDump is what a dump costs the loop.
 func BenchmarkDump(b *testing.B) {
-	rec, _ := record(b, day(1, 9000), 1, Options{Ring: 1 << 20})
+	rec, _ := record(b, day(1, 9000), 1, Options{RingBytes: 1 << 20})
 	var dst []byte
 	for b.Loop() {
 		dst = rec.Dump(dst[:0])
--- a/internal/flightrecorder/file.go
+++ b/internal/flightrecorder/file.go
@@ -202,32 +202,32 @@
 
 // Trigger says when too many requests are refused. It is told of each final answer.
 type Trigger struct {
-	Share  float64       // of the answers in a window
-	Within time.Duration // the window
-	Least  int           // answers in a window below which nothing is told
-	Pause  time.Duration // least time between two times that it goes off
+	RejectedShare float64       // of the answers in a window
+	Window        time.Duration // the window
+	MinResponses  int           // answers in a window below which nothing is told
+	MinInterval   time.Duration // least time between two times that it goes off
 
 	from            time.Duration
 	answers, turned int
 	quietUntil      time.Duration
 }
 
-// Answered is told of an answer at a time that does not go back; it says whether the
+// ObserveResponse is told of an answer at a time that does not go back; it says whether the
 // trigger goes off.
-func (t *Trigger) Answered(now time.Duration, refused bool) bool {
-	if t.Share <= 0 {
+func (t *Trigger) ObserveResponse(now time.Duration, refused bool) bool {
+	if t.RejectedShare <= 0 {
 		return false
 	}
-	if now-t.from >= t.Within {
+	if now-t.from >= t.Window {
 		t.from, t.answers, t.turned = now, 0, 0
 	}
 	t.answers++
 	if refused {
 		t.turned++
 	}
-	if t.answers < t.Least || float64(t.turned) < t.Share*float64(t.answers) || now < t.quietUntil {
+	if t.answers < t.MinResponses || float64(t.turned) < t.RejectedShare*float64(t.answers) || now < t.quietUntil {
 		return false
 	}
-	t.quietUntil = now + t.Pause
+	t.quietUntil = now + t.MinInterval
 	return true
 }
--- a/internal/flightrecorder/file_test.go
+++ b/internal/flightrecorder/file_test.go
@@ -51,8 +51,8 @@
 		if len(data) > 200<<10 {
 			t.Errorf("%s has %d bytes, 200 KB at most", name, len(data))
 		}
-		if rep := replayed(t, data); rep.First != nil || rep.Events == 0 || rep.Events < rep.Skipped {
-			t.Errorf("%s: %d events, %d skipped: %v", filepath.Base(name), rep.Events, rep.Skipped, rep.First)
+		if rep := replayed(t, data); rep.Divergence != nil || rep.Events == 0 || rep.Events < rep.SkippedEvents {
+			t.Errorf("%s: %d events, %d skipped: %v", filepath.Base(name), rep.Events, rep.SkippedEvents, rep.Divergence)
 		}
 	}
 }
@@ -87,7 +87,7 @@
 	stop := running(t, w)
 	s := day(2, 9000)
 	blocks := 0
-	_, sum := record(t, s, 2, Options{Ring: 1 << 20, Sink: sinkFunc(func(b []byte) (bool, bool) {
+	_, sum := record(t, s, 2, Options{RingBytes: 1 << 20, Sink: sinkFunc(func(b []byte) (bool, bool) {
 		if blocks++; blocks == 20 {
 			disk.mu.Lock()
 			disk.room = 1 << 30
@@ -105,7 +105,7 @@
 		t.Errorf("%d written, %d lost, error %q", wrote, lost, said)
 	}
 	rep := replayed(t, disk.got.Bytes())
-	if rep.First != nil || rep.Events == 0 || len(rep.Losses) == 0 || rep.Checked+rep.Sessions < 2 {
+	if rep.Divergence != nil || rep.Events == 0 || len(rep.Losses) == 0 || rep.Checked+rep.Sessions < 2 {
 		t.Errorf("%+v", rep)
 	}
 }
@@ -155,10 +155,10 @@
 }
 
 func TestTrigger(t *testing.T) {
-	tr := Trigger{Share: 0.2, Within: 5 * time.Second, Least: 50, Pause: time.Minute}
+	tr := Trigger{RejectedShare: 0.2, Window: 5 * time.Second, MinResponses: 50, MinInterval: time.Minute}
 	off := func(at time.Duration, answers, refused int) (n int) {
 		for i := range answers {
-			if tr.Answered(at, i%(answers/refused) == 0) {
+			if tr.ObserveResponse(at, i%(answers/refused) == 0) {
 				n++
 			}
 		}
@@ -181,7 +181,7 @@
 		}
 	}
 	tr = Trigger{}
-	if tr.Answered(time.Hour, true) {
+	if tr.ObserveResponse(time.Hour, true) {
 		t.Error("goes off though it is not set")
 	}
 }
--- a/internal/flightrecorder/fit.go
+++ b/internal/flightrecorder/fit.go
@@ -247,7 +247,7 @@
 			switch {
 			case a.unanswered():
 				mute++
-			case a.result == balancer.Failed, a.result == balancer.Spoilt, a.result == balancer.Reset:
+			case a.result == balancer.Failed, a.result == balancer.InvalidResponse, a.result == balancer.Reset:
 				errs[a.class]++
 			}
 		}
--- a/internal/flightrecorder/fleet.go
+++ b/internal/flightrecorder/fleet.go
@@ -37,10 +37,10 @@
 	Sends    int
 	Again    int // of Sends, those that are not a request's first
 	ColdSent int // of Sends, those to hosts that were cold
-	Results  [balancer.Spoilt + 1]int
-	Refused  [balancer.CauseYield + 1]int // by cause
-	Failed   int                          // requests that got an error
-	Watches  int                          // calls for the list
+	Results  [balancer.InvalidResponse + 1]int
+	Refused  [balancer.CauseLowerPriority + 1]int // by cause
+	Failed   int                                  // requests that got an error
+	Watches  int                                  // calls for the list
 	Lists    [balancer.ListFailed + 1]int
 	Entries  int // of lists
 	Closes   int // hosts given up, and the connections to them
@@ -67,7 +67,7 @@
 	Repeats  int
 	InTime   int // served within the aim
 	Late     int // served behind it
-	Refused  [balancer.CauseYield + 1]int
+	Refused  [balancer.CauseLowerPriority + 1]int
 	Failed   int
 	Waited   time.Duration // of those sent on: until their first attempt, together
 	Sent     int
@@ -401,9 +401,9 @@
 				none -= n
 			}
 			for _, n := range []int{
-				int(from - all[0]), k, c.Requests, c.Repeats, c.InTime, c.Late, c.Refused[balancer.CauseWait],
-				c.Refused[balancer.CauseDeadline], c.Refused[balancer.CauseSpent], c.Refused[balancer.CauseYield],
-				c.Refused[balancer.CauseLate], c.Failed, none,
+				int(from - all[0]), k, c.Requests, c.Repeats, c.InTime, c.Late, c.Refused[balancer.CauseQueueTimeout],
+				c.Refused[balancer.CauseDeadlineExceeded], c.Refused[balancer.CauseNoMoreAttempts], c.Refused[balancer.CauseLowerPriority],
+				c.Refused[balancer.CauseArrivedLate], c.Failed, none,
 				int(c.Waited.Milliseconds()) / max(c.Sent, 1), int(c.Took.Milliseconds()) / max(c.InTime+c.Late, 1),
 			} {
 				fmt.Fprintf(out, "%d\t", n)
@@ -430,8 +430,8 @@
 			s.Results[balancer.OK], s.Results[balancer.Failed], s.Results[balancer.Full],
 			s.Results[balancer.TimedOut], s.Results[balancer.ConnectFailed],
 			s.Results[balancer.Reset], s.Results[balancer.Canceled],
-			s.Refused[balancer.CauseWait], s.Refused[balancer.CauseDeadline], s.Refused[balancer.CauseSpent],
-			s.Refused[balancer.CauseYield],
+			s.Refused[balancer.CauseQueueTimeout], s.Refused[balancer.CauseDeadlineExceeded], s.Refused[balancer.CauseNoMoreAttempts],
+			s.Refused[balancer.CauseLowerPriority],
 			s.Failed, lists, s.Lists[balancer.ListFailed], s.Entries, s.Closes, used, most, gateways,
 			s.Ended[0], s.mean(0), s.Ended[1], s.Good[1], s.mean(1),
 			int(s.Ready + 0.5), int(100 * s.Idle / max(s.Ready, 1e-9)), int(100 * s.Out / max(s.Ready, 1e-9)),
--- a/internal/flightrecorder/flight_test.go
+++ b/internal/flightrecorder/flight_test.go
@@ -99,7 +99,7 @@
 		t.Fatal(err)
 	}
 	now := balancer.Time(time.Hour)
-	r, err := New(bal, Start{Settings: s.Settings, Seed: 1, At: now}, 1, Options{})
+	r, err := New(bal, SessionStart{Settings: s.Settings, Seed: 1, At: now}, 1, Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -132,11 +132,11 @@
 		t.Fatal(err)
 	}
 	at := s.Lists[0].At
-	rec, err := New(bal, Start{Name: "n0", Seed: seed, At: at, Settings: s.Settings, Wall: time.Unix(0, 0)}, 1000+seed, opts)
+	rec, err := New(bal, SessionStart{Name: "n0", Seed: seed, At: at, Settings: s.Settings, Wall: time.Unix(0, 0)}, 1000+seed, opts)
 	if err != nil {
 		t.Fatal(err)
 	}
-	rec.Name(at, 1, "s-1")
+	rec.NameHost(at, 1, "s-1")
 	sum := s.Run(rec, at)
 	rec.Flush()
 	return rec, sum
@@ -156,15 +156,15 @@
 func TestReplayAgrees(t *testing.T) {
 	for seed := range uint64(30) {
 		var out sink
-		_, sum := record(t, day(seed, 1500), seed, Options{Sink: &out, ViewEvery: 100 * ms})
+		_, sum := record(t, day(seed, 1500), seed, Options{Sink: &out, ViewInterval: 100 * ms})
 		if sum.Unheard > 0 || sum.Twice > 0 {
 			t.Errorf("seed %d: %d unheard, %d ran twice", seed, sum.Unheard, sum.Twice)
 		}
 		rep := replayed(t, out.Bytes())
-		if rep.First != nil {
-			t.Errorf("seed %d: %v", seed, rep.First)
+		if rep.Divergence != nil {
+			t.Errorf("seed %d: %v", seed, rep.Divergence)
 		}
-		if rep.Events < 5000 || rep.Actions < 4000 || rep.Skipped > 0 || len(rep.Losses) > 0 || rep.Checked == 0 {
+		if rep.Events < 5000 || rep.Actions < 4000 || rep.SkippedEvents > 0 || len(rep.Losses) > 0 || rep.Checked == 0 {
 			t.Errorf("seed %d: %+v", seed, rep)
 		}
 	}
@@ -179,13 +179,13 @@
 	// The same day under another seed: its start block in front of the same records.
 	var other sink
 	bal, _ := balancer.New(s.Settings, 4)
-	New(bal, Start{Seed: 4, At: s.Lists[0].At, Settings: s.Settings}, 1003, Options{Sink: &other})
+	New(bal, SessionStart{Seed: 4, At: s.Lists[0].At, Settings: s.Settings}, 1003, Options{Sink: &other})
 	first := firstBlock(t, out.Bytes())
 	rep := replayed(t, append(other.Bytes(), out.Bytes()[first:]...))
-	if rep.First == nil || !strings.Contains(rep.First.What, "action") || rep.First.Event == 0 {
-		t.Fatalf("another seed: %v", rep.First)
+	if rep.Divergence == nil || !strings.Contains(rep.Divergence.What, "action") || rep.Divergence.Event == 0 {
+		t.Fatalf("another seed: %v", rep.Divergence)
 	}
-	if text := rep.First.String(); !strings.Contains(text, "recorded Send") || !strings.Contains(text, "replayed Send") {
+	if text := rep.Divergence.String(); !strings.Contains(text, "recorded Send") || !strings.Contains(text, "replayed Send") {
 		t.Errorf("it says %q", text)
 	}
 }
@@ -215,19 +215,19 @@
 func TestRingThatWrapped(t *testing.T) {
 	s := day(5, 12000)
 	var out sink
-	rec, _ := record(t, s, 5, Options{Ring: leastRing, Sink: &out})
+	rec, _ := record(t, s, 5, Options{RingBytes: leastRing, Sink: &out})
 	dump := rec.Dump(nil)
 	if len(dump) > leastRing+4096 || len(dump) < leastRing/3 || len(out.Bytes()) < 3*leastRing {
 		t.Fatalf("ring of %d bytes: dump of %d, all is %d", leastRing, len(dump), out.Len())
 	}
 	rep := replayed(t, dump)
-	if rep.First != nil {
-		t.Error(rep.First)
+	if rep.Divergence != nil {
+		t.Error(rep.Divergence)
 	}
 	whole := replayed(t, out.Bytes())
 	share := whole.Events * len(dump) / len(out.Bytes()) // by their bytes; a ring has more checkpoints
-	if rep.Skipped > 0 || rep.Events < share*4/5 || rep.Events >= whole.Events/2 {
-		t.Errorf("of %d events the ring holds %d, %d can't be replayed", whole.Events, rep.Events, rep.Skipped)
+	if rep.SkippedEvents > 0 || rep.Events < share*4/5 || rep.Events >= whole.Events/2 {
+		t.Errorf("of %d events the ring holds %d, %d can't be replayed", whole.Events, rep.Events, rep.SkippedEvents)
 	}
 	if len(rep.Losses) != 1 || !strings.Contains(rep.Losses[0], "overwritten") {
 		t.Errorf("losses: %q", rep.Losses)
@@ -248,8 +248,8 @@
 	whole := replayed(t, data[:starts[len(starts)-1]])
 	for cut := starts[len(starts)-1] + 1; cut < len(data); cut += 1 + (len(data)-cut)/50 {
 		rep := replayed(t, data[:cut])
-		if rep.First != nil || rep.Events != whole.Events || len(rep.Losses) != 1 {
-			t.Fatalf("cut at %d of %d: %d events of %d, losses %q, %v", cut, len(data), rep.Events, whole.Events, rep.Losses, rep.First)
+		if rep.Divergence != nil || rep.Events != whole.Events || len(rep.Losses) != 1 {
+			t.Fatalf("cut at %d of %d: %d events of %d, losses %q, %v", cut, len(data), rep.Events, whole.Events, rep.Losses, rep.Divergence)
 		}
 	}
 }
@@ -259,7 +259,7 @@
 func TestDamageIsPassedOver(t *testing.T) {
 	s := day(2, 9000)
 	var out sink
-	record(t, s, 2, Options{Ring: 3 * leastRing, Sink: &out})
+	record(t, s, 2, Options{RingBytes: 3 * leastRing, Sink: &out})
 	data := out.Bytes()
 	starts := blocks(t, data)
 	// In the middle, with no checkpoint near that would hide what is lost.
@@ -276,14 +276,14 @@
 		{"zeroes", "torn", zeroed(data, starts[k]+100, starts[k+1]+100)},
 	} {
 		rep := replayed(t, c.data)
-		if rep.First != nil {
-			t.Errorf("%s: %v", c.name, rep.First)
+		if rep.Divergence != nil {
+			t.Errorf("%s: %v", c.name, rep.Divergence)
 		}
 		if !strings.Contains(strings.Join(rep.Losses, "; "), c.says) {
 			t.Errorf("%s: losses %q", c.name, rep.Losses)
 		}
-		if rep.Skipped == 0 || rep.Skipped > rep.Events {
-			t.Errorf("%s: %d events replayed, %d skipped", c.name, rep.Events, rep.Skipped)
+		if rep.SkippedEvents == 0 || rep.SkippedEvents > rep.Events {
+			t.Errorf("%s: %d events replayed, %d skipped", c.name, rep.Events, rep.SkippedEvents)
 		}
 	}
 	// Log lines between the blocks, as where both go to one stream: nothing is lost.
@@ -297,8 +297,8 @@
 		mixed = append(mixed, fmt.Sprintf("time=%d level=INFO msg=\"host is back\"\n", i)...)
 	}
 	rep := replayed(t, mixed)
-	if rep.First != nil || rep.Events != replayed(t, data).Events {
-		t.Errorf("with log lines in between: %d events, %v", rep.Events, rep.First)
+	if rep.Divergence != nil || rep.Events != replayed(t, data).Events {
+		t.Errorf("with log lines in between: %d events, %v", rep.Events, rep.Divergence)
 	}
 }
 
@@ -320,7 +320,7 @@
 	record(t, day(1, 300), 1, Options{Sink: &out})
 	record(t, day(2, 300), 2, Options{Sink: &out})
 	rep := replayed(t, out.Bytes())
-	if rep.Sessions != 2 || rep.First != nil || rep.Skipped > 0 || len(rep.Losses) > 0 {
+	if rep.Sessions != 2 || rep.Divergence != nil || rep.SkippedEvents > 0 || len(rep.Losses) > 0 {
 		t.Errorf("%+v", rep)
 	}
 }
@@ -352,7 +352,7 @@
 func TestSinkThatRefuses(t *testing.T) {
 	_, want := record(t, day(4, 9000), 4, Options{})
 	full := sink{refuse: func(n int) bool { return n >= 8 && n < 20 }}
-	rec, got := record(t, day(4, 9000), 4, Options{Ring: 1 << 20, Sink: &full})
+	rec, got := record(t, day(4, 9000), 4, Options{RingBytes: 1 << 20, Sink: &full})
 	if fmt.Sprint(want) != fmt.Sprint(got) {
 		t.Error("the day went otherwise")
 	}
@@ -360,11 +360,11 @@
 		t.Errorf("%d blocks counted as lost, 12 were", rec.Lost())
 	}
 	rep := replayed(t, full.Bytes())
-	if rep.First != nil || len(rep.Losses) == 0 || rep.Skipped > rep.Events {
-		t.Errorf("%d events, %d skipped, losses %q, %v", rep.Events, rep.Skipped, rep.Losses, rep.First)
+	if rep.Divergence != nil || len(rep.Losses) == 0 || rep.SkippedEvents > rep.Events {
+		t.Errorf("%d events, %d skipped, losses %q, %v", rep.Events, rep.SkippedEvents, rep.Losses, rep.Divergence)
 	}
-	if whole := replayed(t, rec.Dump(nil)); whole.First != nil || whole.Events <= rep.Events {
-		t.Errorf("the ring holds %d events, the file %d: %v", whole.Events, rep.Events, whole.First)
+	if whole := replayed(t, rec.Dump(nil)); whole.Divergence != nil || whole.Events <= rep.Events {
+		t.Errorf("the ring holds %d events, the file %d: %v", whole.Events, rep.Events, whole.Divergence)
 	}
 }
 
@@ -425,7 +425,7 @@
 	bal, _ := balancer.New(s.Settings, 1)
 	var out sink
 	at := s.Lists[0].At
-	rec, _ := New(bal, Start{Seed: 1, At: at, Settings: s.Settings, Wall: time.Now().Add(-9000 * time.Hour)}, 1, Options{Sink: &out})
+	rec, _ := New(bal, SessionStart{Seed: 1, At: at, Settings: s.Settings, Wall: time.Now().Add(-9000 * time.Hour)}, 1, Options{Sink: &out})
 	for _, d := range []time.Duration{0, 5 * time.Hour, 4 * time.Hour} {
 		rec.Timer(at+d, 0)
 		rec.TakeActions(nil)
@@ -453,7 +453,7 @@
 // FuzzReader: whatever the bytes, the reader ends, with items or a plain error.
 func FuzzReader(f *testing.F) {
 	var out sink
-	record(f, day(1, 40), 1, Options{Sink: &out, ViewEvery: 10 * ms})
+	record(f, day(1, 40), 1, Options{Sink: &out, ViewInterval: 10 * ms})
 	f.Add(out.Bytes())
 	f.Add([]byte(magic))
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/internal/flightrecorder/format.go
+++ b/internal/flightrecorder/format.go
@@ -108,8 +108,8 @@
 	return true
 }
 
-// Start is what the first block of a session holds.
-type Start struct {
+// SessionStart is what the first block of a session holds.
+type SessionStart struct {
 	Name     string // the gateway's
 	Build    string // of the program
 	Classes  []string
@@ -194,10 +194,10 @@
 	b = binary.LittleEndian.AppendUint64(b, uint64(v.Host))
 	flags := byte(v.State) | bit(v.InSubset)<<2 | bit(v.Warming)<<3 | bit(v.Overdue)<<4 | byte(v.Cause&7)<<5
 	b = append(b, flags)
-	b = iv(b, int64(v.Pending))
+	b = iv(b, int64(v.InFlight))
 	b = iv(b, int64(v.ConcurrencyLimit*1e3))
-	b = iv(b, int64(v.Mean*1e3))
-	b = iv(b, int64(v.Estimate*1e6))
+	b = iv(b, int64(v.RecentRTT*1e3))
+	b = iv(b, int64(v.EstimatedRTT*1e6))
 	b = iv(b, int64(v.Ejections))
 	for _, t := range []balancer.Time{v.EjectedUntil, v.RestingUntil, v.NextSlowStartSend} {
 		if t <= now {
@@ -326,8 +326,8 @@
 	flags := t.u8()
 	v.State, v.Cause = balancer.HostState(flags&3), balancer.Cause(flags>>5)
 	v.InSubset, v.Warming, v.Overdue = flags&4 != 0, flags&8 != 0, flags&16 != 0
-	v.Pending = int(t.iv())
-	v.ConcurrencyLimit, v.Mean, v.Estimate = float64(t.iv())/1e3, float64(t.iv())/1e3, float64(t.iv())/1e6
+	v.InFlight = int(t.iv())
+	v.ConcurrencyLimit, v.RecentRTT, v.EstimatedRTT = float64(t.iv())/1e3, float64(t.iv())/1e3, float64(t.iv())/1e6
 	v.Ejections = int(t.iv())
 	for _, to := range []*balancer.Time{&v.EjectedUntil, &v.RestingUntil, &v.NextSlowStartSend} {
 		if d := t.iv(); d > 0 {
--- a/internal/flightrecorder/reader.go
+++ b/internal/flightrecorder/reader.go
@@ -64,7 +64,7 @@
 }
 
 // Tell tells a module of the event.
-func (e *Event) Tell(m Module) {
+func (e *Event) Tell(m Balancer) {
 	switch e.Kind {
 	case EventStart:
 		m.Start(e.At)
@@ -93,7 +93,7 @@
 	At         balancer.Time
 	Session    uint64
 	Offset     int64 // of its block
-	Start      *Start
+	Start      *SessionStart
 	Checkpoint []byte // valid until the next item
 	Event      Event
 	Action     balancer.Action
@@ -291,7 +291,7 @@
 	r.next = h.number + 1
 	switch h.kind {
 	case blockStart:
-		var s Start
+		var s SessionStart
 		if err := json.Unmarshal(r.payload, &s); err != nil {
 			r.lose("the start of a session can't be read: %v", err)
 			return
--- a/internal/flightrecorder/recorder.go
+++ b/internal/flightrecorder/recorder.go
@@ -7,8 +7,8 @@
 	"dunemoor/balancer"
 )
 
-// Module is the Balancer as a gateway's loop uses it; a Recorder stands in its place.
-type Module interface {
+// Balancer is the Balancer as a gateway's loop uses it; a Recorder stands in its place.
+type Balancer interface {
 	Start(now balancer.Time)
 	UpdateEndpoints(now balancer.Time, kind balancer.ListKind, list []balancer.Host)
 	Request(now balancer.Time, q balancer.Request)
@@ -24,9 +24,9 @@
 
 // Options say how much is recorded and where to.
 type Options struct {
-	Ring      int           // bytes kept in memory; leastRing at least
-	ViewEvery time.Duration // time between two views of the hosts; 0: none
-	Sink      Sink          // takes each block as it is closed, if set
+	RingBytes    int           // bytes kept in memory; leastRing at least
+	ViewInterval time.Duration // time between two views of the hosts; 0: none
+	Sink         Sink          // takes each block as it is closed, if set
 }
 
 // Sink takes blocks. It must not keep the slice, and must not wait.
@@ -55,7 +55,7 @@
 type Recorder struct {
 	bal     *balancer.Balancer
 	opts    Options
-	first   Start
+	first   SessionStart
 	start   []byte // the payload of the first block: each dump begins with it
 	session uint64
 	base    balancer.Time // of the session
@@ -83,15 +83,15 @@
 
 // New returns a Recorder that stands before bal, which must have been made with
 // start's settings and seed and not been told anything yet.
-func New(bal *balancer.Balancer, start Start, session uint64, opts Options) (*Recorder, error) {
+func New(bal *balancer.Balancer, start SessionStart, session uint64, opts Options) (*Recorder, error) {
 	payload, err := json.Marshal(start)
 	if err != nil {
 		return nil, err
 	}
-	opts.Ring = max(opts.Ring, leastRing)
+	opts.RingBytes = max(opts.RingBytes, leastRing)
 	r := &Recorder{bal: bal, opts: opts, first: start, start: payload, session: session, base: start.At, last: start.At, viewAt: start.At}
 	for i := range r.ring {
-		r.ring[i].data = make([]byte, 0, opts.Ring/segments)
+		r.ring[i].data = make([]byte, 0, opts.RingBytes/segments)
 	}
 	r.block = make([]byte, 0, blockSize+maxRecord)
 	r.emit(blockStart, start.At, payload, false)
@@ -173,7 +173,7 @@
 
 // event begins the record of an event.
 func (r *Recorder) event(now balancer.Time, kind byte, n int) {
-	if r.opts.ViewEvery > 0 && now >= r.viewAt {
+	if r.opts.ViewInterval > 0 && now >= r.viewAt {
 		r.view(now)
 	}
 	r.room(now, n)
@@ -183,7 +183,7 @@
 
 // view records what the module holds of the hosts.
 func (r *Recorder) view(now balancer.Time) {
-	r.viewAt = now + r.opts.ViewEvery
+	r.viewAt = now + r.opts.ViewInterval
 	r.views = r.bal.Views(r.views[:0])
 	n := len(r.views)
 	if n == 0 {
@@ -201,8 +201,8 @@
 	}
 }
 
-// Name records how a host is called; it is told once for each.
-func (r *Recorder) Name(now balancer.Time, id balancer.HostID, name string) {
+// NameHost records how a host is called; it is told once for each.
+func (r *Recorder) NameHost(now balancer.Time, id balancer.HostID, name string) {
 	name = name[:min(len(name), maxRecord)]
 	r.event(now, recName, maxRecord+len(name))
 	r.block = uv(appendID(r.block, id), uint64(len(name)))
@@ -282,8 +282,8 @@
 	r.bal.Shutdown(now, by)
 }
 
-// Classes names the classes that a Retune brings, for those who read.
-func (r *Recorder) Classes(names []string) { r.first.Classes = names }
+// SetClassNames names the classes that a Retune brings, for those who read.
+func (r *Recorder) SetClassNames(names []string) { r.first.Classes = names }
 
 // Retune is the module's. The recording begins anew with it: a session whose state is known from
 // a checkpoint. Hosts are to be named again.
--- a/internal/flightrecorder/replay.go
+++ b/internal/flightrecorder/replay.go
@@ -11,16 +11,16 @@
 
 // Report is what a replay found.
 type Report struct {
-	Sessions int
-	Events   int // told to the module again
-	Actions  int // that came out the same
-	Skipped  int // events that could not be told, as the state before them is lost
-	Checked  int // checkpoints that the replayed state agreed with
-	Foreign  int // checkpoints that this build can't read: a replay can't begin there
+	Sessions           int
+	Events             int // told to the module again
+	Actions            int // that came out the same
+	SkippedEvents      int // events that could not be told, as the state before them is lost
+	Checked            int // checkpoints that the replayed state agreed with
+	ForeignCheckpoints int // checkpoints that this build can't read: a replay can't begin there
 
 	ForeignWhy string
 	Losses     []string
-	First      *Difference // nil: all that was told came out the same
+	Divergence *Difference // nil: all that was told came out the same
 }
 
 // Difference is where a replay first went another way than the recording.
@@ -48,7 +48,7 @@
 type replay struct {
 	Report
 	watch    Watcher
-	start    *Start
+	start    *SessionStart
 	bal      *balancer.Balancer // nil while its state is unknown
 	fresh    bool               // it has been told nothing since its session began
 	event    Event              // the last one told
@@ -89,7 +89,7 @@
 		case ItemCheckpoint:
 			if err := p.checkpoint(it.Checkpoint); err != nil {
 				// Of another build: where the state is known all the same, it goes on.
-				p.Foreign++
+				p.ForeignCheckpoints++
 				p.ForeignWhy = err.Error()
 			}
 		case ItemEvent:
@@ -122,7 +122,7 @@
 	}
 	if p.fresh {
 		// A session that goes on from the one before: this is its state.
-	} else if p.bal != nil && p.First == nil {
+	} else if p.bal != nil && p.Divergence == nil {
 		p.a = p.bal.Checkpoint(p.a[:0])
 		if !bytes.Equal(p.a, saved) {
 			p.differ("state", fmt.Sprintf("a checkpoint of %d bytes", len(saved)), fmt.Sprintf("another of %d bytes", len(p.a)))
@@ -136,7 +136,7 @@
 
 func (p *replay) tell(e *Event) {
 	if p.bal == nil {
-		p.Skipped++
+		p.SkippedEvents++
 		return
 	}
 	p.Events++
@@ -176,8 +176,8 @@
 }
 
 func (p *replay) differ(what, recorded, replayed string) {
-	if p.First == nil {
-		p.First = &Difference{p.event.At, p.Events, what, recorded, replayed}
+	if p.Divergence == nil {
+		p.Divergence = &Difference{p.event.At, p.Events, what, recorded, replayed}
 	}
 }
 
--- a/internal/flightrecorder/sim.go
+++ b/internal/flightrecorder/sim.go
@@ -117,7 +117,7 @@
 const afterLast = time.Second
 
 // Run plays the day with a module that has been told nothing yet.
-func (s *Sim) Run(m Module, start balancer.Time) *Summary {
+func (s *Sim) Run(m Balancer, start balancer.Time) *Summary {
 	s.now, s.queue, s.seq = start, nil, 0
 	s.reqs = map[balancer.RequestID]*simRequest{}
 	s.sum = Summary{Classes: make([]ClassSummary, len(s.Settings.Classes))}
@@ -170,7 +170,7 @@
 }
 
 // tell tells the module of an event and carries out what it decides.
-func (s *Sim) tell(m Module, event func()) {
+func (s *Sim) tell(m Balancer, event func()) {
 	event()
 	s.acts = m.TakeActions(s.acts[:0])
 	for _, a := range s.acts {
@@ -200,7 +200,7 @@
 	}
 }
 
-func (s *Sim) arrive(m Module, a *Arrival) {
+func (s *Sim) arrive(m Balancer, a *Arrival) {
 	r := &simRequest{Arrival: *a, deadline: a.At + a.Request.Remaining}
 	s.reqs[a.Request.ID] = r
 	s.sum.Classes[a.Request.Class].Asked++
@@ -216,7 +216,7 @@
 	s.tell(m, func() { m.Request(s.now, a.Request) })
 }
 
-func (s *Sim) send(m Module, a balancer.Action) {
+func (s *Sim) send(m Balancer, a balancer.Action) {
 	r, h := s.reqs[a.Request], s.Hosts[a.Host]
 	if h == nil {
 		h = &SimHost{}
@@ -248,7 +248,7 @@
 const connectFails = time.Millisecond
 
 // begin has a host work on the first of its jobs.
-func (s *Sim) begin(m Module, h *SimHost) {
+func (s *Sim) begin(m Balancer, h *SimHost) {
 	if len(h.jobs) == 0 {
 		return
 	}
@@ -271,7 +271,7 @@
 }
 
 // end ends an attempt, once.
-func (s *Sim) end(m Module, j *simJob, result balancer.Result) {
+func (s *Sim) end(m Balancer, j *simJob, result balancer.Result) {
 	if j.ended {
 		return
 	}
--- a/internal/frontend/fastcgi/request.go
+++ b/internal/frontend/fastcgi/request.go
@@ -37,12 +37,12 @@
 func message(params []byte) (m frontend.Message, remote string, err error) {
 	m.Header = http.Header{}
 	vars := map[string]string{}
-	err = fastcgi.Vars(params, func(name, value []byte) error {
+	err = fastcgi.ForEachParam(params, func(name, value []byte) error {
 		if len(name) == 0 || strings.ContainsAny(string(value), "\x00\r\n") {
 			return frontend.Bad(http.StatusBadRequest, "a parameter that can't be one")
 		}
 		key := string(name)
-		h := fastcgi.HeaderOf(key)
+		h := fastcgi.HeaderName(key)
 		if _, twice := vars[key]; twice || h != "" && m.Header[h] != nil {
 			return frontend.Bad(http.StatusBadRequest, "%.64q is there more than once", key)
 		}
@@ -100,7 +100,7 @@
 
 // serve has a request answered, and ends it, whatever happens.
 func (r *request) serve(m frontend.Message, remote string, bad error, came time.Time) {
-	defer r.in.Close()
+	defer r.in.CloseRead()
 	defer r.cancel()
 	if bad != nil {
 		r.refuse(bad)
@@ -143,8 +143,8 @@
 		}
 		r.say(http.StatusServiceUnavailable, after, "turned away, trying again is harmless")
 	default:
-		if f := x.Body.Flow(); f != nil {
-			if err := f.Err(); err != nil && err != io.EOF && err != body.ErrTaken {
+		if f := x.Body.Stream(); f != nil {
+			if err := f.Err(); err != nil && err != io.EOF && err != body.ErrConsumed {
 				r.refuse(err)
 				return
 			}
@@ -164,7 +164,7 @@
 
 // read reads the part of the body that is held; what is more flows.
 func (r *request) read(x *frontend.Entry, length int64) error {
-	pace, most := body.Pace{Idle: halfTime}, int64(frontend.MaxHeld)
+	pace, most := body.Pace{IdleTimeout: halfTime}, int64(frontend.MaxBufferedBytes)
 	s := x.Route.Streams
 	if s != nil {
 		pace, most = s.Upload, x.HoldMost()
@@ -191,15 +191,15 @@
 	}
 	switch {
 	case err == io.EOF:
-		x.Body = body.Held(held[:n])
+		x.Body = body.NewBuffered(held[:n])
 		x.Arrived(time.Now())
 		return nil
 	case err != nil:
 		return err
 	case s == nil:
-		return frontend.Bad(http.StatusRequestEntityTooLarge, "the body is longer than %d bytes", frontend.MaxHeld)
+		return frontend.Bad(http.StatusRequestEntityTooLarge, "the body is longer than %d bytes", frontend.MaxBufferedBytes)
 	}
-	x.Body = body.Flowing(held[:n], body.NewFlow(src, length))
+	x.Body = body.NewStreamed(held[:n], body.NewStream(src, length))
 	x.Arrived(time.Now())
 	return nil
 }
@@ -217,9 +217,9 @@
 // Read reads on, with the pace that the client must keep.
 func (s *stdin) Read(p []byte) (int, error) {
 	began := time.Now()
-	n, err := s.r.in.Read(p, s.meter.Wait())
+	n, err := s.r.in.Read(p, s.meter.Timeout())
 	s.read += int64(n)
-	switch slow := s.meter.Moved(n, time.Since(began)); {
+	switch slow := s.meter.Record(n, time.Since(began)); {
 	case errors.Is(err, os.ErrDeadlineExceeded), slow != nil && err == nil:
 		return n, errSlow
 	case s.most > 0 && s.read > s.most:
@@ -227,7 +227,7 @@
 	case s.length >= 0 && s.read > s.length, err == errEnd && s.length > s.read:
 		return 0, frontend.Bad(http.StatusBadRequest, "STDIN is not as long as CONTENT_LENGTH says")
 	case err == errEnd:
-		if !s.x.Body.Whole() {
+		if !s.x.Body.Buffered() {
 			s.x.ArrivedLate(time.Now())
 		}
 		return n, io.EOF
@@ -239,11 +239,11 @@
 func (s *stdin) Trailer() http.Header { return nil }
 
 // Close ends a Read that waits; what still comes is dropped.
-func (s *stdin) Close(bool) { s.r.in.Close() }
+func (s *stdin) Close(bool) { s.r.in.CloseRead() }
 
 // refuse answers a request that goes to no host, or whose body can't be had.
 func (r *request) refuse(err error) {
-	if err == errGone || err == body.ErrTaken {
+	if err == errGone || err == body.ErrConsumed {
 		r.finish(nil)
 		return
 	}
@@ -270,8 +270,8 @@
 // say answers a request that never came to a host, with a text of ours.
 func (c *conn) say(id uint16, status int, text string) {
 	out := fastcgi.AppendStream(nil, fastcgi.Stdout, id, answerOf(status, "", text))
-	out = fastcgi.AppendEnd(out, fastcgi.Stdout, id)
-	c.write(fastcgi.AppendEndRequest(out, id, fastcgi.End{}), time.Second)
+	out = fastcgi.AppendStreamEnd(out, fastcgi.Stdout, id)
+	c.write(fastcgi.AppendEndRequest(out, id, fastcgi.EndRequestBody{}), time.Second)
 }
 
 // buffers are for records on their way out.
@@ -284,7 +284,7 @@
 		p.ResponseHeaders.Apply(h)
 	}
 	delete(h, "Status")
-	if n := a.Body.Len(); n > 0 || a.Body.Whole() && x.Method != http.MethodHead && a.Status != http.StatusNoContent && a.Status != http.StatusNotModified {
+	if n := a.Body.Len(); n > 0 || a.Body.Buffered() && x.Method != http.MethodHead && a.Status != http.StatusNoContent && a.Status != http.StatusNotModified {
 		h["Content-Length"] = []string{strconv.FormatInt(n, 10)}
 	} else if v := a.Header["Content-Length"]; len(v) == 1 && x.Method == http.MethodHead {
 		h["Content-Length"] = v
@@ -293,12 +293,12 @@
 	head.WriteString("Status: " + strconv.Itoa(a.Status) + " " + http.StatusText(a.Status) + "\r\n")
 	h.Write(&head) // to a Builder, which takes all
 	head.WriteString("\r\n")
-	idle := body.Pace{Idle: stallAlone}.Idle
+	idle := body.Pace{IdleTimeout: stallAlone}.IdleTimeout
 	if x.Route.Streams != nil {
-		idle = x.Route.Streams.Pace.Idle
+		idle = x.Route.Streams.Pace.IdleTimeout
 	}
 	held := a.Body.Bytes()
-	if a.Body.Whole() && head.Len()+len(held) <= recordMost {
+	if a.Body.Buffered() && head.Len()+len(held) <= recordMost {
 		r.finish(append([]byte(head.String()), held...))
 		return
 	}
@@ -306,7 +306,7 @@
 	if err == nil {
 		err = r.put(held, idle)
 	}
-	if flow := a.Body.Flow(); err == nil && flow != nil {
+	if flow := a.Body.Stream(); err == nil && flow != nil {
 		a.FreeHeld()
 		err = r.flow(flow, idle)
 	}
@@ -317,14 +317,14 @@
 var errNoMemory = errors.New("fastcgi: no memory for what flows")
 
 // flow passes on the part of an answer that flows.
-func (r *request) flow(flow *body.Flow, idle time.Duration) error {
+func (r *request) flow(flow *body.Stream, idle time.Duration) error {
 	bodies := r.c.s.gate.Bodies
-	buf := bodies.Buffer()
+	buf := bodies.AcquireBuffer()
 	if buf == nil {
 		return errNoMemory
 	}
-	defer bodies.Return(buf)
-	if err := flow.Take(); err != nil {
+	defer bodies.ReleaseBuffer(buf)
+	if err := flow.Consume(); err != nil {
 		return err
 	}
 	for {
@@ -375,11 +375,11 @@
 	if !r.aborted.Load() {
 		out = fastcgi.AppendStream(out, fastcgi.Stdout, r.id, last)
 	}
-	end := fastcgi.End{}
+	end := fastcgi.EndRequestBody{}
 	if r.cut && !r.aborted.Load() {
-		end.App = 1
+		end.AppStatus = 1
 	} else {
-		out = fastcgi.AppendEnd(out, fastcgi.Stdout, r.id)
+		out = fastcgi.AppendStreamEnd(out, fastcgi.Stdout, r.id)
 	}
 	out = fastcgi.AppendEndRequest(out, r.id, end)
 	c.mu.Lock()
@@ -391,13 +391,13 @@
 	closes := alone && (c.last || r.cut && !r.aborted.Load())
 	c.mu.Unlock()
 	if r.cut && alone && !r.aborted.Load() {
-		c.in.Ended(r.id)
+		c.in.RequestEnded(r.id)
 		c.nc.Close()
 		return
 	}
-	c.in.Ended(r.id) // the peer may use the id again as soon as it has read the record
+	c.in.RequestEnded(r.id) // the peer may use the id again as soon as it has read the record
 	c.write(out, stallAlone)
-	if closes && c.in.Open() == 0 {
+	if closes && c.in.NumOpen() == 0 {
 		c.nc.Close()
 	}
 }
--- a/internal/frontend/fastcgi/server.go
+++ b/internal/frontend/fastcgi/server.go
@@ -24,7 +24,7 @@
 
 // Options are what a Server is told.
 type Options struct {
-	Conns int // connections of web servers at most; what comes beyond is closed at once
+	MaxConns int // connections of web servers at most; what comes beyond is closed at once
 }
 
 const (
@@ -54,12 +54,12 @@
 
 // ListenOptions are what a listener is told.
 type ListenOptions struct {
-	Trusted []netip.Prefix // web servers whose word about their clients is passed on
+	TrustedProxies []netip.Prefix // web servers whose word about their clients is passed on
 }
 
 // Server is the side of the web servers, on any number of listeners.
 type Server struct {
-	gate *frontend.Gate
+	gate *frontend.Admission
 	o    Options
 
 	mu        sync.Mutex
@@ -70,12 +70,12 @@
 }
 
 // New returns a Server that brings its requests through gate.
-func New(gate *frontend.Gate, o Options) *Server {
+func New(gate *frontend.Admission, o Options) *Server {
 	return &Server{gate: gate, o: o, listeners: map[net.Listener]*atomic.Pointer[ListenOptions]{}, conns: map[*conn]struct{}{}}
 }
 
-// Tune changes what a listener is told, for connections that are yet to come.
-func (s *Server) Tune(ln net.Listener, o ListenOptions) {
+// SetListenOptions changes what a listener is told, for connections that are yet to come.
+func (s *Server) SetListenOptions(ln net.Listener, o ListenOptions) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.listeners[ln] == nil {
@@ -116,10 +116,10 @@
 		c := newConn(s, nc, opts.Load())
 		s.mu.Lock()
 		var idle *conn
-		if len(s.conns) >= s.o.Conns {
+		if len(s.conns) >= s.o.MaxConns {
 			idle = s.idlest()
 		}
-		full := len(s.conns) >= s.o.Conns && idle == nil || s.ended.Load()
+		full := len(s.conns) >= s.o.MaxConns && idle == nil || s.ended.Load()
 		if idle != nil {
 			delete(s.conns, idle)
 		}
@@ -153,8 +153,8 @@
 	return idlest
 }
 
-// Leave closes a listener. The connections that came by it are served on.
-func (s *Server) Leave(ln net.Listener) {
+// CloseListener closes a listener. The connections that came by it are served on.
+func (s *Server) CloseListener(ln net.Listener) {
 	s.mu.Lock()
 	delete(s.listeners, ln)
 	s.mu.Unlock()
@@ -184,9 +184,9 @@
 	return all
 }
 
-// Stop ends service in order: what comes for a while yet is served, connections then end with
+// Shutdown ends service in order: what comes for a while yet is served, connections then end with
 // their answers, and what is out shortly before the exit is answered as the gate says.
-func (s *Server) Stop() {
+func (s *Server) Shutdown() {
 	began := time.Now()
 	time.Sleep(backlogTime)
 	s.mu.Lock()
@@ -244,7 +244,7 @@
 
 func newConn(s *Server, nc net.Conn, o *ListenOptions) *conn {
 	c := &conn{s: s, nc: nc, opts: o, reqs: map[uint16]*request{}, seen: time.Now()}
-	c.in = fastcgi.NewServer(c, s.o.Conns)
+	c.in = fastcgi.NewServer(c, s.o.MaxConns)
 	return c
 }
 
@@ -291,15 +291,15 @@
 		return true
 	}
 	half := 0
-	c.in.Half(func(id uint16, begun bool) {
+	c.in.ForEachIncomplete(func(id uint16, begun bool) {
 		half++
 		if quiet < halfTime {
 			return
 		}
 		if r := c.find(id); r != nil {
-			r.in.End(errSlow) // its body has not come
+			r.in.CloseWrite(errSlow) // its body has not come
 		} else if !begun {
-			c.in.Ended(id)
+			c.in.RequestEnded(id)
 			c.say(id, http.StatusRequestTimeout, "the parameters come too slowly")
 		}
 	})
@@ -326,7 +326,7 @@
 	c.mu.Unlock()
 	for _, r := range reqs {
 		r.cancel()
-		r.in.End(errGone)
+		r.in.CloseWrite(errGone)
 	}
 }
 
@@ -361,17 +361,17 @@
 	c.mu.Lock()
 	c.last, c.bad = true, true
 	c.mu.Unlock()
-	c.in.Half(func(id uint16, _ bool) {
+	c.in.ForEachIncomplete(func(id uint16, _ bool) {
 		if r := c.find(id); r != nil {
-			r.in.End(frontend.Bad(http.StatusBadRequest, "%v", err))
+			r.in.CloseWrite(frontend.Bad(http.StatusBadRequest, "%v", err))
 		} else {
-			c.in.Ended(id)
+			c.in.RequestEnded(id)
 			c.say(id, http.StatusBadRequest, err.Error())
 		}
 	})
 	// Whoever waits for an answer can be seen to leave still; what it says is not looked at.
 	c.mu.Lock()
-	none := len(c.reqs) == 0 && c.in.Open() == 0
+	none := len(c.reqs) == 0 && c.in.NumOpen() == 0
 	c.mu.Unlock()
 	if none {
 		c.nc.Close()
@@ -393,14 +393,14 @@
 }
 
 // peer is who a request comes from: the web server, or whom it names where it is trusted.
-func (c *conn) peer(remote string) frontend.Peer {
-	p := frontend.Peer{Proto: "http"}
+func (c *conn) peer(remote string) frontend.ClientAddress {
+	p := frontend.ClientAddress{Proto: "http"}
 	if a, ok := c.nc.RemoteAddr().(*net.TCPAddr); ok {
 		p.Addr = a.AddrPort().Addr().Unmap()
 	} else {
 		p.Addr = netip.AddrFrom4([4]byte{127, 0, 0, 1}) // by a socket of this machine
 	}
-	p.Trusted = slices.ContainsFunc(c.opts.Trusted, func(n netip.Prefix) bool { return n.Contains(p.Addr) })
+	p.Trusted = slices.ContainsFunc(c.opts.TrustedProxies, func(n netip.Prefix) bool { return n.Contains(p.Addr) })
 	if a, err := netip.ParseAddr(remote); p.Trusted && err == nil {
 		p.Addr = a.Unmap()
 	}
@@ -413,7 +413,7 @@
 	r.ctx, r.cancel = context.WithCancel(context.Background())
 	m, remote, perr := message(params)
 	if err != nil {
-		perr = frontend.Bad(http.StatusRequestHeaderFieldsTooLarge, "the parameters are longer than %d bytes", fastcgi.ParamsMost)
+		perr = frontend.Bad(http.StatusRequestHeaderFieldsTooLarge, "the parameters are longer than %d bytes", fastcgi.MaxParamsBytes)
 	}
 	c.mu.Lock()
 	c.reqs[id] = r
@@ -428,7 +428,7 @@
 		return
 	}
 	if end {
-		r.in.End(errEnd)
+		r.in.CloseWrite(errEnd)
 		return
 	}
 	c.mu.Lock()
@@ -437,12 +437,12 @@
 		wait = stallTime
 	}
 	c.mu.Unlock()
-	if r.in.Write(part, wait) == body.ErrFull {
+	if r.in.Write(part, wait) == body.ErrPipeFull {
 		// Its host may take as long as it likes to be written to: nobody waits for that.
 		err := frontend.Bad(http.StatusBadGateway, "its host takes the body too slowly, it may have been done")
 		r.why.Store(&err)
 		r.cancel()
-		r.in.End(err)
+		r.in.CloseWrite(err)
 	}
 }
 
@@ -454,7 +454,7 @@
 	if r := c.find(id); r != nil {
 		r.aborted.Store(true)
 		r.cancel()
-		r.in.End(errGone)
+		r.in.CloseWrite(errGone)
 	}
 }
 
--- a/internal/frontend/fastcgi/server_test.go
+++ b/internal/frontend/fastcgi/server_test.go
@@ -17,16 +17,16 @@
 // it guards against a close by another than the goroutine that reads.
 func TestHalfARequestAsConnectionsEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := New(frontend.NewGate(engine.New(1), body.NewBudget(1<<20)), Options{Conns: 8})
+		s := New(frontend.NewAdmission(engine.New(1), body.NewBudget(1<<20)), Options{MaxConns: 8})
 		ours, theirs := net.Pipe()
 		c := newConn(s, theirs, &ListenOptions{})
 		s.conns[c] = struct{}{}
 		served, stopped := make(chan struct{}), make(chan struct{})
 		go func() { c.serve(); close(served) }()
-		go func() { s.Stop(); close(stopped) }()
-		text := fastcgi.AppendBegin(nil, 1, fastcgi.Begin{Role: fastcgi.Responder})
+		go func() { s.Shutdown(); close(stopped) }()
+		text := fastcgi.AppendBeginRequest(nil, 1, fastcgi.BeginRequestBody{Role: fastcgi.Responder})
 		text = fastcgi.AppendStream(text, fastcgi.Params, 1, fastcgi.AppendPair(nil, "REQUEST_METHOD", "GET"))
-		text = fastcgi.AppendEnd(fastcgi.AppendEnd(text, fastcgi.Params, 1), fastcgi.Stdin, 1)
+		text = fastcgi.AppendStreamEnd(fastcgi.AppendStreamEnd(text, fastcgi.Params, 1), fastcgi.Stdin, 1)
 		time.Sleep(backlogTime - waitEvery)
 		ours.Write(text[:4]) // of a head
 		time.Sleep(lookEvery / 2)
--- a/internal/frontend/forward.go
+++ b/internal/frontend/forward.go
@@ -14,16 +14,16 @@
 	headHost      = "X-Forwarded-Host"
 )
 
-// Peer is who a request came from.
-type Peer struct {
+// ClientAddress is who a request came from.
+type ClientAddress struct {
 	Addr    netip.Addr
 	Trusted bool   // what it says of its own client is passed on
 	Proto   string // "http" or "https"
 }
 
-// Forward tells the host whom a request came from. What the peer says of that itself is
+// SetForwardedHeaders tells the host whom a request came from. What the peer says of that itself is
 // added to where it is trusted, and is dropped else: a client could name anyone.
-func Forward(h http.Header, p Peer, host string) {
+func SetForwardedHeaders(h http.Header, p ClientAddress, host string) {
 	if !p.Trusted {
 		for _, name := range []string{headForwarded, headFor, headProto, headHost} {
 			delete(h, name)
--- a/internal/frontend/gate.go
+++ b/internal/frontend/gate.go
@@ -31,9 +31,9 @@
 )
 
 const (
-	// MaxBody is the longest body of a request in our protocol, MaxHeld what is held of it.
-	MaxBody = 32 << 20
-	MaxHeld = 64 << 10
+	// MaxBodyBytes is the longest body of a request in our protocol, MaxHeld what is held of it.
+	MaxBodyBytes     = 32 << 20
+	MaxBufferedBytes = 64 << 10
 	// answerMargin is how long before the client stops waiting the answer is due. From
 	// a host's answer to the client 0.4 ms pass in 99 of 100 cases, as measured; a
 	// shared core may hold us up a few more.
@@ -52,7 +52,7 @@
 	Named  string // what the Host header names, where the target names a host too
 	Header http.Header
 	Length int64 // of the body, -1 where that is not known
-	Peer   Peer
+	Peer   ClientAddress
 	Odd    bool // in a form that our own protocol does not have: HTTP/1.0
 }
 
@@ -82,14 +82,14 @@
 	return http.StatusBadRequest
 }
 
-// Gate is what all fronts of a gateway bring their requests through. It owns the ids and
+// Admission is what all fronts of a gateway bring their requests through. It owns the ids and
 // the memory for bodies.
-type Gate struct {
+type Admission struct {
 	Engine *engine.Engine
 
 	Bodies *body.Budget // memory for what requests and answers carry
-	// HeadersMost is how many headers a request of a plain route may have; 0: any.
-	HeadersMost int
+	// MaxHeaders is how many headers a request of a plain route may have; 0: any.
+	MaxHeaders int
 
 	// Limits are set before the first request; nil: there are none.
 	Limits *Limits
@@ -101,19 +101,19 @@
 	stopping atomic.Bool
 }
 
-// NewGate returns a Gate.
-func NewGate(e *engine.Engine, bodies *body.Budget) *Gate {
-	return &Gate{Engine: e, Bodies: bodies, begun: make(chan struct{}, 1)}
+// NewAdmission returns a Gate.
+func NewAdmission(e *engine.Engine, bodies *body.Budget) *Admission {
+	return &Admission{Engine: e, Bodies: bodies, begun: make(chan struct{}, 1)}
 }
 
-// Wait has health say no until Go.
-func (g *Gate) Wait() { g.waits.Store(true) }
+// SetNotReady has health say no until Go.
+func (g *Admission) SetNotReady() { g.waits.Store(true) }
 
-// Go ends what Wait began.
-func (g *Gate) Go() { g.waits.Store(false) }
+// SetReady ends what Wait began.
+func (g *Admission) SetReady() { g.waits.Store(false) }
 
-// Quiesce begins a drain. It may be called at any time, and again.
-func (g *Gate) Quiesce() {
+// StartDrain begins a drain. It may be called at any time, and again.
+func (g *Admission) StartDrain() {
 	d := drain.Drain{}.Quiesce(time.Duration(time.Now().UnixNano()), drainTimes)
 	if !g.drain.CompareAndSwap(nil, &d) {
 		return // one that is on goes on as it was
@@ -125,13 +125,13 @@
 }
 
 // DrainBegun gives an item when a drain has begun.
-func (g *Gate) DrainBegun() <-chan struct{} { return g.begun }
+func (g *Admission) DrainBegun() <-chan struct{} { return g.begun }
 
-// Resume ends a drain, if one is on.
-func (g *Gate) Resume() { g.drain.Store(nil) }
+// CancelDrain ends a drain, if one is on.
+func (g *Admission) CancelDrain() { g.drain.Store(nil) }
 
 // Draining is how far a drain has gone, and how long that holds; 0: until it is called off.
-func (g *Gate) Draining() (drain.State, time.Duration) {
+func (g *Admission) Draining() (drain.State, time.Duration) {
 	d := g.drain.Load()
 	if d == nil {
 		return drain.Serving, 0
@@ -151,7 +151,7 @@
 var drainTimes = drain.Times{Leave: 1500 * time.Millisecond, Close: 1900 * time.Millisecond}
 
 // Stop has all answers due by a time, also those of requests that came before.
-func (g *Gate) Stop(by time.Time) {
+func (g *Admission) Stop(by time.Time) {
 	g.stopping.Store(true)
 	g.Engine.Stop(by)
 }
@@ -159,7 +159,7 @@
 // Entry is a request on its way in, and then at the engine.
 type Entry struct {
 	engine.Request
-	gate *Gate
+	gate *Admission
 	plan *engine.Snapshot
 	id   string // "": it is not remembered
 
@@ -175,7 +175,7 @@
 // Begin checks the head of a request, finds its route and looks up what the module needs. It
 // guards the hosts: a request that they can't read ends its connection there. With no error
 // the caller calls End once the request has its answer.
-func (g *Gate) Begin(m *Message, came time.Time) (*Entry, error) {
+func (g *Admission) Begin(m *Message, came time.Time) (*Entry, error) {
 	plan := g.Engine.Snapshot()
 	if plan == nil {
 		return nil, Bad(http.StatusServiceUnavailable, "starting")
@@ -210,7 +210,7 @@
 			e.Key, _ = e.header(by)
 		}
 	}
-	most := int64(MaxHeld)
+	most := int64(MaxBufferedBytes)
 	if s := e.Route.Streams; s != nil {
 		most = s.MaxBodyBytes
 	} else if m.Length < 0 {
@@ -220,7 +220,7 @@
 		return Bad(http.StatusRequestEntityTooLarge, "the body is longer than %d bytes", most)
 	}
 	if p := e.Route.Plain; p != nil {
-		if n := e.gate.HeadersMost; n > 0 && count(m.Header) > n {
+		if n := e.gate.MaxHeaders; n > 0 && count(m.Header) > n {
 			return Bad(http.StatusRequestHeaderFieldsTooLarge, "more than %d headers", n)
 		}
 		return e.plain(m)
@@ -359,7 +359,7 @@
 	}
 	delete(EndToEnd(e.Header), headTimeout)
 	if m.Peer.Addr.IsValid() {
-		Forward(e.Header, m.Peer, m.Host)
+		SetForwardedHeaders(e.Header, m.Peer, m.Host)
 	}
 	p.RequestHeaders.Apply(e.Header)
 	if id := m.Header[headID]; len(id) != 1 || !wellFormed(id[0]) {
@@ -370,7 +370,7 @@
 
 // Hold takes leave to hold n bytes of body. It guards the memory limit.
 func (e *Entry) Hold(n int64) error {
-	if !e.gate.Bodies.Take(body.Requests, n) {
+	if !e.gate.Bodies.Reserve(body.RequestBodies, n) {
 		return Bad(http.StatusServiceUnavailable, "too much is being held, trying again is harmless")
 	}
 	e.held += n
@@ -383,15 +383,15 @@
 	if err := e.Hold(n); err != nil {
 		return nil, err
 	}
-	e.page = body.Page(n)
+	e.page = body.AllocPage(n)
 	return e.page, nil
 }
 
 // free gives back what was held: an attempt may use it after the client has its answer.
 func (e *Entry) free() {
-	e.gate.Bodies.Give(body.Requests, e.held)
+	e.gate.Bodies.Release(body.RequestBodies, e.held)
 	if e.page != nil {
-		body.Recycle(e.page)
+		body.FreePage(e.page)
 		e.page = nil
 	}
 }
@@ -408,7 +408,7 @@
 
 // HoldMost is how much of its body a request may hold now whose body may flow.
 func (e *Entry) HoldMost() int64 {
-	if e.gate.Bodies.Near(body.Requests) {
+	if e.gate.Bodies.NearLimit(body.RequestBodies) {
 		return min(e.Route.Streams.BufferBytes, holdLess)
 	}
 	return e.Route.Streams.BufferBytes
@@ -429,7 +429,7 @@
 
 // End is called when the client has its answer, or has gone.
 func (e *Entry) End() {
-	if f := e.Body.Flow(); f != nil {
+	if f := e.Body.Stream(); f != nil {
 		f.Close()
 	}
 	e.leave()
@@ -439,15 +439,15 @@
 	e.plan.Release()
 }
 
-// Open is the number of ids that are in use.
-func (g *Gate) Open() int {
+// OpenIDs is the number of ids that are in use.
+func (g *Admission) OpenIDs() int {
 	g.ids.mu.Lock()
 	defer g.ids.mu.Unlock()
 	return len(g.ids.open)
 }
 
 // Health says whether requests can be served, and which pools can't serve theirs.
-func (g *Gate) Health() (ok bool, text string) {
+func (g *Admission) Health() (ok bool, text string) {
 	if g.stopping.Load() {
 		return false, "stopping\n"
 	}
--- a/internal/frontend/http1/clients.go
+++ b/internal/frontend/http1/clients.go
@@ -219,8 +219,8 @@
 // held.
 func (s *clients) crowd() bool { return (s.open-s.spent.Len())*100 > s.budget*crowdedShare }
 
-// Counts are the connections of clients by what they are of use for.
-type Counts struct {
+// ConnCounts are the connections of clients by what they are of use for.
+type ConnCounts struct {
 	Open   int `json:"open"`   // all but those that have gone over to another protocol
 	Silent int `json:"silent"` // with no request yet
 	Idle   int `json:"idle"`   // between two requests
@@ -228,12 +228,12 @@
 	Budget int `json:"budget"` // beyond which room is made
 }
 
-// Counts are the connections as they are now.
-func (s *Server) Counts() Counts {
+// ConnCounts are the connections as they are now.
+func (s *Server) ConnCounts() ConnCounts {
 	c := &s.clients
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return Counts{c.open, c.silent.Len(), c.idle.Len(), c.spent.Len(), c.budget}
+	return ConnCounts{c.open, c.silent.Len(), c.idle.Len(), c.spent.Len(), c.budget}
 }
 
 // inUse says whether a client has a connection to ask on, or may yet bring a request.
--- a/internal/frontend/http1/clients_test.go
+++ b/internal/frontend/http1/clients_test.go
@@ -31,7 +31,7 @@
 // testGateway is a front with all that is behind it, on loopback.
 type testGateway struct {
 	*testing.T
-	gate   *frontend.Gate
+	gate   *frontend.Admission
 	server *Server
 	url    string
 	end    func() // ends it at once, with its connections to hosts
@@ -52,7 +52,7 @@
 	t.Helper()
 	e := engine.New(7)
 	ctx, cancel := context.WithCancel(context.Background())
-	transport := hosts.New(hosts.Options{Sockets: 1024, DialTimeout: testutil.Patience})
+	transport := hosts.NewTransport(hosts.Options{MaxConns: 1024, DialTimeout: testutil.WaitTimeout})
 	second := time.Second
 	set := balancer.Settings{
 		Instances: 1, MaxAttempts: 4, Cancel: true, MaxRetryAfter: second, Step: 5 * time.Millisecond,
@@ -83,15 +83,15 @@
 			return route.ClassifyProtocol(a.Status, a.Header.Get("X-Not-Processed") == "1")
 		},
 	}}, nil, engine.PoolUse{Pool: pool, MinShare: 1}))
-	g := &testGateway{T: t, gate: frontend.NewGate(e, body.NewBudget(64<<20))}
-	g.server = New(g.gate, Options{Sockets: cfg.Sockets * 48 / 100, Spare: cfg.Sockets * 2 / 100, Longest: 60 * second})
+	g := &testGateway{T: t, gate: frontend.NewAdmission(e, body.NewBudget(64<<20))}
+	g.server = New(g.gate, Options{MaxConns: cfg.Sockets * 48 / 100, SpareConns: cfg.Sockets * 2 / 100, LongestDeadline: 60 * second})
 	ln := testutil.Listen(t, "127.0.0.1:0", nil)
 	g.url = "http://" + ln.Addr().String()
 	go g.server.Serve(ln)
 	g.end = func() {
 		g.server.Close()
 		cancel()
-		e.Wait(testutil.Patience)
+		e.Wait(testutil.WaitTimeout)
 	}
 	t.Cleanup(g.end)
 	return g
@@ -100,7 +100,7 @@
 // ask sends a request and returns its answer.
 func (g *testGateway) ask(class, path, body string, headers ...string) (*http.Response, string) {
 	g.Helper()
-	return testutil.Ask(g, g.url, class, path, body, headers...)
+	return testutil.SendRequest(g, g.url, class, path, body, headers...)
 }
 
 func (g *testGateway) dial() net.Conn {
@@ -117,7 +117,7 @@
 // sees anything of it. Each case guards against one thing that a peer must not be
 // trusted with.
 func TestBadClients(t *testing.T) {
-	server := testutil.NewHost(t, testutil.Says(testutil.Good))
+	server := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	g := startGateway(t, withHosts(server))
 	head := func(first string, lines ...string) string {
 		return first + "\r\nHost: a\r\n" + strings.Join(lines, "\r\n") + "\r\n\r\n"
@@ -125,7 +125,7 @@
 	const class, timeout = "X-Priority-Class: book", "X-Timeout: 60"
 	id := func() string { return "X-Request-ID: " + testutil.NewID() }
 	const post = "POST /api/1 HTTP/1.1"
-	hidden := "0\r\n\r\n" + testutil.Look(testutil.NewID())
+	hidden := "0\r\n\r\n" + testutil.LookRequest(testutil.NewID())
 	long := fmt.Sprintf("Content-Length: %d", len(hidden))
 	for _, tt := range []struct {
 		name, text string
@@ -180,10 +180,10 @@
 	if requests, accepted, _ := server.Counts(); requests+accepted != 0 {
 		t.Errorf("the host got %d requests on %d connections", requests, accepted)
 	}
-	if n, _ := g.gate.Bodies.Used(body.Requests); n != 0 {
+	if n, _ := g.gate.Bodies.Used(body.RequestBodies); n != 0 {
 		t.Errorf("%d bytes of bodies are counted as held", n)
 	}
-	if n := g.gate.Open(); n != 0 {
+	if n := g.gate.OpenIDs(); n != 0 {
 		t.Errorf("%d ids are still open", n)
 	}
 }
@@ -212,17 +212,17 @@
 	server := testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
 		got <- struct{}{}
 		<-release
-		io.WriteString(c, testutil.Good)
+		io.WriteString(c, testutil.OKResponse)
 		return true
 	})
 	g := startGateway(t, withHosts(server))
 	first, id := g.dial(), testutil.NewID()
-	io.WriteString(first, testutil.Look(id))
+	io.WriteString(first, testutil.LookRequest(id))
 	<-got
 	again := func(when string) {
 		t.Helper()
 		c := g.dial()
-		io.WriteString(c, testutil.Look(id))
+		io.WriteString(c, testutil.LookRequest(id))
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 409 || !resp.Close {
 			t.Errorf("%s: %+v, %v", when, resp, err)
 		}
@@ -241,14 +241,14 @@
 // With the memory for bodies used up a request is turned away, harmlessly, and told when
 // to come back; with room again it is served.
 func TestBodiesAreBounded(t *testing.T) {
-	server := testutil.NewHost(t, testutil.Says(testutil.Good))
+	server := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	g := startGateway(t, withHosts(server))
 	x, err := g.gate.Begin(&frontend.Message{Method: "GET", Target: "/", Host: "a", Header: http.Header{
 		"X-Request-Id": {testutil.NewID()}, "X-Priority-Class": {"look"}, "X-Timeout": {"60"}}}, time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, most := g.gate.Bodies.Used(body.Requests); x.Hold(most) != nil {
+	if _, most := g.gate.Bodies.Used(body.RequestBodies); x.Hold(most) != nil {
 		t.Fatal("no leave to hold all there is")
 	}
 	if resp, _ := g.ask("book", "/api/1", "b"); resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
@@ -261,17 +261,17 @@
 	if resp, _ := g.ask("book", "/api/1", "b"); resp.StatusCode != 200 {
 		t.Errorf("with room again: status %d", resp.StatusCode)
 	}
-	testutil.Until(t, "no body is counted any more", func() bool { held, _ := g.gate.Bodies.Used(body.Requests); return held == 0 })
+	testutil.WaitUntil(t, "no body is counted any more", func() bool { held, _ := g.gate.Bodies.Used(body.RequestBodies); return held == 0 })
 }
 
 // In a crowd of clients that ask once and keep their connections each one is served: it
 // guards against waiting for those used a moment ago to have been idle for long.
 func TestCrowd(t *testing.T) {
-	cfg := withHosts(testutil.NewHost(t, testutil.Says(testutil.Good)))
+	cfg := withHosts(testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse)))
 	cfg.Sockets = 64
 	g := startGateway(t, cfg)
 	for i := range 8 * g.server.clients.budget {
-		if err := testutil.Asked(g.dial()); err != nil {
+		if err := testutil.RoundTrip(g.dial()); err != nil {
 			t.Fatalf("client %d: %v", i, err)
 		}
 	}
@@ -313,7 +313,7 @@
 // the crowd ends: it guards against making all others pay for them, each request with a
 // connection of its own.
 func TestCrowdEnds(t *testing.T) {
-	cfg := withHosts(testutil.NewHost(t, testutil.Says(testutil.Good)))
+	cfg := withHosts(testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse)))
 	cfg.Sockets = 128
 	g := startGateway(t, cfg)
 	clients := &g.server.clients
@@ -322,12 +322,12 @@
 			t.Fatal("no crowd")
 		}
 		if c := g.dial(); i%2 == 0 {
-			if err := testutil.Asked(c); err != nil {
+			if err := testutil.RoundTrip(c); err != nil {
 				t.Fatal(err)
 			}
 		} else {
 			open := func() int { clients.mu.Lock(); defer clients.mu.Unlock(); return clients.silent.Len() }
-			testutil.Until(t, "it is accepted", func() bool { return open() > i/2 })
+			testutil.WaitUntil(t, "it is accepted", func() bool { return open() > i/2 })
 		}
 	}
 	clients.mu.Lock()
@@ -350,13 +350,13 @@
 // have no other gateway; shortly before the exit they are asked to leave, and no request
 // fails on the way. It guards against leaving them with nothing until the next start.
 func TestStoppingServesOpenConnections(t *testing.T) {
-	g := startGateway(t, withHosts(testutil.NewHost(t, testutil.Says(testutil.Good))))
+	g := startGateway(t, withHosts(testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))))
 	c := g.dial()
 	in := bufio.NewReader(c)
-	c.SetDeadline(time.Now().Add(testutil.Patience))
+	c.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 	stopped := make(chan struct{})
 	go func() {
-		g.server.Stop()
+		g.server.Shutdown()
 		close(stopped)
 	}()
 	refused := func() bool {
@@ -368,7 +368,7 @@
 	}
 	served := 0 // once the listener was closed
 	for {
-		io.WriteString(c, testutil.Look(testutil.NewID()))
+		io.WriteString(c, testutil.LookRequest(testutil.NewID()))
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil || resp.StatusCode != 200 {
 			t.Fatalf("after %d requests: %v, %v", served, resp, err)
@@ -380,7 +380,7 @@
 		if served > 0 || refused() {
 			served++
 		}
-		time.Sleep(testutil.PollEvery)
+		time.Sleep(testutil.PollInterval)
 	}
 	if served == 0 {
 		t.Error("asked to leave as soon as nobody new comes")
@@ -394,13 +394,13 @@
 // A listener that comes once the server is told to stop is closed, as nobody would be served to the
 // end by it.
 func TestNothingIsTakenOnceStopping(t *testing.T) {
-	g := startGateway(t, withHosts(testutil.NewHost(t, testutil.Says(testutil.Good))))
+	g := startGateway(t, withHosts(testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))))
 	stopped := make(chan struct{})
 	go func() {
-		g.server.Stop()
+		g.server.Shutdown()
 		close(stopped)
 	}()
-	testutil.Until(t, "it stops", g.server.stopping.Load)
+	testutil.WaitUntil(t, "it stops", g.server.stopping.Load)
 	ln, served := testutil.Listen(t, "127.0.0.1:0", nil), make(chan error, 1)
 	go func() { served <- g.server.Serve(ln) }()
 	select {
@@ -421,7 +421,7 @@
 // the least number of descriptors in service; so do those idle for long, but none that
 // was used a moment ago is closed.
 func TestDescriptorsAreLeftForRequests(t *testing.T) {
-	server := testutil.NewHost(t, testutil.Says(testutil.Good))
+	server := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	cfg := withHosts(server)
 	cfg.Sockets = 256
 	g := startGateway(t, cfg)
@@ -434,7 +434,7 @@
 	var usual []net.Conn
 	for range clients.budget * crowdedShare / 100 {
 		c := g.dial()
-		if err := testutil.Asked(c); err != nil {
+		if err := testutil.RoundTrip(c); err != nil {
 			t.Fatal(err)
 		}
 		usual = append(usual, c)
@@ -442,7 +442,7 @@
 	for i := range 600 {
 		g.dial()
 		if i%20 == 0 {
-			if err := testutil.Asked(g.dial()); err != nil {
+			if err := testutil.RoundTrip(g.dial()); err != nil {
 				t.Fatalf("a new client among %d silent ones: %v", i, err)
 			}
 		}
@@ -476,7 +476,7 @@
 			return
 		}
 		g.dial()
-		time.Sleep(testutil.PollEvery)
+		time.Sleep(testutil.PollInterval)
 	}
 	t.Error("connections idle for long are not closed to make room")
 }
@@ -485,7 +485,7 @@
 // body took longer to come than its client waits for the answer.
 func TestTimeCountsFromTheLastByte(t *testing.T) {
 	const timeout = 500 * time.Millisecond
-	g := startGateway(t, withHosts(testutil.NewHost(t, testutil.Says(testutil.Good))))
+	g := startGateway(t, withHosts(testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))))
 	c := g.dial()
 	fmt.Fprintf(c, "POST /api/1 HTTP/1.1\r\nHost: a\r\nX-Priority-Class: book\r\nX-Timeout: %v\r\nX-Request-ID: %s\r\n"+
 		"Content-Length: 4\r\n\r\nbo", timeout.Seconds(), testutil.NewID())
@@ -500,20 +500,20 @@
 // A client that sent too much sees the answer and an orderly end. It guards against
 // closing with bytes unread: that resets the connection, at times before the answer.
 func TestErrorIsSeenByWhoSentTooMuch(t *testing.T) {
-	server := testutil.NewHost(t, testutil.Says(testutil.Good))
+	server := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	g := startGateway(t, withHosts(server))
-	body := strings.Repeat("x", frontend.MaxHeld+1)
+	body := strings.Repeat("x", frontend.MaxBufferedBytes+1)
 	for _, line := range []string{"", "Connection: close\r\n"} {
 		c := g.dial()
-		c.SetDeadline(time.Now().Add(testutil.Patience))
+		c.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 		fmt.Fprintf(c, "POST /api/1 HTTP/1.1\r\nHost: a\r\nX-Priority-Class: book\r\nX-Timeout: 60\r\n"+
-			"X-Request-ID: %s\r\nContent-Length: %d\r\n%s\r\n%s", testutil.NewID(), len(body), line, body[:frontend.MaxHeld/2])
+			"X-Request-ID: %s\r\nContent-Length: %d\r\n%s\r\n%s", testutil.NewID(), len(body), line, body[:frontend.MaxBufferedBytes/2])
 		in := bufio.NewReader(c)
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil || resp.StatusCode != http.StatusRequestEntityTooLarge {
 			t.Fatalf("%q: %v, %v, want 413 while half of the body is to come", line, resp, err)
 		}
-		if _, err := io.WriteString(c, body[frontend.MaxHeld/2:]); err != nil {
+		if _, err := io.WriteString(c, body[frontend.MaxBufferedBytes/2:]); err != nil {
 			t.Errorf("%q: the body: %v", line, err)
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
@@ -549,7 +549,7 @@
 	release := make(chan struct{})
 	server := testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
 		<-release
-		io.WriteString(c, testutil.Good)
+		io.WriteString(c, testutil.OKResponse)
 		return true
 	})
 	g := startGateway(t, withHosts(server))
@@ -557,13 +557,13 @@
 	conns := map[string]*net.TCPConn{}
 	for range clients {
 		c, id := g.dial(), testutil.NewID()
-		io.WriteString(c, testutil.Look(id))
+		io.WriteString(c, testutil.LookRequest(id))
 		conns[id] = c.(*net.TCPConn)
 	}
 	const out = 4 // what a host gets at first
-	testutil.Until(t, "all are taken, and most wait", func() bool {
+	testutil.WaitUntil(t, "all are taken, and most wait", func() bool {
 		n, _, _ := server.Counts()
-		return g.gate.Open() == clients && n == out
+		return g.gate.OpenIDs() == clients && n == out
 	})
 	server.Mu.Lock()
 	for _, r := range server.Requests {
@@ -582,9 +582,9 @@
 			c.Close()
 		}
 	}
-	testutil.Until(t, "all others have gone", func() bool { return g.gate.Open() == out })
+	testutil.WaitUntil(t, "all others have gone", func() bool { return g.gate.OpenIDs() == out })
 	close(release)
-	testutil.Until(t, "those are served", func() bool { return g.gate.Open() == 0 })
+	testutil.WaitUntil(t, "those are served", func() bool { return g.gate.OpenIDs() == 0 })
 	if resp, _ := g.ask("look", "/api/1", ""); resp.StatusCode != 200 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
@@ -596,12 +596,12 @@
 // A client that ends its side while it waits counts as gone, and gets no answer that no host
 // made: it guards against net/http's 200 for a handler that writes nothing.
 func TestHalfClosedClientGetsNoAnswer(t *testing.T) {
-	server := testutil.NewHost(t, testutil.Hang)
+	server := testutil.NewHost(t, testutil.NeverRespond)
 	g := startGateway(t, withHosts(server))
 	c := g.dial()
-	c.SetDeadline(time.Now().Add(testutil.Patience))
-	io.WriteString(c, testutil.Look(testutil.NewID()))
-	testutil.Until(t, "the host has the request", func() bool { n, _, _ := server.Counts(); return n == 1 })
+	c.SetDeadline(time.Now().Add(testutil.WaitTimeout))
+	io.WriteString(c, testutil.LookRequest(testutil.NewID()))
+	testutil.WaitUntil(t, "the host has the request", func() bool { n, _, _ := server.Counts(); return n == 1 })
 	c.(*net.TCPConn).CloseWrite()
 	if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil {
 		t.Errorf("answered %d", resp.StatusCode)
--- a/internal/frontend/http1/conn.go
+++ b/internal/frontend/http1/conn.go
@@ -35,7 +35,7 @@
 	id    uint64 // among those watched for leaving
 	opts  *ListenOptions
 
-	peer frontend.Peer
+	peer frontend.ClientAddress
 
 	ctx  context.Context // ends when the client leaves
 	left context.CancelFunc
@@ -49,7 +49,7 @@
 	last   bool        // it was told to end when this request was there already
 	unread time.Time   // since when the request that comes next may have been there; zero: it has just come
 	idleBy time.Time   // the read deadline that stands, if it is that of a wait for a request; else zero
-	out    body.Alarm
+	out    body.LazyDeadline
 
 	exchange
 
@@ -85,7 +85,7 @@
 	k := &clientConn{TCPConn: c, raw: raw, opts: opts}
 	k.ctx, k.left = context.WithCancel(context.Background())
 	k.try = k.tryRead
-	k.out.Set = c.SetWriteDeadline
+	k.out.SetDeadline = c.SetWriteDeadline
 	return k, nil
 }
 
@@ -211,8 +211,8 @@
 // none, or may not, is not heard.
 func (c *clientConn) begin() error {
 	addr := c.addr()
-	if c.opts.Proxy {
-		if len(c.opts.Trusted) > 0 && !c.opts.trusts(addr) {
+	if c.opts.ProxyProtocol {
+		if len(c.opts.TrustedProxies) > 0 && !c.opts.trusts(addr) {
 			return errProxy
 		}
 		in := bufio.NewReaderSize(c.TCPConn, proxyRead)
@@ -231,7 +231,7 @@
 			c.r, c.w = 0, copy(c.buf, peek(in, n))
 		}
 	}
-	c.peer = frontend.Peer{Addr: addr, Proto: "http", Trusted: c.opts.trusts(addr)}
+	c.peer = frontend.ClientAddress{Addr: addr, Proto: "http", Trusted: c.opts.trusts(addr)}
 	return nil
 }
 
@@ -347,22 +347,22 @@
 	looked := 0
 	for {
 		if looked == 0 && c.buffered() > 0 {
-			c.took(httpwire.Blank(c.buf[c.r:c.w]))
+			c.took(httpwire.LeadingEmptyLine(c.buf[c.r:c.w]))
 		}
-		if end := httpwire.HeadEnd(c.buf[c.r:c.w], looked); end >= 0 {
+		if end := httpwire.HeaderEnd(c.buf[c.r:c.w], looked); end >= 0 {
 			if end > s.headMost {
 				return errLongHead
 			}
-			err := httpwire.Parse(c.buf[c.r:c.r+end], &c.req)
+			err := httpwire.ParseRequest(c.buf[c.r:c.r+end], &c.req)
 			c.took(end)
 			if timed {
 				c.idleBy = time.Time{}
 			}
 			if err != nil {
 				c.req = httpwire.Request{}
-				return frontend.Bad(httpwire.Status(err), "%v", err)
+				return frontend.Bad(httpwire.StatusForError(err), "%v", err)
 			}
-			if c.req.Length != 0 {
+			if c.req.ContentLength != 0 {
 				c.body = newBodyReader(c)
 			}
 			c.close = c.req.Close
@@ -389,7 +389,7 @@
 	}
 	c.idleBy = time.Time{} // reading it has set others
 	if b.end == nil {
-		if b.chunks != nil || b.left > frontend.MaxHeld {
+		if b.chunks != nil || b.left > frontend.MaxBufferedBytes {
 			return false
 		}
 		c.SetReadDeadline(time.Now().Add(requestTimeout))
@@ -403,16 +403,16 @@
 // bodyReader reads the body of a request from its connection.
 type bodyReader struct {
 	c       *clientConn
-	left    int64            // of a length
-	chunks  *httpwire.Chunks // nil: it has a length
-	unasked bool             // the client waits to be asked for it
-	end     error            // what stands behind its last byte, once that is read
+	left    int64                    // of a length
+	chunks  *httpwire.ChunkedDecoder // nil: it has a length
+	unasked bool                     // the client waits to be asked for it
+	end     error                    // what stands behind its last byte, once that is read
 }
 
 func newBodyReader(c *clientConn) *bodyReader {
-	b := &bodyReader{c: c, left: c.req.Length, unasked: c.req.Expect}
-	if c.req.Length < 0 {
-		b.chunks = &httpwire.Chunks{}
+	b := &bodyReader{c: c, left: c.req.ContentLength, unasked: c.req.ExpectContinue}
+	if c.req.ContentLength < 0 {
+		b.chunks = &httpwire.ChunkedDecoder{}
 	}
 	return b
 }
@@ -471,9 +471,9 @@
 func (b *bodyReader) takeChunk(p []byte) (int, error) {
 	c := b.c
 	for !b.chunks.Done() {
-		if most := b.chunks.Data(); most > 0 && c.buffered() == 0 {
+		if most := b.chunks.Remaining(); most > 0 && c.buffered() == 0 {
 			n, err := b.take(p, most)
-			b.chunks.Took(int64(n))
+			b.chunks.Consume(int64(n))
 			return n, err
 		}
 		if c.buffered() == 0 {
@@ -509,7 +509,7 @@
 	if c.answered {
 		return nil
 	}
-	c.out.Within(time.Now(), writeTimeout)
+	c.out.Reset(time.Now(), writeTimeout)
 	_, err := c.TCPConn.Write(text)
 	return err
 }
@@ -517,11 +517,11 @@
 // inform passes on an answer of a host that comes ahead of the final one. HTTP/1.0 has none
 // (RFC 9110, 15.2).
 func (c *clientConn) inform(status int, header http.Header) {
-	if c.req.Old {
+	if c.req.HTTP10 {
 		return
 	}
-	b := httpwire.AppendStatus(nil, false, status)
-	b = append(httpwire.AppendFields(b, frontend.EndToEnd(header.Clone())), "\r\n"...)
+	b := httpwire.AppendStatusLine(nil, false, status)
+	b = append(httpwire.AppendHeader(b, frontend.EndToEnd(header.Clone())), "\r\n"...)
 	c.ahead(b) // if it fails the client has gone
 }
 
@@ -536,7 +536,7 @@
 	c.mu.Lock()
 	c.answered = true
 	c.mu.Unlock()
-	return httpwire.AppendStatus(b, c.req.Old, status)
+	return httpwire.AppendStatusLine(b, c.req.HTTP10, status)
 }
 
 // endHead appends how the body is framed and what becomes of the connection, and ends a head. An
@@ -547,7 +547,7 @@
 		b = append(b, "Content-Length: "...)
 		b = strconv.AppendInt(b, length, 10)
 		b = append(b, "\r\n"...)
-	case length == inChunks && c.req.Old:
+	case length == inChunks && c.req.HTTP10:
 		c.close = true
 	case length == inChunks:
 		b = append(b, "Transfer-Encoding: chunked\r\n"...)
@@ -555,7 +555,7 @@
 	switch {
 	case c.close:
 		b = append(b, "Connection: close\r\n"...)
-	case c.req.Old:
+	case c.req.HTTP10:
 		b = append(b, "Connection: keep-alive\r\n"...)
 	}
 	return append(b, "\r\n"...)
@@ -563,7 +563,7 @@
 
 // head appends the head of the final answer.
 func (c *clientConn) head(b []byte, now time.Time, status int, h http.Header, length int64) []byte {
-	b = httpwire.AppendFields(c.beginHead(b, status), h)
+	b = httpwire.AppendHeader(c.beginHead(b, status), h)
 	if _, there := h["Date"]; !there {
 		b = httpwire.AppendDate(b, now)
 	}
@@ -586,7 +586,7 @@
 
 // flush writes a head, which is in a buffer of outputs or has outgrown it, and what follows it.
 func (c *clientConn) flush(buf *[]byte, head, text []byte, now time.Time) error {
-	c.out.Within(now, writeTimeout)
+	c.out.Reset(now, writeTimeout)
 	var err error
 	if len(text) <= joinMost {
 		head = append(head, text...)
@@ -621,5 +621,5 @@
 // lastChunk is the end of a body in chunks, with its trailer.
 func lastChunk(b []byte, trailer http.Header) []byte {
 	b = append(b, "0\r\n"...)
-	return append(httpwire.AppendFields(b, trailer), "\r\n"...)
+	return append(httpwire.AppendHeader(b, trailer), "\r\n"...)
 }
--- a/internal/frontend/http1/conn_test.go
+++ b/internal/frontend/http1/conn_test.go
@@ -28,7 +28,7 @@
 	g := startGateway(t, withHosts(server))
 	for _, piece := range []int{1 << 20, 61} { // all at once, and cut anywhere
 		c := g.dial()
-		c.SetDeadline(time.Now().Add(testutil.Patience))
+		c.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 		var text strings.Builder
 		for i := range 8 {
 			fmt.Fprintf(&text, "POST /api/%d HTTP/1.1\r\nHost: a\r\nX-Priority-Class: book\r\nX-Timeout: 60\r\nX-Request-ID: %s\r\nContent-Length: 4\r\n\r\nbody", i, testutil.NewID())
@@ -63,15 +63,15 @@
 // A client that leaves while it waits is seen, also where there is more that nobody has read yet:
 // it guards against sending on for it, to its deadline a minute later.
 func TestLeavingIsSeenBehindMore(t *testing.T) {
-	server := testutil.NewHost(t, testutil.Hang)
+	server := testutil.NewHost(t, testutil.NeverRespond)
 	g := startGateway(t, withHosts(server))
 	for i, more := range []string{"", "GET ", strings.Repeat("x", 64<<10)} {
 		c := g.dial()
-		io.WriteString(c, testutil.Look(testutil.NewID())+more)
-		testutil.Until(t, "the host has the request", func() bool { n, _, _ := server.Counts(); return n == i+1 })
+		io.WriteString(c, testutil.LookRequest(testutil.NewID())+more)
+		testutil.WaitUntil(t, "the host has the request", func() bool { n, _, _ := server.Counts(); return n == i+1 })
 		c.Close()
-		testutil.Until(t, "it is given up", func() bool { return g.gate.Open() == 0 })
-		testutil.Until(t, "its connection is closed", func() bool {
+		testutil.WaitUntil(t, "it is given up", func() bool { return g.gate.OpenIDs() == 0 })
+		testutil.WaitUntil(t, "its connection is closed", func() bool {
 			g.server.clients.mu.Lock()
 			defer g.server.clients.mu.Unlock()
 			return g.server.clients.open == 0 && len(g.server.leavers.all()) == 0
@@ -81,11 +81,11 @@
 
 // A connection that waits for a request, or for its answer, holds no buffer: thousands cost little.
 func TestIdleConnectionsHoldNothing(t *testing.T) {
-	g := startGateway(t, withHosts(testutil.NewHost(t, testutil.Says(testutil.Good))))
+	g := startGateway(t, withHosts(testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))))
 	var conns []net.Conn
 	for range 4 {
 		c := g.dial()
-		if err := testutil.Asked(c); err != nil {
+		if err := testutil.RoundTrip(c); err != nil {
 			t.Fatal(err)
 		}
 		conns = append(conns, c)
@@ -100,16 +100,16 @@
 		}
 		return n
 	}
-	testutil.Until(t, "all wait and hold nothing", func() bool { return idle() == len(conns) })
+	testutil.WaitUntil(t, "all wait and hold nothing", func() bool { return idle() == len(conns) })
 }
 
 // HTTP/1.0 without a word on the connection ends it with the answer, and with one keeps it. What is
 // our protocol comes in HTTP/1.1, so health is asked here.
 func TestOldClients(t *testing.T) {
-	g := startGateway(t, withHosts(testutil.NewHost(t, testutil.Says(testutil.Good))))
+	g := startGateway(t, withHosts(testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))))
 	for line, keeps := range map[string]bool{"": false, "Connection: keep-alive\r\n": true} {
 		c := g.dial()
-		c.SetDeadline(time.Now().Add(testutil.Patience))
+		c.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 		in := bufio.NewReader(c)
 		for round := range 2 {
 			io.WriteString(c, "GET /_health HTTP/1.0\r\n"+line+"\r\n")
@@ -130,11 +130,11 @@
 // A client that waits to be asked for its body, and is refused before, ends with the answer: what it
 // sends then may be the body or the next request.
 func TestRefusedBeforeItsBody(t *testing.T) {
-	server := testutil.NewHost(t, testutil.Says(testutil.Good))
+	server := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	g := startGateway(t, withHosts(server))
 	c := g.dial()
-	c.SetDeadline(time.Now().Add(testutil.Patience))
-	hidden := testutil.Look(testutil.NewID())
+	c.SetDeadline(time.Now().Add(testutil.WaitTimeout))
+	hidden := testutil.LookRequest(testutil.NewID())
 	fmt.Fprintf(c, "POST /api/1 HTTP/1.1\r\nHost: a\r\nX-Priority-Class: none\r\nX-Timeout: 60\r\nX-Request-ID: %s\r\nExpect: 100-continue\r\nContent-Length: %d\r\n\r\n", testutil.NewID(), len(hidden))
 	in := bufio.NewReader(c)
 	resp, err := http.ReadResponse(in, nil)
@@ -165,7 +165,7 @@
 
 // A listener that fails for want of descriptors goes on when there are some again.
 func TestAcceptGoesOn(t *testing.T) {
-	g := startGateway(t, withHosts(testutil.NewHost(t, testutil.Says(testutil.Good))))
+	g := startGateway(t, withHosts(testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))))
 	ln := &shortListener{Listener: testutil.Listen(t, "127.0.0.1:0", nil)}
 	ln.fails.Store(3)
 	ended := make(chan error, 1)
@@ -175,14 +175,14 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	if err := testutil.Asked(c); err != nil {
+	if err := testutil.RoundTrip(c); err != nil {
 		t.Fatal(err)
 	}
-	g.server.Leave(ln)
+	g.server.CloseListener(ln)
 	if err := <-ended; err != nil {
 		t.Errorf("it ended with %v", err)
 	}
-	if err := testutil.Asked(c); err != nil { // who came by it is served on
+	if err := testutil.RoundTrip(c); err != nil { // who came by it is served on
 		t.Error(err)
 	}
 }
@@ -243,17 +243,17 @@
 	endings := maps.Clone(endings)
 	endings["by its time"] = func(s *clients) { s.silent.Front().Value.(*clientConn).SetReadDeadline(longAgo) }
 	for how, end := range endings {
-		g := startGateway(t, withHosts(testutil.NewHost(t, testutil.Says(testutil.Good))))
+		g := startGateway(t, withHosts(testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))))
 		s := g.server
-		testutil.Asked(g.dial()) // it serves, and knows its leavers
-		testutil.Until(t, "that rests", func() bool { return s.Counts().Idle == 1 })
+		testutil.RoundTrip(g.dial()) // it serves, and knows its leavers
+		testutil.WaitUntil(t, "that rests", func() bool { return s.ConnCounts().Idle == 1 })
 		// One whose goroutine is yet to run: all of it has happened by then.
 		ln := testutil.Listen(t, "127.0.0.1:0", nil)
 		c, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.SetDeadline(time.Now().Add(testutil.Patience))
+		c.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 		nc, err := ln.Accept()
 		if err != nil {
 			t.Fatal(err)
@@ -265,8 +265,8 @@
 		if err := s.leavers.add(k); err != nil || !s.clients.enter(k) {
 			t.Fatalf("it is not taken in: %v", err)
 		}
-		io.WriteString(c, strings.Replace(testutil.Look(testutil.NewID()), "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1))
-		testutil.Until(t, "it is there", func() bool { return queued(t, k.TCPConn, unix.TIOCINQ) > 0 })
+		io.WriteString(c, strings.Replace(testutil.LookRequest(testutil.NewID()), "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1))
+		testutil.WaitUntil(t, "it is there", func() bool { return queued(t, k.TCPConn, unix.TIOCINQ) > 0 })
 		s.clients.mu.Lock()
 		s.clients.aged()
 		end(&s.clients)
@@ -276,7 +276,7 @@
 			t.Errorf("%s: %v", how, err)
 		}
 		c.Close()
-		testutil.Until(t, how+": all is counted", func() bool {
+		testutil.WaitUntil(t, how+": all is counted", func() bool {
 			s.clients.mu.Lock()
 			defer s.clients.mu.Unlock()
 			return s.clients.open == s.clients.idle.Len() && s.clients.ending == 0
@@ -288,18 +288,18 @@
 // that are read off the socket and dropped.
 func TestRequestReadAsItsConnectionIsToldToEnd(t *testing.T) {
 	for how, end := range endings {
-		g := startGateway(t, withHosts(testutil.NewHost(t, testutil.Says(testutil.Good))))
+		g := startGateway(t, withHosts(testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))))
 		clients := &g.server.clients
 		c := g.dial()
-		c.SetDeadline(time.Now().Add(testutil.Patience))
-		if err := testutil.Asked(c); err != nil {
+		c.SetDeadline(time.Now().Add(testutil.WaitTimeout))
+		if err := testutil.RoundTrip(c); err != nil {
 			t.Fatal(err)
 		}
-		testutil.Until(t, "it rests", func() bool { return g.server.Counts().Idle == 1 })
+		testutil.WaitUntil(t, "it rests", func() bool { return g.server.ConnCounts().Idle == 1 })
 		k := g.server.leavers.all()[0]
 		clients.mu.Lock() // it can't say that it holds a request
-		io.WriteString(c, testutil.Look(testutil.NewID()))
-		testutil.Until(t, "it is read", func() bool {
+		io.WriteString(c, testutil.LookRequest(testutil.NewID()))
+		testutil.WaitUntil(t, "it is read", func() bool {
 			return queued(t, c.(*net.TCPConn), unix.TIOCOUTQ) == 0 && queued(t, k.TCPConn, unix.TIOCINQ) == 0
 		})
 		clients.aged()
@@ -309,7 +309,7 @@
 			t.Errorf("%s: %v", how, err)
 		}
 		c.Close()
-		testutil.Until(t, how+": all is counted", func() bool {
+		testutil.WaitUntil(t, how+": all is counted", func() bool {
 			clients.mu.Lock()
 			defer clients.mu.Unlock()
 			return clients.open == 0 && clients.ending == 0
@@ -320,14 +320,14 @@
 // What comes behind the end of a connection goes to no host, and does not reset it while its client
 // is still heard: the client sees an orderly end.
 func TestRequestBehindTheEnd(t *testing.T) {
-	server := testutil.NewHost(t, testutil.Says(testutil.Good))
+	server := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	g := startGateway(t, withHosts(server))
 	for how, end := range endings {
 		for _, first := range []bool{true, false} {
 			c := g.dial()
-			c.SetDeadline(time.Now().Add(testutil.Patience))
+			c.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 			if !first {
-				if err := testutil.Asked(c); err != nil {
+				if err := testutil.RoundTrip(c); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -336,7 +336,7 @@
 				defer g.server.clients.mu.Unlock()
 				return g.server.clients.silent.Len() + g.server.clients.idle.Len()
 			}
-			testutil.Until(t, "it waits", func() bool { return waits() == 1 })
+			testutil.WaitUntil(t, "it waits", func() bool { return waits() == 1 })
 			before, _, _ := server.Counts()
 			g.server.clients.mu.Lock()
 			g.server.clients.aged()
@@ -345,9 +345,9 @@
 			if _, err := c.Read(make([]byte, 1)); err != io.EOF {
 				t.Fatalf("%s, first %t: it ends with %v", how, first, err)
 			}
-			io.WriteString(c, testutil.Look(testutil.NewID()))
+			io.WriteString(c, testutil.LookRequest(testutil.NewID()))
 			c.(*net.TCPConn).CloseWrite()
-			testutil.Until(t, "it is closed", func() bool { return g.server.Counts().Open == 0 })
+			testutil.WaitUntil(t, "it is closed", func() bool { return g.server.ConnCounts().Open == 0 })
 			if n, _, _ := server.Counts(); n != before {
 				t.Errorf("%s, first %t: a host got what came behind the end", how, first)
 			}
@@ -361,17 +361,17 @@
 	release := make(chan struct{})
 	server := testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
 		<-release
-		io.WriteString(c, testutil.Good)
+		io.WriteString(c, testutil.OKResponse)
 		return true
 	})
 	g := startGateway(t, withHosts(server))
 	c := g.dial()
-	c.SetDeadline(time.Now().Add(testutil.Patience))
-	io.WriteString(c, strings.Replace(testutil.Look(testutil.NewID()), "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1))
-	testutil.Until(t, "it is out", func() bool { n, _, _ := server.Counts(); return n == 1 })
-	io.WriteString(c, testutil.Look(testutil.NewID()))
+	c.SetDeadline(time.Now().Add(testutil.WaitTimeout))
+	io.WriteString(c, strings.Replace(testutil.LookRequest(testutil.NewID()), "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1))
+	testutil.WaitUntil(t, "it is out", func() bool { n, _, _ := server.Counts(); return n == 1 })
+	io.WriteString(c, testutil.LookRequest(testutil.NewID()))
 	k := g.server.leavers.all()[0]
-	testutil.Until(t, "more is there, unread", func() bool { return queued(t, k.TCPConn, unix.TIOCINQ) > 0 })
+	testutil.WaitUntil(t, "more is there, unread", func() bool { return queued(t, k.TCPConn, unix.TIOCINQ) > 0 })
 	socket := 0 // stays when the server has closed its own
 	if err := k.raw.Control(func(fd uintptr) { socket, _ = unix.Dup(int(fd)) }); err != nil || socket <= 0 {
 		t.Fatal(err)
@@ -383,7 +383,7 @@
 		t.Errorf("%q, %v", got, err)
 	}
 	c.Close()
-	testutil.Until(t, "it is closed", func() bool { return g.server.Counts().Open == 0 })
+	testutil.WaitUntil(t, "it is closed", func() bool { return g.server.ConnCounts().Open == 0 })
 	if n, err := unix.IoctlGetInt(socket, unix.TIOCINQ); n != 0 || err != nil {
 		t.Errorf("closed over %d bytes, %v", n, err)
 	}
@@ -421,7 +421,7 @@
 	}
 	c.inform(103, http.Header{"Link": {"a"}})
 	// Nor to a client that has no such answers (RFC 9110, 15.2).
-	c.answered, c.req.Old = false, true
+	c.answered, c.req.HTTP10 = false, true
 	c.inform(103, http.Header{"Link": {"a"}})
 	c.TCPConn.Close()
 	text, err := io.ReadAll(client)
@@ -432,12 +432,12 @@
 
 // A head of just the bound is read and one of a byte more is not, however it comes.
 func TestHeadBound(t *testing.T) {
-	g := startGateway(t, withHosts(testutil.NewHost(t, testutil.Says(testutil.Good))))
+	g := startGateway(t, withHosts(testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))))
 	for _, over := range []int{0, 1} {
 		head := "GET /_health HTTP/1.1\r\nHost: a\r\nX-Pad: "
 		head += strings.Repeat("x", maxRequestHead+over-len(head)-4) + "\r\n\r\n"
 		c := g.dial()
-		c.SetDeadline(time.Now().Add(testutil.Patience))
+		c.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 		io.WriteString(c, head)
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if want := []int{200, 431}[over]; err != nil || resp.StatusCode != want {
@@ -449,9 +449,9 @@
 // A connection that has been of use and then brings half a head is closed as soon as a new one
 // would be: it guards against holding it for as long as one that says nothing between requests.
 func TestHalfHeadBehindARequest(t *testing.T) {
-	g := startGateway(t, withHosts(testutil.NewHost(t, testutil.Says(testutil.Good))))
+	g := startGateway(t, withHosts(testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))))
 	c := g.dial()
-	if err := testutil.Asked(c); err != nil {
+	if err := testutil.RoundTrip(c); err != nil {
 		t.Fatal(err)
 	}
 	io.WriteString(c, "GET /api/1 HTTP/1.1\r\nHost: a\r\nX-Pri")
