--- a/internal/frontend/http1/leaving_test.go
+++ b/internal/frontend/http1/leaving_test.go
@@ -53,12 +53,12 @@
 // before the first byte sees it, also where nobody has heard of it yet.
 func TestNoFurtherAttemptBehindAClose(t *testing.T) {
 	ends := map[string]testutil.Script{
-		"error":       testutil.Says(testutil.Errored),
-		"turned away": testutil.Says(testutil.TurnedAway),
-		"reset":       testutil.BreakOff,
-		"noise":       testutil.Says("\x00noise\r\n\r\n"),
+		"error":       testutil.RespondWith(testutil.ErrorResponse),
+		"turned away": testutil.RespondWith(testutil.RejectedResponse),
+		"reset":       testutil.ResetConnection,
+		"noise":       testutil.RespondWith("\x00noise\r\n\r\n"),
 		"cut": func(c net.Conn, _ *http.Request, _ int) bool {
-			io.WriteString(c, testutil.Good[:len(testutil.Good)-1])
+			io.WriteString(c, testutil.OKResponse[:len(testutil.OKResponse)-1])
 			return false
 		},
 	}
@@ -69,7 +69,7 @@
 				var attempts atomic.Int64
 				script := func(c net.Conn, r *http.Request, n int) bool {
 					if attempts.Add(1) > 1 {
-						io.WriteString(c, testutil.Good)
+						io.WriteString(c, testutil.OKResponse)
 						return true
 					}
 					out <- struct{}{}
@@ -78,13 +78,13 @@
 				}
 				g := startGateway(t, withHosts(testutil.NewHost(t, script), testutil.NewHost(t, script)))
 				c := g.dial().(*net.TCPConn)
-				io.WriteString(c, testutil.Look(testutil.NewID()))
+				io.WriteString(c, testutil.LookRequest(testutil.NewID()))
 				<-out
 				g.deaf()
 				leave(c)
-				testutil.Until(t, "its end has come", func() bool { return g.ended() == 1 })
+				testutil.WaitUntil(t, "its end has come", func() bool { return g.ended() == 1 })
 				close(say)
-				testutil.Until(t, "it is over", func() bool { return g.gate.Open() == 0 })
+				testutil.WaitUntil(t, "it is over", func() bool { return g.gate.OpenIDs() == 0 })
 				if n := attempts.Load(); n != 1 {
 					t.Errorf("%d attempts", n)
 				}
@@ -104,7 +104,7 @@
 		cfg.hosts = append(cfg.hosts, testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
 			attempts.Add(1)
 			<-say
-			io.WriteString(c, testutil.Errored)
+			io.WriteString(c, testutil.ErrorResponse)
 			said.Add(1)
 			return true
 		}))
@@ -115,20 +115,20 @@
 	conns := make([]*net.TCPConn, clients)
 	for i := range conns {
 		conns[i] = g.dial().(*net.TCPConn)
-		io.WriteString(conns[i], testutil.Look(testutil.NewID()))
+		io.WriteString(conns[i], testutil.LookRequest(testutil.NewID()))
 	}
 	const out = 4 * hosts // what hosts get at first
-	testutil.Until(t, "all are taken, and most wait", func() bool { return g.gate.Open() == clients && attempts.Load() == out })
+	testutil.WaitUntil(t, "all are taken, and most wait", func() bool { return g.gate.OpenIDs() == clients && attempts.Load() == out })
 	close(say)
 	<-held // the loop is, by the first error
-	testutil.Until(t, "all errors are said", func() bool { return said.Load() == out })
+	testutil.WaitUntil(t, "all errors are said", func() bool { return said.Load() == out })
 	g.deaf()
 	for i, c := range conns {
 		leaves[[]string{"end", "half end", "reset"}[i%3]](c)
 	}
-	testutil.Until(t, "their ends have come", func() bool { return g.ended() == clients })
+	testutil.WaitUntil(t, "their ends have come", func() bool { return g.ended() == clients })
 	close(release)
-	testutil.Until(t, "all is over", func() bool { return g.gate.Open() == 0 })
+	testutil.WaitUntil(t, "all is over", func() bool { return g.gate.OpenIDs() == 0 })
 	if n := attempts.Load(); n != out {
 		t.Errorf("%d attempts for clients that had gone", n-out)
 	}
@@ -144,10 +144,10 @@
 				release := make(chan struct{})
 				cfg := withHosts(testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
 					<-release
-					io.WriteString(c, testutil.Good)
+					io.WriteString(c, testutil.OKResponse)
 					return true
 				}))
-				cfg.streams = &engine.Streams{BufferBytes: 64 << 10, Pace: body.Pace{Idle: testutil.Patience}, Upload: body.Pace{Idle: testutil.Patience}}
+				cfg.streams = &engine.Streams{BufferBytes: 64 << 10, Pace: body.Pace{IdleTimeout: testutil.WaitTimeout}, Upload: body.Pace{IdleTimeout: testutil.WaitTimeout}}
 				g := startGateway(t, cfg)
 				begin := func(length, sent int) *net.TCPConn {
 					c := g.dial().(*net.TCPConn)
@@ -159,7 +159,7 @@
 				for range out {
 					begin(1, 1)
 				}
-				testutil.Until(t, "the host is full", func() bool { n, _, _ := cfg.hosts[0].Counts(); return n == out })
+				testutil.WaitUntil(t, "the host is full", func() bool { n, _, _ := cfg.hosts[0].Counts(); return n == out })
 				c := begin(1<<20, 100<<10)
 				inside := func() (n int64) {
 					plan := g.gate.Engine.Snapshot()
@@ -167,24 +167,24 @@
 					plan.Pools(func(p *engine.Pool) { n = p.OpenRequests() })
 					return n
 				}
-				testutil.Until(t, "it waits", func() bool { return inside() == out+1 })
+				testutil.WaitUntil(t, "it waits", func() bool { return inside() == out+1 })
 				if deaf {
 					g.deaf()
 				}
 				leave(c)
 				if deaf {
-					testutil.Until(t, "its end has come", func() bool { return g.ended() == 1 })
+					testutil.WaitUntil(t, "its end has come", func() bool { return g.ended() == 1 })
 				} else {
-					testutil.Until(t, "it is forgotten", func() bool { return inside() == out })
-					c.SetReadDeadline(time.Now().Add(testutil.Patience))
+					testutil.WaitUntil(t, "it is forgotten", func() bool { return inside() == out })
+					c.SetReadDeadline(time.Now().Add(testutil.WaitTimeout))
 					if text, _ := io.ReadAll(c); len(text) > 0 { // of a half end
 						t.Errorf("it waited for %q", text)
 					}
 				}
 				close(release)
-				testutil.Until(t, "all is over", func() bool { return inside() == 0 })
+				testutil.WaitUntil(t, "all is over", func() bool { return inside() == 0 })
 				g.end()
-				testutil.Until(t, "the host has read all", func() bool { _, conns, ended := cfg.hosts[0].Counts(); return conns == ended })
+				testutil.WaitUntil(t, "the host has read all", func() bool { _, conns, ended := cfg.hosts[0].Counts(); return conns == ended })
 				if n, _, _ := cfg.hosts[0].Counts(); n != out {
 					t.Errorf("the host got %d requests", n)
 				}
--- a/internal/frontend/http1/plain.go
+++ b/internal/frontend/http1/plain.go
@@ -29,13 +29,13 @@
 // readStreams reads the part of the body that is held. What is more flows.
 func (s *Server) readStreams(c *clientConn, x *frontend.Entry) error {
 	plain, streams := x.Route.Plain, x.Route.Streams
-	n := c.req.Length
+	n := c.req.ContentLength
 	// Hosts that speak our protocol do not ask for a body: it is asked for here, by reading it.
-	asks := c.req.Expect && plain != nil
+	asks := c.req.ExpectContinue && plain != nil
 	most := x.HoldMost()
 	source := &clientSource{
 		c: c, body: c.body, x: x, meter: body.Meter{Pace: streams.Upload}, most: streams.MaxBodyBytes,
-		alarm: body.Alarm{Set: c.SetReadDeadline},
+		alarm: body.LazyDeadline{SetDeadline: c.SetReadDeadline},
 	}
 	if n > 0 && n <= most && !asks {
 		held, err := x.Page(n)
@@ -45,7 +45,7 @@
 		if k, err := source.fill(held); int64(k) < n {
 			return source.bad(err)
 		}
-		x.Body = body.Held(held)
+		x.Body = body.NewBuffered(held)
 		return nil
 	}
 	var held []byte
@@ -58,14 +58,14 @@
 		held = buf[:k]
 		switch {
 		case err == io.EOF:
-			x.Body = body.Held(held) // short after all
+			x.Body = body.NewBuffered(held) // short after all
 			return nil
 		case err != nil:
 			return source.bad(err)
 		}
 	}
 	c.flows = source
-	x.Body = body.Flowing(held, body.NewFlow(source, n))
+	x.Body = body.NewStreamed(held, body.NewStream(source, n))
 	return nil
 }
 
@@ -75,7 +75,7 @@
 	body  *bodyReader
 	x     *frontend.Entry
 	meter body.Meter
-	alarm body.Alarm
+	alarm body.LazyDeadline
 	most  int64 // bytes; 0: any
 
 	busy   sync.Mutex // held by the Read that is on
@@ -94,7 +94,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.closed {
-		s.alarm.Within(now, s.meter.Wait())
+		s.alarm.Reset(now, s.meter.Timeout())
 	}
 	return !s.closed
 }
@@ -106,12 +106,12 @@
 	began := time.Now()
 	if s.body.chunks != nil || s.c.buffered() == 0 { // else nothing is waited for
 		if !s.arm(began) {
-			return 0, body.ErrTaken
+			return 0, body.ErrConsumed
 		}
 	}
 	n, err := s.body.Read(p)
 	s.read += int64(n)
-	if slow := s.meter.Moved(n, time.Since(began)); slow != nil && err == nil {
+	if slow := s.meter.Record(n, time.Since(began)); slow != nil && err == nil {
 		err = slow
 	}
 	if s.most > 0 && s.read > s.most {
@@ -120,11 +120,11 @@
 	if err != nil && err != io.EOF {
 		s.mu.Lock()
 		if s.closed {
-			err = body.ErrTaken // our own doing: it tells nothing of the client
+			err = body.ErrConsumed // our own doing: it tells nothing of the client
 		}
 		s.mu.Unlock()
 	}
-	if err == io.EOF && !s.x.Body.Whole() {
+	if err == io.EOF && !s.x.Body.Buffered() {
 		s.x.ArrivedLate(time.Now())
 		s.whole.Store(true)
 		if s.gone != nil && s.c.ctx.Err() != nil {
@@ -164,7 +164,7 @@
 	switch {
 	case err == errTooLong:
 		return frontend.Bad(http.StatusRequestEntityTooLarge, "the body is longer than %d bytes", s.most)
-	case err == body.ErrSlow || errors.Is(err, os.ErrDeadlineExceeded):
+	case err == body.ErrTooSlow || errors.Is(err, os.ErrDeadlineExceeded):
 		return frontend.Bad(http.StatusRequestTimeout, "the body comes too slowly")
 	}
 	return frontend.Bad(http.StatusBadRequest, "the body did not arrive, or can't be read")
@@ -184,7 +184,7 @@
 	if x.Route.Plain != nil {
 		x.Inform = c.inform
 	}
-	flow, ctx := x.Body.Flow(), c.ctx
+	flow, ctx := x.Body.Stream(), c.ctx
 	if flow != nil {
 		// A client that ends its side with its body half sent is told, where that is on its way to a
 		// host; what has yet to go there is not sent.
@@ -193,7 +193,7 @@
 		source := c.flows
 		source.gone = cancel
 		defer context.AfterFunc(ctx, func() {
-			if source.whole.Load() || !flow.Taken() {
+			if source.whole.Load() || !flow.Consumed() {
 				cancel()
 			}
 		})()
@@ -205,7 +205,7 @@
 		return false
 	}
 	sending := flow != nil && flow.Err() != io.EOF // the client is
-	if sending || s.stopping.Load() && !a.Body.Whole() || s.leaves() {
+	if sending || s.stopping.Load() && !a.Body.Buffered() || s.leaves() {
 		c.close = true
 	}
 	switch {
@@ -214,7 +214,7 @@
 		return false
 	case flow != nil && a.Kind == engine.Failed && flow.Err() != nil && sending:
 		err := flow.Err()
-		if err == body.ErrTaken {
+		if err == body.ErrConsumed {
 			break
 		}
 		err = (&clientSource{most: x.Route.Streams.MaxBodyBytes}).bad(err)
@@ -223,7 +223,7 @@
 		}
 		return false
 	}
-	if a.Body.Whole() {
+	if a.Body.Buffered() {
 		if s.write(c, &x.Request, &a) != nil {
 			return false
 		}
@@ -242,7 +242,7 @@
 }
 
 // linger ends a connection whose client is still sending its body.
-func (s *Server) linger(c *clientConn, flow *body.Flow) {
+func (s *Server) linger(c *clientConn, flow *body.Stream) {
 	flow.Close()
 	s.lingeringClose(c, lingerUpload, noLimit)
 }
@@ -252,25 +252,25 @@
 
 // pass passes on an answer as it comes. An error says that it could not be finished.
 func (s *Server) pass(ctx context.Context, c *clientConn, x *frontend.Entry, a *engine.Response) error {
-	buf := s.gate.Bodies.Buffer()
+	buf := s.gate.Bodies.AcquireBuffer()
 	if buf == nil {
 		a.Release() // the host has done it: no refusal, which would promise that it has not
 		return c.fail(http.StatusBadGateway, "too much is being held, it may have been done", "")
 	}
-	defer s.gate.Bodies.Return(buf)
-	flow := a.Body.Flow()
+	defer s.gate.Bodies.ReleaseBuffer(buf)
+	flow := a.Body.Stream()
 	h := frontend.EndToEnd(a.Header)
 	if x.Route.Plain != nil {
 		x.Route.Plain.ResponseHeaders.Apply(h)
 	}
-	if err := flow.Take(); err != nil {
+	if err := flow.Consume(); err != nil {
 		return err
 	}
-	meter, alarm := body.Meter{Pace: x.Route.Streams.Pace}, body.Alarm{Set: c.SetWriteDeadline}
-	defer func() { c.out = body.Alarm{Set: c.out.Set} }() // its deadline stands no more
+	meter, alarm := body.Meter{Pace: x.Route.Streams.Pace}, body.LazyDeadline{SetDeadline: c.SetWriteDeadline}
+	defer func() { c.out = body.LazyDeadline{SetDeadline: c.out.SetDeadline} }() // its deadline stands no more
 	length, chunked := a.Body.Len(), false
 	if length < 0 {
-		length, chunked = inChunks, !c.req.Old
+		length, chunked = inChunks, !c.req.HTTP10
 	}
 	if length < 0 && !chunked {
 		c.toEnd.Store(true)
@@ -281,7 +281,7 @@
 	if chunked && len(held) > 0 {
 		head = append(strconv.AppendInt(head, int64(len(held)), 16), "\r\n"...)
 	}
-	alarm.Within(time.Now(), meter.Wait())
+	alarm.Reset(time.Now(), meter.Timeout())
 	parts := net.Buffers{head, held}
 	if chunked && len(held) > 0 {
 		parts = append(parts, crlf)
@@ -302,11 +302,11 @@
 				out = asChunk(b, n)
 			}
 			began := time.Now()
-			alarm.Within(began, meter.Wait())
+			alarm.Reset(began, meter.Timeout())
 			if _, err := c.TCPConn.Write(out); err != nil {
 				return err
 			}
-			if err := meter.Moved(n, time.Since(began)); err != nil {
+			if err := meter.Record(n, time.Since(began)); err != nil {
 				return err
 			}
 		}
@@ -346,12 +346,12 @@
 	frontend.EndToEnd(h)
 	h.Set("Upgrade", protocol)
 	head := append(c.beginHead(nil, http.StatusSwitchingProtocols), "Connection: Upgrade\r\n"...)
-	head = append(httpwire.AppendFields(head, h), crlf...)
+	head = append(httpwire.AppendHeader(head, h), crlf...)
 	nc.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := nc.Write(head); err != nil {
 		return
 	}
-	idle := x.Route.Streams.Pace.Idle
+	idle := x.Route.Streams.Pace.IdleTimeout
 	touch := func() { // the last byte of either side keeps both
 		until := time.Now().Add(idle)
 		nc.SetDeadline(until)
@@ -360,13 +360,13 @@
 	touch()
 	var both sync.WaitGroup
 	copyOn := func(to io.Writer, from io.Reader, end func() error) {
-		buf := s.gate.Bodies.Buffer()
+		buf := s.gate.Bodies.AcquireBuffer()
 		if buf == nil {
 			nc.Close()
 			a.Tunnel.Close()
 			return
 		}
-		defer s.gate.Bodies.Return(buf)
+		defer s.gate.Bodies.ReleaseBuffer(buf)
 		for {
 			n, err := from.Read(*buf)
 			if n > 0 {
--- a/internal/frontend/http1/server.go
+++ b/internal/frontend/http1/server.go
@@ -27,12 +27,12 @@
 
 // Options are what a Server is told.
 type Options struct {
-	Sockets int           // connections of clients
-	Spare   int           // beyond those, before a new connection is closed at once
-	Longest time.Duration // deadline of any class
-	Plain   bool          // there may be routes for clients that know nothing of our protocol
-	Head    int           // bytes that a request's head may have; 0: maxRequestHead
-	Shared  bool          // another process listens on the same sockets: what comes new is its business once we stop
+	MaxConns        int           // connections of clients
+	SpareConns      int           // beyond those, before a new connection is closed at once
+	LongestDeadline time.Duration // deadline of any class
+	PlainRoutes     bool          // there may be routes for clients that know nothing of our protocol
+	MaxHeaderBytes  int           // bytes that a request's head may have; 0: maxRequestHead
+	SharedListeners bool          // another process listens on the same sockets: what comes new is its business once we stop
 }
 
 // crowdedShare is the share of Sockets, in hundredths, from which there is a crowd: those of
@@ -68,7 +68,7 @@
 	// What a client goes on sending behind its last answer is read for lingerTime, lingerBytes at
 	// most: enough for whoever was a little over the limit to see why.
 	lingerTime  = 500 * time.Millisecond
-	lingerBytes = 4 * frontend.MaxHeld
+	lingerBytes = 4 * frontend.MaxBufferedBytes
 	idleTimeout = 15 * time.Second // for a connection with no request: some are never used again
 	// idleLeast is how long a connection with no request is left open even when there
 	// is need of room: a close sooner may cross a request that the client has begun.
@@ -88,7 +88,7 @@
 
 // Server is the side of the clients, on any number of listeners.
 type Server struct {
-	gate     *frontend.Gate
+	gate     *frontend.Admission
 	plain    bool // there may be plain routes
 	shared   bool
 	headMost int
@@ -106,39 +106,39 @@
 }
 
 // New returns a Server that brings its requests through gate.
-func New(gate *frontend.Gate, o Options) *Server {
+func New(gate *frontend.Admission, o Options) *Server {
 	s := &Server{
-		gate: gate, plain: o.Plain, shared: o.Shared, headMost: cmp.Or(o.Head, maxRequestHead),
+		gate: gate, plain: o.PlainRoutes, shared: o.SharedListeners, headMost: cmp.Or(o.MaxHeaderBytes, maxRequestHead),
 		listeners: map[net.Listener]*atomic.Pointer[ListenOptions]{}, leave: make(chan struct{}),
 	}
 	s.clients.ended = sync.NewCond(&s.clients.mu)
-	s.SetLongest(o.Longest)
-	s.Limit(o.Sockets, o.Spare)
+	s.SetLongestDeadline(o.LongestDeadline)
+	s.SetConnLimits(o.MaxConns, o.SpareConns)
 	return s
 }
 
-// SetLongest says what the longest deadline of any class is by now.
-func (s *Server) SetLongest(d time.Duration) { s.longest.Store(int64(d)) }
+// SetLongestDeadline says what the longest deadline of any class is by now.
+func (s *Server) SetLongestDeadline(d time.Duration) { s.longest.Store(int64(d)) }
 
-// Limit says how many connections of clients may be open from now on, and how many beyond those
+// SetConnLimits says how many connections of clients may be open from now on, and how many beyond those
 // before a new one is closed at once.
-func (s *Server) Limit(sockets, spare int) { s.clients.limit(sockets, spare) }
+func (s *Server) SetConnLimits(sockets, spare int) { s.clients.limit(sockets, spare) }
 
 // ListenOptions are what a listener is told.
 type ListenOptions struct {
-	// Trusted are proxies: what they say of their own clients is passed on.
-	Trusted []netip.Prefix
-	// Proxy has each connection begin with a PROXY header, of version 1 or 2; from Trusted
+	// TrustedProxies are proxies: what they say of their own clients is passed on.
+	TrustedProxies []netip.Prefix
+	// ProxyProtocol has each connection begin with a PROXY header, of version 1 or 2; from Trusted
 	// only, if there are any.
-	Proxy bool
+	ProxyProtocol bool
 }
 
 func (o *ListenOptions) trusts(a netip.Addr) bool {
-	return slices.ContainsFunc(o.Trusted, func(p netip.Prefix) bool { return p.Contains(a) })
+	return slices.ContainsFunc(o.TrustedProxies, func(p netip.Prefix) bool { return p.Contains(a) })
 }
 
-// Tune changes what a listener is told, for connections that are yet to come.
-func (s *Server) Tune(ln net.Listener, o ListenOptions) {
+// SetListenOptions changes what a listener is told, for connections that are yet to come.
+func (s *Server) SetListenOptions(ln net.Listener, o ListenOptions) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.listeners[ln] == nil {
@@ -226,8 +226,8 @@
 	s.clients.settle()
 }
 
-// Leave closes a listener. The connections that came by it are served on.
-func (s *Server) Leave(ln net.Listener) {
+// CloseListener closes a listener. The connections that came by it are served on.
+func (s *Server) CloseListener(ln net.Listener) {
 	s.mu.Lock()
 	delete(s.listeners, ln)
 	s.mu.Unlock()
@@ -254,12 +254,12 @@
 	l.close()
 }
 
-// Stop ends service in order: it goes on taking what still comes, closes the listeners
+// Shutdown ends service in order: it goes on taking what still comes, closes the listeners
 // when nobody new will come, serves whoever has a connection until shortly before the
 // exit, then asks clients to leave, closes idle connections and waits for what was taken.
 // Where another process shares the listeners it takes nothing new from them, and clients are
 // asked to leave from the start.
-func (s *Server) Stop() {
+func (s *Server) Shutdown() {
 	kill := time.Now().Add(killTime + min(time.Duration(s.longest.Load()), killDeadline))
 	due := kill.Add(-dueMargin)
 	s.gate.Stop(due)
@@ -326,9 +326,9 @@
 // closeEvery is how often a drain looks for connections without a request, once it closes them.
 const closeEvery = 20 * time.Millisecond
 
-// Drain closes what a drain has closed as it goes on, until ctx ends. The rest of a drain
+// RunDrain closes what a drain has closed as it goes on, until ctx ends. The rest of a drain
 // follows from its state at each request.
-func (s *Server) Drain(ctx context.Context) {
+func (s *Server) RunDrain(ctx context.Context) {
 	for {
 		state, holds := s.gate.Draining()
 		var next <-chan time.Time
@@ -396,7 +396,7 @@
 // costs less than a new connection.
 func (s *Server) passable(c *clientConn) bool {
 	b := c.body
-	return b == nil || b.end == nil && !b.unasked && b.chunks == nil && b.left <= frontend.MaxHeld
+	return b == nil || b.end == nil && !b.unasked && b.chunks == nil && b.left <= frontend.MaxBufferedBytes
 }
 
 // pauseMost is how long a connection is left unread whose client came back sooner than it was
@@ -451,7 +451,7 @@
 func (s *Server) read(c *clientConn, came time.Time) (*frontend.Entry, error) {
 	r := &c.req
 	x, err := s.gate.Begin(&frontend.Message{
-		Method: r.Method, Target: r.Target, Host: r.Host, Named: r.Named, Header: r.Header, Length: r.Length, Peer: s.peer(c), Odd: r.Old,
+		Method: r.Method, Target: r.Target, Host: r.Host, Named: r.HostHeader, Header: r.Header, Length: r.ContentLength, Peer: s.peer(c), Odd: r.HTTP10,
 	}, came)
 	if err != nil {
 		return nil, err
@@ -479,16 +479,16 @@
 }
 
 // peer is who the request comes from, where there are routes that want to know.
-func (s *Server) peer(c *clientConn) frontend.Peer {
+func (s *Server) peer(c *clientConn) frontend.ClientAddress {
 	if !s.plain {
-		return frontend.Peer{}
+		return frontend.ClientAddress{}
 	}
 	return c.peer
 }
 
 // readWhole reads a body with a length.
 func readWhole(c *clientConn, x *frontend.Entry) error {
-	n := c.req.Length
+	n := c.req.ContentLength
 	if err := x.Hold(n); err != nil {
 		return err
 	}
@@ -499,7 +499,7 @@
 	if k, err := io.ReadFull(c.body, text); int64(k) < n {
 		return frontend.Bad(http.StatusBadRequest, "the body did not arrive: %v", err)
 	}
-	x.Body = body.Held(text)
+	x.Body = body.NewBuffered(text)
 	return nil
 }
 
@@ -513,7 +513,7 @@
 			x.Route.Plain.ResponseHeaders.Apply(h)
 		}
 		length := int64(noLength)
-		if a.Body.Len() > 0 || !httpwire.Bodyless(x.Method, a.Status) {
+		if a.Body.Len() > 0 || !httpwire.ResponseHasNoBody(x.Method, a.Status) {
 			length = a.Body.Len()
 		} else if len(said) == 1 && a.Status != http.StatusNoContent { // of what a GET would bring
 			if n, err := strconv.ParseInt(said[0], 10, 64); err == nil && n >= 0 {
--- a/internal/frontend/http1/source_test.go
+++ b/internal/frontend/http1/source_test.go
@@ -30,11 +30,11 @@
 		t.Fatal(err)
 	}
 	s := &clientSource{
-		c: c, body: &bodyReader{c: c, left: 1}, x: &frontend.Entry{}, meter: body.Meter{Pace: body.Pace{Idle: time.Minute}},
-		alarm: body.Alarm{Set: c.SetReadDeadline},
+		c: c, body: &bodyReader{c: c, left: 1}, x: &frontend.Entry{}, meter: body.Meter{Pace: body.Pace{IdleTimeout: time.Minute}},
+		alarm: body.LazyDeadline{SetDeadline: c.SetReadDeadline},
 	}
-	flow := body.NewFlow(s, -1)
-	if err := flow.Take(); err != nil {
+	flow := body.NewStream(s, -1)
+	if err := flow.Consume(); err != nil {
 		t.Fatal(err)
 	}
 	ended := make(chan error, 1)
@@ -42,7 +42,7 @@
 		_, err := flow.Read(make([]byte, 1))
 		ended <- err
 	}()
-	testutil.Until(t, "it is being read", func() bool {
+	testutil.WaitUntil(t, "it is being read", func() bool {
 		if s.busy.TryLock() {
 			s.busy.Unlock()
 			return false
@@ -50,7 +50,7 @@
 		return true
 	})
 	flow.Close()
-	if err := <-ended; err != body.ErrTaken || flow.Err() != body.ErrTaken {
+	if err := <-ended; err != body.ErrConsumed || flow.Err() != body.ErrConsumed {
 		t.Errorf("it ended with %v, and is said to with %v", err, flow.Err())
 	}
 }
--- a/internal/frontend/limits.go
+++ b/internal/frontend/limits.go
@@ -19,45 +19,45 @@
 // Limits turn requests away before they cost anything: for the gateway's own sake, and so that
 // no client or tenant takes what others need. What is nil does not bind.
 type Limits struct {
-	Overload   *overload.Controller
-	Clients    *ratelimit.Clients
-	Tenants    *ratelimit.Tenants
-	TenantOf   map[string]int // by the value of TenantName
-	TenantName string         // header
-	Base, Most time.Duration  // of the advice when to come back
+	Overload                     *overload.Controller
+	Clients                      *ratelimit.Clients
+	Tenants                      *ratelimit.Tenants
+	TenantIndex                  map[string]int // by the value of TenantName
+	TenantHeader                 string         // header
+	MinRetryAfter, MaxRetryAfter time.Duration  // of the advice when to come back
 
 	counts [refusals]atomic.Int64
 }
 
-// Refusal is a cause of turning a request away at the gate.
-type Refusal uint8
+// RejectReason is a cause of turning a request away at the gate.
+type RejectReason uint8
 
 // Causes.
 const (
-	ByOverload   Refusal = iota // the gateway falls behind
-	ByRate                      // the client asks more often than it may
-	ByConcurrent                // the client has too many requests out
-	ByRepeats                   // the client repeats too much
-	ByTenant                    // the tenant is over its share
+	RejectedByOverload          RejectReason = iota // the gateway falls behind
+	RejectedByClientRate                            // the client asks more often than it may
+	RejectedByClientConcurrency                     // the client has too many requests out
+	RejectedByClientDuplicates                      // the client repeats too much
+	RejectedByTenantQuota                           // the tenant is over its share
 	refusals
 )
 
 var refusalNames = [...]string{"overload", "client rate", "client concurrency", "client repeats", "tenant share"}
 
 // String names the cause, for counters.
-func (r Refusal) String() string { return refusalNames[r] }
+func (r RejectReason) String() string { return refusalNames[r] }
 
-// Refusals are the causes.
-func Refusals() []Refusal {
-	return []Refusal{ByOverload, ByRate, ByConcurrent, ByRepeats, ByTenant}
+// RejectReasons are the causes.
+func RejectReasons() []RejectReason {
+	return []RejectReason{RejectedByOverload, RejectedByClientRate, RejectedByClientConcurrency, RejectedByClientDuplicates, RejectedByTenantQuota}
 }
 
-// Refused is how many requests were turned away for a cause.
-func (l *Limits) Refused(r Refusal) int64 { return l.counts[r].Load() }
+// Rejected is how many requests were turned away for a cause.
+func (l *Limits) Rejected(r RejectReason) int64 { return l.counts[r].Load() }
 
 // Turned is the error of a request that is turned away at the gate. Its connection may go on.
 type Turned struct {
-	Why   Refusal
+	Why   RejectReason
 	After time.Duration
 	// Soon says that the client came back sooner than it was told to. The answer goes out at
 	// once; what it sends next on its connection need not be read at once.
@@ -70,7 +70,7 @@
 
 // Status is 429 where the client can do something about it, and else 503.
 func (t *Turned) Status() int {
-	if t.Why == ByOverload || t.Why == ByTenant {
+	if t.Why == RejectedByOverload || t.Why == RejectedByTenantQuota {
 		return http.StatusServiceUnavailable
 	}
 	return http.StatusTooManyRequests
@@ -119,18 +119,18 @@
 		return nil
 	}
 	soon := false
-	turned := func(why Refusal) error {
+	turned := func(why RejectReason) error {
 		l.counts[why].Add(1)
 		level := 0.0
 		if l.Overload != nil {
 			level = l.Overload.BackoffLevel()
 		}
-		after := overload.RetryAfter(level, l.Base, l.Most, e.client)
+		after := overload.RetryAfter(level, l.MinRetryAfter, l.MaxRetryAfter, e.client)
 		if e.counted {
 			l.Clients.End(e.client)
 			e.counted = false
 		}
-		if l.Clients != nil && why != ByRepeats {
+		if l.Clients != nil && why != RejectedByClientDuplicates {
 			l.Clients.SetRetryAfter(e.gate.Engine.Now(), e.client, after)
 		}
 		return &Turned{why, after, soon && !m.Peer.Trusted}
@@ -146,11 +146,11 @@
 		var v ratelimit.Decision
 		switch v, soon = l.Clients.Begin(e.gate.Engine.Now(), e.client, repeat, spared); v {
 		case ratelimit.Rate:
-			return turned(ByRate)
+			return turned(RejectedByClientRate)
 		case ratelimit.Concurrent:
-			return turned(ByConcurrent)
+			return turned(RejectedByClientConcurrency)
 		case ratelimit.Duplicates:
-			return turned(ByRepeats)
+			return turned(RejectedByClientDuplicates)
 		}
 		e.counted = true
 	}
@@ -160,14 +160,14 @@
 			rank = e.Route.DuplicateRanks[e.Class]
 		}
 		if !l.Overload.Admit(rank, rand.Float64()) {
-			return turned(ByOverload)
+			return turned(RejectedByOverload)
 		}
 	}
 	if l.Tenants != nil {
-		name, _ := e.header(l.TenantName)
-		if i, known := l.TenantOf[name]; known {
+		name, _ := e.header(l.TenantHeader)
+		if i, known := l.TenantIndex[name]; known {
 			if l.Tenants.Begin(e.gate.Engine.Now(), i) != ratelimit.Admitted {
-				return turned(ByTenant)
+				return turned(RejectedByTenantQuota)
 			}
 			e.tenant = i + 1
 		}
--- a/internal/gateway/appliance.go
+++ b/internal/gateway/appliance.go
@@ -40,8 +40,8 @@
 // StartAppliance starts a gateway by its configuration file. Nothing is left behind where it fails. newSource may be nil;
 // drained is as for SetDrained.
 func StartAppliance(a *config.Appliance, rc *engine.RecordingConfig, newSource SourceFunc, drained map[string][]string) (*Gateway, error) {
-	g := newGateway(rand.Uint64(), a.Limits.Sockets, memoryBytes(a.Limits.MemoryMB), http1.Options{Longest: longestDeadline(a), Plain: true, Head: a.Limits.HeadKB << 10})
-	g.gate.HeadersMost = a.Limits.Headers
+	g := newGateway(rand.Uint64(), a.Limits.Sockets, memoryBytes(a.Limits.MemoryMB), http1.Options{LongestDeadline: longestDeadline(a), PlainRoutes: true, MaxHeaderBytes: a.Limits.HeadKB << 10})
+	g.gate.MaxHeaders = a.Limits.Headers
 	if newSource == nil {
 		newSource = func(_, addr string) Source { return discovery.NewWatcher(addr, false, 0) }
 	}
--- a/internal/gateway/appliance_test.go
+++ b/internal/gateway/appliance_test.go
@@ -116,7 +116,7 @@
 		}
 	}
 	client := http.Client{
-		Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testutil.Patience,
+		Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testutil.WaitTimeout,
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 	resp, err := client.Do(r)
@@ -216,7 +216,7 @@
 		var hosts []string
 		var list []*testutil.Host
 		for range 6 {
-			h := testutil.NewHost(t, testutil.Says(testutil.Errored))
+			h := testutil.NewHost(t, testutil.RespondWith(testutil.ErrorResponse))
 			list, hosts = append(list, h), append(hosts, h.Addr())
 		}
 		requests := func() (n int) {
@@ -246,8 +246,8 @@
 // A path that can't be matched without doubt is 400, whatever the routes; what is matched goes
 // to the host byte for byte.
 func TestPathTricksOnSockets(t *testing.T) {
-	host := testutil.NewHost(t, testutil.Says(testutil.Good))
-	secret := testutil.NewHost(t, testutil.Says(testutil.Good))
+	host := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
+	secret := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	g := startAppliance(t, head+poolText("open", "", host.Addr())+poolText("secret", "", secret.Addr())+
 		routeText("all", "pool = \"open\"\nclass = \"lookup\"\nhosts = [\"h.org\"]")+
 		routeText("secret", "pool = \"secret\"\nclass = \"lookup\"\npath = \"/secret\"\nhosts = [\"h.org\"]"))
@@ -319,7 +319,7 @@
 	g := startAppliance(t, text)
 	var wait sync.WaitGroup
 	for i, name := range names {
-		classes := fakes.Classes()
+		classes := fakes.DefaultClasses()
 		for k := range classes {
 			classes[k].Path, classes[k].Timeout = "/"+name+"/x", 20*time.Second
 		}
@@ -334,9 +334,9 @@
 	}
 	served := func(i, n int) {
 		t.Helper()
-		testutil.Until(t, "requests are served", func() bool {
+		testutil.WaitUntil(t, "requests are served", func() bool {
 			c := ledgers[i].Count()
-			return c.Ends[fakes.Served] >= n
+			return c.Outcomes[fakes.Served] >= n
 		})
 	}
 	served(0, 50)
@@ -364,21 +364,21 @@
 	wait.Wait()
 	for i, name := range names {
 		c := ledgers[i].Count()
-		if broken := c.Broken(); broken != "" {
-			t.Errorf("%s: rules broken: %s; twice %v, harm %v", name, broken, c.Twice, c.Harm)
+		if broken := c.Violations(); broken != "" {
+			t.Errorf("%s: rules broken: %s; twice %v, harm %v", name, broken, c.RanTwice, c.RejectedAfterExecution)
 		}
-		if c.Ends[fakes.Served]*100 < 85*c.Asked {
-			t.Errorf("%s: of %d asked %v", name, c.Asked, c.Ends)
+		if c.Outcomes[fakes.Served]*100 < 85*c.Requests {
+			t.Errorf("%s: of %d asked %v", name, c.Requests, c.Outcomes)
 		}
-		t.Logf("%s: of %d asked %v", name, c.Asked, c.Ends)
+		t.Logf("%s: of %d asked %v", name, c.Requests, c.Outcomes)
 	}
 }
 
 // A reload opens and closes listeners, keeps the pools that stand, ends those that are out with
 // all their connections and goroutines, and one that can't be done changes nothing.
 func TestReloadLeavesNothingBehind(t *testing.T) {
-	host := testutil.NewHost(t, testutil.Says(testutil.Good))
-	other := testutil.NewHost(t, testutil.Says(testutil.Good))
+	host := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
+	other := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	base := head + poolText("p", "", host.Addr()) + routeText("r", "pool = \"p\"\nclass = \"lookup\"")
 	g := startAppliance(t, base)
 	second := testutil.Listen(t, "127.0.0.1:0", nil)
@@ -416,7 +416,7 @@
 		if err := g.Reload(parse(t, base)); err != nil {
 			t.Fatal(err)
 		}
-		testutil.Until(t, "the listener is closed", func() bool {
+		testutil.WaitUntil(t, "the listener is closed", func() bool {
 			c, err := net.Dial("tcp", free)
 			if err == nil {
 				c.Close()
@@ -424,7 +424,7 @@
 			return err != nil
 		})
 		get(g.urls[0]+"/q", 200) // served by p again
-		testutil.Until(t, "the connections of the pool that is out have ended", func() bool {
+		testutil.WaitUntil(t, "the connections of the pool that is out have ended", func() bool {
 			_, accepted, ended := other.Counts()
 			return accepted == ended
 		})
@@ -435,13 +435,13 @@
 			goroutines = runtime.NumGoroutine()
 		}
 	}
-	testutil.Until(t, "no goroutine is left of what was taken out", func() bool { return runtime.NumGoroutine() <= goroutines })
+	testutil.WaitUntil(t, "no goroutine is left of what was taken out", func() bool { return runtime.NumGoroutine() <= goroutines })
 }
 
 // Members of a file are followed, also from one file to another, and a reload to a file that
 // can't be read changes nothing.
 func TestMembersFromFiles(t *testing.T) {
-	first, second := testutil.NewHost(t, testutil.Says(testutil.Good)), testutil.NewHost(t, testutil.Says(testutil.Good))
+	first, second := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse)), testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	dir := t.TempDir()
 	write := func(name string, h *testutil.Host) string {
 		path := filepath.Join(dir, name)
@@ -458,7 +458,7 @@
 	g := startAppliance(t, text(one))
 	reaches := func(what string, h *testutil.Host) {
 		t.Helper()
-		testutil.Until(t, what, func() bool {
+		testutil.WaitUntil(t, what, func() bool {
 			before, _, _ := h.Counts()
 			resp, _ := fetch(t, "GET", g.urls[0]+"/", "")
 			after, _, _ := h.Counts()
@@ -489,7 +489,7 @@
 		t.Fatal(err)
 	}
 	defer fleet.Close()
-	static := testutil.NewHost(t, testutil.Says(testutil.Good))
+	static := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	ln := testutil.Listen(t, "127.0.0.1:0", nil)
 	addr := ln.Addr().String()
 	ln.Close()
@@ -500,7 +500,7 @@
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" || strings.Contains(resp.Header.Get("Retry-After"), ".") {
 		t.Errorf("answered %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
-	if took := time.Since(began); took > testutil.Patience/4 {
+	if took := time.Since(began); took > testutil.WaitTimeout/4 {
 		t.Errorf("it took %v", took)
 	}
 	if resp, text := fetch(t, "GET", g.urls[0]+"/_health", ""); resp.StatusCode != 200 || !strings.Contains(text, "pool told: no host") {
@@ -520,7 +520,7 @@
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
 	}))
-	testutil.Until(t, "the pool serves", func() bool {
+	testutil.WaitUntil(t, "the pool serves", func() bool {
 		resp, _ := fetch(t, "GET", g.urls[0]+"/told", "")
 		return resp.StatusCode == 200
 	})
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -772,11 +772,11 @@
 	for b.Loop() {
 		c := startChild(b, "dunemoor-cgi", web.Listener.Addr().String()+";127.0.0.1:1")
 		_, byCGI, _ := strings.Cut(strings.TrimPrefix(c.url, "http://"), ";")
-		server := &fakes.WebServer{Addr: byCGI, Conns: 4}
+		server := &fakes.WebServer{Addr: byCGI, MaxConnections: 4}
 		var left, failed, refused atomic.Int64
 		left.Store(count)
 		var all sync.WaitGroup
-		for range 4 * fastcgi.ReqsMost / 2 { // turns among connections are not quite even
+		for range 4 * fastcgi.MaxRequestsPerConn / 2 { // turns among connections are not quite even
 			all.Go(func() {
 				for left.Add(-1) >= 0 {
 					r, _ := http.NewRequest("POST", "http://a/http", io.LimitReader(endless{}, size))
--- a/internal/gateway/churn_test.go
+++ b/internal/gateway/churn_test.go
@@ -53,7 +53,7 @@
 			}
 			replaced++
 			g.pool.UpdateEndpoints(balancer.ListChanges, discovery.MemberList{Servers: list})
-			if err := testutil.Asked(c); err != nil {
+			if err := testutil.RoundTrip(c); err != nil {
 				t.Fatal(err)
 			}
 			if n := connections.Load(); n != int64(replaced) {
--- a/internal/gateway/classes.go
+++ b/internal/gateway/classes.go
@@ -49,7 +49,7 @@
 		Class: i, NonIdempotentClass: c.nonIdempotent[i], Timeout: r.Timeout, RetryableMethods: r.RetryableMethods,
 		MaxTunnels: r.MaxTunnels, RequestHeaders: r.RequestHeaders, ResponseHeaders: r.ResponseHeaders,
 	}
-	pace := body.Pace{Idle: r.IdleTimeout, Least: r.MinRate}
+	pace := body.Pace{IdleTimeout: r.IdleTimeout, MinRate: r.MinRate}
 	out.Streams = &engine.Streams{BufferBytes: r.BufferBytes, MaxBodyBytes: r.MaxBodyBytes, HeadDeadlineOnly: r.HeadDeadlineOnly, Pace: pace, Upload: pace}
 	out.ForwardsFailures = true
 	failures := r.FailureStatuses
--- a/internal/gateway/compat_test.go
+++ b/internal/gateway/compat_test.go
@@ -12,10 +12,10 @@
 func TestCompatStatus(t *testing.T) {
 	compat.JSON(t, "status.json", &Status{})
 	var causes, refusals []any
-	for _, c := range body.Causes() {
+	for _, c := range body.Purposes() {
 		causes = append(causes, c)
 	}
-	for _, r := range frontend.Refusals() {
+	for _, r := range frontend.RejectReasons() {
 		refusals = append(refusals, r)
 	}
 	compat.Values(t, "body-causes.txt", causes...)
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -44,7 +44,7 @@
 // A drain: health says no at once, connections that are kept stay of use for a while and then
 // end with their answers, those without a request are closed, and a call later all is as before.
 func TestDrain(t *testing.T) {
-	g := startGateway(t, testConfig(testutil.NewHost(t, testutil.Says(testutil.Good))))
+	g := startGateway(t, testConfig(testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))))
 	g.Resume() // no drain is on: it changes nothing
 	if got := g.health(); got != 200 {
 		t.Fatalf("health: %d", got)
@@ -66,11 +66,11 @@
 	if resp, err := ask(); err != nil || resp.StatusCode != 200 {
 		t.Errorf("a kept connection just after the call: %v, %v", resp, err)
 	}
-	testutil.Until(t, "connections leave", func() bool { s, _ := g.gate.Draining(); return s >= drain.Leaving })
+	testutil.WaitUntil(t, "connections leave", func() bool { s, _ := g.gate.Draining(); return s >= drain.Leaving })
 	if resp, err := ask(); err != nil || resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("once connections leave: %v, %v", resp, err)
 	}
-	idle.SetReadDeadline(time.Now().Add(testutil.Patience))
+	idle.SetReadDeadline(time.Now().Add(testutil.WaitTimeout))
 	if _, err := idle.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "timeout") {
 		t.Errorf("a connection without a request is held: %v", err)
 	}
@@ -113,9 +113,9 @@
 		}
 		answer <- err
 	}()
-	testutil.Until(t, "it is out", func() bool { return g.openRequests() == 1 })
+	testutil.WaitUntil(t, "it is out", func() bool { return g.openRequests() == 1 })
 	g.Quiesce()
-	testutil.Until(t, "connections are closed", func() bool { s, _ := g.gate.Draining(); return s == drain.Closing })
+	testutil.WaitUntil(t, "connections are closed", func() bool { s, _ := g.gate.Draining(); return s == drain.Closing })
 	close(release)
 	if err := <-answer; err != nil {
 		t.Error(err)
--- a/internal/gateway/fastcgi_test.go
+++ b/internal/gateway/fastcgi_test.go
@@ -37,7 +37,7 @@
 	scan  fastcgi.Scanner
 	rest  []byte
 	out   map[uint16]string
-	ended map[uint16][]fastcgi.End
+	ended map[uint16][]fastcgi.EndRequestBody
 	reply []byte // of the connection's own
 }
 
@@ -48,8 +48,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(testutil.Patience))
-	return &webSide{T: t, Conn: c, out: map[uint16]string{}, ended: map[uint16][]fastcgi.End{}}
+	c.SetDeadline(time.Now().Add(testutil.WaitTimeout))
+	return &webSide{T: t, Conn: c, out: map[uint16]string{}, ended: map[uint16][]fastcgi.EndRequestBody{}}
 }
 
 // params are those of a request, and what else is given as names and values.
@@ -67,11 +67,11 @@
 
 // request is the records of a request; with no end its STDIN goes on.
 func webRequest(id uint16, flags uint8, params []byte, stdin string, end bool) []byte {
-	b := fastcgi.AppendBegin(nil, id, fastcgi.Begin{Role: fastcgi.Responder, Flags: flags})
-	b = fastcgi.AppendEnd(fastcgi.AppendStream(b, fastcgi.Params, id, params), fastcgi.Params, id)
+	b := fastcgi.AppendBeginRequest(nil, id, fastcgi.BeginRequestBody{Role: fastcgi.Responder, Flags: flags})
+	b = fastcgi.AppendStreamEnd(fastcgi.AppendStream(b, fastcgi.Params, id, params), fastcgi.Params, id)
 	b = fastcgi.AppendStream(b, fastcgi.Stdin, id, []byte(stdin))
 	if end {
-		b = fastcgi.AppendEnd(b, fastcgi.Stdin, id)
+		b = fastcgi.AppendStreamEnd(b, fastcgi.Stdin, id)
 	}
 	return b
 }
@@ -88,24 +88,24 @@
 			w.Fatal(err)
 		}
 		w.rest = rest
-		h := w.scan.Head()
+		h := w.scan.Header()
 		switch ev {
-		case fastcgi.More:
+		case fastcgi.NeedMore:
 			n, err := w.Read(b)
 			if err != nil {
 				return w.out[id], false
 			}
 			w.rest = append(w.rest, b[:n]...)
-		case fastcgi.Start:
+		case fastcgi.RecordStart:
 			fixed = nil
 			if h.ID != 0 && len(w.ended[h.ID]) > 0 && h.Type != fastcgi.EndRequest && w.out[h.ID] == "over" {
 				w.Errorf("%v for request %d behind its end", h.Type, h.ID)
 			}
-		case fastcgi.Part:
+		case fastcgi.RecordContent:
 			if fixed = append(fixed, part...); h.Type == fastcgi.Stdout {
 				w.out[h.ID] += string(part)
 			}
-		case fastcgi.Done:
+		case fastcgi.RecordEnd:
 			if h.Type == fastcgi.EndRequest {
 				e, err := fastcgi.ParseEnd(fixed)
 				if err != nil {
@@ -130,7 +130,7 @@
 	if !ok {
 		return 0, text
 	}
-	status, _, n, err := fastcgi.ParseAnswer([]byte(text))
+	status, _, n, err := fastcgi.ParseResponseHeader([]byte(text))
 	if err != nil || n == 0 {
 		w.Errorf("%q is no answer: %v", text, err)
 		return 0, text
@@ -195,7 +195,7 @@
 		t.Errorf("%d bad requests went on", n)
 	}
 	// The connection has survived all that; bodies of any size flow.
-	for _, n := range []int{0, 1, frontend.MaxHeld, frontend.MaxHeld + 1, 2_000_000} {
+	for _, n := range []int{0, 1, frontend.MaxBufferedBytes, frontend.MaxBufferedBytes + 1, 2_000_000} {
 		if status, text := w.ask(3, webParams("POST", "/", "CONTENT_LENGTH", fmt.Sprint(n)), strings.Repeat("y", n)); status != 201 || text != fmt.Sprintf("POST / %d", n) {
 			t.Errorf("%d bytes: %d %q", n, status, text)
 		}
@@ -239,7 +239,7 @@
 	g := startAppliance(t, uploads("", addr, addr)+webListener)
 	w := dialWeb(t, g.cgiAddr())
 	w.SetDeadline(time.Now().Add(10 * time.Second)) // the route's time is longer: an abort must not wait for it
-	abort := func(id uint16) { w.Write(fastcgi.AppendEnd(nil, fastcgi.AbortRequest, id)) }
+	abort := func(id uint16) { w.Write(fastcgi.AppendStreamEnd(nil, fastcgi.AbortRequest, id)) }
 	check := func(what string, id uint16) {
 		t.Helper()
 		text, ok := w.until(id)
@@ -255,14 +255,14 @@
 		}
 	}
 	w.Write(webRequest(1, fastcgi.KeepConn, webParams("POST", "/hold", "CONTENT_LENGTH", "1"), "x", true))
-	testutil.Until(t, "it is out", func() bool { return held.Load() == 1 })
+	testutil.WaitUntil(t, "it is out", func() bool { return held.Load() == 1 })
 	abort(1)
 	check("while it is out", 1)
-	testutil.Until(t, "the attempt is called off", func() bool { return left.Load() == 1 })
+	testutil.WaitUntil(t, "the attempt is called off", func() bool { return left.Load() == 1 })
 	w.Write(webRequest(2, fastcgi.KeepConn, webParams("POST", "/", "CONTENT_LENGTH", "100"), "half", false))
 	abort(2)
 	check("half way through STDIN", 2)
-	w.Write(append(fastcgi.AppendBegin(nil, 3, fastcgi.Begin{Role: fastcgi.Responder, Flags: 1}), fastcgi.AppendStream(nil, fastcgi.Params, 3, webParams("POST", "/"))...))
+	w.Write(append(fastcgi.AppendBeginRequest(nil, 3, fastcgi.BeginRequestBody{Role: fastcgi.Responder, Flags: 1}), fastcgi.AppendStream(nil, fastcgi.Params, 3, webParams("POST", "/"))...))
 	abort(3)
 	check("ahead of its parameters' end", 3)
 	for id := uint16(10); id < 60; id++ { // in about the same instant as the answer
@@ -275,10 +275,10 @@
 		w.out[id] = "over"
 	}
 	w.Write(webRequest(5, fastcgi.KeepConn, webParams("GET", "/hold"), "", true))
-	testutil.Until(t, "it is out", func() bool { return held.Load() == 2 })
+	testutil.WaitUntil(t, "it is out", func() bool { return held.Load() == 2 })
 	w.Close()
-	testutil.Until(t, "the end of a connection is its clients leaving", func() bool { return left.Load() == 2 })
-	testutil.Until(t, "nothing is held", func() bool {
+	testutil.WaitUntil(t, "the end of a connection is its clients leaving", func() bool { return left.Load() == 2 })
+	testutil.WaitUntil(t, "nothing is held", func() bool {
 		for i := range 3 {
 			if n, _ := g.gate.Bodies.Used(bodyCause(i)); n != 0 {
 				return false
@@ -305,7 +305,7 @@
 	for id := range uint16(most) {
 		w.Write(webRequest(id+1, fastcgi.KeepConn, webParams("POST", "/hold", "CONTENT_LENGTH", "0"), "", true))
 	}
-	testutil.Until(t, "the host is full", func() bool { return held.Load() == most })
+	testutil.WaitUntil(t, "the host is full", func() bool { return held.Load() == most })
 	w.Write(webRequest(50, fastcgi.KeepConn, webParams("POST", "/queued", "CONTENT_LENGTH", "0"), "", true))
 	inside := func() (n int64) {
 		plan := g.engine.Snapshot()
@@ -313,12 +313,12 @@
 		plan.Pools(func(p *engine.Pool) { n += p.OpenRequests() })
 		return n
 	}
-	testutil.Until(t, "it waits", func() bool { return inside() == most+1 })
-	w.Write(fastcgi.AppendEnd(nil, fastcgi.AbortRequest, 50))
+	testutil.WaitUntil(t, "it waits", func() bool { return inside() == most+1 })
+	w.Write(fastcgi.AppendStreamEnd(nil, fastcgi.AbortRequest, 50))
 	if text, ok := w.until(50); !ok || text != "" {
 		t.Errorf("%q, ended %t", text, ok)
 	}
-	testutil.Until(t, "it is forgotten", func() bool { return inside() == most })
+	testutil.WaitUntil(t, "it is forgotten", func() bool { return inside() == most })
 	if n := queued.Load(); n != 0 {
 		t.Errorf("it went out %d times", n)
 	}
@@ -355,7 +355,7 @@
 	for id := range uint16(most) {
 		w.Write(webRequest(id+1, fastcgi.KeepConn, webParams("POST", "/hold", "CONTENT_LENGTH", "0"), "", true))
 	}
-	testutil.Until(t, "the host is full", func() bool { return held.Load() == most })
+	testutil.WaitUntil(t, "the host is full", func() bool { return held.Load() == most })
 	inside := func() (n int64) {
 		plan := g.engine.Snapshot()
 		defer plan.Release()
@@ -365,11 +365,11 @@
 	left := dialWeb(t, g.cgiAddr())
 	body := strings.Repeat("x", 160<<10) // more than is held of it and read ahead, by what its connection has room for
 	left.Write(webRequest(1, fastcgi.KeepConn, webParams("POST", "/queued", "CONTENT_LENGTH", "1000000"), body, false))
-	testutil.Until(t, "it waits", func() bool { return inside() == most+1 })
+	testutil.WaitUntil(t, "it waits", func() bool { return inside() == most+1 })
 	left.Close()
-	testutil.Until(t, "its end has come", func() bool { return closeWait(t, left) })
+	testutil.WaitUntil(t, "its end has come", func() bool { return closeWait(t, left) })
 	release()
-	testutil.Until(t, "all is over", func() bool { return inside() == 0 })
+	testutil.WaitUntil(t, "all is over", func() bool { return inside() == 0 })
 	if status, _ := w.ask(50, webParams("GET", "/"), ""); status != 200 {
 		t.Errorf("status %d", status)
 	}
@@ -388,9 +388,9 @@
 	g := startAppliance(t, uploads("", addr)+webListener)
 	w := dialWeb(t, g.cgiAddr())
 	w.Write(webRequest(1, fastcgi.KeepConn, webParams("GET", "/"), "", true))
-	testutil.Until(t, "it is out", func() bool { return hits.Load() == 1 })
+	testutil.WaitUntil(t, "it is out", func() bool { return hits.Load() == 1 })
 	w.Write(webRequest(2, fastcgi.KeepConn, webParams("POST", "/", "CONTENT_LENGTH", "9"), "half", false))
-	w.Write(fastcgi.AppendBegin(nil, 1, fastcgi.Begin{Role: fastcgi.Responder}))
+	w.Write(fastcgi.AppendBeginRequest(nil, 1, fastcgi.BeginRequestBody{Role: fastcgi.Responder}))
 	if text, ok := w.until(2); !ok || !strings.HasPrefix(text, "Status: 400") {
 		t.Errorf("half a request on a spoilt connection: %q", text)
 	}
@@ -461,8 +461,8 @@
 	}
 	for i := range 500 { // half open: a flood of BEGINs on connections that go silent
 		h := dialWeb(t, g.cgiAddr())
-		for id := range uint16(fastcgi.ReqsMost + 5) {
-			h.Write(fastcgi.AppendBegin(nil, id+1, fastcgi.Begin{Role: fastcgi.Responder, Flags: 1}))
+		for id := range uint16(fastcgi.MaxRequestsPerConn + 5) {
+			h.Write(fastcgi.AppendBeginRequest(nil, id+1, fastcgi.BeginRequestBody{Role: fastcgi.Responder, Flags: 1}))
 			if id%2 == 0 {
 				h.Write(fastcgi.AppendStream(nil, fastcgi.Params, id+1, webParams("POST", fmt.Sprint("/half/", i))))
 			}
@@ -477,7 +477,7 @@
 			t.Errorf("a new connection, %d: %d %q", i, status, text)
 		}
 	}
-	testutil.Until(t, "those that bring nothing more are ended", func() bool {
+	testutil.WaitUntil(t, "those that bring nothing more are ended", func() bool {
 		for i := range 3 {
 			if n, _ := g.gate.Bodies.Used(bodyCause(i)); n > 1<<20 {
 				return false
@@ -523,16 +523,16 @@
 	}
 	g := startAppliance(t, text+webListener)
 	// Connections enough for all that a slow machine lets pile up.
-	web := &fakes.WebServer{Addr: g.cgiAddr(), Conns: 10}
+	web := &fakes.WebServer{Addr: g.cgiAddr(), MaxConnections: 10}
 	defer web.Close()
 	var loads sync.WaitGroup
 	const rate, count = 60, 240 // of each of the four; a slow machine keeps up too
 	for i, by := range []http.RoundTripper{nil, web} {
 		for k, pool := range []string{"http", "cgi"} {
-			classes := fakes.Classes()
+			classes := fakes.DefaultClasses()
 			for n := range classes {
 				c := &classes[n]
-				c.Says, c.Name = c.Name, fmt.Sprintf("%s by %s at %s", c.Name, []string{"http", "cgi"}[i], pool)
+				c.ClassHeader, c.Name = c.Name, fmt.Sprintf("%s by %s at %s", c.Name, []string{"http", "cgi"}[i], pool)
 				c.Path, c.Timeout = "/"+pool+"/x", 20*time.Second
 			}
 			load := fakes.Load{URL: g.urls[0], Rate: rate, Count: count, Classes: classes, Seed: uint64(10*i + k), Retries: 2, Transport: by}
@@ -553,15 +553,15 @@
 			responders[(i+1)%4].Crash()
 			time.Sleep(200 * time.Millisecond)
 			// Meanwhile a connection of another process may have taken the port: the host stays down for as long.
-			testutil.Until(t, "the node has its address again", func() bool { return nodes.Nodes[i%4].Start() == nil })
-			testutil.Until(t, "the responder has its address again", func() bool { return responders[(i+1)%4].Start() == nil })
+			testutil.WaitUntil(t, "the node has its address again", func() bool { return nodes.Nodes[i%4].Start() == nil })
+			testutil.WaitUntil(t, "the responder has its address again", func() bool { return responders[(i+1)%4].Start() == nil })
 			continue
 		}
 		break
 	}
 	c := ledger.Count()
-	if broken := c.Broken(); broken != "" {
-		t.Errorf("rules broken: %s; twice %v, harm %v, stray %v", broken, c.Twice, c.Harm, c.Stray)
+	if broken := c.Violations(); broken != "" {
+		t.Errorf("rules broken: %s; twice %v, harm %v, stray %v", broken, c.RanTwice, c.RejectedAfterExecution, c.Unrequested)
 	}
 	shares := map[string]float64{}
 	for name, ends := range c.ByClass {
@@ -574,7 +574,7 @@
 			t.Errorf("%s: %.1f%% served of %d: %v", name, shares[name], n, ends)
 		}
 	}
-	t.Logf("%d asked, %v ends, served in hundredths %v", c.Asked, c.Ends, shares)
+	t.Logf("%d asked, %v ends, served in hundredths %v", c.Requests, c.Outcomes, shares)
 }
 
 // Listeners and pools by socket file; a socket file that is left over is in nobody's way, and one
@@ -600,8 +600,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.SetDeadline(time.Now().Add(testutil.Patience))
-	w := &webSide{T: t, Conn: c, out: map[uint16]string{}, ended: map[uint16][]fastcgi.End{}}
+	c.SetDeadline(time.Now().Add(testutil.WaitTimeout))
+	w := &webSide{T: t, Conn: c, out: map[uint16]string{}, ended: map[uint16][]fastcgi.EndRequestBody{}}
 	defer c.Close()
 	if status, text := w.ask(1, webParams("GET", "/", "HTTP_X_REQUEST_ID", "abc"), ""); status != 200 || text != "done abc" {
 		t.Errorf("%d %q", status, text)
@@ -639,7 +639,7 @@
 					defer c.Close()
 					var got []byte
 					b := make([]byte, 4096)
-					end := fastcgi.AppendEnd(nil, fastcgi.Stdin, 1)
+					end := fastcgi.AppendStreamEnd(nil, fastcgi.Stdin, 1)
 					for !strings.HasSuffix(string(got), string(end)) { // each is the first on its connection
 						n, err := c.Read(b)
 						if got = append(got, b[:n]...); err != nil {
@@ -649,7 +649,7 @@
 					n := runs.Add(1)
 					answer := fastcgi.AppendStream(nil, fastcgi.Stdout, 1, []byte("Status: 200\r\n\r\ngood"))
 					if strings.Contains(string(got), "GET") && n > 2 {
-						c.Write(fastcgi.AppendEndRequest(answer, 1, fastcgi.End{}))
+						c.Write(fastcgi.AppendEndRequest(answer, 1, fastcgi.EndRequestBody{}))
 						return
 					}
 					c.Write(answer[:len(answer)-3])
--- a/internal/gateway/flow_test.go
+++ b/internal/gateway/flow_test.go
@@ -80,7 +80,7 @@
 		io.Copy(w, noise(9, back))
 	})
 	g := startAppliance(t, uploads("max_body = \"64MiB\"", addr))
-	client := &http.Client{Timeout: testutil.Patience}
+	client := &http.Client{Timeout: testutil.WaitTimeout}
 	defer client.CloseIdleConnections()
 	for _, n := range []int64{0, 1, 65535, 65536, 65537, 1 << 20, 20 << 20} {
 		for _, chunked := range []bool{false, true} {
@@ -121,7 +121,7 @@
 			}
 		}
 	}
-	testutil.Until(t, "nothing is held", func() bool {
+	testutil.WaitUntil(t, "nothing is held", func() bool {
 		for c := range 3 {
 			if used, _ := g.gate.Bodies.Used(bodyCause(c)); used != 0 {
 				return false
@@ -166,7 +166,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(testutil.Patience))
+	c.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 	fmt.Fprintf(c, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n", all)
 	sent := make(chan int64, 1)
 	go func() {
@@ -214,7 +214,7 @@
 		g := startAppliance(t, uploads("hold = \"8KiB\"\nretry_share = 3.0\nretry_floor = 100.0", nodes...))
 		r, _ := http.NewRequest("PUT", g.urls[0]+"/", noise(5, c.n))
 		r.ContentLength = c.n
-		resp, err := (&http.Client{Timeout: testutil.Patience}).Do(r)
+		resp, err := (&http.Client{Timeout: testutil.WaitTimeout}).Do(r)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -247,7 +247,7 @@
 		}()
 		r, _ := http.NewRequest("POST", g.urls[0]+"/", in)
 		r.ContentLength = 1 << 20
-		resp, err := (&http.Client{Timeout: testutil.Patience}).Do(r)
+		resp, err := (&http.Client{Timeout: testutil.WaitTimeout}).Do(r)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -348,7 +348,7 @@
 					if reads {
 						io.Copy(io.Discard, in)
 					} else {
-						time.Sleep(testutil.Patience / 20)
+						time.Sleep(testutil.WaitTimeout / 20)
 					}
 				}()
 			}
@@ -358,7 +358,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.SetDeadline(time.Now().Add(testutil.Patience))
+		c.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 		fmt.Fprintf(c, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n", 30<<20)
 		go io.Copy(c, noise(1, 20<<20))
 		in := bufio.NewReader(c)
@@ -422,7 +422,7 @@
 			}
 		}()
 	}
-	testutil.Until(t, "both stand still", func() bool {
+	testutil.WaitUntil(t, "both stand still", func() bool {
 		a, b := wrote.Load(), read.Load()
 		time.Sleep(100 * time.Millisecond)
 		return a > 0 && b > 0 && a == wrote.Load() && b == read.Load()
@@ -464,7 +464,7 @@
 		r.Header.Set("Expect", "100-continue")
 		r.Header.Set("X-Want", want)
 		r = r.WithContext(httptrace.WithClientTrace(context.Background(), &httptrace.ClientTrace{Got100Continue: func() { told.Add(1) }}))
-		client := &http.Client{Timeout: testutil.Patience, Transport: &http.Transport{ExpectContinueTimeout: testutil.Patience, DisableKeepAlives: true}}
+		client := &http.Client{Timeout: testutil.WaitTimeout, Transport: &http.Transport{ExpectContinueTimeout: testutil.WaitTimeout, DisableKeepAlives: true}}
 		resp, err := client.Do(r)
 		if err != nil {
 			t.Fatal(err)
@@ -510,7 +510,7 @@
 
 // What readers of HTTP disagree on goes to no host: each case hides a request, or might.
 func TestSmuggling(t *testing.T) {
-	host := testutil.NewHost(t, testutil.Says(testutil.Good))
+	host := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	g := startAppliance(t, uploads("max_body = \"1MiB\"", host.Addr()))
 	post := "POST / HTTP/1.1\r\nHost: a\r\n"
 	hidden := "0\r\n\r\nGET /hidden HTTP/1.1\r\nHost: a\r\n\r\n"
@@ -541,7 +541,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.SetDeadline(time.Now().Add(testutil.Patience))
+		c.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 		io.WriteString(c, text)
 		c.(*net.TCPConn).CloseWrite()
 		in := bufio.NewReader(c)
@@ -580,7 +580,7 @@
 		"not asked for":     "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n",
 		"noise":             "\x80\x01\x02",
 	} {
-		host := testutil.NewHost(t, testutil.Says(text))
+		host := testutil.NewHost(t, testutil.RespondWith(text))
 		g := startAppliance(t, uploads("", host.Addr()))
 		if resp, body := fetch(t, "POST", g.urls[0]+"/", "b"); resp.StatusCode != 502 {
 			t.Errorf("%s: %d %q", name, resp.StatusCode, body)
@@ -611,7 +611,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.SetDeadline(time.Now().Add(testutil.Patience))
+		c.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 		fmt.Fprintf(c, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: %s\r\n\r\nabc", text)
 		if text != "10" {
 			c.Write(make([]byte, 100_000))
@@ -646,7 +646,7 @@
 			}
 		}
 	})
-	other := testutil.NewHost(t, testutil.Says(testutil.Good))
+	other := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	g := startAppliance(t, uploads("stream = true\ntimeout = \"1s\"", addr)[:0]+strings.Replace(uploads("stream = true", addr), "timeout = \"15s\"", "timeout = \"1s\"", 1))
 	var streams []*bufio.Reader
 	for range 10 {
@@ -728,7 +728,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.SetDeadline(time.Now().Add(testutil.Patience))
+		c.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 		fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: a\r\nConnection: keep-alive, Upgrade\r\nUpgrade: websocket\r\nSec-WebSocket-Key: y\r\n\r\n", path)
 		in := bufio.NewReader(c)
 		resp, err := http.ReadResponse(in, nil)
@@ -772,7 +772,7 @@
 		t.Errorf("the end of one side: %q, %v", rest, err)
 	}
 	b.Close()
-	testutil.Until(t, "there is room again", func() bool {
+	testutil.WaitUntil(t, "there is room again", func() bool {
 		c, in, resp := open("/ws")
 		defer c.Close()
 		if resp.StatusCode == 101 {
@@ -782,7 +782,7 @@
 		return false
 	})
 	done := make(chan struct{})
-	go func() { g.server.Stop(); close(done) }()
+	go func() { g.server.Shutdown(); close(done) }()
 	rest, err := io.ReadAll(inA)
 	if !bytes.HasPrefix(rest, []byte{0x88, 0x02, 0x03, 0xe9}) {
 		t.Errorf("at a drain: %x, %v", rest, err)
@@ -822,11 +822,11 @@
 	}
 	all.Wait()
 	pool := g.appliance.pools["p"]
-	testutil.Until(t, "no request is kept", func() bool { return pool.OpenRequests() == 0 })
+	testutil.WaitUntil(t, "no request is kept", func() bool { return pool.OpenRequests() == 0 })
 	for c := range 3 {
-		testutil.Until(t, "no memory is held", func() bool { used, _ := g.gate.Bodies.Used(bodyCause(c)); return used == 0 })
+		testutil.WaitUntil(t, "no memory is held", func() bool { used, _ := g.gate.Bodies.Used(bodyCause(c)); return used == 0 })
 	}
-	testutil.Until(t, "no goroutine is left", func() bool {
+	testutil.WaitUntil(t, "no goroutine is left", func() bool {
 		http.DefaultClient.CloseIdleConnections()
 		return runtime.NumGoroutine() <= before+8 // idle connections to the host
 	})
@@ -837,7 +837,7 @@
 	}
 }
 
-func bodyCause(i int) body.Cause { return body.Cause(i) }
+func bodyCause(i int) body.Purpose { return body.Purpose(i) }
 
 // Two hosts of three answer 503: a GET is served by the third, a POST is not sent again and its
 // client gets what its host said.
@@ -922,7 +922,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(testutil.Patience))
+	c.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 	io.WriteString(c, "GET / HTTP/1.0\r\nHost: a\r\n\r\n")
 	in := bufio.NewReader(c)
 	for line := ""; line != "data: 1\n"; {
@@ -959,7 +959,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.SetDeadline(time.Now().Add(testutil.Patience))
+		c.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 		io.WriteString(c, "GET "+path+" HTTP/1.0\r\nHost: a\r\n\r\n")
 		got, err := io.ReadAll(c)
 		if (err == nil) != whole || whole && !strings.HasSuffix(string(got), "\r\n\r\nfirst") {
--- a/internal/gateway/forward_test.go
+++ b/internal/gateway/forward_test.go
@@ -67,7 +67,7 @@
 		g.Close()
 	}
 	h := http.Header{}
-	frontend.Forward(h, frontend.Peer{Addr: netip.MustParseAddr("2001:db8::1%eth0"), Proto: "https"}, "h.org")
+	frontend.SetForwardedHeaders(h, frontend.ClientAddress{Addr: netip.MustParseAddr("2001:db8::1%eth0"), Proto: "https"}, "h.org")
 	if got := h.Get("Forwarded"); got != "for=\"[2001:db8::1]\";host=h.org;proto=https" || h.Get("X-Forwarded-For") != "2001:db8::1" {
 		t.Errorf("%v", h)
 	}
@@ -111,7 +111,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		nc.SetDeadline(time.Now().Add(testutil.Patience))
+		nc.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 		io.WriteString(nc, c.sent)
 		if c.from == "" {
 			nc.(*net.TCPConn).CloseWrite() // nothing more comes; one who waits for an answer does not do so
@@ -127,7 +127,7 @@
 			t.Errorf("%s: answered %d, %d requests at the host", c.name, got, n)
 		}
 		if c.from != "" {
-			testutil.Until(t, c.name+": the host has it", func() bool { n, _, _ := host.Counts(); return n > 0 })
+			testutil.WaitUntil(t, c.name+": the host has it", func() bool { n, _, _ := host.Counts(); return n > 0 })
 			if s := said(host); s[0] != c.from {
 				t.Errorf("%s: the host is told %q", c.name, s)
 			}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -40,7 +40,7 @@
 // Gateway is a running gateway. Its methods are called from one goroutine, unless they say otherwise.
 type Gateway struct {
 	engine         *engine.Engine
-	gate           *frontend.Gate
+	gate           *frontend.Admission
 	server         *http1.Server
 	fastCGI        *fcgi.Server // nil: no listener speaks FastCGI
 	listenerErrors chan error
@@ -65,11 +65,11 @@
 // newGateway returns a Gateway without pools.
 func newGateway(seed uint64, sockets int, memory int64, o http1.Options) *Gateway {
 	g := &Gateway{engine: engine.New(seed), listenerErrors: make(chan error, 1), sockets: sockets, memory: memory}
-	g.gate = frontend.NewGate(g.engine, body.NewBudget(memory))
-	o.Sockets, o.Spare = clientSocketLimits(sockets)
+	g.gate = frontend.NewAdmission(g.engine, body.NewBudget(memory))
+	o.MaxConns, o.SpareConns = clientSocketLimits(sockets)
 	g.server = http1.New(g.gate, o)
 	g.ctx, g.cancel = context.WithCancel(context.Background())
-	go g.server.Drain(g.ctx)
+	go g.server.RunDrain(g.ctx)
 	return g
 }
 
@@ -115,9 +115,9 @@
 	}
 	var frontends sync.WaitGroup
 	if g.fastCGI != nil {
-		frontends.Go(g.fastCGI.Stop)
+		frontends.Go(g.fastCGI.Shutdown)
 	}
-	g.server.Stop()
+	g.server.Shutdown()
 	frontends.Wait()
 	g.cancel()
 	g.engine.Wait(timeout)
@@ -148,13 +148,13 @@
 // Quiesce begins a drain: the health check fails, and connections end once their clients have their responses. A
 // second call changes nothing.
 func (g *Gateway) Quiesce() {
-	g.gate.Quiesce()
+	g.gate.StartDrain()
 	slog.Info("draining")
 }
 
 // Resume ends a drain.
 func (g *Gateway) Resume() {
-	g.gate.Resume()
+	g.gate.CancelDrain()
 	slog.Info("drain ended, serving")
 }
 
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -31,7 +31,7 @@
 func testConfig(hosts ...*testutil.Host) *config.Platform {
 	second := time.Second
 	cfg := &config.Platform{
-		Sockets: 1024, ConnIdle: time.Minute, DialTimeout: testutil.Patience, Seed: 7,
+		Sockets: 1024, ConnIdle: time.Minute, DialTimeout: testutil.WaitTimeout, Seed: 7,
 		Classes: map[string]int{"look": 0, "book": 1, "report": 2},
 		Zones:   map[string]int{}, Kinds: map[string]int{},
 		Settings: balancer.Settings{
@@ -76,14 +76,14 @@
 // ask sends a request and returns its answer.
 func (g *testGateway) ask(class, path, body string, headers ...string) (*http.Response, string) {
 	g.Helper()
-	return testutil.Ask(g, g.url, class, path, body, headers...)
+	return testutil.SendRequest(g, g.url, class, path, body, headers...)
 }
 
 func (g *testGateway) openRequests() int64 { return g.pool.OpenRequests() }
 
 // A host must get the request as the client sent it.
 func TestRequestGoesOnUnchanged(t *testing.T) {
-	server := testutil.NewHost(t, testutil.Says(testutil.Good))
+	server := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	g := startGateway(t, testConfig(server))
 	paths := []string{"/api/a%2Fb//c/../d/?q=1&q=%20&", "//api/x", "/api/?", "/api/%7e~;a=b|"}
 	for i, path := range paths {
@@ -119,9 +119,9 @@
 }
 
 func TestBadRequestsReachNoHost(t *testing.T) {
-	server := testutil.NewHost(t, testutil.Says(testutil.Good))
+	server := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	g := startGateway(t, testConfig(server))
-	long := strings.Repeat("x", frontend.MaxBody+1)
+	long := strings.Repeat("x", frontend.MaxBodyBytes+1)
 	for _, tt := range []struct {
 		name, class, body string
 		headers           []string
@@ -157,10 +157,10 @@
 		status   int
 		requests int
 	}{
-		{"500", testutil.Says(testutil.Errored), 502, 1},
-		{"reset", testutil.BreakOff, 502, 1},
+		{"500", testutil.RespondWith(testutil.ErrorResponse), 502, 1},
+		{"reset", testutil.ResetConnection, 502, 1},
 		{"turned away", func(c net.Conn, r *http.Request, n int) bool {
-			io.WriteString(c, []string{testutil.TurnedAway, testutil.Good}[min(n, 1)])
+			io.WriteString(c, []string{testutil.RejectedResponse, testutil.OKResponse}[min(n, 1)])
 			return true
 		}, 200, 2},
 	} {
@@ -177,7 +177,7 @@
 
 // A safe request that failed is tried again; 4 attempts are the most.
 func TestSafeRequestIsTriedAgain(t *testing.T) {
-	server := testutil.NewHost(t, testutil.Says(testutil.Errored))
+	server := testutil.NewHost(t, testutil.RespondWith(testutil.ErrorResponse))
 	g := startGateway(t, testConfig(server))
 	if resp, _ := g.ask("look", "/api/1", ""); resp.StatusCode != 503 {
 		t.Errorf("status %d, want a refusal, as trying again is harmless", resp.StatusCode)
@@ -191,7 +191,7 @@
 
 // When the client has gone, the attempt is called off and the request forgotten.
 func TestClientGone(t *testing.T) {
-	server := testutil.NewHost(t, testutil.Hang)
+	server := testutil.NewHost(t, testutil.NeverRespond)
 	g := startGateway(t, testConfig(server))
 	for _, head := range []string{
 		"GET /api/1 HTTP/1.1\r\nHost: a\r\nX-Priority-Class: look\r\nX-Timeout: 60\r\nX-Request-ID: " + testutil.NewID() + "\r\n\r\n",
@@ -203,16 +203,16 @@
 			t.Fatal(err)
 		}
 		io.WriteString(c, head)
-		testutil.Until(t, "the host has the request", func() bool {
+		testutil.WaitUntil(t, "the host has the request", func() bool {
 			requests, _, _ := server.Counts()
 			return requests == before+1
 		})
 		c.Close()
-		testutil.Until(t, "the host sees its connection end", func() bool {
+		testutil.WaitUntil(t, "the host sees its connection end", func() bool {
 			_, accepted, ended := server.Counts()
 			return accepted == ended
 		})
-		testutil.Until(t, "the request is forgotten", func() bool { return g.openRequests() == 0 })
+		testutil.WaitUntil(t, "the request is forgotten", func() bool { return g.openRequests() == 0 })
 		if requests, _, _ := server.Counts(); requests != before+1 {
 			t.Error("it went out again with nobody waiting")
 		}
@@ -221,17 +221,17 @@
 
 // X-Timeout, not the deadline of the class (a minute here), says when to answer.
 func TestDeadline(t *testing.T) {
-	server := testutil.NewHost(t, testutil.Hang)
+	server := testutil.NewHost(t, testutil.NeverRespond)
 	g := startGateway(t, testConfig(server))
 	resp, _ := g.ask("book", "/api/1", "b", "X-Timeout", "0.3")
 	if requests, _, _ := server.Counts(); requests == 1 && resp.StatusCode != 502 || requests > 1 {
 		t.Errorf("%d requests at the host, status %d", requests, resp.StatusCode)
 	}
-	testutil.Until(t, "the host sees its connection end", func() bool {
+	testutil.WaitUntil(t, "the host sees its connection end", func() bool {
 		_, accepted, ended := server.Counts()
 		return accepted == ended
 	})
-	testutil.Until(t, "the request is forgotten", func() bool { return g.openRequests() == 0 })
+	testutil.WaitUntil(t, "the request is forgotten", func() bool { return g.openRequests() == 0 })
 }
 
 // A front may send clients only when there are hosts to serve them.
@@ -242,9 +242,9 @@
 		t.Errorf("with no hosts: status %d", status)
 	}
 	g.pool.UpdateEndpoints(balancer.ListChanges, discovery.MemberList{Servers: []discovery.Member{{ID: "s-1", Addr: "127.0.0.1:1", State: "ready"}}})
-	testutil.Until(t, "health is good with a host", func() bool { return get() == 200 })
+	testutil.WaitUntil(t, "health is good with a host", func() bool { return get() == 200 })
 	g.pool.UpdateEndpoints(balancer.ListChanges, discovery.MemberList{Servers: []discovery.Member{{ID: "s-1", Addr: "127.0.0.1:1", State: "draining"}}})
-	testutil.Until(t, "health is bad with the last host draining", func() bool { return get() == 503 })
+	testutil.WaitUntil(t, "health is bad with the last host draining", func() bool { return get() == 503 })
 	g.gate.Stop(time.Now().Add(time.Minute))
 	g.pool.UpdateEndpoints(balancer.ListChanges, discovery.MemberList{Servers: []discovery.Member{{ID: "s-1", Addr: "127.0.0.1:1", State: "ready"}}})
 	if status := get(); status != 503 {
@@ -255,7 +255,7 @@
 // Nothing new goes to a host that the list calls draining or gone, nor to its old
 // address when it has moved.
 func TestListIsFollowed(t *testing.T) {
-	first, second := testutil.NewHost(t, testutil.Says(testutil.Good)), testutil.NewHost(t, testutil.Says(testutil.Good))
+	first, second := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse)), testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	g := startGateway(t, testConfig(first, second))
 	member := func(id string, h *testutil.Host, state string) discovery.Member {
 		return discovery.Member{ID: id, Addr: h.Addr(), State: state}
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -21,7 +21,7 @@
 
 // setLimits sets up load shedding and the limits of clients and tenants.
 func (g *Gateway) setLimits(a *config.Appliance) {
-	l := &frontend.Limits{Base: minRetryAfter, Most: maxGateRetryAfter, TenantName: a.Limits.TenantHeader, TenantOf: map[string]int{}}
+	l := &frontend.Limits{MinRetryAfter: minRetryAfter, MaxRetryAfter: maxGateRetryAfter, TenantHeader: a.Limits.TenantHeader, TenantIndex: map[string]int{}}
 	if !a.Limits.NoLoadShedding {
 		_, _, n := overload.Ranks(classRanks(newClasses(a)))
 		l.Overload = overload.New(n)
@@ -33,7 +33,7 @@
 	if len(a.Tenants) > 0 {
 		l.Tenants = ratelimit.NewTenants(a.Tenants, a.Limits.Tenants)
 		for i, t := range a.Tenants {
-			l.TenantOf[t.Name] = i
+			l.TenantIndex[t.Name] = i
 		}
 	}
 	g.gate.Limits = l
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -34,16 +34,16 @@
 // Under pressure what is worth least goes first, and is told when to come back; bookings are
 // served to the end, and a connection that was turned away goes on.
 func TestOverloadShedsByWorth(t *testing.T) {
-	host := testutil.NewHost(t, testutil.Says(testutil.Good))
+	host := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	// The peer is a proxy that is trusted, so each request may be another client's.
 	g := limitBox(t, "", host)
 	for _, ln := range g.appliance.listeners {
-		g.server.Tune(ln, http1.ListenOptions{Trusted: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")}})
+		g.server.SetListenOptions(ln, http1.ListenOptions{TrustedProxies: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")}})
 	}
 	g.engine.Sample(overload.Sample{Heap: 1})
-	testutil.Until(t, "there is pressure", func() bool { return g.engine.Overload.Pressure() > 4.5 })
+	testutil.WaitUntil(t, "there is pressure", func() bool { return g.engine.Overload.Pressure() > 4.5 })
 	var dials atomic.Int64
-	client := &http.Client{Timeout: testutil.Patience, Transport: &http.Transport{DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
+	client := &http.Client{Timeout: testutil.WaitTimeout, Transport: &http.Transport{DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 		dials.Add(1)
 		return (&net.Dialer{}).DialContext(ctx, network, addr)
 	}}}
@@ -79,7 +79,7 @@
 	if dials.Load() != 1 {
 		t.Errorf("%d connections: being turned away ended them", dials.Load())
 	}
-	if n := g.gate.Limits.Refused(frontend.ByOverload); n != 40 {
+	if n := g.gate.Limits.Rejected(frontend.RejectedByOverload); n != 40 {
 		t.Errorf("%d refusals are counted", n)
 	}
 	if n, _, _ := host.Counts(); n != 20 {
@@ -97,16 +97,16 @@
 
 // underPressure is a box that sheds what is worth least, its host, and a client's connection to it.
 func underPressure(t *testing.T) (*testutil.Host, *testAppliance, net.Conn, *bufio.Reader) {
-	host := testutil.NewHost(t, testutil.Says(testutil.Good))
+	host := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	g := limitBox(t, "", host)
 	g.engine.Sample(overload.Sample{Heap: 1})
-	testutil.Until(t, "there is pressure", func() bool { return g.engine.Overload.Pressure() > 4.5 })
+	testutil.WaitUntil(t, "there is pressure", func() bool { return g.engine.Overload.Pressure() > 4.5 })
 	c, err := net.Dial("tcp", strings.TrimPrefix(g.urls[0], "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(testutil.Patience))
+	c.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 	return host, g, c, bufio.NewReader(c)
 }
 
@@ -135,7 +135,7 @@
 	if status, took := ask("POST /book"); status != 200 || took < 500*time.Millisecond {
 		t.Errorf("on a connection that is left unread for a while: %d after %v", status, took)
 	}
-	if status, took := ask("POST /book"); status != 200 || took > testutil.Patience/4 {
+	if status, took := ask("POST /book"); status != 200 || took > testutil.WaitTimeout/4 {
 		t.Errorf("what is worth most: %d after %v", status, took)
 	}
 }
@@ -177,14 +177,14 @@
 			held.Add(1)
 			<-release
 		}
-		io.WriteString(c, testutil.Good)
+		io.WriteString(c, testutil.OKResponse)
 		return true
 	})
 	limits := "[limits.client]\nrate = 0.001\nburst = 5.0\nconcurrent = 0"
 	g := limitBox(t, limits, host)
 	from := func(ip, path string) int {
 		t.Helper()
-		client := &http.Client{Timeout: testutil.Patience, Transport: &http.Transport{DisableKeepAlives: true,
+		client := &http.Client{Timeout: testutil.WaitTimeout, Transport: &http.Transport{DisableKeepAlives: true,
 			DialContext: (&net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(ip)}}).DialContext}}
 		resp, err := client.Get(g.urls[0] + path)
 		if err != nil {
@@ -204,7 +204,7 @@
 	if got := from("127.0.0.2", "/"); got != 200 {
 		t.Errorf("another address: %d", got)
 	}
-	if n := g.gate.Limits.Refused(frontend.ByRate); n != 3 {
+	if n := g.gate.Limits.Rejected(frontend.RejectedByClientRate); n != 3 {
 		t.Errorf("%d refusals are counted", n)
 	}
 	text := strings.Replace(watching, "[[listener]]", "[limits.client]\nconcurrent = 3\n[[listener]]", 1) + poolText("p", "", host.Addr()) +
@@ -220,18 +220,18 @@
 			}
 		})
 	}
-	testutil.Until(t, "three are out", func() bool { return held.Load() == 3 })
+	testutil.WaitUntil(t, "three are out", func() bool { return held.Load() == 3 })
 	if got := from("127.0.0.3", "/"); got != 429 {
 		t.Errorf("a fourth at once: %d", got)
 	}
 	close(release)
 	all.Wait()
-	testutil.Until(t, "there is room again", func() bool { return from("127.0.0.3", "/") == 200 })
+	testutil.WaitUntil(t, "there is room again", func() bool { return from("127.0.0.3", "/") == 200 })
 }
 
 // A tenant that floods is held to its share, and the other has all of its own.
 func TestTenantsOnSockets(t *testing.T) {
-	host := testutil.NewHost(t, testutil.Says(testutil.Good))
+	host := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	g := limitBox(t, "[limits.tenants]\nrate = 0.002\nheader = \"X-Council\"\n[[tenant]]\nname = \"glasgow\"\n[[tenant]]\nname = \"perth\"", host)
 	ask := func(tenant string) int {
 		resp, _ := fetch(t, "GET", g.urls[0]+"/", "", "X-Council", tenant)
@@ -243,7 +243,7 @@
 	if got := ask("unknown"); got != 200 {
 		t.Errorf("one that has no share: %d", got)
 	}
-	if n := g.gate.Limits.Refused(frontend.ByTenant); n != 2 {
+	if n := g.gate.Limits.Rejected(frontend.RejectedByTenantQuota); n != 2 {
 		t.Errorf("%d refusals are counted", n)
 	}
 	for text, want := range map[string]string{
@@ -278,7 +278,7 @@
 // A reload says which limits wait for the next start, and no others: it guards against a setting
 // that an operator believes in use and that is not.
 func TestReloadSaysWhatWaits(t *testing.T) {
-	host := testutil.NewHost(t, testutil.Says(testutil.Good))
+	host := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	file := func(limits string) *config.Appliance {
 		return parse(t, strings.Replace(watching, "[[listener]]", limits+"\n[[listener]]", 1)+
 			poolText("p", "", host.Addr())+routeText("r", "pool = \"p\"\nclass = \"lookup\""))
--- a/internal/gateway/list_test.go
+++ b/internal/gateway/list_test.go
@@ -52,7 +52,7 @@
 	select {
 	case c := <-s.calls:
 		return c
-	case <-time.After(testutil.Patience):
+	case <-time.After(testutil.WaitTimeout):
 		t.Fatal("discovery is not called")
 		return nil
 	}
@@ -82,10 +82,10 @@
 		if strings.HasSuffix(r.URL.Path, "/slow") {
 			<-release
 		}
-		io.WriteString(c, testutil.Good)
+		io.WriteString(c, testutil.OKResponse)
 		return true
 	})
-	stays := testutil.NewHost(t, testutil.Says(testutil.Good))
+	stays := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	list := newScriptedList(t)
 	cfg := testConfig()
 	cfg.Discovery = list.addr
@@ -93,7 +93,7 @@
 
 	watch := list.next(t)
 	watch.line(whole(41, entry("s-1", drains, "ready")))
-	testutil.Until(t, "the host is known", func() bool { return g.pool.Address("s-1") != "" })
+	testutil.WaitUntil(t, "the host is known", func() bool { return g.pool.Address("s-1") != "" })
 	if resp, _ := g.ask("look", "/api/quick", ""); resp.StatusCode != 200 { // it leaves a connection that is kept
 		t.Fatalf("status %d", resp.StatusCode)
 	}
@@ -113,7 +113,7 @@
 			answers <- nil
 		}()
 	}
-	testutil.Until(t, "three are under way", func() bool { n, _, _ := drains.Counts(); return n == 1+len(classes) })
+	testutil.WaitUntil(t, "three are under way", func() bool { n, _, _ := drains.Counts(); return n == 1+len(classes) })
 
 	close(watch.ended)
 	watch = list.next(t)
@@ -121,7 +121,7 @@
 		t.Errorf("asked for what comes behind %s", watch.index)
 	}
 	watch.line(whole(43, entry("s-2", stays, "ready")))
-	testutil.Until(t, "the list is in use", func() bool { return g.pool.Address("s-2") != "" })
+	testutil.WaitUntil(t, "the list is in use", func() bool { return g.pool.Address("s-2") != "" })
 	for range 4 {
 		for _, class := range classes {
 			body := "b"
@@ -142,10 +142,10 @@
 			t.Errorf("under way at the host that is gone: %v", err)
 		}
 	}
-	testutil.Until(t, "its connections are closed", func() bool { _, opened, ended := drains.Counts(); return opened == ended })
+	testutil.WaitUntil(t, "its connections are closed", func() bool { _, opened, ended := drains.Counts(); return opened == ended })
 
 	watch.line(whole(44, entry("s-1", drains, "ready")))
-	testutil.Until(t, "the list is in use", func() bool { return g.pool.Address("s-1") != "" })
+	testutil.WaitUntil(t, "the list is in use", func() bool { return g.pool.Address("s-1") != "" })
 	if resp, _ := g.ask("look", "/api/quick", ""); resp.StatusCode != 200 {
 		t.Errorf("listed again: status %d", resp.StatusCode)
 	}
@@ -157,14 +157,14 @@
 // A watch that has fallen silent is opened anew also while the gateway stops, and what it tells then
 // is acted on: clients go on using the connections that they have. It guards the order of Stop.
 func TestListIsHeardWhileStopping(t *testing.T) {
-	drains, stays := testutil.NewHost(t, testutil.Says(testutil.Good)), testutil.NewHost(t, testutil.Says(testutil.Good))
+	drains, stays := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse)), testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	list := newScriptedList(t)
 	cfg := testConfig()
 	cfg.Discovery = list.addr
 	g := startGateway(t, cfg)
 	watch := list.next(t)
 	watch.line(whole(41, entry("s-1", drains, "ready")))
-	testutil.Until(t, "the host is known", func() bool { return g.pool.Address("s-1") != "" })
+	testutil.WaitUntil(t, "the host is known", func() bool { return g.pool.Address("s-1") != "" })
 	ask, _ := dialClient(t, g)
 	if resp, err := ask(); err != nil || resp.StatusCode != 200 {
 		t.Fatal(resp, err)
@@ -172,9 +172,9 @@
 	watch = list.next(t) // the first says nothing more
 	stopped := make(chan struct{})
 	go func() { g.Stop(0); close(stopped) }()
-	testutil.Until(t, "the gateway stops", func() bool { return !g.ready() })
+	testutil.WaitUntil(t, "the gateway stops", func() bool { return !g.ready() })
 	watch.line(whole(43, entry("s-1", drains, "draining"), entry("s-2", stays, "ready")))
-	testutil.Until(t, "the list is in use", func() bool { return g.pool.Address("s-2") != "" && g.pool.Address("s-1") == "" })
+	testutil.WaitUntil(t, "the list is in use", func() bool { return g.pool.Address("s-2") != "" && g.pool.Address("s-1") == "" })
 	if resp, err := ask(); err != nil || resp.StatusCode != 200 {
 		t.Fatal(resp, err)
 	}
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -56,6 +56,6 @@
 // startFastCGI starts the frontend for FastCGI.
 func (g *Gateway) startFastCGI() {
 	limit, spare := clientSocketLimits(g.sockets)
-	g.fastCGI = fcgi.New(g.gate, fcgi.Options{Conns: limit / fastCGIShareDivisor})
-	g.server.Limit(limit-limit/fastCGIShareDivisor, spare)
+	g.fastCGI = fcgi.New(g.gate, fcgi.Options{MaxConns: limit / fastCGIShareDivisor})
+	g.server.SetConnLimits(limit-limit/fastCGIShareDivisor, spare)
 }
--- a/internal/gateway/long_test.go
+++ b/internal/gateway/long_test.go
@@ -83,7 +83,7 @@
 	cfg := testConfig(host)
 	cfg.Known.Servers[0].Addr = ln.Addr().String()
 	g := startGateway(t, cfg)
-	for _, n := range []int{1, frontend.MaxHeld - 1, frontend.MaxHeld, frontend.MaxHeld + 1, 3 << 20} {
+	for _, n := range []int{1, frontend.MaxBufferedBytes - 1, frontend.MaxBufferedBytes, frontend.MaxBufferedBytes + 1, 3 << 20} {
 		body := sample(n)
 		want := fmt.Sprintf("%d %x", n, sha256.Sum256(body))
 		for _, f := range []struct {
@@ -112,12 +112,12 @@
 
 // A request in chunks may hide another behind a length: no host gets either.
 func TestLongRequestsAreFramedOnce(t *testing.T) {
-	host := testutil.NewHost(t, testutil.Says(testutil.Good))
+	host := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	g := startGateway(t, testConfig(host))
 	for _, framing := range []string{
 		"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n", "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n",
 		"Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n", "Content-Length: 5\r\nContent-Length: 6\r\n",
-		"Transfer-Encoding: gzip, chunked\r\n", "Transfer-Encoding: chunked\nX: y\r\n", fmt.Sprintf("Content-Length: %d\r\n", frontend.MaxBody+1),
+		"Transfer-Encoding: gzip, chunked\r\n", "Transfer-Encoding: chunked\nX: y\r\n", fmt.Sprintf("Content-Length: %d\r\n", frontend.MaxBodyBytes+1),
 	} {
 		resp, _, err := g.message("book", framing, []byte("0\r\n\r\nGET /api/2 HTTP/1.1\r\nHost: a\r\n\r\n"), 1<<20)
 		if err != nil || resp.StatusCode < 400 || !resp.Close {
@@ -131,13 +131,13 @@
 
 // An upload takes as long as it takes: the time of a request counts from its last byte.
 func TestUploadIsNotTimed(t *testing.T) {
-	host := testutil.NewHost(t, testutil.Says(testutil.Good))
+	host := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	cfg := testConfig(host)
 	for i := range cfg.Settings.Classes {
 		cfg.Settings.Classes[i].LatencyObjective, cfg.Settings.Classes[i].Deadline = 200*time.Millisecond, 200*time.Millisecond
 	}
 	g := startGateway(t, cfg)
-	const n = 2 * frontend.MaxHeld
+	const n = 2 * frontend.MaxBufferedBytes
 	c, err := net.Dial("tcp", strings.TrimPrefix(g.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
@@ -175,7 +175,7 @@
 			}()
 		}
 	}()
-	cfg := testConfig(testutil.NewHost(t, testutil.Hang))
+	cfg := testConfig(testutil.NewHost(t, testutil.NeverRespond))
 	cfg.Known.Servers[0].Addr = ln.Addr().String()
 	g := startGateway(t, cfg)
 	const n = 24 << 20 // more than all buffers on the way take
@@ -185,7 +185,7 @@
 	}
 	// The reset may reach a client that is still writing before the answer does; it must not
 	// be another answer, and no second attempt.
-	testutil.Until(t, "it is over", func() bool { return g.openRequests() == 0 })
+	testutil.WaitUntil(t, "it is over", func() bool { return g.openRequests() == 0 })
 	if got := conns.Load(); got != 1 {
 		t.Errorf("%d attempts", got)
 	}
@@ -224,7 +224,7 @@
 					t.Errorf("%d bytes of %d, %v", len(got), n, err)
 				}
 			}
-			testutil.Until(t, "it is over", func() bool { return g.openRequests() == 0 })
+			testutil.WaitUntil(t, "it is over", func() bool { return g.openRequests() == 0 })
 		})
 	}
 }
@@ -251,7 +251,7 @@
 		if err != nil || resp.StatusCode != 200 {
 			t.Fatal(resp, err)
 		}
-		c.SetReadDeadline(time.Now().Add(testutil.Patience))
+		c.SetReadDeadline(time.Now().Add(testutil.WaitTimeout))
 		if _, err := io.ReadFull(resp.Body, make([]byte, n/2)); err != nil {
 			t.Errorf("%q: of what has come: %v", head, err)
 		}
@@ -306,7 +306,7 @@
 				io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ngo") // and no more
 				return true
 			}
-			for _, b := range []byte(testutil.Good) {
+			for _, b := range []byte(testutil.OKResponse) {
 				c.Write([]byte{b})
 				time.Sleep(time.Millisecond)
 			}
--- a/internal/gateway/platform.go
+++ b/internal/gateway/platform.go
@@ -26,11 +26,11 @@
 // StartPlatform starts a gateway of the platform that serves on ln.
 func StartPlatform(cfg *config.Platform, rc *engine.RecordingConfig, ln net.Listener) (*Gateway, error) {
 	shared := cfg.ClientsFD > 0
-	g := newGateway(cfg.Seed, cfg.Sockets, cfg.Memory(), http1.Options{Longest: longestPlatformDeadline(cfg), Shared: shared})
+	g := newGateway(cfg.Seed, cfg.Sockets, cfg.Memory(), http1.Options{LongestDeadline: longestPlatformDeadline(cfg), SharedListeners: shared})
 	g.sharesSocket = shared
-	g.transport = hosts.New(hosts.Options{
-		Sockets: int(config.HostSockets(cfg.Sockets)), Memory: int64(largeResponseShare * float64(cfg.Memory())),
-		ConnIdle: cfg.ConnIdle, DialTimeout: cfg.DialTimeout, Budget: g.gate.Bodies,
+	g.transport = hosts.NewTransport(hosts.Options{
+		MaxConns: int(config.HostSockets(cfg.Sockets)), MaxLargeBytes: int64(largeResponseShare * float64(cfg.Memory())),
+		HostIdleTimeout: cfg.ConnIdle, DialTimeout: cfg.DialTimeout, BodyBudget: g.gate.Bodies,
 	})
 	g.watcher = discovery.NewWatcher(cfg.Discovery, cfg.Settings.Poll, cfg.Known.Version)
 	pool, err := g.engine.NewPool(g.platformPoolConfig(cfg, rc))
@@ -54,7 +54,7 @@
 
 // serveAfterFirstList serves once discovery has sent a list: another process serves meanwhile.
 func (g *Gateway) serveAfterFirstList(ln net.Listener) {
-	g.gate.Wait()
+	g.gate.SetNotReady()
 	sink := firstListSink{Sink: g.pool, first: make(chan struct{})}
 	go g.watcher.Run(g.ctx, &sink)
 	go func() {
@@ -65,7 +65,7 @@
 			return
 		}
 		g.serve(ln)
-		g.gate.Go()
+		g.gate.SetReady()
 	}()
 }
 
@@ -105,9 +105,9 @@
 // an error within 3 s. Receivers of responses, and hosts, may pause for longer.
 func protocolStreams() *engine.Streams {
 	return &engine.Streams{
-		BufferBytes: frontend.MaxHeld, MaxBodyBytes: frontend.MaxBody, HeadDeadlineOnly: true,
-		Pace:   body.Pace{Idle: 10 * time.Second},
-		Upload: body.Pace{Idle: 2 * time.Second, Least: 8 << 10},
+		BufferBytes: frontend.MaxBufferedBytes, MaxBodyBytes: frontend.MaxBodyBytes, HeadDeadlineOnly: true,
+		Pace:   body.Pace{IdleTimeout: 10 * time.Second},
+		Upload: body.Pace{IdleTimeout: 2 * time.Second, MinRate: 8 << 10},
 	}
 }
 
@@ -171,7 +171,7 @@
 		g.classes = old
 		return err
 	}
-	g.server.SetLongest(longestPlatformDeadline(cfg))
+	g.server.SetLongestDeadline(longestPlatformDeadline(cfg))
 	return nil
 }
 
@@ -187,8 +187,8 @@
 	}
 	use := func(halves int) {
 		setMemory(float64(halves) / 2)
-		g.server.Limit(clientSocketLimits(g.sockets * halves / 2))
-		g.transport.Limit(int(config.HostSockets(g.sockets*halves/2)), int64(largeResponseShare*float64(g.memory)*float64(halves)/2))
+		g.server.SetConnLimits(clientSocketLimits(g.sockets * halves / 2))
+		g.transport.SetLimits(int(config.HostSockets(g.sockets*halves/2)), int64(largeResponseShare*float64(g.memory)*float64(halves)/2))
 	}
 	g.useHalf = func() { use(1) }
 	_, alone, err := instancelock.TryLock(dir)
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -36,7 +36,7 @@
 // transport makes the attempts of a pool, by any protocol.
 type transport interface {
 	engine.Transport
-	Limit(sockets int, memory int64)
+	SetLimits(sockets int, memory int64)
 }
 
 // appliancePool is a pool with the source of its endpoint list.
@@ -65,9 +65,9 @@
 func (g *Gateway) newPool(a *config.Appliance, cfg config.Pool, set balancer.Settings, classNames []string) (*appliancePool, error) {
 	p := &appliancePool{cfg: cfg, settings: set, newSource: g.appliance.newSource, stopSource: func() {}, currentSink: new(atomic.Pointer[endpointSink])}
 	if cfg.Protocol == config.FastCGI {
-		p.transport = responders.New(responders.Options{Budget: g.gate.Bodies, Root: cfg.ScriptRoot, Params: cfg.Params})
+		p.transport = responders.NewTransport(responders.Options{BodyBudget: g.gate.Bodies, DocumentRoot: cfg.ScriptRoot, Params: cfg.Params})
 	} else {
-		p.transport = hosts.New(hosts.Options{Budget: g.gate.Bodies})
+		p.transport = hosts.NewTransport(hosts.Options{BodyBudget: g.gate.Bodies})
 	}
 	p.ctx, p.cancel = context.WithCancel(g.ctx)
 	var err error
--- a/internal/gateway/property_test.go
+++ b/internal/gateway/property_test.go
@@ -194,7 +194,7 @@
 		return err
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(testutil.Patience))
+	c.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 	var w io.Writer = c
 	fmt.Fprintf(c, "%s / HTTP/1.1\r\nHost: a\r\nX-Request-Id: %s\r\n", p.method, p.id)
 	switch {
--- a/internal/gateway/recording_test.go
+++ b/internal/gateway/recording_test.go
@@ -17,7 +17,7 @@
 // Through the whole gateway: what is recorded replays alike, names its hosts and holds
 // neither bodies nor keys nor ids of clients.
 func TestRecordingOfAGateway(t *testing.T) {
-	h := testutil.NewHost(t, testutil.Says("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecret"))
+	h := testutil.NewHost(t, testutil.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecret"))
 	cfg := testConfig(h)
 	dir := t.TempDir()
 	dumps := make(chan string, 8)
@@ -29,7 +29,7 @@
 			}
 			dumps <- path
 		},
-		Trigger: flightrecorder.Trigger{Share: 0.5, Within: time.Hour, Least: 20, Pause: time.Hour},
+		Trigger: flightrecorder.Trigger{RejectedShare: 0.5, Window: time.Hour, MinResponses: 20, MinInterval: time.Hour},
 	}
 	cfg.Settings.Classes[0].LatencyObjective = 200 * time.Millisecond // a fifth of it is waited for a host
 	g := startGateway(t, cfg, rc)
@@ -49,7 +49,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if rep.First != nil || rep.Events < least || len(rep.Losses) > 0 {
+		if rep.Divergence != nil || rep.Events < least || len(rep.Losses) > 0 {
 			t.Errorf("%s: %+v", path, rep)
 		}
 		for _, hidden := range []string{"secret", "hidden-path"} {
@@ -79,7 +79,7 @@
 
 // An appliance records each pool by itself: every dump replays alike and names its own hosts.
 func TestRecordingOfAnAppliance(t *testing.T) {
-	a, b := testutil.NewHost(t, testutil.Says(testutil.Good)), testutil.NewHost(t, testutil.Says(testutil.Good))
+	a, b := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse)), testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	dumps := make(chan string, 8)
 	dir := t.TempDir()
 	g, err := StartAppliance(parse(t, head+poolText("one", "", a.Addr())+poolText("two", "", b.Addr())+
@@ -111,7 +111,7 @@
 			t.Fatal(err)
 		}
 		rep, err := flightrecorder.Replay(flightrecorder.NewReader(bytes.NewReader(data)), nil, nil)
-		if err != nil || rep.First != nil || rep.Events < 40 || len(rep.Losses) > 0 {
+		if err != nil || rep.Divergence != nil || rep.Events < 40 || len(rep.Losses) > 0 {
 			t.Errorf("%s: %+v, %v", path, rep, err)
 		}
 		for _, host := range []string{"one-0", "two-0"} {
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -113,7 +113,7 @@
 // commit puts a prepared change into use. Nothing in it fails.
 func (g *Gateway) commit(c *change) {
 	g.commitPools(c)
-	g.server.SetLongest(longestDeadline(c.file))
+	g.server.SetLongestDeadline(longestDeadline(c.file))
 	if l := g.gate.Limits; l.Clients != nil {
 		l.Clients.SetLimits(c.file.Limits.Clients)
 	}
@@ -136,7 +136,7 @@
 	shares := poolShares(c.file)
 	for i, cfg := range c.file.Pools {
 		p := c.pools[cfg.Name]
-		p.transport.Limit(int(shares[i]*config.HostSockets(g.sockets)), int64(shares[i]*largeResponseShare*float64(g.memory)))
+		p.transport.SetLimits(int(shares[i]*config.HostSockets(g.sockets)), int64(shares[i]*largeResponseShare*float64(g.memory)))
 		if p == g.appliance.pools[cfg.Name] && !equalSources(p.cfg, cfg) {
 			p.stopSource()
 			if err := p.setSource(cfg, false); err != nil {
@@ -155,9 +155,9 @@
 			continue
 		}
 		if strings.HasPrefix(key, fastCGIKey) {
-			g.fastCGI.Leave(ln)
+			g.fastCGI.CloseListener(ln)
 		} else {
-			g.server.Leave(ln)
+			g.server.CloseListener(ln)
 		}
 	}
 	if g.fastCGI == nil && slices.ContainsFunc(c.file.Listeners, func(l config.Listener) bool { return l.Protocol == config.FastCGI }) {
@@ -167,10 +167,10 @@
 		ln := c.listeners[listenerKey(l)]
 		serve := g.server.Serve
 		if l.Protocol == config.FastCGI {
-			g.fastCGI.Tune(ln, fcgi.ListenOptions{Trusted: l.TrustedProxies})
+			g.fastCGI.SetListenOptions(ln, fcgi.ListenOptions{TrustedProxies: l.TrustedProxies})
 			serve = g.fastCGI.Serve
 		} else {
-			g.server.Tune(ln, http1.ListenOptions{Trusted: l.TrustedProxies, Proxy: l.ProxyProtocol})
+			g.server.SetListenOptions(ln, http1.ListenOptions{TrustedProxies: l.TrustedProxies, ProxyProtocol: l.ProxyProtocol})
 		}
 		if slices.Contains(c.opened, ln) {
 			g.serveWith(serve, ln)
--- a/internal/gateway/retune_test.go
+++ b/internal/gateway/retune_test.go
@@ -44,7 +44,7 @@
 					return false
 				}
 			}
-			_, err := fmt.Fprint(c, testutil.Good)
+			_, err := fmt.Fprint(c, testutil.OKResponse)
 			return err == nil
 		})
 	}
@@ -55,7 +55,7 @@
 		resp, text := g.ask("look", "/api/held", "")
 		out <- fmt.Sprint(resp.StatusCode, text)
 	}()
-	testutil.Until(t, "it is out", func() bool { return held.Load() == 1 })
+	testutil.WaitUntil(t, "it is out", func() bool { return held.Load() == 1 })
 	if resp, _ := g.ask("next", "/api/1", "x"); resp.StatusCode != 400 {
 		t.Errorf("a class that is yet to come: %d", resp.StatusCode)
 	}
@@ -103,7 +103,7 @@
 // A recording goes on over new settings, and all of it replays.
 func TestRetuneIsRecorded(t *testing.T) {
 	rc := &engine.RecordingConfig{RingBytes: 1 << 20, Dir: t.TempDir(), File: t.TempDir() + "/all.dmf", MaxFileBytes: 8 << 20}
-	cfg := withClasses(*testConfig(testutil.NewHost(t, testutil.Says(testutil.Good))), "look", "book")
+	cfg := withClasses(*testConfig(testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))), "look", "book")
 	g := startGateway(t, cfg, rc)
 	ask := func(class string) {
 		if resp, _ := g.ask(class, "/api/1", ""); resp.StatusCode != 200 {
@@ -115,14 +115,14 @@
 		t.Fatal(err)
 	}
 	ask("next")
-	testutil.Until(t, "all is over", func() bool { return g.openRequests() == 0 })
+	testutil.WaitUntil(t, "all is over", func() bool { return g.openRequests() == 0 })
 	g.Close()
 	data, err := os.ReadFile(rc.File)
 	if err != nil {
 		t.Fatal(err)
 	}
 	rep, err := flightrecorder.Replay(flightrecorder.NewReader(bytes.NewReader(data)), nil, nil)
-	if err != nil || rep.First != nil || rep.Sessions != 2 || rep.Foreign > 0 || rep.Skipped > 0 || len(rep.Losses) > 0 || rep.Events < 4 {
+	if err != nil || rep.Divergence != nil || rep.Sessions != 2 || rep.ForeignCheckpoints > 0 || rep.SkippedEvents > 0 || len(rep.Losses) > 0 || rep.Events < 4 {
 		t.Errorf("%+v, %v", rep, err)
 	}
 }
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -15,7 +15,7 @@
 	IDs      int              `json:"ids"`      // of the platform's protocol, in use by open requests
 	Pressure float64          `json:"pressure"` // ranks of classes that are shed; 0: none
 	Shed     float64          `json:"shed"`     // share of requests that is to be rejected, those of the highest rank left out
-	Clients  http1.Counts     `json:"clients"`
+	Clients  http1.ConnCounts `json:"clients"`
 	Bodies   map[string]Bytes `json:"bodies"`  // memory by its use
 	Refused  map[string]int64 `json:"refused"` // rejections at admission since the start, by reason
 	Loop     Delay            `json:"loop"`    // how long requests waited for the loop since the start
@@ -42,17 +42,17 @@
 func (g *Gateway) Status() any {
 	state, _ := g.gate.Draining()
 	s := Status{
-		State: state.String(), IDs: g.gate.Open(), Clients: g.server.Counts(),
+		State: state.String(), IDs: g.gate.OpenIDs(), Clients: g.server.ConnCounts(),
 		Bodies: map[string]Bytes{}, Refused: map[string]int64{}, Loop: newDelay(&g.engine.LoopDelays),
 	}
 	s.Ready, s.Detail = g.gate.Health()
-	for _, cause := range body.Causes() {
+	for _, cause := range body.Purposes() {
 		used, limit := g.gate.Bodies.Used(cause)
 		s.Bodies[cause.String()] = Bytes{used, limit}
 	}
 	if l := g.gate.Limits; l != nil {
-		for _, reason := range frontend.Refusals() {
-			s.Refused[reason.String()] = l.Refused(reason)
+		for _, reason := range frontend.RejectReasons() {
+			s.Refused[reason.String()] = l.Rejected(reason)
 		}
 		if l.Overload != nil {
 			s.Pressure, s.Shed = l.Overload.Pressure(), l.Overload.Shed()
--- a/internal/gateway/status_test.go
+++ b/internal/gateway/status_test.go
@@ -15,7 +15,7 @@
 
 // What is turned away and what is held is told, by cause, over the second address.
 func TestStatus(t *testing.T) {
-	host := testutil.NewHost(t, testutil.Says(testutil.Good))
+	host := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	g := startAppliance(t, strings.Replace(head, "[[listener]]", "[limits.client]\nrate = 0.001\nburst = 3.0\n[[listener]]", 1)+
 		poolText("p", "", host.Addr())+routeText("r", "pool = \"p\"\nclass = \"lookup\"\nmax_body = \"1MiB\""))
 	ln := testutil.Listen(t, "127.0.0.1:0", nil)
@@ -38,9 +38,9 @@
 	}
 	defer c.Close()
 	fmt.Fprintf(c, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\nhalf", most)
-	testutil.Until(t, "a body is held", func() bool { s := status(); return s.Bodies["requests"].Used == most && s.Clients.Open == 1 })
+	testutil.WaitUntil(t, "a body is held", func() bool { s := status(); return s.Bodies["requests"].Used == most && s.Clients.Open == 1 })
 	io.WriteString(c, strings.Repeat("x", most-len("half")))
-	testutil.Until(t, "it is given back", func() bool { s := status(); return s.Bodies["requests"].Used == 0 && s.Clients.Idle == 1 })
+	testutil.WaitUntil(t, "it is given back", func() bool { s := status(); return s.Bodies["requests"].Used == 0 && s.Clients.Idle == 1 })
 	for range 4 {
 		fetch(t, "GET", g.urls[0]+"/", "")
 	}
--- a/internal/httpwire/answer.go
+++ b/internal/httpwire/answer.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// Bodyless says whether an answer has no body, whatever its headers say (RFC 9112, 6.3).
-func Bodyless(method string, status int) bool {
+// ResponseHasNoBody says whether an answer has no body, whatever its headers say (RFC 9112, 6.3).
+func ResponseHasNoBody(method string, status int) bool {
 	return method == http.MethodHead || status < 200 || status == http.StatusNoContent || status == http.StatusNotModified
 }
 
-// AppendStatus begins the head of an answer.
-func AppendStatus(b []byte, old bool, status int) []byte {
+// AppendStatusLine begins the head of an answer.
+func AppendStatusLine(b []byte, old bool, status int) []byte {
 	if old {
 		b = append(b, "HTTP/1.0 "...)
 	} else {
@@ -26,9 +26,9 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendFields writes headers, the values of each in their order. What would end a line early
+// AppendHeader writes headers, the values of each in their order. What would end a line early
 // becomes a space, and what is no name is left out: it guards against answers split in two.
-func AppendFields(b []byte, h http.Header) []byte {
+func AppendHeader(b []byte, h http.Header) []byte {
 	for name, values := range h {
 		if !Token(name) {
 			continue
--- a/internal/httpwire/chunks.go
+++ b/internal/httpwire/chunks.go
@@ -16,9 +16,9 @@
 	moreAround = 16 << 10
 )
 
-// Chunks takes a chunked body apart (RFC 9112, 7.1). The zero Chunks stands before the first
+// ChunkedDecoder takes a chunked body apart (RFC 9112, 7.1). The zero Chunks stands before the first
 // chunk.
-type Chunks struct {
+type ChunkedDecoder struct {
 	state   chunkState
 	left    int64 // of the chunk
 	digits  int
@@ -43,19 +43,19 @@
 )
 
 // Done says that the body is whole.
-func (c *Chunks) Done() bool { return c.state == ended }
+func (c *ChunkedDecoder) Done() bool { return c.state == ended }
 
-// Data is how much content of the chunk that is on is yet to come. That much may be read past the
+// Remaining is how much content of the chunk that is on is yet to come. That much may be read past the
 // Chunks, and is told by Took.
-func (c *Chunks) Data() int64 {
+func (c *ChunkedDecoder) Remaining() int64 {
 	if c.state != inData {
 		return 0
 	}
 	return c.left
 }
 
-// Took says that n bytes of content were read past the Chunks.
-func (c *Chunks) Took(n int64) {
+// Consume says that n bytes of content were read past the Chunks.
+func (c *ChunkedDecoder) Consume(n int64) {
 	if c.left -= n; c.left == 0 {
 		c.state = inDataCR
 	}
@@ -64,7 +64,7 @@
 // Next takes from src: it says how many bytes it has used up, and which of them are content.
 // It stops behind content, so that there is one piece of that at a time; it never goes beyond
 // the body's end.
-func (c *Chunks) Next(src []byte) (used int, content []byte, err error) {
+func (c *ChunkedDecoder) Next(src []byte) (used int, content []byte, err error) {
 	for used < len(src) && c.state != ended {
 		b := src[used]
 		if c.state == inData {
--- a/internal/httpwire/chunks_test.go
+++ b/internal/httpwire/chunks_test.go
@@ -11,7 +11,7 @@
 )
 
 // decode takes a chunked body apart that comes in pieces of a size.
-func decode(text []byte, piece int) (content []byte, c Chunks, used int, err error) {
+func decode(text []byte, piece int) (content []byte, c ChunkedDecoder, used int, err error) {
 	for used < len(text) && !c.Done() && err == nil {
 		var n int
 		var got []byte
@@ -75,15 +75,15 @@
 
 // Content read past the Chunks is content all the same.
 func TestChunksReadPast(t *testing.T) {
-	var c Chunks
-	if used, content, err := c.Next([]byte("5\r\n")); used != 3 || content != nil || err != nil || c.Data() != 5 {
-		t.Fatal(used, content, err, c.Data())
+	var c ChunkedDecoder
+	if used, content, err := c.Next([]byte("5\r\n")); used != 3 || content != nil || err != nil || c.Remaining() != 5 {
+		t.Fatal(used, content, err, c.Remaining())
 	}
-	c.Took(3)
+	c.Consume(3)
 	if used, content, err := c.Next([]byte("de\r\n")); used != 2 || string(content) != "de" || err != nil {
 		t.Fatal(used, content, err)
 	}
-	if used, _, err := c.Next([]byte("\r\n0\r\n\r\nx")); used != 7 || err != nil || !c.Done() || c.Data() != 0 {
+	if used, _, err := c.Next([]byte("\r\n0\r\n\r\nx")); used != 7 || err != nil || !c.Done() || c.Remaining() != 0 {
 		t.Fatal(used, err, c.Done())
 	}
 }
--- a/internal/httpwire/request.go
+++ b/internal/httpwire/request.go
@@ -24,8 +24,8 @@
 	ErrLong      = errors.New("there is more around the chunks than they could require") // 400
 )
 
-// Status is the status that goes with an error of this package.
-func Status(err error) int {
+// StatusForError is the status that goes with an error of this package.
+func StatusForError(err error) int {
 	switch err {
 	case ErrEncoding:
 		return http.StatusNotImplemented
@@ -39,24 +39,24 @@
 
 // Request is the head of a request.
 type Request struct {
-	Method string
-	Target string // as it came
-	Host   string // what the target names, or else the Host header (RFC 9112, 3.3)
-	Named  string // the Host header
-	Header http.Header
-	// Length of the body, -1 where it comes in chunks.
-	Length int64
-	Old    bool // HTTP/1.0
-	Close  bool // the client wants the connection to end behind the answer
-	Expect bool // it waits to be asked for the body, for a while
+	Method     string
+	Target     string // as it came
+	Host       string // what the target names, or else the Host header (RFC 9112, 3.3)
+	HostHeader string // the Host header
+	Header     http.Header
+	// ContentLength of the body, -1 where it comes in chunks.
+	ContentLength  int64
+	HTTP10         bool // HTTP/1.0
+	Close          bool // the client wants the connection to end behind the answer
+	ExpectContinue bool // it waits to be asked for the body, for a while
 	// Upgrade is the protocol that it asks to go over to.
 	Upgrade string
 }
 
-// HeadEnd is the index behind the empty line that ends a head, -1 where that is yet to come.
+// HeaderEnd is the index behind the empty line that ends a head, -1 where that is yet to come.
 // What is before from has been looked at. A line that ends without CR counts too: Parse will
 // refuse it, and need not wait for more.
-func HeadEnd(b []byte, from int) int {
+func HeaderEnd(b []byte, from int) int {
 	for i := max(0, from-3); ; {
 		n := bytes.IndexByte(b[i:], '\n')
 		if n < 0 {
@@ -72,17 +72,17 @@
 	}
 }
 
-// Blank is the length of the empty line that may stand before a request (RFC 9112, 2.2).
-func Blank(b []byte) int {
+// LeadingEmptyLine is the length of the empty line that may stand before a request (RFC 9112, 2.2).
+func LeadingEmptyLine(b []byte) int {
 	if len(b) >= 2 && b[0] == '\r' && b[1] == '\n' {
 		return 2
 	}
 	return 0
 }
 
-// Parse reads a head, which b holds whole, up to its empty line. What it returns keeps nothing
+// ParseRequest reads a head, which b holds whole, up to its empty line. What it returns keeps nothing
 // of b.
-func Parse(b []byte, r *Request) error {
+func ParseRequest(b []byte, r *Request) error {
 	*r = Request{}
 	text := string(b) // one copy that all the parts share
 	line, rest, ok := cutLine(text)
@@ -100,7 +100,7 @@
 	switch version {
 	case "HTTP/1.1":
 	case "HTTP/1.0":
-		r.Old = true
+		r.HTTP10 = true
 	default:
 		if len(version) == 8 && strings.HasPrefix(version, "HTTP/") && digit(version[5]) && version[6] == '.' && digit(version[7]) {
 			return ErrVersion
@@ -118,15 +118,15 @@
 	}
 	r.Header = h
 	hosts := h["Host"]
-	if len(hosts) > 1 || len(hosts) == 0 && !r.Old || len(hosts) == 1 && !hostName(hosts[0]) {
+	if len(hosts) > 1 || len(hosts) == 0 && !r.HTTP10 || len(hosts) == 1 && !hostName(hosts[0]) {
 		return ErrHost
 	}
 	if len(hosts) == 1 {
-		r.Named = hosts[0]
+		r.HostHeader = hosts[0]
 		delete(h, "Host")
 	}
 	if r.Host = named; named == "" {
-		r.Host = r.Named
+		r.Host = r.HostHeader
 	}
 	if err := r.frame(); err != nil {
 		return err
@@ -139,12 +139,12 @@
 	lengths, encodings := r.Header["Content-Length"], r.Header["Transfer-Encoding"]
 	switch {
 	case len(lengths)+len(encodings) == 0:
-	case len(encodings) == 1 && !r.Old && !strings.EqualFold(encodings[0], "chunked"):
+	case len(encodings) == 1 && !r.HTTP10 && !strings.EqualFold(encodings[0], "chunked"):
 		return ErrEncoding
-	case len(lengths)+len(encodings) > 1 || len(encodings) > 0 && r.Old:
+	case len(lengths)+len(encodings) > 1 || len(encodings) > 0 && r.HTTP10:
 		return ErrFraming
 	case len(encodings) == 1:
-		r.Length = -1
+		r.ContentLength = -1
 		for _, v := range r.Header["Trailer"] {
 			for name := range strings.SplitSeq(v, ",") {
 				if framing[textproto.CanonicalMIMEHeaderKey(strings.TrimSpace(name))] {
@@ -164,7 +164,7 @@
 			}
 			n = n*10 + int64(text[i]-'0')
 		}
-		r.Length = n
+		r.ContentLength = n
 	}
 	return nil
 }
@@ -190,17 +190,17 @@
 			}
 		}
 	}
-	if r.Old && !keep {
+	if r.HTTP10 && !keep {
 		r.Close = true
 	}
-	if v := r.Header["Upgrade"]; upgrade && len(v) == 1 && !r.Old {
+	if v := r.Header["Upgrade"]; upgrade && len(v) == 1 && !r.HTTP10 {
 		r.Upgrade = v[0]
 	}
-	if v := r.Header["Expect"]; len(v) > 0 && !r.Old { // HTTP/1.0 knows nothing of it
+	if v := r.Header["Expect"]; len(v) > 0 && !r.HTTP10 { // HTTP/1.0 knows nothing of it
 		if len(v) > 1 || !strings.EqualFold(v[0], "100-continue") {
 			return ErrExpect
 		}
-		r.Expect = r.Length != 0
+		r.ExpectContinue = r.ContentLength != 0
 	}
 	return nil
 }
--- a/internal/httpwire/request_test.go
+++ b/internal/httpwire/request_test.go
@@ -58,13 +58,13 @@
 		get + "Expect: 200-ok\r\n\r\n":                                           ErrExpect,
 		"GET /a HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n":                  ErrFraming,
 	} {
-		end := HeadEnd([]byte(text), 0)
+		end := HeaderEnd([]byte(text), 0)
 		if end != len(text) {
 			t.Errorf("%q ends at %d", text, end)
 			continue
 		}
 		var r Request
-		if err := Parse([]byte(text), &r); err != want {
+		if err := ParseRequest([]byte(text), &r); err != want {
 			t.Errorf("%q: %v, want %v", text, err, want)
 		}
 	}
@@ -72,28 +72,28 @@
 
 func TestParse(t *testing.T) {
 	for text, want := range map[string]Request{
-		get + "\r\n": {Method: "GET", Target: "/a", Host: "a", Named: "a", Header: http.Header{}},
+		get + "\r\n": {Method: "GET", Target: "/a", Host: "a", HostHeader: "a", Header: http.Header{}},
 		"POST http://b:80/x?y HTTP/1.1\r\nHost: a\r\ncontent-length:  7\t\r\nx-a: 1\r\nX-b:\r\nX-A: 2\r\n\r\n": {
-			Method: "POST", Target: "http://b:80/x?y", Host: "b:80", Named: "a", Length: 7,
+			Method: "POST", Target: "http://b:80/x?y", Host: "b:80", HostHeader: "a", ContentLength: 7,
 			Header: http.Header{"Content-Length": {"7"}, "X-A": {"1", "2"}, "X-B": {""}},
 		},
-		"GET / HTTP/1.0\r\n\r\n": {Method: "GET", Target: "/", Header: http.Header{}, Old: true, Close: true},
+		"GET / HTTP/1.0\r\n\r\n": {Method: "GET", Target: "/", Header: http.Header{}, HTTP10: true, Close: true},
 		"GET / HTTP/1.0\r\nConnection: Keep-Alive\r\n\r\n": {
-			Method: "GET", Target: "/", Header: http.Header{"Connection": {"Keep-Alive"}}, Old: true,
+			Method: "GET", Target: "/", Header: http.Header{"Connection": {"Keep-Alive"}}, HTTP10: true,
 		},
 		get + "Transfer-Encoding: Chunked\r\nExpect: 100-Continue\r\nConnection: a, close\r\n\r\n": {
-			Method: "GET", Target: "/a", Host: "a", Named: "a", Length: -1, Expect: true, Close: true,
+			Method: "GET", Target: "/a", Host: "a", HostHeader: "a", ContentLength: -1, ExpectContinue: true, Close: true,
 			Header: http.Header{"Transfer-Encoding": {"Chunked"}, "Expect": {"100-Continue"}, "Connection": {"a, close"}},
 		},
 		get + "Connection: Upgrade\r\nUpgrade: websocket\r\n\r\n": {
-			Method: "GET", Target: "/a", Host: "a", Named: "a", Upgrade: "websocket",
+			Method: "GET", Target: "/a", Host: "a", HostHeader: "a", Upgrade: "websocket",
 			Header: http.Header{"Connection": {"Upgrade"}, "Upgrade": {"websocket"}},
 		},
-		"OPTIONS * HTTP/1.1\r\nHost: a\r\n\r\n":         {Method: "OPTIONS", Target: "*", Host: "a", Named: "a", Header: http.Header{}},
-		"CONNECT b:443 HTTP/1.1\r\nHost: b:443\r\n\r\n": {Method: "CONNECT", Target: "b:443", Host: "b:443", Named: "b:443", Header: http.Header{}},
+		"OPTIONS * HTTP/1.1\r\nHost: a\r\n\r\n":         {Method: "OPTIONS", Target: "*", Host: "a", HostHeader: "a", Header: http.Header{}},
+		"CONNECT b:443 HTTP/1.1\r\nHost: b:443\r\n\r\n": {Method: "CONNECT", Target: "b:443", Host: "b:443", HostHeader: "b:443", Header: http.Header{}},
 	} {
 		var r Request
-		if err := Parse([]byte(text), &r); err != nil || !reflect.DeepEqual(r, want) {
+		if err := ParseRequest([]byte(text), &r); err != nil || !reflect.DeepEqual(r, want) {
 			t.Errorf("%q:\n%+v, %v, want\n%+v", text, r, err, want)
 		}
 	}
@@ -104,12 +104,12 @@
 	for _, text := range []string{get + "\r\n", "GET / HTTP/1.1\nHost: a\n\n", get + "\n"} {
 		for cut := range text {
 			looked := 0
-			if HeadEnd([]byte(text[:cut]), 0) < 0 {
+			if HeaderEnd([]byte(text[:cut]), 0) < 0 {
 				looked = cut
 			} else {
 				t.Errorf("%q ends at %d", text, cut)
 			}
-			if end := HeadEnd([]byte(text+"more"), looked); end != len(text) {
+			if end := HeaderEnd([]byte(text+"more"), looked); end != len(text) {
 				t.Errorf("%q, looked at up to %d: ends at %d", text, cut, end)
 			}
 		}
@@ -128,12 +128,12 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		end := HeadEnd(b, 0)
+		end := HeaderEnd(b, 0)
 		if end < 0 {
 			return
 		}
 		var r Request
-		if Parse(b[:end], &r) != nil {
+		if ParseRequest(b[:end], &r) != nil {
 			return
 		}
 		in := bufio.NewReaderSize(bytes.NewReader(b[:end]), 1<<16)
@@ -141,11 +141,11 @@
 		if err != nil {
 			t.Fatalf("%q: net/http refuses it: %v", b[:end], err)
 		}
-		if r.Method != want.Method || r.Target != want.RequestURI || r.Host != want.Host || r.Close != want.Close || r.Old != !want.ProtoAtLeast(1, 1) {
+		if r.Method != want.Method || r.Target != want.RequestURI || r.Host != want.Host || r.Close != want.Close || r.HTTP10 != !want.ProtoAtLeast(1, 1) {
 			t.Fatalf("%q: %+v, net/http has %+v", b[:end], r, want)
 		}
-		if chunked := len(want.TransferEncoding) > 0; r.Length != want.ContentLength || chunked != (r.Length < 0) {
-			t.Fatalf("%q: length %d, net/http has %d, %v", b[:end], r.Length, want.ContentLength, want.TransferEncoding)
+		if chunked := len(want.TransferEncoding) > 0; r.ContentLength != want.ContentLength || chunked != (r.ContentLength < 0) {
+			t.Fatalf("%q: length %d, net/http has %d, %v", b[:end], r.ContentLength, want.ContentLength, want.TransferEncoding)
 		}
 		h := maps.Clone(r.Header)
 		if len(h["Pragma"]) > 0 && h["Pragma"][0] == "no-cache" && h["Cache-Control"] == nil {
@@ -163,11 +163,11 @@
 
 // Whatever a host puts into a header, an answer stays one answer.
 func TestAppendFields(t *testing.T) {
-	got := string(AppendFields(nil, http.Header{"X-A": {"a\r\nX-B: b\nc"}, "X C": {"d"}, "": {"e"}, "X\r\nD": {"f"}}))
+	got := string(AppendHeader(nil, http.Header{"X-A": {"a\r\nX-B: b\nc"}, "X C": {"d"}, "": {"e"}, "X\r\nD": {"f"}}))
 	if want := "X-A: a  X-B: b c\r\n"; got != want {
 		t.Errorf("%q, want %q", got, want)
 	}
-	got = string(AppendFields(nil, http.Header{"Set-Cookie": {"a", "b"}}))
+	got = string(AppendHeader(nil, http.Header{"Set-Cookie": {"a", "b"}}))
 	if want := "Set-Cookie: a\r\nSet-Cookie: b\r\n"; got != want {
 		t.Errorf("%q, want %q", got, want)
 	}
@@ -193,7 +193,7 @@
 		b.ReportAllocs()
 		for b.Loop() {
 			var r Request
-			if HeadEnd(text, 0) < 0 || Parse(text, &r) != nil {
+			if HeaderEnd(text, 0) < 0 || ParseRequest(text, &r) != nil {
 				b.Fatal("refused")
 			}
 		}
--- a/internal/testutil/testkit.go
+++ b/internal/testutil/testkit.go
@@ -19,14 +19,14 @@
 
 // How long tests wait, and how often they look.
 const (
-	Patience  = 20 * time.Second // for a condition: long, as machines are noisy
-	PollEvery = 2 * time.Millisecond
+	WaitTimeout  = 20 * time.Second // for a condition: long, as machines are noisy
+	PollInterval = 2 * time.Millisecond
 )
 
-// Until waits for a condition.
-func Until(t testing.TB, what string, ok func() bool) {
+// WaitUntil waits for a condition.
+func WaitUntil(t testing.TB, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Patience); !ok(); time.Sleep(PollEvery) {
+	for end := time.Now().Add(WaitTimeout); !ok(); time.Sleep(PollInterval) {
 		if time.Now().After(end) {
 			t.Fatalf("gave up waiting: %s", what)
 		}
@@ -118,8 +118,8 @@
 	return len(h.Requests), h.accepted, h.ended
 }
 
-// Says is a script that writes the same answer each time.
-func Says(text string) Script {
+// RespondWith is a script that writes the same answer each time.
+func RespondWith(text string) Script {
 	return func(c net.Conn, _ *http.Request, _ int) bool {
 		io.WriteString(c, text)
 		return true
@@ -128,16 +128,16 @@
 
 // Answers.
 const (
-	Good       = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood"
-	Errored    = "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"
-	TurnedAway = "HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
+	OKResponse       = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood"
+	ErrorResponse    = "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"
+	RejectedResponse = "HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 )
 
-// Hang answers nothing; the host goes on reading, and so sees the connection end.
-func Hang(net.Conn, *http.Request, int) bool { return true }
+// NeverRespond answers nothing; the host goes on reading, and so sees the connection end.
+func NeverRespond(net.Conn, *http.Request, int) bool { return true }
 
-// BreakOff resets the connection.
-func BreakOff(c net.Conn, _ *http.Request, _ int) bool {
+// ResetConnection resets the connection.
+func ResetConnection(c net.Conn, _ *http.Request, _ int) bool {
 	c.(*net.TCPConn).SetLinger(0)
 	return false
 }
@@ -147,9 +147,9 @@
 // NewID is an id that no request here has had.
 func NewID() string { return fmt.Sprintf("%016x", lastID.Add(1)) }
 
-// Ask sends a request in the protocol's form, on a connection of its own, and returns its answer
+// SendRequest sends a request in the protocol's form, on a connection of its own, and returns its answer
 // and the answer's body.
-func Ask(t testing.TB, url, class, path, body string, headers ...string) (*http.Response, string) {
+func SendRequest(t testing.TB, url, class, path, body string, headers ...string) (*http.Response, string) {
 	t.Helper()
 	method := http.MethodPost
 	if class == "look" {
@@ -165,7 +165,7 @@
 	for i := 0; i < len(headers); i += 2 {
 		r.Header.Set(headers[i], headers[i+1])
 	}
-	resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: Patience}).Do(r)
+	resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: WaitTimeout}).Do(r)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -177,14 +177,14 @@
 	return resp, string(text)
 }
 
-// Look is a good request of the class look.
-func Look(id string) string {
+// LookRequest is a good request of the class look.
+func LookRequest(id string) string {
 	return "GET /api/1 HTTP/1.1\r\nHost: a\r\nX-Priority-Class: look\r\nX-Timeout: 60\r\nX-Request-ID: " + id + "\r\n\r\n"
 }
 
-// Asked asks on a connection and says whether a good answer came.
-func Asked(c net.Conn) error {
-	if _, err := io.WriteString(c, Look(NewID())); err != nil {
+// RoundTrip asks on a connection and says whether a good answer came.
+func RoundTrip(c net.Conn) error {
+	if _, err := io.WriteString(c, LookRequest(NewID())); err != nil {
 		return err
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
--- a/internal/upstream/fastcgi/conn.go
+++ b/internal/upstream/fastcgi/conn.go
@@ -45,7 +45,7 @@
 	id   uint16
 	out  *body.Pipe // STDOUT
 	lost bool       // nobody takes its output any more; conn.mu guards it
-	end  fastcgi.End
+	end  fastcgi.EndRequestBody
 	over chan struct{} // closed when END_REQUEST has come, or the connection has ended
 	cut  error         // why there was no END_REQUEST; set before over is closed
 	sent bool          // the last byte went out; conn.mu guards it
@@ -107,7 +107,7 @@
 	c.mu.Unlock()
 	for _, k := range calls {
 		k.cut = err
-		k.out.End(errCut)
+		k.out.CloseWrite(errCut)
 		close(k.over)
 	}
 }
@@ -140,9 +140,9 @@
 	}
 }
 
-// Output passes on what a responder puts out. Where nobody takes it, it waits for a moment if
+// Stdout passes on what a responder puts out. Where nobody takes it, it waits for a moment if
 // others are on the connection, and then gives the request up: they must not be held up.
-func (c *conn) Output(id uint16, part []byte) {
+func (c *conn) Stdout(id uint16, part []byte) {
 	c.mu.Lock()
 	k, wait := c.calls[id], stallAlone
 	if len(c.calls) > 1 {
@@ -153,17 +153,17 @@
 	if lost {
 		return
 	}
-	if k.out.Write(part, wait) == body.ErrFull {
-		k.out.End(body.ErrFull)
+	if k.out.Write(part, wait) == body.ErrPipeFull {
+		k.out.CloseWrite(body.ErrPipeFull)
 		c.abort(k)
 	}
 }
 
-// Errors is what a responder says for its operators; it has its own log.
-func (c *conn) Errors(uint16, []byte) {}
+// Stderr is what a responder says for its operators; it has its own log.
+func (c *conn) Stderr(uint16, []byte) {}
 
-// End is the end of a request.
-func (c *conn) End(id uint16, e fastcgi.End) {
+// EndRequest is the end of a request.
+func (c *conn) EndRequest(id uint16, e fastcgi.EndRequestBody) {
 	c.mu.Lock()
 	k := c.calls[id]
 	delete(c.calls, id)
@@ -172,15 +172,15 @@
 		return
 	}
 	k.end = e
-	k.out.End(io.EOF)
+	k.out.CloseWrite(io.EOF)
 	close(k.over)
 }
 
 // Values is for those who ask; nobody has.
 func (c *conn) Values(fastcgi.Values) {}
 
-// Stray has a connection whose responder has lost track take no more requests.
-func (c *conn) Stray() { c.retire() }
+// UnsolicitedRecord has a connection whose responder has lost track take no more requests.
+func (c *conn) UnsolicitedRecord() { c.retire() }
 
 // abort calls a request off. With others on the connection that is an ABORT_REQUEST, after which
 // the responder has endTime to end it; else it is the end of the connection.
@@ -198,7 +198,7 @@
 		return
 	}
 	go func() {
-		c.write(fastcgi.AppendEnd(nil, fastcgi.AbortRequest, k.id), time.Second)
+		c.write(fastcgi.AppendStreamEnd(nil, fastcgi.AbortRequest, k.id), time.Second)
 		select {
 		case <-k.over:
 		case <-time.After(endTime):
@@ -247,7 +247,7 @@
 // exchange sends a request and reads the head of its answer, with the part of the body that is
 // held; what follows flows.
 func (c *conn) exchange(ctx context.Context, x *engine.Request) engine.Result {
-	k := &call{id: c.in.Open(), out: body.NewPipe(outputMost), over: make(chan struct{})}
+	k := &call{id: c.in.OpenRequest(), out: body.NewPipe(outputMost), over: make(chan struct{})}
 	c.mu.Lock()
 	if c.err != nil {
 		c.mu.Unlock()
@@ -257,12 +257,12 @@
 	c.calls[k.id] = k
 	c.mu.Unlock()
 	out, params := c.host.t.encode(k.id, x)
-	whole := x.Body.Whole()
+	whole := x.Body.Buffered()
 	if whole {
-		out = fastcgi.AppendEnd(out, fastcgi.Stdin, k.id)
+		out = fastcgi.AppendStreamEnd(out, fastcgi.Stdin, k.id)
 	}
 	// The dial may have taken long, or others that write: look again whether the request may go out.
-	n, err := c.begin(out, pace(x).Idle, func() bool { return x.MayWrite() && c.host.usable.Load() && c.host.t.current(c) })
+	n, err := c.begin(out, pace(x).IdleTimeout, func() bool { return x.MayWrite() && c.host.usable.Load() && c.host.t.current(c) })
 	if err == errMayNot {
 		c.forget(k)
 		return engine.Ended(balancer.NotSent)
@@ -284,15 +284,15 @@
 		return c.failed(ctx, x, k, up, err)
 	}
 	a := engine.Response{Kind: engine.Served, Status: status, Header: header}
-	length, err := fastcgi.Length(header)
+	length, err := fastcgi.ContentLength(header)
 	if err != nil {
 		up.stop()
 		c.done(k, false)
-		return engine.Ended(balancer.Spoilt)
+		return engine.Ended(balancer.InvalidResponse)
 	}
 	s := &answer{c: c, k: k, up: up, length: length, meter: body.Meter{Pace: pace(x)}, header: header}
 	if st := streams(x); st.HeadDeadlineOnly {
-		s.meter.Least = 0
+		s.meter.MinRate = 0
 	} else if due, known := x.Due(); known {
 		s.due = due
 	}
@@ -305,9 +305,9 @@
 		return c.failed(ctx, x, k, up, err)
 	case ended:
 		s.Close(true)
-		a.Body = body.Held(held)
+		a.Body = body.NewBuffered(held)
 	default:
-		a.Body = body.Flowing(held, body.NewFlow(s, length))
+		a.Body = body.NewStreamed(held, body.NewStream(s, length))
 	}
 	return engine.Result{HasResponse: true, Response: a}
 }
@@ -315,7 +315,7 @@
 // streams is how bodies flow on the request's route.
 func streams(x *engine.Request) *engine.Streams {
 	if x.Route == nil || x.Route.Streams == nil {
-		return &engine.Streams{HeadDeadlineOnly: true, Pace: body.Pace{Idle: stallAlone}}
+		return &engine.Streams{HeadDeadlineOnly: true, Pace: body.Pace{IdleTimeout: stallAlone}}
 	}
 	return x.Route.Streams
 }
@@ -326,7 +326,7 @@
 	delete(c.calls, k.id)
 	c.mu.Unlock()
 	c.in.Drop(k.id)
-	k.out.Close()
+	k.out.CloseRead()
 	c.release()
 }
 
@@ -339,7 +339,7 @@
 			c.abort(k)
 		}
 	}
-	k.out.Close()
+	k.out.CloseRead()
 	c.release()
 }
 
@@ -378,7 +378,7 @@
 	case ctx.Err() != nil:
 		return engine.Ended(balancer.Canceled)
 	case errors.Is(err, fastcgi.ErrHead):
-		return engine.Ended(balancer.Spoilt)
+		return engine.Ended(balancer.InvalidResponse)
 	case err == io.EOF:
 		return ended(k.end)
 	case !sent:
@@ -389,18 +389,18 @@
 
 // ended is the result of a request that ended with nothing put out. By the specification (5.5)
 // the three refusals reject a request that was not run; REQUEST_COMPLETE says that it was.
-func ended(e fastcgi.End) engine.Result {
-	switch e.Status {
+func ended(e fastcgi.EndRequestBody) engine.Result {
+	switch e.ProtocolStatus {
 	case fastcgi.Overloaded, fastcgi.CantMultiplex, fastcgi.UnknownRole:
 		return engine.Ended(balancer.Full)
 	}
-	return engine.Ended(balancer.Spoilt)
+	return engine.Ended(balancer.InvalidResponse)
 }
 
 // head reads the head of the answer; rest is what came behind it. io.EOF says that the request
 // has ended with nothing put out.
 func (k *call) head(ctx context.Context) (rest []byte, status int, header http.Header, err error) {
-	stop := context.AfterFunc(ctx, k.out.Close) // nobody waits
+	stop := context.AfterFunc(ctx, k.out.CloseRead) // nobody waits
 	defer stop()
 	buf := make([]byte, 0, 2<<10)
 	for {
@@ -409,7 +409,7 @@
 		buf = buf[:len(buf)+n]
 		if n > 0 {
 			var at int
-			if status, header, at, err = fastcgi.ParseAnswer(buf); err != nil || at > 0 {
+			if status, header, at, err = fastcgi.ParseResponseHeader(buf); err != nil || at > 0 {
 				return buf[at:], status, header, err
 			}
 			continue
@@ -445,7 +445,7 @@
 // hold reads what comes within holdTime, or all where the length says that it is short. ended says
 // that it is the whole body.
 func (s *answer) hold(ctx context.Context, first []byte) (held []byte, ended bool, err error) {
-	stop := context.AfterFunc(ctx, s.k.out.Close)
+	stop := context.AfterFunc(ctx, s.k.out.CloseRead)
 	defer stop()
 	held = first
 	s.read = int64(len(first))
@@ -453,7 +453,7 @@
 	for len(held) < outputMost {
 		wait := time.Until(until)
 		if s.bodyless || s.length >= 0 && s.length <= outputMost {
-			wait = s.meter.Wait() // it is short: all of it is waited for
+			wait = s.meter.Timeout() // it is short: all of it is waited for
 		}
 		held = slices.Grow(held, 512)
 		n, err := s.k.out.Read(held[len(held):cap(held)], wait)
@@ -469,7 +469,7 @@
 				return nil, false, fastcgi.ErrHead // the one length does not fit
 			}
 			return held, true, nil
-		case errors.Is(err, os.ErrDeadlineExceeded) && wait < s.meter.Wait():
+		case errors.Is(err, os.ErrDeadlineExceeded) && wait < s.meter.Timeout():
 			return held, false, nil // it goes on as it comes
 		case err != nil:
 			return nil, false, err
@@ -480,14 +480,14 @@
 
 // Read reads on, with the pace that the host must keep.
 func (s *answer) Read(p []byte) (int, error) {
-	wait := s.meter.Wait()
+	wait := s.meter.Timeout()
 	if !s.due.IsZero() {
 		wait = min(wait, time.Until(s.due))
 	}
 	began := time.Now()
 	n, err := s.k.out.Read(p, max(wait, time.Nanosecond))
 	s.read += int64(n)
-	if slow := s.meter.Moved(n, time.Since(began)); slow != nil && err == nil {
+	if slow := s.meter.Record(n, time.Since(began)); slow != nil && err == nil {
 		err = slow
 	}
 	if s.length >= 0 && (s.read > s.length || err == io.EOF && s.read < s.length) {
@@ -516,7 +516,7 @@
 
 func (c *conn) upload(k *call, x *engine.Request) *upload {
 	u := &upload{x: x, done: make(chan struct{})}
-	if x.Body.Whole() {
+	if x.Body.Buffered() {
 		close(u.done)
 	} else {
 		go u.run(c, k)
@@ -531,23 +531,23 @@
 		return
 	default:
 	}
-	u.x.Body.Flow().Close() // a read of the client's that waits ends
+	u.x.Body.Stream().Close() // a read of the client's that waits ends
 	<-u.done
 }
 
 func (u *upload) run(c *conn, k *call) {
 	defer close(u.done)
-	flow := u.x.Body.Flow()
-	if flow.Take() != nil {
+	flow := u.x.Body.Stream()
+	if flow.Consume() != nil {
 		return
 	}
-	buf := c.host.t.o.Budget.Buffer()
+	buf := c.host.t.o.BodyBudget.AcquireBuffer()
 	if buf == nil {
 		c.abort(k)
 		return
 	}
-	defer c.host.t.o.Budget.Return(buf)
-	b, idle := *buf, pace(u.x).Idle
+	defer c.host.t.o.BodyBudget.ReleaseBuffer(buf)
+	b, idle := *buf, pace(u.x).IdleTimeout
 	for {
 		n, err := flow.Read(b[fastcgi.HeadLen:min(len(b), fastcgi.HeadLen+fastcgi.MaxContentOut)])
 		if n > 0 {
@@ -558,7 +558,7 @@
 		}
 		switch {
 		case err == io.EOF:
-			if n, _ := c.write(fastcgi.AppendEnd(b[:0], fastcgi.Stdin, k.id), idle); n == fastcgi.HeadLen {
+			if n, _ := c.write(fastcgi.AppendStreamEnd(b[:0], fastcgi.Stdin, k.id), idle); n == fastcgi.HeadLen {
 				c.mu.Lock()
 				k.sent = true
 				c.mu.Unlock()
@@ -566,9 +566,9 @@
 			return
 		case err != nil:
 			// Half a body is none: the responder must not take it for whole.
-			u.client = err != body.ErrTaken
+			u.client = err != body.ErrConsumed
 			c.abort(k)
-			k.out.End(err)
+			k.out.CloseWrite(err)
 			return
 		}
 	}
--- a/internal/upstream/fastcgi/encode.go
+++ b/internal/upstream/fastcgi/encode.go
@@ -16,9 +16,9 @@
 func (t *Transport) encode(id uint16, x *engine.Request) (out []byte, told int) {
 	held := x.Body.Bytes()
 	out = make([]byte, 0, 1024+len(held))
-	out = fastcgi.AppendBegin(out, id, fastcgi.Begin{Role: fastcgi.Responder, Flags: fastcgi.KeepConn})
+	out = fastcgi.AppendBeginRequest(out, id, fastcgi.BeginRequestBody{Role: fastcgi.Responder, Flags: fastcgi.KeepConn})
 	out = fastcgi.AppendStream(out, fastcgi.Params, id, t.params(x))
-	out = fastcgi.AppendEnd(out, fastcgi.Params, id)
+	out = fastcgi.AppendStreamEnd(out, fastcgi.Params, id)
 	told = len(out)
 	return fastcgi.AppendStream(out, fastcgi.Stdin, id, held), told
 }
@@ -48,10 +48,10 @@
 	add("REQUEST_URI", x.Target)
 	add("SCRIPT_NAME", script)
 	add("QUERY_STRING", query)
-	if t.o.Root != "" {
-		add("DOCUMENT_ROOT", t.o.Root)
+	if t.o.DocumentRoot != "" {
+		add("DOCUMENT_ROOT", t.o.DocumentRoot)
 		// Cleaned as from the root, so that no path leads out of it.
-		add("SCRIPT_FILENAME", strings.TrimSuffix(t.o.Root, "/")+path.Clean("/"+script))
+		add("SCRIPT_FILENAME", strings.TrimSuffix(t.o.DocumentRoot, "/")+path.Clean("/"+script))
 	}
 	if n := x.Body.Len(); n > 0 {
 		add("CONTENT_LENGTH", strconv.FormatInt(n, 10))
@@ -79,7 +79,7 @@
 		if name == "Cookie" {
 			sep = "; " // RFC 6265, 5.4
 		}
-		if key := fastcgi.VarOf(name); key != "" {
+		if key := fastcgi.ParamName(name); key != "" {
 			add(key, strings.Join(v, sep))
 		}
 	}
--- a/internal/upstream/fastcgi/transport.go
+++ b/internal/upstream/fastcgi/transport.go
@@ -49,12 +49,12 @@
 
 // Options are what a Transport is told.
 type Options struct {
-	Sockets     int // connections at most, all hosts together
-	ConnIdle    time.Duration
-	DialTimeout time.Duration
-	Budget      *body.Budget      // of the buffers of what flows
-	Root        string            // of the scripts: SCRIPT_FILENAME is below it; "": none is told
-	Params      map[string]string // told with each request, in place of ours
+	Sockets      int // connections at most, all hosts together
+	ConnIdle     time.Duration
+	DialTimeout  time.Duration
+	BodyBudget   *body.Budget      // of the buffers of what flows
+	DocumentRoot string            // of the scripts: SCRIPT_FILENAME is below it; "": none is told
+	Params       map[string]string // told with each request, in place of ours
 }
 
 // Transport makes the attempts, and keeps the connections of a pool.
@@ -82,10 +82,10 @@
 	dialing chan struct{} // closed when the dial under way is over; nil: there is none
 }
 
-// New returns a Transport.
-func New(o Options) *Transport {
-	if o.Budget == nil {
-		o.Budget = body.NewBudget(64 << 20)
+// NewTransport returns a Transport.
+func NewTransport(o Options) *Transport {
+	if o.BodyBudget == nil {
+		o.BodyBudget = body.NewBudget(64 << 20)
 	}
 	return &Transport{
 		o: o, dialer: net.Dialer{Timeout: min(cmp.Or(o.DialTimeout, connectTime), connectTime)},
@@ -93,8 +93,8 @@
 	}
 }
 
-// Limit sets how many connections may be open.
-func (t *Transport) Limit(sockets int, _ int64) {
+// SetLimits sets how many connections may be open.
+func (t *Transport) SetLimits(sockets int, _ int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.budget = sockets
@@ -326,10 +326,10 @@
 	done bool
 }
 
-func (a *asked) Output(uint16, []byte)   {}
-func (a *asked) Errors(uint16, []byte)   {}
-func (a *asked) End(uint16, fastcgi.End) {}
-func (a *asked) Stray()                  {}
+func (a *asked) Stdout(uint16, []byte)                     {}
+func (a *asked) Stderr(uint16, []byte)                     {}
+func (a *asked) EndRequest(uint16, fastcgi.EndRequestBody) {}
+func (a *asked) UnsolicitedRecord()                        {}
 func (a *asked) Values(v fastcgi.Values) {
 	if !a.done { // some end the answer with an empty one, as if it were a stream
 		a.v, a.done = v, true
@@ -374,12 +374,12 @@
 func plain(x *engine.Request) bool { return x.Route != nil && x.Route.Plain != nil }
 
 // begun says whether some of what flows has been let go: it can't be sent again.
-func begun(x *engine.Request) bool { return !x.Body.Whole() && x.Body.Flow().Taken() }
+func begun(x *engine.Request) bool { return !x.Body.Buffered() && x.Body.Stream().Consumed() }
 
 // pace is how slow a host may be.
 func pace(x *engine.Request) body.Pace {
 	if x.Route == nil || x.Route.Streams == nil {
-		return body.Pace{Idle: stallAlone}
+		return body.Pace{IdleTimeout: stallAlone}
 	}
 	return x.Route.Streams.Pace
 }
--- a/internal/upstream/fastcgi/transport_test.go
+++ b/internal/upstream/fastcgi/transport_test.go
@@ -43,7 +43,7 @@
 
 func (h *heard) Request(id uint16, params []byte, _ bool, _ error) {
 	vars := map[string]string{}
-	fastcgi.Vars(params, func(name, value []byte) error { vars[string(name)] = string(value); return nil })
+	fastcgi.ForEachParam(params, func(name, value []byte) error { vars[string(name)] = string(value); return nil })
 	h.vars[id] = vars
 }
 func (h *heard) Body(id uint16, part []byte, end bool) {
@@ -53,7 +53,7 @@
 		body := string(h.bodies[id])
 		delete(h.bodies, id)
 		if h.vars[id]["REQUEST_URI"] != "/held" { // that one stays open
-			h.in.Ended(id)
+			h.in.RequestEnded(id)
 		}
 		h.r.script(h.c, id, h.vars[id], body)
 	}
@@ -100,17 +100,17 @@
 // good is a whole answer.
 func good(id uint16, text string) []byte {
 	out := fastcgi.AppendStream(nil, fastcgi.Stdout, id, []byte("Content-Type: text/plain\r\n\r\n"+text))
-	return fastcgi.AppendEndRequest(fastcgi.AppendEnd(out, fastcgi.Stdout, id), id, fastcgi.End{})
+	return fastcgi.AppendEndRequest(fastcgi.AppendStreamEnd(out, fastcgi.Stdout, id), id, fastcgi.EndRequestBody{})
 }
 
 func out(id uint16, text string) []byte {
 	return fastcgi.AppendStream(nil, fastcgi.Stdout, id, []byte(text))
 }
 
-func endOf(id uint16, e fastcgi.End) []byte { return fastcgi.AppendEndRequest(nil, id, e) }
+func endOf(id uint16, e fastcgi.EndRequestBody) []byte { return fastcgi.AppendEndRequest(nil, id, e) }
 
 func hostAt(t *testing.T, addr string) (*Transport, *host) {
-	tr := New(Options{Sockets: 64, Root: "/srv/www", Params: map[string]string{"APP_ENV": "test"}})
+	tr := NewTransport(Options{Sockets: 64, DocumentRoot: "/srv/www", Params: map[string]string{"APP_ENV": "test"}})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go tr.Run(ctx)
@@ -120,9 +120,9 @@
 }
 
 func ask(method, target, text string) *engine.Request {
-	x := &engine.Request{Method: method, Target: target, Host: "calendar.example.org", Deadline: time.Now().Add(testutil.Patience),
+	x := &engine.Request{Method: method, Target: target, Host: "calendar.example.org", Deadline: time.Now().Add(testutil.WaitTimeout),
 		Header: http.Header{"X-Request-Id": {testutil.NewID()}, "Content-Type": {"text/plain"}, "Bad_Name": {"x"}, "Proxy": {"http://evil"}, "Cookie": {"a=1", "b=2"}}}
-	x.Body = body.Held([]byte(text))
+	x.Body = body.NewBuffered([]byte(text))
 	return x
 }
 
@@ -132,8 +132,8 @@
 	r := h.Attempt(ctx, x)
 	text := append([]byte(nil), r.Response.Body.Bytes()...)
 	var err error
-	if f := r.Response.Body.Flow(); f != nil {
-		f.Take()
+	if f := r.Response.Body.Stream(); f != nil {
+		f.Consume()
 		var rest []byte
 		rest, err = io.ReadAll(f)
 		text = append(text, rest...)
@@ -152,38 +152,50 @@
 		text   string
 	}{
 		{"an answer", func(c net.Conn, id uint16) { c.Write(good(id, "good")) }, balancer.OK, "good"},
-		{"with no end of STDOUT", func(c net.Conn, id uint16) { c.Write(append(out(id, "X: y\n\ngood"), endOf(id, fastcgi.End{})...)) }, balancer.OK, "good"},
+		{"with no end of STDOUT", func(c net.Conn, id uint16) {
+			c.Write(append(out(id, "X: y\n\ngood"), endOf(id, fastcgi.EndRequestBody{})...))
+		}, balancer.OK, "good"},
 		{"with an exit status", func(c net.Conn, id uint16) {
-			c.Write(append(out(id, "X: y\n\ngood"), endOf(id, fastcgi.End{App: 7})...))
+			c.Write(append(out(id, "X: y\n\ngood"), endOf(id, fastcgi.EndRequestBody{AppStatus: 7})...))
 		}, balancer.OK, "good"},
 		{"in pieces, with errors between", func(c net.Conn, id uint16) {
 			for _, s := range []string{"X: y", "\r\n\r", "\ngo", "od"} {
 				c.Write(append(out(id, s), fastcgi.AppendRecord(nil, fastcgi.Stderr, id, []byte("note"))...))
 				time.Sleep(time.Millisecond)
 			}
-			c.Write(endOf(id, fastcgi.End{}))
+			c.Write(endOf(id, fastcgi.EndRequestBody{}))
 		}, balancer.OK, "good"},
 		{"a length that fits", func(c net.Conn, id uint16) {
-			c.Write(append(out(id, "Content-Length: 4\n\ngood"), endOf(id, fastcgi.End{})...))
+			c.Write(append(out(id, "Content-Length: 4\n\ngood"), endOf(id, fastcgi.EndRequestBody{})...))
 		}, balancer.OK, "good"},
 		{"a length that does not", func(c net.Conn, id uint16) {
-			c.Write(append(out(id, "Content-Length: 5\n\ngood"), endOf(id, fastcgi.End{})...))
-		}, balancer.Spoilt, ""},
+			c.Write(append(out(id, "Content-Length: 5\n\ngood"), endOf(id, fastcgi.EndRequestBody{})...))
+		}, balancer.InvalidResponse, ""},
 		{"two lengths", func(c net.Conn, id uint16) {
-			c.Write(append(out(id, "Content-Length: 4\nContent-Length: 4\n\ngood"), endOf(id, fastcgi.End{})...))
-		}, balancer.Spoilt, ""},
-		{"overloaded", func(c net.Conn, id uint16) { c.Write(endOf(id, fastcgi.End{Status: fastcgi.Overloaded})) }, balancer.Full, ""},
-		{"can't multiplex", func(c net.Conn, id uint16) { c.Write(endOf(id, fastcgi.End{Status: fastcgi.CantMultiplex})) }, balancer.Full, ""},
-		{"unknown role", func(c net.Conn, id uint16) { c.Write(endOf(id, fastcgi.End{Status: fastcgi.UnknownRole})) }, balancer.Full, ""},
+			c.Write(append(out(id, "Content-Length: 4\nContent-Length: 4\n\ngood"), endOf(id, fastcgi.EndRequestBody{})...))
+		}, balancer.InvalidResponse, ""},
+		{"overloaded", func(c net.Conn, id uint16) {
+			c.Write(endOf(id, fastcgi.EndRequestBody{ProtocolStatus: fastcgi.Overloaded}))
+		}, balancer.Full, ""},
+		{"can't multiplex", func(c net.Conn, id uint16) {
+			c.Write(endOf(id, fastcgi.EndRequestBody{ProtocolStatus: fastcgi.CantMultiplex}))
+		}, balancer.Full, ""},
+		{"unknown role", func(c net.Conn, id uint16) {
+			c.Write(endOf(id, fastcgi.EndRequestBody{ProtocolStatus: fastcgi.UnknownRole}))
+		}, balancer.Full, ""},
 		{"overloaded, and yet half a head", func(c net.Conn, id uint16) {
-			c.Write(append(out(id, "X: "), endOf(id, fastcgi.End{Status: fastcgi.Overloaded})...))
-		}, balancer.Spoilt, ""},
-		{"complete, and nothing", func(c net.Conn, id uint16) { c.Write(endOf(id, fastcgi.End{App: 1})) }, balancer.Spoilt, ""},
+			c.Write(append(out(id, "X: "), endOf(id, fastcgi.EndRequestBody{ProtocolStatus: fastcgi.Overloaded})...))
+		}, balancer.InvalidResponse, ""},
+		{"complete, and nothing", func(c net.Conn, id uint16) { c.Write(endOf(id, fastcgi.EndRequestBody{AppStatus: 1})) }, balancer.InvalidResponse, ""},
 		{"STDERR only", func(c net.Conn, id uint16) {
-			c.Write(append(fastcgi.AppendRecord(nil, fastcgi.Stderr, id, []byte("oh")), endOf(id, fastcgi.End{App: 1})...))
-		}, balancer.Spoilt, ""},
-		{"a head that is none", func(c net.Conn, id uint16) { c.Write(append(out(id, "good\n\n"), endOf(id, fastcgi.End{})...)) }, balancer.Spoilt, ""},
-		{"a head that does not end", func(c net.Conn, id uint16) { c.Write(append(out(id, "X: y\n"), endOf(id, fastcgi.End{})...)) }, balancer.Spoilt, ""},
+			c.Write(append(fastcgi.AppendRecord(nil, fastcgi.Stderr, id, []byte("oh")), endOf(id, fastcgi.EndRequestBody{AppStatus: 1})...))
+		}, balancer.InvalidResponse, ""},
+		{"a head that is none", func(c net.Conn, id uint16) {
+			c.Write(append(out(id, "good\n\n"), endOf(id, fastcgi.EndRequestBody{})...))
+		}, balancer.InvalidResponse, ""},
+		{"a head that does not end", func(c net.Conn, id uint16) {
+			c.Write(append(out(id, "X: y\n"), endOf(id, fastcgi.EndRequestBody{})...))
+		}, balancer.InvalidResponse, ""},
 		{"closed at once", func(c net.Conn, id uint16) { c.Close() }, balancer.Reset, ""},
 		{"reset at once", func(c net.Conn, id uint16) { c.(*net.TCPConn).SetLinger(0); c.Close() }, balancer.Reset, ""},
 		{"closed within a record", func(c net.Conn, id uint16) { c.Write(out(id, "X: y\n\ngood")[:14]); c.Close() }, balancer.Reset, ""},
@@ -251,7 +263,7 @@
 			}
 		}
 	}
-	testutil.Until(t, "connections are counted down", func() bool {
+	testutil.WaitUntil(t, "connections are counted down", func() bool {
 		tr.mu.Lock()
 		defer tr.mu.Unlock()
 		return tr.open == 0
@@ -310,7 +322,7 @@
 	}))
 	tr, h := hostAt(t, ln.Addr().String())
 	attempt(h, ask("POST", "/", "first"))
-	testutil.Until(t, "it has said what it can", func() bool {
+	testutil.WaitUntil(t, "it has said what it can", func() bool {
 		tr.mu.Lock()
 		defer tr.mu.Unlock()
 		return h.can.Multiplexes
@@ -357,12 +369,12 @@
 		if waiting[a] != waiting[b] {
 			t.Error("they came on two connections")
 		}
-		c.Write(bytes.Join([][]byte{good(a, fmt.Sprint("for ", a)), out(a, "late"), out(b, "X: y\n\nfor "), out(a, "later"), out(b, fmt.Sprint(b)), endOf(b, fastcgi.End{})}, nil))
+		c.Write(bytes.Join([][]byte{good(a, fmt.Sprint("for ", a)), out(a, "late"), out(b, "X: y\n\nfor "), out(a, "later"), out(b, fmt.Sprint(b)), endOf(b, fastcgi.EndRequestBody{})}, nil))
 		close(both)
 	})
 	tr, h := hostAt(t, r.Addr().String())
 	attempt(h, ask("POST", "/first", "")) // it learns that it can
-	testutil.Until(t, "it has said what it can", func() bool {
+	testutil.WaitUntil(t, "it has said what it can", func() bool {
 		tr.mu.Lock()
 		defer tr.mu.Unlock()
 		return h.can.Multiplexes
@@ -379,7 +391,7 @@
 	if a == b || !strings.HasPrefix(a, "truefor ") || !strings.HasPrefix(b, "truefor ") {
 		t.Errorf("%s and %s", a, b)
 	}
-	testutil.Until(t, "the connection is gone", func() bool {
+	testutil.WaitUntil(t, "the connection is gone", func() bool {
 		tr.mu.Lock()
 		defer tr.mu.Unlock()
 		return tr.open == 0
@@ -404,7 +416,7 @@
 	})
 	tr, h := hostAt(t, r.Addr().String())
 	attempt(h, ask("POST", "/first", ""))
-	testutil.Until(t, "it has said what it can", func() bool {
+	testutil.WaitUntil(t, "it has said what it can", func() bool {
 		tr.mu.Lock()
 		defer tr.mu.Unlock()
 		return h.can.Multiplexes
@@ -414,16 +426,16 @@
 		_, text, _ := attempt(h, ask("POST", "/kept", ""))
 		kept <- text
 	}()
-	testutil.Until(t, "it is out", func() bool { return r.runs.Load() == 2 })
+	testutil.WaitUntil(t, "it is out", func() bool { return r.runs.Load() == 2 })
 	ctx, cancel := context.WithCancel(context.Background())
 	given := make(chan engine.Result, 1)
 	go func() { given <- h.Attempt(ctx, ask("POST", "/held", "")) }()
-	testutil.Until(t, "the other is out", func() bool { return r.runs.Load() == 3 })
+	testutil.WaitUntil(t, "the other is out", func() bool { return r.runs.Load() == 3 })
 	cancel()
 	if res := <-given; res.HasResponse || res.Outcome != balancer.Canceled {
 		t.Errorf("given up: %+v", res)
 	}
-	testutil.Until(t, "it is aborted", func() bool { return r.aborts.Load() == 1 })
+	testutil.WaitUntil(t, "it is aborted", func() bool { return r.aborts.Load() == 1 })
 	close(hold)
 	if got := <-kept; got != "kept" {
 		t.Errorf("the other got %q", got)
@@ -451,7 +463,7 @@
 	})
 	tr, h := hostAt(t, r.Addr().String())
 	attempt(h, ask("POST", "/first", ""))
-	testutil.Until(t, "it has said what it can", func() bool {
+	testutil.WaitUntil(t, "it has said what it can", func() bool {
 		tr.mu.Lock()
 		defer tr.mu.Unlock()
 		return h.can.Multiplexes && len(h.conns) == 1
@@ -468,9 +480,9 @@
 		})
 	}
 	others("/stall", 0)
-	testutil.Until(t, "it is out", func() bool { return r.runs.Load() == 2 })
+	testutil.WaitUntil(t, "it is out", func() bool { return r.runs.Load() == 2 })
 	others("/big", 32<<20) // more than all buffers on the way take
-	testutil.Until(t, "it is being written", func() bool {
+	testutil.WaitUntil(t, "it is being written", func() bool {
 		if c.wmu.TryLock() {
 			c.wmu.Unlock()
 			return false
@@ -482,7 +494,7 @@
 	x.Client = client
 	result := make(chan engine.Result, 1)
 	go func() { res, _, _ := attempt(h, x); result <- res }()
-	testutil.Until(t, "it waits for its turn", func() bool { return c.in.Len() == 3 })
+	testutil.WaitUntil(t, "it waits for its turn", func() bool { return c.in.Len() == 3 })
 	client.left.Store(true)
 	close(hold)
 	if res := <-result; res.HasResponse || res.Outcome != balancer.NotSent {
@@ -538,7 +550,7 @@
 		r := startResponder(t, "", func(nc net.Conn, id uint16, _ map[string]string, _ string) {
 			nc.Write(out(id, c.head+text))
 			if c.whole {
-				nc.Write(endOf(id, fastcgi.End{}))
+				nc.Write(endOf(id, fastcgi.EndRequestBody{}))
 			} else {
 				nc.Close()
 			}
--- a/internal/upstream/http1/flow.go
+++ b/internal/upstream/http1/flow.go
@@ -33,7 +33,7 @@
 func plain(x *engine.Request) bool { return x.Route != nil && x.Route.Plain != nil }
 
 // begun says whether some of what flows has been let go: it can't be sent again.
-func begun(x *engine.Request) bool { return !x.Body.Whole() && x.Body.Flow().Taken() }
+func begun(x *engine.Request) bool { return !x.Body.Buffered() && x.Body.Stream().Consumed() }
 
 // streams is how bodies flow on the request's route.
 func streams(x *engine.Request) *engine.Streams {
@@ -44,12 +44,12 @@
 }
 
 // heldWhole is for routes that say nothing of how bodies flow: answers do, at any pace.
-var heldWhole = engine.Streams{HeadDeadlineOnly: true, Pace: body.Pace{Idle: headTime}}
+var heldWhole = engine.Streams{HeadDeadlineOnly: true, Pace: body.Pace{IdleTimeout: headTime}}
 
 // expects says whether the host is to be asked before the body is sent: where nothing of it
 // has been asked of the client yet.
 func expects(x *engine.Request) bool {
-	return !x.Body.Whole() && len(x.Body.Bytes()) == 0
+	return !x.Body.Buffered() && len(x.Body.Bytes()) == 0
 }
 
 // upload sends the part of a request's body that flows, while the answer is waited for.
@@ -68,7 +68,7 @@
 
 func (p *Transport) newUpload(c *conn, x *engine.Request) *upload {
 	u := &upload{t: p, c: c, x: x, proceed: make(chan struct{}, 1), quit: make(chan struct{}), done: make(chan struct{})}
-	if x.Body.Whole() {
+	if x.Body.Buffered() {
 		close(u.done)
 	} else {
 		go u.run()
@@ -85,8 +85,8 @@
 	}
 	u.once.Do(func() {
 		close(u.quit)
-		u.x.Body.Flow().Close() // a read of the client's that waits ends
-		u.c.Conn.Close()        // and so does a write to the host
+		u.x.Body.Stream().Close() // a read of the client's that waits ends
+		u.c.Conn.Close()          // and so does a write to the host
 	})
 	<-u.done
 	return false
@@ -99,23 +99,23 @@
 		case <-u.proceed:
 		case <-time.After(expectTime):
 		case <-u.quit:
-			u.err = body.ErrTaken
+			u.err = body.ErrConsumed
 			return
 		}
 	}
-	flow := u.x.Body.Flow()
-	if u.err = flow.Take(); u.err != nil {
+	flow := u.x.Body.Stream()
+	if u.err = flow.Consume(); u.err != nil {
 		return
 	}
-	buf := u.t.bodies.Buffer()
+	buf := u.t.bodies.AcquireBuffer()
 	if buf == nil {
 		u.err = errNoMemory
 		u.c.Conn.Close()
 		return
 	}
-	defer u.t.bodies.Return(buf)
+	defer u.t.bodies.ReleaseBuffer(buf)
 	chunked := u.x.Body.Len() < 0
-	meter, alarm := body.Meter{Pace: streams(u.x).Pace}, body.Alarm{Set: u.c.SetWriteDeadline}
+	meter, alarm := body.Meter{Pace: streams(u.x).Pace}, body.LazyDeadline{SetDeadline: u.c.SetWriteDeadline}
 	b := *buf
 	for {
 		n, err := flow.Read(b[chunkRoom : len(b)-2])
@@ -130,11 +130,11 @@
 				out = b[at : chunkRoom+n+2]
 			}
 			began := time.Now()
-			alarm.Within(began, meter.Wait())
+			alarm.Reset(began, meter.Timeout())
 			if _, u.err = u.c.Write(out); u.err == nil {
-				u.err = meter.Moved(n, time.Since(began))
+				u.err = meter.Record(n, time.Since(began))
 			}
-			if u.err == body.ErrSlow || errors.Is(u.err, os.ErrDeadlineExceeded) {
+			if u.err == body.ErrTooSlow || errors.Is(u.err, os.ErrDeadlineExceeded) {
 				u.c.Conn.Close() // nobody would end the wait for an answer
 			}
 			if u.err != nil {
@@ -144,13 +144,13 @@
 		switch {
 		case err == io.EOF:
 			if chunked {
-				u.c.SetWriteDeadline(time.Now().Add(meter.Wait()))
+				u.c.SetWriteDeadline(time.Now().Add(meter.Timeout()))
 				_, u.err = u.c.Write(lastChunk(flow.Trailer()))
 			}
 			return
 		case err != nil:
 			// Half a body is none: the host must not take it for whole.
-			u.err, u.client = err, err != body.ErrTaken // that is our own doing
+			u.err, u.client = err, err != body.ErrConsumed // that is our own doing
 			u.c.Conn.Close()
 			return
 		}
@@ -181,8 +181,8 @@
 	head := encodeHead(x, joinMost)
 	all := len(head) + len(held) + len(tail)
 	until := x.WriteBy
-	if !strict || !x.Body.Whole() {
-		if idle := time.Now().Add(streams(x).Pace.Idle); until.IsZero() || idle.Before(until) {
+	if !strict || !x.Body.Buffered() {
+		if idle := time.Now().Add(streams(x).Pace.IdleTimeout); until.IsZero() || idle.Before(until) {
 			until = idle
 		}
 	}
@@ -193,7 +193,7 @@
 		stop()
 		p.drop(c)
 		switch {
-		case n == all && (x.Body.Whole() || !strict):
+		case n == all && (x.Body.Buffered() || !strict):
 			return engine.Ended(balancer.Reset)
 		case ctx.Err() != nil && (n == 0 || strict):
 			return engine.Ended(unsent(ctx))
@@ -226,7 +226,7 @@
 		case ctx.Err() != nil:
 			return engine.Ended(balancer.Canceled)
 		case errors.Is(err, errMalformed):
-			return engine.Ended(balancer.Spoilt)
+			return engine.Ended(balancer.InvalidResponse)
 		}
 		return engine.Ended(balancer.Reset)
 	}
@@ -240,7 +240,7 @@
 		c.SetWriteDeadline(time.Time{})
 		a.Tunnel = &tunnel{conn: c, t: p}
 	case rest != nil:
-		a.Body = body.Flowing(rest.held, body.NewFlow(rest, rest.length))
+		a.Body = body.NewStreamed(rest.held, body.NewStream(rest, rest.length))
 	default:
 		c.settle(p, up, keeps(a.Header, c))
 	}
@@ -332,7 +332,7 @@
 			default: // said before
 			}
 		case a.Status == http.StatusSwitchingProtocols:
-			if x.Upgrade == "" || !x.Body.Whole() {
+			if x.Upgrade == "" || !x.Body.Buffered() {
 				return a, nil, errMalformed // nobody has asked for that
 			}
 			a.Kind = engine.Served
@@ -360,9 +360,9 @@
 	flow, strict := streams(x), !plain(x)
 	lengths, encodings := a.Header["Content-Length"], a.Header["Transfer-Encoding"]
 	s := &answerSource{t: t, c: c, x: x, up: up, header: a.Header, length: -1, meter: body.Meter{Pace: flow.Pace}}
-	s.alarm.Set = c.SetReadDeadline
+	s.alarm.SetDeadline = c.SetReadDeadline
 	if due, known := x.Due(); flow.HeadDeadlineOnly {
-		s.meter.Least = 0 // an event stream says something when there is something to say
+		s.meter.MinRate = 0 // an event stream says something when there is something to say
 	} else if known {
 		s.due = due
 	}
@@ -375,14 +375,14 @@
 			return nil, errMalformed
 		}
 		if n <= maxBody {
-			text := body.Page(n)
+			text := body.AllocPage(n)
 			if !strict && int64(c.in.Buffered()) < n {
-				c.SetReadDeadline(time.Now().Add(s.meter.Wait()))
+				c.SetReadDeadline(time.Now().Add(s.meter.Timeout()))
 			}
 			if _, err := io.ReadFull(c.in, text); err != nil {
 				return nil, err
 			}
-			a.Body, a.Free = body.Held(text), func() { body.Recycle(text) }
+			a.Body, a.Free = body.NewBuffered(text), func() { body.FreePage(text) }
 			return nil, nil
 		}
 		s.length, s.reader = n, io.LimitReader(c.in, n)
@@ -434,7 +434,7 @@
 	got, err := io.ReadFull(s.reader, held)
 	switch {
 	case err == nil && k == n:
-		a.Body, a.Free = body.Held(held), free
+		a.Body, a.Free = body.NewBuffered(held), free
 		return nil, nil
 	case err != nil && !errors.Is(err, os.ErrDeadlineExceeded):
 		free()
@@ -448,7 +448,7 @@
 // is there or comes within holdTime: whether it will be a long one can't be told, and then its
 // time is that of its first bytes.
 func (c *conn) holdOpen(s *answerSource, a *engine.Response) (*answerSource, error) {
-	held := body.Page(maxBody)
+	held := body.AllocPage(maxBody)
 	got, err, until := 0, error(nil), time.Now().Add(holdTime)
 	for got < len(held) && err == nil {
 		if c.in.Buffered() == 0 {
@@ -470,19 +470,19 @@
 			err = nil
 		}
 		if err == nil {
-			a.Body, a.Free = body.Held(held[:got]), func() { body.Recycle(held) }
+			a.Body, a.Free = body.NewBuffered(held[:got]), func() { body.FreePage(held) }
 			return nil, nil
 		}
 	}
 	if err != nil {
-		body.Recycle(held)
+		body.FreePage(held)
 		var broken net.Error
 		if err != io.ErrUnexpectedEOF && !errors.As(err, &broken) {
 			err = errMalformed // a chunk that is none
 		}
 		return nil, err
 	}
-	s.held, s.read, a.Free = held[:got], int64(got), func() { body.Recycle(held) }
+	s.held, s.read, a.Free = held[:got], int64(got), func() { body.FreePage(held) }
 	return s, nil
 }
 
@@ -494,7 +494,7 @@
 	up     *upload
 	header http.Header
 	meter  body.Meter
-	alarm  body.Alarm
+	alarm  body.LazyDeadline
 	due    time.Time // of the last byte; zero: it has its pace only
 
 	held    []byte // what has been read of it already
@@ -526,14 +526,14 @@
 // Read reads on, with the pace that the host must keep.
 func (s *answerSource) Read(p []byte) (int, error) {
 	began := time.Now()
-	if wait := s.meter.Wait(); s.due.IsZero() || s.due.Sub(began) > 2*wait {
-		s.alarm.Within(began, wait)
+	if wait := s.meter.Timeout(); s.due.IsZero() || s.due.Sub(began) > 2*wait {
+		s.alarm.Reset(began, wait)
 	} else {
 		s.c.SetReadDeadline(s.due) // the whole answer has its time, and that is near
 	}
 	n, err := s.some(p)
 	s.read += int64(n)
-	if slow := s.meter.Moved(n, time.Since(began)); slow != nil && err == nil {
+	if slow := s.meter.Record(n, time.Since(began)); slow != nil && err == nil {
 		err = slow
 	}
 	if err != io.EOF {
--- a/internal/upstream/http1/transport.go
+++ b/internal/upstream/http1/transport.go
@@ -55,11 +55,11 @@
 // Options are what a Transport is told. The zero value of each but Sockets and Memory stands
 // for its default.
 type Options struct {
-	Sockets     int           // connections at most, all hosts together
-	Memory      int64         // bytes that answers beyond maxBody may hold, all together
-	ConnIdle    time.Duration // a host closes a connection that was idle this long
-	DialTimeout time.Duration // a connection that is not up by then has failed
-	Budget      *body.Budget  // of the buffers of what flows; nil: one of its own
+	MaxConns        int           // connections at most, all hosts together
+	MaxLargeBytes   int64         // bytes that answers beyond maxBody may hold, all together
+	HostIdleTimeout time.Duration // a host closes a connection that was idle this long
+	DialTimeout     time.Duration // a connection that is not up by then has failed
+	BodyBudget      *body.Budget  // of the buffers of what flows; nil: one of its own
 }
 
 // defaultMemory is what the buffers of a Transport without a Budget are a share of.
@@ -156,28 +156,28 @@
 	c.gap = gap
 }
 
-// New returns a Transport.
-func New(o Options) *Transport {
-	if o.Budget == nil {
-		o.Budget = body.NewBudget(defaultMemory)
+// NewTransport returns a Transport.
+func NewTransport(o Options) *Transport {
+	if o.BodyBudget == nil {
+		o.BodyBudget = body.NewBudget(defaultMemory)
 	}
 	p := &Transport{
-		bodies:  o.Budget,
+		bodies:  o.BodyBudget,
 		dialer:  net.Dialer{Timeout: min(cmp.Or(o.DialTimeout, connectTime), connectTime)},
-		maxIdle: time.Duration(idleShare * float64(cmp.Or(o.ConnIdle, DefaultConnIdle))),
-		budget:  o.Sockets,
+		maxIdle: time.Duration(idleShare * float64(cmp.Or(o.HostIdleTimeout, DefaultConnIdle))),
+		budget:  o.MaxConns,
 
 		unheardLeast: unheardLeast,
 		strayRest:    strayRest,
 
 		idle: map[*host][]*conn{},
 	}
-	p.largeMax.Store(o.Memory)
+	p.largeMax.Store(o.MaxLargeBytes)
 	return p
 }
 
-// Limit sets how many connections may be open, and the bytes that large answers may hold.
-func (p *Transport) Limit(sockets int, memory int64) {
+// SetLimits sets how many connections may be open, and the bytes that large answers may hold.
+func (p *Transport) SetLimits(sockets int, memory int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.budget = sockets
--- a/internal/upstream/http1/transport_test.go
+++ b/internal/upstream/http1/transport_test.go
@@ -22,7 +22,7 @@
 )
 
 func newTestPool() *Transport {
-	return New(Options{DialTimeout: testutil.Patience, Sockets: 1024, Memory: 16 << 20})
+	return NewTransport(Options{DialTimeout: testutil.WaitTimeout, MaxConns: 1024, MaxLargeBytes: 16 << 20})
 }
 
 // pooled is a host as the loop keeps it.
@@ -35,7 +35,7 @@
 func newExchange(text string) *engine.Request {
 	return &engine.Request{
 		Method: http.MethodPost, Target: "/api/1", Host: "service.internal", Header: http.Header{},
-		Body: body.Held([]byte(text)), Deadline: time.Now().Add(testutil.Patience),
+		Body: body.NewBuffered([]byte(text)), Deadline: time.Now().Add(testutil.WaitTimeout),
 	}
 }
 
@@ -50,7 +50,7 @@
 // tryOnce makes one attempt with plenty of time.
 func tryOnce(t *testing.T, p *Transport, h *host, x *engine.Request) (balancer.Result, engine.Response) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), testutil.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testutil.WaitTimeout)
 	defer cancel()
 	return told(p.attempt(ctx, h, x))
 }
@@ -69,43 +69,43 @@
 		want         balancer.Result
 		kept         int // connections kept for the next attempt
 	}{
-		{"good", testutil.Good, balancer.OK, 1},
-		{"good after 100", "HTTP/1.1 100 Continue\r\n\r\n" + testutil.Good, balancer.OK, 1},
+		{"good", testutil.OKResponse, balancer.OK, 1},
+		{"good after 100", "HTTP/1.1 100 Continue\r\n\r\n" + testutil.OKResponse, balancer.OK, 1},
 		{"good, chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\n0\r\n\r\n", balancer.OK, 1},
 		{"good, then closing", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\ngood", balancer.OK, 0},
-		{"error", testutil.Errored, balancer.Failed, 1},
-		{"turned away", testutil.TurnedAway, balancer.Full, 1},
+		{"error", testutil.ErrorResponse, balancer.Failed, 1},
+		{"turned away", testutil.RejectedResponse, balancer.Full, 1},
 		{"turned away as over", "HTTP/1.1 504 Over\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", balancer.Full, 1},
 		{"503 without the proof", "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", balancer.Failed, 1},
 		{"proof on another status", "HTTP/1.1 500 Oops\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", balancer.Failed, 1},
 		{"proof that is none", "HTTP/1.1 503 Full\r\nX-Not-Processed: 0\r\nContent-Length: 0\r\n\r\n", balancer.Failed, 1},
-		{"good after others", "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + testutil.Good, balancer.OK, 1},
+		{"good after others", "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + testutil.OKResponse, balancer.OK, 1},
 		{"good with an odd report", "HTTP/1.1 200 OK\r\nX-Server-Load: \x80;;=\r\nContent-Length: 4\r\n\r\ngood", balancer.OK, 1},
-		{"good, and a second copy", testutil.Good + testutil.Good, balancer.OK, 0},
-		{"good, and noise", testutil.Good + "\x80\x01HTTP\r\n\r\n", balancer.OK, 0},
+		{"good, and a second copy", testutil.OKResponse + testutil.OKResponse, balancer.OK, 0},
+		{"good, and noise", testutil.OKResponse + "\x80\x01HTTP\r\n\r\n", balancer.OK, 0},
 		{"good and chunked, and noise", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\n0\r\n\r\n\x80", balancer.OK, 0},
 		{"good, chunked, with a trailer", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4;a=b\r\ngood\r\n0\r\nX-Sum: 1\r\n\r\n", balancer.OK, 1},
-		{"3 GB announced", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\ngood", balancer.Spoilt, 0},
-		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\ngood", balancer.Spoilt, 0},
-		{"a length below 0", "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\ngood", balancer.Spoilt, 0},
-		{"a length and chunks", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\n0\r\n\r\n", balancer.Spoilt, 0},
-		{"no length", "HTTP/1.1 200 OK\r\n\r\ngood", balancer.Spoilt, 0},
-		{"a length that is not reached", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\ngood", balancer.Spoilt, 0},
-		{"broken chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\nzz\r\ngood\r\n0\r\n\r\n", balancer.Spoilt, 0},
-		{"broken chunks behind long ones", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("4\r\ngood\r\n", maxBody/8) + "zz\r\n", balancer.Spoilt, 0},
-		{"a chunk below 0", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n-4\r\ngood\r\n0\r\n\r\n", balancer.Spoilt, 0},
-		{"head without end", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: pppp\r\n", maxHead), balancer.Spoilt, 0},
-		{"half a head", "HTTP/1.1 200 OK\r\nContent-Le", balancer.Spoilt, 0},
-		{"noise", "\x80\x01\xff\r\n\r\n", balancer.Spoilt, 0},
-		{"noise with no end of line", "\x80", balancer.Spoilt, 0},
-		{"a status that is none", "HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\ngood", balancer.Spoilt, 0},
-		{"no status", "HTTP/1.1 OK 200\r\nContent-Length: 4\r\n\r\ngood", balancer.Spoilt, 0},
-		{"another protocol", "ICY 200 OK\r\nContent-Length: 4\r\n\r\ngood", balancer.Spoilt, 0},
-		{"a header that is none", "HTTP/1.1 200 OK\r\nno colon\r\nContent-Length: 4\r\n\r\ngood", balancer.Spoilt, 0},
+		{"3 GB announced", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\ngood", balancer.InvalidResponse, 0},
+		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\ngood", balancer.InvalidResponse, 0},
+		{"a length below 0", "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\ngood", balancer.InvalidResponse, 0},
+		{"a length and chunks", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\n0\r\n\r\n", balancer.InvalidResponse, 0},
+		{"no length", "HTTP/1.1 200 OK\r\n\r\ngood", balancer.InvalidResponse, 0},
+		{"a length that is not reached", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\ngood", balancer.InvalidResponse, 0},
+		{"broken chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\nzz\r\ngood\r\n0\r\n\r\n", balancer.InvalidResponse, 0},
+		{"broken chunks behind long ones", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("4\r\ngood\r\n", maxBody/8) + "zz\r\n", balancer.InvalidResponse, 0},
+		{"a chunk below 0", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n-4\r\ngood\r\n0\r\n\r\n", balancer.InvalidResponse, 0},
+		{"head without end", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: pppp\r\n", maxHead), balancer.InvalidResponse, 0},
+		{"half a head", "HTTP/1.1 200 OK\r\nContent-Le", balancer.InvalidResponse, 0},
+		{"noise", "\x80\x01\xff\r\n\r\n", balancer.InvalidResponse, 0},
+		{"noise with no end of line", "\x80", balancer.InvalidResponse, 0},
+		{"a status that is none", "HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\ngood", balancer.InvalidResponse, 0},
+		{"no status", "HTTP/1.1 OK 200\r\nContent-Length: 4\r\n\r\ngood", balancer.InvalidResponse, 0},
+		{"another protocol", "ICY 200 OK\r\nContent-Length: 4\r\n\r\ngood", balancer.InvalidResponse, 0},
+		{"a header that is none", "HTTP/1.1 200 OK\r\nno colon\r\nContent-Length: 4\r\n\r\ngood", balancer.InvalidResponse, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			p, server := newTestPool(), testutil.NewHost(t, testutil.Says(tt.answer))
+			p, server := newTestPool(), testutil.NewHost(t, testutil.RespondWith(tt.answer))
 			h := pooled(p, server.Addr())
 			got, a := tryOnce(t, p, h, newExchange("b"))
 			if got != tt.want {
@@ -139,10 +139,10 @@
 		chunked += fmt.Sprintf("%x\r\n%s\r\n", len(part), part)
 	}
 	for _, large := range []string{fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", n, text), chunked + "0\r\n\r\n"} {
-		p, server := newTestPool(), testutil.NewHost(t, testutil.Says(large))
+		p, server := newTestPool(), testutil.NewHost(t, testutil.RespondWith(large))
 		h := pooled(p, server.Addr())
 		for _, room := range []int64{0, n - 1, 10 * n} {
-			p.Limit(1024, room)
+			p.SetLimits(1024, room)
 			got, a := tryOnce(t, p, h, newExchange("b"))
 			if got != balancer.OK {
 				t.Fatalf("with room for %d: result %v", room, got)
@@ -151,8 +151,8 @@
 				t.Errorf("%d bytes are held of %d", held, room)
 			}
 			whole := append([]byte(nil), a.Body.Bytes()...)
-			if f := a.Body.Flow(); f != nil {
-				if err := f.Take(); err != nil {
+			if f := a.Body.Stream(); f != nil {
+				if err := f.Consume(); err != nil {
 					t.Fatal(err)
 				}
 				rest, err := io.ReadAll(f)
@@ -185,8 +185,8 @@
 	})
 	h := pooled(p, server.Addr())
 	got, a := tryOnce(t, p, h, newExchange("b"))
-	f := a.Body.Flow()
-	if got != balancer.OK || f == nil || f.Take() != nil {
+	f := a.Body.Stream()
+	if got != balancer.OK || f == nil || f.Consume() != nil {
 		t.Fatalf("result %v, flow %v", got, f)
 	}
 	rest, err := io.ReadAll(f)
@@ -209,12 +209,12 @@
 		{"GET", "HTTP/1.1 304 Not Modified\r\nContent-Length: 4\r\n\r\n"},
 		{"DELETE", "HTTP/1.1 204 No Content\r\n\r\n"},
 	} {
-		p, server := newTestPool(), testutil.NewHost(t, testutil.Says(c.answer))
+		p, server := newTestPool(), testutil.NewHost(t, testutil.RespondWith(c.answer))
 		h := pooled(p, server.Addr())
 		x := newExchange("")
 		x.Method = c.method
 		for range 2 {
-			ctx, cancel := context.WithTimeout(context.Background(), testutil.Patience)
+			ctx, cancel := context.WithTimeout(context.Background(), testutil.WaitTimeout)
 			r := p.attempt(ctx, h, x)
 			cancel()
 			if !r.HasResponse || r.Response.Body.Len() != 0 {
@@ -235,7 +235,7 @@
 		if n == 1 {
 			<-release
 		}
-		io.WriteString(c, testutil.Good)
+		io.WriteString(c, testutil.OKResponse)
 		return true
 	})
 	h := pooled(p, server.Addr())
@@ -252,7 +252,7 @@
 		got, _ := tryOnce(t, p, h, newExchange("b"))
 		ended <- got
 	}()
-	testutil.Until(t, "the second request is out", func() bool { n, _, _ := server.Counts(); return n == 2 })
+	testutil.WaitUntil(t, "the second request is out", func() bool { n, _, _ := server.Counts(); return n == 2 })
 	p.put(c)
 	cancel()
 	<-done
@@ -260,7 +260,7 @@
 	if got := <-ended; got != balancer.OK {
 		t.Errorf("the request that was out: %v", got)
 	}
-	testutil.Until(t, "all connections have ended", func() bool {
+	testutil.WaitUntil(t, "all connections have ended", func() bool {
 		_, accepted, ended := server.Counts()
 		return accepted == 2 && ended == 2
 	})
@@ -317,7 +317,7 @@
 				} else if err := unread(c); err != nil {
 					t.Error(err)
 				}
-				return testutil.BreakOff(c, r, n)
+				return testutil.ResetConnection(c, r, n)
 			})
 			h := pooled(p, server.Addr())
 			got, a := tryOnce(t, p, h, newExchange("b"))
@@ -328,11 +328,11 @@
 				}
 				return
 			}
-			if got != balancer.OK || a.Body.Whole() {
+			if got != balancer.OK || a.Body.Buffered() {
 				t.Fatalf("result %v, want OK with a body that flows", got)
 			}
-			flow := a.Body.Flow()
-			if err := flow.Take(); err != nil {
+			flow := a.Body.Stream()
+			if err := flow.Consume(); err != nil {
 				t.Fatal(err)
 			}
 			b := make([]byte, 64)
@@ -355,7 +355,7 @@
 	if err != nil {
 		return err
 	}
-	for left, until := 1, time.Now().Add(testutil.Patience); left > 0; time.Sleep(time.Millisecond) {
+	for left, until := 1, time.Now().Add(testutil.WaitTimeout); left > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
 			return errors.New("what was written stays unread")
 		}
@@ -418,7 +418,7 @@
 		t.Errorf("result %v, want ConnectFailed", got)
 	}
 	// A longer limit in the settings must not keep the proof back.
-	if took := time.Since(began); took > testutil.Patience/2 {
+	if took := time.Since(began); took > testutil.WaitTimeout/2 {
 		t.Errorf("it took %v to give up the dial", took)
 	}
 }
@@ -446,7 +446,7 @@
 				return
 			}
 			c.Read(make([]byte, 1))
-			testutil.BreakOff(c, nil, 0)
+			testutil.ResetConnection(c, nil, 0)
 			c.Close()
 		}
 	}()
@@ -459,7 +459,7 @@
 }
 
 func TestResetAfterTheLastByte(t *testing.T) {
-	p, server := newTestPool(), testutil.NewHost(t, testutil.BreakOff)
+	p, server := newTestPool(), testutil.NewHost(t, testutil.ResetConnection)
 	if got, _ := tryOnce(t, p, pooled(p, server.Addr()), newExchange("b")); got != balancer.Reset {
 		t.Errorf("result %v, want Reset", got)
 	}
@@ -472,7 +472,7 @@
 func TestStaleIdleConnection(t *testing.T) {
 	p := newTestPool()
 	server := testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
-		io.WriteString(c, testutil.Good)
+		io.WriteString(c, testutil.OKResponse)
 		return false
 	})
 	h := pooled(p, server.Addr())
@@ -483,7 +483,7 @@
 		p.mu.Lock()
 		c := p.idle[h][0]
 		p.mu.Unlock()
-		testutil.Until(t, "the idle connection is seen to be closed", func() bool { return !p.isQuiet(c) })
+		testutil.WaitUntil(t, "the idle connection is seen to be closed", func() bool { return !p.isQuiet(c) })
 	}
 	p.sweep()
 	if open, idle := p.counts(h); open != 0 || idle != 0 {
@@ -496,7 +496,7 @@
 func TestUnaskedAnswerIsNotTakenForAnothers(t *testing.T) {
 	p := newTestPool()
 	server := testutil.NewHost(t, func(c net.Conn, _ *http.Request, n int) bool {
-		io.WriteString(c, testutil.Good)
+		io.WriteString(c, testutil.OKResponse)
 		return true
 	})
 	h := pooled(p, server.Addr())
@@ -509,7 +509,7 @@
 		t.Fatal(err)
 	}
 	c.Write([]byte("GET / HTTP/1.1\r\nHost: a\r\n\r\n")) // brings an answer that nobody reads
-	testutil.Until(t, "the answer is there", func() bool { return !p.isQuiet(c) })
+	testutil.WaitUntil(t, "the answer is there", func() bool { return !p.isQuiet(c) })
 	if got, _ := tryOnce(t, p, h, newExchange("b")); got != balancer.OK {
 		t.Errorf("result %v", got)
 	}
@@ -528,19 +528,19 @@
 // another request, and what comes meanwhile, a second answer or a part of one, ends them: the next
 // request is not served it.
 func TestStrayBehindAnAnswer(t *testing.T) {
-	for _, stray := range []string{testutil.Good, "HTTP/1.1 2"} {
+	for _, stray := range []string{testutil.OKResponse, "HTTP/1.1 2"} {
 		p, taken := newTestPool(), make(chan struct{})
 		p.strayRest = 500 * time.Millisecond
 		server := testutil.NewHost(t, func(c net.Conn, _ *http.Request, n int) bool {
 			switch n {
 			case 0:
-				io.WriteString(c, testutil.Good+stray) // at once: this is how it is learnt
+				io.WriteString(c, testutil.OKResponse+stray) // at once: this is how it is learnt
 			case 1:
-				io.WriteString(c, testutil.Good)
+				io.WriteString(c, testutil.OKResponse)
 				<-taken
 				io.WriteString(c, stray)
 			default:
-				io.WriteString(c, strings.Replace(testutil.Good, "good", "next", 1))
+				io.WriteString(c, strings.Replace(testutil.OKResponse, "good", "next", 1))
 			}
 			return true
 		})
@@ -555,7 +555,7 @@
 		}
 		go func() {
 			for _, idle := p.counts(h); idle != 0; _, idle = p.counts(h) {
-				time.Sleep(testutil.PollEvery)
+				time.Sleep(testutil.PollInterval)
 			}
 			close(taken)
 		}()
@@ -573,7 +573,7 @@
 // Handshakes cost hosts work, so idle connections are used again, in turn: it guards
 // against writing to one that its host is about to end behind an answer.
 func TestConnectionsAreUsedInTurn(t *testing.T) {
-	p, server := newTestPool(), testutil.NewHost(t, testutil.Says(testutil.Good))
+	p, server := newTestPool(), testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	h := pooled(p, server.Addr())
 	ctx := context.Background()
 	a, errA := p.get(ctx, h)
@@ -592,7 +592,7 @@
 	}
 	tryOnce(t, p, h, newExchange("b"))
 	tryOnce(t, p, h, newExchange("b"))
-	testutil.Until(t, "both dials are accepted", func() bool {
+	testutil.WaitUntil(t, "both dials are accepted", func() bool {
 		_, accepted, _ := server.Counts()
 		return accepted == 2
 	})
@@ -613,14 +613,14 @@
 		"moved":     func(p *Transport, h *host) { p.update(h, "127.0.0.1:1", 0, true) },
 		"draining":  func(p *Transport, h *host) { p.update(h, h.addr, 0, false) },
 	} {
-		p, server := newTestPool(), testutil.NewHost(t, testutil.Says(testutil.Good))
+		p, server := newTestPool(), testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 		h := pooled(p, server.Addr())
 		tryOnce(t, p, h, newExchange("b"))
 		change(p, h)
 		if open, idle := p.counts(h); open != 0 || idle != 0 {
 			t.Errorf("%s: %d connections open and %d idle", name, open, idle)
 		}
-		testutil.Until(t, name+": the host sees its connection end", func() bool {
+		testutil.WaitUntil(t, name+": the host sees its connection end", func() bool {
 			_, _, ended := server.Counts()
 			return ended == 1
 		})
@@ -642,13 +642,13 @@
 			return context.WithCancel(context.Background())
 		}, balancer.Canceled},
 	} {
-		p, server := newTestPool(), testutil.NewHost(t, testutil.Hang)
+		p, server := newTestPool(), testutil.NewHost(t, testutil.NeverRespond)
 		h := pooled(p, server.Addr())
 		ctx, cancel := tt.ctx()
 		if tt.want == balancer.Canceled {
 			go func() {
 				for requests := 0; requests == 0; requests, _, _ = server.Counts() {
-					time.Sleep(testutil.PollEvery)
+					time.Sleep(testutil.PollInterval)
 				}
 				cancel()
 			}()
@@ -663,7 +663,7 @@
 			t.Errorf("%s: result %v, want %v", tt.name, got, want)
 		}
 		cancel()
-		testutil.Until(t, tt.name+": the host sees the connection end", func() bool {
+		testutil.WaitUntil(t, tt.name+": the host sees the connection end", func() bool {
 			_, accepted, ended := server.Counts()
 			return accepted == ended
 		})
@@ -682,7 +682,7 @@
 		p.unheardLeast = 0
 		server := testutil.NewHost(t, func(c net.Conn, r *http.Request, _ int) bool {
 			if r.URL.Path != "/hang" {
-				io.WriteString(c, testutil.Good)
+				io.WriteString(c, testutil.OKResponse)
 			}
 			return true
 		})
@@ -702,7 +702,7 @@
 			got, _ := told(p.attempt(ctx, h, x))
 			done <- got
 		}()
-		testutil.Until(t, "the host has the request", func() bool {
+		testutil.WaitUntil(t, "the host has the request", func() bool {
 			requests, _, _ := server.Counts()
 			return requests == 1
 		})
@@ -738,7 +738,7 @@
 		"its client leaves during a dial": func(_ *Transport, _ *host, x *engine.Request) { x.Client = gone{} },
 		"its window closes during a dial": func(_ *Transport, _ *host, x *engine.Request) { x.WriteBy = time.Now() },
 	} {
-		p, server := newTestPool(), testutil.NewHost(t, testutil.Says(testutil.Good))
+		p, server := newTestPool(), testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 		h, x := pooled(p, server.Addr()), newExchange("b")
 		p.dialer.Control = func(_, _ string, _ syscall.RawConn) error {
 			change(p, h, x)
@@ -748,7 +748,7 @@
 			t.Errorf("%s: result %v, want NotSent", name, got)
 		}
 		p.closeIdle(h)
-		testutil.Until(t, name+": the connection ends", func() bool {
+		testutil.WaitUntil(t, name+": the connection ends", func() bool {
 			_, accepted, ended := server.Counts()
 			return accepted == 1 && ended == 1
 		})
@@ -778,7 +778,7 @@
 // Connections stay within the budget: an idle one makes room, and with none the
 // attempt is not sent, which proves that it did not run.
 func TestConnectionBudget(t *testing.T) {
-	p, first, second := newTestPool(), testutil.NewHost(t, testutil.Says(testutil.Good)), testutil.NewHost(t, testutil.Hang)
+	p, first, second := newTestPool(), testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse)), testutil.NewHost(t, testutil.NeverRespond)
 	p.budget = 1
 	a, b := pooled(p, first.Addr()), pooled(p, second.Addr())
 	tryOnce(t, p, a, newExchange("b"))
@@ -788,7 +788,7 @@
 		got, _ := told(p.attempt(ctx, b, newExchange("b")))
 		done <- got
 	}()
-	testutil.Until(t, "the second host gets its request", func() bool {
+	testutil.WaitUntil(t, "the second host gets its request", func() bool {
 		requests, _, _ := second.Counts()
 		return requests == 1
 	})
