--- a/internal/httpwire/chunked.go
+++ b/internal/httpwire/chunked.go
@@ -47,7 +47,7 @@
 func (c *ChunkedDecoder) Done() bool { return c.state == stateDone }
 
 // Remaining returns how many content bytes of the current chunk are still to come. The caller may read up to that
-// many directly from their source; it reports them by Took.
+// many directly from their source; it reports them by Consume.
 func (c *ChunkedDecoder) Remaining() int64 {
 	if c.state != stateData {
 		return 0
@@ -55,7 +55,7 @@
 	return c.remaining
 }
 
-// Consume advances the decoder by n content bytes, at most Data, which the caller has read from their source.
+// Consume advances the decoder by n content bytes, at most Remaining, which the caller has read from their source.
 func (c *ChunkedDecoder) Consume(n int64) {
 	c.remaining -= n
 	if c.remaining == 0 {
--- a/internal/httpwire/header.go
+++ b/internal/httpwire/header.go
@@ -9,7 +9,7 @@
 
 // HeaderEnd returns the index behind the empty line that ends a header section, or -1 if b does not contain one.
 // Bytes before index from have been searched by an earlier call. A line that ends without CR counts as well:
-// Parse rejects it, and need not wait for more.
+// ParseRequest rejects it, and need not wait for more.
 func HeaderEnd(b []byte, from int) int {
 	for i := max(0, from-3); ; {
 		n := bytes.IndexByte(b[i:], '\n')
@@ -70,7 +70,7 @@
 // parseFieldLine parses a field line without its CRLF, and returns the canonical name and the value.
 func parseFieldLine(line string) (name, value string, err error) {
 	name, value, ok := strings.Cut(line, ":")
-	if !ok || !Token(name) {
+	if !ok || !isToken(name) {
 		return "", "", ErrMalformed
 	}
 	value = strings.Trim(value, " \t")
--- a/internal/httpwire/request.go
+++ b/internal/httpwire/request.go
@@ -29,7 +29,8 @@
 	Upgrade string
 }
 
-// LeadingEmptyLine returns the length of the empty line that may precede a request (RFC 9112, 2.2), 0 if there is none.
+// LeadingEmptyLine returns the length of the empty line that may precede a request (RFC 9112, 2.2), 0 if there is
+// none.
 func LeadingEmptyLine(b []byte) int {
 	if len(b) >= 2 && b[0] == '\r' && b[1] == '\n' {
 		return 2
@@ -37,8 +38,8 @@
 	return 0
 }
 
-// ParseRequest parses a request line and header section, which b contains up to and including the empty line, into r.
-// r keeps no part of b. An error is one of those that this package declares; Status has its status code.
+// ParseRequest parses a request line and header section into r. b contains them up to and including the empty
+// line; r keeps no part of b. An error is one of those that this package declares, see StatusForError.
 func ParseRequest(b []byte, r *Request) error {
 	*r = Request{}
 	text := string(b) // one copy, which all strings of r share
@@ -70,7 +71,7 @@
 // parseRequestLine parses a request line (RFC 9112, 3).
 func (r *Request) parseRequestLine(line string) error {
 	method, line, ok := strings.Cut(line, " ")
-	if !ok || !Token(method) {
+	if !ok || !isToken(method) {
 		return ErrMalformed
 	}
 	target, version, ok := strings.Cut(line, " ")
--- a/internal/httpwire/response.go
+++ b/internal/httpwire/response.go
@@ -39,7 +39,7 @@
 // values are replaced by spaces and fields with an invalid name are left out.
 func AppendHeader(b []byte, header http.Header) []byte {
 	for name, values := range header {
-		if !Token(name) {
+		if !isToken(name) {
 			continue
 		}
 		for _, value := range values {
