--- a/internal/fastcgi/bench_test.go
+++ b/internal/fastcgi/bench_test.go
@@ -10,104 +10,138 @@
 	"testing"
 )
 
-// one is a listener that gives out one connection, in memory.
-type one struct {
-	conn chan net.Conn
-	done chan struct{}
+// connListener is a listener that accepts one connection in memory.
+type connListener struct {
+	conns chan net.Conn
+	done  chan struct{}
 }
 
-func (l *one) Accept() (net.Conn, error) {
+func (l *connListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.conn:
+	case c := <-l.conns:
 		return c, nil
 	case <-l.done:
 		return nil, net.ErrClosed
 	}
 }
-func (l *one) Close() error   { return nil }
-func (l *one) Addr() net.Addr { return &net.TCPAddr{} }
 
-// responder answers each request at once, by our machine.
-type responder struct {
-	net.Conn
-	s   *Server
-	out []byte
+func (l *connListener) Close() error   { return nil }
+func (l *connListener) Addr() net.Addr { return &net.TCPAddr{} }
+
+// benchResponder answers each request at once. It writes the response to w if that is set.
+type benchResponder struct {
+	server *Server
+	w      io.Writer
+	stdout string
+	buf    []byte
+}
+
+func (r *benchResponder) Request(uint16, []byte, bool, error) {}
+func (r *benchResponder) Abort(uint16)                        {}
+func (r *benchResponder) Reply([]byte)                        {}
+
+func (r *benchResponder) Body(id uint16, _ []byte, end bool) {
+	if !end {
+		return
+	}
+	r.server.RequestEnded(id)
+	r.buf = AppendStream(r.buf[:0], Stdout, id, []byte(r.stdout))
+	r.buf = AppendStreamEnd(r.buf, Stdout, id)
+	r.buf = AppendEndRequest(r.buf, id, EndRequestBody{})
+	if r.w != nil {
+		r.w.Write(r.buf)
+	}
+}
+
+// benchParams returns parameters of n header fields.
+func benchParams(params []byte, n int) []byte {
+	for i := range n {
+		params = AppendPair(params, fmt.Sprintf("HTTP_X_HEADER_%d", i), "a value of the usual length")
+	}
+	return params
 }
 
-func (r *responder) Request(uint16, []byte, bool, error) {}
-func (r *responder) Abort(uint16)                        {}
-func (r *responder) Reply([]byte)                        {}
-func (r *responder) Body(id uint16, _ []byte, end bool) {
-	if end {
-		r.s.RequestEnded(id)
-		r.out = AppendStream(r.out[:0], Stdout, id, []byte("Status: 200 OK\r\nContent-Type: text/plain\r\n\r\ndone"))
-		r.out = AppendEndRequest(AppendStreamEnd(r.out, Stdout, id), id, EndRequestBody{})
-		r.Write(r.out)
+// BenchmarkServer decodes requests of 20 parameters and 1 KiB.
+func BenchmarkServer(b *testing.B) {
+	request := requestRecords(1, KeepConn, string(benchParams(nil, 20)), strings.Repeat("x", 1024))
+	var responder benchResponder
+	responder.server = NewServer(&responder, 5)
+	b.SetBytes(int64(len(request)))
+	b.ReportAllocs()
+	for b.Loop() {
+		if err := responder.server.Feed(request); err != nil {
+			b.Fatal(err)
+		}
 	}
 }
 
-// BenchmarkBeside has requests of 20 parameters and 16 KiB answered over a connection in memory, by
-// our machine and by net/http/fcgi, and tells the ratio of their times in one run.
+// BenchmarkBesideNetHTTP answers requests of 20 parameters and 16 KiB over a connection in memory, by Server and
+// by net/http/fcgi.
 //
 //	go test -run xxx -bench Beside ./internal/fastcgi
-func BenchmarkBeside(b *testing.B) {
+func BenchmarkBesideNetHTTP(b *testing.B) {
 	var params []byte
 	params = AppendPair(params, "REQUEST_METHOD", "POST")
 	params = AppendPair(params, "SERVER_PROTOCOL", "HTTP/1.1")
 	params = AppendPair(params, "CONTENT_LENGTH", "16384")
-	for i := range 17 {
-		params = AppendPair(params, fmt.Sprintf("HTTP_X_HEADER_%d", i), "a value of the usual length")
-	}
-	in := message(1, KeepConn, string(params), strings.Repeat("x", 16384))
-	ask := func(b *testing.B, c net.Conn) {
-		var scan Scanner
-		buf, rest := make([]byte, 4096), []byte(nil)
-		b.SetBytes(int64(len(in)))
-		b.ReportAllocs()
-		for b.Loop() {
-			go c.Write(in)
-			for over := false; !over; {
-				ev, _, more, err := scan.Next(rest)
-				if err != nil {
-					b.Fatal(err)
-				}
-				if rest = more; ev == NeedMore {
-					n, err := c.Read(buf)
-					if err != nil {
-						b.Fatal(err)
-					}
-					rest = buf[:n]
-				}
-				over = ev == RecordEnd && scan.Header().Type == EndRequest
-			}
-		}
-	}
+	params = benchParams(params, 17)
+	request := requestRecords(1, KeepConn, string(params), strings.Repeat("x", 16384))
 	b.Run("ours", func(b *testing.B) {
 		near, far := net.Pipe()
 		defer near.Close()
-		go func() {
-			r := &responder{Conn: far}
-			r.s = NewServer(r, 5)
-			buf := make([]byte, 16<<10)
-			for {
-				n, err := far.Read(buf)
-				if err != nil || r.s.Feed(buf[:n]) != nil {
-					return
-				}
-			}
-		}()
-		ask(b, near)
+		go serveBench(far)
+		benchRoundTrips(b, near, request)
 	})
 	b.Run("standard", func(b *testing.B) {
 		near, far := net.Pipe()
-		l := &one{make(chan net.Conn, 1), make(chan struct{})}
-		defer close(l.done)
+		listener := &connListener{make(chan net.Conn, 1), make(chan struct{})}
+		defer close(listener.done)
 		defer near.Close()
-		l.conn <- far
-		go fcgi.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		listener.conns <- far
+		go fcgi.Serve(listener, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			io.Copy(io.Discard, r.Body)
 			io.WriteString(w, "done")
 		}))
-		ask(b, near)
+		benchRoundTrips(b, near, request)
 	})
 }
+
+// serveBench answers the requests of a connection by a Server.
+func serveBench(c net.Conn) {
+	responder := &benchResponder{w: c, stdout: "Status: 200 OK\r\nContent-Type: text/plain\r\n\r\ndone"}
+	responder.server = NewServer(responder, 5)
+	buf := make([]byte, 16<<10)
+	for {
+		n, err := c.Read(buf)
+		if err != nil || responder.server.Feed(buf[:n]) != nil {
+			return
+		}
+	}
+}
+
+// benchRoundTrips writes a request and reads up to the END_REQUEST, again and again.
+func benchRoundTrips(b *testing.B, c net.Conn, request []byte) {
+	var scanner Scanner
+	var rest []byte
+	buf := make([]byte, 4096)
+	b.SetBytes(int64(len(request)))
+	b.ReportAllocs()
+	for b.Loop() {
+		go c.Write(request)
+		for done := false; !done; {
+			event, _, next, err := scanner.Next(rest)
+			if err != nil {
+				b.Fatal(err)
+			}
+			rest = next
+			if event == NeedMore {
+				n, err := c.Read(buf)
+				if err != nil {
+					b.Fatal(err)
+				}
+				rest = buf[:n]
+			}
+			done = event == RecordEnd && scanner.Header().Type == EndRequest
+		}
+	}
+}
--- a/internal/fastcgi/cgi.go
+++ b/internal/fastcgi/cgi.go
@@ -7,87 +7,102 @@
 	"net/textproto"
 	"strconv"
 	"strings"
+
+	"dunemoor/internal/httpwire"
 )
 
-// ErrHead says that what a responder put out is no head of an answer.
-var ErrHead = errors.New("fastcgi: the answer has no head")
+// ErrMalformedResponse reports output of an application that is not a CGI response.
+var ErrMalformedResponse = errors.New("fastcgi: malformed response")
 
-// HeadMost bounds the head of an answer: many times what there is to say.
-const HeadMost = 16 << 10
+// MaxResponseHeaderBytes limits the header section of a response.
+const MaxResponseHeaderBytes = 16 << 10
 
-// ParseResponseHeader reads the head of a CGI answer (RFC 3875, 6.2 and 6.3) off the front of what a
-// responder has put out: no Status is 200, or 302 where there is a Location. n is where the body
-// begins, 0 where the head is not whole yet.
-func ParseResponseHeader(out []byte) (status int, header http.Header, n int, err error) {
+// ParseResponseHeader parses the header section of a CGI response (RFC 3875, 6.2 and 6.3) at the front of the
+// output of an application. bodyStart is the index of the body in output, 0 if the header section is still
+// incomplete. Without a Status field the status is 302 if there is a Location field and 200 otherwise. The error
+// is ErrMalformedResponse.
+func ParseResponseHeader(output []byte) (status int, header http.Header, bodyStart int, err error) {
 	header = http.Header{}
-	for rest := out; ; {
-		i := bytes.IndexByte(rest, '\n')
-		if i < 0 {
-			if len(out) > HeadMost {
-				return 0, nil, 0, ErrHead
+	rest := output
+	for {
+		line, next, ok := bytes.Cut(rest, []byte("\n"))
+		if !ok {
+			if len(output) > MaxResponseHeaderBytes {
+				return 0, nil, 0, ErrMalformedResponse
 			}
 			return 0, nil, 0, nil
 		}
-		line := bytes.TrimSuffix(rest[:i], []byte("\r"))
-		rest = rest[i+1:]
+		rest = next
+		line = bytes.TrimSuffix(line, []byte("\r"))
 		if len(line) == 0 {
-			n = len(out) - len(rest)
 			break
 		}
-		name, value, ok := bytes.Cut(line, []byte(":"))
-		if !ok || !token(name) || bytes.ContainsAny(value, "\x00\r") {
-			return 0, nil, 0, ErrHead
+		if err := addResponseField(header, line); err != nil {
+			return 0, nil, 0, err
 		}
-		key := textproto.CanonicalMIMEHeaderKey(string(name))
-		header[key] = append(header[key], string(bytes.Trim(value, " \t")))
 	}
-	if len(header) == 0 || n > HeadMost {
-		return 0, nil, 0, ErrHead
+	bodyStart = len(output) - len(rest)
+	if len(header) == 0 || bodyStart > MaxResponseHeaderBytes {
+		return 0, nil, 0, ErrMalformedResponse
 	}
-	status = http.StatusOK
-	switch s := header["Status"]; {
-	case len(s) > 1:
-		return 0, nil, 0, ErrHead
-	case len(s) == 1:
-		code, _, _ := strings.Cut(s[0], " ")
-		if status, err = strconv.Atoi(code); err != nil || len(code) != 3 || status < 200 || status > 599 {
-			return 0, nil, 0, ErrHead
-		}
-		delete(header, "Status")
-	case len(header["Location"]) == 1:
-		status = http.StatusFound
+	status, err = takeStatus(header)
+	if err != nil {
+		return 0, nil, 0, err
+	}
+	return status, header, bodyStart, nil
+}
+
+// addResponseField adds the field of a line to a header.
+func addResponseField(header http.Header, line []byte) error {
+	rawName, value, ok := bytes.Cut(line, []byte(":"))
+	name := string(rawName)
+	if !ok || !httpwire.IsToken(name) || bytes.ContainsAny(value, "\x00\r") {
+		return ErrMalformedResponse
 	}
-	return status, header, n, nil
+	key := textproto.CanonicalMIMEHeaderKey(name)
+	header[key] = append(header[key], string(bytes.Trim(value, " \t")))
+	return nil
 }
 
-// ContentLength is the length that a head gives, -1 where it gives none. Two are none, and an error.
-func ContentLength(h http.Header) (int64, error) {
-	switch v := h["Content-Length"]; len(v) {
+// takeStatus removes the Status field (RFC 3875, 6.3.3) from a header and returns the status code of the
+// response.
+func takeStatus(header http.Header) (int, error) {
+	values := header["Status"]
+	switch len(values) {
 	case 0:
-		return -1, nil
+		if len(header["Location"]) == 1 {
+			return http.StatusFound, nil
+		}
+		return http.StatusOK, nil
 	case 1:
-		n, err := strconv.ParseInt(v[0], 10, 64)
-		if err != nil || n < 0 || strings.Trim(v[0], "0123456789") != "" {
-			return 0, ErrHead
+		code, _, _ := strings.Cut(values[0], " ")
+		status, err := strconv.Atoi(code)
+		if err != nil || len(code) != 3 || status < 200 || status > 599 {
+			return 0, ErrMalformedResponse
 		}
-		return n, nil
+		delete(header, "Status")
+		return status, nil
 	}
-	return 0, ErrHead
+	return 0, ErrMalformedResponse
 }
 
-// token says whether a name is one (RFC 9110, 5.6.2).
-func token(b []byte) bool {
-	for _, c := range b {
-		if !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || strings.IndexByte("!#$%&'*+-.^_`|~", c) >= 0) {
-			return false
-		}
+// ContentLength returns the length of a response's body in bytes, -1 if its header does not contain it. The
+// error, for a repeated or invalid length, is ErrMalformedResponse.
+func ContentLength(header http.Header) (int64, error) {
+	lengths := header["Content-Length"]
+	if len(lengths) == 0 {
+		return -1, nil
+	}
+	length, ok := httpwire.ParseResponseLength(lengths[0])
+	if len(lengths) > 1 || !ok {
+		return 0, ErrMalformedResponse
 	}
-	return len(b) > 0
+	return length, nil
 }
 
-// ParamName is the name of the parameter that a header goes by, "" for one that must not be one: a
-// name with an underscore would be taken for another's with a dash, and HTTP_PROXY is what many
-// programs take for the proxy that they are to use (httpoxy, CVE-2016-5385).
+// ParamName returns the name of the parameter that carries a header field (RFC 3875, 4.1.18), "" for a field that
+// must not become one: a name with an underscore could be confused with one with a dash, and many programs use
+// HTTP_PROXY as their proxy (httpoxy, CVE-2016-5385).
 func ParamName(header string) string {
 	if strings.Contains(header, "_") || strings.EqualFold(header, "Proxy") {
 		return ""
@@ -95,11 +110,11 @@
 	return "HTTP_" + strings.ToUpper(strings.ReplaceAll(header, "-", "_"))
 }
 
-// HeaderName is the header that a parameter stands for, "" for none.
-func HeaderName(name string) string {
-	rest, ok := strings.CutPrefix(name, "HTTP_")
-	if !ok || rest == "" || strings.EqualFold(rest, "PROXY") || !token([]byte(rest)) || strings.Contains(rest, "-") {
+// HeaderName returns the header field that a parameter carries, "" if it carries none or must not become one.
+func HeaderName(param string) string {
+	field, ok := strings.CutPrefix(param, "HTTP_")
+	if !ok || strings.EqualFold(field, "PROXY") || strings.Contains(field, "-") || !httpwire.IsToken(field) {
 		return ""
 	}
-	return textproto.CanonicalMIMEHeaderKey(strings.ReplaceAll(rest, "_", "-"))
+	return textproto.CanonicalMIMEHeaderKey(strings.ReplaceAll(field, "_", "-"))
 }
--- a/internal/fastcgi/client.go
+++ b/internal/fastcgi/client.go
@@ -1,194 +1,124 @@
 package fastcgi
 
-import (
-	"errors"
-	"strconv"
-	"sync"
-)
-
-// ErrStray says that a responder has sent what belongs to no request, or behind a request's end.
-// The requests that are open are not touched by it, but no other should begin on the connection.
-var ErrStray = errors.New("fastcgi: a record belongs to no request")
-
-// Heard is what a Client makes of a responder's records, in their order. Output may wait.
-type Heard interface {
-	Stdout(id uint16, part []byte) // STDOUT
-	Stderr(id uint16, part []byte) // STDERR
-	EndRequest(id uint16, e EndRequestBody)
-	// Values is the answer to a GET_VALUES; 0 stands for what it does not tell.
-	Values(v Values)
-	// UnsolicitedRecord says that something came that belongs to no request.
+// ClientHandler handles what a Client receives. Its methods are called in the order of the records.
+type ClientHandler interface {
+	// Stdout handles a part of a request's response. It may block; then the connection is not read.
+	Stdout(id uint16, part []byte)
+	// Stderr handles a part of a request's error output.
+	Stderr(id uint16, part []byte)
+	// EndRequest handles the end of a request, whose id is not open any more.
+	EndRequest(id uint16, body EndRequestBody)
+	// Values handles the reply to GET_VALUES.
+	Values(values Values)
+	// UnsolicitedRecord handles a record of a request that is not open, or output behind the end of STDOUT. The
+	// open requests are not affected, but no other should begin on the connection.
 	UnsolicitedRecord()
 }
 
-// Values are what a responder says of itself (4.1).
-type Values struct {
-	Conns, Reqs int
-	Multiplexes bool
-}
-
-// Client is what a web server hears on one connection to a responder. Feed belongs to one
-// goroutine, the others may come from any.
+// Client is the web server's side of a connection to an application: it keeps the open requests and decodes the
+// application's records. Feed belongs to one goroutine; the other methods are safe for concurrent use.
 type Client struct {
-	heard Heard
-
-	scan   Scanner
-	fixed  [8]byte
-	values []byte
-	n      int
-
-	mu   sync.Mutex
-	ids  map[uint16]*clientRequest
-	next uint16
+	handler  ClientHandler
+	demux    demux
+	requests *requestTable[clientRequest]
 }
 
+// clientRequest is an open request. It belongs to the goroutine that calls Feed.
 type clientRequest struct {
-	shut bool // its STDOUT has ended
+	stdoutEnded bool
 }
 
-// NewClient returns a Client.
-func NewClient(heard Heard) *Client { return &Client{heard: heard, ids: map[uint16]*clientRequest{}} }
-
-// OpenRequest gives out the id of a new request. An id is used again as late as can be: what comes late
-// for one that has ended must not be taken for the next.
-func (c *Client) OpenRequest() uint16 {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for {
-		if c.next++; c.next == 0 {
-			c.next = 1
-		}
-		if c.ids[c.next] == nil {
-			c.ids[c.next] = &clientRequest{}
-			return c.next
-		}
-	}
+// NewClient returns a Client of a new connection.
+func NewClient(handler ClientHandler) *Client {
+	return &Client{handler: handler, requests: newRequestTable[clientRequest]()}
 }
 
-// Drop forgets a request that was never sent.
-func (c *Client) Drop(id uint16) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	delete(c.ids, id)
-}
+// OpenRequest opens a request and returns its id.
+func (c *Client) OpenRequest() uint16 { return c.requests.addWithNewID(&clientRequest{}) }
 
-// Len is how many requests are open.
-func (c *Client) Len() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return len(c.ids)
-}
+// ForgetRequest removes a request that was never sent.
+func (c *Client) ForgetRequest(id uint16) { c.requests.remove(id) }
 
-// Feed takes in bytes as they come. An error is final.
-func (c *Client) Feed(b []byte) error {
-	for {
-		ev, part, rest, err := c.scan.Next(b)
-		if err != nil {
-			return err
-		}
-		b = rest
-		switch ev {
-		case NeedMore:
-			return nil
-		case RecordStart:
-			err = c.start(c.scan.Header())
-		case RecordContent:
-			c.part(c.scan.Header(), part)
-		case RecordEnd:
-			err = c.done(c.scan.Header())
-		}
-		if err != nil {
-			return err
-		}
-	}
-}
+// NumOpen returns the number of open requests.
+func (c *Client) NumOpen() int { return c.requests.len() }
 
-// Between says whether the responder is between two records: a connection that ends there has
-// not been cut within one.
-func (c *Client) Between() bool { return c.scan.Between() }
+// Feed decodes bytes that the connection has received. After an error, which is ErrVersion, ErrBody or ErrOrder,
+// the connection can't be used any more.
+func (c *Client) Feed(b []byte) error { return c.demux.feed(b, c) }
 
-func (c *Client) find(id uint16) *clientRequest {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.ids[id]
-}
+// AtRecordBoundary reports whether the last byte fed was the last of a record. It belongs to the goroutine that
+// calls Feed.
+func (c *Client) AtRecordBoundary() bool { return c.demux.scanner.AtRecordBoundary() }
 
-func (c *Client) start(h Head) error {
-	c.n, c.values = 0, c.values[:0]
+func (c *Client) recordStart(h Header) error {
 	switch h.Type {
 	case Stdout, Stderr, EndRequest:
-		if h.ID == 0 || h.Type == EndRequest && h.Content != len(c.fixed) {
-			return ErrBody
-		}
-		if r := c.find(h.ID); r == nil || r.shut && h.Type == Stdout && h.Content > 0 {
-			c.heard.UnsolicitedRecord()
-		}
+		return c.requestRecordStart(h)
 	case GetValuesResult:
-		if h.Content > valuesMost {
+		if h.ContentBytes > maxValuesBytes {
 			return ErrBody
 		}
 	case UnknownType:
 	default:
-		return ErrOrder // only web servers send those
+		return ErrOrder // only web servers send the others
+	}
+	return nil
+}
+
+// requestRecordStart checks a record that belongs to a request.
+func (c *Client) requestRecordStart(h Header) error {
+	if h.ID == 0 {
+		return ErrBody
+	}
+	if h.Type == EndRequest && h.ContentBytes != fixedBodyBytes {
+		return ErrBody
+	}
+	request := c.requests.find(h.ID)
+	isUnsolicited := request == nil || request.stdoutEnded && h.Type == Stdout && h.ContentBytes > 0
+	if isUnsolicited {
+		c.handler.UnsolicitedRecord()
 	}
 	return nil
 }
 
-func (c *Client) part(h Head, part []byte) {
+func (c *Client) recordContent(h Header, part []byte) (keep bool) {
 	switch h.Type {
 	case Stdout:
-		if r := c.find(h.ID); r != nil && !r.shut {
-			c.heard.Stdout(h.ID, part)
+		if request := c.requests.find(h.ID); request != nil && !request.stdoutEnded {
+			c.handler.Stdout(h.ID, part)
 		}
 	case Stderr:
-		if c.find(h.ID) != nil {
-			c.heard.Stderr(h.ID, part)
+		if c.requests.find(h.ID) != nil {
+			c.handler.Stderr(h.ID, part)
 		}
-	case EndRequest:
-		c.n += copy(c.fixed[c.n:], part)
-	case GetValuesResult:
-		c.values = append(c.values, part...)
+	case EndRequest, GetValuesResult:
+		return true
 	}
+	return false
 }
 
-func (c *Client) done(h Head) error {
+func (c *Client) recordEnd(h Header, body []byte) error {
 	switch h.Type {
 	case Stdout:
-		if r := c.find(h.ID); r != nil && h.Content == 0 {
-			r.shut = true
+		if request := c.requests.find(h.ID); request != nil && h.ContentBytes == 0 {
+			request.stdoutEnded = true
 		}
 	case EndRequest:
-		if c.find(h.ID) == nil {
+		if c.requests.find(h.ID) == nil {
 			return nil
 		}
-		e, err := ParseEnd(c.fixed[:])
+		end, err := ParseEndRequest(body)
 		if err != nil {
 			return err
 		}
-		c.Drop(h.ID)
-		c.heard.EndRequest(h.ID, e)
+		c.requests.remove(h.ID)
+		c.handler.EndRequest(h.ID, end)
 	case GetValuesResult:
-		var v Values
-		for b := c.values; len(b) > 0; {
-			name, value, rest, ok := Pair(b)
-			if !ok {
-				return ErrBody
-			}
-			b = rest
-			n, err := strconv.Atoi(string(value))
-			if err != nil || n < 0 {
-				continue // what can't be read tells nothing
-			}
-			switch string(name) {
-			case MaxConns:
-				v.Conns = n
-			case MaxReqs:
-				v.Reqs = n
-			case MpxsConns:
-				v.Multiplexes = n == 1
-			}
+		values, err := parseValues(body)
+		if err != nil {
+			return err
 		}
-		c.heard.Values(v)
+		c.handler.Values(values)
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/fastcgi/pair.go
@@ -0,0 +1,73 @@
+package fastcgi
+
+import (
+	"encoding/binary"
+	"fmt"
+)
+
+// A name or value of up to maxShortLength bytes has a length of one byte, and else one of four bytes with
+// longLengthFlag set (3.4).
+const (
+	maxShortLength  = 1<<7 - 1
+	longLengthBytes = 4
+	longLengthFlag  = 1 << 31
+)
+
+// AppendPair appends a name-value pair (3.4) to b and returns the extended slice.
+func AppendPair(b []byte, name, value string) []byte {
+	b = appendLength(b, len(name))
+	b = appendLength(b, len(value))
+	b = append(b, name...)
+	return append(b, value...)
+}
+
+func appendLength(b []byte, n int) []byte {
+	if n <= maxShortLength {
+		return append(b, byte(n))
+	}
+	return binary.BigEndian.AppendUint32(b, uint32(n)|longLengthFlag)
+}
+
+// CutPair cuts the first name-value pair off b. The results are parts of b. ok is false if the pair is
+// incomplete.
+func CutPair(b []byte) (name, value, rest []byte, ok bool) {
+	nameBytes, b, ok := cutLength(b)
+	if !ok {
+		return nil, nil, nil, false
+	}
+	valueBytes, b, ok := cutLength(b)
+	if !ok || nameBytes > len(b) || valueBytes > len(b)-nameBytes {
+		return nil, nil, nil, false
+	}
+	end := nameBytes + valueBytes
+	return b[:nameBytes], b[nameBytes:end], b[end:], true
+}
+
+func cutLength(b []byte) (n int, rest []byte, ok bool) {
+	if len(b) == 0 {
+		return 0, nil, false
+	}
+	if b[0] <= maxShortLength {
+		return int(b[0]), b[1:], true
+	}
+	if len(b) < longLengthBytes {
+		return 0, nil, false
+	}
+	return int(binary.BigEndian.Uint32(b) &^ longLengthFlag), b[longLengthBytes:], true
+}
+
+// ForEachParam calls f with each of a request's parameters, as parts of params. It returns the first error of f.
+// Other errors wrap ErrBody; their text is sent to clients in response bodies.
+func ForEachParam(params []byte, f func(name, value []byte) error) error {
+	for len(params) > 0 {
+		name, value, rest, ok := CutPair(params)
+		if !ok {
+			return fmt.Errorf("%w: the parameters end within a pair", ErrBody)
+		}
+		if err := f(name, value); err != nil {
+			return err
+		}
+		params = rest
+	}
+	return nil
+}
--- a/internal/gateway/fastcgi_test.go
+++ b/internal/gateway/fastcgi_test.go
@@ -107,7 +107,7 @@
 			}
 		case fastcgi.RecordEnd:
 			if h.Type == fastcgi.EndRequest {
-				e, err := fastcgi.ParseEnd(fixed)
+				e, err := fastcgi.ParseEndRequest(fixed)
 				if err != nil {
 					w.Fatal(err)
 				}
--- a/internal/httpwire/charset.go
+++ b/internal/httpwire/charset.go
@@ -35,8 +35,8 @@
 	return true
 }
 
-// isToken reports whether s is a token (RFC 9110, 5.6.2), as field names and methods are.
-func isToken(s string) bool { return s != "" && tokenChars.containsAll(s) }
+// IsToken reports whether s is a token (RFC 9110, 5.6.2), as field names and methods are.
+func IsToken(s string) bool { return s != "" && tokenChars.containsAll(s) }
 
 func isDigit(c byte) bool { return '0' <= c && c <= '9' }
 
--- a/internal/httpwire/header.go
+++ b/internal/httpwire/header.go
@@ -70,7 +70,7 @@
 // parseFieldLine parses a field line without its CRLF, and returns the canonical name and the value.
 func parseFieldLine(line string) (name, value string, err error) {
 	name, value, ok := strings.Cut(line, ":")
-	if !ok || !isToken(name) {
+	if !ok || !IsToken(name) {
 		return "", "", ErrMalformed
 	}
 	value = strings.Trim(value, " \t")
--- a/internal/httpwire/request.go
+++ b/internal/httpwire/request.go
@@ -71,7 +71,7 @@
 // parseRequestLine parses a request line (RFC 9112, 3).
 func (r *Request) parseRequestLine(line string) error {
 	method, line, ok := strings.Cut(line, " ")
-	if !ok || !isToken(method) {
+	if !ok || !IsToken(method) {
 		return ErrMalformed
 	}
 	target, version, ok := strings.Cut(line, " ")
--- a/internal/httpwire/response.go
+++ b/internal/httpwire/response.go
@@ -20,6 +20,14 @@
 	return false
 }
 
+// ParseResponseLength parses the value of a response's Content-Length field (RFC 9110, 8.6), in bytes. ok is false
+// if it is not a number without sign that fits an int64.
+func ParseResponseLength(value string) (length int64, ok bool) {
+	length, err := strconv.ParseInt(value, 10, 64)
+	onlyDigits := strings.Trim(value, "0123456789") == ""
+	return length, err == nil && onlyDigits
+}
+
 // AppendStatusLine appends a status line to b and returns the extended slice. The version is HTTP/1.0 if http10 is
 // set and HTTP/1.1 otherwise.
 func AppendStatusLine(b []byte, http10 bool, status int) []byte {
@@ -39,7 +47,7 @@
 // values are replaced by spaces and fields with an invalid name are left out.
 func AppendHeader(b []byte, header http.Header) []byte {
 	for name, values := range header {
-		if !isToken(name) {
+		if !IsToken(name) {
 			continue
 		}
 		for _, value := range values {
--- a/internal/upstream/fastcgi/conn.go
+++ b/internal/upstream/fastcgi/conn.go
@@ -62,7 +62,7 @@
 	if !c.host.can.Multiplexes || c.age != c.host.age {
 		return 1
 	}
-	if n := c.host.can.Reqs; n > 0 {
+	if n := c.host.can.MaxRequests; n > 0 {
 		return min(n, reqsMost)
 	}
 	return reqsMost
@@ -87,7 +87,7 @@
 
 // end is the end of the connection: all its calls end with it.
 func (c *conn) end(err error) {
-	if err == io.EOF && !c.in.Between() {
+	if err == io.EOF && !c.in.AtRecordBoundary() {
 		err = io.ErrUnexpectedEOF
 	}
 	c.Conn.Close()
@@ -325,7 +325,7 @@
 	c.mu.Lock()
 	delete(c.calls, k.id)
 	c.mu.Unlock()
-	c.in.Drop(k.id)
+	c.in.ForgetRequest(k.id)
 	k.out.CloseRead()
 	c.release()
 }
@@ -377,7 +377,7 @@
 		return engine.Ended(balancer.TimedOut)
 	case ctx.Err() != nil:
 		return engine.Ended(balancer.Canceled)
-	case errors.Is(err, fastcgi.ErrHead):
+	case errors.Is(err, fastcgi.ErrMalformedResponse):
 		return engine.Ended(balancer.InvalidResponse)
 	case err == io.EOF:
 		return ended(k.end)
@@ -418,7 +418,7 @@
 			return nil, 0, nil, ctx.Err()
 		}
 		if err == io.EOF && len(buf) > 0 {
-			err = fastcgi.ErrHead // it has ended within its head
+			err = fastcgi.ErrMalformedResponse // it has ended within its head
 		}
 		return nil, 0, nil, err
 	}
@@ -466,7 +466,7 @@
 				return nil, true, nil
 			}
 			if s.length >= 0 && s.length != s.read {
-				return nil, false, fastcgi.ErrHead // the one length does not fit
+				return nil, false, fastcgi.ErrMalformedResponse // the one length does not fit
 			}
 			return held, true, nil
 		case errors.Is(err, os.ErrDeadlineExceeded) && wait < s.meter.Timeout():
@@ -549,16 +549,16 @@
 	defer c.host.t.o.BodyBudget.ReleaseBuffer(buf)
 	b, idle := *buf, pace(u.x).IdleTimeout
 	for {
-		n, err := flow.Read(b[fastcgi.HeadLen:min(len(b), fastcgi.HeadLen+fastcgi.MaxContentOut)])
+		n, err := flow.Read(b[fastcgi.HeaderBytes:min(len(b), fastcgi.HeaderBytes+fastcgi.MaxUnpaddedBytes)])
 		if n > 0 {
-			fastcgi.AppendHead(b[:0], fastcgi.Head{Type: fastcgi.Stdin, ID: k.id, Content: n})
-			if _, werr := c.write(b[:fastcgi.HeadLen+n], idle); werr != nil {
+			fastcgi.AppendHeader(b[:0], fastcgi.Header{Type: fastcgi.Stdin, ID: k.id, ContentBytes: n})
+			if _, werr := c.write(b[:fastcgi.HeaderBytes+n], idle); werr != nil {
 				return // whoever reads sees the end of the connection
 			}
 		}
 		switch {
 		case err == io.EOF:
-			if n, _ := c.write(fastcgi.AppendStreamEnd(b[:0], fastcgi.Stdin, k.id), idle); n == fastcgi.HeadLen {
+			if n, _ := c.write(fastcgi.AppendStreamEnd(b[:0], fastcgi.Stdin, k.id), idle); n == fastcgi.HeaderBytes {
 				c.mu.Lock()
 				k.sent = true
 				c.mu.Unlock()
--- a/internal/upstream/fastcgi/transport.go
+++ b/internal/upstream/fastcgi/transport.go
@@ -221,13 +221,13 @@
 		}
 		t.mu.Lock()
 	}
-	full := t.open >= t.budget || h.can.Conns > 0 && len(h.conns) >= h.can.Conns
+	full := t.open >= t.budget || h.can.MaxConns > 0 && len(h.conns) >= h.can.MaxConns
 	if full && t.open >= t.budget {
 		if idle := t.coldest(); idle != nil {
 			t.mu.Unlock()
 			idle.retire()
 			t.mu.Lock()
-			full = h.can.Conns > 0 && len(h.conns) >= h.can.Conns
+			full = h.can.MaxConns > 0 && len(h.conns) >= h.can.MaxConns
 		}
 	}
 	if full || t.closed {
--- a/internal/upstream/fastcgi/transport_test.go
+++ b/internal/upstream/fastcgi/transport_test.go
@@ -487,14 +487,14 @@
 			c.wmu.Unlock()
 			return false
 		}
-		return c.in.Len() == 2
+		return c.in.NumOpen() == 2
 	})
 	client := &leaver{}
 	x := ask("POST", "/late", "")
 	x.Client = client
 	result := make(chan engine.Result, 1)
 	go func() { res, _, _ := attempt(h, x); result <- res }()
-	testutil.WaitUntil(t, "it waits for its turn", func() bool { return c.in.Len() == 3 })
+	testutil.WaitUntil(t, "it waits for its turn", func() bool { return c.in.NumOpen() == 3 })
 	client.left.Store(true)
 	close(hold)
 	if res := <-result; res.HasResponse || res.Outcome != balancer.NotSent {
