--- /dev/null
+++ b/internal/upstream/http1/response.go
@@ -0,0 +1,149 @@
+package http1
+
+import (
+	"errors"
+	"math"
+	"net/http"
+	"net/textproto"
+	"os"
+	"strconv"
+	"strings"
+	"time"
+
+	"dunemoor/internal/body"
+	"dunemoor/internal/engine"
+	"dunemoor/internal/upstream"
+)
+
+const (
+	// maxHeaderBytes limits the header section of a response, and its trailer section.
+	maxHeaderBytes = 16 << 10
+	// unlimitedBytes removes the limit of conn.headerMax.
+	unlimitedBytes = math.MaxInt64
+	// maxHeaderTime limits the time for a header section to arrive once it has begun, on plain routes.
+	maxHeaderTime = 5 * time.Second
+	// maxResponseGap limits the time without a byte within the header section and the buffered body of a response
+	// in the platform's protocol. A lost segment is sent again after some 200 ms.
+	maxResponseGap = 250 * time.Millisecond
+	// versionPrefix begins each response.
+	versionPrefix = "HTTP/1."
+)
+
+// errMalformedResponse reports bytes that are not a valid response.
+var errMalformedResponse = errors.New("http1: malformed response")
+
+// defaultStreams is for routes that do not say how bodies are streamed: responses are, at any pace.
+var defaultStreams = engine.Streams{HeadDeadlineOnly: true, Pace: body.Pace{IdleTimeout: maxHeaderTime}}
+
+// readResponse reads the header section of the final response, and its body if that is short. Otherwise stream is
+// the source of the body. An error is errMalformedResponse if what arrived is not a response that is certain to be
+// complete, and an error of the connection otherwise.
+func (c *conn) readResponse(x *engine.Request, up *upload) (response engine.Response, stream *responseStream, err error) {
+	defer c.setReadGap(0)
+	for {
+		c.headerMax.N = maxHeaderBytes
+		if _, err := c.in.Peek(1); err != nil {
+			return response, nil, err
+		}
+		if err := c.readMessage(x, &response); err != nil {
+			return response, nil, c.messageError(err)
+		}
+		switch {
+		case response.Status == http.StatusContinue:
+			up.allowContinue()
+		case response.Status == http.StatusSwitchingProtocols:
+			wasRequested := x.Upgrade != "" && x.Body.Buffered()
+			if !wasRequested {
+				return response, nil, errMalformedResponse
+			}
+			response.Kind = engine.Served
+			return response, nil, nil
+		case response.Status >= http.StatusOK:
+			response.Kind = engine.Served
+			stream, err = c.readBody(x, up, &response)
+			if err != nil {
+				err = c.messageError(err)
+			}
+			return response, stream, err
+		case x.Inform != nil:
+			x.Inform(response.Status, response.Header)
+		}
+		c.setReadGap(0) // the final response may take its time
+	}
+}
+
+// messageError returns the error of a response that failed with err after its first byte. The host has gone if the
+// connection ended. If it stays open but sends no complete response, the response is malformed.
+func (c *conn) messageError(err error) error {
+	isTooLong := c.headerMax.N <= 0
+	if isTooLong || errors.Is(err, os.ErrDeadlineExceeded) {
+		return errMalformedResponse
+	}
+	return err
+}
+
+// readMessage reads the status line and header section of a response whose first byte has arrived.
+func (c *conn) readMessage(x *engine.Request, response *engine.Response) error {
+	isPlain := upstream.IsPlain(x)
+	if isPlain {
+		c.SetReadDeadline(time.Now().Add(maxHeaderTime))
+	} else {
+		c.setReadGap(maxResponseGap)
+	}
+	// Noise may contain no line end, which need not be waited for.
+	start, _ := c.in.Peek(min(c.in.Buffered(), len(versionPrefix)))
+	if !strings.HasPrefix(versionPrefix, string(start)) {
+		return errMalformedResponse
+	}
+	if err := c.readHeader(response); err != nil {
+		return err
+	}
+	if isPlain {
+		c.SetReadDeadline(time.Time{})
+	}
+	return nil
+}
+
+// readHeader reads a status line and header section. Unlike http.ReadResponse it keeps a Content-Length beside a
+// Transfer-Encoding.
+func (c *conn) readHeader(response *engine.Response) error {
+	c.proto = ""
+	response.Status = 0
+	response.Header = nil
+	line, err := c.text.ReadLine()
+	if err != nil {
+		return err
+	}
+	proto, status, ok := parseStatusLine(line)
+	if !ok {
+		return errMalformedResponse
+	}
+	fields, err := c.text.ReadMIMEHeader()
+	var malformed textproto.ProtocolError
+	if errors.As(err, &malformed) {
+		err = errMalformedResponse
+	}
+	c.proto = proto
+	response.Status = status
+	response.Header = http.Header(fields)
+	return err
+}
+
+// parseStatusLine parses a status line (RFC 9112, 4).
+func parseStatusLine(line string) (proto string, status int, ok bool) {
+	proto, rest, _ := strings.Cut(line, " ")
+	if proto != "HTTP/1.1" && proto != "HTTP/1.0" {
+		return "", 0, false
+	}
+	code, _, _ := strings.Cut(rest, " ")
+	status, err := strconv.Atoi(code)
+	if err != nil || len(code) != 3 || status < 100 {
+		return "", 0, false
+	}
+	return proto, status, true
+}
+
+// announcesClose reports whether a host closes the connection after its response.
+func announcesClose(header http.Header) bool {
+	return strings.Contains(strings.ToLower(header.Get("Connection")), "close")
+}
--- /dev/null
+++ b/internal/upstream/http1/responsebody_test.go
@@ -0,0 +1,107 @@
+package http1
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+
+	"dunemoor/balancer"
+	"dunemoor/internal/testutil"
+)
+
+// Responses beyond maxSmallBytes are passed on whatever memory there is: a part is buffered within MaxLargeBytes,
+// and the rest is streamed. The memory is returned when the response is released.
+func TestLargeResponses(t *testing.T) {
+	const length = 400 << 10
+	text := strings.Repeat("0123456789abcdef", length/16)
+	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+	for rest := text; rest != ""; rest = rest[min(len(rest), 10000):] {
+		part := rest[:min(len(rest), 10000)]
+		chunked += fmt.Sprintf("%x\r\n%s\r\n", len(part), part)
+	}
+	for _, large := range []string{fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", length, text), chunked + "0\r\n\r\n"} {
+		transport := newTestTransport()
+		server := testutil.NewHost(t, testutil.RespondWith(large))
+		h := newTestHost(transport, server.Addr())
+		for _, maxLargeBytes := range []int64{0, length - 1, 10 * length} {
+			name := fmt.Sprintf("with memory for %d bytes", maxLargeBytes)
+			transport.SetLimits(1024, maxLargeBytes)
+			got, response := attempt(t, h, newTestRequest("b"))
+			if got != balancer.OK {
+				t.Fatalf("%s: got outcome %v, want OK", name, got)
+			}
+			if reserved := transport.largeBytes.Load(); reserved > maxLargeBytes {
+				t.Errorf("%s: got %d bytes reserved", name, reserved)
+			}
+			received := append([]byte(nil), response.Body.Bytes()...)
+			if stream := response.Body.Stream(); stream != nil {
+				if err := stream.Consume(); err != nil {
+					t.Fatal(err)
+				}
+				rest, err := io.ReadAll(stream)
+				if err != nil {
+					t.Errorf("%s: %v", name, err)
+				}
+				received = append(received, rest...)
+			}
+			if string(received) != text {
+				t.Errorf("%s: got %d bytes, want the %d of the response", name, len(received), length)
+			}
+			response.Release()
+			response.Release() // a second time does nothing
+			if reserved := transport.largeBytes.Load(); reserved != 0 {
+				t.Errorf("%s: got %d bytes reserved after the release, want 0", name, reserved)
+			}
+			checkConnCounts(t, name, h, 1, 1)
+		}
+	}
+}
+
+// A long response that its host does not complete is recognized, and its connection is not used again.
+func TestTruncatedLargeResponse(t *testing.T) {
+	server := testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 4<<20, strings.Repeat("x", 2<<20))
+		return false
+	})
+	h := newTestHost(newTestTransport(), server.Addr())
+	got, response := attempt(t, h, newTestRequest("b"))
+	stream := response.Body.Stream()
+	if got != balancer.OK || stream == nil || stream.Consume() != nil {
+		t.Fatalf("got outcome %v, stream %v, want OK with a stream", got, stream)
+	}
+	rest, err := io.ReadAll(stream)
+	if received := len(response.Body.Bytes()) + len(rest); received > 2<<20 || err == nil {
+		t.Errorf("got %d bytes and error %v, want at most %d and an error", received, err, 2<<20)
+	}
+	response.Release()
+	checkConnCounts(t, "afterwards", h, 0, 0)
+}
+
+// A response that has no body by RFC 9112, 6.3 has none, whatever its header says: waiting for it would take the
+// next response for it.
+func TestResponsesWithoutBody(t *testing.T) {
+	for _, test := range []struct{ method, response string }{
+		{"HEAD", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"},
+		{"HEAD", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"},
+		{"GET", "HTTP/1.1 304 Not Modified\r\nContent-Length: 4\r\n\r\n"},
+		{"DELETE", "HTTP/1.1 204 No Content\r\n\r\n"},
+	} {
+		server := testutil.NewHost(t, testutil.RespondWith(test.response))
+		h := newTestHost(newTestTransport(), server.Addr())
+		x := newTestRequest("")
+		x.Method = test.method
+		for range 2 {
+			ctx, cancel := context.WithTimeout(context.Background(), testutil.WaitTimeout)
+			result := h.Attempt(ctx, x)
+			cancel()
+			if !result.HasResponse || result.Response.Body.Len() != 0 {
+				t.Errorf("%s %q: got %+v, want a response without a body", test.method, test.response, result)
+			}
+		}
+		checkConnCounts(t, fmt.Sprintf("%s %q", test.method, test.response), h, 1, 1)
+	}
+}
--- /dev/null
+++ b/internal/upstream/http1/upload.go
@@ -0,0 +1,180 @@
+package http1
+
+import (
+	"errors"
+	"io"
+	"net/http"
+	"os"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+
+	"dunemoor/internal/body"
+	"dunemoor/internal/engine"
+	"dunemoor/internal/upstream"
+)
+
+const (
+	// maxContinueWait is how long an upload waits for the host's 100 response. Some servers never send one (RFC
+	// 9110, 10.1.1: a client must not wait indefinitely).
+	maxContinueWait = time.Second
+	// chunkPrefixBytes is left free in a buffer before the content, for the size line of the chunk.
+	chunkPrefixBytes = 8
+)
+
+// errNoMemory reports that there is no memory for the buffer of an upload.
+var errNoMemory = errors.New("http1: no memory for a streamed body")
+
+// upload sends the streamed part of a request's body while the response is awaited. It runs in a goroutine of its
+// own, which stop ends.
+type upload struct {
+	conn      *conn
+	request   *engine.Request
+	continued chan struct{} // receives when the host has sent a 100 response
+	quit      chan struct{} // closed by stop
+	quitOnce  sync.Once
+	done      chan struct{} // closed when nothing more is sent
+
+	// The following are set before done is closed.
+
+	err            error // why the upload ended before the end of the body
+	failedByClient bool  // the body could not be read from the client
+}
+
+// startUpload starts the upload of a request. If its body is buffered the upload is done.
+func startUpload(c *conn, x *engine.Request) *upload {
+	u := &upload{conn: c, request: x, continued: make(chan struct{}, 1), quit: make(chan struct{}), done: make(chan struct{})}
+	if x.Body.Buffered() {
+		close(u.done)
+	} else {
+		go u.run()
+	}
+	return u
+}
+
+// allowContinue tells the upload that the host has sent a 100 response.
+func (u *upload) allowContinue() {
+	select {
+	case u.continued <- struct{}{}:
+	default: // it was told before
+	}
+}
+
+// stop ends the upload if it is still running, by closing its connection, and reports whether the whole body had
+// been sent.
+func (u *upload) stop() bool {
+	select {
+	case <-u.done:
+		return u.err == nil
+	default:
+	}
+	u.quitOnce.Do(func() {
+		close(u.quit)
+		u.request.Body.Stream().Close() // ends a read from the client
+		u.conn.Conn.Close()             // ends a write to the host
+	})
+	<-u.done
+	return false
+}
+
+func (u *upload) run() {
+	defer close(u.done)
+	if expectsContinue(u.request) && !u.awaitContinue() {
+		u.err = body.ErrConsumed
+		return
+	}
+	stream := u.request.Body.Stream()
+	if u.err = stream.Consume(); u.err != nil {
+		return
+	}
+	budget := u.conn.host.transport.bodyBudget
+	buf := budget.AcquireBuffer()
+	if buf == nil {
+		u.err = errNoMemory
+		u.conn.Conn.Close()
+		return
+	}
+	defer budget.ReleaseBuffer(buf)
+	u.err = u.copyStream(stream, *buf)
+}
+
+// awaitContinue waits until the body may be sent, and returns false if the upload was stopped before.
+func (u *upload) awaitContinue() bool {
+	select {
+	case <-u.continued:
+	case <-time.After(maxContinueWait):
+	case <-u.quit:
+		return false
+	}
+	return true
+}
+
+// copyStream sends a stream to its end, through buf.
+func (u *upload) copyStream(stream *body.Stream, buf []byte) error {
+	meter := body.Meter{Pace: upstream.Streams(u.request, &defaultStreams).Pace}
+	deadline := body.LazyDeadline{SetDeadline: u.conn.SetWriteDeadline}
+	isChunked := u.request.Body.Len() < 0
+	content := buf[chunkPrefixBytes : len(buf)-len(crlf)]
+	for {
+		n, readErr := stream.Read(content)
+		if n > 0 {
+			part := content[:n]
+			if isChunked {
+				part = frameChunk(buf, n)
+			}
+			startedAt := time.Now()
+			deadline.Reset(startedAt, meter.Timeout())
+			_, err := u.conn.Write(part)
+			if err == nil {
+				err = meter.Record(n, time.Since(startedAt))
+			}
+			if err != nil {
+				return u.writeFailed(err)
+			}
+		}
+		if readErr == io.EOF {
+			if !isChunked {
+				return nil
+			}
+			u.conn.SetWriteDeadline(time.Now().Add(meter.Timeout()))
+			_, err := u.conn.Write(lastChunk(stream.Trailer()))
+			return err
+		}
+		if readErr != nil {
+			// The host must not take an incomplete body for a complete one.
+			u.failedByClient = readErr != body.ErrConsumed
+			u.conn.Conn.Close()
+			return readErr
+		}
+	}
+}
+
+// writeFailed returns the error of a write. The connection of a host that is too slow is closed, as nothing else
+// would end the wait for a response; otherwise the host may have sent a response that tells the reason.
+func (u *upload) writeFailed(err error) error {
+	if err == body.ErrTooSlow || errors.Is(err, os.ErrDeadlineExceeded) {
+		u.conn.Conn.Close()
+	}
+	return err
+}
+
+// frameChunk returns the part of buf that is the chunk of its n bytes of content, which begin at chunkPrefixBytes.
+func frameChunk(buf []byte, n int) []byte {
+	sizeLine := strconv.AppendInt(nil, int64(n), 16)
+	sizeLine = append(sizeLine, crlf...)
+	start := chunkPrefixBytes - len(sizeLine)
+	end := chunkPrefixBytes + n
+	copy(buf[start:], sizeLine)
+	copy(buf[end:], crlf)
+	return buf[start : end+len(crlf)]
+}
+
+// lastChunk returns the end of a chunked body, with its trailer section.
+func lastChunk(trailer http.Header) []byte {
+	var b strings.Builder
+	b.WriteString("0\r\n")
+	trailer.Write(&b) // a strings.Builder returns no error
+	b.WriteString("\r\n")
+	return []byte(b.String())
+}
