--- /dev/null
+++ b/internal/upstream/fastcgi/conn_test.go
@@ -0,0 +1,263 @@
+package fastcgi
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/fcgi"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"dunemoor/balancer"
+	"dunemoor/internal/engine"
+	"dunemoor/internal/fastcgi"
+	"dunemoor/internal/testutil"
+)
+
+// A connection that its responder closes after a response must not cost the next request.
+func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
+	r := startResponder(t, emptyValues, func(c net.Conn, id uint16, _ map[string]string, _ string) {
+		c.Write(okRecords(id, "good"))
+		c.Close()
+	})
+	transport, h := newTestHost(t, r.Addr().String())
+	for i := range 20 {
+		result, text, err := attempt(h, newTestRequest("POST", "/", "x"))
+		if result.HasResponse && text == "good" && err == nil {
+			continue
+		}
+		// The connection may be closed just as the next request is written: then it may have run.
+		if result.Outcome != balancer.Reset || r.requests.Load() > int64(i+1) {
+			t.Errorf("request %d: got outcome %v, body %q, error %v, want a response", i, result.Outcome, text, err)
+		}
+	}
+	waitUntilNoneOpen(t, transport)
+}
+
+// serveUppercase is a handler that responds with the body in upper case.
+func serveUppercase(w http.ResponseWriter, r *http.Request) {
+	var text []byte
+	var err error
+	if r.ContentLength != 0 { // net/http/fcgi shares one empty body, which two must not read at once
+		text, err = io.ReadAll(r.Body)
+	}
+	if err != nil || r.Header.Get("X-Request-Id") == "" || r.Method != "POST" {
+		w.WriteHeader(500)
+		return
+	}
+	w.Header().Set("X-Path", r.URL.Path)
+	w.WriteHeader(201)
+	w.Write(bytes.ToUpper(text))
+}
+
+// The standard library's implementation of the protocol understands us and we it: bodies of all sizes both ways,
+// many requests at once on a few connections, as its values allow.
+func TestMultiplexingWithNetHTTP(t *testing.T) {
+	ln := testutil.Listen(t, "127.0.0.1:0", nil)
+	defer ln.Close()
+	go fcgi.Serve(ln, http.HandlerFunc(serveUppercase))
+	transport, h := newTestHost(t, ln.Addr().String())
+	learnMultiplexing(t, transport, h)
+	var attempts sync.WaitGroup
+	for i := range 200 {
+		attempts.Go(func() {
+			text := strings.Repeat("abc", []int{0, 1, 1000, 30_000, 70_000}[i%5])
+			path := fmt.Sprintf("/p/%d", i)
+			result, got, err := attempt(h, newTestRequest("POST", path, text))
+			response := result.Response
+			if !result.HasResponse || response.Status != 201 || response.Header.Get("X-Path") != path {
+				t.Errorf("request %d: got outcome %v, status %d, path %q, want status 201, path %q", i, result.Outcome, response.Status, response.Header.Get("X-Path"), path)
+			}
+			if got != strings.ToUpper(text) || err != nil {
+				t.Errorf("request %d: got %d bytes, error %v, want %d bytes in upper case", i, len(got), err, len(text))
+			}
+		})
+	}
+	attempts.Wait()
+	transport.mu.Lock()
+	defer transport.mu.Unlock()
+	if open, most := transport.conns.NumOpen(), 200/maxRequestsPerConn+4; open > most {
+		t.Errorf("got %d connections, want at most %d", open, most)
+	}
+}
+
+// On a connection with several requests, output for one that has ended does not affect the others, and the
+// connection carries no more.
+func TestUnsolicitedOutputDrainsConnection(t *testing.T) {
+	var mu sync.Mutex
+	waiting := map[uint16]net.Conn{}
+	responded := make(chan struct{})
+	r := startResponder(t, multiplexing, func(c net.Conn, id uint16, params map[string]string, _ string) {
+		if params["REQUEST_URI"] == "/first" {
+			c.Write(okRecords(id, "good"))
+			return
+		}
+		mu.Lock()
+		defer mu.Unlock()
+		waiting[id] = c
+		if len(waiting) < 2 {
+			return
+		}
+		var ids []uint16
+		for id := range waiting {
+			ids = append(ids, id)
+		}
+		a, b := ids[0], ids[1]
+		if waiting[a] != waiting[b] {
+			t.Error("got the requests on two connections, want one")
+		}
+		c.Write(bytes.Join([][]byte{
+			okRecords(a, fmt.Sprint("for ", a)), stdoutRecords(a, "late"),
+			stdoutRecords(b, "X: y\n\nfor "), stdoutRecords(a, "later"), stdoutRecords(b, fmt.Sprint(b)), endRecord(b, fastcgi.EndRequestBody{}),
+		}, nil))
+		close(responded)
+	})
+	transport, h := newTestHost(t, r.Addr().String())
+	learnMultiplexing(t, transport, h)
+	results := make(chan string, 2)
+	for range 2 {
+		go func() {
+			result, text, err := attempt(h, newTestRequest("POST", "/", ""))
+			results <- fmt.Sprint(result.HasResponse, text, err)
+		}()
+	}
+	<-responded
+	a, b := <-results, <-results
+	if a == b || !strings.HasPrefix(a, "truefor ") || !strings.HasPrefix(b, "truefor ") {
+		t.Errorf("got responses %s and %s, want those of two requests", a, b)
+	}
+	waitUntilNoneOpen(t, transport)
+}
+
+// A request that is given up is aborted alone if its connection carries others.
+func TestGivingUpAbortsOneRequest(t *testing.T) {
+	release := make(chan struct{})
+	r := startResponder(t, multiplexing, func(c net.Conn, id uint16, params map[string]string, _ string) {
+		if params["REQUEST_URI"] == "/first" {
+			c.Write(okRecords(id, "good"))
+			return
+		}
+		go func() {
+			if params["REQUEST_URI"] == "/other" {
+				<-release
+				c.Write(okRecords(id, "other"))
+			}
+		}()
+	})
+	transport, h := newTestHost(t, r.Addr().String())
+	learnMultiplexing(t, transport, h)
+	otherText := make(chan string, 1)
+	go func() {
+		_, text, _ := attempt(h, newTestRequest("POST", "/other", ""))
+		otherText <- text
+	}()
+	testutil.WaitUntil(t, "the other request is sent", func() bool { return r.requests.Load() == 2 })
+	ctx, cancel := context.WithCancel(context.Background())
+	givenUp := make(chan engine.Result, 1)
+	go func() { givenUp <- h.Attempt(ctx, newTestRequest("POST", heldTarget, "")) }()
+	testutil.WaitUntil(t, "the request to be given up is sent", func() bool { return r.requests.Load() == 3 })
+	cancel()
+	if result := <-givenUp; result.HasResponse || result.Outcome != balancer.Canceled {
+		t.Errorf("given up: got %+v, want Canceled", result)
+	}
+	testutil.WaitUntil(t, "it is aborted", func() bool { return r.aborts.Load() == 1 })
+	close(release)
+	if got := <-otherText; got != "other" {
+		t.Errorf("other request: got body %q, want \"other\"", got)
+	}
+}
+
+// A request whose records wait behind those of others, on a connection that its responder does not read, is checked
+// when it is their turn: it must not be sent long after its client has left.
+func TestRequestIsCheckedAgainAfterWritesOfOthers(t *testing.T) {
+	release := make(chan struct{})
+	var late atomic.Int64
+	r := startResponder(t, multiplexing, func(c net.Conn, id uint16, params map[string]string, _ string) {
+		switch params["REQUEST_URI"] {
+		case "/stall":
+			<-release // the connection is not read
+		case "/late":
+			late.Add(1)
+		}
+		c.Write(okRecords(id, "good"))
+	})
+	transport, h := newTestHost(t, r.Addr().String())
+	attempt(h, newTestRequest("POST", "/first", ""))
+	testutil.WaitUntil(t, "the responder has sent its values", func() bool {
+		transport.mu.Lock()
+		defer transport.mu.Unlock()
+		return h.values.Multiplexes && len(transport.conns.Conns(h)) == 1
+	})
+	transport.mu.Lock()
+	c := transport.conns.Conns(h)[0]
+	transport.mu.Unlock()
+	var others sync.WaitGroup
+	startOther := func(target string, bodyBytes int) {
+		others.Go(func() {
+			if _, text, err := attempt(h, newTestRequest("POST", target, strings.Repeat("x", bodyBytes))); text != "good" || err != nil {
+				t.Errorf("%s: got body %q, error %v, want \"good\"", target, text, err)
+			}
+		})
+	}
+	startOther("/stall", 0)
+	testutil.WaitUntil(t, "it is sent", func() bool { return r.requests.Load() == 2 })
+	startOther("/big", 32<<20) // more than all buffers between hold
+	testutil.WaitUntil(t, "it is being written", func() bool {
+		if c.writeMu.TryLock() {
+			c.writeMu.Unlock()
+			return false
+		}
+		return c.client.NumOpen() == 2
+	})
+	client := &goneClient{}
+	x := newTestRequest("POST", "/late", "")
+	x.Client = client
+	lateResult := make(chan engine.Result, 1)
+	go func() {
+		result, _, _ := attempt(h, x)
+		lateResult <- result
+	}()
+	testutil.WaitUntil(t, "it waits for its turn", func() bool { return c.client.NumOpen() == 3 })
+	client.left.Store(true)
+	close(release)
+	if result := <-lateResult; result.HasResponse || result.Outcome != balancer.NotSent {
+		t.Errorf("got %+v, want NotSent", result)
+	}
+	others.Wait()
+	if n := late.Load(); n != 0 {
+		t.Errorf("the responder got the late request %d times, want 0", n)
+	}
+	if _, text, err := attempt(h, newTestRequest("POST", "/", "")); text != "good" || err != nil {
+		t.Errorf("next request: got body %q, error %v, want \"good\"", text, err)
+	}
+}
+
+// A responder that does not know GET_VALUES, or closes the connection for it, gets one request at a time on each
+// connection.
+func TestNoMultiplexingWithoutValues(t *testing.T) {
+	for _, values := range []valuesBehavior{emptyValues, closeConnection} {
+		r := startResponder(t, values, func(c net.Conn, id uint16, _ map[string]string, _ string) {
+			time.Sleep(5 * time.Millisecond)
+			c.Write(okRecords(id, "good"))
+		})
+		_, h := newTestHost(t, r.Addr().String())
+		var attempts sync.WaitGroup
+		for range 10 {
+			attempts.Go(func() {
+				if _, text, err := attempt(h, newTestRequest("POST", "/", "")); text != "good" || err != nil {
+					t.Errorf("%s: got body %q, error %v, want \"good\"", values, text, err)
+				}
+			})
+		}
+		attempts.Wait()
+		if conns := r.conns.Load(); conns < 5 {
+			t.Errorf("%s: got %d connections for ten requests at once, want at least 5", values, conns)
+		}
+	}
+}
--- /dev/null
+++ b/internal/upstream/fastcgi/response.go
@@ -0,0 +1,169 @@
+package fastcgi
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net/http"
+	"os"
+	"slices"
+	"sync"
+	"time"
+
+	"dunemoor/internal/body"
+	"dunemoor/internal/engine"
+	"dunemoor/internal/fastcgi"
+	"dunemoor/internal/httpwire"
+	"dunemoor/internal/upstream"
+)
+
+const (
+	// maxBufferTime is how long a response is buffered in the hope that all of it arrives.
+	maxBufferTime = 25 * time.Millisecond
+	// usualHeaderBytes is enough for the header section of most responses.
+	usualHeaderBytes = 2 << 10
+	// minReadBytes is the shortest space that the body is read into.
+	minReadBytes = 512
+	// maxHeaderWait is longer than any attempt; a context ends the reads before.
+	maxHeaderWait = time.Hour
+)
+
+// readHeader reads the header section of the response. rest is the beginning of the body. The error is io.EOF if the
+// request ended without output.
+func (k *call) readHeader(ctx context.Context) (status int, header http.Header, rest []byte, err error) {
+	stopClosing := context.AfterFunc(ctx, k.stdout.CloseRead)
+	defer stopClosing()
+	output := make([]byte, 0, usualHeaderBytes)
+	for {
+		output = slices.Grow(output, 1)
+		n, readErr := k.stdout.Read(output[len(output):cap(output)], maxHeaderWait)
+		output = output[:len(output)+n]
+		if n == 0 {
+			return 0, nil, nil, headerError(ctx, readErr, len(output))
+		}
+		status, header, bodyStart, err := fastcgi.ParseResponseHeader(output)
+		if err != nil || bodyStart > 0 {
+			return status, header, output[bodyStart:], err
+		}
+	}
+}
+
+// headerError returns the error of a response that ended with err, after a number of bytes, within its header
+// section.
+func headerError(ctx context.Context, err error, received int) error {
+	if ctx.Err() != nil {
+		return ctx.Err()
+	}
+	if err == io.EOF && received > 0 {
+		return fastcgi.ErrMalformedResponse
+	}
+	return err
+}
+
+// responseStream is the source of a response body.
+type responseStream struct {
+	conn      *conn
+	call      *call
+	upload    *upload
+	length    int64 // -1: unknown
+	hasNoBody bool  // whatever is sent
+	meter     body.Meter
+	due       time.Time // when the last byte is due; zero: only the pace counts
+	readBytes int64
+
+	closeOnce sync.Once
+}
+
+func newResponseStream(c *conn, k *call, up *upload, x *engine.Request, status int, length int64) *responseStream {
+	settings := upstream.Streams(x, &defaultStreams)
+	s := &responseStream{
+		conn: c, call: k, upload: up, length: length,
+		hasNoBody: httpwire.ResponseHasNoBody(x.Method, status),
+		meter:     body.Meter{Pace: settings.Pace},
+	}
+	if settings.HeadDeadlineOnly {
+		s.meter.MinRate = 0 // an event stream may be silent
+		return s
+	}
+	if due, known := x.Due(); known {
+		s.due = due
+	}
+	return s
+}
+
+// bufferStart reads what arrives within maxBufferTime after start, or all of a body that is short by its length.
+// complete tells that this is the whole body.
+func (s *responseStream) bufferStart(ctx context.Context, start []byte) (buffered []byte, complete bool, err error) {
+	stopClosing := context.AfterFunc(ctx, s.call.stdout.CloseRead)
+	defer stopClosing()
+	buffered = start
+	s.readBytes = int64(len(start))
+	until := time.Now().Add(maxBufferTime)
+	isShort := s.hasNoBody || s.length >= 0 && s.length <= maxStdoutBytes
+	for len(buffered) < maxStdoutBytes {
+		wait := time.Until(until)
+		if isShort {
+			wait = s.meter.Timeout()
+		}
+		buffered = slices.Grow(buffered, minReadBytes)
+		n, err := s.call.stdout.Read(buffered[len(buffered):cap(buffered)], wait)
+		buffered = buffered[:len(buffered)+n]
+		s.readBytes += int64(n)
+		isBufferTimeOver := errors.Is(err, os.ErrDeadlineExceeded) && wait < s.meter.Timeout()
+		switch {
+		case ctx.Err() != nil:
+			return nil, false, ctx.Err()
+		case err == io.EOF:
+			return s.completeBody(buffered)
+		case isBufferTimeOver:
+			return buffered, false, nil
+		case err != nil:
+			return nil, false, err
+		}
+	}
+	return buffered, false, nil
+}
+
+// completeBody checks a body that has been read to its end.
+func (s *responseStream) completeBody(buffered []byte) (text []byte, complete bool, err error) {
+	if s.hasNoBody {
+		return nil, true, nil
+	}
+	if s.length >= 0 && s.length != s.readBytes {
+		return nil, false, fastcgi.ErrMalformedResponse
+	}
+	return buffered, true, nil
+}
+
+// Read reads the next part of the body, within the pace that the host must keep. It returns an error if the body does
+// not have its length.
+func (s *responseStream) Read(p []byte) (int, error) {
+	timeout := s.meter.Timeout()
+	if !s.due.IsZero() {
+		timeout = min(timeout, time.Until(s.due))
+	}
+	startedAt := time.Now()
+	n, err := s.call.stdout.Read(p, max(timeout, time.Nanosecond))
+	s.readBytes += int64(n)
+	tooSlow := s.meter.Record(n, time.Since(startedAt))
+	if err == nil {
+		err = tooSlow
+	}
+	isTooLong := s.length >= 0 && s.readBytes > s.length
+	isTruncated := err == io.EOF && s.readBytes < s.length
+	if isTooLong || isTruncated {
+		err = io.ErrUnexpectedEOF
+	}
+	return n, err
+}
+
+// Trailer returns nil, as a CGI response has no trailer section.
+func (s *responseStream) Trailer() http.Header { return nil }
+
+// Close gives up the request. One that has not ended is abandoned. Further calls do nothing.
+func (s *responseStream) Close(complete bool) {
+	s.closeOnce.Do(func() {
+		s.upload.stop()
+		s.conn.finishCall(s.call, complete)
+	})
+}
--- /dev/null
+++ b/internal/upstream/fastcgi/roundtrip.go
@@ -0,0 +1,133 @@
+package fastcgi
+
+import (
+	"context"
+	"errors"
+	"io"
+
+	"dunemoor/balancer"
+	"dunemoor/internal/body"
+	"dunemoor/internal/engine"
+	"dunemoor/internal/fastcgi"
+	"dunemoor/internal/upstream"
+)
+
+// defaultStreams is for routes that do not say how bodies are streamed: responses are, at any pace.
+var defaultStreams = engine.Streams{HeadDeadlineOnly: true, Pace: body.Pace{IdleTimeout: maxStallAlone}}
+
+// RoundTrip sends a request and receives the header section of its response, with the part of the body that is
+// buffered; the rest is streamed.
+func (c *conn) RoundTrip(ctx context.Context, x *engine.Request) engine.Result {
+	k := c.startCall()
+	if k == nil {
+		// Proof: the connection ended before anything was written.
+		c.Release()
+		return engine.Result{Outcome: balancer.ConnectFailed}
+	}
+	if result, ok := c.sendRequest(ctx, x, k); !ok {
+		return result
+	}
+	up := startUpload(c, k, x)
+	status, header, rest, err := k.readHeader(ctx)
+	if err != nil {
+		up.stop()
+		c.finishCall(k, false)
+		return c.readFailure(ctx, k, up, err)
+	}
+	length, err := fastcgi.ContentLength(header)
+	if err != nil {
+		up.stop()
+		c.finishCall(k, false)
+		return engine.Ended(balancer.InvalidResponse)
+	}
+	response := engine.Response{Kind: engine.Served, Status: status, Header: header}
+	stream := newResponseStream(c, k, up, x, status, length)
+	buffered, complete, err := stream.bufferStart(ctx, rest)
+	if err != nil {
+		stream.Close(false)
+		return c.readFailure(ctx, k, up, err)
+	}
+	if complete {
+		stream.Close(true)
+		response.Body = body.NewBuffered(buffered)
+	} else {
+		response.Body = body.NewStreamed(buffered, body.NewStream(stream, length))
+	}
+	return engine.Result{HasResponse: true, Response: response}
+}
+
+// sendRequest writes a request, without the streamed part of its body. If ok is false the attempt has ended with
+// the result, and the request was given up.
+func (c *conn) sendRequest(ctx context.Context, x *engine.Request, k *call) (result engine.Result, ok bool) {
+	records, paramsEnd := c.host.transport.encodeRequest(k.id, x)
+	isComplete := x.Body.Buffered()
+	if isComplete {
+		records = fastcgi.AppendStreamEnd(records, fastcgi.Stdin, k.id)
+	}
+	// The dial, or the writes of others, may have taken long, so check again whether the request may be sent.
+	isSendable := func() bool { return x.MayWrite() && c.isCurrent() }
+	timeout := upstream.Streams(x, &defaultStreams).Pace.IdleTimeout
+	written, err := c.writeIf(isSendable, records, timeout)
+	if err == errNotSendable {
+		// Proof: nothing was written.
+		c.forgetCall(k)
+		return engine.Ended(balancer.NotSent), false
+	}
+	if isComplete && written == len(records) {
+		c.setSent(k)
+	}
+	if err != nil {
+		c.finishCall(k, false)
+		return c.writeFailure(ctx, x, k, written >= paramsEnd), false
+	}
+	return engine.Result{}, true
+}
+
+// writeFailure returns the result of an attempt whose request could not be written. paramsSent tells that its
+// parameters were: programs may begin with them (6.2).
+func (c *conn) writeFailure(ctx context.Context, x *engine.Request, k *call, paramsSent bool) engine.Result {
+	switch {
+	case c.wasSent(k):
+		return engine.Ended(balancer.Reset)
+	case ctx.Err() != nil && (!paramsSent || !upstream.IsPlain(x)):
+		// Proof: the responder lacks a part of the parameters (6.2), or the last byte by the platform's protocol.
+		return engine.Ended(upstream.OutcomeUnsent(ctx))
+	case ctx.Err() != nil:
+		return engine.Ended(balancer.Canceled)
+	}
+	// Proof: as above. PartlySent tells where the lack of the last byte proves nothing, on plain routes.
+	return engine.Result{Outcome: balancer.ConnectFailed, PartlySent: paramsSent}
+}
+
+// readFailure returns the result of an attempt that failed with err after its request was written, but for the
+// streamed part of the body. The upload has been stopped.
+func (c *conn) readFailure(ctx context.Context, k *call, up *upload, err error) engine.Result {
+	sent := c.wasSent(k)
+	switch {
+	case up.failedByClient, ctx.Err() != nil && !sent:
+		return engine.Ended(balancer.Canceled)
+	case errors.Is(ctx.Err(), context.DeadlineExceeded):
+		return engine.Ended(balancer.TimedOut)
+	case ctx.Err() != nil:
+		return engine.Ended(balancer.Canceled)
+	case errors.Is(err, fastcgi.ErrMalformedResponse):
+		return engine.Ended(balancer.InvalidResponse)
+	case err == io.EOF:
+		return engine.Ended(outcomeOfEnd(k.end))
+	case !sent:
+		// Proof: the responder lacks the last byte, by the platform's protocol. PartlySent tells that it proves
+		// nothing on plain routes.
+		return engine.Result{Outcome: balancer.ConnectFailed, PartlySent: true}
+	}
+	return engine.Ended(balancer.Reset)
+}
+
+// outcomeOfEnd returns the outcome of a request that ended without output. Full is proof that it never ran: by 5.5
+// the statuses other than REQUEST_COMPLETE reject a request.
+func outcomeOfEnd(end fastcgi.EndRequestBody) balancer.Result {
+	switch end.ProtocolStatus {
+	case fastcgi.Overloaded, fastcgi.CantMultiplex, fastcgi.UnknownRole:
+		return balancer.Full
+	}
+	return balancer.InvalidResponse
+}
--- /dev/null
+++ b/internal/upstream/fastcgi/upload.go
@@ -0,0 +1,91 @@
+package fastcgi
+
+import (
+	"io"
+	"time"
+
+	"dunemoor/internal/body"
+	"dunemoor/internal/engine"
+	"dunemoor/internal/fastcgi"
+	"dunemoor/internal/upstream"
+)
+
+// upload sends the streamed part of a request's body while the response is awaited. It runs in a goroutine of its
+// own, which stop ends.
+type upload struct {
+	request        *engine.Request
+	done           chan struct{} // closed when nothing more is sent
+	failedByClient bool          // the body could not be read from the client; set before done is closed
+}
+
+// startUpload starts the upload of a request. If its body is buffered the upload is done.
+func startUpload(c *conn, k *call, x *engine.Request) *upload {
+	u := &upload{request: x, done: make(chan struct{})}
+	if x.Body.Buffered() {
+		close(u.done)
+	} else {
+		go u.run(c, k)
+	}
+	return u
+}
+
+// stop ends the upload if it is still running.
+func (u *upload) stop() {
+	select {
+	case <-u.done:
+		return
+	default:
+	}
+	u.request.Body.Stream().Close() // ends a read from the client
+	<-u.done
+}
+
+func (u *upload) run(c *conn, k *call) {
+	defer close(u.done)
+	stream := u.request.Body.Stream()
+	if stream.Consume() != nil {
+		return
+	}
+	budget := c.host.transport.bodyBudget
+	buf := budget.AcquireBuffer()
+	if buf == nil {
+		c.abandon(k)
+		return
+	}
+	defer budget.ReleaseBuffer(buf)
+	u.copyStream(c, k, *buf)
+}
+
+// copyStream sends the stream to its end, through buf. If a write fails the reader of the connection sees its end.
+func (u *upload) copyStream(c *conn, k *call, buf []byte) {
+	stream := u.request.Body.Stream()
+	timeout := upstream.Streams(u.request, &defaultStreams).Pace.IdleTimeout
+	content := buf[fastcgi.HeaderBytes:min(len(buf), fastcgi.HeaderBytes+fastcgi.MaxUnpaddedBytes)]
+	for {
+		n, err := stream.Read(content)
+		if n > 0 && !writeStdin(c, k, buf, n, timeout) {
+			return
+		}
+		if err == io.EOF {
+			written, _ := c.write(fastcgi.AppendStreamEnd(buf[:0], fastcgi.Stdin, k.id), timeout)
+			if written == fastcgi.HeaderBytes {
+				c.setSent(k)
+			}
+			return
+		}
+		if err != nil {
+			// The responder must not take an incomplete body for a complete one.
+			u.failedByClient = err != body.ErrConsumed
+			c.abandon(k)
+			k.stdout.CloseWrite(err)
+			return
+		}
+	}
+}
+
+// writeStdin writes the n bytes of content that follow the space for a record header in buf.
+func writeStdin(c *conn, k *call, buf []byte, n int, timeout time.Duration) bool {
+	fastcgi.AppendHeader(buf[:0], fastcgi.Header{Type: fastcgi.Stdin, ID: k.id, ContentBytes: n})
+	_, err := c.write(buf[:fastcgi.HeaderBytes+n], timeout)
+	return err == nil
+}
--- /dev/null
+++ b/internal/upstream/fastcgi/values.go
@@ -0,0 +1,76 @@
+package fastcgi
+
+import (
+	"net"
+	"time"
+
+	"dunemoor/internal/fastcgi"
+)
+
+// queryTimeout limits the time for a responder to send its values. Some never do, or close the connection: then each
+// connection carries one request at a time.
+const queryTimeout = time.Second
+
+// queryValues asks a responder for its values (4.1), on a connection of its own: a responder that does not know the
+// query may close it.
+func (t *Transport) queryValues(h *host, target dialTarget) {
+	values, ok := receiveValues(target)
+	if !ok {
+		return
+	}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if h.generation == target.generation {
+		h.values = values
+	}
+}
+
+// receiveValues sends the query and waits for the reply.
+func receiveValues(target dialTarget) (values fastcgi.Values, ok bool) {
+	network, addr := target.network()
+	c, err := net.DialTimeout(network, addr, queryTimeout)
+	if err != nil {
+		return fastcgi.Values{}, false
+	}
+	defer c.Close()
+	c.SetDeadline(time.Now().Add(queryTimeout))
+	var query []byte
+	for _, name := range []string{fastcgi.MaxConns, fastcgi.MaxReqs, fastcgi.MpxsConns} {
+		query = fastcgi.AppendPair(query, name, "")
+	}
+	if _, err := c.Write(fastcgi.AppendRecord(nil, fastcgi.GetValues, 0, query)); err != nil {
+		return fastcgi.Values{}, false
+	}
+	var reply valuesReply
+	client := fastcgi.NewClient(&reply)
+	b := make([]byte, 512)
+	for !reply.received {
+		n, err := c.Read(b)
+		if client.Feed(b[:n]) != nil {
+			return fastcgi.Values{}, false
+		}
+		if err != nil && !reply.received {
+			return fastcgi.Values{}, false
+		}
+	}
+	return reply.values, true
+}
+
+// valuesReply handles the reply to a query.
+type valuesReply struct {
+	values   fastcgi.Values
+	received bool
+}
+
+func (*valuesReply) Stdout(uint16, []byte)                     {}
+func (*valuesReply) Stderr(uint16, []byte)                     {}
+func (*valuesReply) EndRequest(uint16, fastcgi.EndRequestBody) {}
+func (*valuesReply) UnsolicitedRecord()                        {}
+
+// Values keeps the first reply. Some responders send an empty one after it, as if it ended a stream.
+func (r *valuesReply) Values(values fastcgi.Values) {
+	if !r.received {
+		r.values = values
+		r.received = true
+	}
+}
