--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -1711,7 +1711,7 @@
 		lines = append(lines, strings.TrimSuffix(m[1], "%s"))
 	}
 	for _, m := range regexp.MustCompile(`b\.eject\(h, (Cause\w+)`).FindAllStringSubmatch(code, -1) {
-		name, ok := map[string]Cause{"CauseConnections": CauseConnectionsFailed, "CauseSilent": CauseSilent}[m[1]]
+		name, ok := map[string]Cause{"CauseConnectionsFailed": CauseConnectionsFailed, "CauseSilent": CauseSilent}[m[1]]
 		if !ok {
 			t.Errorf("%s: the page is not checked for it", m[1])
 		}
