--- a/cmd/experiment/scale_process.go
+++ b/cmd/experiment/scale_process.go
@@ -547,7 +547,7 @@
 	}
 	defer g.p.Kill()
 	// It serves without hosts where the list is refused, and says so.
-	if err := g.said(ctx, "host list not read", 1); err == nil {
+	if err := g.said(ctx, "read endpoint file failed", 1); err == nil {
 		r.Breaks = append(r.Breaks, scaletest.Break{By: "host", Size: file, What: fmt.Sprintf("a file of %d bytes is not read, the pool has no host", info.Size()), Where: "internal/discovery/file.go: fileMost, read by readMost"})
 	}
 	return r, nil
@@ -590,7 +590,7 @@
 			if err := membersFile(path, n, []string{"draining", "ready"}[i%2]); err != nil {
 				return err
 			}
-			if err := g.said(ctx, `msg="host list read"`, i+1); err != nil {
+			if err := g.said(ctx, `msg="endpoint file loaded"`, i+1); err != nil {
 				return err
 			}
 		}
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -155,7 +155,7 @@
 func (c *Platform) limitSockets() {
 	var files syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files) == nil && files.Cur < uint64(c.Sockets) {
-		slog.Warn("fewer descriptors than limits.sockets", "sockets", c.Sockets, "RLIMIT_NOFILE", files.Cur)
+		slog.Warn("RLIMIT_NOFILE is lower than limits.sockets", "sockets", c.Sockets, "RLIMIT_NOFILE", files.Cur)
 		c.Sockets = int(files.Cur)
 	}
 }
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -62,7 +62,7 @@
 		var list MemberList
 		if list, err = ParseFile(f.path, text); err == nil {
 			if f.received || f.logged != "" {
-				slog.Info("host list read", "file", f.path, "hosts", len(list.Servers))
+				slog.Info("endpoint file loaded", "file", f.path, "hosts", len(list.Servers))
 			}
 			f.received, f.logged = true, ""
 			to.UpdateEndpoints(balancer.ListFull, list)
@@ -73,7 +73,7 @@
 	}
 	if err.Error() != f.logged {
 		f.logged = err.Error()
-		slog.Error("host list not read, the last one stands", "err", err)
+		slog.Error("read endpoint file failed, keeping the last list", "err", err)
 	}
 }
 
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -141,7 +141,7 @@
 			s.reset(0)
 		}
 		if !s.lost {
-			slog.Warn("watch of the host list lost, watching anew", "err", err)
+			slog.Warn("endpoint watch failed, retrying", "err", err)
 			s.lost = true
 		}
 		if s.immediate > 0 {
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -88,7 +88,7 @@
 		}
 	case h.id != m.ID:
 		// Two names with one HostID would be taken for one host.
-		slog.Error("host left out: its id collides with another's", "host", m.ID, "other", h.id)
+		slog.Error("endpoint ignored: its ID collides with that of another", "host", m.ID, "other", h.id)
 		return entry, false
 	}
 	h.zone, h.kind, h.addr, h.ready = m.Zone, m.Kind, m.Addr, entry.State == balancer.Ready
--- a/internal/engine/recording.go
+++ b/internal/engine/recording.go
@@ -100,7 +100,7 @@
 
 func logDump(path string, err error) {
 	if err != nil {
-		slog.Error("flight recording not written", "err", err)
+		slog.Error("write flight recording failed", "err", err)
 		return
 	}
 	slog.Info("flight recording written", "path", path)
--- a/internal/gateway/appliance.go
+++ b/internal/gateway/appliance.go
@@ -66,7 +66,7 @@
 		return err
 	}
 	if len(restart) > 0 {
-		slog.Warn("settings changed in the file are used from the next start on", "settings", strings.Join(restart, ", "))
+		slog.Warn("changed settings take effect at the next start", "settings", strings.Join(restart, ", "))
 	}
 	return nil
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -155,7 +155,7 @@
 // Resume ends a drain.
 func (g *Gateway) Resume() {
 	g.gate.CancelDrain()
-	slog.Info("drain ended, serving")
+	slog.Info("drain canceled, serving")
 }
 
 // memoryBytes returns the memory limit in bytes.
--- a/internal/gateway/meter.go
+++ b/internal/gateway/meter.go
@@ -30,7 +30,7 @@
 	defer tick.Stop()
 	m := newProcessMeter(g.memory, g.sockets)
 	if err := m.startPing(ctx); err != nil {
-		slog.Warn("how long bytes wait to be read is not known", "err", err)
+		slog.Warn("measuring how long received bytes wait is not possible", "err", err)
 	}
 	for {
 		select {
--- a/internal/gateway/platform.go
+++ b/internal/gateway/platform.go
@@ -193,7 +193,7 @@
 	g.useHalf = func() { use(1) }
 	_, alone, err := instancelock.TryLock(dir)
 	if err != nil {
-		slog.Warn("whether another gateway runs is not known, using half of the limits", "err", err)
+		slog.Warn("instance lock unavailable, using half of the limits", "err", err)
 	}
 	if alone {
 		return // the lock is kept until the process ends
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -131,7 +131,7 @@
 			select {
 			case <-sink.firstList:
 			case <-time.After(reloadListTimeout):
-				slog.Warn("no host is told yet", "pool", cfg.Name, "discovery", cfg.Discovery)
+				slog.Warn("no endpoint list received yet", "pool", cfg.Name, "discovery", cfg.Discovery)
 			}
 		}
 	default:
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -140,7 +140,7 @@
 		if p == g.appliance.pools[cfg.Name] && !equalSources(p.cfg, cfg) {
 			p.stopSource()
 			if err := p.setSource(cfg, false); err != nil {
-				slog.Error("members not read", "pool", cfg.Name, "err", err)
+				slog.Error("read members failed", "pool", cfg.Name, "err", err)
 			}
 		}
 		p.cfg = cfg
