--- a/cmd/dunemoorctl/flight.go
+++ b/cmd/dunemoorctl/flight.go
@@ -133,7 +133,7 @@
 		Short: "Play the recorded arrivals against hosts modelled on the recording, with this build's module",
 		Long: "Play the recorded arrivals against hosts modelled on the recording, with this build's module.\n\n" +
 			"To judge a change, try the same file with the builds before and after it. The model is simple\n" +
-			"(docs/design/flight.md), so compare tries with one another rather than with what was recorded.",
+			"(docs/design/flightrecorder.md), so compare tries with one another rather than with what was recorded.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			in, err := os.Open(args[0])
 			if err != nil {
--- a/internal/flightrecorder/format.go
+++ b/internal/flightrecorder/format.go
@@ -3,7 +3,7 @@
 //
 // A recording is a row of blocks, each whole in itself: a block that is torn, lost or
 // overwritten takes nothing else with it, and what stands between two blocks is passed
-// over. docs/design/flight.md has the form byte by byte.
+// over. docs/design/flightrecorder.md has the form byte by byte.
 package flightrecorder
 
 import (
