--- /dev/null
+++ b/balancer/bench_test.go
@@ -0,0 +1,204 @@
+package balancer
+
+import (
+	"fmt"
+	"runtime"
+	"testing"
+	"time"
+)
+
+// benchGateway feeds a Balancer with requests of which some stay in flight.
+type benchGateway struct {
+	b    *Balancer
+	now  Time
+	next RequestID
+	acts []Action
+	out  []RequestID
+}
+
+// round starts a request and ends the oldest one if more than inFlight are out.
+func (g *benchGateway) round(inFlight int) {
+	g.next++
+	g.now += 200 * time.Microsecond
+	g.b.Request(g.now, Request{ID: g.next, Remaining: time.Second})
+	g.acts = g.b.TakeActions(g.acts[:0])
+	for _, a := range g.acts {
+		if a.Kind == Send {
+			g.out = append(g.out, a.Request)
+		}
+	}
+	if len(g.out) > inFlight {
+		id := g.out[0]
+		copy(g.out, g.out[1:])
+		g.out = g.out[:len(g.out)-1]
+		g.b.AttemptEnded(g.now, Outcome{Request: id, Elapsed: 5 * ms, Closed: true})
+		g.acts = g.b.TakeActions(g.acts[:0])
+	}
+	if g.next%32 == 0 {
+		g.b.Timer(g.now, tokenSweep<<tokenShift)
+		g.acts = g.b.TakeActions(g.acts[:0])
+	}
+}
+
+// newBenchGateway returns a gateway of a large site with n hosts, and their list.
+func newBenchGateway(tb testing.TB, n int, set Settings) (*benchGateway, []Host) {
+	b, err := New(set, 1)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	list := make([]Host, n)
+	for i := range list {
+		list[i] = Host{ID: HostID(i + 1), Cell: i / 8, Zone: i % 4, Kind: i % 3}
+	}
+	g := &benchGateway{b: b, now: time.Hour}
+	b.Start(g.now)
+	b.UpdateEndpoints(g.now, ListFull, list)
+	g.acts = b.TakeActions(g.acts[:0])
+	return g, list
+}
+
+// newRunningBalancer returns a Balancer with twelve hosts, and its time.
+func newRunningBalancer(tb testing.TB) (*Balancer, Time) {
+	b, err := New(testSettings(), 1)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	now := time.Hour
+	b.Start(now)
+	b.UpdateEndpoints(now, ListSaved, testHosts(12))
+	return b, now
+}
+
+func TestRequestAllocatesNothingInSteadyState(t *testing.T) {
+	b, now := newRunningBalancer(t)
+	var acts []Action
+	id := RequestID(0)
+	round := func() {
+		id++
+		now += 5 * ms
+		b.Request(now, Request{ID: id, Remaining: time.Second})
+		acts = b.TakeActions(acts[:0])
+		b.AttemptEnded(now+4*ms, Outcome{Request: id, Elapsed: 4 * ms, Closed: true})
+		b.Timer(now+4*ms, tokenSweep<<tokenShift)
+		acts = b.TakeActions(acts[:0])
+	}
+	for range 1000 {
+		round()
+	}
+	if n := testing.AllocsPerRun(1000, round); n != 0 {
+		t.Errorf("%v allocations a request", n)
+	}
+}
+
+func BenchmarkRequest(bm *testing.B) {
+	b, now := newRunningBalancer(bm)
+	var acts []Action
+	bm.ReportAllocs()
+	for i := range bm.N {
+		now += 5 * ms
+		b.Request(now, Request{ID: RequestID(i), Remaining: time.Second})
+		b.AttemptEnded(now+4*ms, Outcome{Request: RequestID(i), Elapsed: 4 * ms, Closed: true})
+		acts = b.TakeActions(acts[:0])
+	}
+}
+
+// benchmarkHostCounts are the sizes of list that the benchmarks run with.
+var benchmarkHostCounts = []int{10, 100, 1000, 5000}
+
+// BenchmarkScale measures a request from its arrival to its end, with 16 in flight.
+func BenchmarkScale(b *testing.B) {
+	for _, n := range benchmarkHostCounts {
+		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
+			g, _ := newBenchGateway(b, n, testSettings())
+			for range 20000 {
+				g.round(16)
+			}
+			b.ReportAllocs()
+			for b.Loop() {
+				g.round(16)
+			}
+		})
+	}
+}
+
+// BenchmarkPick measures the choice of a host alone, by the host sets and by a scan.
+func BenchmarkPick(b *testing.B) {
+	for _, n := range benchmarkHostCounts {
+		g, _ := newBenchGateway(b, n, testSettings())
+		for range 20000 {
+			g.round(16)
+		}
+		r := &request{class: &g.b.set.Classes[0]}
+		for name, pick := range map[string]func() *host{
+			"sets": func() *host { return g.b.pick(r) },
+			"walk": func() *host { return pickByScan(g.b, r) },
+		} {
+			b.Run(fmt.Sprintf("hosts=%d/%s", n, name), func(b *testing.B) {
+				b.ReportAllocs()
+				for b.Loop() {
+					if pick() == nil {
+						b.Fatal("no host")
+					}
+				}
+			})
+		}
+	}
+}
+
+// BenchmarkListChange measures a change of one host and the request that follows it.
+func BenchmarkListChange(b *testing.B) {
+	for _, instances := range []int{1, 100} { // all hosts drawn from, and a part of them
+		for _, n := range benchmarkHostCounts {
+			b.Run(fmt.Sprintf("instances=%d/hosts=%d", instances, n), func(b *testing.B) {
+				set := testSettings()
+				set.Instances = instances
+				g, list := newBenchGateway(b, n, set)
+				for range 1000 {
+					g.round(16)
+				}
+				one := list[n/2 : n/2+1]
+				for i := 0; b.Loop(); i++ {
+					one[0].ID = HostID(1_000_000 + i)
+					g.b.UpdateEndpoints(g.now, ListChanges, one)
+					one[0].State = Removed
+					g.round(16)
+					g.b.UpdateEndpoints(g.now, ListChanges, one)
+					one[0].State = Ready
+				}
+			})
+		}
+	}
+}
+
+// BenchmarkMemory measures the heap that a list takes, in bytes a host.
+func BenchmarkMemory(b *testing.B) {
+	for _, n := range benchmarkHostCounts {
+		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
+			var before, after runtime.MemStats
+			var kept []*benchGateway
+			runtime.GC()
+			runtime.ReadMemStats(&before)
+			for b.Loop() {
+				g, _ := newBenchGateway(b, n, testSettings())
+				g.round(0)
+				kept = append(kept, g)
+			}
+			runtime.GC()
+			runtime.ReadMemStats(&after)
+			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(n*len(kept)), "B/host")
+			runtime.KeepAlive(kept)
+		})
+	}
+}
+
+func BenchmarkCheckpoint(bm *testing.B) {
+	b, now := newRunningBalancer(bm)
+	for i := range RequestID(40) {
+		b.Request(now, Request{ID: i, Remaining: testSettings().Classes[0].Deadline})
+	}
+	var buf []byte
+	for bm.Loop() {
+		buf = b.Checkpoint(buf[:0])
+	}
+	bm.ReportMetric(float64(len(buf)), "bytes")
+}
--- a/balancer/checkpoint_test.go
+++ b/balancer/checkpoint_test.go
@@ -10,17 +10,17 @@
 	"testing"
 )
 
-// acted plays a random history and returns all that was decided. With every > 0 the
-// Balancer is replaced after each every-th event by one restored from its checkpoint.
-func acted(t *testing.T, seed int64, every int) string {
+// playHistory plays a random history and returns all actions as text. If every is above 0, the
+// Balancer is replaced after every such number of events by one restored from its checkpoint.
+func playHistory(t *testing.T, seed int64, every int) string {
 	r := rand.New(rand.NewSource(seed))
 	data := make([]byte, 3000)
 	r.Read(data)
 	var all strings.Builder
 	h := newHistory(t, data[:8])
 	n := 0
-	h.acted = func(list []Action) { fmt.Fprintln(&all, list) }
-	h.after = func() {
+	h.onActions = func(list []Action) { fmt.Fprintln(&all, list) }
+	h.afterEvent = func() {
 		if n++; every == 0 || n%every != 0 {
 			return
 		}
@@ -38,41 +38,41 @@
 	return all.String()
 }
 
-// A Balancer restored in mid-flight acts as the one it was taken from.
-func TestRestoredActsAlike(t *testing.T) {
+// A Balancer restored from a checkpoint acts like the one that wrote it.
+func TestRestoredBalancerActsAlike(t *testing.T) {
 	for seed := range int64(40) {
-		want := acted(t, seed, 0)
+		want := playHistory(t, seed, 0)
 		for _, every := range []int{1, 7} {
-			if acted(t, seed, every) != want {
+			if playHistory(t, seed, every) != want {
 				t.Errorf("seed %d: restored after every %d events it acts otherwise", seed, every)
 			}
 		}
 	}
 }
 
-// A checkpoint that is cut short or altered is an error or another state, never a panic.
-func TestRestoreOfDamage(t *testing.T) {
-	g := start(t, basic(), hosts(5)...)
+// A truncated or altered checkpoint gives an error or another state, never a panic.
+func TestRestoreRejectsDamagedCheckpoint(t *testing.T) {
+	g := newTestGateway(t, testSettings(), testHosts(5)...)
 	for i := range 30 {
-		g.request(i%3, basic().Classes[0].Deadline)
+		g.request(i%3, testSettings().Classes[0].Deadline)
 	}
 	saved := g.b.Checkpoint(nil)
 	for n := range saved {
-		if _, err := Restore(basic(), saved[:n]); err == nil {
+		if _, err := Restore(testSettings(), saved[:n]); err == nil {
 			t.Fatalf("the first %d of %d bytes were taken for a whole checkpoint", n, len(saved))
 		}
 		for _, x := range []byte{1, 0x80, 0xff} {
 			bad := slices.Clone(saved)
 			bad[n] ^= x
-			Restore(basic(), bad) // any error will do
+			Restore(testSettings(), bad) // any error will do
 		}
 	}
-	if _, err := Restore(basic(), append(saved, 0)); err == nil {
+	if _, err := Restore(testSettings(), append(saved, 0)); err == nil {
 		t.Error("a byte too many is not noticed")
 	}
 	bad := slices.Clone(saved)
 	bad[0]++
-	if _, err := Restore(basic(), bad); err == nil || !strings.Contains(err.Error(), "version") {
+	if _, err := Restore(testSettings(), bad); err == nil || !strings.Contains(err.Error(), "version") {
 		t.Errorf("another version: %v", err)
 	}
 }
@@ -114,49 +114,3 @@
 		}
 	}
 }
-
-func TestViews(t *testing.T) {
-	g := start(t, basic(), hosts(3)...)
-	g.b.refreshSubset()
-	if usable, ready := g.b.Usable(); usable != 3 || ready != 3 {
-		t.Errorf("%d of %d can be used", usable, ready)
-	}
-	g.b.eject(g.b.byID[1], CauseSilent)
-	g.b.recheck(g.b.byID[1])
-	// It counts until it has answered, also beyond its ejection.
-	g.b.now = g.b.byID[1].ejectedUntil + 1
-	g.b.recheck(g.b.byID[1])
-	if usable, ready := g.b.Usable(); usable != 2 || ready != 3 {
-		t.Errorf("after an ejection %d of %d can be used", usable, ready)
-	}
-	if back, err := Restore(g.b.set, g.b.Checkpoint(nil)); err != nil {
-		t.Error(err)
-	} else if usable, ready := back.Usable(); usable != 2 || ready != 3 {
-		t.Errorf("restored, %d of %d can be used", usable, ready)
-	}
-	g.b.now = g.now
-	g.b.byID[2].restingUntil = g.now + ms
-	views := g.b.Views(nil)
-	var held []string
-	for i := range views {
-		held = append(held, views[i].Unavailable(g.now))
-	}
-	if !slices.Equal(held, []string{"ejected", "resting", ""}) && !slices.Equal(held, []string{"not drawn", "not drawn", "not drawn"}) {
-		t.Errorf("held: %q", held)
-	}
-	if views[0].Cause != CauseSilent || views[0].Ejections != 1 || views[0].Host != 1 {
-		t.Errorf("view of an ejected host: %+v", views[0])
-	}
-}
-
-func BenchmarkCheckpoint(bm *testing.B) {
-	b, now := running(bm)
-	for i := range RequestID(40) {
-		b.Request(now, Request{ID: i, Remaining: basic().Classes[0].Deadline})
-	}
-	var buf []byte
-	for bm.Loop() {
-		buf = b.Checkpoint(buf[:0])
-	}
-	bm.ReportMetric(float64(len(buf)), "bytes")
-}
--- a/balancer/compat_test.go
+++ b/balancer/compat_test.go
@@ -17,7 +17,7 @@
 	}
 	n := 0
 	var saved []byte
-	h.after = func() {
+	h.afterEvent = func() {
 		if n++; n == 250 {
 			saved = h.b.Checkpoint(nil)
 		}
--- a/balancer/fuzz_test.go
+++ b/balancer/fuzz_test.go
@@ -9,10 +9,9 @@
 	"time"
 )
 
-// FuzzRules plays random legal histories of events and checks after each that
-// the four rules hold: every request one answer in time and nothing after it,
-// no effect twice, nothing to hosts that drain or are gone, no warming host over
-// its budget.
+// FuzzRules plays random legal histories of events and checks the rules of the service after each:
+// every request is answered exactly once and in time, no effect happens twice, draining and removed
+// hosts receive nothing, and no warming host is sent more than its slow-start budget.
 func FuzzRules(f *testing.F) {
 	for seed := range int64(24) {
 		r := rand.New(rand.NewSource(seed))
@@ -28,6 +27,7 @@
 	})
 }
 
+// trackedAttempt is what a history knows of an attempt.
 type trackedAttempt struct {
 	host   Host
 	sent   Time
@@ -35,35 +35,38 @@
 	result Result
 }
 
-type tracked struct {
+// trackedRequest is what a history knows of a request.
+type trackedRequest struct {
 	class    *Class
 	deadline Time
 	answered bool
-	atts     []trackedAttempt
+	attempts []trackedAttempt
 }
 
+// history plays events on a Balancer and checks its actions against the rules.
 type history struct {
 	*testing.T
-	b       *Balancer
-	set     Settings
-	now     Time
-	wakes   []Action
-	next    RequestID
-	reqs    map[RequestID]*tracked
-	live    []RequestID // with attempts out or without an answer
-	hosts   [6]Host
-	warming [6][]Time // sends while warming
-	rate    float64   // highest rate of good answers so far
+	b        *Balancer
+	set      Settings
+	now      Time
+	timers   []Action
+	next     RequestID
+	requests map[RequestID]*trackedRequest
+	live     []RequestID // with attempts out or without an answer
+	hosts    [6]Host
+	warming  [6][]Time // sends while warming
+	rate     float64   // highest rate of good answers so far
 
 	served   float64
 	servedAt Time
 
-	acted func([]Action) // if set, called with what was decided
-	after func()         // if set, called after each event
+	onActions  func([]Action) // if set, called with what was decided
+	afterEvent func()         // if set, called after each event
 }
 
+// newHistory returns a history whose settings and hosts are chosen by the first bytes of the input.
 func newHistory(t *testing.T, c []byte) *history {
-	h := &history{T: t, now: 1 << 40, reqs: map[RequestID]*tracked{}}
+	h := &history{T: t, now: 1 << 40, requests: map[RequestID]*trackedRequest{}}
 	h.set = Settings{
 		Instances: []int{1, 2, 5, 40, 300}[c[0]%5], Step: Time(1+c[1]%5) * ms, MaxAttempts: 1 + int(c[2]%4),
 		Cancel: c[3]&1 == 0, MaxRetryAfter: time.Second,
@@ -99,7 +102,7 @@
 	return h
 }
 
-// play takes two bytes an event: what, and with what.
+// play takes two bytes an event, its kind and its argument, and then lets all requests end.
 func (h *history) play(data []byte) {
 	for ; len(data) >= 2; data = data[2:] {
 		x := int(data[1])
@@ -121,12 +124,12 @@
 		}
 	}
 	h.advance(2 * time.Second)
-	for _, id := range slices.Sorted(maps.Keys(h.reqs)) { // in the same order every time
-		r := h.reqs[id]
+	for _, id := range slices.Sorted(maps.Keys(h.requests)) { // in the same order every time
+		r := h.requests[id]
 		if !r.answered {
 			h.Fatalf("request %d has no answer", id)
 		}
-		for n := range r.atts {
+		for n := range r.attempts {
 			h.finish(id, n, Canceled)
 		}
 	}
@@ -140,22 +143,23 @@
 	}
 }
 
+// request starts a request whose class and remaining time x chooses.
 func (h *history) request(x int) {
 	h.next++
 	cl := &h.set.Classes[x%5]
 	left := cl.Deadline * Time(x/5) / 50
-	h.reqs[h.next] = &tracked{class: cl, deadline: h.now + left}
+	h.requests[h.next] = &trackedRequest{class: cl, deadline: h.now + left}
 	h.live = append(h.live, h.next)
 	h.b.Request(h.now, Request{ID: h.next, Class: x % 5, Tenant: x & 1, Remaining: left, Duplicate: x&2 != 0})
 	h.settle()
 }
 
-// end finishes one attempt that is out.
+// end finishes one attempt that is in flight.
 func (h *history) end(x int, result Result) {
 	for k := range h.live {
 		id := h.live[(k+x)%len(h.live)]
-		for n := range h.reqs[id].atts {
-			if !h.reqs[id].atts[n].ended {
+		for n := range h.requests[id].attempts {
+			if !h.requests[id].attempts[n].ended {
 				h.finish(id, n, result)
 				return
 			}
@@ -163,9 +167,10 @@
 	}
 }
 
+// finish ends an attempt, unless it has ended.
 func (h *history) finish(id RequestID, n int, result Result) {
-	r := h.reqs[id]
-	a := &r.atts[n]
+	r := h.requests[id]
+	a := &r.attempts[n]
 	if a.ended {
 		return
 	}
@@ -183,7 +188,7 @@
 	h.settle()
 }
 
-// updateList changes a host on the list, or the list fails.
+// updateList changes a host on the list, or lets a poll fail.
 func (h *history) updateList(x int, how byte) {
 	e := &h.hosts[x%6]
 	switch how / 10 % 5 {
@@ -215,37 +220,38 @@
 	h.settle()
 }
 
+// leave lets the client of an open request go.
 func (h *history) leave(x int) {
 	if len(h.live) == 0 {
 		return
 	}
 	id := h.live[x%len(h.live)]
-	h.reqs[id].answered = true
+	h.requests[id].answered = true
 	h.b.ClientGone(h.now, id)
 	h.settle()
 }
 
-// advance moves the clock by steps and rings what is due.
+// advance moves the clock by steps and fires the timers that are due.
 func (h *history) advance(d Time) {
 	for end := h.now + d; h.now < end; {
 		h.now += h.set.Step
 		var due []Action
-		keep := h.wakes[:0]
-		for _, w := range h.wakes {
+		keep := h.timers[:0]
+		for _, w := range h.timers {
 			if w.At <= h.now {
 				due = append(due, w)
 			} else {
 				keep = append(keep, w)
 			}
 		}
-		h.wakes = keep
+		h.timers = keep
 		for _, w := range due {
 			h.b.Timer(h.now, w.Token)
 			h.settle()
 		}
 		live := h.live[:0]
 		for _, id := range h.live {
-			r := h.reqs[id]
+			r := h.requests[id]
 			if !r.answered && h.now > r.deadline {
 				h.Fatalf("request %d has no answer at its deadline", id)
 			}
@@ -257,8 +263,9 @@
 	}
 }
 
-func (r *tracked) out() (n int) {
-	for _, a := range r.atts {
+// out returns the number of attempts in flight.
+func (r *trackedRequest) out() (n int) {
+	for _, a := range r.attempts {
 		if !a.ended {
 			n++
 		}
@@ -266,20 +273,20 @@
 	return n
 }
 
-// settle carries out the actions and checks them against the rules.
+// settle carries out the pending actions and checks them.
 func (h *history) settle() {
 	acts := h.b.TakeActions(nil)
-	if h.acted != nil {
-		h.acted(acts)
+	if h.onActions != nil {
+		h.onActions(acts)
 	}
 	for _, a := range acts {
 		switch a.Kind {
 		case Wake:
-			h.wakes = append(h.wakes, a)
+			h.timers = append(h.timers, a)
 		case Send:
 			h.send(a)
 		case Cancel:
-			if r := h.reqs[a.Request]; !h.set.Cancel || a.Attempt >= len(r.atts) || r.atts[a.Attempt].ended {
+			if r := h.requests[a.Request]; !h.set.Cancel || a.Attempt >= len(r.attempts) || r.attempts[a.Attempt].ended {
 				h.Fatalf("cancel %+v not allowed", a)
 			}
 		case Close:
@@ -290,13 +297,14 @@
 			h.answer(a)
 		}
 	}
-	if h.after != nil {
-		h.after()
+	if h.afterEvent != nil {
+		h.afterEvent()
 	}
 }
 
+// send checks an attempt against the rules and notes it.
 func (h *history) send(a Action) {
-	r := h.reqs[a.Request]
+	r := h.requests[a.Request]
 	host := h.hosts[a.Host-1]
 	if r == nil || r.answered {
 		h.Fatalf("request %d sent after its end", a.Request)
@@ -304,13 +312,13 @@
 	if host.State != Ready {
 		h.Fatalf("sent to host %d, state %d", host.ID, host.State)
 	}
-	if len(r.atts) >= h.set.MaxAttempts {
+	if len(r.attempts) >= h.set.MaxAttempts {
 		h.Fatalf("request %d has more than %d attempts", a.Request, h.set.MaxAttempts)
 	}
 	if r.out() > 0 {
 		h.Fatalf("request %d has two attempts at once", a.Request)
 	}
-	for _, p := range r.atts {
+	for _, p := range r.attempts {
 		if p.ended && !p.result.MayHaveRun() {
 			continue
 		}
@@ -325,13 +333,13 @@
 		}
 		break
 	}
-	r.atts = append(r.atts, trackedAttempt{host: host, sent: h.now})
-	h.checkCold(int(a.Host-1), host)
+	r.attempts = append(r.attempts, trackedAttempt{host: host, sent: h.now})
+	h.checkSlowStartBudget(int(a.Host-1), host)
 }
 
-// checkCold counts the sends of the last Fall against the budget at the most
-// that this instance can have learnt.
-func (h *history) checkCold(i int, host Host) {
+// checkSlowStartBudget compares the sends of the last overload window with the highest budget that
+// this instance can have learnt.
+func (h *history) checkSlowStartBudget(i int, host Host) {
 	age := h.now - host.Started
 	if host.Started == 0 || age >= h.set.SlowStartWindow {
 		return
@@ -349,8 +357,9 @@
 	}
 }
 
+// answer checks a rejection or failure and notes it.
 func (h *history) answer(a Action) {
-	r := h.reqs[a.Request]
+	r := h.requests[a.Request]
 	if r == nil || r.answered {
 		h.Fatalf("request %d answered twice", a.Request)
 	}
@@ -358,7 +367,7 @@
 	if a.Kind == Fail {
 		return
 	}
-	for _, p := range r.atts {
+	for _, p := range r.attempts {
 		if c := r.class; (!p.ended || p.result.MayHaveRun()) && c.Idempotency != Idempotent &&
 			(c.Idempotency != IdempotentWithKey || c.DedupScope != ScopeAll) {
 			h.Fatalf("request %d rejected though it may have run", a.Request)
--- /dev/null
+++ b/balancer/helpers_test.go
@@ -0,0 +1,220 @@
+package balancer
+
+import (
+	"testing"
+	"time"
+)
+
+// ms is the unit of most durations of these tests.
+const ms = time.Millisecond
+
+// testSettings returns the settings of a small site with one class of each idempotency.
+func testSettings() Settings {
+	return Settings{
+		Instances: 1, Step: ms, MaxAttempts: 4, Cancel: true, MaxRetryAfter: time.Second,
+		Classes: []Class{
+			{LatencyObjective: 400 * ms, Deadline: time.Second, PriorityWeight: 1},
+			{LatencyObjective: 400 * ms, Deadline: time.Second, PriorityWeight: 2, Idempotency: IdempotentWithKey, DedupScope: ScopeCell, DedupWindow: 600 * ms},
+			{LatencyObjective: 400 * ms, Deadline: time.Second, PriorityWeight: 5, Idempotency: NonIdempotent},
+		},
+		SlowStartShare: 0.3, SlowStartWindow: 9 * time.Second, OverloadFactor: 2.5, OverloadWindow: time.Second,
+	}
+}
+
+// testHosts returns n ready hosts, two to a cell and zone.
+func testHosts(n int) []Host {
+	var list []Host
+	for i := range n {
+		list = append(list, Host{ID: HostID(i + 1), Cell: i / 2, Zone: i / 2})
+	}
+	return list
+}
+
+// testGateway is one gateway: it feeds events to a Balancer, keeps its clock and collects its actions.
+type testGateway struct {
+	*testing.T
+	b    *Balancer
+	now  Time
+	next RequestID
+	acts []Action // of the last event; timers, logs and closes left out
+	logs []string
+	wake []Action
+
+	closed []HostID
+}
+
+// updateEndpoints reports an endpoint list.
+func (g *testGateway) updateEndpoints(kind ListKind, hosts ...Host) {
+	g.b.UpdateEndpoints(g.now, kind, hosts)
+	g.takeActions()
+}
+
+// request reports a request of the class with this much time left, and returns its id.
+func (g *testGateway) request(class int, left time.Duration) RequestID {
+	g.next++
+	g.b.Request(g.now, Request{ID: g.next, Class: class, Remaining: left})
+	g.takeActions()
+	return g.next
+}
+
+// attemptEnded reports the end of attempt n of the request.
+func (g *testGateway) attemptEnded(id RequestID, n int, r Result, took time.Duration) {
+	g.b.AttemptEnded(g.now, Outcome{Request: id, Attempt: n, Result: r, Elapsed: took, Closed: r == OK})
+	g.takeActions()
+}
+
+// advance moves the clock by d, fires the timers that are due, earliest first, and returns the actions
+// that they caused.
+func (g *testGateway) advance(d time.Duration) []Action {
+	var done []Action
+	for end := g.now + d; ; {
+		best := -1
+		for i, w := range g.wake {
+			if w.At <= end && (best < 0 || w.At < g.wake[best].At) {
+				best = i
+			}
+		}
+		if best < 0 {
+			g.now = end
+			return done
+		}
+		w := g.wake[best]
+		g.wake = append(g.wake[:best], g.wake[best+1:]...)
+		g.now = max(g.now, w.At)
+		g.b.Timer(g.now, w.Token)
+		g.takeActions()
+		done = append(done, g.acts...)
+	}
+}
+
+// onlyAction returns the only action of the last event and fails the test if there are others or its
+// kind differs.
+func (g *testGateway) onlyAction(kind ActionKind) Action {
+	g.Helper()
+	if len(g.acts) != 1 || g.acts[0].Kind != kind {
+		g.Fatalf("actions %v, want one of kind %d", g.acts, kind)
+	}
+	return g.acts[0]
+}
+
+// serve sends n requests one after another, each answered after took, and returns how many each host
+// received.
+func (g *testGateway) serve(n int, class int, took func(HostID) time.Duration) map[HostID]int {
+	g.Helper()
+	got := map[HostID]int{}
+	for range n {
+		id := g.request(class, time.Second)
+		h := g.onlyAction(Send).Host
+		got[h]++
+		d := took(h)
+		g.advance(d)
+		g.attemptEnded(id, 0, OK, d)
+	}
+	return got
+}
+
+// requestUntilSentTo sends requests until one goes to the host and returns that one, still in flight;
+// the others are answered after took.
+func (g *testGateway) requestUntilSentTo(host HostID, took time.Duration) RequestID {
+	g.Helper()
+	for {
+		id := g.request(0, time.Second)
+		if g.onlyAction(Send).Host == host {
+			return id
+		}
+		g.attemptEnded(id, 0, OK, took)
+	}
+}
+
+// newTestGateway returns a gateway that has started with a saved list of the hosts.
+func newTestGateway(t *testing.T, set Settings, hosts ...Host) *testGateway {
+	t.Helper()
+	b, err := New(set, 7)
+	if err != nil {
+		t.Fatal(err)
+	}
+	g := &testGateway{T: t, b: b, now: time.Hour}
+	b.Start(g.now)
+	g.updateEndpoints(ListSaved, hosts...)
+	return g
+}
+
+// takeActions sorts the actions of the last event into g.
+func (g *testGateway) takeActions() {
+	g.acts = g.acts[:0]
+	for _, a := range g.b.TakeActions(nil) {
+		switch a.Kind {
+		case Log:
+			g.logs = append(g.logs, a.Text)
+		case Wake:
+			g.wake = append(g.wake, a)
+		case Close:
+			g.closed = append(g.closed, a.Host)
+		default:
+			g.acts = append(g.acts, a)
+		}
+	}
+}
+
+// gatewayFleet is several gateways, each with a Balancer of its own, over the same hosts.
+type gatewayFleet struct {
+	t     *testing.T
+	gates []*testGateway
+}
+
+// updateEndpoints reports the changes to every gateway, and each refreshes its subset.
+func (f *gatewayFleet) updateEndpoints(changes ...Host) {
+	for _, g := range f.gates {
+		g.updateEndpoints(ListChanges, changes...)
+		g.b.refreshSubset()
+	}
+}
+
+// advance moves the clock of every gateway by d; each refreshes its subset every 100 ms.
+func (f *gatewayFleet) advance(d time.Duration) {
+	const step = 100 * time.Millisecond
+	for ; d > 0; d -= step {
+		for _, g := range f.gates {
+			g.advance(min(d, step))
+			g.b.now = g.now // as with any event
+			g.b.refreshSubset()
+		}
+	}
+}
+
+// shared returns how many gateways have each host in their subset.
+func (f *gatewayFleet) shared() map[HostID]int {
+	n := map[HostID]int{}
+	for _, g := range f.gates {
+		for _, h := range g.b.sets[setSubset].list {
+			n[h.ID]++
+		}
+	}
+	return n
+}
+
+// subset returns the hosts in the subset of gateway i.
+func (f *gatewayFleet) subset(i int) map[HostID]bool {
+	is := map[HostID]bool{}
+	for _, h := range f.gates[i].b.sets[setSubset].list {
+		is[h.ID] = true
+	}
+	return is
+}
+
+// newGatewayFleet returns n gateways that have started with the same saved list.
+func newGatewayFleet(t *testing.T, set Settings, n int, list []Host) *gatewayFleet {
+	f := &gatewayFleet{t: t}
+	set.Instances = n
+	for set.Rank = range n {
+		b, err := New(set, uint64(set.Rank)+1) // as in service each has a seed of its own
+		if err != nil {
+			t.Fatal(err)
+		}
+		g := &testGateway{T: t, b: b, now: time.Hour}
+		b.Start(g.now)
+		g.updateEndpoints(ListSaved, list...)
+		f.gates = append(f.gates, g)
+	}
+	return f
+}
--- /dev/null
+++ b/balancer/hostset_test.go
@@ -0,0 +1,193 @@
+package balancer
+
+import (
+	"math/rand"
+	"testing"
+	"time"
+)
+
+// scanCandidates returns the hosts that pick may choose for a class, found by a scan of the whole
+// subset: the ready hosts or, if there are none, the suspected ones. It is the reference for the host
+// sets.
+func scanCandidates(b *Balancer, class int, ready []*host) []*host {
+	listed, out, excluded, broken := 0, 0, 0, 0
+	from := b.sets[setSubset].list
+	open := func(h *host) bool { return h.State == Ready && !b.pacedBySlowStart(h) && !b.atLimit(h) }
+	for _, h := range from {
+		switch {
+		case h.State != Ready:
+		case b.excludedFor(h, class):
+			excluded++
+		case b.ejected(h):
+			listed++
+			out++
+			if h.ejectCause == CauseConnections {
+				broken++
+			}
+		default:
+			listed++
+			if open(h) {
+				ready = append(ready, h)
+			}
+		}
+	}
+	for _, h := range from {
+		switch {
+		case listed == 0 && excluded > 0 && open(h),
+			2*out > listed && b.ejected(h) && !b.excludedFor(h, class) && open(h) && (h.ejectCause != CauseConnections || broken == listed):
+			ready = append(ready, h)
+		}
+	}
+	if len(ready) == 0 && b.set.Classes[class].Idempotency != NonIdempotent {
+		for _, h := range from {
+			// Patience may have shrunk since it was looked at; the next sweep sees that.
+			seen := h.readySet == setDoubtful || h.recheckTime <= b.now
+			if seen && h.State == Ready && !b.excludedFor(h, class) && !b.ejected(h) && !b.pacedBySlowStart(h) && b.suspected(h) {
+				ready = append(ready, h)
+			}
+		}
+	}
+	return ready
+}
+
+// pickByScan is pick with a scan in place of the host sets.
+func pickByScan(b *Balancer, r *request) *host {
+	b.candidates = scanCandidates(b, r.Class, b.candidates[:0])
+	return b.chooseCandidate(r)
+}
+
+// checkHostSets compares the host sets with a scan of all hosts.
+func checkHostSets(t *testing.T, b *Balancer) {
+	t.Helper()
+	b.refreshSubset()
+	used, listed := 0, 0
+	for _, h := range b.sets[setSubset].list {
+		if h.State != Ready {
+			t.Fatalf("host %d is drawn from though it is not ready", h.ID)
+		}
+		listed++
+		if b.isInUse(h) {
+			used++
+		}
+	}
+	if used != b.counts.inUse || listed != b.counts.ready {
+		t.Fatalf("%d drawn from, %d of them in use; counted %+v", listed, used, b.counts)
+	}
+	busy := 0
+	for _, h := range b.hosts {
+		if (h.inFlight > 0) != (h.position[setBusy] > 0) {
+			t.Fatalf("host %d has %d attempts out, busy: %v", h.ID, h.inFlight, h.position[setBusy])
+		}
+		busy += h.inFlight
+	}
+	for class := range b.set.Classes {
+		r := &request{Request: Request{Class: class}, class: &b.set.Classes[class]}
+		want := map[*host]bool{}
+		for _, h := range scanCandidates(b, class, nil) {
+			want[h] = true
+		}
+		rng := b.rng
+		got := map[*host]bool{}
+		for range 40 * (len(want) + 1) { // what is drawn, again and again
+			if b.sendRate > 0 {
+				b.sendTokens, b.tokensAt = sendRateBurst, b.now
+			}
+			if h := b.pick(r); h != nil {
+				got[h] = true
+			}
+		}
+		for h := range got {
+			if !want[h] {
+				t.Fatalf("class %d: host %d is drawn, a walk does not find it", class, h.ID)
+			}
+		}
+		if len(got) == 0 && len(want) > 0 {
+			t.Fatalf("class %d: none is drawn of %d that a walk finds", class, len(want))
+		}
+		b.rng = rng
+	}
+}
+
+// The host sets hold what a scan finds, after the events of random histories.
+func TestHostSetsMatchFullScan(t *testing.T) {
+	for seed := range int64(12) {
+		r := rand.New(rand.NewSource(seed))
+		data := make([]byte, 1500)
+		r.Read(data)
+		h := newHistory(t, data[:8])
+		n := 0
+		h.afterEvent = func() {
+			if n++; n%3 == 0 {
+				checkHostSets(t, h.b)
+			}
+		}
+		h.play(data[8:])
+	}
+}
+
+// Of 5,000 hosts half leave and 2,000 new ones start in one event; then all are ejected, then one is
+// ready, then every class is excluded at some hosts and one class at nearly all.
+func TestHostSetsMatchFullScanOfLargeList(t *testing.T) {
+	g, list := newBenchGateway(t, 5000, testSettings())
+	for range 2000 {
+		g.round(64)
+	}
+	now := append([]Host(nil), list[2500:]...)
+	for i := range 2000 {
+		now = append(now, Host{ID: HostID(10_000 + i), Cell: i / 8, Zone: i % 4, Kind: i % 3, Started: g.now - time.Second})
+	}
+	g.b.UpdateEndpoints(g.now, ListFull, now)
+	for _, a := range g.b.TakeActions(nil) {
+		if a.Kind == Send && a.Host <= 2500 {
+			t.Fatal("sent to one that has left")
+		}
+	}
+	sent := map[HostID]int{}
+	for range 3000 {
+		g.round(64)
+		for _, a := range g.acts {
+			if a.Kind == Send {
+				sent[a.Host]++
+				if a.Host <= 2500 {
+					t.Fatal("sent to one that has left")
+				}
+			}
+		}
+	}
+	for len(g.out) > 0 {
+		g.b.AttemptEnded(g.now, Outcome{Request: g.out[0], Elapsed: ms, Closed: true})
+		g.out = g.out[1:]
+	}
+	if n := len(g.b.hosts); n != 4500 || len(g.b.byID) != n {
+		t.Fatalf("%d hosts are kept, %d by id", n, len(g.b.byID))
+	}
+	checkHostSets(t, g.b)
+
+	for _, h := range g.b.hosts {
+		g.b.eject(h, CauseSilent)
+		g.b.recheck(h)
+	}
+	checkHostSets(t, g.b) // all ejected: fail open
+	for _, h := range g.b.hosts {
+		h.ejectCause = CauseConnections
+		g.b.recheck(h)
+	}
+	checkHostSets(t, g.b)
+	for _, h := range g.b.hosts[1:] {
+		h.ejections, h.restingUntil = 0, g.now+time.Minute
+		g.b.recheck(h)
+	}
+	g.b.hosts[0].ejections = 0
+	g.b.recheck(g.b.hosts[0])
+	checkHostSets(t, g.b) // one ready
+	for i, h := range g.b.hosts {
+		h.restingUntil, h.hasErrors = 0, true
+		for c := range h.class {
+			if i%2 == c%2 || c == 0 && i > 10 {
+				h.class[c].excludedUntil = g.now + time.Minute
+			}
+		}
+		g.b.recheck(h)
+	}
+	checkHostSets(t, g.b) // every class excluded somewhere, one nearly everywhere
+}
--- /dev/null
+++ b/balancer/queue_test.go
@@ -0,0 +1,196 @@
+package balancer
+
+import (
+	"testing"
+	"time"
+)
+
+func TestRequestWithoutHostWaitsThenIsRejected(t *testing.T) {
+	g := newTestGateway(t, testSettings())
+	id := g.request(0, time.Second)
+	if len(g.acts) != 0 {
+		t.Fatalf("actions %v, want the request to wait", g.acts)
+	}
+	done := g.advance(time.Second)
+	if len(done) != 1 || done[0].Kind != Reject || done[0].Request != id {
+		t.Errorf("done %v, want one rejection", done)
+	}
+}
+
+func TestQueuedRequestIsSentToFirstListedHost(t *testing.T) {
+	g := newTestGateway(t, testSettings())
+	id := g.request(2, time.Second)
+	g.updateEndpoints(ListFull, testHosts(1)...)
+	if a := g.onlyAction(Send); a.Request != id || a.Host != 1 {
+		t.Errorf("sent %v", a)
+	}
+}
+
+// A request without time left must not be taken for one without a deadline.
+func TestRequestWithoutTimeLeftIsRejectedAtOnce(t *testing.T) {
+	g := newTestGateway(t, testSettings(), testHosts(2)...)
+	for class := range g.b.set.Classes {
+		g.request(class, 0)
+		g.onlyAction(Reject)
+	}
+}
+
+// An attempt may still be connecting at the deadline and end only after it, so the request is answered
+// one step earlier.
+func TestInFlightRequestIsAnsweredBeforeDeadline(t *testing.T) {
+	for class, want := range []ActionKind{Reject, Fail, Fail} {
+		g := newTestGateway(t, testSettings(), testHosts(2)...)
+		g.request(class, 500*ms)
+		g.onlyAction(Send)
+		done := g.advance(500*ms - g.b.set.Step)
+		if len(done) != 2 || done[0].Kind != want || done[1].Kind != Cancel {
+			t.Errorf("class %d: done %v, want kind %d and a cancel", class, done, want)
+		}
+	}
+}
+
+// Each host takes at most its limit of attempts, and the next free place goes to the queued request of
+// the highest priority weight.
+func TestQueueOrdersByPriorityWeight(t *testing.T) {
+	g := newTestGateway(t, testSettings(), testHosts(2)...)
+	out := map[RequestID]bool{}
+	for range 30 {
+		g.request(0, time.Second)
+		for _, a := range g.acts {
+			out[a.Request] = true
+		}
+	}
+	if most := 2 * initialLimit; len(out) != most {
+		t.Fatalf("%d in flight at two new hosts, want %d", len(out), most)
+	}
+	heaviest := g.request(2, time.Second)
+	for id := range out {
+		g.now += 10 * ms
+		g.attemptEnded(id, 0, OK, 10*ms)
+		break
+	}
+	if len(g.acts) == 0 || g.acts[0].Request != heaviest {
+		t.Errorf("actions %v, want the non-idempotent request, of the highest weight, first", g.acts)
+	}
+}
+
+func TestDuplicateWaitsBehindFirstAttempts(t *testing.T) {
+	tests := []struct {
+		name      string
+		duplicate Request
+	}{
+		{"marked", Request{Remaining: time.Second, Duplicate: true}},
+	}
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			g := newTestGateway(t, testSettings(), testHosts(1)...)
+			for range initialLimit {
+				g.request(0, time.Second)
+			}
+			tt.duplicate.ID = 1000
+			g.b.Request(g.now, tt.duplicate)
+			first := g.request(0, time.Second)
+			g.now += 10 * ms
+			g.attemptEnded(1, 0, OK, 10*ms)
+			if len(g.acts) == 0 || g.acts[0].Kind != Send || g.acts[0].Request != first {
+				t.Fatalf("actions %v, want the first attempt %d sent before the duplicate", g.acts, first)
+			}
+			g.now += 10 * ms
+			g.attemptEnded(2, 0, OK, 20*ms)
+			if len(g.acts) == 0 || g.acts[0].Kind != Send || g.acts[0].Request != 1000 {
+				t.Fatalf("actions %v, want the duplicate sent next", g.acts)
+			}
+		})
+	}
+}
+
+func TestQueuedRequestIsRejectedPastLatencyObjective(t *testing.T) {
+	g := newTestGateway(t, testSettings(), testHosts(1)...)
+	for range 10 {
+		g.request(0, time.Second)
+	}
+	begin := g.now
+	for _, a := range g.advance(450 * ms) {
+		if a.Kind != Reject {
+			t.Fatalf("action %v", a)
+		}
+		if g.b.open[a.Request] != nil {
+			t.Error("rejected request kept")
+		}
+	}
+	if g.b.queued != 0 {
+		t.Errorf("%d still wait %v later, past their latency objective", g.b.queued, g.now-begin)
+	}
+}
+
+// Late requests are rejected in a queue of low weight too while the queue of higher weight is blocked.
+func TestLateRequestsAreRejectedInEveryQueue(t *testing.T) {
+	set := testSettings()
+	set.Classes[0].Deadline = 2 * time.Second
+	set.Classes[1].Deadline, set.Classes[1].LatencyObjective = 2*time.Second, 2*time.Second // of a higher weight
+	g := newTestGateway(t, set)
+	low := g.request(0, 2*time.Second)
+	high := g.request(1, 2*time.Second)
+	for _, a := range g.advance(200 * ms) {
+		if a.Kind != Reject || a.Request != low {
+			t.Errorf("action %v, want only the late request of the lower queue rejected", a)
+		}
+	}
+	if g.b.open[low] != nil || g.b.open[high] == nil {
+		t.Error("the late request waits on, or the other was rejected")
+	}
+}
+
+// The more gateways share a host, the sooner a queued request is rejected, as places there come free
+// by the responses to others.
+func TestQueueTimeoutShrinksWithSharingInstances(t *testing.T) {
+	for gateways, want := range map[int]time.Duration{1: 80 * ms, 4: 20 * ms, 20: 4 * ms} {
+		set := testSettings()
+		set.Instances = gateways
+		g := newTestGateway(t, set, testHosts(1)...)
+		h := g.b.hosts[0]
+		h.concurrencyLimit, h.restingUntil = 0.4, g.now+time.Second
+		g.b.recheck(h)
+		g.request(0, time.Second)
+		if len(g.acts) > 0 {
+			t.Fatalf("%d gateways: %v at once", gateways, g.acts)
+		}
+		early, then := g.advance(want-ms), g.advance(set.Classes[0].LatencyObjective/8)
+		if len(early) > 0 || len(then) != 1 || then[0].Kind != Reject || then[0].Cause != CauseWait {
+			t.Errorf("%d gateways: %v before %v, %v after", gateways, early, want, then)
+		}
+	}
+}
+
+// Requests that are open at a shutdown are answered by the time it gives, even if their deadlines are
+// later: by a rejection if they can not have run, by a failure otherwise. Requests with earlier
+// deadlines keep them.
+func TestShutdownAnswersOpenRequests(t *testing.T) {
+	g := newTestGateway(t, testSettings(), testHosts(4)...)
+	sent := map[RequestID]int{}
+	for class := range g.b.set.Classes {
+		sent[g.request(class, time.Second)] = class
+	}
+	soon := g.request(0, 200*ms)
+	by := g.now + 500*ms
+	g.b.Shutdown(g.now, by)
+	g.takeActions()
+	for _, a := range g.advance(300 * ms) {
+		if a.Kind == Reject && a.Request != soon || a.Kind == Fail {
+			t.Errorf("request %d is answered 200 ms before it is due: %+v", a.Request, a)
+		}
+	}
+	answers := 0
+	for _, a := range g.advance(by - g.now) {
+		if a.Kind != Reject && a.Kind != Fail {
+			continue
+		}
+		answers++
+		if class, ok := sent[a.Request]; !ok || (class == 0) != (a.Kind == Reject) || a.Cause != CauseDeadline {
+			t.Errorf("request %d of class %d: %+v", a.Request, class, a)
+		}
+	}
+	if answers != len(sent) {
+		t.Errorf("%d of %d requests have their answer by the exit", answers, len(sent))
+	}
+}
--- /dev/null
+++ b/balancer/selection_test.go
@@ -0,0 +1,176 @@
+package balancer
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+func TestEstimatedRTTFollowsPeaksAndDecays(t *testing.T) {
+	g := newTestGateway(t, testSettings(), testHosts(1)...)
+	h := g.b.hosts[0]
+	tau := g.b.decay
+	steps := []struct {
+		name  string
+		after time.Duration
+		rtt   float64
+		want  float64
+	}{
+		{"above the estimate replaces it", 0, 0.5, 0.5},
+		{"below is blended by the time since", 800 * ms, 0.1, 0.5*math.Exp(-0.8/tau) + 0.1*(1-math.Exp(-0.8/tau))},
+		{"at once leaves the estimate", 0, 0.01, 0.5*math.Exp(-0.8/tau) + 0.1*(1-math.Exp(-0.8/tau))},
+		{"below the old peak but above it decayed replaces it", 100 * time.Second, 0.02, 0.02},
+	}
+	for _, s := range steps {
+		g.b.now += s.after
+		g.b.addSample(h, s.rtt)
+		if math.Abs(h.rtt-s.want) > 1e-12 {
+			t.Errorf("%s: estimate %v, want %v", s.name, h.rtt, s.want)
+		}
+	}
+	g.b.now += Time(tau * 1e9)
+	if got, want := g.b.estimatedRTT(h), 0.02/math.E; math.Abs(got-want) > 1e-9 {
+		t.Errorf("read one decay later: %v, want %v", got, want)
+	}
+	if h.rtt != 0.02 {
+		t.Errorf("reading changed the estimate to %v", h.rtt)
+	}
+}
+
+func TestAttemptResultUpdatesEstimatedRTT(t *testing.T) {
+	tests := []struct {
+		result Result
+		took   time.Duration
+		want   float64 // -1: the seed stays
+	}{
+		{OK, 300 * ms, 0.3},
+		{Failed, 2 * ms, 0.4}, // the base penalty: one latency objective
+		{Full, 2 * ms, 0.4},
+		{Failed, 700 * ms, 0.7},
+		{TimedOut, 600 * ms, 0.6},
+		{Reset, 500 * ms, 0.5},
+		{ConnectFailed, 250 * ms, 0.25},
+		{Canceled, 900 * ms, -1},
+		{NotSent, 900 * ms, -1},
+	}
+	for _, tt := range tests {
+		g := newTestGateway(t, testSettings(), testHosts(1)...)
+		h := g.b.hosts[0]
+		seed := h.rtt
+		if tt.want < 0 {
+			tt.want = seed
+		}
+		id := g.request(0, time.Second)
+		g.attemptEnded(id, 0, tt.result, tt.took)
+		got := h.rtt
+		if tt.result == Failed {
+			got = g.b.score(h, 0) / float64(h.inFlight+1)
+		}
+		if math.Abs(got-tt.want) > 1e-9 {
+			t.Errorf("result %d after %v: estimate %v, want %v", tt.result, tt.took, got, tt.want)
+		}
+	}
+}
+
+// A response that took no time must not leave NaN as the estimate, by which hosts can not be compared.
+func TestZeroRTTLeavesValidEstimate(t *testing.T) {
+	g := newTestGateway(t, testSettings(), testHosts(1)...)
+	g.attemptEnded(g.request(0, time.Second), 0, OK, 0)
+	if got := g.b.estimatedRTT(g.b.hosts[0]); !(got >= 0) {
+		t.Errorf("the estimate is %v", got)
+	}
+}
+
+// The estimate of a host without samples rests on the RTT of hosts of its kind rather than on a fixed
+// value.
+func TestEstimateOfNewHostStartsAtItsKind(t *testing.T) {
+	list := testHosts(4)
+	for i := range list {
+		list[i].Kind = i % 2
+	}
+	set := testSettings()
+	g := newTestGateway(t, set, list...)
+	if e := g.b.estimatedRTT(g.b.hosts[0]); e != initialRTTShare*0.4 {
+		t.Errorf("estimate %v with nothing known, want the seed", e)
+	}
+	g.serve(60, 0, func(h HostID) time.Duration { return Time(20+60*(h%2)) * ms })
+	g.updateEndpoints(ListChanges, Host{ID: 11, Kind: 0}, Host{ID: 12, Kind: 1}, Host{ID: 13, Kind: -1})
+	n := len(g.b.hosts)
+	slow, fast, odd := g.b.estimatedRTT(g.b.hosts[n-3]), g.b.estimatedRTT(g.b.hosts[n-2]), g.b.estimatedRTT(g.b.hosts[n-1])
+	if math.Abs(slow-0.08) > 0.02 || math.Abs(fast-0.02) > 0.01 || odd <= fast || odd >= slow {
+		t.Errorf("seeds %v, %v and %v of no known kind, want about 0.08, 0.02 and between", slow, fast, odd)
+	}
+}
+
+// A host that last served a slow class must not look slow for that reason.
+func TestEstimateIsIndependentOfClass(t *testing.T) {
+	g := newTestGateway(t, testSettings(), testHosts(2)...)
+	for range 60 {
+		for class, took := range []time.Duration{20 * ms, 0, 200 * ms} {
+			if took > 0 {
+				id := g.request(class, time.Second)
+				g.onlyAction(Send)
+				g.advance(took)
+				g.attemptEnded(id, 0, OK, took)
+			}
+		}
+	}
+	if x, y := g.b.hosts[0].rtt, g.b.hosts[1].rtt; x > 1.3*y || y > 1.3*x {
+		t.Errorf("estimates %v and %v of two like hosts", x, y)
+	}
+}
+
+func TestPickPrefersLowerScoreOfTwo(t *testing.T) {
+	tests := []struct {
+		name     string
+		rtt      [2]float64
+		pending  [2]int
+		wantHost int
+	}{
+		{"lower estimate", [2]float64{0.1, 0.2}, [2]int{0, 0}, 0},
+		{"fewer pending", [2]float64{0.1, 0.1}, [2]int{1, 0}, 1},
+		{"product decides", [2]float64{0.1, 0.35}, [2]int{2, 0}, 0},
+	}
+	for _, tt := range tests {
+		g := newTestGateway(t, testSettings(), testHosts(2)...)
+		for i, h := range g.b.hosts {
+			h.rtt, h.rttAt, h.sampled, h.inFlight, h.concurrencyLimit = tt.rtt[i], g.now, true, tt.pending[i], 10
+		}
+		for range 20 {
+			if got := g.b.pick(&request{class: &g.b.set.Classes[0]}); got != g.b.hosts[tt.wantHost] {
+				t.Errorf("%s: picked host %d", tt.name, got.ID)
+			}
+		}
+	}
+}
+
+// Only the two hosts drawn are compared: the second best is drawn without the best often enough to be
+// picked, and the worst never wins.
+func TestPickComparesTwoRandomHosts(t *testing.T) {
+	g := newTestGateway(t, testSettings(), testHosts(4)...)
+	for i, h := range g.b.hosts {
+		h.rtt, h.rttAt, h.sampled = float64(i+1), g.now, true
+	}
+	got := map[HostID]int{}
+	for range 6000 {
+		got[g.b.pick(&request{class: &g.b.set.Classes[0]}).ID]++
+	}
+	for id, want := range map[HostID]int{1: 3000, 2: 2000, 3: 1000, 4: 0} {
+		if d := got[id] - want; d > 200 || d < -200 {
+			t.Errorf("host %d picked %d times of 6000, want about %d", id, got[id], want)
+		}
+	}
+}
+
+func TestPickSendsLessToSlowHost(t *testing.T) {
+	g := newTestGateway(t, testSettings(), testHosts(3)...)
+	got := g.serve(300, 0, func(h HostID) time.Duration {
+		if h == 3 {
+			return 120 * ms
+		}
+		return 20 * ms
+	})
+	if got[3] > 60 || got[1] < 60 || got[2] < 60 {
+		t.Errorf("shares %v, want host 3 under a fifth", got)
+	}
+}
--- /dev/null
+++ b/balancer/slowstart_test.go
@@ -0,0 +1,237 @@
+package balancer
+
+import (
+	"math/rand"
+	"testing"
+	"time"
+)
+
+func TestSlowStartPacesWarmingHost(t *testing.T) {
+	set := testSettings()
+	g := newTestGateway(t, set, testHosts(3)...)
+	// Two warm hosts at 50 answers a second each, then the third restarts.
+	serve := func(n int) map[HostID]int { return g.serve(n, 0, func(HostID) time.Duration { return 10 * ms }) }
+	serve(600)
+	rate := g.b.warmHostRate.mean
+	h := testHosts(3)[2]
+	h.Started = g.now
+	g.updateEndpoints(ListChanges, h)
+	got := serve(100) // one second
+	most := rate*set.OverloadFactor*0.4*slowStartMargin + 2
+	if n := float64(got[3]); n > most || n == 0 {
+		t.Errorf("%v sends in the first second at a warm rate of %.0f, want 1 to %.0f", n, rate, most)
+	}
+	serve(900)
+	if got := serve(300); got[3] < 60 {
+		t.Errorf("shares %v once warm, want a full share", got)
+	}
+}
+
+// All instances together stay within the slow-start budget of a warming host, however many they are.
+func TestSlowStartBudgetHoldsAcrossInstances(t *testing.T) {
+	for _, instances := range []int{1, 30, 300, 1200} {
+		for _, learnt := range []bool{false, true} {
+			set := testSettings()
+			set.Instances = instances
+			list := testHosts(max(2, instances/6))
+			starting := list[0].ID
+			users, sends, capacity := 0, 0, 60.0 // a warm host's answers a second
+			for rank := range instances {
+				set.Rank = rank
+				g := newTestGateway(t, set, list...)
+				if learnt {
+					g.b.warmHostRate.add(capacity / g.b.sharingInstances())
+				}
+				g.updateEndpoints(ListChanges, Host{ID: starting, Cell: list[0].Cell, Zone: list[0].Zone, Started: g.now})
+				for range 40 { // an overload window, with more requests than the warming host can do
+					id := g.request(0, time.Second)
+					if len(g.acts) == 1 && g.acts[0].Kind == Send {
+						if g.acts[0].Host == starting {
+							sends++
+						}
+						g.attemptEnded(id, 0, Full, ms)
+					}
+					g.advance(set.OverloadWindow / 40)
+				}
+				if g.b.byID[starting].inSubset() {
+					users++
+				}
+			}
+			if users == 0 {
+				t.Errorf("%d instances: none uses the warming host", instances)
+			}
+			if budget := capacity * set.SlowStartShare * set.OverloadFactor; float64(sends) > budget {
+				t.Errorf("%d instances, learnt %v: %d sends in a Fall, budget %.0f", instances, learnt, sends, budget)
+			}
+		}
+	}
+}
+
+func TestSlowStartBudgetCountsRejectedAttempts(t *testing.T) {
+	set := testSettings()
+	list := testHosts(1)
+	list[0].Started = time.Hour - time.Second
+	g := newTestGateway(t, set, list...)
+	g.advance(set.OverloadWindow * 3 / 2)
+	id := g.request(0, time.Second)
+	g.onlyAction(Send)
+	g.attemptEnded(id, 0, Full, ms)
+	if len(g.acts) != 0 {
+		t.Errorf("sent %v again at once, with nothing learnt of warm hosts", g.acts)
+	}
+}
+
+// A learnt rate that has decayed to almost nothing still paces a warming host.
+func TestSlowStartPacesHostAfterLongIdleTime(t *testing.T) {
+	g := newTestGateway(t, testSettings(), Host{ID: 1})
+	g.serve(20, 0, func(HostID) time.Duration { return 10 * ms })
+	for _, idle := range []time.Duration{time.Minute, 10 * time.Minute, time.Hour} {
+		g.now += idle
+		g.updateEndpoints(ListFull, Host{ID: 1}, Host{ID: 2, Started: g.now})
+		h := g.b.byID[2]
+		if gap := h.nextSlowStartSend - g.now; gap <= 0 || gap > g.b.set.OverloadWindow*3/2 {
+			t.Errorf("next send to the warming host %v from now after %v, want at most one and a half overload windows", gap, idle)
+		}
+		g.updateEndpoints(ListFull, Host{ID: 1})
+	}
+}
+
+// The only host of a site is paced by the rate learnt before it left, as there is no warm host to
+// learn from.
+func TestSlowStartOfOnlyHostUsesLearntRate(t *testing.T) {
+	g := newTestGateway(t, testSettings(), testHosts(1)...)
+	g.serve(300, 0, func(HostID) time.Duration { return 10 * ms })
+	h := testHosts(1)[0]
+	g.updateEndpoints(ListFull)
+	h.Started = g.now
+	g.updateEndpoints(ListFull, h)
+	sends := 0
+	for end := g.now + time.Second; g.now < end; {
+		g.request(0, 500*ms)
+		sent := g.acts
+		for _, a := range append(append([]Action(nil), sent...), g.advance(10*ms)...) {
+			if a.Kind == Send {
+				sends++
+				g.attemptEnded(a.Request, 0, OK, 10*ms)
+			}
+		}
+	}
+	// A warm host took 100 a second; the budget is 2.5 x 0.3 of that, half used.
+	if sends < 10 || sends > 50 {
+		t.Errorf("%d sends in the first second", sends)
+	}
+}
+
+// A warming host that leaves the list and returns keeps its pacing.
+func TestSlowStartPacingSurvivesEndpointFlapping(t *testing.T) {
+	list := testHosts(1)
+	list[0].Started = time.Hour - time.Second
+	g := newTestGateway(t, testSettings(), list...)
+	g.advance(1500 * ms)
+	id := g.request(0, time.Second)
+	g.onlyAction(Send)
+	g.attemptEnded(id, 0, OK, ms)
+	g.updateEndpoints(ListFull)
+	g.updateEndpoints(ListFull, list...)
+	if g.request(0, time.Second); len(g.acts) != 0 {
+		t.Errorf("sent %v at once after the host returned", g.acts)
+	}
+}
+
+// A zone is lost and returns warming to 80 gateways: what all of them send to each of its hosts stays
+// within the slow-start budget in every overload window, and uses a good part of it.
+func TestSlowStartBudgetHoldsForReturningZone(t *testing.T) {
+	set := testSettings()
+	const gates, n, lost, rate = 80, 60, 20, 20 // requests a second of a gateway
+	list := testHosts(n)
+	for i := range list {
+		list[i].Zone, list[i].Kind = i%3, 0
+	}
+	f := newGatewayFleet(t, set, gates, list)
+	r := rand.New(rand.NewSource(9))
+	type answer struct {
+		g    *testGateway
+		id   RequestID
+		n    int
+		h    HostID
+		sent Time
+	}
+	var out []answer
+	sends := map[HostID][]Time{}
+	take := func(g *testGateway, acts []Action) {
+		for _, a := range acts {
+			if a.Kind == Send {
+				out = append(out, answer{g, a.Request, 0, a.Host, g.now})
+				sends[a.Host] = append(sends[a.Host], g.now)
+			}
+		}
+	}
+	play := func(d time.Duration) {
+		const step = 10 * ms
+		for ; d > 0; d -= step {
+			late := out[:0:0]
+			for _, a := range out {
+				if a.g.now-a.sent < 20*ms {
+					late = append(late, a)
+				}
+			}
+			done := out
+			out = late
+			for _, a := range done {
+				if a.g.now-a.sent >= 20*ms {
+					a.g.attemptEnded(a.id, a.n, OK, 20*ms)
+					take(a.g, a.g.acts)
+				}
+			}
+			for _, g := range f.gates {
+				take(g, g.advance(step))
+				if r.Float64() < rate*step.Seconds() {
+					g.request(0, time.Second)
+					take(g, g.acts)
+				}
+			}
+		}
+	}
+	play(5 * time.Second)
+	var gone, back []Host
+	for _, h := range list {
+		if h.Zone == 0 {
+			h.State = Removed
+			gone = append(gone, h)
+		}
+	}
+	f.updateEndpoints(gone...)
+	play(3 * time.Second)
+	began := f.gates[0].now
+	for _, h := range gone {
+		h.State, h.Started = Ready, began
+		back = append(back, h)
+	}
+	f.updateEndpoints(back...)
+	clear(sends)
+	play(set.SlowStartWindow)
+	capacity := float64(gates*rate) / (n - lost) // what a warm host did meanwhile, at least
+	used, budget := 0.0, 0.0
+	for _, h := range back {
+		times := sends[h.ID]
+		for i := range times {
+			k := i
+			for k < len(times) && times[k] < times[i]+set.OverloadWindow {
+				k++
+			}
+			share := set.SlowStartShare + (1-set.SlowStartShare)*float64(times[i]-began)/float64(set.SlowStartWindow)
+			if most := capacity * share * set.OverloadFactor * set.OverloadWindow.Seconds(); float64(k-i) > most {
+				t.Fatalf("host %d: %d sends within a fall, %v after its start, %.0f are its budget",
+					h.ID, k-i, times[i]-began, most)
+			}
+		}
+		if len(times) == 0 {
+			t.Errorf("host %d gets nothing while it is warming", h.ID)
+		}
+		used += float64(len(times))
+		budget += capacity * (1 + set.SlowStartShare) / 2 * set.OverloadFactor * set.SlowStartWindow.Seconds()
+	}
+	if t.Logf("%.0f sends to warming hosts of a budget of %.0f", used, budget); used < 0.15*budget {
+		t.Errorf("%.0f sends to warming hosts, a budget of %.0f: they are left unused", used, budget)
+	}
+}
