--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -9,50 +9,51 @@
 // Responses are compared with the usual RTT of their class too: a fleet can be overloaded while
 // responses are far within the latency objective.
 func TestSendRateIsReducedAboveUsualRTT(t *testing.T) {
-	set := testSettings()
-	set.Instances = 100
-	g := newTestGateway(t, set, testHosts(10)...)
+	settings := testSettings()
+	settings.Instances = 100
+	g := newTestGateway(t, settings, testHosts(10)...)
 	quick := func(HostID) time.Duration { return 40 * ms }
 	g.serve(100, 0, quick)
 	if p := g.b.pressure.mean; p > 1 || g.b.sendRate != 0 {
-		t.Fatalf("pressure %v, bound %v at usual answers, want neither over", p, g.b.sendRate)
+		t.Fatalf("at the usual RTT: pressure %v, send rate %v, want a pressure of at most 1 and no send rate",
+			p, g.b.sendRate)
 	}
 	g.serve(12, 0, func(HostID) time.Duration { return 100 * ms }) // a quarter of the latency objective
 	if g.b.sendRate == 0 {
-		t.Errorf("no bound at two and a half times the usual RTT, pressure %v", g.b.pressure.mean)
+		t.Errorf("at 2.5 times the usual RTT: no send rate at a pressure of %v, want one", g.b.pressure.mean)
 	}
 	if l := g.b.classRTT[0].mean; l > 0.05 {
-		t.Errorf("usual RTT %v after a short jam, want about 0.04", l)
+		t.Errorf("usual RTT %v after a short overload, want at most 0.05", l)
 	}
 }
 
 // An attempt that is out for unusually long raises the pressure before its response arrives, as the
 // hosts left after a crash are overloaded before the first late response.
 func TestOverdueAttemptRaisesPressure(t *testing.T) {
-	set := testSettings()
-	set.Instances = 100
-	g := newTestGateway(t, set, testHosts(10)...)
+	settings := testSettings()
+	settings.Instances = 100
+	g := newTestGateway(t, settings, testHosts(10)...)
 	g.serve(60, 0, func(HostID) time.Duration { return 20 * ms })
 	before := g.b.pressure.mean
 	g.request(0, time.Second)
 	g.onlyAction(Send)
 	g.advance(300 * ms)
 	if p := g.b.pressure.mean; p <= before {
-		t.Errorf("pressure %v after 300 ms without an answer, %v before", p, before)
+		t.Errorf("pressure %v after 300 ms without a response, want above %v", p, before)
 	}
 }
 
 // In a fleet where each instance has less than one attempt at a host, limits per host cannot bound the
 // load, so the send rate has to.
 func TestOverloadReducesSendRateByPriorityWeight(t *testing.T) {
-	set := testSettings()
-	set.Instances = 200
-	g := newTestGateway(t, set, testHosts(20)...)
-	run := func(objectives float64) (low, high int) {
+	settings := testSettings()
+	settings.Instances = 200
+	g := newTestGateway(t, settings, testHosts(20)...)
+	serve := func(objectives float64) (low, high int) {
 		for range 100 {
 			for _, class := range []int{0, 2} {
 				id := g.request(class, time.Second)
-				if len(g.acts) == 1 && g.acts[0].Kind == Send {
+				if len(g.actions) == 1 && g.actions[0].Kind == Send {
 					if class == 0 {
 						low++
 					} else {
@@ -60,7 +61,7 @@
 					}
 					g.attemptEnded(id, 0, OK, Time(objectives*400)*ms)
 				}
-				for _, h := range g.b.hosts { // keeps the hosts' own limits out of this
+				for _, h := range g.b.hosts { // the limits of the hosts must not bind
 					h.concurrencyLimit, h.restingUntil = 10, 0
 				}
 				g.advance(400 * ms)
@@ -68,41 +69,42 @@
 		}
 		return low, high
 	}
-	if low, high := run(0.1); low != 100 || high != 100 {
-		t.Fatalf("%d and %d of 100 sent while answers are quick, want all", low, high)
+	if low, high := serve(0.1); low != 100 || high != 100 {
+		t.Fatalf("sent %d of low and %d of high weight while responses are quick, want 100 of each", low, high)
 	}
-	low, high := run(0.9)
+	low, high := serve(0.9)
 	if low > 50 || high < 2*low {
-		t.Errorf("%d of low and %d of high weight sent while responses are late, want few and more", low, high)
+		t.Errorf("sent %d of low and %d of high weight while responses are late, want at most 50 of low and twice as many of high weight",
+			low, high)
 	}
-	run(0.1)
-	if low, high := run(0.1); low != 100 || high != 100 {
-		t.Errorf("%d and %d of 100 sent after the overload, want all", low, high)
+	serve(0.1)
+	if low, high := serve(0.1); low != 100 || high != 100 {
+		t.Errorf("sent %d of low and %d of high weight after the overload, want 100 of each", low, high)
 	}
 }
 
 func TestOverQuotaRequestWaitsBehindOthers(t *testing.T) {
-	set := testSettings()
-	set.Tenants = []Tenant{{Quota: 1}, {Quota: 1000}}
-	set.OverQuotaWeight = 0.05
-	g := newTestGateway(t, set)
-	ask := func(tenant int) RequestID {
+	settings := testSettings()
+	settings.Tenants = []Tenant{{Quota: 1}, {Quota: 1000}}
+	settings.OverQuotaWeight = 0.05
+	g := newTestGateway(t, settings)
+	requestOf := func(tenant int) RequestID {
 		g.next++
 		g.b.Request(g.now, Request{ID: g.next, Tenant: tenant, Remaining: time.Second})
 		return g.next
 	}
-	ask(0)
-	over := ask(0)
-	within := ask(1)
+	requestOf(0)
+	overQuota := requestOf(0)
+	withinQuota := requestOf(1)
 	list := testHosts(1)
 	g.b.discardActions()
 	g.updateEndpoints(ListFull, list...)
 	order := map[RequestID]int{}
-	for i, a := range g.acts {
+	for i, a := range g.actions {
 		order[a.Request] = i
 	}
-	if len(order) != 3 || order[within] > order[over] {
-		t.Errorf("order %v, want %d before %d", g.acts, within, over)
+	if len(order) != 3 || order[withinQuota] > order[overQuota] {
+		t.Errorf("actions %v, want 3 with request %d before request %d", g.actions, withinQuota, overQuota)
 	}
 }
 
@@ -112,55 +114,55 @@
 // playOverload plays twelve seconds of twice the load that the hosts can serve, a third of it bookings
 // with a tight latency objective and five times the weight. It returns by class how many requests came
 // and how many were served in time in the last ten seconds.
-func playOverload(t *testing.T, seed int64) (asked, served [2]int) {
-	const gates, n = 20, 15
-	set := testSettings()
-	set.Step, set.Instances = ms, gates
-	set.Classes = []Class{
+func playOverload(t *testing.T, seed int64) (requested, served [2]int) {
+	const gatewayCount, hostCount = 20, 15
+	settings := testSettings()
+	settings.Step, settings.Instances = ms, gatewayCount
+	settings.Classes = []Class{
 		{LatencyObjective: 380 * ms, Deadline: 1340 * ms, PriorityWeight: 1},
 		{LatencyObjective: 130 * ms, Deadline: 400 * ms, PriorityWeight: 5, Idempotency: NonIdempotent},
 	}
 	r := rand.New(rand.NewSource(seed))
-	f := newGatewayFleet(t, set, gates, testHosts(n))
+	f := newGatewayFleet(t, settings, gatewayCount, testHosts(hostCount))
 	type job struct {
 		gate      *testGateway
 		id        RequestID
 		class     int
 		sent, end Time
 	}
-	out := make([][]job, n+1) // by host; each serves one at a time, in turn
+	jobs := make([][]job, hostCount+1) // by host; each serves one at a time, in order
 	class := map[*testGateway]map[RequestID]int{}
-	take := func(g *testGateway, acts []Action) {
-		for _, a := range acts {
+	startJobs := func(g *testGateway, actions []Action) {
+		for _, a := range actions {
 			if a.Kind == Send {
-				line := out[a.Host]
+				queue := jobs[a.Host]
 				from := g.now
-				if len(line) > 0 {
-					from = max(from, line[len(line)-1].end)
+				if len(queue) > 0 {
+					from = max(from, queue[len(queue)-1].end)
 				}
 				took := Time(float64(30*ms) * r.ExpFloat64())
-				out[a.Host] = append(line, job{g, a.Request, class[g][a.Request], g.now, from + took})
+				jobs[a.Host] = append(queue, job{g, a.Request, class[g][a.Request], g.now, from + took})
 			}
 		}
 	}
-	for _, g := range f.gates {
+	for _, g := range f.gateways {
 		class[g] = map[RequestID]int{}
 	}
 	for step := range 12_000 {
 		counts := step > 2000
-		for h := range out {
-			for len(out[h]) > 0 && out[h][0].end <= f.gates[0].now {
-				j := out[h][0]
-				out[h] = out[h][1:]
-				if counts && j.gate.now-j.sent <= set.Classes[j.class].LatencyObjective {
+		for h := range jobs {
+			for len(jobs[h]) > 0 && jobs[h][0].end <= f.gateways[0].now {
+				j := jobs[h][0]
+				jobs[h] = jobs[h][1:]
+				if counts && j.gate.now-j.sent <= settings.Classes[j.class].LatencyObjective {
 					served[j.class]++
 				}
 				j.gate.attemptEnded(j.id, 0, OK, j.gate.now-j.sent)
-				take(j.gate, j.gate.acts)
+				startJobs(j.gate, j.gate.actions)
 			}
 		}
-		for _, g := range f.gates {
-			take(g, g.advance(ms))
+		for _, g := range f.gateways {
+			startJobs(g, g.advance(ms))
 			if r.Float64() >= 0.05 {
 				continue
 			}
@@ -169,30 +171,32 @@
 				c = 1
 			}
 			if counts {
-				asked[c]++
+				requested[c]++
 			}
 			class[g][g.next+1] = c
-			g.request(c, set.Classes[c].Deadline)
-			take(g, g.acts)
+			g.request(c, settings.Classes[c].Deadline)
+			startJobs(g, g.actions)
 		}
 	}
-	return asked, served
+	return requested, served
 }
 
 // Requests of low weight leave capacity to those of high weight, which would otherwise be rejected
 // first because their tight latency objective lets them wait the least.
 func TestOverloadServesHighPriorityWeightFirst(t *testing.T) {
-	var asked, served [2]int
+	var requested, served [2]int
 	for seed := range int64(2) {
-		a, s := playOverload(t, seed)
-		for c := range a {
-			asked[c], served[c] = asked[c]+a[c], served[c]+s[c]
+		seedRequested, seedServed := playOverload(t, seed)
+		for class := range seedRequested {
+			requested[class] += seedRequested[class]
+			served[class] += seedServed[class]
 		}
 	}
-	low, high := float64(served[0])/float64(asked[0]), float64(served[1])/float64(asked[1])
+	low, high := float64(served[0])/float64(requested[0]), float64(served[1])/float64(requested[1])
 	t.Logf("lookups %.2f, bookings %.2f in time", low, high)
 	if high < 1.2*low || low < 0.1 {
-		t.Errorf("lookups %.2f, bookings %.2f in time, want bookings first and some lookups", low, high)
+		t.Errorf("served in time: lookups %.2f, bookings %.2f, want at least 0.1 of the lookups and 1.2 times that share of the bookings",
+			low, high)
 	}
 }
 
@@ -224,13 +228,13 @@
 		g.advance(time.Second)
 	}
 	if x := g.b.starvation[2].share; x != 0 {
-		t.Errorf("with no host there is, %.2f is asked for", x)
+		t.Errorf("without hosts: starvation %.2f, want 0", x)
 	}
 	g.updateEndpoints(ListFull, testHosts(1)...)
-	for range 20 { // one holds the only host at a time, the others wait in vain
+	for range 20 { // one request at a time occupies the only host, and the others wait in vain
 		var sent []RequestID
-		note := func(acts []Action) {
-			for _, a := range acts {
+		note := func(actions []Action) {
+			for _, a := range actions {
 				if a.Kind == Send {
 					sent = append(sent, a.Request)
 				}
@@ -238,18 +242,18 @@
 		}
 		for k := range 9 {
 			g.request(min(k, 1)*2, time.Second)
-			note(g.acts)
+			note(g.actions)
 		}
 		note(g.advance(200 * ms))
 		for len(sent) > 0 {
 			id := sent[0]
 			sent = sent[1:]
 			g.attemptEnded(id, 0, OK, 200*ms)
-			note(g.acts)
+			note(g.actions)
 		}
 	}
 	if x := g.b.starvation[2].share; x < maxStarvation {
-		t.Fatalf("behind a full host %.2f is asked for", x)
+		t.Fatalf("behind a full host: starvation %.2f, want %v or more", x, maxStarvation)
 	}
 	g.advance(time.Duration(5e9 * g.b.starvationSpan()))
 	for range 50 {
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -16,15 +16,15 @@
 		g := newTestGateway(t, testSettings(), testHosts(7)...)
 		for i := range 300 {
 			id := g.request(i%3, time.Second)
-			all = append(all, g.acts...)
+			all = append(all, g.actions...)
 			all = append(all, g.advance(3*ms)...)
 			g.attemptEnded(id, 0, Result(i%7), 3*ms)
-			all = append(all, g.acts...)
+			all = append(all, g.actions...)
 		}
 		return fmt.Sprint(all)
 	}
 	if first, second := run(), run(); first != second {
-		t.Error("two runs differ")
+		t.Errorf("the second run decided %s, want what the first did: %s", second, first)
 	}
 }
 
@@ -42,15 +42,16 @@
 	g.b.Request(g.now, Request{ID: 500, Class: 9})
 	g.b.Request(g.now, Request{ID: 501, Class: -1})
 	g.takeActions()
-	if len(g.acts) != 0 {
-		t.Errorf("actions %v", g.acts)
+	if len(g.actions) != 0 {
+		t.Errorf("after unknown events: actions %v, want none", g.actions)
 	}
 	g.attemptEnded(id, 0, OK, -ms)
 	g.attemptEnded(id, 0, OK, ms)
 	g.b.ClientGone(g.now, id)
 	g.takeActions()
-	if len(g.acts) != 0 || len(g.b.open) != 0 || g.b.hosts[0].inFlight+g.b.hosts[1].inFlight != 0 {
-		t.Errorf("actions %v, state kept", g.acts)
+	if len(g.actions) != 0 || len(g.b.open) != 0 || g.b.hosts[0].inFlight+g.b.hosts[1].inFlight != 0 {
+		t.Errorf("after the end: actions %v, %d requests, %d attempts, want none",
+			g.actions, len(g.b.open), g.b.hosts[0].inFlight+g.b.hosts[1].inFlight)
 	}
 }
 
@@ -59,7 +60,7 @@
 		OK: "OK", NotSent: "NotSent", Send: "Send", Log: "Log", ActionKind(200): "200", Result(99): "99",
 	} {
 		if got := v.String(); got != want {
-			t.Errorf("%q, want %q", got, want)
+			t.Errorf("String() = %q, want %q", got, want)
 		}
 	}
 }
@@ -71,7 +72,7 @@
 	}
 	g.takeActions()
 	if len(g.logs) != 1 || g.logs[0] != "host 1 ejected: silent" {
-		t.Fatalf("logs %q, want the first only", g.logs)
+		t.Fatalf("logs %q, want only that of the first ejection", g.logs)
 	}
 	g.b.now += logInterval
 	g.b.eject(g.b.hosts[20], CauseConnections)
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -9,11 +9,11 @@
 
 // benchGateway feeds a Balancer with requests of which some stay in flight.
 type benchGateway struct {
-	b    *Balancer
-	now  Time
-	next RequestID
-	acts []Action
-	out  []RequestID
+	b       *Balancer
+	now     Time
+	next    RequestID
+	actions []Action
+	out     []RequestID
 }
 
 // round starts a request and ends the oldest one if more than inFlight are out.
@@ -21,8 +21,8 @@
 	g.next++
 	g.now += 200 * time.Microsecond
 	g.b.Request(g.now, Request{ID: g.next, Remaining: time.Second})
-	g.acts = g.b.TakeActions(g.acts[:0])
-	for _, a := range g.acts {
+	g.actions = g.b.TakeActions(g.actions[:0])
+	for _, a := range g.actions {
 		if a.Kind == Send {
 			g.out = append(g.out, a.Request)
 		}
@@ -32,17 +32,17 @@
 		copy(g.out, g.out[1:])
 		g.out = g.out[:len(g.out)-1]
 		g.b.AttemptEnded(g.now, Outcome{Request: id, Elapsed: 5 * ms, Closed: true})
-		g.acts = g.b.TakeActions(g.acts[:0])
+		g.actions = g.b.TakeActions(g.actions[:0])
 	}
 	if g.next%32 == 0 {
 		g.b.Timer(g.now, tokenSweep<<tokenShift)
-		g.acts = g.b.TakeActions(g.acts[:0])
+		g.actions = g.b.TakeActions(g.actions[:0])
 	}
 }
 
 // newBenchGateway returns a gateway of a large site with n hosts, and their list.
-func newBenchGateway(tb testing.TB, n int, set Settings) (*benchGateway, []Host) {
-	b, err := New(set, 1)
+func newBenchGateway(tb testing.TB, n int, settings Settings) (*benchGateway, []Host) {
+	b, err := New(settings, 1)
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -53,7 +53,7 @@
 	g := &benchGateway{b: b, now: time.Hour}
 	b.Start(g.now)
 	b.UpdateEndpoints(g.now, ListFull, list)
-	g.acts = b.TakeActions(g.acts[:0])
+	g.actions = b.TakeActions(g.actions[:0])
 	return g, list
 }
 
@@ -71,34 +71,34 @@
 
 func TestRequestAllocatesNothingInSteadyState(t *testing.T) {
 	b, now := newRunningBalancer(t)
-	var acts []Action
+	var actions []Action
 	id := RequestID(0)
 	round := func() {
 		id++
 		now += 5 * ms
 		b.Request(now, Request{ID: id, Remaining: time.Second})
-		acts = b.TakeActions(acts[:0])
+		actions = b.TakeActions(actions[:0])
 		b.AttemptEnded(now+4*ms, Outcome{Request: id, Elapsed: 4 * ms, Closed: true})
 		b.Timer(now+4*ms, tokenSweep<<tokenShift)
-		acts = b.TakeActions(acts[:0])
+		actions = b.TakeActions(actions[:0])
 	}
 	for range 1000 {
 		round()
 	}
 	if n := testing.AllocsPerRun(1000, round); n != 0 {
-		t.Errorf("%v allocations a request", n)
+		t.Errorf("%v allocations a request, want 0", n)
 	}
 }
 
 func BenchmarkRequest(bm *testing.B) {
 	b, now := newRunningBalancer(bm)
-	var acts []Action
+	var actions []Action
 	bm.ReportAllocs()
 	for i := range bm.N {
 		now += 5 * ms
 		b.Request(now, Request{ID: RequestID(i), Remaining: time.Second})
 		b.AttemptEnded(now+4*ms, Outcome{Request: RequestID(i), Elapsed: 4 * ms, Closed: true})
-		acts = b.TakeActions(acts[:0])
+		actions = b.TakeActions(actions[:0])
 	}
 }
 
@@ -137,7 +137,7 @@
 				b.ReportAllocs()
 				for b.Loop() {
 					if pick() == nil {
-						b.Fatal("no host")
+						b.Fatal("no host picked")
 					}
 				}
 			})
@@ -150,9 +150,9 @@
 	for _, instances := range []int{1, 100} { // all hosts drawn from, and a part of them
 		for _, n := range benchmarkHostCounts {
 			b.Run(fmt.Sprintf("instances=%d/hosts=%d", instances, n), func(b *testing.B) {
-				set := testSettings()
-				set.Instances = instances
-				g, list := newBenchGateway(b, n, set)
+				settings := testSettings()
+				settings.Instances = instances
+				g, list := newBenchGateway(b, n, settings)
 				for range 1000 {
 					g.round(16)
 				}
@@ -175,18 +175,18 @@
 	for _, n := range benchmarkHostCounts {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
 			var before, after runtime.MemStats
-			var kept []*benchGateway
+			var gateways []*benchGateway
 			runtime.GC()
 			runtime.ReadMemStats(&before)
 			for b.Loop() {
 				g, _ := newBenchGateway(b, n, testSettings())
 				g.round(0)
-				kept = append(kept, g)
+				gateways = append(gateways, g)
 			}
 			runtime.GC()
 			runtime.ReadMemStats(&after)
-			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(n*len(kept)), "B/host")
-			runtime.KeepAlive(kept)
+			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(n*len(gateways)), "B/host")
+			runtime.KeepAlive(gateways)
 		})
 	}
 }
--- a/balancer/checkpoint_test.go
+++ b/balancer/checkpoint_test.go
@@ -30,7 +30,7 @@
 			t.Fatalf("seed %d, event %d: %v", seed, n, err)
 		}
 		if again := b.Checkpoint(nil); !bytes.Equal(saved, again) {
-			t.Fatalf("seed %d, event %d: what was restored is saved otherwise", seed, n)
+			t.Fatalf("seed %d, event %d: the restored Balancer gives another checkpoint", seed, n)
 		}
 		h.b = b
 	}
@@ -44,7 +44,8 @@
 		want := playHistory(t, seed, 0)
 		for _, every := range []int{1, 7} {
 			if playHistory(t, seed, every) != want {
-				t.Errorf("seed %d: restored after every %d events it acts otherwise", seed, every)
+				t.Errorf("seed %d: restored after every %d events, the actions differ from those without a restore",
+					seed, every)
 			}
 		}
 	}
@@ -59,7 +60,7 @@
 	saved := g.b.Checkpoint(nil)
 	for n := range saved {
 		if _, err := Restore(testSettings(), saved[:n]); err == nil {
-			t.Fatalf("the first %d of %d bytes were taken for a whole checkpoint", n, len(saved))
+			t.Fatalf("Restore of the first %d of %d bytes: no error, want one", n, len(saved))
 		}
 		for _, x := range []byte{1, 0x80, 0xff} {
 			bad := slices.Clone(saved)
@@ -68,12 +69,12 @@
 		}
 	}
 	if _, err := Restore(testSettings(), append(saved, 0)); err == nil {
-		t.Error("a byte too many is not noticed")
+		t.Error("Restore of a checkpoint with a byte too many: no error, want one")
 	}
 	bad := slices.Clone(saved)
 	bad[0]++
 	if _, err := Restore(testSettings(), bad); err == nil || !strings.Contains(err.Error(), "version") {
-		t.Errorf("another version: %v", err)
+		t.Errorf("Restore of another version: error %v, want one that names the version", err)
 	}
 }
 
--- a/balancer/compat_test.go
+++ b/balancer/compat_test.go
@@ -29,6 +29,7 @@
 		t.Fatal(err)
 	}
 	if again := b.Checkpoint(nil); !bytes.Equal(again, saved) {
-		t.Error("restored, it is saved otherwise")
+		t.Errorf("the restored Balancer gives a checkpoint of %d bytes that differs from the %d bytes restored",
+			len(again), len(saved))
 	}
 }
--- a/balancer/fuzz_test.go
+++ b/balancer/fuzz_test.go
@@ -52,7 +52,7 @@
 	timers   []Action
 	next     RequestID
 	requests map[RequestID]*trackedRequest
-	live     []RequestID // with attempts out or without an answer
+	open     []RequestID // with attempts in flight or without an answer
 	hosts    [6]Host
 	warming  [6][]Time // sends while warming
 	rate     float64   // highest rate of good answers so far
@@ -127,18 +127,18 @@
 	for _, id := range slices.Sorted(maps.Keys(h.requests)) { // in the same order every time
 		r := h.requests[id]
 		if !r.answered {
-			h.Fatalf("request %d has no answer", id)
+			h.Fatalf("request %d has no answer at the end, want one", id)
 		}
 		for n := range r.attempts {
 			h.finish(id, n, Canceled)
 		}
 	}
 	if len(h.b.open) != 0 || h.b.queued != 0 {
-		h.Fatalf("%d requests kept, %d waiting, after all has ended", len(h.b.open), h.b.queued)
+		h.Fatalf("%d requests and %d queued after all have ended, want none", len(h.b.open), h.b.queued)
 	}
 	for _, x := range h.b.hosts {
 		if x.inFlight != 0 || x.attempts.head != nil {
-			h.Fatalf("host %d has %d attempts after all have ended", x.ID, x.inFlight)
+			h.Fatalf("host %d has %d attempts after all have ended, want none", x.ID, x.inFlight)
 		}
 	}
 }
@@ -149,15 +149,15 @@
 	cl := &h.set.Classes[x%5]
 	left := cl.Deadline * Time(x/5) / 50
 	h.requests[h.next] = &trackedRequest{class: cl, deadline: h.now + left}
-	h.live = append(h.live, h.next)
+	h.open = append(h.open, h.next)
 	h.b.Request(h.now, Request{ID: h.next, Class: x % 5, Tenant: x & 1, Remaining: left, Duplicate: x&2 != 0})
 	h.settle()
 }
 
 // end finishes one attempt that is in flight.
 func (h *history) end(x int, result Result) {
-	for k := range h.live {
-		id := h.live[(k+x)%len(h.live)]
+	for k := range h.open {
+		id := h.open[(k+x)%len(h.open)]
 		for n := range h.requests[id].attempts {
 			if !h.requests[id].attempts[n].ended {
 				h.finish(id, n, result)
@@ -177,8 +177,8 @@
 	a.ended, a.result = true, result
 	if result == OK {
 		r.answered = true
-		// Answers a second, faded over four Falls: no more than one host's part of it
-		// can have been learnt of a warm host.
+		// Responses a second, averaged over four overload windows: an instance can not
+		// have learnt a higher rate of a warm host.
 		span := 4 * h.set.OverloadWindow.Seconds()
 		h.served = h.served*math.Exp(-(h.now-h.servedAt).Seconds()/span) + 1/span
 		h.servedAt, h.rate = h.now, max(h.rate, h.served)
@@ -222,10 +222,10 @@
 
 // leave lets the client of an open request go.
 func (h *history) leave(x int) {
-	if len(h.live) == 0 {
+	if len(h.open) == 0 {
 		return
 	}
-	id := h.live[x%len(h.live)]
+	id := h.open[x%len(h.open)]
 	h.requests[id].answered = true
 	h.b.ClientGone(h.now, id)
 	h.settle()
@@ -249,17 +249,17 @@
 			h.b.Timer(h.now, w.Token)
 			h.settle()
 		}
-		live := h.live[:0]
-		for _, id := range h.live {
+		open := h.open[:0]
+		for _, id := range h.open {
 			r := h.requests[id]
 			if !r.answered && h.now > r.deadline {
-				h.Fatalf("request %d has no answer at its deadline", id)
+				h.Fatalf("request %d has no answer at its deadline, want one", id)
 			}
 			if !r.answered || r.out() > 0 {
-				live = append(live, id)
+				open = append(open, id)
 			}
 		}
-		h.live = live
+		h.open = open
 	}
 }
 
@@ -275,11 +275,11 @@
 
 // settle carries out the pending actions and checks them.
 func (h *history) settle() {
-	acts := h.b.TakeActions(nil)
+	actions := h.b.TakeActions(nil)
 	if h.onActions != nil {
-		h.onActions(acts)
+		h.onActions(actions)
 	}
-	for _, a := range acts {
+	for _, a := range actions {
 		switch a.Kind {
 		case Wake:
 			h.timers = append(h.timers, a)
@@ -287,11 +287,11 @@
 			h.send(a)
 		case Cancel:
 			if r := h.requests[a.Request]; !h.set.Cancel || a.Attempt >= len(r.attempts) || r.attempts[a.Attempt].ended {
-				h.Fatalf("cancel %+v not allowed", a)
+				h.Fatalf("cancel %+v of an attempt that is not in flight, want none", a)
 			}
 		case Close:
 			if a.Host < 1 || int(a.Host) > len(h.hosts) {
-				h.Fatalf("closes unknown host %d", a.Host)
+				h.Fatalf("connections of unknown host %d closed, want those of a listed one", a.Host)
 			}
 		case Reject, Fail:
 			h.answer(a)
@@ -307,16 +307,16 @@
 	r := h.requests[a.Request]
 	host := h.hosts[a.Host-1]
 	if r == nil || r.answered {
-		h.Fatalf("request %d sent after its end", a.Request)
+		h.Fatalf("request %d sent after its answer, want nothing more", a.Request)
 	}
 	if host.State != Ready {
-		h.Fatalf("sent to host %d, state %d", host.ID, host.State)
+		h.Fatalf("sent to host %d in state %d, want a ready host", host.ID, host.State)
 	}
 	if len(r.attempts) >= h.set.MaxAttempts {
-		h.Fatalf("request %d has more than %d attempts", a.Request, h.set.MaxAttempts)
+		h.Fatalf("request %d has another attempt, want %d at most", a.Request, h.set.MaxAttempts)
 	}
 	if r.out() > 0 {
-		h.Fatalf("request %d has two attempts at once", a.Request)
+		h.Fatalf("request %d has two attempts in flight, want one", a.Request)
 	}
 	for _, p := range r.attempts {
 		if p.ended && !p.result.MayHaveRun() {
@@ -324,12 +324,12 @@
 		}
 		switch c := r.class; {
 		case c.Idempotency == NonIdempotent:
-			h.Fatalf("non-idempotent request %d sent again", a.Request)
+			h.Fatalf("non-idempotent request %d retried after it may have run, want no retry", a.Request)
 		case c.Idempotency == IdempotentWithKey && h.now-p.sent > c.DedupWindow:
-			h.Fatalf("request %d with a key sent again after its window", a.Request)
+			h.Fatalf("request %d with a key retried after its dedup window, want no retry", a.Request)
 		case c.Idempotency == IdempotentWithKey && c.DedupScope == ScopeZone && p.host.Zone != host.Zone,
 			c.Idempotency == IdempotentWithKey && c.DedupScope == ScopeCell && p.host.Cell != host.Cell:
-			h.Fatalf("request %d with a key left its scope", a.Request)
+			h.Fatalf("request %d with a key retried outside its dedup scope, want a host inside", a.Request)
 		}
 		break
 	}
@@ -353,7 +353,7 @@
 	}
 	share := h.set.SlowStartShare + (1-h.set.SlowStartShare)*age.Seconds()/h.set.SlowStartWindow.Seconds()
 	if most := 2 + h.rate*h.set.OverloadFactor*share*h.set.OverloadWindow.Seconds(); float64(n) > most {
-		h.Fatalf("%d sends within %v to warming host %d, budget %.1f", n, h.set.OverloadWindow, host.ID, most)
+		h.Fatalf("%d sends within %v to warming host %d, want at most %.1f", n, h.set.OverloadWindow, host.ID, most)
 	}
 }
 
@@ -361,7 +361,7 @@
 func (h *history) answer(a Action) {
 	r := h.requests[a.Request]
 	if r == nil || r.answered {
-		h.Fatalf("request %d answered twice", a.Request)
+		h.Fatalf("request %d answered again, want one answer", a.Request)
 	}
 	r.answered = true
 	if a.Kind == Fail {
@@ -370,7 +370,7 @@
 	for _, p := range r.attempts {
 		if c := r.class; (!p.ended || p.result.MayHaveRun()) && c.Idempotency != Idempotent &&
 			(c.Idempotency != IdempotentWithKey || c.DedupScope != ScopeAll) {
-			h.Fatalf("request %d rejected though it may have run", a.Request)
+			h.Fatalf("request %d rejected though it may have run, want a failure", a.Request)
 		}
 	}
 }
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -33,14 +33,14 @@
 // testGateway is one gateway: it feeds events to a Balancer, keeps its clock and collects its actions.
 type testGateway struct {
 	*testing.T
-	b    *Balancer
-	now  Time
-	next RequestID
-	acts []Action // of the last event; timers, logs and closes left out
-	logs []string
-	wake []Action
+	b       *Balancer
+	now     Time
+	next    RequestID
+	actions []Action // of the last event, apart from timers, logs and closed hosts
+	logs    []string
+	timers  []Action // timers that have not fired
 
-	closed []HostID
+	closed []HostID // hosts whose connections were to be closed
 }
 
 // updateEndpoints reports an endpoint list.
@@ -69,8 +69,8 @@
 	var done []Action
 	for end := g.now + d; ; {
 		best := -1
-		for i, w := range g.wake {
-			if w.At <= end && (best < 0 || w.At < g.wake[best].At) {
+		for i, w := range g.timers {
+			if w.At <= end && (best < 0 || w.At < g.timers[best].At) {
 				best = i
 			}
 		}
@@ -78,12 +78,12 @@
 			g.now = end
 			return done
 		}
-		w := g.wake[best]
-		g.wake = append(g.wake[:best], g.wake[best+1:]...)
+		w := g.timers[best]
+		g.timers = append(g.timers[:best], g.timers[best+1:]...)
 		g.now = max(g.now, w.At)
 		g.b.Timer(g.now, w.Token)
 		g.takeActions()
-		done = append(done, g.acts...)
+		done = append(done, g.actions...)
 	}
 }
 
@@ -91,10 +91,10 @@
 // kind differs.
 func (g *testGateway) onlyAction(kind ActionKind) Action {
 	g.Helper()
-	if len(g.acts) != 1 || g.acts[0].Kind != kind {
-		g.Fatalf("actions %v, want one of kind %d", g.acts, kind)
+	if len(g.actions) != 1 || g.actions[0].Kind != kind {
+		g.Fatalf("actions %v, want one of kind %d", g.actions, kind)
 	}
-	return g.acts[0]
+	return g.actions[0]
 }
 
 // serve sends n requests one after another, each answered after took, and returns how many each host
@@ -127,9 +127,9 @@
 }
 
 // newTestGateway returns a gateway that has started with a saved list of the hosts.
-func newTestGateway(t *testing.T, set Settings, hosts ...Host) *testGateway {
+func newTestGateway(t *testing.T, settings Settings, hosts ...Host) *testGateway {
 	t.Helper()
-	b, err := New(set, 7)
+	b, err := New(settings, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -141,30 +141,30 @@
 
 // takeActions sorts the actions of the last event into g.
 func (g *testGateway) takeActions() {
-	g.acts = g.acts[:0]
+	g.actions = g.actions[:0]
 	for _, a := range g.b.TakeActions(nil) {
 		switch a.Kind {
 		case Log:
 			g.logs = append(g.logs, a.Text)
 		case Wake:
-			g.wake = append(g.wake, a)
+			g.timers = append(g.timers, a)
 		case Close:
 			g.closed = append(g.closed, a.Host)
 		default:
-			g.acts = append(g.acts, a)
+			g.actions = append(g.actions, a)
 		}
 	}
 }
 
 // gatewayFleet is several gateways, each with a Balancer of its own, over the same hosts.
 type gatewayFleet struct {
-	t     *testing.T
-	gates []*testGateway
+	t        *testing.T
+	gateways []*testGateway
 }
 
 // updateEndpoints reports the changes to every gateway, and each refreshes its subset.
 func (f *gatewayFleet) updateEndpoints(changes ...Host) {
-	for _, g := range f.gates {
+	for _, g := range f.gateways {
 		g.updateEndpoints(ListChanges, changes...)
 		g.b.refreshSubset()
 	}
@@ -174,7 +174,7 @@
 func (f *gatewayFleet) advance(d time.Duration) {
 	const step = 100 * time.Millisecond
 	for ; d > 0; d -= step {
-		for _, g := range f.gates {
+		for _, g := range f.gateways {
 			g.advance(min(d, step))
 			g.b.now = g.now // as with any event
 			g.b.refreshSubset()
@@ -185,7 +185,7 @@
 // shared returns how many gateways have each host in their subset.
 func (f *gatewayFleet) shared() map[HostID]int {
 	n := map[HostID]int{}
-	for _, g := range f.gates {
+	for _, g := range f.gateways {
 		for _, h := range g.b.sets[setSubset].list {
 			n[h.ID]++
 		}
@@ -196,25 +196,25 @@
 // subset returns the hosts in the subset of gateway i.
 func (f *gatewayFleet) subset(i int) map[HostID]bool {
 	is := map[HostID]bool{}
-	for _, h := range f.gates[i].b.sets[setSubset].list {
+	for _, h := range f.gateways[i].b.sets[setSubset].list {
 		is[h.ID] = true
 	}
 	return is
 }
 
 // newGatewayFleet returns n gateways that have started with the same saved list.
-func newGatewayFleet(t *testing.T, set Settings, n int, list []Host) *gatewayFleet {
+func newGatewayFleet(t *testing.T, settings Settings, n int, list []Host) *gatewayFleet {
 	f := &gatewayFleet{t: t}
-	set.Instances = n
-	for set.Rank = range n {
-		b, err := New(set, uint64(set.Rank)+1) // as in service each has a seed of its own
+	settings.Instances = n
+	for settings.Rank = range n {
+		b, err := New(settings, uint64(settings.Rank)+1) // as in service each has a seed of its own
 		if err != nil {
 			t.Fatal(err)
 		}
 		g := &testGateway{T: t, b: b, now: time.Hour}
 		b.Start(g.now)
 		g.updateEndpoints(ListSaved, list...)
-		f.gates = append(f.gates, g)
+		f.gateways = append(f.gateways, g)
 	}
 	return f
 }
--- a/balancer/hostset_test.go
+++ b/balancer/hostset_test.go
@@ -40,7 +40,7 @@
 	}
 	if len(ready) == 0 && b.set.Classes[class].Idempotency != NonIdempotent {
 		for _, h := range from {
-			// Patience may have shrunk since it was looked at; the next sweep sees that.
+			// The silence timeout may have shrunk since the last recheck; the next sweep sees that.
 			seen := h.readySet == setDoubtful || h.recheckTime <= b.now
 			if seen && h.State == Ready && !b.excludedFor(h, class) && !b.ejected(h) && !b.pacedBySlowStart(h) && b.suspected(h) {
 				ready = append(ready, h)
@@ -63,7 +63,7 @@
 	used, listed := 0, 0
 	for _, h := range b.sets[setSubset].list {
 		if h.State != Ready {
-			t.Fatalf("host %d is drawn from though it is not ready", h.ID)
+			t.Fatalf("host %d in state %d is in the subset, want ready ones only", h.ID, h.State)
 		}
 		listed++
 		if b.isInUse(h) {
@@ -71,12 +71,13 @@
 		}
 	}
 	if used != b.counts.inUse || listed != b.counts.ready {
-		t.Fatalf("%d drawn from, %d of them in use; counted %+v", listed, used, b.counts)
+		t.Fatalf("%d hosts in the subset, %d of them in use; want what is counted: %+v", listed, used, b.counts)
 	}
 	busy := 0
 	for _, h := range b.hosts {
 		if (h.inFlight > 0) != (h.position[setBusy] > 0) {
-			t.Fatalf("host %d has %d attempts out, busy: %v", h.ID, h.inFlight, h.position[setBusy])
+			t.Fatalf("host %d has %d attempts in flight and position %v among the busy ones, want a position exactly if it has any",
+				h.ID, h.inFlight, h.position[setBusy])
 		}
 		busy += h.inFlight
 	}
@@ -88,7 +89,7 @@
 		}
 		rng := b.rng
 		got := map[*host]bool{}
-		for range 40 * (len(want) + 1) { // what is drawn, again and again
+		for range 40 * (len(want) + 1) { // draws are random
 			if b.sendRate > 0 {
 				b.sendTokens, b.tokensAt = sendRateBurst, b.now
 			}
@@ -98,11 +99,11 @@
 		}
 		for h := range got {
 			if !want[h] {
-				t.Fatalf("class %d: host %d is drawn, a walk does not find it", class, h.ID)
+				t.Fatalf("class %d: host %d picked, want one that a scan finds", class, h.ID)
 			}
 		}
 		if len(got) == 0 && len(want) > 0 {
-			t.Fatalf("class %d: none is drawn of %d that a walk finds", class, len(want))
+			t.Fatalf("class %d: no host picked, want one of the %d that a scan finds", class, len(want))
 		}
 		b.rng = rng
 	}
@@ -139,17 +140,17 @@
 	g.b.UpdateEndpoints(g.now, ListFull, now)
 	for _, a := range g.b.TakeActions(nil) {
 		if a.Kind == Send && a.Host <= 2500 {
-			t.Fatal("sent to one that has left")
+			t.Fatalf("sent to host %d, which has left", a.Host)
 		}
 	}
 	sent := map[HostID]int{}
 	for range 3000 {
 		g.round(64)
-		for _, a := range g.acts {
+		for _, a := range g.actions {
 			if a.Kind == Send {
 				sent[a.Host]++
 				if a.Host <= 2500 {
-					t.Fatal("sent to one that has left")
+					t.Fatalf("sent to host %d, which has left", a.Host)
 				}
 			}
 		}
@@ -159,7 +160,7 @@
 		g.out = g.out[1:]
 	}
 	if n := len(g.b.hosts); n != 4500 || len(g.b.byID) != n {
-		t.Fatalf("%d hosts are kept, %d by id", n, len(g.b.byID))
+		t.Fatalf("%d hosts, %d by id, want 4500", n, len(g.b.byID))
 	}
 	checkHostSets(t, g.b)
 
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -16,25 +16,25 @@
 	fail()
 	first := g.b.hosts[0].ejectedUntil - g.now
 	if got := g.serve(100, 0, func(HostID) time.Duration { return ms }); got[1] != 0 {
-		t.Fatalf("%d sends to the ejected host", got[1])
+		t.Fatalf("%d requests sent to the ejected host, want 0", got[1])
 	}
 	g.now = g.b.hosts[0].ejectedUntil
 	fail()
 	if second := g.b.hosts[0].ejectedUntil - g.now; second <= first {
-		t.Errorf("back-off %v after %v, want it to grow", second, first)
+		t.Errorf("backoff %v after %v, want it to grow", second, first)
 	}
 	g.now = g.b.hosts[0].ejectedUntil
 	trial := g.requestUntilSentTo(1, ms)
 	for range 20 {
 		id := g.request(0, time.Second)
 		if g.onlyAction(Send).Host == 1 {
-			t.Fatal("second request while the trial is out")
+			t.Fatal("a second request is sent to the host during its trial, want only the trial")
 		}
 		g.attemptEnded(id, 0, OK, ms)
 	}
 	g.attemptEnded(trial, 0, OK, ms)
 	if h := g.b.hosts[0]; h.ejections != 0 {
-		t.Error("still ejected after the trial's answer")
+		t.Errorf("%d ejections after the response to the trial, want 0", h.ejections)
 	}
 }
 
@@ -48,28 +48,30 @@
 		h := g.b.byID[1]
 		g.b.HealthCheckPassed(g.now, 1, ms)
 		if g.b.eject(h, CauseConnections); h.ejectedUntil <= g.now+20*ms {
-			t.Fatalf("out for %v only", h.ejectedUntil-g.now)
+			t.Fatalf("ejected for %v, want more than the 20 ms of a health check", h.ejectedUntil-g.now)
 		}
 		g.b.HealthCheckPassed(g.now, 1, 20*ms)
-		g.b.HealthCheckPassed(g.now, 9, 20*ms) // nobody's
+		g.b.HealthCheckPassed(g.now, 9, 20*ms) // an unknown host
 		if h.ejectedUntil > g.now+20*ms {
-			t.Fatalf("out for %v after a hint", h.ejectedUntil-g.now)
+			t.Fatalf("ejected for %v after a passed health check, want at most 20 ms", h.ejectedUntil-g.now)
 		}
 		at = append(at, h.ejectedUntil-g.now)
 		g.now = h.ejectedUntil
 		g.b.eject(h, CauseConnections)
 		until := h.ejectedUntil
 		if g.b.HealthCheckPassed(g.now, 1, 20*ms); h.ejectedUntil != until {
-			t.Fatal("a second hint is taken though the first was wrong")
+			t.Fatalf("ejected until %v after a second health check, want %v as before, since the first was wrong",
+				h.ejectedUntil, until)
 		}
 		g.b.readmit(h)
 		g.b.eject(h, CauseConnections)
 		if g.b.HealthCheckPassed(g.now, 1, 20*ms); h.ejectedUntil > g.now+20*ms {
-			t.Fatal("no hint is taken after the host has answered")
+			t.Fatalf("ejected for %v after a health check, want at most 20 ms, since the host has answered",
+				h.ejectedUntil-g.now)
 		}
 	}
 	if slices.Sort(at); at[4] > 8*ms || at[35] < 12*ms {
-		t.Errorf("trials are not spread: %v", at)
+		t.Errorf("trials after %v, want them spread over 20 ms", at)
 	}
 }
 
@@ -80,12 +82,12 @@
 	h := g.b.hosts[0]
 	for i, r := range []Result{Reset, OK, Reset, Reset} {
 		if g.b.ejected(h) {
-			t.Fatalf("out after %d outcomes", i)
+			t.Fatalf("ejected after %d results, want it in use", i)
 		}
 		g.attemptEnded(g.request(2, time.Second), 0, r, ms)
 	}
 	if !g.b.ejected(h) {
-		t.Error("not out after two in a row")
+		t.Error("in use after two broken connections in a row, want it ejected")
 	}
 }
 
@@ -96,19 +98,20 @@
 	h := g.b.hosts[0]
 	id := g.request(2, time.Second)
 	g.attemptEnded(id, 0, Spoilt, 5*ms)
-	if g.onlyAction(Fail).Request != id { // it may have run
-		t.Error("another request was answered")
+	if got := g.onlyAction(Fail).Request; got != id { // it may have run
+		t.Errorf("request %d failed, want %d", got, id)
 	}
-	if got := g.b.estimatedRTT(h); got > 0.1 || g.b.ejected(h) { // the seed
-		t.Errorf("estimate %v, ejected %v", got, g.b.ejected(h))
+	if got := g.b.estimatedRTT(h); got > 0.1 || g.b.ejected(h) { // the initial estimate
+		t.Errorf("estimate %v, ejected %v after one spoilt response, want the initial estimate and no ejection",
+			got, g.b.ejected(h))
 	}
 	id = g.request(0, time.Second)
 	g.attemptEnded(id, 0, Spoilt, 5*ms)
-	if g.onlyAction(Send).Request != id {
-		t.Error("a safe request is not sent again")
+	if got := g.onlyAction(Send).Request; got != id {
+		t.Errorf("request %d sent again, want the idempotent %d", got, id)
 	}
 	if got := g.b.estimatedRTT(h); got < g.b.penalty {
-		t.Errorf("estimate %v after two in a row, want the penalty %v", got, g.b.penalty)
+		t.Errorf("estimate %v after two in a row, want the penalty of %v or more", got, g.b.penalty)
 	}
 }
 
@@ -119,22 +122,23 @@
 	g := newTestGateway(t, testSettings(), testHosts(2)...)
 	h := g.b.hosts[0]
 	f := &h.class[1]
-	fail := func() { // an attempt at h, whatever would be picked
+	fail := func() { // an attempt at h, whichever host pick would choose
 		r := &request{Request: Request{ID: 1 << 40, Class: 1}, class: &g.b.set.Classes[1]}
 		g.b.recordForClasses(&attempt{req: r, host: h, sent: g.now}, g.b.recordError)
 	}
 	for i := range 3 {
 		if g.b.excludedFor(h, 1) {
-			t.Fatalf("out after %d errors", i)
+			t.Fatalf("excluded after %d errors, want 3", i)
 		}
 		fail()
 	}
 	if !g.b.excludedFor(h, 1) || g.b.excludedFor(h, 0) || g.b.ejected(h) {
-		t.Fatal("after three errors it is not out for that class alone")
+		t.Fatalf("after three errors: excluded for class 1 %v, for class 0 %v, ejected %v, want true, false, false",
+			g.b.excludedFor(h, 1), g.b.excludedFor(h, 0), g.b.ejected(h))
 	}
 	sent := func(class int) bool { return g.serve(20, class, func(HostID) time.Duration { return ms })[h.ID] > 0 }
-	if sent(1) || !sent(0) {
-		t.Error("it gets requests of that class, or none of another")
+	if toExcluded, toOther := sent(1), sent(0); toExcluded || !toOther {
+		t.Errorf("requests sent: of the excluded class %v, of another %v, want only the latter", toExcluded, toOther)
 	}
 	for g.now < f.excludedUntil {
 		g.advance(f.excludedUntil - g.now)
@@ -143,25 +147,27 @@
 	r := &request{Request: Request{ID: 1 << 41, Class: 1}, class: &g.b.set.Classes[1]}
 	g.b.send(r, h)
 	if !g.b.excludedFor(h, 1) {
-		t.Error("a second request may go out beside the trial")
+		t.Error("in use for the class during the trial, want it excluded")
 	}
-	out := f.exclusions
+	exclusions := f.exclusions
 	g.now += ms
 	g.b.now = g.now
 	fail()
-	if f.exclusions != out+1 || !g.b.excludedFor(h, 1) {
-		t.Error("an error to the trial does not keep it out")
+	if f.exclusions != exclusions+1 || !g.b.excludedFor(h, 1) {
+		t.Errorf("after an error to the trial: %d exclusions, excluded %v, want %d and true",
+			f.exclusions, g.b.excludedFor(h, 1), exclusions+1)
 	}
 	for range 4 {
 		g.b.recordSuccess(&attempt{host: h}, 1)
 	}
 	if f.exclusions != 0 || g.b.excludedFor(h, 1) {
-		t.Error("good answers do not bring it back")
+		t.Errorf("after good responses: %d exclusions, excluded %v, want 0 and false",
+			f.exclusions, g.b.excludedFor(h, 1))
 	}
 	g.b.hosts[1].class[1], h.class[1] = classErrors{excludedUntil: g.now + time.Second, exclusions: 1}, classErrors{excludedUntil: g.now + time.Second, exclusions: 1}
 	g.takeActions()
 	g.request(1, time.Second)
-	g.onlyAction(Send) // with errors everywhere one is as good as another
+	g.onlyAction(Send) // with errors at all hosts the exclusions do not apply
 }
 
 // The second error in a row, of any class, excludes a host for non-idempotent classes, whose requests
@@ -173,21 +179,21 @@
 		a := &attempt{req: &request{class: &g.b.set.Classes[0]}, host: h, sent: g.now}
 		g.b.recordForClasses(a, g.b.recordError)
 		if g.b.excludedFor(h, class) {
-			t.Errorf("class %d: out after one error, which may be chance", class)
+			t.Errorf("class %d: excluded after one error, want two", class)
 		}
 		g.b.recordForClasses(a, g.b.recordError)
 		g.b.recheck(h)
 		if got := g.b.excludedFor(h, class); got != want {
-			t.Errorf("class %d: out %v after two errors to class 0", class, got)
+			t.Errorf("class %d: excluded %v after two errors to class 0, want %v", class, got, want)
 		}
 		if got := g.serve(20, class, func(HostID) time.Duration { return ms })[h.ID] == 0; want && !got {
-			t.Errorf("class %d: sent to it all the same", class)
+			t.Errorf("class %d: requests sent to the excluded host, want none", class)
 		}
 		for range 3 {
 			g.b.recordForClasses(a, g.b.recordSuccess)
 		}
 		if f := h.class[class]; g.b.excludedFor(h, class) || f.exclusions != 0 {
-			t.Errorf("class %d: not back after good answers to class 0: %+v", class, f)
+			t.Errorf("class %d: excluded after good responses to class 0, want it in use: %+v", class, f)
 		}
 	}
 }
@@ -202,7 +208,7 @@
 	g.b.eject(g.b.byID[5], CauseSilent)
 	got := g.serve(40, 0, func(HostID) time.Duration { return ms })
 	if got[5] == 0 || got[6] == 0 || got[1]+got[2]+got[3]+got[4] != 0 {
-		t.Errorf("sends by host: %v", got)
+		t.Errorf("requests sent by host: %v, want some to 5 and 6 and none to others", got)
 	}
 	g.b.eject(g.b.byID[5], CauseConnections)
 	g.b.byID[5].ejectCause = CauseConnections
@@ -218,6 +224,6 @@
 	}
 	got := g.serve(60, 0, func(HostID) time.Duration { return ms })
 	if len(got) < 2 {
-		t.Errorf("sends %v, want the ejected hosts used too", got)
+		t.Errorf("requests sent by host: %v, want the ejected hosts used too", got)
 	}
 }
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -8,12 +8,12 @@
 func TestRequestWithoutHostWaitsThenIsRejected(t *testing.T) {
 	g := newTestGateway(t, testSettings())
 	id := g.request(0, time.Second)
-	if len(g.acts) != 0 {
-		t.Fatalf("actions %v, want the request to wait", g.acts)
+	if len(g.actions) != 0 {
+		t.Fatalf("actions %v, want none while the request waits", g.actions)
 	}
 	done := g.advance(time.Second)
 	if len(done) != 1 || done[0].Kind != Reject || done[0].Request != id {
-		t.Errorf("done %v, want one rejection", done)
+		t.Errorf("actions %v after a second, want one rejection", done)
 	}
 }
 
@@ -22,7 +22,7 @@
 	id := g.request(2, time.Second)
 	g.updateEndpoints(ListFull, testHosts(1)...)
 	if a := g.onlyAction(Send); a.Request != id || a.Host != 1 {
-		t.Errorf("sent %v", a)
+		t.Errorf("sent %v, want request %d to host 1", a, id)
 	}
 }
 
@@ -44,7 +44,8 @@
 		g.onlyAction(Send)
 		done := g.advance(500*ms - g.b.set.Step)
 		if len(done) != 2 || done[0].Kind != want || done[1].Kind != Cancel {
-			t.Errorf("class %d: done %v, want kind %d and a cancel", class, done, want)
+			t.Errorf("class %d: actions %v one step before the deadline, want kind %d and a cancel",
+				class, done, want)
 		}
 	}
 }
@@ -53,24 +54,24 @@
 // the highest priority weight.
 func TestQueueOrdersByPriorityWeight(t *testing.T) {
 	g := newTestGateway(t, testSettings(), testHosts(2)...)
-	out := map[RequestID]bool{}
+	inFlight := map[RequestID]bool{}
 	for range 30 {
 		g.request(0, time.Second)
-		for _, a := range g.acts {
-			out[a.Request] = true
+		for _, a := range g.actions {
+			inFlight[a.Request] = true
 		}
 	}
-	if most := 2 * initialLimit; len(out) != most {
-		t.Fatalf("%d in flight at two new hosts, want %d", len(out), most)
+	if most := 2 * initialLimit; len(inFlight) != most {
+		t.Fatalf("%d requests in flight at two new hosts, want %d", len(inFlight), most)
 	}
 	heaviest := g.request(2, time.Second)
-	for id := range out {
+	for id := range inFlight {
 		g.now += 10 * ms
 		g.attemptEnded(id, 0, OK, 10*ms)
 		break
 	}
-	if len(g.acts) == 0 || g.acts[0].Request != heaviest {
-		t.Errorf("actions %v, want the non-idempotent request, of the highest weight, first", g.acts)
+	if len(g.actions) == 0 || g.actions[0].Request != heaviest {
+		t.Errorf("actions %v, want request %d, of the highest weight, first", g.actions, heaviest)
 	}
 }
 
@@ -92,13 +93,13 @@
 			first := g.request(0, time.Second)
 			g.now += 10 * ms
 			g.attemptEnded(1, 0, OK, 10*ms)
-			if len(g.acts) == 0 || g.acts[0].Kind != Send || g.acts[0].Request != first {
-				t.Fatalf("actions %v, want the first attempt %d sent before the duplicate", g.acts, first)
+			if len(g.actions) == 0 || g.actions[0].Kind != Send || g.actions[0].Request != first {
+				t.Fatalf("actions %v, want the first attempt %d sent before the duplicate", g.actions, first)
 			}
 			g.now += 10 * ms
 			g.attemptEnded(2, 0, OK, 20*ms)
-			if len(g.acts) == 0 || g.acts[0].Kind != Send || g.acts[0].Request != 1000 {
-				t.Fatalf("actions %v, want the duplicate sent next", g.acts)
+			if len(g.actions) == 0 || g.actions[0].Kind != Send || g.actions[0].Request != 1000 {
+				t.Fatalf("actions %v, want the duplicate sent next", g.actions)
 			}
 		})
 	}
@@ -112,23 +113,23 @@
 	begin := g.now
 	for _, a := range g.advance(450 * ms) {
 		if a.Kind != Reject {
-			t.Fatalf("action %v", a)
+			t.Fatalf("action %v, want only rejections", a)
 		}
 		if g.b.open[a.Request] != nil {
-			t.Error("rejected request kept")
+			t.Errorf("request %d is open after its rejection, want it forgotten", a.Request)
 		}
 	}
 	if g.b.queued != 0 {
-		t.Errorf("%d still wait %v later, past their latency objective", g.b.queued, g.now-begin)
+		t.Errorf("%d requests queued after %v, want none past the latency objective", g.b.queued, g.now-begin)
 	}
 }
 
 // Late requests are rejected in a queue of low weight too while the queue of higher weight is blocked.
 func TestLateRequestsAreRejectedInEveryQueue(t *testing.T) {
-	set := testSettings()
-	set.Classes[0].Deadline = 2 * time.Second
-	set.Classes[1].Deadline, set.Classes[1].LatencyObjective = 2*time.Second, 2*time.Second // of a higher weight
-	g := newTestGateway(t, set)
+	settings := testSettings()
+	settings.Classes[0].Deadline = 2 * time.Second
+	settings.Classes[1].Deadline, settings.Classes[1].LatencyObjective = 2*time.Second, 2*time.Second // of a higher weight
+	g := newTestGateway(t, settings)
 	low := g.request(0, 2*time.Second)
 	high := g.request(1, 2*time.Second)
 	for _, a := range g.advance(200 * ms) {
@@ -137,7 +138,8 @@
 		}
 	}
 	if g.b.open[low] != nil || g.b.open[high] == nil {
-		t.Error("the late request waits on, or the other was rejected")
+		t.Errorf("late request open %v, other request open %v, want false and true",
+			g.b.open[low] != nil, g.b.open[high] != nil)
 	}
 }
 
@@ -145,19 +147,20 @@
 // by the responses to others.
 func TestQueueTimeoutShrinksWithSharingInstances(t *testing.T) {
 	for gateways, want := range map[int]time.Duration{1: 80 * ms, 4: 20 * ms, 20: 4 * ms} {
-		set := testSettings()
-		set.Instances = gateways
-		g := newTestGateway(t, set, testHosts(1)...)
+		settings := testSettings()
+		settings.Instances = gateways
+		g := newTestGateway(t, settings, testHosts(1)...)
 		h := g.b.hosts[0]
 		h.concurrencyLimit, h.restingUntil = 0.4, g.now+time.Second
 		g.b.recheck(h)
 		g.request(0, time.Second)
-		if len(g.acts) > 0 {
-			t.Fatalf("%d gateways: %v at once", gateways, g.acts)
+		if len(g.actions) > 0 {
+			t.Fatalf("%d gateways: actions %v at once, want none", gateways, g.actions)
 		}
-		early, then := g.advance(want-ms), g.advance(set.Classes[0].LatencyObjective/8)
+		early, then := g.advance(want-ms), g.advance(settings.Classes[0].LatencyObjective/8)
 		if len(early) > 0 || len(then) != 1 || then[0].Kind != Reject || then[0].Cause != CauseWait {
-			t.Errorf("%d gateways: %v before %v, %v after", gateways, early, want, then)
+			t.Errorf("%d gateways: actions %v before %v and %v after, want one rejection after",
+				gateways, early, want, then)
 		}
 	}
 }
@@ -177,7 +180,7 @@
 	g.takeActions()
 	for _, a := range g.advance(300 * ms) {
 		if a.Kind == Reject && a.Request != soon || a.Kind == Fail {
-			t.Errorf("request %d is answered 200 ms before it is due: %+v", a.Request, a)
+			t.Errorf("request %d answered 200 ms before the exit, want it at the exit: %+v", a.Request, a)
 		}
 	}
 	answers := 0
@@ -187,10 +190,11 @@
 		}
 		answers++
 		if class, ok := sent[a.Request]; !ok || (class == 0) != (a.Kind == Reject) || a.Cause != CauseDeadline {
-			t.Errorf("request %d of class %d: %+v", a.Request, class, a)
+			t.Errorf("request %d of class %d: %+v, want a rejection of class 0 and a failure of others, at the deadline",
+				a.Request, class, a)
 		}
 	}
 	if answers != len(sent) {
-		t.Errorf("%d of %d requests have their answer by the exit", answers, len(sent))
+		t.Errorf("%d answers by the exit, want %d", answers, len(sent))
 	}
 }
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -7,18 +7,18 @@
 )
 
 func TestRetryDecision(t *testing.T) {
-	again := []ActionKind{Send}
+	retry := []ActionKind{Send}
 	tests := []struct {
 		class  int
 		result Result
 		want   []ActionKind
 	}{
 		{0, OK, nil},
-		{0, Failed, again}, {0, TimedOut, again}, {0, Reset, again}, {0, Full, again}, {0, ConnectFailed, again},
-		{1, Failed, again}, {1, ConnectFailed, again},
+		{0, Failed, retry}, {0, TimedOut, retry}, {0, Reset, retry}, {0, Full, retry}, {0, ConnectFailed, retry},
+		{1, Failed, retry}, {1, ConnectFailed, retry},
 		{2, Failed, []ActionKind{Fail}}, {2, TimedOut, []ActionKind{Fail}}, {2, Reset, []ActionKind{Fail}},
 		{2, Canceled, []ActionKind{Fail}},
-		{2, Full, again}, {2, ConnectFailed, again}, {2, NotSent, again},
+		{2, Full, retry}, {2, ConnectFailed, retry}, {2, NotSent, retry},
 	}
 	for _, tt := range tests {
 		g := newTestGateway(t, testSettings(), testHosts(2)...)
@@ -26,7 +26,7 @@
 		g.advance(20 * ms)
 		g.attemptEnded(id, 0, tt.result, 20*ms)
 		var got []ActionKind
-		for _, a := range g.acts {
+		for _, a := range g.actions {
 			got = append(got, a.Kind)
 		}
 		if !reflect.DeepEqual(got, tt.want) {
@@ -36,9 +36,9 @@
 }
 
 func TestRetryStopsAtMaxAttempts(t *testing.T) {
-	set := testSettings()
-	set.MaxAttempts = 3
-	g := newTestGateway(t, set, testHosts(8)...)
+	settings := testSettings()
+	settings.MaxAttempts = 3
+	g := newTestGateway(t, settings, testHosts(8)...)
 	id := g.request(2, time.Second)
 	for n := range 3 {
 		g.onlyAction(Send)
@@ -57,43 +57,44 @@
 		g := &testGateway{T: t, b: b, now: time.Hour}
 		b.Start(g.now)
 		g.updateEndpoints(ListSaved, testHosts(3)...)
-		id, been := g.request(0, time.Second), map[HostID]bool{}
+		id := g.request(0, time.Second)
+		tried := map[HostID]bool{}
 		for n := range 3 {
-			if len(g.acts) != 1 || g.acts[0].Kind != Send {
-				t.Fatalf("seed %d: attempt %d: %v", seed, n, g.acts)
+			if len(g.actions) != 1 || g.actions[0].Kind != Send {
+				t.Fatalf("seed %d: attempt %d: actions %v, want one Send", seed, n, g.actions)
 			}
-			if been[g.acts[0].Host] {
-				t.Fatalf("seed %d: attempt %d goes to host %d again", seed, n, g.acts[0].Host)
+			if tried[g.actions[0].Host] {
+				t.Fatalf("seed %d: attempt %d goes to host %d again, want an untried one", seed, n, g.actions[0].Host)
 			}
-			been[g.acts[0].Host] = true
+			tried[g.actions[0].Host] = true
 			g.attemptEnded(id, n, Failed, ms)
 		}
-		if len(g.acts) != 1 || g.acts[0].Kind != Send {
-			t.Fatalf("seed %d: with all tried, none is sent to: %v", seed, g.acts)
+		if len(g.actions) != 1 || g.actions[0].Kind != Send {
+			t.Fatalf("seed %d: with all hosts tried: actions %v, want one Send", seed, g.actions)
 		}
 	}
 }
 
 func TestRetryWithKeyStaysInDedupScope(t *testing.T) {
-	for group, same := range map[DedupScope]func(a, b Host) bool{
+	for scope, same := range map[DedupScope]func(a, b Host) bool{
 		ScopeAll:  func(a, b Host) bool { return true },
 		ScopeZone: func(a, b Host) bool { return a.Zone == b.Zone },
 		ScopeCell: func(a, b Host) bool { return a.Cell == b.Cell },
 	} {
-		set := testSettings()
-		set.Classes[1].DedupScope = group
+		settings := testSettings()
+		settings.Classes[1].DedupScope = scope
 		list := []Host{{ID: 1, Zone: 0, Cell: 0}, {ID: 2, Zone: 0, Cell: 1}, {ID: 3, Zone: 1, Cell: 2},
 			{ID: 4, Zone: 0, Cell: 0}, {ID: 5, Zone: 0, Cell: 1}, {ID: 6, Zone: 1, Cell: 2}}
 		other := 0
 		for range 30 {
-			g := newTestGateway(t, set, list...)
+			g := newTestGateway(t, settings, list...)
 			g.b.rng += uint64(other)*977 + 1
 			id := g.request(1, time.Second)
 			first := list[g.onlyAction(Send).Host-1]
 			g.attemptEnded(id, 0, Failed, ms)
 			second := list[g.onlyAction(Send).Host-1]
 			if !same(first, second) {
-				t.Fatalf("group %d: sent to %+v, then to %+v", group, first, second)
+				t.Fatalf("scope %d: sent to %+v, then to %+v, want a host of the same scope", scope, first, second)
 			}
 			other++
 		}
@@ -103,10 +104,10 @@
 // A retry with a key that may have run stays in the dedup scope and uses all hosts of it, however many
 // they are.
 func TestRetryWithKeyStaysInLargeDedupScope(t *testing.T) {
-	for _, group := range []DedupScope{ScopeCell, ScopeZone} {
-		set := testSettings()
-		set.Classes[1].DedupScope = group
-		g, _ := newBenchGateway(t, 2000, set)
+	for _, scope := range []DedupScope{ScopeCell, ScopeZone} {
+		settings := testSettings()
+		settings.Classes[1].DedupScope = scope
+		g, _ := newBenchGateway(t, 2000, settings)
 		seen := map[HostID]bool{}
 		for range 200 {
 			g.next++
@@ -116,15 +117,15 @@
 			g.b.AttemptEnded(g.now, Outcome{Request: g.next, Result: Reset, Elapsed: ms})
 			again := onlySend(t, g.b)
 			x, y := g.b.byID[first], g.b.byID[again]
-			if group == ScopeCell && x.Cell != y.Cell || group == ScopeZone && x.Zone != y.Zone {
-				t.Fatalf("sent to host %d, then to %d of another group", first, again)
+			if scope == ScopeCell && x.Cell != y.Cell || scope == ScopeZone && x.Zone != y.Zone {
+				t.Fatalf("sent to host %d, then to %d, want a host of the same scope", first, again)
 			}
 			seen[again] = true
 			g.b.AttemptEnded(g.now, Outcome{Request: g.next, Attempt: 1, Elapsed: ms, Closed: true})
 			g.b.TakeActions(nil)
 		}
 		if len(seen) < 100 {
-			t.Errorf("200 duplicates went to %d hosts only", len(seen))
+			t.Errorf("200 retries went to %d hosts, want 100 or more", len(seen))
 		}
 	}
 }
@@ -137,7 +138,7 @@
 			return a.Host
 		}
 	}
-	t.Fatal("nothing is sent")
+	t.Fatal("no attempt is sent, want one")
 	return 0
 }
 
@@ -157,17 +158,18 @@
 		g := newTestGateway(t, testSettings(), testHosts(4)...)
 		id, began := g.request(class, time.Second), g.now
 		if at := g.onlyAction(Send).At; at != 0 {
-			t.Errorf("class %d: the first has to be out by %v", class, at-began)
+			t.Errorf("class %d: the first attempt has to be out by %v, want no bound", class, at-began)
 		}
 		g.advance(100 * ms)
 		g.attemptEnded(id, 0, ConnectFailed, ms)
 		if at := g.onlyAction(Send).At; at != 0 {
-			t.Errorf("class %d: the next has to be out by %v though the first never ran", class, at-began)
+			t.Errorf("class %d: the second attempt has to be out by %v, want no bound, as the first never ran",
+				class, at-began)
 		}
 		second := g.now
 		g.advance(100 * ms)
 		if g.attemptEnded(id, 1, Reset, ms); class == 2 {
-			continue // it may not be repeated
+			continue // it may not be retried
 		}
 		want := Time(0)
 		if class == 1 {
@@ -191,9 +193,9 @@
 	}
 	g.updateEndpoints(ListFull, left...)
 	g.attemptEnded(id, 0, Reset, ms)
-	acts := append(append([]Action(nil), g.acts...), g.advance(time.Second)...)
-	if len(acts) != 1 || acts[0].Kind != Fail {
-		t.Errorf("actions %v, want one Fail", acts)
+	actions := append(append([]Action(nil), g.actions...), g.advance(time.Second)...)
+	if len(actions) != 1 || actions[0].Kind != Fail {
+		t.Errorf("actions %v, want one Fail", actions)
 	}
 }
 
@@ -202,12 +204,12 @@
 	id := g.request(0, 500*ms)
 	g.b.AttemptStarted(g.now, id, 0)
 	if done := g.advance(2 * time.Second); len(done) != 0 {
-		t.Errorf("done %v past the deadline of a stream that has begun", done)
+		t.Errorf("actions %v past the deadline of a stream that has begun, want none", done)
 	}
 	g.b.AttemptEnded(g.now, Outcome{Request: id, Result: Reset, Closed: true})
 	g.takeActions()
-	if len(g.acts) != 0 || len(g.b.open) != 0 {
-		t.Errorf("actions %v after a broken stream, %d requests kept", g.acts, len(g.b.open))
+	if len(g.actions) != 0 || len(g.b.open) != 0 {
+		t.Errorf("actions %v after a broken stream, %d requests open, want none", g.actions, len(g.b.open))
 	}
 }
 
@@ -219,7 +221,7 @@
 	g.onlyAction(Cancel)
 	g.attemptEnded(id, 0, Canceled, ms)
 	if len(g.b.open) != 0 {
-		t.Error("request kept")
+		t.Errorf("%d requests open after the client has gone, want none", len(g.b.open))
 	}
 }
 
@@ -227,41 +229,41 @@
 // is canceled and, if its class allows it, sent again. One silent connection must not take a working
 // host out of use.
 func TestOvertakenAttemptIsCanceledAndRetried(t *testing.T) {
-	for class, again := range []bool{true, true, false} {
+	for class, retried := range []bool{true, true, false} {
 		g := newTestGateway(t, testSettings(), testHosts(1)...)
 		h := g.b.hosts[0]
 		h.concurrencyLimit = 8
-		g.b.unansweredShare = 1 // as learnt from those before
+		g.b.unansweredShare = 1 // as learnt from earlier attempts
 		id := g.request(class, time.Second)
 		g.advance(ms)
 		for range overtakenAfter {
 			g.attemptEnded(g.request(0, time.Second), 0, OK, ms)
 			g.advance(ms)
 		}
-		var called []Action
+		var canceled []Action
 		for range 20 {
 			for _, a := range g.advance(15 * ms) {
 				if a.Kind == Cancel {
-					called = append(called, a)
+					canceled = append(canceled, a)
 				}
 			}
 			g.attemptEnded(g.request(0, time.Second), 0, OK, ms) // others are answered meanwhile
 		}
 		if g.b.hostOverdue(h) {
-			t.Errorf("class %d: the host gets nothing more", class)
+			t.Errorf("class %d: the host is overdue, want it in use", class)
 		}
-		if !again {
-			if len(called) > 0 {
-				t.Errorf("class %d: %v", class, called)
+		if !retried {
+			if len(canceled) > 0 {
+				t.Errorf("class %d: canceled %v, want none", class, canceled)
 			}
 			continue
 		}
-		if len(called) != 1 || called[0].Request != id || called[0].Attempt != 0 {
-			t.Fatalf("class %d: called off %v, want the one attempt once", class, called)
+		if len(canceled) != 1 || canceled[0].Request != id || canceled[0].Attempt != 0 {
+			t.Fatalf("class %d: canceled %v, want the overtaken attempt once", class, canceled)
 		}
 		g.attemptEnded(id, 0, Canceled, 300*ms)
-		if g.onlyAction(Send).Request != id {
-			t.Errorf("class %d: it is not sent again", class)
+		if got := g.onlyAction(Send).Request; got != id {
+			t.Errorf("class %d: request %d sent, want the canceled %d again", class, got, id)
 		}
 	}
 }
@@ -269,7 +271,7 @@
 // Overtaken attempts are canceled only where most of them stay unanswered: slow requests are answered
 // in the end, and canceling them doubles their work.
 func TestOvertakenAttemptIsKeptWhereOthersAreAnswered(t *testing.T) {
-	for class, end := range map[int]Result{0: OK, 2: TimedOut} { // an idempotent one, a non-idempotent one
+	for class, result := range map[int]Result{0: OK, 2: TimedOut} { // an idempotent one, a non-idempotent one
 		g := newTestGateway(t, testSettings(), testHosts(1)...)
 		g.b.hosts[0].concurrencyLimit = 8
 		for range 8 {
@@ -282,16 +284,17 @@
 			for range 20 {
 				for _, a := range g.advance(15 * ms) {
 					if a.Kind == Cancel {
-						t.Fatalf("class %d: called off: %v", class, a)
+						t.Fatalf("class %d: canceled %v, want none", class, a)
 					}
 				}
 				g.attemptEnded(g.request(0, time.Second), 0, OK, ms)
 			}
-			g.attemptEnded(id, 0, end, 300*ms)
+			g.attemptEnded(id, 0, result, 300*ms)
 			g.advance(time.Second)
 		}
-		if calls := g.b.unansweredShare > maxUnansweredShare; calls != (end == TimedOut) {
-			t.Errorf("eight ended with %d: calling off %v, share %v", end, calls, g.b.unansweredShare)
+		if cancels := g.b.unansweredShare > maxUnansweredShare; cancels != (result == TimedOut) {
+			t.Errorf("eight overtaken attempts ended with %d: canceling %v, unanswered share %v, want it only for timeouts",
+				result, cancels, g.b.unansweredShare)
 		}
 	}
 }
@@ -313,7 +316,7 @@
 	for _, share := range []float64{0, 1} {
 		g.b.unansweredShare = share
 		if at, want := g.b.atLimit(h), share == 0; at != want {
-			t.Errorf("with a share of %v that stay silent: at its limit %v, want %v", share, at, want)
+			t.Errorf("with an unanswered share of %v: at its limit %v, want %v", share, at, want)
 		}
 	}
 }
--- a/balancer/retune_test.go
+++ b/balancer/retune_test.go
@@ -8,10 +8,10 @@
 
 // retunedSettings is testSettings with the first class retired and one class more.
 func retunedSettings() Settings {
-	set := testSettings()
-	set.Classes[0].Retired = true
-	set.Classes = append(set.Classes, Class{LatencyObjective: 400 * ms, Deadline: time.Second, PriorityWeight: 1, Idempotency: NonIdempotent})
-	return set
+	settings := testSettings()
+	settings.Classes[0].Retired = true
+	settings.Classes = append(settings.Classes, Class{LatencyObjective: 400 * ms, Deadline: time.Second, PriorityWeight: 1, Idempotency: NonIdempotent})
+	return settings
 }
 
 // Requests under way keep the rules of their class, new ones get the new classes, and what was learnt
@@ -29,23 +29,24 @@
 		t.Fatal(err)
 	}
 	if got := g.b.hosts[0].rtt; got != before || !g.b.classRTT[3].seen || g.b.classRTT[3] != g.b.classRTT[0] {
-		t.Errorf("learnt before: rtt %v, now %v; latency of the class that goes on %v", before, got, g.b.classRTT[3])
+		t.Errorf("RTT %v before, %v after; RTT of the class that continues %v, want both kept",
+			before, got, g.b.classRTT[3])
 	}
-	if acts := g.b.TakeActions(nil); len(acts) > 0 {
-		t.Errorf("it has decided: %v", acts)
+	if actions := g.b.TakeActions(nil); len(actions) > 0 {
+		t.Errorf("actions %v of a retune, want none", actions)
 	}
-	g.attemptEnded(old, 0, Reset, 10*ms) // safe as it came: it may have another
-	if len(g.acts) != 1 || g.acts[0].Kind != Send {
-		t.Errorf("a safe request under way, after a reset: %v", g.acts)
+	g.attemptEnded(old, 0, Reset, 10*ms) // idempotent when it came, so it may be retried
+	if len(g.actions) != 1 || g.actions[0].Kind != Send {
+		t.Errorf("actions %v after a reset of an idempotent request under way, want one Send", g.actions)
 	}
 	strict := g.request(3, time.Second)
 	g.attemptEnded(strict, 0, Reset, 10*ms)
-	if len(g.acts) != 1 || g.acts[0].Kind != Fail {
-		t.Errorf("a non-idempotent one of the new class, after a reset: %v", g.acts)
+	if len(g.actions) != 1 || g.actions[0].Kind != Fail {
+		t.Errorf("actions %v after a reset of a non-idempotent request of the new class, want one Fail", g.actions)
 	}
 	g.attemptEnded(old, 1, OK, 10*ms)
 	if len(g.b.open) != 0 {
-		t.Errorf("%d requests are left", len(g.b.open))
+		t.Errorf("%d requests open at the end, want none", len(g.b.open))
 	}
 }
 
@@ -54,14 +55,14 @@
 	g := newTestGateway(t, testSettings(), testHosts(3)...)
 	id := g.request(0, time.Second)
 	g.attemptEnded(id, 0, Failed, ms)
-	set := testSettings()
-	set.MaxAttempts = 2
-	if err := g.b.Retune(g.now, set, []int{0, 1, 2}); err != nil {
+	settings := testSettings()
+	settings.MaxAttempts = 2
+	if err := g.b.Retune(g.now, settings, []int{0, 1, 2}); err != nil {
 		t.Fatal(err)
 	}
 	g.attemptEnded(id, 1, Failed, ms)
-	if len(g.acts) != 1 || g.acts[0].Kind != Reject {
-		t.Errorf("after the second of two: %v", g.acts)
+	if len(g.actions) != 1 || g.actions[0].Kind != Reject {
+		t.Errorf("actions %v after the second attempt of two, want one Reject", g.actions)
 	}
 }
 
@@ -77,20 +78,20 @@
 	g.b.Request(g.now, Request{ID: g.next, Class: 0, Remaining: time.Second, Duplicate: true})
 	duplicate := g.next
 	g.takeActions()
-	set := retunedSettings()
-	set.Classes[1].PriorityWeight = 9 // not what requests are under: rejected
-	if err := g.b.Retune(g.now, set, []int{0, 1, 2, -1}); err == nil {
-		t.Fatal("rules of a class with requests under way have changed")
+	settings := retunedSettings()
+	settings.Classes[1].PriorityWeight = 9 // the class has open requests
+	if err := g.b.Retune(g.now, settings, []int{0, 1, 2, -1}); err == nil {
+		t.Fatal("Retune that changes the class of open requests: no error, want one")
 	}
 	if err := g.b.Retune(g.now, retunedSettings(), []int{0, 1, 2, -1}); err != nil {
 		t.Fatal(err)
 	}
 	if g.b.queued != len(ids)+1 || len(g.b.open) != len(ids)+1 {
-		t.Fatalf("%d wait, %d are known", g.b.queued, len(g.b.open))
+		t.Fatalf("%d requests queued, %d open, want 6 each", g.b.queued, len(g.b.open))
 	}
 	g.updateEndpoints(ListChanges, testHosts(6)...)
 	var order []RequestID
-	for _, a := range g.acts {
+	for _, a := range g.actions {
 		if a.Kind == Send {
 			order = append(order, a.Request)
 		}
@@ -119,15 +120,15 @@
 		set  Settings
 		from []int
 	}{
-		{"too few origins", testSettings(), []int{0, 1}}, {"an origin that is none", testSettings(), []int{0, 1, 3}},
+		{"too few origins", testSettings(), []int{0, 1}}, {"unknown origin", testSettings(), []int{0, 1, 3}},
 		{"all retired", none, []int{0, 1, 2}}, {"no deadline", late, []int{0, 1, 2}},
 	} {
 		before := g.b.Checkpoint(nil)
 		if err := g.b.Retune(g.now, c.set, c.from); err == nil {
-			t.Errorf("%s: taken", c.name)
+			t.Errorf("%s: no error, want one", c.name)
 		}
 		if !bytes.Equal(before, g.b.Checkpoint(nil)) {
-			t.Errorf("%s: the state has changed", c.name)
+			t.Errorf("%s: the checkpoint has changed, want the same", c.name)
 		}
 	}
 }
@@ -154,13 +155,13 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(before, g.b.Checkpoint(nil)) {
-		t.Error("the state has changed")
+		t.Error("the checkpoint has changed, want the same")
 	}
 	back, err := Restore(testSettings(), g.b.Checkpoint(nil))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Equal(back.Checkpoint(nil), g.b.Checkpoint(nil)) {
-		t.Error("it is restored as another")
+		t.Error("the restored Balancer gives another checkpoint, want the same")
 	}
 }
--- a/balancer/selection_test.go
+++ b/balancer/selection_test.go
@@ -30,10 +30,10 @@
 	}
 	g.b.now += Time(tau * 1e9)
 	if got, want := g.b.estimatedRTT(h), 0.02/math.E; math.Abs(got-want) > 1e-9 {
-		t.Errorf("read one decay later: %v, want %v", got, want)
+		t.Errorf("estimate one decay later: %v, want %v", got, want)
 	}
 	if h.rtt != 0.02 {
-		t.Errorf("reading changed the estimate to %v", h.rtt)
+		t.Errorf("estimate %v after a read, want 0.02 as before", h.rtt)
 	}
 }
 
@@ -41,7 +41,7 @@
 	tests := []struct {
 		result Result
 		took   time.Duration
-		want   float64 // -1: the seed stays
+		want   float64 // -1: the initial estimate stays
 	}{
 		{OK, 300 * ms, 0.3},
 		{Failed, 2 * ms, 0.4}, // the base penalty: one latency objective
@@ -56,9 +56,9 @@
 	for _, tt := range tests {
 		g := newTestGateway(t, testSettings(), testHosts(1)...)
 		h := g.b.hosts[0]
-		seed := h.rtt
+		initial := h.rtt
 		if tt.want < 0 {
-			tt.want = seed
+			tt.want = initial
 		}
 		id := g.request(0, time.Second)
 		g.attemptEnded(id, 0, tt.result, tt.took)
@@ -77,7 +77,7 @@
 	g := newTestGateway(t, testSettings(), testHosts(1)...)
 	g.attemptEnded(g.request(0, time.Second), 0, OK, 0)
 	if got := g.b.estimatedRTT(g.b.hosts[0]); !(got >= 0) {
-		t.Errorf("the estimate is %v", got)
+		t.Errorf("estimate %v after a response in no time, want a number of 0 or more", got)
 	}
 }
 
@@ -88,17 +88,18 @@
 	for i := range list {
 		list[i].Kind = i % 2
 	}
-	set := testSettings()
-	g := newTestGateway(t, set, list...)
+	settings := testSettings()
+	g := newTestGateway(t, settings, list...)
 	if e := g.b.estimatedRTT(g.b.hosts[0]); e != initialRTTShare*0.4 {
-		t.Errorf("estimate %v with nothing known, want the seed", e)
+		t.Errorf("estimate %v without samples, want %v", e, initialRTTShare*0.4)
 	}
 	g.serve(60, 0, func(h HostID) time.Duration { return Time(20+60*(h%2)) * ms })
 	g.updateEndpoints(ListChanges, Host{ID: 11, Kind: 0}, Host{ID: 12, Kind: 1}, Host{ID: 13, Kind: -1})
 	n := len(g.b.hosts)
 	slow, fast, odd := g.b.estimatedRTT(g.b.hosts[n-3]), g.b.estimatedRTT(g.b.hosts[n-2]), g.b.estimatedRTT(g.b.hosts[n-1])
 	if math.Abs(slow-0.08) > 0.02 || math.Abs(fast-0.02) > 0.01 || odd <= fast || odd >= slow {
-		t.Errorf("seeds %v, %v and %v of no known kind, want about 0.08, 0.02 and between", slow, fast, odd)
+		t.Errorf("initial estimates %v, %v, and %v for an unknown kind, want about 0.08, 0.02 and a value between",
+			slow, fast, odd)
 	}
 }
 
@@ -116,7 +117,7 @@
 		}
 	}
 	if x, y := g.b.hosts[0].rtt, g.b.hosts[1].rtt; x > 1.3*y || y > 1.3*x {
-		t.Errorf("estimates %v and %v of two like hosts", x, y)
+		t.Errorf("estimates %v and %v of two equal hosts, want them within 30%%", x, y)
 	}
 }
 
@@ -138,7 +139,7 @@
 		}
 		for range 20 {
 			if got := g.b.pick(&request{class: &g.b.set.Classes[0]}); got != g.b.hosts[tt.wantHost] {
-				t.Errorf("%s: picked host %d", tt.name, got.ID)
+				t.Errorf("%s: picked host %d, want %d", tt.name, got.ID, g.b.hosts[tt.wantHost].ID)
 			}
 		}
 	}
@@ -157,7 +158,7 @@
 	}
 	for id, want := range map[HostID]int{1: 3000, 2: 2000, 3: 1000, 4: 0} {
 		if d := got[id] - want; d > 200 || d < -200 {
-			t.Errorf("host %d picked %d times of 6000, want about %d", id, got[id], want)
+			t.Errorf("host %d picked %d times of 6000, want %d within 200", id, got[id], want)
 		}
 	}
 }
@@ -171,6 +172,6 @@
 		return 20 * ms
 	})
 	if got[3] > 60 || got[1] < 60 || got[2] < 60 {
-		t.Errorf("shares %v, want host 3 under a fifth", got)
+		t.Errorf("requests by host %v, want at most 60 to host 3 and 60 or more to each other", got)
 	}
 }
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestNewRejectsInvalidSettings(t *testing.T) {
-	bad := map[string]func(*Settings){
+	invalid := map[string]func(*Settings){
 		"instances: 0":       func(s *Settings) { s.Instances = 0 },
 		"instances: 1048577": func(s *Settings) { s.Instances = 1<<20 + 1 },
 		"rank: 1":            func(s *Settings) { s.Rank = 1 },
@@ -31,11 +31,11 @@
 		"over-quota worth":   func(s *Settings) { s.OverQuotaWeight = math.NaN() },
 		"tenant 0: quota":    func(s *Settings) { s.Tenants = []Tenant{{Quota: -1}} },
 	}
-	for want, spoil := range bad {
-		set := testSettings()
-		spoil(&set)
-		if b, err := New(set, 1); b != nil || err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: got %v", want, err)
+	for want, change := range invalid {
+		settings := testSettings()
+		change(&settings)
+		if b, err := New(settings, 1); b != nil || err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("error %v, want one that contains %q", err, want)
 		}
 	}
 }
@@ -48,6 +48,7 @@
 	s := b.set
 	if s.MaxAttempts != 3 || s.PollTimeout != 10*time.Second || s.SlowStartShare != 1 || s.OverloadWindow != time.Second ||
 		s.Classes[0].LatencyObjective != time.Second || s.Classes[0].PriorityWeight != 1 {
-		t.Errorf("defaults %+v", s)
+		t.Errorf("settings %+v, want 3 attempts, a poll timeout of 10 s, a slow-start share of 1, an overload window of 1 s,"+
+			" and a latency objective of 1 s and a weight of 1 for the class", s)
 	}
 }
--- a/balancer/silence_test.go
+++ b/balancer/silence_test.go
@@ -11,18 +11,18 @@
 func TestSilentHostIsEjectedUntilItAnswers(t *testing.T) {
 	g := newTestGateway(t, testSettings(), testHosts(3)...)
 	g.serve(60, 0, func(HostID) time.Duration { return 10 * ms })
-	held := g.requestUntilSentTo(1, 10*ms)
+	unanswered := g.requestUntilSentTo(1, 10*ms)
 	g.advance(200 * ms)
 	if got := g.serve(50, 0, func(HostID) time.Duration { return ms }); got[1] != 0 {
-		t.Fatalf("%d sends to the silent host", got[1])
+		t.Fatalf("%d requests sent to the silent host, want 0", got[1])
 	}
-	g.attemptEnded(held, 0, OK, 250*ms) // it only paused
+	g.attemptEnded(unanswered, 0, OK, 250*ms) // it only paused
 	if h := g.b.hosts[0]; h.ejections != 0 {
-		t.Error("still ejected after its answer")
+		t.Errorf("%d ejections after its response, want 0", h.ejections)
 	}
 	g.advance(10 * time.Second) // its one long RTT decays
 	if got := g.serve(300, 0, func(h HostID) time.Duration { return 10 * ms }); got[1] == 0 {
-		t.Error("host got nothing after it answered")
+		t.Error("no requests sent to the host after its response, want some")
 	}
 }
 
@@ -38,7 +38,7 @@
 		g.attemptEnded(id, 0, OK, 10*ms)
 	}
 	if g.b.hosts[0].ejections != 0 {
-		t.Error("ejected")
+		t.Errorf("%d ejections, want 0", g.b.hosts[0].ejections)
 	}
 }
 
@@ -49,45 +49,46 @@
 		g := newTestGateway(t, testSettings(), testHosts(2)...)
 		g.serve(60, 0, func(HostID) time.Duration { return 10 * ms })
 		h := g.b.byID[1]
-		held := g.requestUntilSentTo(1, 10*ms)
+		unanswered := g.requestUntilSentTo(1, 10*ms)
 		g.advance(200 * ms)
 		if h.ejections != 0 || !g.b.suspected(h) {
-			t.Fatalf("ejected %d times, suspected %v", h.ejections, g.b.suspected(h))
+			t.Fatalf("ejected %d times, suspected %v, want 0 and true", h.ejections, g.b.suspected(h))
 		}
 		if got := g.serve(30, 0, func(HostID) time.Duration { return ms }); got[1] != 0 {
-			t.Fatalf("%d sends to it while another is ready", got[1])
+			t.Fatalf("%d requests sent to it while another host is ready, want 0", got[1])
 		}
 		g.b.byID[2].restingUntil = g.now + time.Minute // the other is not ready any more
 		g.b.recheck(g.b.byID[2])
 		g.request(2, time.Second)
-		for _, a := range g.acts {
+		for _, a := range g.actions {
 			if a.Kind == Send {
-				t.Fatal("a non-idempotent request is used to test for silence")
+				t.Fatalf("non-idempotent request sent: %v, want it to wait", a)
 			}
 		}
 		g.advance(300 * ms) // it is rejected
 		id := g.request(0, time.Second)
 		if a := g.onlyAction(Send); a.Host != 1 {
-			t.Fatalf("sent to %d", a.Host)
+			t.Fatalf("sent to host %d, want 1", a.Host)
 		}
-		if g.request(0, time.Second); len(g.acts) > 0 {
-			t.Fatalf("a second one while the host is suspected: %v", g.acts)
+		if g.request(0, time.Second); len(g.actions) > 0 {
+			t.Fatalf("actions %v for a second request while the host is suspected, want none", g.actions)
 		}
 		if answers {
 			g.attemptEnded(id, 0, OK, 10*ms)
 			g.advance(100 * ms)
 			if h.ejections != 0 {
-				t.Error("ejected though it answers others")
+				t.Errorf("%d ejections though it answers others, want 0", h.ejections)
 			}
 		} else {
 			g.advance(200 * ms)
 			if h.ejections == 0 || h.ejectCause != CauseSilent {
-				t.Errorf("two attempts unanswered: ejected %d times, %v", h.ejections, h.ejectCause)
+				t.Errorf("two attempts unanswered: ejected %d times, cause %v, want once or more as silent",
+					h.ejections, h.ejectCause)
 			}
 		}
-		g.attemptEnded(held, 0, OK, 500*ms)
+		g.attemptEnded(unanswered, 0, OK, 500*ms)
 		if h.ejections != 0 {
-			t.Error("still out after its answer")
+			t.Errorf("%d ejections after its response, want 0", h.ejections)
 		}
 	}
 }
@@ -96,23 +97,24 @@
 // 25 is never answered because its connection is silent. Such attempts must not keep their hosts out
 // of use until the deadlines of their clients.
 func TestSilentConnectionsDoNotStarveFleet(t *testing.T) {
-	asked, rejected := 0, 0
-	for seed := range int64(10) { // one alone says little
-		a, r := playSilentConnections(t, seed+1)
-		asked, rejected = asked+a, rejected+r
+	requested, rejected := 0, 0
+	for seed := range int64(10) { // a single run varies too much
+		seedRequested, seedRejected := playSilentConnections(t, seed+1)
+		requested += seedRequested
+		rejected += seedRejected
 	}
-	if float64(rejected) > 0.05*float64(asked) {
-		t.Errorf("%d of %d rejected or failed", rejected, asked)
+	if float64(rejected) > 0.05*float64(requested) {
+		t.Errorf("%d of %d requests rejected or failed, want at most 5%%", rejected, requested)
 	}
-	t.Logf("%d of %d rejected or failed", rejected, asked)
+	t.Logf("%d of %d requests rejected or failed", rejected, requested)
 }
 
 // playSilentConnections plays eight seconds of that load with a random seed, and returns how many
 // requests came and how many of them were rejected or failed.
-func playSilentConnections(t *testing.T, seed int64) (asked, rejected int) {
-	set := testSettings()
-	set.Instances, set.Step = 2, ms
-	set.Classes = []Class{
+func playSilentConnections(t *testing.T, seed int64) (requested, rejected int) {
+	settings := testSettings()
+	settings.Instances, settings.Step = 2, ms
+	settings.Classes = []Class{
 		{LatencyObjective: 380 * ms, Deadline: 1340 * ms, PriorityWeight: 1},
 		{LatencyObjective: 130 * ms, Deadline: 400 * ms, PriorityWeight: 5, Idempotency: NonIdempotent},
 	}
@@ -127,16 +129,16 @@
 	r := rand.New(rand.NewSource(seed))
 	var gws [2]*testGateway
 	for i := range gws {
-		set.Rank = i
-		gws[i] = newTestGateway(t, set, testHosts(10)...)
+		settings.Rank = i
+		gws[i] = newTestGateway(t, settings, testHosts(10)...)
 	}
 	const warm = 1000 // ms
 	var jobs []*job
 	work := map[RequestID]float64{}
 	sends := map[[2]RequestID]int{}
-	var handle func(gw int, acts []Action)
-	handle = func(gw int, acts []Action) {
-		for _, a := range slices.Clone(acts) {
+	var handle func(gw int, actions []Action)
+	handle = func(gw int, actions []Action) {
+		for _, a := range slices.Clone(actions) {
 			switch a.Kind {
 			case Send:
 				key := [2]RequestID{RequestID(gw), a.Request}
@@ -151,7 +153,7 @@
 					if j.gw == gw && j.id == a.Request && j.n == a.Attempt {
 						jobs = slices.Delete(jobs, i, i+1)
 						gws[gw].attemptEnded(j.id, j.n, Canceled, gws[gw].now-j.sent)
-						handle(gw, gws[gw].acts)
+						handle(gw, gws[gw].actions)
 						break
 					}
 				}
@@ -177,7 +179,7 @@
 			}
 			jobs = slices.Delete(jobs, slices.Index(jobs, j), slices.Index(jobs, j)+1)
 			gws[j.gw].attemptEnded(j.id, j.n, OK, gws[j.gw].now-j.sent)
-			handle(j.gw, gws[j.gw].acts)
+			handle(j.gw, gws[j.gw].actions)
 		}
 		for i, g := range gws {
 			handle(i, g.advance(ms))
@@ -186,10 +188,10 @@
 			}
 			class := r.Intn(2)
 			work[g.next+1] = r.ExpFloat64() * 10
-			asked++
+			requested++
 			g.request(class, time.Second)
-			handle(i, g.acts)
+			handle(i, g.actions)
 		}
 	}
-	return asked, rejected
+	return requested, rejected
 }
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -7,9 +7,9 @@
 )
 
 func TestSlowStartPacesWarmingHost(t *testing.T) {
-	set := testSettings()
-	g := newTestGateway(t, set, testHosts(3)...)
-	// Two warm hosts at 50 answers a second each, then the third restarts.
+	settings := testSettings()
+	g := newTestGateway(t, settings, testHosts(3)...)
+	// Two warm hosts at 50 responses a second each, then the third restarts.
 	serve := func(n int) map[HostID]int { return g.serve(n, 0, func(HostID) time.Duration { return 10 * ms }) }
 	serve(600)
 	rate := g.b.warmHostRate.mean
@@ -17,13 +17,13 @@
 	h.Started = g.now
 	g.updateEndpoints(ListChanges, h)
 	got := serve(100) // one second
-	most := rate*set.OverloadFactor*0.4*slowStartMargin + 2
+	most := rate*settings.OverloadFactor*0.4*slowStartMargin + 2
 	if n := float64(got[3]); n > most || n == 0 {
-		t.Errorf("%v sends in the first second at a warm rate of %.0f, want 1 to %.0f", n, rate, most)
+		t.Errorf("%v requests sent in the first second at a warm rate of %.0f, want 1 to %.0f", n, rate, most)
 	}
 	serve(900)
 	if got := serve(300); got[3] < 60 {
-		t.Errorf("shares %v once warm, want a full share", got)
+		t.Errorf("requests by host %v once warm, want 60 or more to host 3", got)
 	}
 }
 
@@ -31,53 +31,54 @@
 func TestSlowStartBudgetHoldsAcrossInstances(t *testing.T) {
 	for _, instances := range []int{1, 30, 300, 1200} {
 		for _, learnt := range []bool{false, true} {
-			set := testSettings()
-			set.Instances = instances
+			settings := testSettings()
+			settings.Instances = instances
 			list := testHosts(max(2, instances/6))
 			starting := list[0].ID
-			users, sends, capacity := 0, 0, 60.0 // a warm host's answers a second
+			users, sends, capacity := 0, 0, 60.0 // responses a second of a warm host
 			for rank := range instances {
-				set.Rank = rank
-				g := newTestGateway(t, set, list...)
+				settings.Rank = rank
+				g := newTestGateway(t, settings, list...)
 				if learnt {
 					g.b.warmHostRate.add(capacity / g.b.sharingInstances())
 				}
 				g.updateEndpoints(ListChanges, Host{ID: starting, Cell: list[0].Cell, Zone: list[0].Zone, Started: g.now})
 				for range 40 { // an overload window, with more requests than the warming host can do
 					id := g.request(0, time.Second)
-					if len(g.acts) == 1 && g.acts[0].Kind == Send {
-						if g.acts[0].Host == starting {
+					if len(g.actions) == 1 && g.actions[0].Kind == Send {
+						if g.actions[0].Host == starting {
 							sends++
 						}
 						g.attemptEnded(id, 0, Full, ms)
 					}
-					g.advance(set.OverloadWindow / 40)
+					g.advance(settings.OverloadWindow / 40)
 				}
 				if g.b.byID[starting].inSubset() {
 					users++
 				}
 			}
 			if users == 0 {
-				t.Errorf("%d instances: none uses the warming host", instances)
+				t.Errorf("%d instances: no subset contains the warming host, want one or more", instances)
 			}
-			if budget := capacity * set.SlowStartShare * set.OverloadFactor; float64(sends) > budget {
-				t.Errorf("%d instances, learnt %v: %d sends in a Fall, budget %.0f", instances, learnt, sends, budget)
+			if budget := capacity * settings.SlowStartShare * settings.OverloadFactor; float64(sends) > budget {
+				t.Errorf("%d instances, learnt %v: %d requests sent in an overload window, want at most %.0f",
+					instances, learnt, sends, budget)
 			}
 		}
 	}
 }
 
 func TestSlowStartBudgetCountsRejectedAttempts(t *testing.T) {
-	set := testSettings()
+	settings := testSettings()
 	list := testHosts(1)
 	list[0].Started = time.Hour - time.Second
-	g := newTestGateway(t, set, list...)
-	g.advance(set.OverloadWindow * 3 / 2)
+	g := newTestGateway(t, settings, list...)
+	g.advance(settings.OverloadWindow * 3 / 2)
 	id := g.request(0, time.Second)
 	g.onlyAction(Send)
 	g.attemptEnded(id, 0, Full, ms)
-	if len(g.acts) != 0 {
-		t.Errorf("sent %v again at once, with nothing learnt of warm hosts", g.acts)
+	if len(g.actions) != 0 {
+		t.Errorf("actions %v at once, want none while no rate of warm hosts is known", g.actions)
 	}
 }
 
@@ -90,7 +91,8 @@
 		g.updateEndpoints(ListFull, Host{ID: 1}, Host{ID: 2, Started: g.now})
 		h := g.b.byID[2]
 		if gap := h.nextSlowStartSend - g.now; gap <= 0 || gap > g.b.set.OverloadWindow*3/2 {
-			t.Errorf("next send to the warming host %v from now after %v, want at most one and a half overload windows", gap, idle)
+			t.Errorf("next send to the warming host %v from now after %v, want at most one and a half overload windows",
+				gap, idle)
 		}
 		g.updateEndpoints(ListFull, Host{ID: 1})
 	}
@@ -108,7 +110,7 @@
 	sends := 0
 	for end := g.now + time.Second; g.now < end; {
 		g.request(0, 500*ms)
-		sent := g.acts
+		sent := g.actions
 		for _, a := range append(append([]Action(nil), sent...), g.advance(10*ms)...) {
 			if a.Kind == Send {
 				sends++
@@ -118,7 +120,7 @@
 	}
 	// A warm host took 100 a second; the budget is 2.5 x 0.3 of that, half used.
 	if sends < 10 || sends > 50 {
-		t.Errorf("%d sends in the first second", sends)
+		t.Errorf("%d requests sent in the first second, want 10 to 50", sends)
 	}
 }
 
@@ -133,21 +135,22 @@
 	g.attemptEnded(id, 0, OK, ms)
 	g.updateEndpoints(ListFull)
 	g.updateEndpoints(ListFull, list...)
-	if g.request(0, time.Second); len(g.acts) != 0 {
-		t.Errorf("sent %v at once after the host returned", g.acts)
+	if g.request(0, time.Second); len(g.actions) != 0 {
+		t.Errorf("actions %v at once after the host returned, want none", g.actions)
 	}
 }
 
 // A zone is lost and returns warming to 80 gateways: what all of them send to each of its hosts stays
 // within the slow-start budget in every overload window, and uses a good part of it.
 func TestSlowStartBudgetHoldsForReturningZone(t *testing.T) {
-	set := testSettings()
-	const gates, n, lost, rate = 80, 60, 20, 20 // requests a second of a gateway
-	list := testHosts(n)
+	settings := testSettings()
+	const gatewayCount, hostCount, lostHosts = 80, 60, 20
+	const rate = 20 // requests a second of a gateway
+	list := testHosts(hostCount)
 	for i := range list {
 		list[i].Zone, list[i].Kind = i%3, 0
 	}
-	f := newGatewayFleet(t, set, gates, list)
+	f := newGatewayFleet(t, settings, gatewayCount, list)
 	r := rand.New(rand.NewSource(9))
 	type answer struct {
 		g    *testGateway
@@ -158,8 +161,8 @@
 	}
 	var out []answer
 	sends := map[HostID][]Time{}
-	take := func(g *testGateway, acts []Action) {
-		for _, a := range acts {
+	noteSends := func(g *testGateway, actions []Action) {
+		for _, a := range actions {
 			if a.Kind == Send {
 				out = append(out, answer{g, a.Request, 0, a.Host, g.now})
 				sends[a.Host] = append(sends[a.Host], g.now)
@@ -180,58 +183,58 @@
 			for _, a := range done {
 				if a.g.now-a.sent >= 20*ms {
 					a.g.attemptEnded(a.id, a.n, OK, 20*ms)
-					take(a.g, a.g.acts)
+					noteSends(a.g, a.g.actions)
 				}
 			}
-			for _, g := range f.gates {
-				take(g, g.advance(step))
+			for _, g := range f.gateways {
+				noteSends(g, g.advance(step))
 				if r.Float64() < rate*step.Seconds() {
 					g.request(0, time.Second)
-					take(g, g.acts)
+					noteSends(g, g.actions)
 				}
 			}
 		}
 	}
 	play(5 * time.Second)
-	var gone, back []Host
+	var removed, returned []Host
 	for _, h := range list {
 		if h.Zone == 0 {
 			h.State = Removed
-			gone = append(gone, h)
+			removed = append(removed, h)
 		}
 	}
-	f.updateEndpoints(gone...)
+	f.updateEndpoints(removed...)
 	play(3 * time.Second)
-	began := f.gates[0].now
-	for _, h := range gone {
+	began := f.gateways[0].now
+	for _, h := range removed {
 		h.State, h.Started = Ready, began
-		back = append(back, h)
+		returned = append(returned, h)
 	}
-	f.updateEndpoints(back...)
+	f.updateEndpoints(returned...)
 	clear(sends)
-	play(set.SlowStartWindow)
-	capacity := float64(gates*rate) / (n - lost) // what a warm host did meanwhile, at least
+	play(settings.SlowStartWindow)
+	capacity := float64(gatewayCount*rate) / (hostCount - lostHosts) // least rate of a warm host meanwhile
 	used, budget := 0.0, 0.0
-	for _, h := range back {
+	for _, h := range returned {
 		times := sends[h.ID]
 		for i := range times {
 			k := i
-			for k < len(times) && times[k] < times[i]+set.OverloadWindow {
+			for k < len(times) && times[k] < times[i]+settings.OverloadWindow {
 				k++
 			}
-			share := set.SlowStartShare + (1-set.SlowStartShare)*float64(times[i]-began)/float64(set.SlowStartWindow)
-			if most := capacity * share * set.OverloadFactor * set.OverloadWindow.Seconds(); float64(k-i) > most {
-				t.Fatalf("host %d: %d sends within a fall, %v after its start, %.0f are its budget",
+			share := settings.SlowStartShare + (1-settings.SlowStartShare)*float64(times[i]-began)/float64(settings.SlowStartWindow)
+			if most := capacity * share * settings.OverloadFactor * settings.OverloadWindow.Seconds(); float64(k-i) > most {
+				t.Fatalf("host %d: %d requests sent within an overload window, %v after its start, want at most %.0f",
 					h.ID, k-i, times[i]-began, most)
 			}
 		}
 		if len(times) == 0 {
-			t.Errorf("host %d gets nothing while it is warming", h.ID)
+			t.Errorf("host %d received nothing while warming, want some requests", h.ID)
 		}
 		used += float64(len(times))
-		budget += capacity * (1 + set.SlowStartShare) / 2 * set.OverloadFactor * set.SlowStartWindow.Seconds()
+		budget += capacity * (1 + settings.SlowStartShare) / 2 * settings.OverloadFactor * settings.SlowStartWindow.Seconds()
 	}
-	if t.Logf("%.0f sends to warming hosts of a budget of %.0f", used, budget); used < 0.15*budget {
-		t.Errorf("%.0f sends to warming hosts, a budget of %.0f: they are left unused", used, budget)
+	if t.Logf("%.0f requests sent to warming hosts of a budget of %.0f", used, budget); used < 0.15*budget {
+		t.Errorf("%.0f requests sent to warming hosts of a budget of %.0f, want 15%% or more", used, budget)
 	}
 }
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -15,9 +15,9 @@
 	}
 	users := map[HostID]int{} // instances that use the host
 	for rank := range instances {
-		set := testSettings()
-		set.Instances, set.Rank = instances, rank
-		g := newTestGateway(t, set, list...)
+		settings := testSettings()
+		settings.Instances, settings.Rank = instances, rank
+		g := newTestGateway(t, settings, list...)
 		kinds := map[int]bool{}
 		got := g.serve(40, 0, func(HostID) time.Duration { return 200 * ms })
 		for h := range got {
@@ -25,7 +25,7 @@
 			kinds[list[h-1].Kind] = true
 		}
 		if len(got) < minSubsetSize || len(got) > n*2/3 {
-			t.Errorf("instance %d uses %d of %d hosts", rank, len(got), n)
+			t.Errorf("instance %d uses %d of %d hosts, want the subset size to two thirds", rank, len(got), n)
 		}
 		if len(kinds) != 3 {
 			t.Errorf("instance %d uses hosts of %d kinds, want 3", rank, len(kinds))
@@ -36,24 +36,24 @@
 		least, most = min(least, users[h.ID]), max(most, users[h.ID])
 	}
 	if most-least > 4 {
-		t.Errorf("hosts are used by %d to %d instances", least, most)
+		t.Errorf("hosts are used by %d to %d instances, want a difference of 4 at most", least, most)
 	}
 }
 
 func TestSubsetIsStableAndClosesHostsThatLeave(t *testing.T) {
-	set := testSettings()
-	set.Instances, set.Rank = 60, 17
+	settings := testSettings()
+	settings.Instances, settings.Rank = 60, 17
 	list := testHosts(30)
-	g := newTestGateway(t, set, list...)
+	g := newTestGateway(t, settings, list...)
 	quick := func(HostID) time.Duration { return 100 * ms }
 	before := g.serve(40, 0, quick)
-	gone := list[:0:0]
+	removed := list[:0:0]
 	for _, h := range list {
-		if before[h.ID] == 0 && len(gone) < 12 {
-			gone = append(gone, Host{ID: h.ID, State: Removed})
+		if before[h.ID] == 0 && len(removed) < 12 {
+			removed = append(removed, Host{ID: h.ID, State: Removed})
 		}
 	}
-	g.updateEndpoints(ListChanges, gone...)
+	g.updateEndpoints(ListChanges, removed...)
 	g.closed = nil
 	after := g.serve(5, 0, quick)
 	moved := 0
@@ -63,12 +63,12 @@
 		}
 	}
 	if moved > 1 {
-		t.Errorf("%d hosts are new after a list change that took no host of the subset, one may move at a time", moved)
+		t.Errorf("%d new hosts after a list change that removed none of the subset, want 1 at most", moved)
 	}
-	g.serve(100, 0, quick) // long enough to move nearer on the ring, one host at a time
+	g.serve(100, 0, quick) // long enough for the subset to settle, one host at a time
 	for _, h := range g.closed {
 		if before[h] == 0 {
-			t.Errorf("closed host %d, which was not in the subset", h)
+			t.Errorf("closed connections of host %d, want only hosts of the subset", h)
 		}
 	}
 	if n := len(g.b.sets[setSubset].list); n != g.b.subsetSize() {
@@ -79,37 +79,37 @@
 	g.updateEndpoints(ListChanges, Host{ID: left.ID, State: Draining})
 	g.serve(5, 0, quick)
 	if len(g.closed) == 0 || g.closed[0] != left.ID || left.inSubset() {
-		t.Errorf("closed %v, want first the drained host %d", g.closed, left.ID)
+		t.Errorf("closed %v, want the draining host %d first", g.closed, left.ID)
 	}
 }
 
 func TestSubsetOfBusyInstanceIsWholeList(t *testing.T) {
-	set := testSettings()
-	set.Instances = 60
-	g := newTestGateway(t, set, testHosts(12)...)
+	settings := testSettings()
+	settings.Instances = 60
+	g := newTestGateway(t, settings, testHosts(12)...)
 	if got := g.serve(400, 0, func(HostID) time.Duration { return 10 * ms }); len(got) != 12 {
-		t.Errorf("it uses %d of 12 hosts", len(got))
+		t.Errorf("%d of 12 hosts in use, want all", len(got))
 	}
 }
 
 // Six in ten hosts are replaced by starting ones while 80 gateways use them, as in a release: draining
 // hosts must not skew the shares of the hosts that follow them on the ring.
 func TestSubsetsShareHostsEvenlyDuringRollingReplacement(t *testing.T) {
-	set := testSettings()
-	set.SlowStartWindow = 9 * time.Second
-	const gates, n = 80, 60
-	list := testHosts(n)
-	f := newGatewayFleet(t, set, gates, list)
+	settings := testSettings()
+	settings.SlowStartWindow = 9 * time.Second
+	const gatewayCount, hostCount = 80, 60
+	list := testHosts(hostCount)
+	f := newGatewayFleet(t, settings, gatewayCount, list)
 	check := func(when string, ids []Host, even float64) {
 		t.Helper()
 		got := f.shared()
 		for _, h := range ids {
 			if x := float64(got[h.ID]); x < 1 || x > 2*even {
-				t.Errorf("%s: %v gateways use host %d, an even share is %.1f", when, x, h.ID, even)
+				t.Errorf("%s: %v gateways use host %d, want 1 to twice the even share of %.1f", when, x, h.ID, even)
 			}
 		}
 	}
-	for _, g := range f.gates {
+	for _, g := range f.gateways {
 		g.b.refreshSubset()
 	}
 	check("at first", list, minSharingInstances)
@@ -121,93 +121,93 @@
 		}
 		f.updateEndpoints(old...)
 		f.advance(time.Second)
-		warm := max(minSubsetSize, float64(minSharingInstances*len(left))/gates)
-		check("draining", left, gates*warm/float64(len(left)))
+		warm := max(minSubsetSize, float64(minSharingInstances*len(left))/gatewayCount)
+		check("draining", left, gatewayCount*warm/float64(len(left)))
 		var changes []Host
 		for i := range old {
 			old[i].State = Removed
 			changes = append(changes, old[i], Host{
-				ID: 1000 + old[i].ID, Zone: old[i].Zone, Cell: old[i].Cell, Started: f.gates[0].now,
+				ID: 1000 + old[i].ID, Zone: old[i].Zone, Cell: old[i].Cell, Started: f.gateways[0].now,
 			})
 			started = append(started, changes[len(changes)-1])
 			if i%6 == 5 { // some at a time
 				f.updateEndpoints(changes...)
 				changes = nil
 				f.advance(200 * time.Millisecond)
-				check("new ones start", started, gates*warm/float64(len(left)))
+				check("new ones start", started, gatewayCount*warm/float64(len(left)))
 			}
 		}
 		f.advance(time.Second)
-		check("replaced, warm", left, gates*warm/float64(len(left)))
-		check("replaced, warming", started, gates*warm/float64(len(left)))
+		check("replaced, warm", left, gatewayCount*warm/float64(len(left)))
+		check("replaced, warming", started, gatewayCount*warm/float64(len(left)))
 	}
-	f.advance(2 * set.SlowStartWindow)
+	f.advance(2 * settings.SlowStartWindow)
 	check("all warm", append(started, list[36:]...), minSharingInstances)
 }
 
 // Most of 80 gateways restart within a second during a release, each with its own outdated list: their
 // subsets stay spread over the hosts, and their first polls over the poll timeout.
 func TestRestartedGatewaysSpreadSubsetsAndPolls(t *testing.T) {
-	set := testSettings()
-	set.Poll, set.PollTimeout = true, 10*time.Second
-	const gates, n, least = 80, 60, 56
+	settings := testSettings()
+	settings.Poll, settings.PollTimeout = true, 10*time.Second
+	const gatewayCount, hostCount, restarted = 80, 60, 56
 	r := rand.New(rand.NewSource(5))
 	f := &gatewayFleet{t: t}
-	calls := map[Time]int{} // by second
-	set.Instances = gates
+	polls := map[Time]int{} // by second
+	settings.Instances = gatewayCount
 	began := Time(time.Hour)
-	for rank := range gates {
-		set.Rank = rank
-		old := testHosts(n)
-		for range 4 { // as others knew it: some were not there, some drained
-			old[r.Intn(n)].State = Draining
+	for rank := range gatewayCount {
+		settings.Rank = rank
+		old := testHosts(hostCount)
+		for range 4 { // an outdated list: some hosts are draining, the first ones are missing
+			old[r.Intn(hostCount)].State = Draining
 		}
 		old = old[r.Intn(3):]
-		b, err := New(set, uint64(rank))
+		b, err := New(settings, uint64(rank))
 		if err != nil {
 			t.Fatal(err)
 		}
 		g := &testGateway{T: t, b: b, now: began + Time(r.Intn(1000))*ms}
-		if rank >= least {
+		if rank >= restarted {
 			g.now = began
 		}
 		b.Start(g.now)
 		g.updateEndpoints(ListSaved, old...)
 		g.b.refreshSubset()
-		f.gates = append(f.gates, g)
+		f.gateways = append(f.gateways, g)
 	}
 	for h, x := range f.shared() {
 		if x > 3*minSharingInstances {
-			t.Errorf("%d gateways use host %d", x, h)
+			t.Errorf("%d gateways use host %d, want at most %d", x, h, 3*minSharingInstances)
 		}
 	}
-	for _, g := range f.gates {
-		for range 100 { // discovery is overbooked: each call fails
+	for _, g := range f.gateways {
+		for range 100 { // each poll fails
 			at := g.now
 			for _, a := range g.advance(100 * ms) {
 				if a.Kind == Poll {
-					calls[at/Time(time.Second)]++
+					polls[at/Time(time.Second)]++
 					g.updateEndpoints(ListFailed)
 				}
 			}
 		}
 	}
 	total := 0
-	for at, c := range calls {
-		most, second := gates, int(at-began/Time(time.Second))
+	for at, c := range polls {
+		most, second := gatewayCount, int(at-began/Time(time.Second))
 		if second >= 5 {
-			most = gates / 2 // they ask ever more seldom
+			most = gatewayCount / 2 // backoff
 		}
 		if total += c; c > most {
-			t.Errorf("%d calls for the list in second %d of %d gateways", c, second, gates)
+			t.Errorf("%d polls in second %d, want at most %d", c, second, most)
 		}
 	}
-	if total < gates || total > 10*gates {
-		t.Errorf("%d calls in 10 s", total)
+	if total < gatewayCount || total > 10*gatewayCount {
+		t.Errorf("%d polls in 10 s, want %d to %d", total, gatewayCount, 10*gatewayCount)
 	}
-	for i := range f.gates { // and the old list stands
+	for i := range f.gateways { // the old list stays in use
 		if got := f.subset(i); len(got) < minSubsetSize {
-			t.Errorf("gateway %d uses %d hosts", i, len(got))
+			t.Errorf("gateway %d uses %d hosts, want %v or more", i, len(got), minSubsetSize)
 		}
 	}
 }
@@ -217,47 +217,49 @@
 // a fleet of 1, of 80 and of 500.
 func TestSubsetChangesAboutAsManyHostsAsAreReplaced(t *testing.T) {
 	for _, c := range []struct {
-		gates, n int
-		most     float64
+		gateways, hosts int
+		most            float64
 	}{{1, 12, 0.1}, {80, 60, 0.35}, {500, 120, 0.5}} {
-		list := testHosts(c.n)
-		f := newGatewayFleet(t, testSettings(), c.gates, list)
-		for _, g := range f.gates {
+		list := testHosts(c.hosts)
+		f := newGatewayFleet(t, testSettings(), c.gateways, list)
+		for _, g := range f.gateways {
 			g.b.refreshSubset()
 		}
 		var before []map[HostID]bool
-		for i := range f.gates {
+		for i := range f.gateways {
 			before = append(before, f.subset(i))
 		}
 		var changes []Host
-		for i := range c.n / 10 { // one in ten, at once and warm
+		for i := range c.hosts / 10 { // one in ten, at once and warm
 			old := list[i*10]
 			old.State = Removed
 			changes = append(changes, old, Host{ID: 5000 + old.ID, Zone: old.Zone, Cell: old.Cell})
 		}
 		f.updateEndpoints(changes...)
 		f.advance(20 * time.Second)
-		held, changed := 0, 0
+		total, changed := 0, 0
 		for i, old := range before {
 			now := f.subset(i)
 			for h := range old {
-				held++
+				total++
 				if !now[h] {
 					changed++
 				}
 			}
 		}
-		if share := float64(changed) / float64(held); share > c.most {
-			t.Errorf("%d gateways: %.2f of the hosts drawn from have changed, 0.1 were replaced", c.gates, share)
+		if share := float64(changed) / float64(total); share > c.most {
+			t.Errorf("%d gateways: %.2f of a subset has changed after 0.1 were replaced, want at most %.2f",
+				c.gateways, share, c.most)
 		}
 		got := f.shared()
-		for _, h := range f.gates[0].b.hosts {
-			if x := got[h.ID]; x < 1 || x > max(c.gates, 3*minSharingInstances) {
-				t.Errorf("%d gateways: %d use host %d", c.gates, x, h.ID)
+		for _, h := range f.gateways[0].b.hosts {
+			if x := got[h.ID]; x < 1 || x > max(c.gateways, 3*minSharingInstances) {
+				t.Errorf("%d gateways: %d use host %d, want 1 to %d",
+					c.gateways, x, h.ID, max(c.gateways, 3*minSharingInstances))
 			}
 		}
-		if c.gates == 1 && len(f.subset(0)) != c.n {
-			t.Errorf("a gateway alone uses %d of %d hosts", len(f.subset(0)), c.n)
+		if c.gateways == 1 && len(f.subset(0)) != c.hosts {
+			t.Errorf("the only gateway uses %d of %d hosts, want all", len(f.subset(0)), c.hosts)
 		}
 	}
 }
--- a/balancer/view_test.go
+++ b/balancer/view_test.go
@@ -9,32 +9,32 @@
 	g := newTestGateway(t, testSettings(), testHosts(3)...)
 	g.b.refreshSubset()
 	if usable, ready := g.b.Usable(); usable != 3 || ready != 3 {
-		t.Errorf("%d of %d can be used", usable, ready)
+		t.Errorf("%d of %d hosts usable, want 3 of 3", usable, ready)
 	}
 	g.b.eject(g.b.byID[1], CauseSilent)
 	g.b.recheck(g.b.byID[1])
-	// It counts until it has answered, also beyond its ejection.
+	// It counts as ejected until it has answered, even after the ejection ends.
 	g.b.now = g.b.byID[1].ejectedUntil + 1
 	g.b.recheck(g.b.byID[1])
 	if usable, ready := g.b.Usable(); usable != 2 || ready != 3 {
-		t.Errorf("after an ejection %d of %d can be used", usable, ready)
+		t.Errorf("after an ejection %d of %d hosts usable, want 2 of 3", usable, ready)
 	}
 	if back, err := Restore(g.b.set, g.b.Checkpoint(nil)); err != nil {
 		t.Error(err)
 	} else if usable, ready := back.Usable(); usable != 2 || ready != 3 {
-		t.Errorf("restored, %d of %d can be used", usable, ready)
+		t.Errorf("restored, %d of %d hosts usable, want 2 of 3", usable, ready)
 	}
 	g.b.now = g.now
 	g.b.byID[2].restingUntil = g.now + ms
 	views := g.b.Views(nil)
-	var held []string
+	var unavailable []string
 	for i := range views {
-		held = append(held, views[i].Unavailable(g.now))
+		unavailable = append(unavailable, views[i].Unavailable(g.now))
 	}
-	if !slices.Equal(held, []string{"ejected", "resting", ""}) && !slices.Equal(held, []string{"not drawn", "not drawn", "not drawn"}) {
-		t.Errorf("held: %q", held)
+	if !slices.Equal(unavailable, []string{"ejected", "resting", ""}) && !slices.Equal(unavailable, []string{"not drawn", "not drawn", "not drawn"}) {
+		t.Errorf("unavailable %q, want ejected, resting and a usable host, or none drawn", unavailable)
 	}
 	if views[0].Cause != CauseSilent || views[0].Ejections != 1 || views[0].Host != 1 {
-		t.Errorf("view of an ejected host: %+v", views[0])
+		t.Errorf("view of an ejected host %+v, want host 1 silent with one ejection", views[0])
 	}
 }
