--- a/internal/overload/delays_test.go
+++ b/internal/overload/delays_test.go
@@ -7,45 +7,47 @@
 	"time"
 )
 
-// Quantiles of what was counted are those of the list of it, to within an eighth above: it
-// guards against a bucket that takes what belongs to its neighbour.
-func TestDelaysTellQuantiles(t *testing.T) {
+// A quantile is at most an eighth above that of the list of values: no bucket takes a value of its
+// neighbour.
+func TestDelaysQuantileIsAtMostAnEighthAbove(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	for _, most := range []int64{6, 100, 1e6, 1e12} {
+	for _, limit := range []int64{6, 100, 1e6, 1e12} {
 		var h Delays
-		var all []time.Duration
+		var values []time.Duration
 		for range 5000 {
-			d := time.Duration(rng.Int64N(most))
+			d := time.Duration(rng.Int64N(limit))
 			h.Add(d)
-			all = append(all, d)
+			values = append(values, d)
 		}
-		slices.Sort(all)
+		slices.Sort(values)
 		for _, q := range []float64{0, 0.5, 0.9, 0.99, 1} {
-			want := all[max(int(q*float64(len(all)))-1, 0)]
+			want := values[max(int(q*float64(len(values)))-1, 0)]
 			if got := h.Quantile(q); got < want || got > want+want/8 {
-				t.Errorf("up to %d, quantile %v: %d, want %d to %d", most, q, got, want, want+want/8)
+				t.Errorf("values up to %d: quantile %v is %d, want %d to %d", limit, q, got, want, want+want/8)
 			}
 		}
-		if h.Max() != all[len(all)-1] {
-			t.Errorf("up to %d: most %d, want %d", most, h.Max(), all[len(all)-1])
+		if h.Max() != values[len(values)-1] {
+			t.Errorf("values up to %d: maximum %d, want %d", limit, h.Max(), values[len(values)-1])
 		}
 	}
 }
 
-// What is out of bounds is counted at them.
-func TestDelaysBounds(t *testing.T) {
+// Values out of range count as the nearest bound.
+func TestDelaysClampValuesOutOfRange(t *testing.T) {
 	var h Delays
 	if h.Quantile(0.99) != 0 || h.Max() != 0 {
-		t.Error("none were counted, and yet there is a quantile")
+		t.Errorf("without values: quantile %v, maximum %v, want 0 each", h.Quantile(0.99), h.Max())
 	}
 	h.Add(-time.Second)
 	h.Add(1 << 62)
 	if low, high := h.Quantile(0.5), h.Quantile(1); low != 0 || high != 1<<delayBits-1 || h.Max() != 1<<62 {
-		t.Errorf("%v, %v, %v", low, high, h.Max())
+		t.Errorf("quantiles %v and %v, maximum %v, want 0, %v and %v",
+			low, high, h.Max(), time.Duration(1<<delayBits-1), time.Duration(1<<62))
 	}
 	for d := time.Duration(1); d < 1<<delayBits; d += d/9 + 1 {
 		if i := bucket(d); upper(i) < d || i > 0 && upper(i-1) >= d {
-			t.Fatalf("%d is in bucket %d, up to %d", d, i, upper(i))
+			t.Fatalf("%d is in bucket %d with the upper bound %d, want the lowest bucket that holds it",
+				d, i, upper(i))
 		}
 	}
 }
