--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -75,7 +75,7 @@
 		t.Fatalf("logs %q, want only that of the first ejection", g.logs)
 	}
 	g.b.now += logInterval
-	g.b.eject(g.b.hosts[20], CauseConnections)
+	g.b.eject(g.b.hosts[20], CauseConnectionsFailed)
 	g.takeActions()
 	if want := "host 15 ejected: connections fail (9 more such lines held back)"; g.logs[1] != want {
 		t.Errorf("log %q, want %q", g.logs[1], want)
@@ -144,7 +144,7 @@
 		lines = append(lines, strings.TrimSuffix(m[1], "%s"))
 	}
 	for _, m := range regexp.MustCompile(`b\.eject\(h, (Cause\w+)`).FindAllStringSubmatch(code, -1) {
-		name, ok := map[string]Cause{"CauseConnections": CauseConnections, "CauseSilent": CauseSilent}[m[1]]
+		name, ok := map[string]Cause{"CauseConnectionsFailed": CauseConnectionsFailed, "CauseSilent": CauseSilent}[m[1]]
 		if !ok {
 			t.Errorf("%s: the page is not checked for it", m[1])
 		}
--- a/balancer/hostset_test.go
+++ b/balancer/hostset_test.go
@@ -21,7 +21,7 @@
 		case b.ejected(h):
 			listed++
 			out++
-			if h.ejectCause == CauseConnections {
+			if h.ejectCause == CauseConnectionsFailed {
 				broken++
 			}
 		default:
@@ -34,7 +34,7 @@
 	for _, h := range from {
 		switch {
 		case listed == 0 && excluded > 0 && open(h),
-			2*out > listed && b.ejected(h) && !b.excludedFor(h, class) && open(h) && (h.ejectCause != CauseConnections || broken == listed):
+			2*out > listed && b.ejected(h) && !b.excludedFor(h, class) && open(h) && (h.ejectCause != CauseConnectionsFailed || broken == listed):
 			ready = append(ready, h)
 		}
 	}
@@ -170,7 +170,7 @@
 	}
 	checkHostSets(t, g.b) // all ejected: fail open
 	for _, h := range g.b.hosts {
-		h.ejectCause = CauseConnections
+		h.ejectCause = CauseConnectionsFailed
 		g.b.recheck(h)
 	}
 	checkHostSets(t, g.b)
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -47,7 +47,7 @@
 		g.b.rng = seed
 		h := g.b.byID[1]
 		g.b.HealthCheckPassed(g.now, 1, ms)
-		if g.b.eject(h, CauseConnections); h.ejectedUntil <= g.now+20*ms {
+		if g.b.eject(h, CauseConnectionsFailed); h.ejectedUntil <= g.now+20*ms {
 			t.Fatalf("ejected for %v, want more than the 20 ms of a health check", h.ejectedUntil-g.now)
 		}
 		g.b.HealthCheckPassed(g.now, 1, 20*ms)
@@ -57,14 +57,14 @@
 		}
 		at = append(at, h.ejectedUntil-g.now)
 		g.now = h.ejectedUntil
-		g.b.eject(h, CauseConnections)
+		g.b.eject(h, CauseConnectionsFailed)
 		until := h.ejectedUntil
 		if g.b.HealthCheckPassed(g.now, 1, 20*ms); h.ejectedUntil != until {
 			t.Fatalf("ejected until %v after a second health check, want %v as before, since the first was wrong",
 				h.ejectedUntil, until)
 		}
 		g.b.readmit(h)
-		g.b.eject(h, CauseConnections)
+		g.b.eject(h, CauseConnectionsFailed)
 		if g.b.HealthCheckPassed(g.now, 1, 20*ms); h.ejectedUntil > g.now+20*ms {
 			t.Fatalf("ejected for %v after a health check, want at most 20 ms, since the host has answered",
 				h.ejectedUntil-g.now)
@@ -91,22 +91,22 @@
 	}
 }
 
-// A spoilt response comes from a host that works: it adds a penalty only from the second in a row on,
+// A invalid response comes from a host that works: it adds a penalty only from the second in a row on,
 // and ejects nothing.
-func TestSecondSpoiltResponseInARowAddsPenalty(t *testing.T) {
+func TestSecondInvalidResponseInARowAddsPenalty(t *testing.T) {
 	g := newTestGateway(t, testSettings(), testHosts(1)...)
 	h := g.b.hosts[0]
 	id := g.request(2, time.Second)
-	g.attemptEnded(id, 0, Spoilt, 5*ms)
+	g.attemptEnded(id, 0, InvalidResponse, 5*ms)
 	if got := g.onlyAction(Fail).Request; got != id { // it may have run
 		t.Errorf("request %d failed, want %d", got, id)
 	}
 	if got := g.b.estimatedRTT(h); got > 0.1 || g.b.ejected(h) { // the initial estimate
-		t.Errorf("estimate %v, ejected %v after one spoilt response, want the initial estimate and no ejection",
+		t.Errorf("estimate %v, ejected %v after one invalid response, want the initial estimate and no ejection",
 			got, g.b.ejected(h))
 	}
 	id = g.request(0, time.Second)
-	g.attemptEnded(id, 0, Spoilt, 5*ms)
+	g.attemptEnded(id, 0, InvalidResponse, 5*ms)
 	if got := g.onlyAction(Send).Request; got != id {
 		t.Errorf("request %d sent again, want the idempotent %d", got, id)
 	}
@@ -203,16 +203,16 @@
 func TestFailOpenSkipsHostsWithFailingConnections(t *testing.T) {
 	g := newTestGateway(t, testSettings(), testHosts(6)...)
 	for id := HostID(1); id <= 4; id++ {
-		g.b.eject(g.b.byID[id], CauseConnections)
+		g.b.eject(g.b.byID[id], CauseConnectionsFailed)
 	}
 	g.b.eject(g.b.byID[5], CauseSilent)
 	got := g.serve(40, 0, func(HostID) time.Duration { return ms })
 	if got[5] == 0 || got[6] == 0 || got[1]+got[2]+got[3]+got[4] != 0 {
 		t.Errorf("requests sent by host: %v, want some to 5 and 6 and none to others", got)
 	}
-	g.b.eject(g.b.byID[5], CauseConnections)
-	g.b.byID[5].ejectCause = CauseConnections
-	g.b.eject(g.b.byID[6], CauseConnections)
+	g.b.eject(g.b.byID[5], CauseConnectionsFailed)
+	g.b.byID[5].ejectCause = CauseConnectionsFailed
+	g.b.eject(g.b.byID[6], CauseConnectionsFailed)
 	g.request(0, time.Second)
 	g.onlyAction(Send) // connections fail everywhere, so the fault may be the path
 }
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -158,7 +158,7 @@
 			t.Fatalf("%d gateways: actions %v at once, want none", gateways, g.actions)
 		}
 		early, then := g.advance(want-ms), g.advance(settings.Classes[0].LatencyObjective/8)
-		if len(early) > 0 || len(then) != 1 || then[0].Kind != Reject || then[0].Cause != CauseWait {
+		if len(early) > 0 || len(then) != 1 || then[0].Kind != Reject || then[0].Cause != CauseQueueTimeout {
 			t.Errorf("%d gateways: actions %v before %v and %v after, want one rejection after",
 				gateways, early, want, then)
 		}
@@ -189,7 +189,7 @@
 			continue
 		}
 		answers++
-		if class, ok := sent[a.Request]; !ok || (class == 0) != (a.Kind == Reject) || a.Cause != CauseDeadline {
+		if class, ok := sent[a.Request]; !ok || (class == 0) != (a.Kind == Reject) || a.Cause != CauseDeadlineExceeded {
 			t.Errorf("request %d of class %d: %+v, want a rejection of class 0 and a failure of others, at the deadline",
 				a.Request, class, a)
 		}
--- a/cmd/dunemoorctl/flight.go
+++ b/cmd/dunemoorctl/flight.go
@@ -114,12 +114,12 @@
 				fmt.Fprintf(out, "missing: %s\n", l)
 			}
 			fmt.Fprintf(out, "%d sessions, %d events, %d actions alike, %d checkpoints agree, %d events skipped\n",
-				rep.Sessions, rep.Events, rep.Actions, rep.Checked, rep.Skipped)
-			if rep.Foreign > 0 {
-				fmt.Fprintf(out, "%d checkpoints are of another build: %s\n", rep.Foreign, rep.ForeignWhy)
+				rep.Sessions, rep.Events, rep.Actions, rep.Checked, rep.SkippedEvents)
+			if rep.ForeignCheckpoints > 0 {
+				fmt.Fprintf(out, "%d checkpoints are of another build: %s\n", rep.ForeignCheckpoints, rep.ForeignWhy)
 			}
-			if rep.First != nil {
-				fmt.Fprintf(out, "first difference: %v\n", rep.First)
+			if rep.Divergence != nil {
+				fmt.Fprintf(out, "first difference: %v\n", rep.Divergence)
 				return errDiffers
 			}
 			return nil
@@ -133,7 +133,7 @@
 		Short: "Play the recorded arrivals against hosts modelled on the recording, with this build's module",
 		Long: "Play the recorded arrivals against hosts modelled on the recording, with this build's module.\n\n" +
 			"To judge a change, try the same file with the builds before and after it. The model is simple\n" +
-			"(docs/design/flight.md), so compare tries with one another rather than with what was recorded.",
+			"(docs/design/flightrecorder.md), so compare tries with one another rather than with what was recorded.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			in, err := os.Open(args[0])
 			if err != nil {
