--- a/balancer/retune_test.go
+++ b/balancer/retune_test.go
@@ -6,69 +6,70 @@
 	"time"
 )
 
-// retuned is basic with a class more, and the first retired.
-func retuned() Settings {
-	set := basic()
-	set.Classes[0].Retired = true
-	set.Classes = append(set.Classes, Class{LatencyObjective: 400 * ms, Deadline: time.Second, PriorityWeight: 1, Idempotency: NonIdempotent})
-	return set
+// retunedSettings is testSettings with the first class retired and one class more.
+func retunedSettings() Settings {
+	settings := testSettings()
+	settings.Classes[0].Retired = true
+	settings.Classes = append(settings.Classes, Class{LatencyObjective: 400 * ms, Deadline: time.Second, PriorityWeight: 1, Idempotency: NonIdempotent})
+	return settings
 }
 
-// A request under way keeps what it came under, new ones are of the new classes, and what was
-// learnt of the hosts stays.
-func TestRetune(t *testing.T) {
-	g := start(t, basic(), hosts(3)...)
+// Requests under way keep the rules of their class, new ones get the new classes, and what was learnt
+// of the hosts stays.
+func TestRetuneKeepsRequestsAndLearntState(t *testing.T) {
+	g := newTestGateway(t, testSettings(), testHosts(3)...)
 	for range 50 {
 		id := g.request(0, time.Second)
 		g.now += 10 * ms
-		g.outcome(id, 0, OK, 10*ms)
+		g.attemptEnded(id, 0, OK, 10*ms)
 	}
 	before := g.b.hosts[0].rtt
 	old := g.request(0, time.Second)
-	if err := g.b.Retune(g.now, retuned(), []int{0, 1, 2, 0}); err != nil {
+	if err := g.b.Retune(g.now, retunedSettings(), []int{0, 1, 2, 0}); err != nil {
 		t.Fatal(err)
 	}
 	if got := g.b.hosts[0].rtt; got != before || !g.b.classRTT[3].seen || g.b.classRTT[3] != g.b.classRTT[0] {
-		t.Errorf("learnt before: rtt %v, now %v; latency of the class that goes on %v", before, got, g.b.classRTT[3])
+		t.Errorf("RTT %v before, %v after; RTT of the class that continues %v, want both kept",
+			before, got, g.b.classRTT[3])
 	}
-	if acts := g.b.TakeActions(nil); len(acts) > 0 {
-		t.Errorf("it has decided: %v", acts)
+	if actions := g.b.TakeActions(nil); len(actions) > 0 {
+		t.Errorf("actions %v of a retune, want none", actions)
 	}
-	g.outcome(old, 0, Reset, 10*ms) // safe as it came: it may have another
-	if len(g.acts) != 1 || g.acts[0].Kind != Send {
-		t.Errorf("a safe request under way, after a reset: %v", g.acts)
+	g.attemptEnded(old, 0, Reset, 10*ms) // idempotent when it came, so it may be retried
+	if len(g.actions) != 1 || g.actions[0].Kind != Send {
+		t.Errorf("actions %v after a reset of an idempotent request under way, want one Send", g.actions)
 	}
 	strict := g.request(3, time.Second)
-	g.outcome(strict, 0, Reset, 10*ms)
-	if len(g.acts) != 1 || g.acts[0].Kind != Fail {
-		t.Errorf("a non-idempotent one of the new class, after a reset: %v", g.acts)
+	g.attemptEnded(strict, 0, Reset, 10*ms)
+	if len(g.actions) != 1 || g.actions[0].Kind != Fail {
+		t.Errorf("actions %v after a reset of a non-idempotent request of the new class, want one Fail", g.actions)
 	}
-	g.outcome(old, 1, OK, 10*ms)
+	g.attemptEnded(old, 1, OK, 10*ms)
 	if len(g.b.open) != 0 {
-		t.Errorf("%d requests are left", len(g.b.open))
+		t.Errorf("%d requests open at the end, want none", len(g.b.open))
 	}
 }
 
-// Fewer attempts hold for requests under way too.
-func TestRetuneLowersAttempts(t *testing.T) {
-	g := start(t, basic(), hosts(3)...)
+// Fewer attempts apply to requests under way too.
+func TestRetuneLowersMaxAttempts(t *testing.T) {
+	g := newTestGateway(t, testSettings(), testHosts(3)...)
 	id := g.request(0, time.Second)
-	g.outcome(id, 0, Failed, ms)
-	set := basic()
-	set.MaxAttempts = 2
-	if err := g.b.Retune(g.now, set, []int{0, 1, 2}); err != nil {
+	g.attemptEnded(id, 0, Failed, ms)
+	settings := testSettings()
+	settings.MaxAttempts = 2
+	if err := g.b.Retune(g.now, settings, []int{0, 1, 2}); err != nil {
 		t.Fatal(err)
 	}
-	g.outcome(id, 1, Failed, ms)
-	if len(g.acts) != 1 || g.acts[0].Kind != Reject {
-		t.Errorf("after the second of two: %v", g.acts)
+	g.attemptEnded(id, 1, Failed, ms)
+	if len(g.actions) != 1 || g.actions[0].Kind != Reject {
+		t.Errorf("actions %v after the second attempt of two, want one Reject", g.actions)
 	}
 }
 
-// What waits is served in the order of the new weights, within a queue as it came, and duplicates
-// stay behind first attempts: it guards against requests lost between two sets of queues.
-func TestRetuneKeepsWhatWaits(t *testing.T) {
-	g := start(t, basic())
+// Queued requests are served in the order of the new weights, in order of arrival within a queue, and
+// duplicates stay behind first attempts: none is lost between the old queues and the new ones.
+func TestRetuneKeepsQueuedRequests(t *testing.T) {
+	g := newTestGateway(t, testSettings())
 	var ids []RequestID
 	for _, class := range []int{0, 1, 2, 0, 2} {
 		ids = append(ids, g.request(class, time.Second))
@@ -76,21 +77,21 @@
 	g.next++
 	g.b.Request(g.now, Request{ID: g.next, Class: 0, Remaining: time.Second, Duplicate: true})
 	duplicate := g.next
-	g.drain()
-	set := retuned()
-	set.Classes[1].PriorityWeight = 9 // not what requests are under: rejected
-	if err := g.b.Retune(g.now, set, []int{0, 1, 2, -1}); err == nil {
-		t.Fatal("rules of a class with requests under way have changed")
+	g.takeActions()
+	settings := retunedSettings()
+	settings.Classes[1].PriorityWeight = 9 // the class has open requests
+	if err := g.b.Retune(g.now, settings, []int{0, 1, 2, -1}); err == nil {
+		t.Fatal("Retune that changes the class of open requests: no error, want one")
 	}
-	if err := g.b.Retune(g.now, retuned(), []int{0, 1, 2, -1}); err != nil {
+	if err := g.b.Retune(g.now, retunedSettings(), []int{0, 1, 2, -1}); err != nil {
 		t.Fatal(err)
 	}
 	if g.b.queued != len(ids)+1 || len(g.b.open) != len(ids)+1 {
-		t.Fatalf("%d wait, %d are known", g.b.queued, len(g.b.open))
+		t.Fatalf("%d requests queued, %d open, want 6 each", g.b.queued, len(g.b.open))
 	}
-	g.list(ListChanges, hosts(6)...)
+	g.updateEndpoints(ListChanges, testHosts(6)...)
 	var order []RequestID
-	for _, a := range g.acts {
+	for _, a := range g.actions {
 		if a.Kind == Send {
 			order = append(order, a.Request)
 		}
@@ -106,43 +107,43 @@
 	}
 }
 
-func TestRetuneRejects(t *testing.T) {
-	g := start(t, basic(), hosts(3)...)
-	none := basic()
+func TestRetuneRejectsInvalidSettings(t *testing.T) {
+	g := newTestGateway(t, testSettings(), testHosts(3)...)
+	none := testSettings()
 	for i := range none.Classes {
 		none.Classes[i].Retired = true
 	}
-	late := basic()
+	late := testSettings()
 	late.Classes[0].Deadline = 0
 	for _, c := range []struct {
 		name string
 		set  Settings
 		from []int
 	}{
-		{"too few origins", basic(), []int{0, 1}}, {"an origin that is none", basic(), []int{0, 1, 3}},
+		{"too few origins", testSettings(), []int{0, 1}}, {"unknown origin", testSettings(), []int{0, 1, 3}},
 		{"all retired", none, []int{0, 1, 2}}, {"no deadline", late, []int{0, 1, 2}},
 	} {
 		before := g.b.Checkpoint(nil)
 		if err := g.b.Retune(g.now, c.set, c.from); err == nil {
-			t.Errorf("%s: taken", c.name)
+			t.Errorf("%s: no error, want one", c.name)
 		}
 		if !bytes.Equal(before, g.b.Checkpoint(nil)) {
-			t.Errorf("%s: the state has changed", c.name)
+			t.Errorf("%s: the checkpoint has changed, want the same", c.name)
 		}
 	}
 }
 
-// Settings that change nothing change nothing: the state is the same byte for byte, but for
-// that all hosts are looked at again.
-func TestRetuneToTheSame(t *testing.T) {
-	g := start(t, basic(), hosts(5)...)
+// Retuning to the same settings leaves the state the same byte for byte, except that all hosts are due
+// for a recheck.
+func TestRetuneToSameSettingsChangesNothing(t *testing.T) {
+	g := newTestGateway(t, testSettings(), testHosts(5)...)
 	for i := range 200 {
 		id := g.request(i%3, time.Second)
 		g.now += 3 * ms
 		if i%7 == 0 {
-			g.outcome(id, 0, Failed, 5*ms)
+			g.attemptEnded(id, 0, Failed, 5*ms)
 		} else if i%2 == 0 {
-			g.outcome(id, 0, OK, 5*ms)
+			g.attemptEnded(id, 0, OK, 5*ms)
 		}
 	}
 	g.b.subsetCurrent, g.b.now = false, g.now
@@ -150,17 +151,17 @@
 		g.b.recheck(h)
 	}
 	before := g.b.Checkpoint(nil)
-	if err := g.b.Retune(g.now, basic(), []int{0, 1, 2}); err != nil {
+	if err := g.b.Retune(g.now, testSettings(), []int{0, 1, 2}); err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Equal(before, g.b.Checkpoint(nil)) {
-		t.Error("the state has changed")
+		t.Error("the checkpoint has changed, want the same")
 	}
-	back, err := Restore(basic(), g.b.Checkpoint(nil))
+	back, err := Restore(testSettings(), g.b.Checkpoint(nil))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Equal(back.Checkpoint(nil), g.b.Checkpoint(nil)) {
-		t.Error("it is restored as another")
+		t.Error("the restored Balancer gives another checkpoint, want the same")
 	}
 }
