--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -1,5 +1,3 @@
-// Package protocol reads the settings object that the platform hands to each gateway, and maps the
-// field names of its protocol to the terms that the rest of the code uses.
 package protocol
 
 import (
@@ -11,96 +9,138 @@
 	"dunemoor/balancer"
 )
 
-// settings is the part of the settings object that the balancer acts on;
-// unknown keys are ignored and absent ones are zero.
+// settings is the part of the settings object that the balancer acts on. Unknown keys are ignored and
+// absent ones are zero. Each field is named by the field's term; its tag is the platform's word.
 type settings struct {
-	Balancers int
-	Rank      int
-	Step      micros
-	Discovery string
-	OverShare float64 `json:"over_share_worth"`
-	Classes   []struct {
-		Promise    micros
-		HardLimit  micros `json:"hard_limit"`
-		Importance float64
-		Effect     string
-		Group      string
-		Window     micros
-	}
-	Tenants []struct {
-		Quota float64 `json:"quota_per_s"`
-	}
-	Caps struct {
-		Cancel        bool
-		MaxAttempts   int    `json:"max_attempts"`
-		MaxRetryAfter micros `json:"max_retry_after"`
-		RetryAfter    bool   `json:"retry_after"`
-	}
-	Obligations struct {
-		AskWithin      micros  `json:"ask_within"`
-		ColdFrom       float64 `json:"cold_from"`
-		WarmAfter      micros  `json:"warm_after"`
-		OverloadFactor float64 `json:"overload_factor"`
-		Fall           micros
-	}
+	Instances       int          `json:"balancers"`
+	Rank            int          `json:"rank"`
+	Step            microseconds `json:"step"`
+	Discovery       string       `json:"discovery"`
+	OverQuotaWeight float64      `json:"over_share_worth"`
+	Classes         []class      `json:"classes"`
+	Tenants         []tenant     `json:"tenants"`
+	Capabilities    capabilities `json:"caps"`
+	Obligations     obligations  `json:"obligations"`
+}
+
+// class is a class of requests.
+type class struct {
+	LatencyObjective microseconds `json:"promise"`
+	Deadline         microseconds `json:"hard_limit"`
+	PriorityWeight   float64      `json:"importance"`
+	Idempotency      string       `json:"effect"`
+	DedupScope       string       `json:"group"`
+	DedupWindow      microseconds `json:"window"`
+}
+
+// tenant is a customer with a quota.
+type tenant struct {
+	Quota float64 `json:"quota_per_s"` // requests per second
+}
+
+// capabilities are what a gateway may do.
+type capabilities struct {
+	Cancel        bool         `json:"cancel"`
+	MaxAttempts   int          `json:"max_attempts"`
+	MaxRetryAfter microseconds `json:"max_retry_after"`
+	RetryAfter    bool         `json:"retry_after"`
+}
+
+// obligations are the rules of the platform that a gateway keeps to.
+type obligations struct {
+	PollTimeout     microseconds `json:"ask_within"`
+	SlowStartShare  float64      `json:"cold_from"`
+	SlowStartWindow microseconds `json:"warm_after"`
+	OverloadFactor  float64      `json:"overload_factor"`
+	OverloadWindow  microseconds `json:"fall"`
 }
 
-// unit is the unit of all times in the settings object.
-const unit = time.Microsecond
+// discoveryByPolling is the value of the key "discovery" with which the balancer requests the endpoint list.
+const discoveryByPolling = "subscribe"
 
-// micros is a span of time in microseconds, whole or not.
-type micros float64
+// timeUnit is the unit of all times in the settings object.
+const timeUnit = time.Microsecond
 
-// span is the longest time there is where m is beyond that, for New to refuse.
-func (m micros) span() time.Duration {
-	if ns := float64(m) * float64(unit); ns < math.MaxInt64 {
-		return time.Duration(max(ns, math.MinInt64))
+// microseconds is a time span in microseconds; it may have a fraction.
+type microseconds float64
+
+// duration converts m. A span beyond what a time.Duration holds becomes the longest or the shortest one,
+// which balancer.New rejects.
+func (m microseconds) duration() time.Duration {
+	nanoseconds := float64(m) * float64(timeUnit)
+	if nanoseconds >= math.MaxInt64 {
+		return math.MaxInt64
 	}
-	return math.MaxInt64
+	return time.Duration(max(nanoseconds, math.MinInt64))
 }
 
-var effects = map[string]balancer.Idempotency{
-	"idempotent": balancer.Idempotent, "deduplicated": balancer.IdempotentWithKey, "at_most_once": balancer.NonIdempotent,
+// idempotencies maps the values of the key "effect".
+var idempotencies = map[string]balancer.Idempotency{
+	"idempotent":   balancer.Idempotent,
+	"deduplicated": balancer.IdempotentWithKey,
+	"at_most_once": balancer.NonIdempotent,
 }
 
-var groups = map[string]balancer.DedupScope{
-	"": balancer.ScopeAll, "all": balancer.ScopeAll,
-	"zone": balancer.ScopeZone, "cell": balancer.ScopeCell,
+// dedupScopes maps the values of the key "group".
+var dedupScopes = map[string]balancer.DedupScope{
+	"":     balancer.ScopeAll,
+	"all":  balancer.ScopeAll,
+	"zone": balancer.ScopeZone,
+	"cell": balancer.ScopeCell,
 }
 
-// ParseSettings reads the settings object, in JSON.
+// ParseSettings decodes the settings object, which is in JSON. It rejects malformed JSON and unknown
+// values of "effect" and "group"; ranges are checked by balancer.New.
 func ParseSettings(text []byte) (balancer.Settings, error) {
 	var in settings
-	var out balancer.Settings
 	if err := json.Unmarshal(text, &in); err != nil {
-		return out, fmt.Errorf("settings: %w", err)
+		return balancer.Settings{}, fmt.Errorf("settings: %w", err)
 	}
-	out = balancer.Settings{
-		Instances: in.Balancers, Rank: in.Rank, Step: in.Step.span(),
-		MaxAttempts: in.Caps.MaxAttempts, Cancel: in.Caps.Cancel, OverQuotaWeight: in.OverShare,
-		Poll: in.Discovery == "subscribe", PollTimeout: in.Obligations.AskWithin.span(),
-		SlowStartShare: in.Obligations.ColdFrom, SlowStartWindow: in.Obligations.WarmAfter.span(),
-		OverloadFactor: in.Obligations.OverloadFactor, OverloadWindow: in.Obligations.Fall.span(),
+	out := balancer.Settings{
+		Instances:       in.Instances,
+		Rank:            in.Rank,
+		Step:            in.Step.duration(),
+		MaxAttempts:     in.Capabilities.MaxAttempts,
+		Cancel:          in.Capabilities.Cancel,
+		OverQuotaWeight: in.OverQuotaWeight,
+		Poll:            in.Discovery == discoveryByPolling,
+		PollTimeout:     in.Obligations.PollTimeout.duration(),
+		SlowStartShare:  in.Obligations.SlowStartShare,
+		SlowStartWindow: in.Obligations.SlowStartWindow.duration(),
+		OverloadFactor:  in.Obligations.OverloadFactor,
+		OverloadWindow:  in.Obligations.OverloadWindow.duration(),
 	}
-	if in.Caps.RetryAfter {
-		out.MaxRetryAfter = in.Caps.MaxRetryAfter.span()
+	if in.Capabilities.RetryAfter {
+		out.MaxRetryAfter = in.Capabilities.MaxRetryAfter.duration()
 	}
 	for i, c := range in.Classes {
-		effect, ok := effects[c.Effect]
-		if !ok {
-			return out, fmt.Errorf("settings: class %d: unknown effect %q", i, c.Effect)
-		}
-		group, ok := groups[c.Group]
-		if !ok {
-			return out, fmt.Errorf("settings: class %d: unknown group %q", i, c.Group)
+		converted, err := c.convert()
+		if err != nil {
+			return out, fmt.Errorf("settings: class %d: %w", i, err)
 		}
-		out.Classes = append(out.Classes, balancer.Class{
-			LatencyObjective: c.Promise.span(), Deadline: c.HardLimit.span(), PriorityWeight: c.Importance,
-			Idempotency: effect, DedupScope: group, DedupWindow: c.Window.span(),
-		})
+		out.Classes = append(out.Classes, converted)
 	}
 	for _, t := range in.Tenants {
 		out.Tenants = append(out.Tenants, balancer.Tenant{Quota: t.Quota})
 	}
 	return out, nil
 }
+
+func (c *class) convert() (balancer.Class, error) {
+	idempotency, ok := idempotencies[c.Idempotency]
+	if !ok {
+		return balancer.Class{}, fmt.Errorf("unknown effect %q", c.Idempotency)
+	}
+	scope, ok := dedupScopes[c.DedupScope]
+	if !ok {
+		return balancer.Class{}, fmt.Errorf("unknown group %q", c.DedupScope)
+	}
+	return balancer.Class{
+		LatencyObjective: c.LatencyObjective.duration(),
+		Deadline:         c.Deadline.duration(),
+		PriorityWeight:   c.PriorityWeight,
+		Idempotency:      idempotency,
+		DedupScope:       scope,
+		DedupWindow:      c.DedupWindow.duration(),
+	}, nil
+}
--- a/internal/protocol/settings_test.go
+++ b/internal/protocol/settings_test.go
@@ -9,16 +9,16 @@
 	"dunemoor/balancer"
 )
 
-// Times beyond the longest must not wrap into ones that can be served.
-func TestAbsurdTimesStayAbsurd(t *testing.T) {
+// A time beyond the range of time.Duration must not wrap into a valid one.
+func TestParseSettingsSaturatesTimesOutOfRange(t *testing.T) {
 	for _, us := range []string{"1e30", "-1e30"} {
-		set, err := ParseSettings([]byte(`{"balancers": 1, "step": ` + us + `,
+		settings, err := ParseSettings([]byte(`{"balancers": 1, "step": ` + us + `,
 			"classes": [{"effect": "idempotent", "hard_limit": 1000}]}`))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := balancer.New(set, 1); err == nil || !strings.Contains(err.Error(), "step") {
-			t.Errorf("step %s: error %v, want one that names it", us, err)
+		if _, err := balancer.New(settings, 1); err == nil || !strings.Contains(err.Error(), "step") {
+			t.Errorf("step %s: got error %v, want one that names the step", us, err)
 		}
 	}
 }
@@ -51,13 +51,16 @@
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("\ngot  %+v\nwant %+v", got, want)
 	}
+}
+
+func TestParseSettingsRejectsInvalidSettings(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"classes": [{"effect": "sometimes"}]}`:                   `unknown effect "sometimes"`,
 		`{"classes": [{"effect": "idempotent", "group": "moon"}]}`: `unknown group "moon"`,
 		`[]`: "settings", `{`: "settings",
 	} {
 		if _, err := ParseSettings([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: error %v, want %q", text, err, want)
+			t.Errorf("%s: got error %v, want one with %q", text, err, want)
 		}
 	}
 }
