--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,6 +1,6 @@
-// Command simhost hosts many balancers for the simulator: it reads batches of
-// events on standard input and answers each with the balancers' actions on
-// standard output. Nothing else is written there.
+// Command simhost runs many balancers for the simulator. It reads batches of events on standard input and
+// replies to each on standard output with the balancers' actions; nothing else is written there. It exits
+// with status 1 and one line on standard error where the input is malformed.
 package main
 
 import (
@@ -14,8 +14,11 @@
 	"dunemoor/internal/simwire"
 )
 
+// gcPercent makes garbage collection rare: the heap is small.
+const gcPercent = 800
+
 func main() {
-	debug.SetGCPercent(800) // a small heap: collect seldom
+	debug.SetGCPercent(gcPercent)
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintf(os.Stderr, "simhost: %v\n", err)
 		os.Exit(1)
@@ -26,22 +29,13 @@
 func run(in io.Reader, out io.Writer) error {
 	h := host{balancers: map[uint32]*balancer.Balancer{}, out: simwire.NewWriter(out)}
 	r := simwire.NewReader(in)
-	for n := 1; ; n++ {
-		now, err := r.Batch()
+	for number := 1; ; number++ {
+		err := h.serveBatch(r)
 		if err == io.EOF {
 			return nil
 		}
-		for more := err == nil; more; {
-			var e simwire.Event
-			if more, err = r.Next(&e); more {
-				h.handle(now, &e)
-			}
-		}
 		if err != nil {
-			return fmt.Errorf("batch %d: %w", n, err)
-		}
-		if err := h.out.Flush(); err != nil {
-			return fmt.Errorf("batch %d: reply: %w", n, err)
+			return fmt.Errorf("batch %d: %w", number, err)
 		}
 	}
 }
@@ -50,11 +44,34 @@
 type host struct {
 	balancers map[uint32]*balancer.Balancer
 	out       *simwire.Writer
-	acts      []balancer.Action
+	actions   []balancer.Action
+}
+
+// serveBatch reads a batch and replies to it. It returns io.EOF where there is no further batch.
+func (h *host) serveBatch(r *simwire.Reader) error {
+	now, err := r.Batch()
+	if err != nil {
+		return err
+	}
+	for {
+		var e simwire.Event
+		more, err := r.Next(&e)
+		if err != nil {
+			return err
+		}
+		if !more {
+			break
+		}
+		h.handle(now, &e)
+	}
+	if err := h.out.Flush(); err != nil {
+		return fmt.Errorf("reply: %w", err)
+	}
+	return nil
 }
 
-// handle gives one event to its balancer and collects the actions. An instance
-// that cannot go on is reported and then left alone.
+// handle passes one event to its balancer and collects the actions. An instance that panics is reported as
+// crashed and removed; the others go on.
 func (h *host) handle(now balancer.Time, e *simwire.Event) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -62,44 +79,50 @@
 			h.out.Crash(e.Instance, fmt.Sprintf("%v\n%s", p, debug.Stack()))
 		}
 	}()
-	if e.Code == simwire.Hello {
+	switch e.Code {
+	case simwire.Start:
 		h.start(now, e)
+	case simwire.Stop:
+		delete(h.balancers, e.Instance)
 	}
 	b := h.balancers[e.Instance]
 	if b == nil {
 		return
 	}
+	dispatch(b, now, e)
+	h.actions = b.TakeActions(h.actions[:0])
+	for i := range h.actions {
+		h.out.Action(e.Instance, &h.actions[i])
+	}
+}
+
+// dispatch passes an event to a balancer. Events that a balancer has no use for are ignored.
+func dispatch(b *balancer.Balancer, now balancer.Time, e *simwire.Event) {
 	switch e.Code {
-	case simwire.PeersKnown:
+	case simwire.EndpointList:
 		b.UpdateEndpoints(now, e.List, e.Hosts)
-	case simwire.Req:
+	case simwire.Request:
 		b.Request(now, e.Request)
-	case simwire.Flowing:
+	case simwire.AttemptStarted:
 		b.AttemptStarted(now, e.Request.ID, e.Attempt)
 	case simwire.AttemptEnd:
 		b.AttemptEnded(now, e.Outcome)
-	case simwire.Withdrawn:
+	case simwire.ClientGone:
 		b.ClientGone(now, e.Request.ID)
-	case simwire.Ring:
+	case simwire.Timer:
 		b.Timer(now, e.Token)
-	case simwire.Halt:
-		delete(h.balancers, e.Instance)
-		return
-	}
-	h.acts = b.TakeActions(h.acts[:0])
-	for i := range h.acts {
-		h.out.Action(e.Instance, &h.acts[i])
 	}
 }
 
+// start creates the balancer of an instance, in the place of an earlier one.
 func (h *host) start(now balancer.Time, e *simwire.Event) {
 	delete(h.balancers, e.Instance)
-	set, err := protocol.ParseSettings(e.Settings)
+	settings, err := protocol.ParseSettings(e.Settings)
 	if err != nil {
 		h.out.Crash(e.Instance, err.Error())
 		return
 	}
-	b, err := balancer.New(set, e.Seed)
+	b, err := balancer.New(settings, e.Seed)
 	if err != nil {
 		h.out.Crash(e.Instance, err.Error())
 		return
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -34,19 +34,19 @@
 	return append(le32(uint32(len(b))), b...)
 }
 
-func hello(inst uint32, env string) []byte {
-	return record(0, le32(inst, 1, 0, uint32(len(env))), []byte(env))
+func startInstance(instance uint32, settings string) []byte {
+	return record(0, le32(instance, 1, 0, uint32(len(settings))), []byte(settings))
 }
 
-var addr = []byte{10, 0, 0, 1, 0x28, 0x23}
+var address = []byte{10, 0, 0, 1, 0x28, 0x23}
 
-func members(inst uint32) []byte {
-	return record(1, le32(inst), []byte{3}, make([]byte, 8), le32(1),
-		make([]byte, 8), []byte{0}, addr, make([]byte, 4), []byte{3}, make([]byte, 4))
+func endpointList(instance uint32) []byte {
+	return record(1, le32(instance), []byte{3}, make([]byte, 8), le32(1),
+		make([]byte, 8), []byte{0}, address, make([]byte, 4), []byte{3}, make([]byte, 4))
 }
 
-func request(inst, id uint32) []byte {
-	return record(2, le32(inst, id), []byte{0, 0, 0}, le32(0, 1000000), make([]byte, 9))
+func request(instance, id uint32) []byte {
+	return record(2, le32(instance, id), []byte{0, 0, 0}, le32(0, 1000000), make([]byte, 9))
 }
 
 // reply reads one reply and returns the codes of its records with their bodies.
@@ -72,8 +72,8 @@
 	return codes, bodies
 }
 
-// begin runs the adapter on pipes.
-func begin(t *testing.T) (in *io.PipeWriter, out *io.PipeReader, done chan error) {
+// startRun calls run on pipes.
+func startRun(t *testing.T) (in *io.PipeWriter, out *io.PipeReader, done chan error) {
 	inR, inW := io.Pipe()
 	outR, outW := io.Pipe()
 	done = make(chan error, 1)
@@ -86,36 +86,36 @@
 	return inW, outR, done
 }
 
-func TestServesOverPipes(t *testing.T) {
-	in, out, done := begin(t)
+func TestRunRepliesToEachBatch(t *testing.T) {
+	in, out, done := startRun(t)
 	in.Write(batch(1000))
 	if codes, _ := reply(t, out); len(codes) != 0 {
-		t.Errorf("empty batch answered with %v", codes)
+		t.Errorf("empty batch: got actions %v, want none", codes)
 	}
-	in.Write(batch(2000, hello(3, settings), members(3), request(3, 77)))
+	in.Write(batch(2000, startInstance(3, settings), endpointList(3), request(3, 77)))
 	codes, bodies := reply(t, out)
 	i := bytes.IndexByte(codes, 64)
-	if i < 0 || !bytes.Equal(bodies[i][:14], append(le32(3, 77), addr...)) {
-		t.Fatalf("actions %v %x, want a send of request 77", codes, bodies)
+	if i < 0 || !bytes.Equal(bodies[i][:14], append(le32(3, 77), address...)) {
+		t.Fatalf("got actions %v %x, want one that sends request 77", codes, bodies)
 	}
-	ended := record(4, le32(3, 77), []byte{0, 0}, addr, []byte{100, 0}, le32(500), []byte{1, 0})
+	ended := record(4, le32(3, 77), []byte{0, 0}, address, []byte{100, 0}, le32(500), []byte{1, 0})
 	in.Write(batch(3000, ended, request(9, 78))) // 9 was never started
 	if codes, _ := reply(t, out); len(codes) != 0 {
-		t.Errorf("actions %v after the end", codes)
+		t.Errorf("after the attempt's end: got actions %v, want none", codes)
 	}
 	in.Write(batch(4000, record(9, le32(3)), request(3, 79)))
 	if codes, _ := reply(t, out); len(codes) != 0 {
-		t.Errorf("actions %v of a halted instance", codes)
+		t.Errorf("stopped instance: got actions %v, want none", codes)
 	}
 	in.Close()
 	if err := <-done; err != nil {
-		t.Errorf("at the end of input: %v", err)
+		t.Errorf("end of input: got error %v, want none", err)
 	}
 }
 
-func TestBadSettingsCrashOneInstance(t *testing.T) {
-	in, out, done := begin(t)
-	in.Write(batch(1, hello(1, `{"balancers": 1}`), hello(2, `nonsense`), hello(3, settings), members(3),
+func TestInvalidSettingsCrashOnlyTheirInstance(t *testing.T) {
+	in, out, done := startRun(t)
+	in.Write(batch(1, startInstance(1, `{"balancers": 1}`), startInstance(2, `nonsense`), startInstance(3, settings), endpointList(3),
 		request(1, 5), request(3, 6)))
 	codes, bodies := reply(t, out)
 	var crashed []string
@@ -127,7 +127,7 @@
 		sent = sent || c == 64 && bodies[i][0] == 3
 	}
 	if len(crashed) != 2 || !strings.Contains(crashed[0], "there are none") || !sent {
-		t.Errorf("crashes %q, instance 3 sent: %v", crashed, sent)
+		t.Errorf("got crashes %q, instance 3 sent: %v; want two crashes, and a send of instance 3", crashed, sent)
 	}
 	in.Close()
 	if err := <-done; err != nil {
@@ -135,20 +135,19 @@
 	}
 }
 
-// Instances share nothing: two in one process act as each would alone.
-func TestInstancesShareNothing(t *testing.T) {
-	play := func(insts ...uint32) map[uint32]string {
-		in, out, done := begin(t)
+func TestInstancesActAsEachWouldAlone(t *testing.T) {
+	actionsOf := func(instances ...uint32) map[uint32]string {
+		in, out, done := startRun(t)
 		got := map[uint32]string{}
 		for step := range uint64(40) {
-			var recs [][]byte
-			for _, i := range insts {
+			var records [][]byte
+			for _, i := range instances {
 				if step == 0 {
-					recs = append(recs, hello(i, settings), members(i))
+					records = append(records, startInstance(i, settings), endpointList(i))
 				}
-				recs = append(recs, request(i, uint32(step)))
+				records = append(records, request(i, uint32(step)))
 			}
-			in.Write(batch(1000*(step+1), recs...))
+			in.Write(batch(1000*(step+1), records...))
 			_, bodies := reply(t, out)
 			for _, b := range bodies {
 				i := binary.LittleEndian.Uint32(b)
@@ -159,20 +158,20 @@
 		<-done
 		return got
 	}
-	both := play(1, 2)
+	both := actionsOf(1, 2)
 	for _, i := range []uint32{1, 2} {
-		if alone := play(i)[i]; alone != both[i] || alone == "" {
-			t.Errorf("instance %d acts differently in company", i)
+		if alone := actionsOf(i)[i]; alone != both[i] || alone == "" {
+			t.Errorf("instance %d beside another: got %x, want %x as alone", i, both[i], alone)
 		}
 	}
 }
 
-func TestBuiltProgram(t *testing.T) {
+func TestProgramExitStatus(t *testing.T) {
 	bin := filepath.Join(t.TempDir(), "simhost")
 	if out, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	good := batch(1, hello(3, settings))
+	good := batch(1, startInstance(3, settings))
 	for _, tt := range []struct {
 		name string
 		in   []byte
@@ -192,7 +191,7 @@
 		timer.Stop()
 		text := stderr.String()
 		if cmd.ProcessState.ExitCode() != tt.code || !strings.Contains(text, tt.want) || strings.Count(text, "\n") > 1 {
-			t.Errorf("%s: exit %d, said %q, want %d and %q", tt.name, cmd.ProcessState.ExitCode(), text, tt.code, tt.want)
+			t.Errorf("%s: got exit status %d and %q on standard error, want %d and one line with %q", tt.name, cmd.ProcessState.ExitCode(), text, tt.code, tt.want)
 		}
 	}
 }
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -36,50 +36,52 @@
 	return b
 }
 
-func readAll(data []byte) (Time time.Duration, events []Event, err error) {
+// readAll reads one batch.
+func readAll(data []byte) (clock time.Duration, events []Event, err error) {
 	r := NewReader(bytes.NewReader(data))
-	if Time, err = r.Batch(); err != nil {
-		return Time, nil, err
+	if clock, err = r.Batch(); err != nil {
+		return clock, nil, err
 	}
 	for {
 		var e Event
 		more, err := r.Next(&e)
 		if !more || err != nil {
-			return Time, events, err
+			return clock, events, err
 		}
 		e.Hosts = append([]balancer.Host(nil), e.Hosts...)
 		events = append(events, e)
 	}
 }
 
-func TestDecodeEvents(t *testing.T) {
+func TestReaderDecodesEvents(t *testing.T) {
 	host := balancer.HostID(0x00232b_074a120a)
 	tests := []struct {
-		name, fields string
-		want         Event
+		name   string
+		fields string
+		want   Event
 	}{
 		{"request", "02 03000000 c4913a5d 01 0200 e02e0000 80a90300 640ad2557c3bf091 03",
-			Event{Code: Req, Instance: 3, Request: balancer.Request{
+			Event{Code: Request, Instance: 3, Request: balancer.Request{
 				ID: 0x5d3a91c4, Class: 1, Tenant: 2, Remaining: 240 * time.Millisecond, Duplicate: true}}},
 		{"attempt end", "04 03000000 c4913a5d 0100 0a124a07 2b23 2e01 44480000 01 01 0000803f",
 			Event{Code: AttemptEnd, Instance: 3, Outcome: balancer.Outcome{Request: 0x5d3a91c4, Attempt: 1,
 				Result: balancer.Full, Elapsed: 18500 * time.Microsecond, Closed: true}}},
-		{"ring", "06 03000000 4d00000000000000", Event{Code: Ring, Instance: 3, Token: 77}},
-		{"withdrawn", "05 05000000 192b6f0e",
-			Event{Code: Withdrawn, Instance: 5, Request: balancer.Request{ID: 0x0e6f2b19}}},
-		{"flowing", "03 03000000 c4913a5d 0200 0a124a07 2b23 22240000",
-			Event{Code: Flowing, Instance: 3, Request: balancer.Request{ID: 0x5d3a91c4}, Attempt: 2}},
+		{"timer", "06 03000000 4d00000000000000", Event{Code: Timer, Instance: 3, Token: 77}},
+		{"client gone", "05 05000000 192b6f0e",
+			Event{Code: ClientGone, Instance: 5, Request: balancer.Request{ID: 0x0e6f2b19}}},
+		{"attempt started", "03 03000000 c4913a5d 0200 0a124a07 2b23 22240000",
+			Event{Code: AttemptStarted, Instance: 3, Request: balancer.Request{ID: 0x5d3a91c4}, Attempt: 2}},
 		{"list", "01 03000000 04 2900000000000000 01000000 20145d0000000000 01 0a124a07 2b23 0100 0200 00 0000c07f",
-			Event{Code: PeersKnown, Instance: 3, List: balancer.ListChanges, Hosts: []balancer.Host{{ID: host,
+			Event{Code: EndpointList, Instance: 3, List: balancer.ListChanges, Hosts: []balancer.Host{{ID: host,
 				Zone: 1, Cell: 2, Kind: 1, State: balancer.Draining, Started: 0x5d1420 * time.Microsecond}}}},
-		{"probe result", "07 03000000 6400 78050000 0a9011f2 5423 00", Event{Code: StatusBack, Instance: 3}},
-		{"peer", "08 03000000 0200 0400 68692037", Event{Code: FromPeer, Instance: 3}},
-		{"halt", "09 03000000", Event{Code: Halt, Instance: 3}},
+		{"health check end", "07 03000000 6400 78050000 0a9011f2 5423 00", Event{Code: HealthCheckEnd, Instance: 3}},
+		{"peer message", "08 03000000 0200 0400 68692037", Event{Code: PeerMessage, Instance: 3}},
+		{"stop", "09 03000000", Event{Code: Stop, Instance: 3}},
 	}
 	for _, tt := range tests {
 		now, got, err := readAll(frame(8411738, unhex(t, tt.fields)))
 		if err != nil || now != 8411738*time.Microsecond || len(got) != 1 {
-			t.Errorf("%s: clock %v, %d events, error %v", tt.name, now, len(got), err)
+			t.Errorf("%s: got clock %v, %d events, error %v, want clock 8.411738s, 1 event, no error", tt.name, now, len(got), err)
 			continue
 		}
 		if len(got[0].Hosts) == 0 {
@@ -91,16 +93,16 @@
 	}
 }
 
-func TestMalformedFrames(t *testing.T) {
-	ring := unhex(t, "06 03000000 4d00000000000000")
-	whole := frame(1, ring)
+func TestReaderRejectsMalformedFrames(t *testing.T) {
+	timer := unhex(t, "06 03000000 4d00000000000000")
+	complete := frame(1, timer)
 	count := func(n uint32) []byte {
-		b := bytes.Clone(whole)
+		b := bytes.Clone(complete)
 		binary.LittleEndian.PutUint32(b[12:], n)
 		return b
 	}
 	size := func(n uint32) []byte {
-		b := bytes.Clone(whole)
+		b := bytes.Clone(complete)
 		binary.LittleEndian.PutUint32(b[17:], n)
 		return b
 	}
@@ -109,9 +111,9 @@
 		data []byte
 		want string
 	}{
-		{"cut in the length", whole[:3], "at byte 3: input ends inside the length"},
-		{"cut in the header", whole[:9], "at byte 9: input ends inside"},
-		{"cut in a record", whole[:20], "at byte 20: input ends inside"},
+		{"cut in the length", complete[:3], "at byte 3: input ends inside the length"},
+		{"cut in the header", complete[:9], "at byte 9: input ends inside"},
+		{"cut in a record", complete[:20], "at byte 20: input ends inside"},
 		{"length too small", []byte{1, 0, 0, 0, 0}, "at byte 0: frame length 1"},
 		{"length too large", []byte{255, 255, 255, 255}, "frame length"},
 		{"length beyond the input", []byte{0, 0, 0, 48, 1, 2}, "at byte 6: input ends inside"},
@@ -119,46 +121,46 @@
 		{"more records than bytes", count(2), "record header is cut off"},
 		{"fewer records than bytes", count(0), "behind the last record"},
 		{"record past the frame", size(1 << 31), "reaches past the frame"},
-		{"record short", frame(1, ring[:9]), "too short"},
-		{"record long", frame(1, append(bytes.Clone(ring), 0)), "1 bytes too many"},
+		{"record short", frame(1, timer[:9]), "too short"},
+		{"record long", frame(1, append(bytes.Clone(timer), 0)), "1 bytes too many"},
 		{"unknown event", frame(1, []byte{99, 0, 0, 0, 0}), "unknown event code 99"},
 		{"unknown outcome", frame(1, unhex(t, "04 03000000 c4913a5d 0100 0a124a07 2b23 0900 44480000 01 00")),
 			"unknown outcome 9"},
 		{"unknown list mode", frame(1, unhex(t, "01 03000000 09 2900000000000000 00000000")), "list mode 9"},
-		{"lying entry count", frame(1, unhex(t, "01 03000000 01 2900000000000000 ffffffff")), "4294967295 entries"},
+		{"entry count beyond the record", frame(1, unhex(t, "01 03000000 01 2900000000000000 ffffffff")), "4294967295 entries"},
 		{"unknown host state", frame(1, unhex(t, "01 03000000 01 2900000000000000 01000000"+
 			"20145d0000000000 01 0a124a07 2b23 0100 0200 09 0000c07f")), "host state 9"},
 	}
 	for _, tt := range tests {
 		_, _, err := readAll(tt.data)
 		if err == nil || err == io.EOF || !strings.Contains(err.Error(), tt.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v, want one line with %q", tt.name, err, tt.want)
+			t.Errorf("%s: got error %v, want one line with %q", tt.name, err, tt.want)
 		}
 	}
 	if _, _, err := readAll(nil); err != io.EOF {
-		t.Errorf("end between frames: %v", err)
+		t.Errorf("end between frames: got %v, want io.EOF", err)
 	}
 }
 
-func TestLyingLengthAllocatesLittle(t *testing.T) {
+func TestReaderAllocatesByBytesReceivedNotByDeclaredLength(t *testing.T) {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	if _, _, err := readAll([]byte{0, 0, 0, 60, 1, 2, 3}); err == nil {
-		t.Fatal("no error")
+		t.Fatal("got no error for a frame that ends early")
 	}
 	runtime.ReadMemStats(&after)
 	if n := after.TotalAlloc - before.TotalAlloc; n > 1<<20 {
-		t.Errorf("%d bytes allocated for a frame of three", n)
+		t.Errorf("got %d bytes allocated for a frame of three bytes, want at most %d", n, 1<<20)
 	}
 }
 
-func TestEncodeActions(t *testing.T) {
+func TestWriterEncodesActions(t *testing.T) {
 	host := balancer.HostID(0x00232b_074a120a)
 	tests := []struct {
 		act  balancer.Action
 		want string
 	}{
-		// At is when it has to be out: no time to give it up at, which is what stands on the wire.
+		// Action.At is the latest time to send; the frame's field is an attempt timeout, which is not used.
 		{balancer.Action{Kind: balancer.Send, Request: 0x5d3a91c4, Host: host, At: 8492506 * time.Microsecond},
 			"40 16000000 03000000 c4913a5d 0a124a07 2b23 0000000000000000"},
 		{balancer.Action{Kind: balancer.Reject, Request: 0x5d3a91c4, RetryAfter: 250 * time.Millisecond},
