--- a/cmd/experiment/hunt.go
+++ b/cmd/experiment/hunt.go
@@ -46,33 +46,33 @@
 			if err != nil {
 				return err
 			}
-			r.Base = list[0].Model
-			r.Base.Troubles, r.Base.Bursts = nil, nil
+			r.Base = list[0].Config
+			r.Base.Faults, r.Base.Bursts = nil, nil
 			ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 			defer stop()
 			began := time.Now()
 			s := scenariosearch.New(r, seed)
 			said := began
-			for s.Played() < runs && ctx.Err() == nil && (minutes == 0 || time.Since(began).Minutes() < minutes) {
-				batch := s.Next(min(huntBatch, runs-s.Played()))
+			for s.Reported() < runs && ctx.Err() == nil && (minutes == 0 || time.Since(began).Minutes() < minutes) {
+				batch := s.Next(min(huntBatch, runs-s.Reported()))
 				sums, err := playAll(batch)
 				if err != nil {
 					return err
 				}
 				for i, c := range batch {
-					s.Tell(c, sums[i])
+					s.Report(c, sums[i])
 				}
 				if time.Since(said) > 10*time.Second {
 					said = time.Now()
-					fmt.Fprintf(cmd.ErrOrStderr(), "%d played in %.0f s, the worst: %s %.3f\n", s.Played(), said.Sub(began).Seconds(), scenariosearch.Kinds(s.Worst()[0].Config), s.Worst()[0].Score)
+					fmt.Fprintf(cmd.ErrOrStderr(), "%d played in %.0f s, the worst: %s %.3f\n", s.Reported(), said.Sub(began).Seconds(), scenariosearch.Label(s.Worst()[0].Config), s.Worst()[0].Score)
 				}
 			}
 			out := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
-			fmt.Fprintf(out, "%d played, seed %d\nwhat\tscore\tgot\tpossible\tbroken\tmade small\tfile\n", s.Played(), seed)
+			fmt.Fprintf(out, "%d played, seed %d\nwhat\tscore\tgot\tpossible\tbroken\tmade small\tfile\n", s.Reported(), seed)
 			// Of the same kinds one is enough here.
 			var seen []string
 			for _, f := range s.Worst() {
-				kinds := scenariosearch.Kinds(f.Config)
+				kinds := scenariosearch.Label(f.Config)
 				if len(seen) == finds {
 					break
 				}
@@ -87,8 +87,8 @@
 						return err
 					}
 				}
-				fmt.Fprintf(out, "%s\t%.3f\t%.3f\t%.3f\t%d\t%s %.3f of %.3f, %d gateways, %d hosts, %v\t%s\n", kinds, f.Score, f.Got, f.Possible, f.Broken,
-					scenariosearch.Kinds(small.Config), small.Got, small.Possible, small.Config.Gateways, small.Config.Hosts[0].Count, small.Config.Length, file)
+				fmt.Fprintf(out, "%s\t%.3f\t%.3f\t%.3f\t%d\t%s %.3f of %.3f, %d gateways, %d hosts, %v\t%s\n", kinds, f.Score, f.InTimeShare, f.PossibleShare, f.Violations,
+					scenariosearch.Label(small.Config), small.InTimeShare, small.PossibleShare, small.Config.Gateways, small.Config.Hosts[0].Count, small.Config.Length, file)
 			}
 			return out.Flush()
 		},
@@ -100,12 +100,12 @@
 	f.IntVar(&finds, "finds", 3, "how many to make small")
 	f.StringVar(&dir, "out", "", "directory that finds are written to as scenarios")
 	f.StringArrayVar(&set, "set", nil, "KEY=VALUE of what is changed of the scenario; may be repeated")
-	f.Float64Var(&r.Load[0], "load-from", 0.4, "least load, of the scenario's")
-	f.Float64Var(&r.Load[1], "load-to", 1.4, "most load")
-	f.IntVar(&r.Troubles, "troubles", 3, "most at once")
-	f.IntVar(&r.Bursts, "bursts", 1, "most at once")
-	f.IntVar(&r.Gateways, "gateways", 16, "most")
-	f.IntVar(&r.Hosts, "hosts", 40, "most; the load goes with them")
+	f.Float64Var(&r.LoadMin, "load-from", 0.4, "least load, of the scenario's")
+	f.Float64Var(&r.LoadMax, "load-to", 1.4, "most load")
+	f.IntVar(&r.MaxFaults, "troubles", 3, "most at once")
+	f.IntVar(&r.MaxBursts, "bursts", 1, "most at once")
+	f.IntVar(&r.MaxGateways, "gateways", 16, "most")
+	f.IntVar(&r.MaxHosts, "hosts", 40, "most; the load goes with them")
 	f.DurationVar(&r.Length, "length", 40*time.Second, "of a run")
 	return cmd
 }
@@ -128,16 +128,16 @@
 
 // write keeps a find as a scenario that expects what it has now, less a little: it is mended when
 // that can be raised, and has become worse when it is missed.
-func write(dir string, n int, f scenariosearch.Find) (string, error) {
+func write(dir string, n int, f scenariosearch.Finding) (string, error) {
 	s := &scenario.Scenario{
-		About: fmt.Sprintf("Found by a hunt: %s, %.3f in time where %.3f seemed possible", scenariosearch.Kinds(f.Config), f.Got, f.Possible),
-		Seed:  f.Config.Seed, Model: f.Config, Expect: scenario.Expect{InTime: float64(int(f.Got*100)) / 100},
+		About: fmt.Sprintf("Found by a hunt: %s, %.3f in time where %.3f seemed possible", scenariosearch.Label(f.Config), f.InTimeShare, f.PossibleShare),
+		Seed:  f.Config.Seed, Config: f.Config, Expected: scenario.Expectations{InTimeShare: float64(int(f.InTimeShare*100)) / 100},
 	}
-	text, err := s.Text()
+	text, err := s.Format()
 	if err != nil {
 		return "", err
 	}
-	file := filepath.Join(dir, fmt.Sprintf("found-%d-%s.toml", n, scenariosearch.Kinds(f.Config)))
+	file := filepath.Join(dir, fmt.Sprintf("found-%d-%s.toml", n, scenariosearch.Label(f.Config)))
 	if _, wrong := scenario.Parse(file, text); len(wrong) > 0 {
 		return "", errors.Join(wrong...)
 	}
--- a/cmd/experiment/lab_test.go
+++ b/cmd/experiment/lab_test.go
@@ -33,7 +33,7 @@
 	}
 	for i, line := range lines {
 		var p played
-		if err := json.Unmarshal([]byte(line), &p); err != nil || p.Seed != uint64(i+1) || p.Summary.Classes[0].Asked == 0 || p.Classes[0].P99 < p.Classes[0].P50 {
+		if err := json.Unmarshal([]byte(line), &p); err != nil || p.Seed != uint64(i+1) || p.Summary.Classes[0].FirstRequests == 0 || p.Classes[0].P99 < p.Classes[0].P50 {
 			t.Errorf("%s: %v", line, err)
 		}
 	}
--- a/cmd/experiment/report.go
+++ b/cmd/experiment/report.go
@@ -84,8 +84,8 @@
 	var asked, in []float64
 	most := 0.0
 	for _, x := range p.Summary.Seconds {
-		asked, in = append(asked, float64(x.Asked)), append(in, float64(x.InTime))
-		most = max(most, float64(x.Asked))
+		asked, in = append(asked, float64(x.FirstRequests)), append(in, float64(x.InTime))
+		most = max(most, float64(x.FirstRequests))
 	}
 	s.Plots = append(s.Plots, newPlot("first tries a second", "start", fmt.Sprintf("%d s", len(asked)), most, []string{"asked", "answered in time"}, asked, in))
 	var names []string
@@ -94,11 +94,11 @@
 	for _, k := range p.Summary.Classes {
 		var line []float64
 		for _, at := range percentiles {
-			line = append(line, float64(k.Took.ValueAtPercentile(at))/1e3)
+			line = append(line, float64(k.Latency.ValueAtPercentile(at))/1e3)
 		}
 		most = max(most, line[len(line)-3]) // 99: the rest may leave the picture
 		names, took = append(names, k.Name), append(took, line)
-		for cause, n := range k.Why {
+		for cause, n := range k.Causes {
 			if n > 0 {
 				s.Why = append(s.Why, whyLine{k.Name, balancer.Cause(cause).String(), n})
 			}
@@ -117,7 +117,7 @@
 td,th{padding:.15em .8em;text-align:right;border-bottom:1px solid #ddd}td:first-child,th:first-child{text-align:left}svg{margin-right:1em}text{font:11px sans-serif;fill:#444}.bad{color:#a00}</style>
 <h1>Lab</h1>
 <table><tr><th>scenario<th>seed<th>in time<th>attempts<th>worst/mean<th>conns/host<th>missed</tr>
-{{range .}}<tr><td><a href="#{{.Scenario}}-{{.Seed}}">{{.Scenario}}</a><td>{{.Seed}}<td>{{printf "%.4f" .InTime}}<td>{{.Summary.Attempts}}<td>{{printf "%.2f" .Summary.WorstOfMean}}<td>{{printf "%.1f" .Summary.Conns}}<td class="bad">{{range .Missed}}{{.}} {{end}}</tr>
+{{range .}}<tr><td><a href="#{{.Scenario}}-{{.Seed}}">{{.Scenario}}</a><td>{{.Seed}}<td>{{printf "%.4f" .InTime}}<td>{{.Summary.Attempts}}<td>{{printf "%.2f" .Summary.MaxToMeanLoad}}<td>{{printf "%.1f" .Summary.ConnectionsPerHost}}<td class="bad">{{range .Missed}}{{.}} {{end}}</tr>
 {{end}}</table>
 {{range .}}<h2 id="{{.Scenario}}-{{.Seed}}">{{.Scenario}}, seed {{.Seed}}</h2><p>{{.About}}</p>
 {{range .Plots}}<svg width="{{.W}}" height="{{.H}}" role="img" aria-label="{{.Title}}">
@@ -127,9 +127,9 @@
 <text x="{{.X0}}" y="8">{{.Title}}:{{range .Lines}} {{.Name}}{{if .Dash}} (dashed {{.Dash}}){{end}}{{end}}</text></svg>
 {{end}}
 <table><tr><th>class<th>asked<th>in time<th>late<th>refused<th>failed<th>left<th>tries</tr>
-{{range .Summary.Classes}}<tr><td>{{.Name}}<td>{{.Asked}}<td>{{.InTime}}<td>{{.Late}}<td>{{.Refused}}<td>{{.Failed}}<td>{{.Left}}<td>{{.Tries}}</tr>{{end}}</table>
+{{range .Summary.Classes}}<tr><td>{{.Name}}<td>{{.FirstRequests}}<td>{{.InTime}}<td>{{.Late}}<td>{{.Rejected}}<td>{{.Failed}}<td>{{.Abandoned}}<td>{{.Requests}}</tr>{{end}}</table>
 {{if .Why}}<table><tr><th>answers that served nothing<th>cause<th>count</tr>{{range .Why}}<tr><td>{{.Class}}<td>{{.Cause}}<td>{{.Count}}</tr>{{end}}</table>{{end}}
-{{range .Summary.Why}}<p class="bad">{{.}}</p>{{end}}
+{{range .Summary.ViolationDetails}}<p class="bad">{{.}}</p>{{end}}
 {{end}}</html>
 `))
 
--- a/cmd/experiment/run.go
+++ b/cmd/experiment/run.go
@@ -55,16 +55,16 @@
 }
 
 func playOne(s *scenario.Scenario, seed uint64) played {
-	c := s.Model
+	c := s.Config
 	c.Seed = seed
 	began := time.Now()
 	sum, err := simulator.Run(c)
 	if err != nil {
 		return played{Scenario: s.Name, Seed: seed, err: err}
 	}
-	p := played{Scenario: s.Name, Seed: seed, InTime: sum.InTime(), Missed: s.Missed(sum), Summary: sum, Took: time.Since(began)}
+	p := played{Scenario: s.Name, Seed: seed, InTime: sum.InTimeShare(), Missed: s.Missed(sum), Summary: sum, Took: time.Since(began)}
 	for _, k := range sum.Classes {
-		p.Classes = append(p.Classes, latency{k.Name, float64(k.Took.ValueAtPercentile(50)) / 1e3, float64(k.Took.ValueAtPercentile(99)) / 1e3})
+		p.Classes = append(p.Classes, latency{k.Name, float64(k.Latency.ValueAtPercentile(50)) / 1e3, float64(k.Latency.ValueAtPercentile(99)) / 1e3})
 	}
 	return p
 }
@@ -156,21 +156,21 @@
 			m += p.InTime / float64(seeds)
 			least = min(least, p.InTime)
 			for _, k := range p.Summary.Classes {
-				asked += float64(k.Asked)
-				tries += float64(k.Tries)
+				asked += float64(k.FirstRequests)
+				tries += float64(k.Requests)
 			}
 			sends += float64(p.Summary.Attempts)
 			p50 += p.Classes[0].P50 / float64(seeds)
 			p99 += p.Classes[0].P99 / float64(seeds)
-			worst += p.Summary.WorstOfMean / float64(seeds)
-			conns += p.Summary.Conns / float64(seeds)
-			for _, n := range p.Summary.Broken {
+			worst += p.Summary.MaxToMeanLoad / float64(seeds)
+			conns += p.Summary.ConnectionsPerHost / float64(seeds)
+			for _, n := range p.Summary.Violations {
 				broken += n
 			}
 			if len(p.Missed) > 0 {
 				if missed++; first == "" {
 					first = fmt.Sprintf(" (seed %d: %s)", p.Seed, p.Missed[0])
-					for _, why := range p.Summary.Why[:min(1, len(p.Summary.Why))] {
+					for _, why := range p.Summary.ViolationDetails[:min(1, len(p.Summary.ViolationDetails))] {
 						first += ": " + why
 					}
 				}
--- a/cmd/experiment/sweep.go
+++ b/cmd/experiment/sweep.go
@@ -17,28 +17,28 @@
 
 // knobs are what can be changed from the command line.
 var knobs = map[string]func(s *scenario.Scenario, value string) error{
-	"gateways": count(func(s *scenario.Scenario, n int) { s.Model.Gateways = n }),
-	"hosts":    count(func(s *scenario.Scenario, n int) { s.Model.Hosts[0].Count = n }), // of the first kind
-	"conns":    count(func(s *scenario.Scenario, n int) { s.Model.Hosts[0].Conns = n }),
-	"attempts": count(func(s *scenario.Scenario, n int) { s.Model.Settings.MaxAttempts = n }),
-	"retries":  count(func(s *scenario.Scenario, n int) { s.Model.Clients.Retries = n }),
+	"gateways": count(func(s *scenario.Scenario, n int) { s.Config.Gateways = n }),
+	"hosts":    count(func(s *scenario.Scenario, n int) { s.Config.Hosts[0].Count = n }), // of the first kind
+	"conns":    count(func(s *scenario.Scenario, n int) { s.Config.Hosts[0].MaxConnections = n }),
+	"attempts": count(func(s *scenario.Scenario, n int) { s.Config.Settings.MaxAttempts = n }),
+	"retries":  count(func(s *scenario.Scenario, n int) { s.Config.Clients.MaxRetries = n }),
 	"load": number(func(s *scenario.Scenario, x float64) {
-		for i := range s.Model.Classes {
-			s.Model.Classes[i].Rate *= x
+		for i := range s.Config.Classes {
+			s.Config.Classes[i].Rate *= x
 		}
 	}),
-	"jitter": number(func(s *scenario.Scenario, x float64) { s.Model.Clients.Jitter = x }),
-	"honour": number(func(s *scenario.Scenario, x float64) { s.Model.Clients.Honour = x }),
+	"jitter": number(func(s *scenario.Scenario, x float64) { s.Config.Clients.Jitter = x }),
+	"honour": number(func(s *scenario.Scenario, x float64) { s.Config.Clients.HonorRetryAfter = x }),
 	"part": number(func(s *scenario.Scenario, x float64) {
-		for i := range s.Model.Troubles {
-			s.Model.Troubles[i].Part = x
+		for i := range s.Config.Faults {
+			s.Config.Faults[i].Share = x
 		}
 	}),
-	"length":      span(func(s *scenario.Scenario, d time.Duration) { s.Model.Length = d }),
-	"backoff":     span(func(s *scenario.Scenario, d time.Duration) { s.Model.Clients.Backoff = d }),
-	"notice":      span(func(s *scenario.Scenario, d time.Duration) { s.Model.Clients.Notice = d }),
-	"silent":      span(func(s *scenario.Scenario, d time.Duration) { s.Model.Lists.Silent = d }),
-	"retry_after": span(func(s *scenario.Scenario, d time.Duration) { s.Model.Settings.MaxRetryAfter = d }),
+	"length":      span(func(s *scenario.Scenario, d time.Duration) { s.Config.Length = d }),
+	"backoff":     span(func(s *scenario.Scenario, d time.Duration) { s.Config.Clients.Backoff = d }),
+	"notice":      span(func(s *scenario.Scenario, d time.Duration) { s.Config.Clients.FailoverDelay = d }),
+	"silent":      span(func(s *scenario.Scenario, d time.Duration) { s.Config.Endpoints.FailureDelay = d }),
+	"retry_after": span(func(s *scenario.Scenario, d time.Duration) { s.Config.Settings.MaxRetryAfter = d }),
 }
 
 func count(do func(*scenario.Scenario, int)) func(*scenario.Scenario, string) error {
@@ -93,7 +93,7 @@
 		}
 	}
 	var wrong []error
-	for _, m := range s.Model.Check() {
+	for _, m := range s.Config.Validate() {
 		wrong = append(wrong, m)
 	}
 	return errors.Join(wrong...)
--- a/internal/experiment/scenario/scenario_test.go
+++ b/internal/experiment/scenario/scenario_test.go
@@ -11,64 +11,62 @@
 	"dunemoor/internal/experiment/simulator"
 )
 
-// Every scenario of the library is right, says what it is about, and keeps the rules and what it
-// expects, with one seed.
-func TestLibrary(t *testing.T) {
+// Every scenario of the library is valid, has a description, and meets its expectations with one seed.
+func TestLibraryScenariosMeetTheirExpectations(t *testing.T) {
 	paths, err := filepath.Glob("../../../scenarios/*.toml")
 	if err != nil || len(paths) < 20 {
-		t.Fatalf("%d scenarios, %v", len(paths), err)
+		t.Fatalf("got %d scenarios and error %v, want at least 20", len(paths), err)
 	}
 	for _, path := range paths {
 		t.Run(strings.TrimSuffix(filepath.Base(path), ".toml"), func(t *testing.T) {
 			t.Parallel()
-			s, wrong := Load(path)
-			if len(wrong) > 0 {
-				t.Fatal(wrong)
+			s, errs := Load(path)
+			if len(errs) > 0 {
+				t.Fatal(errs)
 			}
-			if s.About == "" || s.Expect == (Expect{}) {
-				t.Error("it does not say what it is about, or expects nothing")
+			if s.About == "" || s.Expected == (Expectations{}) {
+				t.Error("got no description or no expectation")
 			}
-			s.Model.Seed = max(s.Seed, 1)
-			sum, err := simulator.Run(s.Model)
+			s.Config.Seed = max(s.Seed, 1)
+			sum, err := simulator.Run(s.Config)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if missed := s.Missed(sum); len(missed) > 0 {
-				t.Errorf("seed %d: %q, %q", s.Model.Seed, missed, sum.Why)
+				t.Errorf("seed %d: got %q, want no missed expectation: %q", s.Config.Seed, missed, sum.ViolationDetails)
 			}
 		})
 	}
 }
 
-// A scenario that is written is read as the same one: it guards against a find of a search that
-// can't be played again.
-func TestTextIsReadAsTheSame(t *testing.T) {
+// Parse reads the text of Format as the same scenario, so that a finding of a search can be played again.
+func TestFormatRoundTrip(t *testing.T) {
 	paths, err := filepath.Glob("../../../scenarios/*.toml")
 	if err != nil || len(paths) < 20 {
-		t.Fatalf("%d scenarios, %v", len(paths), err)
+		t.Fatalf("got %d scenarios and error %v, want at least 20", len(paths), err)
 	}
 	for _, path := range paths {
-		s, wrong := Load(path)
-		if len(wrong) > 0 {
-			t.Fatal(wrong)
+		s, errs := Load(path)
+		if len(errs) > 0 {
+			t.Fatal(errs)
 		}
 		s.Seed = 7
-		text, err := s.Text()
+		text, err := s.Format()
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, wrong := Parse(path, text)
-		if len(wrong) > 0 {
-			t.Fatalf("%s: %v in\n%s", path, wrong, text)
+		again, errs := Parse(path, text)
+		if len(errs) > 0 {
+			t.Fatalf("%s: got errors %v in\n%s", path, errs, text)
 		}
 		if !reflect.DeepEqual(s, again) {
-			t.Errorf("%s: %+v was written as\n%s", path, s, text)
+			t.Errorf("%s:\ngot  %+v\nwant %+v from\n%s", path, again, s, text)
 		}
 	}
 }
 
-// Mistakes are all said at once, each with its line and field.
-func TestMistakes(t *testing.T) {
+// Parse returns all errors, each with its file, line and field.
+func TestParseReturnsAllErrors(t *testing.T) {
 	text, err := os.ReadFile("../../../scenarios/a-fifth-of-the-hosts-die.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -80,13 +78,13 @@
 		{`end_in_time = 0.99`, `end_in_time = 99.0`}, {`retries = 2`, `retrys = 2`}, {`delay = "200us"`, `delay = 200`},
 	} {
 		if !strings.Contains(bad, c[0]) {
-			t.Fatalf("the scenario lacks %q", c[0])
+			t.Fatalf("scenario without %q", c[0])
 		}
 		bad = strings.Replace(bad, c[0], c[1], 1)
 	}
-	_, wrong := Parse("f.toml", bad)
+	_, errs := Parse("f.toml", bad)
 	var all []string
-	for _, err := range wrong {
+	for _, err := range errs {
 		all = append(all, err.Error())
 	}
 	for _, want := range []string{
@@ -100,34 +98,43 @@
 			}
 		}
 		if n != 1 {
-			t.Errorf("%q is said %d times in\n%s", want, n, strings.Join(all, "\n"))
+			t.Errorf("got %d errors with %q, want 1:\n%s", n, want, strings.Join(all, "\n"))
 		}
 	}
 	if len(all) != 9 {
-		t.Errorf("%d mistakes of 9:\n%s", len(all), strings.Join(all, "\n"))
+		t.Errorf("got %d errors, want 9:\n%s", len(all), strings.Join(all, "\n"))
 	}
 }
 
-// What is expected is held against a run: it guards against an expectation that nothing misses.
-func TestMissed(t *testing.T) {
+// Each expectation can be met and missed.
+func TestMissedReportsEachExpectation(t *testing.T) {
 	sum := &simulator.Summary{
-		Classes: []simulator.ClassSummary{{Asked: 60, InTime: 60, Worth: 1}, {Asked: 40, InTime: 30, Worth: 5}},
-		Seconds: []simulator.Second{{Asked: 50, InTime: 50}, {Asked: 50, InTime: 40, Handshakes: 7, ColdSends: 7, DeadSends: 7, ListCalls: 7}},
+		Classes: []simulator.ClassSummary{{FirstRequests: 60, InTime: 60, PriorityWeight: 1}, {FirstRequests: 40, InTime: 30, PriorityWeight: 5}},
+		Seconds: []simulator.Second{{FirstRequests: 50, InTime: 50}, {FirstRequests: 50, InTime: 40, Handshakes: 7, WarmingAttempts: 7, UnavailableAttempts: 7, Polls: 7}},
 	}
 	for _, tt := range []struct {
-		expect Expect
-		broken int
-		want   int
+		expected   Expectations
+		violations int
+		want       int
 	}{
-		{Expect{InTime: 0.9}, 0, 0}, {Expect{InTime: 0.91}, 0, 1}, {Expect{EndFrom: time.Second, EndInTime: 0.8}, 0, 0},
-		{Expect{EndFrom: time.Second, EndInTime: 0.81}, 0, 1}, {Expect{InTime: 0.95, EndInTime: 0.95}, 3, 3},
-		{Expect{Worth: 0.8}, 0, 0}, {Expect{Worth: 0.82}, 0, 1}, {Expect{Class: 0.75}, 0, 0}, {Expect{Class: 0.76}, 0, 1},
-		{Expect{Most: Budget{7, 7, 7, 7}}, 0, 0}, {Expect{Most: Budget{Handshakes: 6}}, 0, 1}, {Expect{Most: Budget{ColdSends: 6}}, 0, 1},
-		{Expect{Most: Budget{DeadSends: 6}}, 0, 1}, {Expect{Most: Budget{ListCalls: 6}}, 0, 1},
+		{Expectations{InTimeShare: 0.9}, 0, 0},
+		{Expectations{InTimeShare: 0.91}, 0, 1},
+		{Expectations{EndFrom: time.Second, EndInTimeShare: 0.8}, 0, 0},
+		{Expectations{EndFrom: time.Second, EndInTimeShare: 0.81}, 0, 1},
+		{Expectations{InTimeShare: 0.95, EndInTimeShare: 0.95}, 3, 3},
+		{Expectations{WeightedInTimeShare: 0.8}, 0, 0},
+		{Expectations{WeightedInTimeShare: 0.82}, 0, 1},
+		{Expectations{ClassInTimeShare: 0.75}, 0, 0},
+		{Expectations{ClassInTimeShare: 0.76}, 0, 1},
+		{Expectations{PerSecond: Budget{7, 7, 7, 7}}, 0, 0},
+		{Expectations{PerSecond: Budget{Handshakes: 6}}, 0, 1},
+		{Expectations{PerSecond: Budget{WarmingAttempts: 6}}, 0, 1},
+		{Expectations{PerSecond: Budget{UnavailableAttempts: 6}}, 0, 1},
+		{Expectations{PerSecond: Budget{Polls: 6}}, 0, 1},
 	} {
-		sum.Broken[simulator.RuleDrain] = tt.broken
-		if got := (&Scenario{Expect: tt.expect}).Missed(sum); len(got) != tt.want {
-			t.Errorf("%+v, %d broken: %q", tt.expect, tt.broken, got)
+		sum.Violations[simulator.RuleDrain] = tt.violations
+		if got := (&Scenario{Expected: tt.expected}).Missed(sum); len(got) != tt.want {
+			t.Errorf("%+v, %d violations: got %q, want %d missed", tt.expected, tt.violations, got, tt.want)
 		}
 	}
 }
--- a/internal/experiment/scenariosearch/shrink.go
+++ b/internal/experiment/scenariosearch/shrink.go
@@ -7,127 +7,205 @@
 	"dunemoor/internal/experiment/simulator"
 )
 
-// keepPart is how much of a find's score must be left in what it is made smaller to.
-const keepPart = 0.8
-
-// smaller are the ways to make a Config simpler, the largest cuts first. Each says whether there
-// was anything to cut.
-var smaller = []func(c *simulator.Config, i int) (cut bool, more bool){
-	func(c *simulator.Config, i int) (bool, bool) { // without a trouble
-		if i >= len(c.Troubles) {
-			return false, false
-		}
-		c.Troubles = slices.Delete(c.Troubles, i, i+1)
-		return true, true
-	},
-	func(c *simulator.Config, i int) (bool, bool) { // without a burst
-		if i >= len(c.Bursts) {
-			return false, false
-		}
-		c.Bursts = slices.Delete(c.Bursts, i, i+1)
-		return true, true
-	},
-	func(c *simulator.Config, i int) (bool, bool) { // without a class, if another is left
-		if i >= len(c.Classes) || len(c.Classes) == 1 {
-			return false, false
-		}
-		work := perHost(*c)
-		c.Classes = slices.Delete(c.Classes, i, i+1)
-		c.Settings.Classes = slices.Delete(c.Settings.Classes, i, i+1)
-		if left := perHost(*c); left > 0 { // as much is asked
-			scale(c, work/left)
-		}
-		return true, true
-	},
-	func(c *simulator.Config, _ int) (bool, bool) { // half of the gateways
-		was := c.Gateways
-		c.Gateways = max(was/2, 1)
-		return c.Gateways < was, false
-	},
-	func(c *simulator.Config, _ int) (bool, bool) { // half of the hosts, and of the load with them
-		was := c.Hosts[0].Count
-		c.Hosts[0].Count = max(was/2, 2)
-		if c.Hosts[0].Count == was {
-			return false, false
-		}
-		scale(c, float64(c.Hosts[0].Count)/float64(was))
-		return true, false
-	},
-	func(c *simulator.Config, _ int) (bool, bool) { // no longer than until some time behind the last trouble
-		end := 5 * time.Second
-		for _, t := range c.Troubles {
-			end = max(end, t.At+t.For+5*time.Second)
-		}
-		for _, b := range c.Bursts {
-			end = max(end, b.At+b.For+5*time.Second)
-		}
-		if end >= c.Length {
-			return false, false
-		}
-		c.Length = end
-		return true, false
-	},
-	func(c *simulator.Config, _ int) (bool, bool) { // clients that ask once
-		was := c.Clients
-		c.Clients = simulator.Clients{Notice: was.Notice}
-		return c.Clients != was, false
-	},
-	func(c *simulator.Config, _ int) (bool, bool) { // news at once
-		was := c.Lists
-		c.Lists = simulator.Lists{}
-		return c.Lists != was, false
-	},
-	func(c *simulator.Config, _ int) (bool, bool) { // a plain network
-		was := c.Net.Spread
-		c.Net.Spread = 0
-		return was != 0, false
-	},
-	func(c *simulator.Config, i int) (bool, bool) { // troubles at whole seconds
-		if i >= len(c.Troubles) {
-			return false, false
-		}
-		t := &c.Troubles[i]
-		was := *t
-		t.At, t.For = t.At.Round(time.Second), max(t.For.Round(time.Second), time.Second)
-		t.Part = float64(int(t.Part*20+0.5)) / 20
-		if t.Part == 0 {
-			t.Part = was.Part
+const (
+	// minScoreShare is the share of a finding's score that a smaller one must keep.
+	minScoreShare = 0.8
+	// timeAfterFault is how long a run goes on at least after its last fault or burst.
+	timeAfterFault = 5 * time.Second
+	// faultShareSteps: shares of faults are rounded to this part of 1.
+	faultShareSteps = 20
+)
+
+// reduction makes a Config simpler at one of several places, or as a whole.
+type reduction struct {
+	places func(c *simulator.Config) int             // nil: the Config as a whole
+	apply  func(c *simulator.Config, place int) bool // returns false where it changes nothing
+}
+
+// reductions are tried in this order, the largest first.
+var reductions = []reduction{
+	{faultCount, removeFault},
+	{burstCount, removeBurst},
+	{removableClassCount, removeClass},
+	{nil, halveGateways},
+	{nil, halveHosts},
+	{nil, shortenRun},
+	{nil, removeRetries},
+	{nil, removeListDelays},
+	{nil, removeDelaySpread},
+	{faultCount, roundFault},
+	{nil, useFirstSeed},
+}
+
+func faultCount(c *simulator.Config) int { return len(c.Faults) }
+func burstCount(c *simulator.Config) int { return len(c.Bursts) }
+
+// removableClassCount is 0 where one class is left, which must stay.
+func removableClassCount(c *simulator.Config) int {
+	if len(c.Classes) == 1 {
+		return 0
+	}
+	return len(c.Classes)
+}
+
+func removeFault(c *simulator.Config, index int) bool {
+	c.Faults = slices.Delete(c.Faults, index, index+1)
+	return true
+}
+
+func removeBurst(c *simulator.Config, index int) bool {
+	c.Bursts = slices.Delete(c.Bursts, index, index+1)
+	return true
+}
+
+// removeClass removes a class and keeps the load.
+func removeClass(c *simulator.Config, index int) bool {
+	before := loadPerHost(*c)
+	c.Classes = slices.Delete(c.Classes, index, index+1)
+	c.Settings.Classes = slices.Delete(c.Settings.Classes, index, index+1)
+	if left := loadPerHost(*c); left > 0 {
+		scaleLoad(c, before/left)
+	}
+	return true
+}
+
+func halveGateways(c *simulator.Config, _ int) bool {
+	before := c.Gateways
+	c.Gateways = max(before/2, 1)
+	return c.Gateways < before
+}
+
+// halveHosts halves the hosts of the first group, and the load with them.
+func halveHosts(c *simulator.Config, _ int) bool {
+	before := c.Hosts[0].Count
+	c.Hosts[0].Count = max(before/2, minHosts)
+	if c.Hosts[0].Count == before {
+		return false
+	}
+	scaleLoad(c, float64(c.Hosts[0].Count)/float64(before))
+	return true
+}
+
+// shortenRun ends the run some time after the last fault or burst.
+func shortenRun(c *simulator.Config, _ int) bool {
+	end := timeAfterFault
+	for _, f := range c.Faults {
+		end = max(end, f.At+f.Duration+timeAfterFault)
+	}
+	for _, b := range c.Bursts {
+		end = max(end, b.At+b.Duration+timeAfterFault)
+	}
+	if end >= c.Length {
+		return false
+	}
+	c.Length = end
+	return true
+}
+
+func removeRetries(c *simulator.Config, _ int) bool {
+	before := c.Clients
+	c.Clients = simulator.Clients{FailoverDelay: before.FailoverDelay}
+	return c.Clients != before
+}
+
+func removeListDelays(c *simulator.Config, _ int) bool {
+	before := c.Endpoints
+	c.Endpoints = simulator.EndpointLists{}
+	return c.Endpoints != before
+}
+
+func removeDelaySpread(c *simulator.Config, _ int) bool {
+	before := c.Network.DelaySpread
+	c.Network.DelaySpread = 0
+	return before != 0
+}
+
+// roundFault rounds the times of a fault to seconds, and its share.
+func roundFault(c *simulator.Config, index int) bool {
+	f := &c.Faults[index]
+	before := *f
+	f.At = f.At.Round(time.Second)
+	f.Duration = max(f.Duration.Round(time.Second), time.Second)
+	f.Share = float64(int(f.Share*faultShareSteps+0.5)) / faultShareSteps
+	if f.Share == 0 {
+		f.Share = before.Share
+	}
+	return *f != before
+}
+
+func useFirstSeed(c *simulator.Config, _ int) bool {
+	before := c.Seed
+	c.Seed = 1
+	return before != 1
+}
+
+// Shrink makes a finding smaller while most of its score, or a violation of a rule, is left. It calls run at
+// most maxRuns times; a reduction whose run returns an error is not made.
+func Shrink(f Finding, maxRuns int, run func(simulator.Config) (*simulator.Summary, error)) Finding {
+	s := shrinker{
+		finding:       f,
+		runsLeft:      maxRuns,
+		run:           run,
+		minScore:      minScoreShare * f.Score,
+		needViolation: f.Violations > 0,
+	}
+	for s.pass() {
+	}
+	return s.finding
+}
+
+// shrinker is the state of Shrink.
+type shrinker struct {
+	finding       Finding // the smallest so far
+	runsLeft      int
+	run           func(simulator.Config) (*simulator.Summary, error)
+	minScore      float64
+	needViolation bool
+}
+
+// pass tries each reduction at each place once. It returns false where none could be made.
+func (s *shrinker) pass() bool {
+	reduced := false
+	for _, r := range reductions {
+		if r.places == nil {
+			reduced = s.try(r, 0) || reduced
+			continue
 		}
-		return *t != was, true
-	},
-	func(c *simulator.Config, _ int) (bool, bool) { // the first seed
-		was := c.Seed
-		c.Seed = 1
-		return was != 1, false
-	},
-}
-
-// Shrink makes a find smaller while most of its score, or a broken rule, is left, with at most so many runs. play
-// gives what comes of a Config; where that is an error the cut is not made.
-func Shrink(f Find, runs int, play func(simulator.Config) (*simulator.Summary, error)) Find {
-	least, broken := keepPart*f.Score, f.Broken > 0
-	for again := true; again; {
-		again = false
-		for _, cut := range smaller {
-			for i := 0; ; i++ {
-				c := clone(f.Config)
-				did, more := cut(&c, i)
-				if did && len(c.Check()) == 0 {
-					if runs--; runs < 0 {
-						return f
-					}
-					if sum, err := play(c); err == nil {
-						if got := Judge(c, sum); broken && got.Broken > 0 || !broken && got.Score >= least {
-							f, again = got, true
-							i-- // another has come into its place
-						}
-					}
-				}
-				if !more {
-					break
-				}
+		place := 0
+		for place < r.places(&s.finding.Config) {
+			if s.try(r, place) {
+				reduced = true // another place has come in its place, or it is as simple as it gets
+			} else {
+				place++
 			}
 		}
 	}
-	return f
+	return reduced
+}
+
+// try makes a reduction if enough of the finding is left after it.
+func (s *shrinker) try(r reduction, place int) bool {
+	c := clone(s.finding.Config)
+	changed := r.apply(&c, place)
+	if !changed || len(c.Validate()) > 0 || s.runsLeft == 0 {
+		return false
+	}
+	s.runsLeft--
+	result, err := s.run(c)
+	if err != nil {
+		return false
+	}
+	smaller := Evaluate(c, result)
+	if !s.accepts(&smaller) {
+		return false
+	}
+	s.finding = smaller
+	return true
+}
+
+func (s *shrinker) accepts(f *Finding) bool {
+	if s.needViolation {
+		return f.Violations > 0
+	}
+	return f.Score >= s.minScore
 }
--- /dev/null
+++ b/internal/experiment/simulator/discovery.go
@@ -0,0 +1,128 @@
+package simulator
+
+import (
+	"time"
+
+	"dunemoor/balancer"
+)
+
+// pollTimeout is how long a poll waits for its turn at discovery.
+const pollTimeout = time.Second
+
+// hostIndex is the index of a host by its id in endpoint lists, where ids count from 1.
+func hostIndex(id balancer.HostID) int { return int(id) - 1 }
+
+// endpoint returns a host as endpoint lists have it.
+func endpoint(h *host) balancer.Host {
+	return balancer.Host{
+		ID:      balancer.HostID(h.id + 1),
+		Zone:    h.Zone,
+		Cell:    h.cell,
+		State:   h.state,
+		Started: h.startedAt,
+	}
+}
+
+// endpointList returns the full list.
+func (s *simulation) endpointList() []balancer.Host {
+	list := make([]balancer.Host, 0, len(s.hosts))
+	for _, h := range s.hosts {
+		if h.state != balancer.Removed {
+			list = append(list, endpoint(h))
+		}
+	}
+	return list
+}
+
+// setState changes the listed state of a host. Each gateway learns of it after delay and its share of the
+// spread.
+func (s *simulation) setState(h *host, state balancer.HostState, delay time.Duration) {
+	h.state = state
+	for i := range s.gateways {
+		at := s.now + delay
+		if spread := s.config.Endpoints.Spread; spread > 0 {
+			at += time.Duration(s.listRandom.Float64() * float64(spread))
+		}
+		s.queue.push(event{at: at, kind: eventEndpointUpdate, index: int32(i), number: uint64(h.id)})
+	}
+}
+
+// updateEndpoint has a gateway learn of the current state of a host.
+func (s *simulation) updateEndpoint(g *gateway, h *host) {
+	if g.watching || !s.config.Settings.Poll {
+		s.recordDrainNotice(g, h)
+	}
+	if g.running && g.watching {
+		s.deliver(g, func() {
+			g.balancer.UpdateEndpoints(s.now, balancer.ListChanges, []balancer.Host{endpoint(h)})
+		})
+	}
+}
+
+// recordDrainNotice records when a gateway learned that it must not send to a host, for RuleDrain.
+func (s *simulation) recordDrainNotice(g *gateway, h *host) {
+	if h.drainNoticeAt == nil {
+		h.drainNoticeAt = make([]balancer.Time, len(s.gateways))
+	}
+	if h.state == balancer.Ready {
+		h.drainNoticeAt[g.id] = 0
+	} else if h.drainNoticeAt[g.id] == 0 {
+		h.drainNoticeAt[g.id] = max(s.now, 1) // 0 stands for none
+	}
+}
+
+// poll is a gateway's poll of the endpoint list. Discovery serves polls one after the other.
+func (s *simulation) poll(g *gateway) {
+	s.currentSecond().Polls++
+	g.polls++
+	e := event{kind: eventPollDone, index: int32(g.id), incarnation: g.polls}
+	start := max(s.now, s.discoveryBusyUntil)
+	switch {
+	case s.discoveryOutages > 0:
+		e.at = s.now + s.config.Network.Delay
+	case start-s.now > pollTimeout:
+		e.at = s.now + pollTimeout
+	default:
+		s.discoveryBusyUntil = start + s.config.Endpoints.PollTime
+		e.at = s.discoveryBusyUntil
+		e.number = 1
+	}
+	s.queue.push(e)
+}
+
+// pollDone is the end of a poll: it returns the full list, and changes from then on. number identifies the
+// poll; one from before a stop of the gateway, or followed by another, is ignored.
+func (s *simulation) pollDone(g *gateway, number uint32, succeeded bool) {
+	if !g.running || number != g.polls {
+		return
+	}
+	g.watching = succeeded && s.discoveryOutages == 0
+	if !g.watching {
+		s.endpointListFailed(g)
+		return
+	}
+	for _, h := range s.hosts {
+		s.recordDrainNotice(g, h)
+	}
+	list := s.endpointList()
+	s.deliver(g, func() { g.balancer.UpdateEndpoints(s.now, balancer.ListFull, list) })
+}
+
+func (s *simulation) endpointListFailed(g *gateway) {
+	s.deliver(g, func() { g.balancer.UpdateEndpoints(s.now, balancer.ListFailed, nil) })
+}
+
+// changeDiscoveryOutages counts a fault that has discovery down, or its end. Watches end with each.
+func (s *simulation) changeDiscoveryOutages(begins bool) {
+	if !begins {
+		s.discoveryOutages--
+		return
+	}
+	s.discoveryOutages++
+	for _, g := range s.gateways {
+		if g.running && s.config.Settings.Poll && g.watching {
+			g.watching = false
+			s.endpointListFailed(g)
+		}
+	}
+}
--- /dev/null
+++ b/internal/experiment/simulator/faults.go
@@ -0,0 +1,241 @@
+package simulator
+
+import (
+	"slices"
+	"time"
+
+	"dunemoor/balancer"
+)
+
+// switchFault begins or ends a fault.
+func (s *simulation) switchFault(index int, begins bool) {
+	f := &s.config.Faults[index]
+	if f.Kind == DiscoveryDown {
+		s.changeDiscoveryOutages(begins)
+		return
+	}
+	if begins {
+		s.drawTargets(index)
+	}
+	targets := s.faultTargets[index]
+	switch {
+	case f.Kind.inSteps():
+		if begins {
+			s.scheduleSteps(index, targets)
+		}
+	case f.Kind == GatewayCrash:
+		for _, target := range targets {
+			s.changeOutages(s.gateways[target], begins)
+		}
+	default:
+		for _, target := range targets {
+			s.changeHostFaults(s.hosts[target], index, begins)
+		}
+	}
+}
+
+// drawTargets draws the hosts or gateways of a fault that begins.
+func (s *simulation) drawTargets(index int) {
+	f := &s.config.Faults[index]
+	if s.faultTargets == nil {
+		s.faultTargets = make([][]int, len(s.config.Faults))
+	}
+	all := len(s.hosts)
+	if f.Kind.targetsGateways() {
+		all = len(s.gateways)
+	}
+	count := max(1, int(f.Share*float64(all)+0.5))
+	s.faultTargets[index] = newStream(s.config.Seed, streamFaults, index).Perm(all)[:count]
+}
+
+// scheduleSteps spreads the targets of a fault over its steps.
+func (s *simulation) scheduleSteps(index int, targets []int) {
+	f := &s.config.Faults[index]
+	steps := max(f.Steps, 1)
+	interval := f.Duration / time.Duration(steps)
+	for n, target := range targets {
+		step := n * steps / len(targets)
+		at := s.now + interval*time.Duration(step)
+		s.queue.push(event{at: at, kind: eventFaultStep, index: int32(index), number: uint64(target)})
+	}
+}
+
+// faultStep drains a target of a fault with steps.
+func (s *simulation) faultStep(index, target int) {
+	if s.config.Faults[index].Kind == GatewayRestart {
+		g := s.gateways[target]
+		if !g.running || g.drainingSince != 0 {
+			return
+		}
+		g.drainingSince = max(s.now, 1) // 0 stands for none
+	} else {
+		old := s.hosts[target]
+		if old.replaced || !old.running || old.state != balancer.Ready {
+			return // another fault has it
+		}
+		s.replaceHost(old)
+	}
+	s.queue.push(event{
+		at: s.now + s.longestDeadline() + drainMargin, kind: eventDrained, index: int32(index), number: uint64(target),
+	})
+}
+
+// replaceHost starts a host in the place of another one, which drains.
+func (s *simulation) replaceHost(old *host) {
+	old.replaced = true
+	h := s.addHost(old.HostGroup, old.cell)
+	s.startHost(h)
+	s.setState(h, balancer.Ready, s.config.Endpoints.UpdateDelay)
+	s.setState(old, balancer.Draining, s.config.Endpoints.UpdateDelay)
+}
+
+func (s *simulation) longestDeadline() time.Duration {
+	longest := time.Duration(0)
+	for _, class := range s.config.Settings.Classes {
+		longest = max(longest, class.Deadline)
+	}
+	return longest
+}
+
+// drained ends the draining period of a target of a fault with steps.
+func (s *simulation) drained(f *Fault, target int) {
+	if f.Kind == GatewayRestart {
+		s.gatewayDrained(s.gateways[target])
+		return
+	}
+	h := s.hosts[target]
+	s.stopHost(h, true)
+	s.setState(h, balancer.Removed, s.config.Endpoints.UpdateDelay)
+}
+
+// impairment is what all active faults of a host make of it.
+type impairment struct {
+	down          bool
+	silent        bool // packets to it get lost
+	draining      bool
+	hung          bool
+	responsesLost bool
+	partitioned   bool
+	slowdown      float64 // factor of 1 or more
+	errorShare    float64 // share of the responses that are immediate errors
+	lossyShare    float64 // share of the responses that get lost or are resets
+}
+
+// listedState is the state of a running host in endpoint lists.
+func (i *impairment) listedState() balancer.HostState {
+	if i.draining {
+		return balancer.Draining
+	}
+	return balancer.Ready
+}
+
+// impairmentOf combines the active faults of a host. They may overlap: the host is down until the last fault
+// that has it down has ended, and as slow as the worst makes it.
+func (s *simulation) impairmentOf(h *host) impairment {
+	result := impairment{slowdown: 1}
+	for _, index := range h.activeFaults {
+		f := &s.config.Faults[index]
+		switch f.Kind {
+		case Crash:
+			result.down = true
+		case Vanish:
+			result.down = true
+			result.silent = true
+		case Drain:
+			result.draining = true
+		case Hang:
+			result.hung = true
+		case ResponsesLost:
+			result.responsesLost = true
+		case Partition:
+			result.partitioned = true
+		case LossyResponses:
+			result.lossyShare = max(result.lossyShare, f.Severity)
+		case Slow:
+			result.slowdown = max(result.slowdown, f.Severity)
+		case Errors:
+			result.errorShare = max(result.errorShare, f.Severity)
+		}
+	}
+	return result
+}
+
+// changeHostFaults adds a fault to a host, or removes it.
+func (s *simulation) changeHostFaults(h *host, index int, begins bool) {
+	s.advance(h)
+	before := s.impairmentOf(h)
+	if begins {
+		h.activeFaults = append(h.activeFaults, index)
+	} else {
+		h.activeFaults = slices.DeleteFunc(h.activeFaults, func(active int) bool { return active == index })
+	}
+	now := s.impairmentOf(h)
+	s.changeProcess(h, &before, &now, s.config.Faults[index].Kind)
+	h.silent = now.silent
+	h.hung = now.hung
+	h.responsesLost = now.responsesLost
+	h.slowdown = now.slowdown
+	h.errorShare = now.errorShare
+	h.lossyShare = now.lossyShare
+	s.changePartition(h, &now)
+	s.reschedule(h)
+}
+
+// changeProcess stops and starts a host's process and changes its listed state, where a change of its faults
+// requires that. kind is the kind of the fault that begins or ends.
+func (s *simulation) changeProcess(h *host, before, now *impairment, kind FaultKind) {
+	lists := &s.config.Endpoints
+	switch {
+	case now.down && before.down:
+	case now.down:
+		s.stopHost(h, kind == Crash)
+		s.setState(h, balancer.Removed, lists.FailureDelay)
+	case before.down:
+		s.startHost(h)
+		s.setState(h, now.listedState(), lists.UpdateDelay)
+	case now.draining && !before.draining:
+		s.setState(h, balancer.Draining, lists.UpdateDelay)
+	case before.draining && !now.draining:
+		s.stopHost(h, true)
+		s.startHost(h)
+		s.setState(h, balancer.Ready, lists.UpdateDelay)
+	}
+}
+
+// changePartition partitions a host or connects it again.
+func (s *simulation) changePartition(h *host, now *impairment) {
+	if now.partitioned && !h.partitioned {
+		s.partition(h)
+	}
+	connectedAgain := h.partitioned && !now.partitioned
+	if connectedAgain && !now.down && h.state == balancer.Removed {
+		s.setState(h, now.listedState(), s.config.Endpoints.UpdateDelay)
+	}
+	h.partitioned = now.partitioned
+}
+
+// partition cuts a host off. Gateways that see resets lose their connections and attempts at once.
+func (s *simulation) partition(h *host) {
+	for _, g := range s.gateways {
+		if !g.running || !g.seesResets() {
+			continue
+		}
+		s.closeIdleConnections(g, h)
+		for _, r := range sortedByID(g.openRequests) {
+			for i := range r.attempts {
+				if a := &r.attempts[i]; !a.ended && a.host == h {
+					s.scheduleResult(s.now+s.networkDelay(g), balancer.Reset, i, r)
+				}
+			}
+		}
+	}
+	at := s.now + s.config.Endpoints.FailureDelay
+	s.queue.push(event{at: at, kind: eventPartitionDetected, index: int32(h.id)})
+}
+
+// partitionDetected has discovery remove a host that is still partitioned.
+func (s *simulation) partitionDetected(h *host) {
+	if h.partitioned && h.state == balancer.Ready {
+		s.setState(h, balancer.Removed, 0)
+	}
+}
--- a/internal/experiment/simulator/host.go
+++ b/internal/experiment/simulator/host.go
@@ -8,271 +8,279 @@
 	"dunemoor/balancer"
 )
 
-// job is an attempt that a host has.
+// host is a simulated host. The requests in service share its cores evenly, so all of them have had the same
+// service since the last one came: one number for the service given so far, and a heap of the numbers at which
+// each request is done, do for any count of them.
+type host struct {
+	HostGroup
+	id          int
+	cell        int
+	random      *rand.Rand // of errors and losses
+	running     bool
+	startedAt   balancer.Time // 0: before the run
+	incarnation uint32        // counts its stops
+
+	activeFaults  []int // indexes of the faults
+	silent        bool  // packets to it get lost
+	hung          bool
+	responsesLost bool
+	partitioned   bool
+	replaced      bool
+	slowdown      float64 // factor of 1 or more
+	errorShare    float64 // share of the responses that are immediate errors
+	lossyShare    float64 // share of the responses that get lost or are resets
+
+	congested      bool
+	congestedSince balancer.Time // since when it holds CongestionStart requests a core; 0: it doesn't
+
+	serviceGiven     float64 // to each request in service all along, in seconds of a core of speed 1
+	serviceRate      float64 // growth of serviceGiven per second
+	advancedAt       balancer.Time
+	inService        jobHeap
+	waiting          []job
+	completionNumber uint64 // of the event for the next completion; earlier ones are ignored
+
+	connections    int
+	workDone       float64 // in seconds of a core of speed 1
+	state          balancer.HostState
+	drainNoticeAt  []balancer.Time // by gateway: when it learned not to send any more; 0: it may
+	warmingWork    []sentWork      // sent while it was warming up, within the overload window
+	warmingWorkSum float64
+}
+
+// sentWork is the work of an attempt that was sent to a host.
+type sentWork struct {
+	at   balancer.Time
+	work float64
+}
+
+// job is an attempt that a host holds.
 type job struct {
-	r      *request
-	n      int
-	finish float64 // the service that the host has given to each when this one is done
+	request       *request
+	attemptNumber int
+	work          float64 // in seconds of a core of speed 1
+	doneAt        float64 // the host's serviceGiven at which it is done; set when its service begins
 }
 
-type jobs []job
+// jobHeap orders jobs by doneAt.
+type jobHeap []job
+
+func (j jobHeap) Len() int           { return len(j) }
+func (j jobHeap) Less(a, b int) bool { return j[a].doneAt < j[b].doneAt }
+func (j jobHeap) Swap(a, b int)      { j[a], j[b] = j[b], j[a] }
+
+// Push implements heap.Interface.
+func (j *jobHeap) Push(x any) { *j = append(*j, x.(job)) }
 
-func (j jobs) Len() int           { return len(j) }
-func (j jobs) Less(a, b int) bool { return j[a].finish < j[b].finish }
-func (j jobs) Swap(a, b int)      { j[a], j[b] = j[b], j[a] }
-func (j *jobs) Push(x any)        { *j = append(*j, x.(job)) }
-func (j *jobs) Pop() any {
-	x := (*j)[len(*j)-1]
-	*j = (*j)[:len(*j)-1]
+// Pop implements heap.Interface.
+func (j *jobHeap) Pop() any {
+	last := len(*j) - 1
+	x := (*j)[last]
+	*j = (*j)[:last]
 	return x
 }
 
-// host is a modelled host. Those on which it works share its cores evenly, so all have had the
-// same service since the last of them came: one number, and a heap of the numbers at which each
-// is done, do for any count of them.
-type host struct {
-	Kind
-	id       int
-	cell     int
-	rng      *rand.Rand // errors
-	up       bool
-	started  balancer.Time // 0: long ago
-	life     uint32        // counts its starts: what came before is gone
-	silent   bool          // packets to it are lost
-	hits     []int         // troubles that it is hit by now
-	hung     bool
-	unheard  bool
-	replaced bool    // another one has come in its place
-	cut      bool    // nobody can reach it: half see silence, half resets
-	lossy    float64 // share of its answers that are lost or reset
-	slow     float64 // factor
-	errors   float64 // share
-	crowded  bool
-	fullAt   balancer.Time // since when it has held as many as crowd it; 0: it does not
+const (
+	// warmingSteps is the number of steps in which a host becomes warm.
+	warmingSteps = 20
+	// serviceTolerance is the service in seconds by which a job may be short of its work when it is done:
+	// events are at whole nanoseconds.
+	serviceTolerance = 1e-9
+)
 
-	given   float64 // service so far, in seconds of a core of speed 1, to each that was there all along
-	at      balancer.Time
-	rate    float64
-	working jobs
-	waiting []job
-	plan    uint64 // of the event for the next end; older ones mean nothing
+// addHost adds a host that isn't running.
+func (s *simulation) addHost(group HostGroup, cell int) *host {
+	id := len(s.hosts)
+	h := &host{HostGroup: group, id: id, cell: cell, random: newStream(s.config.Seed, streamErrors, id), slowdown: 1}
+	s.hosts = append(s.hosts, h)
+	return h
+}
 
-	conns    int
-	busy     float64 // work done, in core-seconds
-	attempts int     // that came
-	state    balancer.HostState
-	told     []balancer.Time // by gateway: when it was told to send nothing more; 0: it may
-	cold     []coldWork      // sent to it lately while it was cold
-	coldSum  float64
+// startHost starts a host's process, which begins to warm up.
+func (s *simulation) startHost(h *host) {
+	h.running = true
+	h.silent = false
+	h.hung = false
+	h.startedAt = s.now
+	h.advancedAt = s.now
+	window := s.config.Settings.SlowStartWindow
+	for i := range warmingSteps {
+		at := s.now + window*time.Duration(i+1)/warmingSteps
+		s.scheduleSpeedChange(h, at)
+	}
+	s.reschedule(h)
 }
 
-type coldWork struct {
-	at   balancer.Time
-	work float64
+// stopHost stops a host's process. With resets the gateways see the end of its connections; they see silence
+// else.
+func (s *simulation) stopHost(h *host, resets bool) {
+	s.advance(h)
+	if resets && !h.silent {
+		for _, jobs := range [][]job{h.inService, h.waiting} {
+			for _, j := range jobs {
+				at := s.now + s.networkDelay(j.request.gateway)
+				s.scheduleResult(at, balancer.Reset, j.attemptNumber, j.request)
+			}
+		}
+	}
+	h.inService = nil
+	h.waiting = nil
+	h.running = false
+	h.congested = false
+	h.congestedSince = 0
+	h.incarnation++
+	h.connections = 0
+	s.reschedule(h)
 }
 
-// warmth is the share of its capacity that a host has.
-func (w *world) warmth(h *host) float64 {
-	set := &w.cfg.Settings
-	if h.started == 0 || set.SlowStartWindow == 0 {
+// warmShare is the share of its capacity that a host has: below 1 while it warms up.
+func (s *simulation) warmShare(h *host) float64 {
+	settings := &s.config.Settings
+	if h.startedAt == 0 || settings.SlowStartWindow == 0 {
 		return 1
 	}
-	age := float64(w.now-h.started) / float64(set.SlowStartWindow)
-	from := set.SlowStartShare
-	if from == 0 {
-		from = 1
+	age := float64(s.now-h.startedAt) / float64(settings.SlowStartWindow)
+	initial := settings.SlowStartShare
+	if initial == 0 {
+		initial = 1
+	}
+	return min(1, initial+(1-initial)*age)
+}
+
+// nominalSpeed is the speed of a core of a host that is warm and healthy.
+func (h *host) nominalSpeed() float64 {
+	if h.Speed == 0 {
+		return 1
 	}
-	return min(1, from+(1-from)*age)
+	return h.Speed
 }
 
-// speed is what a core does in a second now.
-func (w *world) speed(h *host) float64 {
-	s := w.size(h) * w.warmth(h)
-	if h.slow > 1 {
-		s /= h.slow
+// coreSpeed is the current speed of a core.
+func (s *simulation) coreSpeed(h *host) float64 {
+	speed := h.nominalSpeed() * s.warmShare(h)
+	if h.slowdown > 1 {
+		speed /= h.slowdown
 	}
-	if h.crowded {
-		s /= h.Slower
+	if h.congested {
+		speed /= h.CongestionSlowdown
 	}
-	return s
+	return speed
 }
 
-// advance gives what was served since the last look.
-func (w *world) advance(h *host) {
-	d := h.rate * (w.now - h.at).Seconds()
-	h.given += d
-	h.busy += d * float64(len(h.working))
-	h.at = w.now
+// advance accounts for the service given since the last call. It must be called before anything changes that
+// the serviceRate depends on.
+func (s *simulation) advance(h *host) {
+	given := h.serviceRate * (s.now - h.advancedAt).Seconds()
+	h.serviceGiven += given
+	h.workDone += given * float64(len(h.inService))
+	h.advancedAt = s.now
 }
 
-// settle plans the next end, after anything has changed; advance came before the change.
-func (w *world) settle(h *host) {
-	slots := h.Slots
-	for len(h.waiting) > 0 && (slots == 0 || len(h.working) < slots) {
-		j := h.waiting[0]
+// reschedule starts the service of waiting jobs and schedules the next completion. It must be called after
+// anything has changed that the serviceRate depends on.
+func (s *simulation) reschedule(h *host) {
+	for len(h.waiting) > 0 && h.servesMore() {
+		next := h.waiting[0]
 		h.waiting[0] = job{}
 		h.waiting = h.waiting[1:]
-		w.work(h, j)
+		h.beginService(next)
 	}
-	n := len(h.working)
-	if h.CrowdAt > 0 {
-		all := float64(n+len(h.waiting)) / float64(h.Cores)
-		switch {
-		case all < h.CrowdAt:
-			h.fullAt = 0
-			h.crowded = h.crowded && all > h.CrowdEnd
-		case h.CrowdAfter == 0:
-			h.crowded = true
-		case h.fullAt == 0:
-			h.fullAt = w.now
-			w.queue.push(event{at: w.now + h.CrowdAfter, kind: evWarm, a: int32(h.id), n: uint64(h.life)})
-		case w.now-h.fullAt >= h.CrowdAfter:
-			h.crowded = true
-		}
+	s.updateCongestion(h)
+	h.completionNumber++
+	h.serviceRate = 0
+	count := len(h.inService)
+	if count == 0 || h.hung {
+		return
 	}
-	h.plan++
-	if h.rate = 0; n == 0 || h.hung {
+	h.serviceRate = s.coreSpeed(h) * min(1, float64(h.Cores)/float64(count))
+	seconds := max(0, h.inService[0].doneAt-h.serviceGiven) / h.serviceRate
+	at := s.now + balancer.Time(seconds*1e9) + 1
+	s.queue.push(event{at: at, kind: eventServiceDone, index: int32(h.id), number: h.completionNumber})
+}
+
+// servesMore reports whether a host serves a further job at once.
+func (h *host) servesMore() bool { return h.MaxConcurrent == 0 || len(h.inService) < h.MaxConcurrent }
+
+// beginService begins to serve a job.
+func (h *host) beginService(j job) {
+	j.doneAt = h.serviceGiven + j.work
+	heap.Push(&h.inService, j)
+}
+
+// updateCongestion updates whether a host is congested by the requests that it holds.
+func (s *simulation) updateCongestion(h *host) {
+	if h.CongestionStart <= 0 {
 		return
 	}
-	h.rate = w.speed(h) * min(1, float64(h.Cores)/float64(n))
-	left := max(0, h.working[0].finish-h.given) / h.rate
-	w.queue.push(event{at: w.now + balancer.Time(left*1e9) + 1, kind: evDone, a: int32(h.id), n: h.plan})
+	perCore := float64(len(h.inService)+len(h.waiting)) / float64(h.Cores)
+	switch {
+	case perCore < h.CongestionStart:
+		h.congestedSince = 0
+		h.congested = h.congested && perCore > h.CongestionEnd
+	case h.CongestionDelay == 0:
+		h.congested = true
+	case h.congestedSince == 0:
+		h.congestedSince = s.now
+		s.scheduleSpeedChange(h, s.now+h.CongestionDelay)
+	case s.now-h.congestedSince >= h.CongestionDelay:
+		h.congested = true
+	}
 }
 
-// work begins with an attempt.
-func (w *world) work(h *host, j job) {
-	j.finish = h.given + j.finish // so far it held the work
-	heap.Push(&h.working, j)
+// scheduleSpeedChange schedules a time at which a host's speed may change.
+func (s *simulation) scheduleSpeedChange(h *host, at balancer.Time) {
+	s.queue.push(event{at: at, kind: eventHostSpeed, index: int32(h.id), number: uint64(h.incarnation)})
 }
 
-// done ends what is done.
-func (w *world) done(h *host) {
-	w.advance(h)
-	const hair = 1e-9 // an event stands on a whole nanosecond
-	for len(h.working) > 0 && h.working[0].finish <= h.given+hair {
-		j := heap.Pop(&h.working).(job)
-		w.reply(h, j.r, j.n, balancer.OK)
+// serviceDone responds to the requests whose service is done.
+func (s *simulation) serviceDone(h *host) {
+	s.advance(h)
+	for len(h.inService) > 0 && h.inService[0].doneAt <= h.serviceGiven+serviceTolerance {
+		j := heap.Pop(&h.inService).(job)
+		s.respondFromHost(h, j.request, j.attemptNumber, balancer.OK)
 	}
-	w.settle(h)
+	s.reschedule(h)
 }
 
-// take is an attempt's last byte at a host.
-func (w *world) take(h *host, r *request, n int) {
-	a := &r.attempts[n]
-	a.life = h.life
-	h.attempts++
-	if h.Slots > 0 && h.Queue >= 0 && len(h.working) >= h.Slots && len(h.waiting) >= h.Queue {
-		w.reply(h, r, n, balancer.Full)
+// receive is the arrival of an attempt's last byte at a running host.
+func (s *simulation) receive(h *host, r *request, attemptNumber int) {
+	a := &r.attempts[attemptNumber]
+	a.hostIncarnation = h.incarnation
+	queueFull := h.MaxQueued >= 0 && len(h.waiting) >= h.MaxQueued
+	if !h.servesMore() && queueFull {
+		s.respondFromHost(h, r, attemptNumber, balancer.Full)
 		return
 	}
-	w.ran(h, r, n)
-	if h.errors > 0 && h.rng.Float64() < h.errors {
-		w.reply(h, r, n, balancer.Failed)
+	s.checkExecution(h, r, attemptNumber)
+	if h.errorShare > 0 && h.random.Float64() < h.errorShare {
+		s.respondFromHost(h, r, attemptNumber, balancer.Failed)
 		return
 	}
-	w.advance(h)
+	s.advance(h)
 	work := r.work
-	if a.fresh {
-		work += w.cfg.Net.Handshake.Seconds()
+	if a.newConnection {
+		work += s.config.Network.HandshakeWork.Seconds()
 	}
-	if j := (job{r, n, work}); h.Slots > 0 && len(h.working) >= h.Slots {
-		h.waiting = append(h.waiting, j)
+	j := job{request: r, attemptNumber: attemptNumber, work: work}
+	if h.servesMore() {
+		h.beginService(j)
 	} else {
-		w.work(h, j)
-	}
-	w.settle(h)
-}
-
-// ran counts a run of a request, one that nobody can rule out included, and looks whether it may
-// run a second time.
-func (w *world) ran(h *host, r *request, n int) {
-	set := &w.cfg.Settings.Classes[r.class]
-	if r.ran++; r.ran == 1 {
-		r.ranAt, r.ranBy = w.now, h
-		return
-	}
-	switch set.Idempotency {
-	case balancer.NonIdempotent:
-		w.broke(RuleTwice, "request %d, unsafe, ran %d times, at host %d with attempt %d", r.id, r.ran, h.id, n)
-	case balancer.IdempotentWithKey:
-		if set.DedupScope == balancer.ScopeZone && h.Zone != r.ranBy.Zone || set.DedupScope == balancer.ScopeCell && h.cell != r.ranBy.cell || w.now > r.ranAt+set.DedupWindow {
-			w.broke(RuleTwice, "request %d, keyed, ran again outside its group or window, at host %d", r.id, h.id)
-		}
+		h.waiting = append(h.waiting, j)
 	}
+	s.reschedule(h)
 }
 
-// reply sends an answer on its way, with the connection kept.
-func (w *world) reply(h *host, r *request, n int, result balancer.Result) {
-	if h.unheard || h.silent || h.cut {
+// respondFromHost sends the result of an attempt to its gateway, unless it gets lost.
+func (s *simulation) respondFromHost(h *host, r *request, attemptNumber int, result balancer.Result) {
+	if h.responsesLost || h.silent || h.partitioned {
 		return
 	}
-	if h.lossy > 0 && h.rng.Float64() < h.lossy {
-		if h.rng.IntN(2) == 0 {
+	if h.lossyShare > 0 && h.random.Float64() < h.lossyShare {
+		lost := h.random.IntN(2) == 0
+		if lost {
 			return
 		}
 		result = balancer.Reset
 	}
-	w.queue.push(event{at: w.now + w.delay(r.gateway), kind: evAnswer, a: int32(result), n: uint64(n), r: r})
-}
-
-// end takes a host's process away: what it had is gone, and its connections with it.
-func (w *world) end(h *host, reset bool) {
-	w.advance(h)
-	for _, list := range [][]job{h.working, h.waiting} {
-		for _, j := range list {
-			if reset && !h.silent {
-				w.queue.push(event{at: w.now + w.delay(j.r.gateway), kind: evAnswer, a: int32(balancer.Reset), n: uint64(j.n), r: j.r})
-			}
-		}
-	}
-	h.working, h.waiting, h.up, h.crowded, h.fullAt = nil, nil, false, false, 0
-	h.life++
-	h.conns = 0
-	w.settle(h)
+	s.scheduleResult(s.now+s.networkDelay(r.gateway), result, attemptNumber, r)
 }
-
-// begin starts a host's process, cold.
-func (w *world) begin(h *host) {
-	h.up, h.silent, h.hung = true, false, false
-	h.started = w.now
-	h.at = w.now
-	for i := range coldSteps { // its speed rises in steps
-		w.queue.push(event{at: w.now + w.cfg.Settings.SlowStartWindow*time.Duration(i+1)/coldSteps, kind: evWarm, a: int32(h.id), n: uint64(h.life)})
-	}
-	w.settle(h)
-}
-
-// coldSteps is in how many steps a cold host becomes warm.
-const coldSteps = 20
-
-// size is the speed of a core of a host that is warm and well.
-func (w *world) size(h *host) float64 {
-	if h.Speed == 0 {
-		return 1
-	}
-	return h.Speed
-}
-
-// sentCold looks whether a cold host is being pushed over: more work than a multiple of what it can
-// do now, over the time that it would take (rule 4). What it can do is told from others of its size
-// and its coldness: that it is slow besides, or crowded, nobody can know before it has answered.
-func (w *world) sentCold(h *host, r *request) {
-	set := &w.cfg.Settings
-	if w.warmth(h) >= 1 || set.OverloadFactor == 0 {
-		return
-	}
-	h.cold = append(h.cold, coldWork{w.now, r.work})
-	h.coldSum += r.work
-	for h.cold[0].at < w.now-set.OverloadWindow {
-		h.coldSum -= h.cold[0].work
-		h.cold = h.cold[1:]
-	}
-	can := w.size(h) * w.warmth(h) * float64(h.Cores) * set.OverloadWindow.Seconds()
-	if h.coldSum > set.OverloadFactor*can+coldSlack*w.longest {
-		w.broke(RuleCold, "host %d, %.2f warm, was sent %.3f s of work in %v, and can do %.3f", h.id, w.warmth(h), h.coldSum, set.OverloadWindow, can)
-	}
-}
-
-// coldSlack is how many of the longest mean works may come on top by chance: a window that is short
-// beside the work of one request would be broken by any two.
-const coldSlack = 8
--- a/internal/experiment/simulator/rules_test.go
+++ b/internal/experiment/simulator/rules_test.go
@@ -7,75 +7,82 @@
 	"dunemoor/balancer"
 )
 
-// Each rule is seen to be broken where it is: it guards against a look that finds nothing.
-func TestBrokenRulesAreSeen(t *testing.T) {
+// A violation of each rule is counted: a check that finds nothing would pass all other tests.
+func TestRuleViolationsAreCounted(t *testing.T) {
 	second := time.Second
-	fresh := func() (*world, *gateway, *host, *request) {
-		c := fleet(1)
-		w := &world{cfg: c, sum: &Summary{Classes: make([]ClassSummary, 3), Gateways: make([]GatewaySum, 1)}, now: 10 * second, longest: 0.02}
-		h := &host{Kind: c.Hosts[0], up: true, slow: 1, told: make([]balancer.Time, 1)}
-		g := &gateway{rng: stream(1, "net", 0), idle: map[int]idleSet{}, open: map[balancer.RequestID]*request{}}
-		r := &request{id: 7, class: 1, gateway: g, at: w.now, until: w.now + second, work: 0.02, try: 99}
-		w.hosts, w.gateways, g.open[7] = []*host{h}, []*gateway{g}, r
-		return w, g, h, r
+	fresh := func() (*simulation, *gateway, *host, *request) {
+		c := smallFleet(1)
+		s := &simulation{config: c, summary: &Summary{Classes: make([]ClassSummary, 3), Gateways: make([]GatewaySummary, 1)}, now: 10 * second, maxMeanWork: 0.02}
+		h := &host{HostGroup: c.Hosts[0], running: true, slowdown: 1, drainNoticeAt: make([]balancer.Time, 1)}
+		g := &gateway{networkRandom: newStream(1, streamNetwork, 0), idleConnections: map[int]connectionSet{}, openRequests: map[balancer.RequestID]*request{}}
+		r := &request{id: 7, class: 1, gateway: g, sentAt: s.now, deadline: s.now + second, work: 0.02, retries: 99}
+		s.hosts, s.gateways, g.openRequests[7] = []*host{h}, []*gateway{g}, r
+		return s, g, h, r
 	}
 	send := &balancer.Action{Kind: balancer.Send, Request: 7, Host: 1}
 	for name, tt := range map[string]struct {
 		rule Rule
-		do   func(w *world, g *gateway, h *host, r *request)
+		do   func(s *simulation, g *gateway, h *host, r *request)
 	}{
-		"two attempts out": {RuleTwice, func(w *world, g *gateway, h *host, r *request) { w.send(g, send); w.send(g, send) }},
-		"too many attempts": {RuleTwice, func(w *world, g *gateway, h *host, r *request) {
+		"two attempts in flight": {RuleTwice, func(s *simulation, g *gateway, h *host, r *request) { s.send(g, send); s.send(g, send) }},
+		"too many attempts": {RuleTwice, func(s *simulation, g *gateway, h *host, r *request) {
 			for range 5 {
-				w.send(g, send)
+				s.send(g, send)
 				r.attempts[len(r.attempts)-1].ended = true
 			}
 		}},
-		"an unsafe one twice": {RuleTwice, func(w *world, g *gateway, h *host, r *request) {
+		"non-idempotent request executed twice": {RuleTwice, func(s *simulation, g *gateway, h *host, r *request) {
 			r.attempts = make([]attempt, 2)
-			w.take(h, r, 0)
-			w.take(h, r, 1)
+			s.receive(h, r, 0)
+			s.receive(h, r, 1)
 		}},
-		"a keyed one too late": {RuleTwice, func(w *world, g *gateway, h *host, r *request) {
+		"idempotency key after its window": {RuleTwice, func(s *simulation, g *gateway, h *host, r *request) {
 			r.class = 2
 			r.attempts = make([]attempt, 2)
-			w.take(h, r, 0)
-			w.now += 3 * second
-			w.take(h, r, 1)
+			s.receive(h, r, 0)
+			s.now += 3 * second
+			s.receive(h, r, 1)
 		}},
-		"a keyed one elsewhere": {RuleTwice, func(w *world, g *gateway, h *host, r *request) {
+		"idempotency key outside its scope": {RuleTwice, func(s *simulation, g *gateway, h *host, r *request) {
 			r.class = 2
 			r.attempts = make([]attempt, 2)
-			w.take(h, r, 0)
-			w.take(&host{Kind: h.Kind, id: 5, cell: 5, slow: 1}, r, 1)
+			s.receive(h, r, 0)
+			s.receive(&host{HostGroup: h.HostGroup, id: 5, cell: 5, slowdown: 1}, r, 1)
 		}},
-		"sent after the end": {RuleLost, func(w *world, g *gateway, h *host, r *request) { r.over = true; w.send(g, send) }},
-		"two answers": {RuleLost, func(w *world, g *gateway, h *host, r *request) {
-			w.final(r, outcomeFailed, 0)
-			w.final(r, outcomeFailed, 0)
+		"attempt after the response": {RuleLost, func(s *simulation, g *gateway, h *host, r *request) { r.done = true; s.send(g, send) }},
+		"two responses": {RuleLost, func(s *simulation, g *gateway, h *host, r *request) {
+			s.respond(r, outcomeFailed, 0)
+			s.respond(r, outcomeFailed, 0)
 		}},
-		"a late answer": {RuleLost, func(w *world, g *gateway, h *host, r *request) {
-			w.now = r.until + second
-			w.final(r, outcomeFailed, 0)
+		"late response": {RuleLost, func(s *simulation, g *gateway, h *host, r *request) {
+			s.now = r.deadline + second
+			s.respond(r, outcomeFailed, 0)
+		}},
+		"attempt at a draining host": {RuleDrain, func(s *simulation, g *gateway, h *host, r *request) {
+			h.drainNoticeAt[0] = s.now - drainGracePeriod - 1
+			s.send(g, send)
+		}},
+		"warming host overloaded": {RuleWarming, func(s *simulation, g *gateway, h *host, r *request) {
+			h.startedAt = s.now
+			r.work = 100
+			s.send(g, send)
 		}},
-		"sent on in a drain": {RuleDrain, func(w *world, g *gateway, h *host, r *request) { h.told[0] = w.now - drainGrace - 1; w.send(g, send) }},
-		"a cold host pushed": {RuleCold, func(w *world, g *gateway, h *host, r *request) { h.started = w.now; r.work = 100; w.send(g, send) }},
 	} {
-		w, g, h, r := fresh()
-		tt.do(w, g, h, r)
-		want := [rules]int{}
+		s, g, h, r := fresh()
+		tt.do(s, g, h, r)
+		want := [ruleCount]int{}
 		want[tt.rule] = 1
-		if w.sum.Broken != want {
-			t.Errorf("%s: %v, want %v: %q", name, w.sum.Broken, want, w.sum.Why)
+		if s.summary.Violations != want {
+			t.Errorf("%s: got violations %v, want %v: %q", name, s.summary.Violations, want, s.summary.ViolationDetails)
 		}
 	}
-	// At the edge all is well.
-	w, g, h, r := fresh()
-	h.told[0] = w.now - drainGrace
-	w.send(g, send)
-	w.now = r.until + answerSlack
-	w.final(r, outcomeRefused, 0)
-	if w.sum.Broken != ([rules]int{}) {
-		t.Errorf("at the edge: %v: %q", w.sum.Broken, w.sum.Why)
+	// At the limits there is no violation.
+	s, g, h, r := fresh()
+	h.drainNoticeAt[0] = s.now - drainGracePeriod
+	s.send(g, send)
+	s.now = r.deadline + responseGracePeriod
+	s.respond(r, outcomeRejected, 0)
+	if s.summary.Violations != ([ruleCount]int{}) {
+		t.Errorf("at the limits: got violations %v, want none: %q", s.summary.Violations, s.summary.ViolationDetails)
 	}
 }
--- /dev/null
+++ b/internal/experiment/simulator/simulation.go
@@ -0,0 +1,201 @@
+package simulator
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"dunemoor/balancer"
+)
+
+// simulation is the state of a run.
+type simulation struct {
+	config   Config
+	now      balancer.Time
+	queue    eventQueue
+	hosts    []*host
+	gateways []*gateway
+
+	// Random streams.
+	arrivalRandom []*rand.Rand // by class
+	workRandom    []*rand.Rand // by class
+	frontRandom   *rand.Rand
+	clientRandom  *rand.Rand
+	listRandom    *rand.Rand
+	earlyRandom   *rand.Rand
+
+	faultTargets       [][]int   // by fault: indexes of hosts or gateways
+	maxMeanWork        float64   // of all classes, in seconds
+	trafficShares      []float64 // cumulative, by gateway
+	discoveryBusyUntil balancer.Time
+	discoveryOutages   int // active faults that have discovery down
+	lastRequestID      balancer.RequestID
+	actions            []balancer.Action // of the last event of a gateway
+	workDoneBefore     float64           // by all hosts, up to the last full second
+	summary            *Summary
+	afterRun           Second // counts after the last second of the Summary
+}
+
+const (
+	defaultConnectTimeout = 100 * time.Millisecond
+	// runOutTime is how long a run goes on after the last client's deadline.
+	runOutTime = time.Second
+)
+
+// Run plays a Config. It returns a *ConfigError where the Config is invalid.
+func Run(config Config) (*Summary, error) {
+	if errs := config.Validate(); len(errs) > 0 {
+		return nil, errs[0]
+	}
+	s := newSimulation(config)
+	if err := s.startGateways(); err != nil {
+		return nil, err
+	}
+	s.scheduleFaults()
+	s.scheduleSeconds()
+	end := s.end()
+	for {
+		at, ok := s.queue.next()
+		if !ok || at > end {
+			break
+		}
+		e := s.queue.pop()
+		s.now = e.at
+		s.summary.Events++
+		s.handle(&e)
+	}
+	s.finishSummary()
+	return s.summary, nil
+}
+
+// newSimulation returns a run whose gateways have not been started.
+func newSimulation(config Config) *simulation {
+	s := &simulation{
+		config: config,
+		summary: &Summary{
+			Seconds:  make([]Second, int(config.Length.Seconds()+1)),
+			Gateways: make([]GatewaySummary, config.Gateways),
+		},
+		frontRandom:  newStream(config.Seed, streamFront, 0),
+		clientRandom: newStream(config.Seed, streamClients, 0),
+		listRandom:   newStream(config.Seed, streamLists, 0),
+		earlyRandom:  newStream(config.Seed, streamEarly, 0),
+	}
+	if s.config.Network.ConnectTimeout == 0 {
+		s.config.Network.ConnectTimeout = defaultConnectTimeout
+	}
+	s.config.Settings.Instances = config.Gateways
+	s.config.Settings.Poll = config.Endpoints.PollTime > 0
+	s.drawTrafficShares()
+	for class, t := range config.Classes {
+		s.summary.Classes = append(s.summary.Classes, newClassSummary(t, config.Settings.Classes[class]))
+		s.arrivalRandom = append(s.arrivalRandom, newStream(config.Seed, streamArrivals+t.Name, 0))
+		s.workRandom = append(s.workRandom, newStream(config.Seed, streamWork+t.Name, 0))
+		s.maxMeanWork = max(s.maxMeanWork, t.MeanWork.Seconds())
+		s.scheduleFirstRequest(class)
+	}
+	for _, group := range config.Hosts {
+		for range group.Count {
+			cell := len(s.hosts) / max(group.CellSize, 1)
+			h := s.addHost(group, cell)
+			h.running = true
+		}
+	}
+	return s
+}
+
+// drawTrafficShares draws how much of the traffic each gateway receives.
+func (s *simulation) drawTrafficShares() {
+	random := newStream(s.config.Seed, streamShares, 0)
+	sum := 0.0
+	for range s.config.Gateways {
+		if s.config.TrafficSkew > 0 {
+			sum += LogNormal.draw(random, 1, s.config.TrafficSkew)
+		} else {
+			sum++
+		}
+		s.trafficShares = append(s.trafficShares, sum)
+	}
+}
+
+func (s *simulation) startGateways() error {
+	for i := range s.config.Gateways {
+		g := &gateway{id: i, networkRandom: newStream(s.config.Seed, streamNetwork, i)}
+		s.gateways = append(s.gateways, g)
+		if err := s.startGateway(g, balancer.ListFull); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (s *simulation) scheduleFaults() {
+	for i, f := range s.config.Faults {
+		s.queue.push(event{at: f.At, kind: eventFault, index: int32(i), number: 1})
+		s.queue.push(event{at: f.At + f.Duration, kind: eventFault, index: int32(i)})
+	}
+}
+
+func (s *simulation) scheduleSeconds() {
+	for at := time.Second; at <= s.config.Length; at += time.Second {
+		s.queue.push(event{at: at, kind: eventSecond})
+	}
+}
+
+// end is the time by which every client has its response or has given up.
+func (s *simulation) end() balancer.Time {
+	end := s.config.Length
+	maxRequestsOfClient := balancer.Time(1 + s.config.Clients.MaxRetries)
+	for _, class := range s.config.Settings.Classes {
+		perRequest := class.Deadline + responseGracePeriod
+		end = max(end, s.config.Length+maxRequestsOfClient*perRequest+runOutTime)
+	}
+	return end
+}
+
+// handle runs an event.
+func (s *simulation) handle(e *event) {
+	switch e.kind {
+	case eventFirstRequest:
+		s.firstRequest(int(e.index))
+	case eventRetry:
+		s.sendRequest(e.request)
+	case eventClientLeaves:
+		s.clientLeaves(e.request, e.number == 1)
+	case eventAttemptArrives:
+		s.attemptArrives(e.request, int(e.number))
+	case eventAttemptResult:
+		s.attemptResult(e.request, int(e.number), balancer.Result(e.index))
+	case eventAttemptTimeout:
+		s.attemptTimeout(e.request, int(e.number))
+	case eventTimer:
+		s.timer(s.gateways[e.index], e.incarnation, e.number)
+	case eventServiceDone, eventHostSpeed:
+		s.handleHostEvent(e)
+	case eventFault:
+		s.switchFault(int(e.index), e.number == 1)
+	case eventFaultStep:
+		s.faultStep(int(e.index), int(e.number))
+	case eventDrained:
+		s.drained(&s.config.Faults[e.index], int(e.number))
+	case eventEndpointUpdate:
+		s.updateEndpoint(s.gateways[e.index], s.hosts[e.number])
+	case eventPollDone:
+		s.pollDone(s.gateways[e.index], e.incarnation, e.number == 1)
+	case eventPartitionDetected:
+		s.partitionDetected(s.hosts[e.index])
+	case eventSecond:
+		s.countIdleCapacity()
+	}
+}
+
+// handleHostEvent runs an event of a host, unless the host has changed since it was scheduled.
+func (s *simulation) handleHostEvent(e *event) {
+	h := s.hosts[e.index]
+	switch {
+	case e.kind == eventServiceDone && h.completionNumber == e.number:
+		s.serviceDone(h)
+	case e.kind == eventHostSpeed && uint64(h.incarnation) == e.number:
+		s.advance(h)
+		s.reschedule(h)
+	}
+}
