--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -84,11 +84,11 @@
 		h = &host{Endpoint: p.cfg.Transport.Host(m.ID), id: m.ID}
 		p.hosts[entry.ID] = h
 		if p.record != nil {
-			p.record.rec.Name(now, entry.ID, m.ID)
+			p.record.rec.NameHost(now, entry.ID, m.ID)
 		}
 	case h.id != m.ID:
 		// Two names with one HostID would be taken for one host.
-		slog.Error("host left out: its id collides with another's", "host", m.ID, "other", h.id)
+		slog.Error("endpoint ignored: its ID collides with that of another", "host", m.ID, "other", h.id)
 		return entry, false
 	}
 	h.zone, h.kind, h.addr, h.ready = m.Zone, m.Kind, m.Addr, entry.State == balancer.Ready
--- a/internal/experiment/simulator/summary.go
+++ b/internal/experiment/simulator/summary.go
@@ -43,7 +43,7 @@
 }
 
 // causeCount is the number of causes that a request can have.
-const causeCount = int(balancer.CauseYield) + 1
+const causeCount = int(balancer.CauseLowerPriority) + 1
 
 // maxLatency is the longest time that ClassSummary.Latency records.
 const maxLatency = time.Hour
