--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -13,12 +13,12 @@
 	return dst
 }
 
-func (b *Balancer) act(a Action) { b.actions = append(b.actions, a) }
+func (b *Balancer) act(action Action) { b.actions = append(b.actions, action) }
 
-// A timer's token is its kind above the request ID.
+// tokenShift is the number of bits of a timer's token below its kind. They hold the request's ID.
 const tokenShift = 56
 
-// Kinds of tokens.
+// Kinds of timer tokens.
 const (
 	tokenSweep  = iota + 1 // check queues and busy hosts
 	tokenPoll              // poll discovery
@@ -29,64 +29,49 @@
 	b.act(Action{Kind: Wake, At: at, Token: token})
 }
 
-// Kinds of log lines. Each is limited by itself.
+// logKind is a kind of log line. Each kind is limited by itself.
+type logKind int
+
+// Kinds of log lines.
 const (
-	logEject = iota
-	logErrors
-	logReturn
+	logEjected logKind = iota
+	logExcluded
+	logReadmitted
 	logFailOpen
-	logRefuse
-	logLost
-	logFound
+	logRejecting
+	logEndpointsLost
+	logEndpointsRegained
 	logKinds
 )
 
-// logInterval is the least time between two lines of a kind.
+// logInterval is the minimum time between two lines of a kind.
 const logInterval = 10 * time.Second
 
-// logState is what was logged of a kind.
-type logState struct {
-	at         Time
-	logged     bool
-	suppressed int // lines since
+// logLimiter limits the log lines of one kind.
+type logLimiter struct {
+	at         Time // of the last line
+	logged     bool // there was one
+	suppressed int  // lines since
 }
 
-// log logs a line, at most one of a kind in logInterval.
-func (b *Balancer) log(kind int, format string, args ...any) {
-	l := &b.logs[kind]
-	if l.logged && b.now-l.at < logInterval {
-		l.suppressed++
+// log logs a line, at most one of a kind in logInterval. A HostID among the arguments is the host that the
+// line is about. docs/on-call.md explains each line.
+func (b *Balancer) log(kind logKind, format string, args ...any) {
+	limiter := &b.logs[kind]
+	if limiter.logged && b.now-limiter.at < logInterval {
+		limiter.suppressed++
 		return
 	}
 	text := fmt.Sprintf(format, args...)
+	if limiter.suppressed > 0 {
+		text += fmt.Sprintf(" (%d more such lines held back)", limiter.suppressed)
+	}
+	*limiter = logLimiter{at: b.now, logged: true}
 	var about HostID
-	for _, a := range args {
-		if id, ok := a.(HostID); ok {
+	for _, arg := range args {
+		if id, ok := arg.(HostID); ok {
 			about = id
 		}
 	}
-	if l.suppressed > 0 {
-		text += fmt.Sprintf(" (%d more such lines held back)", l.suppressed)
-	}
-	*l = logState{at: b.now, logged: true}
 	b.act(Action{Kind: Log, Text: text, Host: about})
 }
-
-// nextRand is splitmix64: small, seeded, and the same everywhere.
-func (b *Balancer) nextRand() uint64 {
-	b.rng += 0x9e3779b97f4a7c15
-	return mix(b.rng)
-}
-
-// mix spreads the bits of z.
-func mix(z uint64) uint64 {
-	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
-	z = (z ^ z>>27) * 0x94d049bb133111eb
-	return z ^ z>>31
-}
-
-// rand returns a random number below n.
-func (b *Balancer) rand(n int) int { return int(b.nextRand() >> 33 % uint64(n)) }
-
-// float returns a random number in [0, 1).
-func (b *Balancer) float() float64 { return float64(b.nextRand()>>11) / (1 << 53) }
--- a/balancer/api.go
+++ b/balancer/api.go
@@ -15,8 +15,9 @@
 // A Balancer is not safe for concurrent use. A gateway with several threads runs one Balancer in one event
 // loop, or one for each thread with Instances raised accordingly.
 //
-// The files that policy in deploy/balancer.toml names hold every decision; balancer.go, with the events, is
-// where to start reading. For observers there are [Balancer.Views], and [Balancer.Checkpoint] with
+// Each rule is a type, or a few functions, in a file of its own; the comment of [Balancer], in
+// balancer.go, lists them, and policy in deploy/balancer.toml names the files. The events in balancer.go
+// are where to start reading. For observers there are [Balancer.Views], and [Balancer.Checkpoint] with
 // [Restore].
 package balancer
 
@@ -58,41 +59,65 @@
 
 // Class describes one kind of request. The tags of Class and Settings are their names in recordings.
 type Class struct {
-	LatencyObjective time.Duration `json:"Aim"` // a response within it earns the full weight; 0: the Deadline
-	Deadline         time.Duration // how long a client waits in all
-	PriorityWeight   float64       `json:"Worth"` // weight of a response; 0 counts as 1
-	Idempotency      Idempotency   `json:"Effect"`
-	DedupScope       DedupScope    `json:"Group"`  // for IdempotentWithKey
-	DedupWindow      time.Duration `json:"Window"` // for IdempotentWithKey: from the first attempt that may have run
-	Retired          bool          // no more requests of it arrive: it is kept for open ones
+	// LatencyObjective is the time within which a response earns the full weight. 0: the Deadline.
+	LatencyObjective time.Duration `json:"Aim"`
+	// Deadline is how long a client waits in all.
+	Deadline time.Duration
+	// PriorityWeight is the weight of a response, relative to those of other classes. 0: 1.
+	PriorityWeight float64     `json:"Worth"`
+	Idempotency    Idempotency `json:"Effect"`
+	// DedupScope and DedupWindow are for IdempotentWithKey: which hosts drop duplicates, and for how long
+	// after the first attempt that may have run.
+	DedupScope  DedupScope    `json:"Group"`
+	DedupWindow time.Duration `json:"Window"`
+	// Retired means that no more requests of the class arrive: it is kept for open ones.
+	Retired bool
 }
 
-// Tenant describes one customer. Quota is its requests a second over all instances; 0: no quota.
+// Tenant describes one customer.
 type Tenant struct {
+	// Quota is its requests a second over all instances. 0: no quota.
 	Quota float64
 }
 
 // Settings is what a Balancer knows of its deployment. The zero value of an optional field stands for the
 // default named beside it.
 type Settings struct {
-	Instances int // balancers in the fleet, this one included; at least 1
-	Rank      int // number of this one, from 0
-	Classes   []Class
-	Tenants   []Tenant      // optional
-	Step      time.Duration // events are handled at most this often; 0: as they come
-
-	MaxAttempts     int           // attempts that a request may have, one at a time; 0: 3
-	Cancel          bool          // Cancel actions are allowed
-	MaxRetryAfter   time.Duration // longest Retry-After that a client heeds; 0: none is sent
-	OverQuotaWeight float64       `json:"OverQuotaWorth"` // weight of a request beyond its tenant's quota, as a share; 0: none
-
-	Poll        bool          `json:"Ask"`       // the endpoint list has to be polled, it is not pushed
-	PollTimeout time.Duration `json:"AskWithin"` // longest time without a poll under way; 0: 10 s
-
-	SlowStartShare  float64       `json:"ColdFrom"`  // share of its capacity that a host starts with; 0: 1, no slow start
-	SlowStartWindow time.Duration `json:"WarmAfter"` // a host has its full capacity this long after its start; 0: at once
-	OverloadFactor  float64       // a warming host falls over at this multiple of its present capacity; 0: 2
-	OverloadWindow  time.Duration `json:"Fall"` // kept up for this long; 0: 1 s
+	// Instances is the number of balancers in the fleet, this one included; at least 1.
+	Instances int
+	// Rank is the number of this one, from 0.
+	Rank    int
+	Classes []Class
+	// Tenants is optional.
+	Tenants []Tenant
+	// Step is the least time between two instants at which events are handled. 0: they are handled as
+	// they come.
+	Step time.Duration
+
+	// MaxAttempts is how many attempts a request may have, one at a time. 0: 3.
+	MaxAttempts int
+	// Cancel allows Cancel actions.
+	Cancel bool
+	// MaxRetryAfter is the longest Retry-After that a client heeds. 0: none is sent.
+	MaxRetryAfter time.Duration
+	// OverQuotaWeight is the weight of a request beyond its tenant's quota, as a share of its class's. 0:
+	// none.
+	OverQuotaWeight float64 `json:"OverQuotaWorth"`
+
+	// Poll means that the endpoint list has to be polled, as it is not pushed.
+	Poll bool `json:"Ask"`
+	// PollTimeout is the longest time without a poll under way. 0: 10 s, which is also the maximum.
+	PollTimeout time.Duration `json:"AskWithin"`
+
+	// SlowStartShare is the share of its capacity that a host starts with. 0: 1, there is no slow start.
+	SlowStartShare float64 `json:"ColdFrom"`
+	// SlowStartWindow is how long after its start a host has its full capacity. 0: at once.
+	SlowStartWindow time.Duration `json:"WarmAfter"`
+	// OverloadFactor is the multiple of its present capacity that overloads a warming host, if it is kept
+	// up for OverloadWindow. 0: 2.
+	OverloadFactor float64
+	// OverloadWindow is in addition the unit of the spans of rates. 0: 1 s.
+	OverloadWindow time.Duration `json:"Fall"`
 }
 
 // HostState is what the endpoint list says of a host.
@@ -184,9 +209,9 @@
 
 // Kinds of actions.
 const (
-	Send   ActionKind = iota // start an attempt of Request at Host; none of it may be sent after At (0: at any time)
+	Send   ActionKind = iota // start an attempt of Request at Host; At: the latest time to send, if not 0
 	Cancel                   // cancel Attempt of Request
-	Reject                   // final response: a rejection, trying again is harmless; RetryAfter is advice (0: none)
+	Reject                   // final response: a rejection, a retry is harmless; RetryAfter: advice, or 0
 	Fail                     // final response: an error that does not say whether the request ran
 	Wake                     // call Timer with Token at At or soon after
 	Close                    // close the idle connections to Host
@@ -196,9 +221,15 @@
 
 // Names for logs and recordings, in the order of the constants.
 var (
-	resultNames = [...]string{"OK", "Failed", "Full", "TimedOut", "ConnectFailed", "Reset", "Canceled", "NotSent", "Spoilt"}
-	actionNames = [...]string{"Send", "Cancel", "Refuse", "Fail", "Wake", "Close", "Watch", "Log"}
-	causeNames  = [...]string{"none", "late", "wait", "deadline", "spent", "connections fail", "silent", "worth less"}
+	resultNames = [...]string{
+		"OK", "Failed", "Full", "TimedOut", "ConnectFailed", "Reset", "Canceled", "NotSent", "Spoilt",
+	}
+	actionNames = [...]string{
+		"Send", "Cancel", "Refuse", "Fail", "Wake", "Close", "Watch", "Log",
+	}
+	causeNames = [...]string{
+		"none", "late", "wait", "deadline", "spent", "connections fail", "silent", "worth less",
+	}
 )
 
 // String returns the name of the result, for logs.
--- a/balancer/averages.go
+++ b/balancer/averages.go
@@ -2,89 +2,85 @@
 
 import "math"
 
-// movingAverage is an exponential moving average with its mean deviation. The first sample sets it.
+// Weights of samples in moving averages.
+const (
+	meanSampleWeight     = 0.1       // the last ten samples make up most of a mean
+	longTermSampleWeight = 1.0 / 256 // a short overload must not change a typical RTT
+	maxSpanSampleWeight  = 0.5       // of one sample in a mean over a span, however long ago the last one is
+)
+
+// movingAverage is an exponential moving average with its mean deviation. The first sample sets the mean, and
+// the deviation to half of it.
 type movingAverage struct {
 	mean, dev float64
-	seen      bool
-	n         int // samples of addLong
-	at        Time
+	seen      bool // there was a sample
+	n         int  // samples of addLongTerm
+	at        Time // of the last sample of addOverSpan
 }
 
-// add adds a sample with meanWeight.
-func (m *movingAverage) add(x float64) { m.blend(x, meanWeight) }
+// add adds a sample with meanSampleWeight.
+func (m *movingAverage) add(sample float64) { m.blend(sample, meanSampleWeight) }
 
-// addLong adds a sample. All have the same weight at first, and then longTermWeight.
-func (m *movingAverage) addLong(x float64) {
+// addLongTerm adds a sample. All samples have the same weight at first, and then longTermSampleWeight.
+func (m *movingAverage) addLongTerm(sample float64) {
 	m.n++
-	m.blend(x, max(1/float64(m.n), longTermWeight))
+	m.blend(sample, max(1/float64(m.n), longTermSampleWeight))
 }
 
-// addAt adds a sample with more weight the longer ago the last one is, so that the average has a span
-// however rare the samples are.
-func (m *movingAverage) addAt(x float64, now Time, span float64) {
-	w := 1 - math.Exp(-(now-m.at).Seconds()/span)
+// addOverSpan adds a sample, with more weight the longer ago the last one is, so that the average covers a
+// span, in seconds, however rare the samples are.
+func (m *movingAverage) addOverSpan(sample float64, now Time, span float64) {
+	weight := 1 - math.Exp(-(now-m.at).Seconds()/span)
 	m.at = now
-	m.blend(x, min(max(w, meanWeight), maxRecentWeight))
+	m.blend(sample, min(max(weight, meanSampleWeight), maxSpanSampleWeight))
 }
 
-func (m *movingAverage) blend(x, w float64) {
+// blend adds a sample with a weight between 0 and 1.
+func (m *movingAverage) blend(sample, weight float64) {
 	if !m.seen {
-		m.mean, m.dev, m.seen = x, x/2, true
+		m.mean = sample
+		m.dev = sample / 2
+		m.seen = true
 		return
 	}
-	m.dev += w * (math.Abs(x-m.mean) - m.dev)
-	m.mean += w * (x - m.mean)
+	m.dev += weight * (math.Abs(sample-m.mean) - m.dev)
+	m.mean += weight * (sample - m.mean)
 }
 
-// decayingRate is a decaying count of events, a second.
+// decayingRate is an exponentially decaying count of events, as events a second.
 type decayingRate struct {
-	rate float64
+	rate float64 // at the time at
 	at   Time
 
-	seenAt Time // when it was last read
-	seen   float64
+	// The rate is often read several times at an instant, and computed once.
+	readAt   Time
+	readRate float64
 }
 
-// now returns the rate at a time. The span is always the same. The rate is often read several times at an
-// instant, and computed once.
+// now returns the rate at a time, in events a second. The span of the decay, in seconds, is the same in all
+// calls.
 func (r *decayingRate) now(now Time, span float64) float64 {
-	if now != r.seenAt {
-		r.seen, r.seenAt = r.rate*math.Exp(-(now-r.at).Seconds()/span), now
+	if now != r.readAt {
+		r.readRate = r.rate * math.Exp(-(now-r.at).Seconds()/span)
+		r.readAt = now
 	}
-	return r.seen
+	return r.readRate
 }
 
+// add counts an event.
 func (r *decayingRate) add(now Time, span float64) {
-	r.rate, r.at = r.now(now, span)+1/span, now
-	r.seen = r.rate
+	r.rate = r.now(now, span) + 1/span
+	r.at = now
+	r.readRate = r.rate
 }
 
-// decayingShare is a share that decays while nothing is added.
+// decayingShare is a share between 0 and 1 that decays while nothing is added.
 type decayingShare struct {
-	share float64
+	share float64 // at the time at
 	at    Time
 }
 
-func (f *decayingShare) now(now Time, span float64) float64 {
-	return f.share * math.Exp(-(now-f.at).Seconds()/span)
-}
-
-// tokenBucket limits a tenant's requests to its quota.
-type tokenBucket struct {
-	tokens, rate float64
-	at           Time
-}
-
-// takeToken takes a token for one request. It reports false where the tenant is over its quota.
-func (t *tokenBucket) takeToken(now Time) bool {
-	if t.rate <= 0 {
-		return true
-	}
-	t.tokens = min(t.tokens+(now-t.at).Seconds()*t.rate, max(1, t.rate*quotaBurst))
-	t.at = now
-	if t.tokens < 1 {
-		return false
-	}
-	t.tokens--
-	return true
+// now returns the share at a time. The span of the decay is in seconds.
+func (s *decayingShare) now(now Time, span float64) float64 {
+	return s.share * math.Exp(-(now-s.at).Seconds()/span)
 }
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -2,105 +2,227 @@
 
 import (
 	"maps"
+	"math"
 	"slices"
 )
 
-// The events, from Start to Timer. What they decide is in the other files of the policy: endpoints.go,
-// subset.go, selection.go, slowstart.go, outlier.go, concurrency.go, admission.go, retry.go and queue.go.
-// The types are in api.go, the state in state.go.
+// Balancer decides for one pool of one gateway. It is not safe for concurrent use.
+//
+// Each rule is a type of its own, or a few functions, in a file of its name:
+//
+//	selection.go    which of two random hosts gets a request, and when to fail open
+//	rtt.go          the RTT estimate of each host, by which it is chosen
+//	standing.go     which hosts are ready, as the rules below say
+//	concurrency.go  how many attempts a host may have in flight
+//	slowstart.go    how often a host is sent to that has just started
+//	ejection.go     when a host is ejected, and when it is tried again
+//	silence.go      when a host counts as silent
+//	stalled.go      when an attempt on a silent connection is canceled
+//	exclusion.go    when a host is excluded for a class that it answers with errors
+//	sendrate.go     how many attempts are sent to all hosts together
+//	starvation.go   when a request yields to a class of higher priority
+//	quota.go        which requests are beyond their tenant's quota
+//	queue.go        who waits how long for a host, and in which order
+//	deadline.go     when a request is answered at the latest
+//	retry.go        whether a request has another attempt
+//	response.go     the final response, and its Retry-After
+//	attempt.go      what is learnt from the end of an attempt
+//	subset.go       which part of the hosts this instance uses
+//	ring.go         the order of hosts that all instances share
+//	endpoints.go    what a new endpoint list changes
+//	polling.go      when discovery is polled for it
+//	scope.go        which hosts drop duplicates of a request with an idempotency key
+//	averages.go     what weight samples have in means
+//
+// This file has the events. The types of its API are in api.go.
+type Balancer struct {
+	settings Settings
+	scales
+	now     Time // of the event that is being handled
+	random  randomSource
+	actions []Action
+	logs    [logKinds]logLimiter
 
-// answerMarginSteps is how many event steps ahead of its deadline a request is answered at the latest.
-const answerMarginSteps = 2
+	// Hosts.
+	hosts    []*host // in an order that does not depend on that of a map
+	byID     map[HostID]*host
+	sets     hostSets       // the subset, and the ready hosts in it
+	rechecks recheckHeap    // hosts by the time when their standing may change
+	counts   subsetCounts   // of the subset
+	excluded []subsetCounts // of the hosts excluded for a class, by class
+	ring     hostRing
+	subset   subset
+	scopes   dedupScopes
 
-func (b *Balancer) answerMargin() Time { return answerMarginSteps * b.set.Step }
+	// Requests.
+	open     map[RequestID]*request
+	arrivals decayingRate // requests a second
+	queues   requestQueues
+	sweep    sweep
 
-// Start is the first event: the gateway has started. Where the endpoint list has to be polled, polling
-// begins here, spread by rank so that a fleet that starts together does not overload discovery.
+	// Rules that are not about one host.
+	typicalRTT typicalRTTs
+	sendRate   sendRateController
+	quotas     tenantQuotas
+	starvation starvationTracker
+	pacer      slowStartPacer
+	stalled    stalledAttempts
+	poller     endpointPoller
+
+	// Memory that is used again.
+	touched    []*host // of UpdateEndpoints
+	candidates []*host // of pick
+	pool       requestPool
+}
+
+// scales are the units of the rules, which follow from the settings.
+type scales struct {
+	shortestObjective Time    // latency objective
+	errorPenalty      float64 // RTT that an error counts as, in seconds
+	minEstimateDecay  float64 // decay of RTT estimates with enough traffic, in seconds
+}
+
+// forever is a time that never comes.
+const forever Time = math.MaxInt64
+
+// New returns a Balancer for the settings, or an error if they are invalid. All its random decisions follow
+// from the seed.
+func New(settings Settings, seed uint64) (*Balancer, error) {
+	if err := check(&settings); err != nil {
+		return nil, err
+	}
+	classes := len(settings.Classes)
+	b := &Balancer{
+		settings:   settings,
+		random:     randomSource{state: seed},
+		byID:       map[HostID]*host{},
+		open:       map[RequestID]*request{},
+		scopes:     dedupScopes{hosts: map[scopeKey][]*host{}},
+		excluded:   make([]subsetCounts, classes),
+		starvation: starvationTracker{unserved: make([]decayingShare, classes)},
+		typicalRTT: typicalRTTs{byClass: make([]movingAverage, classes)},
+	}
+	b.configure()
+	b.orderQueues()
+	return b, nil
+}
+
+// configure gives the rules what follows from the settings alone.
+func (b *Balancer) configure() {
+	b.scales = scalesOf(b.settings.Classes)
+	b.sendRate.rateSpan = b.rateSpan()
+	b.sendRate.growthTime = sendRateGrowthDecays * b.minEstimateDecay
+	b.starvation.span = starvationSpanWindows * b.settings.OverloadWindow.Seconds()
+	b.quotas.configure(b.settings.Tenants, b.settings.Instances)
+}
+
+// scalesOf returns the scales of the classes that are not retired.
+func scalesOf(classes []Class) scales {
+	result := scales{shortestObjective: forever}
+	for _, class := range classes {
+		if class.Retired {
+			continue
+		}
+		objective := class.LatencyObjective
+		result.shortestObjective = min(result.shortestObjective, objective)
+		result.errorPenalty = max(result.errorPenalty, errorPenaltyObjectives*objective.Seconds())
+	}
+	result.minEstimateDecay = estimateDecayObjectives * result.shortestObjective.Seconds()
+	return result
+}
+
+// Start is the first event: the gateway has started. Where the endpoint list has to be polled, polling begins
+// here.
 func (b *Balancer) Start(now Time) {
 	b.now = now
-	if b.set.Poll {
-		b.schedulePoll(b.set.PollTimeout / 4 * Time(b.set.Rank) / Time(b.set.Instances))
+	if b.settings.Poll {
+		b.startPolling()
 	}
 }
 
-// Request is a client's request, which is owed one final response from here on.
-func (b *Balancer) Request(now Time, q Request) {
+// Request is a client's request, which is owed one final response from here on. One with an ID that is in
+// use, or of an unknown class, is ignored.
+func (b *Balancer) Request(now Time, arrived Request) {
 	b.now = now
-	if b.open[q.ID] != nil || q.Class < 0 || q.Class >= len(b.set.Classes) {
+	unknownClass := arrived.Class < 0 || arrived.Class >= len(b.settings.Classes)
+	if b.open[arrived.ID] != nil || unknownClass {
 		return
 	}
-	r := b.newRequest()
-	r.Request, r.class, r.arrived = q, &b.set.Classes[q.Class], now
-	r.deadline = now + min(max(q.Remaining, 0), r.class.Deadline)
-	r.band = b.bandOf[q.Class][b.queuePart(r)]
-	b.open[q.ID] = r
-	b.requests.add(now, b.rateSpan())
-	// Each request has a timer ahead of its deadline: an attempt that is still connecting ends only
-	// later, too late to be answered on its outcome.
-	b.wake(max(now, r.deadline-b.answerMargin()), tokenAnswer<<tokenShift|uint64(q.ID))
+	request := b.openRequest(arrived)
+	b.arrivals.add(now, b.rateSpan())
+	b.scheduleAnswer(request.ID, request.deadline)
 	switch {
-	case now+b.answerMargin() >= r.deadline:
-		b.answer(r, CauseArrivedLate)
-	case b.yieldsToStarving(r):
-		b.answer(r, CauseLowerPriority)
+	case b.tooLateToSend(request):
+		b.answer(request, CauseArrivedLate)
+	case b.yieldsToStarving(request):
+		b.answer(request, CauseLowerPriority)
 	default:
-		b.dispatch(r, false)
+		b.dispatch(request, false)
 	}
 }
 
-// AttemptStarted reports that the response of an attempt is being streamed: the request belongs to
-// that attempt.
-func (b *Balancer) AttemptStarted(now Time, id RequestID, n int) {
+// openRequest returns a request that has just arrived.
+func (b *Balancer) openRequest(arrived Request) *request {
+	request := b.pool.newRequest()
+	request.Request = arrived
+	request.class = &b.settings.Classes[arrived.Class]
+	request.arrived = b.now
+	request.deadline = b.now + min(max(arrived.Remaining, 0), request.class.Deadline)
+	request.band = b.queues.bandOf[arrived.Class][b.partOf(request)]
+	b.open[arrived.ID] = request
+	return request
+}
+
+// AttemptStarted reports that the response of an attempt is being streamed: the request belongs to that
+// attempt. Attempts of a request are numbered from 0.
+func (b *Balancer) AttemptStarted(now Time, id RequestID, number int) {
 	b.now = now
-	r := b.open[id]
-	if r == nil || r.done || n < 0 || n >= len(r.attempts) {
+	attempt := b.attemptAt(id, number)
+	if attempt == nil || attempt.request.done {
 		return
 	}
-	r.streaming = true
-	b.cancelOthers(r, n)
+	attempt.request.streaming = true
+	b.cancelOthers(attempt.request, attempt)
 }
 
 // AttemptEnded reports the end of an attempt.
-func (b *Balancer) AttemptEnded(now Time, o Outcome) {
+func (b *Balancer) AttemptEnded(now Time, outcome Outcome) {
 	b.now = now
-	r := b.open[o.Request]
-	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || r.attempts[o.Attempt].ended {
+	attempt := b.attemptAt(outcome.Request, outcome.Attempt)
+	if attempt == nil || attempt.ended {
 		return
 	}
-	a := r.attempts[o.Attempt]
-	a.ended, a.result = true, o.Result
-	r.inFlight--
-	h := a.host
-	h.inFlight--
-	h.attempts.remove(&a.link)
-	if h.inFlight == 0 {
-		b.removeFromSet(setBusy, h)
-	}
-	b.learnUnanswered(a)
-	b.observe(a, max(o.Elapsed, 1).Seconds()) // a mean of 0 would be no divisor
-	b.recheck(h)
-	b.afterAttempt(r, a, o.Closed) // it may recycle a
-	b.dropRemoved(h)
+	host := attempt.host
+	b.endAttempt(attempt, outcome.Result)
+	b.learnStalled(attempt)
+	elapsed := max(outcome.Elapsed, 1) // a mean of 0 would be no divisor
+	b.observe(attempt, elapsed.Seconds())
+	b.recheck(host)
+	b.afterAttempt(attempt.request, attempt, outcome.Closed) // it may free the attempt
+	b.dropRemoved(host)
 	b.dispatchWaiting()
 }
 
 // ClientGone reports that no client waits for the request any more.
 func (b *Balancer) ClientGone(now Time, id RequestID) {
 	b.now = now
-	if r := b.open[id]; r != nil && !r.done {
-		b.closeRequest(r)
+	request := b.open[id]
+	if request != nil && !request.done {
+		b.closeRequest(request)
 	}
 }
 
-// Shutdown reports that the gateway ends: open requests are due by then, however long their clients
-// would wait. Requests that arrive later have no more time than that.
+// Shutdown reports that the gateway ends: open requests are due by then, however long their clients would
+// wait. Requests that arrive later have no more time than that.
 func (b *Balancer) Shutdown(now, by Time) {
 	b.now = now
 	for _, id := range slices.Sorted(maps.Keys(b.open)) {
-		if r := b.open[id]; !r.done && r.deadline > by {
-			r.deadline = max(now, by)
-			b.wake(max(now, by-b.answerMargin()), tokenAnswer<<tokenShift|uint64(id))
+		request := b.open[id]
+		if request.done || request.deadline <= by {
+			continue
 		}
+		request.deadline = max(now, by)
+		b.scheduleAnswer(id, by)
 	}
 }
 
@@ -109,142 +231,10 @@
 	b.now = now
 	switch token >> tokenShift {
 	case tokenSweep:
-		if now >= b.sweepAt {
-			b.sweepAt = 0
-			b.checkSilence()
-			b.dispatchWaiting()
-		}
+		b.sweepDue()
 	case tokenPoll:
-		if now >= b.pollAt && !b.polling {
-			b.act(Action{Kind: Poll})
-			b.schedulePoll(b.set.PollTimeout)
-		}
+		b.pollDue()
 	case tokenAnswer:
-		if r := b.open[RequestID(token&(1<<tokenShift-1))]; r != nil && !r.done && !r.streaming {
-			b.answer(r, CauseDeadlineExceeded)
-		}
-	}
-}
-
-// dispatch sends a request if a host is ready for it, and else queues it. It does not overtake requests
-// that are queued already.
-func (b *Balancer) dispatch(r *request, isRetry bool) {
-	if b.queued == 0 {
-		if h := b.pick(r); h != nil {
-			b.send(r, h)
-			return
-		}
-	}
-	b.enqueue(r, isRetry)
-	b.dispatchWaiting()
-}
-
-// send starts an attempt.
-func (b *Balancer) send(r *request, h *host) {
-	sendBy := Time(0)
-	if first := r.firstThatMayRun(); first != nil && r.class.Idempotency == IdempotentWithKey {
-		sendBy = b.windowEnd(r.class, first)
-	}
-	a := b.newAttempt()
-	a.req, a.host, a.sent = r, h, b.now
-	a.trial = h.ejections > 0
-	h.trialOut = h.trialOut || a.trial
-	if f := &h.class[r.Class]; f.exclusions > 0 {
-		f.excludedUntil = b.now + b.backoff(0) // no other request until this one's result is known
-	}
-	r.attempts = append(r.attempts, a)
-	r.inFlight++
-	h.inFlight++
-	a.link.item = a
-	h.attempts.pushBack(&a.link)
-	if h.warming {
-		b.paceSlowStart(h)
-	}
-	b.addToSet(setBusy, h)
-	b.recheck(h)
-	b.act(Action{Kind: Send, Request: r.ID, Host: h.ID, At: sendBy})
-	b.inFlight++
-	b.sends.add(b.now, b.rateSpan())
-	b.sendTokens = max(b.sendTokens-1, 0)
-	b.scheduleSweep()
-}
-
-// observe learns from the end of an attempt, which took so many seconds.
-func (b *Balancer) observe(a *attempt, rtt float64) {
-	h := a.host
-	objective := a.req.class.LatencyObjective
-	// In latency objectives of the class, or as much relative to its typical RTT, whichever is more.
-	relative := rtt / objective.Seconds()
-	if l := &b.classRTT[a.req.Class]; l.seen {
-		relative = max(relative, limitObjectives/limitTypicalRTTs*rtt/l.mean)
-	}
-	if a.trial {
-		h.trialOut = false
-	}
-	switch a.result {
-	case OK:
-		b.observeSuccess(a, rtt, relative)
-	case Full:
-		// A host that is full takes no more. Its rejections are fast: one that gives nothing else would
-		// attract everything that waits.
-		b.adjustLimit(h, max(relative, 1), objective, a.sent)
-		b.adjustSendRate(a, max(rtt, objective.Seconds()))
-		b.addSample(h, max(rtt, b.penalty))
-		b.readmit(h)
-	case Failed:
-		h.brokenResponses = 0
-		if rtt > b.estimatedRTT(h) { // a fast error says nothing of the host's speed
-			b.addSample(h, rtt)
-		}
-		b.recordForClasses(a, b.recordError)
-		b.readmit(h)
-	case InvalidResponse:
-		// The host did the work and took that long. What breaks responses on their way may do so to any
-		// host's, but a host that gives nothing else counts as failing.
-		h.brokenResponses++
-		if h.brokenResponses >= maxBrokenResponses {
-			rtt = max(rtt, b.penalty)
-		}
-		b.addSample(h, rtt)
-		b.readmit(h)
-	case Canceled:
-		// Canceled at its deadline it has timed out all the same. That a client has gone, or another
-		// attempt has answered, says nothing of the host.
-		if !a.req.timedOut {
-			return
-		}
-		fallthrough
-	case TimedOut:
-		b.addSample(h, rtt)
-		b.adjustLimit(h, relative, objective, a.sent)
-		b.adjustSendRate(a, rtt)
-	case Reset:
-		// As with broken responses, what resets connections may do so to any host's.
-		b.addSample(h, rtt)
-		if h.brokenResponses++; h.brokenResponses >= maxBrokenResponses {
-			b.eject(h, CauseConnectionsFailed)
-		}
-	case ConnectFailed:
-		b.addSample(h, rtt)
-		b.eject(h, CauseConnectionsFailed)
-	}
-}
-
-// observeSuccess learns from a good response.
-func (b *Balancer) observeSuccess(a *attempt, rtt, relative float64) {
-	h := a.host
-	h.brokenResponses = 0
-	b.recordForClasses(a, b.recordSuccess)
-	b.countOvertaken(a)
-	b.addSample(h, b.normalizeRTT(a, rtt))
-	b.adjustLimit(h, relative, a.req.class.LatencyObjective, a.sent)
-	b.adjustSendRate(a, rtt)
-	if !a.req.done {
-		b.recordStarvation(a.req, false)
-	}
-	if !h.warming && b.counts.inUse > 0 {
-		b.successes.add(b.now, b.rateSpan())
-		b.warmHostRate.add(b.successes.now(b.now, b.rateSpan()) / float64(b.counts.inUse))
+		b.answerDue(RequestID(token & (1<<tokenShift - 1)))
 	}
-	b.readmit(h)
 }
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -5,6 +5,7 @@
 	"math"
 	"math/rand"
 	"os"
+	"path/filepath"
 	"reflect"
 	"regexp"
 	"slices"
@@ -158,7 +159,7 @@
 func TestSampleAndEstimate(t *testing.T) {
 	g := start(t, basic(), hosts(1)...)
 	h := g.b.hosts[0]
-	tau := g.b.decay
+	tau := g.b.minEstimateDecay
 	steps := []struct {
 		name  string
 		after time.Duration
@@ -173,16 +174,16 @@
 	for _, s := range steps {
 		g.b.now += s.after
 		g.b.addSample(h, s.rtt)
-		if math.Abs(h.rtt-s.want) > 1e-12 {
-			t.Errorf("%s: estimate %v, want %v", s.name, h.rtt, s.want)
+		if math.Abs(h.rtt.seconds-s.want) > 1e-12 {
+			t.Errorf("%s: estimate %v, want %v", s.name, h.rtt.seconds, s.want)
 		}
 	}
 	g.b.now += Time(tau * 1e9)
 	if got, want := g.b.estimatedRTT(h), 0.02/math.E; math.Abs(got-want) > 1e-9 {
 		t.Errorf("read one decay later: %v, want %v", got, want)
 	}
-	if h.rtt != 0.02 {
-		t.Errorf("reading changed the estimate to %v", h.rtt)
+	if h.rtt.seconds != 0.02 {
+		t.Errorf("reading changed the estimate to %v", h.rtt.seconds)
 	}
 }
 
@@ -205,13 +206,13 @@
 	for _, tt := range tests {
 		g := start(t, basic(), hosts(1)...)
 		h := g.b.hosts[0]
-		seed := h.rtt
+		seed := h.rtt.seconds
 		if tt.want < 0 {
 			tt.want = seed
 		}
 		id := g.request(0, time.Second)
 		g.outcome(id, 0, tt.result, tt.took)
-		got := h.rtt
+		got := h.rtt.seconds
 		if tt.result == Failed {
 			got = g.b.score(h, 0) / float64(h.inFlight+1)
 		}
@@ -235,10 +236,10 @@
 	for _, tt := range tests {
 		g := start(t, basic(), hosts(2)...)
 		for i, h := range g.b.hosts {
-			h.rtt, h.rttAt, h.sampled, h.inFlight, h.concurrencyLimit = tt.rtt[i], g.now, true, tt.pending[i], 10
+			h.rtt.seconds, h.rtt.at, h.rtt.sampled, h.inFlight, h.limiter.limit = tt.rtt[i], g.now, true, tt.pending[i], 10
 		}
 		for range 20 {
-			if got := g.b.pick(&request{class: &g.b.set.Classes[0]}); got != g.b.hosts[tt.wantHost] {
+			if got := g.b.pick(&request{class: &g.b.settings.Classes[0]}); got != g.b.hosts[tt.wantHost] {
 				t.Errorf("%s: picked host %d", tt.name, got.ID)
 			}
 		}
@@ -250,11 +251,11 @@
 func TestTwoAreDrawn(t *testing.T) {
 	g := start(t, basic(), hosts(4)...)
 	for i, h := range g.b.hosts {
-		h.rtt, h.rttAt, h.sampled = float64(i+1), g.now, true
+		h.rtt.seconds, h.rtt.at, h.rtt.sampled = float64(i+1), g.now, true
 	}
 	got := map[HostID]int{}
 	for range 6000 {
-		got[g.b.pick(&request{class: &g.b.set.Classes[0]}).ID]++
+		got[g.b.pick(&request{class: &g.b.settings.Classes[0]}).ID]++
 	}
 	for id, want := range map[HostID]int{1: 3000, 2: 2000, 3: 1000, 4: 0} {
 		if d := got[id] - want; d > 200 || d < -200 {
@@ -294,7 +295,7 @@
 			users[h]++
 			kinds[list[h-1].Kind] = true
 		}
-		if len(got) < minSubsetSize || len(got) > n*2/3 {
+		if len(got) < minSubsetHosts || len(got) > n*2/3 {
 			t.Errorf("instance %d uses %d of %d hosts", rank, len(got), n)
 		}
 		if len(kinds) != 3 {
@@ -318,7 +319,7 @@
 	}
 	set := basic()
 	g := start(t, set, list...)
-	if e := g.b.estimatedRTT(g.b.hosts[0]); e != initialRTTShare*0.4 {
+	if e := g.b.estimatedRTT(g.b.hosts[0]); e != initialRTTObjectives*0.4 {
 		t.Errorf("estimate %v with nothing known, want the seed", e)
 	}
 	g.serve(60, 0, func(h HostID) time.Duration { return Time(20+60*(h%2)) * ms })
@@ -343,7 +344,7 @@
 			}
 		}
 	}
-	if x, y := g.b.hosts[0].rtt, g.b.hosts[1].rtt; x > 1.3*y || y > 1.3*x {
+	if x, y := g.b.hosts[0].rtt.seconds, g.b.hosts[1].rtt.seconds; x > 1.3*y || y > 1.3*x {
 		t.Errorf("estimates %v and %v of two like hosts", x, y)
 	}
 }
@@ -367,9 +368,9 @@
 			g.advance(600 * ms)
 		}
 		g.outcome(id, 0, Canceled, 600*ms)
-		if h.sampled == gone || (h.restingUntil > g.now) == gone || (g.b.pressure.seen) == gone {
+		if h.rtt.sampled == gone || (h.limiter.restingUntil > g.now) == gone || (g.b.sendRate.pressure.seen) == gone {
 			t.Errorf("client gone %v: sampled %v, rest until %v at %v, pressure %v",
-				gone, h.sampled, h.restingUntil, g.now, g.b.pressure)
+				gone, h.rtt.sampled, h.limiter.restingUntil, g.now, g.b.sendRate.pressure)
 		}
 	}
 }
@@ -382,14 +383,14 @@
 	g := start(t, set, hosts(10)...)
 	quick := func(HostID) time.Duration { return 40 * ms }
 	g.serve(100, 0, quick)
-	if p := g.b.pressure.mean; p > 1 || g.b.sendRate != 0 {
-		t.Fatalf("pressure %v, bound %v at usual answers, want neither over", p, g.b.sendRate)
+	if p := g.b.sendRate.pressure.mean; p > 1 || g.b.sendRate.limit != 0 {
+		t.Fatalf("pressure %v, bound %v at usual answers, want neither over", p, g.b.sendRate.limit)
 	}
 	g.serve(12, 0, func(HostID) time.Duration { return 100 * ms }) // a quarter of the latency objective
-	if g.b.sendRate == 0 {
-		t.Errorf("no bound at two and a half times the usual RTT, pressure %v", g.b.pressure.mean)
+	if g.b.sendRate.limit == 0 {
+		t.Errorf("no bound at two and a half times the usual RTT, pressure %v", g.b.sendRate.pressure.mean)
 	}
-	if l := g.b.classRTT[0].mean; l > 0.05 {
+	if l := g.b.typicalRTT.byClass[0].mean; l > 0.05 {
 		t.Errorf("usual RTT %v after a short jam, want about 0.04", l)
 	}
 }
@@ -401,11 +402,11 @@
 	set.Instances = 100
 	g := start(t, set, hosts(10)...)
 	g.serve(60, 0, func(HostID) time.Duration { return 20 * ms })
-	before := g.b.pressure.mean
+	before := g.b.sendRate.pressure.mean
 	g.request(0, time.Second)
 	g.sole(Send)
 	g.advance(300 * ms)
-	if p := g.b.pressure.mean; p <= before {
+	if p := g.b.sendRate.pressure.mean; p <= before {
 		t.Errorf("pressure %v after 300 ms without an answer, %v before", p, before)
 	}
 }
@@ -418,12 +419,12 @@
 	g := start(t, set, hosts(1)...)
 	h := g.b.hosts[0]
 	g.serve(100, 0, func(HostID) time.Duration { return 40 * ms })
-	h.concurrencyLimit = 20
+	h.limiter.limit = 20
 	id := g.request(0, 20*time.Second)
 	g.advance(300 * ms)
 	g.outcome(id, 0, OK, 300*ms) // far within its latency objective
-	if h.concurrencyLimit >= 20 {
-		t.Errorf("limit %v after an answer of many times the usual RTT, want it cut", h.concurrencyLimit)
+	if h.limiter.limit >= 20 {
+		t.Errorf("limit %v after an answer of many times the usual RTT, want it cut", h.limiter.limit)
 	}
 }
 
@@ -504,7 +505,7 @@
 // have all of it.
 func TestNoTimeLeftIsAnsweredAtOnce(t *testing.T) {
 	g := start(t, basic(), hosts(2)...)
-	for class := range g.b.set.Classes {
+	for class := range g.b.settings.Classes {
 		g.request(class, 0)
 		g.sole(Reject)
 	}
@@ -516,7 +517,7 @@
 		g := start(t, basic(), hosts(2)...)
 		g.request(class, 500*ms)
 		g.sole(Send)
-		done := g.advance(500*ms - g.b.set.Step)
+		done := g.advance(500*ms - g.b.settings.Step)
 		if len(done) != 2 || done[0].Kind != want || done[1].Kind != Cancel {
 			t.Errorf("class %d: done %v, want kind %d and a cancel", class, done, want)
 		}
@@ -565,7 +566,7 @@
 		other := 0
 		for range 30 {
 			g := start(t, set, list...)
-			g.b.rng += uint64(other)*977 + 1
+			g.b.random.state += uint64(other)*977 + 1
 			id := g.request(1, time.Second)
 			first := list[g.sole(Send).Host-1]
 			g.outcome(id, 0, Failed, ms)
@@ -607,7 +608,7 @@
 		}
 		want := Time(0)
 		if class == 1 {
-			want = second + 600*ms - answerMarginSteps*g.b.set.Step
+			want = second + 600*ms - answerMarginSteps*g.b.settings.Step
 		}
 		if at := g.sole(Send).At; at != want {
 			t.Errorf("class %d: the retry has to be out by %v, want %v", class, at-began, want-began)
@@ -685,16 +686,16 @@
 		g.outcome(id, 1, OK, ms)
 	}
 	fail()
-	first := g.b.hosts[0].ejectedUntil - g.now
+	first := g.b.hosts[0].ejection.until - g.now
 	if got := g.serve(100, 0, func(HostID) time.Duration { return ms }); got[1] != 0 {
 		t.Fatalf("%d sends to the ejected host", got[1])
 	}
-	g.now = g.b.hosts[0].ejectedUntil
+	g.now = g.b.hosts[0].ejection.until
 	fail()
-	if second := g.b.hosts[0].ejectedUntil - g.now; second <= first {
+	if second := g.b.hosts[0].ejection.until - g.now; second <= first {
 		t.Errorf("back-off %v after %v, want it to grow", second, first)
 	}
-	g.now = g.b.hosts[0].ejectedUntil
+	g.now = g.b.hosts[0].ejection.until
 	trial := g.sentTo(1, ms)
 	for range 20 {
 		id := g.request(0, time.Second)
@@ -704,7 +705,7 @@
 		g.outcome(id, 0, OK, ms)
 	}
 	g.outcome(trial, 0, OK, ms)
-	if h := g.b.hosts[0]; h.ejections != 0 {
+	if h := g.b.hosts[0]; h.ejection.count != 0 {
 		t.Error("still ejected after the trial's answer")
 	}
 }
@@ -714,7 +715,7 @@
 func TestStopIsDueForWhatIsOpen(t *testing.T) {
 	g := start(t, basic(), hosts(4)...)
 	sent := map[RequestID]int{}
-	for class := range g.b.set.Classes {
+	for class := range g.b.settings.Classes {
 		sent[g.request(class, time.Second)] = class
 	}
 	soon := g.request(0, 200*ms)
@@ -747,27 +748,27 @@
 	var at []Time
 	for seed := range uint64(40) {
 		g := start(t, basic(), hosts(2)...)
-		g.b.rng = seed
+		g.b.random.state = seed
 		h := g.b.byID[1]
 		g.b.HealthCheckPassed(g.now, 1, ms)
-		if g.b.eject(h, CauseConnectionsFailed); h.ejectedUntil <= g.now+20*ms {
-			t.Fatalf("out for %v only", h.ejectedUntil-g.now)
+		if g.b.eject(h, CauseConnectionsFailed); h.ejection.until <= g.now+20*ms {
+			t.Fatalf("out for %v only", h.ejection.until-g.now)
 		}
 		g.b.HealthCheckPassed(g.now, 1, 20*ms)
 		g.b.HealthCheckPassed(g.now, 9, 20*ms) // nobody's
-		if h.ejectedUntil > g.now+20*ms {
-			t.Fatalf("out for %v after a hint", h.ejectedUntil-g.now)
+		if h.ejection.until > g.now+20*ms {
+			t.Fatalf("out for %v after a hint", h.ejection.until-g.now)
 		}
-		at = append(at, h.ejectedUntil-g.now)
-		g.now = h.ejectedUntil
+		at = append(at, h.ejection.until-g.now)
+		g.now = h.ejection.until
 		g.b.eject(h, CauseConnectionsFailed)
-		until := h.ejectedUntil
-		if g.b.HealthCheckPassed(g.now, 1, 20*ms); h.ejectedUntil != until {
+		until := h.ejection.until
+		if g.b.HealthCheckPassed(g.now, 1, 20*ms); h.ejection.until != until {
 			t.Fatal("a second hint is taken though the first was wrong")
 		}
 		g.b.readmit(h)
 		g.b.eject(h, CauseConnectionsFailed)
-		if g.b.HealthCheckPassed(g.now, 1, 20*ms); h.ejectedUntil > g.now+20*ms {
+		if g.b.HealthCheckPassed(g.now, 1, 20*ms); h.ejection.until > g.now+20*ms {
 			t.Fatal("no hint is taken after the host has answered")
 		}
 	}
@@ -785,7 +786,7 @@
 		t.Fatalf("%d sends to the silent host", got[1])
 	}
 	g.outcome(held, 0, OK, 250*ms) // it only paused
-	if h := g.b.hosts[0]; h.ejections != 0 {
+	if h := g.b.hosts[0]; h.ejection.count != 0 {
 		t.Error("still ejected after its answer")
 	}
 	g.advance(10 * time.Second) // its one long RTT decays
@@ -797,7 +798,7 @@
 // A host with one costly request that answers others is not silent.
 func TestHostThatAnswersOthersIsNotSilent(t *testing.T) {
 	g := start(t, basic(), hosts(1)...)
-	g.b.hosts[0].concurrencyLimit = 10
+	g.b.hosts[0].limiter.limit = 10
 	g.serve(30, 0, func(HostID) time.Duration { return 10 * ms })
 	g.request(0, time.Second)
 	for range 20 {
@@ -805,7 +806,7 @@
 		g.advance(20 * ms)
 		g.outcome(id, 0, OK, 10*ms)
 	}
-	if g.b.hosts[0].ejections != 0 {
+	if g.b.hosts[0].ejection.count != 0 {
 		t.Error("ejected")
 	}
 }
@@ -819,13 +820,13 @@
 		h := g.b.byID[1]
 		held := g.sentTo(1, 10*ms)
 		g.advance(200 * ms)
-		if h.ejections != 0 || !g.b.suspected(h) {
-			t.Fatalf("ejected %d times, suspected %v", h.ejections, g.b.suspected(h))
+		if h.ejection.count != 0 || !g.b.suspected(h) {
+			t.Fatalf("ejected %d times, suspected %v", h.ejection.count, g.b.suspected(h))
 		}
 		if got := g.serve(30, 0, func(HostID) time.Duration { return ms }); got[1] != 0 {
 			t.Fatalf("%d sends to it while another is ready", got[1])
 		}
-		g.b.byID[2].restingUntil = g.now + time.Minute // the other is not ready any more
+		g.b.byID[2].limiter.restingUntil = g.now + time.Minute // the other is not ready any more
 		g.b.recheck(g.b.byID[2])
 		g.request(2, time.Second)
 		for _, a := range g.acts {
@@ -844,17 +845,17 @@
 		if answers {
 			g.outcome(id, 0, OK, 10*ms)
 			g.advance(100 * ms)
-			if h.ejections != 0 {
+			if h.ejection.count != 0 {
 				t.Error("ejected though it answers others")
 			}
 		} else {
 			g.advance(200 * ms)
-			if h.ejections == 0 || h.ejectCause != CauseSilent {
-				t.Errorf("two attempts unanswered: ejected %d times, %v", h.ejections, h.ejectCause)
+			if h.ejection.count == 0 || h.ejection.cause != CauseSilent {
+				t.Errorf("two attempts unanswered: ejected %d times, %v", h.ejection.count, h.ejection.cause)
 			}
 		}
 		g.outcome(held, 0, OK, 500*ms)
-		if h.ejections != 0 {
+		if h.ejection.count != 0 {
 			t.Error("still out after its answer")
 		}
 	}
@@ -975,7 +976,7 @@
 		t.Errorf("sends by host: %v", got)
 	}
 	g.b.eject(g.b.byID[5], CauseConnectionsFailed)
-	g.b.byID[5].ejectCause = CauseConnectionsFailed
+	g.b.byID[5].ejection.cause = CauseConnectionsFailed
 	g.b.eject(g.b.byID[6], CauseConnectionsFailed)
 	g.request(0, time.Second)
 	g.sole(Send) // connections fail everywhere, so the fault may be the path
@@ -1002,7 +1003,7 @@
 			out[a.Request] = true
 		}
 	}
-	if most := 2 * initialLimit; len(out) != most {
+	if most := 2 * initialLimitAttempts; len(out) != most {
 		t.Fatalf("%d in flight at two new hosts, want %d", len(out), most)
 	}
 	heaviest := g.request(2, time.Second)
@@ -1030,8 +1031,8 @@
 			t.Error("rejected request kept")
 		}
 	}
-	if g.b.queued != 0 {
-		t.Errorf("%d still wait %v later, past their latency objective", g.b.queued, g.now-begin)
+	if g.b.queues.length != 0 {
+		t.Errorf("%d still wait %v later, past their latency objective", g.b.queues.length, g.now-begin)
 	}
 }
 
@@ -1058,27 +1059,27 @@
 	h := g.b.hosts[0]
 	for range 40 {
 		g.b.now += 300 * ms
-		g.b.adjustLimit(h, 0.8, g.b.shortestObjective, g.b.now)
+		g.b.adjustLimit(h, limitSample{rtt: 0.8, objective: g.b.shortestObjective, sentAt: g.b.now})
 	}
-	if h.concurrencyLimit != minLimit {
-		t.Errorf("limit %v after slow answers, want the least", h.concurrencyLimit)
+	if h.limiter.limit != minLimitAttempts {
+		t.Errorf("limit %v after slow answers, want the least", h.limiter.limit)
 	}
 	g.b.now += time.Second
 	for range 20 {
 		g.b.now += 300 * ms
-		g.b.adjustLimit(h, 0.01, g.b.shortestObjective, g.b.now)
+		g.b.adjustLimit(h, limitSample{rtt: 0.01, objective: g.b.shortestObjective, sentAt: g.b.now})
 	}
-	if h.concurrencyLimit != minLimit {
-		t.Errorf("limit %v, want no growth while nothing waits", h.concurrencyLimit)
+	if h.limiter.limit != minLimitAttempts {
+		t.Errorf("limit %v, want no growth while nothing waits", h.limiter.limit)
 	}
-	g.b.queued = 1
+	g.b.queues.length = 1
 	for range 60 {
 		g.b.now += 300 * ms
-		h.inFlight = int(h.concurrencyLimit) - 1
-		g.b.adjustLimit(h, 0.01, g.b.shortestObjective, g.b.now)
+		h.inFlight = int(h.limiter.limit) - 1
+		g.b.adjustLimit(h, limitSample{rtt: 0.01, objective: g.b.shortestObjective, sentAt: g.b.now})
 	}
-	if h.concurrencyLimit < 4 {
-		t.Errorf("limit %v, want it to grow while requests wait", h.concurrencyLimit)
+	if h.limiter.limit < 4 {
+		t.Errorf("limit %v, want it to grow while requests wait", h.limiter.limit)
 	}
 }
 
@@ -1095,7 +1096,7 @@
 		g.outcome(id, 0, OK, 250*ms)
 	}
 	for _, h := range g.b.hosts {
-		if h.restingUntil > 0 {
+		if h.limiter.restingUntil > 0 {
 			t.Errorf("host %d rests after ordinary answers", h.ID)
 		}
 	}
@@ -1120,7 +1121,7 @@
 					g.outcome(id, 0, OK, Time(objectives*400)*ms)
 				}
 				for _, h := range g.b.hosts { // keeps the hosts' own limits out of this
-					h.concurrencyLimit, h.restingUntil = 10, 0
+					h.limiter.limit, h.limiter.restingUntil = 10, 0
 				}
 				g.advance(400 * ms)
 			}
@@ -1145,20 +1146,20 @@
 func TestLimitIsCutOnceARound(t *testing.T) {
 	g := start(t, basic(), hosts(1)...)
 	h := g.b.hosts[0]
-	h.concurrencyLimit = 40
-	target := limitObjectives
+	h.limiter.limit = 40
+	target := limitTargetObjectives
 	sent := g.b.now
 	g.b.now += 300 * ms
 	for range 5 { // the answers of one round
-		g.b.adjustLimit(h, 2*target, g.b.shortestObjective, sent)
+		g.b.adjustLimit(h, limitSample{rtt: 2 * target, objective: g.b.shortestObjective, sentAt: sent})
 	}
-	if math.Abs(h.concurrencyLimit-20) > 1e-9 {
-		t.Fatalf("limit %v after a round at twice the target, want half of 40", h.concurrencyLimit)
+	if math.Abs(h.limiter.limit-20) > 1e-9 {
+		t.Fatalf("limit %v after a round at twice the target, want half of 40", h.limiter.limit)
 	}
 	g.b.now += 300 * ms
-	g.b.adjustLimit(h, 2*target, g.b.shortestObjective, g.b.now-300*ms)
-	if math.Abs(h.concurrencyLimit-10) > 1e-9 {
-		t.Errorf("limit %v after the next round, want a quarter of 40", h.concurrencyLimit)
+	g.b.adjustLimit(h, limitSample{rtt: 2 * target, objective: g.b.shortestObjective, sentAt: g.b.now - 300*ms})
+	if math.Abs(h.limiter.limit-10) > 1e-9 {
+		t.Errorf("limit %v after the next round, want a quarter of 40", h.limiter.limit)
 	}
 }
 
@@ -1172,23 +1173,23 @@
 	h := g.b.hosts[0]
 	for range 20 { // none is answered in time
 		g.b.now += time.Second
-		g.b.adjustLimit(h, 6, g.b.shortestObjective, g.b.now-time.Second)
+		g.b.adjustLimit(h, limitSample{rtt: 6, objective: g.b.shortestObjective, sentAt: g.b.now - time.Second})
 	}
-	limit, rest := h.concurrencyLimit, h.restingUntil
+	limit, rest := h.limiter.limit, h.limiter.restingUntil
 	if limit >= 1 || rest <= g.b.now {
 		t.Fatalf("limit %v, rest until %v at %v, want both cut", limit, rest, g.b.now)
 	}
 	g.b.now = rest + ms
-	g.b.adjustLimit(h, limitObjectives/4, g.b.shortestObjective, g.b.now-10*ms)
-	if h.recentRTT.mean <= limitObjectives {
-		t.Fatalf("mean %v, want one that is still over the target", h.recentRTT.mean)
+	g.b.adjustLimit(h, limitSample{rtt: limitTargetObjectives / 4, objective: g.b.shortestObjective, sentAt: g.b.now - 10*ms})
+	if h.limiter.recentRTT.mean <= limitTargetObjectives {
+		t.Fatalf("mean %v, want one that is still over the target", h.limiter.recentRTT.mean)
 	}
-	if h.concurrencyLimit < limit || h.restingUntil != rest {
-		t.Errorf("limit %v, rest until %v after a good answer, want %v and %v", h.concurrencyLimit, h.restingUntil, limit, rest)
+	if h.limiter.limit < limit || h.limiter.restingUntil != rest {
+		t.Errorf("limit %v, rest until %v after a good answer, want %v and %v", h.limiter.limit, h.limiter.restingUntil, limit, rest)
 	}
 	g.b.now += ms
-	g.b.adjustLimit(h, 6, g.b.shortestObjective, g.b.now)
-	if h.restingUntil <= g.b.now {
+	g.b.adjustLimit(h, limitSample{rtt: 6, objective: g.b.shortestObjective, sentAt: g.b.now})
+	if h.limiter.restingUntil <= g.b.now {
 		t.Error("a late answer does not make it rest")
 	}
 }
@@ -1206,8 +1207,8 @@
 	if len(g.acts) != 0 {
 		t.Fatalf("actions %v right after the rejection, want the request to wait", g.acts)
 	}
-	if h := g.b.hosts[0]; h.concurrencyLimit >= 1 || h.restingUntil <= g.now {
-		t.Errorf("limit %v, rest until %v at %v, want both cut", h.concurrencyLimit, h.restingUntil, g.now)
+	if h := g.b.hosts[0]; h.limiter.limit >= 1 || h.limiter.restingUntil <= g.now {
+		t.Errorf("limit %v, rest until %v at %v, want both cut", h.limiter.limit, h.limiter.restingUntil, g.now)
 	}
 }
 
@@ -1270,7 +1271,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			g := start(t, basic(), hosts(1)...)
-			for range initialLimit {
+			for range initialLimitAttempts {
 				g.request(0, time.Second)
 			}
 			tt.duplicate.ID = 1000
@@ -1296,12 +1297,12 @@
 	// Two warm hosts at 50 answers a second each, then the third restarts.
 	serve := func(n int) map[HostID]int { return g.serve(n, 0, func(HostID) time.Duration { return 10 * ms }) }
 	serve(600)
-	rate := g.b.warmHostRate.mean
+	rate := g.b.pacer.warmHostRate.mean
 	h := hosts(3)[2]
 	h.Started = g.now
 	g.list(ListChanges, h)
 	got := serve(100) // one second
-	most := rate*set.OverloadFactor*0.4*slowStartMargin + 2
+	most := rate*set.OverloadFactor*0.4*slowStartBudgetShare + 2
 	if n := float64(got[3]); n > most || n == 0 {
 		t.Errorf("%v sends in the first second at a warm rate of %.0f, want 1 to %.0f", n, rate, most)
 	}
@@ -1325,7 +1326,7 @@
 				set.Rank = rank
 				g := start(t, set, list...)
 				if learnt {
-					g.b.warmHostRate.add(capacity / g.b.sharingInstances())
+					g.b.pacer.warmHostRate.add(capacity / g.b.sharingInstances())
 				}
 				g.list(ListChanges, Host{ID: starting, Cell: list[0].Cell, Zone: list[0].Zone, Started: g.now})
 				for range 40 { // an overload window, with more requests than the warming host can do
@@ -1375,7 +1376,7 @@
 		g.now += idle
 		g.list(ListFull, Host{ID: 1}, Host{ID: 2, Started: g.now})
 		h := g.b.byID[2]
-		if gap := h.nextSlowStartSend - g.now; gap <= 0 || gap > g.b.set.OverloadWindow*3/2 {
+		if gap := h.slowStart.nextSend - g.now; gap <= 0 || gap > g.b.settings.OverloadWindow*3/2 {
 			t.Errorf("next send to the warming host %v from now after %v, want at most one and a half overload windows", gap, idle)
 		}
 		g.list(ListFull, Host{ID: 1})
@@ -1552,7 +1553,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := b.set
+	s := b.settings
 	if s.MaxAttempts != 3 || s.PollTimeout != 10*time.Second || s.SlowStartShare != 1 || s.OverloadWindow != time.Second ||
 		s.Classes[0].LatencyObjective != time.Second || s.Classes[0].PriorityWeight != 1 {
 		t.Errorf("defaults %+v", s)
@@ -1671,29 +1672,87 @@
 	return files
 }
 
-// Whoever is on call reads the whole policy at night.
+// The policy is read by whoever is on call: its files are short, its lines fit a screen and its functions half
+// of one, no file that may decide is left out of the policy, and the doc comment of Balancer names each file.
 func TestPolicyStaysReadable(t *testing.T) {
-	files := policyFiles(t)
-	lines := 0
-	for name, text := range files {
-		for i, l := range strings.Split(text, "\n") {
-			if len(strings.TrimSpace(l)) > 0 {
-				lines++
+	const (
+		maxFileLines     = 300
+		maxFunctionLines = 40
+		maxLineLength    = 110
+	)
+	policy := policyFiles(t)
+	guide := balancerGuide(t, policy["balancer.go"])
+	for name := range policy {
+		if name != "balancer.go" && !guide[name] {
+			t.Errorf("the comment of Balancer does not name %s", name)
+		}
+	}
+	for name := range guide {
+		if policy[name] == "" {
+			t.Errorf("the comment of Balancer names %s, which is no file of the policy", name)
+		}
+	}
+	if !strings.Contains(policy["balancer.go"], "are in api.go") {
+		t.Error("the comment of Balancer does not name api.go")
+	}
+	sources, err := filepath.Glob("*.go")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, name := range sources {
+		if strings.HasSuffix(name, "_test.go") {
+			continue
+		}
+		if decides := policy[name] != ""; decides == slices.Contains(filesWithoutDecisions, name) {
+			t.Errorf("%s: is in the policy %v; it must be either there or in filesWithoutDecisions", name, decides)
+		}
+		text, err := os.ReadFile(name)
+		if err != nil {
+			t.Fatal(err)
+		}
+		lines := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
+		if len(lines) > maxFileLines {
+			t.Errorf("%s has %d lines, %d at most", name, len(lines), maxFileLines)
+		}
+		function := 0
+		for i, line := range lines {
+			if n := len([]rune(strings.ReplaceAll(line, "\t", "    "))); n > maxLineLength {
+				t.Errorf("%s:%d has %d characters, %d at most", name, i+1, n, maxLineLength)
 			}
-			if n := len([]rune(strings.ReplaceAll(l, "\t", "    "))); n > 110 {
-				t.Errorf("%s:%d has %d characters", name, i+1, n)
+			if strings.HasPrefix(line, "func ") {
+				function = i
+			}
+			if line == "}" && strings.HasPrefix(lines[function], "func ") && i-function+1 > maxFunctionLines {
+				t.Errorf("%s:%d: a function of %d lines, %d at most", name, function+1, i-function+1, maxFunctionLines)
 			}
 		}
-		if name != "balancer.go" && !strings.Contains(files["balancer.go"][:800], name) {
-			t.Errorf("the head of balancer.go does not name %s", name)
+	}
+	for _, name := range filesWithoutDecisions {
+		if !slices.Contains(sources, name) {
+			t.Errorf("filesWithoutDecisions names %s, which does not exist", name)
 		}
 	}
-	if lines > 1200 {
-		t.Errorf("the policy has %d non-blank lines, 1200 at most", lines)
+}
+
+// filesWithoutDecisions are the files of the package that hold no rule: types, data structures and codecs.
+var filesWithoutDecisions = []string{
+	"actions.go", "api.go", "checkpoint.go", "checkpoint_codec.go", "checkpoint_hosts.go", "checkpoint_requests.go",
+	"host.go", "hostset.go", "list.go", "random.go", "recheck.go", "request.go", "retune.go", "settings.go", "view.go",
+}
+
+// balancerGuide returns the files that the doc comment of Balancer names, each with what it decides.
+func balancerGuide(t *testing.T, code string) map[string]bool {
+	t.Helper()
+	end := strings.Index(code, "\ntype Balancer struct")
+	start := strings.LastIndex(code[:max(end, 0)], "\n\n")
+	if start < 0 {
+		t.Fatal("balancer.go has no comment of Balancer")
 	}
-	if !strings.Contains(files["balancer.go"][:800], "api.go") {
-		t.Error("the head of balancer.go does not name api.go")
+	files := map[string]bool{}
+	for _, m := range regexp.MustCompile(`(?m)^//\t(\w+\.go) +\S+ \S+`).FindAllStringSubmatch(code[start:end], -1) {
+		files[m[1]] = true
 	}
+	return files
 }
 
 // Whoever is on call looks lines up on the page; each must stand there as printed.
@@ -1710,14 +1769,14 @@
 	for _, m := range regexp.MustCompile(`b\.log\(log\w+, "([^"]*)"`).FindAllStringSubmatch(code, -1) {
 		lines = append(lines, strings.TrimSuffix(m[1], "%s"))
 	}
-	for _, m := range regexp.MustCompile(`b\.eject\(h, (Cause\w+)`).FindAllStringSubmatch(code, -1) {
-		name, ok := map[string]Cause{"CauseConnections": CauseConnectionsFailed, "CauseSilent": CauseSilent}[m[1]]
+	for _, m := range regexp.MustCompile(`b\.eject\(host, (Cause\w+)`).FindAllStringSubmatch(code, -1) {
+		name, ok := map[string]Cause{"CauseConnectionsFailed": CauseConnectionsFailed, "CauseSilent": CauseSilent}[m[1]]
 		if !ok {
 			t.Errorf("%s: the page is not checked for it", m[1])
 		}
 		lines = append(lines, "ejected: "+name.String())
 	}
-	if len(lines) < logKinds+1 {
+	if len(lines) < int(logKinds)+1 {
 		t.Fatalf("found only %d lines: %q", len(lines), lines)
 	}
 	for _, l := range lines {
@@ -1735,10 +1794,10 @@
 func TestHostOfErrorsIsOutForTheClass(t *testing.T) {
 	g := start(t, basic(), hosts(2)...)
 	h := g.b.hosts[0]
-	f := &h.class[1]
+	f := &h.errors[1]
 	fail := func() { // an attempt at h, whatever would be picked
-		r := &request{Request: Request{ID: 1 << 40, Class: 1}, class: &g.b.set.Classes[1]}
-		g.b.recordForClasses(&attempt{req: r, host: h, sent: g.now}, g.b.recordError)
+		r := &request{Request: Request{ID: 1 << 40, Class: 1}, class: &g.b.settings.Classes[1]}
+		g.b.recordError(&attempt{request: r, host: h, sentAt: g.now})
 	}
 	for i := range 3 {
 		if g.b.excludedFor(h, 1) {
@@ -1757,7 +1816,7 @@
 		g.advance(f.excludedUntil - g.now)
 	}
 	g.b.now = g.now
-	r := &request{Request: Request{ID: 1 << 41, Class: 1}, class: &g.b.set.Classes[1]}
+	r := &request{Request: Request{ID: 1 << 41, Class: 1}, class: &g.b.settings.Classes[1]}
 	g.b.send(r, h)
 	if !g.b.excludedFor(h, 1) {
 		t.Error("a second request may go out beside the trial")
@@ -1770,12 +1829,12 @@
 		t.Error("an error to the trial does not keep it out")
 	}
 	for range 4 {
-		g.b.recordSuccess(&attempt{host: h}, 1)
+		f.addSuccess(g.b.errorLimit(1))
 	}
 	if f.exclusions != 0 || g.b.excludedFor(h, 1) {
 		t.Error("good answers do not bring it back")
 	}
-	g.b.hosts[1].class[1], h.class[1] = classErrors{excludedUntil: g.now + time.Second, exclusions: 1}, classErrors{excludedUntil: g.now + time.Second, exclusions: 1}
+	g.b.hosts[1].errors[1], h.errors[1] = classErrors{excludedUntil: g.now + time.Second, exclusions: 1}, classErrors{excludedUntil: g.now + time.Second, exclusions: 1}
 	g.drain()
 	g.request(1, time.Second)
 	g.sole(Send) // with errors everywhere one is as good as another
@@ -1788,12 +1847,12 @@
 	for class, want := range []bool{false, false, true} {
 		g := start(t, basic(), hosts(2)...)
 		h := g.b.hosts[0]
-		a := &attempt{req: &request{class: &g.b.set.Classes[0]}, host: h, sent: g.now}
-		g.b.recordForClasses(a, g.b.recordError)
+		a := &attempt{request: &request{class: &g.b.settings.Classes[0]}, host: h, sentAt: g.now}
+		g.b.recordError(a)
 		if g.b.excludedFor(h, class) {
 			t.Errorf("class %d: out after one error, which may be chance", class)
 		}
-		g.b.recordForClasses(a, g.b.recordError)
+		g.b.recordError(a)
 		g.b.recheck(h)
 		if got := g.b.excludedFor(h, class); got != want {
 			t.Errorf("class %d: out %v after two errors to class 0", class, got)
@@ -1802,9 +1861,9 @@
 			t.Errorf("class %d: sent to it all the same", class)
 		}
 		for range 3 {
-			g.b.recordForClasses(a, g.b.recordSuccess)
+			g.b.recordSuccess(a)
 		}
-		if f := h.class[class]; g.b.excludedFor(h, class) || f.exclusions != 0 {
+		if f := h.errors[class]; g.b.excludedFor(h, class) || f.exclusions != 0 {
 			t.Errorf("class %d: not back after good answers to class 0: %+v", class, f)
 		}
 	}
@@ -1844,8 +1903,8 @@
 	if g.sole(Send).Request != id {
 		t.Error("a safe request is not sent again")
 	}
-	if got := g.b.estimatedRTT(h); got < g.b.penalty {
-		t.Errorf("estimate %v after two in a row, want the penalty %v", got, g.b.penalty)
+	if got := g.b.estimatedRTT(h); got < g.b.errorPenalty {
+		t.Errorf("estimate %v after two in a row, want the penalty %v", got, g.b.errorPenalty)
 	}
 }
 
@@ -1856,11 +1915,11 @@
 	for class, again := range []bool{true, true, false} {
 		g := start(t, basic(), hosts(1)...)
 		h := g.b.hosts[0]
-		h.concurrencyLimit = 8
-		g.b.unansweredShare = 1 // as learnt from those before
+		h.limiter.limit = 8
+		g.b.stalled.unansweredShare = 1 // as learnt from those before
 		id := g.request(class, time.Second)
 		g.advance(ms)
-		for range overtakenAfter {
+		for range overtakenResponses {
 			g.outcome(g.request(0, time.Second), 0, OK, ms)
 			g.advance(ms)
 		}
@@ -1897,11 +1956,11 @@
 func TestPassedByAttemptsThatAreAnswered(t *testing.T) {
 	for class, end := range map[int]Result{0: OK, 2: TimedOut} { // an idempotent one, a non-idempotent one
 		g := start(t, basic(), hosts(1)...)
-		g.b.hosts[0].concurrencyLimit = 8
+		g.b.hosts[0].limiter.limit = 8
 		for range 8 {
 			id := g.request(class, time.Second)
 			g.advance(ms)
-			for range overtakenAfter {
+			for range overtakenResponses {
 				g.outcome(g.request(0, time.Second), 0, OK, ms)
 				g.advance(ms)
 			}
@@ -1916,8 +1975,8 @@
 			g.outcome(id, 0, end, 300*ms)
 			g.advance(time.Second)
 		}
-		if calls := g.b.unansweredShare > maxUnansweredShare; calls != (end == TimedOut) {
-			t.Errorf("eight ended with %d: calling off %v, share %v", end, calls, g.b.unansweredShare)
+		if calls := g.b.stalled.unansweredShare > maxUnansweredShare; calls != (end == TimedOut) {
+			t.Errorf("eight ended with %d: calling off %v, share %v", end, calls, g.b.stalled.unansweredShare)
 		}
 	}
 }
@@ -1928,16 +1987,16 @@
 func TestPassedByAttemptAndTheLimit(t *testing.T) {
 	g := start(t, basic(), hosts(1)...)
 	h := g.b.hosts[0]
-	h.concurrencyLimit = 8
+	h.limiter.limit = 8
 	g.request(0, time.Second)
 	g.advance(ms)
-	for range overtakenAfter {
+	for range overtakenResponses {
 		g.outcome(g.request(0, time.Second), 0, OK, ms)
 		g.advance(ms)
 	}
-	h.concurrencyLimit = 1
+	h.limiter.limit = 1
 	for _, share := range []float64{0, 1} {
-		g.b.unansweredShare = share
+		g.b.stalled.unansweredShare = share
 		if at, want := g.b.atLimit(h), share == 0; at != want {
 			t.Errorf("with a share of %v that stay silent: at its limit %v, want %v", share, at, want)
 		}
--- a/balancer/checkpoint_hosts.go
+++ b/balancer/checkpoint_hosts.go
@@ -1,108 +1,137 @@
 package balancer
 
-func (b *Balancer) walkHosts(s *state) {
-	n := s.count(len(b.hosts))
-	if s.loading {
+// codeHosts codes the hosts, the sets that they are in and the times of their rechecks.
+func (b *Balancer) codeHosts(c *checkpointCodec) {
+	n := c.codeCount(len(b.hosts))
+	if c.decoding {
 		b.hosts = make([]*host, n)
 	}
 	for i := range n {
-		if s.loading {
-			b.hosts[i] = &host{index: i, class: make([]classErrors, len(b.set.Classes)), readySet: setNone}
+		if !c.decoding {
+			b.hosts[i].code(c)
+			continue
 		}
-		h := b.hosts[i]
-		h.walk(s)
-		if s.loading {
-			b.byID[h.ID] = h
-			b.addToKind(h)
+		decoded := &host{
+			index:  i,
+			errors: make([]classErrors, len(b.settings.Classes)),
+			sets:   membership{readySet: setNone},
 		}
+		decoded.code(c)
+		b.hosts[i] = decoded
+		b.byID[decoded.ID] = decoded
+		b.ring.add(decoded)
 	}
-	for k := range b.sets {
-		b.walkList(s, &b.sets[k].list)
-		for i, h := range b.sets[k].list {
-			if h.position[k] = i + 1; k < setBusy {
-				h.readySet = k
-			}
-		}
+	for set := range b.sets {
+		b.codeSet(c, setKind(set))
 	}
-	b.walkList(s, &b.rechecks)
-	for i, h := range b.rechecks {
-		h.recheckPosition = i + 1
+	b.codeHostList(c, &b.rechecks.hosts)
+	for i, host := range b.rechecks.hosts {
+		host.recheckEntry.position = i + 1
 	}
-	if s.loading {
-		b.recount()
+	if c.decoding {
+		b.recountHosts()
 	}
 }
 
-// recount computes, after loading, what is derived from the hosts.
-func (b *Balancer) recount() {
-	for _, h := range b.hosts {
-		if h.ranked = h.rank(); h.ranked != rankNotReady {
-			b.readyHosts[h.ranked-1]++
-		}
-		h.counted.unrecovered = h.counted.ready && h.ejections > 0
-		b.counts.add(h.counted, 1)
-		for i := range h.class {
-			if h.class[i].counted {
-				b.excluded[i].add(h.counted, 1)
-			}
-		}
+// code codes one host.
+func (h *host) code(c *checkpointCodec) {
+	codeInt(c, &h.ID)
+	codeInt(c, &h.Zone)
+	codeInt(c, &h.Cell)
+	codeInt(c, &h.Kind)
+	codeInt(c, &h.State)
+	codeInt(c, &h.Started)
+	codeInt(c, &h.rtt.at)
+	codeInt(c, &h.lastResponse)
+	codeInt(c, &h.limiter.reducedAt)
+	codeInt(c, &h.limiter.restingUntil)
+	codeInt(c, &h.ejection.until)
+	codeInt(c, &h.slowStart.startedAt)
+	codeInt(c, &h.slowStart.nextSend)
+	codeInt(c, &h.recheckEntry.at)
+	c.codeFloat(&h.rtt.seconds)
+	c.codeFloat(&h.limiter.limit)
+	c.codeBool(&h.rtt.sampled)
+	c.codeBool(&h.ejection.trialInFlight)
+	c.codeBool(&h.ejection.backoffShortened)
+	c.codeBool(&h.slowStart.warming)
+	c.codeBool(&h.hasErrors)
+	c.codeBool(&h.counted.ready)
+	c.codeBool(&h.counted.inUse)
+	c.codeBool(&h.counted.ejected)
+	c.codeBool(&h.counted.broken)
+	codeInt(c, &h.brokenResponses)
+	codeInt(c, &h.ejection.count)
+	codeInt(c, &h.ejection.cause)
+	c.codeAverage(&h.limiter.recentRTT)
+	for class := range h.errors {
+		h.errors[class].code(c)
 	}
-	if b.ringBuilt {
-		b.buildRing()
+	if c.decoding {
+		h.ring.hash = mixBits(uint64(h.ID))
 	}
 }
 
-// walkList walks a list of hosts, each by its index.
-func (b *Balancer) walkList(s *state, list *[]*host) {
-	n := s.count(len(*list))
-	if s.loading {
+// code codes a host's errors in a class.
+func (e *classErrors) code(c *checkpointCodec) {
+	c.codeFloat(&e.share)
+	codeInt(c, &e.lastAt)
+	codeInt(c, &e.exclusions)
+	codeInt(c, &e.excludedAt)
+	codeInt(c, &e.excludedUntil)
+	c.codeBool(&e.counted)
+}
+
+// codeSet codes the hosts of a set in their order.
+func (b *Balancer) codeSet(c *checkpointCodec, set setKind) {
+	b.codeHostList(c, &b.sets[set].list)
+	if !c.decoding {
+		return
+	}
+	for i, host := range b.sets[set].list {
+		host.sets.position[set] = i + 1
+		if set < setBusy {
+			host.sets.readySet = set
+		}
+	}
+}
+
+// codeHostList codes a list of hosts, each by its index.
+func (b *Balancer) codeHostList(c *checkpointCodec, list *[]*host) {
+	n := c.codeCount(len(*list))
+	if c.decoding {
 		*list = make([]*host, 0, n)
 	}
 	for i := range n {
-		k := 0
-		if !s.loading {
-			k = (*list)[i].index
+		index := 0
+		if !c.decoding {
+			index = (*list)[i].index
 		}
-		k = s.index(k, len(b.hosts))
-		if k < 0 {
-			s.fail("a list names no host")
+		index = c.codeIndex(index, len(b.hosts))
+		if index < 0 {
+			c.fail("a list names no host")
 			return
 		}
-		if s.loading {
-			*list = append(*list, b.hosts[k])
+		if c.decoding {
+			*list = append(*list, b.hosts[index])
 		}
 	}
 }
 
-func (h *host) walk(s *state) {
-	whole(s, &h.ID)
-	whole(s, &h.Zone)
-	whole(s, &h.Cell)
-	whole(s, &h.Kind)
-	whole(s, &h.State)
-	h.ringHash = mix(uint64(h.ID))
-	for _, t := range []*Time{&h.Started, &h.rttAt, &h.lastResponse, &h.limitCutAt, &h.restingUntil, &h.ejectedUntil, &h.startedAt, &h.nextSlowStartSend, &h.recheckTime} {
-		whole(s, t)
-	}
-	for _, f := range []*float64{&h.rtt, &h.concurrencyLimit} {
-		s.f64(f)
-	}
-	for _, f := range []*bool{&h.sampled, &h.trialOut, &h.backoffCut, &h.warming, &h.hasErrors,
-		&h.counted.ready, &h.counted.inUse, &h.counted.ejected, &h.counted.broken} {
-		s.flag(f)
-	}
-	for _, n := range []*int{&h.brokenResponses, &h.ejections} {
-		whole(s, n)
+// recountHosts computes, after decoding, what is derived from the hosts.
+func (b *Balancer) recountHosts() {
+	for _, host := range b.hosts {
+		host.ring.counted = host.rank()
+		b.ring.count(host.ring.counted, 1)
+		host.counted.unrecovered = host.counted.ready && host.ejection.count > 0
+		b.counts.add(host.counted, 1)
+		for class := range host.errors {
+			if host.errors[class].counted {
+				b.excluded[class].add(host.counted, 1)
+			}
+		}
 	}
-	whole(s, &h.ejectCause)
-	s.mean(&h.recentRTT)
-	for i := range h.class {
-		f := &h.class[i]
-		s.f64(&f.share)
-		whole(s, &f.at)
-		whole(s, &f.exclusions)
-		whole(s, &f.excludedAt)
-		whole(s, &f.excludedUntil)
-		s.flag(&f.counted)
+	if b.ring.built {
+		b.buildRing()
 	}
 }
--- a/balancer/checkpoint_requests.go
+++ b/balancer/checkpoint_requests.go
@@ -5,163 +5,165 @@
 	"slices"
 )
 
-// walkRequests walks the requests in the order of their IDs, then the queues, then the attempts at each host
+// codeRequests codes the requests in the order of their IDs, then the queues, then the attempts at each host
 // in the order sent.
-func (b *Balancer) walkRequests(s *state) {
+func (b *Balancer) codeRequests(c *checkpointCodec) {
 	ids := slices.Sorted(maps.Keys(b.open))
-	n := s.count(len(ids))
+	n := c.codeCount(len(ids))
 	for i := range n {
-		r := &request{}
-		if !s.loading {
-			r = b.open[ids[i]]
+		coded := &request{}
+		if !c.decoding {
+			coded = b.open[ids[i]]
 		}
-		b.walkRequest(s, r)
-		if s.err != nil {
+		b.codeRequest(c, coded)
+		if c.err != nil {
 			return
 		}
-		if s.loading {
-			b.open[r.ID] = r
+		if c.decoding {
+			b.open[coded.ID] = coded
 		}
 	}
-	for k := range b.queues {
-		if !b.walkQueue(s, k) {
+	for band := range b.queues.byPriority {
+		b.codeQueue(c, band)
+		if c.err != nil {
 			return
 		}
 	}
-	for _, h := range b.hosts {
-		if !b.walkInFlight(s, h) {
+	for _, host := range b.hosts {
+		b.codeInFlight(c, host)
+		if c.err != nil {
 			return
 		}
 	}
 }
 
-// walkQueue walks the IDs of the requests in a queue.
-func (b *Balancer) walkQueue(s *state, k int) (ok bool) {
-	n, next := 0, b.queues[k].head
-	for m := next; m != nil; m = m.next {
-		n++
+// codeRequest codes a request with its attempts.
+func (b *Balancer) codeRequest(c *checkpointCodec, request *request) {
+	codeInt(c, &request.ID)
+	codeInt(c, &request.Class)
+	if request.Class < 0 || request.Class >= len(b.settings.Classes) {
+		c.fail("a request of class %d", request.Class)
+		return
 	}
-	for n = s.count(n); n > 0; n-- {
-		var id RequestID
-		if !s.loading {
-			id, next = next.item.ID, next.next
-		}
-		whole(s, &id)
-		if !s.loading {
-			continue
+	request.class = &b.settings.Classes[request.Class]
+	codeInt(c, &request.Tenant)
+	codeInt(c, &request.Remaining)
+	codeInt(c, &request.arrived)
+	codeInt(c, &request.deadline)
+	codeInt(c, &request.waitUntil)
+	codeInt(c, &request.band)
+	if request.band < 0 || request.band >= len(b.queues.byPriority) {
+		c.fail("a request in queue %d", request.band)
+		return
+	}
+	c.codeBool(&request.Duplicate)
+	c.codeBool(&request.done)
+	c.codeBool(&request.timedOut)
+	c.codeBool(&request.streaming)
+	n := c.codeCount(len(request.attempts))
+	for i := range n {
+		if c.decoding {
+			request.attempts = append(request.attempts, &attempt{request: request})
 		}
-		r := b.open[id]
-		if r == nil || r.queued {
-			s.fail("a queue has an unknown request")
-			return false
+		b.codeAttempt(c, request.attempts[i])
+		if c.err != nil {
+			return
 		}
-		r.band = k
-		b.addToQueue(r, false)
 	}
-	return true
 }
 
-// walkInFlight walks the attempts in flight at a host, each by its request and number.
-func (b *Balancer) walkInFlight(s *state, h *host) (ok bool) {
-	n, next := h.inFlight, h.attempts.head
-	for n = s.count(n); n > 0; n-- {
-		var id RequestID
-		var k int
-		if !s.loading {
-			a := next.item
-			id, next = a.req.ID, next.next
-			k = slices.Index(a.req.attempts, a)
-		}
-		whole(s, &id)
-		whole(s, &k)
-		if !s.loading {
-			continue
-		}
-		a := b.attemptAt(id, k)
-		if a == nil || a.ended || a.host != h || a.link.item != nil {
-			s.fail("a host has an unknown attempt")
-			return false
-		}
-		a.link.item = a
-		h.attempts.pushBack(&a.link)
-		h.inFlight++
+// codeAttempt codes an attempt, with as much of its host as is needed where the host was dropped.
+func (b *Balancer) codeAttempt(c *checkpointCodec, attempt *attempt) {
+	var listed Host
+	known := false
+	if !c.decoding {
+		listed = attempt.host.Host
+		known = b.byID[attempt.host.ID] == attempt.host
+	}
+	c.codeBool(&known)
+	codeInt(c, &listed.ID)
+	codeInt(c, &listed.Zone)
+	codeInt(c, &listed.Cell)
+	codeInt(c, &attempt.sentAt)
+	codeInt(c, &attempt.result)
+	codeInt(c, &attempt.overtakenBy)
+	c.codeBool(&attempt.ended)
+	c.codeBool(&attempt.trial)
+	c.codeBool(&attempt.canceledStalled)
+	c.codeBool(&attempt.countedSilent)
+	if !c.decoding {
+		return
+	}
+	if !attempt.ended {
+		attempt.request.inFlight++
+	}
+	attempt.host = b.restoredHost(listed, known, attempt.ended)
+	if attempt.host == nil {
+		c.fail("an attempt at an unknown host")
 	}
-	return true
 }
 
-// attemptAt returns an attempt of a request; nil: there is none.
-func (b *Balancer) attemptAt(id RequestID, n int) *attempt {
-	r := b.open[id]
-	if r == nil || n < 0 || n >= len(r.attempts) {
-		return nil
-	}
-	return r.attempts[n]
+// restoredHost returns the host of a decoded attempt; nil: it is unknown. Of a host that was dropped
+// after the attempt ended only zone and cell still count, for retries with an idempotency key.
+func (b *Balancer) restoredHost(listed Host, known, ended bool) *host {
+	switch {
+	case known:
+		return b.byID[listed.ID]
+	case ended:
+		listed.State = Removed
+		return &host{Host: listed}
+	}
+	return nil
 }
 
-func (b *Balancer) walkRequest(s *state, r *request) {
-	whole(s, &r.ID)
-	whole(s, &r.Class)
-	if r.Class < 0 || r.Class >= len(b.set.Classes) {
-		s.fail("a request of class %d", r.Class)
-		return
-	}
-	r.class = &b.set.Classes[r.Class]
-	whole(s, &r.Tenant)
-	for _, t := range []*Time{&r.Remaining, &r.arrived, &r.deadline, &r.waitUntil} {
-		whole(s, t)
-	}
-	whole(s, &r.band)
-	if r.band < 0 || r.band >= len(b.queues) {
-		s.fail("a request in queue %d", r.band)
+// codeQueue codes the IDs of the requests in a queue.
+func (b *Balancer) codeQueue(c *checkpointCodec, band int) {
+	queue := &b.queues.byPriority[band]
+	n := c.codeCount(queue.length())
+	if !c.decoding {
+		for node := queue.head; node != nil; node = node.next {
+			codeInt(c, &node.item.ID)
+		}
 		return
 	}
-	for _, f := range []*bool{&r.Duplicate, &r.done, &r.timedOut, &r.streaming} {
-		s.flag(f)
-	}
-	n := s.count(len(r.attempts))
-	for i := range n {
-		if s.loading {
-			r.attempts = append(r.attempts, &attempt{req: r})
-		}
-		if !b.walkAttempt(s, r.attempts[i]) {
+	for range n {
+		var id RequestID
+		codeInt(c, &id)
+		request := b.open[id]
+		if request == nil || request.queued {
+			c.fail("a queue has an unknown request")
 			return
 		}
+		request.band = band
+		b.queues.pushBack(request)
 	}
 }
 
-func (b *Balancer) walkAttempt(s *state, a *attempt) (ok bool) {
-	var h Host
-	live := false
-	if !s.loading {
-		h, live = a.host.Host, b.byID[a.host.ID] == a.host
-	}
-	s.flag(&live)
-	whole(s, &h.ID)
-	whole(s, &h.Zone)
-	whole(s, &h.Cell)
-	whole(s, &a.sent)
-	whole(s, &a.result)
-	whole(s, &a.overtakenBy)
-	for _, f := range []*bool{&a.ended, &a.trial, &a.canceledStuck, &a.countedSilent} {
-		s.flag(f)
-	}
-	if !s.loading {
-		return true
-	}
-	if !a.ended {
-		a.req.inFlight++
-	}
-	if live {
-		a.host = b.byID[h.ID]
-	} else if a.ended {
-		// The host was dropped after the attempt ended: only its zone and cell still count, for retries with
-		// an idempotency key.
-		h.State = Removed
-		a.host = &host{Host: h}
+// codeInFlight codes the attempts in flight at a host, each by its request and number.
+func (b *Balancer) codeInFlight(c *checkpointCodec, host *host) {
+	n := c.codeCount(host.inFlight)
+	if !c.decoding {
+		for node := host.attempts.head; node != nil; node = node.next {
+			request := node.item.request
+			number := slices.Index(request.attempts, node.item)
+			codeInt(c, &request.ID)
+			codeInt(c, &number)
+		}
+		return
 	}
-	if a.host == nil {
-		s.fail("an attempt at an unknown host")
-		return false
+	for range n {
+		var id RequestID
+		var number int
+		codeInt(c, &id)
+		codeInt(c, &number)
+		attempt := b.attemptAt(id, number)
+		valid := attempt != nil && !attempt.ended && attempt.host == host && attempt.link.item == nil
+		if !valid {
+			c.fail("a host has an unknown attempt")
+			return
+		}
+		attempt.link.item = attempt
+		host.attempts.pushBack(&attempt.link)
+		host.inFlight++
 	}
-	return true
 }
--- a/balancer/checkpoint_test.go
+++ b/balancer/checkpoint_test.go
@@ -81,24 +81,42 @@
 // only where a replay goes wrong much later.
 func TestCheckpointNamesEveryField(t *testing.T) {
 	known := map[reflect.Type]string{
-		reflect.TypeFor[Balancer](): "rng now hosts sets rechecks ringBuilt subsetCurrent scanned nextMove requests open queued lastUnserved " +
-			"inFlight starvation classRTT anyRTT kindRTT warmHostRate quota pressure sendRateCutAt sendRate sendRateGrownAt " +
-			"sendTokens tokensAt unansweredShare sends successes sweepAt polling pollAt pollFailures logs queues | set " +
-			"actions byID bandOf shortestObjective decay penalty candidates freeRequests freeAttempts counts excluded " +
-			"byKind ring readyHosts ringPlace ringStart scopes scopesBuilt touched",
-		reflect.TypeFor[host](): "Host rtt rttAt sampled inFlight attempts lastResponse concurrencyLimit recentRTT limitCutAt restingUntil class " +
-			"hasErrors brokenResponses ejections ejectCause ejectedUntil trialOut backoffCut warming startedAt " +
-			"nextSlowStartSend counted recheckTime | ringHash index position readySet recheckPosition ranked ringPlace",
-		reflect.TypeFor[request]():       "Request arrived deadline waitUntil band inFlight done timedOut streaming queued attempts | class link",
-		reflect.TypeFor[attempt]():       "req host sent ended result trial overtakenBy canceledStuck countedSilent | link",
-		reflect.TypeFor[classErrors]():   "share at exclusions excludedAt excludedUntil counted |",
-		reflect.TypeFor[decayingShare](): "share at |",
-		reflect.TypeFor[decayingRate]():  "rate at | seenAt seen",
-		reflect.TypeFor[standing]():      "ready inUse ejected broken | unrecovered",
-		reflect.TypeFor[movingAverage](): "mean dev seen n at |",
-		reflect.TypeFor[tokenBucket]():   "tokens at | rate",
-		reflect.TypeFor[Host]():          "ID Zone Cell Kind State Started |",
-		reflect.TypeFor[Request]():       "ID Class Tenant Remaining Duplicate |",
+		reflect.TypeFor[Balancer](): "random now hosts sets rechecks ring subset arrivals open queues sweep starvation typicalRTT " +
+			"quotas sendRate pacer stalled poller logs | settings scales actions byID counts excluded scopes touched candidates pool",
+		reflect.TypeFor[host](): "Host rtt limiter ejection inFlight attempts lastResponse errors hasErrors brokenResponses slowStart " +
+			"counted recheckEntry sets | index ring",
+		reflect.TypeFor[randomSource]():       "state |",
+		reflect.TypeFor[scales]():             "| shortestObjective errorPenalty minEstimateDecay",
+		reflect.TypeFor[recheckHeap]():        "hosts |",
+		reflect.TypeFor[recheckEntry]():       "at | position",
+		reflect.TypeFor[membership]():         "| position readySet",
+		reflect.TypeFor[hostRing]():           "built | byKind hosts place start warm warming",
+		reflect.TypeFor[ringPosition]():       "| hash place counted",
+		reflect.TypeFor[subset]():             "current scanned nextMove |",
+		reflect.TypeFor[requestQueues]():      "byPriority lastUnserved | bandOf length",
+		reflect.TypeFor[sweep]():              "at inFlight |",
+		reflect.TypeFor[starvationTracker]():  "unserved | span",
+		reflect.TypeFor[typicalRTTs]():        "byClass byKind any |",
+		reflect.TypeFor[tenantQuotas]():       "buckets |",
+		reflect.TypeFor[sendRateController](): "limit pressure reducedAt grownAt tokens refilledAt sent | rateSpan growthTime",
+		reflect.TypeFor[slowStartPacer]():     "successes warmHostRate |",
+		reflect.TypeFor[stalledAttempts]():    "unansweredShare |",
+		reflect.TypeFor[endpointPoller]():     "polling pollAt failures |",
+		reflect.TypeFor[logLimiter]():         "at logged suppressed |",
+		reflect.TypeFor[rttEstimate]():        "seconds at sampled |",
+		reflect.TypeFor[concurrencyLimiter](): "limit recentRTT reducedAt restingUntil |",
+		reflect.TypeFor[ejection]():           "count cause until trialInFlight backoffShortened |",
+		reflect.TypeFor[slowStart]():          "warming startedAt nextSend |",
+		reflect.TypeFor[request]():            "Request arrived deadline waitUntil band inFlight done timedOut streaming queued attempts | class link",
+		reflect.TypeFor[attempt]():            "request host sentAt ended result trial overtakenBy canceledStalled countedSilent | link",
+		reflect.TypeFor[classErrors]():        "share lastAt exclusions excludedAt excludedUntil counted |",
+		reflect.TypeFor[decayingShare]():      "share at |",
+		reflect.TypeFor[decayingRate]():       "rate at | readAt readRate",
+		reflect.TypeFor[standing]():           "ready inUse ejected broken | unrecovered",
+		reflect.TypeFor[movingAverage]():      "mean dev seen n at |",
+		reflect.TypeFor[tokenBucket]():        "tokens refilledAt | rate",
+		reflect.TypeFor[Host]():               "ID Zone Cell Kind State Started |",
+		reflect.TypeFor[Request]():            "ID Class Tenant Remaining Duplicate |",
 	}
 	for typ, text := range known {
 		names := strings.Fields(text)
@@ -124,18 +142,18 @@
 	g.b.eject(g.b.byID[1], CauseSilent)
 	g.b.recheck(g.b.byID[1])
 	// It counts until it has answered, also beyond its ejection.
-	g.b.now = g.b.byID[1].ejectedUntil + 1
+	g.b.now = g.b.byID[1].ejection.until + 1
 	g.b.recheck(g.b.byID[1])
 	if usable, ready := g.b.Usable(); usable != 2 || ready != 3 {
 		t.Errorf("after an ejection %d of %d can be used", usable, ready)
 	}
-	if back, err := Restore(g.b.set, g.b.Checkpoint(nil)); err != nil {
+	if back, err := Restore(g.b.settings, g.b.Checkpoint(nil)); err != nil {
 		t.Error(err)
 	} else if usable, ready := back.Usable(); usable != 2 || ready != 3 {
 		t.Errorf("restored, %d of %d can be used", usable, ready)
 	}
 	g.b.now = g.now
-	g.b.byID[2].restingUntil = g.now + ms
+	g.b.byID[2].limiter.restingUntil = g.now + ms
 	views := g.b.Views(nil)
 	var held []string
 	for i := range views {
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -1,67 +1,126 @@
 package balancer
 
-// Concurrency limits of hosts.
-
 const (
-	initialLimit      = 4     // attempts that a new host may hold from all instances
-	limitObjectives   = 0.375 // mean RTT that the limit steers to, in latency objectives
-	limitTypicalRTTs  = 2     // ... or in typical RTTs of the class, if that is less
-	recentObjectives  = 0.5   // span of a recent mean RTT, in shortest objectives: faster than hosts tip over
-	maxRecentWeight   = 0.5   // of one response in that mean: one may be an exception
-	minLimit          = 2     // attempts that a host may always hold: one runs while the next arrives
-	limitGrowth       = 0.3   // attempts that all instances add in a round in which one was needed
-	overdueObjectives = 0.5   // age of an attempt, in objectives, from which its host gets no other
+	// initialLimitAttempts is how many attempts in flight a new host may have from all instances together.
+	initialLimitAttempts = 4
+	// minLimitAttempts is how many a host may always have from all instances: one is served while the next
+	// arrives.
+	minLimitAttempts = 2
+	// limitGrowthAttempts is how much the limits of all instances together grow in a round trip in which a
+	// request needed it.
+	limitGrowthAttempts = 0.3
+	// limitTargetObjectives is the mean RTT that a limit steers to, in latency objectives.
+	limitTargetObjectives = 0.375
+	// limitTargetTypicalRTTs is the same in typical RTTs of the class. The lower target holds.
+	limitTargetTypicalRTTs = 2
+	// recentRTTSpanObjectives is the span of the recent mean RTT, in shortest latency objectives: shorter
+	// than the time in which an overloaded host becomes slow.
+	recentRTTSpanObjectives = 0.5
+	// overdueObjectives is the age of an attempt, in latency objectives, from which its host gets no other.
+	overdueObjectives = 0.5
 )
 
-// atLimit reports whether a host holds as much from this instance as it may. A limit below one, on a host
-// whose mean RTT is over the target, means that it is used for that share of the time. A host whose oldest
-// attempt has taken longer than the target of the limit, or that is suspected, gets no other attempt either.
-func (b *Balancer) atLimit(h *host) bool {
-	oldest, notOvertaken := h.oldest()
-	held := h.inFlight
-	if b.unansweredShare > maxUnansweredShare {
-		held = notOvertaken // overtaken attempts are most likely on connections that have become silent
+// concurrencyLimiter decides how many attempts a host may have in flight from this instance. It guards
+// against crowding, which wastes the work of requests that are served too late, and can make a host slow for
+// good. Input is the RTT of each response and timeout, in latency objectives of its class. The limit is
+// reduced when the mean RTT passes its target, and grows while requests wait. A limit below one means that
+// the host is used for that share of the time, and rests otherwise.
+type concurrencyLimiter struct {
+	limit        float64       // attempts in flight from this instance; 0: not set yet
+	recentRTT    movingAverage // in latency objectives
+	reducedAt    Time
+	restingUntil Time // with a limit below one: the host gets nothing before
+}
+
+// limitSample is a response or timeout, as the limiter sees it.
+type limitSample struct {
+	rtt       float64 // in latency objectives
+	objective Time    // latency objective of its class
+	sentAt    Time
+}
+
+// observe adds a sample to the recent mean, whose span is in seconds, and reduces the limit where the mean is
+// over the target. It reports whether it is. A resting host is judged by each response alone, as the mean is
+// from before the rest. instances is how many share the host.
+func (l *concurrencyLimiter) observe(now Time, sample limitSample, span, instances float64) (over bool) {
+	l.recentRTT.addOverSpan(sample.rtt, now, span)
+	judgedByMean := l.limit >= 1
+	meanOver := l.recentRTT.mean > limitTargetObjectives
+	sampleOver := sample.rtt > limitTargetObjectives
+	if !meanOver || !(judgedByMean || sampleOver) {
+		return false
 	}
-	if b.now < h.restingUntil || held > 0 && float64(held+1) > h.concurrencyLimit {
-		return true
+	// Only an attempt sent after the last reduction can tell whether that was enough.
+	if sample.sentAt >= l.reducedAt {
+		reduced := l.limit * limitTargetObjectives / l.recentRTT.mean
+		l.limit = max(minLimitAttempts/instances, reduced)
+		l.reducedAt = now
+	}
+	if l.limit < 1 {
+		rest := float64(sample.objective) * l.recentRTT.mean * (1/l.limit - 1)
+		l.restingUntil = now + Time(rest)
 	}
-	return notOvertaken > 0 && b.overdue(oldest) || b.suspected(h)
+	return true
 }
 
-// overdue reports whether an attempt has taken so long that its host gets no other.
-func (b *Balancer) overdue(a *attempt) bool {
-	return float64(b.now-a.sent) > overdueObjectives*float64(a.req.class.LatencyObjective)
+// grow raises the limit after a response.
+func (l *concurrencyLimiter) grow(instances float64) {
+	l.limit += limitGrowthAttempts / (instances * l.limit)
 }
 
-// suspected reports whether a host has a single attempt in flight that takes longer than it should: either
-// the host is silent or the request is costly.
-func (b *Balancer) suspected(h *host) bool {
-	oldest, notOvertaken := h.oldest()
-	return notOvertaken == 1 && b.now >= h.restingUntil && b.now-oldest.sent >= b.silenceTimeout(oldest.req)
+// full reports whether a host with attempts in flight may have no other. One without any may always have one.
+func (l *concurrencyLimiter) full(inFlight int) bool {
+	return inFlight > 0 && float64(inFlight+1) > l.limit
 }
 
-// adjustLimit steers a host's concurrency limit so that its mean RTT stays at a share of the objective. It
-// guards against crowding, which wastes the work of requests that come too late and can tip a host into a
-// slow state. It acts when a host's mean RTT passes that share, and then once a round: only an attempt sent
-// after the last cut can tell whether that was enough. A host that rests is judged by each response alone,
-// as its mean is from before the rest. The limit grows while requests wait; one below one also where a
-// request found no host meanwhile, as queues are short where many instances share a host. The response took
-// relative objectives.
-func (b *Balancer) adjustLimit(h *host, relative float64, objective, sent Time) {
-	h.recentRTT.addAt(relative, b.now, recentObjectives*b.shortestObjective.Seconds())
+// resting reports whether a host with a limit below one is not to be used now.
+func (l *concurrencyLimiter) resting(now Time) bool { return now < l.restingUntil }
+
+// adjustLimit updates a host's limit after a response or timeout. It grows while requests wait; a limit below
+// one grows also where a request found no host since the attempt was sent, as queues are short where many
+// instances share a host.
+func (b *Balancer) adjustLimit(host *host, sample limitSample) {
+	span := recentRTTSpanObjectives * b.shortestObjective.Seconds()
 	instances := b.sharingInstances()
-	if h.recentRTT.mean > limitObjectives && (h.concurrencyLimit >= 1 || relative > limitObjectives) {
-		if sent >= h.limitCutAt {
-			h.concurrencyLimit = max(minLimit/instances, h.concurrencyLimit*limitObjectives/h.recentRTT.mean)
-			h.limitCutAt = b.now
-		}
-		if h.concurrencyLimit < 1 {
-			h.restingUntil = b.now + Time(float64(objective)*h.recentRTT.mean*(1/h.concurrencyLimit-1))
-		}
+	limiter := &host.limiter
+	if limiter.observe(b.now, sample, span, instances) {
 		return
 	}
-	needed := b.queued > 0 || h.concurrencyLimit < 1 && b.lastUnserved >= sent
-	if needed && h.inFlight+1 >= int(h.concurrencyLimit) {
-		h.concurrencyLimit += limitGrowth / (instances * h.concurrencyLimit)
+	neededWhileResting := limiter.limit < 1 && b.queues.lastUnserved >= sample.sentAt
+	needed := b.queues.length > 0 || neededWhileResting
+	atLimit := host.inFlight+1 >= int(limiter.limit)
+	if needed && atLimit {
+		limiter.grow(instances)
+	}
+}
+
+// relativeRTT returns an RTT, in seconds, in latency objectives of the class, or as much relative to the
+// class's typical RTT, whichever is more.
+func (b *Balancer) relativeRTT(class int, rtt float64) float64 {
+	relative := rtt / b.settings.Classes[class].LatencyObjective.Seconds()
+	typical := &b.typicalRTT.byClass[class]
+	if typical.seen {
+		relative = max(relative, limitTargetObjectives/limitTargetTypicalRTTs*rtt/typical.mean)
+	}
+	return relative
+}
+
+// atLimit reports whether a host gets no other attempt now: as it rests, has as many in flight as it may, or
+// does not answer the ones that it has in time.
+func (b *Balancer) atLimit(host *host) bool {
+	oldest, notOvertaken := host.oldestNotOvertaken()
+	counted := host.inFlight
+	if b.stalled.areUnanswered() {
+		counted = notOvertaken // overtaken attempts are most likely on connections that have become silent
 	}
+	if host.limiter.resting(b.now) || host.limiter.full(counted) {
+		return true
+	}
+	return notOvertaken > 0 && b.overdue(oldest) || b.suspected(host)
+}
+
+// overdue reports whether an attempt has taken so long that its host gets no other.
+func (b *Balancer) overdue(attempt *attempt) bool {
+	age := float64(b.now - attempt.sentAt)
+	return age > overdueObjectives*float64(attempt.request.class.LatencyObjective)
 }
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -1,108 +1,85 @@
 package balancer
 
-// The endpoint list, and polling for it.
-
-// Backoff of polls, relative to PollTimeout: the first delay is a sixteenth of it on average, and doubles
-// twice at most.
-const (
-	firstPollDelayShare = 16
-	maxPollDoublings    = 2
-)
-
 // UpdateEndpoints takes an endpoint list, or the failure to get one.
 func (b *Balancer) UpdateEndpoints(now Time, kind ListKind, list []Host) {
 	b.now = now
 	if kind == ListFailed {
-		b.listFailed()
+		b.pollFailed()
 		return
 	}
 	if kind != ListSaved {
-		b.listReceived()
+		b.pollSucceeded()
+	}
+	b.updateHosts(kind, list)
+	b.invalidateRing()
+	for _, host := range b.touched {
+		b.updateRank(host)
 	}
+	for _, host := range b.touched {
+		b.applyUpdate(host)
+	}
+	clear(b.touched) // it must not keep hosts that are gone
+	b.dispatchWaiting()
+}
+
+// updateHosts takes over the entries of a list. The hosts that may have changed are touched.
+func (b *Balancer) updateHosts(kind ListKind, list []Host) {
 	b.touched = b.touched[:0]
 	if kind != ListChanges {
-		for _, h := range b.hosts {
-			h.State = Removed
+		for _, host := range b.hosts {
+			host.State = Removed
 		}
 		b.touched = append(b.touched, b.hosts...)
 	}
-	for _, e := range list {
-		if h := b.updateEndpoint(e); h != nil {
-			b.touched = append(b.touched, h)
+	for _, entry := range list {
+		host := b.updateEndpoint(entry)
+		if host != nil {
+			b.touched = append(b.touched, host)
 		}
 	}
-	b.ringBuilt, b.scopesBuilt, b.subsetCurrent = false, false, false
-	for _, h := range b.touched {
-		b.updateRank(h)
-	}
-	for _, h := range b.touched {
-		if h.concurrencyLimit == 0 { // it is new
-			h.concurrencyLimit = initialLimit / b.sharingInstances()
-		}
-		if h.warming && h.nextSlowStartSend == 0 {
-			b.paceSlowStart(h)
-		}
-		if h.State != Ready {
-			b.removeFromSubset(h)
-		}
-		b.recheck(h)
-		b.dropRemoved(h)
-	}
-	clear(b.touched)
-	b.dispatchWaiting()
 }
 
 // updateEndpoint takes over one entry of the list. It returns nil for one that is removed and unknown.
-func (b *Balancer) updateEndpoint(e Host) *host {
-	h := b.byID[e.ID]
-	if h == nil {
-		if e.State == Removed {
+func (b *Balancer) updateEndpoint(entry Host) *host {
+	host := b.byID[entry.ID]
+	if host == nil {
+		if entry.State == Removed {
 			return nil
 		}
-		h = b.newHost(e)
+		host = b.addHost(entry)
 	}
-	if h.Kind != e.Kind {
-		b.removeFromKind(h)
-		h.Kind = e.Kind
-		b.addToKind(h)
+	if host.Kind != entry.Kind {
+		b.ring.remove(host)
+		host.Kind = entry.Kind
+		b.ring.add(host)
 	}
-	started := h.Started
-	h.Host = e
-	if e.Started > 0 && e.Started != started {
-		b.startSlowStart(h, e.Started)
+	restarted := entry.Started > 0 && entry.Started != host.Started
+	host.Host = entry
+	if restarted {
+		b.startSlowStart(host, entry.Started)
 	}
-	return h
+	return host
 }
 
-// schedulePoll polls discovery for changes after a delay.
-func (b *Balancer) schedulePoll(delay Time) {
-	b.pollAt = b.now + delay
-	b.wake(b.pollAt, tokenPoll<<tokenShift)
-}
-
-// listFailed polls again with exponential, jittered backoff; the old list stays valid. The backoff is
-// bounded, and counts from the start of a poll that hung: a change counts as known 6 s after discovery
-// can be reached, however often polls have failed.
-func (b *Balancer) listFailed() {
-	if b.polling || b.pollFailures == 0 {
-		b.log(logLost, "host list lost, asking again")
+// applyUpdate draws the conclusions of a new list for a host, once all of the list is known: the limit
+// and the pace of a new host depend on how many instances share it.
+func (b *Balancer) applyUpdate(host *host) {
+	if host.limiter.limit == 0 { // it is new
+		host.limiter.limit = initialLimitAttempts / b.sharingInstances()
 	}
-	b.polling = false
-	if !b.set.Poll {
-		return
+	if host.slowStart.warming && host.slowStart.nextSend == 0 {
+		b.paceSlowStart(host)
 	}
-	first := Time(float64(b.set.PollTimeout) / firstPollDelayShare * (0.5 + b.float()))
-	delay := first << min(b.pollFailures, maxPollDoublings)
-	if hung := b.now - (b.pollAt - b.set.PollTimeout); hung > first { // since the last poll
-		delay = max(first, delay-hung)
+	if host.State != Ready {
+		b.removeFromSubset(host)
 	}
-	b.pollFailures++
-	b.schedulePoll(delay)
+	b.recheck(host)
+	b.dropRemoved(host)
 }
 
-func (b *Balancer) listReceived() {
-	if b.pollFailures > 0 {
-		b.log(logFound, "host list regained")
-	}
-	b.polling, b.pollFailures = true, 0
+// invalidateRing has the ring, the scopes and the subset built again before they are next used.
+func (b *Balancer) invalidateRing() {
+	b.ring.built = false
+	b.scopes.built = false
+	b.subset.current = false
 }
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -101,7 +101,7 @@
 		}
 		f.list(old...)
 		f.advance(time.Second)
-		warm := max(minSubsetSize, float64(minSharingInstances*len(left))/gates)
+		warm := max(minSubsetHosts, float64(minSharingInstances*len(left))/gates)
 		check("draining", left, gates*warm/float64(len(left)))
 		var changes []Host
 		for i := range old {
@@ -222,12 +222,12 @@
 			g.outcome(id, 0, OK, 10*ms)
 		}
 	}
-	g.b.starvation[0].share = 1 // the lowest weight can't claim capacity from others
+	g.b.starvation.unserved[0].share = 1 // the lowest weight can't claim capacity from others
 	for range 50 {
 		id := g.request(0, time.Second)
 		g.sole(Send)
 		g.outcome(id, 0, OK, 10*ms)
-		g.b.starvation[0].share = 1
+		g.b.starvation.unserved[0].share = 1
 	}
 }
 
@@ -239,7 +239,7 @@
 		g.request(2, time.Second)
 		g.advance(time.Second)
 	}
-	if x := g.b.starvation[2].share; x != 0 {
+	if x := g.b.starvation.unserved[2].share; x != 0 {
 		t.Errorf("with no host there is, %.2f is asked for", x)
 	}
 	g.list(ListFull, hosts(1)...)
@@ -264,10 +264,10 @@
 			note(g.acts)
 		}
 	}
-	if x := g.b.starvation[2].share; x < maxStarvation {
+	if x := g.b.starvation.unserved[2].share; x < maxStarvationShare {
 		t.Fatalf("behind a full host %.2f is asked for", x)
 	}
-	g.advance(time.Duration(5e9 * g.b.starvationSpan()))
+	g.advance(time.Duration(5e9 * g.b.starvation.span))
 	for range 50 {
 		id := g.request(0, time.Second)
 		g.sole(Send)
@@ -337,7 +337,7 @@
 		t.Errorf("%d calls in 10 s", total)
 	}
 	for i := range f.gates { // and the old list stands
-		if got := f.subset(i); len(got) < minSubsetSize {
+		if got := f.subset(i); len(got) < minSubsetHosts {
 			t.Errorf("gateway %d uses %d hosts", i, len(got))
 		}
 	}
@@ -414,12 +414,12 @@
 		g.advance(500 * ms)
 	}
 	b := g.b
-	if len(b.byID) != 60 || len(b.hosts) != 60 || len(b.ring) > 60 || b.readyHosts[0]+b.readyHosts[1] != 60 ||
-		len(b.sets[setSubset].list) > 60 || len(b.rechecks) > 60 || cap(b.ring) > 256 {
+	if len(b.byID) != 60 || len(b.hosts) != 60 || len(b.ring.hosts) > 60 || b.ring.ready() != 60 ||
+		len(b.sets[setSubset].list) > 60 || len(b.rechecks.hosts) > 60 || cap(b.ring.hosts) > 256 {
 		t.Errorf("kept: %d by id, %d hosts, %d on the ring (room for %d), %v listed, %d in the subset, %d to check again",
-			len(b.byID), len(b.hosts), len(b.ring), cap(b.ring), b.readyHosts, len(b.sets[setSubset].list), len(b.rechecks))
+			len(b.byID), len(b.hosts), len(b.ring.hosts), cap(b.ring.hosts), [2]int{b.ring.warm, b.ring.warming}, len(b.sets[setSubset].list), len(b.rechecks.hosts))
 	}
-	for _, l := range b.byKind {
+	for _, l := range b.ring.byKind {
 		if len(l.hosts) != 60 {
 			t.Errorf("%d hosts of kind %d", len(l.hosts), l.kind)
 		}
@@ -579,12 +579,12 @@
 	g := start(t, basic(), hosts(3)...)
 	for _, kind := range []ListKind{ListChanges, ListFull, ListSaved} {
 		g.list(kind, append(hosts(3), Host{ID: 2, State: Draining})...)
-		if len(g.b.hosts) != 3 || g.b.readyHosts != [2]int{2, 0} || g.b.byID[2].State != Draining {
-			t.Errorf("list of kind %d: %d hosts, %v ready, host 2 in state %d", kind, len(g.b.hosts), g.b.readyHosts, g.b.byID[2].State)
+		if len(g.b.hosts) != 3 || [2]int{g.b.ring.warm, g.b.ring.warming} != [2]int{2, 0} || g.b.byID[2].State != Draining {
+			t.Errorf("list of kind %d: %d hosts, %v ready, host 2 in state %d", kind, len(g.b.hosts), [2]int{g.b.ring.warm, g.b.ring.warming}, g.b.byID[2].State)
 		}
 		g.list(kind, append([]Host{{ID: 2, State: Draining}}, hosts(3)...)...)
-		if len(g.b.hosts) != 3 || g.b.readyHosts != [2]int{3, 0} {
-			t.Errorf("list of kind %d: %d hosts, %v ready", kind, len(g.b.hosts), g.b.readyHosts)
+		if len(g.b.hosts) != 3 || [2]int{g.b.ring.warm, g.b.ring.warming} != [2]int{3, 0} {
+			t.Errorf("list of kind %d: %d hosts, %v ready", kind, len(g.b.hosts), [2]int{g.b.ring.warm, g.b.ring.warming})
 		}
 	}
 }
@@ -597,7 +597,7 @@
 		set.Instances = gateways
 		g := start(t, set, hosts(1)...)
 		h := g.b.hosts[0]
-		h.concurrencyLimit, h.restingUntil = 0.4, g.now+time.Second
+		h.limiter.limit, h.limiter.restingUntil = 0.4, g.now+time.Second
 		g.b.recheck(h)
 		g.request(0, time.Second)
 		if len(g.acts) > 0 {
@@ -638,8 +638,8 @@
 			g.advance(40 * ms)
 			g.outcome(id, 0, OK, 40*ms)
 		}
-		if grown := h.concurrencyLimit > 2*initialLimit/g.b.sharingInstances(); grown != wanted || h.concurrencyLimit > 1.01 {
-			t.Errorf("wanted %v: the limit is %.3f, at first it was %.3f", wanted, h.concurrencyLimit, initialLimit/g.b.sharingInstances())
+		if grown := h.limiter.limit > 2*initialLimitAttempts/g.b.sharingInstances(); grown != wanted || h.limiter.limit > 1.01 {
+			t.Errorf("wanted %v: the limit is %.3f, at first it was %.3f", wanted, h.limiter.limit, initialLimitAttempts/g.b.sharingInstances())
 		}
 	}
 }
--- a/balancer/fuzz_test.go
+++ b/balancer/fuzz_test.go
@@ -130,8 +130,8 @@
 			h.finish(id, n, Canceled)
 		}
 	}
-	if len(h.b.open) != 0 || h.b.queued != 0 {
-		h.Fatalf("%d requests kept, %d waiting, after all has ended", len(h.b.open), h.b.queued)
+	if len(h.b.open) != 0 || h.b.queues.length != 0 {
+		h.Fatalf("%d requests kept, %d waiting, after all has ended", len(h.b.open), h.b.queues.length)
 	}
 	for _, x := range h.b.hosts {
 		if x.inFlight != 0 || x.attempts.head != nil {
--- a/balancer/list.go
+++ b/balancer/list.go
@@ -1,42 +1,55 @@
 package balancer
 
-// linkedList is a doubly linked list. Its items hold their own nodes, so that nothing is allocated, and can
-// be removed from anywhere.
+// linkedList is a doubly linked list. Its items hold their own nodes, so that nothing is allocated, and
+// can be removed from anywhere.
 type linkedList[T any] struct{ head, tail *listNode[T] }
 
+// listNode is an item's place in a list.
 type listNode[T any] struct {
 	item       *T
 	prev, next *listNode[T]
 }
 
-func (l *linkedList[T]) pushBack(n *listNode[T]) {
-	if n.prev = l.tail; n.prev != nil {
-		n.prev.next = n
+func (l *linkedList[T]) pushBack(node *listNode[T]) {
+	node.prev = l.tail
+	if l.tail != nil {
+		l.tail.next = node
 	} else {
-		l.head = n
+		l.head = node
 	}
-	l.tail = n
+	l.tail = node
 }
 
-func (l *linkedList[T]) pushFront(n *listNode[T]) {
-	if n.next = l.head; n.next != nil {
-		n.next.prev = n
+func (l *linkedList[T]) pushFront(node *listNode[T]) {
+	node.next = l.head
+	if l.head != nil {
+		l.head.prev = node
 	} else {
-		l.tail = n
+		l.tail = node
 	}
-	l.head = n
+	l.head = node
 }
 
-func (l *linkedList[T]) remove(n *listNode[T]) {
-	if n.prev != nil {
-		n.prev.next = n.next
+func (l *linkedList[T]) remove(node *listNode[T]) {
+	if node.prev != nil {
+		node.prev.next = node.next
 	} else {
-		l.head = n.next
+		l.head = node.next
 	}
-	if n.next != nil {
-		n.next.prev = n.prev
+	if node.next != nil {
+		node.next.prev = node.prev
 	} else {
-		l.tail = n.prev
+		l.tail = node.prev
 	}
-	n.prev, n.next = nil, nil
+	node.prev = nil
+	node.next = nil
+}
+
+// length counts the items.
+func (l *linkedList[T]) length() int {
+	n := 0
+	for node := l.head; node != nil; node = node.next {
+		n++
+	}
+	return n
 }
--- /dev/null
+++ b/balancer/recheck.go
@@ -0,0 +1,95 @@
+package balancer
+
+// recheckHeap orders hosts by the time of their next recheck. Hosts know their position in it.
+type recheckHeap struct{ hosts []*host }
+
+// recheckEntry is what a host knows of its place in the heap.
+type recheckEntry struct {
+	at       Time // forever: it is not in the heap
+	position int  // counted from 1; 0: it is not in the heap
+}
+
+// due reports whether the first host is due.
+func (q *recheckHeap) due(now Time) bool {
+	return len(q.hosts) > 0 && q.hosts[0].recheckEntry.at <= now
+}
+
+// schedule sets the time of a host's next recheck; forever: there is none.
+func (q *recheckHeap) schedule(host *host, at Time) {
+	entry := &host.recheckEntry
+	scheduled := entry.position != 0
+	unchanged := entry.at == at && scheduled == (at != forever)
+	if unchanged {
+		return
+	}
+	if at == forever {
+		q.cancel(host)
+		return
+	}
+	if !scheduled {
+		q.hosts = append(q.hosts, host)
+		entry.position = len(q.hosts)
+	}
+	entry.at = at
+	q.restore(entry.position - 1)
+}
+
+// cancel removes a host from the heap.
+func (q *recheckHeap) cancel(host *host) {
+	i := host.recheckEntry.position - 1
+	host.recheckEntry = recheckEntry{at: forever}
+	if i < 0 {
+		return
+	}
+	last := len(q.hosts) - 1
+	moved := q.hosts[last]
+	q.hosts[last] = nil // the heap must not keep a host that is gone
+	q.hosts = q.hosts[:last]
+	if i < last {
+		q.hosts[i] = moved
+		moved.recheckEntry.position = i + 1
+		q.restore(i)
+	}
+}
+
+// restore moves the host at i to where it belongs.
+func (q *recheckHeap) restore(i int) { q.siftDown(q.siftUp(i)) }
+
+func (q *recheckHeap) siftUp(i int) int {
+	for i > 0 {
+		parent := (i - 1) / 2
+		if q.at(parent) <= q.at(i) {
+			break
+		}
+		q.swap(i, parent)
+		i = parent
+	}
+	return i
+}
+
+func (q *recheckHeap) siftDown(i int) {
+	for {
+		child := 2*i + 1
+		if child >= len(q.hosts) {
+			return
+		}
+		sibling := child + 1
+		if sibling < len(q.hosts) && q.at(sibling) < q.at(child) {
+			child = sibling
+		}
+		if q.at(i) <= q.at(child) {
+			return
+		}
+		q.swap(i, child)
+		i = child
+	}
+}
+
+// at returns the time of the host at i.
+func (q *recheckHeap) at(i int) Time { return q.hosts[i].recheckEntry.at }
+
+func (q *recheckHeap) swap(i, j int) {
+	q.hosts[i], q.hosts[j] = q.hosts[j], q.hosts[i]
+	q.hosts[i].recheckEntry.position = i + 1
+	q.hosts[j].recheckEntry.position = j + 1
+}
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -1,81 +1,66 @@
 package balancer
 
-// Retries and final responses.
+// Whether a request may have another attempt in this pool is decided here alone: by maySend and mayRetry. The
+// engine (internal/engine) in addition bounds the attempts of a request over all pools of its failover chain,
+// and asks the route's retry budget (internal/route); an attempt that it denies comes back as NotSent.
 
-// maySend reports whether a request of a class may be sent (again), given its first attempt that may have
-// run: a non-idempotent one may not, one with an idempotency key while duplicates are sure to be dropped.
-func (b *Balancer) maySend(c *Class, first *attempt) bool {
-	if first == nil || c.Idempotency == Idempotent {
+// maySend reports whether a request may be sent (again) without being executed twice: a non-idempotent one
+// only if no attempt may have run, and one with an idempotency key also while duplicates are sure to be
+// dropped.
+func (b *Balancer) maySend(request *request) bool {
+	first := request.firstThatMayRun()
+	if first == nil {
 		return true
 	}
-	return c.Idempotency == IdempotentWithKey && b.now <= b.windowEnd(c, first)
+	switch request.class.Idempotency {
+	case Idempotent:
+		return true
+	case IdempotentWithKey:
+		return b.now <= b.dedupWindowEnd(first)
+	}
+	return false
 }
 
-// windowEnd returns when the deduplication window ends for retries after a first attempt: by then the last
-// byte of one has to be sent.
-func (b *Balancer) windowEnd(c *Class, first *attempt) Time {
-	return first.sent + c.DedupWindow - b.answerMargin()
+// dedupWindowEnd returns when the deduplication window ends for retries after a first attempt that may have
+// run: by then the last byte of a retry has to be sent.
+func (b *Balancer) dedupWindowEnd(first *attempt) Time {
+	return first.sentAt + first.request.class.DedupWindow - b.answerMargin()
 }
 
-// afterAttempt decides what follows the end of an attempt: nothing if the request has its response, a retry
-// if class and time allow it, and else the final response.
-func (b *Balancer) afterAttempt(r *request, a *attempt, closed bool) {
-	switch {
-	case r.done:
-		b.releaseRequest(r)
-	case closed || a.result == OK && r.streaming:
-		b.closeRequest(r)
-	case r.inFlight > 0 || r.queued:
-	case b.mayRetry(r):
-		b.dispatch(r, true)
-	default:
-		b.answer(r, CauseNoMoreAttempts)
+// sendBy returns the time after which nothing of a request's next attempt may be sent; 0: at any time.
+func (b *Balancer) sendBy(request *request) Time {
+	first := request.firstThatMayRun()
+	if first == nil || request.class.Idempotency != IdempotentWithKey {
+		return 0
 	}
+	return b.dedupWindowEnd(first)
 }
 
-// mayRetry reports whether a request gets another attempt. Concurrency limits keep retries from feeding an
-// overload.
-func (b *Balancer) mayRetry(r *request) bool {
-	if r.streaming || len(r.attempts) >= b.set.MaxAttempts || b.now+2*b.answerMargin() >= r.deadline {
+// mayRetry reports whether a request gets another attempt: by the number of attempts, the time left and its
+// class. Concurrency limits keep retries from feeding an overload.
+func (b *Balancer) mayRetry(request *request) bool {
+	outOfAttempts := len(request.attempts) >= b.settings.MaxAttempts
+	if request.streaming || outOfAttempts || b.tooLateToRetry(request) {
 		return false
 	}
-	return b.maySend(r.class, r.firstThatMayRun())
+	return b.maySend(request)
 }
 
-// answer gives the final response to a request that will not be served: a rejection only where trying again
-// is known to be harmless.
-func (b *Balancer) answer(r *request, cause Cause) {
-	r.timedOut = true
-	if cause == CauseQueueTimeout {
-		b.recordStarvation(r, true)
-	}
-	c, anywhere := r.class, r.firstThatMayRun() == nil
-	anywhere = anywhere || c.Idempotency == IdempotentWithKey && c.DedupScope == ScopeAll
-	if anywhere || c.Idempotency == Idempotent {
-		retryAfter := min(b.shortestObjective/4, b.set.MaxRetryAfter)
-		b.act(Action{Kind: Reject, Request: r.ID, RetryAfter: retryAfter, Cause: cause})
-	} else {
-		b.act(Action{Kind: Fail, Request: r.ID, Cause: cause})
-	}
-	b.closeRequest(r)
-}
-
-// closeRequest closes a request that has its response or needs none.
-func (b *Balancer) closeRequest(r *request) {
-	if r.done {
+// afterAttempt decides what follows the end of an attempt: nothing while the request has another attempt in
+// flight or waits for one, a retry if it may have one, and else the final response. closed means that the
+// client has its response.
+func (b *Balancer) afterAttempt(request *request, attempt *attempt, closed bool) {
+	streamed := request.streaming && attempt.result == OK
+	switch {
+	case request.done:
+		b.releaseRequest(request)
+	case closed || streamed:
+		b.closeRequest(request)
+	case request.inFlight > 0 || request.queued:
 		return
-	}
-	r.done = true
-	b.dequeue(r)
-	b.cancelOthers(r, -1)
-	b.releaseRequest(r)
-}
-
-// cancelOthers cancels all attempts of a request that are in flight but one.
-func (b *Balancer) cancelOthers(r *request, keep int) {
-	for i, a := range r.attempts {
-		if i != keep && !a.ended && b.set.Cancel {
-			b.act(Action{Kind: Cancel, Request: r.ID, Attempt: i})
-		}
+	case b.mayRetry(request):
+		b.dispatch(request, true)
+	default:
+		b.answer(request, CauseNoMoreAttempts)
 	}
 }
--- a/balancer/retune.go
+++ b/balancer/retune.go
@@ -6,103 +6,113 @@
 )
 
 // Retune takes over new settings while the Balancer serves. What was learnt of hosts stays, and so do
-// requests and attempts. Classes are identified by their index: a class with an open request must keep its
-// index and its rules, marked Retired if no more of it arrive. For each class, from is the index of the
-// previous class whose learnt state it continues; -1: none. Settings.Poll stays as it was at the start. On an
-// error nothing has changed. The actions decided before must have been taken; Retune decides none.
-func (b *Balancer) Retune(now Time, set Settings, from []int) error {
-	if err := check(&set); err != nil {
+// requests and attempts. Classes are identified by their index: a class with an open request must keep
+// its index and its rules, marked Retired if no more of it arrive. For each class, from is the index of
+// the previous class whose learnt state it continues; -1: none. Settings.Poll stays as it was at the
+// start. On an error nothing has changed. The actions decided before must have been taken; Retune decides
+// none.
+func (b *Balancer) Retune(now Time, settings Settings, from []int) error {
+	if err := check(&settings); err != nil {
 		return err
 	}
-	if err := b.checkRetune(&set, from); err != nil {
+	if err := b.checkRetune(&settings, from); err != nil {
 		return err
 	}
-	set.Poll = b.set.Poll
-	b.now, b.set = now, set
+	settings.Poll = b.settings.Poll
+	b.now = now
+	b.settings = settings
 	b.continueClasses(from)
-	quota := b.quota
-	b.quota = nil
-	b.derive()
-	for i := range min(len(quota), len(b.quota)) {
-		b.quota[i].tokens, b.quota[i].at = quota[i].tokens, quota[i].at
-	}
+	b.configure()
 	b.requeue()
-	b.subsetCurrent = false
-	for _, h := range b.hosts {
-		b.recheck(h)
+	b.subset.current = false
+	for _, host := range b.hosts {
+		b.recheck(host)
 	}
 	return nil
 }
 
 // checkRetune returns an error for settings that don't fit the classes that there are.
-func (b *Balancer) checkRetune(set *Settings, from []int) error {
-	if len(from) != len(set.Classes) {
-		return fmt.Errorf("retune: %d classes continue %d", len(set.Classes), len(from))
+func (b *Balancer) checkRetune(settings *Settings, from []int) error {
+	if len(from) != len(settings.Classes) {
+		return fmt.Errorf("retune: %d classes continue %d", len(settings.Classes), len(from))
 	}
-	for i, f := range from {
-		if f < -1 || f >= len(b.set.Classes) {
-			return fmt.Errorf("retune: class %d continues class %d, which does not exist", i, f)
+	for class, previous := range from {
+		if previous < -1 || previous >= len(b.settings.Classes) {
+			return fmt.Errorf("retune: class %d continues class %d, which does not exist", class, previous)
 		}
 	}
-	for _, r := range b.open {
-		if r.Class >= len(set.Classes) || !sameRules(*r.class, set.Classes[r.Class]) {
+	for _, request := range b.open {
+		removed := request.Class >= len(settings.Classes)
+		if removed || !sameRules(*request.class, settings.Classes[request.Class]) {
 			return errors.New("retune: a class with open requests has other rules")
 		}
 	}
 	return nil
 }
 
+// sameRules reports whether two classes differ in Retired at most.
+func sameRules(x, y Class) bool {
+	x.Retired = false
+	y.Retired = false
+	return x == y
+}
+
 // continueClasses gives each class the learnt state of the one that it continues.
 func (b *Balancer) continueClasses(from []int) {
-	rtt, starvation := make([]movingAverage, len(from)), make([]decayingShare, len(from))
-	for i, f := range from {
-		if f >= 0 {
-			rtt[i], starvation[i] = b.classRTT[f], b.starvation[f]
+	b.typicalRTT.byClass = continued(b.typicalRTT.byClass, from)
+	b.starvation.unserved = continued(b.starvation.unserved, from)
+	b.excluded = make([]subsetCounts, len(from))
+	for _, host := range b.hosts {
+		host.errors = continued(host.errors, from)
+		for class := range host.errors {
+			host.errors[class].counted = false // recheck counts it again
 		}
 	}
-	b.classRTT, b.starvation, b.excluded = rtt, starvation, make([]subsetCounts, len(from))
-	for _, h := range b.hosts {
-		class := make([]classErrors, len(from))
-		for i, f := range from {
-			if f >= 0 {
-				class[i] = h.class[f]
-				class[i].counted = false // it is counted again by recheck
-			}
+}
+
+// continued returns a state for each class: that of the class which it continues, or a new one.
+func continued[T any](previous []T, from []int) []T {
+	next := make([]T, len(from))
+	for class, i := range from {
+		if i >= 0 {
+			next[class] = previous[i]
 		}
-		h.class = class
 	}
+	return next
 }
 
-// requeue orders the queues anew. Queued requests keep their order in each queue, and each request its part
-// of its class.
+// requeue orders the queues anew. Queued requests keep their order in each queue, and each request its
+// part of its class.
 func (b *Balancer) requeue() {
-	parts := make(map[RequestID]int, len(b.open))
-	for id, r := range b.open {
-		for part, band := range b.bandOf[r.Class] {
-			if band == r.band {
-				parts[id] = part
-			}
-		}
+	parts := make(map[RequestID]classPart, len(b.open))
+	for id, request := range b.open {
+		parts[id] = b.queues.partOfBand(request)
 	}
 	var waiting []*request
-	for i := range b.queues {
-		for n := b.queues[i].head; n != nil; n = b.queues[i].head {
-			waiting = append(waiting, n.item)
-			b.dequeue(n.item)
+	for band := range b.queues.byPriority {
+		queue := &b.queues.byPriority[band]
+		for queue.head != nil {
+			request := queue.head.item
+			waiting = append(waiting, request)
+			b.queues.remove(request)
 		}
 	}
 	b.orderQueues()
-	for id, r := range b.open {
-		r.class = &b.set.Classes[r.Class]
-		r.band = b.bandOf[r.Class][parts[id]]
+	for id, request := range b.open {
+		request.class = &b.settings.Classes[request.Class]
+		request.band = b.queues.bandOf[request.Class][parts[id]]
 	}
-	for _, r := range waiting {
-		b.addToQueue(r, false)
+	for _, request := range waiting {
+		b.queues.pushBack(request)
 	}
 }
 
-// sameRules reports whether two classes differ in Retired at most.
-func sameRules(a, c Class) bool {
-	a.Retired, c.Retired = false, false
-	return a == c
+// partOfBand returns the part of its class whose queue a request is for.
+func (q *requestQueues) partOfBand(request *request) classPart {
+	for part, band := range q.bandOf[request.Class] {
+		if band == request.band {
+			return classPart(part)
+		}
+	}
+	return 0
 }
--- a/balancer/retune_test.go
+++ b/balancer/retune_test.go
@@ -23,13 +23,13 @@
 		g.now += 10 * ms
 		g.outcome(id, 0, OK, 10*ms)
 	}
-	before := g.b.hosts[0].rtt
+	before := g.b.hosts[0].rtt.seconds
 	old := g.request(0, time.Second)
 	if err := g.b.Retune(g.now, retuned(), []int{0, 1, 2, 0}); err != nil {
 		t.Fatal(err)
 	}
-	if got := g.b.hosts[0].rtt; got != before || !g.b.classRTT[3].seen || g.b.classRTT[3] != g.b.classRTT[0] {
-		t.Errorf("learnt before: rtt %v, now %v; latency of the class that goes on %v", before, got, g.b.classRTT[3])
+	if got := g.b.hosts[0].rtt.seconds; got != before || !g.b.typicalRTT.byClass[3].seen || g.b.typicalRTT.byClass[3] != g.b.typicalRTT.byClass[0] {
+		t.Errorf("learnt before: rtt %v, now %v; latency of the class that goes on %v", before, got, g.b.typicalRTT.byClass[3])
 	}
 	if acts := g.b.TakeActions(nil); len(acts) > 0 {
 		t.Errorf("it has decided: %v", acts)
@@ -85,8 +85,8 @@
 	if err := g.b.Retune(g.now, retuned(), []int{0, 1, 2, -1}); err != nil {
 		t.Fatal(err)
 	}
-	if g.b.queued != len(ids)+1 || len(g.b.open) != len(ids)+1 {
-		t.Fatalf("%d wait, %d are known", g.b.queued, len(g.b.open))
+	if g.b.queues.length != len(ids)+1 || len(g.b.open) != len(ids)+1 {
+		t.Fatalf("%d wait, %d are known", g.b.queues.length, len(g.b.open))
 	}
 	g.list(ListChanges, hosts(6)...)
 	var order []RequestID
@@ -145,7 +145,7 @@
 			g.outcome(id, 0, OK, 5*ms)
 		}
 	}
-	g.b.subsetCurrent, g.b.now = false, g.now
+	g.b.subset.current, g.b.now = false, g.now
 	for _, h := range g.b.hosts {
 		g.b.recheck(h)
 	}
--- a/balancer/ring.go
+++ b/balancer/ring.go
@@ -5,80 +5,72 @@
 	"slices"
 )
 
-// kindList is the hosts of a kind, ordered by ringHash.
-type kindList struct {
-	kind  int
-	hosts []*host
-}
-
-func compareRingHash(x, y *host) int {
-	return cmp.Or(cmp.Compare(x.ringHash, y.ringHash), cmp.Compare(x.ID, y.ID))
-}
-
-func (b *Balancer) findKind(kind int) (int, bool) {
-	return slices.BinarySearchFunc(b.byKind, kind, func(l kindList, kind int) int { return cmp.Compare(l.kind, kind) })
+// hostRing is the order of the ready hosts that is the same at every instance. Each instance uses the hosts
+// from its own place on, so that the load is spread evenly without the instances talking to each other.
+type hostRing struct {
+	byKind []kindList // all hosts, from which the ring is built
+	hosts  []*host    // ready hosts, as of the last build
+	built  bool       // the ring is up to date
+	place  int        // of this instance, counted in hosts that have a place of their own
+	start  int        // index in hosts of the first host at that place
+
+	warm    int // ready hosts that are warm
+	warming int // ready hosts that are warming
 }
 
-// addToKind adds a host to the list of its kind.
-func (b *Balancer) addToKind(h *host) {
-	i, ok := b.findKind(h.Kind)
-	if !ok {
-		b.byKind = slices.Insert(b.byKind, i, kindList{kind: h.Kind})
-	}
-	l := &b.byKind[i]
-	k, _ := slices.BinarySearchFunc(l.hosts, h, compareRingHash)
-	l.hosts = slices.Insert(l.hosts, k, h)
+// ringPosition is what a host knows of its position on the ring.
+type ringPosition struct {
+	hash    uint64 // orders the hosts of a kind
+	place   int    // counted as that of the instance is
+	counted rank   // rank that the ring counts the host under
 }
 
-// removeFromKind removes a host from the list of its kind.
-func (b *Balancer) removeFromKind(h *host) {
-	i, ok := b.findKind(h.Kind)
-	if !ok {
-		return
-	}
-	l := &b.byKind[i]
-	if k, ok := slices.BinarySearchFunc(l.hosts, h, compareRingHash); ok {
-		l.hosts = slices.Delete(l.hosts, k, k+1)
-	}
-	if len(l.hosts) == 0 {
-		b.byKind = slices.Delete(b.byKind, i, i+1)
-	}
-}
+// rank says how a host counts on the ring.
+type rank int
 
 // Ranks of hosts.
 const (
-	rankNotReady = iota
-	rankWarm     // ready
-	rankWarming  // ready, in slow start
+	rankNotReady rank = iota
+	rankWarm          // ready
+	rankWarming       // ready, in slow start
 )
 
-func (h *host) rank() int {
+// rank returns how a host counts now.
+func (h *host) rank() rank {
 	switch {
 	case h.State != Ready:
 		return rankNotReady
-	case h.warming:
+	case h.slowStart.warming:
 		return rankWarming
 	}
 	return rankWarm
 }
 
-// updateRank counts a host under its rank. It is called where that may have changed.
-func (b *Balancer) updateRank(h *host) {
-	if h.warming && b.now-h.startedAt >= b.set.SlowStartWindow {
-		h.warming = false
+// ready returns how many hosts are ready.
+func (r *hostRing) ready() int { return r.warm + r.warming }
+
+// count adds n hosts of a rank.
+func (r *hostRing) count(counted rank, n int) {
+	switch counted {
+	case rankWarm:
+		r.warm += n
+	case rankWarming:
+		r.warming += n
 	}
-	rank := h.rank()
-	if rank == h.ranked {
+}
+
+// updateRank counts a host under its rank. It is called where that may have changed.
+func (b *Balancer) updateRank(host *host) {
+	b.endSlowStart(host)
+	rank := host.rank()
+	if rank == host.ring.counted {
 		return
 	}
-	if h.ranked != rankNotReady {
-		b.readyHosts[h.ranked-1]--
-	}
-	if rank != rankNotReady {
-		b.readyHosts[rank-1]++
-	}
-	h.ranked = rank
-	b.ringBuilt, b.subsetCurrent = false, false
+	b.ring.count(host.ring.counted, -1)
+	b.ring.count(rank, 1)
+	host.ring.counted = rank
+	b.ring.built = false
+	b.subset.current = false
 }
 
 // buildRing orders the hosts that are ready in the same way at every instance, with the kinds spread evenly,
@@ -86,45 +78,109 @@
 // warming host has the place of the warm one behind it, unless all count; this instance's own place is
 // counted in the same way.
 func (b *Balancer) buildRing() {
-	clear(b.ring) // hosts beyond its end must not be kept
-	b.ring, b.ringBuilt = b.ring[:0], true
-	segments := b.ringSegments()
-	n, places, place, found := b.readyHosts[0]+b.readyHosts[1], b.ringSize(), 0, false
-	b.ringPlace, b.ringStart = b.set.Rank*places/b.set.Instances, 0
-	for range n {
-		h := nextOnRing(segments)
-		if h.ringPlace = place % places; h.ringPlace == b.ringPlace && !found {
-			b.ringStart, found = len(b.ring), true
+	ring := &b.ring
+	clear(ring.hosts) // the slice must not keep hosts that are gone beyond its end
+	ring.hosts = ring.hosts[:0]
+	ring.built = true
+	places := b.ringSize()
+	ring.place = b.settings.Rank * places / b.settings.Instances
+	ring.start = 0
+	ready := ring.ready()
+	warmingCount := places == ready
+	segments := ring.segments()
+	place := 0
+	found := false
+	for range ready {
+		host := nextOnRing(segments)
+		host.ring.place = place % places
+		if host.ring.place == ring.place && !found {
+			ring.start = len(ring.hosts)
+			found = true
 		}
-		if !h.warming || places == n {
+		if warmingCount || !host.slowStart.warming {
 			place++
 		}
-		b.ring = append(b.ring, h)
+		ring.hosts = append(ring.hosts, host)
 	}
-	if b.ringPlace == 0 { // warming hosts at the end of the ring have the place of the first warm one
-		for k := n - 1; k > 0 && b.ring[k].ringPlace == 0; k-- {
-			b.ringStart = k
+	if ring.place == 0 {
+		ring.startAtLastWarming()
+	}
+}
+
+// startAtLastWarming moves the start of place 0 back to the warming hosts at the end of the ring, which have
+// the place of the first warm one.
+func (r *hostRing) startAtLastWarming() {
+	for i := len(r.hosts) - 1; i > 0; i-- {
+		if r.hosts[i].ring.place != 0 {
+			return
 		}
+		r.start = i
+	}
+}
+
+// kindList is the hosts of a kind, ordered by hash.
+type kindList struct {
+	kind  int
+	hosts []*host
+}
+
+func compareHash(x, y *host) int {
+	return cmp.Or(cmp.Compare(x.ring.hash, y.ring.hash), cmp.Compare(x.ID, y.ID))
+}
+
+// findKind returns the index of a kind's list, or where it would be.
+func (r *hostRing) findKind(kind int) (i int, ok bool) {
+	return slices.BinarySearchFunc(r.byKind, kind, func(list kindList, kind int) int {
+		return cmp.Compare(list.kind, kind)
+	})
+}
+
+// add adds a host to the list of its kind.
+func (r *hostRing) add(host *host) {
+	i, ok := r.findKind(host.Kind)
+	if !ok {
+		r.byKind = slices.Insert(r.byKind, i, kindList{kind: host.Kind})
+	}
+	list := &r.byKind[i]
+	k, _ := slices.BinarySearchFunc(list.hosts, host, compareHash)
+	list.hosts = slices.Insert(list.hosts, k, host)
+}
+
+// remove removes a host from the list of its kind.
+func (r *hostRing) remove(host *host) {
+	i, ok := r.findKind(host.Kind)
+	if !ok {
+		return
+	}
+	list := &r.byKind[i]
+	k, ok := slices.BinarySearchFunc(list.hosts, host, compareHash)
+	if ok {
+		list.hosts = slices.Delete(list.hosts, k, k+1)
+	}
+	if len(list.hosts) == 0 {
+		r.byKind = slices.Delete(r.byKind, i, i+1)
 	}
 }
 
 // ringSegment is what is left to be placed of a kind.
 type ringSegment struct {
-	hosts  []*host // ordered by ringHash; the first is ready
+	hosts  []*host // ordered by hash; the first is ready
 	ready  int     // hosts that are ready, placed or not
 	placed int
 }
 
-func (b *Balancer) ringSegments() []ringSegment {
-	segments := make([]ringSegment, len(b.byKind))
-	for i, l := range b.byKind {
-		segments[i].hosts = l.hosts
-		for _, h := range l.hosts {
-			if h.ranked != rankNotReady {
-				segments[i].ready++
+// segments returns a segment for each kind.
+func (r *hostRing) segments() []ringSegment {
+	segments := make([]ringSegment, len(r.byKind))
+	for i, list := range r.byKind {
+		segment := &segments[i]
+		segment.hosts = list.hosts
+		for _, host := range list.hosts {
+			if host.ring.counted != rankNotReady {
+				segment.ready++
 			}
 		}
-		segments[i].skipUnready()
+		segment.skipNotReady()
 	}
 	return segments
 }
@@ -133,59 +189,26 @@
 func nextOnRing(segments []ringSegment) *host {
 	var next *ringSegment
 	for i := range segments {
-		if s := &segments[i]; len(s.hosts) > 0 && (next == nil || s.position() < next.position()) {
-			next = s
+		segment := &segments[i]
+		if len(segment.hosts) == 0 {
+			continue
+		}
+		if next == nil || segment.position() < next.position() {
+			next = segment
 		}
 	}
-	h := next.hosts[0]
-	next.hosts, next.placed = next.hosts[1:], next.placed+1
-	next.skipUnready()
-	return h
+	host := next.hosts[0]
+	next.hosts = next.hosts[1:]
+	next.placed++
+	next.skipNotReady()
+	return host
 }
 
 // position returns where the next host of the kind belongs on the ring, between 0 and 1.
 func (s *ringSegment) position() float64 { return (float64(s.placed) + 0.5) / float64(s.ready) }
 
-func (s *ringSegment) skipUnready() {
-	for len(s.hosts) > 0 && s.hosts[0].ranked == rankNotReady {
+func (s *ringSegment) skipNotReady() {
+	for len(s.hosts) > 0 && s.hosts[0].ring.counted == rankNotReady {
 		s.hosts = s.hosts[1:]
 	}
 }
-
-// scopeKey identifies a zone or a cell.
-type scopeKey struct {
-	scope DedupScope
-	n     int
-}
-
-// hostsInScope returns the hosts that drop duplicates of a request that was first sent to h. The scopes are
-// built when they are needed after the endpoint list has changed.
-func (b *Balancer) hostsInScope(scope DedupScope, h *host) []*host {
-	if scope == ScopeAll {
-		return b.hosts
-	}
-	if !b.scopesBuilt {
-		b.buildScopes()
-	}
-	if scope == ScopeZone {
-		return b.scopes[scopeKey{scope, h.Zone}]
-	}
-	return b.scopes[scopeKey{scope, h.Cell}]
-}
-
-func (b *Balancer) buildScopes() {
-	b.scopesBuilt = true
-	for key, list := range b.scopes {
-		if len(list) == 0 {
-			delete(b.scopes, key) // it was empty the last time, too
-			continue
-		}
-		clear(list)
-		b.scopes[key] = list[:0]
-	}
-	for _, x := range b.hosts {
-		for _, key := range [...]scopeKey{{ScopeZone, x.Zone}, {ScopeCell, x.Cell}} {
-			b.scopes[key] = append(b.scopes[key], x)
-		}
-	}
-}
--- a/balancer/scale_test.go
+++ b/balancer/scale_test.go
@@ -14,7 +14,7 @@
 func walked(b *Balancer, class int, ready []*host) []*host {
 	listed, out, excluded, broken := 0, 0, 0, 0
 	from := b.sets[setSubset].list
-	open := func(h *host) bool { return h.State == Ready && !b.pacedBySlowStart(h) && !b.atLimit(h) }
+	open := func(h *host) bool { return h.State == Ready && !h.slowStart.paced(b.now) && !b.atLimit(h) }
 	for _, h := range from {
 		switch {
 		case h.State != Ready:
@@ -23,7 +23,7 @@
 		case b.ejected(h):
 			listed++
 			out++
-			if h.ejectCause == CauseConnectionsFailed {
+			if h.ejection.cause == CauseConnectionsFailed {
 				broken++
 			}
 		default:
@@ -36,15 +36,15 @@
 	for _, h := range from {
 		switch {
 		case listed == 0 && excluded > 0 && open(h),
-			2*out > listed && b.ejected(h) && !b.excludedFor(h, class) && open(h) && (h.ejectCause != CauseConnectionsFailed || broken == listed):
+			2*out > listed && b.ejected(h) && !b.excludedFor(h, class) && open(h) && (h.ejection.cause != CauseConnectionsFailed || broken == listed):
 			ready = append(ready, h)
 		}
 	}
-	if len(ready) == 0 && b.set.Classes[class].Idempotency != NonIdempotent {
+	if len(ready) == 0 && b.settings.Classes[class].Idempotency != NonIdempotent {
 		for _, h := range from {
 			// Patience may have shrunk since it was looked at; the next sweep sees that.
-			seen := h.readySet == setDoubtful || h.recheckTime <= b.now
-			if seen && h.State == Ready && !b.excludedFor(h, class) && !b.ejected(h) && !b.pacedBySlowStart(h) && b.suspected(h) {
+			seen := h.sets.readySet == setDoubtful || h.recheckEntry.at <= b.now
+			if seen && h.State == Ready && !b.excludedFor(h, class) && !b.ejected(h) && !h.slowStart.paced(b.now) && b.suspected(h) {
 				ready = append(ready, h)
 			}
 		}
@@ -77,22 +77,22 @@
 	}
 	busy := 0
 	for _, h := range b.hosts {
-		if (h.inFlight > 0) != (h.position[setBusy] > 0) {
-			t.Fatalf("host %d has %d attempts out, busy: %v", h.ID, h.inFlight, h.position[setBusy])
+		if (h.inFlight > 0) != (h.sets.position[setBusy] > 0) {
+			t.Fatalf("host %d has %d attempts out, busy: %v", h.ID, h.inFlight, h.sets.position[setBusy])
 		}
 		busy += h.inFlight
 	}
-	for class := range b.set.Classes {
-		r := &request{Request: Request{Class: class}, class: &b.set.Classes[class]}
+	for class := range b.settings.Classes {
+		r := &request{Request: Request{Class: class}, class: &b.settings.Classes[class]}
 		want := map[*host]bool{}
 		for _, h := range walked(b, class, nil) {
 			want[h] = true
 		}
-		rng := b.rng
+		rng := b.random.state
 		got := map[*host]bool{}
 		for range 40 * (len(want) + 1) { // what is drawn, again and again
-			if b.sendRate > 0 {
-				b.sendTokens, b.tokensAt = sendRateBurst, b.now
+			if b.sendRate.limit > 0 {
+				b.sendRate.tokens, b.sendRate.refilledAt = sendRateBurstAttempts, b.now
 			}
 			if h := b.pick(r); h != nil {
 				got[h] = true
@@ -106,7 +106,7 @@
 		if len(got) == 0 && len(want) > 0 {
 			t.Fatalf("class %d: none is drawn of %d that a walk finds", class, len(want))
 		}
-		b.rng = rng
+		b.random.state = rng
 	}
 }
 
@@ -221,22 +221,22 @@
 	}
 	checkSets(t, g.b) // all ejected: fail open
 	for _, h := range g.b.hosts {
-		h.ejectCause = CauseConnectionsFailed
+		h.ejection.cause = CauseConnectionsFailed
 		g.b.recheck(h)
 	}
 	checkSets(t, g.b)
 	for _, h := range g.b.hosts[1:] {
-		h.ejections, h.restingUntil = 0, g.now+time.Minute
+		h.ejection.count, h.limiter.restingUntil = 0, g.now+time.Minute
 		g.b.recheck(h)
 	}
-	g.b.hosts[0].ejections = 0
+	g.b.hosts[0].ejection.count = 0
 	g.b.recheck(g.b.hosts[0])
 	checkSets(t, g.b) // one ready
 	for i, h := range g.b.hosts {
-		h.restingUntil, h.hasErrors = 0, true
-		for c := range h.class {
+		h.limiter.restingUntil, h.hasErrors = 0, true
+		for c := range h.errors {
 			if i%2 == c%2 || c == 0 && i > 10 {
-				h.class[c].excludedUntil = g.now + time.Minute
+				h.errors[c].excludedUntil = g.now + time.Minute
 			}
 		}
 		g.b.recheck(h)
@@ -309,7 +309,7 @@
 		for range 20000 {
 			g.round(16)
 		}
-		r := &request{class: &g.b.set.Classes[0]}
+		r := &request{class: &g.b.settings.Classes[0]}
 		for name, pick := range map[string]func() *host{
 			"sets": func() *host { return g.b.pick(r) },
 			"walk": func() *host { return walk(g.b, r) },
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -1,257 +1,226 @@
 package balancer
 
-import "math"
-
-// Failure-aware peak EWMA with two choices: of two random ready hosts, the one with the lower RTT
-// estimate x (own attempts in flight + 1) gets the request.
+// Failure-aware peak EWMA with two choices: of two random ready hosts, the one with the lower RTT estimate x
+// (own attempts in flight + 1) gets the request. Hosts come from the first sets of hostset.go: the ready
+// ones, and where most hosts are ejected, those too.
 
 const (
-	initialRTTShare        = 0.25      // RTT of an unknown host, in shortest objectives: not an idle one
-	errorPenaltyObjectives = 1         // penalty of an error, in longest objectives: above ordinary responses
-	maxDraws               = 32        // draws before hosts are gathered: 9 in 10 may not be ready
-	largeScope             = 64        // hosts of a scope up to which they are gathered at once
-	maxKinds               = 255       // kinds of hosts that are distinguished
-	meanWeight             = 0.1       // of a sample in a mean: about the last ten count
-	longTermWeight         = 1.0 / 256 // of a sample in a typical RTT: a jam must not become typical
+	// maxDraws is how many times two hosts are drawn before the ready ones are gathered: of the hosts of
+	// a set most may not be ready any more.
+	maxDraws = 32
+	// untriedDraws is for how many draws two hosts that have failed the request already are passed over.
+	untriedDraws = maxDraws / 2
+	// largeScopeHosts is the size above which two hosts of a deduplication scope are drawn before it is
+	// gathered.
+	largeScopeHosts = 64
 )
 
-// pick returns the host for a request; nil: none is ready. A request that may have run and may not run
-// twice gets no host, and one with an idempotency key a host of the scope that drops duplicates.
-func (b *Balancer) pick(r *request) *host {
-	first := r.firstThatMayRun()
-	if !b.withinSendRate(r) || !b.maySend(r.class, first) {
+// eligibleSets names the sets of hosts that a request may be sent to.
+type eligibleSets struct {
+	first           setKind
+	count           int
+	includeExcluded bool // also hosts that are excluded for the class
+}
+
+// doubtfulHosts are the hosts of which it is not known whether they are silent or have one costly request.
+var doubtfulHosts = eligibleSets{first: setDoubtful, count: 1}
+
+// contains reports whether a set is among them.
+func (e eligibleSets) contains(set setKind) bool { return set >= e.first && set < e.end() }
+
+// end returns the set behind the last.
+func (e eligibleSets) end() setKind { return e.first + setKind(e.count) }
+
+// pick returns the host for a request; nil: none is ready. A request that may have run and must not run twice
+// gets no host, and one with an idempotency key a host of the scope that drops duplicates.
+func (b *Balancer) pick(request *request) *host {
+	if !b.withinSendRate(request) || !b.maySend(request) {
 		return nil
 	}
 	b.refreshSubset()
-	if r.class.Idempotency == IdempotentWithKey && first != nil {
-		return b.pickInScope(r, b.hostsInScope(r.class.DedupScope, first.host)) // also outside the subset
+	first := request.firstThatMayRun()
+	if request.class.Idempotency == IdempotentWithKey && first != nil {
+		scope := b.hostsInScope(request.class.DedupScope, first.host) // also outside the subset
+		return b.pickInScope(request, scope)
 	}
-	all, excluded := &b.counts, &b.excluded[r.Class]
+	excluded := &b.excluded[request.Class]
 	counts := subsetCounts{
-		ready: all.ready - excluded.ready, ejected: all.ejected - excluded.ejected,
-		broken: all.broken - excluded.broken,
+		ready:   b.counts.ready - excluded.ready,
+		ejected: b.counts.ejected - excluded.ejected,
+		broken:  b.counts.broken - excluded.broken,
 	}
-	sets, useExcluded := b.usableSets(counts, excluded.ready)
-	if h := b.draw(r, setReady, sets, useExcluded); h != nil {
-		return h
+	host := b.draw(request, b.eligibleSets(counts, excluded.ready))
+	if host != nil {
+		return host
 	}
-	// Before it waits, a request that can be retried goes to a host of which it is not known whether it is
-	// silent or has one costly request: that shows which. It guards against a fleet of hosts that are each
-	// idle but for one such request.
-	if r.class.Idempotency != NonIdempotent {
-		return b.draw(r, setDoubtful, 1, false)
+	// Before it waits, a request that can be retried goes to a doubtful host: that shows whether it is
+	// silent. It guards against a fleet of hosts that are each idle but for one costly request.
+	if request.class.Idempotency == NonIdempotent {
+		return nil
 	}
-	return nil
+	return b.draw(request, doubtfulHosts)
 }
 
-// draw chooses among the hosts of n sets from one on, as if the ready ones were gathered first: it draws,
-// and skips hosts that are not ready any more. After maxDraws draws most are not, and they are gathered.
-func (b *Balancer) draw(r *request, set, n int, useExcluded bool) *host {
+// draw chooses among the hosts of sets, as if the ready ones were gathered first: it draws, and passes over
+// hosts that are not ready any more. After maxDraws draws most are not, and they are gathered.
+func (b *Balancer) draw(request *request, eligible eligibleSets) *host {
 	for try := range maxDraws {
-		total := 0
-		for k := set; k < set+n; k++ {
-			total += len(b.sets[k].list)
-		}
+		total := b.sets.total(eligible)
 		if total == 0 {
 			return nil
 		}
-		i, j := b.twoOf(total)
-		x, y := b.nth(set, i), b.nth(set, j)
-		moved := b.refreshStanding(x) || y != x && b.refreshStanding(y)
-		if moved || try < maxDraws/2 && r.tried(x) && r.tried(y) {
+		i, j := b.random.twoBelow(total)
+		x := b.sets.at(eligible.first, i)
+		y := b.sets.at(eligible.first, j)
+		if b.refreshPair(x, y) {
+			continue
+		}
+		bothTried := request.tried(x) && request.tried(y)
+		if bothTried && try < untriedDraws {
 			continue
 		}
-		if useExcluded || !b.excludedFor(x, r.Class) && !b.excludedFor(y, r.Class) {
-			return b.lessLoaded(r, x, y)
+		if b.bothUsable(x, y, request.Class, eligible) {
+			return b.lessLoaded(request, x, y)
 		}
 	}
-	return b.chooseGathered(r, set, n, useExcluded)
+	b.gatherFromSets(request, eligible)
+	return b.chooseCandidate(request)
 }
 
-// chooseGathered chooses among the hosts of n sets from one on that are still ready.
-func (b *Balancer) chooseGathered(r *request, set, n int, useExcluded bool) *host {
-	b.candidates = b.candidates[:0]
-	for k := set; k < set+n; k++ {
-		for i := len(b.sets[k].list) - 1; i >= 0; i-- { // a host that leaves the set is replaced by the last
-			if h := b.sets[k].list[i]; !b.refreshStanding(h) && (useExcluded || !b.excludedFor(h, r.Class)) {
-				b.candidates = append(b.candidates, h)
-			}
-		}
+// refreshPair rechecks two hosts, the second only if the first has not moved, and reports whether one has
+// moved to another set.
+func (b *Balancer) refreshPair(x, y *host) (moved bool) {
+	if b.refreshStanding(x) {
+		return true
 	}
-	return b.chooseCandidate(r)
+	return y != x && b.refreshStanding(y)
 }
 
-// twoOf draws two different numbers below n; the same one twice where n is 1.
-func (b *Balancer) twoOf(n int) (i, j int) {
-	if i = b.rand(n); n == 1 {
-		return i, i
-	}
-	if j = b.rand(n - 1); j >= i {
-		j++
+// bothUsable reports whether neither of two hosts is excluded for a class, or that does not matter.
+func (b *Balancer) bothUsable(x, y *host, class int, eligible eligibleSets) bool {
+	return b.usable(x, class, eligible) && b.usable(y, class, eligible)
+}
+
+// usable reports whether a host is not excluded for a class, or that does not matter.
+func (b *Balancer) usable(host *host, class int, eligible eligibleSets) bool {
+	return eligible.includeExcluded || !b.excludedFor(host, class)
+}
+
+// gatherFromSets gathers the hosts of sets that are still ready as the candidates. It goes from the last to
+// the first, as a host that leaves its set is replaced by the last.
+func (b *Balancer) gatherFromSets(request *request, eligible eligibleSets) {
+	b.candidates = b.candidates[:0]
+	for set := eligible.first; set < eligible.end(); set++ {
+		for i := len(b.sets[set].list) - 1; i >= 0; i-- {
+			host := b.sets[set].list[i]
+			moved := b.refreshStanding(host)
+			if !moved && b.usable(host, request.Class, eligible) {
+				b.candidates = append(b.candidates, host)
+			}
+		}
 	}
-	return i, j
 }
 
 // chooseCandidate returns the less loaded of two random candidates; nil: there is none.
-func (b *Balancer) chooseCandidate(r *request) *host {
+func (b *Balancer) chooseCandidate(request *request) *host {
 	if len(b.candidates) == 0 {
 		return nil
 	}
-	i, j := b.twoOf(len(b.candidates))
-	return b.lessLoaded(r, b.candidates[i], b.candidates[j])
+	i, j := b.random.twoBelow(len(b.candidates))
+	return b.lessLoaded(request, b.candidates[i], b.candidates[j])
 }
 
-// lessLoaded returns the host with the lower score. One that has failed the request already comes after
-// one that has not: it guards against using up a request's attempts at failing hosts.
-func (b *Balancer) lessLoaded(r *request, x, y *host) *host {
-	if tried := r.tried(x); tried != r.tried(y) {
-		if tried {
-			return y
-		}
+// lessLoaded returns the host with the lower score. One that has failed the request already comes after one
+// that has not: it guards against using up a request's attempts at failing hosts.
+func (b *Balancer) lessLoaded(request *request, x, y *host) *host {
+	triedX := request.tried(x)
+	triedY := request.tried(y)
+	switch {
+	case triedX && !triedY:
+		return y
+	case triedY && !triedX:
 		return x
-	}
-	if y != x && b.score(y, r.Class) < b.score(x, r.Class) {
+	case y != x && b.score(y, request.Class) < b.score(x, request.Class):
 		return y
 	}
 	return x
 }
 
-// usableSets returns how many of the sets, in their order, a class may use, given the counts of hosts that
-// are not excluded for it, and how many are excluded; useExcluded means those too.
-func (b *Balancer) usableSets(counts subsetCounts, excluded int) (sets int, useExcluded bool) {
-	switch {
-	case counts.ready == 0 && excluded > 0:
-		return 3, true // with errors for the class everywhere, one host is as good as another
-	case 2*counts.ejected <= counts.ready:
-		return 1, false
+// eligibleSets returns the sets that a request may use, given the counts of hosts that are not excluded for
+// its class, and how many are. When most hosts are ejected it fails open: the fault is then more likely the
+// network or the load than each host, and the few that are left must not take everything. Hosts to which
+// connections fail are spared while any other is up: they would use up a request's attempts in no time.
+func (b *Balancer) eligibleSets(counts subsetCounts, excluded int) eligibleSets {
+	if counts.ready == 0 && excluded > 0 {
+		// With errors for the class everywhere, one host is as good as another.
+		return eligibleSets{first: setReady, count: 3, includeExcluded: true}
+	}
+	mostEjected := 2*counts.ejected > counts.ready
+	if !mostEjected {
+		return eligibleSets{first: setReady, count: 1}
 	}
-	// Fail open: when most hosts are ejected, the fault is more likely the network or the load than each
-	// host, and the few that are left must not take everything. Hosts to which connections fail are spared
-	// while any other is up: they would use up a request's attempts in no time.
 	b.log(logFailOpen, "%d of %d hosts are ejected, using them all the same", counts.ejected, counts.ready)
-	if counts.broken == counts.ready {
-		return 3, false
+	allBroken := counts.broken == counts.ready
+	if allBroken {
+		return eligibleSets{first: setReady, count: 3}
 	}
-	return 2, false
+	return eligibleSets{first: setReady, count: 2}
 }
 
-// pickInScope chooses among the hosts of a scope, in the subset or not, as pick does. Of a large scope two
-// are drawn first; it is gathered where one of them is not ready.
-func (b *Balancer) pickInScope(r *request, scope []*host) *host {
-	for n := 0; len(scope) > largeScope && n < maxDraws; n++ {
-		x, y := scope[b.rand(len(scope))], scope[b.rand(len(scope))]
-		if x != y && b.readySetOf(x) == setReady && b.readySetOf(y) == setReady &&
-			!b.excludedFor(x, r.Class) && !b.excludedFor(y, r.Class) {
-			return b.lessLoaded(r, x, y)
+// pickInScope chooses among the hosts of a scope, in the subset or not, as pick does. Of a large scope
+// two are drawn first; it is gathered where one of them is not ready.
+func (b *Balancer) pickInScope(request *request, scope []*host) *host {
+	if len(scope) > largeScopeHosts {
+		host := b.drawFromScope(request, scope)
+		if host != nil {
+			return host
 		}
 	}
-	var counts subsetCounts
-	excluded := 0
-	for _, h := range scope {
-		if h.State == Ready && b.excludedFor(h, r.Class) {
-			excluded++
-		} else if h.State == Ready {
-			ejected := b.ejected(h)
-			broken := ejected && h.ejectCause == CauseConnectionsFailed
-			counts.add(standing{ready: true, ejected: ejected, broken: broken}, 1)
-		}
-	}
-	sets, useExcluded := b.usableSets(counts, excluded)
-	b.candidates = b.candidates[:0]
-	gather := func(set, n int) {
-		for _, h := range scope {
-			if s := b.readySetOf(h); s >= set && s < set+n && (useExcluded || !b.excludedFor(h, r.Class)) {
-				b.candidates = append(b.candidates, h)
-			}
-		}
-	}
-	if gather(setReady, sets); len(b.candidates) == 0 {
-		gather(setDoubtful, 1)
+	counts, excluded := b.countScope(request, scope)
+	b.gatherFromScope(request, scope, b.eligibleSets(counts, excluded))
+	if len(b.candidates) == 0 {
+		b.gatherFromScope(request, scope, doubtfulHosts)
 	}
-	return b.chooseCandidate(r)
+	return b.chooseCandidate(request)
 }
 
-// readySetOf returns which of the first four sets a host belongs to, whether or not it is in the subset.
-func (b *Balancer) readySetOf(h *host) int {
-	ejected := b.ejected(h)
-	switch {
-	case h.State != Ready || b.pacedBySlowStart(h):
-		return setNone
-	case b.atLimit(h):
-		if !ejected && b.suspected(h) {
-			return setDoubtful
+// drawFromScope draws two hosts of a scope up to maxDraws times; nil: none of the pairs were both ready.
+func (b *Balancer) drawFromScope(request *request, scope []*host) *host {
+	readyHosts := eligibleSets{first: setReady, count: 1}
+	for range maxDraws {
+		x := scope[b.random.below(len(scope))]
+		y := scope[b.random.below(len(scope))]
+		bothReady := x != y && b.readySetOf(x) == setReady && b.readySetOf(y) == setReady
+		if bothReady && b.bothUsable(x, y, request.Class, readyHosts) {
+			return b.lessLoaded(request, x, y)
 		}
-		return setNone
-	case !ejected:
-		return setReady
-	case h.ejectCause == CauseConnectionsFailed:
-		return setBroken
-	}
-	return setSilent
-}
-
-// score returns the score of a host for a class: its RTT estimate now x (own attempts in flight + 1). An
-// error in the class is a penalty there alone: other classes may be served well.
-func (b *Balancer) score(h *host, class int) float64 {
-	rtt := b.estimatedRTT(h)
-	if f := &h.class[class]; f.share > 0 {
-		rtt = max(rtt, b.penalty*math.Exp(-(b.now-f.at).Seconds()/b.currentDecay()))
-	}
-	return rtt * float64(h.inFlight+1)
-}
-
-// estimatedRTT returns the RTT estimate decayed toward zero, so that a host that was penalized and then
-// left alone drifts back into use.
-func (b *Balancer) estimatedRTT(h *host) float64 {
-	if !h.sampled {
-		return b.initialRTT(h) * b.estimateWeight(h)
 	}
-	return h.rtt * b.estimateWeight(h)
-}
-
-// initialRTT returns the RTT of a host without a sample: that of others of its kind, or of any others; it
-// must not look idle. A restarted instance has a default.
-func (b *Balancer) initialRTT(h *host) float64 {
-	if h.Kind >= 0 && h.Kind < len(b.kindRTT) && b.kindRTT[h.Kind].seen {
-		return b.kindRTT[h.Kind].mean
-	}
-	if b.anyRTT.seen {
-		return b.anyRTT.mean
-	}
-	return initialRTTShare * b.shortestObjective.Seconds()
+	return nil
 }
 
-// normalizeRTT adds a good response to the typical RTTs of its class and kind of host, and returns its RTT
-// as one of a typical class: a host that last served a slow class must not look slow for it.
-func (b *Balancer) normalizeRTT(a *attempt, rtt float64) float64 {
-	b.classRTT[a.req.Class].addLong(rtt)
-	b.anyRTT.add(rtt)
-	rtt *= b.anyRTT.mean / b.classRTT[a.req.Class].mean
-	if k := a.host.Kind; k >= 0 && k <= maxKinds {
-		for len(b.kindRTT) <= k {
-			b.kindRTT = append(b.kindRTT, movingAverage{})
+// countScope counts the hosts of a scope that are not excluded for the request's class, and those that are.
+func (b *Balancer) countScope(request *request, scope []*host) (counts subsetCounts, excluded int) {
+	for _, host := range scope {
+		if host.State != Ready {
+			continue
+		}
+		if b.excludedFor(host, request.Class) {
+			excluded++
+			continue
 		}
-		b.kindRTT[k].add(rtt)
+		ejected := b.ejected(host)
+		broken := ejected && host.ejection.connectionsFail()
+		counts.add(standing{ready: true, ejected: ejected, broken: broken}, 1)
 	}
-	return rtt
-}
-
-// estimateWeight returns the weight that a host's estimate has kept since its last sample.
-func (b *Balancer) estimateWeight(h *host) float64 {
-	return math.Exp(-(b.now - h.rttAt).Seconds() / b.currentDecay())
+	return counts, excluded
 }
 
-// addSample adds an RTT to a host's estimate: above the estimate decayed to now it replaces it, below it is
-// blended in.
-func (b *Balancer) addSample(h *host, rtt float64) {
-	w, old := b.estimateWeight(h), h.rtt
-	if !h.sampled {
-		old = b.initialRTT(h)
-	}
-	if old *= w; rtt > old {
-		h.rtt = rtt
-	} else {
-		h.rtt = old + rtt*(1-w)
+// gatherFromScope gathers the hosts of a scope that are in one of the sets as the candidates.
+func (b *Balancer) gatherFromScope(request *request, scope []*host, eligible eligibleSets) {
+	b.candidates = b.candidates[:0]
+	for _, host := range scope {
+		if eligible.contains(b.readySetOf(host)) && b.usable(host, request.Class, eligible) {
+			b.candidates = append(b.candidates, host)
+		}
 	}
-	h.rttAt, h.sampled = b.now, true
 }
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -9,110 +9,154 @@
 // Limits of settings. What exceeds them is a mistake, and would overflow.
 const (
 	maxTime   = 1000 * time.Hour
-	maxCount  = 1 << 20
-	maxFigure = 1e12
-	// maxPollTimeout bounds PollTimeout, from which the backoff of polls follows: a change counts as known 6 s
-	// after it could be learnt, however long a poll the settings allow.
+	maxCount  = 1 << 20 // of instances and attempts
+	maxFigure = 1e12    // of shares, factors, weights and rates
+	// maxPollTimeout bounds PollTimeout, from which the backoff of polls follows: a change counts as
+	// known 6 s after it could be learnt, however long a poll the settings allow.
 	maxPollTimeout = 10 * time.Second
 )
 
-// check returns an error that names the field for invalid settings, and sets defaults.
-func check(set *Settings) error {
+// Defaults of settings.
+const (
+	defaultMaxAttempts    = 3
+	defaultPollTimeout    = 10 * time.Second
+	defaultSlowStartShare = 1 // of its capacity: no slow start
+	defaultOverloadFactor = 2
+	defaultOverloadWindow = time.Second
+	defaultPriorityWeight = 1
+)
+
+// check returns an error that names the field for invalid settings, and sets defaults. Fields have the names
+// that they have in recordings.
+func check(settings *Settings) error {
+	if err := checkCounts(settings); err != nil {
+		return err
+	}
+	if err := checkDurations(settings); err != nil {
+		return err
+	}
+	if err := checkFigures(settings); err != nil {
+		return err
+	}
+	if err := checkClasses(settings); err != nil {
+		return err
+	}
+	for i, tenant := range settings.Tenants {
+		quota := tenant.Quota
+		if !isFigure(quota) {
+			return fmt.Errorf("settings: tenant %d: quota: %v is not between 0 and %v", i, quota, maxFigure)
+		}
+	}
+	setDefaults(settings)
+	return nil
+}
+
+func setDefaults(settings *Settings) {
+	orDefault(&settings.MaxAttempts, defaultMaxAttempts)
+	orDefault(&settings.PollTimeout, defaultPollTimeout)
+	settings.PollTimeout = min(settings.PollTimeout, maxPollTimeout)
+	orDefault(&settings.SlowStartShare, defaultSlowStartShare)
+	settings.SlowStartShare = min(settings.SlowStartShare, 1)
+	orDefault(&settings.OverloadFactor, defaultOverloadFactor)
+	orDefault(&settings.OverloadWindow, defaultOverloadWindow)
+}
+
+func checkCounts(settings *Settings) error {
+	attempts := settings.MaxAttempts
 	switch {
-	case set.Instances < 1 || set.Instances > maxCount:
-		return fmt.Errorf("settings: instances: %d is not between 1 and %d", set.Instances, maxCount)
-	case set.Rank < 0 || set.Rank >= set.Instances:
-		return fmt.Errorf("settings: rank: %d is not among %d instances", set.Rank, set.Instances)
-	case len(set.Classes) == 0:
+	case settings.Instances < 1 || settings.Instances > maxCount:
+		return fmt.Errorf("settings: instances: %d is not between 1 and %d", settings.Instances, maxCount)
+	case settings.Rank < 0 || settings.Rank >= settings.Instances:
+		return fmt.Errorf("settings: rank: %d is not among %d instances", settings.Rank, settings.Instances)
+	case len(settings.Classes) == 0:
 		return errors.New("settings: classes: there are none")
-	case set.MaxAttempts < 0 || set.MaxAttempts > maxCount:
-		return fmt.Errorf("settings: max attempts: %d is not between 0 and %d", set.MaxAttempts, maxCount)
+	case attempts < 0 || attempts > maxCount:
+		return fmt.Errorf("settings: max attempts: %d is not between 0 and %d", attempts, maxCount)
 	}
-	for _, f := range []struct {
-		name string
-		d    time.Duration
+	return nil
+}
+
+func checkDurations(settings *Settings) error {
+	for _, field := range []struct {
+		name  string
+		value time.Duration
 	}{
-		{"step", set.Step}, {"max retry after", set.MaxRetryAfter}, {"ask within", set.PollTimeout},
-		{"warm after", set.SlowStartWindow}, {"fall", set.OverloadWindow},
+		{"step", settings.Step},
+		{"max retry after", settings.MaxRetryAfter},
+		{"ask within", settings.PollTimeout},
+		{"warm after", settings.SlowStartWindow},
+		{"fall", settings.OverloadWindow},
 	} {
-		if f.d < 0 || f.d > maxTime {
-			return fmt.Errorf("settings: %s: %v is not between 0 and %v", f.name, f.d, maxTime)
+		if field.value < 0 || field.value > maxTime {
+			return fmt.Errorf("settings: %s: %v is not between 0 and %v", field.name, field.value, maxTime)
 		}
 	}
-	for _, f := range []struct {
-		name string
-		x    float64
+	return nil
+}
+
+func checkFigures(settings *Settings) error {
+	for _, field := range []struct {
+		name  string
+		value float64
 	}{
-		{"cold from", set.SlowStartShare}, {"overload factor", set.OverloadFactor},
-		{"over-quota worth", set.OverQuotaWeight},
+		{"cold from", settings.SlowStartShare},
+		{"overload factor", settings.OverloadFactor},
+		{"over-quota worth", settings.OverQuotaWeight},
 	} {
-		if !isFigure(f.x) {
-			return fmt.Errorf("settings: %s: %v is not between 0 and %v", f.name, f.x, maxFigure)
+		if !isFigure(field.value) {
+			return fmt.Errorf("settings: %s: %v is not between 0 and %v", field.name, field.value, maxFigure)
 		}
 	}
-	if err := checkClasses(set); err != nil {
-		return err
-	}
-	for i, t := range set.Tenants {
-		if !isFigure(t.Quota) {
-			return fmt.Errorf("settings: tenant %d: quota: %v is not between 0 and %v", i, t.Quota, maxFigure)
-		}
-	}
-	orDefault(&set.MaxAttempts, 3)
-	orDefault(&set.PollTimeout, 10e9)
-	set.PollTimeout = min(set.PollTimeout, maxPollTimeout)
-	orDefault(&set.SlowStartShare, 1)
-	orDefault(&set.OverloadFactor, 2)
-	orDefault(&set.OverloadWindow, 1e9)
-	set.SlowStartShare = min(set.SlowStartShare, 1)
 	return nil
 }
 
 // checkClasses checks the classes, of which it makes a copy to set defaults in.
-func checkClasses(set *Settings) error {
-	set.Classes = append([]Class(nil), set.Classes...)
-	live := false
-	for i := range set.Classes {
-		c := &set.Classes[i]
-		if err := checkClass(i, c); err != nil {
-			return err
+func checkClasses(settings *Settings) error {
+	settings.Classes = append([]Class(nil), settings.Classes...)
+	allRetired := true
+	for i := range settings.Classes {
+		class := &settings.Classes[i]
+		if err := checkClass(class); err != nil {
+			return fmt.Errorf("settings: class %d: %w", i, err)
+		}
+		if class.LatencyObjective == 0 || class.LatencyObjective > class.Deadline {
+			class.LatencyObjective = class.Deadline
 		}
-		if c.LatencyObjective == 0 || c.LatencyObjective > c.Deadline {
-			c.LatencyObjective = c.Deadline
+		orDefault(&class.PriorityWeight, defaultPriorityWeight)
+		if !class.Retired {
+			allRetired = false
 		}
-		orDefault(&c.PriorityWeight, 1)
-		live = live || !c.Retired
 	}
-	if !live {
+	if allRetired {
 		return errors.New("settings: classes: all are retired")
 	}
 	return nil
 }
 
-func checkClass(i int, c *Class) error {
+func checkClass(class *Class) error {
 	switch {
-	case c.LatencyObjective < 0 || c.LatencyObjective > maxTime:
-		return fmt.Errorf("settings: class %d: aim: %v is not between 0 and %v", i, c.LatencyObjective, maxTime)
-	case c.Deadline <= 0 || c.Deadline > maxTime:
-		return fmt.Errorf("settings: class %d: deadline: %v is not above 0 and up to %v", i, c.Deadline, maxTime)
-	case c.DedupWindow < 0 || c.DedupWindow > maxTime:
-		return fmt.Errorf("settings: class %d: window: %v is not between 0 and %v", i, c.DedupWindow, maxTime)
-	case c.Idempotency > NonIdempotent:
-		return fmt.Errorf("settings: class %d: unknown effect %d", i, c.Idempotency)
-	case c.DedupScope > ScopeCell:
-		return fmt.Errorf("settings: class %d: unknown group %d", i, c.DedupScope)
-	case !isFigure(c.PriorityWeight):
-		return fmt.Errorf("settings: class %d: worth: %v is not between 0 and %v", i, c.PriorityWeight, maxFigure)
+	case class.LatencyObjective < 0 || class.LatencyObjective > maxTime:
+		return fmt.Errorf("aim: %v is not between 0 and %v", class.LatencyObjective, maxTime)
+	case class.Deadline <= 0 || class.Deadline > maxTime:
+		return fmt.Errorf("deadline: %v is not above 0 and up to %v", class.Deadline, maxTime)
+	case class.DedupWindow < 0 || class.DedupWindow > maxTime:
+		return fmt.Errorf("window: %v is not between 0 and %v", class.DedupWindow, maxTime)
+	case class.Idempotency > NonIdempotent:
+		return fmt.Errorf("unknown effect %d", class.Idempotency)
+	case class.DedupScope > ScopeCell:
+		return fmt.Errorf("unknown group %d", class.DedupScope)
+	case !isFigure(class.PriorityWeight):
+		return fmt.Errorf("worth: %v is not between 0 and %v", class.PriorityWeight, maxFigure)
 	}
 	return nil
 }
 
-// isFigure reports whether x is in range, which NaN is not.
-func isFigure(x float64) bool { return x >= 0 && x <= maxFigure }
+// isFigure reports whether a value is in range, which NaN is not.
+func isFigure(value float64) bool { return value >= 0 && value <= maxFigure }
 
-// orDefault sets *v where it is zero.
-func orDefault[T int | float64 | Time](v *T, def T) {
-	if *v == 0 {
-		*v = def
+// orDefault sets a value that is zero.
+func orDefault[T int | float64 | Time](value *T, byDefault T) {
+	if *value == 0 {
+		*value = byDefault
 	}
 }
--- /dev/null
+++ b/balancer/standing.go
@@ -0,0 +1,156 @@
+package balancer
+
+// standing is what a host counts as in the subset.
+type standing struct {
+	ready       bool // it is in the subset, and listed as ready
+	inUse       bool // neither warming nor ejected
+	ejected     bool
+	broken      bool // ejected, as connections to it fail
+	unrecovered bool // without a response since it was ejected
+}
+
+// subsetCounts counts the hosts of the subset by standing.
+type subsetCounts struct{ ready, inUse, ejected, broken, unrecovered int }
+
+// add counts n hosts of a standing.
+func (c *subsetCounts) add(counted standing, n int) {
+	if counted.ready {
+		c.ready += n
+	}
+	if counted.inUse {
+		c.inUse += n
+	}
+	if counted.ejected {
+		c.ejected += n
+	}
+	if counted.broken {
+		c.broken += n
+	}
+	if counted.unrecovered {
+		c.unrecovered += n
+	}
+}
+
+// readySetOf decides which of the first four sets a host belongs to, whether or not it is in the subset. Its
+// inputs are the host's listed state, ejection, slow start and concurrency limit.
+func (b *Balancer) readySetOf(host *host) setKind {
+	if host.State != Ready || host.slowStart.paced(b.now) {
+		return setNone
+	}
+	ejected := b.ejected(host)
+	if b.atLimit(host) {
+		if !ejected && b.suspected(host) {
+			return setDoubtful
+		}
+		return setNone
+	}
+	switch {
+	case !ejected:
+		return setReady
+	case host.ejection.connectionsFail():
+		return setBroken
+	}
+	return setSilent
+}
+
+// isInUse reports whether a host of the subset counts toward its size: one that is warming or ejected does
+// not.
+func (b *Balancer) isInUse(host *host) bool { return !host.slowStart.warming && !b.ejected(host) }
+
+// standingOf returns what a host counts as now.
+func (b *Balancer) standingOf(host *host) standing {
+	ready := host.inSubset() && host.State == Ready
+	if !ready {
+		return standing{}
+	}
+	ejected := b.ejected(host)
+	return standing{
+		ready:       true,
+		inUse:       b.isInUse(host),
+		ejected:     ejected,
+		broken:      ejected && host.ejection.connectionsFail(),
+		unrecovered: host.ejection.count > 0,
+	}
+}
+
+// recheck puts a host into the set that it belongs to and updates the counts. It is called after each event
+// that concerns the host, and at the time that it schedules itself.
+func (b *Balancer) recheck(host *host) {
+	if host.slowStart.warming {
+		b.updateRank(host)
+	}
+	counted := b.standingOf(host)
+	set := setNone
+	if counted.ready {
+		set = b.readySetOf(host)
+	}
+	b.sets.move(host, set)
+	if host.hasErrors {
+		b.countExclusions(host, counted)
+	}
+	if counted != host.counted {
+		b.counts.add(host.counted, -1)
+		b.counts.add(counted, 1)
+		host.counted = counted
+	}
+	b.rechecks.schedule(host, b.nextRecheck(host))
+}
+
+// countExclusions updates, for each class, whether a host counts as excluded, given its standing now.
+func (b *Balancer) countExclusions(host *host, counted standing) {
+	for class := range host.errors {
+		errors := &host.errors[class]
+		if errors.counted {
+			b.excluded[class].add(host.counted, -1)
+		}
+		errors.counted = errors.excluded(b.now)
+		if errors.counted {
+			b.excluded[class].add(counted, 1)
+		}
+	}
+}
+
+// nextRecheck returns the next time at which a host's standing may change without an event; forever: none.
+func (b *Balancer) nextRecheck(host *host) Time {
+	next := forever
+	consider := func(at Time) {
+		if at > b.now {
+			next = min(next, at)
+		}
+	}
+	if host.ejection.count > 0 {
+		consider(host.ejection.until)
+	}
+	if host.slowStart.warming {
+		consider(host.slowStart.nextSend)
+		consider(host.slowStart.startedAt + b.settings.SlowStartWindow)
+	}
+	consider(host.limiter.restingUntil)
+	oldest, notOvertaken := host.oldestNotOvertaken()
+	if notOvertaken == 1 {
+		consider(oldest.sentAt + b.silenceTimeout(oldest.request)) // the host may be suspected from then on
+	}
+	if host.hasErrors {
+		for class := range host.errors {
+			consider(host.errors[class].excludedUntil)
+		}
+	}
+	return next
+}
+
+// refreshStanding rechecks a busy host, as time has passed, and reports whether it moved to another set.
+func (b *Balancer) refreshStanding(host *host) (moved bool) {
+	if host.inFlight == 0 {
+		return false
+	}
+	before := host.sets.readySet
+	b.recheck(host)
+	return host.sets.readySet != before
+}
+
+// refreshDueStandings rechecks the hosts whose standing may have changed without an event.
+func (b *Balancer) refreshDueStandings() {
+	for b.rechecks.due(b.now) {
+		b.recheck(b.rechecks.hosts[0])
+	}
+}
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -2,84 +2,67 @@
 
 import "math"
 
-// Each instance uses a subset of the hosts, taken from a ring that is the same at every instance.
-
 const (
-	decayObjectives     = 8    // decay of RTT estimates, in shortest objectives: it outlasts a gap
-	decaySampleGaps     = 4    // ... or in gaps between two samples of a host, if that is more
-	maxDecayFactor      = 8    // ... but at most this many times the former
-	samplesPerHost      = 6    // samples that an instance needs of each host within the decay
-	minSharingInstances = 4    // instances that use each host at least: none depends on the view of one
-	minSubsetSize       = 3    // hosts that an instance uses at least: two may be ejected and leave a choice
-	subsetMoveShare     = 0.25 // of the slow-start window, between two moves on the ring: new hosts
+	// samplesPerHost is how many samples an instance needs of each host within the decay of its estimate.
+	samplesPerHost = 6
+	// minSharingInstances is how many instances use each host at least, so that no host depends on the
+	// view of one.
+	minSharingInstances = 4
+	// minSubsetHosts is how many hosts an instance uses at least: a choice of two, with one more ejected.
+	minSubsetHosts = 3
+	// subsetMoveWindows is the time between two moves on the ring, in slow-start windows, so that the
+	// load of new hosts grows slowly.
+	subsetMoveWindows = 0.25
 )
 
+// subset decides which hosts of the ring this instance uses: subsetSize hosts in use from its own place
+// on, and the warming and ejected ones beside them. A host stays in the subset while it is in use and
+// near, as its samples are here. Of those that are far one at a time is given up, so that new hosts are
+// not overloaded, and warming ones at once.
+type subset struct {
+	current  bool // the pass over the ring is of the present ring
+	scanned  int  // hosts of the ring, from this instance's place on, that were visited in the pass
+	nextMove Time // when a host that is far may be given up
+}
+
 // subsetSize returns how many of the warm hosts this instance uses: as many as its traffic gives
-// samplesPerHost each within the decay, but no fewer than a choice of two needs with one ejected, nor
-// than give each host minSharingInstances. It acts where that is less than there are. It guards against
-// scores and limits without samples, and against a connection from each instance to each host, which
-// fills their tables.
+// samplesPerHost each within the decay, but no fewer than minSubsetHosts, nor than give each host
+// minSharingInstances. It guards against scores and limits without samples, and against a connection from
+// each instance to each host, which fills their tables.
 func (b *Balancer) subsetSize() int {
-	sampled := b.requests.now(b.now, b.rateSpan()) * b.decay / samplesPerHost
-	shared := float64(minSharingInstances*b.ringSize()) / float64(b.set.Instances)
-	return min(b.ringSize(), max(minSubsetSize, int(math.Ceil(max(sampled, shared)))))
+	sampled := b.arrivals.now(b.now, b.rateSpan()) * b.minEstimateDecay / samplesPerHost
+	shared := float64(minSharingInstances*b.ringSize()) / float64(b.settings.Instances)
+	wanted := int(math.Ceil(max(sampled, shared)))
+	return min(b.ringSize(), max(minSubsetHosts, wanted))
 }
 
 // ringSize returns how many hosts the instances divide among them: the warm ones, as a warming one has
 // next to no capacity, and all that are ready where hardly any is warm.
 func (b *Balancer) ringSize() int {
-	if b.readyHosts[0] < minSubsetSize {
-		return b.readyHosts[0] + b.readyHosts[1]
-	}
-	return b.readyHosts[0]
-}
-
-// currentDecay returns the decay of RTT estimates. With little traffic it follows the gap between two
-// samples of a host: else each estimate would fade before the next sample.
-func (b *Balancer) currentDecay() float64 {
-	rate := b.requests.now(b.now, b.rateSpan())
-	if rate == 0 {
-		return b.decay
+	if b.ring.warm < minSubsetHosts {
+		return b.ring.ready()
 	}
-	return max(b.decay, min(decaySampleGaps*float64(b.subsetSize())/rate, maxDecayFactor*b.decay))
+	return b.ring.warm
 }
 
-// sharingInstances returns how many instances use each host. Hosts that none may use do not count: where
-// most are draining or warming, all instances share the rest.
+// sharingInstances returns how many instances use each host. Hosts that none may use do not count: where most
+// are draining or warming, all instances share the rest.
 func (b *Balancer) sharingInstances() float64 {
-	return max(1, float64(b.set.Instances*b.subsetSize())/max(float64(b.ringSize()), 1))
+	used := float64(b.settings.Instances * b.subsetSize())
+	return max(1, used/max(float64(b.ringSize()), 1))
 }
 
-// refreshSubset keeps the subset: subsetSize hosts in use, and the warming and ejected ones beside them.
-// The place on the ring is counted in warm hosts: so each host has its share of the instances also where
-// most others are draining or warming, and a warming host the same as its neighbors. A host stays in the
-// subset while it is in use and near, as its samples are here. Of those that are far one at a time is
-// given up, so that new hosts are not overloaded, and warming ones at once.
+// refreshSubset brings the subset up to date with the ring, the standing of its hosts and the traffic.
 func (b *Balancer) refreshSubset() {
-	for len(b.rechecks) > 0 && b.rechecks[0].recheckTime <= b.now {
-		b.recheck(b.rechecks[0])
-	}
+	b.refreshDueStandings()
 	size := b.subsetSize()
-	if !b.subsetCurrent {
+	if !b.subset.current {
 		b.startSubset(size)
 	}
-	if b.now >= b.nextMove {
-		b.nextMove = b.now + Time(subsetMoveShare*float64(b.set.SlowStartWindow))
-		if h := b.farthest(size); h != nil && b.distance(h, size) > 0 {
-			b.removeFromSubset(h)
-			b.scanned = 0
-		}
-	}
-	for n := len(b.ring); b.scanned < n; b.scanned++ {
-		h := b.ring[(b.ringStart+b.scanned)%n]
-		if b.counts.inUse >= size && b.distance(h, size) > 0 {
-			break
-		}
-		if !h.inSubset() && (!b.isInUse(h) || b.counts.inUse < size) {
-			b.addToSet(setSubset, h)
-			b.recheck(h)
-		}
+	if b.now >= b.subset.nextMove {
+		b.moveSubset(size)
 	}
+	b.extendSubset(size)
 	for b.counts.inUse > size {
 		b.removeFromSubset(b.farthest(size))
 	}
@@ -87,43 +70,81 @@
 
 // startSubset begins a new pass over the ring, and gives up warming hosts that are far.
 func (b *Balancer) startSubset(size int) {
-	if !b.ringBuilt {
+	if !b.ring.built {
 		b.buildRing()
 	}
-	b.subsetCurrent, b.scanned = true, 0
-	for list := b.sets[setSubset].list; len(list) > 0; list = list[:len(list)-1] {
-		if h := list[len(list)-1]; h.warming && b.distance(h, size) > size {
-			b.removeFromSubset(h)
+	b.subset.current = true
+	b.subset.scanned = 0
+	list := b.sets[setSubset].list
+	for i := len(list) - 1; i >= 0; i-- {
+		host := list[i]
+		if host.slowStart.warming && b.distance(host, size) > size {
+			b.removeFromSubset(host)
 		}
 	}
 }
 
+// moveSubset gives up the host that is farthest, if it is outside this instance's part of the ring. The pass
+// begins again for its replacement.
+func (b *Balancer) moveSubset(size int) {
+	interval := Time(subsetMoveWindows * float64(b.settings.SlowStartWindow))
+	b.subset.nextMove = b.now + interval
+	host := b.farthest(size)
+	if host == nil || b.distance(host, size) == 0 {
+		return
+	}
+	b.removeFromSubset(host)
+	b.subset.scanned = 0
+}
+
+// extendSubset goes on with the pass over the ring, until enough hosts are in use and the next one is outside
+// this instance's part of it.
+func (b *Balancer) extendSubset(size int) {
+	n := len(b.ring.hosts)
+	for b.subset.scanned < n {
+		host := b.ring.hosts[(b.ring.start+b.subset.scanned)%n]
+		enough := b.counts.inUse >= size
+		if enough && b.distance(host, size) > 0 {
+			return
+		}
+		if !host.inSubset() && (!enough || !b.isInUse(host)) {
+			b.sets.add(setSubset, host)
+			b.recheck(host)
+		}
+		b.subset.scanned++
+	}
+}
+
 // farthest returns the host in use that is farthest from this instance's place; nil: there is none.
-func (b *Balancer) farthest(size int) (far *host) {
-	for _, h := range b.sets[setSubset].list {
-		if b.isInUse(h) && (far == nil || b.distance(h, size) > b.distance(far, size)) {
-			far = h
+func (b *Balancer) farthest(size int) *host {
+	var farthest *host
+	for _, host := range b.sets[setSubset].list {
+		if !b.isInUse(host) {
+			continue
+		}
+		if farthest == nil || b.distance(host, size) > b.distance(farthest, size) {
+			farthest = host
 		}
 	}
-	return far
+	return farthest
 }
 
 // distance returns how many hosts lie between a host and this instance's part of the ring, which is size
-// warm hosts from its place on.
-func (b *Balancer) distance(h *host, size int) int {
+// hosts from its place on. It is counted in places of the ring: so each host has its share of the instances
+// also where most others are draining or warming.
+func (b *Balancer) distance(host *host, size int) int {
 	n := b.ringSize()
-	ahead := ((h.ringPlace-b.ringPlace)%n + n) % n
-	return min(max(ahead-size+1, 0), n-ahead)
+	ahead := ((host.ring.place-b.ring.place)%n + n) % n
+	behind := n - ahead
+	return min(max(ahead-size+1, 0), behind)
 }
 
-// isInUse reports whether a host of the subset counts: one that is warming or ejected does not.
-func (b *Balancer) isInUse(h *host) bool { return !h.warming && !b.ejected(h) }
-
 // removeFromSubset gives up a host and the connections to it, as its table may be short.
-func (b *Balancer) removeFromSubset(h *host) {
-	if h.inSubset() {
-		b.removeFromSet(setSubset, h)
-		b.recheck(h)
-		b.act(Action{Kind: Close, Host: h.ID})
+func (b *Balancer) removeFromSubset(host *host) {
+	if !host.inSubset() {
+		return
 	}
+	b.sets.remove(setSubset, host)
+	b.recheck(host)
+	b.act(Action{Kind: Close, Host: host.ID})
 }
--- a/balancer/view.go
+++ b/balancer/view.go
@@ -8,8 +8,8 @@
 	Warming           bool    // it started less than SlowStartWindow ago
 	Overdue           bool    // its oldest attempt has taken long, and it gets no other
 	InFlight          int     // attempts in flight
-	ConcurrencyLimit  float64 // attempts that it may hold from this instance
-	RecentRTT         float64 // RTT of its last responses, in objectives
+	ConcurrencyLimit  float64 // attempts that it may have in flight from this instance
+	RecentRTT         float64 // mean RTT of its last responses, in latency objectives
 	EstimatedRTT      float64 // RTT by which it is chosen, in seconds
 	Cause             Cause   // of its last ejection
 	Ejections         int     // since its last response; 0: it is not ejected
@@ -24,25 +24,43 @@
 
 // Views appends what the Balancer knows of each host, as of its last event.
 func (b *Balancer) Views(dst []HostView) []HostView {
-	for _, h := range b.hosts {
-		v := HostView{
-			Host: h.ID, State: h.State, InSubset: h.inSubset(), Warming: h.warming, Overdue: b.hostOverdue(h),
-			InFlight: h.inFlight, ConcurrencyLimit: h.concurrencyLimit, RecentRTT: h.recentRTT.mean, EstimatedRTT: b.estimatedRTT(h),
-			Cause: h.ejectCause, Ejections: h.ejections, EjectedUntil: h.ejectedUntil, RestingUntil: h.restingUntil,
-			NextSlowStartSend: h.nextSlowStartSend,
-		}
-		for i := range min(len(h.class), maxViewedClasses) {
-			if b.excludedFor(h, i) {
-				v.ExcludedFor |= 1 << i
-			}
-		}
-		dst = append(dst, v)
+	for _, host := range b.hosts {
+		dst = append(dst, b.view(host))
 	}
 	return dst
 }
 
-// Unavailable returns what keeps a host from the next request, in a word; "": nothing does.
+func (b *Balancer) view(host *host) HostView {
+	view := HostView{
+		Host:              host.ID,
+		State:             host.State,
+		InSubset:          host.inSubset(),
+		Warming:           host.slowStart.warming,
+		Overdue:           b.hostOverdue(host),
+		InFlight:          host.inFlight,
+		ConcurrencyLimit:  host.limiter.limit,
+		RecentRTT:         host.limiter.recentRTT.mean,
+		EstimatedRTT:      b.estimatedRTT(host),
+		Cause:             host.ejection.cause,
+		Ejections:         host.ejection.count,
+		EjectedUntil:      host.ejection.until,
+		RestingUntil:      host.limiter.restingUntil,
+		NextSlowStartSend: host.slowStart.nextSend,
+	}
+	for class := range min(len(host.errors), maxViewedClasses) {
+		if b.excludedFor(host, class) {
+			view.ExcludedFor |= 1 << class
+		}
+	}
+	return view
+}
+
+// Unavailable returns a code for what keeps a host from the next request; "": nothing does. Analyses of
+// recordings print the code.
 func (v *HostView) Unavailable(now Time) string {
+	inBackoff := v.Ejections > 0 && now < v.EjectedUntil
+	paced := v.Warming && now < v.NextSlowStartSend
+	atLimit := v.InFlight > 0 && float64(v.InFlight+1) > v.ConcurrencyLimit
 	switch {
 	case v.State == Removed:
 		return "gone"
@@ -50,34 +68,36 @@
 		return "draining"
 	case !v.InSubset:
 		return "not drawn"
-	case v.Ejections > 0 && now < v.EjectedUntil:
+	case inBackoff:
 		return "ejected"
-	case v.Warming && now < v.NextSlowStartSend:
+	case paced:
 		return "cold"
 	case now < v.RestingUntil:
 		return "resting"
 	case v.Overdue:
 		return "overdue"
-	case v.InFlight > 0 && float64(v.InFlight+1) > v.ConcurrencyLimit:
+	case atLimit:
 		return "full"
 	}
 	return ""
 }
 
-// Queued returns the number of requests that wait for a host, and the limit of sends a second that the
+// Queued returns the number of requests that wait for a host, and the limit of attempts a second that the
 // Balancer has set itself, 0 where there is none.
-func (b *Balancer) Queued() (requests int, sendRate float64) { return b.queued, b.sendRate }
+func (b *Balancer) Queued() (requests int, sendRate float64) {
+	return b.queues.length, b.sendRate.limit
+}
 
 // hostOverdue reports whether the oldest attempt at a host is overdue.
-func (b *Balancer) hostOverdue(h *host) bool {
-	oldest, notOvertaken := h.oldest()
+func (b *Balancer) hostOverdue(host *host) bool {
+	oldest, notOvertaken := host.oldestNotOvertaken()
 	return notOvertaken > 0 && b.overdue(oldest)
 }
 
 // Endpoints appends the hosts as listed, with those that were removed and still have attempts in flight.
 func (b *Balancer) Endpoints(dst []Host) []Host {
-	for _, h := range b.hosts {
-		dst = append(dst, h.Host)
+	for _, host := range b.hosts {
+		dst = append(dst, host.Host)
 	}
 	return dst
 }
