--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -177,9 +177,12 @@
 		}
 	}
 	counts, excluded := b.countScope(request, scope)
-	b.gatherFromScope(request, scope, b.eligibleSets(counts, excluded))
+	eligible := b.eligibleSets(counts, excluded)
+	b.gatherFromScope(request, scope, eligible)
 	if len(b.candidates) == 0 {
-		b.gatherFromScope(request, scope, doubtfulHosts)
+		doubtful := doubtfulHosts
+		doubtful.includeExcluded = eligible.includeExcluded
+		b.gatherFromScope(request, scope, doubtful)
 	}
 	return b.chooseCandidate(request)
 }
