--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -64,7 +64,7 @@
 	}
 	text := fmt.Sprintf(format, args...)
 	if limiter.suppressed > 0 {
-		text += fmt.Sprintf(" (%d more such lines held back)", limiter.suppressed)
+		text += fmt.Sprintf(" (%d similar lines suppressed)", limiter.suppressed)
 	}
 	*limiter = logLimiter{at: b.now, logged: true}
 	var about HostID
--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -74,7 +74,7 @@
 	}
 	host.ejection.count = 0
 	host.ejection.backoffShortened = false
-	b.log(logReadmitted, "host %x is back", host.ID)
+	b.log(logReadmitted, "host %x readmitted", host.ID)
 }
 
 // countBrokenResponse counts an invalid response or a reset. It reports whether there were so many in a row
--- a/balancer/exclusion.go
+++ b/balancer/exclusion.go
@@ -91,7 +91,7 @@
 	}
 	errors.exclude(b.now, b.backoff(errors.exclusions))
 	if errors.exclusions == 1 {
-		b.log(logExcluded, "host %x gets no more of class %d for now: errors", host.ID, class)
+		b.log(logExcluded, "host %x excluded for class %d: errors", host.ID, class)
 	}
 }
 
--- a/balancer/polling.go
+++ b/balancer/polling.go
@@ -47,7 +47,7 @@
 func (b *Balancer) pollFailed() {
 	poller := &b.poller
 	if poller.polling || poller.failures == 0 {
-		b.log(logEndpointsLost, "host list lost, asking again")
+		b.log(logEndpointsLost, "endpoint list unavailable, polling again")
 	}
 	poller.polling = false
 	if !b.settings.Poll {
@@ -74,7 +74,7 @@
 // pollSucceeded notes that a list was received.
 func (b *Balancer) pollSucceeded() {
 	if b.poller.failures > 0 {
-		b.log(logEndpointsRegained, "host list regained")
+		b.log(logEndpointsRegained, "endpoint list available again")
 	}
 	b.poller.polling = true
 	b.poller.failures = 0
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -154,7 +154,7 @@
 // rejectExpired rejects the requests of a queue that have waited too long. The oldest is at the front.
 func (b *Balancer) rejectExpired(queue *linkedList[request]) {
 	for queue.head != nil && b.now >= queue.head.item.waitUntil {
-		b.log(logRejecting, "refusing: hosts are full, %d requests wait", b.queues.length)
+		b.log(logRejecting, "rejecting requests: hosts at their limits, %d queued", b.queues.length)
 		b.answer(queue.head.item, CauseQueueTimeout)
 	}
 }
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -159,7 +159,7 @@
 	if !mostEjected {
 		return eligibleSets{first: setReady, count: 1}
 	}
-	b.log(logFailOpen, "%d of %d hosts are ejected, using them all the same", counts.ejected, counts.ready)
+	b.log(logFailOpen, "failing open: %d of %d hosts are ejected", counts.ejected, counts.ready)
 	allBroken := counts.broken == counts.ready
 	if allBroken {
 		return eligibleSets{first: setReady, count: 3}
--- a/internal/flightrecorder/format.go
+++ b/internal/flightrecorder/format.go
@@ -181,7 +181,8 @@
 	case balancer.Close:
 		b = binary.LittleEndian.AppendUint64(b, uint64(a.Host))
 	case balancer.Log:
-		text := a.Text[:min(len(a.Text), maxRecord)]
+		text := storedLogText(a.Text)
+		text = text[:min(len(text), maxRecord)]
 		b = binary.LittleEndian.AppendUint64(b, uint64(a.Host))
 		b = uv(b, uint64(len(text)))
 		b = append(b, text...)
--- /dev/null
+++ b/internal/flightrecorder/logtext.go
@@ -0,0 +1,26 @@
+package flightrecorder
+
+import "regexp"
+
+// storedLogTexts gives the text under which a recording stores a log line of the balancer. The text is part of
+// the format: recordings of earlier builds have it, and replays compare it.
+var storedLogTexts = []struct {
+	line   *regexp.Regexp
+	stored string
+}{
+	{regexp.MustCompile(`^host ([0-9a-f]+) excluded for class (\d+): errors`), "host $1 gets no more of class $2 for now: errors"},
+	{regexp.MustCompile(`^host ([0-9a-f]+) readmitted`), "host $1 is back"},
+	{regexp.MustCompile(`^failing open: (\d+ of \d+ hosts are ejected)`), "$1, using them all the same"},
+	{regexp.MustCompile(`^rejecting requests: hosts at their limits, (\d+) queued`), "refusing: hosts are full, $1 requests wait"},
+	{regexp.MustCompile(`^endpoint list unavailable, polling again`), "host list lost, asking again"},
+	{regexp.MustCompile(`^endpoint list available again`), "host list regained"},
+	{regexp.MustCompile(` \((\d+) similar lines suppressed\)$`), " ($1 more such lines held back)"},
+}
+
+// storedLogText returns the text under which a recording stores a log line of the balancer.
+func storedLogText(line string) string {
+	for _, text := range storedLogTexts {
+		line = text.line.ReplaceAllString(line, text.stored)
+	}
+	return line
+}
