--- a/internal/flightrecorder/format.go
+++ b/internal/flightrecorder/format.go
@@ -3,7 +3,7 @@
 //
 // A recording is a row of blocks, each whole in itself: a block that is torn, lost or
 // overwritten takes nothing else with it, and what stands between two blocks is passed
-// over. docs/design/flight.md has the form byte by byte.
+// over. docs/design/flightrecorder.md has the form byte by byte.
 package flightrecorder
 
 import (
@@ -181,7 +181,8 @@
 	case balancer.Close:
 		b = binary.LittleEndian.AppendUint64(b, uint64(a.Host))
 	case balancer.Log:
-		text := a.Text[:min(len(a.Text), maxRecord)]
+		text := storedLogText(a.Text)
+		text = text[:min(len(text), maxRecord)]
 		b = binary.LittleEndian.AppendUint64(b, uint64(a.Host))
 		b = uv(b, uint64(len(text)))
 		b = append(b, text...)
