--- a/internal/upstream/fastcgi/call.go
+++ b/internal/upstream/fastcgi/call.go
@@ -79,7 +79,8 @@
 }
 
 // abort sends an ABORT_REQUEST and waits for the end of the request. If the responder does not end it, its id stays
-// in use, so that late records are not attributed to another request.
+// in use, so that late records are not attributed to another request. It runs in a goroutine of its own and ends
+// with the request or after abortTimeout.
 func (c *conn) abort(k *call) {
 	c.write(fastcgi.AppendStreamEnd(nil, fastcgi.AbortRequest, k.id), abortWriteTimeout)
 	select {
--- a/internal/upstream/fastcgi/conn_test.go
+++ b/internal/upstream/fastcgi/conn_test.go
@@ -160,7 +160,7 @@
 	testutil.WaitUntil(t, "the other request is sent", func() bool { return r.requests.Load() == 2 })
 	ctx, cancel := context.WithCancel(context.Background())
 	givenUp := make(chan engine.Result, 1)
-	go func() { givenUp <- h.Attempt(ctx, newTestRequest("POST", heldTarget, "")) }()
+	go func() { givenUp <- h.Attempt(ctx, newTestRequest("POST", openTarget, "")) }()
 	testutil.WaitUntil(t, "the request to be given up is sent", func() bool { return r.requests.Load() == 3 })
 	cancel()
 	if result := <-givenUp; result.HasResponse || result.Outcome != balancer.Canceled {
--- a/internal/upstream/fastcgi/helpers_test.go
+++ b/internal/upstream/fastcgi/helpers_test.go
@@ -38,8 +38,8 @@
 	aborts   atomic.Int64
 }
 
-// heldTarget is the target of a request that stays open after the script has responded.
-const heldTarget = "/held"
+// openTarget is the target of a request that stays open after the script has responded.
+const openTarget = "/open"
 
 func startResponder(t testing.TB, values valuesBehavior, respond respondFunc) *responder {
 	r := &responder{Listener: testutil.Listen(t, "127.0.0.1:0", nil), values: values, respond: respond}
@@ -98,7 +98,7 @@
 	rc.responder.requests.Add(1)
 	body := string(rc.bodies[id])
 	delete(rc.bodies, id)
-	if rc.params[id]["REQUEST_URI"] != heldTarget {
+	if rc.params[id]["REQUEST_URI"] != openTarget {
 		rc.server.RequestEnded(id)
 	}
 	rc.responder.respond(rc.conn, id, rc.params[id], body)
--- a/internal/upstream/fastcgi/values.go
+++ b/internal/upstream/fastcgi/values.go
@@ -12,7 +12,7 @@
 const queryTimeout = time.Second
 
 // queryValues asks a responder for its values (4.1), on a connection of its own: a responder that does not know the
-// query may close it.
+// query may close it. It runs in a goroutine of its own and ends within two queryTimeouts.
 func (t *Transport) queryValues(h *host, target dialTarget) {
 	values, ok := receiveValues(target)
 	if !ok {
