--- a/balancer/hostset_test.go
+++ b/balancer/hostset_test.go
@@ -12,7 +12,7 @@
 func scanCandidates(b *Balancer, class int, ready []*host) []*host {
 	listed, out, excluded, broken := 0, 0, 0, 0
 	from := b.sets[setSubset].list
-	open := func(h *host) bool { return h.State == Ready && !b.pacedBySlowStart(h) && !b.atLimit(h) }
+	open := func(h *host) bool { return h.State == Ready && !h.slowStart.paced(b.now) && !b.atLimit(h) }
 	for _, h := range from {
 		switch {
 		case h.State != Ready:
@@ -21,7 +21,7 @@
 		case b.ejected(h):
 			listed++
 			out++
-			if h.ejectCause == CauseConnectionsFailed {
+			if h.ejection.cause == CauseConnectionsFailed {
 				broken++
 			}
 		default:
@@ -34,15 +34,15 @@
 	for _, h := range from {
 		switch {
 		case listed == 0 && excluded > 0 && open(h),
-			2*out > listed && b.ejected(h) && !b.excludedFor(h, class) && open(h) && (h.ejectCause != CauseConnectionsFailed || broken == listed):
+			2*out > listed && b.ejected(h) && !b.excludedFor(h, class) && open(h) && (h.ejection.cause != CauseConnectionsFailed || broken == listed):
 			ready = append(ready, h)
 		}
 	}
-	if len(ready) == 0 && b.set.Classes[class].Idempotency != NonIdempotent {
+	if len(ready) == 0 && b.settings.Classes[class].Idempotency != NonIdempotent {
 		for _, h := range from {
 			// The silence timeout may have shrunk since the last recheck; the next sweep sees that.
-			seen := h.readySet == setDoubtful || h.recheckTime <= b.now
-			if seen && h.State == Ready && !b.excludedFor(h, class) && !b.ejected(h) && !b.pacedBySlowStart(h) && b.suspected(h) {
+			seen := h.sets.readySet == setDoubtful || h.recheckEntry.at <= b.now
+			if seen && h.State == Ready && !b.excludedFor(h, class) && !b.ejected(h) && !h.slowStart.paced(b.now) && b.suspected(h) {
 				ready = append(ready, h)
 			}
 		}
@@ -75,23 +75,23 @@
 	}
 	busy := 0
 	for _, h := range b.hosts {
-		if (h.inFlight > 0) != (h.position[setBusy] > 0) {
+		if (h.inFlight > 0) != (h.sets.position[setBusy] > 0) {
 			t.Fatalf("host %d has %d attempts in flight and position %v among the busy ones, want a position exactly if it has any",
-				h.ID, h.inFlight, h.position[setBusy])
+				h.ID, h.inFlight, h.sets.position[setBusy])
 		}
 		busy += h.inFlight
 	}
-	for class := range b.set.Classes {
-		r := &request{Request: Request{Class: class}, class: &b.set.Classes[class]}
+	for class := range b.settings.Classes {
+		r := &request{Request: Request{Class: class}, class: &b.settings.Classes[class]}
 		want := map[*host]bool{}
 		for _, h := range scanCandidates(b, class, nil) {
 			want[h] = true
 		}
-		rng := b.rng
+		rng := b.random.state
 		got := map[*host]bool{}
 		for range 40 * (len(want) + 1) { // draws are random
-			if b.sendRate > 0 {
-				b.sendTokens, b.tokensAt = sendRateBurst, b.now
+			if b.sendRate.limit > 0 {
+				b.sendRate.tokens, b.sendRate.refilledAt = sendRateBurstAttempts, b.now
 			}
 			if h := b.pick(r); h != nil {
 				got[h] = true
@@ -105,7 +105,7 @@
 		if len(got) == 0 && len(want) > 0 {
 			t.Fatalf("class %d: no host picked, want one of the %d that a scan finds", class, len(want))
 		}
-		b.rng = rng
+		b.random.state = rng
 	}
 }
 
@@ -170,22 +170,22 @@
 	}
 	checkHostSets(t, g.b) // all ejected: fail open
 	for _, h := range g.b.hosts {
-		h.ejectCause = CauseConnectionsFailed
+		h.ejection.cause = CauseConnectionsFailed
 		g.b.recheck(h)
 	}
 	checkHostSets(t, g.b)
 	for _, h := range g.b.hosts[1:] {
-		h.ejections, h.restingUntil = 0, g.now+time.Minute
+		h.ejection.count, h.limiter.restingUntil = 0, g.now+time.Minute
 		g.b.recheck(h)
 	}
-	g.b.hosts[0].ejections = 0
+	g.b.hosts[0].ejection.count = 0
 	g.b.recheck(g.b.hosts[0])
 	checkHostSets(t, g.b) // one ready
 	for i, h := range g.b.hosts {
-		h.restingUntil, h.hasErrors = 0, true
-		for c := range h.class {
+		h.limiter.restingUntil, h.hasErrors = 0, true
+		for c := range h.errors {
 			if i%2 == c%2 || c == 0 && i > 10 {
-				h.class[c].excludedUntil = g.now + time.Minute
+				h.errors[c].excludedUntil = g.now + time.Minute
 			}
 		}
 		g.b.recheck(h)
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -29,7 +29,7 @@
 // A request without time left must not be taken for one without a deadline.
 func TestRequestWithoutTimeLeftIsRejectedAtOnce(t *testing.T) {
 	g := newTestGateway(t, testSettings(), testHosts(2)...)
-	for class := range g.b.set.Classes {
+	for class := range g.b.settings.Classes {
 		g.request(class, 0)
 		g.onlyAction(Reject)
 	}
@@ -42,7 +42,7 @@
 		g := newTestGateway(t, testSettings(), testHosts(2)...)
 		g.request(class, 500*ms)
 		g.onlyAction(Send)
-		done := g.advance(500*ms - g.b.set.Step)
+		done := g.advance(500*ms - g.b.settings.Step)
 		if len(done) != 2 || done[0].Kind != want || done[1].Kind != Cancel {
 			t.Errorf("class %d: actions %v one step before the deadline, want kind %d and a cancel",
 				class, done, want)
@@ -61,7 +61,7 @@
 			inFlight[a.Request] = true
 		}
 	}
-	if most := 2 * initialLimit; len(inFlight) != most {
+	if most := 2 * initialLimitAttempts; len(inFlight) != most {
 		t.Fatalf("%d requests in flight at two new hosts, want %d", len(inFlight), most)
 	}
 	heaviest := g.request(2, time.Second)
@@ -85,7 +85,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			g := newTestGateway(t, testSettings(), testHosts(1)...)
-			for range initialLimit {
+			for range initialLimitAttempts {
 				g.request(0, time.Second)
 			}
 			tt.duplicate.ID = 1000
@@ -119,8 +119,8 @@
 			t.Errorf("request %d is open after its rejection, want it forgotten", a.Request)
 		}
 	}
-	if g.b.queued != 0 {
-		t.Errorf("%d requests queued after %v, want none past the latency objective", g.b.queued, g.now-begin)
+	if g.b.queues.length != 0 {
+		t.Errorf("%d requests queued after %v, want none past the latency objective", g.b.queues.length, g.now-begin)
 	}
 }
 
@@ -151,7 +151,7 @@
 		settings.Instances = gateways
 		g := newTestGateway(t, settings, testHosts(1)...)
 		h := g.b.hosts[0]
-		h.concurrencyLimit, h.restingUntil = 0.4, g.now+time.Second
+		h.limiter.limit, h.limiter.restingUntil = 0.4, g.now+time.Second
 		g.b.recheck(h)
 		g.request(0, time.Second)
 		if len(g.actions) > 0 {
@@ -171,7 +171,7 @@
 func TestShutdownAnswersOpenRequests(t *testing.T) {
 	g := newTestGateway(t, testSettings(), testHosts(4)...)
 	sent := map[RequestID]int{}
-	for class := range g.b.set.Classes {
+	for class := range g.b.settings.Classes {
 		sent[g.request(class, time.Second)] = class
 	}
 	soon := g.request(0, 200*ms)
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -88,7 +88,7 @@
 		other := 0
 		for range 30 {
 			g := newTestGateway(t, settings, list...)
-			g.b.rng += uint64(other)*977 + 1
+			g.b.random.state += uint64(other)*977 + 1
 			id := g.request(1, time.Second)
 			first := list[g.onlyAction(Send).Host-1]
 			g.attemptEnded(id, 0, Failed, ms)
@@ -173,7 +173,7 @@
 		}
 		want := Time(0)
 		if class == 1 {
-			want = second + 600*ms - answerMarginSteps*g.b.set.Step
+			want = second + 600*ms - answerMarginSteps*g.b.settings.Step
 		}
 		if at := g.onlyAction(Send).At; at != want {
 			t.Errorf("class %d: the retry has to be out by %v, want %v", class, at-began, want-began)
@@ -232,11 +232,11 @@
 	for class, retried := range []bool{true, true, false} {
 		g := newTestGateway(t, testSettings(), testHosts(1)...)
 		h := g.b.hosts[0]
-		h.concurrencyLimit = 8
-		g.b.unansweredShare = 1 // as learnt from earlier attempts
+		h.limiter.limit = 8
+		g.b.stalled.unansweredShare = 1 // as learnt from earlier attempts
 		id := g.request(class, time.Second)
 		g.advance(ms)
-		for range overtakenAfter {
+		for range overtakenResponses {
 			g.attemptEnded(g.request(0, time.Second), 0, OK, ms)
 			g.advance(ms)
 		}
@@ -273,11 +273,11 @@
 func TestOvertakenAttemptIsKeptWhereOthersAreAnswered(t *testing.T) {
 	for class, result := range map[int]Result{0: OK, 2: TimedOut} { // an idempotent one, a non-idempotent one
 		g := newTestGateway(t, testSettings(), testHosts(1)...)
-		g.b.hosts[0].concurrencyLimit = 8
+		g.b.hosts[0].limiter.limit = 8
 		for range 8 {
 			id := g.request(class, time.Second)
 			g.advance(ms)
-			for range overtakenAfter {
+			for range overtakenResponses {
 				g.attemptEnded(g.request(0, time.Second), 0, OK, ms)
 				g.advance(ms)
 			}
@@ -292,9 +292,9 @@
 			g.attemptEnded(id, 0, result, 300*ms)
 			g.advance(time.Second)
 		}
-		if cancels := g.b.unansweredShare > maxUnansweredShare; cancels != (result == TimedOut) {
+		if cancels := g.b.stalled.unansweredShare > maxUnansweredShare; cancels != (result == TimedOut) {
 			t.Errorf("eight overtaken attempts ended with %d: canceling %v, unanswered share %v, want it only for timeouts",
-				result, cancels, g.b.unansweredShare)
+				result, cancels, g.b.stalled.unansweredShare)
 		}
 	}
 }
@@ -305,16 +305,16 @@
 func TestOvertakenAttemptFreesLimitWhereOthersStayUnanswered(t *testing.T) {
 	g := newTestGateway(t, testSettings(), testHosts(1)...)
 	h := g.b.hosts[0]
-	h.concurrencyLimit = 8
+	h.limiter.limit = 8
 	g.request(0, time.Second)
 	g.advance(ms)
-	for range overtakenAfter {
+	for range overtakenResponses {
 		g.attemptEnded(g.request(0, time.Second), 0, OK, ms)
 		g.advance(ms)
 	}
-	h.concurrencyLimit = 1
+	h.limiter.limit = 1
 	for _, share := range []float64{0, 1} {
-		g.b.unansweredShare = share
+		g.b.stalled.unansweredShare = share
 		if at, want := g.b.atLimit(h), share == 0; at != want {
 			t.Errorf("with an unanswered share of %v: at its limit %v, want %v", share, at, want)
 		}
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -12,12 +12,12 @@
 	// Two warm hosts at 50 responses a second each, then the third restarts.
 	serve := func(n int) map[HostID]int { return g.serve(n, 0, func(HostID) time.Duration { return 10 * ms }) }
 	serve(600)
-	rate := g.b.warmHostRate.mean
+	rate := g.b.pacer.warmHostRate.mean
 	h := testHosts(3)[2]
 	h.Started = g.now
 	g.updateEndpoints(ListChanges, h)
 	got := serve(100) // one second
-	most := rate*settings.OverloadFactor*0.4*slowStartMargin + 2
+	most := rate*settings.OverloadFactor*0.4*slowStartBudgetShare + 2
 	if n := float64(got[3]); n > most || n == 0 {
 		t.Errorf("%v requests sent in the first second at a warm rate of %.0f, want 1 to %.0f", n, rate, most)
 	}
@@ -40,7 +40,7 @@
 				settings.Rank = rank
 				g := newTestGateway(t, settings, list...)
 				if learnt {
-					g.b.warmHostRate.add(capacity / g.b.sharingInstances())
+					g.b.pacer.warmHostRate.add(capacity / g.b.sharingInstances())
 				}
 				g.updateEndpoints(ListChanges, Host{ID: starting, Cell: list[0].Cell, Zone: list[0].Zone, Started: g.now})
 				for range 40 { // an overload window, with more requests than the warming host can do
@@ -90,7 +90,7 @@
 		g.now += idle
 		g.updateEndpoints(ListFull, Host{ID: 1}, Host{ID: 2, Started: g.now})
 		h := g.b.byID[2]
-		if gap := h.nextSlowStartSend - g.now; gap <= 0 || gap > g.b.set.OverloadWindow*3/2 {
+		if gap := h.slowStart.nextSend - g.now; gap <= 0 || gap > g.b.settings.OverloadWindow*3/2 {
 			t.Errorf("next send to the warming host %v from now after %v, want at most one and a half overload windows",
 				gap, idle)
 		}
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -24,7 +24,7 @@
 			users[h]++
 			kinds[list[h-1].Kind] = true
 		}
-		if len(got) < minSubsetSize || len(got) > n*2/3 {
+		if len(got) < minSubsetHosts || len(got) > n*2/3 {
 			t.Errorf("instance %d uses %d of %d hosts, want the subset size to two thirds", rank, len(got), n)
 		}
 		if len(kinds) != 3 {
@@ -121,7 +121,7 @@
 		}
 		f.updateEndpoints(old...)
 		f.advance(time.Second)
-		warm := max(minSubsetSize, float64(minSharingInstances*len(left))/gatewayCount)
+		warm := max(minSubsetHosts, float64(minSharingInstances*len(left))/gatewayCount)
 		check("draining", left, gatewayCount*warm/float64(len(left)))
 		var changes []Host
 		for i := range old {
@@ -206,8 +206,8 @@
 		t.Errorf("%d polls in 10 s, want %d to %d", total, gatewayCount, 10*gatewayCount)
 	}
 	for i := range f.gateways { // the old list stays in use
-		if got := f.subset(i); len(got) < minSubsetSize {
-			t.Errorf("gateway %d uses %d hosts, want %v or more", i, len(got), minSubsetSize)
+		if got := f.subset(i); len(got) < minSubsetHosts {
+			t.Errorf("gateway %d uses %d hosts, want %v or more", i, len(got), minSubsetHosts)
 		}
 	}
 }
