--- a/internal/discovery/export_test.go
+++ b/internal/discovery/export_test.go
@@ -6,13 +6,13 @@
 	"net/http"
 )
 
-// What tests from outside the package use.
+// Intervals of the package for tests outside it.
 const (
-	Heartbeat = heartbeatInterval
-	WatchDial = dialTimeout
+	HeartbeatInterval = heartbeatInterval
+	DialTimeout       = dialTimeout
 )
 
-// DialBy has calls go out on connections of a test. Call it before Run.
-func (d *Watcher) DialBy(dial func(ctx context.Context, network, addr string) (net.Conn, error)) {
+// SetDial lets the calls use the connections of dial. It is called before Run.
+func (d *Watcher) SetDial(dial func(ctx context.Context, network, addr string) (net.Conn, error)) {
 	d.client.Transport.(*http.Transport).DialContext = dial
 }
--- a/internal/discovery/file_test.go
+++ b/internal/discovery/file_test.go
@@ -12,27 +12,28 @@
 	"dunemoor/balancer"
 )
 
-// told collects what a source tells.
-type told chan MemberList
+// listSink collects the lists of a file.
+type listSink chan MemberList
 
-func (c told) UpdateEndpoints(kind balancer.ListKind, list MemberList) {
+func (c listSink) UpdateEndpoints(kind balancer.ListKind, list MemberList) {
 	if kind != balancer.ListFull {
-		panic("a file has only whole lists")
+		panic("a file has only full lists")
 	}
 	c <- list
 }
 
-const one = `{"version":1,"servers":[
+// oneHost is a file with the ready host a.
+const oneHost = `{"version":1,"servers":[
  {"id":"a","addr":"127.0.0.1:1","zone":"z","kind":"k","cell":2,"state":"ready","weight":1.0,"started_ms":5}
 ]}`
 
-// A change of the file is told once; a file that is bad or away changes nothing, and when it
-// is good again that is told.
-func TestFileIsFollowed(t *testing.T) {
+// Each change of the file is reported once. A malformed or missing file changes nothing, and is
+// reported when it is valid again.
+func TestFileReportsEachChangeOnce(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "hosts.json")
 	write := func(text string) {
 		t.Helper()
-		// Under another name first, as whoever replaces such a file should.
+		// Written under another name first, as replacements of such a file should be.
 		if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -40,21 +41,21 @@
 			t.Fatal(err)
 		}
 	}
-	c := make(told, 1)
+	c := make(listSink, 1)
 	f := NewFile(path)
 	for _, step := range []struct {
 		name string
 		do   func()
-		want string // the ids told; "": nothing
+		want string // the reported ids; "": nothing
 	}{
 		{"no file yet", func() {}, ""},
-		{"it is there", func() { write(one) }, "a"},
-		{"the same again", func() { write(one) }, ""},
-		{"another host", func() { write(strings.Replace(one, `"a"`, `"b"`, 1)) }, "b"},
-		{"cut short", func() { write(one[:40]) }, ""},
+		{"created", func() { write(oneHost) }, "a"},
+		{"written unchanged", func() { write(oneHost) }, ""},
+		{"another host", func() { write(strings.Replace(oneHost, `"a"`, `"b"`, 1)) }, "b"},
+		{"truncated", func() { write(oneHost[:40]) }, ""},
 		{"empty list", func() { write(`{"servers":[]}`) }, ""},
-		{"gone", func() { os.Remove(path) }, ""},
-		{"back as it was", func() { write(strings.Replace(one, `"a"`, `"b"`, 1)) }, "b"},
+		{"removed", func() { os.Remove(path) }, ""},
+		{"restored", func() { write(strings.Replace(oneHost, `"a"`, `"b"`, 1)) }, "b"},
 	} {
 		step.do()
 		f.read(c)
@@ -67,29 +68,29 @@
 		default:
 		}
 		if got != step.want {
-			t.Errorf("%s: told %q, want %q", step.name, got, step.want)
+			t.Errorf("%s: reported %q, want %q", step.name, got, step.want)
 		}
 	}
-	// And by itself, until its end.
+	// Run reads the file by itself until its context ends.
 	f.Interval = time.Millisecond
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); f.Run(ctx, c) }()
-	write(one)
+	write(oneHost)
 	select {
 	case list := <-c:
 		if m := list.Servers[0]; m.ID != "a" || m.Cell != 2 || m.HostState() != balancer.Ready || m.StartedMS != 5 {
-			t.Errorf("%+v", m)
+			t.Errorf("host %+v, want a in cell 2, ready and started at 5", m)
 		}
 	case <-time.After(20 * time.Second):
-		t.Error("a change is not told")
+		t.Error("change not reported within 20 s, want it reported")
 	}
 	cancel()
 	<-done
 }
 
-// What is wrong is one line with the line of the file.
-func TestParseFileNamesTheLine(t *testing.T) {
+// An error is one line that names the line of the file.
+func TestParseFileErrorNamesTheLine(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`"cell":2`, `"cel":2`, `unknown field "cel"`},
 		{`"cell":2`, `"cell":"2"`, "f:2: servers.cell: is a string, wants a int"},
@@ -101,44 +102,43 @@
 		{"\n]}", "\n]}\n{}", "f:4: something follows"},
 		{"\n]}", "\n]", "f:3: it is cut short"},
 	} {
-		_, err := ParseFile("f", []byte(strings.Replace(one, c.old, c.new, 1)))
+		_, err := ParseFile("f", []byte(strings.Replace(oneHost, c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s for %s: %v, want %q", c.new, c.old, err, c.want)
+			t.Errorf("%s for %s: error %v, want one line with %q", c.new, c.old, err, c.want)
 		}
 	}
-	if list, err := ParseFile("f", []byte(one)); err != nil || !list.Full {
-		t.Errorf("%+v, %v", list, err)
+	if list, err := ParseFile("f", []byte(oneHost)); err != nil || !list.Full {
+		t.Errorf("list %+v, error %v, want a full list", list, err)
 	}
 }
 
-// A change is told within a second, in virtual time: it guards the promise of how often the
-// file is looked at.
-func TestFileIsLookedAtEverySecond(t *testing.T) {
+// A change is reported within a second, in virtual time.
+func TestFileReportsChangeWithinASecond(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "hosts.json")
 	write := func(text string) {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	write(one)
+	write(oneHost)
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		c, done := make(told, 4), make(chan struct{})
+		c, done := make(listSink, 4), make(chan struct{})
 		go func() { defer close(done); NewFile(path).Run(ctx, c) }()
 		synctest.Wait()
 		if len(c) != 1 {
-			t.Fatalf("told %d times at the start", len(c))
+			t.Fatalf("%d lists reported at the start, want 1", len(c))
 		}
 		<-c
-		write(strings.Replace(one, `"id":"a"`, `"id":"b"`, 1))
+		write(strings.Replace(oneHost, `"id":"a"`, `"id":"b"`, 1))
 		time.Sleep(time.Second)
 		synctest.Wait()
 		if len(c) != 1 {
-			t.Errorf("told %d times in the second after a change", len(c))
+			t.Errorf("%d lists reported in the second after a change, want 1", len(c))
 		}
 		time.Sleep(time.Minute)
 		if len(c) != 1 {
-			t.Errorf("told %d times though nothing changed", len(c))
+			t.Errorf("%d lists reported after a minute without a change, want 1", len(c))
 		}
 		cancel()
 		<-done
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -20,26 +20,26 @@
 	"dunemoor/internal/testutil"
 )
 
-// garbled is a line that cannot be read.
-const garbled = "no list"
+// malformedLine is a line that is no list.
+const malformedLine = "no list"
 
-// older is a line of changes from before the others.
-const older = `{"version":43,"full":false,"servers":[{"id":"s-1","state":"gone"}]}`
+// olderLine has changes of an earlier version than the other lists.
+const olderLine = `{"version":43,"full":false,"servers":[{"id":"s-1","state":"gone"}]}`
 
-// watchServer is discovery on a loopback socket: what is sent on lines goes to the
-// watch that is on; an empty string ends it.
+// watchServer is a discovery service on a loopback socket. What is sent to lines goes to the open
+// watch; an empty string ends it.
 type watchServer struct {
 	*httptest.Server
-	lines chan string
-	mu    sync.Mutex
-	index []string // as asked for
+	lines   chan string
+	mu      sync.Mutex
+	queries []string // path, stream and index of each watch
 }
 
 func newWatchServer(t *testing.T) *watchServer {
 	s := &watchServer{lines: make(chan string)}
 	s.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
-		s.index = append(s.index, r.URL.Path+" "+r.FormValue("stream")+" "+r.FormValue("index"))
+		s.queries = append(s.queries, r.URL.Path+" "+r.FormValue("stream")+" "+r.FormValue("index"))
 		s.mu.Unlock()
 		w.(http.Flusher).Flush()
 		for {
@@ -50,7 +50,7 @@
 				}
 				fmt.Fprintln(w, line)
 				w.(http.Flusher).Flush()
-				if line == garbled || line == older {
+				if line == malformedLine || line == olderLine {
 					return
 				}
 			case <-r.Context().Done():
@@ -64,16 +64,17 @@
 
 func (s *watchServer) addr() string { return strings.TrimPrefix(s.URL, "http://") }
 
-func (s *watchServer) asked() []string {
+// requests returns path, stream and index of each watch.
+func (s *watchServer) requests() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]string(nil), s.index...)
+	return append([]string(nil), s.queries...)
 }
 
-// news is a Sink that keeps what it is told.
-type news chan string
+// eventSink collects the events of a watcher as text.
+type eventSink chan string
 
-func (c news) UpdateEndpoints(kind balancer.ListKind, list MemberList) {
+func (c eventSink) UpdateEndpoints(kind balancer.ListKind, list MemberList) {
 	var ids []string
 	for _, m := range list.Servers {
 		ids = append(ids, m.ID+" "+m.State)
@@ -81,9 +82,10 @@
 	c <- fmt.Sprint(kind, " ", strings.Join(ids, ", "))
 }
 
-func watch(t *testing.T, d *Watcher) news {
+// startWatch runs the watcher until the test ends.
+func startWatch(t *testing.T, d *Watcher) eventSink {
 	ctx, cancel := context.WithCancel(context.Background())
-	sink, done := make(news, 16), make(chan struct{})
+	sink, done := make(eventSink, 16), make(chan struct{})
 	go func() {
 		d.Run(ctx, sink)
 		close(done)
@@ -92,177 +94,178 @@
 	return sink
 }
 
-// A watch that ends is begun anew from the version told last, also behind a line that
-// cannot be read: what it said comes again. Changes of an older version are not used, and
-// only behind them the whole list is asked for.
-func TestWatchLost(t *testing.T) {
-	disco := newWatchServer(t)
-	sink := watch(t, NewWatcher(disco.addr(), false, 41))
-	says := func(version int, full bool, id, state string, want balancer.ListKind) {
+// A watch that ends is started again from the last version reported, also after a malformed line, so
+// that what that line said arrives again. Changes of an earlier version are dropped, and only after
+// those the full list is requested.
+func TestLostWatchResumesFromLastVersion(t *testing.T) {
+	server := newWatchServer(t)
+	sink := startWatch(t, NewWatcher(server.addr(), false, 41))
+	send := func(version int, full bool, id, state string, want balancer.ListKind) {
 		t.Helper()
-		disco.lines <- fmt.Sprintf(`{"version":%d,"full":%t,"servers":[{"id":%q,"addr":"127.0.0.1:9","zone":"a","kind":"m2","cell":3,"state":%q,"weight":1.0,"started_ms":0}]}`,
+		server.lines <- fmt.Sprintf(`{"version":%d,"full":%t,"servers":[{"id":%q,"addr":"127.0.0.1:9","zone":"a","kind":"m2","cell":3,"state":%q,"weight":1.0,"started_ms":0}]}`,
 			version, full, id, state)
 		if got, want := <-sink, fmt.Sprint(want, " ", id, " ", state); got != want {
-			t.Errorf("told %q, want %q", got, want)
+			t.Errorf("reported %q, want %q", got, want)
 		}
 	}
-	says(42, false, "s-1", "ready", balancer.ListChanges)
-	disco.lines <- ""
-	says(43, false, "s-1", "gone", balancer.ListChanges)
-	disco.lines <- garbled
-	says(44, false, "s-1", "ready", balancer.ListChanges)
-	disco.lines <- older
-	says(45, true, "s-1", "ready", balancer.ListFull)
-	disco.lines <- "" // a whole list may have any version: the service may have started anew
-	says(3, true, "s-1", "ready", balancer.ListFull)
+	send(42, false, "s-1", "ready", balancer.ListChanges)
+	server.lines <- ""
+	send(43, false, "s-1", "gone", balancer.ListChanges)
+	server.lines <- malformedLine
+	send(44, false, "s-1", "ready", balancer.ListChanges)
+	server.lines <- olderLine
+	send(45, true, "s-1", "ready", balancer.ListFull)
+	server.lines <- "" // a full list may have any version, as the service may have restarted
+	send(3, true, "s-1", "ready", balancer.ListFull)
 	want := PathMembers + " 1 41, " + PathMembers + " 1 42, " + PathMembers + " 1 43, " + PathMembers + " 1 0, " + PathMembers + " 1 45"
-	if got := strings.Join(disco.asked(), ", "); got != want {
-		t.Errorf("watches of %s, want %s", got, want)
+	if got := strings.Join(server.requests(), ", "); got != want {
+		t.Errorf("watches %s, want %s", got, want)
 	}
 }
 
-// A watch on which nothing comes, not even an empty line, is begun anew: discovery
-// may have gone without a word.
-func TestSilentWatch(t *testing.T) {
-	disco := newWatchServer(t)
-	d := NewWatcher(disco.addr(), false, 0)
+// A watch on which nothing arrives, not even an empty line, is replaced, as discovery may have gone
+// without closing the connection.
+func TestSilentWatchIsReplaced(t *testing.T) {
+	server := newWatchServer(t)
+	d := NewWatcher(server.addr(), false, 0)
 	d.MaxSilence = 50 * time.Millisecond
-	watch(t, d)
-	testutil.WaitUntil(t, "a second watch", func() bool { return len(disco.asked()) > 1 })
+	startWatch(t, d)
+	testutil.WaitUntil(t, "a second watch", func() bool { return len(server.requests()) > 1 })
 }
 
-// Lists may come indented, several in a line, or in pieces that end anywhere; what is behind one that
-// was cut off is not waited for.
-func TestListsInAnyWhiteSpace(t *testing.T) {
-	disco := newWatchServer(t)
-	sink := watch(t, NewWatcher(disco.addr(), false, 1))
-	one := `{"version":%d,"full":false,"servers":[{"id":"s-%d","state":"ready"}]}`
-	says := func(text string, ids ...int) {
+// Lists may be indented, several to a line, or in pieces that end anywhere. A list that is cut short
+// is not waited for.
+func TestWatchReadsListsInAnyWhiteSpace(t *testing.T) {
+	server := newWatchServer(t)
+	sink := startWatch(t, NewWatcher(server.addr(), false, 1))
+	template := `{"version":%d,"full":false,"servers":[{"id":"s-%d","state":"ready"}]}`
+	send := func(text string, ids ...int) {
 		t.Helper()
-		disco.lines <- text
+		server.lines <- text
 		for _, id := range ids {
 			if got, want := <-sink, fmt.Sprint(balancer.ListChanges, " s-", id, " ready"); got != want {
-				t.Errorf("told %q, want %q", got, want)
+				t.Errorf("reported %q, want %q", got, want)
 			}
 		}
 	}
 	var indented bytes.Buffer
-	if err := json.Indent(&indented, fmt.Appendf(nil, one, 2, 2), "", "  "); err != nil {
+	if err := json.Indent(&indented, fmt.Appendf(nil, template, 2, 2), "", "  "); err != nil {
 		t.Fatal(err)
 	}
-	says(indented.String(), 2)
-	says("\r\n\t"+strings.ReplaceAll(indented.String(), "\n", "\r\n"), 2)
-	says(fmt.Sprintf(one+one, 3, 3, 4, 4), 3, 4)
-	whole := fmt.Sprintf(one, 5, 5)
+	send(indented.String(), 2)
+	send("\r\n\t"+strings.ReplaceAll(indented.String(), "\n", "\r\n"), 2)
+	send(fmt.Sprintf(template+template, 3, 3, 4, 4), 3, 4)
+	whole := fmt.Sprintf(template, 5, 5)
 	for _, part := range []string{whole[:12], whole[12:13], whole[13:]} {
-		disco.lines <- part
+		server.lines <- part
 	}
 	if got := <-sink; !strings.Contains(got, "s-5") {
-		t.Errorf("told %q", got)
+		t.Errorf("reported %q, want s-5", got)
 	}
-	if got := len(disco.asked()); got != 1 {
-		t.Errorf("%d watches, want one that goes on", got)
+	if got := len(server.requests()); got != 1 {
+		t.Errorf("%d watches, want 1", got)
 	}
-	disco.lines <- whole[:6]
-	disco.lines <- whole // within the other: no list
-	testutil.WaitUntil(t, "a new watch behind a list that was cut off", func() bool { return len(disco.asked()) == 2 })
+	server.lines <- whole[:6]
+	server.lines <- whole // inside the truncated one it is no list
+	testutil.WaitUntil(t, "a new watch after a truncated list", func() bool { return len(server.requests()) == 2 })
 }
 
-// virtualWatch is a watch on a connection in memory, in virtual time.
-func virtualWatch(t *testing.T, serve func(w int, c net.Conn)) (sink news, end func()) {
+// startVirtualWatch runs a watcher on connections in memory, in virtual time; serve is called with the
+// number of each watch.
+func startVirtualWatch(t *testing.T, serve func(number int, c net.Conn)) (sink eventSink, end func()) {
 	d := NewWatcher("discovery:1", false, 1)
 	watches, served := 0, sync.WaitGroup{}
 	d.client.Transport = &http.Transport{DisableKeepAlives: true, DialContext: func(context.Context, string, string) (net.Conn, error) {
 		ours, theirs := net.Pipe()
 		watches++
-		n := watches
+		number := watches
 		served.Go(func() {
 			defer theirs.Close()
 			if _, err := http.ReadRequest(bufio.NewReader(theirs)); err == nil {
-				serve(n, theirs)
+				serve(number, theirs)
 			}
 		})
 		return ours, nil
 	}}
 	ctx, cancel := context.WithCancel(t.Context())
-	sink, done := make(news, 16), make(chan struct{})
+	sink, done := make(eventSink, 16), make(chan struct{})
 	go func() { d.Run(ctx, sink); close(done) }()
 	return sink, func() { cancel(); <-done; served.Wait() }
 }
 
 const (
-	watchHead = "HTTP/1.1 200 OK\r\n\r\n"
-	drains    = `{"version":2,"full":false,"servers":[{"id":"s-1","state":"draining"}]}`
+	watchHeader  = "HTTP/1.1 200 OK\r\n\r\n"
+	drainingLine = `{"version":2,"full":false,"servers":[{"id":"s-1","state":"draining"}]}`
 )
 
-// toldLate is when what a silent watch misses counts as told all the same.
-const toldLate = 6 * time.Second
+// maxMissedChangeDelay is how long a change that a silent watch misses may take to be reported.
+const maxMissedChangeDelay = 6 * time.Second
 
-// A watch that falls silent right behind a heartbeat, in the midst of a list, while the bytes of one
-// trickle in, or before it has said anything, is replaced in time for what it misses; one with
-// heartbeats stays.
-func TestWatchFallsSilent(t *testing.T) {
-	for name, silent := range map[string]func(c net.Conn, falls func()){
-		"behind a heartbeat": func(c net.Conn, falls func()) {
-			io.WriteString(c, watchHead)
+// A watch that falls silent after a heartbeat, within a list, while a list trickles in, or before it
+// has sent anything is replaced in time for the changes that it misses.
+func TestWatchThatFallsSilentIsReplacedInTime(t *testing.T) {
+	for name, silent := range map[string]func(c net.Conn, fallsSilent func()){
+		"after a heartbeat": func(c net.Conn, fallsSilent func()) {
+			io.WriteString(c, watchHeader)
 			for range 30 {
 				time.Sleep(heartbeatInterval)
 				io.WriteString(c, "\n")
 			}
-			falls()
+			fallsSilent()
 		},
-		"in a list": func(c net.Conn, falls func()) {
-			io.WriteString(c, watchHead+drains[:30])
-			falls()
+		"in a list": func(c net.Conn, fallsSilent func()) {
+			io.WriteString(c, watchHeader+drainingLine[:30])
+			fallsSilent()
 		},
-		"while one trickles": func(c net.Conn, falls func()) {
-			io.WriteString(c, watchHead+"\n")
-			falls()
-			for i := range drains[:40] {
-				if _, err := io.WriteString(c, drains[i:i+1]); err != nil {
+		"while a list trickles in": func(c net.Conn, fallsSilent func()) {
+			io.WriteString(c, watchHeader+"\n")
+			fallsSilent()
+			for i := range drainingLine[:40] {
+				if _, err := io.WriteString(c, drainingLine[i:i+1]); err != nil {
 					return
 				}
 				time.Sleep(heartbeatInterval / 4)
 			}
 		},
-		"before it begins": func(_ net.Conn, falls func()) { falls() },
+		"before the response": func(_ net.Conn, fallsSilent func()) { fallsSilent() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				over, since := make(chan struct{}), make(chan time.Time, 1)
-				sink, end := virtualWatch(t, func(n int, c net.Conn) {
+				done, silentSince := make(chan struct{}), make(chan time.Time, 1)
+				sink, end := startVirtualWatch(t, func(n int, c net.Conn) {
 					if n == 1 {
-						silent(c, func() { since <- time.Now() })
-						<-over
+						silent(c, func() { silentSince <- time.Now() })
+						<-done
 						return
 					}
-					io.WriteString(c, watchHead+drains+"\n")
-					<-over
+					io.WriteString(c, watchHeader+drainingLine+"\n")
+					<-done
 				})
 				<-sink
-				if took := time.Since(<-since); took >= toldLate {
-					t.Errorf("told %v after it fell silent, want less than %v", took, toldLate)
+				if took := time.Since(<-silentSince); took >= maxMissedChangeDelay {
+					t.Errorf("change reported %v after the watch fell silent, want less than %v",
+						took, maxMissedChangeDelay)
 				}
-				close(over)
+				close(done)
 				end()
 			})
 		})
 	}
 }
 
-// Where the list must be asked for, the module decides when, and hears of failures.
-func TestWatchOnlyWhenAsked(t *testing.T) {
-	disco := newWatchServer(t)
-	d := NewWatcher(disco.addr(), true, 0)
-	sink := watch(t, d)
+// Where the list is polled, the balancer decides when a watch starts, and is told when it fails.
+func TestPolledWatchStartsOnlyWhenPolled(t *testing.T) {
+	server := newWatchServer(t)
+	d := NewWatcher(server.addr(), true, 0)
+	sink := startWatch(t, d)
 	for n := 1; n <= 2; n++ {
 		d.Poll()
-		disco.lines <- ""
+		server.lines <- ""
 		if got, want := <-sink, fmt.Sprint(balancer.ListFailed, " "); got != want {
-			t.Errorf("told %q, want %q", got, want)
+			t.Errorf("reported %q, want %q", got, want)
 		}
-		if got := len(disco.asked()); got != n {
-			t.Errorf("%d watches after asking %d times", got, n)
+		if got := len(server.requests()); got != n {
+			t.Errorf("%d watches after %d polls, want one each", got, n)
 		}
 	}
 }
