--- a/internal/config/appliance_test.go
+++ b/internal/config/appliance_test.go
@@ -11,34 +11,35 @@
 	"dunemoor/internal/route"
 )
 
-const example = "../../deploy/appliance.toml"
+// applianceExample is the example of a gateway with several pools.
+const applianceExample = "../../deploy/appliance.toml"
 
-func TestExampleIsRight(t *testing.T) {
-	a, wrong := LoadAppliance(example)
-	if len(wrong) > 0 {
-		t.Fatal(wrong)
+func TestLoadApplianceReadsExample(t *testing.T) {
+	a, errs := LoadAppliance(applianceExample)
+	if len(errs) > 0 {
+		t.Fatal(errs)
 	}
 	if a.Name != "depot-1" || len(a.Pools) != 5 || len(a.Classes) != 3 || a.Classes[1].Idempotency != balancer.NonIdempotent ||
 		a.Classes[2].DedupWindow != 2500*time.Millisecond || a.Pools[0].MinShare != route.DefaultMinShare || a.Listeners[0].Protocol != "http1" ||
 		a.Pools[3].Members[0].ID != "127.0.0.1:9201" || a.Routes[0].RetryShare != defaultRetryShare || a.Routes[1].RetryShare != 0.1 {
-		t.Errorf("%+v", a)
+		t.Errorf("appliance %+v, want the values of the example", a)
 	}
 	r := a.Table.Match(&route.Request{Host: "calendar.example.org", Path: "/days", Method: "GET"})
 	if r == nil || r.Name != "calendar" || len(r.Split) != 2 {
-		t.Errorf("%+v", r)
+		t.Errorf("route %+v, want calendar with two pools", r)
 	}
 }
 
-// Every mistake is one line with file, line and field; several are said at once.
-func TestMistakes(t *testing.T) {
-	text, err := os.ReadFile(example)
+// Each error is one line with file, line and field.
+func TestParseApplianceErrorNamesLineAndField(t *testing.T) {
+	text, err := os.ReadFile(applianceExample)
 	if err != nil {
 		t.Fatal(err)
 	}
-	good := string(text)
-	lineOf := func(s string) int { return 1 + strings.Count(good[:strings.Index(good, s)], "\n") }
+	valid := string(text)
+	lineOf := func(s string) int { return 1 + strings.Count(valid[:strings.Index(valid, s)], "\n") }
 	for _, c := range []struct {
-		old, new string // the one in the example for the other
+		old, new string // text of the example, and its replacement
 		want     string
 		line     int
 	}{
@@ -57,101 +58,101 @@
 		{`split_by = "X-Household"`, `pool = "calendar"`, "route.pool: it has both pool and split", lineOf(`split_by`)},
 		{`{ id = "cal-2", address = "127.0.0.1:9102", cell = 1 }`, `{ id = "cal-1", address = "127.0.0.1:9102" }`, `pool.members: "cal-1" is there twice`, lineOf("members = [")},
 		{`name = "calendar-next"`, `name = "calendar"`, `pool.name: "calendar" is taken (line `, lineOf(`name = "calendar-next"`)},
-		{`path = "/address"`, `hosts = ["calendar.example.org"]`, "", 0}, // a route of another method: right
+		{`path = "/address"`, `hosts = ["calendar.example.org"]`, "", 0}, // a route of another method is valid
 	} {
-		if !strings.Contains(good, c.old) {
+		if !strings.Contains(valid, c.old) {
 			t.Fatalf("the example lacks %q", c.old)
 		}
-		_, wrong := ParseAppliance("f", strings.Replace(good, c.old, c.new, 1))
+		_, errs := ParseAppliance("f", strings.Replace(valid, c.old, c.new, 1))
 		if c.want == "" {
-			if len(wrong) > 0 {
-				t.Errorf("%q: %v", c.new, wrong)
+			if len(errs) > 0 {
+				t.Errorf("%q: errors %v, want none", c.new, errs)
 			}
 			continue
 		}
 		found := false
-		for _, err := range wrong {
+		for _, err := range errs {
 			if strings.Contains(err.Error(), "\n") {
-				t.Errorf("more than a line: %q", err)
+				t.Errorf("error %q, want one line", err)
 			}
 			at, rest, _ := strings.Cut(strings.TrimPrefix(err.Error(), "f:"), ": ")
 			found = found || strings.HasPrefix(rest, c.want) && at == strconv.Itoa(c.line)
 		}
 		if !found {
-			t.Errorf("%q: %v, want line %d: %q", c.new, wrong, c.line, c.want)
+			t.Errorf("%q: errors %v, want line %d: %q", c.new, errs, c.line, c.want)
 		}
 	}
-	// The same route twice: both lines.
-	_, wrong := ParseAppliance("f", good+"\n[[route]]\nname = \"again\"\npath = \"/address/\"\npool = \"address\"\nmethods = [\"HEAD\"]\n")
-	if len(wrong) != 1 || !strings.Contains(wrong[0].Error(), "alike (line "+strconv.Itoa(lineOf("[[route]]\nname = \"address\""))+")") {
-		t.Errorf("%v", wrong)
+	// The error of a duplicate route names both lines.
+	_, errs := ParseAppliance("f", valid+"\n[[route]]\nname = \"again\"\npath = \"/address/\"\npool = \"address\"\nmethods = [\"HEAD\"]\n")
+	if len(errs) != 1 || !strings.Contains(errs[0].Error(), "alike (line "+strconv.Itoa(lineOf("[[route]]\nname = \"address\""))+")") {
+		t.Errorf("errors %v, want one that names the line of the other route", errs)
 	}
-	if _, wrong := ParseAppliance("f", ""); len(wrong) != 5 {
-		t.Errorf("an empty file: %v", wrong)
+	if _, errs := ParseAppliance("f", ""); len(errs) != 5 {
+		t.Errorf("empty file: errors %v, want 5", errs)
 	}
-	if _, wrong := LoadAppliance("/none/such"); len(wrong) != 1 {
-		t.Errorf("no file: %v", wrong)
+	if _, errs := LoadAppliance("/none/such"); len(errs) != 1 {
+		t.Errorf("missing file: errors %v, want 1", errs)
 	}
 }
 
-// One slip does not hide the others: a value of a wrong type, one out of bounds and an unknown
-// key are all said, each once, and nothing follows from what was left out.
-func TestAllMistakesAtOnce(t *testing.T) {
-	text, err := os.ReadFile(example)
+// One error does not hide the others: a value of a wrong type, one out of range and an unknown key are
+// all reported, each once, and nothing that follows from them.
+func TestParseApplianceReportsAllErrorsAtOnce(t *testing.T) {
+	text, err := os.ReadFile(applianceExample)
 	if err != nil {
 		t.Fatal(err)
 	}
-	bad := string(text)
+	invalid := string(text)
 	for _, c := range [][2]string{
 		{`deadline = "4s"`, `deadline = 4`}, {`memory_mb = 64`, `memory_mb = "64"`}, {`sockets = 1024`, `sockets = 5`},
 		{`timeout = "2s"`, `timeuot = "2s"`}, {`effect = "unsafe"`, `effect = "unsave"`}, {`worth = 5`, `wort = 5`},
 		{`address = "127.0.0.1:8080"`, `address = "127.0.0.1:99999"`}, {`"127.0.0.1:9201"`, `"127.0.0.1:0"`},
 		{`name = "depot-1"`, "admin = \"10.0.0.1:8090\"\nname = \"depot\\u001b[31m\""},
 	} {
-		if !strings.Contains(bad, c[0]) {
+		if !strings.Contains(invalid, c[0]) {
 			t.Fatalf("the example lacks %q", c[0])
 		}
-		bad = strings.Replace(bad, c[0], c[1], 1)
+		invalid = strings.Replace(invalid, c[0], c[1], 1)
 	}
-	_, wrong := ParseAppliance("f", bad)
-	var all []string
-	for _, err := range wrong {
-		all = append(all, err.Error())
+	_, errs := ParseAppliance("f", invalid)
+	var messages []string
+	for _, err := range errs {
+		messages = append(messages, err.Error())
 	}
 	for _, want := range []string{
 		"class.deadline: ", "limits.memory_mb: ", "limits.sockets: 5 is", "route.timeuot: there is no", `class.effect: "unsave"`,
 		"class.wort: there is no", `listener.address: "127.0.0.1:99999"`, `pool.members: "127.0.0.1:0"`, `name: "depot\x1b[31m" has '\x1b' in it`, `admin: "10.0.0.1:8090" is no loopback`,
 	} {
 		n := 0
-		for _, s := range all {
+		for _, s := range messages {
 			if strings.Contains(s, want) {
 				n++
 			}
 		}
 		if n != 1 {
-			t.Errorf("%q is said %d times in\n%s", want, n, strings.Join(all, "\n"))
+			t.Errorf("%q reported %d times, want once in\n%s", want, n, strings.Join(messages, "\n"))
 		}
 	}
-	if len(all) != 10 {
-		t.Errorf("%d mistakes of 10:\n%s", len(all), strings.Join(all, "\n"))
+	if len(messages) != 10 {
+		t.Errorf("%d errors, want 10:\n%s", len(messages), strings.Join(messages, "\n"))
 	}
 }
 
-// Pools that would have no descriptors to serve with are a mistake, not a gateway that fails.
-func TestSharesOfSockets(t *testing.T) {
-	text, err := os.ReadFile(example)
+// A limit that leaves pools without descriptors is an error of the file, not of the running gateway.
+func TestParseApplianceRejectsPoolsWithoutSockets(t *testing.T) {
+	text, err := os.ReadFile(applianceExample)
 	if err != nil {
 		t.Fatal(err)
 	}
-	good := string(text)
+	valid := string(text)
 	for _, c := range []struct{ old, new, want string }{
 		{`sockets = 1024`, `sockets = 64`, ""},
 		{`fallback = ["calendar-old"]`, "fallback = [\"calendar-old\"]\nsockets = 0.6", ""},
 		{`fallback = ["calendar-old"]`, "fallback = [\"calendar-old\"]\nsockets = 1.0", "limits.sockets: 1024 are too few: 4 pools would have 0.0 each"},
 	} {
-		_, wrong := ParseAppliance("f", strings.Replace(good, c.old, c.new, 1))
-		if c.want == "" && len(wrong) > 0 || c.want != "" && (len(wrong) != 1 || !strings.Contains(wrong[0].Error(), c.want)) {
-			t.Errorf("%q: %v, want %q", c.new, wrong, c.want)
+		_, errs := ParseAppliance("f", strings.Replace(valid, c.old, c.new, 1))
+		if c.want == "" && len(errs) > 0 || c.want != "" && (len(errs) != 1 || !strings.Contains(errs[0].Error(), c.want)) {
+			t.Errorf("%q: errors %v, want %q", c.new, errs, c.want)
 		}
 	}
 }
--- a/internal/config/fastcgi_test.go
+++ b/internal/config/fastcgi_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// What FastCGI listeners and pools have of their own is checked, and each slip named with its line.
-func TestFastCGISettings(t *testing.T) {
-	text, err := os.ReadFile(example)
+// Settings of FastCGI listeners and pools are checked, and each error names its line.
+func TestParseApplianceChecksFastCGISettings(t *testing.T) {
+	text, err := os.ReadFile(applianceExample)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, wrong := ParseAppliance("a.toml", string(text))
-	if len(wrong) > 0 {
-		t.Fatal(wrong)
+	a, errs := ParseAppliance("a.toml", string(text))
+	if len(errs) > 0 {
+		t.Fatal(errs)
 	}
 	listeners, pools := 0, 0
 	for _, l := range a.Listeners {
@@ -28,9 +28,9 @@
 		}
 	}
 	if listeners != 1 || pools != 1 {
-		t.Errorf("%d listeners and %d pools speak FastCGI", listeners, pools)
+		t.Errorf("%d listeners and %d pools with FastCGI, want 1 each", listeners, pools)
 	}
-	for _, c := range []struct{ old, now, want string }{
+	for _, c := range []struct{ old, new, want string }{
 		{`protocol = "fastcgi"
 trusted`, `protocol = "fcgi"
 trusted`, `listener.protocol: "fcgi" is none of http1, fastcgi`},
@@ -53,20 +53,20 @@
 		{`address = "127.0.0.1:9301"`, `address = "unix:x"`, `pool.members: "unix:x" is no host:port`},
 		{`address = "127.0.0.1:9201"`, `address = "unix:/x"`, `pool.members: "unix:/x" is no host:port`},
 	} {
-		old, now := strings.ReplaceAll(c.old, `\n`, "\n"), strings.ReplaceAll(strings.ReplaceAll(c.now, `\n`, "\n"), `\\`, `\`)
-		if !strings.Contains(string(text), old) {
-			t.Fatalf("%q is not in the example", old)
+		oldText, newText := strings.ReplaceAll(c.old, `\n`, "\n"), strings.ReplaceAll(strings.ReplaceAll(c.new, `\n`, "\n"), `\\`, `\`)
+		if !strings.Contains(string(text), oldText) {
+			t.Fatalf("%q is not in the example", oldText)
 		}
-		_, wrong := ParseAppliance("a.toml", strings.Replace(string(text), old, now, 1))
+		_, errs := ParseAppliance("a.toml", strings.Replace(string(text), oldText, newText, 1))
 		found := false
-		for _, err := range wrong {
+		for _, err := range errs {
 			found = found || strings.Contains(err.Error(), c.want) && strings.HasPrefix(err.Error(), "a.toml:")
 		}
 		if !found {
-			t.Errorf("%q: %v, want %q", now, wrong, c.want)
+			t.Errorf("%q: errors %v, want %q", newText, errs, c.want)
 		}
 	}
-	if _, wrong := ParseAppliance("a.toml", strings.Replace(string(text), `address = "127.0.0.1:9301"`, `address = "unix:/run/php.sock"`, 1)); len(wrong) > 0 {
-		t.Error(wrong)
+	if _, errs := ParseAppliance("a.toml", strings.Replace(string(text), `address = "127.0.0.1:9301"`, `address = "unix:/run/php.sock"`, 1)); len(errs) > 0 {
+		t.Errorf("member on a Unix socket: errors %v, want none", errs)
 	}
 }
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -10,7 +10,8 @@
 	"dunemoor/balancer"
 )
 
-const goodConfig = `{"name":"n3","listen":"127.0.0.1:9000","discovery":"127.0.0.2:8500","seed":"8c1f30d27a5be964",
+// platformConfig is a valid file of the platform.
+const platformConfig = `{"name":"n3","listen":"127.0.0.1:9000","discovery":"127.0.0.2:8500","seed":"8c1f30d27a5be964",
 	"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
 	"known":{"version":41,"full":true,"servers":[{"id":"s-1","addr":"127.0.0.3:9000","zone":"a","kind":"m2","cell":3,
 		"state":"ready","weight":1.0,"started_ms":5}]},
@@ -19,8 +20,9 @@
 		"classes":[{"name":"look","effect":"idempotent","hard_limit":1000000},
 			{"name":"book","effect":"at_most_once","hard_limit":1000000}]}}`
 
-// load writes the configuration to a file and reads it as the program does.
-func load(t *testing.T, text string, vars ...string) (*Platform, error) {
+// loadPlatformText writes the text to a file and loads it, with the environment variables given as
+// name and value.
+func loadPlatformText(t *testing.T, text string, vars ...string) (*Platform, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -33,33 +35,33 @@
 	return LoadPlatform(func(name string) string { return env[name] })
 }
 
-func TestLoadPlatform(t *testing.T) {
-	c, err := load(t, goodConfig, "GW_LISTEN", "127.0.0.9:9000")
+func TestLoadPlatformReadsAllFields(t *testing.T) {
+	c, err := loadPlatformText(t, platformConfig, "GW_LISTEN", "127.0.0.9:9000")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if c.Name != "n3" || c.Listen != "127.0.0.9:9000" || c.Discovery != "127.0.0.2:8500" || c.Seed != 0x8c1f30d27a5be964 {
-		t.Errorf("%+v", c)
+		t.Errorf("platform %+v, want name, addresses and seed of the file", c)
 	}
 	if c.MemoryMB != 192 || c.Sockets != 1024 || c.Cores != 1 {
-		t.Errorf("limits %v, %v, %v", c.Cores, c.MemoryMB, c.Sockets)
+		t.Errorf("limits %v, %v, %v, want 1, 192, 1024", c.Cores, c.MemoryMB, c.Sockets)
 	}
 	if c.Classes["book"] != 1 || c.Kinds["m2"] != 1 || c.Tenants["acme"] != 0 || c.Zones["a"] != 0 || len(c.Classes) != 2 {
-		t.Errorf("names %v %v %v %v", c.Classes, c.Kinds, c.Tenants, c.Zones)
+		t.Errorf("names %v %v %v %v, want those of the file", c.Classes, c.Kinds, c.Tenants, c.Zones)
 	}
 	if c.ConnIdle != time.Minute || c.DialTimeout != 250*time.Millisecond {
-		t.Errorf("caps %v, %v", c.ConnIdle, c.DialTimeout)
+		t.Errorf("timeouts %v, %v, want 1m and 250ms", c.ConnIdle, c.DialTimeout)
 	}
 	if c.Settings.Instances != 2 || c.Settings.Rank != 1 || c.Settings.Classes[1].Idempotency != balancer.NonIdempotent {
-		t.Errorf("settings %+v", c.Settings)
+		t.Errorf("settings %+v, want 2 instances, rank 1 and a non-idempotent class 1", c.Settings)
 	}
 	if len(c.Known.Servers) != 1 || c.Known.Version != 41 {
-		t.Errorf("known %+v", c.Known)
+		t.Errorf("known list %+v, want one host in version 41", c.Known)
 	}
 }
 
-// A mistake must be told in one plain line that names the field.
-func TestLoadNamesTheFieldAtFault(t *testing.T) {
+// An error is one line that names the field.
+func TestLoadPlatformErrorNamesField(t *testing.T) {
 	for _, tt := range []struct{ from, to, want string }{
 		{`"listen":"127.0.0.1:9000"`, `"listen":"127.0.0.1"`, "listen"},
 		{`"discovery":"127.0.0.2:8500",`, ``, "discovery"},
@@ -75,16 +77,16 @@
 		{`"dial_timeout":250000`, `"dial_timeout":-1`, "caps.dial_timeout"},
 		{`{"name":"n3"`, `{"name":`, "GW_CONFIG"},
 	} {
-		text := strings.Replace(goodConfig, tt.from, tt.to, 1)
-		if text == goodConfig {
+		text := strings.Replace(platformConfig, tt.from, tt.to, 1)
+		if text == platformConfig {
 			t.Fatalf("%s is not in the configuration", tt.from)
 		}
-		_, err := load(t, text)
+		_, err := loadPlatformText(t, text)
 		if err == nil || !strings.Contains(err.Error(), tt.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: error %v, want one line with %q", tt.to, err, tt.want)
 		}
 	}
-	if _, err := load(t, goodConfig, "GW_CONFIG", ""); err == nil || !strings.Contains(err.Error(), "GW_CONFIG") {
-		t.Errorf("no file: error %v", err)
+	if _, err := loadPlatformText(t, platformConfig, "GW_CONFIG", ""); err == nil || !strings.Contains(err.Error(), "GW_CONFIG") {
+		t.Errorf("no file: error %v, want one with GW_CONFIG", err)
 	}
 }
--- a/internal/config/recording_test.go
+++ b/internal/config/recording_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-func writeFile(t *testing.T, text string) string {
+// writeRecordingFile writes the text to a file and returns its path.
+func writeRecordingFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "flight.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -17,23 +18,23 @@
 	return path
 }
 
-func TestLoadRecording(t *testing.T) {
+func TestLoadRecordingReadsAllFields(t *testing.T) {
 	dir := t.TempDir()
-	c, err := LoadRecording(writeFile(t, "ring_kb = 256\nview_every = \"100ms\"\ndir = \""+dir+"\"\n[trigger]\nrefused = 0.25\nwithin = \"2s\"\n"))
+	c, err := LoadRecording(writeRecordingFile(t, "ring_kb = 256\nview_every = \"100ms\"\ndir = \""+dir+"\"\n[trigger]\nrefused = 0.25\nwithin = \"2s\"\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if c.RingBytes != 256<<10 || c.ViewInterval != 100*time.Millisecond || c.Dir != dir || c.MaxFileBytes != defaultFileBytes ||
 		c.Trigger.RejectedShare != 0.25 || c.Trigger.Window != 2*time.Second || c.Trigger.MinInterval != defaultTriggerPause || c.Trigger.MinResponses != defaultTriggerLeast {
-		t.Errorf("%+v", c)
+		t.Errorf("recording %+v, want the values of the file and defaults", c)
 	}
-	if c, err = LoadRecording(writeFile(t, "")); err != nil || c.RingBytes != defaultRingBytes || c.Trigger.RejectedShare != 0 {
-		t.Errorf("an empty file: %+v, %v", c, err)
+	if c, err = LoadRecording(writeRecordingFile(t, "")); err != nil || c.RingBytes != defaultRingBytes || c.Trigger.RejectedShare != 0 {
+		t.Errorf("empty file: recording %+v, error %v, want defaults", c, err)
 	}
 }
 
-// What is wrong is one line that names file, line and field.
-func TestLoadRecordingNamesTheLine(t *testing.T) {
+// An error is one line that names file, line and field.
+func TestLoadRecordingErrorNamesLineAndField(t *testing.T) {
 	for text, want := range map[string]string{
 		"ring_kb = 1":                                ":1: ring_kb: 1 is not between 128 and",
 		"\nring_kb = \"a lot\"":                      ":2: ring_kb: ",
@@ -47,13 +48,13 @@
 		"ring_kb = 256\nfile_mb = ":                  ":2: ",
 		"dir = \"/tmp\"\n[trigger]\nwithin = \"0s\"": ":3: trigger.within: 0 is not between 0.1 and",
 	} {
-		path := writeFile(t, text)
+		path := writeRecordingFile(t, text)
 		_, err := LoadRecording(path)
 		if err == nil || !strings.HasPrefix(err.Error(), path+want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: %v, want %q", text, err, want)
+			t.Errorf("%q: error %v, want %q", text, err, want)
 		}
 	}
 	if _, err := LoadRecording("/none/such.toml"); err == nil || !strings.Contains(err.Error(), "/none/such.toml") {
-		t.Errorf("no file: %v", err)
+		t.Errorf("missing file: error %v, want one that names it", err)
 	}
 }
--- a/internal/config/text_test.go
+++ b/internal/config/text_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestLines(t *testing.T) {
+func TestTextFindsLinesOfKeys(t *testing.T) {
 	text := NewText("f", `# a = 1
 name = "x"
 long = """
@@ -27,25 +27,25 @@
 `)
 	for _, c := range []struct {
 		table string
-		n     int
+		index int
 		key   string
 		want  int
 	}{
 		{"", 0, "name", 2}, {"", 0, "a", 0}, {"limits", 0, "memory_mb", 9}, {"route", 0, "path", 12}, {"route", 1, "path", 14},
 		{"route", 2, "path", 17}, {"route", 3, "path", 0}, {"route.headers", 0, "X-A", 16}, {"none", 0, "x", 0},
 	} {
-		if got := text.Line(c.table, c.n, c.key); got != c.want {
-			t.Errorf("%s %d %s: line %d, want %d", c.table, c.n, c.key, got, c.want)
+		if got := text.Line(c.table, c.index, c.key); got != c.want {
+			t.Errorf("table %q %d, key %s: line %d, want %d", c.table, c.index, c.key, got, c.want)
 		}
 	}
 	for key, want := range map[string]int{"name": 2, "limits.memory_mb": 9, "route.path": 12, "route.headers.X-A": 16, "limits": 8, "none.x": 0} {
 		if got := text.firstLine(key); got != want {
-			t.Errorf("%s: line %d, want %d", key, got, want)
+			t.Errorf("first line of %s: %d, want %d", key, got, want)
 		}
 	}
 }
 
-func TestDecodeNamesTheLine(t *testing.T) {
+func TestDecodeErrorNamesLineAndField(t *testing.T) {
 	type form struct {
 		Name  string
 		Limit Duration
@@ -66,11 +66,11 @@
 		var v form
 		err := NewText("f", text).Decode(&v)
 		if err == nil || !strings.HasPrefix(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: %v, want %q", text, err, want)
+			t.Errorf("%q: error %v, want %q", text, err, want)
 		}
 	}
 	var v form
 	if err := NewText("f", "name = \"x\"\nlimit = \"2s\"").Decode(&v); err != nil || v.Limit != Duration(2e9) {
-		t.Errorf("%+v, %v", v, err)
+		t.Errorf("decoded %+v, error %v, want a limit of 2s", v, err)
 	}
 }
