--- /dev/null
+++ b/internal/gateway/bench_process_test.go
@@ -0,0 +1,212 @@
+package gateway
+
+import (
+	"bufio"
+	"bytes"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"net/http/httputil"
+	"net/url"
+	"os"
+	"os/exec"
+	"runtime"
+	"runtime/debug"
+	"runtime/pprof"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"dunemoor/internal/config"
+	"dunemoor/internal/overload"
+)
+
+// TestMain lets the test binary serve as a proxy process of the benchmarks, with CPU time and memory
+// of its own.
+func TestMain(m *testing.M) {
+	if kind := os.Getenv("DUNEMOOR_BENCH_PROXY"); kind != "" {
+		runBenchProxy(kind, os.Getenv("DUNEMOOR_BENCH_HOST"))
+		return
+	}
+	os.Exit(m.Run())
+}
+
+// runBenchProxy serves in front of a host until its standard input ends.
+func runBenchProxy(kind, host string) {
+	runtime.GOMAXPROCS(1)
+	debug.SetMemoryLimit(45 << 20)
+	if strings.Contains(host, ",") {
+		debug.SetMemoryLimit(720 << 20) // for thousands of clients
+	}
+	slog.SetDefault(slog.New(slog.DiscardHandler))
+	var addr string
+	delays := &overload.Delays{}
+	switch kind {
+	case "dunemoor", "dunemoor-64", "dunemoor-off", "dunemoor-rate":
+		limits := "memory_mb = 1024\nsockets = 40000"
+		if kind == "dunemoor-64" {
+			limits = "memory_mb = 64\nsockets = 4096"
+		}
+		if kind == "dunemoor-off" {
+			limits += "\noverload = false"
+		}
+		top := strings.Replace(overloadConfig, "sockets = 1024", limits, 1)
+		if kind == "dunemoor-rate" {
+			top = strings.Replace(top, "[[listener]]", "[limits.client]\nrate = 0.001\nburst = 1.0\n[[listener]]", 1)
+		}
+		a, errs := config.ParseAppliance("bench", top+poolConfig("p", "", strings.Split(host, ",")...)+
+			routeConfig("book", "path = \"/book\"\npool = \"p\"\nclass = \"book\"")+
+			routeConfig("r", "pool = \"p\"\nclass = \"lookup\"\ntimeout = \"20s\"\nstream = true\nleast_rate = 0"))
+		if len(errs) > 0 {
+			panic(errs[0])
+		}
+		g, err := StartAppliance(a, nil, nil, nil)
+		if err != nil {
+			panic(err)
+		}
+		addr = g.appliance.listeners["127.0.0.1:0"].Addr().String()
+		delays = &g.engine.LoopDelays
+	case "dunemoor-cgi":
+		web, cgi, _ := strings.Cut(host, ";")
+		text := strings.Replace(overloadConfig, "sockets = 1024", "memory_mb = 64\nsockets = 1024", 1) + poolConfig("http", "", web) + fastCGIPoolConfig("cgi", "", cgi) + fastCGIListener
+		for _, pool := range []string{"http", "cgi"} {
+			text += routeConfig(pool, "path = \"/"+pool+"\"\npool = \""+pool+"\"\nclass = \"lookup\"")
+		}
+		a, errs := config.ParseAppliance("bench", text)
+		if len(errs) > 0 {
+			panic(errs[0])
+		}
+		g, err := StartAppliance(a, nil, nil, nil)
+		if err != nil {
+			panic(err)
+		}
+		addr = g.appliance.listeners["127.0.0.1:0"].Addr().String() + ";" + g.appliance.listeners[fastCGIKey+"127.0.0.2:0"].Addr().String()
+	case "minimal":
+		// The least that a server can do: a read and a write, without parsing.
+		ln, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			panic(err)
+		}
+		addr = ln.Addr().String()
+		go func() {
+			for {
+				c, err := ln.Accept()
+				if err != nil {
+					return
+				}
+				go func() {
+					b := make([]byte, 4<<10)
+					for {
+						if _, err := c.Read(b); err != nil {
+							return
+						}
+						io.WriteString(c, "HTTP/1.1 429 Too Many Requests\r\nRetry-After: 1\r\nContent-Length: 5\r\n\r\nlater")
+					}
+				}()
+			}
+		}()
+	case "ReverseProxy":
+		p := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: host})
+		p.Transport = &http.Transport{MaxIdleConnsPerHost: 256}
+		ln, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			panic(err)
+		}
+		addr = ln.Addr().String()
+		go http.Serve(ln, p)
+	}
+	if file := os.Getenv("DUNEMOOR_BENCH_PROFILE"); file != "" { // prefix of the file for a profile of this kind
+		if f, err := os.Create(file + "." + kind); err == nil && pprof.StartCPUProfile(f) == nil {
+			defer pprof.StopCPUProfile()
+		}
+	}
+	fmt.Println(addr)
+	for in := bufio.NewScanner(os.Stdin); in.Scan(); { // each line asks for the counters
+		var m runtime.MemStats
+		runtime.ReadMemStats(&m)
+		fmt.Println(m.Mallocs, delays.Quantile(0.99).Microseconds())
+	}
+}
+
+// proxyProcess is a proxy in a process of its own.
+type proxyProcess struct {
+	*exec.Cmd
+	url string
+	in  io.WriteCloser
+	out io.Reader
+}
+
+// counters returns how many objects the process has allocated so far, and the 99th percentile of the
+// delays of its event loop, in microseconds.
+func (c *proxyProcess) counters(b *testing.B) (mallocs uint64, loop float64) {
+	io.WriteString(c.in, "\n")
+	if _, err := fmt.Fscan(c.out, &mallocs, &loop); err != nil {
+		b.Fatal(err)
+	}
+	return mallocs, loop
+}
+
+// usage returns the CPU time of the process so far, and its peak memory in kB.
+func (c *proxyProcess) usage(b *testing.B) (cpu time.Duration, peak int) {
+	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", c.Process.Pid))
+	if err != nil {
+		b.Fatal(err)
+	}
+	f := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+2:]))
+	for _, s := range f[11:13] { // utime and stime, in hundredths of a second
+		n, _ := strconv.Atoi(s)
+		cpu += time.Duration(n) * 10 * time.Millisecond
+	}
+	status, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", c.Process.Pid))
+	if _, rest, ok := strings.Cut(string(status), "VmHWM:"); ok {
+		fmt.Sscan(rest, &peak)
+	}
+	return cpu, peak
+}
+
+// startProxyProcess starts a proxy of the kind in front of the host.
+func startProxyProcess(b *testing.B, kind, host string) *proxyProcess {
+	c := &proxyProcess{Cmd: exec.Command(os.Args[0])}
+	c.Env = append(os.Environ(), "DUNEMOOR_BENCH_PROXY="+kind, "DUNEMOOR_BENCH_HOST="+host)
+	c.Stderr = io.Discard
+	in, err := c.StdinPipe()
+	if err != nil {
+		b.Fatal(err)
+	}
+	out, err := c.StdoutPipe()
+	if err != nil {
+		b.Fatal(err)
+	}
+	if err := c.Start(); err != nil {
+		b.Fatal(err)
+	}
+	var addr string
+	if _, err := fmt.Fscan(out, &addr); err != nil {
+		b.Fatal(err)
+	}
+	c.url, c.in, c.out = "http://"+addr, in, out
+	b.Cleanup(func() { in.Close(); c.Wait() })
+	return c
+}
+
+// zeroBlock is written by writeZeros.
+var zeroBlock = make([]byte, 64<<10)
+
+// writeZeros writes n zero bytes.
+func writeZeros(w io.Writer, n int64) {
+	for n > 0 {
+		k, err := w.Write(zeroBlock[:min(n, int64(len(zeroBlock)))])
+		if err != nil {
+			return
+		}
+		n -= int64(k)
+	}
+}
+
+// zeroReader is an endless reader.
+type zeroReader struct{}
+
+func (zeroReader) Read(p []byte) (int, error) { return len(p), nil }
--- /dev/null
+++ b/internal/gateway/bench_protocol_test.go
@@ -0,0 +1,193 @@
+package gateway
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/fcgi"
+	"net/http/httptest"
+	"runtime"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"dunemoor/internal/config"
+	"dunemoor/internal/experiment/fakes"
+	"dunemoor/internal/fastcgi"
+)
+
+// BenchmarkProtocols sends requests of 16 clients over HTTP and FastCGI to hosts of either kind,
+// through one process on one core, in turn. It measures requests a second, p99, CPU time and
+// allocations a request of each combination.
+//
+//	go test -run xxx -bench Protocols -benchtime 1x ./internal/gateway
+func BenchmarkProtocols(b *testing.B) {
+	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		w.Header().Set("Content-Length", "4")
+		io.WriteString(w, "done")
+	})
+	web := httptest.NewServer(handler)
+	defer web.Close()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		b.Fatal(err)
+	}
+	defer ln.Close()
+	go fcgi.Serve(ln, handler)
+	for b.Loop() {
+		c := startProxyProcess(b, "dunemoor-cgi", web.Listener.Addr().String()+";"+ln.Addr().String())
+		byHTTP, byCGI, _ := strings.Cut(strings.TrimPrefix(c.url, "http://"), ";")
+		server := &fakes.WebServer{Addr: byCGI}
+		clients := map[string]http.RoundTripper{"http": &http.Transport{MaxIdleConnsPerHost: 16}, "cgi": server}
+		type way struct {
+			name, client, path string
+			took               []time.Duration
+			span, cpu          time.Duration
+			mallocs            uint64
+		}
+		var ways []*way
+		for _, from := range []string{"http", "cgi"} {
+			for _, to := range []string{"http", "cgi"} {
+				ways = append(ways, &way{name: from + "->" + to, client: from, path: "/" + to})
+			}
+		}
+		for round := range 7 {
+			for _, w := range ways {
+				cpu, _ := c.usage(b)
+				mallocs, _ := c.counters(b)
+				began := time.Now()
+				var mu sync.Mutex
+				var all sync.WaitGroup
+				var took []time.Duration
+				for range 16 {
+					all.Go(func() {
+						var own []time.Duration
+						for time.Since(began) < 300*time.Millisecond {
+							r, _ := http.NewRequest("GET", "http://"+byHTTP+w.path, nil)
+							at := time.Now()
+							resp, err := clients[w.client].RoundTrip(r)
+							if err != nil {
+								b.Error(err)
+								return
+							}
+							io.Copy(io.Discard, resp.Body)
+							resp.Body.Close()
+							if resp.StatusCode == 200 {
+								own = append(own, time.Since(at))
+							}
+						}
+						mu.Lock()
+						took = append(took, own...)
+						mu.Unlock()
+					})
+				}
+				all.Wait()
+				if round == 0 {
+					continue // the gateway learns the rates of the hosts
+				}
+				w.span += time.Since(began)
+				after, _ := c.usage(b)
+				w.cpu += after - cpu
+				now, _ := c.counters(b)
+				w.mallocs += now - mallocs
+				w.took = append(w.took, took...)
+			}
+		}
+		server.Close()
+		for _, w := range ways {
+			slices.Sort(w.took)
+			n := float64(len(w.took))
+			b.ReportMetric(n/w.span.Seconds(), w.name+"-rps")
+			b.ReportMetric(float64(w.took[len(w.took)*99/100].Microseconds()), w.name+"-measureP99-us")
+			b.ReportMetric(float64(w.cpu.Microseconds())/n, w.name+"-cpu-us")
+			b.ReportMetric(float64(w.mallocs)/n, w.name+"-allocs")
+		}
+	}
+}
+
+// BenchmarkMultiplexed sends 10,000 requests of 8 KiB on 4 connections of a web server, 64 at once,
+// and measures failures and the peak memory of the process, whose limit is 64 MB.
+//
+//	go test -run xxx -bench Multiplexed -benchtime 1x ./internal/gateway
+func BenchmarkMultiplexed(b *testing.B) {
+	web := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		n, _ := io.Copy(io.Discard, r.Body)
+		fmt.Fprint(w, n)
+	}))
+	defer web.Close()
+	const count, size = 10_000, 8 << 10
+	for b.Loop() {
+		c := startProxyProcess(b, "dunemoor-cgi", web.Listener.Addr().String()+";127.0.0.1:1")
+		_, byCGI, _ := strings.Cut(strings.TrimPrefix(c.url, "http://"), ";")
+		server := &fakes.WebServer{Addr: byCGI, MaxConnections: 4}
+		var remaining, failed, rejected atomic.Int64
+		remaining.Store(count)
+		var all sync.WaitGroup
+		for range 4 * fastcgi.MaxRequestsPerConn / 2 { // connections are used in turn, not quite evenly
+			all.Go(func() {
+				for remaining.Add(-1) >= 0 {
+					r, _ := http.NewRequest("POST", "http://a/http", io.LimitReader(zeroReader{}, size))
+					resp, err := server.RoundTrip(r)
+					switch {
+					case err != nil:
+						failed.Add(1)
+						b.Log(err)
+					case resp.StatusCode == 503:
+						rejected.Add(1)
+						time.Sleep(10 * time.Millisecond)
+					default:
+						if text, _ := io.ReadAll(resp.Body); resp.StatusCode != 200 || string(text) != strconv.Itoa(size) {
+							failed.Add(1)
+						}
+					}
+				}
+			})
+		}
+		all.Wait()
+		server.Close()
+		_, peak := c.usage(b)
+		b.ReportMetric(float64(failed.Load()), "failed")
+		b.ReportMetric(float64(rejected.Load()), "refused")
+		b.ReportMetric(float64(peak)/1024, "peak-MB")
+	}
+}
+
+// BenchmarkIdlePool measures the memory of a pool with four members and no requests, goroutines
+// included.
+func BenchmarkIdlePool(b *testing.B) {
+	const pools = 200
+	var text strings.Builder
+	text.WriteString(strings.Replace(overloadConfig, "sockets = 1024", "sockets = 8192", 1))
+	for i := range pools {
+		name := fmt.Sprint("p", i)
+		text.WriteString(poolConfig(name, "", "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4"))
+		text.WriteString(routeConfig(name, "path = \"/"+name+"\"\npool = \""+name+"\"\nclass = \"lookup\""))
+	}
+	a, errs := config.ParseAppliance("bench", text.String())
+	if len(errs) > 0 {
+		b.Fatal(errs)
+	}
+	usedBytes := func() uint64 {
+		runtime.GC()
+		runtime.GC()
+		var m runtime.MemStats
+		runtime.ReadMemStats(&m)
+		return m.HeapAlloc + m.StackInuse
+	}
+	for b.Loop() {
+		before := usedBytes()
+		g, err := StartAppliance(a, nil, nil, nil)
+		if err != nil {
+			b.Fatal(err)
+		}
+		snapshot := g.engine.Snapshot() // waits until all of it is in use
+		snapshot.Release()
+		b.ReportMetric(float64(usedBytes()-before)/pools, "bytes/pool")
+		g.Close()
+	}
+}
--- /dev/null
+++ b/internal/gateway/body_helpers_test.go
@@ -0,0 +1,62 @@
+package gateway
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"fmt"
+	"io"
+	"math/rand/v2"
+
+	"dunemoor/internal/body"
+)
+
+// randomBytes returns a reader of n bytes that depend on the seed.
+func randomBytes(seed uint64, n int64) io.Reader {
+	var key [32]byte
+	key[0], key[1] = byte(seed), byte(seed>>8)
+	return io.LimitReader(rand.NewChaCha8(key), n)
+}
+
+// randomBody returns n random bytes.
+func randomBody(n int) []byte {
+	b, _ := io.ReadAll(randomBytes(uint64(n), int64(n)))
+	return b
+}
+
+// checksum reads r to its end and returns a hash and the length.
+func checksum(r io.Reader) (string, int64, error) {
+	h := sha256.New()
+	n, err := io.Copy(h, r)
+	return fmt.Sprintf("%x", h.Sum(nil)), n, err
+}
+
+// randomChecksum is the checksum of randomBytes.
+func randomChecksum(seed uint64, n int64) string { s, _, _ := checksum(randomBytes(seed, n)); return s }
+
+// chunkedBody encodes the body in chunks of a size, with extensions, and the trailer.
+func chunkedBody(body []byte, size int, trailer string) []byte {
+	var b bytes.Buffer
+	for rest := body; len(rest) > 0; rest = rest[min(size, len(rest)):] {
+		fmt.Fprintf(&b, "%x;ext=\"1\"\r\n", min(size, len(rest)))
+		b.Write(rest[:min(size, len(rest))])
+		b.WriteString("\r\n")
+	}
+	b.WriteString("0\r\n" + trailer + "\r\n")
+	return b.Bytes()
+}
+
+// chunkWriter writes each block as a chunk.
+type chunkWriter struct{ w io.Writer }
+
+func (c chunkWriter) Write(p []byte) (int, error) {
+	if _, err := fmt.Fprintf(c.w, "%x\r\n%s\r\n", len(p), p); err != nil {
+		return 0, err
+	}
+	return len(p), nil
+}
+
+type readerFunc func([]byte) (int, error)
+
+func (f readerFunc) Read(p []byte) (int, error) { return f(p) }
+
+func bodyCause(i int) body.Purpose { return body.Purpose(i) }
--- a/internal/gateway/churn_test.go
+++ b/internal/gateway/churn_test.go
@@ -16,11 +16,9 @@
 	"dunemoor/internal/testutil"
 )
 
-// Hosts are replaced all day, each by a new id at the same address, in zones and of
-// kinds that are ever new: a new host gets no connection of the old one, and once a
-// host has gone nothing is kept of it. Ids of requests are ever new too. It guards
-// against memory that grows with the length of the day.
-func TestChurnLeavesNothingBehind(t *testing.T) {
+// Hosts are replaced by new ids at the same address, in new zones and of new kinds: a new host gets no
+// connection of the old one, and no memory is kept of removed hosts or of request ids.
+func TestReplacedHostsLeaveNoMemory(t *testing.T) {
 	var connections atomic.Int64
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		io.WriteString(w, "good")
@@ -57,13 +55,13 @@
 				t.Fatal(err)
 			}
 			if n := connections.Load(); n != int64(replaced) {
-				t.Fatalf("%d connections to %d hosts", n, replaced)
+				t.Fatalf("%d connections, want %d, one to each host", n, replaced)
 			}
 		}
 	}
 	heap := func() uint64 {
 		runtime.GC()
-		runtime.GC() // what the first one has freed for pools
+		runtime.GC() // frees what the first one moved out of the pools
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
 		return m.HeapAlloc
@@ -71,11 +69,11 @@
 	replace(1000)
 	before := heap()
 	replace(3000)
-	// A host of the module alone takes more than 200 bytes, and one of ours as much.
+	// A host takes more than 200 bytes in the balancer, and as much in the transport.
 	if after := heap(); after > before+3000*100 {
-		t.Errorf("the heap went from %d to %d bytes over 3000 hosts", before, after)
+		t.Errorf("heap of %d bytes before 3000 hosts, %d after, want at most 100 bytes a host", before, after)
 	}
 	if n := g.pool.OpenRequests(); n > 1 {
-		t.Errorf("%d requests are kept", n)
+		t.Errorf("%d requests open, want at most 1", n)
 	}
 }
--- /dev/null
+++ b/internal/gateway/discovery_test.go
@@ -0,0 +1,189 @@
+package gateway
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"dunemoor/internal/testutil"
+)
+
+// scriptedDiscovery is a discovery service on a loopback socket. Each call is passed to the test,
+// which writes to it and ends it.
+type scriptedDiscovery struct {
+	addr  string
+	calls chan *discoveryCall
+}
+
+// discoveryCall is one call of scriptedDiscovery.
+type discoveryCall struct {
+	index string
+	w     http.ResponseWriter
+	ended chan struct{}
+}
+
+func newScriptedDiscovery(t *testing.T) *scriptedDiscovery {
+	s := &scriptedDiscovery{calls: make(chan *discoveryCall)}
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		c := &discoveryCall{r.FormValue("index"), w, make(chan struct{})}
+		select {
+		case s.calls <- c:
+		case <-r.Context().Done():
+			return
+		}
+		select {
+		case <-c.ended:
+		case <-r.Context().Done():
+		}
+	}))
+	t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
+	s.addr = strings.TrimPrefix(server.URL, "http://")
+	return s
+}
+
+// nextCall waits for the next call.
+func (s *scriptedDiscovery) nextCall(t *testing.T) *discoveryCall {
+	t.Helper()
+	select {
+	case c := <-s.calls:
+		return c
+	case <-time.After(testutil.WaitTimeout):
+		t.Fatal("no call of discovery, want one")
+		return nil
+	}
+}
+
+func (c *discoveryCall) line(text string) {
+	io.WriteString(c.w, text+"\n")
+	c.w.(http.Flusher).Flush()
+}
+
+func memberJSON(id string, h *testutil.Host, state string) string {
+	return fmt.Sprintf(`{"id":%q,"addr":%q,"state":%q}`, id, h.Addr(), state)
+}
+
+func fullListJSON(version int, entries ...string) string {
+	return fmt.Sprintf(`{"version":%d,"full":true,"servers":[%s]}`, version, strings.Join(entries, ","))
+}
+
+// A watch ends without reporting that a host drains, and the next full list omits that host: it gets
+// nothing new, even on kept connections, its requests in flight end as usual, and it is used again
+// once it is listed.
+func TestFullListWithoutDrainingHostRemovesIt(t *testing.T) {
+	release := make(chan struct{})
+	once := sync.OnceFunc(func() { close(release) })
+	defer once()
+	drains := testutil.NewHost(t, func(c net.Conn, r *http.Request, _ int) bool {
+		if strings.HasSuffix(r.URL.Path, "/slow") {
+			<-release
+		}
+		io.WriteString(c, testutil.OKResponse)
+		return true
+	})
+	stays := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
+	list := newScriptedDiscovery(t)
+	cfg := testConfig()
+	cfg.Discovery = list.addr
+	g := startGateway(t, cfg)
+
+	watch := list.nextCall(t)
+	watch.line(fullListJSON(41, memberJSON("s-1", drains, "ready")))
+	testutil.WaitUntil(t, "the host in the list", func() bool { return g.pool.Address("s-1") != "" })
+	if resp, _ := g.send("look", "/api/quick", ""); resp.StatusCode != 200 { // leaves an idle connection
+		t.Fatalf("status %d, want 200", resp.StatusCode)
+	}
+	classes := []string{"look", "book", "report"}
+	responses := make(chan error, len(classes))
+	for _, class := range classes {
+		body := "b"
+		if class == "look" {
+			body = ""
+		}
+		go func() {
+			resp, text := g.send(class, "/api/slow", body, "Idempotency-Key", "k-"+class)
+			if resp.StatusCode != 200 || text != "good" {
+				responses <- fmt.Errorf("%s: status %d, body %q, want 200 with good", class, resp.StatusCode, text)
+				return
+			}
+			responses <- nil
+		}()
+	}
+	testutil.WaitUntil(t, "three requests in flight", func() bool { n, _, _ := drains.Counts(); return n == 1+len(classes) })
+
+	close(watch.ended)
+	watch = list.nextCall(t)
+	if watch.index != "41" {
+		t.Errorf("watch from version %s, want 41", watch.index)
+	}
+	watch.line(fullListJSON(43, memberJSON("s-2", stays, "ready")))
+	testutil.WaitUntil(t, "the list applied", func() bool { return g.pool.Address("s-2") != "" })
+	for range 4 {
+		for _, class := range classes {
+			body := "b"
+			if class == "look" {
+				body = ""
+			}
+			if resp, _ := g.send(class, "/api/quick", body, "Idempotency-Key", testutil.NewID()); resp.StatusCode != 200 {
+				t.Errorf("%s: status %d, want 200", class, resp.StatusCode)
+			}
+		}
+	}
+	if n, _, _ := drains.Counts(); n != 1+len(classes) {
+		t.Errorf("%d requests at the removed host, want the %d from before", n, 1+len(classes))
+	}
+	once()
+	for range classes {
+		if err := <-responses; err != nil {
+			t.Errorf("in flight at the removed host: %v", err)
+		}
+	}
+	testutil.WaitUntil(t, "its connections closed", func() bool { _, opened, ended := drains.Counts(); return opened == ended })
+
+	watch.line(fullListJSON(44, memberJSON("s-1", drains, "ready")))
+	testutil.WaitUntil(t, "the list applied", func() bool { return g.pool.Address("s-1") != "" })
+	if resp, _ := g.send("look", "/api/quick", ""); resp.StatusCode != 200 {
+		t.Errorf("listed again: status %d, want 200", resp.StatusCode)
+	}
+	if n, _, _ := drains.Counts(); n != 2+len(classes) {
+		t.Errorf("listed again: %d requests in all, want %d", n, 2+len(classes))
+	}
+}
+
+// A silent watch is replaced during a shutdown too, and its list is applied while clients use their
+// connections.
+func TestEndpointListIsAppliedDuringShutdown(t *testing.T) {
+	drains, stays := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse)), testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
+	list := newScriptedDiscovery(t)
+	cfg := testConfig()
+	cfg.Discovery = list.addr
+	g := startGateway(t, cfg)
+	watch := list.nextCall(t)
+	watch.line(fullListJSON(41, memberJSON("s-1", drains, "ready")))
+	testutil.WaitUntil(t, "the host in the list", func() bool { return g.pool.Address("s-1") != "" })
+	ask, _ := dialClient(t, g)
+	if resp, err := ask(); err != nil || resp.StatusCode != 200 {
+		t.Fatalf("response %v, error %v, want status 200", resp, err)
+	}
+	watch = list.nextCall(t) // the first one stays silent
+	stopped := make(chan struct{})
+	go func() { g.Stop(0); close(stopped) }()
+	testutil.WaitUntil(t, "the gateway to stop", func() bool { return !g.ready() })
+	watch.line(fullListJSON(43, memberJSON("s-1", drains, "draining"), memberJSON("s-2", stays, "ready")))
+	testutil.WaitUntil(t, "the list applied", func() bool { return g.pool.Address("s-2") != "" && g.pool.Address("s-1") == "" })
+	if resp, err := ask(); err != nil || resp.StatusCode != 200 {
+		t.Fatalf("response %v, error %v, want status 200", resp, err)
+	}
+	if n, _, _ := drains.Counts(); n != 1 {
+		t.Errorf("%d requests at the draining host, want the 1 from before", n)
+	}
+	if n, _, _ := stays.Counts(); n != 1 {
+		t.Errorf("%d requests at the other host, want 1", n)
+	}
+	<-stopped
+}
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -13,8 +13,8 @@
 	"dunemoor/internal/testutil"
 )
 
-// dialClient is a client with a connection of its own.
-func dialClient(t *testing.T, g *testGateway) (ask func() (*http.Response, error), c net.Conn) {
+// dialClient returns a client with a connection of its own, and the connection.
+func dialClient(t *testing.T, g *testGateway) (send func() (*http.Response, error), c net.Conn) {
 	t.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(g.url, "http://"))
 	if err != nil {
@@ -32,71 +32,61 @@
 	}, c
 }
 
-func (g *testGateway) health() int {
-	resp, err := http.Get(g.url + "/_health")
-	if err != nil {
-		return 0
-	}
-	resp.Body.Close()
-	return resp.StatusCode
-}
-
-// A drain: health says no at once, connections that are kept stay of use for a while and then
-// end with their answers, those without a request are closed, and a call later all is as before.
-func TestDrain(t *testing.T) {
+// During a drain health fails at once, connections stay usable for a while and then close after a
+// response, idle ones are closed, and a cancel restores everything.
+func TestDrainClosesConnectionsAndCanBeCanceled(t *testing.T) {
 	g := startGateway(t, testConfig(testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))))
-	g.Resume() // no drain is on: it changes nothing
+	g.Resume() // without a drain it changes nothing
 	if got := g.health(); got != 200 {
-		t.Fatalf("health: %d", got)
+		t.Fatalf("health %d before the drain, want 200", got)
 	}
-	ask, _ := dialClient(t, g)
-	askIdle, idle := dialClient(t, g)
-	for _, f := range []func() (*http.Response, error){ask, askIdle} {
+	send, _ := dialClient(t, g)
+	sendIdle, idle := dialClient(t, g)
+	for _, f := range []func() (*http.Response, error){send, sendIdle} {
 		if resp, err := f(); err != nil || resp.StatusCode != 200 || resp.Close {
-			t.Fatal(resp, err)
+			t.Fatalf("response %v, error %v, want status 200", resp, err)
 		}
 	}
 	g.Quiesce()
 	if got := g.health(); got != 503 {
-		t.Errorf("health while draining: %d", got)
+		t.Errorf("health %d during the drain, want 503", got)
 	}
 	if ok, _ := g.Ready(); ok {
-		t.Error("it is ready while it drains")
+		t.Error("ready during the drain, want not ready")
 	}
-	if resp, err := ask(); err != nil || resp.StatusCode != 200 {
-		t.Errorf("a kept connection just after the call: %v, %v", resp, err)
+	if resp, err := send(); err != nil || resp.StatusCode != 200 {
+		t.Errorf("open connection at the start of the drain: response %v, error %v, want 200", resp, err)
 	}
-	testutil.WaitUntil(t, "connections leave", func() bool { s, _ := g.gate.Draining(); return s >= drain.Leaving })
-	if resp, err := ask(); err != nil || resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("once connections leave: %v, %v", resp, err)
+	testutil.WaitUntil(t, "connections to leave", func() bool { s, _ := g.gate.Draining(); return s >= drain.Leaving })
+	if resp, err := send(); err != nil || resp.StatusCode != 200 || !resp.Close {
+		t.Errorf("once connections leave: response %v, error %v, want 200 with Connection: close", resp, err)
 	}
 	idle.SetReadDeadline(time.Now().Add(testutil.WaitTimeout))
 	if _, err := idle.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "timeout") {
-		t.Errorf("a connection without a request is held: %v", err)
+		t.Errorf("idle connection: error %v, want it closed", err)
 	}
 	g.Resume()
 	if got := g.health(); got != 200 {
-		t.Errorf("health after the drain: %d", got)
+		t.Errorf("health %d after the drain, want 200", got)
 	}
-	ask, kept := dialClient(t, g)
+	send, kept := dialClient(t, g)
 	for range 2 {
-		if resp, err := ask(); err != nil || resp.StatusCode != 200 || resp.Close {
-			t.Errorf("after the drain: %v, %v", resp, err)
+		if resp, err := send(); err != nil || resp.StatusCode != 200 || resp.Close {
+			t.Errorf("after the drain: response %v, error %v, want 200 on an open connection", resp, err)
 		}
 	}
-	// It stays, though the drain before would close it by now.
-	kept.SetReadDeadline(time.Now().Add(10 * closeEveryTest))
+	// It stays open, though the drain would have closed it by now.
+	kept.SetReadDeadline(time.Now().Add(10 * drainCloseInterval))
 	if _, err := kept.Read(make([]byte, 1)); err == nil || !strings.Contains(err.Error(), "timeout") {
-		t.Errorf("after the drain a kept connection ends: %v", err)
+		t.Errorf("open connection after the drain: error %v, want a timeout", err)
 	}
 }
 
-// closeEveryTest is how often a drain closes connections without a request, and some.
-const closeEveryTest = 25 * time.Millisecond
+// drainCloseInterval is how often a drain closes idle connections.
+const drainCloseInterval = 25 * time.Millisecond
 
-// A request that is out when connections are closed has its answer: it guards against a drain
-// that cuts what it should wait for.
-func TestDrainWaitsForWhatIsOut(t *testing.T) {
+// A request in flight when a drain closes connections is answered.
+func TestDrainWaitsForRequestsInFlight(t *testing.T) {
 	release := make(chan struct{})
 	host := testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
 		<-release
@@ -104,20 +94,20 @@
 		return err == nil
 	})
 	g := startGateway(t, testConfig(host))
-	answer := make(chan error, 1)
-	ask, _ := dialClient(t, g)
+	result := make(chan error, 1)
+	send, _ := dialClient(t, g)
 	go func() {
-		resp, err := ask()
+		resp, err := send()
 		if err == nil && (resp.StatusCode != 200 || !resp.Close) {
 			err = fmt.Errorf("status %d, close %t", resp.StatusCode, resp.Close)
 		}
-		answer <- err
+		result <- err
 	}()
-	testutil.WaitUntil(t, "it is out", func() bool { return g.openRequests() == 1 })
+	testutil.WaitUntil(t, "the request in flight", func() bool { return g.openRequests() == 1 })
 	g.Quiesce()
-	testutil.WaitUntil(t, "connections are closed", func() bool { s, _ := g.gate.Draining(); return s == drain.Closing })
+	testutil.WaitUntil(t, "connections to be closed", func() bool { s, _ := g.gate.Draining(); return s == drain.Closing })
 	close(release)
-	if err := <-answer; err != nil {
-		t.Error(err)
+	if err := <-result; err != nil {
+		t.Errorf("request in flight during the drain: %v, want a response with Connection: close", err)
 	}
 }
--- a/internal/gateway/property_test.go
+++ b/internal/gateway/exchange_test.go
@@ -17,36 +17,35 @@
 	"dunemoor/internal/testutil"
 )
 
-// exchangePlan is one request of the property test, drawn from a seed: what goes up, what comes
-// down, and what goes wrong where.
+// exchangePlan is one request of the random test: its bodies and what goes wrong.
 type exchangePlan struct {
 	id               string
 	method           string
 	up, down         int64
 	upChunked        bool
-	downFraming      string // length, chunked, close
-	hostCutUp        int64  // the host goes when it has read so much; -1: never
-	hostCutDown      int64  // ... or written so much
-	clientCut        int64  // the client goes when it has sent so much
+	downFraming      string // length, chunked or close
+	hostCutUp        int64  // bytes after which the host closes while reading; -1: never
+	hostCutDown      int64  // bytes after which the host closes while writing; -1: never
+	clientCut        int64  // bytes after which the client closes; -1: never
 	hostPause, pause time.Duration
 }
 
-// ledger is what hosts saw of each request: how many began it, and of what content.
-type ledger struct {
-	mu     sync.Mutex
-	began  map[string]int
-	whole  map[string]string // sums of bodies that came whole
-	plans  map[string]*exchangePlan
-	broken []string
+// exchangeLedger records what hosts saw of each request.
+type exchangeLedger struct {
+	mu         sync.Mutex
+	started    map[string]int
+	complete   map[string]string // checksums of bodies that arrived complete
+	plans      map[string]*exchangePlan
+	violations []string
 }
 
-// Whatever is cut, slowed and sized on both sides: what a client takes for whole is whole and of
-// one host, what a host takes for whole is what the client sent, nothing unsafe begins twice, and
-// each request that waits has an answer or an end. The seed is printed.
-func TestFlowsProperty(t *testing.T) {
+// Whatever is cut and slowed on both sides: a response that a client takes for complete is complete
+// and of one host, a request that a host takes for complete is what the client sent, no POST starts
+// twice, and each request ends.
+func TestRandomExchangesStayIntact(t *testing.T) {
 	const seed, requests = 20261201, 240
 	t.Logf("seed %d", seed)
-	l := &ledger{began: map[string]int{}, whole: map[string]string{}, plans: map[string]*exchangePlan{}}
+	l := &exchangeLedger{started: map[string]int{}, complete: map[string]string{}, plans: map[string]*exchangePlan{}}
 	var nodes []string
 	for i := range 3 {
 		ln := testutil.Listen(t, "127.0.0.1:0", nil)
@@ -62,10 +61,10 @@
 			}
 		}()
 	}
-	g := startAppliance(t, uploads("hold = \"16KiB\"\nretry_share = 3.0\nretry_floor = 1000.0\nidle = \"5s\"", nodes...))
+	g := startAppliance(t, singleRouteConfig("hold = \"16KiB\"\nretry_share = 3.0\nretry_floor = 1000.0\nidle = \"5s\"", nodes...))
 	rng := rand.New(rand.NewPCG(seed, 1))
 	sizes := []int64{0, 1, 100, 16383, 16384, 16385, 65536, 65537, 300_000, 2_000_000}
-	cut := func(n int64) int64 {
+	cutAfter := func(n int64) int64 {
 		if n == 0 || rng.IntN(4) > 0 {
 			return -1
 		}
@@ -81,7 +80,7 @@
 		if p.method != "GET" {
 			p.up = sizes[rng.IntN(len(sizes))]
 		}
-		p.hostCutUp, p.hostCutDown, p.clientCut = cut(p.up), cut(p.down), cut(p.up)
+		p.hostCutUp, p.hostCutDown, p.clientCut = cutAfter(p.up), cutAfter(p.down), cutAfter(p.up)
 		p.pause, p.hostPause = time.Duration(rng.IntN(3))*time.Millisecond, time.Duration(rng.IntN(3))*time.Millisecond
 		l.mu.Lock()
 		l.plans[p.id] = p
@@ -89,7 +88,7 @@
 		slots <- struct{}{}
 		all.Go(func() {
 			defer func() { <-slots }()
-			if err := l.ask(strings.TrimPrefix(g.urls[0], "http://"), p); err != nil {
+			if err := l.send(strings.TrimPrefix(g.urls[0], "http://"), p); err != nil {
 				t.Errorf("%+v: %v", *p, err)
 			}
 		})
@@ -97,27 +96,27 @@
 	all.Wait()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for id, n := range l.began {
+	for id, n := range l.started {
 		if p := l.plans[id]; p.method == "POST" && n > 1 {
-			t.Errorf("%+v: began %d times", *p, n)
+			t.Errorf("%+v: started %d times, want once", *p, n)
 		}
 	}
-	for _, s := range l.broken {
+	for _, s := range l.violations {
 		t.Error(s)
 	}
-	if len(l.whole) < requests/4 {
-		t.Errorf("only %d of %d came whole to a host", len(l.whole), requests)
+	if len(l.complete) < requests/4 {
+		t.Errorf("%d of %d requests complete at a host, want a quarter or more", len(l.complete), requests)
 	}
 }
 
-// content is the body of a request, or of a host's answer to it.
-func content(id, of string, n int64) io.Reader {
-	sum := sha256.Sum256([]byte(id + of))
+// exchangeBody is the body of a request, or of the response of a host to it.
+func exchangeBody(id, direction string, n int64) io.Reader {
+	sum := sha256.Sum256([]byte(id + direction))
 	return io.LimitReader(rand.NewChaCha8(sum), n)
 }
 
-// serve is a host: it does to each request what its plan says.
-func (l *ledger) serve(c net.Conn, name string) {
+// serve is a host that follows the plan of each request.
+func (l *exchangeLedger) serve(c net.Conn, name string) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	for {
@@ -127,7 +126,7 @@
 		}
 		id := r.Header.Get("X-Request-Id")
 		l.mu.Lock()
-		l.began[id]++
+		l.started[id]++
 		p := l.plans[id]
 		l.mu.Unlock()
 		h := sha256.New()
@@ -140,27 +139,27 @@
 			return
 		}
 		got := fmt.Sprintf("%x", h.Sum(nil))
-		want, _, _ := sum(content(id, "up", p.up))
+		want, _, _ := checksum(exchangeBody(id, "up", p.up))
 		l.mu.Lock()
 		if got != want || n != p.up {
-			l.broken = append(l.broken, fmt.Sprintf("%+v: %s took %d bytes for whole", *p, name, n))
+			l.violations = append(l.violations, fmt.Sprintf("%+v: %s took %d other bytes for the request", *p, name, n))
 		}
-		l.whole[id] = got
+		l.complete[id] = got
 		l.mu.Unlock()
 		time.Sleep(p.hostPause)
 		var w io.Writer = c
-		head := "HTTP/1.1 200 OK\r\nX-Host: " + name + "\r\n"
+		header := "HTTP/1.1 200 OK\r\nX-Host: " + name + "\r\n"
 		switch p.downFraming {
 		case "length":
-			head += "Content-Length: " + strconv.FormatInt(p.down, 10) + "\r\n\r\n"
+			header += "Content-Length: " + strconv.FormatInt(p.down, 10) + "\r\n\r\n"
 		case "chunked":
-			head += "Transfer-Encoding: chunked\r\n\r\n"
-			w = chunker{c}
+			header += "Transfer-Encoding: chunked\r\n\r\n"
+			w = chunkWriter{c}
 		default:
-			head += "Connection: close\r\n\r\n"
+			header += "Connection: close\r\n\r\n"
 		}
-		io.WriteString(c, head)
-		from := content(id, "down"+name, p.down)
+		io.WriteString(c, header)
+		from := exchangeBody(id, "down"+name, p.down)
 		if p.hostCutDown >= 0 {
 			io.CopyN(w, from, p.hostCutDown)
 			c.(*net.TCPConn).SetLinger(0)
@@ -178,17 +177,8 @@
 	}
 }
 
-type chunker struct{ w io.Writer }
-
-func (c chunker) Write(p []byte) (int, error) {
-	if _, err := fmt.Fprintf(c.w, "%x\r\n%s\r\n", len(p), p); err != nil {
-		return 0, err
-	}
-	return len(p), nil
-}
-
-// ask is the client of a plan.
-func (l *ledger) ask(addr string, p *exchangePlan) error {
+// send is the client of a plan.
+func (l *exchangeLedger) send(addr string, p *exchangePlan) error {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return err
@@ -202,14 +192,14 @@
 		io.WriteString(c, "\r\n")
 	case p.upChunked:
 		io.WriteString(c, "Transfer-Encoding: chunked\r\n\r\n")
-		w = chunker{c}
+		w = chunkWriter{c}
 	default:
 		fmt.Fprintf(c, "Content-Length: %d\r\n\r\n", p.up)
 	}
 	sent := make(chan struct{})
 	go func() {
 		defer close(sent)
-		from := content(p.id, "up", p.up)
+		from := exchangeBody(p.id, "up", p.up)
 		if p.clientCut >= 0 {
 			io.CopyN(w, from, p.clientCut)
 			c.Close()
@@ -227,21 +217,22 @@
 	resp, err := http.ReadResponse(bufio.NewReader(c), &http.Request{Method: p.method})
 	if err != nil {
 		if p.clientCut < 0 {
-			return fmt.Errorf("no answer: %w", err)
+			return fmt.Errorf("no response: %w", err)
 		}
 		return nil
 	}
-	got, n, err := sum(resp.Body)
+	got, n, err := checksum(resp.Body)
 	if err != nil || resp.StatusCode != 200 {
-		return nil // it can tell that this is no whole answer
+		return nil // the client sees that the response is not complete
 	}
 	if p.downFraming == "close" && p.hostCutDown >= 0 {
-		// The reset of the host must have reached the client as one too.
-		return fmt.Errorf("%d bytes were taken for whole, the host was cut off at %d", n, p.hostCutDown)
+		// The reset of the host has to reach the client as a reset.
+		return fmt.Errorf("complete response of %d bytes, want an error as the host closed at %d", n, p.hostCutDown)
 	}
-	want, _, _ := sum(content(p.id, "down"+resp.Header.Get("X-Host"), p.down))
+	want, _, _ := checksum(exchangeBody(p.id, "down"+resp.Header.Get("X-Host"), p.down))
 	if got != want || n != p.down {
-		return fmt.Errorf("%d bytes were taken for whole, they are not %s's %d", n, resp.Header.Get("X-Host"), p.down)
+		return fmt.Errorf("complete response of %d bytes, want those of host %s, %d",
+			n, resp.Header.Get("X-Host"), p.down)
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/gateway/fastcgi_pool_test.go
@@ -0,0 +1,195 @@
+package gateway
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"net/http"
+	"path/filepath"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"dunemoor/internal/experiment/fakes"
+	"dunemoor/internal/fastcgi"
+	"dunemoor/internal/testutil"
+)
+
+// HTTP and FastCGI clients over HTTP and FastCGI pools with crashing hosts: each combination is served
+// alike, no booking runs twice, and every request is answered.
+func TestMixedProtocolsUnderFaults(t *testing.T) {
+	ledger := fakes.NewLedger()
+	work := 2 * time.Millisecond
+	nodes, err := fakes.StartService("n", 4, 5, fakes.Behaviour{Work: work, Cores: 8}, ledger)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer nodes.Close()
+	var responders []*fakes.Responder
+	var addrs []string
+	for i := range 4 {
+		r, err := fakes.StartResponder(fmt.Sprint("r-", i), "r", ledger, uint64(i), work)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer r.Crash()
+		responders, addrs = append(responders, r), append(addrs, r.Addr())
+	}
+	text := baseConfig + poolConfig("http", "", nodes.Addrs()...) + fastCGIPoolConfig("cgi", "", addrs...)
+	for _, pool := range []string{"http", "cgi"} {
+		text += routeConfig(pool, "path = \"/"+pool+"\"\npool = \""+pool+"\"\nretry_share = 1.0")
+	}
+	g := startAppliance(t, text+fastCGIListener)
+	// Enough connections for what piles up on a slow machine.
+	web := &fakes.WebServer{Addr: g.fastCGIAddr(), MaxConnections: 10}
+	defer web.Close()
+	var loads sync.WaitGroup
+	const rate, count = 60, 240 // of each combination; low enough for a slow machine
+	for i, by := range []http.RoundTripper{nil, web} {
+		for k, pool := range []string{"http", "cgi"} {
+			classes := fakes.DefaultClasses()
+			for n := range classes {
+				c := &classes[n]
+				c.ClassHeader, c.Name = c.Name, fmt.Sprintf("%s by %s at %s", c.Name, []string{"http", "cgi"}[i], pool)
+				c.Path, c.Timeout = "/"+pool+"/x", 20*time.Second
+			}
+			load := fakes.Load{URL: g.urls[0], Rate: rate, Count: count, Classes: classes, Seed: uint64(10*i + k), Retries: 2, Transport: by}
+			loads.Go(func() {
+				if err := load.Run(context.Background(), ledger); err != nil {
+					t.Error(err)
+				}
+			})
+		}
+	}
+	loadsDone := make(chan struct{})
+	go func() { loads.Wait(); close(loadsDone) }()
+	for i := 0; ; i++ {
+		select {
+		case <-loadsDone:
+		case <-time.After(300 * time.Millisecond): // faults, one after the other
+			nodes.Nodes[i%4].Crash()
+			responders[(i+1)%4].Crash()
+			time.Sleep(200 * time.Millisecond)
+			// A connection of another process may have taken the port: the host stays down until it is free.
+			testutil.WaitUntil(t, "the node on its address again", func() bool { return nodes.Nodes[i%4].Start() == nil })
+			testutil.WaitUntil(t, "the responder on its address again", func() bool { return responders[(i+1)%4].Start() == nil })
+			continue
+		}
+		break
+	}
+	c := ledger.Count()
+	if broken := c.Violations(); broken != "" {
+		t.Errorf("violations %s, want none; ran twice %v, rejected after execution %v, not requested %v",
+			broken, c.RanTwice, c.RejectedAfterExecution, c.Unrequested)
+	}
+	shares := map[string]float64{}
+	for name, ends := range c.ByClass {
+		n := 0
+		for _, k := range ends {
+			n += k
+		}
+		shares[name] = 100 * float64(ends[fakes.Served]) / float64(n)
+		if shares[name] < 80 {
+			t.Errorf("%s: %.1f%% of %d served, want 80%% or more: %v", name, shares[name], n, ends)
+		}
+	}
+	t.Logf("%d requests, outcomes %v, served in percent %v", c.Requests, c.Outcomes, shares)
+}
+
+// Listeners on Unix sockets: a stale socket file is replaced, and one in use is not taken.
+func TestFastCGIOverUnixSockets(t *testing.T) {
+	dir := t.TempDir()
+	path := filepath.Join(dir, "cgi.sock")
+	stale, err := net.ListenUnix("unix", &net.UnixAddr{Name: path})
+	if err != nil {
+		t.Fatal(err)
+	}
+	stale.SetUnlinkOnClose(false)
+	stale.Close()
+	r, err := fakes.StartResponder("r", "r", fakes.NewLedger(), 1, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer r.Crash()
+	text := baseConfig + fastCGIPoolConfig("p", "script_root = \"/srv\"\nparams = { APP = \"x\" }\n", r.Addr()) + routeConfig("r", "pool = \"p\"\nclass = \"lookup\"") +
+		"\n[[listener]]\nname = \"cgi\"\naddress = \"unix:" + path + "\"\nprotocol = \"fastcgi\"\n"
+	g := startAppliance(t, text)
+	c, err := net.Dial("unix", path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	c.SetDeadline(time.Now().Add(testutil.WaitTimeout))
+	w := &fastCGIClient{T: t, Conn: c, out: map[uint16]string{}, ended: map[uint16][]fastcgi.EndRequestBody{}}
+	defer c.Close()
+	if status, text := w.send(1, fastCGIParams("GET", "/", "HTTP_X_REQUEST_ID", "abc"), ""); status != 200 || text != "done abc" {
+		t.Errorf("status %d, body %q, want 200 with the id", status, text)
+	}
+	if _, err := StartAppliance(mustParse(t, text), nil, nil, nil); err == nil {
+		t.Error("second gateway on the socket started, want an error")
+	}
+	if err := g.Reload(mustParse(t, strings.Replace(text, "cgi.sock", "other.sock", 1))); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := net.Dial("unix", path); err == nil {
+		t.Error("removed listener accepts a connection, want an error")
+	}
+	if status, _ := w.send(2, fastCGIParams("GET", "/"), ""); status != 200 {
+		t.Errorf("connection from before the reload: status %d, want 200", status)
+	}
+}
+
+// A responder closes within a record of a booking: it may have run, so it is not retried and its
+// client gets one failure. A lookup is retried at the other responder.
+func TestFastCGITruncatedResponseIsRetriedOnlyIfIdempotent(t *testing.T) {
+	var runs atomic.Int64
+	var addrs []string
+	for range 2 {
+		ln := testutil.Listen(t, "127.0.0.1:0", nil)
+		defer ln.Close()
+		addrs = append(addrs, ln.Addr().String())
+		go func() {
+			for {
+				c, err := ln.Accept()
+				if err != nil {
+					return
+				}
+				go func() {
+					defer c.Close()
+					var got []byte
+					b := make([]byte, 4096)
+					end := fastcgi.AppendStreamEnd(nil, fastcgi.Stdin, 1)
+					for !strings.HasSuffix(string(got), string(end)) { // each is the first on its connection
+						n, err := c.Read(b)
+						if got = append(got, b[:n]...); err != nil {
+							return // a question what it can, or nothing
+						}
+					}
+					n := runs.Add(1)
+					answer := fastcgi.AppendStream(nil, fastcgi.Stdout, 1, []byte("Status: 200\r\n\r\ngood"))
+					if strings.Contains(string(got), "GET") && n > 2 {
+						c.Write(fastcgi.AppendEndRequest(answer, 1, fastcgi.EndRequestBody{}))
+						return
+					}
+					c.Write(answer[:len(answer)-3])
+				}()
+			}
+		}()
+	}
+	text := baseConfig + fastCGIPoolConfig("p", "", addrs...) + routeConfig("book", "path = \"/book\"\npool = \"p\"\nclass = \"book\"\nretry_share = 3.0\nretry_floor = 100.0") +
+		routeConfig("look", "pool = \"p\"\nclass = \"lookup\"\nretry_share = 3.0\nretry_floor = 100.0") + fastCGIListener
+	g := startAppliance(t, text)
+	if resp, text := fetch(t, "POST", g.urls[0]+"/book", "one booking"); resp.StatusCode != 502 {
+		t.Errorf("booking: status %d, body %q, want 502", resp.StatusCode, text)
+	}
+	if n := runs.Load(); n != 1 {
+		t.Errorf("booking sent %d times, want once", n)
+	}
+	if resp, text := fetch(t, "GET", g.urls[0]+"/", ""); resp.StatusCode != 200 || text != "good" {
+		t.Errorf("lookup: status %d, body %q, want 200 with good", resp.StatusCode, text)
+	}
+	if n := runs.Load(); n != 3 {
+		t.Errorf("lookup sent %d times, want twice", n-1)
+	}
+}
--- a/internal/gateway/forward_test.go
+++ b/internal/gateway/forward_test.go
@@ -18,20 +18,21 @@
 	"dunemoor/internal/testutil"
 )
 
-// forwardBox is a gateway in front of one host that says what headers it got.
-func forwardBox(t *testing.T, listener, route string) (*testAppliance, *testutil.Host) {
+// startForwardingAppliance starts a gateway with the settings of its listener and its route, in front
+// of one host.
+func startForwardingAppliance(t *testing.T, listener, route string) (*testAppliance, *testutil.Host) {
 	t.Helper()
 	host := testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nServer: theirs\r\nX-Old: 1\r\nSet-Cookie: a=1\r\nSet-Cookie: b=2\r\n"+
 			"Connection: X-Hop\r\nX-Hop: 1\r\nRetry-After: 7\r\n\r\n")
 		return true
 	})
-	text := strings.Replace(head, "address = \"127.0.0.1:0\"", "address = \"127.0.0.1:0\"\n"+listener, 1)
-	return startAppliance(t, text+poolText("p", "", host.Addr())+routeText("r", "pool = \"p\"\nclass = \"lookup\"\n"+route)), host
+	text := strings.Replace(baseConfig, "address = \"127.0.0.1:0\"", "address = \"127.0.0.1:0\"\n"+listener, 1)
+	return startAppliance(t, text+poolConfig("p", "", host.Addr())+routeConfig("r", "pool = \"p\"\nclass = \"lookup\"\n"+route)), host
 }
 
-// said is what the last request at a host says of its client.
-func said(h *testutil.Host) (list [4]string) {
+// forwardingHeaders returns the forwarding headers of the last request at a host.
+func forwardingHeaders(h *testutil.Host) (list [4]string) {
 	h.Mu.Lock()
 	defer h.Mu.Unlock()
 	r := h.Requests[len(h.Requests)-1]
@@ -41,9 +42,9 @@
 	return list
 }
 
-// What a client says of whom it stands for is passed on only where it is trusted: it guards hosts
-// against anybody's being anyone.
-func TestForgedForwarding(t *testing.T) {
+// Forwarding headers of a client are passed on only if it is trusted, so that hosts cannot be deceived
+// about the client.
+func TestForwardedHeadersOfUntrustedClientsAreReplaced(t *testing.T) {
 	forged := []string{"X-Forwarded-For", "9.9.9.9", "X-Forwarded-Proto", "https", "X-Forwarded-Host", "bank.example",
 		"Forwarded", "for=9.9.9.9;proto=https", "Host", "h.org"}
 	for _, c := range []struct {
@@ -55,27 +56,27 @@
 		{"trusted = [\"10.0.0.0/8\", \"127.0.0.0/8\"]", [4]string{"9.9.9.9, 127.0.0.1", "https", "bank.example",
 			"for=9.9.9.9;proto=https, for=127.0.0.1;host=h.org;proto=http"}},
 	} {
-		g, host := forwardBox(t, c.listener, "")
+		g, host := startForwardingAppliance(t, c.listener, "")
 		fetch(t, "GET", g.urls[0]+"/", "", forged...)
-		if got := said(host); got != c.want {
-			t.Errorf("%s: the host is told %q, want %q", c.listener, got, c.want)
+		if got := forwardingHeaders(host); got != c.want {
+			t.Errorf("%s: forwarding headers %q, want %q", c.listener, got, c.want)
 		}
 		fetch(t, "GET", g.urls[0]+"/", "", "Host", "h.org:8080")
-		if got := said(host); got[0] != "127.0.0.1" || got[3] != "for=127.0.0.1;host=\"h.org:8080\";proto=http" {
-			t.Errorf("%s, nothing forged: %q", c.listener, got)
+		if got := forwardingHeaders(host); got[0] != "127.0.0.1" || got[3] != "for=127.0.0.1;host=\"h.org:8080\";proto=http" {
+			t.Errorf("%s: forwarding headers %q of an honest client, want its address and host", c.listener, got)
 		}
 		g.Close()
 	}
 	h := http.Header{}
 	frontend.SetForwardedHeaders(h, frontend.ClientAddress{Addr: netip.MustParseAddr("2001:db8::1%eth0"), Proto: "https"}, "h.org")
 	if got := h.Get("Forwarded"); got != "for=\"[2001:db8::1]\";host=h.org;proto=https" || h.Get("X-Forwarded-For") != "2001:db8::1" {
-		t.Errorf("%v", h)
+		t.Errorf("headers %v, want the IPv6 address without its zone", h)
 	}
 }
 
-// A PROXY header names the client where the listener asks for one: there it must come, in either
-// version and from a trusted peer; where none is asked for it is no request.
-func TestProxyProtocol(t *testing.T) {
+// A PROXY header names the client where the listener requires one: it must come, in either version and
+// from a trusted peer. Where none is required it is an invalid request.
+func TestProxyProtocolNamesClient(t *testing.T) {
 	request := "GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
 	v2, err := (&proxyproto.Header{
 		Version: 2, Command: proxyproto.PROXY, TransportProtocol: proxyproto.TCPv4,
@@ -90,31 +91,31 @@
 	}
 	v1 := "PROXY TCP4 1.2.3.4 5.6.7.8 5 9\r\n"
 	for _, c := range []struct {
-		name, listener, sent string
-		status               int // 0: none
+		name, listener, text string
+		status               int // 0: no response
 		from                 string
 	}{
 		{"version 1", "proxy_protocol = true", v1 + request, 200, "1.2.3.4"},
 		{"version 2", "proxy_protocol = true", string(v2) + request, 200, "1.2.3.4"},
 		{"local", "proxy_protocol = true", string(local) + request, 200, "127.0.0.1"},
 		{"IPv6", "proxy_protocol = true", "PROXY TCP6 2001:db8::1 2001:db8::2 5 9\r\n" + request, 200, "2001:db8::1"},
-		{"from one who is trusted", "proxy_protocol = true\ntrusted = [\"127.0.0.1\"]", v1 + request, 200, "1.2.3.4"},
-		{"from one who is not", "proxy_protocol = true\ntrusted = [\"10.0.0.0/8\"]", v1 + request, 0, ""},
+		{"from a trusted peer", "proxy_protocol = true\ntrusted = [\"127.0.0.1\"]", v1 + request, 200, "1.2.3.4"},
+		{"from an untrusted peer", "proxy_protocol = true\ntrusted = [\"10.0.0.0/8\"]", v1 + request, 0, ""},
 		{"missing", "proxy_protocol = true", request, 0, ""},
-		{"cut short", "proxy_protocol = true", "PROXY TCP4 1.2.3.4", 0, ""},
-		{"noise", "proxy_protocol = true", "PROXY TCP4 a b c d\r\n" + request, 0, ""},
-		{"not asked for", "", v1 + request, 400, ""},
-		{"not asked for, version 2", "", string(v2) + request, 400, ""},
+		{"truncated", "proxy_protocol = true", "PROXY TCP4 1.2.3.4", 0, ""},
+		{"malformed", "proxy_protocol = true", "PROXY TCP4 a b c d\r\n" + request, 0, ""},
+		{"not required", "", v1 + request, 400, ""},
+		{"not required, version 2", "", string(v2) + request, 400, ""},
 	} {
-		g, host := forwardBox(t, c.listener, "")
+		g, host := startForwardingAppliance(t, c.listener, "")
 		nc, err := net.Dial("tcp", strings.TrimPrefix(g.urls[0], "http://"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		nc.SetDeadline(time.Now().Add(testutil.WaitTimeout))
-		io.WriteString(nc, c.sent)
+		io.WriteString(nc, c.text)
 		if c.from == "" {
-			nc.(*net.TCPConn).CloseWrite() // nothing more comes; one who waits for an answer does not do so
+			nc.(*net.TCPConn).CloseWrite() // the header is never completed
 		}
 		resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
 		got := 0
@@ -124,22 +125,22 @@
 		nc.Close()
 		n, _, _ := host.Counts()
 		if c.from == "" && (got != c.status && got != 400 || n > 0) {
-			t.Errorf("%s: answered %d, %d requests at the host", c.name, got, n)
+			t.Errorf("%s: status %d, %d requests at the host, want no service", c.name, got, n)
 		}
 		if c.from != "" {
-			testutil.WaitUntil(t, c.name+": the host has it", func() bool { n, _, _ := host.Counts(); return n > 0 })
-			if s := said(host); s[0] != c.from {
-				t.Errorf("%s: the host is told %q", c.name, s)
+			testutil.WaitUntil(t, c.name+": the request at the host", func() bool { n, _, _ := host.Counts(); return n > 0 })
+			if s := forwardingHeaders(host); s[0] != c.from {
+				t.Errorf("%s: forwarding headers %q, want client %s", c.name, s, c.from)
 			}
 		}
 		g.Close()
 	}
 }
 
-// The rules of a route change headers both ways; cookies and what is there more than once keep
-// their order, and hop-by-hop headers go.
-func TestHeaderRules(t *testing.T) {
-	g, host := forwardBox(t, "", `
+// The header rules of a route apply to requests and responses; cookies and repeated headers keep their
+// order, and hop-by-hop headers are removed.
+func TestRouteHeaderRulesApplyBothWays(t *testing.T) {
+	g, host := startForwardingAppliance(t, "", `
 [route.request]
 set = { "X-Env" = "depot", "Authorization" = "Basic x" }
 add = { "X-Many" = "c" }
@@ -160,36 +161,36 @@
 	got := host.Requests[0].Header
 	host.Mu.Unlock()
 	if fmt.Sprint(got["X-Many"]) != "[a b c]" || got.Get("X-Env") != "depot" || got.Get("Authorization") != "Basic x" || got.Get("Cookie") != "a=1; b=2" {
-		t.Errorf("the host got %v", got)
+		t.Errorf("headers %v at the host, want those of the rules", got)
 	}
 	for _, name := range []string{"X-Secret", "Cookie2", "Te", "Proxy-Authorization", "Keep-Alive"} {
 		if len(got[name]) > 0 {
-			t.Errorf("the host got %s: %v", name, got[name])
+			t.Errorf("header %s at the host: %v, want none", name, got[name])
 		}
 	}
 	h := resp.Header
 	if fmt.Sprint(h["Set-Cookie"]) != "[a=1 b=2]" || h.Get("Server") != "ours" || h.Get("X-Old") != "" || h.Get("X-Hop") != "" || h.Get("Retry-After") != "7" {
-		t.Errorf("the client got %v", h)
+		t.Errorf("headers %v at the client, want those of the rules", h)
 	}
 }
 
-// Heads have their bounds, in bytes and in number.
-func TestHeadBounds(t *testing.T) {
-	g, host := forwardBox(t, "", "")
+// Header sections are limited in bytes and in number of headers.
+func TestHeaderSectionLimits(t *testing.T) {
+	g, host := startForwardingAppliance(t, "", "")
 	var many []string
 	for i := range 100 {
 		many = append(many, fmt.Sprint("X-", i), "v")
 	}
 	if resp, _ := fetch(t, "GET", g.urls[0]+"/", "", many...); resp.StatusCode != http.StatusRequestHeaderFieldsTooLarge {
-		t.Errorf("102 headers: %d", resp.StatusCode)
+		t.Errorf("102 headers: status %d, want 431", resp.StatusCode)
 	}
 	if resp, _ := fetch(t, "GET", g.urls[0]+"/", "", "X-Long", strings.Repeat("x", 20<<10)); resp.StatusCode != http.StatusRequestHeaderFieldsTooLarge {
-		t.Errorf("a long head: %d", resp.StatusCode)
+		t.Errorf("header section of 20 KiB: status %d, want 431", resp.StatusCode)
 	}
 	if resp, _ := fetch(t, "GET", g.urls[0]+"/", "", "X-Long", strings.Repeat("x", 6<<10)); resp.StatusCode != 200 {
-		t.Errorf("a head of 6 KiB: %d", resp.StatusCode)
+		t.Errorf("header section of 6 KiB: status %d, want 200", resp.StatusCode)
 	}
-	// Chunks behind a head that came in several pieces are checked like any others.
+	// Chunks after a header section that arrives in pieces are parsed like any others.
 	nc, err := net.Dial("tcp", strings.TrimPrefix(g.urls[0], "http://"))
 	if err != nil {
 		t.Fatal(err)
@@ -199,18 +200,18 @@
 	for round := range 3 {
 		for _, part := range []string{"POST / HTTP/1.1\r\nHost: a\r", "\nX-Long: " + strings.Repeat("x", 5<<10) + "\r\nTransfer-", "Encoding: chunked\r", "\n\r", "\n1\r\na\r\n0\r\n\r\n"} {
 			io.WriteString(nc, part)
-			time.Sleep(2 * time.Millisecond) // so that they come by themselves, mostly
+			time.Sleep(2 * time.Millisecond) // so that they mostly arrive separately
 		}
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil || resp.StatusCode != 200 {
-			t.Fatalf("round %d: %+v, %v", round, resp, err)
+			t.Fatalf("round %d: response %+v, error %v, want 200", round, resp, err)
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-			t.Fatalf("round %d: %v", round, err)
+			t.Fatalf("round %d: read body: %v", round, err)
 		}
 	}
 	if n, _, _ := host.Counts(); n != 4 {
-		t.Errorf("%d requests at the host", n)
+		t.Errorf("%d requests at the host, want 4", n)
 	}
 	for text, want := range map[string]string{
 		"[route.request]\nset = { \"Content-Length\" = \"5\" }": "route.request: \"Content-Length\" is not to be changed",
@@ -220,9 +221,9 @@
 		"hold = \"5MiB\"":       "route.hold: ",
 		"max_body = \"5 megs\"": "route.max_body: 5 megs is no size",
 	} {
-		_, wrong := config.ParseAppliance("f", head+poolText("p", "", "127.0.0.1:1")+routeText("r", "pool = \"p\"\nclass = \"lookup\"\n"+text))
-		if len(wrong) != 1 || !strings.Contains(wrong[0].Error(), want) {
-			t.Errorf("%s: %v", text, wrong)
+		_, errs := config.ParseAppliance("f", baseConfig+poolConfig("p", "", "127.0.0.1:1")+routeConfig("r", "pool = \"p\"\nclass = \"lookup\"\n"+text))
+		if len(errs) != 1 || !strings.Contains(errs[0].Error(), want) {
+			t.Errorf("%s: errors %v, want %q", text, errs, want)
 		}
 	}
 }
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -22,26 +22,26 @@
 	"dunemoor/internal/testutil"
 )
 
-// limitBox is a gateway with limits in front of one host, with a route for lookups and one for
-// bookings.
-func limitBox(t *testing.T, limits string, host *testutil.Host) *testAppliance {
+// startLimitedAppliance starts a gateway with limits in front of one host, with a route for lookups
+// and one for bookings.
+func startLimitedAppliance(t *testing.T, limits string, host *testutil.Host) *testAppliance {
 	t.Helper()
-	text := strings.Replace(watching, "[[listener]]", limits+"\n[[listener]]", 1)
-	return startAppliance(t, text+poolText("p", "", host.Addr())+
-		routeText("look", "pool = \"p\"\nclass = \"lookup\"")+routeText("book", "path = \"/book\"\npool = \"p\"\nclass = \"book\""))
+	text := strings.Replace(overloadConfig, "[[listener]]", limits+"\n[[listener]]", 1)
+	return startAppliance(t, text+poolConfig("p", "", host.Addr())+
+		routeConfig("look", "pool = \"p\"\nclass = \"lookup\"")+routeConfig("book", "path = \"/book\"\npool = \"p\"\nclass = \"book\""))
 }
 
-// Under pressure what is worth least goes first, and is told when to come back; bookings are
-// served to the end, and a connection that was turned away goes on.
-func TestOverloadShedsByWorth(t *testing.T) {
+// Under pressure requests of the lowest weight are rejected first, with a Retry-After; bookings are
+// served, and the connection of a rejected request stays open.
+func TestOverloadShedsByPriorityWeight(t *testing.T) {
 	host := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
-	// The peer is a proxy that is trusted, so each request may be another client's.
-	g := limitBox(t, "", host)
+	// The peer is a trusted proxy, so each request may be of another client.
+	g := startLimitedAppliance(t, "", host)
 	for _, ln := range g.appliance.listeners {
 		g.server.SetListenOptions(ln, http1.ListenOptions{TrustedProxies: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")}})
 	}
 	g.engine.Sample(overload.Sample{Heap: 1})
-	testutil.WaitUntil(t, "there is pressure", func() bool { return g.engine.Overload.Pressure() > 4.5 })
+	testutil.WaitUntil(t, "pressure", func() bool { return g.engine.Overload.Pressure() > 4.5 })
 	var dials atomic.Int64
 	client := &http.Client{Timeout: testutil.WaitTimeout, Transport: &http.Transport{DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 		dials.Add(1)
@@ -49,7 +49,7 @@
 	}}}
 	defer client.CloseIdleConnections()
 	clients := 0
-	ask := func(method, path, body string) *http.Response {
+	send := func(method, path, body string) *http.Response {
 		t.Helper()
 		r, _ := http.NewRequest(method, g.urls[0]+path, strings.NewReader(body))
 		clients++
@@ -64,43 +64,45 @@
 	}
 	for range 20 {
 		g.engine.Sample(overload.Sample{Heap: 1})
-		resp := ask("GET", "/", "")
+		resp := send("GET", "/", "")
 		after, err := strconv.Atoi(resp.Header.Get("Retry-After"))
 		if resp.StatusCode != 503 || err != nil || after < 1 || after > 30 {
-			t.Errorf("a lookup: %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
+			t.Errorf("lookup: status %d, Retry-After %q, want 503 and 1 to 30 s",
+				resp.StatusCode, resp.Header.Get("Retry-After"))
 		}
-		if resp := ask("POST", "/", strings.Repeat("x", 50_000)); resp.StatusCode != 503 {
-			t.Errorf("a lookup with a body: %d", resp.StatusCode)
+		if resp := send("POST", "/", strings.Repeat("x", 50_000)); resp.StatusCode != 503 {
+			t.Errorf("lookup with a body: status %d, want 503", resp.StatusCode)
 		}
-		if resp := ask("POST", "/book", "x"); resp.StatusCode != 200 {
-			t.Errorf("a booking: %d", resp.StatusCode)
+		if resp := send("POST", "/book", "x"); resp.StatusCode != 200 {
+			t.Errorf("booking: status %d, want 200", resp.StatusCode)
 		}
 	}
 	if dials.Load() != 1 {
-		t.Errorf("%d connections: being turned away ended them", dials.Load())
+		t.Errorf("%d connections, want 1: rejections must not close it", dials.Load())
 	}
 	if n := g.gate.Limits.Rejected(frontend.RejectedByOverload); n != 40 {
 		t.Errorf("%d refusals are counted", n)
 	}
 	if n, _, _ := host.Counts(); n != 20 {
-		t.Errorf("the host got %d requests, 20 bookings", n)
+		t.Errorf("%d requests at the host, want the 20 bookings", n)
 	}
-	// With overload = false nothing of this is there.
-	off := limitBox(t, "overload = false", host)
+	// overload = false switches this off.
+	off := startLimitedAppliance(t, "overload = false", host)
 	if off.engine.Overload != nil {
-		t.Error("switched off, and there")
+		t.Error("overload controller with overload = false, want none")
 	}
 	if resp, _ := fetch(t, "GET", off.urls[0]+"/", ""); resp.StatusCode != 200 {
-		t.Errorf("switched off: %d", resp.StatusCode)
+		t.Errorf("overload = false: status %d, want 200", resp.StatusCode)
 	}
 }
 
-// underPressure is a box that sheds what is worth least, its host, and a client's connection to it.
-func underPressure(t *testing.T) (*testutil.Host, *testAppliance, net.Conn, *bufio.Reader) {
+// startOverloadedAppliance returns a host, a gateway that sheds requests of low weight, and the
+// connection of a client.
+func startOverloadedAppliance(t *testing.T) (*testutil.Host, *testAppliance, net.Conn, *bufio.Reader) {
 	host := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
-	g := limitBox(t, "", host)
+	g := startLimitedAppliance(t, "", host)
 	g.engine.Sample(overload.Sample{Heap: 1})
-	testutil.WaitUntil(t, "there is pressure", func() bool { return g.engine.Overload.Pressure() > 4.5 })
+	testutil.WaitUntil(t, "pressure", func() bool { return g.engine.Overload.Pressure() > 4.5 })
 	c, err := net.Dial("tcp", strings.TrimPrefix(g.urls[0], "http://"))
 	if err != nil {
 		t.Fatal(err)
@@ -110,11 +112,11 @@
 	return host, g, c, bufio.NewReader(c)
 }
 
-// A client that comes back sooner than it was told to has its answer at once, and then its next
-// request read later; what is worth most is not held to that.
-func TestComingBackTooSoon(t *testing.T) {
-	_, g, c, in := underPressure(t)
-	ask := func(text string) (int, time.Duration) {
+// A client that returns before its Retry-After is answered at once, and its next request is read
+// later; requests of the highest weight are exempt.
+func TestEarlyReturnDelaysNextRequest(t *testing.T) {
+	_, g, c, in := startOverloadedAppliance(t)
+	send := func(text string) (int, time.Duration) {
 		t.Helper()
 		g.engine.Sample(overload.Sample{Heap: 1})
 		began := time.Now()
@@ -126,24 +128,25 @@
 		io.Copy(io.Discard, resp.Body)
 		return resp.StatusCode, time.Since(began)
 	}
-	if status, _ := ask("GET /"); status != 503 {
-		t.Errorf("the first: %d", status)
+	if status, _ := send("GET /"); status != 503 {
+		t.Errorf("first request: status %d, want 503", status)
 	}
-	if status, _ := ask("GET /"); status != 503 && status != 429 {
-		t.Errorf("too soon: %d", status)
+	if status, _ := send("GET /"); status != 503 && status != 429 {
+		t.Errorf("early request: status %d, want 503 or 429", status)
 	}
-	if status, took := ask("POST /book"); status != 200 || took < 500*time.Millisecond {
-		t.Errorf("on a connection that is left unread for a while: %d after %v", status, took)
+	if status, took := send("POST /book"); status != 200 || took < 500*time.Millisecond {
+		t.Errorf("booking on the unread connection: status %d after %v, want 200 after 500 ms or more", status, took)
 	}
-	if status, took := ask("POST /book"); status != 200 || took > testutil.WaitTimeout/4 {
-		t.Errorf("what is worth most: %d after %v", status, took)
+	if status, took := send("POST /book"); status != 200 || took > testutil.WaitTimeout/4 {
+		t.Errorf("booking on the open connection: status %d after %v, want 200 within %v",
+			status, took, testutil.WaitTimeout/4)
 	}
 }
 
-// What a client sends on a connection that is left unread has waited there, and its time counts: it
-// goes to no host behind it, and the next has all of its own.
-func TestTimeCountsWhileLeftUnread(t *testing.T) {
-	host, g, c, in := underPressure(t)
+// The time of a request that waits on an unread connection counts: it reaches no host after its
+// timeout, and the next request has all of its own time.
+func TestTimeoutCountsWhileConnectionIsUnread(t *testing.T) {
+	host, g, c, in := startOverloadedAppliance(t)
 	for i, tt := range []struct {
 		request string
 		served  bool
@@ -159,17 +162,17 @@
 		}
 		io.Copy(io.Discard, resp.Body)
 		if (resp.StatusCode == 200) != tt.served {
-			t.Errorf("request %d: status %d", i, resp.StatusCode)
+			t.Errorf("request %d: status %d, want served %v", i, resp.StatusCode, tt.served)
 		}
 	}
 	if n, _, _ := host.Counts(); n != 1 {
-		t.Errorf("the host got %d requests", n)
+		t.Errorf("%d requests at the host, want 1", n)
 	}
 }
 
-// A client that asks too often or too much at once is told so, with 429; another address is not
-// held to it, a reload changes the limit, and what is out is given back.
-func TestClientLimits(t *testing.T) {
+// A client above its rate or its concurrent requests gets a 429. Other addresses are not affected, a
+// reload changes the limits, and ended requests free their places.
+func TestClientLimitsRejectPerAddress(t *testing.T) {
 	release := make(chan struct{})
 	var held atomic.Int64
 	host := testutil.NewHost(t, func(c net.Conn, r *http.Request, _ int) bool {
@@ -181,7 +184,7 @@
 		return true
 	})
 	limits := "[limits.client]\nrate = 0.001\nburst = 5.0\nconcurrent = 0"
-	g := limitBox(t, limits, host)
+	g := startLimitedAppliance(t, limits, host)
 	from := func(ip, path string) int {
 		t.Helper()
 		client := &http.Client{Timeout: testutil.WaitTimeout, Transport: &http.Transport{DisableKeepAlives: true,
@@ -192,56 +195,56 @@
 		}
 		resp.Body.Close()
 		if resp.StatusCode == 429 && resp.Header.Get("Retry-After") == "" {
-			t.Error("429 without Retry-After")
+			t.Error("429 without Retry-After, want one")
 		}
 		return resp.StatusCode
 	}
 	for i := range 8 {
 		if got, want := from("127.0.0.1", "/"), map[bool]int{true: 200, false: 429}[i < 5]; got != want {
-			t.Errorf("request %d: %d, want %d", i, got, want)
+			t.Errorf("request %d: status %d, want %d", i, got, want)
 		}
 	}
 	if got := from("127.0.0.2", "/"); got != 200 {
-		t.Errorf("another address: %d", got)
+		t.Errorf("another address: status %d, want 200", got)
 	}
 	if n := g.gate.Limits.Rejected(frontend.RejectedByClientRate); n != 3 {
 		t.Errorf("%d refusals are counted", n)
 	}
-	text := strings.Replace(watching, "[[listener]]", "[limits.client]\nconcurrent = 3\n[[listener]]", 1) + poolText("p", "", host.Addr()) +
-		routeText("look", "pool = \"p\"\nclass = \"lookup\"")
-	if err := g.Reload(parse(t, text)); err != nil {
+	text := strings.Replace(overloadConfig, "[[listener]]", "[limits.client]\nconcurrent = 3\n[[listener]]", 1) + poolConfig("p", "", host.Addr()) +
+		routeConfig("look", "pool = \"p\"\nclass = \"lookup\"")
+	if err := g.Reload(mustParse(t, text)); err != nil {
 		t.Fatal(err)
 	}
 	var all sync.WaitGroup
 	for i := range 3 {
 		all.Go(func() {
 			for from("127.0.0.3", fmt.Sprint("/hold", i)) == 503 {
-				// On a slow machine the one host looks silent, and a request may wait in vain.
+				// On a slow machine the only host may look silent, and a queued request is rejected.
 			}
 		})
 	}
-	testutil.WaitUntil(t, "three are out", func() bool { return held.Load() == 3 })
+	testutil.WaitUntil(t, "three requests at the host", func() bool { return held.Load() == 3 })
 	if got := from("127.0.0.3", "/"); got != 429 {
-		t.Errorf("a fourth at once: %d", got)
+		t.Errorf("fourth concurrent request: status %d, want 429", got)
 	}
 	close(release)
 	all.Wait()
-	testutil.WaitUntil(t, "there is room again", func() bool { return from("127.0.0.3", "/") == 200 })
+	testutil.WaitUntil(t, "a request admitted again", func() bool { return from("127.0.0.3", "/") == 200 })
 }
 
-// A tenant that floods is held to its share, and the other has all of its own.
-func TestTenantsOnSockets(t *testing.T) {
+// A tenant above its share is rejected, and the others are not.
+func TestTenantRateLimitRejectsOnlyItsTenant(t *testing.T) {
 	host := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
-	g := limitBox(t, "[limits.tenants]\nrate = 0.002\nheader = \"X-Council\"\n[[tenant]]\nname = \"glasgow\"\n[[tenant]]\nname = \"perth\"", host)
-	ask := func(tenant string) int {
+	g := startLimitedAppliance(t, "[limits.tenants]\nrate = 0.002\nheader = \"X-Council\"\n[[tenant]]\nname = \"glasgow\"\n[[tenant]]\nname = \"perth\"", host)
+	send := func(tenant string) int {
 		resp, _ := fetch(t, "GET", g.urls[0]+"/", "", "X-Council", tenant)
 		return resp.StatusCode
 	}
-	if a, b := ask("glasgow"), ask("glasgow"); a != 503 || b != 503 {
-		t.Errorf("a share that is used up: %d, %d", a, b)
+	if a, b := send("glasgow"), send("glasgow"); a != 503 || b != 503 {
+		t.Errorf("tenant above its share: status %d, %d, want 503 twice", a, b)
 	}
-	if got := ask("unknown"); got != 200 {
-		t.Errorf("one that has no share: %d", got)
+	if got := send("unknown"); got != 200 {
+		t.Errorf("unknown tenant: status %d, want 200", got)
 	}
 	if n := g.gate.Limits.Rejected(frontend.RejectedByTenantQuota); n != 2 {
 		t.Errorf("%d refusals are counted", n)
@@ -252,54 +255,10 @@
 		"[limits.client]\nrate = -1.0":                                          "limits.client.rate: -1 is not between",
 		"[limits.client]\ntable_kb = 1":                                         "limits.client.table_kb: 1 is not between",
 	} {
-		_, wrong := config.ParseAppliance("f", strings.Replace(watching, "[[listener]]", text+"\n[[listener]]", 1)+
-			poolText("p", "", "127.0.0.1:1")+routeText("r", "pool = \"p\""))
-		if len(wrong) == 0 || !strings.Contains(wrong[0].Error(), want) {
-			t.Errorf("%q: %v", text, wrong)
+		_, errs := config.ParseAppliance("f", strings.Replace(overloadConfig, "[[listener]]", text+"\n[[listener]]", 1)+
+			poolConfig("p", "", "127.0.0.1:1")+routeConfig("r", "pool = \"p\""))
+		if len(errs) == 0 || !strings.Contains(errs[0].Error(), want) {
+			t.Errorf("%q: errors %v, want %q", text, errs, want)
 		}
 	}
 }
-
-// The process knows how it stands: what is sampled is in bounds and moves.
-func TestMeter(t *testing.T) {
-	m := newProcessMeter(64<<20, 1024)
-	m.sample()
-	for range 1000 {
-		done := make(chan struct{})
-		go close(done)
-		<-done
-	}
-	s := m.sample()
-	if s.Heap <= 0 || s.Heap > 5 || s.Files <= 0 || s.Files > 1 || s.GC < 0 || s.GC > 1 || s.RunQueue < 0 || s.RunQueue > time.Second {
-		t.Errorf("%+v", s)
-	}
-}
-
-// A reload says which limits wait for the next start, and no others: it guards against a setting
-// that an operator believes in use and that is not.
-func TestReloadSaysWhatWaits(t *testing.T) {
-	host := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
-	file := func(limits string) *config.Appliance {
-		return parse(t, strings.Replace(watching, "[[listener]]", limits+"\n[[listener]]", 1)+
-			poolText("p", "", host.Addr())+routeText("r", "pool = \"p\"\nclass = \"lookup\""))
-	}
-	const tenants = "[limits.tenants]\nrate = 5.0\n[[tenant]]\nname = \"a\""
-	for _, c := range []struct{ was, now, want string }{
-		{"", "", "[]"},
-		{"", "[limits.client]\nrate = 5.0", "[]"},                                                // in use at once
-		{"overload = false", "overload = false\n[limits.client]\nrate = 5.0", "[limits.client]"}, // no table to keep it in
-		{"", "overload = false", "[limits.overload]"},
-		{"", "memory_mb = 128\nheaders = 50", "[limits.memory_mb limits.headers]"},
-		{"", tenants, "[limits.tenants tenant]"},
-		{tenants, tenants + "\nweight = 2.0", "[tenant]"},
-	} {
-		g, err := StartAppliance(file(c.was), nil, nil, nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if got := fmt.Sprint(g.needRestart(file(c.now))); got != c.want {
-			t.Errorf("from %q to %q: %s, want %s", c.was, c.now, got, c.want)
-		}
-		g.Close()
-	}
-}
--- a/internal/gateway/recording_test.go
+++ b/internal/gateway/recording_test.go
@@ -14,9 +14,9 @@
 	"dunemoor/internal/testutil"
 )
 
-// Through the whole gateway: what is recorded replays alike, names its hosts and holds
-// neither bodies nor keys nor ids of clients.
-func TestRecordingOfAGateway(t *testing.T) {
+// A recording of a whole gateway replays without divergence, names its hosts and contains neither
+// bodies nor paths.
+func TestPlatformRecordingReplays(t *testing.T) {
 	h := testutil.NewHost(t, testutil.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecret"))
 	cfg := testConfig(h)
 	dir := t.TempDir()
@@ -31,11 +31,11 @@
 		},
 		Trigger: flightrecorder.Trigger{RejectedShare: 0.5, Window: time.Hour, MinResponses: 20, MinInterval: time.Hour},
 	}
-	cfg.Settings.Classes[0].LatencyObjective = 200 * time.Millisecond // a fifth of it is waited for a host
+	cfg.Settings.Classes[0].LatencyObjective = 200 * time.Millisecond // a request waits a fifth of it for a host
 	g := startGateway(t, cfg, rc)
 	for range 30 {
-		if resp, body := g.ask("look", "/hidden-path", ""); resp.StatusCode != 200 || body != "secret" {
-			t.Fatalf("answered %s, %q", resp.Status, body)
+		if resp, body := g.send("look", "/hidden-path", ""); resp.StatusCode != 200 || body != "secret" {
+			t.Fatalf("status %s, body %q, want 200 with secret", resp.Status, body)
 		}
 	}
 	g.Dump()
@@ -50,40 +50,41 @@
 			t.Fatal(err)
 		}
 		if rep.Divergence != nil || rep.Events < least || len(rep.Losses) > 0 {
-			t.Errorf("%s: %+v", path, rep)
+			t.Errorf("%s: replay %+v, want %d events or more without divergence or loss", path, rep, least)
 		}
 		for _, hidden := range []string{"secret", "hidden-path"} {
 			if bytes.Contains(data, []byte(hidden)) {
-				t.Errorf("%s holds %q", path, hidden)
+				t.Errorf("%s contains %q, want it left out", path, hidden)
 			}
 		}
 		if !bytes.Contains(data, []byte("s-0")) {
-			t.Errorf("%s does not name the host", path)
+			t.Errorf("%s does not contain s-0, want the host named", path)
 		}
 	}
 	check(<-dumps, 60)
 
-	// The host goes: what comes is refused, and the trigger writes the ring once.
+	// Without hosts requests are rejected, and the trigger writes the ring once.
 	h.Close()
 	g.pool.UpdateEndpoints(balancer.ListFull, discovery.MemberList{}) // no host is listed any more
 	for range 50 {
-		g.ask("look", "/", "")
+		g.send("look", "/", "")
 	}
 	check(<-dumps, 60)
 	g.Close()
 	check(rc.File, 200)
 	if n := len(dumps); n > 0 {
-		t.Errorf("%d more dumps", n)
+		t.Errorf("%d more dumps, want none", n)
 	}
 }
 
-// An appliance records each pool by itself: every dump replays alike and names its own hosts.
-func TestRecordingOfAnAppliance(t *testing.T) {
+// Each pool is recorded separately: every recording replays without divergence and names its own hosts
+// only.
+func TestApplianceRecordingReplaysPerPool(t *testing.T) {
 	a, b := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse)), testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	dumps := make(chan string, 8)
 	dir := t.TempDir()
-	g, err := StartAppliance(parse(t, head+poolText("one", "", a.Addr())+poolText("two", "", b.Addr())+
-		routeText("r", "pool = \"one\"\nclass = \"lookup\"")+routeText("s", "path = \"/two\"\npool = \"two\"\nclass = \"lookup\"")),
+	g, err := StartAppliance(mustParse(t, baseConfig+poolConfig("one", "", a.Addr())+poolConfig("two", "", b.Addr())+
+		routeConfig("r", "pool = \"one\"\nclass = \"lookup\"")+routeConfig("s", "path = \"/two\"\npool = \"two\"\nclass = \"lookup\"")),
 		&engine.RecordingConfig{RingBytes: 128 << 10, ViewInterval: time.Millisecond, Dir: dir, File: filepath.Join(dir, "all.dmf"), MaxFileBytes: 1 << 20,
 			OnDump: func(path string, err error) {
 				if err != nil {
@@ -104,7 +105,7 @@
 	paths := []string{<-dumps, <-dumps}
 	g.Close()
 	paths = append(paths, filepath.Join(dir, "all-one.dmf"), filepath.Join(dir, "all-two.dmf"))
-	seen := map[string]int{}
+	recordings := map[string]int{}
 	for _, path := range paths {
 		data, err := os.ReadFile(path)
 		if err != nil {
@@ -112,15 +113,15 @@
 		}
 		rep, err := flightrecorder.Replay(flightrecorder.NewReader(bytes.NewReader(data)), nil, nil)
 		if err != nil || rep.Divergence != nil || rep.Events < 40 || len(rep.Losses) > 0 {
-			t.Errorf("%s: %+v, %v", path, rep, err)
+			t.Errorf("%s: replay %+v, error %v, want 40 events or more without divergence or loss", path, rep, err)
 		}
 		for _, host := range []string{"one-0", "two-0"} {
 			if bytes.Contains(data, []byte(host)) {
-				seen[host]++
+				recordings[host]++
 			}
 		}
 	}
-	if seen["one-0"] != 2 || seen["two-0"] != 2 {
-		t.Errorf("hosts are named in %v of four recordings", seen)
+	if recordings["one-0"] != 2 || recordings["two-0"] != 2 {
+		t.Errorf("recordings by host %v, want two each", recordings)
 	}
 }
