--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -159,7 +159,7 @@
 	if !mostEjected {
 		return eligibleSets{first: setReady, count: 1}
 	}
-	b.log(logFailOpen, "%d of %d hosts are ejected, using them all the same", counts.ejected, counts.ready)
+	b.log(logFailOpen, "failing open: %d of %d hosts are ejected", counts.ejected, counts.ready)
 	allBroken := counts.broken == counts.ready
 	if allBroken {
 		return eligibleSets{first: setReady, count: 3}
@@ -177,9 +177,12 @@
 		}
 	}
 	counts, excluded := b.countScope(request, scope)
-	b.gatherFromScope(request, scope, b.eligibleSets(counts, excluded))
+	eligible := b.eligibleSets(counts, excluded)
+	b.gatherFromScope(request, scope, eligible)
 	if len(b.candidates) == 0 {
-		b.gatherFromScope(request, scope, doubtfulHosts)
+		doubtful := doubtfulHosts
+		doubtful.includeExcluded = eligible.includeExcluded
+		b.gatherFromScope(request, scope, doubtful)
 	}
 	return b.chooseCandidate(request)
 }
