--- a/internal/gateway/bench_overload_test.go
+++ b/internal/gateway/bench_overload_test.go
@@ -34,31 +34,16 @@
 // startMinimalHost starts a host that spends little on each request, so that the gateway is the
 // bottleneck.
 func startMinimalHost(b *testing.B) string {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		b.Fatal(err)
-	}
-	b.Cleanup(func() { ln.Close() })
-	go func() {
-		for {
-			c, err := ln.Accept()
+	return startRawHost(b, func(c net.Conn) {
+		for in := bufio.NewReader(c); ; {
+			r, err := http.ReadRequest(in)
 			if err != nil {
 				return
 			}
-			go func() {
-				defer c.Close()
-				for in := bufio.NewReader(c); ; {
-					r, err := http.ReadRequest(in)
-					if err != nil {
-						return
-					}
-					io.Copy(io.Discard, r.Body)
-					io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone")
-				}
-			}()
+			io.Copy(io.Discard, r.Body)
+			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone")
 		}
-	}()
-	return ln.Addr().String()
+	})
 }
 
 // browserHeaders is the rest of the header section of a flooding request.
@@ -188,10 +173,7 @@
 		for range 6 {
 			for i, c := range children {
 				before, _ := c.usage(b)
-				nc, err := net.Dial("tcp", strings.TrimPrefix(c.url, "http://"))
-				if err != nil {
-					b.Fatal(err)
-				}
+				nc := dialURL(b, c.url)
 				in := bufio.NewReader(nc)
 				for n := range 4000 {
 					io.WriteString(nc, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
--- a/internal/gateway/bench_process_test.go
+++ b/internal/gateway/bench_process_test.go
@@ -91,23 +91,7 @@
 			panic(err)
 		}
 		addr = ln.Addr().String()
-		go func() {
-			for {
-				c, err := ln.Accept()
-				if err != nil {
-					return
-				}
-				go func() {
-					b := make([]byte, 4<<10)
-					for {
-						if _, err := c.Read(b); err != nil {
-							return
-						}
-						io.WriteString(c, "HTTP/1.1 429 Too Many Requests\r\nRetry-After: 1\r\nContent-Length: 5\r\n\r\nlater")
-					}
-				}()
-			}
-		}()
+		go serveConns(ln, rejectWithoutParsing)
 	case "ReverseProxy":
 		p := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: host})
 		p.Transport = &http.Transport{MaxIdleConnsPerHost: 256}
@@ -131,6 +115,17 @@
 	}
 }
 
+// rejectWithoutParsing answers whatever it reads with a rejection.
+func rejectWithoutParsing(c net.Conn) {
+	b := make([]byte, 4<<10)
+	for {
+		if _, err := c.Read(b); err != nil {
+			return
+		}
+		io.WriteString(c, "HTTP/1.1 429 Too Many Requests\r\nRetry-After: 1\r\nContent-Length: 5\r\n\r\nlater")
+	}
+}
+
 // proxyProcess is a proxy in a process of its own.
 type proxyProcess struct {
 	*exec.Cmd
--- a/internal/gateway/body_helpers_test.go
+++ b/internal/gateway/body_helpers_test.go
@@ -59,4 +59,12 @@
 
 func (f readerFunc) Read(p []byte) (int, error) { return f(p) }
 
-func bodyCause(i int) body.Purpose { return body.Purpose(i) }
+// maxBufferedBytes returns the most bytes that the gateway buffers for one purpose.
+func (g *Gateway) maxBufferedBytes() int64 {
+	most := int64(0)
+	for _, purpose := range body.Purposes() {
+		used, _ := g.gate.Bodies.Used(purpose)
+		most = max(most, used)
+	}
+	return most
+}
--- a/internal/gateway/churn_test.go
+++ b/internal/gateway/churn_test.go
@@ -31,11 +31,7 @@
 	server.Start()
 	defer server.Close()
 	g := startGateway(t, testConfig())
-	c, err := net.Dial("tcp", strings.TrimPrefix(g.url, "http://"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer c.Close()
+	c := dialURL(t, g.url)
 	member := func(i int, state string) discovery.Member {
 		return discovery.Member{
 			ID: fmt.Sprint("s-", i), Addr: strings.TrimPrefix(server.URL, "http://"), State: state,
--- a/internal/gateway/clients_test.go
+++ b/internal/gateway/clients_test.go
@@ -30,10 +30,7 @@
 	})
 	g := startAppliance(t, singleRouteConfig("idle = \"200ms\"\nstream = true", addr))
 	for what, text := range map[string]string{"buffered body": "10", "streamed body": "1000000"} {
-		c, err := net.Dial("tcp", strings.TrimPrefix(g.urls[0], "http://"))
-		if err != nil {
-			t.Fatal(err)
-		}
+		c := dialURL(t, g.urls[0])
 		c.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 		fmt.Fprintf(c, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: %s\r\n\r\nabc", text)
 		if text != "10" {
@@ -87,9 +84,7 @@
 	all.Wait()
 	pool := g.appliance.pools["p"]
 	testutil.WaitUntil(t, "no open request", func() bool { return pool.OpenRequests() == 0 })
-	for c := range 3 {
-		testutil.WaitUntil(t, "no buffered body", func() bool { used, _ := g.gate.Bodies.Used(bodyCause(c)); return used == 0 })
-	}
+	testutil.WaitUntil(t, "no buffered body", func() bool { return g.maxBufferedBytes() == 0 })
 	testutil.WaitUntil(t, "no goroutine left", func() bool {
 		http.DefaultClient.CloseIdleConnections()
 		return runtime.NumGoroutine() <= before+8 // idle connections to the host
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -79,21 +79,21 @@
 	release := make(chan struct{})
 	once := sync.OnceFunc(func() { close(release) })
 	defer once()
-	drains := testutil.NewHost(t, func(c net.Conn, r *http.Request, _ int) bool {
+	draining := testutil.NewHost(t, func(c net.Conn, r *http.Request, _ int) bool {
 		if strings.HasSuffix(r.URL.Path, "/slow") {
 			<-release
 		}
 		io.WriteString(c, testutil.OKResponse)
 		return true
 	})
-	stays := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
+	other := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	list := newScriptedDiscovery(t)
 	cfg := testConfig()
 	cfg.Discovery = list.addr
 	g := startGateway(t, cfg)
 
 	watch := list.nextCall(t)
-	watch.line(fullListJSON(41, memberJSON("s-1", drains, "ready")))
+	watch.line(fullListJSON(41, memberJSON("s-1", draining, "ready")))
 	testutil.WaitUntil(t, "the host in the list", func() bool { return g.pool.Address("s-1") != "" })
 	if resp, _ := g.send("look", "/api/quick", ""); resp.StatusCode != 200 { // leaves an idle connection
 		t.Fatalf("status %d, want 200", resp.StatusCode)
@@ -114,14 +114,14 @@
 			responses <- nil
 		}()
 	}
-	testutil.WaitUntil(t, "three requests in flight", func() bool { n, _, _ := drains.Counts(); return n == 1+len(classes) })
+	testutil.WaitUntil(t, "three requests in flight", func() bool { n, _, _ := draining.Counts(); return n == 1+len(classes) })
 
 	close(watch.ended)
 	watch = list.nextCall(t)
 	if watch.index != "41" {
 		t.Errorf("watch from version %s, want 41", watch.index)
 	}
-	watch.line(fullListJSON(43, memberJSON("s-2", stays, "ready")))
+	watch.line(fullListJSON(43, memberJSON("s-2", other, "ready")))
 	testutil.WaitUntil(t, "the list applied", func() bool { return g.pool.Address("s-2") != "" })
 	for range 4 {
 		for _, class := range classes {
@@ -134,7 +134,7 @@
 			}
 		}
 	}
-	if n, _, _ := drains.Counts(); n != 1+len(classes) {
+	if n, _, _ := draining.Counts(); n != 1+len(classes) {
 		t.Errorf("%d requests at the removed host, want the %d from before", n, 1+len(classes))
 	}
 	once()
@@ -143,14 +143,14 @@
 			t.Errorf("in flight at the removed host: %v", err)
 		}
 	}
-	testutil.WaitUntil(t, "its connections closed", func() bool { _, opened, ended := drains.Counts(); return opened == ended })
+	testutil.WaitUntil(t, "its connections closed", func() bool { _, opened, ended := draining.Counts(); return opened == ended })
 
-	watch.line(fullListJSON(44, memberJSON("s-1", drains, "ready")))
+	watch.line(fullListJSON(44, memberJSON("s-1", draining, "ready")))
 	testutil.WaitUntil(t, "the list applied", func() bool { return g.pool.Address("s-1") != "" })
 	if resp, _ := g.send("look", "/api/quick", ""); resp.StatusCode != 200 {
 		t.Errorf("listed again: status %d, want 200", resp.StatusCode)
 	}
-	if n, _, _ := drains.Counts(); n != 2+len(classes) {
+	if n, _, _ := draining.Counts(); n != 2+len(classes) {
 		t.Errorf("listed again: %d requests in all, want %d", n, 2+len(classes))
 	}
 }
@@ -158,31 +158,31 @@
 // A silent watch is replaced during a shutdown too, and its list is applied while clients use their
 // connections.
 func TestEndpointListIsAppliedDuringShutdown(t *testing.T) {
-	drains, stays := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse)), testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
+	draining, other := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse)), testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	list := newScriptedDiscovery(t)
 	cfg := testConfig()
 	cfg.Discovery = list.addr
 	g := startGateway(t, cfg)
 	watch := list.nextCall(t)
-	watch.line(fullListJSON(41, memberJSON("s-1", drains, "ready")))
+	watch.line(fullListJSON(41, memberJSON("s-1", draining, "ready")))
 	testutil.WaitUntil(t, "the host in the list", func() bool { return g.pool.Address("s-1") != "" })
-	ask, _ := dialClient(t, g)
-	if resp, err := ask(); err != nil || resp.StatusCode != 200 {
+	send, _ := dialClient(t, g)
+	if resp, err := send(); err != nil || resp.StatusCode != 200 {
 		t.Fatalf("response %v, error %v, want status 200", resp, err)
 	}
 	watch = list.nextCall(t) // the first one stays silent
 	stopped := make(chan struct{})
 	go func() { g.Stop(0); close(stopped) }()
 	testutil.WaitUntil(t, "the gateway to stop", func() bool { return !g.ready() })
-	watch.line(fullListJSON(43, memberJSON("s-1", drains, "draining"), memberJSON("s-2", stays, "ready")))
+	watch.line(fullListJSON(43, memberJSON("s-1", draining, "draining"), memberJSON("s-2", other, "ready")))
 	testutil.WaitUntil(t, "the list applied", func() bool { return g.pool.Address("s-2") != "" && g.pool.Address("s-1") == "" })
-	if resp, err := ask(); err != nil || resp.StatusCode != 200 {
+	if resp, err := send(); err != nil || resp.StatusCode != 200 {
 		t.Fatalf("response %v, error %v, want status 200", resp, err)
 	}
-	if n, _, _ := drains.Counts(); n != 1 {
+	if n, _, _ := draining.Counts(); n != 1 {
 		t.Errorf("%d requests at the draining host, want the 1 from before", n)
 	}
-	if n, _, _ := stays.Counts(); n != 1 {
+	if n, _, _ := other.Counts(); n != 1 {
 		t.Errorf("%d requests at the other host, want 1", n)
 	}
 	<-stopped
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -16,11 +16,7 @@
 // dialClient returns a client with a connection of its own, and the connection.
 func dialClient(t *testing.T, g *testGateway) (send func() (*http.Response, error), c net.Conn) {
 	t.Helper()
-	c, err := net.Dial("tcp", strings.TrimPrefix(g.url, "http://"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { c.Close() })
+	c = dialURL(t, g.url)
 	in := bufio.NewReader(c)
 	return func() (*http.Response, error) {
 		fmt.Fprintf(c, "GET /api/1 HTTP/1.1\r\nHost: x\r\nX-Request-ID: %s\r\nX-Priority-Class: look\r\nX-Timeout: 30\r\n\r\n", testutil.NewID())
--- a/internal/gateway/exchange_test.go
+++ b/internal/gateway/exchange_test.go
@@ -48,18 +48,8 @@
 	l := &exchangeLedger{started: map[string]int{}, complete: map[string]string{}, plans: map[string]*exchangePlan{}}
 	var nodes []string
 	for i := range 3 {
-		ln := testutil.Listen(t, "127.0.0.1:0", nil)
-		t.Cleanup(func() { ln.Close() })
-		nodes = append(nodes, ln.Addr().String())
-		go func() {
-			for {
-				c, err := ln.Accept()
-				if err != nil {
-					return
-				}
-				go l.serve(c, fmt.Sprint("host-", i))
-			}
-		}()
+		name := fmt.Sprint("host-", i)
+		nodes = append(nodes, startRawHost(t, func(c net.Conn) { l.serve(c, name) }))
 	}
 	g := startAppliance(t, singleRouteConfig("hold = \"16KiB\"\nretry_share = 3.0\nretry_floor = 1000.0\nidle = \"5s\"", nodes...))
 	rng := rand.New(rand.NewPCG(seed, 1))
@@ -117,7 +107,6 @@
 
 // serve is a host that follows the plan of each request.
 func (l *exchangeLedger) serve(c net.Conn, name string) {
-	defer c.Close()
 	in := bufio.NewReader(c)
 	for {
 		r, err := http.ReadRequest(in)
--- a/internal/gateway/fastcgi_frontend_test.go
+++ b/internal/gateway/fastcgi_frontend_test.go
@@ -151,14 +151,7 @@
 	testutil.WaitUntil(t, "the request at the host", func() bool { return held.Load() == 2 })
 	w.Close()
 	testutil.WaitUntil(t, "the attempt canceled by the end of the connection", func() bool { return left.Load() == 2 })
-	testutil.WaitUntil(t, "no buffered body", func() bool {
-		for i := range 3 {
-			if n, _ := g.gate.Bodies.Used(bodyCause(i)); n != 0 {
-				return false
-			}
-		}
-		return true
-	})
+	testutil.WaitUntil(t, "no buffered body", func() bool { return g.maxBufferedBytes() == 0 })
 }
 
 // A request aborted while it waits for a host reaches none.
@@ -340,14 +333,7 @@
 			t.Errorf("new connection %d: status %d, body %q, want 200", i, status, text)
 		}
 	}
-	testutil.WaitUntil(t, "incomplete requests ended", func() bool {
-		for i := range 3 {
-			if n, _ := g.gate.Bodies.Used(bodyCause(i)); n > 1<<20 {
-				return false
-			}
-		}
-		return true
-	})
+	testutil.WaitUntil(t, "incomplete requests ended", func() bool { return g.maxBufferedBytes() <= 1<<20 })
 	close(release)
 	if text, ok := w.readUntilEnd(1); !ok || !strings.HasSuffix(text, "good") {
 		t.Errorf("slow request: %q, want good", text)
--- a/internal/gateway/fastcgi_pool_test.go
+++ b/internal/gateway/fastcgi_pool_test.go
@@ -144,41 +144,29 @@
 // client gets one failure. A lookup is retried at the other responder.
 func TestFastCGITruncatedResponseIsRetriedOnlyIfIdempotent(t *testing.T) {
 	var runs atomic.Int64
-	var addrs []string
-	for range 2 {
-		ln := testutil.Listen(t, "127.0.0.1:0", nil)
-		defer ln.Close()
-		addrs = append(addrs, ln.Addr().String())
-		go func() {
-			for {
-				c, err := ln.Accept()
-				if err != nil {
-					return
-				}
-				go func() {
-					defer c.Close()
-					var got []byte
-					b := make([]byte, 4096)
-					end := fastcgi.AppendStreamEnd(nil, fastcgi.Stdin, 1)
-					for !strings.HasSuffix(string(got), string(end)) { // each is the first on its connection
-						n, err := c.Read(b)
-						if got = append(got, b[:n]...); err != nil {
-							return // a question what it can, or nothing
-						}
-					}
-					n := runs.Add(1)
-					answer := fastcgi.AppendStream(nil, fastcgi.Stdout, 1, []byte("Status: 200\r\n\r\ngood"))
-					if strings.Contains(string(got), "GET") && n > 2 {
-						c.Write(fastcgi.AppendEndRequest(answer, 1, fastcgi.EndRequestBody{}))
-						return
-					}
-					c.Write(answer[:len(answer)-3])
-				}()
+	serve := func(c net.Conn) {
+		var got []byte
+		b := make([]byte, 4096)
+		end := fastcgi.AppendStreamEnd(nil, fastcgi.Stdin, 1)
+		for !strings.HasSuffix(string(got), string(end)) { // each request is the first on its connection
+			n, err := c.Read(b)
+			if got = append(got, b[:n]...); err != nil {
+				return // a connection that asks only for values, or nothing
 			}
-		}()
+		}
+		n := runs.Add(1)
+		response := fastcgi.AppendStream(nil, fastcgi.Stdout, 1, []byte("Status: 200\r\n\r\ngood"))
+		if strings.Contains(string(got), "GET") && n > 2 {
+			c.Write(fastcgi.AppendEndRequest(response, 1, fastcgi.EndRequestBody{}))
+			return
+		}
+		c.Write(response[:len(response)-3])
 	}
-	text := baseConfig + fastCGIPoolConfig("p", "", addrs...) + routeConfig("book", "path = \"/book\"\npool = \"p\"\nclass = \"book\"\nretry_share = 3.0\nretry_floor = 100.0") +
-		routeConfig("look", "pool = \"p\"\nclass = \"lookup\"\nretry_share = 3.0\nretry_floor = 100.0") + fastCGIListener
+	addrs := []string{startRawHost(t, serve), startRawHost(t, serve)}
+	const retries = "\nretry_share = 3.0\nretry_floor = 100.0"
+	text := baseConfig + fastCGIPoolConfig("p", "", addrs...) +
+		routeConfig("book", "path = \"/book\"\npool = \"p\"\nclass = \"book\""+retries) +
+		routeConfig("look", "pool = \"p\"\nclass = \"lookup\""+retries) + fastCGIListener
 	g := startAppliance(t, text)
 	if resp, text := fetch(t, "POST", g.urls[0]+"/book", "one booking"); resp.StatusCode != 502 {
 		t.Errorf("booking: status %d, body %q, want 502", resp.StatusCode, text)
--- a/internal/gateway/forward_test.go
+++ b/internal/gateway/forward_test.go
@@ -108,10 +108,7 @@
 		{"not required, version 2", "", string(v2) + request, 400, ""},
 	} {
 		g, host := startForwardingAppliance(t, c.listener, "")
-		nc, err := net.Dial("tcp", strings.TrimPrefix(g.urls[0], "http://"))
-		if err != nil {
-			t.Fatal(err)
-		}
+		nc := dialURL(t, g.urls[0])
 		nc.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 		io.WriteString(nc, c.text)
 		if c.from == "" {
@@ -191,11 +188,7 @@
 		t.Errorf("header section of 6 KiB: status %d, want 200", resp.StatusCode)
 	}
 	// Chunks after a header section that arrives in pieces are parsed like any others.
-	nc, err := net.Dial("tcp", strings.TrimPrefix(g.urls[0], "http://"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer nc.Close()
+	nc := dialURL(t, g.urls[0])
 	in := bufio.NewReader(nc)
 	for round := range 3 {
 		for _, part := range []string{"POST / HTTP/1.1\r\nHost: a\r", "\nX-Long: " + strings.Repeat("x", 5<<10) + "\r\nTransfer-", "Encoding: chunked\r", "\n\r", "\n1\r\na\r\n0\r\n\r\n"} {
--- a/internal/gateway/helpers_test.go
+++ b/internal/gateway/helpers_test.go
@@ -53,11 +53,7 @@
 // final response. One reader takes both, as a 100 before it may arrive in the same read.
 func (g *testGateway) sendRaw(class, framing string, body []byte, piece int) (*http.Response, net.Conn, error) {
 	g.Helper()
-	c, err := net.Dial("tcp", strings.TrimPrefix(g.url, "http://"))
-	if err != nil {
-		g.Fatal(err)
-	}
-	g.Cleanup(func() { c.Close() })
+	c := dialURL(g, g.url)
 	var all bytes.Buffer
 	fmt.Fprintf(&all, "POST /api/1 HTTP/1.1\r\nHost: a\r\nX-Priority-Class: %s\r\nX-Timeout: 60\r\nX-Request-ID: %s\r\nIdempotency-Key: k\r\n%s\r\n",
 		class, testutil.NewID(), framing)
@@ -161,7 +157,7 @@
 const overloadConfig = configStart + configRest
 
 const configStart = `
-name = "box"
+name = "depot"
 [limits]
 sockets = 1024
 `
@@ -239,6 +235,41 @@
 	return resp, string(text)
 }
 
+// startRawHost starts a host that passes each connection to serve and closes it after that, and returns
+// its address.
+func startRawHost(t testing.TB, serve func(net.Conn)) string {
+	t.Helper()
+	ln := testutil.Listen(t, "127.0.0.1:0", nil)
+	t.Cleanup(func() { ln.Close() })
+	go serveConns(ln, serve)
+	return ln.Addr().String()
+}
+
+// serveConns serves each connection in a goroutine of its own, until the listener is closed.
+func serveConns(ln net.Listener, serve func(net.Conn)) {
+	for {
+		c, err := ln.Accept()
+		if err != nil {
+			return
+		}
+		go func() {
+			defer c.Close()
+			serve(c)
+		}()
+	}
+}
+
+// dialURL opens a connection to the host of an http URL and closes it at the end of the test.
+func dialURL(t testing.TB, url string) net.Conn {
+	t.Helper()
+	c, err := net.Dial("tcp", strings.TrimPrefix(url, "http://"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close() })
+	return c
+}
+
 // startHTTPHost starts a host with the server of net/http, which shares no code with the gateway, and
 // counts its requests.
 func startHTTPHost(t *testing.T, handle http.HandlerFunc) (addr string, requests *atomic.Int64) {
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -103,11 +103,7 @@
 	g := startLimitedAppliance(t, "", host)
 	g.engine.Sample(overload.Sample{Heap: 1})
 	testutil.WaitUntil(t, "pressure", func() bool { return g.engine.Overload.Pressure() > 4.5 })
-	c, err := net.Dial("tcp", strings.TrimPrefix(g.urls[0], "http://"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { c.Close() })
+	c := dialURL(t, g.urls[0])
 	c.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 	return host, g, c, bufio.NewReader(c)
 }
--- a/internal/gateway/platform_body_test.go
+++ b/internal/gateway/platform_body_test.go
@@ -96,11 +96,7 @@
 	}
 	g := startGateway(t, cfg)
 	const n = 2 * frontend.MaxBufferedBytes
-	c, err := net.Dial("tcp", strings.TrimPrefix(g.url, "http://"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer c.Close()
+	c := dialURL(t, g.url)
 	fmt.Fprintf(c, "POST /api/1 HTTP/1.1\r\nHost: a\r\nX-Priority-Class: book\r\nX-Timeout: 0.2\r\nX-Request-ID: %s\r\nContent-Length: %d\r\n\r\n", testutil.NewID(), n)
 	body := randomBody(n)
 	for i := range 8 { // 0.8 s in all
@@ -117,24 +113,13 @@
 // client is told that a retry is harmless, and nothing is sent to another host.
 func TestUploadCutByHostIsNotRetried(t *testing.T) {
 	var conns atomic.Int64
-	ln := testutil.Listen(t, "127.0.0.1:0", nil)
-	defer ln.Close()
-	go func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			conns.Add(1)
-			go func() {
-				io.CopyN(io.Discard, c, 1<<20)
-				c.(*net.TCPConn).SetLinger(0)
-				c.Close()
-			}()
-		}
-	}()
+	addr := startRawHost(t, func(c net.Conn) {
+		conns.Add(1)
+		io.CopyN(io.Discard, c, 1<<20)
+		c.(*net.TCPConn).SetLinger(0)
+	})
 	cfg := testConfig(testutil.NewHost(t, testutil.NeverRespond))
-	cfg.Known.Servers[0].Addr = ln.Addr().String()
+	cfg.Known.Servers[0].Addr = addr
 	g := startGateway(t, cfg)
 	const n = 24 << 20 // more than all buffers on the way hold
 	resp, _, err := g.sendRaw("book", fmt.Sprintf("Content-Length: %d\r\n", n), randomBody(n), 1<<20)
--- a/internal/gateway/platform_test.go
+++ b/internal/gateway/platform_test.go
@@ -22,10 +22,7 @@
 	g := startGateway(t, testConfig(server))
 	paths := []string{"/api/a%2Fb//c/../d/?q=1&q=%20&", "//api/x", "/api/?", "/api/%7e~;a=b|"}
 	for i, path := range paths {
-		c, err := net.Dial("tcp", strings.TrimPrefix(g.url, "http://"))
-		if err != nil {
-			t.Fatal(err)
-		}
+		c := dialURL(t, g.url)
 		fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: id-%d\r\nX-Priority-Class: report\r\n"+
 			"Idempotency-Key: key-1\r\nX-Timeout: 30\r\nConnection: close\r\nContent-Length: 4\r\n\r\nbody", path, i)
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -134,10 +131,7 @@
 		"POST /api/1 HTTP/1.1\r\nHost: a\r\nX-Priority-Class: book\r\nX-Timeout: 60\r\nX-Request-ID: " + testutil.NewID() + "\r\nContent-Length: 4\r\n\r\nbody",
 	} {
 		before, _, _ := server.Counts()
-		c, err := net.Dial("tcp", strings.TrimPrefix(g.url, "http://"))
-		if err != nil {
-			t.Fatal(err)
-		}
+		c := dialURL(t, g.url)
 		io.WriteString(c, text)
 		testutil.WaitUntil(t, "the request at the host", func() bool {
 			requests, _, _ := server.Counts()
--- a/internal/gateway/response_test.go
+++ b/internal/gateway/response_test.go
@@ -144,10 +144,7 @@
 	})
 	g := startAppliance(t, baseConfig+poolConfig("p", "", host.Addr())+routeConfig("r", "pool = \"p\"\nclass = \"lookup\"\nstream = true"))
 	for path, complete := range map[string]bool{"/whole": true, "/broken": false} {
-		c, err := net.Dial("tcp", strings.TrimPrefix(g.urls[0], "http://"))
-		if err != nil {
-			t.Fatal(err)
-		}
+		c := dialURL(t, g.urls[0])
 		c.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 		io.WriteString(c, "GET "+path+" HTTP/1.0\r\nHost: a\r\n\r\n")
 		got, err := io.ReadAll(c)
--- a/internal/gateway/status_test.go
+++ b/internal/gateway/status_test.go
@@ -5,7 +5,6 @@
 	"encoding/json"
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"strings"
 	"testing"
@@ -32,11 +31,7 @@
 		t.Errorf("status %+v without requests, want serving with zeros", s)
 	}
 	const bodyBytes = 60 << 10
-	c, err := net.Dial("tcp", strings.TrimPrefix(g.urls[0], "http://"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer c.Close()
+	c := dialURL(t, g.urls[0])
 	fmt.Fprintf(c, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\nhalf", bodyBytes)
 	testutil.WaitUntil(t, "a buffered body", func() bool { s := status(); return s.Bodies["requests"].Used == bodyBytes && s.Clients.Open == 1 })
 	io.WriteString(c, strings.Repeat("x", bodyBytes-len("half")))
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"strings"
 	"testing"
@@ -114,15 +113,12 @@
 func TestHTTP10StreamIsResetAtExit(t *testing.T) {
 	addr, _ := startHTTPHost(t, sendFirstEvent)
 	g := startAppliance(t, singleRouteConfig("stream = true", addr))
-	c, err := net.Dial("tcp", strings.TrimPrefix(g.urls[0], "http://"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer c.Close()
+	c := dialURL(t, g.urls[0])
 	c.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 	io.WriteString(c, "GET / HTTP/1.0\r\nHost: a\r\n\r\n")
 	in := bufio.NewReader(c)
 	for line := ""; line != "data: 1\n"; {
+		var err error
 		if line, err = in.ReadString('\n'); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/gateway/upgrade_test.go
+++ b/internal/gateway/upgrade_test.go
@@ -17,39 +17,26 @@
 // A connection is upgraded where the route allows it, bytes pass both ways, the number of upgrades is
 // limited, and WebSocket clients get a close frame at a drain.
 func TestUpgradeForwardsBytesBothWays(t *testing.T) {
-	echo := testutil.Listen(t, "127.0.0.1:0", nil)
-	defer echo.Close()
-	go func() {
-		for {
-			c, err := echo.Accept()
-			if err != nil {
-				return
-			}
-			go func() {
-				defer c.Close()
-				in := bufio.NewReader(c)
-				r, err := http.ReadRequest(in)
-				if err != nil {
-					return
-				}
-				if !strings.EqualFold(r.Header.Get("Connection"), "upgrade") || r.Header.Get("Upgrade") != "websocket" {
-					io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno")
-					return
-				}
-				io.WriteString(c, "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: websocket\r\nSec-WebSocket-Accept: x\r\n\r\nhi")
-				io.Copy(c, in)
-			}()
+	echo := startRawHost(t, func(c net.Conn) {
+		in := bufio.NewReader(c)
+		r, err := http.ReadRequest(in)
+		if err != nil {
+			return
 		}
-	}()
-	g := startAppliance(t, baseConfig+poolConfig("p", "", echo.Addr().String())+
+		if !strings.EqualFold(r.Header.Get("Connection"), "upgrade") || r.Header.Get("Upgrade") != "websocket" {
+			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno")
+			return
+		}
+		io.WriteString(c, "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\n"+
+			"Upgrade: websocket\r\nSec-WebSocket-Accept: x\r\n\r\nhi")
+		io.Copy(c, in)
+	})
+	g := startAppliance(t, baseConfig+poolConfig("p", "", echo)+
 		routeConfig("ws", "path = \"/ws\"\npool = \"p\"\nclass = \"lookup\"\nupgrades = 2")+
 		routeConfig("plain", "pool = \"p\"\nclass = \"lookup\""))
 	open := func(path string) (net.Conn, *bufio.Reader, *http.Response) {
 		t.Helper()
-		c, err := net.Dial("tcp", strings.TrimPrefix(g.urls[0], "http://"))
-		if err != nil {
-			t.Fatal(err)
-		}
+		c := dialURL(t, g.urls[0])
 		c.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 		fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: a\r\nConnection: keep-alive, Upgrade\r\nUpgrade: websocket\r\nSec-WebSocket-Key: y\r\n\r\n", path)
 		in := bufio.NewReader(c)
--- a/internal/gateway/upload_test.go
+++ b/internal/gateway/upload_test.go
@@ -84,14 +84,7 @@
 			}
 		}
 	}
-	testutil.WaitUntil(t, "no buffered body", func() bool {
-		for c := range 3 {
-			if used, _ := g.gate.Bodies.Used(bodyCause(c)); used != 0 {
-				return false
-			}
-		}
-		return true
-	})
+	testutil.WaitUntil(t, "no buffered body", func() bool { return g.maxBufferedBytes() == 0 })
 	if resp, _ := fetch(t, "POST", g.urls[0]+"/", "x"); resp.StatusCode != 200 {
 		t.Errorf("short upload: status %d, want 200", resp.StatusCode)
 	}
@@ -120,11 +113,7 @@
 	a, _ := startHTTPHost(t, handle)
 	b, _ := startHTTPHost(t, handle)
 	g := startAppliance(t, singleRouteConfig("", a, b))
-	c, err := net.Dial("tcp", strings.TrimPrefix(g.urls[0], "http://"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer c.Close()
+	c := dialURL(t, g.urls[0])
 	c.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 	fmt.Fprintf(c, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n", uploadBytes)
 	sent := make(chan int64, 1)
@@ -227,35 +216,21 @@
 func TestEarlyResponseReachesClientDuringUpload(t *testing.T) {
 	for _, reads := range []bool{false, true} {
 		var requests atomic.Int64
-		host := testutil.Listen(t, "127.0.0.1:0", nil)
-		defer host.Close()
-		go func() {
-			for {
-				c, err := host.Accept()
-				if err != nil {
-					return
-				}
-				go func() {
-					defer c.Close()
-					in := bufio.NewReader(c)
-					if _, err := http.ReadRequest(in); err != nil {
-						return
-					}
-					requests.Add(1)
-					io.WriteString(c, "HTTP/1.1 413 Too Much\r\nContent-Length: 5\r\nX-A: b\r\n\r\nno, n")
-					if reads {
-						io.Copy(io.Discard, in)
-					} else {
-						time.Sleep(testutil.WaitTimeout / 20)
-					}
-				}()
+		host := startRawHost(t, func(c net.Conn) {
+			in := bufio.NewReader(c)
+			if _, err := http.ReadRequest(in); err != nil {
+				return
 			}
-		}()
-		g := startAppliance(t, singleRouteConfig("", host.Addr().String()))
-		c, err := net.Dial("tcp", strings.TrimPrefix(g.urls[0], "http://"))
-		if err != nil {
-			t.Fatal(err)
-		}
+			requests.Add(1)
+			io.WriteString(c, "HTTP/1.1 413 Too Much\r\nContent-Length: 5\r\nX-A: b\r\n\r\nno, n")
+			if reads {
+				io.Copy(io.Discard, in)
+			} else {
+				time.Sleep(testutil.WaitTimeout / 20)
+			}
+		})
+		g := startAppliance(t, singleRouteConfig("", host))
+		c := dialURL(t, g.urls[0])
 		c.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 		fmt.Fprintf(c, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n", 30<<20)
 		go io.Copy(c, randomBytes(1, 20<<20))
@@ -411,10 +386,7 @@
 		"no host":                        "POST / HTTP/1.1\r\nContent-Length: 1\r\n\r\nb",
 		"two hosts":                      post + "Host: b\r\nContent-Length: 1\r\n\r\nb",
 	} {
-		c, err := net.Dial("tcp", strings.TrimPrefix(g.urls[0], "http://"))
-		if err != nil {
-			t.Fatal(err)
-		}
+		c := dialURL(t, g.urls[0])
 		c.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 		io.WriteString(c, text)
 		c.(*net.TCPConn).CloseWrite()
