--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -115,70 +115,108 @@
 // with a tight latency objective and five times the weight. It returns by class how many requests came
 // and how many were served in time in the last ten seconds.
 func playOverload(t *testing.T, seed int64) (requested, served [2]int) {
+	p := newOverloadPlay(t, seed)
+	for step := range 12_000 {
+		p.counting = step > 2000
+		p.endJobs()
+		p.sendRequests()
+	}
+	return p.requested, p.served
+}
+
+// overloadPlay is a fleet of gateways over hosts that each serve one request at a time.
+type overloadPlay struct {
+	random   *rand.Rand
+	settings Settings
+	fleet    *gatewayFleet
+	jobs     [][]overloadJob // by host, in order
+	class    map[*testGateway]map[RequestID]int
+
+	counting          bool
+	requested, served [2]int // by class, while counting
+}
+
+// overloadJob is an attempt at a host, with the time at which it ends there.
+type overloadJob struct {
+	gateway   *testGateway
+	id        RequestID
+	class     int
+	sent, end Time
+}
+
+func newOverloadPlay(t *testing.T, seed int64) *overloadPlay {
 	const gatewayCount, hostCount = 20, 15
 	settings := testSettings()
-	settings.Step, settings.Instances = ms, gatewayCount
+	settings.Step = ms
+	settings.Instances = gatewayCount
 	settings.Classes = []Class{
 		{LatencyObjective: 380 * ms, Deadline: 1340 * ms, PriorityWeight: 1},
 		{LatencyObjective: 130 * ms, Deadline: 400 * ms, PriorityWeight: 5, Idempotency: NonIdempotent},
 	}
-	r := rand.New(rand.NewSource(seed))
-	f := newGatewayFleet(t, settings, gatewayCount, testHosts(hostCount))
-	type job struct {
-		gate      *testGateway
-		id        RequestID
-		class     int
-		sent, end Time
+	p := &overloadPlay{
+		random:   rand.New(rand.NewSource(seed)),
+		settings: settings,
+		fleet:    newGatewayFleet(t, settings, gatewayCount, testHosts(hostCount)),
+		jobs:     make([][]overloadJob, hostCount+1),
+		class:    map[*testGateway]map[RequestID]int{},
 	}
-	jobs := make([][]job, hostCount+1) // by host; each serves one at a time, in order
-	class := map[*testGateway]map[RequestID]int{}
-	startJobs := func(g *testGateway, actions []Action) {
-		for _, a := range actions {
-			if a.Kind == Send {
-				queue := jobs[a.Host]
-				from := g.now
-				if len(queue) > 0 {
-					from = max(from, queue[len(queue)-1].end)
-				}
-				took := Time(float64(30*ms) * r.ExpFloat64())
-				jobs[a.Host] = append(queue, job{g, a.Request, class[g][a.Request], g.now, from + took})
-			}
-		}
+	for _, g := range p.fleet.gateways {
+		p.class[g] = map[RequestID]int{}
 	}
-	for _, g := range f.gateways {
-		class[g] = map[RequestID]int{}
+	return p
+}
+
+// startJobs queues the attempts among the actions at their hosts, with a mean of 30 ms of work.
+func (p *overloadPlay) startJobs(g *testGateway, actions []Action) {
+	for _, a := range actions {
+		if a.Kind != Send {
+			continue
+		}
+		queue := p.jobs[a.Host]
+		start := g.now
+		if len(queue) > 0 {
+			start = max(start, queue[len(queue)-1].end)
+		}
+		work := Time(float64(30*ms) * p.random.ExpFloat64())
+		p.jobs[a.Host] = append(queue, overloadJob{g, a.Request, p.class[g][a.Request], g.now, start + work})
 	}
-	for step := range 12_000 {
-		counts := step > 2000
-		for h := range jobs {
-			for len(jobs[h]) > 0 && jobs[h][0].end <= f.gateways[0].now {
-				j := jobs[h][0]
-				jobs[h] = jobs[h][1:]
-				if counts && j.gate.now-j.sent <= settings.Classes[j.class].LatencyObjective {
-					served[j.class]++
-				}
-				j.gate.attemptEnded(j.id, 0, OK, j.gate.now-j.sent)
-				startJobs(j.gate, j.gate.actions)
+}
+
+// endJobs ends the jobs that are due.
+func (p *overloadPlay) endJobs() {
+	now := p.fleet.gateways[0].now
+	for host := range p.jobs {
+		for len(p.jobs[host]) > 0 && p.jobs[host][0].end <= now {
+			j := p.jobs[host][0]
+			p.jobs[host] = p.jobs[host][1:]
+			took := j.gateway.now - j.sent
+			if p.counting && took <= p.settings.Classes[j.class].LatencyObjective {
+				p.served[j.class]++
 			}
+			j.gateway.attemptEnded(j.id, 0, OK, took)
+			p.startJobs(j.gateway, j.gateway.actions)
 		}
-		for _, g := range f.gateways {
-			startJobs(g, g.advance(ms))
-			if r.Float64() >= 0.05 {
-				continue
-			}
-			c := 0
-			if r.Intn(3) == 0 {
-				c = 1
-			}
-			if counts {
-				requested[c]++
-			}
-			class[g][g.next+1] = c
-			g.request(c, settings.Classes[c].Deadline)
-			startJobs(g, g.actions)
+	}
+}
+
+// sendRequests moves the clocks by a millisecond and sends 0.05 requests a millisecond and gateway.
+func (p *overloadPlay) sendRequests() {
+	for _, g := range p.fleet.gateways {
+		p.startJobs(g, g.advance(ms))
+		if p.random.Float64() >= 0.05 {
+			continue
+		}
+		class := 0
+		if p.random.Intn(3) == 0 {
+			class = 1
+		}
+		if p.counting {
+			p.requested[class]++
 		}
+		p.class[g][g.next+1] = class
+		g.request(class, p.settings.Classes[class].Deadline)
+		p.startJobs(g, g.actions)
 	}
-	return requested, served
 }
 
 // Requests of low weight leave capacity to those of high weight, which would otherwise be rejected
--- a/balancer/silence_test.go
+++ b/balancer/silence_test.go
@@ -112,86 +112,129 @@
 // playSilentConnections plays eight seconds of that load with a random seed, and returns how many
 // requests came and how many of them were rejected or failed.
 func playSilentConnections(t *testing.T, seed int64) (requested, rejected int) {
+	p := newSilentConnectionsPlay(t, seed)
+	for range 8000 {
+		p.serveOneMillisecond()
+		p.sendRequests()
+	}
+	return p.requested, p.rejected
+}
+
+// silentConnectionsPlay is two gateways over ten hosts, some of whose connections are silent.
+type silentConnectionsPlay struct {
+	random   *rand.Rand
+	gateways [2]*testGateway
+	jobs     []*silentConnectionsJob
+	work     map[RequestID]float64  // of a request, in ms of a core
+	attempts map[gatewayRequest]int // sent so far
+
+	requested, rejected int
+}
+
+// gatewayRequest is a request of a gateway.
+type gatewayRequest struct {
+	gateway int
+	id      RequestID
+}
+
+// silentConnectionsJob is an attempt at a host.
+type silentConnectionsJob struct {
+	request gatewayRequest
+	attempt int
+	host    HostID
+	left    float64 // work in ms of a core; infinite on a silent connection
+	sent    Time
+}
+
+func newSilentConnectionsPlay(t *testing.T, seed int64) *silentConnectionsPlay {
 	settings := testSettings()
-	settings.Instances, settings.Step = 2, ms
+	settings.Instances = 2
+	settings.Step = ms
 	settings.Classes = []Class{
 		{LatencyObjective: 380 * ms, Deadline: 1340 * ms, PriorityWeight: 1},
 		{LatencyObjective: 130 * ms, Deadline: 400 * ms, PriorityWeight: 5, Idempotency: NonIdempotent},
 	}
-	type job struct {
-		gw   int
-		id   RequestID
-		n    int
-		host HostID
-		left float64 // work in ms
-		sent Time
-	}
-	r := rand.New(rand.NewSource(seed))
-	var gws [2]*testGateway
-	for i := range gws {
+	p := &silentConnectionsPlay{
+		random: rand.New(rand.NewSource(seed)), work: map[RequestID]float64{}, attempts: map[gatewayRequest]int{},
+	}
+	for i := range p.gateways {
 		settings.Rank = i
-		gws[i] = newTestGateway(t, settings, testHosts(10)...)
-	}
-	const warm = 1000 // ms
-	var jobs []*job
-	work := map[RequestID]float64{}
-	sends := map[[2]RequestID]int{}
-	var handle func(gw int, actions []Action)
-	handle = func(gw int, actions []Action) {
-		for _, a := range slices.Clone(actions) {
-			switch a.Kind {
-			case Send:
-				key := [2]RequestID{RequestID(gw), a.Request}
-				j := &job{gw, a.Request, sends[key], a.Host, work[a.Request], gws[gw].now}
-				if gws[gw].now > time.Hour+warm*ms && r.Float64() < 0.04 {
-					j.left = math.Inf(1)
-				}
-				jobs = append(jobs, j)
-				sends[key]++
-			case Cancel:
-				for i, j := range jobs {
-					if j.gw == gw && j.id == a.Request && j.n == a.Attempt {
-						jobs = slices.Delete(jobs, i, i+1)
-						gws[gw].attemptEnded(j.id, j.n, Canceled, gws[gw].now-j.sent)
-						handle(gw, gws[gw].actions)
-						break
-					}
-				}
-			case Reject, Fail:
-				rejected++
-			}
-		}
+		p.gateways[i] = newTestGateway(t, settings, testHosts(10)...)
 	}
+	return p
+}
+
+// serveOneMillisecond lets each host work for a millisecond, divided among its jobs.
+func (p *silentConnectionsPlay) serveOneMillisecond() {
 	speed := [...]float64{0.8, 1.2, 2}
-	for range 8000 {
-		busy := map[HostID]float64{}
-		for _, j := range jobs {
-			if !math.IsInf(j.left, 1) {
-				busy[j.host]++
-			}
+	busy := map[HostID]float64{}
+	for _, j := range p.jobs {
+		if !math.IsInf(j.left, 1) {
+			busy[j.host]++
 		}
-		for _, j := range slices.Clone(jobs) {
-			if math.IsInf(j.left, 1) || !slices.Contains(jobs, j) {
-				continue
-			}
-			if j.left -= speed[j.host%3] / busy[j.host]; j.left > 0 {
-				continue
-			}
-			jobs = slices.Delete(jobs, slices.Index(jobs, j), slices.Index(jobs, j)+1)
-			gws[j.gw].attemptEnded(j.id, j.n, OK, gws[j.gw].now-j.sent)
-			handle(j.gw, gws[j.gw].actions)
+	}
+	for _, j := range slices.Clone(p.jobs) {
+		if math.IsInf(j.left, 1) || !slices.Contains(p.jobs, j) {
+			continue
+		}
+		j.left -= speed[j.host%3] / busy[j.host]
+		if j.left <= 0 {
+			p.end(j, OK)
+		}
+	}
+}
+
+// sendRequests moves the clocks by a millisecond and sends 0.35 requests a millisecond and gateway.
+func (p *silentConnectionsPlay) sendRequests() {
+	for i, g := range p.gateways {
+		p.carryOut(i, g.advance(ms))
+		if p.random.Float64() >= 0.35 {
+			continue
 		}
-		for i, g := range gws {
-			handle(i, g.advance(ms))
-			if r.Float64() >= 0.35 { // of each instance
-				continue
+		class := p.random.Intn(2)
+		p.work[g.next+1] = p.random.ExpFloat64() * 10
+		p.requested++
+		g.request(class, time.Second)
+		p.carryOut(i, g.actions)
+	}
+}
+
+// carryOut carries out the actions of a gateway.
+func (p *silentConnectionsPlay) carryOut(gateway int, actions []Action) {
+	for _, a := range slices.Clone(actions) {
+		request := gatewayRequest{gateway, a.Request}
+		switch a.Kind {
+		case Send:
+			p.send(request, a.Host)
+		case Cancel:
+			for _, j := range p.jobs {
+				if j.request == request && j.attempt == a.Attempt {
+					p.end(j, Canceled)
+					break
+				}
 			}
-			class := r.Intn(2)
-			work[g.next+1] = r.ExpFloat64() * 10
-			requested++
-			g.request(class, time.Second)
-			handle(i, g.actions)
+		case Reject, Fail:
+			p.rejected++
 		}
 	}
-	return requested, rejected
+}
+
+// send starts a job. From the second second on, one connection in 25 is silent.
+func (p *silentConnectionsPlay) send(request gatewayRequest, host HostID) {
+	now := p.gateways[request.gateway].now
+	j := &silentConnectionsJob{request: request, attempt: p.attempts[request], host: host, left: p.work[request.id], sent: now}
+	if now > time.Hour+time.Second && p.random.Float64() < 0.04 {
+		j.left = math.Inf(1)
+	}
+	p.jobs = append(p.jobs, j)
+	p.attempts[request]++
+}
+
+// end ends a job with the result and carries out what follows.
+func (p *silentConnectionsPlay) end(j *silentConnectionsJob, result Result) {
+	i := slices.Index(p.jobs, j)
+	p.jobs = slices.Delete(p.jobs, i, i+1)
+	g := p.gateways[j.request.gateway]
+	g.attemptEnded(j.request.id, j.attempt, result, g.now-j.sent)
+	p.carryOut(j.request.gateway, g.actions)
 }
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -148,54 +148,14 @@
 	const rate = 20 // requests a second of a gateway
 	list := testHosts(hostCount)
 	for i := range list {
-		list[i].Zone, list[i].Kind = i%3, 0
-	}
-	f := newGatewayFleet(t, settings, gatewayCount, list)
-	r := rand.New(rand.NewSource(9))
-	type answer struct {
-		g    *testGateway
-		id   RequestID
-		n    int
-		h    HostID
-		sent Time
-	}
-	var out []answer
-	sends := map[HostID][]Time{}
-	noteSends := func(g *testGateway, actions []Action) {
-		for _, a := range actions {
-			if a.Kind == Send {
-				out = append(out, answer{g, a.Request, 0, a.Host, g.now})
-				sends[a.Host] = append(sends[a.Host], g.now)
-			}
-		}
+		list[i].Zone = i % 3
+		list[i].Kind = 0
 	}
-	play := func(d time.Duration) {
-		const step = 10 * ms
-		for ; d > 0; d -= step {
-			late := out[:0:0]
-			for _, a := range out {
-				if a.g.now-a.sent < 20*ms {
-					late = append(late, a)
-				}
-			}
-			done := out
-			out = late
-			for _, a := range done {
-				if a.g.now-a.sent >= 20*ms {
-					a.g.attemptEnded(a.id, a.n, OK, 20*ms)
-					noteSends(a.g, a.g.actions)
-				}
-			}
-			for _, g := range f.gateways {
-				noteSends(g, g.advance(step))
-				if r.Float64() < rate*step.Seconds() {
-					g.request(0, time.Second)
-					noteSends(g, g.actions)
-				}
-			}
-		}
+	p := &fleetPlay{
+		random: rand.New(rand.NewSource(9)), fleet: newGatewayFleet(t, settings, gatewayCount, list),
+		rate: rate, rtt: 20 * ms, sends: map[HostID][]Time{},
 	}
-	play(5 * time.Second)
+	p.play(5 * time.Second)
 	var removed, returned []Host
 	for _, h := range list {
 		if h.Zone == 0 {
@@ -203,38 +163,108 @@
 			removed = append(removed, h)
 		}
 	}
-	f.updateEndpoints(removed...)
-	play(3 * time.Second)
-	began := f.gateways[0].now
+	p.fleet.updateEndpoints(removed...)
+	p.play(3 * time.Second)
+	started := p.fleet.gateways[0].now
 	for _, h := range removed {
-		h.State, h.Started = Ready, began
+		h.State = Ready
+		h.Started = started
 		returned = append(returned, h)
 	}
-	f.updateEndpoints(returned...)
-	clear(sends)
-	play(settings.SlowStartWindow)
+	p.fleet.updateEndpoints(returned...)
+	clear(p.sends)
+	p.play(settings.SlowStartWindow)
 	capacity := float64(gatewayCount*rate) / (hostCount - lostHosts) // least rate of a warm host meanwhile
 	used, budget := 0.0, 0.0
 	for _, h := range returned {
-		times := sends[h.ID]
-		for i := range times {
-			k := i
-			for k < len(times) && times[k] < times[i]+settings.OverloadWindow {
-				k++
-			}
-			share := settings.SlowStartShare + (1-settings.SlowStartShare)*float64(times[i]-began)/float64(settings.SlowStartWindow)
-			if most := capacity * share * settings.OverloadFactor * settings.OverloadWindow.Seconds(); float64(k-i) > most {
-				t.Fatalf("host %d: %d requests sent within an overload window, %v after its start, want at most %.0f",
-					h.ID, k-i, times[i]-began, most)
-			}
-		}
+		times := p.sends[h.ID]
+		checkSlowStartBudget(t, settings, h, times, capacity)
 		if len(times) == 0 {
 			t.Errorf("host %d received nothing while warming, want some requests", h.ID)
 		}
 		used += float64(len(times))
 		budget += capacity * (1 + settings.SlowStartShare) / 2 * settings.OverloadFactor * settings.SlowStartWindow.Seconds()
 	}
-	if t.Logf("%.0f requests sent to warming hosts of a budget of %.0f", used, budget); used < 0.15*budget {
+	t.Logf("%.0f requests sent to warming hosts of a budget of %.0f", used, budget)
+	if used < 0.15*budget {
 		t.Errorf("%.0f requests sent to warming hosts of a budget of %.0f, want 15%% or more", used, budget)
 	}
 }
+
+// checkSlowStartBudget compares the requests sent to a warming host in each overload window with its
+// budget, for a capacity in requests a second.
+func checkSlowStartBudget(t *testing.T, settings Settings, h Host, sends []Time, capacity float64) {
+	t.Helper()
+	for first, at := range sends {
+		end := first
+		for end < len(sends) && sends[end] < at+settings.OverloadWindow {
+			end++
+		}
+		age := at - h.Started
+		share := settings.SlowStartShare + (1-settings.SlowStartShare)*float64(age)/float64(settings.SlowStartWindow)
+		most := capacity * share * settings.OverloadFactor * settings.OverloadWindow.Seconds()
+		if float64(end-first) > most {
+			t.Fatalf("host %d: %d requests sent within an overload window, %v after its start, want at most %.0f",
+				h.ID, end-first, age, most)
+		}
+	}
+}
+
+// fleetPlay sends requests through a fleet, each answered after the same time, and notes when each
+// host was sent one.
+type fleetPlay struct {
+	random   *rand.Rand
+	fleet    *gatewayFleet
+	rate     float64 // requests a second of a gateway
+	rtt      time.Duration
+	inFlight []fleetAttempt
+	sends    map[HostID][]Time
+}
+
+// fleetAttempt is an attempt in flight.
+type fleetAttempt struct {
+	gateway *testGateway
+	id      RequestID
+	sent    Time
+}
+
+// play lets the time pass.
+func (p *fleetPlay) play(d time.Duration) {
+	const step = 10 * ms
+	for ; d > 0; d -= step {
+		p.endAttempts()
+		for _, g := range p.fleet.gateways {
+			p.noteSends(g, g.advance(step))
+			if p.random.Float64() < p.rate*step.Seconds() {
+				g.request(0, time.Second)
+				p.noteSends(g, g.actions)
+			}
+		}
+	}
+}
+
+// endAttempts ends the attempts whose time has passed.
+func (p *fleetPlay) endAttempts() {
+	var due, remaining []fleetAttempt
+	for _, a := range p.inFlight {
+		if a.gateway.now-a.sent < p.rtt {
+			remaining = append(remaining, a)
+		} else {
+			due = append(due, a)
+		}
+	}
+	p.inFlight = remaining
+	for _, a := range due {
+		a.gateway.attemptEnded(a.id, 0, OK, p.rtt)
+		p.noteSends(a.gateway, a.gateway.actions)
+	}
+}
+
+func (p *fleetPlay) noteSends(g *testGateway, actions []Action) {
+	for _, a := range actions {
+		if a.Kind == Send {
+			p.inFlight = append(p.inFlight, fleetAttempt{g, a.Request, g.now})
+			p.sends[a.Host] = append(p.sends[a.Host], g.now)
+		}
+	}
+}
