--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -50,7 +50,8 @@
 		}
 		g.updateEndpoints(kind, append([]Host{{ID: 2, State: Draining}}, testHosts(3)...)...)
 		if len(g.b.hosts) != 3 || [2]int{g.b.ring.warm, g.b.ring.warming} != [2]int{3, 0} {
-			t.Errorf("list of kind %d: %d hosts, %v ready; want 3 and [3 0]", kind, len(g.b.hosts), [2]int{g.b.ring.warm, g.b.ring.warming})
+			t.Errorf("list of kind %d: %d hosts, %v ready; want 3 and [3 0]",
+				kind, len(g.b.hosts), [2]int{g.b.ring.warm, g.b.ring.warming})
 		}
 	}
 }
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// A invalid response comes from a host that works: it adds a penalty only from the second in a row on,
+// An invalid response comes from a host that works: it adds a penalty only from the second in a row on,
 // and ejects nothing.
 func TestSecondInvalidResponseInARowAddsPenalty(t *testing.T) {
 	g := newTestGateway(t, testSettings(), testHosts(1)...)
