--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -1,128 +1,34 @@
-// Package body holds what messages carry behind their heads: a part that is in memory, and
-// behind it a flow of what is not, read once and as slowly as whoever takes it.
+// Package body holds the bodies of requests and responses. A body is buffered, which means all of it is in
+// memory, or streamed, which means that only its first part is in memory and the rest is read once, as fast as
+// the receiver takes it. The package also bounds the memory that bodies use and the time that a peer may take
+// to send or receive one. It reads no clock, except to wait in Pipe, and performs no I/O of its own.
 package body
 
-import (
-	"errors"
-	"net/http"
-	"sync"
-)
-
-// Body is what a request or an answer carries. The zero Body is empty. Whoever makes one
-// says how it is kept; those who pass it on ask only what they need.
+// Body is the body of a request or a response. The zero Body is empty.
 type Body struct {
-	held []byte
-	flow *Stream
+	buffered []byte
+	stream   *Stream
 }
 
-// NewBuffered is a Body that is in memory whole. It keeps the slice.
-func NewBuffered(b []byte) Body { return Body{held: b} }
+// NewBuffered returns a Body that is in memory as a whole. It keeps the slice.
+func NewBuffered(b []byte) Body { return Body{buffered: b} }
 
-// NewStreamed is a Body of which only the first part is in memory.
-func NewStreamed(held []byte, f *Stream) Body { return Body{held, f} }
+// NewStreamed returns a Body of which only the first part is in memory. The stream has what follows it.
+func NewStreamed(buffered []byte, stream *Stream) Body { return Body{buffered, stream} }
 
-// Buffered says whether all of it is in memory.
-func (b Body) Buffered() bool { return b.flow == nil }
+// Buffered reports whether the whole body is in memory.
+func (b Body) Buffered() bool { return b.stream == nil }
 
-// Bytes is the part that is in memory; it must not be changed.
-func (b Body) Bytes() []byte { return b.held }
+// Bytes returns the part that is in memory. It must not be changed.
+func (b Body) Bytes() []byte { return b.buffered }
 
-// Stream is what comes behind that part, nil for nothing.
-func (b Body) Stream() *Stream { return b.flow }
+// Stream returns what follows the part in memory, or nil if nothing does.
+func (b Body) Stream() *Stream { return b.stream }
 
-// Len is the number of bytes in all, -1 where that is not known.
+// Len returns the length of the whole body in bytes, or -1 if it is unknown.
 func (b Body) Len() int64 {
-	if b.flow != nil {
-		return b.flow.length
-	}
-	return int64(len(b.held))
-}
-
-// Source is where a flow comes from. Its methods are called one at a time, but for Close,
-// which ends a Read that waits.
-type Source interface {
-	// Read is io.Reader's. It says io.EOF only behind the last byte of a body that came whole.
-	Read(p []byte) (int, error)
-	// Trailer is what came behind the last byte, once Read has said io.EOF.
-	Trailer() http.Header
-	// Close gives back what the source holds. whole says that Read has said io.EOF.
-	Close(whole bool)
-}
-
-// ErrConsumed says that a flow has been begun by another, or has ended.
-var ErrConsumed = errors.New("body: what flows is read once")
-
-// Stream is the part of a body that is not in memory. It is taken once: what has been let go
-// does not come again.
-type Stream struct {
-	source Source
-	length int64
-
-	mu     sync.Mutex
-	begin  func() // called once, before the first byte is read
-	taken  bool
-	closed bool
-	eof    bool
-	err    error // that reading ended with, but for io.EOF
-}
-
-// NewStream returns a flow of a body of a length in all, -1 where that is not known.
-func NewStream(source Source, length int64) *Stream { return &Stream{source: source, length: length} }
-
-// OnConsume has f called before the first byte is let go. It is set before the flow is passed on.
-func (f *Stream) OnConsume(begin func()) { f.begin = begin }
-
-// Consume makes the caller the one who reads the flow. Whoever comes second gets ErrTaken.
-func (f *Stream) Consume() error {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.taken || f.closed {
-		return ErrConsumed
-	}
-	f.taken = true
-	if f.begin != nil {
-		f.begin()
-	}
-	return nil
-}
-
-// Consumed says whether the flow has been begun: from then on nothing can be sent again.
-func (f *Stream) Consumed() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.taken
-}
-
-// Read reads on. Only who has taken the flow calls it.
-func (f *Stream) Read(p []byte) (int, error) {
-	n, err := f.source.Read(p)
-	if err != nil {
-		f.mu.Lock()
-		f.eof, f.err = isEOF(err), err
-		f.mu.Unlock()
-	}
-	return n, err
-}
-
-// Err is what reading ended with: nil while it goes on, io.EOF if the body came whole.
-func (f *Stream) Err() error {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.err
-}
-
-// Trailer is what came behind the last byte.
-func (f *Stream) Trailer() http.Header { return f.source.Trailer() }
-
-// Close ends the flow; a Read that waits ends with an error. Further calls do nothing.
-func (f *Stream) Close() {
-	f.mu.Lock()
-	if f.closed {
-		f.mu.Unlock()
-		return
+	if b.stream != nil {
+		return b.stream.length
 	}
-	f.closed = true
-	whole := f.eof
-	f.mu.Unlock()
-	f.source.Close(whole)
+	return int64(len(b.buffered))
 }
--- /dev/null
+++ b/internal/body/budget_test.go
@@ -0,0 +1,54 @@
+package body
+
+import "testing"
+
+// Each purpose has its own limit, all that is reserved can be released, and buffers become small near the limit.
+func TestBudgetLimitsEachPurpose(t *testing.T) {
+	b := NewBudget(1 << 20)
+	_, limit := b.Used(RequestBodies)
+	if limit != 1<<17 {
+		t.Errorf("limit of requests: got %d bytes, want %d", limit, 1<<17)
+	}
+	if !b.Reserve(RequestBodies, limit) {
+		t.Error("the whole limit can't be reserved")
+	}
+	if b.Reserve(RequestBodies, 1) {
+		t.Error("a byte beyond the limit is reserved")
+	}
+	if !b.Reserve(ResponseBodies, 1<<18) {
+		t.Error("the limit of responses can't be reserved while that of requests is used up")
+	}
+	if b.Reserve(ResponseBodies, 1) {
+		t.Error("a byte beyond the limit of responses is reserved")
+	}
+	b.Release(RequestBodies, limit)
+	if b.NearLimit(RequestBodies) || !b.NearLimit(ResponseBodies) {
+		t.Errorf("near the limit: requests %t, responses %t, want false and true", b.NearLimit(RequestBodies), b.NearLimit(ResponseBodies))
+	}
+}
+
+func TestBudgetBuffersAreSmallNearTheLimit(t *testing.T) {
+	b := NewBudget(1 << 20)
+	b.Reserve(ResponseBodies, 1<<18)
+	var buffers []*[]byte
+	sizes := map[int]int{}
+	for buf := b.AcquireBuffer(); buf != nil; buf = b.AcquireBuffer() {
+		sizes[len(*buf)]++
+		buffers = append(buffers, buf)
+	}
+	used, limit := b.Used(StreamBuffers)
+	if used > limit || sizes[largeBufferSize] != 2 || sizes[smallBufferSize] != 0 {
+		t.Errorf("%d of %d bytes, buffers by size %v, want 2 large ones within the limit", used, limit, sizes)
+	}
+	for _, buf := range buffers {
+		b.ReleaseBuffer(buf)
+	}
+	for _, p := range Purposes() {
+		if used, _ := b.Used(p); p != ResponseBodies && used != 0 {
+			t.Errorf("%v: %d bytes are still reserved, want 0", p, used)
+		}
+	}
+	if used, _ := b.Used(ResponseBodies); used != 1<<18 {
+		t.Errorf("responses: %d bytes are reserved, want %d", used, 1<<18)
+	}
+}
--- a/internal/body/pace.go
+++ b/internal/body/pace.go
@@ -2,68 +2,72 @@
 
 import (
 	"errors"
-	"io"
 	"time"
 )
 
-func isEOF(err error) bool { return err == io.EOF }
-
-// Pace says how slow a peer may be. Only the time in which it is waited for counts: a reader
-// that is slow makes nobody else too slow.
+// Pace is how slowly a peer may send or receive a body. Only the time that is spent waiting for this peer counts.
 type Pace struct {
 	IdleTimeout time.Duration // without a byte
-	MinRate     int64         // bytes a second, over paceWindow; 0: any
+	MinRate     int64         // bytes a second, over paceWindow; 0: any rate will do
 }
 
-// paceWindow is the time waited for a peer over which its rate counts: long enough for a
-// retransmission or two, and a link that was lost for a moment.
+// paceWindow is how much waiting a peer's rate is measured over. It is long enough for a few retransmissions.
 const paceWindow = 10 * time.Second
 
-// ErrTooSlow says that a peer is slower than its pace.
-var ErrTooSlow = errors.New("body: the peer is too slow")
+// minTimeout is the shortest timeout of an operation.
+const minTimeout = time.Millisecond
+
+// ErrTooSlow is returned when a peer stays below the minimum rate of its pace.
+var ErrTooSlow = errors.New("body: peer is below the minimum rate")
 
-// Meter holds a peer to its pace. It reads no clock.
+// Meter checks that a peer keeps its pace. It reads no clock.
 type Meter struct {
 	Pace
 	waited time.Duration // in this window
-	moved  int64
+	bytes  int64         // in this window
 }
 
-// Timeout is how long the next operation may take.
+// Timeout returns how long the next read or write may take.
 func (m *Meter) Timeout() time.Duration {
 	if m.MinRate == 0 {
 		return m.IdleTimeout
 	}
-	return min(m.IdleTimeout, max(paceWindow-m.waited, time.Millisecond))
+	return min(m.IdleTimeout, max(paceWindow-m.waited, minTimeout))
 }
 
-// Record enters that n bytes took so long, and says whether the peer keeps its pace.
+// Record counts n bytes that took a time to read or write. It returns ErrTooSlow if the peer was too slow in the
+// window that ends with them.
 func (m *Meter) Record(n int, took time.Duration) error {
 	m.waited += took
-	m.moved += int64(n)
+	m.bytes += int64(n)
 	if m.waited < paceWindow {
 		return nil
 	}
-	slow := float64(m.moved) < float64(m.MinRate)*m.waited.Seconds()
-	m.waited, m.moved = 0, 0
-	if slow {
+	tooSlow := float64(m.bytes) < float64(m.MinRate)*m.waited.Seconds()
+	m.waited = 0
+	m.bytes = 0
+	if tooSlow {
 		return ErrTooSlow
 	}
 	return nil
 }
 
-// LazyDeadline keeps a deadline that need not be exact: it is set anew only when a quarter of its
-// time has passed, as setting one costs about as much as moving a kilobyte.
+// LazyDeadline sets the deadline of a connection for many short operations in turn. It sets a deadline that is up to
+// a quarter later than asked for and keeps it while it is right within that, since a call to set one costs about as
+// much as a kilobyte of data.
 type LazyDeadline struct {
-	SetDeadline func(at time.Time) error
-	at          time.Time
+	SetDeadline func(t time.Time) error
+	deadline    time.Time
 }
 
-// Reset has the deadline between wait and 5/4 of it from now.
-func (a *LazyDeadline) Reset(now time.Time, wait time.Duration) {
-	if a.at.Sub(now) >= wait && a.at.Sub(now) <= wait+wait/4 {
+// Reset makes the deadline pass between timeout and 5/4 of timeout from now. An error of SetDeadline is left to the
+// next operation, since it means that the connection is closed.
+func (d *LazyDeadline) Reset(now time.Time, timeout time.Duration) {
+	slack := timeout / 4
+	left := d.deadline.Sub(now)
+	if timeout <= left && left <= timeout+slack {
 		return
 	}
-	a.at = now.Add(wait + wait/4)
-	a.SetDeadline(a.at) // it fails only where the connection has ended, which the next use says
+	d.deadline = now.Add(timeout + slack)
+	d.SetDeadline(d.deadline)
 }
--- a/internal/body/pipe.go
+++ b/internal/body/pipe.go
@@ -7,133 +7,157 @@
 	"time"
 )
 
-// Pipe carries a flow from one goroutine to another through memory of a bounded size. It is for
-// protocols that carry several flows on one connection: who reads the connection must not wait
-// for one of them for long.
+// ErrPipeFull is returned by Pipe.Write when the reader has not made room in time.
+var ErrPipeFull = errors.New("body: pipe is full")
+
+// Pipe passes a stream from one goroutine to another through memory of a bounded size. It is for protocols that
+// multiplex streams on one connection, where the reader of the connection must not wait long for one of them.
 type Pipe struct {
-	most int
+	capacity int // bytes
 
-	mu     sync.Mutex
-	buf    []byte // buf[at:] is to be read
-	at     int
-	end    error // what stands behind the last byte; nil: there may be more
-	closed bool  // nobody reads any more
+	mu         sync.Mutex // guards all to readClosed
+	buf        []byte
+	consumed   int   // bytes at the start of buf that have been read
+	err        error // what follows the last byte; nil: there may be more
+	readClosed bool
 
-	more, room chan struct{} // hold an item when something has changed
+	readable chan struct{} // has an item when data or an end has come since the last wait
+	writable chan struct{} // has an item when there is room since the last wait, or no reader any more
 }
 
-// ErrPipeFull says that a pipe's reader has not made room in time.
-var ErrPipeFull = errors.New("body: nobody takes what comes")
-
-// NewPipe returns a Pipe that holds so many bytes at most.
-func NewPipe(most int) *Pipe {
-	return &Pipe{most: most, more: make(chan struct{}, 1), room: make(chan struct{}, 1)}
+// NewPipe returns a Pipe that holds at most capacity bytes.
+func NewPipe(capacity int) *Pipe {
+	return &Pipe{capacity: capacity, readable: make(chan struct{}, 1), writable: make(chan struct{}, 1)}
 }
 
-func signal(c chan struct{}) {
+// notify puts an item into a channel with room for one, unless it has one.
+func notify(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
-	default: // nobody has seen the one before
+	default:
 	}
 }
 
-// Write puts in all of b and waits for room for so long in all. What has no room then is lost,
-// with ErrFull. What nobody reads any more is taken and dropped.
-func (p *Pipe) Write(b []byte, wait time.Duration) error {
+// Write writes all of b, and waits for room no longer than timeout in all. If there is none in time it discards the
+// rest of b and returns ErrPipeFull. After CloseRead or CloseWrite it discards b and returns nil.
+func (p *Pipe) Write(b []byte, timeout time.Duration) error {
 	var timer *time.Timer
 	for {
-		p.mu.Lock()
-		if p.closed || p.end != nil {
-			p.mu.Unlock()
+		n, closed := p.append(b)
+		if closed {
 			return nil
 		}
-		if p.at > 0 && len(p.buf)+len(b) > cap(p.buf) {
-			p.buf = p.buf[:copy(p.buf, p.buf[p.at:])]
-			p.at = 0
-		}
-		n := min(len(b), p.most-(len(p.buf)-p.at))
-		p.buf = append(p.buf, b[:n]...)
 		b = b[n:]
-		p.mu.Unlock()
 		if n > 0 {
-			signal(p.more)
+			notify(p.readable)
 		}
 		if len(b) == 0 {
 			return nil
 		}
 		if timer == nil {
-			timer = time.NewTimer(wait)
+			timer = time.NewTimer(timeout)
 			defer timer.Stop()
 		}
 		select {
-		case <-p.room:
+		case <-p.writable:
 		case <-timer.C:
 			return ErrPipeFull
 		}
 	}
 }
 
-// CloseWrite ends the flow behind what is in it: io.EOF where it is whole, or why it is not. Only the
-// first call counts.
+// append appends as much of b as there is room for and returns how much that is, or that the pipe is closed.
+func (p *Pipe) append(b []byte) (n int, closed bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.readClosed || p.err != nil {
+		return 0, true
+	}
+	if p.consumed > 0 && len(p.buf)+len(b) > cap(p.buf) {
+		unread := copy(p.buf, p.buf[p.consumed:])
+		p.buf = p.buf[:unread]
+		p.consumed = 0
+	}
+	n = min(len(b), p.capacity-(len(p.buf)-p.consumed))
+	p.buf = append(p.buf, b[:n]...)
+	return n, false
+}
+
+// CloseWrite ends the stream after the bytes in the pipe, with io.EOF if it is complete and else with the reason why
+// not. Only the first call counts.
 func (p *Pipe) CloseWrite(err error) {
 	p.mu.Lock()
-	if p.end == nil {
-		p.end = err
+	if p.err == nil {
+		p.err = err
 	}
 	p.mu.Unlock()
-	signal(p.more)
-	signal(p.room)
+	notify(p.readable)
+	notify(p.writable)
 }
 
-// Read takes what is there, or waits for so long; 0: not at all. os.ErrDeadlineExceeded says that
-// nothing has come.
-func (p *Pipe) Read(b []byte, wait time.Duration) (int, error) {
+// Read reads up to len(b) bytes, and waits for the first no longer than timeout. It returns os.ErrDeadlineExceeded if
+// none has come in time, ErrConsumed after CloseRead, and the error of CloseWrite after the last byte.
+func (p *Pipe) Read(b []byte, timeout time.Duration) (int, error) {
 	var timer *time.Timer
 	for {
-		p.mu.Lock()
-		if n := copy(b, p.buf[p.at:]); n > 0 || len(b) == 0 {
-			if p.at += n; p.at == len(p.buf) {
-				p.buf, p.at = p.buf[:0], 0
-			}
-			p.mu.Unlock()
-			signal(p.room)
+		n, err := p.take(b)
+		if n > 0 || len(b) == 0 {
+			notify(p.writable)
 			return n, nil
 		}
-		end := p.end
-		if p.closed {
-			end = ErrConsumed
-		}
-		p.mu.Unlock()
-		if end != nil {
-			return 0, end
+		if err != nil {
+			return 0, err
 		}
-		if wait <= 0 {
+		if timeout <= 0 {
 			return 0, os.ErrDeadlineExceeded
 		}
 		if timer == nil {
-			timer = time.NewTimer(wait)
+			timer = time.NewTimer(timeout)
 			defer timer.Stop()
 		}
 		select {
-		case <-p.more:
+		case <-p.readable:
 		case <-timer.C:
 			return 0, os.ErrDeadlineExceeded
 		}
 	}
 }
 
-// CloseRead is called by the reader: what comes is dropped from now on, and a Read that waits ends.
+// take moves bytes from the pipe to b. If the pipe is empty it returns the error that the stream has ended with.
+func (p *Pipe) take(b []byte) (int, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	n := copy(b, p.buf[p.consumed:])
+	p.consumed += n
+	if p.consumed == len(p.buf) {
+		p.buf = p.buf[:0]
+		p.consumed = 0
+	}
+	switch {
+	case n > 0:
+		return n, nil
+	case p.readClosed:
+		return 0, ErrConsumed
+	default:
+		return 0, p.err
+	}
+}
+
+// CloseRead is called by the reader when it needs no more. A Read in progress ends, and further writes are
+// discarded.
 func (p *Pipe) CloseRead() {
 	p.mu.Lock()
-	p.closed, p.buf, p.at = true, nil, 0
+	p.readClosed = true
+	p.buf = nil
+	p.consumed = 0
 	p.mu.Unlock()
-	signal(p.more)
-	signal(p.room)
+	notify(p.readable)
+	notify(p.writable)
 }
 
-// Len is how many bytes wait to be read.
+// Len returns how many bytes wait to be read.
 func (p *Pipe) Len() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.buf) - p.at
+	return len(p.buf) - p.consumed
 }
--- a/internal/body/pipe_test.go
+++ b/internal/body/pipe_test.go
@@ -10,12 +10,13 @@
 	"time"
 )
 
-// What goes in comes out, in order, whatever the sizes, and no more is ever held than is allowed.
-func TestPipe(t *testing.T) {
+// Bytes are read in the order in which they were written, whatever the sizes of reads and writes, and the pipe never
+// holds more than its capacity.
+func TestPipeKeepsOrderWithinCapacity(t *testing.T) {
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 0))
-		most := 1 + rng.IntN(100)
-		p := NewPipe(most)
+		capacity := 1 + rng.IntN(100)
+		p := NewPipe(capacity)
 		want := make([]byte, 3000)
 		for i := range want {
 			want[i] = byte(rng.Uint32())
@@ -24,7 +25,7 @@
 			for rest := want; len(rest) > 0; {
 				n := min(1+int(rest[0]), len(rest))
 				if err := p.Write(rest[:n], time.Minute); err != nil {
-					t.Error(err)
+					t.Errorf("seed %d: write: %v", seed, err)
 				}
 				rest = rest[n:]
 			}
@@ -33,8 +34,8 @@
 		var got []byte
 		b := make([]byte, 1+rng.IntN(200))
 		for {
-			if n := p.Len(); n > most {
-				t.Fatalf("seed %d: %d bytes are held, %d at most", seed, n, most)
+			if n := p.Len(); n > capacity {
+				t.Fatalf("seed %d: the pipe holds %d bytes, want at most %d", seed, n, capacity)
 			}
 			n, err := p.Read(b, time.Minute)
 			got = append(got, b[:n]...)
@@ -42,43 +43,42 @@
 				break
 			}
 			if err != nil {
-				t.Fatalf("seed %d: %v", seed, err)
+				t.Fatalf("seed %d: read: %v", seed, err)
 			}
 		}
 		if !bytes.Equal(got, want) {
-			t.Fatalf("seed %d: %d bytes came, not those that went in", seed, len(got))
+			t.Fatalf("seed %d: got %d bytes that differ from the %d written", seed, len(got), len(want))
 		}
 	}
 }
 
-// A reader that takes nothing holds its writer up for so long and no longer; one that has left
-// holds up nobody.
-func TestPipeHoldsUpForAWhile(t *testing.T) {
+// A reader that reads nothing blocks its writer until the timeout, and no writer after CloseRead.
+func TestPipeBlocksUntilTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := NewPipe(10)
-		began := time.Now()
-		if err := p.Write(make([]byte, 11), time.Second); err != ErrPipeFull || time.Since(began) != time.Second {
-			t.Errorf("%v after %v", err, time.Since(began))
+		start := time.Now()
+		if err := p.Write(make([]byte, 11), time.Second); err != ErrPipeFull || time.Since(start) != time.Second {
+			t.Errorf("write to a full pipe: got %v after %v, want %v after 1s", err, time.Since(start), ErrPipeFull)
 		}
 		if n, err := p.Read(make([]byte, 20), 0); n != 10 || err != nil {
-			t.Errorf("%d bytes, %v", n, err)
+			t.Errorf("read: got %d bytes, %v, want 10 and nil", n, err)
 		}
 		if _, err := p.Read(make([]byte, 20), 0); err != os.ErrDeadlineExceeded {
-			t.Errorf("nothing is there: %v", err)
+			t.Errorf("read of an empty pipe without a timeout: got %v, want %v", err, os.ErrDeadlineExceeded)
 		}
-		began = time.Now()
-		if _, err := p.Read(make([]byte, 20), time.Second); err != os.ErrDeadlineExceeded || time.Since(began) != time.Second {
-			t.Errorf("%v after %v", err, time.Since(began))
+		start = time.Now()
+		if _, err := p.Read(make([]byte, 20), time.Second); err != os.ErrDeadlineExceeded || time.Since(start) != time.Second {
+			t.Errorf("read of an empty pipe: got %v after %v, want %v after 1s", err, time.Since(start), os.ErrDeadlineExceeded)
 		}
-		full := make(chan error, 1)
-		go func() { full <- p.Write(make([]byte, 30), time.Hour) }()
+		written := make(chan error, 1)
+		go func() { written <- p.Write(make([]byte, 30), time.Hour) }()
 		synctest.Wait()
 		p.CloseRead()
-		if err := <-full; err != nil {
-			t.Errorf("to nobody: %v", err)
+		if err := <-written; err != nil {
+			t.Errorf("write without a reader: got %v, want nil", err)
 		}
 		if _, err := p.Read(make([]byte, 1), time.Hour); err != ErrConsumed {
-			t.Errorf("a closed pipe: %v", err)
+			t.Errorf("read after CloseRead: got %v, want %v", err, ErrConsumed)
 		}
 	})
 }
