--- /dev/null
+++ b/internal/frontend/admit.go
@@ -0,0 +1,160 @@
+package frontend
+
+import (
+	"hash/maphash"
+	"math/rand/v2"
+	"net/netip"
+	"slices"
+	"strings"
+
+	"dunemoor/internal/ratelimit"
+)
+
+// clientKeySeed makes the keys of clients unpredictable for them.
+var clientKeySeed = maphash.MakeSeed()
+
+// clientSubnetBits is the length of the IPv6 prefix that counts as one client: a household has a /64, and its
+// addresses in it change at will (RFC 8981).
+const clientSubnetBits = 64
+
+// clientAddr returns the address that a request counts for: the connection's, or the last one that a trusted proxy
+// names.
+func clientAddr(m *Message) netip.Addr {
+	values := m.Header[headerForwardedFor]
+	if !m.Client.Trusted || len(values) == 0 {
+		return m.Client.Addr
+	}
+	last := values[len(values)-1]
+	if i := strings.LastIndexByte(last, ','); i >= 0 {
+		last = last[i+1:]
+	}
+	if addr, err := netip.ParseAddr(strings.TrimSpace(last)); err == nil {
+		return addr
+	}
+	return m.Client.Addr
+}
+
+// clientKeyOf returns the key of a client's address in the table of clients.
+func clientKeyOf(addr netip.Addr) uint64 {
+	if addr.Is6() && !addr.Is4In6() {
+		subnet, _ := addr.WithZone("").Prefix(clientSubnetBits)
+		addr = subnet.Addr()
+	}
+	return maphash.Comparable(clientKeySeed, addr.Unmap())
+}
+
+// admit applies the limits to a request whose route, class and Duplicate are set. Its error is a *RejectedError.
+// Without an error the request counts until releaseLimits.
+func (t *Ticket) admit(m *Message) error {
+	limits := t.admission.Limits
+	if limits == nil {
+		return nil
+	}
+	knownClient := m.Client.Addr.IsValid()
+	if knownClient {
+		t.clientKey = clientKeyOf(clientAddr(m))
+	}
+	exempt := t.exemptFromRetryAfter()
+	tooEarly := false
+	if limits.Clients != nil && knownClient {
+		var decision ratelimit.Decision
+		decision, tooEarly = limits.Clients.Begin(t.admission.Engine.Now(), t.clientKey, t.Duplicate, exempt)
+		if decision != ratelimit.Admitted {
+			return t.reject(clientRejectReason(decision), tooEarly && !m.Client.Trusted)
+		}
+		t.clientCounted = true
+	}
+	if t.shedLoad(tooEarly) {
+		return t.reject(RejectedByOverload, tooEarly && !m.Client.Trusted)
+	}
+	if !t.beginTenant() {
+		return t.reject(RejectedByTenantQuota, tooEarly && !m.Client.Trusted)
+	}
+	return nil
+}
+
+// clientRejectReason returns the reason of a rejection by the limits of clients.
+func clientRejectReason(d ratelimit.Decision) RejectReason {
+	switch d {
+	case ratelimit.Rate:
+		return RejectedByClientRate
+	case ratelimit.Concurrent:
+		return RejectedByClientConcurrency
+	default:
+		return RejectedByClientDuplicates
+	}
+}
+
+// exemptFromRetryAfter reports whether a client may come back before its Retry-After: always for a class of the highest
+// rank, and for others at random, the more often the less loaded the gateway is.
+func (t *Ticket) exemptFromRetryAfter() bool {
+	overload := t.admission.Limits.Overload
+	if overload == nil || rand.Float64() < overload.IdleShare() {
+		return true
+	}
+	ranks := t.Route.FirstRanks
+	return ranks != nil && ranks[t.Class] == slices.Max(ranks)
+}
+
+// shedLoad reports whether a request is rejected because the gateway is overloaded. One that was sent before its
+// Retry-After has the rank of a duplicate.
+func (t *Ticket) shedLoad(tooEarly bool) bool {
+	overload := t.admission.Limits.Overload
+	if overload == nil || t.Route.FirstRanks == nil {
+		return false
+	}
+	rank := t.Route.FirstRanks[t.Class]
+	if t.Duplicate || tooEarly {
+		rank = t.Route.DuplicateRanks[t.Class]
+	}
+	return !overload.Admit(rank, rand.Float64())
+}
+
+// beginTenant counts a request for its tenant and reports whether it is within the tenant's quota. A request of no known
+// tenant is not limited.
+func (t *Ticket) beginTenant() bool {
+	limits := t.admission.Limits
+	if limits.Tenants == nil {
+		return true
+	}
+	name, _ := t.headerValue(limits.TenantHeader)
+	index, known := limits.TenantIndex[name]
+	if !known {
+		return true
+	}
+	if limits.Tenants.Begin(t.admission.Engine.Now(), index) != ratelimit.Admitted {
+		return false
+	}
+	t.tenantIndex = index
+	t.tenantCounted = true
+	return true
+}
+
+// reject counts a rejection and returns its error.
+func (t *Ticket) reject(reason RejectReason, tooEarly bool) error {
+	limits := t.admission.Limits
+	limits.rejected[reason].Add(1)
+	after := limits.retryAfter(t.clientKey)
+	t.releaseClient()
+	if limits.Clients != nil && reason != RejectedByClientDuplicates {
+		limits.Clients.SetRetryAfter(t.admission.Engine.Now(), t.clientKey, after)
+	}
+	return &RejectedError{Reason: reason, RetryAfter: after, TooEarly: tooEarly}
+}
+
+// releaseLimits ends what admit counts.
+func (t *Ticket) releaseLimits() {
+	t.releaseClient()
+	if t.tenantCounted {
+		t.admission.Limits.Tenants.End(t.tenantIndex)
+		t.tenantCounted = false
+	}
+}
+
+// releaseClient ends the count of a request for its client.
+func (t *Ticket) releaseClient() {
+	if t.clientCounted {
+		t.admission.Limits.Clients.End(t.clientKey)
+		t.clientCounted = false
+	}
+}
--- a/internal/frontend/fastcgi/server_test.go
+++ b/internal/frontend/fastcgi/server_test.go
@@ -13,29 +13,37 @@
 	"dunemoor/internal/frontend"
 )
 
-// A request whose bytes have come in part when connections begin to end is read on and answered:
-// it guards against a close by another than the goroutine that reads.
-func TestHalfARequestAsConnectionsEnd(t *testing.T) {
+// A request that has arrived in part when connections begin to end is read to its end and answered: only the goroutine
+// that reads a connection may close it.
+func TestShutdownServesPartialRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := New(frontend.NewAdmission(engine.New(1), body.NewBudget(1<<20)), Options{MaxConns: 8})
-		ours, theirs := net.Pipe()
-		c := newConn(s, theirs, &ListenOptions{})
+		admission := frontend.NewAdmission(engine.New(1), body.NewBudget(1<<20))
+		s := New(admission, Options{MaxConns: 8})
+		client, server := net.Pipe()
+		c := newConn(s, server, &ListenOptions{})
 		s.conns[c] = struct{}{}
 		served, stopped := make(chan struct{}), make(chan struct{})
-		go func() { c.serve(); close(served) }()
-		go func() { s.Shutdown(); close(stopped) }()
-		text := fastcgi.AppendBeginRequest(nil, 1, fastcgi.BeginRequestBody{Role: fastcgi.Responder})
-		text = fastcgi.AppendStream(text, fastcgi.Params, 1, fastcgi.AppendPair(nil, "REQUEST_METHOD", "GET"))
-		text = fastcgi.AppendStreamEnd(fastcgi.AppendStreamEnd(text, fastcgi.Params, 1), fastcgi.Stdin, 1)
-		time.Sleep(backlogTime - waitEvery)
-		ours.Write(text[:4]) // of a head
-		time.Sleep(lookEvery / 2)
-		if _, err := ours.Write(text[4:]); err != nil {
-			t.Fatalf("closed in the midst of a request: %v", err)
+		go func() {
+			c.serve()
+			close(served)
+		}()
+		go func() {
+			s.Shutdown()
+			close(stopped)
+		}()
+		records := fastcgi.AppendBeginRequest(nil, 1, fastcgi.BeginRequestBody{Role: fastcgi.Responder})
+		records = fastcgi.AppendStream(records, fastcgi.Params, 1, fastcgi.AppendPair(nil, "REQUEST_METHOD", "GET"))
+		records = fastcgi.AppendStreamEnd(records, fastcgi.Params, 1)
+		records = fastcgi.AppendStreamEnd(records, fastcgi.Stdin, 1)
+		time.Sleep(backlogGrace - shutdownPollInterval)
+		client.Write(records[:4]) // a part of a record's header
+		time.Sleep(checkInterval / 2)
+		if _, err := client.Write(records[4:]); err != nil {
+			t.Fatalf("write the rest of the request: got %v, want an open connection", err)
 		}
-		got, err := io.ReadAll(ours)
+		got, err := io.ReadAll(client)
 		if err != nil || len(got) == 0 {
-			t.Errorf("%q, %v, want an answer and an orderly end", got, err)
+			t.Errorf("got %q, %v, want a response and the end of the connection", got, err)
 		}
 		<-served
 		<-stopped
--- a/internal/frontend/forward.go
+++ b/internal/frontend/forward.go
@@ -6,56 +6,65 @@
 	"strings"
 )
 
-// Headers that tell a host of its client (RFC 7239, and those from before it).
+// Headers that tell a host about its client: RFC 7239, and those in use before it.
 const (
-	headForwarded = "Forwarded"
-	headFor       = "X-Forwarded-For"
-	headProto     = "X-Forwarded-Proto"
-	headHost      = "X-Forwarded-Host"
+	headerForwarded      = "Forwarded"
+	headerForwardedFor   = "X-Forwarded-For"
+	headerForwardedProto = "X-Forwarded-Proto"
+	headerForwardedHost  = "X-Forwarded-Host"
 )
 
-// ClientAddress is who a request came from.
+// ClientAddress is where a request came from.
 type ClientAddress struct {
-	Addr    netip.Addr
-	Trusted bool   // what it says of its own client is passed on
-	Proto   string // "http" or "https"
+	Addr    netip.Addr // of the connection, or of the client that a trusted proxy names
+	Trusted bool       // a trusted proxy: its headers about its own client are forwarded
+	Proto   string     // "http" or "https"
 }
 
-// SetForwardedHeaders tells the host whom a request came from. What the peer says of that itself is
-// added to where it is trusted, and is dropped else: a client could name anyone.
-func SetForwardedHeaders(h http.Header, p ClientAddress, host string) {
-	if !p.Trusted {
-		for _, name := range []string{headForwarded, headFor, headProto, headHost} {
+// SetForwardedHeaders adds the client's address to the headers that tell a host about it. Values of these headers
+// from a client that is not trusted are removed first, as it could name any address.
+func SetForwardedHeaders(h http.Header, client ClientAddress, host string) {
+	if !client.Trusted {
+		for _, name := range []string{headerForwarded, headerForwardedFor, headerForwardedProto, headerForwardedHost} {
 			delete(h, name)
 		}
 	}
-	addr := p.Addr.Unmap().WithZone("").String()
-	join := func(name, value string) {
-		if old := h[name]; len(old) > 0 {
-			value = strings.Join(old, ", ") + ", " + value
-		}
-		h[name] = []string{value}
-	}
-	join(headFor, addr)
-	if len(h[headProto]) == 0 {
-		h[headProto] = []string{p.Proto}
+	addr := client.Addr.Unmap().WithZone("").String()
+	appendToList(h, headerForwardedFor, addr)
+	if len(h[headerForwardedProto]) == 0 {
+		h[headerForwardedProto] = []string{client.Proto}
 	}
-	if len(h[headHost]) == 0 {
-		h[headHost] = []string{host}
+	if len(h[headerForwardedHost]) == 0 {
+		h[headerForwardedHost] = []string{host}
 	}
 	node := addr
-	if p.Addr.Unmap().Is6() {
-		node = "\"[" + addr + "]\"" // RFC 7239, 6: a colon wants quotes
+	if client.Addr.Unmap().Is6() {
+		node = `"[` + addr + `]"` // RFC 7239, 6: quoted, as it has colons
+	}
+	appendToList(h, headerForwarded, "for="+node+";host="+quoteHost(host)+";proto="+client.Proto)
+}
+
+// appendToList appends a value to a header that is a list, and joins its lines to one.
+func appendToList(h http.Header, name, value string) {
+	if old := h[name]; len(old) > 0 {
+		value = strings.Join(old, ", ") + ", " + value
 	}
-	join(headForwarded, "for="+node+";host="+quoted(host)+";proto="+p.Proto)
+	h[name] = []string{value}
 }
 
-// quoted is a host as RFC 7239, 4 wants it: quoted where it is more than a token.
-func quoted(host string) string {
+// quoteHost returns a host as a value of the Forwarded header, quoted unless it is a token (RFC 7239, 4).
+func quoteHost(host string) string {
+	isToken := true
 	for _, c := range []byte(host) {
-		if !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '.' || c == '-' || c == '_') {
-			return "\"" + strings.NewReplacer("\\", "\\\\", "\"", "\\\"").Replace(host) + "\""
-		}
+		isToken = isToken && (isAlphanumeric(c) || c == '.' || c == '-' || c == '_')
+	}
+	if isToken {
+		return host
 	}
-	return host
+	return `"` + strings.NewReplacer(`\`, `\\`, `"`, `\"`).Replace(host) + `"`
+}
+
+// isAlphanumeric reports whether c is an ASCII letter or digit.
+func isAlphanumeric(c byte) bool {
+	return '0' <= c && c <= '9' || 'a' <= c && c <= 'z' || 'A' <= c && c <= 'Z'
 }
--- /dev/null
+++ b/internal/frontend/http1/disconnect_test.go
@@ -0,0 +1,305 @@
+package http1
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"dunemoor/internal/body"
+	"dunemoor/internal/engine"
+	"dunemoor/internal/testutil"
+)
+
+// maxInFlightPerHost is how many requests a host gets at first, before it has answered any.
+const maxInFlightPerHost = 4
+
+// disconnects are the ways in which a client leaves.
+var disconnects = map[string]func(c *net.TCPConn){
+	"close":      func(c *net.TCPConn) { c.Close() },
+	"half close": func(c *net.TCPConn) { c.CloseWrite() },
+	"reset":      func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
+}
+
+// stopWatcher stops the goroutine that notices when clients leave, as if it had no turn on a busy machine.
+func (g *testGateway) stopWatcher() {
+	g.Helper()
+	w := g.server.watcher
+	if err := w.file.SetReadDeadline(time.Unix(1, 0)); err != nil {
+		g.Fatal(err)
+	}
+	<-w.done
+}
+
+// disconnected returns the number of clients whose close has arrived.
+func (g *testGateway) disconnected() (n int) {
+	for _, c := range g.server.watcher.open() {
+		c.raw.Control(func(fd uintptr) {
+			fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+			if events, _ := unix.Poll(fds, 0); events > 0 {
+				n++
+			}
+		})
+	}
+	return n
+}
+
+// However an attempt ends and however its client has left by then, there is no further one: the check before the first byte
+// notices it, also if nothing else has yet.
+func TestNoFurtherAttemptAfterDisconnect(t *testing.T) {
+	responses := map[string]testutil.Script{
+		"error":    testutil.RespondWith(testutil.ErrorResponse),
+		"rejected": testutil.RespondWith(testutil.RejectedResponse),
+		"reset":    testutil.ResetConnection,
+		"noise":    testutil.RespondWith("\x00noise\r\n\r\n"),
+		"truncated": func(c net.Conn, _ *http.Request, _ int) bool {
+			io.WriteString(c, testutil.OKResponse[:len(testutil.OKResponse)-1])
+			return false
+		},
+	}
+	for how, disconnect := range disconnects {
+		for what, respond := range responses {
+			t.Run(how+", "+what, func(t *testing.T) {
+				received, release := make(chan struct{}, 1), make(chan struct{})
+				var attempts atomic.Int64
+				script := func(c net.Conn, r *http.Request, n int) bool {
+					if attempts.Add(1) > 1 {
+						io.WriteString(c, testutil.OKResponse)
+						return true
+					}
+					received <- struct{}{}
+					<-release
+					return respond(c, r, n)
+				}
+				g := startGateway(t, withHosts(testutil.NewHost(t, script), testutil.NewHost(t, script)))
+				c := g.dial().(*net.TCPConn)
+				io.WriteString(c, testutil.LookRequest(testutil.NewID()))
+				<-received
+				g.stopWatcher()
+				disconnect(c)
+				testutil.WaitUntil(t, "the close has arrived", func() bool { return g.disconnected() == 1 })
+				close(release)
+				testutil.WaitUntil(t, "the request has ended", func() bool { return g.admission.OpenIDs() == 0 })
+				if n := attempts.Load(); n != 1 {
+					t.Errorf("got %d attempts, want 1", n)
+				}
+			})
+		}
+	}
+}
+
+// Many clients leave while the engine's loop is busy, with errors waiting for it that call for further attempts, and other
+// requests that wait for their first: no attempt is sent.
+func TestNoAttemptAfterBurstOfDisconnectsWhileLoopIsBusy(t *testing.T) {
+	const hosts, clients = 8, 200
+	var attempts, responses atomic.Int64
+	respond, loopBusy, release := make(chan struct{}), make(chan struct{}), make(chan struct{})
+	cfg := withHosts()
+	for range hosts {
+		cfg.hosts = append(cfg.hosts, testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
+			attempts.Add(1)
+			<-respond
+			io.WriteString(c, testutil.ErrorResponse)
+			responses.Add(1)
+			return true
+		}))
+	}
+	var once sync.Once
+	cfg.classify = func() {
+		once.Do(func() {
+			close(loopBusy)
+			<-release
+		})
+	}
+	g := startGateway(t, cfg)
+	conns := make([]*net.TCPConn, clients)
+	for i := range conns {
+		conns[i] = g.dial().(*net.TCPConn)
+		io.WriteString(conns[i], testutil.LookRequest(testutil.NewID()))
+	}
+	const inFlight = maxInFlightPerHost * hosts
+	testutil.WaitUntil(t, "all requests are admitted, and most wait", func() bool {
+		return g.admission.OpenIDs() == clients && attempts.Load() == inFlight
+	})
+	close(respond)
+	<-loopBusy
+	testutil.WaitUntil(t, "all errors are written", func() bool { return responses.Load() == inFlight })
+	g.stopWatcher()
+	for i, c := range conns {
+		disconnects[[]string{"close", "half close", "reset"}[i%3]](c)
+	}
+	testutil.WaitUntil(t, "all closes have arrived", func() bool { return g.disconnected() == clients })
+	close(release)
+	testutil.WaitUntil(t, "all requests have ended", func() bool { return g.admission.OpenIDs() == 0 })
+	if n := attempts.Load(); n != inFlight {
+		t.Errorf("got %d attempts for clients that had left, want 0", n-inFlight)
+	}
+}
+
+// A client that leaves while its long body arrives and its request waits for a host has left: half a body is not sent to a
+// host. Its request ends at once, and is not sent either if nothing has noticed the close yet.
+func TestDisconnectDuringUploadOfQueuedRequest(t *testing.T) {
+	for how, disconnect := range disconnects {
+		for _, unnoticed := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s, unnoticed %t", how, unnoticed), func(t *testing.T) {
+				release := make(chan struct{})
+				host := testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
+					<-release
+					io.WriteString(c, testutil.OKResponse)
+					return true
+				})
+				cfg := withHosts(host)
+				pace := body.Pace{IdleTimeout: testutil.WaitTimeout}
+				cfg.streams = &engine.Streams{BufferBytes: 64 << 10, Pace: pace, Upload: pace}
+				g := startGateway(t, cfg)
+				startUpload := func(length, sent int) *net.TCPConn {
+					c := g.dial().(*net.TCPConn)
+					fmt.Fprintf(c, "POST /api/1 HTTP/1.1\r\nHost: a\r\nX-Priority-Class: book\r\nX-Timeout: 60\r\nX-Request-ID: %s\r\nContent-Length: %d\r\n\r\n%s",
+						testutil.NewID(), length, strings.Repeat("x", sent))
+					return c
+				}
+				for range maxInFlightPerHost {
+					startUpload(1, 1)
+				}
+				testutil.WaitUntil(t, "the host is full", func() bool { n, _, _ := host.Counts(); return n == maxInFlightPerHost })
+				c := startUpload(1<<20, 100<<10)
+				testutil.WaitUntil(t, "the request waits", func() bool { return g.openRequests() == maxInFlightPerHost+1 })
+				if unnoticed {
+					g.stopWatcher()
+				}
+				disconnect(c)
+				if unnoticed {
+					testutil.WaitUntil(t, "the close has arrived", func() bool { return g.disconnected() == 1 })
+				} else {
+					testutil.WaitUntil(t, "the request has ended", func() bool { return g.openRequests() == maxInFlightPerHost })
+					c.SetReadDeadline(time.Now().Add(testutil.WaitTimeout))
+					if got, _ := io.ReadAll(c); len(got) > 0 { // after a half close
+						t.Errorf("the client got %q, want no response", got)
+					}
+				}
+				close(release)
+				testutil.WaitUntil(t, "all requests have ended", func() bool { return g.openRequests() == 0 })
+				g.close()
+				testutil.WaitUntil(t, "the host has read all", func() bool { _, accepted, ended := host.Counts(); return accepted == ended })
+				if n, _, _ := host.Counts(); n != maxInFlightPerHost {
+					t.Errorf("the host got %d requests, want %d", n, maxInFlightPerHost)
+				}
+			})
+		}
+	}
+}
+
+// openRequests returns the number of requests at the engine.
+func (g *testGateway) openRequests() (n int64) {
+	snapshot := g.admission.Engine.Snapshot()
+	defer snapshot.Release()
+	snapshot.Pools(func(p *engine.Pool) { n = p.OpenRequests() })
+	return n
+}
+
+// A wait for events that a signal interrupts is repeated: events are reported only once.
+func TestInterruptedWaitIsRepeated(t *testing.T) {
+	calls := 0
+	n := retryInterrupted(func() (int, error) {
+		calls++
+		if calls < 3 {
+			return -1, syscall.EINTR
+		}
+		return 2, nil
+	})
+	if n != 2 || calls != 3 {
+		t.Errorf("got %d events after %d calls, want 2 after 3", n, calls)
+	}
+	if n := retryInterrupted(func() (int, error) { return -1, syscall.EBADF }); n != 0 {
+		t.Errorf("closed set: got %d events, want 0", n)
+	}
+}
+
+// Clients that leave in a burst, in any way, while their requests wait for a host have left, and nothing is sent for them:
+// neither then nor when the host has capacity again.
+func TestBurstOfDisconnectsWhileRequestsAreQueued(t *testing.T) {
+	release := make(chan struct{})
+	host := testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
+		<-release
+		io.WriteString(c, testutil.OKResponse)
+		return true
+	})
+	g := startGateway(t, withHosts(host))
+	const clients = 200
+	conns := map[string]*net.TCPConn{}
+	for range clients {
+		c, id := g.dial(), testutil.NewID()
+		io.WriteString(c, testutil.LookRequest(id))
+		conns[id] = c.(*net.TCPConn)
+	}
+	testutil.WaitUntil(t, "all requests are admitted, and most wait", func() bool {
+		n, _, _ := host.Counts()
+		return g.admission.OpenIDs() == clients && n == maxInFlightPerHost
+	})
+	host.Mu.Lock()
+	for _, r := range host.Requests {
+		delete(conns, r.Header.Get("X-Request-Id")) // clients whose requests are in flight stay
+	}
+	host.Mu.Unlock()
+	i := 0
+	for _, c := range conns {
+		i++
+		switch i % 3 {
+		case 0:
+			c.CloseWrite()
+		case 1:
+			c.SetLinger(0)
+			c.Close()
+		default:
+			c.Close()
+		}
+	}
+	testutil.WaitUntil(t, "the requests of all others have ended", func() bool { return g.admission.OpenIDs() == maxInFlightPerHost })
+	close(release)
+	testutil.WaitUntil(t, "those in flight are answered", func() bool { return g.admission.OpenIDs() == 0 })
+	if resp, _ := g.send("look", "/api/1", ""); resp.StatusCode != 200 {
+		t.Errorf("a further request: got status %d, want 200", resp.StatusCode)
+	}
+	if n, _, _ := host.Counts(); n != maxInFlightPerHost+1 {
+		t.Errorf("the host got %d requests of clients that had left, want 0", n-maxInFlightPerHost-1)
+	}
+}
+
+// A client that closes its side while it waits has left, and gets no response: in particular no 200 that no host has sent.
+func TestHalfClosedClientGetsNoResponse(t *testing.T) {
+	host := testutil.NewHost(t, testutil.NeverRespond)
+	g := startGateway(t, withHosts(host))
+	c := g.dialWithTimeout()
+	io.WriteString(c, testutil.LookRequest(testutil.NewID()))
+	testutil.WaitUntil(t, "the host has the request", func() bool { n, _, _ := host.Counts(); return n == 1 })
+	c.(*net.TCPConn).CloseWrite()
+	if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil {
+		t.Errorf("got status %d, want no response", resp.StatusCode)
+	}
+}
+
+// The disconnect of a client that waits is noticed also behind bytes that nobody has read: otherwise attempts would go on
+// until its deadline, a minute later.
+func TestDisconnectIsNoticedBehindUnreadBytes(t *testing.T) {
+	host := testutil.NewHost(t, testutil.NeverRespond)
+	g := startGateway(t, withHosts(host))
+	for i, more := range []string{"", "GET ", strings.Repeat("x", 64<<10)} {
+		c := g.dial()
+		io.WriteString(c, testutil.LookRequest(testutil.NewID())+more)
+		testutil.WaitUntil(t, "the host has the request", func() bool { n, _, _ := host.Counts(); return n == i+1 })
+		c.Close()
+		testutil.WaitUntil(t, "the request has ended", func() bool { return g.admission.OpenIDs() == 0 })
+		testutil.WaitUntil(t, "the connection is closed", func() bool {
+			return g.server.ConnCounts().Open == 0 && len(g.server.watcher.open()) == 0
+		})
+	}
+}
--- /dev/null
+++ b/internal/frontend/http1/request.go
@@ -0,0 +1,202 @@
+package http1
+
+import (
+	"errors"
+	"io"
+	"net/http"
+	"os"
+	"time"
+
+	"dunemoor/internal/frontend"
+	"dunemoor/internal/httpwire"
+)
+
+var (
+	// errNoRequest is returned by readRequest if no further request will be received. There is no response to it.
+	errNoRequest = errors.New("read request: connection has ended")
+	// errHeaderTooLong is the error of a request whose header section is longer than Options.MaxHeaderBytes.
+	errHeaderTooLong = frontend.NewRequestError(http.StatusRequestHeaderFieldsTooLarge, "the head is too long")
+)
+
+// readRequest reads the header section of the next request. Its error is errNoRequest, or one that the client gets.
+func (s *Server) readRequest(c *clientConn, first bool) error {
+	c.body = nil
+	c.upload = nil
+	c.closeAfter = false
+	c.responseStarted = false
+	c.request = httpwire.Request{}
+	size, err := s.readHeaderSection(c, first)
+	if err != nil {
+		return err
+	}
+	err = httpwire.ParseRequest(c.in.unread()[:size], &c.request)
+	c.in.consume(size)
+	if err != nil {
+		c.request = httpwire.Request{}
+		return frontend.NewRequestError(httpwire.StatusForError(err), "%v", err)
+	}
+	if c.request.ContentLength != 0 {
+		c.body = newBodyReader(c)
+	}
+	c.closeAfter = c.request.Close
+	return nil
+}
+
+// readHeaderSection reads a whole header section into the buffer and returns its size in bytes. The deadline of the first
+// request of a connection is set already.
+func (s *Server) readHeaderSection(c *clientConn, deadlineSet bool) (size int, err error) {
+	scanned := 0
+	for {
+		if scanned == 0 && c.in.buffered() > 0 {
+			c.in.consume(httpwire.LeadingEmptyLine(c.in.unread()))
+		}
+		if size := httpwire.HeaderEnd(c.in.unread(), scanned); size >= 0 {
+			if size > s.maxHeaderBytes {
+				return 0, errHeaderTooLong
+			}
+			return size, nil
+		}
+		scanned = c.in.buffered()
+		if scanned > s.maxHeaderBytes {
+			return 0, errHeaderTooLong
+		}
+		if !deadlineSet {
+			deadlineSet = true
+			c.setRequestDeadline()
+		}
+		if !c.in.readMore() {
+			return 0, errNoRequest
+		}
+	}
+}
+
+// setRequestDeadline sets the deadline for a request to be received.
+func (c *clientConn) setRequestDeadline() {
+	c.idleDeadline = time.Time{}
+	c.SetReadDeadline(time.Now().Add(requestTimeout))
+}
+
+// finishBody reads what is left of the body of a request after its response, and reports whether the next request can be
+// read.
+func (c *clientConn) finishBody() bool {
+	b := c.body
+	if b == nil {
+		return true
+	}
+	c.idleDeadline = time.Time{} // readers of the body have set others
+	if b.err == nil {
+		if b.decoder != nil || b.remaining > frontend.MaxBufferedBytes {
+			return false
+		}
+		c.setRequestDeadline()
+		if _, err := io.Copy(io.Discard, b); err != nil {
+			return false
+		}
+	}
+	return b.err == io.EOF
+}
+
+// bodyReader reads the body of a request from its connection.
+type bodyReader struct {
+	c              *clientConn
+	remaining      int64                    // bytes, of a body with a length
+	decoder        *httpwire.ChunkedDecoder // nil: the body has a length
+	expectContinue bool                     // the client waits for 100 Continue
+	err            error                    // what follows the last byte, once that is read
+}
+
+// newBodyReader returns a reader of the body of a connection's current request.
+func newBodyReader(c *clientConn) *bodyReader {
+	b := &bodyReader{c: c, remaining: c.request.ContentLength, expectContinue: c.request.ExpectContinue}
+	if c.request.ContentLength < 0 {
+		b.decoder = &httpwire.ChunkedDecoder{}
+	}
+	return b
+}
+
+// continueResponse asks the client for the body (RFC 9110, 15.2.1).
+var continueResponse = []byte("HTTP/1.1 100 Continue\r\n\r\n")
+
+// Read is as in io.Reader. It returns io.EOF with the last byte or after it, and only if the body is complete. Every error
+// but that of a deadline is final.
+func (b *bodyReader) Read(p []byte) (n int, err error) {
+	if b.err != nil {
+		return 0, b.err
+	}
+	if len(p) == 0 {
+		return 0, nil
+	}
+	if b.expectContinue {
+		b.expectContinue = false
+		if err := b.c.writeBeforeResponse(continueResponse); err != nil {
+			return 0, err
+		}
+	}
+	if b.decoder != nil {
+		n, err = b.readChunked(p)
+	} else {
+		n, err = b.readUpTo(p, b.remaining)
+		b.remaining -= int64(n)
+		if b.remaining == 0 {
+			err = io.EOF
+		}
+	}
+	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
+		b.err = err
+	}
+	return n, err
+}
+
+// readUpTo reads at most limit bytes, directly from the connection if the buffer is empty and p is large.
+func (b *bodyReader) readUpTo(p []byte, limit int64) (int, error) {
+	in := &b.c.in
+	p = p[:min(int64(len(p)), limit)]
+	if in.buffered() == 0 && len(p) < bufferSize {
+		if err := in.fill(); err != nil {
+			return 0, unexpectedEOF(err)
+		}
+	}
+	n, err := in.Read(p)
+	return n, unexpectedEOF(err)
+}
+
+// readChunked reads content of a body in chunks.
+func (b *bodyReader) readChunked(p []byte) (int, error) {
+	in := &b.c.in
+	for !b.decoder.Done() {
+		if remaining := b.decoder.Remaining(); remaining > 0 && in.buffered() == 0 {
+			n, err := b.readUpTo(p, remaining)
+			b.decoder.Consume(int64(n))
+			return n, err
+		}
+		if in.buffered() == 0 {
+			if err := in.fill(); err != nil {
+				return 0, unexpectedEOF(err)
+			}
+		}
+		encoded := in.unread()
+		used, content, err := b.decoder.Next(encoded[:min(len(encoded), len(p))])
+		n := copy(p, content)
+		in.consume(used)
+		if err != nil || n > 0 {
+			return n, err
+		}
+	}
+	return 0, io.EOF
+}
+
+// unexpectedEOF returns the error of a body whose connection ends within it.
+func unexpectedEOF(err error) error {
+	if err == io.EOF {
+		return io.ErrUnexpectedEOF
+	}
+	return err
+}
+
+// Trailer returns the trailer section, once Read has returned io.EOF.
+func (b *bodyReader) Trailer() http.Header {
+	if b.decoder == nil {
+		return nil
+	}
+	return b.decoder.Trailer
+}
--- /dev/null
+++ b/internal/frontend/http1/server_test.go
@@ -0,0 +1,125 @@
+package http1
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"dunemoor/internal/testutil"
+)
+
+// isRefused reports whether a connection to an address is refused.
+func isRefused(addr string) bool {
+	c, err := net.Dial("tcp", addr)
+	if err == nil {
+		c.Close()
+	}
+	return errors.Is(err, syscall.ECONNREFUSED)
+}
+
+// Clients with a connection are served on it long after Shutdown is called, as they may have no other gateway. Shortly before
+// the exit the connection ends with a response, and no request fails.
+func TestShutdownServesOpenConnections(t *testing.T) {
+	g := startGateway(t, withHealthyHost(t))
+	c := g.dialWithTimeout()
+	in := bufio.NewReader(c)
+	stopped := make(chan struct{})
+	go func() {
+		g.server.Shutdown()
+		close(stopped)
+	}()
+	served := 0 // since the listener was closed
+	for {
+		io.WriteString(c, testutil.LookRequest(testutil.NewID()))
+		resp, err := http.ReadResponse(in, nil)
+		if err != nil || resp.StatusCode != 200 {
+			t.Fatalf("after %d requests: got %+v, %v, want status 200", served, resp, err)
+		}
+		io.Copy(io.Discard, resp.Body)
+		if resp.Close {
+			break
+		}
+		if served > 0 || isRefused(strings.TrimPrefix(g.url, "http://")) {
+			served++
+		}
+		time.Sleep(testutil.PollInterval)
+	}
+	if served == 0 {
+		t.Error("the connection was closed as soon as the listener, want requests served after that")
+	}
+	if _, err := in.ReadByte(); err != io.EOF {
+		t.Errorf("end of the connection: got %v, want EOF", err)
+	}
+	<-stopped
+}
+
+// A listener that comes after Shutdown is called is closed, as its clients would not be served to the end.
+func TestServeAfterShutdownClosesListener(t *testing.T) {
+	g := startGateway(t, withHealthyHost(t))
+	stopped := make(chan struct{})
+	go func() {
+		g.server.Shutdown()
+		close(stopped)
+	}()
+	testutil.WaitUntil(t, "Shutdown has begun", g.server.shuttingDown.Load)
+	ln := testutil.Listen(t, "127.0.0.1:0", nil)
+	served := make(chan error, 1)
+	go func() { served <- g.server.Serve(ln) }()
+	select {
+	case err := <-served:
+		if err != nil {
+			t.Errorf("Serve: got %v, want nil", err)
+		}
+	case <-stopped:
+		t.Error("Serve goes on, want it to return")
+	}
+	if _, err := net.Dial("tcp", ln.Addr().String()); !errors.Is(err, syscall.ECONNREFUSED) {
+		t.Errorf("dial the listener: got %v, want %v", err, syscall.ECONNREFUSED)
+	}
+	<-stopped
+}
+
+// shortListener fails a number of times as if there were no descriptors left.
+type shortListener struct {
+	net.Listener
+	failures atomic.Int32
+}
+
+func (l *shortListener) Accept() (net.Conn, error) {
+	if l.failures.Add(-1) >= 0 {
+		return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
+	}
+	return l.Listener.Accept()
+}
+
+// A listener that fails for want of descriptors goes on when there are some again, and its connections are served on after
+// CloseListener.
+func TestServeGoesOnAfterShortageOfDescriptors(t *testing.T) {
+	g := startGateway(t, withHealthyHost(t))
+	ln := &shortListener{Listener: testutil.Listen(t, "127.0.0.1:0", nil)}
+	ln.failures.Store(3)
+	served := make(chan error, 1)
+	go func() { served <- g.server.Serve(ln) }()
+	c, err := net.Dial("tcp", ln.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	if err := testutil.RoundTrip(c); err != nil {
+		t.Fatal(err)
+	}
+	g.server.CloseListener(ln)
+	if err := <-served; err != nil {
+		t.Errorf("Serve: got %v, want nil", err)
+	}
+	if err := testutil.RoundTrip(c); err != nil {
+		t.Errorf("after CloseListener: got %v, want a response", err)
+	}
+}
--- /dev/null
+++ b/internal/frontend/http1/streaming.go
@@ -0,0 +1,219 @@
+package http1
+
+import (
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"time"
+
+	"dunemoor/internal/body"
+	"dunemoor/internal/engine"
+	"dunemoor/internal/frontend"
+)
+
+const (
+	// uploadLingerTimeout is how long the body of a client is read and discarded that is still sending it when it has its
+	// response. There is no limit of bytes, as what it has sent may fill all buffers on the way.
+	uploadLingerTimeout = 2 * time.Second
+	noByteLimit         = 1<<63 - 1
+	// chunkSizeRoom is the room that is left before content in a buffer, for the chunk's size, in bytes.
+	chunkSizeRoom = 8
+)
+
+// serveStreaming answers a request on a route that streams, and reports whether the connection stays open.
+func (s *Server) serveStreaming(c *clientConn, t *frontend.Ticket) (keepAlive bool) {
+	plain := t.Route.Plain
+	if t.Upgrade != "" {
+		if plain.Tunnels.Add(1) > int64(plain.MaxTunnels) {
+			plain.Tunnels.Add(-1)
+			s.failAndClose(c, frontend.NewRequestError(http.StatusServiceUnavailable, "too many connections have gone over to another protocol"))
+			return false
+		}
+		defer plain.Tunnels.Add(-1)
+	}
+	if plain != nil {
+		t.Inform = c.forwardInformational
+	}
+	ctx := c.ctx
+	if c.upload != nil {
+		uploadCtx, release := c.upload.requestContext()
+		defer release()
+		ctx = uploadCtx
+	}
+	resp, waiting := s.admission.Engine.Do(ctx, &t.Request)
+	defer resp.Release()
+	if !waiting {
+		return false
+	}
+	return s.writeStreaming(ctx, c, t, &resp)
+}
+
+// writeStreaming writes a response on a route that streams, and reports whether the connection stays open. It does not if
+// the client is still sending its body.
+func (s *Server) writeStreaming(ctx context.Context, c *clientConn, t *frontend.Ticket, resp *engine.Response) (keepAlive bool) {
+	requestStream := t.Body.Stream()
+	uploading := requestStream != nil && requestStream.Err() != io.EOF
+	longResponse := s.shuttingDown.Load() && !resp.Body.Buffered()
+	if uploading || longResponse || s.draining() {
+		c.closeAfter = true
+	}
+	if resp.Tunnel != nil {
+		s.runTunnel(c, t, resp)
+		return false
+	}
+	if uploading && resp.Kind == engine.Failed {
+		if err := requestStream.Err(); err != nil && err != body.ErrConsumed {
+			s.failUpload(c, requestStream, err)
+			return false
+		}
+	}
+	if resp.Body.Buffered() {
+		if c.writeBuffered(t, resp) != nil {
+			return false
+		}
+	} else if err := s.forwardStream(ctx, c, t, resp); err != nil {
+		// The connection is reset, so that the client sees that the response is incomplete.
+		if requestStream != nil {
+			requestStream.Close()
+		}
+		c.SetLinger(0)
+		return false
+	}
+	if uploading {
+		s.closeDuringUpload(c, requestStream)
+	}
+	return !uploading
+}
+
+// failUpload answers a request that has failed because its streamed body can't be read, and closes the connection.
+func (s *Server) failUpload(c *clientConn, stream *body.Stream, err error) {
+	err = c.upload.requestError(err)
+	if c.writeError(frontend.StatusCode(err), err.Error(), "") == nil {
+		s.closeDuringUpload(c, stream)
+	}
+}
+
+// closeDuringUpload closes a connection whose client is still sending its body.
+func (s *Server) closeDuringUpload(c *clientConn, stream *body.Stream) {
+	stream.Close()
+	s.lingeringClose(c, uploadLingerTimeout, noByteLimit)
+}
+
+// forwardStream writes a response with a streamed body. An error means that the client has not got all of it.
+func (s *Server) forwardStream(ctx context.Context, c *clientConn, t *frontend.Ticket, resp *engine.Response) error {
+	buf := s.admission.Bodies.AcquireBuffer()
+	if buf == nil {
+		resp.Release()
+		// A host has run the request, so it can't be rejected.
+		return c.writeError(http.StatusBadGateway, "too much is being held, it may have been done", "")
+	}
+	defer s.admission.Bodies.ReleaseBuffer(buf)
+	header := forwardedHeader(t, resp)
+	if err := resp.Body.Stream().Consume(); err != nil {
+		return err
+	}
+	w := &streamWriter{
+		c:        c,
+		meter:    body.Meter{Pace: t.Route.Streams.Pace},
+		deadline: body.LazyDeadline{SetDeadline: c.SetWriteDeadline},
+	}
+	// The connection's own deadline doesn't stand any more afterwards.
+	defer func() { c.writeDeadline = body.LazyDeadline{SetDeadline: c.writeDeadline.SetDeadline} }()
+	if resp.Body.Len() < 0 {
+		w.chunked = !c.request.HTTP10
+		c.responseUntilClose.Store(!w.chunked)
+		defer c.responseUntilClose.Store(false)
+	}
+	if err := w.writeStart(resp, header); err != nil {
+		return err
+	}
+	resp.FreeHeld()
+	return w.copy(ctx, resp.Body.Stream(), *buf)
+}
+
+// streamWriter writes a response with a streamed body to a client, within the pace that the route allows.
+type streamWriter struct {
+	c        *clientConn
+	meter    body.Meter
+	deadline body.LazyDeadline
+	chunked  bool // else the body has a length, or ends with the connection
+}
+
+// writeStart writes the header section and the part of the body that is buffered.
+func (w *streamWriter) writeStart(resp *engine.Response, header http.Header) error {
+	length := max(resp.Body.Len(), lengthUnknown)
+	buffered := resp.Body.Bytes()
+	start := w.c.appendResponseHeader(make([]byte, 0, bufferSize), time.Now(), resp.Status, header, length)
+	parts := net.Buffers{start, buffered}
+	if w.chunked && len(buffered) > 0 {
+		parts[0] = appendChunkSize(start, len(buffered))
+		parts = append(parts, crlf)
+	}
+	w.deadline.Reset(time.Now(), w.meter.Timeout())
+	_, err := parts.WriteTo(w.c.TCPConn)
+	return err
+}
+
+// copy copies a stream through buf, with the end of the body after its last byte.
+func (w *streamWriter) copy(ctx context.Context, stream *body.Stream, buf []byte) error {
+	for {
+		n, err := stream.Read(buf[chunkSizeRoom : len(buf)-len(crlf)])
+		if ctx.Err() != nil {
+			return ctx.Err()
+		}
+		if n > 0 {
+			if err := w.writeContent(buf, n); err != nil {
+				return err
+			}
+		}
+		if err == io.EOF {
+			return w.writeEnd(stream)
+		}
+		if err != nil {
+			return err
+		}
+	}
+}
+
+// writeContent writes n bytes of content that are in buf from chunkSizeRoom on.
+func (w *streamWriter) writeContent(buf []byte, n int) error {
+	out := buf[chunkSizeRoom : chunkSizeRoom+n]
+	if w.chunked {
+		out = frameChunk(buf, n)
+	}
+	start := time.Now()
+	w.deadline.Reset(start, w.meter.Timeout())
+	if _, err := w.c.TCPConn.Write(out); err != nil {
+		return err
+	}
+	return w.meter.Record(n, time.Since(start))
+}
+
+// writeEnd writes the last chunk of a body in chunks, with the trailer section.
+func (w *streamWriter) writeEnd(stream *body.Stream) error {
+	if !w.chunked {
+		return nil
+	}
+	w.c.SetWriteDeadline(time.Now().Add(writeTimeout))
+	_, err := w.c.TCPConn.Write(appendLastChunk(nil, frontend.ForwardedTrailer(stream.Trailer())))
+	return err
+}
+
+// appendChunkSize appends the line that starts a chunk of n bytes.
+func appendChunkSize(b []byte, n int) []byte {
+	b = strconv.AppendInt(b, int64(n), 16)
+	return append(b, crlf...)
+}
+
+// frameChunk makes a chunk, in place, of n bytes of content that are in buf from chunkSizeRoom on.
+func frameChunk(buf []byte, n int) []byte {
+	var room [chunkSizeRoom]byte
+	size := appendChunkSize(room[:0], n)
+	start := chunkSizeRoom - len(size)
+	end := chunkSizeRoom + n
+	copy(buf[start:], size)
+	copy(buf[end:], crlf)
+	return buf[start : end+len(crlf)]
+}
--- a/internal/frontend/ids_test.go
+++ b/internal/frontend/ids_test.go
@@ -6,29 +6,36 @@
 	"time"
 )
 
-// What is remembered of ids shrinks again: it guards against memory that grows with the day.
-func TestIDsAreForgotten(t *testing.T) {
-	ids, now := &ids{}, time.Now()
+// An id can't be used again while its request is open and a moment after, and is forgotten later: its memory must not
+// grow with the number of requests.
+func TestRequestIDsAreForgotten(t *testing.T) {
+	ids := &requestIDs{}
+	now := time.Now()
 	const id = "an id"
-	if !ids.start(id, now) || ids.start(id, now) {
-		t.Error("an id is opened twice, or not at all")
+	if !ids.start(id, now) {
+		t.Error("a new id: got in use, want free")
+	}
+	if ids.start(id, now) {
+		t.Error("an open id: got free, want in use")
 	}
 	ids.end(id)
 	if ids.start(id, now) {
-		t.Error("an id is opened again just after its end")
+		t.Error("an id that has just ended: got free, want in use")
 	}
 	for i := range 10000 {
 		now = now.Add(time.Millisecond)
-		if id := fmt.Sprint(i); !ids.start(id, now) {
-			t.Fatal(id)
-		} else {
-			ids.end(id)
+		other := fmt.Sprint(i)
+		if !ids.start(other, now) {
+			t.Fatalf("id %s: got in use, want free", other)
 		}
+		ids.end(other)
 	}
-	if open, kept := len(ids.open), len(ids.ended)+len(ids.older); open != 0 || kept > 2*int(idMemory/time.Millisecond)+2 {
-		t.Errorf("%d ids open and %d remembered", open, kept)
+	remembered := len(ids.recent) + len(ids.older)
+	limit := 2*int(idMemory/time.Millisecond) + 2
+	if open := ids.numOpen(); open != 0 || remembered > limit {
+		t.Errorf("%d ids open and %d remembered, want 0 and at most %d", open, remembered, limit)
 	}
 	if !ids.start(id, now) {
-		t.Error("an id is remembered for good")
+		t.Error("an id that has ended long ago: got in use, want free")
 	}
 }
--- /dev/null
+++ b/internal/frontend/target.go
@@ -0,0 +1,24 @@
+package frontend
+
+import "strings"
+
+// originForm returns a request target in origin-form: for a target in absolute-form, its path and query (RFC 9112,
+// 3.2).
+func originForm(target string) string {
+	if strings.HasPrefix(target, "/") {
+		return target
+	}
+	_, afterScheme, absolute := strings.Cut(target, "://")
+	if !absolute {
+		return target
+	}
+	i := strings.IndexAny(afterScheme, "/?")
+	switch {
+	case i < 0:
+		return "/"
+	case afterScheme[i] == '?':
+		return "/" + afterScheme[i:]
+	default:
+		return afterScheme[i:]
+	}
+}
--- /dev/null
+++ b/internal/frontend/ticket.go
@@ -0,0 +1,176 @@
+package frontend
+
+import (
+	"net/http"
+	"strings"
+	"time"
+
+	"dunemoor/internal/body"
+	"dunemoor/internal/engine"
+	"dunemoor/internal/route"
+)
+
+const (
+	// MaxBodyBytes is the longest body of a request in the platform's protocol.
+	MaxBodyBytes = 32 << 20
+	// MaxBufferedBytes is the longest body that is buffered as a whole, on a route that does not stream.
+	MaxBufferedBytes = 64 << 10
+	// maxBufferedNearLimit is how much of a streamed body is buffered at most while memory for bodies is scarce.
+	maxBufferedNearLimit = 4 << 10
+	// answerMargin is how long before the client's timeout the response is due. It covers the way from the engine to
+	// the client, and a delay of the process on a shared core.
+	answerMargin = 5 * time.Millisecond
+)
+
+// Ticket is an admitted request. It has what the request holds until its end: its id, its places in the limits, and
+// memory for its body. It belongs to the goroutine that serves the request.
+type Ticket struct {
+	engine.Request
+	admission *Admission
+	snapshot  *engine.Snapshot
+	id        string        // open in the Admission; "": none
+	timeout   time.Duration // from the request's last byte to its response
+
+	clientKey     uint64 // 0: unknown
+	clientCounted bool   // in flight, in the limits of clients
+	tenantCounted bool   // in flight, in the limits of tenants
+	tenantIndex   int
+
+	reservedBytes int64
+	page          []byte
+}
+
+// admitMessage checks a request, finds its route and applies the limits.
+func (t *Ticket) admitMessage(m *Message, received time.Time) error {
+	t.Method = m.Method
+	t.Target = originForm(m.Target)
+	t.Host = m.Host
+	t.Header = m.Header
+	if err := t.findRoute(m); err != nil {
+		return err
+	}
+	if err := t.checkLength(m.Length); err != nil {
+		return err
+	}
+	if t.Route.Plain != nil {
+		return t.admitPlain(m)
+	}
+	return t.admitPlatform(m, received)
+}
+
+// findRoute sets the route of a request, and what its split goes by.
+func (t *Ticket) findRoute(m *Message) error {
+	if t.snapshot.Table == nil {
+		t.Route = t.snapshot.Route(nil)
+		return nil
+	}
+	host := m.Host
+	if m.Target != "" && m.Target[0] != '/' {
+		host = m.HostHeader
+	}
+	query := route.Request{Method: m.Method, Header: t.headerValue}
+	var err error
+	if query.Host, query.Path, err = route.ParseTarget(m.Target, host); err != nil {
+		return NewRequestError(http.StatusBadRequest, "%v", err)
+	}
+	t.Route = t.snapshot.Route(&query)
+	if t.Route == nil {
+		return NewRequestError(http.StatusNotFound, "no route takes it")
+	}
+	if name := t.Route.SplitBy(); name != "" {
+		t.Key, _ = t.headerValue(name)
+	}
+	return nil
+}
+
+// headerValue returns the value of a header, with its lines joined, and whether the request has it.
+func (t *Ticket) headerValue(name string) (string, bool) {
+	values, found := t.Header[http.CanonicalHeaderKey(name)]
+	if len(values) == 1 {
+		return values[0], true
+	}
+	return strings.Join(values, ", "), found
+}
+
+// checkLength checks the length of a body in bytes, -1 if it is unknown, against the limit of the route.
+func (t *Ticket) checkLength(length int64) error {
+	limit := int64(MaxBufferedBytes)
+	if streams := t.Route.Streams; streams != nil {
+		limit = streams.MaxBodyBytes
+	} else if length < 0 {
+		return NewRequestError(http.StatusBadRequest, "the body needs a Content-Length")
+	}
+	if limit > 0 && length > limit {
+		return NewRequestError(http.StatusRequestEntityTooLarge, "the body is longer than %d bytes", limit)
+	}
+	return nil
+}
+
+// ReserveBody reserves n bytes of the memory budget for the body, until no attempt uses it any more.
+func (t *Ticket) ReserveBody(n int64) error {
+	if !t.admission.Bodies.Reserve(body.RequestBodies, n) {
+		return NewRequestError(http.StatusServiceUnavailable, "too much is being held, trying again is harmless")
+	}
+	t.reservedBytes += n
+	t.Done = t.releaseBody
+	return nil
+}
+
+// AllocBody reserves n bytes for the body and returns memory for them.
+func (t *Ticket) AllocBody(n int64) ([]byte, error) {
+	if err := t.ReserveBody(n); err != nil {
+		return nil, err
+	}
+	t.page = body.AllocPage(n)
+	return t.page, nil
+}
+
+// releaseBody releases the memory of the body. The engine calls it, as an attempt may use the body after the client
+// has its response.
+func (t *Ticket) releaseBody() {
+	t.admission.Bodies.Release(body.RequestBodies, t.reservedBytes)
+	if t.page != nil {
+		body.FreePage(t.page)
+		t.page = nil
+	}
+}
+
+// MaxBuffered returns how many bytes of its body a request on a route that streams may buffer now.
+func (t *Ticket) MaxBuffered() int64 {
+	limit := t.Route.Streams.BufferBytes
+	if t.admission.Bodies.NearLimit(body.RequestBodies) {
+		return min(limit, maxBufferedNearLimit)
+	}
+	return limit
+}
+
+// SetReceived sets when the request was received to its last byte, which its timeout counts from. For a streamed body
+// that is a time before: SetBodyReceived follows.
+func (t *Ticket) SetReceived(at time.Time) { t.Deadline = t.responseDue(at) }
+
+// SetBodyReceived sets when the last byte of a streamed body was received. The request is at the engine by then.
+func (t *Ticket) SetBodyReceived(at time.Time) { t.BodyArrived(t.responseDue(at)) }
+
+// responseDue returns when the response to a request is due that was received at a time.
+func (t *Ticket) responseDue(received time.Time) time.Time {
+	return received.Add(t.timeout - answerMargin)
+}
+
+// Discard ends a request that is not handed to the engine.
+func (t *Ticket) Discard() {
+	t.releaseBody()
+	t.reservedBytes = 0
+	t.End()
+}
+
+// End ends a request whose client has its response or has left.
+func (t *Ticket) End() {
+	if stream := t.Body.Stream(); stream != nil {
+		stream.Close()
+	}
+	t.releaseLimits()
+	if t.id != "" {
+		t.admission.ids.end(t.id)
+	}
+	t.snapshot.Release()
+}
