--- a/internal/frontend/errors.go
+++ b/internal/frontend/errors.go
@@ -7,6 +7,20 @@
 	"time"
 )
 
+// Texts of responses that the frontends write for the engine.
+const (
+	RejectedText = "turned away, trying again is harmless" // no attempt has run
+	FailedText   = "failed, it may have been done"         // an attempt may have run
+)
+
+// ErrBodyTooSlow is the error of a request whose body does not arrive within the pace that is allowed.
+var ErrBodyTooSlow = NewRequestError(http.StatusRequestTimeout, "the body comes too slowly")
+
+// NewBodyTooLongError returns the error of a request whose body is longer than a limit in bytes.
+func NewBodyTooLongError(limit int64) error {
+	return NewRequestError(http.StatusRequestEntityTooLarge, "the body is longer than %d bytes", limit)
+}
+
 // RequestError is the error of a request that is invalid or can't be accepted. The client gets its text.
 type RequestError struct {
 	StatusCode int // of the response
--- a/internal/frontend/fastcgi/conn.go
+++ b/internal/frontend/fastcgi/conn.go
@@ -43,12 +43,8 @@
 	readBufferSize = 16 << 10
 )
 
-var (
-	// errPeerGone is the error of a request that the web server has aborted, or whose connection has ended.
-	errPeerGone = errors.New("fastcgi: web server has left")
-	// errTooSlow is the error of a request whose body does not arrive in time.
-	errTooSlow = frontend.NewRequestError(http.StatusRequestTimeout, "the body comes too slowly")
-)
+// errPeerGone is the error of a request that the web server has aborted, or whose connection has ended.
+var errPeerGone = errors.New("fastcgi: web server has left")
 
 // conn is a connection of a web server. It implements fastcgi.Calls.
 type conn struct {
@@ -144,7 +140,7 @@
 // timeOut ends an incomplete request. begun says that its parameters are complete.
 func (c *conn) timeOut(id uint16, begun bool) {
 	if r := c.find(id); r != nil {
-		r.stdin.CloseWrite(errTooSlow)
+		r.stdin.CloseWrite(frontend.ErrBodyTooSlow)
 	} else if !begun {
 		c.records.RequestEnded(id)
 		c.writeError(id, http.StatusRequestTimeout, "the parameters come too slowly")
--- a/internal/frontend/fastcgi/message.go
+++ b/internal/frontend/fastcgi/message.go
@@ -98,8 +98,8 @@
 	return host + ":" + port
 }
 
-// contentLength returns the length of the body in bytes, -1 if it is unknown. A request without CONTENT_LENGTH has no body
-// (RFC 3875, 4.1.2), but some web servers send one in chunks without it, if the method may have one.
+// contentLength returns the length of the body in bytes by the parameter CONTENT_LENGTH. Without it there is no body if
+// the method has none (RFC 3875, 4.1.2), and else one of unknown length, -1.
 func contentLength(method, value string) (int64, error) {
 	if value == "" {
 		switch method {
--- a/internal/frontend/fastcgi/request.go
+++ b/internal/frontend/fastcgi/request.go
@@ -95,7 +95,7 @@
 	if err != nil {
 		return err
 	}
-	n, err := source.fill(buf)
+	n, err := frontend.Fill(source, buf)
 	if err == nil && int64(n) == length {
 		// The end follows, or a byte too many.
 		_, err = source.Read(make([]byte, 1))
@@ -106,7 +106,7 @@
 	case err != nil:
 		return err
 	case t.Route.Streams == nil:
-		return frontend.NewRequestError(http.StatusRequestEntityTooLarge, "the body is longer than %d bytes", frontend.MaxBufferedBytes)
+		return frontend.NewBodyTooLongError(frontend.MaxBufferedBytes)
 	default:
 		t.Body = body.NewStreamed(buf[:n], body.NewStream(source, length))
 	}
@@ -137,16 +137,6 @@
 	return s
 }
 
-// fill reads until buf is full or the body ends, with io.EOF.
-func (s *stdinSource) fill(buf []byte) (n int, err error) {
-	for n < len(buf) && err == nil {
-		var k int
-		k, err = s.Read(buf[n:])
-		n += k
-	}
-	return n, err
-}
-
 // Read is as in io.Reader.
 func (s *stdinSource) Read(p []byte) (int, error) {
 	start := time.Now()
@@ -158,9 +148,9 @@
 	tooLong := s.length >= 0 && s.bytes > s.length
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded), err == nil && paceErr != nil:
-		return n, errTooSlow
+		return n, frontend.ErrBodyTooSlow
 	case s.maxBytes > 0 && s.bytes > s.maxBytes:
-		return 0, frontend.NewRequestError(http.StatusRequestEntityTooLarge, "the body is longer than %d bytes", s.maxBytes)
+		return 0, frontend.NewBodyTooLongError(s.maxBytes)
 	case tooLong || tooShort:
 		return 0, frontend.NewRequestError(http.StatusBadRequest, "STDIN is not as long as CONTENT_LENGTH says")
 	}
@@ -186,13 +176,13 @@
 		if resp.RetryAfter > 0 {
 			retryAfter = frontend.FormatRetryAfter(resp.RetryAfter, t.Route.Plain != nil)
 		}
-		r.finish(errorResponse(http.StatusServiceUnavailable, retryAfter, "turned away, trying again is harmless"))
+		r.finish(errorResponse(http.StatusServiceUnavailable, retryAfter, frontend.RejectedText))
 	default:
 		if err := uploadError(t); err != nil {
 			r.fail(err)
 			return
 		}
-		r.finish(errorResponse(http.StatusBadGateway, "", "failed, it may have been done"))
+		r.finish(errorResponse(http.StatusBadGateway, "", frontend.FailedText))
 	}
 }
 
--- a/internal/frontend/fastcgi/server.go
+++ b/internal/frontend/fastcgi/server.go
@@ -9,7 +9,6 @@
 	"sync/atomic"
 	"time"
 
-	"dunemoor/internal/drain"
 	"dunemoor/internal/frontend"
 )
 
@@ -156,9 +155,5 @@
 
 // draining reports whether connections end with their responses.
 func (s *Server) draining() bool {
-	if s.lastRequests.Load() {
-		return true
-	}
-	state, _ := s.admission.Draining()
-	return state >= drain.Leaving
+	return s.lastRequests.Load() || s.admission.DrainEndsConnections()
 }
--- a/internal/frontend/health.go
+++ b/internal/frontend/health.go
@@ -53,6 +53,12 @@
 	return state, max(next-now, 1)
 }
 
+// DrainEndsConnections reports whether a drain has reached the state in which connections end with their responses.
+func (a *Admission) DrainEndsConnections() bool {
+	state, _ := a.Draining()
+	return state >= drain.Leaving
+}
+
 // wallClock returns the time since 1970.
 func wallClock() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
--- a/internal/frontend/http1/serve.go
+++ b/internal/frontend/http1/serve.go
@@ -201,9 +201,9 @@
 		if resp.RetryAfter > 0 {
 			retryAfter = frontend.FormatRetryAfter(resp.RetryAfter, t.Route.Plain != nil)
 		}
-		return c.writeError(http.StatusServiceUnavailable, "turned away, trying again is harmless", retryAfter)
+		return c.writeError(http.StatusServiceUnavailable, frontend.RejectedText, retryAfter)
 	default:
-		return c.writeError(http.StatusBadGateway, "failed, it may have been done", "")
+		return c.writeError(http.StatusBadGateway, frontend.FailedText, "")
 	}
 }
 
--- a/internal/frontend/http1/server.go
+++ b/internal/frontend/http1/server.go
@@ -13,7 +13,6 @@
 	"sync/atomic"
 	"time"
 
-	"dunemoor/internal/drain"
 	"dunemoor/internal/frontend"
 )
 
@@ -149,11 +148,7 @@
 
 // draining reports whether connections end with their responses.
 func (s *Server) draining() bool {
-	if s.lastRequests.Load() {
-		return true
-	}
-	state, _ := s.admission.Draining()
-	return state >= drain.Leaving
+	return s.lastRequests.Load() || s.admission.DrainEndsConnections()
 }
 
 // CloseListener closes a listener. Its connections are served on.
--- a/internal/frontend/http1/upload.go
+++ b/internal/frontend/http1/upload.go
@@ -63,7 +63,7 @@
 	if err != nil {
 		return err
 	}
-	n, err := u.fill(buf)
+	n, err := frontend.Fill(u, buf)
 	switch {
 	case err == io.EOF:
 		t.Body = body.NewBuffered(buf[:n])
@@ -81,7 +81,7 @@
 	if err != nil {
 		return err
 	}
-	if n, err := u.fill(buf); int64(n) < length {
+	if n, err := frontend.Fill(u, buf); int64(n) < length {
 		return u.requestError(err)
 	}
 	u.ticket.Body = body.NewBuffered(buf)
@@ -94,16 +94,6 @@
 	u.ticket.Body = body.NewStreamed(buffered, body.NewStream(u, length))
 }
 
-// fill reads until the buffer is full or the body ends, with io.EOF.
-func (u *upload) fill(buf []byte) (n int, err error) {
-	for n < len(buf) && err == nil {
-		var k int
-		k, err = u.Read(buf[n:])
-		n += k
-	}
-	return n, err
-}
-
 // Read is as in io.Reader, within the pace and the length that the route allows.
 func (u *upload) Read(p []byte) (int, error) {
 	u.reading.Lock()
@@ -200,9 +190,9 @@
 func (u *upload) requestError(err error) error {
 	switch {
 	case err == errBodyTooLong:
-		return frontend.NewRequestError(http.StatusRequestEntityTooLarge, "the body is longer than %d bytes", u.maxBytes)
+		return frontend.NewBodyTooLongError(u.maxBytes)
 	case err == body.ErrTooSlow, errors.Is(err, os.ErrDeadlineExceeded):
-		return frontend.NewRequestError(http.StatusRequestTimeout, "the body comes too slowly")
+		return frontend.ErrBodyTooSlow
 	default:
 		return frontend.NewRequestError(http.StatusBadRequest, "the body did not arrive, or can't be read")
 	}
--- a/internal/frontend/retryafter.go
+++ b/internal/frontend/retryafter.go
@@ -7,9 +7,9 @@
 )
 
 // FullRetryAfter is the Retry-After of a request that a frontend answers with 503 by itself, as there is no memory for
-// its body or no endpoint list yet. Most requests are answered within it. There are three others, each with its own
-// rule: overload.RetryAfter for a RejectedError, the balancer's for a request that it rejects, and the engine's for a
-// rejected request with a streamed body.
+// its body, too many tunnels are open, or the gateway is starting. Most requests end within it, and release what they
+// hold. There are three others, each with its own rule: overload.RetryAfter (retryafter.go) for a RejectedError, the
+// balancer's for a request that it rejects, and the engine's for a rejected request with a streamed body.
 const FullRetryAfter = 100 * time.Millisecond
 
 // FormatRetryAfter returns the value of a Retry-After header: in decimals for clients of the platform's protocol, and
--- a/internal/frontend/ticket.go
+++ b/internal/frontend/ticket.go
@@ -101,7 +101,7 @@
 		return NewRequestError(http.StatusBadRequest, "the body needs a Content-Length")
 	}
 	if limit > 0 && length > limit {
-		return NewRequestError(http.StatusRequestEntityTooLarge, "the body is longer than %d bytes", limit)
+		return NewBodyTooLongError(limit)
 	}
 	return nil
 }
@@ -144,8 +144,8 @@
 	return limit
 }
 
-// SetReceived sets when the request was received to its last byte, which its timeout counts from. For a streamed body
-// that is a time before: SetBodyReceived follows.
+// SetReceived sets when the last byte of the request was received, which its timeout counts from. If the body is
+// streamed, that is when its buffered part was, and SetBodyReceived follows.
 func (t *Ticket) SetReceived(at time.Time) { t.Deadline = t.responseDue(at) }
 
 // SetBodyReceived sets when the last byte of a streamed body was received. The request is at the engine by then.
