--- a/internal/frontend/ticket.go
+++ b/internal/frontend/ticket.go
@@ -5,6 +5,7 @@
 	"strings"
 	"time"
 
+	"dunemoor/balancer"
 	"dunemoor/internal/body"
 	"dunemoor/internal/engine"
 	"dunemoor/internal/route"
@@ -17,9 +18,6 @@
 	MaxBufferedBytes = 64 << 10
 	// maxBufferedNearLimit is how much of a streamed body is buffered at most while memory for bodies is scarce.
 	maxBufferedNearLimit = 4 << 10
-	// answerMargin is how long before the client's timeout the response is due. It covers the way from the engine to
-	// the client, and a delay of the process on a shared core.
-	answerMargin = 5 * time.Millisecond
 )
 
 // Ticket is an admitted request. It has what the request holds until its end: its id, its places in the limits, and
@@ -151,9 +149,10 @@
 // SetBodyReceived sets when the last byte of a streamed body was received. The request is at the engine by then.
 func (t *Ticket) SetBodyReceived(at time.Time) { t.BodyArrived(t.responseDue(at)) }
 
-// responseDue returns when the response to a request is due that was received at a time.
+// responseDue returns when the response to a request is due that was received at a time: balancer.AnswerMargin before the
+// client's timeout.
 func (t *Ticket) responseDue(received time.Time) time.Time {
-	return received.Add(t.timeout - answerMargin)
+	return received.Add(t.timeout - balancer.AnswerMargin)
 }
 
 // Discard ends a request that is not handed to the engine.
