--- a/cmd/dunemoor/relay.go
+++ b/cmd/dunemoor/relay.go
@@ -4,7 +4,6 @@
 	"context"
 	"log/slog"
 	"net"
-	"os"
 	"reflect"
 	"strings"
 
@@ -13,76 +12,87 @@
 	"dunemoor/internal/fleet"
 )
 
-// relayTarget is a relay that serves no requests, as operators' calls see it.
-type relayTarget struct{ part *fleet.Fleet }
+// relayTarget is a relay without listeners as admin.Target.
+type relayTarget struct{ fleet *fleet.Fleet }
 
-// Ready is of admin.Target.
+// Ready implements admin.Target.
 func (t relayTarget) Ready() (bool, string) { return true, "a relay, it serves no requests\n" }
 
-// Quiesce is of admin.Target: there is nothing to drain. Gateways leave when the process ends.
+// Quiesce implements admin.Target. There is nothing to drain: gateways leave when the process ends.
 func (t relayTarget) Quiesce() {}
 
-// Resume is of admin.Target.
+// Resume implements admin.Target.
 func (t relayTarget) Resume() {}
 
-// Status is of admin.Target.
-func (t relayTarget) Status() any { return t.part.Status() }
+// Status implements admin.Target.
+func (t relayTarget) Status() any { return t.fleet.Status() }
 
-// launchRelay runs a relay that serves no requests, until SIGTERM or SIGINT.
-func launchRelay(a *config.Appliance, path string, calls net.Listener, stop, hup <-chan os.Signal) error {
-	part, err := fleet.Join(a)
+// launchRelay runs a relay without listeners until SIGTERM or SIGINT, or the failure of its admin listener.
+func launchRelay(a *config.Appliance, path string, adminListener net.Listener, s signals) error {
+	member, err := fleet.Join(a)
 	if err != nil {
 		return err
 	}
-	if err := part.Start(); err != nil {
+	if err := member.Start(); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	broken := make(chan error, 1)
-	if calls != nil {
+	adminErrors := make(chan error, 1)
+	if adminListener != nil {
 		go func() {
-			if err := admin.New(relayTarget{part}, part.Calls()).Serve(ctx, calls); err != nil {
-				broken <- err
+			if err := admin.New(relayTarget{member}, member.Calls()).Serve(ctx, adminListener); err != nil {
+				adminErrors <- err
 			}
 		}()
 	}
 	slog.Info("relaying", "name", a.Name, "fleet", a.Fleet.ID)
 	for {
 		select {
-		case err := <-broken:
+		case err := <-adminErrors:
 			return err
-		case <-hup:
-			now, wrong := config.LoadAppliance(path)
-			for _, err := range wrong {
-				slog.Error("configuration", "err", err)
-			}
-			if len(wrong) == 0 {
-				if late := laterAtRelay(a, now); len(late) > 0 {
-					slog.Warn("settings changed in the file are used from the next start on", "settings", strings.Join(late, ", "))
-				}
-			}
-		case s := <-stop:
-			slog.Info("stopping", "signal", s.String())
-			part.Leave()
+		case <-s.reload:
+			checkRelayFile(a, path)
+		case received := <-s.stop:
+			slog.Info("stopping", "signal", received.String())
+			member.Leave()
 			slog.Info("stopped")
 			return nil
 		}
 	}
 }
 
-// laterAtRelay names what has changed in the file of a relay: all of it waits for the next start.
-func laterAtRelay(was, now *config.Appliance) (names []string) {
-	for _, s := range []struct {
+// checkRelayFile logs what has changed in a relay's file, or its errors.
+func checkRelayFile(before *config.Appliance, path string) {
+	now, errs := config.LoadAppliance(path)
+	if len(errs) > 0 {
+		for _, err := range errs {
+			slog.Error("configuration", "err", err)
+		}
+		return
+	}
+	if changed := changedRelaySettings(before, now); len(changed) > 0 {
+		slog.Warn("settings changed in the file are used from the next start on", "settings", strings.Join(changed, ", "))
+	}
+}
+
+// changedRelaySettings names the settings of a relay that differ. All of them take effect at the next start.
+func changedRelaySettings(before, now *config.Appliance) []string {
+	settings := []struct {
 		name    string
 		changed bool
 	}{
-		{"name", was.Name != now.Name}, {"admin", was.Admin != now.Admin}, {"limits", was.Limits != now.Limits},
-		{"fleet", !reflect.DeepEqual(was.Fleet, now.Fleet)}, {"listener", now.Serves()},
-	} {
+		{"name", before.Name != now.Name},
+		{"admin", before.Admin != now.Admin},
+		{"limits", before.Limits != now.Limits},
+		{"fleet", !reflect.DeepEqual(before.Fleet, now.Fleet)},
+		{"listener", now.Serves()},
+	}
+	var changed []string
+	for _, s := range settings {
 		if s.changed {
-			names = append(names, s.name)
+			changed = append(changed, s.name)
 		}
 	}
-	return names
+	return changed
 }
--- a/cmd/dunemoorctl/flight.go
+++ b/cmd/dunemoorctl/flight.go
@@ -114,9 +114,9 @@
 				fmt.Fprintf(out, "missing: %s\n", l)
 			}
 			fmt.Fprintf(out, "%d sessions, %d events, %d actions alike, %d checkpoints agree, %d events skipped\n",
-				rep.Sessions, rep.Events, rep.Actions, rep.Checked, rep.SkippedEvents)
+				rep.Sessions, rep.Events, rep.MatchingActions, rep.MatchingStates, rep.SkippedEvents)
 			if rep.ForeignCheckpoints > 0 {
-				fmt.Fprintf(out, "%d checkpoints are of another build: %s\n", rep.ForeignCheckpoints, rep.ForeignWhy)
+				fmt.Fprintf(out, "%d checkpoints are of another build: %s\n", rep.ForeignCheckpoints, rep.ForeignReason)
 			}
 			if rep.Divergence != nil {
 				fmt.Fprintf(out, "first difference: %v\n", rep.Divergence)
--- a/internal/flightrecorder/analysis_test.go
+++ b/internal/flightrecorder/analysis_test.go
@@ -2,9 +2,8 @@
 
 import (
 	"bytes"
-	"encoding/xml"
-	"io"
 	"math"
+	"os"
 	"strings"
 	"testing"
 	"time"
@@ -12,43 +11,29 @@
 	"dunemoor/balancer"
 )
 
-// spoiltDay is a day with one fault of each kind that a recording should show.
-func spoiltDay() *Sim {
-	s := day(6, 6000)
-	s.Settings.Instances = 1
-	for _, h := range s.Hosts {
-		h.Speed, h.Errors = 1, []float64{0.05, 0, 0}
-	}
-	s.Hosts[5].Speed = 0.5
-	s.Hosts[6].Mute = 0 // all are set alike below
-	for _, h := range s.Hosts {
-		h.Mute = 0.01
-	}
-	return s
-}
-
-func TestAnalysisTellsWhatHappened(t *testing.T) {
-	s := spoiltDay()
-	var out sink
+// The analysis has the outcome of the requests, and the ejections of the faulty hosts.
+func TestAnalysisShowsOutcomesAndEjections(t *testing.T) {
+	s := faultyTraffic()
+	var out bufferSink
 	_, sum := record(t, s, 6, Options{Sink: &out})
 	a, err := Analyse(bytes.NewReader(out.Bytes()), Window{Bucket: 500 * ms})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range sum.Classes {
-		want, got := &sum.Classes[i], &a.Requests[i]
-		if got.Asked != want.Asked || got.InTime != want.InTime || got.Served != want.InTime+want.Late ||
-			got.Refused != want.Refused || got.Failed != want.Failed || got.Left != want.Left {
-			t.Errorf("class %d: the day had %+v, the analysis tells %+v", i, want, got)
+		want, got := &sum.Classes[i], &a.Classes[i]
+		if got.Requests != want.Requests || got.InTime != want.InTime || got.Served != want.InTime+want.Late ||
+			got.Rejected != want.Rejected || got.Failed != want.Failed || got.Abandoned != want.Abandoned {
+			t.Errorf("class %d: got %+v, want %+v", i, got, want)
 		}
 	}
-	// Host 1 refused connections from 0.2 to 0.35 of the day on.
+	// Host 1 refuses connections from 0.2 to 0.35 of the time.
 	for _, h := range a.Hosts {
 		if h.ID != 1 {
 			continue
 		}
 		if h.Name != "s-1" {
-			t.Errorf("host 1 is called %q", h.Name)
+			t.Errorf("host 1: got name %q, want \"s-1\"", h.Name)
 		}
 		var letters []byte
 		for i := range h.Buckets {
@@ -56,39 +41,39 @@
 		}
 		n := len(letters)
 		if !strings.Contains(string(letters[n*20/100:n*36/100]), "XX") || strings.Contains(string(letters[n*60/100:]), "X") {
-			t.Errorf("its line is %q", letters)
+			t.Errorf("host 1: got time line %q, want it ejected for a fifth of it, and not at the end", letters)
 		}
 	}
-	why := map[balancer.Cause]int{}
-	for _, e := range a.Ejected {
-		if e.Host == 1 && e.Why == balancer.CauseConnectionsFailed && e.Class < 0 {
-			t.Errorf("the ejection at %v names no request", e.At)
+	causes := map[balancer.Cause]int{}
+	for _, e := range a.Ejections {
+		if e.Host == 1 && e.Cause == balancer.CauseConnectionsFailed && e.Class < 0 {
+			t.Errorf("ejection at %v: got no request, want one", e.At)
 		}
-		why[e.Why]++
+		causes[e.Cause]++
 	}
-	if why[balancer.CauseConnectionsFailed] == 0 || why[balancer.CauseSilent] == 0 {
-		t.Errorf("ejections by cause: %v", why)
+	if causes[balancer.CauseConnectionsFailed] == 0 || causes[balancer.CauseSilent] == 0 {
+		t.Errorf("got ejections by cause %v, want some for failed connections and for silence", causes)
 	}
 	var text strings.Builder
 	a.Text(&text, 5)
 	for _, want := range []string{"s-1", "asked", "ejections, the first 5", "silent"} {
 		if !strings.Contains(text.String(), want) {
-			t.Errorf("the text lacks %q:\n%s", want, text.String())
+			t.Errorf("got text without %q:\n%s", want, text.String())
 		}
 	}
 	if err := a.HostText(&text, "s-1"); err != nil {
 		t.Error(err)
 	}
 	if err := a.HostText(&text, "none"); err == nil {
-		t.Error("a host that is not there is no error")
+		t.Error("unknown host: got no error")
 	}
 }
 
-// Only what lies in the window counts.
-func TestWindow(t *testing.T) {
-	var out sink
-	record(t, day(6, 3000), 6, Options{Sink: &out})
-	whole, err := Analyse(bytes.NewReader(out.Bytes()), Window{})
+// Only requests within the window count.
+func TestAnalysisOfAWindow(t *testing.T) {
+	var out bufferSink
+	record(t, randomTraffic(6, 3000), 6, Options{Sink: &out})
+	all, err := Analyse(bytes.NewReader(out.Bytes()), Window{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,195 +81,108 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	asked := func(a *Analysis) (n int) {
-		for _, c := range a.Requests {
-			n += c.Asked
+	requests := func(a *Analysis) (n int) {
+		for _, c := range a.Classes {
+			n += c.Requests
 		}
 		return n
 	}
 	inBuckets := 0
-	for _, r := range whole.Rates[4:8] { // 500 ms each
-		inBuckets += r.Asked
+	for _, r := range all.Rates[4:8] { // 500 ms each
+		inBuckets += r.Requests
 	}
-	if asked(part) != inBuckets || asked(part) == 0 || asked(whole) != 3000 {
-		t.Errorf("the window holds %d requests, the buckets there %d; %d in all", asked(part), inBuckets, asked(whole))
+	if requests(part) != inBuckets || requests(part) == 0 || requests(all) != 3000 {
+		t.Errorf("got %d requests in the window, want %d as in its buckets; got %d in all, want 3000", requests(part), inBuckets, requests(all))
 	}
 	if part.To-part.From > 2*time.Second {
-		t.Errorf("from %v to %v", part.From, part.To)
+		t.Errorf("got the window from %v to %v, want at most 2s", part.From, part.To)
 	}
 }
 
-// Requests that waited in vain are told with what held the hosts.
-func TestRefusalsAreExplained(t *testing.T) {
-	s := day(8, 4000)
+// Requests that waited in vain are explained by the states of the hosts.
+func TestAnalysisExplainsTimedOutWaiting(t *testing.T) {
+	s := randomTraffic(8, 4000)
 	for _, h := range s.Hosts {
-		h.Speed = 0.3 // far too slow for what comes
+		h.Speed = 0.3 // far too slow for the traffic
 	}
-	var out sink
+	var out bufferSink
 	record(t, s, 8, Options{Sink: &out})
 	a, err := Analyse(bytes.NewReader(out.Bytes()), Window{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	sum := 0.0
-	for _, x := range a.Held {
+	for _, x := range a.WaitReasons {
 		sum += x
 	}
-	if a.Refusals == 0 || math.Abs(sum-float64(a.Refusals)) > 0.01*sum || a.Held["ready now"] > 0.1*sum {
-		t.Errorf("%d waited in vain, held by %v", a.Refusals, a.Held)
-	}
-}
-
-func TestPlotIsWellFormed(t *testing.T) {
-	var out sink
-	rec, _ := record(t, spoiltDay(), 6, Options{})
-	rec.NameHost(balancer.Time(2*time.Hour), 2, `<&">`)
-	a, err := Analyse(bytes.NewReader(rec.Dump(nil)), Window{})
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := a.SVG(&out); err != nil {
-		t.Fatal(err)
-	}
-	lines := 0
-	for d := xml.NewDecoder(&out.Buffer); ; {
-		tok, err := d.Token()
-		if err == io.EOF {
-			break
-		}
-		if err != nil {
-			t.Fatal(err)
-		}
-		if e, ok := tok.(xml.StartElement); ok && e.Name.Local == "polyline" {
-			lines++
-		}
-	}
-	if want := 4 + 2*len(a.Hosts); lines != want {
-		t.Errorf("%d lines drawn, want %d", lines, want)
-	}
-	if err := (&Analysis{}).SVG(&out); err == nil {
-		t.Error("nothing to draw is no error")
-	}
-}
-
-// A day made from a recording has the hosts that made it, and its try with the same module
-// comes near to what was recorded.
-func TestFitFindsTheHosts(t *testing.T) {
-	s := spoiltDay()
-	var out sink
-	record(t, s, 6, Options{Sink: &out})
-	f, err := Fit(bytes.NewReader(out.Bytes()))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if n := len(f.Sim.Arrivals); n != 6000 {
-		t.Fatalf("%d arrivals", n)
-	}
-	if x := f.Sim.Hosts[5].Speed / f.Sim.Hosts[3].Speed; x < 0.35 || x > 0.7 {
-		t.Errorf("host 5 has %.2f of the speed of host 3, it was half", x)
-	}
-	if x := f.Sim.Hosts[3].Mute; x < 0.004 || x > 0.03 {
-		t.Errorf("%.4f of the attempts are never answered, 0.01 were", x)
-	}
-	if x := f.Sim.Hosts[3].Errors[0]; x < 0.03 || x > 0.07 {
-		t.Errorf("%.4f of class 0 are errors, 0.05 were", x)
-	}
-	for _, c := range []struct {
-		name      string
-		got, want []Span
-	}{{"down", f.Sim.Hosts[1].Down, s.Hosts[1].Down}, {"silent", f.Sim.Hosts[2].Silent, s.Hosts[2].Silent}} {
-		if len(c.got) == 0 {
-			t.Errorf("%s: not found", c.name)
-			continue
-		}
-		from, to := c.got[0].From, c.got[len(c.got)-1].To
-		if w := c.want[0]; from < w.From || from > w.From+(w.To-w.From)/2 || to > w.To+time.Second {
-			t.Errorf("%s from %v to %v, it was from %v to %v", c.name, from, to, w.From, w.To)
-		}
-	}
-	tried, err := f.Try()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if tried.Twice+tried.Unheard > 0 {
-		t.Errorf("the try broke rules: %+v", tried)
-	}
-	for i := range tried.Classes {
-		was, is := &f.Recorded.Classes[i], &tried.Classes[i]
-		x, y := float64(was.InTime)/float64(was.Asked), float64(is.InTime)/float64(is.Asked)
-		if is.Asked != was.Asked || math.Abs(x-y) > 0.08 {
-			t.Errorf("class %d: %.3f in time then, %.3f in the try", i, x, y)
-		}
-	}
-	again, _ := f.Try()
-	for i := range again.Classes {
-		if again.Classes[i].InTime != tried.Classes[i].InTime {
-			t.Errorf("class %d: a second try has %d in time, the first %d", i, again.Classes[i].InTime, tried.Classes[i].InTime)
-		}
-	}
-	var text strings.Builder
-	f.Compare(&text, tried)
-	if !strings.Contains(text.String(), "this build") || strings.Contains(text.String(), "BROKEN") {
-		t.Errorf("it says %s", text.String())
+	if a.TimedOutWaiting == 0 || math.Abs(sum-float64(a.TimedOutWaiting)) > 0.01*sum || a.WaitReasons["ready now"] > 0.1*sum {
+		t.Errorf("got %d requests that waited in vain, by reason %v; want reasons that sum up to as many", a.TimedOutWaiting, a.WaitReasons)
 	}
 }
 
-// A recording begun in mid-flight has its hosts from the checkpoint.
-func TestFitInMidFlight(t *testing.T) {
-	rec, _ := record(t, day(5, 12000), 5, Options{RingBytes: leastRing})
-	f, err := Fit(bytes.NewReader(rec.Dump(nil)))
-	if err != nil {
-		t.Fatal(err)
-	}
-	tried, err := f.Try()
-	if err != nil {
-		t.Fatal(err)
-	}
-	good := 0
-	for _, c := range tried.Classes {
-		good += c.InTime
-	}
-	if n := len(f.Sim.Arrivals); n < 300 || n > 6000 || good < n/2 {
-		t.Errorf("%d arrivals, %d in time in the try", n, good)
-	}
-	if _, err := Fit(bytes.NewReader(nil)); err == nil {
-		t.Error("nothing is no error")
-	}
-}
-
-// Of a recording that this build would decide otherwise the hosts are shown as the views
-// have them, and that is said.
-func TestOtherBuildIsShownByItsViews(t *testing.T) {
-	s := day(6, 3000)
-	var same, other sink
+// Where this build decides otherwise than recorded, hosts are as the recorded views have them, and the text says so.
+func TestAnalysisOfAnotherBuildUsesItsViews(t *testing.T) {
+	s := randomTraffic(6, 3000)
+	var same, other bufferSink
 	record(t, s, 6, Options{Sink: &same, ViewInterval: 50 * ms})
 	bal, _ := balancer.New(s.Settings, 5)
-	New(bal, SessionStart{Seed: 5, At: s.Lists[0].At, Settings: s.Settings}, 1006, Options{Sink: &other})
-	mixed := append(bytes.Clone(other.Bytes()), same.Bytes()[firstBlock(t, same.Bytes()):]...)
+	New(bal, SessionStart{Seed: 5, At: s.Endpoints[0].At, Settings: s.Settings}, 1006, Options{Sink: &other})
+	mixed := append(bytes.Clone(other.Bytes()), same.Bytes()[firstBlockSize(t, same.Bytes()):]...)
 	want, err := Analyse(bytes.NewReader(same.Bytes()), Window{})
-	if err != nil || want.Viewed {
-		t.Fatalf("viewed %v, %v", want.Viewed, err)
+	if err != nil || want.FromViews {
+		t.Fatalf("same build: got from views %v, error %v, want neither", want.FromViews, err)
 	}
 	a, err := Analyse(bytes.NewReader(mixed), Window{})
-	if err != nil || !a.Viewed || a.Ejects > 0 {
-		t.Fatalf("viewed %v, %d ejections, %v", a.Viewed, a.Ejects, err)
+	if err != nil || !a.FromViews || a.EjectionCount > 0 {
+		t.Fatalf("other build: got from views %v, %d ejections, error %v, want views alone", a.FromViews, a.EjectionCount, err)
 	}
 	pending := func(a *Analysis) (sum float64) {
 		for _, h := range a.Hosts {
 			for i := range h.Buckets {
-				if b := &h.Buckets[i]; b.Looks > 0 {
-					sum += b.Pending / float64(b.Looks)
+				if b := &h.Buckets[i]; b.Samples > 0 {
+					sum += b.Pending / float64(b.Samples)
 				}
 			}
 		}
 		return sum
 	}
 	if x, y := pending(a), pending(want); math.Abs(x-y) > 0.3*y || y == 0 {
-		t.Errorf("by the views %.1f are out, by the replay %.1f", x, y)
+		t.Errorf("got %.1f attempts in flight by the views, want about %.1f as by the replay", x, y)
 	}
 	var text strings.Builder
 	a.Text(&text, 0)
 	if !strings.Contains(text.String(), "this build decides otherwise") {
-		t.Errorf("it does not say so:\n%s", text.String())
+		t.Errorf("got text without the divergence:\n%s", text.String())
+	}
+}
+
+// The text and the plot of a recording by an earlier build stay as they are.
+func TestAnalysisOutputOfARecording(t *testing.T) {
+	recording, err := os.ReadFile("testdata/compat/recording.dmf")
+	if err != nil {
+		t.Fatal(err)
+	}
+	a, err := Analyse(bytes.NewReader(recording), Window{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	var text, svg bytes.Buffer
+	a.Text(&text, 10)
+	for _, h := range a.Hosts {
+		if err := a.HostText(&text, h.label()); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := a.SVG(&svg); err != nil {
+		t.Fatal(err)
+	}
+	for name, got := range map[string][]byte{"testdata/analysis.txt": text.Bytes(), "testdata/analysis.svg": svg.Bytes()} {
+		want, err := os.ReadFile(name)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if !bytes.Equal(got, want) {
+			t.Errorf("%s: got\n%s\nwant\n%s", name, got, want)
+		}
 	}
 }
--- a/internal/flightrecorder/bench_test.go
+++ b/internal/flightrecorder/bench_test.go
@@ -7,26 +7,26 @@
 	"dunemoor/balancer"
 )
 
-// quiet is a module that does nothing, so that what is timed is the recorder.
+// benchRecorder returns a Recorder with a list of hosts, and its time.
 func benchRecorder(b *testing.B) (*Recorder, balancer.Time) {
-	s := day(1, 1)
+	s := randomTraffic(1, 1)
 	bal, err := balancer.New(s.Settings, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
-	at := s.Lists[0].At
+	at := s.Endpoints[0].At
 	rec, err := New(bal, SessionStart{Seed: 1, At: at, Settings: s.Settings}, 1, Options{RingBytes: 1 << 20})
 	if err != nil {
 		b.Fatal(err)
 	}
 	rec.Start(at)
-	rec.UpdateEndpoints(at, balancer.ListSaved, s.Lists[0].Hosts)
+	rec.UpdateEndpoints(at, balancer.ListSaved, s.Endpoints[0].Hosts)
 	rec.TakeActions(nil)
 	return rec, at
 }
 
-// BenchmarkRequest is a request with its events and actions (request, outcome, one timer),
-// recorded and not. The difference by three is the cost of an event with its actions.
+// BenchmarkRequest measures a request with its events and actions (request, end of an attempt, one timer), with and
+// without a Recorder. A third of the difference is the cost of an event with its actions.
 func BenchmarkRequest(b *testing.B) {
 	for _, recorded := range []bool{false, true} {
 		name := "plain"
@@ -37,26 +37,26 @@
 			rec, now := benchRecorder(b)
 			var m Balancer = rec
 			if !recorded {
-				m = rec.bal
+				m = rec.balancer
 			}
-			var acts []balancer.Action
+			var actions []balancer.Action
 			id := balancer.RequestID(0)
 			b.ReportAllocs()
 			for b.Loop() {
 				id++
 				now += 5 * ms
 				m.Request(now, balancer.Request{ID: id, Remaining: time.Second})
-				acts = m.TakeActions(acts[:0])
+				actions = m.TakeActions(actions[:0])
 				m.AttemptEnded(now+4*ms, balancer.Outcome{Request: id, Elapsed: 4 * ms, Closed: true})
-				acts = m.TakeActions(acts[:0])
+				actions = m.TakeActions(actions[:0])
 				m.Timer(now+4*ms, 1<<56)
-				acts = m.TakeActions(acts[:0])
+				actions = m.TakeActions(actions[:0])
 			}
 		})
 	}
 }
 
-// BenchmarkEvent is one event into the recorder, without the module.
+// BenchmarkEvent measures the record of one event and one action, without a balancer.
 func BenchmarkEvent(b *testing.B) {
 	rec, now := benchRecorder(b)
 	o := balancer.Outcome{Request: 1 << 20, Elapsed: 4 * ms, Closed: true}
@@ -64,15 +64,15 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		now += 300 * time.Microsecond
-		rec.event(now, recOutcome, maxRecord)
-		rec.block = putOutcome(rec.block, &o)
-		rec.block = putAction(rec.block, &a)
+		rec.beginEvent(now, recordAttemptEnded, maxRecord)
+		rec.block = appendOutcome(rec.block, &o)
+		rec.block = appendAction(rec.block, &a)
 	}
 }
 
-// BenchmarkDump is what a dump costs the loop.
+// BenchmarkDump measures a dump of the ring.
 func BenchmarkDump(b *testing.B) {
-	rec, _ := record(b, day(1, 9000), 1, Options{RingBytes: 1 << 20})
+	rec, _ := record(b, randomTraffic(1, 9000), 1, Options{RingBytes: 1 << 20})
 	var dst []byte
 	for b.Loop() {
 		dst = rec.Dump(dst[:0])
--- a/internal/flightrecorder/file.go
+++ b/internal/flightrecorder/file.go
@@ -1,233 +1,212 @@
 package flightrecorder
 
 import (
-	"cmp"
 	"context"
 	"errors"
-	"fmt"
 	"os"
-	"path/filepath"
 	"sync/atomic"
 	"time"
 )
 
 const (
-	// queueMost is how many blocks may wait for the disk, some 500 KB: a second of a busy
-	// gateway. Beyond it blocks are lost and counted; nobody waits.
-	queueMost = 32
-	// retryEvery is how long a file that could not be written is left alone.
-	retryEvery = time.Second
+	// maxQueuedBlocks is the number of blocks that wait for the disk: some 500 KB, a second of a busy gateway.
+	// Further ones are lost and counted.
+	maxQueuedBlocks = 32
+	// reopenInterval is the time after a failure in which a file isn't opened again.
+	reopenInterval = time.Second
+	// rotatedSuffix is appended to the name of a full file.
+	rotatedSuffix = ".1"
 )
 
-// File is a Sink that writes to a file in a goroutine of its own. When the file has
-// reached its size it is renamed to NAME.1, in the place of the one before, and a new one
-// begun; so there are twice that many bytes at most.
+// errReopenLater is the error of blocks within reopenInterval after a failure.
+var errReopenLater = errors.New("recording file failed a moment ago")
+
+// File is a Sink that writes to a file in a goroutine of its own. A file that has reached its size is renamed
+// to NAME.1, in place of an earlier one, and a new one begins: both together have at most twice the size.
 type File struct {
-	path  string
-	most  int64
-	queue chan []byte
-	free  chan []byte
-	anew  atomic.Bool // the next block should be a checkpoint
-	lost  atomic.Uint64
-	wrote atomic.Uint64
-	last  atomic.Pointer[string] // the last error, for those who ask
-
-	open  func(path string) (file, error)
-	start []byte // the block that each file begins with
-	f     file
-	size  int64
-	until time.Time // not opened again before
-
-	mended atomic.Bool // tests: until is past
+	path     string
+	maxBytes int64
+
+	queue          chan []byte
+	free           chan []byte // blocks for reuse
+	wantCheckpoint atomic.Bool
+	lostBlocks     atomic.Uint64
+	writtenBlocks  atomic.Uint64
+	lastError      atomic.Pointer[string]
+
+	// The fields below belong to Run.
+	open     func(path string) (outputFile, error)
+	start    []byte // the last block of kind blockStart: each file begins with it
+	file     outputFile
+	size     int64
+	reopenAt time.Time
+
+	reopenAtOnce atomic.Bool // tests: reopenAt doesn't count
 }
 
-// file is what File needs of an *os.File.
-type file interface {
+// outputFile is what File uses of an *os.File.
+type outputFile interface {
 	Write([]byte) (int, error)
 	Close() error
 }
 
-// NewFile returns a File of at most size bytes; Run must be called. A recording that is
-// there already is added to.
-func NewFile(path string, size int64) *File {
+// NewFile returns a File of at most maxBytes. An existing file is appended to. Its owner must call Run.
+func NewFile(path string, maxBytes int64) *File {
 	return &File{
-		path: path, most: size, open: appendTo,
-		queue: make(chan []byte, queueMost), free: make(chan []byte, queueMost),
+		path:     path,
+		maxBytes: maxBytes,
+		open:     openForAppend,
+		queue:    make(chan []byte, maxQueuedBlocks),
+		free:     make(chan []byte, maxQueuedBlocks),
 	}
 }
 
-func appendTo(path string) (file, error) {
+func openForAppend(path string) (outputFile, error) {
 	return os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 }
 
-// Put hands a block over if there is room for it.
-func (w *File) Put(block []byte) (taken, anew bool) {
+// Put implements Sink: it queues a copy of the block, or drops it where the queue is full.
+func (f *File) Put(block []byte) (accepted, wantCheckpoint bool) {
 	var b []byte
 	select {
-	case b = <-w.free:
+	case b = <-f.free:
 	default:
 	}
 	b = append(b[:0], block...)
 	select {
-	case w.queue <- b:
-		taken = true
+	case f.queue <- b:
+		accepted = true
+	default:
+		f.lostBlocks.Add(1)
+		f.recycle(b)
+	}
+	return accepted, f.wantCheckpoint.Swap(false)
+}
+
+// recycle keeps a block for reuse.
+func (f *File) recycle(b []byte) {
+	select {
+	case f.free <- b:
 	default:
-		w.lost.Add(1)
-		select {
-		case w.free <- b:
-		default:
-		}
 	}
-	return taken, w.anew.Swap(false)
 }
 
-// Stats says how many blocks were written and lost, and the last error if there was one.
-func (w *File) Stats() (wrote, lost uint64, lastError string) {
-	if p := w.last.Load(); p != nil {
+// Stats returns the number of blocks written and lost, and the text of the last error; "": there was none.
+func (f *File) Stats() (written, lost uint64, lastError string) {
+	if p := f.lastError.Load(); p != nil {
 		lastError = *p
 	}
-	return w.wrote.Load(), w.lost.Load(), lastError
+	return f.writtenBlocks.Load(), f.lostBlocks.Load(), lastError
 }
 
-// Run writes until ctx ends, and then what was handed over before.
-func (w *File) Run(ctx context.Context) {
+// Run writes blocks until ctx ends, and then those that are queued. It closes the file.
+func (f *File) Run(ctx context.Context) {
 	for {
 		select {
-		case b := <-w.queue:
-			w.write(b)
+		case b := <-f.queue:
+			f.write(b)
 		case <-ctx.Done():
-			for {
-				select {
-				case b := <-w.queue:
-					w.write(b)
-				default:
-					if w.f != nil {
-						w.f.Close()
-						w.f = nil
-					}
-					return
-				}
-			}
+			f.drain()
+			f.close()
+			return
 		}
 	}
 }
 
-// write writes one block, whole or not at all as far as that can be had: a reader passes
-// over one that is torn.
-func (w *File) write(b []byte) {
-	var h head
-	if h.parse(b) && h.kind == blockStart {
-		w.start = append(w.start[:0], b...)
+// drain writes the blocks that are queued.
+func (f *File) drain() {
+	for {
+		select {
+		case b := <-f.queue:
+			f.write(b)
+		default:
+			return
+		}
+	}
+}
+
+func (f *File) close() {
+	if f.file != nil {
+		f.file.Close()
+		f.file = nil
 	}
-	err := w.ready(b, h.kind == blockStart)
+}
+
+// write writes one block. A failure may leave a part of it in the file; readers skip that.
+func (f *File) write(b []byte) {
+	defer f.recycle(b)
+	var h header
+	isStart := h.decode(b) && h.kind == blockStart
+	if isStart {
+		f.start = append(f.start[:0], b...)
+	}
+	err := f.prepare(len(b), isStart)
 	if err == nil {
-		var n int
-		if n, err = w.f.Write(b); err == nil {
-			w.wrote.Add(1)
-		}
-		w.size += int64(n)
+		err = f.append(b)
 	}
 	if err != nil {
-		w.lost.Add(1)
-		w.anew.Store(true)
-		if !errors.Is(err, errWaiting) {
-			text := err.Error()
-			w.last.Store(&text)
-			if w.f != nil {
-				w.f.Close()
-				w.f = nil
-			}
-			w.until = time.Now().Add(retryEvery)
-		}
-	}
-	select {
-	case w.free <- b:
-	default:
+		f.fail(err)
+		return
 	}
+	f.writtenBlocks.Add(1)
+}
+
+// append writes to the open file.
+func (f *File) append(b []byte) error {
+	n, err := f.file.Write(b)
+	f.size += int64(n)
+	return err
 }
 
-var errWaiting = errors.New("flight: the file is left alone for now")
+// fail accounts for a block that is lost.
+func (f *File) fail(err error) {
+	f.lostBlocks.Add(1)
+	f.wantCheckpoint.Store(true)
+	if errors.Is(err, errReopenLater) {
+		return
+	}
+	text := err.Error()
+	f.lastError.Store(&text)
+	f.close()
+	f.reopenAt = time.Now().Add(reopenInterval)
+}
 
-// ready makes sure of an open file with room.
-func (w *File) ready(b []byte, isStart bool) error {
-	if w.f != nil && w.size > 0 && w.size+int64(len(b)) > w.most {
-		w.f.Close()
-		w.f = nil
-		if err := os.Rename(w.path, w.path+".1"); err != nil {
-			return err
-		}
-		w.anew.Store(true)
+// prepare makes sure that a file is open and has room for size bytes. A new file begins with the start of the
+// session, unless that is what is to be written.
+func (f *File) prepare(size int, isStart bool) error {
+	if err := f.rotate(size); err != nil {
+		return err
 	}
-	if w.f != nil {
+	if f.file != nil {
 		return nil
 	}
-	if time.Now().Before(w.until) && !w.mended.Load() {
-		return errWaiting
+	if time.Now().Before(f.reopenAt) && !f.reopenAtOnce.Load() {
+		return errReopenLater
 	}
-	f, err := w.open(w.path)
+	file, err := f.open(f.path)
 	if err != nil {
 		return err
 	}
-	w.f, w.size = f, 0
-	if st, err := os.Stat(w.path); err == nil && st.Mode().IsRegular() {
-		w.size = st.Size()
+	f.file = file
+	f.size = 0
+	if info, err := os.Stat(f.path); err == nil && info.Mode().IsRegular() {
+		f.size = info.Size()
 	}
-	if isStart || len(w.start) == 0 {
+	if isStart || len(f.start) == 0 {
 		return nil
 	}
-	n, err := w.f.Write(w.start)
-	w.size += int64(n)
-	return err
+	return f.append(f.start)
 }
 
-// WriteDump writes a dump beside others in dir and returns its path. It is written under
-// another name first, so that whoever looks there finds whole ones only.
-func WriteDump(dir, name string, at time.Time, dump []byte) (string, error) {
-	path := filepath.Join(dir, fmt.Sprintf("flight-%s-%s.dmf", name, at.UTC().Format("20060102T150405.000Z")))
-	tmp, err := os.CreateTemp(dir, ".flight-*")
-	if err != nil {
-		return "", err
-	}
-	_, err = tmp.Write(dump)
-	err = cmp.Or(err, tmp.Sync(), tmp.Close())
-	if err == nil {
-		err = os.Rename(tmp.Name(), path)
-	}
-	if err != nil {
-		os.Remove(tmp.Name())
-		return "", err
-	}
-	return path, nil
-}
-
-// Trigger says when too many requests are refused. It is told of each final answer.
-type Trigger struct {
-	RejectedShare float64       // of the answers in a window
-	Window        time.Duration // the window
-	MinResponses  int           // answers in a window below which nothing is told
-	MinInterval   time.Duration // least time between two times that it goes off
-
-	from            time.Duration
-	answers, turned int
-	quietUntil      time.Duration
-}
-
-// ObserveResponse is told of an answer at a time that does not go back; it says whether the
-// trigger goes off.
-func (t *Trigger) ObserveResponse(now time.Duration, refused bool) bool {
-	if t.RejectedShare <= 0 {
-		return false
-	}
-	if now-t.from >= t.Window {
-		t.from, t.answers, t.turned = now, 0, 0
-	}
-	t.answers++
-	if refused {
-		t.turned++
+// rotate renames the open file where it has no room for size bytes. An empty file has room for any block.
+func (f *File) rotate(size int) error {
+	if f.file == nil || f.size == 0 || f.size+int64(size) <= f.maxBytes {
+		return nil
 	}
-	if t.answers < t.MinResponses || float64(t.turned) < t.RejectedShare*float64(t.answers) || now < t.quietUntil {
-		return false
+	f.close()
+	if err := os.Rename(f.path, f.path+rotatedSuffix); err != nil {
+		return err
 	}
-	t.quietUntil = now + t.MinInterval
-	return true
+	f.wantCheckpoint.Store(true)
+	return nil
 }
--- /dev/null
+++ b/internal/flightrecorder/fleet_session.go
@@ -0,0 +1,258 @@
+package flightrecorder
+
+import (
+	"slices"
+	"time"
+
+	"dunemoor/balancer"
+)
+
+// fleetSession is a session of a gateway whose recording is added to a Fleet.
+type fleetSession struct {
+	fleet      *Fleet
+	wallStart  time.Time
+	startedAt  balancer.Time
+	lastEvent  balancer.Time
+	warmup     time.Duration
+	objectives []time.Duration // latency objectives by class
+	startTimes map[balancer.HostID]balancer.Time
+	requests   map[balancer.RequestID]*fleetRequest
+}
+
+// fleetRequest is a request, and the second that it is counted in.
+type fleetRequest struct {
+	at      balancer.Time
+	class   int
+	second  *FleetSecond
+	hosts   []balancer.HostID // of its attempts
+	ended   uint64            // bit i: attempt i has ended
+	settled bool              // its outcome is counted
+}
+
+func (r *fleetRequest) counts() *FleetClass { return &r.second.Classes[r.class] }
+
+func newFleetSession(f *Fleet, start *SessionStart) *fleetSession {
+	s := &fleetSession{
+		fleet:      f,
+		wallStart:  start.Wall,
+		startedAt:  start.At,
+		warmup:     start.Settings.SlowStartWindow,
+		startTimes: map[balancer.HostID]balancer.Time{},
+		requests:   map[balancer.RequestID]*fleetRequest{},
+	}
+	for _, class := range start.Settings.Classes {
+		s.objectives = append(s.objectives, class.LatencyObjective)
+	}
+	return s
+}
+
+// wall converts a time of the session's clock.
+func (s *fleetSession) wall(at balancer.Time) time.Time { return s.wallStart.Add(at - s.startedAt) }
+
+// second returns the counts of the second of a time.
+func (s *fleetSession) second(at balancer.Time) *FleetSecond {
+	return s.fleet.secondAt(s.wall(at).Unix())
+}
+
+func (s *fleetSession) changeAttempts(at balancer.Time, host balancer.HostID, change int8) {
+	s.addChange(hostChange{at: s.wall(at).UnixNano(), host: host, attempts: change})
+}
+
+func (s *fleetSession) changeReady(at balancer.Time, host balancer.HostID, ready bool) {
+	change := int8(-1)
+	if ready {
+		change = 1
+	}
+	s.addChange(hostChange{at: s.wall(at).UnixNano(), host: host, ready: change})
+}
+
+func (s *fleetSession) addChange(c hostChange) { s.fleet.changes = append(s.fleet.changes, c) }
+
+// end ends the attempts in flight where the session ends: the gateway was killed, or the recording stops. s may
+// be nil.
+func (s *fleetSession) end() {
+	if s == nil {
+		return
+	}
+	for _, r := range s.requests {
+		for i, host := range r.hosts {
+			if r.ended&(1<<i) == 0 {
+				s.changeAttempts(s.lastEvent, host, -1)
+			}
+		}
+	}
+}
+
+func (s *fleetSession) process(it *Item) {
+	switch it.Kind {
+	case ItemEvent:
+		s.lastEvent = it.Event.At
+		s.event(&it.Event)
+	case ItemAction:
+		s.action(it.Session, it.At, &it.Action)
+	}
+}
+
+func (s *fleetSession) event(e *Event) {
+	second := s.second(e.At)
+	switch e.Kind {
+	case EventRequest:
+		s.request(second, e)
+	case EventAttemptEnded:
+		s.attemptEnded(second, e)
+	case EventUpdateEndpoints:
+		s.updateEndpoints(second, e)
+	}
+}
+
+func (s *fleetSession) request(second *FleetSecond, e *Event) {
+	second.Requests++
+	if e.Request.Duplicate {
+		second.Duplicates++
+	}
+	class := e.Request.Class
+	if class < 0 || class >= len(s.objectives) {
+		return
+	}
+	for len(second.Classes) <= class {
+		second.Classes = append(second.Classes, FleetClass{})
+	}
+	r := &fleetRequest{at: e.At, class: class, second: second}
+	s.requests[e.Request.ID] = r
+	r.counts().Requests++
+	if e.Request.Duplicate {
+		r.counts().Duplicates++
+	}
+}
+
+func (s *fleetSession) attemptEnded(second *FleetSecond, e *Event) {
+	o := &e.Outcome
+	if int(o.Result) < len(second.Results) {
+		second.Results[o.Result]++
+	}
+	r := s.requests[o.Request]
+	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.hosts) {
+		return
+	}
+	host := r.hosts[o.Attempt]
+	counts := &second.Warm
+	if s.isWarming(host, e.At) {
+		counts = &second.Warming
+	}
+	counts.Ended++
+	if o.Result == balancer.OK {
+		counts.Succeeded++
+		counts.Elapsed += o.Elapsed
+		s.served(r, e.At)
+	}
+	r.ended |= 1 << o.Attempt
+	s.changeAttempts(e.At, host, -1)
+}
+
+// isWarming reports whether a host has started less than the slow start window ago.
+func (s *fleetSession) isWarming(host balancer.HostID, at balancer.Time) bool {
+	started := s.startTimes[host]
+	return started > 0 && at-started < s.warmup
+}
+
+// served counts a successful response to a request.
+func (s *fleetSession) served(r *fleetRequest, at balancer.Time) {
+	if r.settled {
+		return
+	}
+	r.settled = true
+	counts := r.counts()
+	latency := at - r.at
+	counts.Latency += latency
+	if latency <= s.objectives[r.class] {
+		counts.InTime++
+	} else {
+		counts.Late++
+	}
+}
+
+func (s *fleetSession) updateEndpoints(second *FleetSecond, e *Event) {
+	if int(e.List) < len(second.Lists) {
+		second.Lists[e.List]++
+	}
+	second.ListEntries += len(e.Hosts)
+	if e.List == balancer.ListFull {
+		s.removeUnlisted(e)
+	}
+	for _, h := range e.Hosts {
+		if e.List != balancer.ListSaved { // a saved list may be out of date
+			s.changeReady(e.At, h.ID, h.State == balancer.Ready)
+		}
+		if h.State == balancer.Removed {
+			delete(s.startTimes, h.ID)
+		} else {
+			s.startTimes[h.ID] = h.Started
+		}
+	}
+}
+
+// removeUnlisted marks the hosts that a full list doesn't have as not ready.
+func (s *fleetSession) removeUnlisted(e *Event) {
+	for id := range s.startTimes {
+		listed := slices.ContainsFunc(e.Hosts, func(h balancer.Host) bool { return h.ID == id })
+		if !listed {
+			s.changeReady(e.At, id, false)
+		}
+	}
+}
+
+func (s *fleetSession) action(session uint64, at balancer.Time, a *balancer.Action) {
+	second := s.second(at)
+	switch a.Kind {
+	case balancer.Send:
+		s.send(second, session, at, a)
+	case balancer.Reject:
+		if int(a.Cause) < len(second.Rejected) {
+			second.Rejected[a.Cause]++
+			if r := s.settle(a.Request); r != nil {
+				r.counts().Rejected[a.Cause]++
+			}
+		}
+	case balancer.Fail:
+		second.Failed++
+		if r := s.settle(a.Request); r != nil {
+			r.counts().Failed++
+		}
+	case balancer.Poll:
+		second.Polls++
+	case balancer.Close:
+		second.Closes++
+	}
+}
+
+// settle returns a request whose outcome is to be counted, or nil where it is counted already or unknown.
+func (s *fleetSession) settle(id balancer.RequestID) *fleetRequest {
+	r := s.requests[id]
+	if r == nil || r.settled {
+		return nil
+	}
+	r.settled = true
+	return r
+}
+
+func (s *fleetSession) send(second *FleetSecond, session uint64, at balancer.Time, a *balancer.Action) {
+	second.Attempts++
+	if r := s.requests[a.Request]; r != nil {
+		r.hosts = append(r.hosts, a.Host)
+		if len(r.hosts) > 1 {
+			second.Retries++
+		} else {
+			r.counts().Sent++
+			r.counts().Waited += at - r.at
+		}
+	}
+	if s.isWarming(a.Host, at) {
+		second.WarmingAttempts++
+	}
+	second.attemptsByHost[a.Host]++
+	s.changeAttempts(at, a.Host, 1)
+	if second.sessionsByHost[a.Host] == nil {
+		second.sessionsByHost[a.Host] = map[uint64]struct{}{}
+	}
+	second.sessionsByHost[a.Host][session] = struct{}{}
+}
--- /dev/null
+++ b/internal/flightrecorder/helpers_test.go
@@ -0,0 +1,149 @@
+package flightrecorder
+
+import (
+	"bytes"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"dunemoor/balancer"
+)
+
+const ms = time.Millisecond
+
+// randomTraffic returns random requests to some hosts: one crashes, one is silent for a while, endpoint lists
+// change, hosts drain and start, and clients leave.
+func randomTraffic(seed uint64, requests int) *Simulation {
+	r := rand.New(rand.NewPCG(seed, 99))
+	s := &Simulation{
+		Settings: balancer.Settings{
+			Instances: 1 + int(seed%3), Step: ms, MaxAttempts: 4, Cancel: true, MaxRetryAfter: time.Second,
+			Classes: []balancer.Class{
+				{LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 1},
+				{LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 2, Idempotency: balancer.IdempotentWithKey, DedupScope: balancer.ScopeCell, DedupWindow: 600 * ms},
+				{LatencyObjective: 100 * ms, Deadline: 400 * ms, PriorityWeight: 5, Idempotency: balancer.NonIdempotent},
+			},
+			SlowStartShare: 0.3, SlowStartWindow: 3 * time.Second, OverloadFactor: 2.5, OverloadWindow: time.Second,
+		},
+		Hosts:  map[balancer.HostID]*SimulatedHost{},
+		Random: rand.New(rand.NewPCG(seed, 7)),
+	}
+	now := balancer.Time(time.Hour)
+	var list []balancer.Host
+	for i := range 6 {
+		id := balancer.HostID(i + 1)
+		list = append(list, balancer.Host{ID: id, Zone: i / 3, Cell: i / 2, Kind: i % 2})
+		s.Hosts[id] = &SimulatedHost{Speed: 0.5 + r.Float64(), ErrorShares: []float64{0.02, 0, 0.01}}
+	}
+	s.Endpoints = append(s.Endpoints, EndpointUpdate{now, balancer.ListSaved, list})
+	t := now
+	for i := range requests {
+		t += time.Duration(r.ExpFloat64() * float64(6*ms))
+		class := r.IntN(3)
+		left := s.Settings.Classes[class].Deadline
+		a := Arrival{
+			Request: balancer.Request{ID: balancer.RequestID(i + 1), Class: class, Remaining: left, Duplicate: r.IntN(9) == 0},
+			At:      t, Work: time.Duration(r.ExpFloat64() * float64(15*ms)),
+		}
+		if r.IntN(50) == 0 {
+			a.GoneAt = t + 20*ms
+		}
+		s.Arrivals = append(s.Arrivals, a)
+	}
+	part := func(x float64) balancer.Time { return now + balancer.Time(x*float64(t-now)) }
+	s.Hosts[1].Down = []Span{{part(0.2), part(0.35)}}
+	s.Hosts[2].Silent = []Span{{part(0.4), part(0.5)}}
+	gone := list[3]
+	gone.State = balancer.Draining
+	s.Endpoints = append(s.Endpoints, EndpointUpdate{part(0.55), balancer.ListChanges, []balancer.Host{gone}})
+	gone.State = balancer.Removed
+	s.Endpoints = append(s.Endpoints, EndpointUpdate{part(0.6), balancer.ListChanges, []balancer.Host{gone}})
+	s.Endpoints = append(s.Endpoints, EndpointUpdate{part(0.62), balancer.ListFailed, nil})
+	started := balancer.Host{ID: 77, Zone: 1, Cell: 1, Started: part(0.65)}
+	s.Hosts[77] = &SimulatedHost{Speed: 1}
+	s.Endpoints = append(s.Endpoints, EndpointUpdate{part(0.7), balancer.ListChanges, []balancer.Host{started}})
+	// Discovery restarts: the full list, with one host gone and one in another cell.
+	full := slices.Clone(list[1:])
+	full[0].Cell = 2
+	s.Endpoints = append(s.Endpoints, EndpointUpdate{part(0.85), balancer.ListFull, append(full, started)})
+	return s
+}
+
+// bufferSink keeps the blocks that it accepts; reject, if set, reports whether the n-th one is rejected.
+type bufferSink struct {
+	bytes.Buffer
+	reject func(n int) bool
+	n      int
+}
+
+func (s *bufferSink) Put(b []byte) (accepted, wantCheckpoint bool) {
+	s.n++
+	if s.reject != nil && s.reject(s.n) {
+		return false, false
+	}
+	s.Write(b)
+	return true, false
+}
+
+// record runs a simulation with a Recorder in front of the balancer.
+func record(t testing.TB, s *Simulation, seed uint64, opts Options) (*Recorder, *Summary) {
+	t.Helper()
+	bal, err := balancer.New(s.Settings, seed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	at := s.Endpoints[0].At
+	rec, err := New(bal, SessionStart{Name: "n0", Seed: seed, At: at, Settings: s.Settings, Wall: time.Unix(0, 0)}, 1000+seed, opts)
+	if err != nil {
+		t.Fatal(err)
+	}
+	rec.NameHost(at, 1, "s-1")
+	sum := s.Run(rec, at)
+	rec.Flush()
+	return rec, sum
+}
+
+// replayed returns the report of a replay.
+func replayed(t testing.TB, data []byte) *Report {
+	t.Helper()
+	rep, err := Replay(NewReader(bytes.NewReader(data)), nil, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return rep
+}
+
+// firstBlockSize is the size of the first block, in bytes.
+func firstBlockSize(t testing.TB, data []byte) int {
+	t.Helper()
+	var h header
+	if !h.decode(data) {
+		t.Fatal("no block at the start")
+	}
+	return headerSize + int(h.length)
+}
+
+// blockOffsets returns where each block begins.
+func blockOffsets(t testing.TB, data []byte) (at []int) {
+	t.Helper()
+	for n := 0; n < len(data); {
+		at = append(at, n)
+		n += firstBlockSize(t, data[n:])
+	}
+	return at
+}
+
+// faultyTraffic is traffic with one fault of each kind that a recording shows.
+func faultyTraffic() *Simulation {
+	s := randomTraffic(6, 6000)
+	s.Settings.Instances = 1
+	for _, h := range s.Hosts {
+		h.Speed, h.ErrorShares = 1, []float64{0.05, 0, 0}
+	}
+	s.Hosts[5].Speed = 0.5
+	for _, h := range s.Hosts {
+		h.UnansweredShare = 0.01
+	}
+	return s
+}
--- a/internal/flightrecorder/plot.go
+++ b/internal/flightrecorder/plot.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"encoding/xml"
+	"errors"
 	"fmt"
 	"io"
 	"strings"
@@ -11,110 +12,172 @@
 
 // Sizes of the plot, in pixels.
 const (
-	plotLeft   = 130
-	plotWidth  = 960
-	laneHigh   = 46
-	laneGap    = 10
-	plotTop    = 30
-	plotBottom = 60
+	plotLeft    = 130
+	plotRight   = 90
+	plotWidth   = 960
+	plotTop     = 30
+	plotBottom  = 60
+	laneHeight  = 46
+	laneGap     = 10
+	legendWidth = 105 // of an entry
 )
 
-// colours of a host's standing, by its letter; also readable by the letter itself.
-var colours = map[byte]string{
+// Colors of the lines.
+const (
+	requestsColor = "#333"
+	servedColor   = "#2a8"
+	rejectedColor = "#d33"
+	failedColor   = "#a4a"
+	limitColor    = "#333"
+	pendingColor  = "#26c"
+)
+
+// stateColors are the backgrounds of a host's buckets, by the letter of stateLetters.
+var stateColors = map[byte]string{
 	'd': "#d9d9d9", 'X': "#f4a6a6", 'S': "#f6c89f", 'c': "#a9d4f5", 'r': "#e3c7f0",
 	'o': "#f7e08f", 'f': "#fdf3c4", '-': "#eeeeee",
 }
 
-// SVG draws the time lines: what came and what became of it, and for each host its limit
-// (dark line), its attempts out (blue) and what kept it from more (colour of the ground).
+// errNothingToPlot is the error of an analysis without events.
+var errNothingToPlot = errors.New("there is nothing to draw: no event in this stretch")
+
+// SVG draws the time lines: the rates of requests and responses, and for each host its concurrency limit (dark),
+// its attempts in flight (blue), and why it was unavailable (background). It returns an error where the
+// analysis has no event, or that of w.
 func (a *Analysis) SVG(w io.Writer) error {
-	out := bufio.NewWriter(w)
 	buckets := len(a.Rates)
 	for _, h := range a.Hosts {
 		buckets = max(buckets, len(h.Buckets))
 	}
 	if buckets == 0 {
-		return fmt.Errorf("there is nothing to draw: no event in this stretch")
+		return errNothingToPlot
 	}
 	lanes := len(a.Hosts) + 1
-	high := plotTop + lanes*(laneHigh+laneGap) + plotBottom
-	step := float64(plotWidth) / float64(buckets)
-	fmt.Fprintf(out, `<svg xmlns="http://www.w3.org/2000/svg" width="%d" height="%d" font-family="sans-serif" font-size="11">`+"\n",
-		plotLeft+plotWidth+90, high)
-	fmt.Fprintf(out, `<rect width="100%%" height="100%%" fill="white"/><text x="%d" y="18">gateway %s, %v from %s on</text>`+"\n",
-		plotLeft, escaped(a.Gateway), time.Duration(buckets)*a.Bucket, a.Wall.UTC().Format(wallForm))
-	if a.Viewed {
-		fmt.Fprintf(out, `<text x="%d" y="18" text-anchor="end" fill="#a00">this build decides otherwise: hosts as in the recorded views</text>`+"\n",
-			plotLeft+plotWidth)
+	p := &plot{
+		Writer:  bufio.NewWriter(w),
+		buckets: buckets,
+		step:    float64(plotWidth) / float64(buckets),
+		height:  plotTop + lanes*(laneHeight+laneGap) + plotBottom,
 	}
-	lane := func(i int, name string) (top float64) {
-		top = float64(plotTop + i*(laneHigh+laneGap))
-		fmt.Fprintf(out, `<text x="%d" y="%.0f" text-anchor="end">%s</text>`, plotLeft-8, top+laneHigh/2, escaped(name))
-		fmt.Fprintf(out, `<rect x="%d" y="%.0f" width="%d" height="%d" fill="none" stroke="#999"/>`+"\n", plotLeft, top, plotWidth, laneHigh)
-		return top
+	p.begin(a)
+	p.rates(a)
+	for i, h := range a.Hosts {
+		p.host(i+1, h)
 	}
-	line := func(top, most float64, colour string, n int, at func(int) (float64, bool)) {
-		fmt.Fprintf(out, `<polyline fill="none" stroke="%s" stroke-width="1.3" points="`, colour)
-		for i := range n {
-			if y, ok := at(i); ok {
-				fmt.Fprintf(out, "%.1f,%.1f ", plotLeft+(float64(i)+0.5)*step, top+laneHigh*(1-min(y/max(most, 1e-9), 1)))
-			}
+	p.legend()
+	return p.Flush()
+}
+
+// plot draws an SVG. Its Writer keeps the first error.
+type plot struct {
+	*bufio.Writer
+	buckets int
+	step    float64 // width of a bucket
+	height  int
+}
+
+func (p *plot) printf(format string, args ...any) { fmt.Fprintf(p, format, args...) }
+
+func (p *plot) begin(a *Analysis) {
+	p.printf(`<svg xmlns="http://www.w3.org/2000/svg" width="%d" height="%d" font-family="sans-serif" font-size="11">`+"\n",
+		plotLeft+plotWidth+plotRight, p.height)
+	p.printf(`<rect width="100%%" height="100%%" fill="white"/><text x="%d" y="18">gateway %s, %v from %s on</text>`+"\n",
+		plotLeft, escapeXML(a.Gateway), time.Duration(p.buckets)*a.BucketSize, a.Wall.UTC().Format(wallTimeFormat))
+	if a.FromViews {
+		p.printf(`<text x="%d" y="18" text-anchor="end" fill="#a00">this build decides otherwise: hosts as in the recorded views</text>`+"\n",
+			plotLeft+plotWidth)
+	}
+}
+
+// lane draws the frame and the name of the i-th lane, and returns its upper edge.
+func (p *plot) lane(i int, name string) float64 {
+	top := float64(plotTop + i*(laneHeight+laneGap))
+	p.printf(`<text x="%d" y="%.0f" text-anchor="end">%s</text>`, plotLeft-8, top+laneHeight/2, escapeXML(name))
+	p.printf(`<rect x="%d" y="%.0f" width="%d" height="%d" fill="none" stroke="#999"/>`+"\n", plotLeft, top, plotWidth, laneHeight)
+	return top
+}
+
+// line draws a line through the values of buckets in a lane whose upper edge is the value highest.
+func (p *plot) line(top, highest float64, color string, buckets int, value func(int) (y float64, ok bool)) {
+	p.printf(`<polyline fill="none" stroke="%s" stroke-width="1.3" points="`, color)
+	for i := range buckets {
+		if y, ok := value(i); ok {
+			x := plotLeft + (float64(i)+0.5)*p.step
+			p.printf("%.1f,%.1f ", x, top+laneHeight*(1-min(y/max(highest, 1e-9), 1)))
 		}
-		fmt.Fprintln(out, `"/>`)
 	}
-	top, most := lane(0, "requests /s"), 0.0
+	fmt.Fprintln(p, `"/>`)
+}
+
+// scale writes the highest value of a lane.
+func (p *plot) scale(top float64, format string, highest float64) {
+	p.printf(`<text x="%d" y="%.0f">`+format+`</text>`+"\n", plotLeft+plotWidth+6, top+10, highest)
+}
+
+// rates draws the lane of the rates.
+func (p *plot) rates(a *Analysis) {
+	top := p.lane(0, "requests /s")
+	highest := 0.0
 	for _, r := range a.Rates {
-		most = max(most, float64(r.Asked))
+		highest = max(highest, float64(r.Requests))
 	}
-	for _, c := range []struct {
-		colour string
-		of     func(Rates) int
+	lines := []struct {
+		color string
+		count func(RateBucket) int
 	}{
-		{"#333", func(r Rates) int { return r.Asked }}, {"#2a8", func(r Rates) int { return r.Served }},
-		{"#d33", func(r Rates) int { return r.Refused }}, {"#a4a", func(r Rates) int { return r.Failed }},
-	} {
-		line(top, most, c.colour, len(a.Rates), func(i int) (float64, bool) { return float64(c.of(a.Rates[i])), true })
+		{requestsColor, func(r RateBucket) int { return r.Requests }},
+		{servedColor, func(r RateBucket) int { return r.Served }},
+		{rejectedColor, func(r RateBucket) int { return r.Rejected }},
+		{failedColor, func(r RateBucket) int { return r.Failed }},
 	}
-	fmt.Fprintf(out, `<text x="%d" y="%.0f">%.0f</text>`+"\n", plotLeft+plotWidth+6, top+10, most/a.Bucket.Seconds())
-	for k, h := range a.Hosts {
-		top := lane(k+1, h.label())
-		most := 1.0
-		for i := range h.Buckets {
-			b := &h.Buckets[i]
-			if colour := colours[b.letter()]; colour != "" {
-				fmt.Fprintf(out, `<rect x="%.1f" y="%.0f" width="%.1f" height="%d" fill="%s"/>`, plotLeft+float64(i)*step, top, step, laneHigh, colour)
-			}
-			if b.Looks > 0 {
-				most = max(most, b.Limit/float64(b.Looks), b.Pending/float64(b.Looks))
-			}
+	for _, l := range lines {
+		p.line(top, highest, l.color, len(a.Rates), func(i int) (float64, bool) { return float64(l.count(a.Rates[i])), true })
+	}
+	p.scale(top, "%.0f", highest/a.BucketSize.Seconds())
+}
+
+// host draws the lane of a host.
+func (p *plot) host(lane int, h *HostTimeline) {
+	top := p.lane(lane, h.label())
+	highest := 1.0
+	for i := range h.Buckets {
+		b := &h.Buckets[i]
+		if color := stateColors[b.letter()]; color != "" {
+			p.printf(`<rect x="%.1f" y="%.0f" width="%.1f" height="%d" fill="%s"/>`, plotLeft+float64(i)*p.step, top, p.step, laneHeight, color)
+		}
+		if b.Samples > 0 {
+			highest = max(highest, b.Limit/float64(b.Samples), b.Pending/float64(b.Samples))
 		}
-		fmt.Fprintln(out)
-		line(top, most, "#333", len(h.Buckets), func(i int) (float64, bool) {
-			b := &h.Buckets[i]
-			return b.Limit / float64(max(b.Looks, 1)), b.Looks > 0
-		})
-		line(top, most, "#26c", len(h.Buckets), func(i int) (float64, bool) {
-			b := &h.Buckets[i]
-			return b.Pending / float64(max(b.Looks, 1)), b.Looks > 0
-		})
-		fmt.Fprintf(out, `<text x="%d" y="%.0f">%.1f</text>`+"\n", plotLeft+plotWidth+6, top+10, most)
 	}
-	y := float64(high - plotBottom + 20)
-	fmt.Fprintf(out, `<text x="%d" y="%.0f">requests: asked (dark), served (green), refused (red), failed (violet); hosts: limit (dark), attempts out (blue)</text>`+"\n", plotLeft, y)
+	fmt.Fprintln(p)
+	p.line(top, highest, limitColor, len(h.Buckets), func(i int) (float64, bool) {
+		b := &h.Buckets[i]
+		return b.Limit / float64(max(b.Samples, 1)), b.Samples > 0
+	})
+	p.line(top, highest, pendingColor, len(h.Buckets), func(i int) (float64, bool) {
+		b := &h.Buckets[i]
+		return b.Pending / float64(max(b.Samples, 1)), b.Samples > 0
+	})
+	p.scale(top, "%.1f", highest)
+}
+
+// legend draws what lines and backgrounds mean, and ends the SVG.
+func (p *plot) legend() {
+	y := float64(p.height - plotBottom + 20)
+	p.printf(`<text x="%d" y="%.0f">requests: asked (dark), served (green), refused (red), failed (violet); hosts: limit (dark), attempts out (blue)</text>`+"\n", plotLeft, y)
 	x := float64(plotLeft)
-	for _, l := range letters {
-		if colour := colours[l.letter]; colour != "" {
-			fmt.Fprintf(out, `<rect x="%.0f" y="%.0f" width="12" height="12" fill="%s" stroke="#999"/><text x="%.0f" y="%.0f">%s</text>`+"\n",
-				x, y+12, colour, x+16, y+22, l.word)
-			x += 105
+	for _, l := range stateLetters {
+		if color := stateColors[l.letter]; color != "" {
+			p.printf(`<rect x="%.0f" y="%.0f" width="12" height="12" fill="%s" stroke="#999"/><text x="%.0f" y="%.0f">%s</text>`+"\n",
+				x, y+12, color, x+16, y+22, l.reason)
+			x += legendWidth
 		}
 	}
-	fmt.Fprintln(out, "</svg>")
-	return out.Flush()
+	fmt.Fprintln(p, "</svg>")
 }
 
-func escaped(s string) string {
+func escapeXML(s string) string {
 	var b strings.Builder
-	xml.EscapeText(&b, []byte(s)) // to a Builder, which takes all
+	xml.EscapeText(&b, []byte(s)) // a strings.Builder returns no error
 	return b.String()
 }
--- /dev/null
+++ b/internal/flightrecorder/reader_test.go
@@ -0,0 +1,192 @@
+package flightrecorder
+
+import (
+	"bytes"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"hash/crc32"
+	"io"
+	"strings"
+	"testing"
+)
+
+// A recording that ends at any byte of its last block loses that block alone.
+func TestTruncatedRecordingLosesItsLastBlock(t *testing.T) {
+	s := randomTraffic(1, 1200)
+	var out bufferSink
+	record(t, s, 1, Options{Sink: &out})
+	data := out.Bytes()
+	starts := blockOffsets(t, data)
+	if len(starts) < 4 {
+		t.Fatalf("got %d blocks, want at least 4", len(starts))
+	}
+	complete := replayed(t, data[:starts[len(starts)-1]])
+	for cut := starts[len(starts)-1] + 1; cut < len(data); cut += 1 + (len(data)-cut)/50 {
+		rep := replayed(t, data[:cut])
+		if rep.Divergence != nil || rep.Events != complete.Events || len(rep.Losses) != 1 {
+			t.Fatalf("truncated at %d of %d: got %d events, want %d; losses %q, divergence %v", cut, len(data), rep.Events, complete.Events, rep.Losses, rep.Divergence)
+		}
+	}
+}
+
+// Damage loses the blocks that it touches, and is reported; the replay goes on from the next checkpoint.
+func TestReplayGoesOnAfterDamage(t *testing.T) {
+	s := randomTraffic(2, 9000)
+	var out bufferSink
+	record(t, s, 2, Options{RingBytes: 3 * minRingBytes, Sink: &out})
+	data := out.Bytes()
+	starts := blockOffsets(t, data)
+	// In the middle, with no checkpoint near that would hide the loss.
+	k := len(starts) / 3
+	for ; data[starts[k]+5] != blockRecords || data[starts[k+1]+5] != blockRecords || data[starts[k+2]+5] != blockRecords; k++ {
+	}
+	for _, c := range []struct {
+		name string
+		loss string
+		data []byte
+	}{
+		{"flipped bit", "torn", flipped(data, starts[k]+headerSize+50)},
+		{"damaged header", "no part of a recording", flipped(data, starts[k]+9)},
+		{"missing block", "follows block", append(append([]byte{}, data[:starts[k]]...), data[starts[k+1]:]...)},
+		{"zeroes", "torn", zeroed(data, starts[k]+100, starts[k+1]+100)},
+	} {
+		rep := replayed(t, c.data)
+		if rep.Divergence != nil {
+			t.Errorf("%s: got divergence %v, want none", c.name, rep.Divergence)
+		}
+		if !strings.Contains(strings.Join(rep.Losses, "; "), c.loss) {
+			t.Errorf("%s: got losses %q, want one with %q", c.name, rep.Losses, c.loss)
+		}
+		if rep.SkippedEvents == 0 || rep.SkippedEvents > rep.Events {
+			t.Errorf("%s: got %d events replayed and %d skipped, want some skipped, and not most", c.name, rep.Events, rep.SkippedEvents)
+		}
+	}
+	// Log lines between the blocks, as where both go to one stream, lose nothing.
+	var mixed []byte
+	for i, at := range starts {
+		end := len(data)
+		if i+1 < len(starts) {
+			end = starts[i+1]
+		}
+		mixed = append(mixed, data[at:end]...)
+		mixed = append(mixed, fmt.Sprintf("time=%d level=INFO msg=\"host is back\"\n", i)...)
+	}
+	rep := replayed(t, mixed)
+	if rep.Divergence != nil || rep.Events != replayed(t, data).Events {
+		t.Errorf("log lines between blocks: got %d events, divergence %v; want all events and no divergence", rep.Events, rep.Divergence)
+	}
+}
+
+// flipped returns a copy with one bit flipped.
+func flipped(data []byte, at int) []byte {
+	data = bytes.Clone(data)
+	data[at] ^= 4
+	return data
+}
+
+// zeroed returns a copy with some bytes set to zero.
+func zeroed(data []byte, from, to int) []byte {
+	data = bytes.Clone(data)
+	clear(data[from:to])
+	return data
+}
+
+// Other versions and streams without a block are errors.
+func TestReaderRejectsOtherVersionsAndOtherFiles(t *testing.T) {
+	var out bufferSink
+	record(t, randomTraffic(1, 100), 1, Options{Sink: &out})
+	data := out.Bytes()
+	h := header{}
+	h.decode(data)
+	payload := data[headerSize:firstBlockSize(t, data)]
+	h.encode(data, payload)
+	data[4] = Version + 1
+	fixHeaderSum(data)
+	_, err := Replay(NewReader(bytes.NewReader(data)), nil, nil)
+	var version *VersionError
+	if !errors.As(err, &version) || version.Found != Version+1 {
+		t.Errorf("other version: got error %v, want a VersionError of %d", err, Version+1)
+	}
+	for _, text := range []string{"", "x", strings.Repeat("no recording ", 20000)} {
+		if _, err := Replay(NewReader(strings.NewReader(text)), nil, nil); err != ErrNoRecording {
+			t.Errorf("%d bytes of text: got error %v, want ErrNoRecording", len(text), err)
+		}
+	}
+}
+
+// repeatingReader is a stream that repeats data up to a size.
+type repeatingReader struct {
+	data     []byte
+	left     int64 // bytes
+	position int   // in data
+}
+
+func (r *repeatingReader) Read(b []byte) (int, error) {
+	if r.left <= 0 {
+		return 0, io.EOF
+	}
+	n := copy(b, r.data[r.position:])
+	r.position = (r.position + n) % len(r.data)
+	r.left -= int64(n)
+	return n, nil
+}
+
+// A recording of 1 GB is read with the memory of a small one. The test reads its blocks alone, as all its events would
+// take a minute.
+func TestReaderMemoryDoesNotGrowWithTheRecording(t *testing.T) {
+	if testing.Short() {
+		t.Skip("reads 1 GB")
+	}
+	var out bufferSink
+	record(t, randomTraffic(1, 1200), 1, Options{Sink: &out})
+	data := out.Bytes()
+	r := NewReader(&repeatingReader{data: data, left: 1 << 30})
+	n := 0
+	for {
+		if err := r.nextBlock(); err == io.EOF {
+			break
+		} else if err != nil {
+			t.Fatal(err)
+		}
+		r.pending, r.records.data = r.pending[:0], nil
+		n++
+	}
+	if want := (1 << 30) / len(data) * len(blockOffsets(t, data)); n < want {
+		t.Errorf("got %d blocks, want at least %d", n, want)
+	}
+	if cap(r.payload) > 1<<20 {
+		t.Errorf("got a buffer of %d bytes, want at most %d", cap(r.payload), 1<<20)
+	}
+}
+
+// fixHeaderSum sets the header's checksum of itself.
+func fixHeaderSum(b []byte) {
+	binary.LittleEndian.PutUint32(b[36:], crc32.Checksum(b[:summedHeaderSize], castagnoli))
+}
+
+// FuzzReader checks that a Reader ends for any bytes, with items or an error.
+func FuzzReader(f *testing.F) {
+	var out bufferSink
+	record(f, randomTraffic(1, 40), 1, Options{Sink: &out, ViewInterval: 10 * ms})
+	f.Add(out.Bytes())
+	f.Add([]byte(magic))
+	f.Fuzz(func(t *testing.T, data []byte) {
+		// Checksums are corrected, so that the code after them is reached.
+		fixed := bytes.Clone(data)
+		for n := 0; n+headerSize <= len(fixed); n++ {
+			if string(fixed[n:n+4]) != magic {
+				continue
+			}
+			length := int(fixed[n+20]) | int(fixed[n+21])<<8
+			if end := n + headerSize + length; end <= len(fixed) {
+				fixed[n+22], fixed[n+23] = 0, 0
+				binary.LittleEndian.PutUint32(fixed[n+32:], crc32.Checksum(fixed[n+headerSize:end], castagnoli))
+				fixHeaderSum(fixed[n:])
+			}
+		}
+		for _, b := range [][]byte{data, fixed} {
+			Replay(NewReader(bytes.NewReader(b)), nil, nil)
+		}
+	})
+}
--- /dev/null
+++ b/internal/flightrecorder/record.go
@@ -0,0 +1,136 @@
+package flightrecorder
+
+import (
+	"encoding/binary"
+	"time"
+
+	"dunemoor/balancer"
+)
+
+// Kinds of record. Events come from the event loop; actions are what the balancer decided at the event before
+// them. A record is its kind, for events, views and names the time since the record before as a varint in ns,
+// and its fields.
+const (
+	recordStart          = 1
+	recordEndpoints      = 2
+	recordRequest        = 3
+	recordAttemptStarted = 4
+	recordAttemptEnded   = 5
+	recordClientGone     = 6
+	recordTimer          = 7
+	recordHealthCheck    = 8
+	recordShutdown       = 9
+	recordAction         = 16 // and the balancer.ActionKind
+	recordView           = 32
+	recordName           = 33
+)
+
+// Units of the figures in a view, per unit of a balancer.HostView.
+const (
+	viewLimitScale    = 1e3 // thousandths of an attempt
+	viewMeanScale     = 1e3 // thousandths of a latency objective
+	viewEstimateScale = 1e6 // microseconds
+)
+
+// SessionStart is the payload of the first block of a session, in JSON. The field names are the keys.
+type SessionStart struct {
+	Name     string // of the gateway
+	Build    string // revision of the program
+	Classes  []string
+	Seed     uint64        // of the balancer
+	Wall     time.Time     // start of the session by the wall clock
+	At       balancer.Time // start of the session by the balancer's clock
+	Settings balancer.Settings
+}
+
+// The append functions append the fields of a record. They are on the path of each request.
+
+func appendRequest(b []byte, q *balancer.Request) []byte {
+	b = binary.AppendUvarint(b, uint64(q.ID))
+	b = binary.AppendVarint(b, int64(q.Class))
+	b = binary.AppendVarint(b, int64(q.Tenant))
+	b = binary.AppendVarint(b, int64(q.Remaining))
+	return append(b, bit(q.Duplicate))
+}
+
+func appendOutcome(b []byte, o *balancer.Outcome) []byte {
+	b = binary.AppendUvarint(b, uint64(o.Request))
+	b = binary.AppendVarint(b, int64(o.Attempt))
+	b = append(b, byte(o.Result))
+	b = binary.AppendVarint(b, int64(o.Elapsed))
+	return append(b, bit(o.Closed))
+}
+
+func appendHostID(b []byte, id balancer.HostID) []byte {
+	return binary.LittleEndian.AppendUint64(b, uint64(id))
+}
+
+func appendHost(b []byte, h *balancer.Host) []byte {
+	b = appendHostID(b, h.ID)
+	b = binary.AppendVarint(b, int64(h.Zone))
+	b = binary.AppendVarint(b, int64(h.Cell))
+	b = binary.AppendVarint(b, int64(h.Kind))
+	b = append(b, byte(h.State))
+	return binary.AppendVarint(b, int64(h.Started))
+}
+
+// appendAction appends a record of an action, with the fields that its kind has. Two actions are equal if
+// these bytes are.
+func appendAction(b []byte, a *balancer.Action) []byte {
+	b = append(b, recordAction+byte(a.Kind))
+	switch a.Kind {
+	case balancer.Send:
+		b = binary.AppendUvarint(b, uint64(a.Request))
+		b = appendHostID(b, a.Host)
+		b = binary.AppendVarint(b, int64(a.At))
+	case balancer.Cancel:
+		b = binary.AppendUvarint(b, uint64(a.Request))
+		b = binary.AppendVarint(b, int64(a.Attempt))
+	case balancer.Reject:
+		b = binary.AppendUvarint(b, uint64(a.Request))
+		b = binary.AppendVarint(b, int64(a.RetryAfter))
+		b = append(b, byte(a.Cause))
+	case balancer.Fail:
+		b = binary.AppendUvarint(b, uint64(a.Request))
+		b = append(b, byte(a.Cause))
+	case balancer.Wake:
+		b = binary.AppendVarint(b, int64(a.At))
+		b = binary.AppendUvarint(b, a.Token)
+	case balancer.Close:
+		b = appendHostID(b, a.Host)
+	case balancer.Log:
+		b = appendHostID(b, a.Host)
+		b = appendText(b, a.Text)
+	}
+	return b
+}
+
+// appendText appends the length of a text and its first maxRecord bytes.
+func appendText(b []byte, text string) []byte {
+	text = text[:min(len(text), maxRecord)]
+	b = binary.AppendUvarint(b, uint64(len(text)))
+	return append(b, text...)
+}
+
+// appendView appends a host of a view. Times are relative to now; 0 stands for any that has passed.
+func appendView(b []byte, v *balancer.HostView, now balancer.Time) []byte {
+	b = appendHostID(b, v.Host)
+	flags := byte(v.State) | bit(v.InSubset)<<2 | bit(v.Warming)<<3 | bit(v.Overdue)<<4 | byte(v.Cause&7)<<5
+	b = append(b, flags)
+	b = binary.AppendVarint(b, int64(v.InFlight))
+	b = binary.AppendVarint(b, int64(v.ConcurrencyLimit*viewLimitScale))
+	b = binary.AppendVarint(b, int64(v.RecentRTT*viewMeanScale))
+	b = binary.AppendVarint(b, int64(v.EstimatedRTT*viewEstimateScale))
+	b = binary.AppendVarint(b, int64(v.Ejections))
+	for _, at := range []balancer.Time{v.EjectedUntil, v.RestingUntil, v.NextSlowStartSend} {
+		b = binary.AppendVarint(b, int64(max(at-now, 0)))
+	}
+	return binary.AppendUvarint(b, v.ExcludedFor)
+}
+
+func bit(x bool) byte {
+	if x {
+		return 1
+	}
+	return 0
+}
--- a/internal/flightrecorder/recorder.go
+++ b/internal/flightrecorder/recorder.go
@@ -1,13 +1,15 @@
 package flightrecorder
 
 import (
+	"encoding/binary"
 	"encoding/json"
+	"fmt"
 	"time"
 
 	"dunemoor/balancer"
 )
 
-// Balancer is the Balancer as a gateway's loop uses it; a Recorder stands in its place.
+// Balancer is a *balancer.Balancer as an event loop uses it. A Recorder takes its place.
 type Balancer interface {
 	Start(now balancer.Time)
 	UpdateEndpoints(now balancer.Time, kind balancer.ListKind, list []balancer.Host)
@@ -22,312 +24,236 @@
 	TakeActions(dst []balancer.Action) []balancer.Action
 }
 
-// Options say how much is recorded and where to.
+// Options is what a Recorder keeps, and where it writes.
 type Options struct {
-	RingBytes    int           // bytes kept in memory; leastRing at least
-	ViewInterval time.Duration // time between two views of the hosts; 0: none
-	Sink         Sink          // takes each block as it is closed, if set
+	RingBytes    int           // size of the ring in memory; at least minRingBytes is used
+	ViewInterval time.Duration // between two views of the hosts; 0: no views
+	Sink         Sink          // receives each block when it is closed; nil: none
 }
 
-// Sink takes blocks. It must not keep the slice, and must not wait.
+// Sink receives blocks.
 type Sink interface {
-	// Put says whether the block was taken, and whether what follows should begin with
-	// a checkpoint, as where a new file has been begun.
-	Put(block []byte) (taken, anew bool)
+	// Put takes a block. It must not keep the slice, and must not block. It returns whether the block was
+	// accepted, and whether a checkpoint should follow, as where a new file begins.
+	Put(block []byte) (accepted, wantCheckpoint bool)
 }
 
 const (
-	// segments is how many parts the ring has. Each begins with a checkpoint, so what a
-	// dump holds can be replayed whole; the oldest goes when a new one begins.
-	segments = 4
-	// leastRing holds a block in each segment.
-	leastRing = segments * 2 * (blockSize + blockHead)
-	// viewsMost is how many hosts a view holds at most: the views of 5,000 hosts would
-	// fill the ring with nothing else. Beyond it a view goes round.
-	viewsMost = 64
-	// resumeEvery is the least time between two checkpoints for a sink that lost blocks: a
-	// disk that is full for an hour must not fill the ring with checkpoints.
-	resumeEvery = time.Second
+	// ringSegments is the number of parts of the ring. Each begins with a checkpoint, from which a replay can
+	// start; the oldest is overwritten.
+	ringSegments = 4
+	// minRingBytes has room for two blocks a segment.
+	minRingBytes = ringSegments * 2 * (blockSize + headerSize)
+	// maxViewedHosts is the number of hosts in a view. Of more hosts each view has the next ones in turn, so
+	// that views don't fill the ring.
+	maxViewedHosts = 64
+	// checkpointInterval is the least time between two checkpoints for a sink that lost blocks: while a disk
+	// is full, checkpoints must not fill the ring.
+	checkpointInterval = time.Second
+	// maxHostRecord is the size of a host in a list, in bytes.
+	maxHostRecord = 32
 )
 
-// Recorder records what passes between a loop and its Balancer. It belongs to the
-// goroutine of the loop, starts none and does no I/O.
+// Recorder records what passes between an event loop and its balancer. It belongs to the goroutine of the
+// loop, starts none and does no I/O.
 type Recorder struct {
-	bal     *balancer.Balancer
-	opts    Options
-	first   SessionStart
-	start   []byte // the payload of the first block: each dump begins with it
-	session uint64
-	base    balancer.Time // of the session
-	number  uint32
-
-	ring [segments]segment
-	cur  int
-
-	block  []byte // the payload of the block being filled
-	since  balancer.Time
-	last   balancer.Time
-	viewAt balancer.Time
-	viewed int // the next host of a view that goes round
-	views  []balancer.HostView
-	check  []byte
-	open   bool // a block is begun
-
-	lost     uint64 // blocks that the sink did not take
-	anew     bool   // the sink wants a checkpoint
-	resumeAt balancer.Time
+	balancer    *balancer.Balancer
+	options     Options
+	start       SessionStart
+	startJSON   []byte // of start: each dump begins with it
+	session     uint64
+	sessionBase balancer.Time
+	nextNumber  uint32 // of the session's blocks
+
+	ring    [ringSegments][]byte // each a checkpoint and the blocks after it
+	current int                  // index in ring
+
+	block       []byte // payload of the block being filled
+	blockOpen   bool   // a block is being filled
+	blockBase   balancer.Time
+	lastRecord  balancer.Time
+	nextViewAt  balancer.Time
+	nextInView  int // index of the first host of the next view
+	views       []balancer.HostView
+	checkpoint  []byte
+	rejected    uint64 // blocks that the sink didn't accept
+	resumeAt    balancer.Time
+	wantsResume bool // the sink wants a checkpoint
 }
 
-// segment is a checkpoint and the blocks behind it.
-type segment struct{ data []byte }
-
-// New returns a Recorder that stands before bal, which must have been made with
-// start's settings and seed and not been told anything yet.
-func New(bal *balancer.Balancer, start SessionStart, session uint64, opts Options) (*Recorder, error) {
-	payload, err := json.Marshal(start)
+// New returns a Recorder in front of bal, which must have the settings and the seed of start and must not have
+// had any event. session tells the sessions of a file apart. The error is that of encoding start.
+func New(bal *balancer.Balancer, start SessionStart, session uint64, options Options) (*Recorder, error) {
+	startJSON, err := json.Marshal(start)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("encode session start: %w", err)
+	}
+	options.RingBytes = max(options.RingBytes, minRingBytes)
+	r := &Recorder{
+		balancer:    bal,
+		options:     options,
+		start:       start,
+		startJSON:   startJSON,
+		session:     session,
+		sessionBase: start.At,
+		lastRecord:  start.At,
+		nextViewAt:  start.At,
+		block:       make([]byte, 0, blockSize+maxRecord),
 	}
-	opts.RingBytes = max(opts.RingBytes, leastRing)
-	r := &Recorder{bal: bal, opts: opts, first: start, start: payload, session: session, base: start.At, last: start.At, viewAt: start.At}
 	for i := range r.ring {
-		r.ring[i].data = make([]byte, 0, opts.RingBytes/segments)
+		r.ring[i] = make([]byte, 0, options.RingBytes/ringSegments)
 	}
-	r.block = make([]byte, 0, blockSize+maxRecord)
-	r.emit(blockStart, start.At, payload, false)
+	r.closeBlock(blockStart, start.At, startJSON, false)
 	return r, nil
 }
 
-// Lost is the number of blocks that the sink did not take.
-func (r *Recorder) Lost() uint64 { return r.lost }
+// RejectedBlocks returns the number of blocks that the sink did not accept.
+func (r *Recorder) RejectedBlocks() uint64 { return r.rejected }
+
+// SetClassNames sets the names of the classes of the next Retune. They are for readers of the recording.
+func (r *Recorder) SetClassNames(names []string) { r.start.Classes = names }
+
+// Flush closes the block being filled, so that the sink has all records.
+func (r *Recorder) Flush() { r.flush() }
+
+// Dump appends the ring to dst, the oldest block first, in the format of a file.
+func (r *Recorder) Dump(dst []byte) []byte {
+	r.flush()
+	h := header{kind: blockStart, session: r.session, base: r.sessionBase}
+	var encoded [headerSize]byte
+	h.encode(encoded[:], r.startJSON)
+	dst = append(dst, encoded[:]...)
+	dst = append(dst, r.startJSON...)
+	for i := 1; i <= ringSegments; i++ {
+		dst = append(dst, r.ring[(r.current+i)%ringSegments]...)
+	}
+	return dst
+}
 
-// emit closes a block: into the ring, and to the sink.
-func (r *Recorder) emit(kind byte, base balancer.Time, payload []byte, inRing bool) {
-	h := head{kind: kind, session: r.session, number: r.number, base: base}
-	r.number++
-	var hb [blockHead]byte
-	h.put(hb[:], payload)
-	s := &r.ring[r.cur]
-	whole := len(s.data)
-	if len(s.data)+blockHead+len(payload) > cap(s.data) {
-		inRing = false // a checkpoint too large for its segment: a replay begins at the next whole one
+// closeBlock writes a block to the ring, if inRing is set, and to the sink.
+func (r *Recorder) closeBlock(kind byte, base balancer.Time, payload []byte, inRing bool) {
+	h := header{kind: kind, session: r.session, number: r.nextNumber, base: base}
+	r.nextNumber++
+	var encoded [headerSize]byte
+	h.encode(encoded[:], payload)
+	segment := &r.ring[r.current]
+	start := len(*segment)
+	if !fits(*segment, len(payload)) {
+		inRing = false // a checkpoint larger than its segment: replays start at the next one that fits
 	}
 	if inRing {
-		s.data = append(append(s.data, hb[:]...), payload...)
+		*segment = append(append(*segment, encoded[:]...), payload...)
 	}
-	if r.opts.Sink == nil {
+	if r.options.Sink == nil {
 		return
 	}
 	var block []byte
 	if inRing {
-		block = s.data[whole:]
+		block = (*segment)[start:]
 	} else {
-		block = append(hb[:], payload...)
+		block = append(encoded[:], payload...)
 	}
-	taken, anew := r.opts.Sink.Put(block)
-	if !taken {
-		r.lost++
+	r.putBlock(kind, block)
+}
+
+// putBlock hands a block to the sink. After a block that was not accepted a replay needs a checkpoint.
+func (r *Recorder) putBlock(kind byte, block []byte) {
+	accepted, wantCheckpoint := r.options.Sink.Put(block)
+	if !accepted {
+		r.rejected++
 	}
-	r.anew = anew || !taken || r.anew && kind != blockCheckpoint
+	stillWanted := r.wantsResume && kind != blockCheckpoint
+	r.wantsResume = wantCheckpoint || !accepted || stillWanted
+}
+
+// fits reports whether a segment has room for a block with that payload, in bytes.
+func fits(segment []byte, payload int) bool {
+	return len(segment)+headerSize+payload <= cap(segment)
 }
 
 // flush closes the block being filled.
 func (r *Recorder) flush() {
-	if !r.open {
+	if !r.blockOpen {
 		return
 	}
-	r.open = false
-	if s := &r.ring[r.cur]; len(s.data)+blockHead+len(r.block) > cap(s.data) {
-		r.turn() // one event had more actions than there was room kept for
+	r.blockOpen = false
+	if !fits(r.ring[r.current], len(r.block)) {
+		r.nextSegment() // one event had more actions than there was room for
 	}
-	r.emit(blockRecords, r.since, r.block, true)
+	r.closeBlock(blockRecords, r.blockBase, r.block, true)
 	r.block = r.block[:0]
 }
 
-// turn gives up the oldest segment and begins a new one.
-func (r *Recorder) turn() {
-	r.cur = (r.cur + 1) % segments
-	r.ring[r.cur].data = r.ring[r.cur].data[:0]
+// nextSegment overwrites the oldest segment.
+func (r *Recorder) nextSegment() {
+	r.current = (r.current + 1) % ringSegments
+	r.ring[r.current] = r.ring[r.current][:0]
 }
 
-// room makes sure of a block with room for a record of n bytes. It is called between an
-// event's actions and the next event only, so that a checkpoint never parts the two.
-func (r *Recorder) room(now balancer.Time, n int) {
-	if r.open && len(r.block)+n > blockSize {
+// reserve makes sure that a block with room for a record of size bytes is open. It is called between an
+// event's actions and the next event only, so that no checkpoint separates the two.
+func (r *Recorder) reserve(now balancer.Time, size int) {
+	if r.blockOpen && len(r.block)+size > blockSize {
 		r.flush()
-		s := &r.ring[r.cur]
-		full := len(s.data)+2*blockHead+blockSize+maxRecord+n > cap(s.data)
-		if full {
-			r.turn()
+		// Room for a checkpoint's header, a full block, and the actions of its last event.
+		segmentFull := !fits(r.ring[r.current], headerSize+blockSize+maxRecord+size)
+		if segmentFull {
+			r.nextSegment()
 		}
-		if full || r.anew && now >= r.resumeAt {
-			r.resumeAt = now + resumeEvery
-			r.check = r.bal.Checkpoint(r.check[:0])
-			r.emit(blockCheckpoint, r.last, r.check, true)
+		if segmentFull || (r.wantsResume && now >= r.resumeAt) {
+			r.writeCheckpoint(now)
 		}
 	}
-	if !r.open {
-		r.open, r.since, r.last = true, now, now
-	}
-}
-
-// event begins the record of an event.
-func (r *Recorder) event(now balancer.Time, kind byte, n int) {
-	if r.opts.ViewInterval > 0 && now >= r.viewAt {
-		r.view(now)
-	}
-	r.room(now, n)
-	r.block = iv(append(r.block, kind), int64(now-r.last))
-	r.last = now
-}
-
-// view records what the module holds of the hosts.
-func (r *Recorder) view(now balancer.Time) {
-	r.viewAt = now + r.opts.ViewInterval
-	r.views = r.bal.Views(r.views[:0])
-	n := len(r.views)
-	if n == 0 {
-		return
-	}
-	most := min(n, viewsMost)
-	r.room(now, most*maxRecord)
-	r.block = iv(append(r.block, recView), int64(now-r.last))
-	r.last = now
-	r.block = uv(r.block, uint64(most))
-	for range most {
-		r.viewed %= n
-		r.block = putView(r.block, &r.views[r.viewed], now)
-		r.viewed++
-	}
-}
-
-// NameHost records how a host is called; it is told once for each.
-func (r *Recorder) NameHost(now balancer.Time, id balancer.HostID, name string) {
-	name = name[:min(len(name), maxRecord)]
-	r.event(now, recName, maxRecord+len(name))
-	r.block = uv(appendID(r.block, id), uint64(len(name)))
-	r.block = append(r.block, name...)
-}
-
-func appendID(b []byte, id balancer.HostID) []byte {
-	for i := 0; i < 64; i += 8 {
-		b = append(b, byte(id>>i))
+	if !r.blockOpen {
+		r.blockOpen = true
+		r.blockBase = now
+		r.lastRecord = now
 	}
-	return b
 }
 
-// Start is the module's, recorded.
-func (r *Recorder) Start(now balancer.Time) {
-	r.event(now, recStart, maxRecord)
-	r.bal.Start(now)
+func (r *Recorder) writeCheckpoint(now balancer.Time) {
+	r.resumeAt = now + checkpointInterval
+	r.checkpoint = r.balancer.Checkpoint(r.checkpoint[:0])
+	r.closeBlock(blockCheckpoint, r.lastRecord, r.checkpoint, true)
 }
 
-// UpdateEndpoints records the event and passes it on. A list may be larger than a block: its block is then
-// larger too.
-func (r *Recorder) UpdateEndpoints(now balancer.Time, kind balancer.ListKind, list []balancer.Host) {
-	r.event(now, recHosts, maxRecord+len(list)*32)
-	r.block = uv(append(r.block, byte(kind)), uint64(len(list)))
-	for i := range list {
-		r.block = putHost(r.block, &list[i])
+// beginEvent begins the record of an event; size is the most bytes that it takes.
+func (r *Recorder) beginEvent(now balancer.Time, kind byte, size int) {
+	if r.options.ViewInterval > 0 && now >= r.nextViewAt {
+		r.recordView(now)
 	}
-	r.bal.UpdateEndpoints(now, kind, list)
-}
-
-// Request records the event and passes it on.
-func (r *Recorder) Request(now balancer.Time, q balancer.Request) {
-	r.event(now, recRequest, maxRecord)
-	r.block = putRequest(r.block, &q)
-	r.bal.Request(now, q)
-}
-
-// AttemptStarted records the event and passes it on.
-func (r *Recorder) AttemptStarted(now balancer.Time, id balancer.RequestID, n int) {
-	r.event(now, recStarted, maxRecord)
-	r.block = iv(uv(r.block, uint64(id)), int64(n))
-	r.bal.AttemptStarted(now, id, n)
-}
-
-// AttemptEnded records the event and passes it on.
-func (r *Recorder) AttemptEnded(now balancer.Time, o balancer.Outcome) {
-	r.event(now, recOutcome, maxRecord)
-	r.block = putOutcome(r.block, &o)
-	r.bal.AttemptEnded(now, o)
+	r.reserve(now, size)
+	r.appendKind(now, kind)
 }
 
-// ClientGone records the event and passes it on.
-func (r *Recorder) ClientGone(now balancer.Time, id balancer.RequestID) {
-	r.event(now, recGone, maxRecord)
-	r.block = uv(r.block, uint64(id))
-	r.bal.ClientGone(now, id)
+// appendKind appends the kind of a record and the time since the one before.
+func (r *Recorder) appendKind(now balancer.Time, kind byte) {
+	r.block = binary.AppendVarint(append(r.block, kind), int64(now-r.lastRecord))
+	r.lastRecord = now
 }
 
-// Timer records the event and passes it on.
-func (r *Recorder) Timer(now balancer.Time, token uint64) {
-	r.event(now, recTimer, maxRecord)
-	r.block = uv(r.block, token)
-	r.bal.Timer(now, token)
-}
-
-// HealthCheckPassed records the event and passes it on.
-func (r *Recorder) HealthCheckPassed(now balancer.Time, id balancer.HostID, within balancer.Time) {
-	r.event(now, recHint, maxRecord)
-	r.block = iv(appendID(r.block, id), int64(within))
-	r.bal.HealthCheckPassed(now, id, within)
-}
-
-// Shutdown records the event and passes it on.
-func (r *Recorder) Shutdown(now, by balancer.Time) {
-	r.event(now, recStop, maxRecord)
-	r.block = iv(r.block, int64(by-now))
-	r.bal.Shutdown(now, by)
-}
-
-// SetClassNames names the classes that a Retune brings, for those who read.
-func (r *Recorder) SetClassNames(names []string) { r.first.Classes = names }
-
-// Retune is the module's. The recording begins anew with it: a session whose state is known from
-// a checkpoint. Hosts are to be named again.
-func (r *Recorder) Retune(now balancer.Time, set balancer.Settings, from []int) error {
-	if err := r.bal.Retune(now, set, from); err != nil {
-		return err
-	}
-	r.flush()
-	for i := range r.ring {
-		r.ring[i].data = r.ring[i].data[:0]
-	}
-	r.first.Settings, r.first.At = set, now
-	if payload, err := json.Marshal(r.first); err == nil { // as it did at the start
-		r.start = payload
+// recordView records the state of the hosts as the balancer has it.
+func (r *Recorder) recordView(now balancer.Time) {
+	r.nextViewAt = now + r.options.ViewInterval
+	r.views = r.balancer.Views(r.views[:0])
+	hosts := len(r.views)
+	if hosts == 0 {
+		return
 	}
-	r.session, r.number, r.base, r.last = r.session+1, 0, now, now
-	r.emit(blockStart, now, r.start, false)
-	r.check = r.bal.Checkpoint(r.check[:0])
-	r.emit(blockCheckpoint, now, r.check, true)
-	return nil
-}
-
-// TakeActions passes on the actions and records them.
-func (r *Recorder) TakeActions(dst []balancer.Action) []balancer.Action {
-	n := len(dst)
-	dst = r.bal.TakeActions(dst)
-	for i := range dst[n:] {
-		r.block = putAction(r.block, &dst[n+i])
+	count := min(hosts, maxViewedHosts)
+	r.reserve(now, count*maxRecord)
+	r.appendKind(now, recordView)
+	r.block = binary.AppendUvarint(r.block, uint64(count))
+	for range count {
+		r.nextInView %= hosts
+		r.block = appendView(r.block, &r.views[r.nextInView], now)
+		r.nextInView++
 	}
-	return dst
 }
 
-// Flush closes the block being filled, so that the sink has all there is.
-func (r *Recorder) Flush() { r.flush() }
-
-// Dump appends the ring to dst, oldest first, in the form of a file.
-func (r *Recorder) Dump(dst []byte) []byte {
-	r.flush()
-	h := head{kind: blockStart, session: r.session, base: r.base}
-	var hb [blockHead]byte
-	h.put(hb[:], r.start)
-	dst = append(append(dst, hb[:]...), r.start...)
-	for i := 1; i <= segments; i++ {
-		dst = append(dst, r.ring[(r.cur+i)%segments].data...)
-	}
-	return dst
+// NameHost records the name of a host, for readers of the recording.
+func (r *Recorder) NameHost(now balancer.Time, id balancer.HostID, name string) {
+	name = name[:min(len(name), maxRecord)]
+	r.beginEvent(now, recordName, maxRecord+len(name))
+	r.block = appendText(appendHostID(r.block, id), name)
 }
--- a/internal/flightrecorder/replay.go
+++ b/internal/flightrecorder/replay.go
@@ -9,24 +9,23 @@
 	"dunemoor/balancer"
 )
 
-// Report is what a replay found.
+// Report is the result of a replay.
 type Report struct {
 	Sessions           int
-	Events             int // told to the module again
-	Actions            int // that came out the same
-	SkippedEvents      int // events that could not be told, as the state before them is lost
-	Checked            int // checkpoints that the replayed state agreed with
-	ForeignCheckpoints int // checkpoints that this build can't read: a replay can't begin there
-
-	ForeignWhy string
-	Losses     []string
-	Divergence *Difference // nil: all that was told came out the same
+	Events             int // delivered
+	MatchingActions    int // equal to the recorded ones
+	SkippedEvents      int // not delivered, as the state before them is lost
+	MatchingStates     int // checkpoints equal to the replayed state
+	ForeignCheckpoints int // that this build can't read: a replay can't start there
+	ForeignReason      string
+	Losses             []string    // at most maxLosses
+	Divergence         *Difference // nil: all decisions were equal
 }
 
-// Difference is where a replay first went another way than the recording.
+// Difference is the first point at which a replay decides otherwise than recorded.
 type Difference struct {
 	At       balancer.Time
-	Event    int // its number among those told
+	Event    int // its number among those delivered
 	What     string
 	Recorded string
 	Replayed string
@@ -36,163 +35,205 @@
 	return fmt.Sprintf("event %d at %v: %s: recorded %s, replayed %s", d.Event, d.At, d.What, d.Recorded, d.Replayed)
 }
 
-// Watcher looks on at a replay. It is called behind each event that was told to the
-// module, with what the recording says was decided. The Balancer is as it was then; it
-// must not be told anything.
-type Watcher func(bal *balancer.Balancer, e *Event, decided []balancer.Action)
+// Observer is called after each event that was delivered to the balancer, with the actions that were recorded.
+// It must not change the balancer.
+type Observer func(b *balancer.Balancer, e *Event, recorded []balancer.Action)
 
-// lossesMost bounds the losses that a report names; the rest is counted.
-const lossesMost = 20
+// maxLosses is the number of losses that a Report describes; the last one counts the others.
+const maxLosses = 20
 
-// replay is a replay under way.
-type replay struct {
-	Report
-	watch    Watcher
-	start    *SessionStart
-	bal      *balancer.Balancer // nil while its state is unknown
-	fresh    bool               // it has been told nothing since its session began
-	event    Event              // the last one told
-	told     bool               // there is one whose actions are being collected
-	hosts    []balancer.Host    // of event
-	recorded []balancer.Action  // in answer to event
-	acts     []balancer.Action
-	a, b     []byte
-	lost     int
-}
-
-// Replay tells a module all the events of a recording and compares what it decides with
-// what was decided then, byte for byte. It begins where the module's state is known: at
-// the start of a session or at a checkpoint. watch may be nil. others gets each item that
-// is no event or action, and may be nil.
-func Replay(r *Reader, watch Watcher, others func(*Item)) (*Report, error) {
-	p := &replay{watch: watch}
+// errUnknownSettings is the error of a checkpoint without the start of its session.
+var errUnknownSettings = errors.New("the settings it belongs to are not known")
+
+// Replay delivers the events of a recording to a balancer and compares its actions with the recorded ones, byte
+// for byte. It starts where the balancer's state is known: at the start of a session or at a checkpoint.
+// observe may be nil. other is called for each item but events and actions, and may be nil. The error is that
+// of the Reader, or of settings that this build rejects.
+func Replay(r *Reader, observe Observer, other func(*Item)) (*Report, error) {
+	p := &replay{observe: observe}
 	var it Item
 	for {
 		err := r.Next(&it)
 		if err == io.EOF {
-			p.settle()
+			p.finishEvent()
 			return &p.Report, nil
 		}
+		if err == nil {
+			err = p.process(&it)
+		}
 		if err != nil {
 			return &p.Report, err
 		}
-		if it.Kind != ItemAction {
-			p.settle()
+		if other != nil && it.Kind != ItemEvent && it.Kind != ItemAction {
+			other(&it)
 		}
-		switch it.Kind {
-		case ItemSession:
-			p.Sessions++
-			p.start, p.fresh = it.Start, true
-			if p.bal, err = balancer.New(it.Start.Settings, it.Start.Seed); err != nil {
-				return &p.Report, fmt.Errorf("the start of a session: %w", err)
-			}
-		case ItemCheckpoint:
-			if err := p.checkpoint(it.Checkpoint); err != nil {
-				// Of another build: where the state is known all the same, it goes on.
-				p.ForeignCheckpoints++
-				p.ForeignWhy = err.Error()
-			}
-		case ItemEvent:
-			p.tell(&it.Event)
-		case ItemAction:
-			if p.told {
-				p.recorded = append(p.recorded, it.Action)
-			}
-		case ItemLoss:
-			p.bal = nil
-			if p.lost++; p.lost <= lossesMost {
-				p.Losses = append(p.Losses, it.Text)
-			} else {
-				p.Losses[lossesMost-1] = fmt.Sprintf("... and %d more", p.lost-lossesMost+1)
-			}
+	}
+}
+
+// replay is the state of a replay.
+type replay struct {
+	Report
+	observe Observer
+	start   *SessionStart
+	// balancer is nil while its state is unknown.
+	balancer     *balancer.Balancer
+	newSession   bool // no event was delivered since the session started
+	event        Event
+	eventPending bool // event was delivered and its actions are being read
+	hosts        []balancer.Host
+	recorded     []balancer.Action
+	replayed     []balancer.Action
+	buffers      [2][]byte
+	lossCount    int
+}
+
+// process processes an item. An item other than an action ends the event before it.
+func (p *replay) process(it *Item) error {
+	if it.Kind == ItemAction {
+		if p.eventPending {
+			p.recorded = append(p.recorded, it.Action)
 		}
-		if others != nil && it.Kind != ItemEvent && it.Kind != ItemAction {
-			others(&it)
+		return nil
+	}
+	p.finishEvent()
+	switch it.Kind {
+	case ItemSession:
+		return p.startSession(it.Start)
+	case ItemCheckpoint:
+		if err := p.restore(it.Checkpoint); err != nil {
+			// Another build wrote it. Where the state is known all the same, the replay goes on.
+			p.ForeignCheckpoints++
+			p.ForeignReason = err.Error()
 		}
+	case ItemEvent:
+		p.deliver(&it.Event)
+	case ItemLoss:
+		p.loseState(it.Text)
+	}
+	return nil
+}
+
+func (p *replay) startSession(start *SessionStart) error {
+	p.Sessions++
+	p.start = start
+	p.newSession = true
+	b, err := balancer.New(start.Settings, start.Seed)
+	if err != nil {
+		return fmt.Errorf("start of a session: %w", err)
 	}
+	p.balancer = b
+	return nil
 }
 
-func (p *replay) checkpoint(saved []byte) error {
+// restore compares a checkpoint with the replayed state, where that is known, and goes on from the checkpoint.
+func (p *replay) restore(checkpoint []byte) error {
 	if p.start == nil {
-		return errors.New("the settings it belongs to are not known")
+		return errUnknownSettings
 	}
-	bal, err := balancer.Restore(p.start.Settings, saved)
+	restored, err := balancer.Restore(p.start.Settings, checkpoint)
 	if err != nil {
 		return err
 	}
-	if p.fresh {
-		// A session that goes on from the one before: this is its state.
-	} else if p.bal != nil && p.Divergence == nil {
-		p.a = p.bal.Checkpoint(p.a[:0])
-		if !bytes.Equal(p.a, saved) {
-			p.differ("state", fmt.Sprintf("a checkpoint of %d bytes", len(saved)), fmt.Sprintf("another of %d bytes", len(p.a)))
-		} else {
-			p.Checked++
-		}
+	// A new session may continue the one before, so that its first checkpoint is its state.
+	stateKnown := !p.newSession && p.balancer != nil && p.Divergence == nil
+	if stateKnown {
+		p.compareState(checkpoint)
 	}
-	p.bal, p.fresh = bal, false
+	p.balancer = restored
+	p.newSession = false
 	return nil
 }
 
-func (p *replay) tell(e *Event) {
-	if p.bal == nil {
+func (p *replay) compareState(checkpoint []byte) {
+	state := p.balancer.Checkpoint(p.buffers[0][:0])
+	p.buffers[0] = state
+	if bytes.Equal(state, checkpoint) {
+		p.MatchingStates++
+		return
+	}
+	p.diverge("state", fmt.Sprintf("a checkpoint of %d bytes", len(checkpoint)), fmt.Sprintf("another of %d bytes", len(state)))
+}
+
+// deliver delivers an event to the balancer.
+func (p *replay) deliver(e *Event) {
+	if p.balancer == nil {
 		p.SkippedEvents++
 		return
 	}
 	p.Events++
-	p.fresh = false
-	p.event, p.told = *e, true
-	p.event.Hosts = append(p.hosts[:0], e.Hosts...) // the reader will use its own anew
-	p.hosts = p.event.Hosts
-	e.Tell(p.bal)
-	p.acts = p.bal.TakeActions(p.acts[:0])
+	p.newSession = false
+	p.event = *e
+	p.hosts = append(p.hosts[:0], e.Hosts...) // those of e are valid until the next item
+	p.event.Hosts = p.hosts
+	p.eventPending = true
+	e.Deliver(p.balancer)
+	p.replayed = p.balancer.TakeActions(p.replayed[:0])
+}
+
+// loseState accounts for a loss: the state is unknown until the next checkpoint.
+func (p *replay) loseState(text string) {
+	p.balancer = nil
+	p.lossCount++
+	if p.lossCount <= maxLosses {
+		p.Losses = append(p.Losses, text)
+	} else {
+		p.Losses[maxLosses-1] = fmt.Sprintf("... and %d more", p.lossCount-maxLosses+1)
+	}
 }
 
-// settle compares the actions of the last event.
-func (p *replay) settle() {
-	if !p.told {
+// finishEvent compares the actions of the last event.
+func (p *replay) finishEvent() {
+	if !p.eventPending {
 		return
 	}
-	p.told = false
-	for i := range max(len(p.recorded), len(p.acts)) {
-		p.a, p.b = p.a[:0], p.b[:0]
-		if i < len(p.recorded) {
-			p.a = putAction(p.a, &p.recorded[i])
-		}
-		if i < len(p.acts) {
-			p.b = putAction(p.b, &p.acts[i])
-		}
-		if bytes.Equal(p.a, p.b) {
-			p.Actions++
-			continue
+	p.eventPending = false
+	p.compareActions()
+	if p.observe != nil {
+		p.observe(p.balancer, &p.event, p.recorded)
+	}
+	p.recorded = p.recorded[:0]
+}
+
+// compareActions counts equal actions up to the first difference.
+func (p *replay) compareActions() {
+	for i := range max(len(p.recorded), len(p.replayed)) {
+		p.buffers[0] = appendActionAt(p.buffers[0][:0], p.recorded, i)
+		p.buffers[1] = appendActionAt(p.buffers[1][:0], p.replayed, i)
+		if !bytes.Equal(p.buffers[0], p.buffers[1]) {
+			p.diverge(fmt.Sprintf("action %d", i+1), describeAction(p.recorded, i), describeAction(p.replayed, i))
+			return
 		}
-		p.differ(fmt.Sprintf("action %d", i+1), describe(p.recorded, i), describe(p.acts, i))
-		break
+		p.MatchingActions++
 	}
-	if p.watch != nil {
-		p.watch(p.bal, &p.event, p.recorded)
+}
+
+// appendActionAt appends the i-th action, or nothing where there is none.
+func appendActionAt(b []byte, actions []balancer.Action, i int) []byte {
+	if i >= len(actions) {
+		return b
 	}
-	p.recorded = p.recorded[:0]
+	return appendAction(b, &actions[i])
 }
 
-func (p *replay) differ(what, recorded, replayed string) {
+// diverge records the first difference.
+func (p *replay) diverge(what, recorded, replayed string) {
 	if p.Divergence == nil {
 		p.Divergence = &Difference{p.event.At, p.Events, what, recorded, replayed}
 	}
 }
 
-// describe puts the i-th action into words.
-func describe(list []balancer.Action, i int) string {
-	if i >= len(list) {
+// describeAction describes the i-th action.
+func describeAction(actions []balancer.Action, i int) string {
+	if i >= len(actions) {
 		return "none"
 	}
-	switch a := &list[i]; a.Kind {
+	switch a := &actions[i]; a.Kind {
 	case balancer.Send:
 		return fmt.Sprintf("Send %d to %x until %v", a.Request, uint64(a.Host), a.At)
 	case balancer.Cancel:
 		return fmt.Sprintf("Cancel %d/%d", a.Request, a.Attempt)
 	case balancer.Reject:
-		return fmt.Sprintf("Refuse %d (%v) after %v", a.Request, a.Cause, a.RetryAfter)
+		return fmt.Sprintf("Reject %d (%v) after %v", a.Request, a.Cause, a.RetryAfter)
 	case balancer.Fail:
 		return fmt.Sprintf("Fail %d (%v)", a.Request, a.Cause)
 	case balancer.Wake:
--- /dev/null
+++ b/internal/flightrecorder/simulation.go
@@ -0,0 +1,391 @@
+package flightrecorder
+
+import (
+	"container/heap"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"dunemoor/balancer"
+)
+
+// Simulation plays requests against modelled hosts in virtual time, with a balancer that decides. Each host
+// serves one request after the other, in the order of their arrival: enough to compare two builds of the
+// balancer on the same traffic.
+type Simulation struct {
+	Settings  balancer.Settings
+	Arrivals  []Arrival        // in the order of time
+	Endpoints []EndpointUpdate // in the order of time
+	Hosts     map[balancer.HostID]*SimulatedHost
+	Random    *rand.Rand // of errors; the same seed and balancer give the same result
+
+	balancer Balancer
+	now      balancer.Time
+	queue    simulationQueue
+	sequence int
+	requests map[balancer.RequestID]*simulatedRequest
+	actions  []balancer.Action
+	summary  Summary
+}
+
+// Arrival is a request of a client.
+type Arrival struct {
+	Request balancer.Request
+	At      balancer.Time
+	GoneAt  balancer.Time // the client leaves then if it has no response; 0: it waits
+	Work    time.Duration // what a host of speed 1 needs
+}
+
+// EndpointUpdate is an update of the endpoint list.
+type EndpointUpdate struct {
+	At    balancer.Time
+	Kind  balancer.ListKind
+	Hosts []balancer.Host
+}
+
+// SimulatedHost is a modelled host.
+type SimulatedHost struct {
+	Speed           float64   // work done per unit of time; 0: 1
+	ErrorShares     []float64 // share of responses that are errors, by class
+	Down            []Span    // connections are refused
+	Silent          []Span    // requests are received and never answered
+	UnansweredShare float64   // share of attempts that get no response at any time
+
+	jobs []*simulatedAttempt // the first is in service
+}
+
+// Span is a span of time; To is not part of it.
+type Span struct{ From, To balancer.Time }
+
+func within(spans []Span, t balancer.Time) bool {
+	return slices.ContainsFunc(spans, func(s Span) bool { return s.From <= t && t < s.To })
+}
+
+// Summary is the outcome of the requests.
+type Summary struct {
+	Classes            []ClassSummary
+	Attempts           int
+	RepeatedExecutions int // non-idempotent requests that were executed more than once: a fault of the balancer
+	Unanswered         int // requests without a final response at the end: a fault of the balancer
+}
+
+// ClassSummary is the outcome of a class.
+type ClassSummary struct {
+	Requests  int
+	InTime    int // served within the latency objective
+	Late      int // served after it
+	Rejected  int
+	Failed    int
+	Abandoned int               // the client left
+	Causes    [causeBuckets]int // of Rejected and Failed, by balancer.Cause
+	Latencies []time.Duration   // of InTime and Late
+}
+
+const (
+	// causeBuckets is the number of causes that a ClassSummary tells apart.
+	causeBuckets = 8
+	// runOutTime is how long a simulation goes on after the last deadline.
+	runOutTime = time.Second
+	// connectFailureTime is when a gateway learns of a refused connection.
+	connectFailureTime = time.Millisecond
+)
+
+func (c *ClassSummary) countCause(cause balancer.Cause) { c.Causes[int(cause)%causeBuckets]++ }
+
+// simulatedRequest is a request and its attempts.
+type simulatedRequest struct {
+	Arrival
+	deadline   balancer.Time
+	done       bool // it has a final response, or its client has left
+	executions int
+	attempts   []*simulatedAttempt
+}
+
+// simulatedAttempt is an attempt at a host.
+type simulatedAttempt struct {
+	request  *simulatedRequest
+	number   int
+	host     *SimulatedHost
+	sentAt   balancer.Time
+	deadline balancer.Time
+	starts   int // times that its service began; the ends of earlier ones are ignored
+	ended    bool
+}
+
+// simulationEvent is something that happens at a time.
+type simulationEvent struct {
+	at       balancer.Time
+	sequence int
+	run      func()
+}
+
+// simulationQueue is a heap of events; of those at the same time the first scheduled comes first.
+type simulationQueue []simulationEvent
+
+func (q simulationQueue) Len() int { return len(q) }
+
+func (q simulationQueue) Less(i, j int) bool {
+	if q[i].at != q[j].at {
+		return q[i].at < q[j].at
+	}
+	return q[i].sequence < q[j].sequence
+}
+
+func (q simulationQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+
+// Push implements heap.Interface.
+func (q *simulationQueue) Push(x any) { *q = append(*q, x.(simulationEvent)) }
+
+// Pop implements heap.Interface.
+func (q *simulationQueue) Pop() any {
+	last := len(*q) - 1
+	e := (*q)[last]
+	*q = (*q)[:last]
+	return e
+}
+
+// Run plays the traffic from start with a balancer that has had no event yet.
+func (s *Simulation) Run(b Balancer, start balancer.Time) *Summary {
+	s.reset(b, start)
+	end := s.scheduleTraffic(start)
+	s.deliver(func() { b.Start(s.now) })
+	for len(s.queue) > 0 && s.queue[0].at <= end {
+		e := heap.Pop(&s.queue).(simulationEvent)
+		s.now = max(s.now, e.at)
+		e.run()
+	}
+	s.countFaults()
+	return &s.summary
+}
+
+func (s *Simulation) reset(b Balancer, start balancer.Time) {
+	s.balancer = b
+	s.now = start
+	s.queue = nil
+	s.sequence = 0
+	s.requests = map[balancer.RequestID]*simulatedRequest{}
+	s.summary = Summary{Classes: make([]ClassSummary, len(s.Settings.Classes))}
+	if s.Random == nil {
+		s.Random = rand.New(rand.NewPCG(1, 2))
+	}
+	for _, h := range s.Hosts {
+		h.jobs = nil
+	}
+}
+
+// scheduleTraffic schedules the arrivals and the endpoint updates. It returns the end of the simulation.
+func (s *Simulation) scheduleTraffic(start balancer.Time) balancer.Time {
+	for i := range s.Endpoints {
+		update := &s.Endpoints[i]
+		s.schedule(update.At, func() {
+			s.deliver(func() { s.balancer.UpdateEndpoints(s.now, update.Kind, update.Hosts) })
+		})
+	}
+	end := start
+	lastArrival := start
+	for i := range s.Arrivals {
+		arrival := &s.Arrivals[i]
+		end = max(end, arrival.At)
+		lastArrival = arrival.At
+		s.schedule(arrival.At, func() { s.arrive(arrival) })
+	}
+	for _, class := range s.Settings.Classes {
+		end = max(end, lastArrival+class.Deadline+runOutTime)
+	}
+	return end
+}
+
+// countFaults counts what a balancer must never do.
+func (s *Simulation) countFaults() {
+	for _, r := range s.requests {
+		if !r.done {
+			s.summary.Unanswered++
+		}
+		class := &s.Settings.Classes[r.Request.Class]
+		if r.executions > 1 && class.Idempotency == balancer.NonIdempotent {
+			s.summary.RepeatedExecutions++
+		}
+	}
+}
+
+func (s *Simulation) schedule(at balancer.Time, run func()) {
+	s.sequence++
+	heap.Push(&s.queue, simulationEvent{at, s.sequence, run})
+}
+
+// deliver passes an event to the balancer and executes the resulting actions.
+func (s *Simulation) deliver(event func()) {
+	event()
+	s.actions = s.balancer.TakeActions(s.actions[:0])
+	for _, a := range s.actions {
+		s.execute(a)
+	}
+}
+
+func (s *Simulation) execute(a balancer.Action) {
+	switch a.Kind {
+	case balancer.Send:
+		s.send(a)
+	case balancer.Cancel:
+		if r := s.requests[a.Request]; r != nil && a.Attempt < len(r.attempts) {
+			attempt := r.attempts[a.Attempt]
+			s.schedule(s.now, func() { s.endAttempt(attempt, balancer.Canceled) })
+		}
+	case balancer.Reject, balancer.Fail:
+		s.reject(a)
+	case balancer.Wake:
+		s.schedule(max(a.At, s.now), func() {
+			s.deliver(func() { s.balancer.Timer(s.now, a.Token) })
+		})
+	}
+}
+
+// reject ends a request that the balancer rejects or fails.
+func (s *Simulation) reject(a balancer.Action) {
+	r := s.requests[a.Request]
+	if r == nil || r.done {
+		return
+	}
+	r.done = true
+	class := &s.summary.Classes[r.Request.Class]
+	class.countCause(a.Cause)
+	if a.Kind == balancer.Reject {
+		class.Rejected++
+	} else {
+		class.Failed++
+	}
+}
+
+func (s *Simulation) arrive(a *Arrival) {
+	r := &simulatedRequest{Arrival: *a, deadline: a.At + a.Request.Remaining}
+	s.requests[a.Request.ID] = r
+	s.summary.Classes[a.Request.Class].Requests++
+	if a.GoneAt > 0 {
+		s.schedule(a.GoneAt, func() { s.clientLeaves(r) })
+	}
+	s.deliver(func() { s.balancer.Request(s.now, a.Request) })
+}
+
+func (s *Simulation) clientLeaves(r *simulatedRequest) {
+	if r.done {
+		return
+	}
+	r.done = true
+	s.summary.Classes[r.Request.Class].Abandoned++
+	s.deliver(func() { s.balancer.ClientGone(s.now, r.Request.ID) })
+}
+
+func (s *Simulation) send(a balancer.Action) {
+	r := s.requests[a.Request]
+	h := s.Hosts[a.Host]
+	if h == nil {
+		h = &SimulatedHost{}
+		s.Hosts[a.Host] = h
+	}
+	attempt := &simulatedAttempt{request: r, number: len(r.attempts), host: h, sentAt: s.now, deadline: r.deadline}
+	if a.At > 0 {
+		attempt.deadline = min(attempt.deadline, a.At)
+	}
+	r.attempts = append(r.attempts, attempt)
+	s.summary.Attempts++
+	if within(h.Down, s.now) {
+		s.schedule(s.now+connectFailureTime, func() { s.endAttempt(attempt, balancer.ConnectFailed) })
+		return
+	}
+	r.executions++
+	unanswered := within(h.Silent, s.now) || (h.UnansweredShare > 0 && s.Random.Float64() < h.UnansweredShare)
+	if !unanswered {
+		h.jobs = append(h.jobs, attempt)
+		if len(h.jobs) == 1 {
+			s.beginService(h)
+		}
+	}
+	s.schedule(attempt.deadline, func() { s.endAttempt(attempt, balancer.TimedOut) })
+}
+
+// beginService has a host serve the first of its jobs.
+func (s *Simulation) beginService(h *SimulatedHost) {
+	if len(h.jobs) == 0 {
+		return
+	}
+	attempt := h.jobs[0]
+	attempt.starts++
+	start := attempt.starts
+	speed := h.Speed
+	if speed == 0 {
+		speed = 1
+	}
+	doneAt := s.now + balancer.Time(float64(attempt.request.Work)/speed)
+	s.schedule(doneAt, func() {
+		if !attempt.ended && attempt.starts == start {
+			s.endAttempt(attempt, s.drawResult(attempt))
+		}
+	})
+}
+
+// drawResult draws whether the response to an attempt is an error.
+func (s *Simulation) drawResult(attempt *simulatedAttempt) balancer.Result {
+	class := attempt.request.Request.Class
+	shares := attempt.host.ErrorShares
+	if class < len(shares) && s.Random.Float64() < shares[class] {
+		return balancer.Failed
+	}
+	return balancer.OK
+}
+
+// endAttempt ends an attempt, once.
+func (s *Simulation) endAttempt(attempt *simulatedAttempt, result balancer.Result) {
+	if attempt.ended {
+		return
+	}
+	attempt.ended = true
+	s.removeJob(attempt)
+	r := attempt.request
+	if result == balancer.OK && !r.done {
+		s.countServed(r)
+	}
+	s.deliver(func() {
+		s.balancer.AttemptEnded(s.now, balancer.Outcome{
+			Request: r.Request.ID,
+			Attempt: attempt.number,
+			Result:  result,
+			Elapsed: s.now - attempt.sentAt,
+			Closed:  r.done,
+		})
+	})
+}
+
+// removeJob takes an attempt from its host, which goes on with the next one.
+func (s *Simulation) removeJob(attempt *simulatedAttempt) {
+	h := attempt.host
+	i := slices.Index(h.jobs, attempt)
+	if i < 0 {
+		return
+	}
+	h.jobs = slices.Delete(h.jobs, i, i+1)
+	if i == 0 {
+		s.beginService(h)
+	}
+}
+
+func (s *Simulation) countServed(r *simulatedRequest) {
+	r.done = true
+	class := &s.summary.Classes[r.Request.Class]
+	latency := s.now - r.At
+	class.Latencies = append(class.Latencies, latency)
+	if latency <= latencyObjective(&s.Settings, r.Request.Class) {
+		class.InTime++
+	} else {
+		class.Late++
+	}
+}
+
+// latencyObjective is the latency objective of a class, or its deadline where that is shorter or there is no
+// objective.
+func latencyObjective(settings *balancer.Settings, class int) time.Duration {
+	c := &settings.Classes[class]
+	if c.LatencyObjective == 0 || c.LatencyObjective > c.Deadline {
+		return c.Deadline
+	}
+	return c.LatencyObjective
+}
--- a/internal/testutil/failpoints.go
+++ b/internal/testutil/failpoints.go
@@ -5,34 +5,34 @@
 	"testing"
 )
 
-// FailpointBuild runs TestEachFailpoint of the calling package in a build with failpoints, unless this is
-// that build.
+// FailpointBuild runs TestEachFailpoint of the calling package in a build with failpoints. available is
+// whether this is that build; the test is skipped then.
 func FailpointBuild(t *testing.T, available bool) {
 	t.Helper()
 	if available {
-		t.Skip("this is that build")
+		t.Skip("this is the build with failpoints")
 	}
 	out, err := exec.Command("go", "test", "-count=1", "-tags=failpoints", "-run=^TestEachFailpoint$", ".").CombinedOutput()
 	if err != nil {
-		t.Errorf("%v: %s", err, out)
+		t.Errorf("TestEachFailpoint: %v: %s", err, out)
 	}
 }
 
-// EachFailpoint enables each failpoint in turn, and fails where play finds the fault for none of so many
-// seeds, which count from 1: a checker that can't fail proves nothing.
-func EachFailpoint[F ~string](t *testing.T, failpoints []F, enable func(F), seeds uint64, play func(seed uint64) error) {
+// EachFailpoint enables each failpoint in turn. It fails where run returns no error for any of the seeds,
+// which count from 1: the checks of run would not notice the fault.
+func EachFailpoint[F ~string](t *testing.T, failpoints []F, enable func(F), seeds uint64, run func(seed uint64) error) {
 	t.Helper()
 	for _, f := range failpoints {
 		t.Run(string(f), func(t *testing.T) {
 			enable(f)
 			defer enable("")
-			for seed := range seeds {
-				if err := play(seed + 1); err != nil {
-					t.Logf("found: %v", err)
+			for seed := uint64(1); seed <= seeds; seed++ {
+				if err := run(seed); err != nil {
+					t.Logf("seed %d: %v", seed, err)
 					return
 				}
 			}
-			t.Error("nothing finds it")
+			t.Errorf("seeds 1 to %d: got no error with failpoint %q enabled", seeds, f)
 		})
 	}
 }
