--- a/cmd/dunemoor/appliance_test.go
+++ b/cmd/dunemoor/appliance_test.go
@@ -15,8 +15,9 @@
 	"dunemoor/internal/experiment/fakes"
 )
 
-// box is an appliance's file for a fleet, with or without a second pool for a path of its own.
-func box(listen string, first, second *fakes.Fleet) string {
+// applianceFile returns an appliance's file with the pool first, and with the pool second for a path where that isn't
+// nil.
+func applianceFile(listen string, first, second *fakes.Fleet) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "name = \"box\"\n[[listener]]\naddress = %q\n", listen)
 	for _, c := range []string{"lookup|safe|", "book|unsafe|", "report|keyed|window = \"2500ms\"\ngroup = \"cell\""} {
@@ -39,9 +40,9 @@
 	return b.String()
 }
 
-// The program serves by a file; SIGHUP reads it anew under load, time and again, one that is in
-// error changes nothing, and SIGTERM ends it with nothing unanswered.
-func TestAppliance(t *testing.T) {
+// The program serves by a file. SIGHUP reloads it under load, again and again; an invalid file changes nothing, and after
+// SIGTERM no request is left without a response.
+func TestApplianceReloadsUnderLoad(t *testing.T) {
 	ledger := fakes.NewLedger()
 	behaviour := fakes.Behaviour{Work: 2 * time.Millisecond, Cores: 8}
 	var fleets [2]*fakes.Fleet
@@ -52,7 +53,7 @@
 		}
 		defer fleets[i].Close()
 	}
-	listen := freeAddr(t)
+	listen := freeAddress(t)
 	path := filepath.Join(t.TempDir(), "box.toml")
 	write := func(text string) {
 		t.Helper()
@@ -63,17 +64,17 @@
 			t.Fatal(err)
 		}
 	}
-	calls := freeAddr(t)
-	write("admin = \"" + calls + "\"\n" + box(listen, fleets[0], nil))
-	p := startAs(t, path, listen, "-appliance", path)
-	p.ready(t)
+	calls := freeAddress(t)
+	write("admin = \"" + calls + "\"\n" + applianceFile(listen, fleets[0], nil))
+	p := startWithFile(t, path, listen, "-appliance", path)
+	p.waitReady(t)
 	resp, err := http.Get("http://" + calls + "/admin/status")
 	if err != nil {
 		t.Fatal(err)
 	}
 	resp.Body.Close()
 	if resp.StatusCode != 200 {
-		t.Errorf("status: %d", resp.StatusCode)
+		t.Errorf("admin status: got %d, want 200", resp.StatusCode)
 	}
 	classes := fakes.DefaultClasses()
 	for i := range classes {
@@ -86,96 +87,95 @@
 			t.Error(err)
 		}
 	})
-	said := func(text string, times int) {
+	waitForLog := func(text string, times int) {
 		t.Helper()
-		until(t, text, func() bool { return strings.Count(p.out.String(), text) >= times })
+		waitUntil(t, text, func() bool { return strings.Count(p.out.String(), text) >= times })
 	}
 	for round := 1; round <= 4; round++ {
-		write(box(listen, fleets[0], fleets[1]))
+		write(applianceFile(listen, fleets[0], fleets[1]))
 		p.Process.Signal(syscall.SIGHUP)
-		said("configuration reloaded", 2*round-1)
-		write(strings.Replace(box(listen, fleets[0], nil), "unsafe", "unsave", 1))
+		waitForLog("configuration reloaded", 2*round-1)
+		write(strings.Replace(applianceFile(listen, fleets[0], nil), "unsafe", "unsave", 1))
 		p.Process.Signal(syscall.SIGHUP)
-		said("configuration not reloaded", round)
-		write(box(listen, fleets[0], nil))
+		waitForLog("configuration not reloaded", round)
+		write(applianceFile(listen, fleets[0], nil))
 		p.Process.Signal(syscall.SIGHUP)
-		said("configuration reloaded", 2*round)
+		waitForLog("configuration reloaded", 2*round)
 	}
 	if !strings.Contains(p.out.String(), "box.toml:") || !strings.Contains(p.out.String(), "unsave") {
-		t.Errorf("the log does not name the mistake: %s", p.out.String())
+		t.Errorf("got a log without the invalid value: %s", p.out.String())
 	}
-	write(box(listen, fleets[0], fleets[1]))
+	write(applianceFile(listen, fleets[0], fleets[1]))
 	p.Process.Signal(syscall.SIGHUP)
-	said("configuration reloaded", 9)
+	waitForLog("configuration reloaded", 9)
 	wait.Wait()
 	p.Process.Signal(syscall.SIGTERM)
 	<-p.exited
 	if code := p.ProcessState.ExitCode(); code != 0 {
-		t.Errorf("exit code %d: %s", code, p.out.String())
+		t.Errorf("got exit code %d, want 0: %s", code, p.out.String())
 	}
 	c := ledger.Count()
-	if broken := c.Violations(); broken != "" {
-		t.Errorf("rules broken: %s; twice %v, harm %v", broken, c.RanTwice, c.RejectedAfterExecution)
+	if violations := c.Violations(); violations != "" {
+		t.Errorf("got violations %s, want none: ran twice %v, rejected after execution %v", violations, c.RanTwice, c.RejectedAfterExecution)
 	}
 	if c.Outcomes[fakes.Served]*100 < 98*c.Requests {
-		t.Errorf("of %d asked: %v", c.Requests, c.Outcomes)
+		t.Errorf("got outcomes %v of %d requests, want nearly all served", c.Outcomes, c.Requests)
 	}
 }
 
-// The process is stopped for a while under load, as on a host that pauses its machines: what
-// waited meanwhile is answered, and nothing is turned away for it once it goes on. It guards
-// against taking a pause for overload.
-func TestPauseShedsNothing(t *testing.T) {
+// The process is paused for a while under load, as a virtual machine may be. Requests that waited meanwhile have a
+// response, and none is rejected afterwards: a pause must not count as overload.
+func TestPausedProcessRejectsNothing(t *testing.T) {
 	ledger := fakes.NewLedger()
 	fleet, err := fakes.StartService("f", 4, 3, fakes.Behaviour{Work: 2 * time.Millisecond, Cores: 8}, ledger)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer fleet.Close()
-	listen, path := freeAddr(t), filepath.Join(t.TempDir(), "box.toml")
-	if err := os.WriteFile(path, []byte(box(listen, fleet, nil)), 0o600); err != nil {
+	listen, path := freeAddress(t), filepath.Join(t.TempDir(), "box.toml")
+	if err := os.WriteFile(path, []byte(applianceFile(listen, fleet, nil)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	p := startAs(t, path, listen, "-appliance", path)
-	p.ready(t)
+	p := startWithFile(t, path, listen, "-appliance", path)
+	p.waitReady(t)
 	classes := fakes.DefaultClasses()
 	for i := range classes {
 		classes[i].Timeout = 20 * time.Second
 	}
-	// So few that a machine with little time to spare is not made busy: only the pause counts.
+	// So few requests that a busy machine keeps up: only the pause counts.
 	load := fakes.Load{URL: p.url, Rate: 60, Count: 300, Classes: classes, Seed: 9}
 	done := make(chan error, 1)
 	go func() { done <- load.Run(context.Background(), ledger) }()
 	for range 3 {
-		until(t, "it serves", func() bool { c := ledger.Count(); return c.Outcomes[fakes.Served] > 50 })
+		waitUntil(t, "requests served", func() bool { c := ledger.Count(); return c.Outcomes[fakes.Served] > 50 })
 		if err := p.Process.Signal(syscall.SIGSTOP); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(300 * time.Millisecond) // the pause itself
+		time.Sleep(300 * time.Millisecond) // the pause
 		if err := p.Process.Signal(syscall.SIGCONT); err != nil {
 			t.Fatal(err)
 		}
 		served := ledger.Count().Outcomes[fakes.Served]
-		until(t, "it serves again", func() bool { return ledger.Count().Outcomes[fakes.Served] > served+50 || len(done) > 0 })
+		waitUntil(t, "requests served after the pause", func() bool { return ledger.Count().Outcomes[fakes.Served] > served+50 || len(done) > 0 })
 	}
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
 	c := ledger.Count()
-	if broken := c.Violations(); broken != "" || c.Outcomes[fakes.Served] != c.Requests {
-		t.Errorf("of %d asked %v; rules broken: %s", c.Requests, c.Outcomes, broken)
+	if violations := c.Violations(); violations != "" || c.Outcomes[fakes.Served] != c.Requests {
+		t.Errorf("got outcomes %v of %d requests, violations %q; want all served and no violation", c.Outcomes, c.Requests, violations)
 	}
 }
 
-// A file in error is refused at the start, with each mistake on a line.
-func TestApplianceInError(t *testing.T) {
+// An invalid file ends the program at the start, with a line for each error.
+func TestInvalidApplianceEndsTheProgram(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "box.toml")
 	if err := os.WriteFile(path, []byte("name = 5\n[[listner]]\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	p := startAs(t, path, "127.0.0.1:0", "-appliance", path)
+	p := startWithFile(t, path, "127.0.0.1:0", "-appliance", path)
 	<-p.exited
 	if out := p.out.String(); p.ProcessState.ExitCode() != 1 || !strings.Contains(out, path+":1: name: ") || !strings.Contains(out, path+":2: listner") {
-		t.Errorf("exit code %d: %s", p.ProcessState.ExitCode(), out)
+		t.Errorf("got exit code %d and %s, want 1 and a line for each error", p.ProcessState.ExitCode(), out)
 	}
 }
--- a/cmd/dunemoor/path_test.go
+++ b/cmd/dunemoor/bench_test.go
@@ -20,25 +20,24 @@
 	"time"
 )
 
-// tellAllocations has a test binary that stands in for the program write how many objects it has
-// allocated so far, at each SIGUSR2.
-func tellAllocations() {
-	ask := make(chan os.Signal, 1)
-	signal.Notify(ask, syscall.SIGUSR2)
-	for range ask {
+// reportAllocations has a test binary that runs as the program write how many objects it has allocated, at each SIGUSR2.
+func reportAllocations() {
+	requests := make(chan os.Signal, 1)
+	signal.Notify(requests, syscall.SIGUSR2)
+	for range requests {
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
 		fmt.Fprintf(os.Stderr, "allocated %d\n", m.Mallocs)
 	}
 }
 
-// allocated asks a program for how many objects it has allocated.
+// allocated returns how many objects a program has allocated.
 func (p *program) allocated(b *testing.B) float64 {
 	n := strings.Count(p.out.String(), "allocated ")
 	if err := p.Process.Signal(syscall.SIGUSR2); err != nil {
 		b.Fatal(err)
 	}
-	until(b, "it says what it has allocated", func() bool {
+	waitUntil(b, "number of allocations", func() bool {
 		_, rest, ok := strings.Cut(p.out.String()[max(0, strings.LastIndex(p.out.String(), "allocated ")):], "\n")
 		return strings.Count(p.out.String(), "allocated ") > n && ok && rest == ""
 	})
@@ -50,7 +49,7 @@
 	return v
 }
 
-// cpu is the time that a program has taken of cores so far.
+// cpu returns the CPU time that a program has used.
 func (p *program) cpu(b *testing.B) (d time.Duration) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Process.Pid))
 	if err != nil {
@@ -69,12 +68,12 @@
 	pathSpan    = time.Second
 )
 
-// BenchmarkPath asks a gateway that stands alone and one of a fleet of three for the same, in
-// turn, and tells what a request takes at each: in throughput, in CPU, in objects allocated (less
-// those of a second without requests). That of the fleet is the one that leads it, most of the time.
+// BenchmarkRequestPath sends the same requests to a gateway alone and to one of a fleet of three, in turn. It reports
+// throughput, CPU time and allocated objects per request, the last less those of a second without requests. The gateway
+// of the fleet is its leader most of the time.
 //
-//	go test -run xxx -bench Path -benchtime 1x ./cmd/dunemoor
-func BenchmarkPath(b *testing.B) {
+//	go test -run xxx -bench RequestPath -benchtime 1x ./cmd/dunemoor
+func BenchmarkRequestPath(b *testing.B) {
 	host := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "good") }))
 	defer host.Close()
 	dir := b.TempDir()
@@ -83,7 +82,7 @@
 	}
 	var peers, addrs []string
 	for range 3 {
-		peers, addrs = append(peers, freeAddr(b)), append(addrs, freeAddr(b))
+		peers, addrs = append(peers, freeAddress(b)), append(addrs, freeAddress(b))
 	}
 	file := func(name, listen string, fleet bool) string {
 		text := fmt.Sprintf("name = %q\n[[listener]]\naddress = %q\n[[class]]\nname = \"lookup\"\neffect = \"safe\"\naim = \"2s\"\ndeadline = \"10s\"\nworth = 1\n"+
@@ -103,33 +102,33 @@
 		}
 		return path
 	}
-	listen := freeAddr(b)
-	asked := []*program{startAs(b, "", listen, "-appliance", file("alone", listen, false))}
+	listen := freeAddress(b)
+	programs := []*program{startWithFile(b, "", listen, "-appliance", file("alone", listen, false))}
 	for i, addr := range addrs {
-		p := startAs(b, "", addr, "-appliance", file(fmt.Sprint("g", i), addr, true))
+		p := startWithFile(b, "", addr, "-appliance", file(fmt.Sprint("g", i), addr, true))
 		if i == 0 {
-			asked = append(asked, p)
+			programs = append(programs, p)
 		}
 	}
-	for _, p := range asked {
-		p.ready(b)
+	for _, p := range programs {
+		p.waitReady(b)
 	}
-	until(b, "the fleet has formed", func() bool { return strings.Contains(asked[1].out.String(), "session opened") })
+	waitUntil(b, "session with the fleet", func() bool { return strings.Contains(programs[1].out.String(), "session opened") })
 	for b.Loop() {
 		var rest, objects, requests [2]float64
 		var cpu [2]time.Duration
 		var ratios []float64
-		for i, p := range asked {
-			pathLoad(b, p.url, pathSpan) // connections are made
+		for i, p := range programs {
+			sendRequests(b, p.url, pathSpan) // opens the connections
 			was := p.allocated(b)
 			time.Sleep(pathSpan)
 			rest[i] = p.allocated(b) - was
 		}
 		for range pathRounds {
 			var rate [2]float64
-			for i, p := range asked {
+			for i, p := range programs {
 				was, used := p.allocated(b), p.cpu(b)
-				rate[i] = float64(pathLoad(b, p.url, pathSpan))
+				rate[i] = float64(sendRequests(b, p.url, pathSpan))
 				requests[i] += rate[i]
 				objects[i] += p.allocated(b) - was - rest[i]
 				cpu[i] += p.cpu(b) - used
@@ -148,16 +147,16 @@
 	}
 }
 
-// pathLoad has clients ask for a time, and counts the answers.
-func pathLoad(b *testing.B, url string, span time.Duration) int64 {
+// sendRequests has clients send requests for a time, and returns the number of responses.
+func sendRequests(b *testing.B, url string, span time.Duration) int64 {
 	var n atomic.Int64
 	var all sync.WaitGroup
-	until := time.Now().Add(span)
+	end := time.Now().Add(span)
 	transport := &http.Transport{MaxIdleConnsPerHost: pathClients}
 	defer transport.CloseIdleConnections()
 	for range pathClients {
 		all.Go(func() {
-			for time.Now().Before(until) {
+			for time.Now().Before(end) {
 				r, _ := http.NewRequest("GET", url+"/", nil)
 				resp, err := transport.RoundTrip(r)
 				if err != nil {
@@ -174,7 +173,7 @@
 	}
 	all.Wait()
 	if n.Load() == 0 {
-		b.Fatal("nothing was served")
+		b.Fatal("got no response")
 	}
 	return n.Load()
 }
--- /dev/null
+++ b/cmd/dunemoor/config_test.go
@@ -0,0 +1,95 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// A gateway that was killed starts again at its address, and serves by its saved list while discovery is down.
+func TestRestartAfterKillServesFromTheSavedList(t *testing.T) {
+	host := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		io.WriteString(w, "done")
+	}))
+	defer host.Close()
+	addr, text := freeAddress(t), platformConfig(strings.TrimPrefix(host.URL, "http://"))
+	for i := range 2 {
+		p := start(t, text, addr)
+		p.waitReady(t)
+		if _, err := sendRequest(p.url); err != nil {
+			t.Errorf("start %d: got error %v", i, err)
+		}
+		p.Process.Kill()
+		<-p.exited
+	}
+}
+
+// SIGHUP applies the discovery address of the file, though GW_DISCOVERY names another. An invalid file changes nothing,
+// nor does SIGHUP while the program shuts down: the signal's default would end the process. The new address is watched
+// from version 0, not from that of the old one.
+func TestReloadOfThePlatformConfiguration(t *testing.T) {
+	oldHost, oldRequests := countingHost(t)
+	newHost, newRequests := countingHost(t)
+	text := platformConfig(oldHost)
+	p := start(t, text, freeAddress(t))
+	p.waitReady(t)
+	mustServe := func() {
+		t.Helper()
+		if _, err := sendRequest(p.url); err != nil {
+			t.Fatalf("%v; log: %s", err, p.out.String())
+		}
+	}
+	reload := func(file string) {
+		t.Helper()
+		if err := os.WriteFile(p.config, []byte(file), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		if err := p.Process.Signal(syscall.SIGHUP); err != nil {
+			t.Fatal(err)
+		}
+	}
+	reload(text[:len(text)/2])
+	waitUntil(t, "the invalid file is logged", func() bool { return strings.Contains(p.out.String(), "not reloaded") })
+	mustServe()
+	if oldRequests.Load() != 1 {
+		t.Errorf("after an invalid file: got %d requests at the old host, want 1", oldRequests.Load())
+	}
+	for i := range 2 { // each time to another address
+		addr, watches := startDiscovery(t, fmt.Sprint("s-", 7+i), newHost)
+		reload(strings.Replace(text, `"discovery":"`+unusedAddress, `"discovery":"`+addr, 1))
+		waitUntil(t, "the new address is watched", func() bool { return watches.Load() > 0 })
+		before := newRequests.Load()
+		waitUntil(t, "the new list is used", func() bool { mustServe(); return newRequests.Load() > before })
+	}
+	if err := p.Process.Signal(syscall.SIGTERM); err != nil {
+		t.Fatal(err)
+	}
+	waitUntil(t, "the program stops", func() bool { return strings.Contains(p.out.String(), "stopping") })
+	p.Process.Signal(syscall.SIGHUP)
+	<-p.exited
+	if code := p.ProcessState.ExitCode(); code != 0 {
+		t.Errorf("got exit code %d, want 0: %s", code, p.out.String())
+	}
+}
+
+// An invalid configuration ends the program with one line that names the field, and exit code 1.
+func TestInvalidConfigurationEndsTheProgram(t *testing.T) {
+	p := start(t, strings.Replace(platformConfig(), `"hard_limit":2000000`, `"hard_limit":0`, 1), "127.0.0.1:0")
+	select {
+	case <-p.exited:
+	case <-time.After(waitTimeout):
+		t.Fatalf("the program still runs after %v", waitTimeout)
+	}
+	if code := p.ProcessState.ExitCode(); code != 1 {
+		t.Errorf("got exit code %d, want 1", code)
+	}
+	if out := p.out.String(); !strings.Contains(out, "deadline") || strings.Count(out, "\n") != 1 {
+		t.Errorf("got %q, want one line that names the field", out)
+	}
+}
--- a/cmd/dunemoor/fleet_test.go
+++ b/cmd/dunemoor/host_faults_test.go
@@ -9,10 +9,9 @@
 	"dunemoor/internal/experiment/fakes"
 )
 
-// A fleet in which nodes crash, hang, reset, turn away, drain and come back cold, under a
-// mixed load through the program: nothing that must not run twice does, nothing is lost,
-// and nearly all that does not meet a fault is served.
-func TestFleetInTrouble(t *testing.T) {
+// Under a mixed load through the program, hosts crash, reset connections, reject requests, drain and warm up: no
+// request that must not run twice does, none is lost, and nearly all are served.
+func TestHostFaultsLoseNothing(t *testing.T) {
 	healthy := fakes.Behaviour{Work: 3 * time.Millisecond, Cores: 4, Cold: time.Second, ColdFrom: 0.4}
 	fleet, err := fakes.StartFleet(6, 11, healthy)
 	if err != nil {
@@ -21,11 +20,11 @@
 	defer fleet.Close()
 	classes := fakes.DefaultClasses()
 	for i := range classes {
-		classes[i].Timeout = 20 * time.Second // long, as machines are noisy
+		classes[i].Timeout = 20 * time.Second // long, as machines may be busy
 	}
-	listen := freeAddr(t)
+	listen := freeAddress(t)
 	p := start(t, string(fleet.Config("n0", listen, classes)), listen)
-	p.ready(t)
+	p.waitReady(t)
 	served := func() int { c := fleet.Ledger.Count(); return c.Outcomes[fakes.Served] }
 	load := fakes.Load{URL: p.url, Rate: 150, Count: 900, Classes: classes, Seed: 5, Retries: 2}
 	var wait sync.WaitGroup
@@ -36,9 +35,9 @@
 			t.Error(err)
 		}
 	}()
-	after := func(n int) { // faults come by what has been served, not by the clock
+	after := func(n int) { // faults follow the number of requests served, not the clock
 		t.Helper()
-		until(t, "requests are served", func() bool { return served() >= n })
+		waitUntil(t, "requests are served", func() bool { return served() >= n })
 	}
 	with := func(m fakes.Mode, bytes int, share float64) fakes.Behaviour {
 		b := healthy
@@ -68,11 +67,11 @@
 	}
 	wait.Wait()
 	c := fleet.Ledger.Count()
-	if broken := c.Violations(); broken != "" {
-		t.Errorf("rules broken: %s; twice %v, harm %v, stray %v", broken, c.RanTwice, c.RejectedAfterExecution, c.Unrequested)
+	if violations := c.Violations(); violations != "" {
+		t.Errorf("got violations %s, want none: ran twice %v, rejected after execution %v, unrequested %v", violations, c.RanTwice, c.RejectedAfterExecution, c.Unrequested)
 	}
 	if c.Outcomes[fakes.Served]*100 < 85*c.Requests {
-		t.Errorf("of %d asked: %v", c.Requests, c.Outcomes)
+		t.Errorf("got outcomes %v of %d requests, want nearly all served", c.Outcomes, c.Requests)
 	}
-	t.Logf("of %d asked: %v", c.Requests, c.Outcomes)
+	t.Logf("outcomes of %d requests: %v", c.Requests, c.Outcomes)
 }
--- /dev/null
+++ b/cmd/dunemoor/program_test.go
@@ -0,0 +1,220 @@
+package main
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+// waitTimeout is how long tests wait for a condition: long, as machines may be busy.
+const waitTimeout = 30 * time.Second
+
+// clientsAfterStop is how long the program accepts new clients after SIGTERM at least.
+const clientsAfterStop = 400 * time.Millisecond
+
+// unusedAddress is the address of discovery in configurations; nothing listens there.
+const unusedAddress = "127.0.0.1:1"
+
+// TestMain runs the program in place of the tests where programVariable is set, so that signals and exit codes are
+// those of a process.
+func TestMain(m *testing.M) {
+	if os.Getenv(programVariable) != "" {
+		limitDescriptors()
+		go reportAllocations()
+		main()
+		return
+	}
+	os.Exit(m.Run())
+}
+
+// programVariable has the test binary run as the program.
+const programVariable = "DUNEMOOR_AS_PROGRAM"
+
+// program is a process of the program.
+type program struct {
+	*exec.Cmd
+	url    string
+	config string // path of the file
+	out    output
+	exited chan struct{}
+}
+
+// output collects what a process has written.
+type output struct {
+	mu   sync.Mutex
+	text bytes.Buffer
+}
+
+func (o *output) Write(b []byte) (int, error) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.text.Write(b)
+}
+
+func (o *output) String() string {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.text.String()
+}
+
+// waitUntil waits for a condition, and ends the test after waitTimeout.
+func waitUntil(t testing.TB, what string, condition func() bool) {
+	t.Helper()
+	deadline := time.Now().Add(waitTimeout)
+	for !condition() {
+		if time.Now().After(deadline) {
+			t.Fatalf("no %q after %v", what, waitTimeout)
+		}
+		time.Sleep(5 * time.Millisecond)
+	}
+}
+
+// start runs the program with a configuration.
+func start(t *testing.T, config, listen string, args ...string) *program {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "config.json")
+	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return startWithFile(t, path, listen, args...)
+}
+
+// startWithFile runs the program with the configuration in a file.
+func startWithFile(t testing.TB, path, listen string, args ...string) *program {
+	t.Helper()
+	return startWithDiscovery(t, unusedAddress, path, listen, args...)
+}
+
+// startWithDiscovery is startWithFile with GW_DISCOVERY set to an address.
+func startWithDiscovery(t testing.TB, discovery, path, listen string, args ...string) *program {
+	t.Helper()
+	p := &program{Cmd: exec.Command(os.Args[0], args...), url: "http://" + listen, config: path, exited: make(chan struct{})}
+	p.Env = append(os.Environ(), programVariable+"=1", "GW_CONFIG="+path, "GW_LISTEN="+listen, "GW_DISCOVERY="+discovery)
+	p.Stdout, p.Stderr = &p.out, &p.out
+	if err := p.Start(); err != nil {
+		t.Fatal(err)
+	}
+	go func() {
+		p.Wait()
+		close(p.exited)
+	}()
+	t.Cleanup(func() {
+		p.Process.Kill()
+		<-p.exited
+	})
+	return p
+}
+
+// waitReady waits until the program reports that it can serve.
+func (p *program) waitReady(t testing.TB) {
+	t.Helper()
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+		if resp, err := http.Get(p.url + "/_health"); err == nil {
+			resp.Body.Close()
+			if resp.StatusCode == 200 {
+				return
+			}
+		}
+	}
+	t.Fatalf("not ready after %v: %s", waitTimeout, p.out.String())
+}
+
+// freeAddress returns a loopback address that is free. No other test uses its IP address, so that it stays free.
+func freeAddress(t testing.TB) string {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.83:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	return ln.Addr().String()
+}
+
+// platformConfig returns a configuration of the platform with a saved list of hosts.
+func platformConfig(hosts ...string) string {
+	type member map[string]any
+	list := []member{}
+	for i, addr := range hosts {
+		list = append(list, member{"id": fmt.Sprint("s-", i), "addr": addr, "state": "ready"})
+	}
+	text, _ := json.Marshal(member{
+		"name": "n0", "discovery": unusedAddress, "seed": "1f",
+		"limits": member{"cores": 1, "memory_mb": 192, "sockets": 1024},
+		"known":  member{"version": 1, "full": true, "servers": list},
+		"settings": member{
+			"balancers": 1, "step": 5000, "caps": member{"cancel": true, "max_attempts": 4},
+			"classes": []member{{"name": "book", "effect": "at_most_once", "hard_limit": 2000000, "promise": 2000000}},
+		},
+	})
+	return string(text)
+}
+
+var lastID atomic.Int64
+
+// sendRequest sends a request on a connection of its own. accepted is whether there was a connection.
+func sendRequest(url string) (accepted bool, err error) {
+	nc, err := net.DialTimeout("tcp", strings.TrimPrefix(url, "http://"), waitTimeout)
+	if err != nil {
+		return false, err
+	}
+	client := http.Client{Transport: &http.Transport{
+		DisableKeepAlives: true,
+		DialContext:       func(context.Context, string, string) (net.Conn, error) { return nc, nil },
+	}, Timeout: waitTimeout}
+	r, err := http.NewRequest(http.MethodPost, url+"/api/1", strings.NewReader("body"))
+	if err != nil {
+		return false, err
+	}
+	r.Header.Set("X-Priority-Class", "book")
+	r.Header.Set("X-Request-ID", fmt.Sprintf("%016x", lastID.Add(1)))
+	r.Header.Set("X-Timeout", "2")
+	resp, err := client.Do(r)
+	if err != nil {
+		return true, err
+	}
+	defer resp.Body.Close()
+	if text, err := io.ReadAll(resp.Body); err != nil || resp.StatusCode != 200 || string(text) != "done" {
+		return true, fmt.Errorf("got status %d, body %q, error %v, want 200 and \"done\"", resp.StatusCode, text, err)
+	}
+	return true, nil
+}
+
+// startDiscovery starts a discovery service with a list of one host. It returns its address and counts its watches.
+func startDiscovery(t *testing.T, id, addr string) (address string, watches *atomic.Int64) {
+	watches = new(atomic.Int64)
+	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if r.FormValue("index") != "0" {
+			return // a version of another service means nothing here
+		}
+		fmt.Fprintf(w, `{"version":7,"full":true,"servers":[{"id":%q,"addr":%q,"state":"ready"}]}`+"\n", id, addr)
+		w.(http.Flusher).Flush()
+		watches.Add(1)
+		<-r.Context().Done()
+	}))
+	t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
+	return strings.TrimPrefix(s.URL, "http://"), watches
+}
+
+// countingHost starts a host that counts its requests.
+func countingHost(t *testing.T) (addr string, requests *atomic.Int64) {
+	requests = new(atomic.Int64)
+	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		requests.Add(1)
+		io.WriteString(w, "done")
+	}))
+	t.Cleanup(s.Close)
+	return strings.TrimPrefix(s.URL, "http://"), requests
+}
--- /dev/null
+++ b/cmd/dunemoor/recording_test.go
@@ -0,0 +1,58 @@
+package main
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+
+	"dunemoor/internal/flightrecorder"
+)
+
+// SIGUSR1 writes a dump of the flight recorder, and the exit the rest of its file; both can be replayed completely.
+func TestFlightRecordingsAreComplete(t *testing.T) {
+	dir := t.TempDir()
+	settings, file := filepath.Join(dir, "flight.toml"), filepath.Join(dir, "all.dmf")
+	text := fmt.Sprintf("ring_kb = 128\ndir = %q\nfile = %q\n", dir, file)
+	if err := os.WriteFile(settings, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	addr, _ := countingHost(t)
+	p := start(t, platformConfig(addr), freeAddress(t), "-flight", settings)
+	p.waitReady(t)
+	if accepted, err := sendRequest(p.url); !accepted || err != nil {
+		t.Fatalf("got accepted %v, error %v", accepted, err)
+	}
+	p.Process.Signal(syscall.SIGUSR1)
+	var dumps []string
+	waitUntil(t, "dump", func() bool {
+		dumps, _ = filepath.Glob(filepath.Join(dir, "flight-n0-*.dmf"))
+		return len(dumps) == 1
+	})
+	p.Process.Signal(syscall.SIGTERM)
+	<-p.exited
+	if code := p.ProcessState.ExitCode(); code != 0 {
+		t.Errorf("got exit code %d, want 0: %s", code, p.out.String())
+	}
+	for _, path := range append(dumps, file) {
+		f, err := os.Open(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		rep, err := flightrecorder.Replay(flightrecorder.NewReader(f), nil, nil)
+		f.Close()
+		if err != nil || rep.Divergence != nil || len(rep.Losses) > 0 || rep.Events < 4 {
+			t.Errorf("%s: got %+v, error %v, want at least 4 events without loss or divergence", filepath.Base(path), rep, err)
+		}
+	}
+	if err := os.WriteFile(settings, []byte("ring_kb = 1\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	p = start(t, platformConfig(addr), freeAddress(t), "-flight", settings)
+	<-p.exited
+	if want := "dunemoor: " + settings + ":1: ring_kb: "; p.ProcessState.ExitCode() != 1 || !strings.Contains(p.out.String(), want) {
+		t.Errorf("got exit code %d and %s, want 1 and %q", p.ProcessState.ExitCode(), p.out.String(), want)
+	}
+}
--- a/cmd/dunemoor/relay_test.go
+++ b/cmd/dunemoor/relay_test.go
@@ -10,10 +10,10 @@
 	"testing"
 )
 
-// A relay's file has nothing for requests: the program runs the relay alone, says what of a changed
-// file waits for the next start, and ends in order.
-func TestBareRelay(t *testing.T) {
-	dir, admin, listen := t.TempDir(), freeAddr(t), freeAddr(t)
+// A relay's file without listeners: the program runs the relay alone, logs which changes of the file take effect at the
+// next start, and shuts down gracefully.
+func TestRelayWithoutListeners(t *testing.T) {
+	dir, admin, listen := t.TempDir(), freeAddress(t), freeAddress(t)
 	key, path := filepath.Join(dir, "key"), filepath.Join(dir, "relay.toml")
 	if err := os.WriteFile(key, []byte(strings.Repeat("k", 32)), 0o600); err != nil {
 		t.Fatal(err)
@@ -27,28 +27,28 @@
 		}
 	}
 	write(text)
-	p := startAs(t, path, admin, "-appliance", path)
-	until(t, "it runs", func() bool { return strings.Contains(p.out.String(), "msg=relaying") })
+	p := startWithFile(t, path, admin, "-appliance", path)
+	waitUntil(t, "log line of the start", func() bool { return strings.Contains(p.out.String(), "msg=relaying") })
 	for _, call := range []string{"health", "status", "fleet", "metrics"} {
 		resp, err := http.Get("http://" + admin + "/admin/" + call)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if resp.Body.Close(); resp.StatusCode != http.StatusOK {
-			t.Errorf("%s: %s", call, resp.Status)
+			t.Errorf("%s: got status %s, want 200", call, resp.Status)
 		}
 	}
-	for _, c := range []struct{ text, said string }{
+	for _, c := range []struct{ text, log string }{
 		{strings.Replace(text, `id = "f"`, `id = "g"`, 1), "settings=fleet"},
 		{strings.Replace(text, `id = "f"`, `idea = "f"`, 1), "relay.toml:4: fleet.idea: there is no such setting"},
 	} {
 		write(c.text)
 		p.Process.Signal(syscall.SIGHUP)
-		until(t, c.said, func() bool { return strings.Contains(p.out.String(), c.said) })
+		waitUntil(t, c.log, func() bool { return strings.Contains(p.out.String(), c.log) })
 	}
 	p.Process.Signal(syscall.SIGTERM)
 	<-p.exited
 	if code := p.ProcessState.ExitCode(); code != 0 {
-		t.Errorf("exit code %d: %s", code, p.out.String())
+		t.Errorf("got exit code %d, want 0: %s", code, p.out.String())
 	}
 }
--- /dev/null
+++ b/cmd/dunemoor/shutdown_test.go
@@ -0,0 +1,151 @@
+package main
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// After SIGTERM clients still connect for a while, and all accepted requests have a response; then the program ends
+// with exit code 0. A listener that closes at once would lose the connections in its backlog.
+func TestGracefulShutdownUnderLoadLosesNothing(t *testing.T) {
+	host := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		time.Sleep(50 * time.Millisecond) // so that some are in flight at any time
+		io.WriteString(w, "done")
+	}))
+	defer host.Close()
+	p := start(t, platformConfig(strings.TrimPrefix(host.URL, "http://")), freeAddress(t))
+	p.waitReady(t)
+	var served, after atomic.Int64
+	var stopAt atomic.Int64 // Unix time in ns of the signal, 0 before it
+	var clients sync.WaitGroup
+	for range 2 {
+		clients.Add(1)
+		go func() {
+			defer clients.Done()
+			for {
+				stop := stopAt.Load()
+				accepted, err := sendRequest(p.url)
+				if err == nil && stop > 0 {
+					after.Add(1)
+				}
+				switch {
+				case stop > 0 && time.Since(time.Unix(0, stop)) > clientsAfterStop:
+					return // the last connection may have come too late
+				case accepted && err != nil:
+					t.Errorf("request lost: %v", err)
+				case err != nil:
+					t.Errorf("connection refused while clients still connect: %v", err)
+				}
+				served.Add(1)
+			}
+		}()
+	}
+	for end := time.Now().Add(waitTimeout); served.Load() < 10 && time.Now().Before(end); {
+		time.Sleep(5 * time.Millisecond)
+	}
+	stopAt.Store(time.Now().UnixNano())
+	if err := p.Process.Signal(syscall.SIGTERM); err != nil {
+		t.Fatal(err)
+	}
+	clients.Wait()
+	if after.Load() == 0 {
+		t.Error("got no request served after SIGTERM")
+	}
+	select {
+	case <-p.exited:
+	case <-time.After(waitTimeout):
+		t.Fatalf("the program still runs after %v", waitTimeout)
+	}
+	if code := p.ProcessState.ExitCode(); code != 0 {
+		t.Errorf("got exit code %d, want 0: %s", code, p.out.String())
+	}
+}
+
+// A request that was accepted just before the listener closed has its response before the exit.
+func TestGracefulShutdownFinishesRequestsInFlight(t *testing.T) {
+	got, release := make(chan struct{}), make(chan struct{})
+	host := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		close(got)
+		<-release
+		io.WriteString(w, "done")
+	}))
+	defer host.Close()
+	p := start(t, platformConfig(strings.TrimPrefix(host.URL, "http://")), freeAddress(t))
+	p.waitReady(t)
+	result := make(chan error, 1)
+	go func() {
+		_, err := sendRequest(p.url)
+		result <- err
+	}()
+	<-got
+	if err := p.Process.Signal(syscall.SIGTERM); err != nil {
+		t.Fatal(err)
+	}
+	for end := time.Now().Add(waitTimeout); ; time.Sleep(5 * time.Millisecond) {
+		nc, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
+		if errors.Is(err, syscall.ECONNREFUSED) {
+			break // the listener is closed, the request still in flight
+		} else if err == nil {
+			nc.Close()
+		}
+		if time.Now().After(end) {
+			t.Fatalf("the listener is still open after %v", waitTimeout)
+		}
+	}
+	close(release)
+	if err := <-result; err != nil {
+		t.Errorf("request lost: %v", err)
+	}
+	<-p.exited
+	if code := p.ProcessState.ExitCode(); code != 0 {
+		t.Errorf("got exit code %d, want 0: %s", code, p.out.String())
+	}
+}
+
+// A request in flight at a hung host, with more time left than the gateway takes to shut down, has a response before the
+// exit.
+func TestGracefulShutdownAnswersRequestsAtHungHosts(t *testing.T) {
+	got := make(chan struct{})
+	host := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		io.Copy(io.Discard, r.Body) // a server notices the end of its client only after the body
+		close(got)
+		<-r.Context().Done()
+	}))
+	defer host.Close()
+	text := strings.ReplaceAll(platformConfig(strings.TrimPrefix(host.URL, "http://")), "2000000", "60000000")
+	p := start(t, text, freeAddress(t))
+	p.waitReady(t)
+	c, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	c.SetDeadline(time.Now().Add(waitTimeout))
+	io.WriteString(c, "POST /api/1 HTTP/1.1\r\nHost: a\r\nX-Request-ID: hang-1\r\nX-Priority-Class: book\r\n"+
+		"X-Timeout: 60\r\nContent-Length: 1\r\n\r\nx")
+	<-got
+	if err := p.Process.Signal(syscall.SIGTERM); err != nil {
+		t.Fatal(err)
+	}
+	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+	if err != nil {
+		t.Fatalf("request lost: %v", err)
+	}
+	if _, err := io.ReadAll(resp.Body); err != nil || resp.StatusCode != 502 {
+		t.Errorf("got status %d, error %v, want 502", resp.StatusCode, err)
+	}
+	<-p.exited
+	if code := p.ProcessState.ExitCode(); code != 0 {
+		t.Errorf("got exit code %d, want 0: %s", code, p.out.String())
+	}
+}
--- a/cmd/dunemoorctl/appliance.go
+++ b/cmd/dunemoorctl/appliance.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"io"
 	"net/http"
 	"net/url"
 	"slices"
@@ -16,130 +17,172 @@
 
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "check FILE", Args: cobra.ExactArgs(1),
+		Use:   "check FILE",
+		Args:  cobra.ExactArgs(1),
 		Short: "Check an appliance's file; each mistake is a line with file, line and field",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			a, err := load(cmd, args[0])
+			a, err := loadAppliance(cmd, args[0])
 			if err != nil {
 				return err
 			}
+			out := cmd.OutOrStdout()
 			if !a.Serves() {
-				fmt.Fprintf(cmd.OutOrStdout(), "%s: right: a relay of fleet %s, it serves no requests\n", args[0], a.Fleet.ID)
+				fmt.Fprintf(out, "%s: right: a relay of fleet %s, it serves no requests\n", args[0], a.Fleet.ID)
 				return nil
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: right: %d listeners, %d classes, %d pools, %d routes\n",
+			fmt.Fprintf(out, "%s: right: %d listeners, %d classes, %d pools, %d routes\n",
 				args[0], len(a.Listeners), len(a.Classes), len(a.Pools), len(a.Routes))
 			return nil
 		},
 	}
 }
 
-// load reads a file and prints what is wrong with it.
-func load(cmd *cobra.Command, path string) (*config.Appliance, error) {
-	a, wrong := config.LoadAppliance(path)
-	if len(wrong) == 0 {
-		return a, nil
-	}
-	for _, err := range wrong {
+// loadAppliance reads an appliance's file. It prints all errors of the file, and returns their number as an error.
+func loadAppliance(cmd *cobra.Command, path string) (*config.Appliance, error) {
+	a, errs := config.LoadAppliance(path)
+	for _, err := range errs {
 		fmt.Fprintln(cmd.ErrOrStderr(), err)
 	}
-	if len(wrong) == 1 {
+	switch len(errs) {
+	case 0:
+		return a, nil
+	case 1:
 		return nil, fmt.Errorf("%s: 1 mistake", path)
 	}
-	return nil, fmt.Errorf("%s: %d mistakes", path, len(wrong))
+	return nil, fmt.Errorf("%s: %d mistakes", path, len(errs))
 }
 
 func routesCommand() *cobra.Command {
 	var headers []string
 	cmd := &cobra.Command{
-		Use: "routes FILE METHOD URL", Args: cobra.ExactArgs(3),
-		Short: "Say which route and pool a request would take, and why; exit code 1 if none does",
+		Use:   "routes FILE METHOD URL",
+		Args:  cobra.ExactArgs(3),
+		Short: "Show which route and pool a request matches, and why; exit code 1 if there is none",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			a, err := load(cmd, args[0])
+			a, err := loadAppliance(cmd, args[0])
 			if err != nil {
 				return err
 			}
 			u, err := url.Parse(args[2])
-			if err != nil || u.Host == "" || u.Scheme != "http" && u.Scheme != "https" {
+			if err != nil || u.Host == "" || !slices.Contains([]string{"http", "https"}, u.Scheme) {
 				return fmt.Errorf("%q is no URL like http://example.org/path", args[2])
 			}
-			h := http.Header{}
-			for _, s := range headers {
-				name, value, ok := strings.Cut(s, ":")
-				if !ok {
-					return fmt.Errorf("-H: %q is not like \"Name: value\"", s)
-				}
-				h.Add(strings.TrimSpace(name), strings.TrimSpace(value))
+			header, err := parseHeaders(headers)
+			if err != nil {
+				return err
 			}
-			return explain(cmd, a, strings.ToUpper(args[1]), args[2], u.Host, h)
+			e := routeExplainer{appliance: a, header: header, out: cmd.OutOrStdout()}
+			return e.explain(strings.ToUpper(args[1]), args[2], u.Host)
 		},
 	}
 	cmd.Flags().StringArrayVarP(&headers, "header", "H", nil, "a header of the request, as \"Name: value\"; may be given again")
 	return cmd
 }
 
-// explain says where a request would go.
-func explain(cmd *cobra.Command, a *config.Appliance, method, target, hostHeader string, h http.Header) error {
-	out := cmd.OutOrStdout()
+// parseHeaders parses the values of -H.
+func parseHeaders(lines []string) (http.Header, error) {
+	header := http.Header{}
+	for _, line := range lines {
+		name, value, ok := strings.Cut(line, ":")
+		if !ok {
+			return nil, fmt.Errorf("-H: %q is not like \"Name: value\"", line)
+		}
+		header.Add(strings.TrimSpace(name), strings.TrimSpace(value))
+	}
+	return header, nil
+}
+
+// routeExplainer prints where a request would go.
+type routeExplainer struct {
+	appliance *config.Appliance
+	header    http.Header
+	out       io.Writer
+}
+
+func (e *routeExplainer) printf(format string, args ...any) { fmt.Fprintf(e.out, format, args...) }
+
+// explain matches a request. A request that would be rejected is an error.
+func (e *routeExplainer) explain(method, target, hostHeader string) error {
 	host, path, err := route.ParseTarget(target, hostHeader)
 	if err != nil {
 		return fmt.Errorf("answered 400: %w", err)
 	}
-	r := a.Table.Match(&route.Request{Host: host, Path: path, Method: method, Header: func(name string) (string, bool) {
-		v := h.Values(name)
-		return strings.Join(v, ", "), len(v) > 0
-	}})
-	fmt.Fprintf(out, "%s %s%s, as it is matched\n", method, host, path)
-	if r == nil {
+	matched := e.appliance.Table.Match(&route.Request{Host: host, Path: path, Method: method, Header: e.headerValue})
+	e.printf("%s %s%s, as it is matched\n", method, host, path)
+	if matched == nil {
 		return errors.New("answered 404: no route takes it")
 	}
-	var why []string
+	e.printf("route %q, line %d: %s\n", matched.Name, matched.Line, strings.Join(matchReasons(matched), ", "))
+	e.explainClass(matched)
+	e.explainPool(matched)
+	e.explainFallbacks(matched)
+	return nil
+}
+
+// headerValue returns the values of a header field, joined.
+func (e *routeExplainer) headerValue(name string) (string, bool) {
+	values := e.header.Values(name)
+	return strings.Join(values, ", "), len(values) > 0
+}
+
+// matchReasons lists the conditions of a route.
+func matchReasons(r *route.Route) []string {
+	var reasons []string
 	if len(r.Hosts) > 0 {
-		why = append(why, "host "+strings.Join(r.Hosts, " or "))
+		reasons = append(reasons, "host "+strings.Join(r.Hosts, " or "))
 	}
-	why = append(why, "path "+r.Path)
+	reasons = append(reasons, "path "+r.Path)
 	if len(r.Methods) > 0 {
-		why = append(why, "method "+strings.Join(r.Methods, " or "))
+		reasons = append(reasons, "method "+strings.Join(r.Methods, " or "))
 	}
-	for _, c := range r.Headers {
-		if c.Value == "" {
-			why = append(why, "header "+c.Name)
+	for _, condition := range r.Headers {
+		if condition.Value == "" {
+			reasons = append(reasons, "header "+condition.Name)
 		} else {
-			why = append(why, fmt.Sprintf("header %s: %s", c.Name, c.Value))
+			reasons = append(reasons, fmt.Sprintf("header %s: %s", condition.Name, condition.Value))
 		}
 	}
-	fmt.Fprintf(out, "route %q, line %d: %s\n", r.Name, r.Line, strings.Join(why, ", "))
-	own := a.Routes[r.Index]
-	if own.Class != "" {
-		fmt.Fprintf(out, "class %s, %v; any answer of a host is passed on, %v count as failures\n", own.Class, own.Timeout, own.FailureStatuses)
-	} else {
-		fmt.Fprintln(out, "class and time as the request says")
+	return reasons
+}
+
+func (e *routeExplainer) explainClass(r *route.Route) {
+	settings := e.appliance.Routes[r.Index]
+	if settings.Class == "" {
+		e.printf("class and time as the request says\n")
+		return
+	}
+	e.printf("class %s, %v; any answer of a host is passed on, %v count as failures\n", settings.Class, settings.Timeout, settings.FailureStatuses)
+}
+
+// explainPool prints the pool, or the shares of several.
+func (e *routeExplainer) explainPool(r *route.Route) {
+	if len(r.Split) == 1 {
+		e.printf("pool %s\n", r.Split[0].Pool)
+		return
 	}
-	key := ""
 	if r.SplitBy != "" {
-		key = h.Get(r.SplitBy)
-	}
-	sum := 0
-	for _, s := range r.Split {
-		sum += s.Weight
-	}
-	switch {
-	case len(r.Split) == 1:
-		fmt.Fprintf(out, "pool %s\n", r.Split[0].Pool)
-	case key != "":
-		fmt.Fprintf(out, "pool %s, by %s: %s\n", r.Split[r.Pool(key, 0)].Pool, r.SplitBy, key)
-	default:
-		var shares []string
-		for _, s := range r.Split {
-			shares = append(shares, fmt.Sprintf("%s %.4g%%", s.Pool, 100*float64(s.Weight)/float64(sum)))
+		if key := e.header.Get(r.SplitBy); key != "" {
+			e.printf("pool %s, by %s: %s\n", r.Split[r.Pool(key, 0)].Pool, r.SplitBy, key)
+			return
 		}
-		fmt.Fprintf(out, "a pool by chance: %s\n", strings.Join(shares, ", "))
 	}
-	for _, s := range r.Split {
-		i := slices.IndexFunc(a.Pools, func(p config.Pool) bool { return p.Name == s.Pool })
-		if f := a.Pools[i].Fallback; len(f) > 0 {
-			fmt.Fprintf(out, "%s needs %.3g%% of its hosts; below, a part goes to %s\n", s.Pool, 100*a.Pools[i].MinShare, strings.Join(f, ", then "))
+	total := 0
+	for _, split := range r.Split {
+		total += split.Weight
+	}
+	var shares []string
+	for _, split := range r.Split {
+		shares = append(shares, fmt.Sprintf("%s %.4g%%", split.Pool, 100*float64(split.Weight)/float64(total)))
+	}
+	e.printf("a pool by chance: %s\n", strings.Join(shares, ", "))
+}
+
+func (e *routeExplainer) explainFallbacks(r *route.Route) {
+	for _, split := range r.Split {
+		i := slices.IndexFunc(e.appliance.Pools, func(p config.Pool) bool { return p.Name == split.Pool })
+		pool := &e.appliance.Pools[i]
+		if len(pool.Fallback) > 0 {
+			e.printf("%s needs %.3g%% of its hosts; below, a part goes to %s\n", split.Pool, 100*pool.MinShare, strings.Join(pool.Fallback, ", then "))
 		}
 	}
-	return nil
 }
--- a/cmd/dunemoorctl/fleet.go
+++ b/cmd/dunemoorctl/fleet.go
@@ -1,17 +1,12 @@
 package main
 
 import (
-	"cmp"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
-	"maps"
 	"net/http"
 	"net/url"
-	"slices"
 	"strings"
-	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -21,46 +16,52 @@
 	"dunemoor/internal/fleet"
 )
 
-// Exit codes of the fleet's commands, beside 1 for what could not be asked at all.
-const (
-	exitRefused = 2 // the fleet refused it, nothing was done
-	exitUnknown = 3 // what came of it is not known: ask again, it has one effect
-	exitApart   = 4 // status: the gateway has no session, or nobody leads
-)
-
-// coded is an error with an exit code of its own.
-type coded struct {
-	code int
-	text string
+// fleetClient calls one gateway of a fleet.
+type fleetClient struct {
+	admin string // host:port, the gateway's admin address
 }
 
-func (e *coded) Error() string { return e.text }
-
-// callTime is how long a gateway has to answer.
-const callTime = 6 * time.Second
-
-// operateFleet is about the fleet, asked at one gateway.
-func operateFleet() *cobra.Command {
-	var admin string
+// fleetCommand shows and changes a fleet, by calls at one of its gateways.
+func fleetCommand() *cobra.Command {
+	var c fleetClient
 	cmd := &cobra.Command{Use: "fleet", Short: "See who owns what in a fleet of gateways, and change it"}
-	cmd.PersistentFlags().StringVar(&admin, "admin", "127.0.0.1:8090", "the gateway's address for operators, `host:port`")
-	status := func() (*cluster.Status, []byte, error) {
-		text, err := call(http.MethodGet, admin, fleet.PathFleet, nil)
-		if err != nil {
-			return nil, nil, err
-		}
-		s := &cluster.Status{Status: &node.Status{}}
-		if err := json.Unmarshal(text, s); err != nil {
-			return nil, nil, fmt.Errorf("%s: %w", admin, err)
-		}
-		return s, text, nil
+	cmd.PersistentFlags().StringVar(&c.admin, "admin", "127.0.0.1:8090", "the gateway's address for operators, `host:port`")
+	cmd.AddCommand(
+		c.statusCommand(),
+		c.drainCommand(),
+		c.undrainCommand(),
+		c.tableCommand("words", "overrides", "Operators' overrides of hosts, as this gateway applies them", printOverrides),
+		c.tableCommand("members", "", "The gateways of the fleet", printMembers),
+		c.tableCommand("duties", "leases", "The leases, and who holds each", printLeases),
+		c.actionCommand("resign DUTY", "release", "Have the holder of a lease release it to another gateway", fleet.PathRelease, "duty"),
+		c.actionCommand("move DUTY GATEWAY", "transfer", "Have the holder of a lease transfer it to a gateway", fleet.PathTransfer, "duty", "to"),
+		c.actionCommand("add GATEWAY", "", "Add a replica of the coordination state at a gateway", fleet.PathAddReplica, "gateway"),
+		c.actionCommand("remove GATEWAY", "", "Remove the replica at a gateway", fleet.PathRemoveReplica, "gateway"),
+	)
+	return cmd
+}
+
+// status returns the status of the gateway, and its JSON.
+func (c *fleetClient) status() (*cluster.Status, []byte, error) {
+	text, err := c.call(http.MethodGet, fleet.PathFleet, nil)
+	if err != nil {
+		return nil, nil, err
 	}
+	s := &cluster.Status{Status: &node.Status{}}
+	if err := json.Unmarshal(text, s); err != nil {
+		return nil, nil, fmt.Errorf("%s: %w", c.admin, err)
+	}
+	return s, text, nil
+}
+
+func (c *fleetClient) statusCommand() *cobra.Command {
 	asJSON := false
-	show := &cobra.Command{
-		Use: "status", Args: cobra.NoArgs,
-		Short: "How the gateway stands in its fleet; ends with 4 where it has no session or nobody leads",
+	cmd := &cobra.Command{
+		Use:   "status",
+		Args:  cobra.NoArgs,
+		Short: "Status of the gateway in its fleet; exit code 4 where it has no session or there is no leader",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			s, text, err := status()
+			s, text, err := c.status()
 			if err != nil {
 				return err
 			}
@@ -70,83 +71,101 @@
 				printStatus(cmd.OutOrStdout(), s)
 			}
 			if s.Session == 0 || s.Leader == "" {
-				return &coded{exitApart, s.Name + " has no session with its fleet, or nobody leads that: requests are served, duties stand still"}
+				return &exitCodeError{exitUnavailable, s.Name + " has no session with its fleet, or the fleet has no leader: requests are served, leases don't change"}
 			}
 			return nil
 		},
 	}
-	show.Flags().BoolVar(&asJSON, "json", false, "as JSON")
-	table := func(use, short string, print func(w io.Writer, s *cluster.Status)) *cobra.Command {
-		return &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-			s, _, err := status()
-			if err == nil {
-				print(cmd.OutOrStdout(), s)
+	cmd.Flags().BoolVar(&asJSON, "json", false, "as JSON")
+	return cmd
+}
+
+// tableCommand prints a part of the status; alias is another name for it, or "".
+func (c *fleetClient) tableCommand(use, alias, short string, print func(w io.Writer, s *cluster.Status)) *cobra.Command {
+	return &cobra.Command{
+		Use:     use,
+		Aliases: aliases(alias),
+		Short:   short,
+		Args:    cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			s, _, err := c.status()
+			if err != nil {
+				return err
 			}
-			return err
-		}}
+			print(cmd.OutOrStdout(), s)
+			return nil
+		},
 	}
-	act := func(use, short, path string, keys ...string) *cobra.Command {
-		return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(len(keys)), RunE: func(cmd *cobra.Command, args []string) error {
-			with := url.Values{}
-			for i, k := range keys {
-				with.Set(k, args[i])
-			}
-			text, err := call(http.MethodPost, admin, path, with)
-			if err == nil {
-				cmd.OutOrStdout().Write(text)
+}
+
+// actionCommand makes an admin call; the arguments of the command are the values of the keys.
+func (c *fleetClient) actionCommand(use, alias, short, path string, keys ...string) *cobra.Command {
+	return &cobra.Command{
+		Use:     use,
+		Aliases: aliases(alias),
+		Short:   short,
+		Args:    cobra.ExactArgs(len(keys)),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			parameters := url.Values{}
+			for i, key := range keys {
+				parameters.Set(key, args[i])
 			}
-			return err
-		}}
+			return c.post(cmd.OutOrStdout(), path, parameters)
+		},
 	}
+}
+
+func aliases(alias string) []string {
+	if alias == "" {
+		return nil
+	}
+	return []string{alias}
+}
+
+func (c *fleetClient) drainCommand() *cobra.Command {
 	var until, reason string
-	drain := &cobra.Command{
-		Use: "drain POOL/HOST", Args: cobra.ExactArgs(1),
-		Short: "Have all gateways send a host nothing new, whatever its list says, until it is taken back",
+	cmd := &cobra.Command{
+		Use:   "drain POOL/HOST",
+		Args:  cobra.ExactArgs(1),
+		Short: "Drain a host at all gateways, whatever its endpoint list says, until the override is removed or expires",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			pool, host, _ := strings.Cut(args[0], "/")
-			with := url.Values{"pool": {pool}, "host": {host}, "reason": {reason}}
+			parameters := hostParameters(args[0])
+			parameters.Set("reason", reason)
 			if until != "" {
-				left, err := leftUntil(until, time.Now())
+				remaining, err := timeUntil(until, time.Now())
 				if err != nil {
 					return err
 				}
-				with.Set("until", left.String())
+				parameters.Set("until", remaining.String())
 			}
-			text, err := call(http.MethodPost, admin, fleet.PathDrain, with)
-			if err == nil {
-				cmd.OutOrStdout().Write(text)
-			}
-			return err
+			return c.post(cmd.OutOrStdout(), fleet.PathDrain, parameters)
 		},
 	}
-	drain.Flags().StringVar(&until, "until", "", "when it ends by itself: a time like 2026-12-24T18:00:00Z, or how long, like 2h")
-	drain.Flags().StringVar(&reason, "reason", "", "shown to others")
-	undrain := &cobra.Command{
-		Use: "undrain POOL/HOST", Args: cobra.ExactArgs(1), Short: "Have a host be what its list says again",
+	cmd.Flags().StringVar(&until, "until", "", "when it expires: a time like 2026-12-24T18:00:00Z, or a duration like 2h")
+	cmd.Flags().StringVar(&reason, "reason", "", "shown to others")
+	return cmd
+}
+
+func (c *fleetClient) undrainCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "undrain POOL/HOST",
+		Args:  cobra.ExactArgs(1),
+		Short: "Remove the override of a host: its endpoint list holds again",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			pool, host, _ := strings.Cut(args[0], "/")
-			text, err := call(http.MethodPost, admin, fleet.PathUndrain, url.Values{"pool": {pool}, "host": {host}})
-			if err == nil {
-				cmd.OutOrStdout().Write(text)
-			}
-			return err
+			return c.post(cmd.OutOrStdout(), fleet.PathUndrain, hostParameters(args[0]))
 		},
 	}
-	cmd.AddCommand(show, drain, undrain,
-		table("words", "Operators' words on hosts, as this gateway goes by them", printWords),
-		table("members", "The gateways of the fleet", printMembers),
-		table("duties", "The duties, and who owns each", printDuties),
-		act("resign DUTY", "Have the owner of a duty give it to another gateway", fleet.PathRelease, "duty"),
-		act("move DUTY GATEWAY", "Have the owner of a duty give it to a gateway", fleet.PathTransfer, "duty", "to"),
-		act("add GATEWAY", "Have a gateway hold a copy of the record from now on", fleet.PathAddReplica, "gateway"),
-		act("remove GATEWAY", "Have a gateway hold none any more", fleet.PathRemoveReplica, "gateway"),
-	)
-	return cmd
 }
 
-// leftUntil is how long from now on a word is to last: only that is told, as the fleet compares no
-// clocks on the wall.
-func leftUntil(text string, now time.Time) (time.Duration, error) {
+// hostParameters returns the parameters of a call for POOL/HOST.
+func hostParameters(poolAndHost string) url.Values {
+	pool, host, _ := strings.Cut(poolAndHost, "/")
+	return url.Values{"pool": {pool}, "host": {host}}
+}
+
+// timeUntil returns how long an override lasts from now on. The fleet compares no wall clocks, so it is told a
+// duration.
+func timeUntil(text string, now time.Time) (time.Duration, error) {
 	if d, err := time.ParseDuration(text); err == nil {
 		return d, nil
 	}
@@ -160,134 +179,46 @@
 	return at.Sub(now).Round(time.Second), nil
 }
 
-// call makes one call at a gateway's address for operators.
-func call(method, admin, path string, with url.Values) ([]byte, error) {
-	u := url.URL{Scheme: "http", Host: admin, Path: path, RawQuery: with.Encode()}
-	r, err := http.NewRequest(method, u.String(), nil)
+// callTimeout is how long a gateway has to respond.
+const callTimeout = 6 * time.Second
+
+// post makes a POST call and writes the response.
+func (c *fleetClient) post(w io.Writer, path string, parameters url.Values) error {
+	text, err := c.call(http.MethodPost, path, parameters)
+	if err != nil {
+		return err
+	}
+	w.Write(text)
+	return nil
+}
+
+// call makes one admin call. Results other than success are an *exitCodeError, or another error where the gateway
+// can't be reached or its response is unexpected.
+func (c *fleetClient) call(method, path string, parameters url.Values) ([]byte, error) {
+	u := url.URL{Scheme: "http", Host: c.admin, Path: path, RawQuery: parameters.Encode()}
+	request, err := http.NewRequest(method, u.String(), nil)
 	if err != nil {
 		return nil, err
 	}
-	resp, err := (&http.Client{Timeout: callTime}).Do(r)
+	response, err := (&http.Client{Timeout: callTimeout}).Do(request)
 	if err != nil {
 		return nil, err
 	}
-	defer resp.Body.Close()
-	text, err := io.ReadAll(resp.Body)
+	defer response.Body.Close()
+	text, err := io.ReadAll(response.Body)
 	if err != nil {
 		return nil, err
 	}
-	said := strings.TrimSpace(string(text))
-	switch resp.StatusCode {
+	message := strings.TrimSpace(string(text))
+	switch response.StatusCode {
 	case http.StatusOK:
 		return text, nil
 	case http.StatusNotFound:
-		return nil, fmt.Errorf("%s is of no fleet: its file has no [fleet]", admin)
+		return nil, fmt.Errorf("%s is of no fleet: its file has no [fleet]", c.admin)
 	case http.StatusConflict, http.StatusServiceUnavailable:
-		return nil, &coded{exitRefused, said}
+		return nil, &exitCodeError{exitRejected, message}
 	case http.StatusGatewayTimeout:
-		return nil, &coded{exitUnknown, said}
-	}
-	return nil, fmt.Errorf("%s answers %s: %s", admin, resp.Status, said)
-}
-
-// exitCode is what an error ends the program with.
-func exitCode(err error) int {
-	var c *coded
-	if errors.As(err, &c) {
-		return c.code
-	}
-	return 1
-}
-
-func printStatus(w io.Writer, s *cluster.Status) {
-	fmt.Fprintf(w, "%s of fleet %s: %s", s.Name, s.Fleet, s.Role)
-	if s.Reason != "" {
-		fmt.Fprintf(w, " (%s)", s.Reason)
-	}
-	fmt.Fprintf(w, "\nleader %s, term %d, committed to %d, applied to %d here\n", cmp.Or(s.Leader, "not known"), s.Term, s.Commit, s.Applied)
-	if s.Session == 0 {
-		fmt.Fprintln(w, "no session")
-	} else {
-		fmt.Fprintf(w, "session %d, for another %d ms\n", s.Session, s.ExpiresInMS)
-	}
-	if s.FreshMS < 0 {
-		fmt.Fprintln(w, "never confirmed by a leader")
-	} else {
-		fmt.Fprintf(w, "confirmed by the leader %d ms ago\n", s.FreshMS)
-	}
-	printRelay(w, s)
-	var keepers []string
-	for _, k := range s.Replicas {
-		name := cmp.Or(k.Name, fmt.Sprint(k.ID))
-		if k.Learner {
-			name += " (being brought up)"
-		}
-		keepers = append(keepers, name)
-	}
-	fmt.Fprintf(w, "the record is held by %s\n%d members, %d with a session\n\n", cmp.Or(strings.Join(keepers, ", "), "nobody that is known"), max(len(s.Members), s.Sessions), s.Sessions)
-	printDuties(w, s)
-}
-
-// printRelay tells of a fleet with relays: where the gateway has its stream, or what the relay holds.
-func printRelay(w io.Writer, s *cluster.Status) {
-	if r := s.Relay; r != nil {
-		if r.Name == "" {
-			fmt.Fprint(w, "no relay")
-		} else {
-			fmt.Fprintf(w, "at relay %s for %v", r.Name, (time.Duration(r.SinceMS) * time.Millisecond).Round(time.Second))
-		}
-		if r.Preferred != "" && r.Preferred != r.Name {
-			fmt.Fprintf(w, ", would be at %s", r.Preferred)
-		}
-		fmt.Fprintf(w, "; epoch %x, %d streams so far", r.Epoch, r.Moves)
-		for _, why := range slices.Sorted(maps.Keys(r.Ends)) {
-			fmt.Fprintf(w, ", %s: %d", why, r.Ends[why])
-		}
-		fmt.Fprintln(w)
-	}
-	if r := s.Streams; r != nil {
-		fmt.Fprintf(w, "a relay: %d gateways here, %d at most, %d at all relays that are up:", r.Streams, r.Limit, r.Routes)
-		for _, name := range slices.Sorted(maps.Keys(r.Relays)) {
-			fmt.Fprintf(w, " %s %d", name, r.Relays[name])
-		}
-		fmt.Fprintf(w, "\nstreams taken %d, refused %d, cut %d; words dropped %d, garbled %d\n", r.Joins, r.Rejected, r.Closed, r.Dropped, r.Malformed)
-	}
-}
-
-func printMembers(w io.Writer, s *cluster.Status) {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	defer t.Flush()
-	fmt.Fprintln(t, "GATEWAY\tSESSION\tEXPIRES\tZONE\tMACHINE\tDISK")
-	for _, m := range s.Members {
-		session, expires := "none", "-"
-		if m.Session != 0 {
-			session = fmt.Sprint(m.Session)
-		}
-		if m.ExpiresInMS != nil {
-			expires = fmt.Sprintf("%d ms", *m.ExpiresInMS)
-		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%016x\n", m.Name, session, expires, cmp.Or(m.Zone, "-"), cmp.Or(m.Machine, "-"), m.ReplicaID)
-	}
-}
-
-func printWords(w io.Writer, s *cluster.Status) {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	defer t.Flush()
-	fmt.Fprintln(t, "HOST\tENDS IN\tASKED AT\tREASON")
-	for _, x := range s.Overrides {
-		ends := "-"
-		if x.RemainingMS > 0 {
-			ends = (time.Duration(x.RemainingMS) * time.Millisecond).Round(time.Minute).String()
-		}
-		fmt.Fprintf(t, "%s/%s\t%s\t%s\t%s\n", x.Pool, x.Host, ends, x.CreatedBy, cmp.Or(x.Reason, "-"))
-	}
-}
-
-func printDuties(w io.Writer, s *cluster.Status) {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	defer t.Flush()
-	fmt.Fprintln(t, "DUTY\tOWNER\tTOKEN\tTO")
-	for _, d := range s.Leases {
-		fmt.Fprintf(t, "%s\t%s\t%d\t%s\n", d.Name, cmp.Or(d.Holder, "nobody"), d.Token, cmp.Or(d.TransferTo, "-"))
+		return nil, &exitCodeError{exitUnknown, message}
 	}
+	return nil, fmt.Errorf("%s answers %s: %s", c.admin, response.Status, message)
 }
--- a/cmd/dunemoorctl/flight.go
+++ b/cmd/dunemoorctl/flight.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"io"
 	"os"
 	"time"
 
@@ -11,144 +12,158 @@
 	"dunemoor/internal/flightrecorder"
 )
 
+// errDiverged is the error of a replay with a difference.
+var errDiverged = errors.New("this build decides otherwise than was recorded")
+
 func flightCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "flight", Short: "Read recordings of the flight recorder"}
-	cmd.AddCommand(showCommand(), fleetCommand(), replayCommand(), tryCommand())
+	cmd.AddCommand(flightShowCommand(), flightFleetCommand(), flightReplayCommand(), flightTryCommand())
 	return cmd
 }
 
-func showCommand() *cobra.Command {
-	var win flightrecorder.Window
+// withFile calls read with an open file. An error of read names the file.
+func withFile(path string, read func(io.Reader) error) error {
+	f, err := os.Open(path)
+	if err != nil {
+		return err
+	}
+	defer f.Close()
+	if err := read(f); err != nil {
+		return fmt.Errorf("%s: %w", path, err)
+	}
+	return nil
+}
+
+func flightShowCommand() *cobra.Command {
+	var window flightrecorder.Window
 	var ejections int
 	var host, plot string
 	cmd := &cobra.Command{
-		Use: "show FILE", Args: cobra.ExactArgs(1),
-		Short: "What became of the requests, why those refused were, and how each host stood",
+		Use:   "show FILE",
+		Args:  cobra.ExactArgs(1),
+		Short: "Show the outcome of the requests, why some were rejected, and the state of each host",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			f, err := os.Open(args[0])
-			if err != nil {
+			var analysis *flightrecorder.Analysis
+			err := withFile(args[0], func(in io.Reader) (err error) {
+				analysis, err = flightrecorder.Analyse(in, window)
 				return err
-			}
-			defer f.Close()
-			a, err := flightrecorder.Analyse(f, win)
+			})
 			if err != nil {
-				return fmt.Errorf("%s: %w", args[0], err)
+				return err
 			}
 			if plot != "" {
-				return writePlot(a, plot)
+				return writePlot(analysis, plot)
 			}
 			if host != "" {
-				return a.HostText(cmd.OutOrStdout(), host)
+				return analysis.HostText(cmd.OutOrStdout(), host)
 			}
-			a.Text(cmd.OutOrStdout(), ejections)
+			analysis.Text(cmd.OutOrStdout(), ejections)
 			return nil
 		},
 	}
-	cmd.Flags().DurationVar(&win.From, "from", 0, "from this time on, since the first event")
-	cmd.Flags().DurationVar(&win.To, "to", 0, "up to this time; 0: to the end")
-	cmd.Flags().DurationVar(&win.Bucket, "bucket", 500*time.Millisecond, "time that a column stands for")
+	cmd.Flags().DurationVar(&window.From, "from", 0, "from this time on, since the first event")
+	cmd.Flags().DurationVar(&window.To, "to", 0, "up to this time; 0: to the end")
+	cmd.Flags().DurationVar(&window.Bucket, "bucket", 500*time.Millisecond, "time that a column stands for")
 	cmd.Flags().StringVar(&plot, "svg", "", "draw the time lines into this file, and print nothing")
 	cmd.Flags().StringVar(&host, "host", "", "the figures of this host, a line a column")
-	cmd.Flags().IntVar(&ejections, "ejections", 10, "ejections named")
+	cmd.Flags().IntVar(&ejections, "ejections", 10, "ejections listed")
 	return cmd
 }
 
-func fleetCommand() *cobra.Command {
-	var classes int
+// writePlot draws the time lines into a file. After an error there is no file.
+func writePlot(a *flightrecorder.Analysis, path string) error {
+	f, err := os.Create(path)
+	if err != nil {
+		return err
+	}
+	if err := errors.Join(a.SVG(f), f.Close()); err != nil {
+		os.Remove(path)
+		return err
+	}
+	return nil
+}
+
+func flightFleetCommand() *cobra.Command {
+	var classSpan int
 	cmd := &cobra.Command{
-		Use: "fleet FILE...", Args: cobra.MinimumNArgs(1),
-		Short: "Count over the recordings of many gateways, by second: sends, refusals, repeats, calls for lists",
+		Use:   "fleet FILE...",
+		Args:  cobra.MinimumNArgs(1),
+		Short: "Count over the recordings of many gateways, by second: attempts, rejections, retries, polls of endpoint lists",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			fleet := flightrecorder.NewFleet()
 			for _, path := range args {
-				f, err := os.Open(path)
-				if err != nil {
+				if err := withFile(path, fleet.Add); err != nil {
 					return err
 				}
-				err = fleet.Add(f)
-				f.Close()
-				if err != nil {
-					return fmt.Errorf("%s: %w", path, err)
-				}
 			}
-			if classes > 0 {
-				return fleet.ClassText(cmd.OutOrStdout(), classes)
+			if classSpan > 0 {
+				return fleet.ClassText(cmd.OutOrStdout(), classSpan)
 			}
 			return fleet.Text(cmd.OutOrStdout())
 		},
 	}
-	cmd.Flags().IntVar(&classes, "classes", 0, "what became of each class instead, a line for each and so many seconds")
+	cmd.Flags().IntVar(&classSpan, "classes", 0, "the outcome of each class instead, a line for each and so many seconds")
 	return cmd
 }
 
-func writePlot(a *flightrecorder.Analysis, path string) error {
-	f, err := os.Create(path)
-	if err != nil {
-		return err
-	}
-	if err := errors.Join(a.SVG(f), f.Close()); err != nil {
-		os.Remove(path)
-		return err
-	}
-	return nil
-}
-
-var errDiffers = errors.New("this build decides otherwise than was recorded")
-
-func replayCommand() *cobra.Command {
+func flightReplayCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "replay FILE", Args: cobra.ExactArgs(1),
-		Short: "Decide again all that was recorded; the first difference, if there is one, ends in an error",
+		Use:   "replay FILE",
+		Args:  cobra.ExactArgs(1),
+		Short: "Replay a recording; an error tells the first difference to what was recorded",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			f, err := os.Open(args[0])
-			if err != nil {
+			var report *flightrecorder.Report
+			err := withFile(args[0], func(in io.Reader) (err error) {
+				report, err = flightrecorder.Replay(flightrecorder.NewReader(in), nil, nil)
 				return err
-			}
-			defer f.Close()
-			rep, err := flightrecorder.Replay(flightrecorder.NewReader(f), nil, nil)
+			})
 			if err != nil {
-				return fmt.Errorf("%s: %w", args[0], err)
-			}
-			out := cmd.OutOrStdout()
-			for _, l := range rep.Losses {
-				fmt.Fprintf(out, "missing: %s\n", l)
-			}
-			fmt.Fprintf(out, "%d sessions, %d events, %d actions alike, %d checkpoints agree, %d events skipped\n",
-				rep.Sessions, rep.Events, rep.MatchingActions, rep.MatchingStates, rep.SkippedEvents)
-			if rep.ForeignCheckpoints > 0 {
-				fmt.Fprintf(out, "%d checkpoints are of another build: %s\n", rep.ForeignCheckpoints, rep.ForeignReason)
-			}
-			if rep.Divergence != nil {
-				fmt.Fprintf(out, "first difference: %v\n", rep.Divergence)
-				return errDiffers
+				return err
 			}
-			return nil
+			return printReport(cmd.OutOrStdout(), report)
 		},
 	}
 }
 
-func tryCommand() *cobra.Command {
+// printReport prints the result of a replay. It returns errDiverged where there is a difference.
+func printReport(w io.Writer, r *flightrecorder.Report) error {
+	for _, loss := range r.Losses {
+		fmt.Fprintf(w, "missing: %s\n", loss)
+	}
+	fmt.Fprintf(w, "%d sessions, %d events, %d actions alike, %d checkpoints agree, %d events skipped\n",
+		r.Sessions, r.Events, r.MatchingActions, r.MatchingStates, r.SkippedEvents)
+	if r.ForeignCheckpoints > 0 {
+		fmt.Fprintf(w, "%d checkpoints are of another build: %s\n", r.ForeignCheckpoints, r.ForeignReason)
+	}
+	if r.Divergence != nil {
+		fmt.Fprintf(w, "first difference: %v\n", r.Divergence)
+		return errDiverged
+	}
+	return nil
+}
+
+func flightTryCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "try FILE", Args: cobra.ExactArgs(1),
-		Short: "Play the recorded arrivals against hosts modelled on the recording, with this build's module",
-		Long: "Play the recorded arrivals against hosts modelled on the recording, with this build's module.\n\n" +
+		Use:   "try FILE",
+		Args:  cobra.ExactArgs(1),
+		Short: "Simulate the recorded requests with this build's balancer, against hosts modelled on the recording",
+		Long: "Simulate the recorded requests with this build's balancer, against hosts modelled on the recording.\n\n" +
 			"To judge a change, try the same file with the builds before and after it. The model is simple\n" +
 			"(docs/design/flightrecorder.md), so compare tries with one another rather than with what was recorded.",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			in, err := os.Open(args[0])
-			if err != nil {
+			var fitted *flightrecorder.Fitted
+			err := withFile(args[0], func(in io.Reader) (err error) {
+				fitted, err = flightrecorder.Fit(in)
 				return err
-			}
-			defer in.Close()
-			f, err := flightrecorder.Fit(in)
+			})
 			if err != nil {
-				return fmt.Errorf("%s: %w", args[0], err)
+				return err
 			}
-			tried, err := f.Try()
+			tried, err := fitted.Try()
 			if err != nil {
 				return err
 			}
-			f.Compare(cmd.OutOrStdout(), tried)
+			fitted.Compare(cmd.OutOrStdout(), tried)
 			return nil
 		},
 	}
--- a/cmd/dunemoorctl/main.go
+++ b/cmd/dunemoorctl/main.go
@@ -1,4 +1,7 @@
-// Command dunemoorctl is for those who look after gateways.
+// Command dunemoorctl is for operators of dunemoor gateways: it reads flight recordings, checks appliances' files,
+// and shows and changes fleets.
+//
+// It exits with 1 for an error, and with the codes of exitcode.go for the results of calls to a fleet.
 package main
 
 import (
@@ -9,18 +12,20 @@
 )
 
 func main() {
-	if err := root().Execute(); err != nil {
+	if err := rootCommand().Execute(); err != nil {
 		fmt.Fprintf(os.Stderr, "dunemoorctl: %v\n", err)
 		os.Exit(exitCode(err))
 	}
 }
 
-func root() *cobra.Command {
+func rootCommand() *cobra.Command {
 	cmd := &cobra.Command{
-		Use: "dunemoorctl", Short: "Look into dunemoor gateways and their recordings",
-		SilenceUsage: true, SilenceErrors: true,
+		Use:           "dunemoorctl",
+		Short:         "Look into dunemoor gateways and their recordings",
+		SilenceUsage:  true,
+		SilenceErrors: true,
 	}
 	cmd.CompletionOptions.DisableDefaultCmd = true
-	cmd.AddCommand(flightCommand(), checkCommand(), routesCommand(), operateFleet())
+	cmd.AddCommand(flightCommand(), checkCommand(), routesCommand(), fleetCommand())
 	return cmd
 }
--- a/cmd/dunemoorctl/main_test.go
+++ b/cmd/dunemoorctl/main_test.go
@@ -12,16 +12,17 @@
 	"dunemoor/internal/flightrecorder"
 )
 
-// recorded writes a small recording: two hosts, requests served in turn, under the seed.
-func recorded(t *testing.T, seed, claimed uint64) string {
+// writeRecording writes a small recording of requests that are served one after the other, and returns its path. The
+// balancer has the first seed, the recording says the second.
+func writeRecording(t *testing.T, seed, recordedSeed uint64) string {
 	t.Helper()
-	set := balancer.Settings{Instances: 1, Classes: []balancer.Class{{LatencyObjective: time.Second, Deadline: 2 * time.Second}}}
-	bal, err := balancer.New(set, seed)
+	settings := balancer.Settings{Instances: 1, Classes: []balancer.Class{{LatencyObjective: time.Second, Deadline: 2 * time.Second}}}
+	bal, err := balancer.New(settings, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := balancer.Time(time.Hour)
-	rec, err := flightrecorder.New(bal, flightrecorder.SessionStart{Name: "n7", Seed: claimed, At: now, Settings: set, Classes: []string{"look"}}, 1, flightrecorder.Options{})
+	rec, err := flightrecorder.New(bal, flightrecorder.SessionStart{Name: "n7", Seed: recordedSeed, At: now, Settings: settings, Classes: []string{"look"}}, 1, flightrecorder.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,8 +44,9 @@
 	return path
 }
 
-func ctl(args ...string) (string, error) {
-	cmd, out := root(), &bytes.Buffer{}
+// runCommand runs a command line and returns what it prints.
+func runCommand(args ...string) (string, error) {
+	cmd, out := rootCommand(), &bytes.Buffer{}
 	cmd.SetArgs(args)
 	cmd.SetOut(out)
 	cmd.SetErr(out)
@@ -52,8 +54,9 @@
 	return out.String(), err
 }
 
-func TestFlight(t *testing.T) {
-	path := recorded(t, 7, 7)
+// Each flight command reads a recording.
+func TestFlightCommands(t *testing.T) {
+	path := writeRecording(t, 7, 7)
 	svg := filepath.Join(t.TempDir(), "x.svg")
 	for _, c := range []struct {
 		args []string
@@ -65,27 +68,27 @@
 		{[]string{"flight", "try", path}, "this build     60   100.0%"},
 		{[]string{"flight", "show", path, "--svg", svg}, ""},
 	} {
-		if out, err := ctl(c.args...); err != nil || !strings.Contains(out, c.want) {
-			t.Errorf("%q: %v, want %q in\n%s", c.args[1:], err, c.want, out)
+		if out, err := runCommand(c.args...); err != nil || !strings.Contains(out, c.want) {
+			t.Errorf("%q: got error %v and\n%s\nwant %q", c.args[1:], err, out, c.want)
 		}
 	}
 	if text, err := os.ReadFile(svg); err != nil || !bytes.HasSuffix(text, []byte("</svg>\n")) {
-		t.Errorf("the plot: %v, %d bytes", err, len(text))
+		t.Errorf("plot: got %d bytes, error %v, want an SVG", len(text), err)
 	}
 }
 
-// What can't be done is an error, and so is a replay that differs.
-func TestFlightErrors(t *testing.T) {
+// Files that can't be read are errors, and so is a replay that diverges.
+func TestFlightCommandErrors(t *testing.T) {
 	text := filepath.Join(t.TempDir(), "text")
 	if err := os.WriteFile(text, []byte(strings.Repeat("no recording\n", 100)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	path := recorded(t, 7, 7)
+	path := writeRecording(t, 7, 7)
 	for _, c := range []struct {
 		args []string
 		want string
 	}{
-		{[]string{"flight", "replay", recorded(t, 7, 8)}, "decides otherwise"},
+		{[]string{"flight", "replay", writeRecording(t, 7, 8)}, "decides otherwise"},
 		{[]string{"flight", "replay", text}, text + ": this is no recording"},
 		{[]string{"flight", "try", text}, "this is no recording"},
 		{[]string{"flight", "show", "/none/such"}, "no such file"},
@@ -94,18 +97,19 @@
 		{[]string{"flight", "show"}, "accepts 1 arg"},
 		{[]string{"fly"}, "unknown command"},
 	} {
-		if out, err := ctl(c.args...); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q: %v, want %q; printed %s", c.args, err, c.want, out)
+		if out, err := runCommand(c.args...); err == nil || !strings.Contains(err.Error(), c.want) {
+			t.Errorf("%q: got error %v, want one with %q; printed %s", c.args, err, c.want, out)
 		}
 	}
 	if _, err := os.Stat(text + ".svg"); err == nil {
-		t.Error("a plot that failed was left behind")
+		t.Error("failed plot: got a file")
 	}
 }
 
 const example = "../../deploy/appliance.toml"
 
-func TestRoutes(t *testing.T) {
+// routes shows the route, the class and the pools of a request; a request that would be rejected is an error.
+func TestRoutesCommand(t *testing.T) {
 	for _, c := range []struct {
 		args []string
 		want []string
@@ -118,23 +122,24 @@
 		{[]string{"GET", "http://any/address/../x"}, []string{"answered 400: the path"}},
 		{[]string{"GET", "http://any/a%2Fb"}, []string{"answered 400: the path"}},
 	} {
-		out, err := ctl(append([]string{"routes", example}, c.args...)...)
+		out, err := runCommand(append([]string{"routes", example}, c.args...)...)
 		if answered := strings.HasPrefix(c.want[0], "answered"); answered != (err != nil) {
-			t.Errorf("%q: %v", c.args, err) // scripts go by it
+			t.Errorf("%q: got error %v, want one: %v", c.args, err, answered) // scripts rely on the exit code
 		} else if answered {
 			out += err.Error()
 		}
 		for _, want := range c.want {
 			if !strings.Contains(out, want) {
-				t.Errorf("%q: lacks %q in\n%s", c.args, want, out)
+				t.Errorf("%q: got\n%s\nwant %q", c.args, out, want)
 			}
 		}
 	}
 }
 
-func TestCheck(t *testing.T) {
-	if out, err := ctl("check", example); err != nil || !strings.Contains(out, "2 listeners, 3 classes, 5 pools, 5 routes") {
-		t.Errorf("%v, %s", err, out)
+// check accepts the example, and prints each error of an invalid file.
+func TestCheckCommand(t *testing.T) {
+	if out, err := runCommand("check", example); err != nil || !strings.Contains(out, "2 listeners, 3 classes, 5 pools, 5 routes") {
+		t.Errorf("%s: got error %v and %s, want the counts of the example", example, err, out)
 	}
 	bad := filepath.Join(t.TempDir(), "bad.toml")
 	text, err := os.ReadFile(example)
@@ -146,17 +151,27 @@
 	if err := os.WriteFile(bad, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	out, err := ctl("check", bad)
+	out, err := runCommand("check", bad)
 	if err == nil || !strings.Contains(err.Error(), ": 2 mistakes") || strings.Count(out, bad+":") != 2 {
-		t.Errorf("%v, printed %s", err, out)
+		t.Errorf("got error %v and %s, want 2 mistakes, a line each", err, out)
 	}
 	for args, want := range map[string]string{
 		"routes " + example + " GET /x":            "is no URL",
 		"routes " + example + " GET http://x -H y": "is not like",
 		"routes " + bad + " GET http://x":          "mistakes",
 	} {
-		if _, err := ctl(strings.Fields(args)...); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v, want %q", args, err, want)
+		if _, err := runCommand(strings.Fields(args)...); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%s: got error %v, want one with %q", args, err, want)
+		}
+	}
+}
+
+// The commands of a fleet have their names in the field's terms beside the earlier ones.
+func TestFleetCommandAliases(t *testing.T) {
+	for alias, name := range map[string]string{"overrides": "words", "leases": "duties", "release": "resign", "transfer": "move"} {
+		cmd, _, err := rootCommand().Find([]string{"fleet", alias})
+		if err != nil || cmd.Name() != name {
+			t.Errorf("fleet %s: got command %q, error %v, want %q", alias, cmd.Name(), err, name)
 		}
 	}
 }
