--- a/cmd/dunemoor/host_faults_test.go
+++ b/cmd/dunemoor/host_faults_test.go
@@ -12,7 +12,7 @@
 // Under a mixed load through the program, hosts crash, reset connections, reject requests, drain and warm up: no
 // request that must not run twice does, none is lost, and nearly all are served.
 func TestHostFaultsLoseNothing(t *testing.T) {
-	healthy := fakes.Behaviour{Work: 3 * time.Millisecond, Cores: 4, Cold: time.Second, ColdFrom: 0.4}
+	healthy := fakes.Behaviour{Work: 3 * time.Millisecond, Cores: 4, Warmup: time.Second, WarmupStartShare: 0.4}
 	fleet, err := fakes.StartFleet(6, 11, healthy)
 	if err != nil {
 		t.Fatal(err)
@@ -23,7 +23,7 @@
 		classes[i].Timeout = 20 * time.Second // long, as machines may be busy
 	}
 	listen := freeAddress(t)
-	p := start(t, string(fleet.Config("n0", listen, classes)), listen)
+	p := start(t, string(fleet.PlatformConfig("n0", listen, classes)), listen)
 	p.waitReady(t)
 	served := func() int { c := fleet.Ledger.Count(); return c.Outcomes[fakes.Served] }
 	load := fakes.Load{URL: p.url, Rate: 150, Count: 900, Classes: classes, Seed: 5, Retries: 2}
@@ -41,7 +41,7 @@
 	}
 	with := func(m fakes.Mode, bytes int, share float64) fakes.Behaviour {
 		b := healthy
-		b.Mode, b.Byte, b.Share = m, bytes, share
+		b.Mode, b.ResponseBytes, b.Share = m, bytes, share
 		return b
 	}
 	after(50)
@@ -49,16 +49,16 @@
 	fleet.Nodes[1].Behave(with(fakes.ResetAt, 20, 0.5))
 	after(150)
 	fleet.Nodes[2].Behave(with(fakes.Full, 0, 0))
-	fleet.List(3, "draining")
+	fleet.SetState(3, fakes.StateDraining)
 	after(250)
 	if err := fleet.Nodes[0].Start(); err != nil {
 		t.Fatal(err)
 	}
-	fleet.List(0, "ready")
+	fleet.SetState(0, fakes.StateReady)
 	fleet.Nodes[1].Behave(with(fakes.CloseAt, 0, 0.3))
 	after(400)
 	fleet.Nodes[2].Behave(healthy)
-	fleet.List(3, "ready")
+	fleet.SetState(3, fakes.StateReady)
 	fleet.Nodes[4].Crash()
 	after(550)
 	fleet.Nodes[1].Behave(healthy)
--- a/cmd/experiment/fleet.go
+++ b/cmd/experiment/fleet.go
@@ -288,7 +288,7 @@
 	if err != nil {
 		return err
 	}
-	watching, watches := f.Hosts.Discovery.Watching(), f.Hosts.Discovery.Watches()
+	watching, watches := f.Hosts.Discovery.OpenWatches(), f.Hosts.Discovery.Watches()
 	lead := f.Leader()
 	roles := map[string][]int{}
 	for i, g := range f.Gateways {
--- a/cmd/fakes/appliance.go
+++ b/cmd/fakes/appliance.go
@@ -9,74 +9,106 @@
 	"dunemoor/balancer"
 	"dunemoor/internal/config"
 	"dunemoor/internal/experiment/fakes"
+	"dunemoor/internal/route"
 )
 
-// photo is the size of what is sent where a route takes nothing but POST: more than is held.
-const photo = 256 << 10
+// photoSize is the size of the body, in bytes, where a route doesn't accept GET: more than a gateway buffers.
+const photoSize = 256 << 10
 
-// standFor starts a node for each member that an appliance's file lists, and makes classes of
-// requests by its routes. listen becomes the address of the first listener.
-func standFor(path string, seed uint64, b fakes.Behaviour, listen, web *string) (*fakes.Fleet, []fakes.Class, error) {
-	a, wrong := config.LoadAppliance(path)
-	if len(wrong) > 0 {
-		return nil, nil, errors.Join(wrong...)
+// photo is a part of that body.
+const photo = "a photo "
+
+// idempotencies maps the balancer's terms to those of the fakes.
+var idempotencies = map[balancer.Idempotency]fakes.Idempotency{
+	balancer.Idempotent:        fakes.Idempotent,
+	balancer.IdempotentWithKey: fakes.IdempotentWithKey,
+	balancer.NonIdempotent:     fakes.NonIdempotent,
+}
+
+// startForAppliance starts a node for each member that an appliance's file lists. Clients send requests by its routes, to
+// the first listener of each protocol.
+func startForAppliance(o *options) (*experiment, error) {
+	a, errs := config.LoadAppliance(o.appliance)
+	if len(errs) > 0 {
+		return nil, errors.Join(errs...)
 	}
+	e := &experiment{fleet: fakes.NewFleet(fakes.NewLedger()), gateway: o.gateway}
 	for _, l := range slices.Backward(a.Listeners) {
 		if l.Protocol == config.FastCGI {
-			*web = l.Address
+			e.fcgiServer = l.Address
 		} else {
-			*listen = l.Address
+			e.gateway = l.Address
 		}
 	}
-	fleet := fakes.NewFleet(fakes.NewLedger())
-	for _, p := range a.Pools {
-		for i, m := range p.Members {
-			if p.Protocol == config.FastCGI {
-				r, err := fakes.StartResponderAt(m.Address, m.ID, fmt.Sprint(p.Name, m.Cell), fleet.Ledger, seed+uint64(i), b.Work)
-				if err != nil {
-					fleet.Close()
-					return nil, nil, err
-				}
-				fleet.Responders = append(fleet.Responders, r)
-				continue
-			}
-			n, err := fakes.StartNodeAt(m.Address, m.ID, fmt.Sprint(p.Name, m.Cell), fleet.Ledger, seed+uint64(i), b)
-			if err != nil {
-				fleet.Close()
-				return nil, nil, err
-			}
-			fleet.Nodes = append(fleet.Nodes, n)
+	for i := range a.Pools {
+		if err := startMembers(e.fleet, &a.Pools[i], o); err != nil {
+			e.fleet.Close()
+			return nil, err
 		}
 	}
-	if len(fleet.Nodes) == 0 {
-		return nil, nil, fmt.Errorf("%s: no pool has members of its own", path)
+	if len(e.fleet.Nodes) == 0 {
+		e.fleet.Close()
+		return nil, fmt.Errorf("%s: no pool has members of its own", o.appliance)
 	}
-	var classes []fakes.Class
 	for i, r := range a.Table.Routes() {
-		own := a.Routes[i]
-		host := ""
-		if len(r.Hosts) > 0 {
-			host = strings.Replace(r.Hosts[0], "*", "any", 1)
-		}
-		if own.Class != "" {
-			effect, body := fakes.Idempotent, ""
-			if len(r.Methods) > 0 && !slices.Contains(r.Methods, "GET") {
-				effect, body = fakes.NonIdempotent, strings.Repeat("a photo ", photo/8)
+		e.classes = append(e.classes, routeClasses(a, r, i)...)
+	}
+	return e, nil
+}
+
+// startMembers starts the nodes of a pool.
+func startMembers(fleet *fakes.Fleet, p *config.Pool, o *options) error {
+	for i, m := range p.Members {
+		group := fmt.Sprint(p.Name, m.Cell)
+		seed := o.seed + uint64(i)
+		if p.Protocol == config.FastCGI {
+			r, err := fakes.StartResponderAt(m.Address, m.ID, group, fleet.Ledger, seed, o.work)
+			if err != nil {
+				return err
 			}
-			classes = append(classes, fakes.Class{
-				Name: r.Name, Idempotency: effect, Body: body, Share: 1, Timeout: own.Timeout, Path: r.Path, Host: host, WithoutPlatformHeaders: true,
-			})
+			fleet.Responders = append(fleet.Responders, r)
 			continue
 		}
-		for _, c := range a.Classes {
-			effect := map[balancer.Idempotency]fakes.Idempotency{
-				balancer.Idempotent: fakes.Idempotent, balancer.IdempotentWithKey: fakes.IdempotentWithKey, balancer.NonIdempotent: fakes.NonIdempotent,
-			}[c.Idempotency]
-			classes = append(classes, fakes.Class{
-				Name: r.Name + "/" + c.Name, ClassHeader: c.Name, Idempotency: effect, Share: 1, Timeout: c.Deadline, Window: c.DedupWindow,
-				Path: r.Path, Host: host, Body: "something to do",
-			})
+		n, err := fakes.StartNodeAt(m.Address, m.ID, group, fleet.Ledger, seed, o.behaviour())
+		if err != nil {
+			return err
+		}
+		fleet.Nodes = append(fleet.Nodes, n)
+	}
+	return nil
+}
+
+// routeClasses returns the classes of requests that a route takes: its own class, or each class of the appliance.
+func routeClasses(a *config.Appliance, r *route.Route, index int) []fakes.Class {
+	host := ""
+	if len(r.Hosts) > 0 {
+		host = strings.Replace(r.Hosts[0], "*", "any", 1)
+	}
+	settings := a.Routes[index]
+	if settings.Class != "" {
+		class := fakes.Class{
+			Name: r.Name, Share: 1, Timeout: settings.Timeout, Path: r.Path, Host: host, WithoutPlatformHeaders: true,
+		}
+		acceptsGet := len(r.Methods) == 0 || slices.Contains(r.Methods, "GET")
+		if !acceptsGet {
+			class.Idempotency = fakes.NonIdempotent
+			class.Body = strings.Repeat(photo, photoSize/len(photo))
 		}
+		return []fakes.Class{class}
+	}
+	var classes []fakes.Class
+	for _, c := range a.Classes {
+		classes = append(classes, fakes.Class{
+			Name:        r.Name + "/" + c.Name,
+			ClassHeader: c.Name,
+			Idempotency: idempotencies[c.Idempotency],
+			Share:       1,
+			Timeout:     c.Deadline,
+			DedupWindow: c.DedupWindow,
+			Path:        r.Path,
+			Host:        host,
+			Body:        "something to do",
+		})
 	}
-	return fleet, classes, nil
+	return classes
 }
--- a/cmd/fakes/main_test.go
+++ b/cmd/fakes/faults_test.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
+// Faults are parsed; malformed ones are errors, and so is a number of nodes out of range.
 func TestParseFaults(t *testing.T) {
 	list, err := parseFaults("crash:0@3s+4s,hang:2@500ms+2s", 3)
 	if err != nil || len(list) != 2 || list[1] != (fault{"hang", 2, 500 * time.Millisecond, 2 * time.Second}) {
-		t.Errorf("%+v, %v", list, err)
+		t.Errorf("got %+v, error %v, want a crash and a hang", list, err)
 	}
 	for text, want := range map[string]string{
 		"crash":         "is not like",
@@ -19,10 +20,10 @@
 		"crash:0@1s+":   "invalid duration",
 	} {
 		if _, err := parseFaults(text, 3); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %q", text, err, want)
+			t.Errorf("%q: got error %v, want one with %q", text, err, want)
 		}
 	}
 	if err := run([]string{"-nodes", "65"}); err == nil || !strings.Contains(err.Error(), "1 to 64") {
-		t.Errorf("65 nodes: %v", err)
+		t.Errorf("65 nodes: got error %v, want one with the range", err)
 	}
 }
--- a/cmd/fakes/main.go
+++ b/cmd/fakes/main.go
@@ -1,6 +1,6 @@
-// Command fakes starts a small fleet of stand-in nodes on loopback, writes a gateway's
-// configuration for it, asks that gateway for a while, and counts what became of it all. It
-// ends by itself; the exit code is 1 if a rule was broken.
+// Command fakes starts a small fleet of fake nodes on loopback, writes a gateway's configuration for it, sends
+// requests through that gateway for a while, and counts their outcomes. It ends by itself; the exit code is 1 if a
+// rule was violated.
 package main
 
 import (
@@ -12,14 +12,20 @@
 	"os"
 	"os/signal"
 	"slices"
-	"strconv"
-	"strings"
 	"syscall"
 	"time"
 
 	"dunemoor/internal/experiment/fakes"
 )
 
+const (
+	maxNodes = 64
+	// retries is how often clients retry a rejected request.
+	retries = 2
+	// healthInterval is the interval of health checks while the gateway starts.
+	healthInterval = 50 * time.Millisecond
+)
+
 func main() {
 	if err := run(os.Args[1:]); err != nil {
 		fmt.Fprintf(os.Stderr, "fakes: %v\n", err)
@@ -27,190 +33,174 @@
 	}
 }
 
-// fault is one entry of -fault: what happens to which node, when, and for how long.
-type fault struct {
-	mode string
-	node int
-	at   time.Duration
-	last time.Duration
+// options are the flags.
+type options struct {
+	nodes      int
+	rate       float64
+	count      int
+	cores      int
+	work       time.Duration
+	gateway    string
+	configFile string
+	appliance  string
+	wait       time.Duration
+	faults     string
+	seed       uint64
 }
 
-var modes = map[string]fakes.Mode{
-	"full": fakes.Full, "errors": fakes.Errors, "hang": fakes.Hang, "reset": fakes.ResetAt, "close": fakes.CloseAt,
-	"silent": fakes.Silent,
+func parseOptions(args []string) (*options, error) {
+	o := &options{}
+	flags := flag.NewFlagSet("fakes", flag.ContinueOnError)
+	flags.IntVar(&o.nodes, "nodes", 6, "nodes, 1 to 64")
+	flags.Float64Var(&o.rate, "rate", 100, "requests a second")
+	flags.IntVar(&o.count, "count", 2000, "requests in all")
+	flags.IntVar(&o.cores, "cores", 4, "requests that a node works on at once")
+	flags.DurationVar(&o.work, "work", 20*time.Millisecond, "mean work of a request")
+	flags.StringVar(&o.gateway, "gateway", "127.0.0.1:9000", "where the gateway listens or will")
+	flags.StringVar(&o.configFile, "config", "", "write the gateway's configuration to this `file`")
+	flags.StringVar(&o.appliance, "appliance", "", "start a node for each member in this appliance's `file`, and send requests by its routes")
+	flags.DurationVar(&o.wait, "wait", time.Minute, "how long the gateway may take to get ready")
+	flags.StringVar(&o.faults, "fault", "", "faults, like \"crash:0@3s+4s,hang:2@8s+2s\"")
+	flags.Uint64Var(&o.seed, "seed", 1, "of work and arrivals")
+	if err := flags.Parse(args); err != nil {
+		return nil, err
+	}
+	if o.nodes < 1 || o.nodes > maxNodes {
+		return nil, fmt.Errorf("-nodes: %d is not from 1 to %d", o.nodes, maxNodes)
+	}
+	return o, nil
 }
 
-// parseFaults reads "crash:0@3s+4s,hang:2@8s+2s".
-func parseFaults(text string, nodes int) (list []fault, err error) {
-	for _, s := range strings.FieldsFunc(text, func(r rune) bool { return r == ',' }) {
-		mode, rest, ok1 := strings.Cut(s, ":")
-		node, rest, ok2 := strings.Cut(rest, "@")
-		at, last, ok3 := strings.Cut(rest, "+")
-		f := fault{mode: mode}
-		_, known := modes[mode]
-		if !ok1 || !ok2 || !ok3 || !known && mode != "crash" && mode != "drain" {
-			return nil, fmt.Errorf("-fault: %q is not like \"crash:0@3s+4s\"; kinds: crash, silent, drain, full, errors, hang, reset, close", s)
-		}
-		if f.node, err = strconv.Atoi(node); err != nil || f.node < 0 || f.node >= nodes {
-			return nil, fmt.Errorf("-fault: %q: node %q is not from 0 to %d", s, node, nodes-1)
-		}
-		if f.at, err = time.ParseDuration(at); err != nil {
-			return nil, fmt.Errorf("-fault: %q: %v", s, err)
-		}
-		if f.last, err = time.ParseDuration(last); err != nil {
-			return nil, fmt.Errorf("-fault: %q: %v", s, err)
-		}
-		list = append(list, f)
-	}
-	return list, nil
+// behaviour is that of nodes without a fault.
+func (o *options) behaviour() fakes.Behaviour {
+	return fakes.Behaviour{Work: o.work, Cores: o.cores, Warmup: 3 * time.Second, WarmupStartShare: 0.4}
+}
+
+// experiment is a fleet, and what clients send to its gateway.
+type experiment struct {
+	fleet      *fakes.Fleet
+	classes    []fakes.Class
+	gateway    string // address for HTTP
+	fcgiServer string // address for FastCGI; "": none
 }
 
 func run(args []string) error {
-	flags := flag.NewFlagSet("fakes", flag.ContinueOnError)
-	nodes := flags.Int("nodes", 6, "nodes, 1 to 64")
-	rate := flags.Float64("rate", 100, "requests a second")
-	count := flags.Int("count", 2000, "requests in all")
-	cores := flags.Int("cores", 4, "requests that a node works on at once")
-	work := flags.Duration("work", 20*time.Millisecond, "mean work of a request")
-	listen := flags.String("gateway", "127.0.0.1:9000", "where the gateway listens or will")
-	config := flags.String("config", "", "write the gateway's configuration to this `file`")
-	box := flags.String("appliance", "", "stand in for the members of the pools in this appliance's `file`, and ask by its routes")
-	wait := flags.Duration("wait", time.Minute, "how long the gateway may take to get ready")
-	faults := flags.String("fault", "", "what goes wrong, like \"crash:0@3s+4s,hang:2@8s+2s\"")
-	seed := flags.Uint64("seed", 1, "of work and arrivals")
-	if err := flags.Parse(args); err != nil {
+	o, err := parseOptions(args)
+	if err != nil {
 		return err
 	}
-	if *nodes < 1 || *nodes > 64 {
-		return fmt.Errorf("-nodes: %d is not from 1 to 64", *nodes)
-	}
-	healthy := fakes.Behaviour{Work: *work, Cores: *cores, Cold: 3 * time.Second, ColdFrom: 0.4}
-	var fleet *fakes.Fleet
-	classes := fakes.DefaultClasses()
-	web := "" // where web servers ask by FastCGI; "": nowhere
-	var err error
-	if *box != "" {
-		fleet, classes, err = standFor(*box, *seed, healthy, listen, &web)
-	} else {
-		fleet, err = fakes.StartFleet(*nodes, *seed, healthy)
-	}
+	e, err := startExperiment(o)
 	if err != nil {
 		return err
 	}
-	defer fleet.Close()
-	list, err := parseFaults(*faults, len(fleet.Nodes))
+	defer e.fleet.Close()
+	faults, err := parseFaults(o.faults, len(e.fleet.Nodes))
 	if err != nil {
 		return err
 	}
-	switch {
-	case *box != "":
-		fmt.Printf("%d nodes are up; start the gateway: bin/dunemoor -appliance %s\n", len(fleet.Nodes)+len(fleet.Responders), *box)
-	case *config != "":
-		if err := os.WriteFile(*config, fleet.Config("n0", *listen, classes), 0o600); err != nil {
-			return err
-		}
-		fmt.Printf("%d nodes are up; start the gateway: GW_CONFIG=%s bin/dunemoor\n", *nodes, *config)
+	if err := e.printStart(o); err != nil {
+		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	url := "http://" + *listen
-	if err := ready(ctx, url, *wait); err != nil {
+	if err := waitReady(ctx, "http://"+e.gateway, o.wait); err != nil {
 		return err
 	}
-	for _, f := range list {
-		time.AfterFunc(f.at, func() { happen(fleet, f, healthy) })
+	for _, f := range faults {
+		time.AfterFunc(f.at, func() { f.inject(e.fleet, o.behaviour()) })
 	}
-	load := fakes.Load{URL: url, Rate: *rate, Count: *count, Classes: classes, Seed: *seed, Retries: 2}
-	ends, loads := make(chan error, 2), 1
-	if web != "" {
-		server := &fakes.WebServer{Addr: web}
-		defer server.Close()
-		by := load // half of the clients ask through a web server
-		by.Transport, by.Seed = server, *seed+1
-		by.Rate, by.Count = by.Rate/2, max(by.Count/2, 1)
-		load.Rate, load.Count = by.Rate, max(load.Count-by.Count, 1)
-		loads++
-		go func() { ends <- by.Run(ctx, fleet.Ledger) }()
-	}
-	go func() { ends <- load.Run(ctx, fleet.Ledger) }()
-	for range loads {
-		err = cmp.Or(err, <-ends)
-	}
-	if err != nil {
+	if err := e.runLoad(ctx, o); err != nil {
 		return err
 	}
-	c := fleet.Ledger.Count()
-	print(&c)
-	if broken := c.Violations(); broken != "" {
-		return fmt.Errorf("rules broken: %s", broken)
+	count := e.fleet.Ledger.Count()
+	printCount(&count)
+	if violations := count.Violations(); violations != "" {
+		return fmt.Errorf("rules violated: %s", violations)
 	}
 	return nil
 }
 
-// happen has a fault begin, and end after its time.
-func happen(fleet *fakes.Fleet, f fault, healthy fakes.Behaviour) {
-	n := fleet.Nodes[f.node]
-	fmt.Printf("%s: %s\n", n.Name, f.mode)
-	back := func() { n.Behave(healthy) }
-	switch f.mode {
-	case "crash":
-		n.Crash()
-		back = func() {
-			if err := n.Start(); err != nil {
-				fmt.Fprintf(os.Stderr, "standin: %s: %v\n", n.Name, err)
-				return
-			}
-			fleet.List(f.node, "ready")
-		}
-	case "silent":
-		b := healthy
-		b.Mode = fakes.Silent
-		n.Behave(b)
-		back = func() { // the machine is back: what was open is reset
-			n.Behave(healthy)
-			n.Crash()
-			if err := n.Start(); err != nil {
-				fmt.Fprintf(os.Stderr, "standin: %s: %v\n", n.Name, err)
-			}
+// startExperiment starts the nodes.
+func startExperiment(o *options) (*experiment, error) {
+	if o.appliance != "" {
+		return startForAppliance(o)
+	}
+	fleet, err := fakes.StartFleet(o.nodes, o.seed, o.behaviour())
+	if err != nil {
+		return nil, err
+	}
+	return &experiment{fleet: fleet, classes: fakes.DefaultClasses(), gateway: o.gateway}, nil
+}
+
+// printStart prints how to start the gateway, and writes its configuration.
+func (e *experiment) printStart(o *options) error {
+	switch {
+	case o.appliance != "":
+		fmt.Printf("%d nodes are up; start the gateway: bin/dunemoor -appliance %s\n", len(e.fleet.Nodes)+len(e.fleet.Responders), o.appliance)
+	case o.configFile != "":
+		config := e.fleet.PlatformConfig("n0", e.gateway, e.classes)
+		if err := os.WriteFile(o.configFile, config, 0o600); err != nil {
+			return err
 		}
-	case "drain":
-		fleet.List(f.node, "draining")
-		back = func() { fleet.List(f.node, "ready") }
-	default:
-		b := healthy
-		b.Mode, b.Byte = modes[f.mode], 20
-		n.Behave(b)
-	}
-	time.AfterFunc(f.last, func() {
-		back()
-		fmt.Printf("%s: well again\n", n.Name)
-	})
+		fmt.Printf("%d nodes are up; start the gateway: GW_CONFIG=%s bin/dunemoor\n", o.nodes, o.configFile)
+	}
+	return nil
 }
 
-// ready waits until the gateway says that it can serve.
-func ready(ctx context.Context, url string, most time.Duration) error {
-	ctx, cancel := context.WithTimeout(ctx, most)
+// waitReady waits until the gateway reports that it can serve.
+func waitReady(ctx context.Context, url string, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	for {
 		r, err := http.NewRequestWithContext(ctx, http.MethodGet, url+"/_health", nil)
 		if err != nil {
 			return err
 		}
-		if resp, err := http.DefaultClient.Do(r); err == nil {
-			resp.Body.Close()
-			if resp.StatusCode == http.StatusOK {
+		if response, err := http.DefaultClient.Do(r); err == nil {
+			response.Body.Close()
+			if response.StatusCode == http.StatusOK {
 				return nil
 			}
 		}
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("no gateway is ready at %s", url)
-		case <-time.After(50 * time.Millisecond):
+		case <-time.After(healthInterval):
 		}
 	}
 }
 
-func print(c *fakes.Count) {
+// runLoad sends all requests. Where the gateway has a FastCGI listener, half of them go through a web server.
+func (e *experiment) runLoad(ctx context.Context, o *options) error {
+	load := fakes.Load{
+		URL: "http://" + e.gateway, Rate: o.rate, Count: o.count, Classes: e.classes, Seed: o.seed, Retries: retries,
+	}
+	loads := []*fakes.Load{&load}
+	if e.fcgiServer != "" {
+		server := &fakes.WebServer{Addr: e.fcgiServer}
+		defer server.Close()
+		byFastCGI := load
+		byFastCGI.Transport = server
+		byFastCGI.Seed = o.seed + 1
+		byFastCGI.Rate = load.Rate / 2
+		byFastCGI.Count = max(load.Count/2, 1)
+		load.Rate = byFastCGI.Rate
+		load.Count = max(load.Count-byFastCGI.Count, 1)
+		loads = append(loads, &byFastCGI)
+	}
+	results := make(chan error, len(loads))
+	for _, l := range loads {
+		go func() { results <- l.Run(ctx, e.fleet.Ledger) }()
+	}
+	var err error
+	for range loads {
+		err = cmp.Or(err, <-results)
+	}
+	return err
+}
+
+// printCount prints the outcomes by class.
+func printCount(c *fakes.Count) {
 	names := make([]string, 0, len(c.ByClass))
 	for name := range c.ByClass {
 		names = append(names, name)
@@ -218,13 +208,14 @@
 	slices.Sort(names)
 	fmt.Printf("%-20s %8s %8s %8s %8s %8s\n", "class", "asked", "served", "refused", "failed", "lost")
 	for _, name := range names {
-		by := c.ByClass[name]
-		asked := 0
-		for _, n := range by {
-			asked += n
+		outcomes := c.ByClass[name]
+		requests := 0
+		for _, n := range outcomes {
+			requests += n
 		}
-		fmt.Printf("%-20s %8d %8d %8d %8d %8d\n", name, asked, by[fakes.Served], by[fakes.Rejected], by[fakes.Failed],
-			by[fakes.ConnectionLost]+by[fakes.Unanswered]+by[fakes.Open])
+		lost := outcomes[fakes.ConnectionLost] + outcomes[fakes.Unanswered] + outcomes[fakes.Open]
+		fmt.Printf("%-20s %8d %8d %8d %8d %8d\n", name, requests, outcomes[fakes.Served], outcomes[fakes.Rejected], outcomes[fakes.Failed], lost)
 	}
-	fmt.Printf("%d runs on the nodes, %d ran twice that must not, %d unanswered\n", c.Executions, len(c.RanTwice), c.Outcomes[fakes.Unanswered]+c.Outcomes[fakes.Open])
+	unanswered := c.Outcomes[fakes.Unanswered] + c.Outcomes[fakes.Open]
+	fmt.Printf("%d runs on the nodes, %d ran twice that must not, %d unanswered\n", c.Executions, len(c.RanTwice), unanswered)
 }
--- a/internal/experiment/fakes/client.go
+++ b/internal/experiment/fakes/client.go
@@ -14,138 +14,131 @@
 	"time"
 )
 
-// Class is a kind of request that clients make.
+// Class is a class of requests that clients send.
 type Class struct {
 	Name                   string
 	Idempotency            Idempotency
-	Share                  float64 // of the requests; they need not sum up to 1
+	Share                  float64 // of the requests; shares need not sum up to 1
 	Timeout                time.Duration
 	Body                   string
-	Path                   string        // "" is "/api/NAME"
-	Host                   string        // for the Host header; "": that of the URL
-	ClassHeader            string        // what is said as the class; "": the name
-	WithoutPlatformHeaders bool          // an ordinary client: it sends none of our headers but an id to be known by
-	Window                 time.Duration // of Keyed
+	Path                   string        // "": /api/NAME
+	Host                   string        // Host header; "": that of the URL
+	ClassHeader            string        // X-Priority-Class; "": Name
+	WithoutPlatformHeaders bool          // an ordinary client, with none of the platform's headers but the request id
+	DedupWindow            time.Duration // of IdempotentWithKey
 }
 
-// Load is clients that ask at a rate, whether answers come or not.
+// Load is clients that send requests at a rate, whether responses come or not.
 type Load struct {
-	URL     string // of the gateway
-	Rate    float64
-	Count   int // requests in all: every load ends by itself
-	Classes []Class
-	Seed    uint64
-	Conns   int // connections kept at most; 0: 64
-	Retries int // tries again after a refusal, when Retry-After says
+	URL                string  // of the gateway; a loopback address
+	Rate               float64 // requests per second
+	Count              int     // of requests without retries
+	Classes            []Class
+	Seed               uint64
+	MaxIdleConnections int // 0: 64
+	Retries            int // of a rejected request, after its Retry-After
 
 	Transport http.RoundTripper // nil: HTTP/1.1
 }
 
-// loadMost bounds a load, as a slip must not become a flood.
-const loadMost = 1_000_000
+const (
+	// maxLoadCount bounds a load, so that a mistake doesn't flood the machine.
+	maxLoadCount              = 1_000_000
+	defaultMaxIdleConnections = 64
+	// maxRetryAfter is the longest Retry-After that clients honor.
+	maxRetryAfter = 5 * time.Second
+)
 
-// Run asks until Count requests have been made and all have ended, or ctx ends.
+// Run sends Count requests, and returns when all have ended, or ctx's error when it ends.
 func (l *Load) Run(ctx context.Context, ledger *Ledger) error {
-	if !loopback(strings.TrimPrefix(l.URL, "http://")) {
-		return fmt.Errorf("standin: %q is no loopback address", l.URL)
-	}
-	if l.Rate <= 0 || l.Count <= 0 || l.Count > loadMost || len(l.Classes) == 0 {
-		return errors.New("standin: a load needs a rate, a count and classes")
-	}
-	conns := l.Conns
-	if conns == 0 {
-		conns = 64
+	if err := checkLoopback(strings.TrimPrefix(l.URL, "http://")); err != nil {
+		return err
 	}
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: conns, DisableCompression: true}}
-	if l.Transport != nil {
-		client.Transport = l.Transport
+	if l.Rate <= 0 || l.Count <= 0 || l.Count > maxLoadCount || len(l.Classes) == 0 {
+		return errors.New("fakes: a load needs a rate, a count and classes")
 	}
+	client := l.newClient()
 	defer client.CloseIdleConnections()
-	r := rand.New(rand.NewPCG(l.Seed, 2))
-	total := 0.0
-	for _, c := range l.Classes {
-		total += c.Share
-	}
-	var wait sync.WaitGroup
-	defer wait.Wait()
+	random := rand.New(rand.NewPCG(l.Seed, 2))
+	var requests sync.WaitGroup
+	defer requests.Wait()
 	next := time.Now()
 	for i := range l.Count {
-		next = next.Add(time.Duration(r.ExpFloat64() / l.Rate * float64(time.Second)))
+		next = next.Add(time.Duration(random.ExpFloat64() / l.Rate * float64(time.Second)))
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(time.Until(next)):
 		}
-		x, class := r.Float64()*total, 0
-		for x -= l.Classes[0].Share; x >= 0 && class < len(l.Classes)-1; x -= l.Classes[class].Share {
-			class++
-		}
-		base := fmt.Sprintf("%08x%04x", uint32(l.Seed), i)
-		wait.Add(1)
-		go func() {
-			defer wait.Done()
-			l.ask(client, &l.Classes[class], base, ledger)
-		}()
+		class := l.drawClass(random)
+		idPrefix := fmt.Sprintf("%08x%04x", uint32(l.Seed), i)
+		requests.Go(func() { l.send(client, class, idPrefix, ledger) })
 	}
 	return nil
 }
 
-// ask makes one request, and again where it is refused.
-func (l *Load) ask(client *http.Client, c *Class, base string, ledger *Ledger) {
-	for try := 0; ; try++ {
-		id := fmt.Sprintf("%s-%d", base, try)
-		outcome, after := Do(client, l.URL, c, id, try > 0, ledger)
-		if outcome != Rejected || try >= l.Retries {
+func (l *Load) newClient() *http.Client {
+	if l.Transport != nil {
+		return &http.Client{Transport: l.Transport}
+	}
+	return &http.Client{Transport: &http.Transport{
+		MaxIdleConnsPerHost: cmp.Or(l.MaxIdleConnections, defaultMaxIdleConnections),
+		DisableCompression:  true,
+	}}
+}
+
+// drawClass draws a class by the shares.
+func (l *Load) drawClass(random *rand.Rand) *Class {
+	total := 0.0
+	for _, c := range l.Classes {
+		total += c.Share
+	}
+	x := random.Float64() * total
+	class := 0
+	x -= l.Classes[class].Share
+	for x >= 0 && class < len(l.Classes)-1 {
+		class++
+		x -= l.Classes[class].Share
+	}
+	return &l.Classes[class]
+}
+
+// send sends one request, and its retries where it is rejected.
+func (l *Load) send(client *http.Client, c *Class, idPrefix string, ledger *Ledger) {
+	for retry := 0; ; retry++ {
+		id := fmt.Sprintf("%s-%d", idPrefix, retry)
+		outcome, retryAfter := Send(client, l.URL, c, id, retry > 0, ledger)
+		if outcome != Rejected || retry >= l.Retries {
 			return
 		}
-		time.Sleep(after)
+		time.Sleep(retryAfter)
 	}
 }
 
-// Do makes one request and enters it. after is what a refusal advises.
-func Do(client *http.Client, url string, c *Class, id string, again bool, ledger *Ledger) (o Outcome, after time.Duration) {
-	ask := ClientRequest{Class: c.Name, Effect: c.Idempotency, Window: c.Window}
-	method := http.MethodPost
-	body := c.Body
-	if c.Idempotency == Idempotent {
-		method, body = http.MethodGet, ""
-	}
+// Send sends one request and records it. retryAfter is that of the response, or 0.
+func Send(client *http.Client, url string, c *Class, id string, isRetry bool, ledger *Ledger) (o Outcome, retryAfter time.Duration) {
+	recorded := ClientRequest{Class: c.Name, Idempotency: c.Idempotency, DedupWindow: c.DedupWindow}
 	if c.Idempotency == IdempotentWithKey {
-		ask.Key = "key-" + id
+		recorded.Key = "key-" + id
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
-	path := c.Path
-	if path == "" {
-		path = "/api/" + c.Name
-	}
-	r, err := http.NewRequestWithContext(ctx, method, url+path, strings.NewReader(body))
+	request, err := newRequest(ctx, url, c)
 	if err != nil {
-		panic(err) // of the test's own making
-	}
-	r.GetBody = nil // net/http must not send it again by itself
-	r.Host = c.Host
-	r.Header.Set("X-Request-Id", id)
-	if !c.WithoutPlatformHeaders {
-		r.Header.Set("X-Priority-Class", cmp.Or(c.ClassHeader, c.Name))
-		r.Header.Set("X-Timeout", strconv.FormatFloat(c.Timeout.Seconds(), 'f', 3, 64))
-	}
-	if ask.Key != "" {
-		r.Header.Set("Idempotency-Key", ask.Key)
-	}
-	if again {
-		r.Header.Set("X-Retried", "1")
-	}
-	ledger.Asked(id, ask)
-	began, status := time.Now(), 0
-	defer func() { ledger.Ended(id, o, status, time.Since(began)) }()
-	resp, err := client.Do(r)
+		panic(err) // the test's own URL
+	}
+	setHeaders(request, c, id, recorded.Key, isRetry)
+	ledger.RecordRequest(id, recorded)
+	start := time.Now()
+	status := 0
+	defer func() { ledger.RecordOutcome(id, o, status, time.Since(start)) }()
+	response, err := client.Do(request)
 	if err == nil {
-		defer resp.Body.Close()
-		var text []byte
-		status = resp.StatusCode
-		if text, err = io.ReadAll(resp.Body); err == nil {
-			return judge(status, string(text), id), retryAfter(resp)
+		defer response.Body.Close()
+		status = response.StatusCode
+		var body []byte
+		if body, err = io.ReadAll(response.Body); err == nil {
+			return outcomeOf(status, string(body), id), parseRetryAfter(response)
 		}
 	}
 	if ctx.Err() != nil {
@@ -154,25 +147,56 @@
 	return ConnectionLost, 0
 }
 
-func judge(status int, text, id string) Outcome {
+// newRequest returns a request of a class: GET without a body if it is idempotent, else POST.
+func newRequest(ctx context.Context, url string, c *Class) (*http.Request, error) {
+	method := http.MethodPost
+	body := c.Body
+	if c.Idempotency == Idempotent {
+		method = http.MethodGet
+		body = ""
+	}
+	path := cmp.Or(c.Path, "/api/"+c.Name)
+	request, err := http.NewRequestWithContext(ctx, method, url+path, strings.NewReader(body))
+	if err != nil {
+		return nil, err
+	}
+	request.GetBody = nil // so that net/http doesn't send it again by itself
+	request.Host = c.Host
+	return request, nil
+}
+
+func setHeaders(request *http.Request, c *Class, id, key string, isRetry bool) {
+	request.Header.Set("X-Request-Id", id)
+	if !c.WithoutPlatformHeaders {
+		request.Header.Set("X-Priority-Class", cmp.Or(c.ClassHeader, c.Name))
+		request.Header.Set("X-Timeout", strconv.FormatFloat(c.Timeout.Seconds(), 'f', 3, 64))
+	}
+	if key != "" {
+		request.Header.Set("Idempotency-Key", key)
+	}
+	if isRetry {
+		request.Header.Set("X-Retried", "1")
+	}
+}
+
+// outcomeOf returns the outcome of a request by its response.
+func outcomeOf(status int, body, id string) Outcome {
 	switch {
-	case status == http.StatusOK && text == Answer(id):
+	case status == http.StatusOK && body == Answer(id):
 		return Served
 	case status == http.StatusOK:
-		return ConnectionLost // served with what no node made for it
+		return ConnectionLost // the response is for another request
 	case status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable:
 		return Rejected
 	}
 	return Failed
 }
 
-// waitMost is the longest advice that these clients heed.
-const waitMost = 5 * time.Second
-
-func retryAfter(resp *http.Response) time.Duration {
-	s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
-	if err != nil || s < 0 {
+// parseRetryAfter returns the Retry-After of a response, at most maxRetryAfter; 0: none.
+func parseRetryAfter(response *http.Response) time.Duration {
+	seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
+	if err != nil || seconds < 0 {
 		return 0
 	}
-	return min(time.Duration(s*float64(time.Second)), waitMost)
+	return min(time.Duration(seconds*float64(time.Second)), maxRetryAfter)
 }
--- a/internal/experiment/fakes/discovery.go
+++ b/internal/experiment/fakes/discovery.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Member is a host of the list, in discovery's form.
+// Member is a host in an endpoint list, in the format of the platform's discovery.
 type Member struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
@@ -23,98 +23,105 @@
 	StartedMS int64   `json:"started_ms"`
 }
 
-// MemberList is the whole list or changes of it.
+// MemberList is an endpoint list, or changes of it.
 type MemberList struct {
 	Version uint64   `json:"version"`
 	Full    bool     `json:"full"`
 	Servers []Member `json:"servers"`
 }
 
-// Discovery tells watches of the list and of its changes.
+// Discovery serves an endpoint list and watches of it.
 type Discovery struct {
-	http *httptest.Server
-
-	mu       sync.Mutex
-	members  []Member
-	version  uint64
-	changed  chan struct{} // closed with each change
-	silent   bool
-	watches  int
-	watching int // of them, open
+	server *httptest.Server
+
+	mu          sync.Mutex // guards the fields below
+	members     []Member
+	version     uint64
+	changed     chan struct{} // closed by the next change
+	silent      bool
+	watches     int // that have begun
+	openWatches int
 }
 
-// emptyEvery is how often a line comes while nothing changes.
-const emptyEvery = 2 * time.Second
+const (
+	membersPath = "/catalog/members"
+	// keepAliveInterval is the interval of empty lines on a watch without changes.
+	keepAliveInterval = 2 * time.Second
+)
 
-// StartDiscovery starts one on a free port of 127.0.0.1.
+// StartDiscovery starts a discovery on a free port of 127.0.0.1.
 func StartDiscovery(members ...Member) *Discovery {
 	d := &Discovery{members: members, version: 1, changed: make(chan struct{})}
-	d.http = httptest.NewServer(http.HandlerFunc(d.serve))
+	d.server = httptest.NewServer(http.HandlerFunc(d.serve))
 	return d
 }
 
-// Addr is where it listens.
-func (d *Discovery) Addr() string { return d.http.Listener.Addr().(*net.TCPAddr).String() }
+// Addr returns the address that discovery listens on.
+func (d *Discovery) Addr() string { return d.server.Listener.Addr().(*net.TCPAddr).String() }
 
-// Close ends it and all watches.
+// Close stops discovery, and ends all watches.
 func (d *Discovery) Close() {
-	d.http.CloseClientConnections()
-	d.http.Close()
+	d.server.CloseClientConnections()
+	d.server.Close()
 }
 
-// Set replaces the whole list; what is not on it any more is told as gone.
-func (d *Discovery) Set(members ...Member) {
+// Publish replaces the endpoint list.
+func (d *Discovery) Publish(members ...Member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.members = members
 	d.version++
-	close(d.changed)
-	d.changed = make(chan struct{})
+	d.notify()
 }
 
-// Silence has it say nothing on open watches and answer no new ones, or ends that.
-func (d *Discovery) Silence(on bool) {
+// SetSilent has discovery send nothing on watches and respond to no new ones, or ends that.
+func (d *Discovery) SetSilent(silent bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.silent = on
+	d.silent = silent
+	d.notify()
+}
+
+// notify wakes the watches. The caller holds d.mu.
+func (d *Discovery) notify() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// Watching is the number of watches that are open.
-func (d *Discovery) Watching() int {
+// OpenWatches returns the number of watches that are open.
+func (d *Discovery) OpenWatches() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.watching
+	return d.openWatches
 }
 
-// Watches is the number of watches begun.
+// Watches returns the number of watches that have begun.
 func (d *Discovery) Watches() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.watches
 }
 
-// now is the list as it is, and what to wait for.
-func (d *Discovery) now() (MemberList, bool, <-chan struct{}) {
+// current returns the endpoint list, whether discovery is silent, and a channel that the next change closes.
+func (d *Discovery) current() (list MemberList, silent bool, changed <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return MemberList{Version: d.version, Full: true, Servers: d.members}, d.silent, d.changed
 }
 
 func (d *Discovery) serve(w http.ResponseWriter, r *http.Request) {
-	if r.URL.Path != "/catalog/members" {
+	if r.URL.Path != membersPath {
 		http.NotFound(w, r)
 		return
 	}
-	list, silent, changed := d.now()
+	list, silent, changed := d.current()
 	for silent {
 		select {
 		case <-r.Context().Done():
 			return
 		case <-changed:
 		}
-		list, silent, changed = d.now()
+		list, silent, changed = d.current()
 	}
 	if r.URL.Query().Get("stream") != "1" {
 		json.NewEncoder(w).Encode(list)
@@ -125,35 +132,44 @@
 		http.Error(w, fmt.Sprintf("index: %v", err), http.StatusBadRequest)
 		return
 	}
+	d.countWatch(1)
+	defer d.countWatch(-1)
+	d.watch(w, r, index)
+}
+
+// countWatch counts the beginning (1) or the end (-1) of a watch.
+func (d *Discovery) countWatch(change int) {
 	d.mu.Lock()
-	d.watches++
-	d.watching++
-	d.mu.Unlock()
-	defer func() {
-		d.mu.Lock()
-		defer d.mu.Unlock()
-		d.watching--
-	}()
+	defer d.mu.Unlock()
+	d.openWatches += change
+	if change > 0 {
+		d.watches++
+	}
+}
+
+// watch sends the list whenever it has another version than sent, until the client leaves.
+func (d *Discovery) watch(w http.ResponseWriter, r *http.Request, sentVersion uint64) {
 	out := json.NewEncoder(w)
 	flush := http.NewResponseController(w).Flush
-	told := index
 	for {
-		if !silent && told != list.Version {
-			out.Encode(list)
-			told = list.Version
-		}
-		if !silent && flush() != nil {
-			return
+		list, silent, changed := d.current()
+		if !silent {
+			if sentVersion != list.Version {
+				out.Encode(list)
+				sentVersion = list.Version
+			}
+			if flush() != nil {
+				return
+			}
 		}
 		select {
 		case <-r.Context().Done():
 			return
 		case <-changed:
-		case <-time.After(emptyEvery):
+		case <-time.After(keepAliveInterval):
 			if !silent {
 				w.Write([]byte("\n"))
 			}
 		}
-		list, silent, changed = d.now()
 	}
 }
--- /dev/null
+++ b/internal/experiment/fakes/lease_requests.go
@@ -0,0 +1,52 @@
+package fakes
+
+// leaseAtNode identifies a lease of a fleet of gateways at a node.
+type leaseAtNode struct {
+	node  string
+	lease string
+}
+
+// LeaseRequests counts requests that gateways sent as holders of a lease.
+type LeaseRequests struct {
+	Stale         uint64 // with a token lower than one seen before: of an earlier holder
+	StaleAccepted uint64 // of Stale, those that the node accepted
+	HighestToken  uint64
+}
+
+// RecordLeaseRequest records a request for a lease under a fencing token. It returns true for a token of an earlier
+// holder, which a node rejects if it checks tokens.
+func (l *Ledger) RecordLeaseRequest(node, lease string, token uint64, checksTokens bool) (stale bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	key := leaseAtNode{node, lease}
+	r := l.leaseRequests[key]
+	if r == nil {
+		r = &LeaseRequests{}
+		l.leaseRequests[key] = r
+	}
+	stale = token < r.HighestToken
+	if stale {
+		r.Stale++
+		if !checksTokens {
+			r.StaleAccepted++
+		}
+	}
+	r.HighestToken = max(r.HighestToken, token)
+	return stale
+}
+
+// LeaseRequests sums up the requests for a lease at all nodes.
+func (l *Ledger) LeaseRequests(lease string) LeaseRequests {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	var sum LeaseRequests
+	for key, r := range l.leaseRequests {
+		if key.lease != lease {
+			continue
+		}
+		sum.Stale += r.Stale
+		sum.StaleAccepted += r.StaleAccepted
+		sum.HighestToken = max(sum.HighestToken, r.HighestToken)
+	}
+	return sum
+}
--- a/internal/experiment/fakes/ledger.go
+++ b/internal/experiment/fakes/ledger.go
@@ -1,6 +1,3 @@
-// Package fakes has scripted stand-ins for what a gateway talks to: nodes, discovery and
-// clients, on loopback sockets. They keep a ledger, so that 'ran twice' and 'never answered'
-// are counted facts. They know nothing of the gateway's code but the form of FastCGI's records.
 package fakes
 
 import (
@@ -11,214 +8,196 @@
 	"time"
 )
 
-// Idempotency says what a repeat of a request may do, as the clients mean it.
+// Idempotency is what a second execution of a request may do, as the clients see it.
 type Idempotency uint8
 
-// Effects.
+// Values of Idempotency.
 const (
 	Idempotent        Idempotency = iota
-	IdempotentWithKey             // nodes of one group drop repeats of a key for a window
-	NonIdempotent                 // must never run twice
+	IdempotentWithKey             // the nodes of a group drop a key that they have executed within a window
+	NonIdempotent                 // must never be executed twice
 )
 
-// Execution is one request that a node began to work on.
+// Execution is a request that a node has begun to execute.
 type Execution struct {
-	ID, Key string
-	Node    string
-	Group   string
-	At      time.Time
+	ID    string
+	Key   string // idempotency key
+	Node  string
+	Group string // of the node
+	At    time.Time
 }
 
 // Outcome is how a request ended for its client.
 type Outcome uint8
 
-// Outcomes.
+// Values of Outcome.
 const (
-	Open           Outcome = iota // asked, and nothing has come yet
-	Served                        // 200 with the answer that a node made for it
+	Open           Outcome = iota // sent, without an outcome so far
+	Served                        // 200 with the response that a node made for the request
 	Rejected                      // 429 or 503
-	Failed                        // any other answer
-	ConnectionLost                // the connection ended without one, or what came was no answer to it
-	Unanswered                    // the time was up and nothing had come
-	outcomes
+	Failed                        // any other status
+	ConnectionLost                // no response, or the response to another request
+	Unanswered                    // no response in the client's time
+	outcomeCount
 )
 
-var outcomeNames = [...]string{"open", "served", "refused", "failed", "lost", "unanswered"}
+var outcomeNames = [outcomeCount]string{"open", "served", "refused", "failed", "lost", "unanswered"}
 
+// String returns the name of the outcome.
 func (o Outcome) String() string { return outcomeNames[o] }
 
 // ClientRequest is a request of a client.
 type ClientRequest struct {
-	Class   string
-	Effect  Idempotency
-	Key     string
-	Window  time.Duration // of Keyed
-	Outcome Outcome
-	Took    time.Duration
-	Status  int
+	Class       string
+	Idempotency Idempotency
+	Key         string
+	DedupWindow time.Duration // of IdempotentWithKey
+	Outcome     Outcome
+	Latency     time.Duration
+	Status      int // of the response; 0: none
 }
 
-// Ledger holds what was asked and what ran. Its size is that of the test: it forgets nothing.
+// Ledger holds all requests and executions. It grows with the number of requests.
 type Ledger struct {
-	mu   sync.Mutex
-	asks map[string]*ClientRequest
-	runs map[string][]Execution // by id
-	made map[string]string
-	ends int
-	// Stray are ids that ran and were never asked for.
-	stray []string
-	acts  map[string]*acts // by node and duty
+	mu            sync.Mutex                // guards all fields
+	requests      map[string]*ClientRequest // by id
+	executions    map[string][]Execution    // by id of the request
+	ended         int                       // requests with an outcome
+	unrequested   []string                  // ids that were executed without a request
+	leaseRequests map[leaseAtNode]*LeaseRequests
 }
 
-// acts are what came to a node on behalf of a duty of a fleet of gateways.
-type acts struct{ highest, tried, taken uint64 }
-
-// Acted enters that a node is asked for something on behalf of a duty, under a token, and says
-// whether it is the word of an owner of before, which a node that heeds tokens does not take.
-func (l *Ledger) Acted(node, duty string, token uint64, heeds bool) (old bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	a := l.acts[node+" "+duty]
-	if a == nil {
-		a = &acts{}
-		l.acts[node+" "+duty] = a
-	}
-	if old = token < a.highest; old {
-		a.tried++
-		if !heeds {
-			a.taken++
-		}
+// NewLedger returns an empty Ledger.
+func NewLedger() *Ledger {
+	return &Ledger{
+		requests:      map[string]*ClientRequest{},
+		executions:    map[string][]Execution{},
+		leaseRequests: map[leaseAtNode]*LeaseRequests{},
 	}
-	a.highest = max(a.highest, token)
-	return old
 }
 
-// Acts is how often nodes were asked by owners of before, how often that was taken, and the
-// highest token that they were shown of a duty.
-func (l *Ledger) Acts(duty string) (tried, taken, highest uint64) {
+// RecordRequest records a request before it is sent.
+func (l *Ledger) RecordRequest(id string, r ClientRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for key, a := range l.acts {
-		if strings.HasSuffix(key, " "+duty) {
-			tried, taken, highest = tried+a.tried, taken+a.taken, max(highest, a.highest)
-		}
-	}
-	return tried, taken, highest
+	l.requests[id] = &r
 }
 
-// NewLedger returns an empty Ledger.
-func NewLedger() *Ledger {
-	return &Ledger{asks: map[string]*ClientRequest{}, runs: map[string][]Execution{}, made: map[string]string{}, acts: map[string]*acts{}}
-}
-
-// Asked enters a request before it is sent.
-func (l *Ledger) Asked(id string, a ClientRequest) {
+// RecordOutcome records the outcome of a request. Only the first one counts.
+func (l *Ledger) RecordOutcome(id string, o Outcome, status int, latency time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.asks[id] = &a
+	r := l.requests[id]
+	if r == nil || r.Outcome != Open {
+		return
+	}
+	r.Outcome = o
+	r.Status = status
+	r.Latency = latency
+	l.ended++
 }
 
-// Ended enters how a request ended for its client.
-func (l *Ledger) Ended(id string, o Outcome, status int, took time.Duration) {
+// RecordExecution records that a node begins to execute a request. It returns true where the node drops it instead,
+// as its group has executed the key within the window.
+func (l *Ledger) RecordExecution(e Execution) (dropped bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if a := l.asks[id]; a != nil && a.Outcome == Open {
-		a.Outcome, a.Status, a.Took = o, status, took
-		l.ends++
+	r := l.requests[e.ID]
+	if r == nil {
+		l.unrequested = append(l.unrequested, e.ID)
+		return false
+	}
+	if r.Idempotency == IdempotentWithKey {
+		isDuplicate := func(earlier Execution) bool {
+			return earlier.Group == e.Group && e.At.Sub(earlier.At) <= r.DedupWindow
+		}
+		if slices.ContainsFunc(l.executions[e.ID], isDuplicate) {
+			return true
+		}
 	}
+	l.executions[e.ID] = append(l.executions[e.ID], e)
+	return false
 }
 
-// Ran enters that a node begins a request, and says whether it drops it as the repeat of a
-// key that its group has seen within the window.
-func (l *Ledger) Ran(r Execution) (dropped bool) {
+// ExecutionsAt returns the number of requests that a node has executed.
+func (l *Ledger) ExecutionsAt(node string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	a := l.asks[r.ID]
-	if a == nil {
-		l.stray = append(l.stray, r.ID)
-		return false
-	}
-	if a.Effect == IdempotentWithKey {
-		for _, other := range l.runs[r.ID] {
-			if other.Group == r.Group && r.At.Sub(other.At) <= a.Window {
-				return true
+	count := 0
+	for _, executions := range l.executions {
+		for _, e := range executions {
+			if e.Node == node {
+				count++
 			}
 		}
 	}
-	l.runs[r.ID] = append(l.runs[r.ID], r)
-	return false
+	return count
+}
+
+// OpenRequests returns the number of requests without an outcome.
+func (l *Ledger) OpenRequests() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.requests) - l.ended
 }
 
-// Count sums up a ledger.
+// Count sums up a Ledger.
 type Count struct {
 	Requests               int
-	Outcomes               [outcomes]int
-	ByClass                map[string][outcomes]int
+	Outcomes               [outcomeCount]int
+	ByClass                map[string][outcomeCount]int // outcomes
 	Executions             int
-	RanTwice               []string // what must not run twice and did
-	RejectedAfterExecution []string // refused, which says that trying again is harmless, yet it may have run
-	Unrequested            []string
+	RanTwice               []string // ids of requests that must not be executed twice and were
+	RejectedAfterExecution []string // ids of non-idempotent requests that were executed and then rejected, which invites a retry
+	Unrequested            []string // ids that were executed without a request
 }
 
-// Count counts, as of now.
+// Count returns the sums as of now.
 func (l *Ledger) Count() Count {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c := Count{ByClass: map[string][outcomes]int{}, Unrequested: slices.Clone(l.stray)}
-	for id, a := range l.asks {
-		c.Requests++
-		c.Outcomes[a.Outcome]++
-		by := c.ByClass[a.Class]
-		by[a.Outcome]++
-		c.ByClass[a.Class] = by
-		n := len(l.runs[id])
-		c.Executions += n
-		if a.Effect != Idempotent && n > 1 {
-			c.RanTwice = append(c.RanTwice, id)
-		}
-		if a.Effect == NonIdempotent && a.Outcome == Rejected && n > 0 {
-			c.RejectedAfterExecution = append(c.RejectedAfterExecution, id)
-		}
+	c := Count{ByClass: map[string][outcomeCount]int{}, Unrequested: slices.Clone(l.unrequested)}
+	for id, r := range l.requests {
+		c.add(id, r, len(l.executions[id]))
 	}
 	slices.Sort(c.RanTwice)
 	slices.Sort(c.RejectedAfterExecution)
 	return c
 }
 
-// Violations names the rules that are broken; none is "".
-func (c *Count) Violations() string {
-	var s []string
-	for _, x := range []struct {
-		what string
-		n    int
-	}{
-		{"ran twice", len(c.RanTwice)}, {"refused though they ran", len(c.RejectedAfterExecution)}, {"ran and were never asked for", len(c.Unrequested)},
-		{"lost", c.Outcomes[ConnectionLost]}, {"never answered", c.Outcomes[Unanswered] + c.Outcomes[Open]},
-	} {
-		if x.n > 0 {
-			s = append(s, fmt.Sprintf("%d %s", x.n, x.what))
-		}
+// add adds a request.
+func (c *Count) add(id string, r *ClientRequest, executions int) {
+	c.Requests++
+	c.Outcomes[r.Outcome]++
+	outcomes := c.ByClass[r.Class]
+	outcomes[r.Outcome]++
+	c.ByClass[r.Class] = outcomes
+	c.Executions += executions
+	if r.Idempotency != Idempotent && executions > 1 {
+		c.RanTwice = append(c.RanTwice, id)
+	}
+	if r.Idempotency == NonIdempotent && r.Outcome == Rejected && executions > 0 {
+		c.RejectedAfterExecution = append(c.RejectedAfterExecution, id)
 	}
-	return strings.Join(s, ", ")
 }
 
-// RanAt is how many requests a node has begun.
-func (l *Ledger) RanAt(node string) (n int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, runs := range l.runs {
-		for _, r := range runs {
-			if r.Node == node {
-				n++
-			}
+// Violations describes the rules that were violated; "": none.
+func (c *Count) Violations() string {
+	rules := []struct {
+		violation string
+		count     int
+	}{
+		{"executed twice", len(c.RanTwice)},
+		{"rejected after their execution", len(c.RejectedAfterExecution)},
+		{"executed without a request", len(c.Unrequested)},
+		{"lost", c.Outcomes[ConnectionLost]},
+		{"unanswered", c.Outcomes[Unanswered] + c.Outcomes[Open]},
+	}
+	var violations []string
+	for _, r := range rules {
+		if r.count > 0 {
+			violations = append(violations, fmt.Sprintf("%d %s", r.count, r.violation))
 		}
 	}
-	return n
-}
-
-// Open is the number of requests that have not ended.
-func (l *Ledger) Open() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return len(l.asks) - l.ends
+	return strings.Join(violations, ", ")
 }
--- a/internal/experiment/faulttest/fleet.go
+++ b/internal/experiment/faulttest/fleet.go
@@ -219,8 +219,8 @@
 	for _, c := range fakes.DefaultClasses() {
 		effect := [...]string{"safe", "keyed", "unsafe"}[c.Idempotency]
 		fmt.Fprintf(b, "[[class]]\nname = %q\neffect = %q\naim = \"2s\"\ndeadline = \"10s\"\nworth = 1\n", c.Name, effect)
-		if c.Window > 0 {
-			fmt.Fprintf(b, "group = \"cell\"\nwindow = %q\n", c.Window)
+		if c.DedupWindow > 0 {
+			fmt.Fprintf(b, "group = \"cell\"\nwindow = %q\n", c.DedupWindow)
 		}
 	}
 	check := "check = \"/alive\"\n"
--- a/internal/experiment/faulttest/load.go
+++ b/internal/experiment/faulttest/load.go
@@ -47,8 +47,8 @@
 // Acts is what owners of before have tried and what was taken of it, by gateways and hosts.
 func (f *Fleet) Acts() (tried, taken uint64) {
 	for _, duty := range []string{"check/calendar"} {
-		t, k, _ := f.Hosts.Ledger.Acts(duty)
-		tried, taken = tried+t, taken+k
+		r := f.Hosts.Ledger.LeaseRequests(duty)
+		tried, taken = tried+r.Stale, taken+r.StaleAccepted
 	}
 	for _, e := range f.History.Events() {
 		if e.Kind == Fenced {
--- a/internal/experiment/faulttest/nemesis_test.go
+++ b/internal/experiment/faulttest/nemesis_test.go
@@ -82,7 +82,7 @@
 		for _, bad := range Check(f.History.Events()) {
 			t.Error(bad)
 		}
-		if tried, taken := f.Acts(); taken > 0 && !f.Hosts.Nodes[0].Heedless.Load() {
+		if tried, taken := f.Acts(); taken > 0 && !f.Hosts.Nodes[0].IgnoresTokens.Load() {
 			t.Errorf("%d acts of owners of before, %d of them taken", tried, taken)
 		}
 		for _, g := range f.Gateways {
@@ -248,7 +248,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.Hosts.List(0, "gone") // the next owner tells it
+		f.Hosts.SetState(0, fakes.StateGone) // the next owner tells it
 		for _, g := range f.Gateways {
 			if err := f.Until(ctx, "the next owner is known", formTime, func() bool {
 				s, err := g.Status()
@@ -286,7 +286,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), formTime)
 		defer cancel()
 		host := f.Hosts.Nodes[0]
-		host.Heedless.Store(heedless)
+		host.IgnoresTokens.Store(heedless)
 		if err := f.Until(ctx, "each of three owns one of three duties, and none is moved any more", formTime, func() bool {
 			owners := map[*Gateway]bool{}
 			for _, name := range []string{duty, "housekeeping", "list/calendar"} {
@@ -309,7 +309,7 @@
 			t.Fatal(err)
 		}
 		if err := f.Until(ctx, "the next owner tries the host", formTime, func() bool {
-			_, _, highest := f.Hosts.Ledger.Acts(duty)
+			highest := f.Hosts.Ledger.LeaseRequests(duty).HighestToken
 			return highest >= next.Token
 		}); err != nil {
 			t.Fatal(err)
@@ -317,11 +317,11 @@
 		if err := owner.Continue(); err != nil {
 			t.Fatal(err)
 		}
-		if err := f.Until(ctx, "the old owner acts", formTime, func() bool { tried, _, _ := f.Hosts.Ledger.Acts(duty); return tried > 0 }); err != nil {
+		if err := f.Until(ctx, "the old owner acts", formTime, func() bool { return f.Hosts.Ledger.LeaseRequests(duty).Stale > 0 }); err != nil {
 			t.Error(err)
 		}
-		if tried, taken, _ := f.Hosts.Ledger.Acts(duty); (taken > 0) != heedless {
-			t.Errorf("heedless %v: %d acts of an owner of before, %d taken", heedless, tried, taken)
+		if r := f.Hosts.Ledger.LeaseRequests(duty); (r.StaleAccepted > 0) != heedless {
+			t.Errorf("heedless %v: %d acts of an owner of before, %d taken", heedless, r.Stale, r.StaleAccepted)
 		}
 		if err := f.Until(ctx, "the host is hinted at", formTime, func() bool {
 			m, err := asked.Metrics()
@@ -343,12 +343,12 @@
 		host := f.Hosts.Nodes[0]
 		host.Crash()
 		time.Sleep(down) // its back-off grows meanwhile
-		ran := f.Hosts.Ledger.RanAt(host.Name)
+		ran := f.Hosts.Ledger.ExecutionsAt(host.Name)
 		if err := host.Start(); err != nil {
 			t.Fatal(err)
 		}
 		began := time.Now()
-		if err := f.Until(context.Background(), "the host is used again", formTime, func() bool { return f.Hosts.Ledger.RanAt(host.Name) > ran }); err != nil {
+		if err := f.Until(context.Background(), "the host is used again", formTime, func() bool { return f.Hosts.Ledger.ExecutionsAt(host.Name) > ran }); err != nil {
 			t.Error(err)
 		}
 		t.Logf("alone %v: used again after %v", alone, time.Since(began).Round(time.Millisecond))
--- a/internal/experiment/faulttest/words_test.go
+++ b/internal/experiment/faulttest/words_test.go
@@ -43,9 +43,9 @@
 					f.Seed++
 				}()
 				time.Sleep(told)
-				at, all := f.Hosts.Ledger.RanAt(host), f.Hosts.Ledger.Count().Executions
+				at, all := f.Hosts.Ledger.ExecutionsAt(host), f.Hosts.Ledger.Count().Executions
 				until("a hundred requests run", func() bool { return f.Hosts.Ledger.Count().Executions >= all+100 })
-				return f.Hosts.Ledger.RanAt(host) - at
+				return f.Hosts.Ledger.ExecutionsAt(host) - at
 			}
 			if used() == 0 {
 				t.Error("the host is not used before")
