--- a/internal/experiment/capacity/capacity_test.go
+++ b/internal/experiment/capacity/capacity_test.go
@@ -31,10 +31,10 @@
 
 var measured = []Slope{{Name: "mesh", Slope: 210.4, Error: 7.4, Intercept: 4380, Shape: "line", Reach: 65.3, Largest: 16410}}
 
-// Each way in which a page can be wrong is planted in a right one, and is told with its line.
-func TestCheck(t *testing.T) {
-	if wrong := Check(page, measured); len(wrong) > 0 {
-		t.Fatalf("a right page: %q", wrong)
+// Each kind of error in a correct page is reported with its line.
+func TestCheckReportsEachKindOfError(t *testing.T) {
+	if findings := Check(page, measured); len(findings) > 0 {
+		t.Fatalf("correct page: got %q, want nothing", findings)
 	}
 	for _, c := range []struct{ name, old, new, want string }{
 		{"slope", "| mesh | 210 |", "| mesh | 180 |", "line 9: mesh: slope"},
@@ -57,24 +57,25 @@
 	} {
 		changed := strings.Replace(page, c.old, c.new, 1)
 		if changed == page {
-			t.Fatalf("%s: nothing was planted", c.name)
+			t.Fatalf("%s: got no change of the page", c.name)
 		}
-		if wrong := strings.Join(Check(changed, measured), "\n"); !strings.Contains(wrong, c.want) {
-			t.Errorf("%s: told %q, not %q", c.name, wrong, c.want)
+		if findings := strings.Join(Check(changed, measured), "\n"); !strings.Contains(findings, c.want) {
+			t.Errorf("%s: got %q, want %q", c.name, findings, c.want)
 		}
 	}
 	curved := []Slope{measured[0]}
 	curved[0].Shape = "power"
-	if wrong := strings.Join(Check(strings.Replace(page, "| line |", "| power |", 1), curved), "\n"); !strings.Contains(wrong, "line 13: mesh_0 is no figure of the page") {
-		t.Errorf("a product of what is no line: %q", wrong)
+	if findings := strings.Join(Check(strings.Replace(page, "| line |", "| power |", 1), curved), "\n"); !strings.Contains(findings, "line 13: mesh_0 is no figure of the page") {
+		t.Errorf("product of a slope that is no line: got %q", findings)
 	}
-	if wrong := Check("no table\n", nil); len(wrong) != 1 {
-		t.Errorf("a page without a product: %q", wrong)
+	if findings := Check("no table\n", nil); len(findings) != 1 {
+		t.Errorf("page without a product: got %q, want one finding", findings)
 	}
 }
 
-func TestMeasured(t *testing.T) {
-	list, err := Measured([]byte(`[{"part": "mesh-real", "series": [
+// A report is read as slopes with names for formulas.
+func TestParseReport(t *testing.T) {
+	list, err := ParseReport([]byte(`[{"part": "mesh-real", "series": [
 		{"name": "member", "unit": "bytes/s", "points": [{"size": 80, "value": 7}, {"size": 8, "value": 1}],
 		 "fit": {"slope": 2, "slope_error": 0.5, "intercept": 3, "shape": "line", "reach": 58.75}},
 		{"name": "member", "unit": "MB", "points": [{"size": 8, "value": 1}]}]}]`))
@@ -83,15 +84,15 @@
 		{Name: "mesh_real_member_mb", Shape: "not fitted", Largest: 1},
 	}
 	if err != nil || !slices.Equal(list, want) {
-		t.Errorf("%+v, %v", list, err)
+		t.Errorf("got %+v, error %v, want %+v", list, err, want)
 	}
-	if _, err := Measured([]byte("{")); err == nil {
-		t.Error("half a report is taken")
+	if _, err := ParseReport([]byte("{")); err == nil {
+		t.Error("truncated report: got no error")
 	}
 }
 
-// The page agrees with itself and with what was measured, which is kept beside it as lab scale wrote it.
-func TestPage(t *testing.T) {
+// docs/CAPACITY.md agrees with itself and with the reports beside it.
+func TestCapacityPage(t *testing.T) {
 	const docs = "../../../docs"
 	text, err := os.ReadFile(filepath.Join(docs, "CAPACITY.md"))
 	if err != nil {
@@ -99,7 +100,7 @@
 	}
 	files, err := filepath.Glob(filepath.Join(docs, "capacity", "*.json"))
 	if err != nil || len(files) == 0 {
-		t.Fatalf("nothing that was measured: %v", err)
+		t.Fatalf("got %d reports, error %v", len(files), err)
 	}
 	var all []Slope
 	for _, file := range files {
@@ -107,7 +108,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		list, err := Measured(b)
+		list, err := ParseReport(b)
 		if err != nil {
 			t.Fatalf("%s: %v", file, err)
 		}
@@ -115,10 +116,10 @@
 	}
 	for i, s := range all {
 		if slices.ContainsFunc(all[:i], func(o Slope) bool { return o.Name == s.Name }) {
-			t.Errorf("%s was measured twice: which one counts?", s.Name)
+			t.Errorf("got two measurements of %s, want one", s.Name)
 		}
 	}
-	for _, wrong := range Check(string(text), all) {
-		t.Errorf("docs/CAPACITY.md: %s", wrong)
+	for _, finding := range Check(string(text), all) {
+		t.Errorf("docs/CAPACITY.md: %s", finding)
 	}
 }
