--- a/balancer/checkpoint_test.go
+++ b/balancer/checkpoint_test.go
@@ -21,7 +21,8 @@
 	n := 0
 	h.onActions = func(list []Action) { fmt.Fprintln(&all, list) }
 	h.afterEvent = func() {
-		if n++; every == 0 || n%every != 0 {
+		n++
+		if every == 0 || n%every != 0 {
 			return
 		}
 		saved := h.b.Checkpoint(nil)
--- a/balancer/compat_test.go
+++ b/balancer/compat_test.go
@@ -18,7 +18,8 @@
 	n := 0
 	var saved []byte
 	h.afterEvent = func() {
-		if n++; n == 250 {
+		n++
+		if n == 250 {
 			saved = h.b.Checkpoint(nil)
 		}
 	}
--- a/balancer/hostset_test.go
+++ b/balancer/hostset_test.go
@@ -118,7 +118,8 @@
 		h := newHistory(t, data[:8])
 		n := 0
 		h.afterEvent = func() {
-			if n++; n%3 == 0 {
+			n++
+			if n%3 == 0 {
 				checkHostSets(t, h.b)
 			}
 		}
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -47,7 +47,8 @@
 		g.b.random.state = seed
 		h := g.b.byID[1]
 		g.b.HealthCheckPassed(g.now, 1, ms)
-		if g.b.eject(h, CauseConnectionsFailed); h.ejection.until <= g.now+20*ms {
+		g.b.eject(h, CauseConnectionsFailed)
+		if h.ejection.until <= g.now+20*ms {
 			t.Fatalf("ejected for %v, want more than the 20 ms of a health check", h.ejection.until-g.now)
 		}
 		g.b.HealthCheckPassed(g.now, 1, 20*ms)
@@ -59,18 +60,21 @@
 		g.now = h.ejection.until
 		g.b.eject(h, CauseConnectionsFailed)
 		until := h.ejection.until
-		if g.b.HealthCheckPassed(g.now, 1, 20*ms); h.ejection.until != until {
+		g.b.HealthCheckPassed(g.now, 1, 20*ms)
+		if h.ejection.until != until {
 			t.Fatalf("ejected until %v after a second health check, want %v as before, since the first was wrong",
 				h.ejection.until, until)
 		}
 		g.b.readmit(h)
 		g.b.eject(h, CauseConnectionsFailed)
-		if g.b.HealthCheckPassed(g.now, 1, 20*ms); h.ejection.until > g.now+20*ms {
+		g.b.HealthCheckPassed(g.now, 1, 20*ms)
+		if h.ejection.until > g.now+20*ms {
 			t.Fatalf("ejected for %v after a health check, want at most 20 ms, since the host has answered",
 				h.ejection.until-g.now)
 		}
 	}
-	if slices.Sort(at); at[4] > 8*ms || at[35] < 12*ms {
+	slices.Sort(at)
+	if at[4] > 8*ms || at[35] < 12*ms {
 		t.Errorf("trials after %v, want them spread over 20 ms", at)
 	}
 }
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -168,7 +168,8 @@
 		}
 		second := g.now
 		g.advance(100 * ms)
-		if g.attemptEnded(id, 1, Reset, ms); class == 2 {
+		g.attemptEnded(id, 1, Reset, ms)
+		if class == 2 {
 			continue // it may not be retried
 		}
 		want := Time(0)
--- a/balancer/silence_test.go
+++ b/balancer/silence_test.go
@@ -70,7 +70,8 @@
 		if a := g.onlyAction(Send); a.Host != 1 {
 			t.Fatalf("sent to host %d, want 1", a.Host)
 		}
-		if g.request(0, time.Second); len(g.actions) > 0 {
+		g.request(0, time.Second)
+		if len(g.actions) > 0 {
 			t.Fatalf("actions %v for a second request while the host is suspected, want none", g.actions)
 		}
 		if answers {
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -135,7 +135,8 @@
 	g.attemptEnded(id, 0, OK, ms)
 	g.updateEndpoints(ListFull)
 	g.updateEndpoints(ListFull, list...)
-	if g.request(0, time.Second); len(g.actions) != 0 {
+	g.request(0, time.Second)
+	if len(g.actions) != 0 {
 		t.Errorf("actions %v at once after the host returned, want none", g.actions)
 	}
 }
--- a/internal/discovery/propagation_test.go
+++ b/internal/discovery/propagation_test.go
@@ -134,13 +134,15 @@
 	}
 	for i, g := range gateways {
 		took := (<-g.drainedAt).Sub(services[i].startedAt) - services[i].upAt
-		if worst = max(worst, took); took >= maxChangeDelay {
+		worst = max(worst, took)
+		if took >= maxChangeDelay {
 			t.Errorf("gateway %d: discovery down at %v for %v, change applied %v after that, want less than %v",
 				i, services[i].downAt, services[i].upAt-services[i].downAt, took, maxChangeDelay)
 			break
 		}
 	}
-	if t.Logf("change applied after %v at most", worst); !m.polled && !f.hangs && worst >= minDrainGrace {
+	t.Logf("change applied after %v at most", worst)
+	if !m.polled && !f.hangs && worst >= minDrainGrace {
 		t.Errorf("change applied %v after discovery is reachable, want less than %v where lists are pushed",
 			worst, minDrainGrace)
 	}
@@ -196,7 +198,8 @@
 	}
 	moves.Wait()
 	worst := slices.Max(took)
-	if t.Logf("change applied after %v at most", worst); worst >= maxMoveDelay {
+	t.Logf("change applied after %v at most", worst)
+	if worst >= maxMoveDelay {
 		t.Errorf("change applied %v after the new address, want less than %v", worst, maxMoveDelay)
 	}
 	cancel()
@@ -250,7 +253,8 @@
 	for _, g := range gateways {
 		worst = max(worst, (<-g.drainedAt).Sub(shared.startedAt)-lossTime)
 	}
-	if t.Logf("change applied after %v at most", worst); worst >= maxChangeDelay {
+	t.Logf("change applied after %v at most", worst)
+	if worst >= maxChangeDelay {
 		t.Errorf("change applied %v after the watches were lost, want less than %v", worst, maxChangeDelay)
 	}
 	calls := slices.DeleteFunc(shared.callTimes(), func(at time.Duration) bool { return at < lossTime })
--- a/internal/gateway/appliance_test.go
+++ b/internal/gateway/appliance_test.go
@@ -62,7 +62,8 @@
 			last.RequestURI, last.Header)
 	}
 	var left float64
-	if fmt.Sscan(last.Header.Get("X-Timeout"), &left); left <= 1 || left > 2.5 {
+	fmt.Sscan(last.Header.Get("X-Timeout"), &left)
+	if left <= 1 || left > 2.5 {
 		t.Errorf("X-Timeout %q at the host, want 1 to 2.5 s", last.Header.Get("X-Timeout"))
 	}
 	mu.Unlock()
@@ -71,7 +72,8 @@
 	if id := last.Header.Get("X-Request-Id"); len(id) != 16 {
 		t.Errorf("generated id %q, want 16 characters", id)
 	}
-	if fmt.Sscan(last.Header.Get("X-Timeout"), &left); left <= 5 || left > 10 {
+	fmt.Sscan(last.Header.Get("X-Timeout"), &left)
+	if left <= 5 || left > 10 {
 		t.Errorf("X-Timeout %q at the host, want 5 to the 10 s of the route", last.Header.Get("X-Timeout"))
 	}
 	mu.Unlock()
--- a/internal/gateway/bench_body_test.go
+++ b/internal/gateway/bench_body_test.go
@@ -187,8 +187,8 @@
 		_, peak := c.usage(b)
 		close(stop)
 		slow.Wait()
-		b.ReportMetric(float64(alone.Microseconds())/1000, "measureP99-alone-ms")
-		b.ReportMetric(float64(beside.Microseconds())/1000, "measureP99-beside-ms")
+		b.ReportMetric(float64(alone.Microseconds())/1000, "p99-alone-ms")
+		b.ReportMetric(float64(beside.Microseconds())/1000, "p99-beside-ms")
 		b.ReportMetric(float64(peak)/1024, "peak-MB")
 	}
 }
@@ -216,7 +216,8 @@
 				}
 				d := time.Since(began)
 				mu.Lock()
-				if took = append(took, d); !ok {
+				took = append(took, d)
+				if !ok {
 					failed++
 					if failures[failure]++; failures[failure] == 1 {
 						b.Log("failed: ", failure)
--- a/internal/gateway/bench_protocol_test.go
+++ b/internal/gateway/bench_protocol_test.go
@@ -103,7 +103,7 @@
 			slices.Sort(w.took)
 			n := float64(len(w.took))
 			b.ReportMetric(n/w.span.Seconds(), w.name+"-rps")
-			b.ReportMetric(float64(w.took[len(w.took)*99/100].Microseconds()), w.name+"-measureP99-us")
+			b.ReportMetric(float64(w.took[len(w.took)*99/100].Microseconds()), w.name+"-p99-us")
 			b.ReportMetric(float64(w.cpu.Microseconds())/n, w.name+"-cpu-us")
 			b.ReportMetric(float64(w.mallocs)/n, w.name+"-allocs")
 		}
--- a/internal/gateway/fastcgi_helpers_test.go
+++ b/internal/gateway/fastcgi_helpers_test.go
@@ -61,7 +61,8 @@
 				w.Errorf("record %v of request %d after its end, want none", h.Type, h.ID)
 			}
 		case fastcgi.RecordContent:
-			if fixed = append(fixed, part...); h.Type == fastcgi.Stdout {
+			fixed = append(fixed, part...)
+			if h.Type == fastcgi.Stdout {
 				w.out[h.ID] += string(part)
 			}
 		case fastcgi.RecordEnd:
--- a/internal/gateway/upgrade_test.go
+++ b/internal/gateway/upgrade_test.go
@@ -64,7 +64,8 @@
 		t.Fatalf("response %+v, want 101 with the headers of the host", resp)
 	}
 	got := make([]byte, 2)
-	if io.ReadFull(inA, got); string(got) != "hi" {
+	io.ReadFull(inA, got)
+	if string(got) != "hi" {
 		t.Errorf("bytes after the header section: %q, want hi", got)
 	}
 	expectEcho(a, inA, "one")
--- a/internal/gateway/upload_test.go
+++ b/internal/gateway/upload_test.go
@@ -306,7 +306,8 @@
 			b := make([]byte, 64<<10)
 			for wrote.Load() < 256<<20 {
 				n, err := w.Write(b)
-				if wrote.Add(int64(n)); err != nil {
+				wrote.Add(int64(n))
+				if err != nil {
 					return
 				}
 			}
@@ -332,7 +333,8 @@
 			b := make([]byte, 64<<10)
 			for {
 				n, err := c.Write(b)
-				if read.Add(int64(n)); err != nil {
+				read.Add(int64(n))
+				if err != nil {
 					return
 				}
 			}
@@ -398,7 +400,8 @@
 				break
 			}
 			io.Copy(io.Discard, resp.Body)
-			if responses++; resp.StatusCode < 400 {
+			responses++
+			if resp.StatusCode < 400 {
 				t.Errorf("%s: status %d, want 400 or more", name, resp.StatusCode)
 			}
 		}
--- a/internal/route/budget_test.go
+++ b/internal/route/budget_test.go
@@ -54,7 +54,8 @@
 	}
 	f := NewBudget(0, 1)
 	f.Retry(now)
-	if f.Retry(now - time.Minute); f.Retry(now) {
+	f.Retry(now - time.Minute)
+	if f.Retry(now) {
 		t.Error("an earlier time has added an attempt, want none")
 	}
 	if f.filled != now {
