--- a/internal/upstream/fastcgi/conn_test.go
+++ b/internal/upstream/fastcgi/conn_test.go
@@ -63,6 +63,7 @@
 	defer ln.Close()
 	go fcgi.Serve(ln, http.HandlerFunc(serveUppercase))
 	transport, h := newTestHost(t, ln.Addr().String())
+	transport.dialer.Timeout = testutil.WaitTimeout // the dial limit has tests of its own, and 200 requests at once may exceed it on a busy machine
 	learnMultiplexing(t, transport, h)
 	var attempts sync.WaitGroup
 	for i := range 200 {
