--- a/internal/fleet/metrics.go
+++ b/internal/fleet/metrics.go
@@ -19,6 +19,12 @@
 	r := prometheus.NewRegistry()
 	r.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	f.cluster.RegisterMetrics(r)
+	f.registerPoolMetrics(r)
+	return r
+}
+
+// registerPoolMetrics registers the counters that exist for each pool.
+func (f *Fleet) registerPoolMetrics(r *prometheus.Registry) {
 	for pool, l := range f.endpointLists {
 		registerCounter(r, "dunemoor_discovery_watches_total", "Watches of discovery begun by this gateway, of a pool whose list the fleet publishes.",
 			prometheus.Labels{"pool": pool}, &l.watches)
@@ -30,7 +36,6 @@
 		registerCounter(r, "dunemoor_fleet_hints_total", "Hosts that have passed a health check of the fleet, as received here.",
 			prometheus.Labels{"pool": c.pool}, &c.received)
 	}
-	return r
 }
 
 func registerCounter(r *prometheus.Registry, name, help string, labels prometheus.Labels, value *atomic.Uint64) {
