--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -22,7 +22,7 @@
 //	sendrate.go     how many attempts are sent to all hosts together
 //	starvation.go   when a request yields to a class of higher priority
 //	quota.go        which requests are beyond their tenant's quota
-//	queue.go        who waits how long for a host, and in which order
+//	queue.go        how long requests wait for a host, and in which order
 //	deadline.go     when a request is answered at the latest
 //	retry.go        whether a request has another attempt
 //	response.go     the final response, and its Retry-After
--- a/balancer/response.go
+++ b/balancer/response.go
@@ -6,9 +6,10 @@
 // MaxRetryAfter at most.
 const retryAfterDivisor = 4
 
-// retryAfter returns the Retry-After of a rejection by the balancer; 0: none is sent. Rejections that never
-// reach a balancer have their own: of a request without memory in internal/frontend, and by overload control
-// in internal/overload.
+// retryAfter returns the Retry-After of a rejection by the balancer; 0: none is sent. Responses that the
+// balancer does not give have their own: overload.RetryAfter where a request is rejected at admission,
+// frontend.FullRetryAfter where there is no memory for its body, and maxStreamedRetryAfter in internal/engine
+// where its body could be sent only once.
 func (b *Balancer) retryAfter() Time {
 	return min(b.shortestObjective/retryAfterDivisor, b.settings.MaxRetryAfter)
 }
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -1,8 +1,9 @@
 package balancer
 
 // Whether a request may have another attempt in this pool is decided here alone: by maySend and mayRetry. The
-// engine (internal/engine) in addition bounds the attempts of a request over all pools of its failover chain,
-// and asks the route's retry budget (internal/route); an attempt that it denies comes back as NotSent.
+// engine (internal/engine/retry.go) in addition bounds the attempts of a request over all pools of its
+// failover chain, and asks the route's retry budget (internal/route); an attempt that it denies comes back as
+// NotSent.
 
 // maySend reports whether a request may be sent (again) without being executed twice: a non-idempotent one
 // only if no attempt may have run, and one with an idempotency key also while duplicates are sure to be
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -22,8 +22,15 @@
 	includeExcluded bool // also hosts that are excluded for the class
 }
 
-// doubtfulHosts are the hosts of which it is not known whether they are silent or have one costly request.
-var doubtfulHosts = eligibleSets{first: setDoubtful, count: 1}
+// The choices of sets. Their order is that of the sets.
+var (
+	readyHosts     = eligibleSets{first: setReady, count: 1}
+	exceptBroken   = eligibleSets{first: setReady, count: 2} // also hosts that are ejected as silent
+	includeBroken  = eligibleSets{first: setReady, count: 3} // also hosts to which connections fail
+	errorsAnywhere = eligibleSets{first: setReady, count: 3, includeExcluded: true}
+	// doubtfulHosts are those of which it is not known whether they are silent or have one costly request.
+	doubtfulHosts = eligibleSets{first: setDoubtful, count: 1}
+)
 
 // contains reports whether a set is among them.
 func (e eligibleSets) contains(set setKind) bool { return set >= e.first && set < e.end() }
@@ -152,19 +159,18 @@
 // connections fail are spared while any other is up: they would use up a request's attempts in no time.
 func (b *Balancer) eligibleSets(counts subsetCounts, excluded int) eligibleSets {
 	if counts.ready == 0 && excluded > 0 {
-		// With errors for the class everywhere, one host is as good as another.
-		return eligibleSets{first: setReady, count: 3, includeExcluded: true}
+		return errorsAnywhere // one host is as good as another
 	}
 	mostEjected := 2*counts.ejected > counts.ready
 	if !mostEjected {
-		return eligibleSets{first: setReady, count: 1}
+		return readyHosts
 	}
 	b.log(logFailOpen, "failing open: %d of %d hosts are ejected", counts.ejected, counts.ready)
 	allBroken := counts.broken == counts.ready
 	if allBroken {
-		return eligibleSets{first: setReady, count: 3}
+		return includeBroken
 	}
-	return eligibleSets{first: setReady, count: 2}
+	return exceptBroken
 }
 
 // pickInScope chooses among the hosts of a scope, in the subset or not, as pick does. Of a large scope
@@ -180,7 +186,7 @@
 	eligible := b.eligibleSets(counts, excluded)
 	b.gatherFromScope(request, scope, eligible)
 	if len(b.candidates) == 0 {
-		doubtful := doubtfulHosts
+		doubtful := doubtfulHosts // unlike in pick, also those excluded for the class, where all are
 		doubtful.includeExcluded = eligible.includeExcluded
 		b.gatherFromScope(request, scope, doubtful)
 	}
@@ -189,7 +195,6 @@
 
 // drawFromScope draws two hosts of a scope up to maxDraws times; nil: none of the pairs were both ready.
 func (b *Balancer) drawFromScope(request *request, scope []*host) *host {
-	readyHosts := eligibleSets{first: setReady, count: 1}
 	for range maxDraws {
 		x := scope[b.random.below(len(scope))]
 		y := scope[b.random.below(len(scope))]
--- a/balancer/silence.go
+++ b/balancer/silence.go
@@ -43,9 +43,10 @@
 }
 
 // checkSilence ejects a host that is silent: it has answered nothing since its oldest attempts were sent,
-// longer ago than such requests should take. It guards against hosts that accept requests and answer none; a
-// host that is only slow answers others meanwhile. One attempt may be costly, so two must be unanswered that
-// long. Attempts at the host stay: most are answered later, and sending them again costs more than it saves.
+// longer ago than their classes' RTTs explain. It guards against hosts that accept requests and answer
+// none; a host that is only slow answers others meanwhile. One attempt may be costly, so two must be
+// unanswered that long. Attempts at the host stay: most are answered later, and sending them again costs
+// more than it saves.
 func (b *Balancer) checkSilence(host *host) {
 	first := host.attempts.head
 	if first == nil {
