--- /dev/null
+++ b/internal/experiment/scaletest/hollow/gateway.go
@@ -0,0 +1,106 @@
+package hollow
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"sync"
+	"time"
+
+	"dunemoor/balancer"
+	"dunemoor/internal/admin"
+	"dunemoor/internal/config"
+	"dunemoor/internal/discovery"
+	"dunemoor/internal/fleet"
+)
+
+// gateway is a hollow gateway: a gateway's fleet part, or a relay, without a part that serves requests.
+type gateway struct {
+	name  string
+	pools []config.Pool
+	fleet *fleet.Fleet
+	calls map[string]admin.Call // by path
+	// cancel ends goroutines, the watches of endpoint lists. Both are set by run.
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
+}
+
+// startGateway starts the fleet part of the gateway that a file configures, as the program does.
+func startGateway(file string) (*gateway, error) {
+	a, mistakes := config.LoadAppliance(file)
+	if len(mistakes) > 0 {
+		return nil, errors.Join(mistakes...)
+	}
+	part, err := fleet.Join(a)
+	if err != nil {
+		return nil, err
+	}
+	if err := part.Start(); err != nil {
+		return nil, err
+	}
+	g := &gateway{
+		name:   a.Name,
+		pools:  a.Pools,
+		fleet:  part,
+		calls:  part.Calls(),
+		cancel: func() {},
+	}
+	return g, nil
+}
+
+// run starts the watches of the pools' endpoint lists and calls overrideAdded each time the gateway begins to
+// drain further hosts.
+func (g *gateway) run(overrideAdded func(at time.Time)) {
+	var ctx context.Context
+	ctx, g.cancel = context.WithCancel(context.Background())
+	for _, p := range g.pools {
+		if p.Discovery == "" {
+			continue
+		}
+		source := g.fleet.Source(p.Name, p.Discovery)
+		g.goroutines.Go(func() { source.Run(ctx, discardPool{}) })
+	}
+	pools := func(string) (fleet.Pool, bool) { return discardPool{}, true }
+	drained := 0
+	drain := func(hostsByPool map[string][]string) {
+		previous := drained
+		drained = 0
+		for _, hosts := range hostsByPool {
+			drained += len(hosts)
+		}
+		if drained > previous {
+			overrideAdded(time.Now())
+		}
+	}
+	g.fleet.SetPools(pools, drain)
+}
+
+// close stops the gateway; it leaves its fleet in order.
+func (g *gateway) close() {
+	g.cancel()
+	g.fleet.Leave()
+	g.goroutines.Wait()
+}
+
+// call returns the response to an operators' call without parameters.
+func (g *gateway) call(path string) string {
+	_, text, _ := g.calls[path].Do(context.Background(), nil)
+	return text
+}
+
+// readStatus sets a status to the gateway's. Where it can't be read, Role has the error.
+func (g *gateway) readStatus(s *Status) {
+	if err := json.Unmarshal([]byte(g.call(fleet.PathFleet)), s); err != nil {
+		s.Role = err.Error()
+	}
+	s.setJoined(time.Now())
+}
+
+// discardPool is a pool of a gateway that serves no requests: it discards the endpoint lists that it gets and
+// has no hosts to check.
+type discardPool struct{}
+
+func (discardPool) UpdateEndpoints(balancer.ListKind, discovery.MemberList) {}
+func (discardPool) EjectedHosts(int) []string                               { return nil }
+func (discardPool) Address(string) string                                   { return "" }
+func (discardPool) HealthCheckPassed(string, time.Duration)                 {}
--- a/internal/experiment/scaletest/hollow/layout.go
+++ b/internal/experiment/scaletest/hollow/layout.go
@@ -1,6 +1,7 @@
 package hollow
 
 import (
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"net"
@@ -10,134 +11,199 @@
 	"strings"
 )
 
-// key is the fleet's, of the measurement's own making.
-const key = "this key is of a measurement and of nothing else"
+// fleetKey is the key of the fleets that are measured.
+const fleetKey = "this key is of a measurement and of nothing else"
 
-// Ports for gateways lie below those that the system gives to connections that go out (from 32768
-// on, ip(7)).
-const portLeast, portMost = 20000, 32000
+// Ports of members are below those that the system gives to outgoing connections (from 32768 on, ip(7)).
+const (
+	minPort = 20000
+	maxPort = 32000 // exclusive
+)
+
+// maxReserveAttempts is how many addresses of the loopback are tried for free ports.
+const maxReserveAttempts = 64
+
+// Zones and regions that relays and gateways are spread over.
+const (
+	zones   = 10
+	regions = 3
+)
+
+// Limit of sockets in a gateway's file: a base, and more for each pool.
+const (
+	baseSockets    = 2048
+	socketsPerPool = 64
+)
+
+var errNoFreePorts = errors.New("too few free ports on the loopback")
 
-// reserve finds free ports on addresses of the loopback that are drawn, so that no other fleet on
-// this machine has them.
-func reserve(n int) (list []string, err error) {
-	for tries := 0; len(list) < n && tries < 64; tries++ {
+// reserveAddresses finds addresses with free ports. Their hosts are drawn at random from the loopback network, so
+// that fleets at the same time don't collide.
+func reserveAddresses(count int) ([]string, error) {
+	var list []string
+	for attempt := 0; len(list) < count && attempt < maxReserveAttempts; attempt++ {
 		host := fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254))
-		for port := portLeast; len(list) < n && port < portMost; port++ {
-			ln, err := net.Listen("tcp", fmt.Sprintf("%s:%d", host, port))
-			if err != nil {
-				continue // it is taken
-			}
-			ln.Close()
-			list = append(list, ln.Addr().String())
-		}
+		list = append(list, freeAddresses(host, count-len(list))...)
 	}
-	if len(list) < n {
-		return nil, fmt.Errorf("%d ports of the loopback are not free", n)
+	if len(list) < count {
+		return nil, fmt.Errorf("reserve %d addresses: %w", count, errNoFreePorts)
 	}
 	return list, nil
 }
 
-// layout is the files of a fleet: of its relays first, where it has some, and then of its gateways.
+// freeAddresses returns addresses of a host whose ports are free, up to a limit.
+func freeAddresses(host string, limit int) []string {
+	var list []string
+	for port := minPort; len(list) < limit && port < maxPort; port++ {
+		listener, err := net.Listen("tcp", fmt.Sprintf("%s:%d", host, port))
+		if err != nil {
+			continue // the port is taken
+		}
+		listener.Close()
+		list = append(list, listener.Addr().String())
+	}
+	return list
+}
+
+// layout is the names, addresses and files of a fleet's members: of its relays, where it has some, and then of
+// its gateways.
 type layout struct {
-	Options
-	names []string
-	fleet []string // where they listen for one another; gateways of relays do not
-	other []string // for clients and operators, two of each; only the program's own processes listen
-	ends  map[netip.AddrPort]string
+	options Options
+	names   []string
+	// peerAddresses are where members take connections of others, by member. Gateways of relays take none.
+	peerAddresses []string
+	peers         map[netip.AddrPort]bool // the same
+	// clientAddresses and adminAddresses are those of the processes of the program, by member.
+	clientAddresses, adminAddresses []string
 }
 
+// newLayout reserves the addresses and writes the files.
 func newLayout(o Options) (*layout, error) {
-	l := &layout{Options: o, ends: map[netip.AddrPort]string{}}
+	l := &layout{options: o, peers: map[netip.AddrPort]bool{}}
 	for i := range o.Relays {
 		l.names = append(l.names, fmt.Sprintf("r%d", i+1))
 	}
 	for i := range o.Gateways {
 		l.names = append(l.names, fmt.Sprintf("g%d", i+1))
 	}
-	listen := len(l.names)
-	if o.Relays > 0 {
-		listen = o.Relays
-	}
-	ports, err := reserve(listen + 2*o.Real)
-	if err != nil {
+	if err := l.reserve(); err != nil {
 		return nil, err
 	}
-	l.fleet, l.other = ports[:listen], ports[listen:]
-	if err := os.WriteFile(filepath.Join(o.Dir, "key"), []byte(key), 0o600); err != nil {
+	if err := os.WriteFile(l.keyFile(), []byte(fleetKey), 0o600); err != nil {
 		return nil, err
 	}
-	for i, at := range l.fleet {
-		l.ends[netip.MustParseAddrPort(at)] = l.names[i]
-	}
 	for i := range l.names {
-		if err := os.WriteFile(l.file(i), []byte(l.text(i)), 0o600); err != nil {
+		if err := os.WriteFile(l.file(i), []byte(l.configuration(i)), 0o600); err != nil {
 			return nil, err
 		}
 	}
 	return l, nil
 }
 
-func (l *layout) file(i int) string    { return filepath.Join(l.Dir, l.names[i]+".toml") }
-func (l *layout) admin(i int) string   { return l.other[2*i+1] }
-func (l *layout) dataDir(i int) string { return filepath.Join(l.Dir, l.names[i]) }
+// reserve sets the addresses.
+func (l *layout) reserve() error {
+	peers := len(l.names)
+	if l.options.Relays > 0 {
+		peers = l.options.Relays
+	}
+	addresses, err := reserveAddresses(peers + 2*l.options.Real)
+	if err != nil {
+		return err
+	}
+	l.peerAddresses = addresses[:peers]
+	for _, address := range l.peerAddresses {
+		l.peers[netip.MustParseAddrPort(address)] = true
+	}
+	for i := range l.options.Real {
+		l.clientAddresses = append(l.clientAddresses, addresses[peers+2*i])
+		l.adminAddresses = append(l.adminAddresses, addresses[peers+2*i+1])
+	}
+	return nil
+}
 
-// Zones and regions over which relays and gateways are spread.
-const zones, regions = 10, 3
+func (l *layout) file(member int) string {
+	return filepath.Join(l.options.Dir, l.names[member]+".toml")
+}
+func (l *layout) dataDir(member int) string      { return filepath.Join(l.options.Dir, l.names[member]) }
+func (l *layout) keyFile() string                { return filepath.Join(l.options.Dir, "key") }
+func (l *layout) adminAddress(member int) string { return l.adminAddresses[member] }
+func (l *layout) isProgram(member int) bool      { return member < l.options.Real }
+func (l *layout) isRelay(member int) bool        { return member < l.options.Relays }
 
-func zoneOf(i int) (zone, region string) {
-	return fmt.Sprintf("z%d", i%zones), fmt.Sprintf("region%d", i%zones%regions)
+// location returns the zone and the region of a relay or gateway, by its number among its kind.
+func location(number int) (zone, region string) {
+	zoneNumber := number % zones
+	return fmt.Sprintf("z%d", zoneNumber), fmt.Sprintf("region%d", zoneNumber%regions)
 }
 
-// serves is what the file of a gateway has for requests. Hollow ones listen nowhere.
-func (l *layout) serves(b *strings.Builder, i int) {
-	listen := "127.0.0.1:0"
-	if i < l.Real {
-		listen = l.other[2*i]
+// configuration returns the configuration file of a member.
+func (l *layout) configuration(member int) string {
+	var b strings.Builder
+	fmt.Fprintf(&b, "name = %q\n", l.names[member])
+	if l.isProgram(member) {
+		fmt.Fprintf(&b, "admin = %q\n", l.adminAddress(member))
 	}
-	fmt.Fprintf(b, "[[listener]]\naddress = %q\n", listen)
-	fmt.Fprintf(b, "[limits]\nsockets = %d\n", 2048+64*l.Pools)
-	fmt.Fprint(b, "[[class]]\nname = \"all\"\neffect = \"safe\"\naim = \"2s\"\ndeadline = \"10s\"\nworth = 1\n")
-	for k := range l.Pools {
-		fmt.Fprintf(b, "[[pool]]\nname = \"p%d\"\ndiscovery = %q\n", k, l.Discovery)
+	if !l.isRelay(member) {
+		l.writeServing(&b, member)
 	}
-	for k := range l.Pools {
-		fmt.Fprintf(b, "[[route]]\nname = \"r%d\"\npath = \"/p%d\"\npool = \"p%d\"\n", k, k, k)
+	l.writeFleet(&b, member)
+	if l.options.Relays > 0 {
+		l.writeRelays(&b, member)
+	} else {
+		l.writePeers(&b, member)
 	}
+	return b.String()
 }
 
-// text is the file of a gateway or relay.
-func (l *layout) text(i int) string {
-	var b strings.Builder
-	fmt.Fprintf(&b, "name = %q\n", l.names[i])
-	if i < l.Real {
-		fmt.Fprintf(&b, "admin = %q\n", l.admin(i))
+// writeServing writes what a gateway's file has about requests. Hollow gateways don't use the listener.
+func (l *layout) writeServing(b *strings.Builder, member int) {
+	listen := "127.0.0.1:0"
+	if l.isProgram(member) {
+		listen = l.clientAddresses[member]
 	}
-	if i >= l.Relays {
-		l.serves(&b, i)
+	fmt.Fprintf(b, "[[listener]]\naddress = %q\n", listen)
+	fmt.Fprintf(b, "[limits]\nsockets = %d\n", baseSockets+socketsPerPool*l.options.Pools)
+	b.WriteString("[[class]]\nname = \"all\"\neffect = \"safe\"\naim = \"2s\"\ndeadline = \"10s\"\nworth = 1\n")
+	for pool := range l.options.Pools {
+		fmt.Fprintf(b, "[[pool]]\nname = \"p%d\"\ndiscovery = %q\n", pool, l.options.Discovery)
 	}
-	var first []string
-	for _, name := range l.names[:l.Keepers] {
-		first = append(first, fmt.Sprintf("%q", name))
+	for pool := range l.options.Pools {
+		fmt.Fprintf(b, "[[route]]\nname = \"r%d\"\npath = \"/p%d\"\npool = \"p%d\"\n", pool, pool, pool)
 	}
-	fmt.Fprintf(&b, "[fleet]\nid = \"scale\"\ndata_dir = %q\nkey_file = %q\nfirst = [%s]\n", l.dataDir(i), filepath.Join(l.Dir, "key"), strings.Join(first, ", "))
-	if i < len(l.fleet) {
-		fmt.Fprintf(&b, "listen = %q\n", l.fleet[i])
+}
+
+// writeFleet writes the table of the fleet, up to its lists of relays or peers.
+func (l *layout) writeFleet(b *strings.Builder, member int) {
+	var replicas []string
+	for _, name := range l.names[:l.options.Keepers] {
+		replicas = append(replicas, fmt.Sprintf("%q", name))
+	}
+	b.WriteString("[fleet]\nid = \"scale\"\n")
+	fmt.Fprintf(b, "data_dir = %q\n", l.dataDir(member))
+	fmt.Fprintf(b, "key_file = %q\n", l.keyFile())
+	fmt.Fprintf(b, "first = [%s]\n", strings.Join(replicas, ", "))
+	if member < len(l.peerAddresses) {
+		fmt.Fprintf(b, "listen = %q\n", l.peerAddresses[member])
 	}
-	if l.Relays > 0 {
-		if i >= l.Relays {
-			zone, region := zoneOf(i - l.Relays)
-			fmt.Fprintf(&b, "zone = %q\nregion = %q\n", zone, region)
-		}
-		for k, at := range l.fleet {
-			zone, region := zoneOf(k)
-			fmt.Fprintf(&b, "[[fleet.relay]]\nname = %q\naddress = %q\nzone = %q\nregion = %q\n", l.names[k], at, zone, region)
-		}
-		return b.String()
+}
+
+// writeRelays writes a gateway's own location and the list of relays.
+func (l *layout) writeRelays(b *strings.Builder, member int) {
+	if !l.isRelay(member) {
+		zone, region := location(member - l.options.Relays)
+		fmt.Fprintf(b, "zone = %q\nregion = %q\n", zone, region)
 	}
-	for k, at := range l.fleet {
-		if k != i {
-			fmt.Fprintf(&b, "[[fleet.peer]]\nname = %q\naddress = %q\n", l.names[k], at)
+	for relay, address := range l.peerAddresses {
+		zone, region := location(relay)
+		fmt.Fprintf(b, "[[fleet.relay]]\nname = %q\naddress = %q\nzone = %q\nregion = %q\n", l.names[relay], address, zone, region)
+	}
+}
+
+// writePeers writes the list of the other gateways, in a fleet without relays.
+func (l *layout) writePeers(b *strings.Builder, member int) {
+	for peer, address := range l.peerAddresses {
+		if peer != member {
+			fmt.Fprintf(b, "[[fleet.peer]]\nname = %q\naddress = %q\n", l.names[peer], address)
 		}
 	}
-	return b.String()
 }
--- /dev/null
+++ b/internal/experiment/scaletest/hollow/process.go
@@ -0,0 +1,181 @@
+package hollow
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"os/exec"
+	"slices"
+	"sync"
+	"syscall"
+	"time"
+)
+
+// maxOutputLineBytes is the longest line that is read of a process's output.
+const maxOutputLineBytes = 64 << 20
+
+// errProcessEnded is returned for a request to a host that has ended, or whose output is malformed.
+var errProcessEnded = errors.New("the process has ended")
+
+// Process is a process of the fleet: a host of hollow gateways, or a relay or gateway of the program. Start and
+// Kill must not be called at the same time as other methods.
+type Process struct {
+	Names []string // of its members
+
+	fleet  *Fleet
+	first  int // index of its first member
+	cmd    *exec.Cmd
+	exited chan struct{} // closed when the process has ended; nil: it was not started, or killed
+
+	requesting sync.Mutex // held from a request to its reply
+	stdin      io.WriteCloser
+	replies    chan *reply // closed when the output ends; of a host
+}
+
+// Real reports whether it is a process of the program.
+func (p *Process) Real() bool { return p.first < p.fleet.Options.Real }
+
+// Runs reports whether the process was started and not killed.
+func (p *Process) Runs() bool { return p.exited != nil }
+
+// Start starts the process, and waits until its hollow gateways have started. It ends with ctx, and with the
+// process that calls Start.
+func (p *Process) Start(ctx context.Context) error {
+	output, err := p.launch(ctx)
+	if err != nil {
+		return fmt.Errorf("start process of %v: %w", p.Names, err)
+	}
+	p.exited = make(chan struct{})
+	p.replies = make(chan *reply, 1)
+	go p.supervise(p.cmd, output, p.replies, p.exited)
+	if p.Real() {
+		return nil
+	}
+	var files []string
+	for i := range p.Names {
+		files = append(files, p.fleet.layout.file(p.first+i))
+	}
+	_, err = p.request(&request{Start: files})
+	return err
+}
+
+// launch starts the command, and returns what is read of it: the log of the program, or a host's replies.
+func (p *Process) launch(ctx context.Context) (output *os.File, err error) {
+	f := p.fleet
+	if p.Real() {
+		p.cmd = exec.CommandContext(ctx, f.Bin, "--appliance", f.layout.file(p.first))
+	} else {
+		p.cmd = exec.CommandContext(ctx, f.Host[0], f.Host[1:]...)
+	}
+	// It must not outlive this process even if that is killed.
+	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	if p.stdin, err = p.cmd.StdinPipe(); err != nil {
+		return nil, err
+	}
+	output, writeEnd, err := os.Pipe()
+	if err != nil {
+		return nil, err
+	}
+	if p.Real() {
+		p.cmd.Stdout, p.cmd.Stderr = f.log, writeEnd
+	} else {
+		p.cmd.Stdout, p.cmd.Stderr = writeEnd, f.log
+	}
+	err = p.cmd.Start()
+	writeEnd.Close()
+	if err != nil {
+		output.Close()
+		return nil, err
+	}
+	return output, nil
+}
+
+// supervise reads the output of a started command until it ends, and waits for the command.
+func (p *Process) supervise(cmd *exec.Cmd, output *os.File, replies chan<- *reply, exited chan<- struct{}) {
+	lines := bufio.NewScanner(output)
+	lines.Buffer(nil, maxOutputLineBytes)
+	if p.Real() {
+		p.readLog(lines)
+	} else {
+		p.readReplies(lines, replies)
+	}
+	output.Close()
+	close(replies)
+	cmd.Wait()
+	close(exited)
+}
+
+// readLog copies the program's log to that of the fleet and takes the events from it.
+func (p *Process) readLog(lines *bufio.Scanner) {
+	for lines.Scan() {
+		fmt.Fprintln(p.fleet.log, lines.Text())
+		message, at, ok := parseLogLine(lines.Text())
+		if ok && slices.Contains(eventMessages, message) {
+			p.fleet.events.add(Event{What: message, By: p.Names[0], At: at})
+		}
+	}
+}
+
+// readReplies reads a host's replies and events. It returns early on a line that is neither.
+func (p *Process) readReplies(lines *bufio.Scanner, replies chan<- *reply) {
+	for lines.Scan() {
+		r := &reply{}
+		if err := json.Unmarshal(lines.Bytes(), r); err != nil {
+			fmt.Fprintf(p.fleet.log, "read reply of %v: %v: %s\n", p.Names, err, lines.Text())
+			return
+		}
+		if r.Event == "" {
+			replies <- r
+			continue
+		}
+		if r.Gateway == "" && len(p.Names) == 1 {
+			r.Gateway = p.Names[0]
+		}
+		p.fleet.events.add(Event{What: r.Event, By: r.Gateway, At: time.Unix(0, r.UnixNano)})
+	}
+}
+
+// request sends a request to a host and returns its reply, or the error that it has.
+func (p *Process) request(r *request) (*reply, error) {
+	p.requesting.Lock()
+	defer p.requesting.Unlock()
+	line, err := json.Marshal(r)
+	if err != nil {
+		return nil, err
+	}
+	if _, err := p.stdin.Write(append(line, '\n')); err != nil {
+		return nil, err
+	}
+	answer, ok := <-p.replies
+	if !ok {
+		return nil, errProcessEnded
+	}
+	if answer.Error != "" {
+		return nil, errors.New(answer.Error)
+	}
+	return answer, nil
+}
+
+// Kill ends the process with SIGKILL, if it runs, and waits for its end. A reply that nobody waits for any more
+// is dropped.
+func (p *Process) Kill() {
+	if p.exited == nil {
+		return
+	}
+	p.cmd.Process.Kill()
+	for range p.replies {
+	}
+	<-p.exited
+	p.exited = nil
+}
+
+// Stop halts the process with SIGSTOP until Continue. To others it looks like one whose machine has failed: its
+// connections stay open.
+func (p *Process) Stop() error { return p.cmd.Process.Signal(syscall.SIGSTOP) }
+
+// Continue resumes a process after Stop.
+func (p *Process) Continue() error { return p.cmd.Process.Signal(syscall.SIGCONT) }
