--- a/cmd/experiment/scale_fleet.go
+++ b/cmd/experiment/scale_fleet.go
@@ -160,7 +160,7 @@
 	i := slices.IndexFunc(s.list, func(x scaletest.Series) bool { return x.Name == name && x.Unit == unit })
 	if i < 0 {
 		i = len(s.list)
-		s.list = append(s.list, scaletest.Series{Name: name, Unit: unit, By: s.by, Resolution: resolution, Asked: s.asked})
+		s.list = append(s.list, scaletest.Series{Name: name, Unit: unit, By: s.by, Resolution: resolution, TargetSize: s.asked})
 	}
 	s.list[i].Points = append(s.list[i].Points, scaletest.Point{Size: float64(size), Value: value})
 }
--- a/cmd/experiment/scale_process.go
+++ b/cmd/experiment/scale_process.go
@@ -324,7 +324,7 @@
 			return
 		}
 	}
-	c.list = append(c.list, scaletest.Series{Name: name, Unit: unit, By: c.by, Asked: c.asked, Resolution: resolution, Points: []scaletest.Point{{Size: float64(size), Value: value}}})
+	c.list = append(c.list, scaletest.Series{Name: name, Unit: unit, By: c.by, TargetSize: c.asked, Resolution: resolution, Points: []scaletest.Point{{Size: float64(size), Value: value}}})
 }
 
 func (c *collected) cpu(size int, name string, d time.Duration, of int) {
--- a/internal/experiment/scaletest/report.go
+++ b/internal/experiment/scaletest/report.go
@@ -18,115 +18,133 @@
 	Notes   []string `json:"notes,omitempty"`
 }
 
-// Break is where a line ends: a cap, a queue that drops, a lock, a quadratic.
+// Break is a size at which a line ends, such as at a limit or a full queue.
 type Break struct {
-	By    string  `json:"by"`              // what is counted
-	Size  float64 `json:"size"`            // where it was seen
+	By    string  `json:"by"`              // what the size counts
+	Size  float64 `json:"size"`            // at which it was seen
 	What  string  `json:"what"`            // was seen
 	Where string  `json:"where,omitempty"` // file:line or function
 }
 
-// fitted is a series with its fit, or with why it has none.
-type fitted struct {
+// fittedSeries is a series with its fit, or the reason why it has none.
+type fittedSeries struct {
 	Series
 	Fit     *Fit   `json:"fit,omitempty"`
 	Refused string `json:"refused,omitempty"`
 }
 
+// unknownError is an error in JSON that is not known, as JSON has no infinity.
+const unknownError = -1
+
+func newFittedSeries(s Series) fittedSeries {
+	fit, err := s.Fit()
+	if err != nil {
+		return fittedSeries{Series: s, Refused: err.Error()}
+	}
+	if math.IsInf(fit.ExponentError, 0) || math.IsNaN(fit.ExponentError) {
+		fit.ExponentError = unknownError
+	}
+	return fittedSeries{Series: s, Fit: fit}
+}
+
 // MarshalJSON adds the fit to each series.
 func (r *Report) MarshalJSON() ([]byte, error) {
-	type plain Report
-	list := []fitted{}
+	type plainReport Report // without this method
+	series := []fittedSeries{}
 	for _, s := range r.Series {
-		f := fitted{Series: s}
-		fit, err := s.Fit()
-		if err != nil {
-			f.Refused = err.Error()
-		} else if f.Fit = fit; math.IsInf(fit.ExponentError, 0) || math.IsNaN(fit.ExponentError) {
-			fit.ExponentError = -1 // JSON has no infinity: not known
-		}
-		list = append(list, f)
+		series = append(series, newFittedSeries(s))
 	}
 	return json.Marshal(struct {
-		*plain
-		Series []fitted `json:"series"`
-	}{(*plain)(r), list})
+		*plainReport
+		Series []fittedSeries `json:"series"`
+	}{(*plainReport)(r), series})
 }
 
-// short writes a figure with four digits that count.
-func short(x float64) string {
-	if x != 0 && (math.Abs(x) >= 1e6 || math.Abs(x) < 1e-3) {
+// formatFigure formats a figure with about four significant digits.
+func formatFigure(x float64) string {
+	magnitude := math.Abs(x)
+	if x != 0 && (magnitude >= 1e6 || magnitude < 1e-3) {
 		return strconv.FormatFloat(x, 'g', 3, 64)
 	}
-	digits := 3
-	for v := math.Abs(x); v >= 10 && digits > 0; v /= 10 {
-		digits--
+	decimals := 3
+	for magnitude >= 10 && decimals > 0 {
+		magnitude /= 10
+		decimals--
 	}
-	return strconv.FormatFloat(x, 'f', digits, 64)
+	return strconv.FormatFloat(x, 'f', decimals, 64)
 }
 
-// Table writes reports as text: a line a series with its fit, its points below, and what breaks.
+// Table writes reports as text: a line for each series with its fit, its points, and the breaks.
 func Table(out io.Writer, reports ...*Report) error {
 	for _, r := range reports {
 		fmt.Fprintf(out, "%s: %s\n", r.Part, r.Command)
-		t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-		fmt.Fprintln(t, "  what\tunit\tby\tsizes\tslope +- error\tintercept\tshape\tworst\treach\tat the size asked for")
-		for _, s := range r.Series {
-			fmt.Fprintf(t, "  %s\t%s\t%s\t%s\t", s.Name, s.Unit, s.By, s.sizes())
-			f, err := s.Fit()
-			if err != nil {
-				fmt.Fprintf(t, "not fitted: %v\n", err)
-				continue
-			}
-			reach, at := "-", "-"
-			if s.Asked > 0 {
-				reach = short(f.Reach)
-				if f.Shape == Line || f.Shape == Flat {
-					at = fmt.Sprintf("%s +- %s at %v", short(f.At(s.Asked)), short(f.AtError(s.Asked)), s.Asked)
-				}
-			}
-			fmt.Fprintf(t, "%s +- %s\t%s\t%s\t%.0f%%\t%s\t%s\n", short(f.Slope), short(f.SlopeError), short(f.Intercept), f.said(), 100*f.Worst, reach, at)
-		}
-		if err := t.Flush(); err != nil {
+		if err := r.writeFits(out); err != nil {
 			return err
 		}
-		for _, s := range r.Series {
-			fmt.Fprintf(out, "  %s, %s:", s.Name, s.Unit)
-			for _, p := range s.Points {
-				fmt.Fprintf(out, " %v: %s;", p.Size, short(p.Value))
-			}
-			fmt.Fprintln(out)
-		}
-		for _, b := range r.Breaks {
-			fmt.Fprintf(out, "  breaks at %v %ss: %s", b.Size, b.By, b.What)
-			if b.Where != "" {
-				fmt.Fprintf(out, " (%s)", b.Where)
-			}
-			fmt.Fprintln(out)
-		}
-		for _, n := range r.Notes {
-			fmt.Fprintf(out, "  %s\n", n)
+		r.writePoints(out)
+		r.writeBreaks(out)
+		for _, note := range r.Notes {
+			fmt.Fprintf(out, "  %s\n", note)
 		}
 	}
 	return nil
 }
 
-// said is the shape in words of the table.
-func (f *Fit) said() string {
-	if f.Shape == Line || f.Shape == Flat {
+func (r *Report) writeFits(out io.Writer) error {
+	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(t, "  what\tunit\tby\tsizes\tslope +- error\tintercept\tshape\tworst\treach\tat the size asked for")
+	for _, s := range r.Series {
+		fmt.Fprintf(t, "  %s\t%s\t%s\t%s\t", s.Name, s.Unit, s.By, s.sizeRange())
+		f, err := s.Fit()
+		if err != nil {
+			fmt.Fprintf(t, "not fitted: %v\n", err)
+			continue
+		}
+		reach, atTarget := f.targetColumns(s.TargetSize)
+		fmt.Fprintf(t, "%s +- %s\t%s\t%s\t%.0f%%\t%s\t%s\n", formatFigure(f.Slope), formatFigure(f.SlopeError),
+			formatFigure(f.Intercept), f.describeShape(), 100*f.WorstResidual, reach, atTarget)
+	}
+	return t.Flush()
+}
+
+// targetColumns returns the last two columns of a fit.
+func (f *Fit) targetColumns(targetSize float64) (reach, atTarget string) {
+	reach = "-"
+	atTarget = "-"
+	if targetSize <= 0 {
+		return reach, atTarget
+	}
+	reach = formatFigure(f.Reach)
+	if f.Shape.hasSlope() {
+		atTarget = fmt.Sprintf("%s +- %s at %v", formatFigure(f.At(targetSize)), formatFigure(f.AtError(targetSize)), targetSize)
+	}
+	return reach, atTarget
+}
+
+// describeShape is the shape, with the exponent where there is no slope.
+func (f *Fit) describeShape() string {
+	if f.Shape.hasSlope() {
 		return string(f.Shape)
 	}
 	return fmt.Sprintf("%s %.2f +- %.2f", f.Shape, f.Exponent, f.ExponentError)
 }
 
-// sizes are the first and last of a series, and how many.
-func (s *Series) sizes() string {
-	if len(s.Points) == 0 {
-		return "none"
+func (r *Report) writePoints(out io.Writer) {
+	for _, s := range r.Series {
+		fmt.Fprintf(out, "  %s, %s:", s.Name, s.Unit)
+		for _, p := range s.Points {
+			fmt.Fprintf(out, " %v: %s;", p.Size, formatFigure(p.Value))
+		}
+		fmt.Fprintln(out)
 	}
-	low, high := s.Points[0].Size, s.Points[0].Size
-	for _, p := range s.Points {
-		low, high = min(low, p.Size), max(high, p.Size)
+}
+
+func (r *Report) writeBreaks(out io.Writer) {
+	for _, b := range r.Breaks {
+		fmt.Fprintf(out, "  breaks at %v %ss: %s", b.Size, b.By, b.What)
+		if b.Where != "" {
+			fmt.Fprintf(out, " (%s)", b.Where)
+		}
+		fmt.Fprintln(out)
 	}
-	return fmt.Sprintf("%v-%v (%d)", low, high, len(s.Points))
 }
