--- a/cmd/experiment/compat_test.go
+++ b/cmd/experiment/compat_test.go
@@ -8,5 +8,5 @@
 
 // The keys of "run --json" are what scripts read.
 func TestCompatRunOutputKeys(t *testing.T) {
-	compat.Keys(t, "run-output-keys.txt", "json", &played{})
+	compat.Keys(t, "run-output-keys.txt", "json", &run{})
 }
--- /dev/null
+++ b/cmd/experiment/fleet_run.go
@@ -0,0 +1,229 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"path/filepath"
+	"text/tabwriter"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"dunemoor/internal/experiment/faulttest"
+)
+
+// runOptions are the flags of the command fleet run.
+type runOptions struct {
+	program   string
+	dir       string
+	gateways  int
+	replicas  int
+	seed      uint64
+	faultTime time.Duration
+}
+
+// fleetRunCommand injects faults into a fleet of processes, by a file or by a seed.
+func fleetRunCommand() *cobra.Command {
+	var o runOptions
+	cmd := &cobra.Command{
+		Use:   "run [FILE]",
+		Args:  cobra.MaximumNArgs(1),
+		Short: "Put faults into a fleet of processes on loopback, by a file (TOML) or a seed, and check what they did",
+		RunE: func(cmd *cobra.Command, args []string) error {
+			planFile := ""
+			if len(args) > 0 {
+				planFile = args[0]
+			}
+			return o.run(cmd.Context(), cmd.OutOrStdout(), planFile)
+		},
+	}
+	f := cmd.Flags()
+	f.StringVar(&o.program, "bin", "bin/dunemoor", "the program")
+	f.StringVar(&o.dir, "dir", "fleet-run", "where files, disks, logs and the history are kept")
+	f.IntVar(&o.gateways, "gateways", 5, "processes")
+	f.IntVar(&o.replicas, "keepers", 3, "of them are replicas")
+	f.Uint64Var(&o.seed, "seed", 1, "faults are drawn by it, without a file")
+	f.DurationVar(&o.faultTime, "for", 30*time.Second, "how long faults are injected, without a file")
+	return cmd
+}
+
+func (o *runOptions) run(ctx context.Context, out io.Writer, planFile string) error {
+	f, err := startFleet(ctx, faulttest.Options{
+		Program: o.program, Dir: o.dir, Gateways: o.gateways, Replicas: o.replicas, Hosts: 3, Seed: max(o.seed, 1),
+	})
+	if err != nil {
+		return err
+	}
+	defer f.Close()
+	plan, err := o.plan(f, planFile)
+	if err != nil {
+		return err
+	}
+	if err := f.Play(ctx, plan, nil); err != nil {
+		return fmt.Errorf("seed %d: %w; the logs are in %s", plan.Seed, err, f.Dir)
+	}
+	violations := faulttest.FindViolations(f.History.Events())
+	for _, violation := range violations {
+		fmt.Fprintln(out, violation)
+	}
+	if len(violations) > 0 {
+		return fmt.Errorf("seed %d: %d things that must never be; the history is %s", plan.Seed, len(violations), filepath.Join(f.Dir, "history.jsonl"))
+	}
+	fmt.Fprintf(out, "seed %d: %d faults, %d events, nothing that must not be; whole at the end\n", plan.Seed, len(plan.Faults), len(f.History.Events()))
+	return nil
+}
+
+// plan reads the plan of a file, or draws one where there is none.
+func (o *runOptions) plan(f *faulttest.Fleet, file string) (*faulttest.Plan, error) {
+	if file != "" {
+		return faulttest.ReadPlan(file)
+	}
+	var names []string
+	for _, g := range f.Gateways {
+		names = append(names, g.Name)
+	}
+	return faulttest.DrawPlan(o.seed, o.faultTime, names), nil
+}
+
+// fleetIdleCommand prints what processes use when nothing happens.
+func fleetIdleCommand() *cobra.Command {
+	var program, dir string
+	var sizes []int
+	var replicas int
+	var span time.Duration
+	cmd := &cobra.Command{
+		Use:   "idle",
+		Args:  cobra.NoArgs,
+		Short: "What processes of the program use on loopback when nothing happens, by the size of their fleet",
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			t := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', tabwriter.AlignRight)
+			fmt.Fprintln(t, "gateways\tkeepers\trole\twatches open\tbegun\tframes/s\tbytes/s\tCPU ms/s\tmemory MB\tfsyncs/s\t")
+			for _, size := range sizes {
+				m := &idleMeasurement{size: size, replicas: min(replicas, size), span: span}
+				if err := m.run(cmd.Context(), t, program, filepath.Join(dir, fmt.Sprint(size))); err != nil {
+					return err
+				}
+				t.Flush()
+			}
+			return nil
+		},
+	}
+	f := cmd.Flags()
+	f.StringVar(&program, "bin", "bin/dunemoor", "the program")
+	f.StringVar(&dir, "dir", "fleet-idle", "where files, disks and logs are kept")
+	f.IntSliceVar(&sizes, "gateways", []int{3, 9, 48}, "sizes")
+	f.IntVar(&replicas, "keepers", 5, "replicas")
+	f.DurationVar(&span, "for", 20*time.Second, "how long is counted")
+	return cmd
+}
+
+// idleMeasurement measures a fleet of a size at rest.
+type idleMeasurement struct {
+	size     int
+	replicas int
+	span     time.Duration
+	fleet    *faulttest.Fleet
+}
+
+// Roles in the table of the command idle.
+const (
+	idleLeader  = "leader"
+	idleReplica = "keeper"
+	idleMember  = "member"
+)
+
+func (m *idleMeasurement) run(ctx context.Context, out io.Writer, program, dir string) error {
+	fleet, err := startFleet(ctx, faulttest.Options{
+		Program: program, Dir: dir, Gateways: m.size, Replicas: m.replicas, Hosts: 3, Seed: 1,
+	})
+	if err != nil {
+		return err
+	}
+	defer fleet.Close()
+	m.fleet = fleet
+	time.Sleep(m.span / 4) // the cost of the start is over
+	first, err := m.metrics()
+	if err != nil {
+		return err
+	}
+	time.Sleep(m.span)
+	last, err := m.metrics()
+	if err != nil {
+		return err
+	}
+	m.print(out, first, last)
+	return nil
+}
+
+// metrics returns the metrics of all gateways.
+func (m *idleMeasurement) metrics() ([]map[string]float64, error) {
+	var list []map[string]float64
+	for _, g := range m.fleet.Gateways {
+		metrics, err := g.Metrics()
+		if err != nil {
+			return nil, err
+		}
+		list = append(list, metrics)
+	}
+	return list, nil
+}
+
+// byRole returns the indexes of the gateways of each role.
+func (m *idleMeasurement) byRole() map[string][]int {
+	leader := m.fleet.Leader()
+	roles := map[string][]int{}
+	for i, g := range m.fleet.Gateways {
+		role := idleMember
+		if g == leader {
+			role = idleLeader
+		} else if i < m.replicas {
+			role = idleReplica
+		}
+		roles[role] = append(roles[role], i)
+	}
+	return roles
+}
+
+// print prints a row for one gateway of each role.
+func (m *idleMeasurement) print(out io.Writer, first, last []map[string]float64) {
+	discovery := m.fleet.Hosts.Discovery
+	roles := m.byRole()
+	for _, role := range []string{idleLeader, idleReplica, idleMember} {
+		indexes := roles[role]
+		if len(indexes) == 0 {
+			continue
+		}
+		i := indexes[len(indexes)/2]
+		perSecond := func(name string) float64 { return (last[i][name] - first[i][name]) / m.span.Seconds() }
+		fmt.Fprintf(out, "%d\t%d\t%s\t%d\t%d\t%.1f\t%.0f\t%.2f\t%.1f\t%.2f\t\n", m.size, m.replicas, role,
+			discovery.OpenWatches(), discovery.Watches(),
+			perSecond("dunemoor_fleet_frames_sent_total"), perSecond("dunemoor_fleet_frame_bytes_sent_total"),
+			1000*perSecond("process_cpu_seconds_total"), last[i]["process_resident_memory_bytes"]/(1<<20),
+			perSecond("dunemoor_fleet_disk_syncs_total"))
+	}
+}
+
+// fleetCheckCommand checks the file of a history.
+func fleetCheckCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "check HISTORY",
+		Args:  cobra.ExactArgs(1),
+		Short: "Check the history of a run again",
+		RunE: func(cmd *cobra.Command, args []string) error {
+			events, err := faulttest.ReadHistory(args[0])
+			if err != nil {
+				return err
+			}
+			violations := faulttest.FindViolations(events)
+			for _, violation := range violations {
+				fmt.Fprintln(cmd.OutOrStdout(), violation)
+			}
+			if len(violations) > 0 {
+				return fmt.Errorf("%s: %d things that must never be", args[0], len(violations))
+			}
+			fmt.Fprintf(cmd.OutOrStdout(), "%d events, nothing that must not be\n", len(events))
+			return nil
+		},
+	}
+}
--- a/cmd/experiment/main.go
+++ b/cmd/experiment/main.go
@@ -1,4 +1,5 @@
-// Command experiment plays fleets in virtual time and says what becomes of their requests.
+// Command experiment simulates fleets in virtual time, searches for runs that are served badly, injects faults into
+// fleets of processes, and measures what the program costs by size.
 package main
 
 import (
@@ -9,18 +10,20 @@
 )
 
 func main() {
-	if err := root().Execute(); err != nil {
+	if err := rootCommand().Execute(); err != nil {
 		fmt.Fprintf(os.Stderr, "experiment: %v\n", err)
 		os.Exit(1)
 	}
 }
 
-func root() *cobra.Command {
+func rootCommand() *cobra.Command {
 	cmd := &cobra.Command{
-		Use: "experiment", Short: "Play a fleet of gateways, hosts and clients in virtual time",
-		SilenceUsage: true, SilenceErrors: true,
+		Use:           "experiment",
+		Short:         "Play a fleet of gateways, hosts and clients in virtual time",
+		SilenceUsage:  true,
+		SilenceErrors: true,
 	}
 	cmd.CompletionOptions.DisableDefaultCmd = true
-	cmd.AddCommand(runCommand(), sweepCommand(), compareCommand(), reportCommand(), huntCommand(), fleetCommand(), scaleCommand())
+	cmd.AddCommand(runCommand(), sweepCommand(), compareCommand(), reportCommand(), searchCommand(), fleetCommand(), scaleCommand())
 	return cmd
 }
--- a/cmd/experiment/scale_fleet_test.go
+++ b/cmd/experiment/scale_fleet_test.go
@@ -14,7 +14,7 @@
 // Parts run hollow gateways in processes of their own program, which here is the test.
 func init() {
 	if hidden := []string{"scale", "hollow-host"}; slices.Equal(os.Args[1:], hidden) {
-		if err := root().Execute(); err != nil {
+		if err := rootCommand().Execute(); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
--- a/cmd/experiment/scale_process.go
+++ b/cmd/experiment/scale_process.go
@@ -125,7 +125,7 @@
 		}
 		select {
 		case <-changed:
-		case <-g.p.Ended():
+		case <-g.p.Done():
 			return fmt.Errorf("the program ended: %.300s", strings.TrimSpace(log))
 		case <-ctx.Done():
 			return fmt.Errorf("the program does not say %q: %w", text, ctx.Err())
--- a/cmd/experiment/scale_test.go
+++ b/cmd/experiment/scale_test.go
@@ -13,7 +13,7 @@
 func TestScaleSmall(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "scale.json")
 	parts := []string{"routes", "pools", "hosts", "module", "tenants", "changes"}
-	out, err := lab(append([]string{"scale", "--small", "--json", file}, parts...)...)
+	out, err := runCommandLine(append([]string{"scale", "--small", "--json", file}, parts...)...)
 	if err != nil {
 		t.Fatal(err, "\n", out)
 	}
@@ -56,7 +56,7 @@
 }
 
 func TestScaleArguments(t *testing.T) {
-	out, err := lab("scale", "--help")
+	out, err := runCommandLine("scale", "--help")
 	if err != nil {
 		t.Fatal(out, err)
 	}
@@ -66,7 +66,7 @@
 		}
 	}
 	for _, args := range [][]string{{"scale", "none"}, {"scale", "routes", "pools", "--sizes", "1,2"}, {"scale", "routes", "--small", "--sizes", "1,2"}} {
-		if out, err := lab(args...); err == nil {
+		if out, err := runCommandLine(args...); err == nil {
 			t.Errorf("%v: no error\n%s", args, out)
 		}
 	}
--- /dev/null
+++ b/internal/experiment/faulttest/cases.go
@@ -0,0 +1,204 @@
+package faulttest
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"strings"
+	"time"
+)
+
+// FaultCase is a fault among processes that shows whether a failpoint is enabled: without it nothing is wrong.
+type FaultCase struct {
+	Failpoint string
+	// NeedsClockOffset is set where the build must be one by BuildWithClockOffset.
+	NeedsClockOffset bool
+	// Run returns what is wrong; "": nothing.
+	Run func(f *Fleet) (violation string, err error)
+}
+
+// FaultCases are for fleets of three gateways, of a build with the tag failpoints.
+var FaultCases = []FaultCase{
+	{Failpoint: "pre-vote", Run: isolatedFollowerKeepsItsTerm},
+	{Failpoint: "check-quorum", Run: isolatedLeaderStepsDown},
+	{Failpoint: "deadline", Run: isolatedHolderReleasesLease},
+	{Failpoint: "wall-clock", NeedsClockOffset: true, Run: clockOffsetsDoNotExtendLease},
+	{Failpoint: "token-grows", Run: tokensGrow},
+	{Failpoint: "disk-identity", Run: wipedDiskIsAnotherReplica},
+	{Failpoint: "old-copy", Run: overwrittenDiskIsNoReplica},
+}
+
+// observationTime is how long a violation is waited for.
+const observationTime = 3 * sessionDuration
+
+// isolatedFollowerKeepsItsTerm: a replica that is isolated starts no elections.
+func isolatedFollowerKeepsItsTerm(f *Fleet) (string, error) {
+	g, err := pickFollower(f)
+	if err != nil {
+		return "", err
+	}
+	f.Isolate(g, true, true)
+	before, err := g.Status()
+	if err != nil {
+		return "", err
+	}
+	violation := ""
+	f.WaitUntil(context.Background(), "violation", observationTime, func() bool {
+		now, err := g.Status()
+		if err == nil && now.Term > before.Term+1 { // one election may have begun before
+			violation = fmt.Sprintf("isolated, it went from term %d to %d", before.Term, now.Term)
+		}
+		return violation != ""
+	})
+	return violation, nil
+}
+
+func isolatedLeaderStepsDown(f *Fleet) (string, error) {
+	leader := f.Leader()
+	if leader == nil {
+		return "", errNoLeader
+	}
+	f.Isolate(leader, true, true)
+	stillLeader := func() bool {
+		s, err := leader.Status()
+		return err == nil && s.Role == roleLeader
+	}
+	return persists(f, "it is the leader, isolated", stillLeader), nil
+}
+
+func isolatedHolderReleasesLease(f *Fleet) (string, error) {
+	return holdsLeaseInIsolation(f, f.LeaseHolder(endpointsLease))
+}
+
+// clockOffsetsDoNotExtendLease: the holder's wall clock goes back, those of the others go ahead.
+func clockOffsetsDoNotExtendLease(f *Fleet) (string, error) {
+	const offset = 5 * time.Hour
+	holder := f.LeaseHolder(endpointsLease)
+	for _, g := range f.Gateways {
+		by := offset
+		if g == holder {
+			by = -offset
+		}
+		if err := g.SetClockOffset(context.Background(), by); err != nil {
+			return "", err
+		}
+	}
+	return holdsLeaseInIsolation(f, holder)
+}
+
+func tokensGrow(f *Fleet) (string, error) {
+	_, err := f.TransferLease(context.Background(), HolderKilled, endpointsLease, nil)
+	if violations := FindViolations(f.History.Events()); len(violations) > 0 {
+		return violations[0], nil
+	}
+	return "", err
+}
+
+func wipedDiskIsAnotherReplica(f *Fleet) (string, error) {
+	anyStatus := func(*Status) bool { return true }
+	return returnsAsSameReplica(f, (*Gateway).WipeDisk, anyStatus)
+}
+
+// overwrittenDiskIsNoReplica: files of an older copy are written over those of the disk. The disk can't tell, the other
+// replicas can.
+func overwrittenDiskIsNoReplica(f *Fleet) (string, error) {
+	participates := func(s *Status) bool {
+		hasSession := s.Session != 0 && s.Role != roleStopped
+		return hasSession || strings.Contains(s.Reason, "the log contradicts itself")
+	}
+	return returnsAsSameReplica(f, (*Gateway).overwriteDisk, participates)
+}
+
+// holdsLeaseInIsolation isolates the holder of the endpoint list's lease, and reports where it goes on holding it.
+func holdsLeaseInIsolation(f *Fleet, holder *Gateway) (string, error) {
+	if holder == nil {
+		return "", errors.New(endpointsLease + " has no holder")
+	}
+	first := f.History.Len()
+	f.Isolate(holder, true, true)
+	stillHolds := func() bool {
+		for _, e := range f.History.Events()[first:] {
+			if e.Kind == LeaseNoLongerHeld && e.Gateway == holder.Name && e.Lease == endpointsLease {
+				return false
+			}
+		}
+		return true
+	}
+	return persists(f, "it holds the lease, isolated", stillHolds), nil
+}
+
+// pickFollower returns a replica that is not the leader.
+func pickFollower(f *Fleet) (*Gateway, error) {
+	leader := f.Leader()
+	if leader == nil {
+		return nil, errNoLeader
+	}
+	for _, g := range f.Gateways[:f.Replicas] {
+		if g != leader {
+			return g, nil
+		}
+	}
+	return nil, errors.New("all replicas are the leader")
+}
+
+// persists describes a condition that must end and lasts for the observationTime; "": it ended.
+func persists(f *Fleet, what string, condition func() bool) string {
+	err := f.WaitUntil(context.Background(), "its end", observationTime, func() bool { return !condition() })
+	if err == nil {
+		return ""
+	}
+	return fmt.Sprintf("%s, for %v", what, observationTime)
+}
+
+// returnsAsSameReplica changes the disk of a replica that is down, and reports where the gateway is the same replica
+// once it participates again.
+func returnsAsSameReplica(f *Fleet, changeDisk func(*Gateway) error, participates func(*Status) bool) (string, error) {
+	g, err := pickFollower(f)
+	if err != nil {
+		return "", err
+	}
+	before, err := g.Status()
+	if err != nil {
+		return "", err
+	}
+	if err := g.CopyDisk(); err != nil {
+		return "", err
+	}
+	if err := commitEntriesAfterCopy(f, g, before.Commit); err != nil {
+		return "", err
+	}
+	g.Kill()
+	if err := changeDisk(g); err != nil {
+		return "", err
+	}
+	if err := g.Start(); err != nil {
+		return "", err
+	}
+	var now *Status
+	err = f.WaitUntil(context.Background(), g.Name+" participates", maxTransferTime, func() bool {
+		s, err := g.Status()
+		now = s
+		return err == nil && (s.ReplicaID != before.ReplicaID || participates(s))
+	})
+	if err != nil {
+		return "", err
+	}
+	if now.ReplicaID != before.ReplicaID {
+		return "", nil
+	}
+	return fmt.Sprintf("it is replica %d again, as %s", now.ReplicaID, now.Role), nil
+}
+
+// commitEntriesAfterCopy commits entries that the copy of a disk lacks, by transfers of a lease.
+func commitEntriesAfterCopy(f *Fleet, g *Gateway, commit uint64) error {
+	const transfers = 4
+	for i := range transfers {
+		if err := f.Gateways[0].transfer(housekeepingLease, f.Gateways[i%2]); err != nil {
+			return err
+		}
+	}
+	return f.WaitUntil(context.Background(), g.Name+" has the entries", maxTransferTime, func() bool {
+		s, err := g.Status()
+		return err == nil && s.Commit > commit
+	})
+}
--- /dev/null
+++ b/internal/experiment/faulttest/cases_test.go
@@ -0,0 +1,46 @@
+package faulttest
+
+import (
+	"fmt"
+	"path/filepath"
+	"sync"
+	"testing"
+)
+
+// builtWithClockOffset builds the program with an offset of the wall clock, once for all tests.
+var builtWithClockOffset = sync.OnceValues(func() (string, error) {
+	return BuildWithClockOffset(filepath.Dir(builtWithFailpoints))
+})
+
+// Each fault case finds a violation with its failpoint enabled, and none without.
+func TestFaultCasesFindEnabledFailpoints(t *testing.T) {
+	for _, c := range FaultCases {
+		for _, failpoint := range []string{"", c.Failpoint} {
+			t.Run(fmt.Sprintf("%s/enabled=%v", c.Failpoint, failpoint != ""), func(t *testing.T) {
+				t.Parallel()
+				program := builtWithFailpoints
+				if c.NeedsClockOffset {
+					var err error
+					if program, err = builtWithClockOffset(); err != nil {
+						t.Fatal(err)
+					}
+				}
+				f := newFleet(t, Options{Program: program, Gateways: 3, Replicas: 3, Hosts: 1, Seed: 9, Env: []string{"DUNEMOOR_FAILPOINT=" + failpoint}})
+				violation, err := c.Run(f)
+				if err != nil {
+					t.Fatal(err)
+				}
+				if (violation != "") != (failpoint != "") {
+					t.Errorf("failpoint %q: got violation %q", failpoint, violation)
+				}
+				t.Log(violation)
+				if failpoint == "" {
+					if err := f.Heal(); err != nil {
+						t.Fatal(err)
+					}
+					waitConverged(t, f)
+				}
+			})
+		}
+	}
+}
--- a/internal/experiment/faulttest/clock.go
+++ b/internal/experiment/faulttest/clock.go
@@ -3,13 +3,14 @@
 import (
 	"bytes"
 	"encoding/json"
+	"fmt"
 	"os"
 	"os/exec"
 	"path/filepath"
 )
 
-// clockStub stands in for the runtime's time.now: the clock on the wall, and what it is off by.
-const clockStub = `//go:build linux && amd64
+// clockSource replaces the runtime's time.now by one with an offset of the wall clock.
+const clockSource = `//go:build linux && amd64
 
 package runtime
 
@@ -27,38 +28,57 @@
 }
 `
 
-// BuildJumps builds the program with a clock on the wall that can be set (Gateway.Jump), with a
-// runtime in which time.now goes by a number of seconds more: no process here may set the machine's
-// own. On linux/amd64 alone.
-func BuildJumps(dir string) (string, error) {
-	root, err := exec.Command("go", "env", "GOROOT").Output()
+// Files of the runtime that are replaced, and the tags of the build.
+const (
+	runtimeClockGo       = "timeasm.go"
+	runtimeClockAssembly = "time_linux_amd64.s"
+	clockOffsetTags      = "failpoints jumps"
+)
+
+// BuildWithClockOffset builds the program with a runtime whose wall clock has an offset (Gateway.SetClockOffset), as no
+// process here may set the machine's clock. It returns the path of the binary, which is in dir. It is for linux/amd64.
+func BuildWithClockOffset(dir string) (string, error) {
+	goroot, err := exec.Command("go", "env", "GOROOT").Output()
+	if err != nil {
+		return "", fmt.Errorf("go env GOROOT: %w", err)
+	}
+	runtimeDir := filepath.Join(string(bytes.TrimSpace(goroot)), "src", "runtime")
+	assembly, err := os.ReadFile(filepath.Join(runtimeDir, runtimeClockAssembly))
 	if err != nil {
 		return "", err
 	}
-	of := filepath.Join(string(bytes.TrimSpace(root)), "src", "runtime")
-	real, err := os.ReadFile(filepath.Join(of, "time_linux_amd64.s"))
+	assembly = bytes.Replace(assembly, []byte("TEXT time·now<"), []byte("TEXT runtime·time_real<"), 1)
+	overlay, err := writeOverlay(dir, runtimeDir, map[string][]byte{
+		runtimeClockGo:       []byte(clockSource),
+		runtimeClockAssembly: assembly,
+	})
 	if err != nil {
 		return "", err
 	}
-	files := map[string][]byte{"timeasm.go": []byte(clockStub), "time_linux_amd64.s": bytes.Replace(real, []byte("TEXT time·now<"), []byte("TEXT runtime·time_real<"), 1)}
+	program := filepath.Join(dir, "dunemoor-clock-offset")
+	build := exec.Command("go", "build", "-overlay", overlay, "-tags", clockOffsetTags, "-o", program, "dunemoor/cmd/dunemoor")
+	if out, err := build.CombinedOutput(); err != nil {
+		return "", fmt.Errorf("go build: %w: %s", err, out)
+	}
+	return program, nil
+}
+
+// writeOverlay writes files that replace those of the same name in a directory, and returns the path of the overlay for
+// go build.
+func writeOverlay(dir, replacedDir string, files map[string][]byte) (string, error) {
 	var overlay struct{ Replace map[string]string }
 	overlay.Replace = map[string]string{}
-	for name, b := range files {
-		overlay.Replace[filepath.Join(of, name)] = filepath.Join(dir, name)
-		if err := os.WriteFile(filepath.Join(dir, name), b, 0o600); err != nil {
+	for name, text := range files {
+		replacement := filepath.Join(dir, name)
+		if err := os.WriteFile(replacement, text, 0o600); err != nil {
 			return "", err
 		}
+		overlay.Replace[filepath.Join(replacedDir, name)] = replacement
 	}
 	text, err := json.Marshal(overlay)
 	if err != nil {
 		return "", err
 	}
-	list, bin := filepath.Join(dir, "overlay.json"), filepath.Join(dir, "jumpy")
-	if err := os.WriteFile(list, text, 0o600); err != nil {
-		return "", err
-	}
-	if out, err := exec.Command("go", "build", "-overlay", list, "-tags", "failpoints jumps", "-o", bin, "dunemoor/cmd/dunemoor").CombinedOutput(); err != nil {
-		return "", &exec.Error{Name: string(out), Err: err}
-	}
-	return bin, nil
+	path := filepath.Join(dir, "overlay.json")
+	return path, os.WriteFile(path, text, 0o600)
 }
--- /dev/null
+++ b/internal/experiment/faulttest/converged.go
@@ -0,0 +1,89 @@
+package faulttest
+
+// Converged reports whether the fleet is complete: all gateways have a session and agree on sessions and lease holders,
+// each lease has a holder, and there are as many replicas as at first, each on its gateway's current disk. In a fleet
+// with relays each gateway has a stream and all relays know where all gateways are; gateways don't know each other.
+func (f *Fleet) Converged() bool {
+	statuses, ok := f.statuses()
+	if !ok {
+		return false
+	}
+	byName := map[string]*Status{}
+	for _, s := range statuses {
+		byName[s.Name] = s
+	}
+	for i, s := range statuses {
+		connected := f.connected(i, s, len(statuses))
+		if !connected || !f.agrees(s, statuses[0]) || !f.sessionsMatch(s, byName) || !f.replicasMatch(s, byName) {
+			return false
+		}
+	}
+	return true
+}
+
+// statuses returns the status of all gateways. It returns false where one is not in service.
+func (f *Fleet) statuses() ([]*Status, bool) {
+	var statuses []*Status
+	for _, g := range f.Gateways {
+		if !g.IsRunning() {
+			return nil, false
+		}
+		s, err := g.Status()
+		if err != nil || s.Session == 0 || s.Leader == "" || s.Role == roleStopped {
+			return nil, false
+		}
+		s.Name = g.Name
+		statuses = append(statuses, s)
+	}
+	return statuses, true
+}
+
+// connected reports whether a gateway or relay is connected with all that it should be.
+func (f *Fleet) connected(index int, s *Status, gateways int) bool {
+	switch {
+	case f.Relays == 0:
+		return len(s.Members) == gateways
+	case index >= f.Relays:
+		return s.Relay.Name != "" && s.Sessions == gateways
+	default:
+		knowsStreams := s.Streams.Routes == gateways-f.Relays && len(s.Streams.Relays) == f.Relays
+		return len(s.Members) == gateways && knowsStreams
+	}
+}
+
+// agrees reports whether a gateway has the same leader and lease holders as another, and all leases have a holder.
+func (f *Fleet) agrees(s, other *Status) bool {
+	if s.Leader != other.Leader || len(s.Leases) == 0 || len(s.Leases) != len(other.Leases) {
+		return false
+	}
+	for i, l := range s.Leases {
+		sameHolder := l.Holder == other.Leases[i].Holder && l.Token == other.Leases[i].Token
+		if l.Holder == "" || !sameHolder {
+			return false
+		}
+	}
+	return true
+}
+
+// sessionsMatch reports whether a gateway knows the current sessions.
+func (f *Fleet) sessionsMatch(s *Status, byName map[string]*Status) bool {
+	for _, m := range s.Members {
+		if own := byName[m.Name]; own == nil || m.Session != own.Session {
+			return false
+		}
+	}
+	return true
+}
+
+// replicasMatch reports whether a gateway knows as many voters as there should be, on the current disks.
+func (f *Fleet) replicasMatch(s *Status, byName map[string]*Status) bool {
+	if len(s.Replicas) != f.Replicas {
+		return false
+	}
+	for _, r := range s.Replicas {
+		if own := byName[r.Name]; r.Learner || own == nil || own.ReplicaID != r.ID {
+			return false
+		}
+	}
+	return true
+}
--- /dev/null
+++ b/internal/experiment/faulttest/fleet_test.go
@@ -0,0 +1,476 @@
+package faulttest
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"dunemoor/internal/experiment/fakes"
+)
+
+// Programs, built once for all tests: the gateway, the gateway with the tag failpoints, and the operators' program.
+var built, builtWithFailpoints, dunemoorctl string
+
+func TestMain(m *testing.M) {
+	dir, err := os.MkdirTemp("", "faulttest")
+	if err != nil {
+		panic(err)
+	}
+	built = filepath.Join(dir, "dunemoor")
+	builtWithFailpoints = filepath.Join(dir, "dunemoor-failpoints")
+	dunemoorctl = filepath.Join(dir, "dunemoorctl")
+	for _, args := range [][]string{
+		{"-o", built, "dunemoor/cmd/dunemoor"},
+		{"-o", builtWithFailpoints, "-tags", "failpoints", "dunemoor/cmd/dunemoor"},
+		{"-o", dunemoorctl, "dunemoor/cmd/dunemoorctl"},
+	} {
+		if out, err := exec.Command("go", append([]string{"build"}, args...)...).CombinedOutput(); err != nil {
+			panic(string(out))
+		}
+	}
+	code := m.Run()
+	os.RemoveAll(dir)
+	os.Exit(code)
+}
+
+// convergeTimeout is how long a fleet of processes has to converge: many times what it takes, as the machine may be busy
+// with other tests.
+const convergeTimeout = 60 * time.Second
+
+// newFleet starts a fleet. Where the test fails its status and its log are shown.
+func newFleet(t *testing.T, o Options) *Fleet {
+	t.Helper()
+	o.Dir = t.TempDir()
+	if o.Program == "" {
+		o.Program = built
+	}
+	f, err := New(o)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		if t.Failed() {
+			for _, g := range f.Gateways {
+				s, err := g.Status()
+				t.Logf("%s: %+v, %v", g.Name, s, err)
+			}
+		}
+		f.Close()
+		if t.Failed() {
+			t.Log(f.LogText())
+		}
+	})
+	for _, g := range f.Gateways {
+		if err := g.Start(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	waitConverged(t, f)
+	return f
+}
+
+// newCheckedFleet starts a fleet whose history is checked for violations at the end of the test.
+func newCheckedFleet(t *testing.T, o Options) *Fleet {
+	t.Helper()
+	f := newFleet(t, o)
+	t.Cleanup(func() {
+		for _, violation := range FindViolations(f.History.Events()) {
+			t.Errorf("violation: %s", violation)
+		}
+		if sent, accepted := f.StaleLeaseRequests(); accepted > 0 && !f.Hosts.Nodes[0].IgnoresTokens.Load() {
+			t.Errorf("got %d of %d requests of earlier lease holders accepted, want 0", accepted, sent)
+		}
+		for _, g := range f.Gateways {
+			if g.HasExited() {
+				t.Errorf("%s: got an exit of its own", g.Name)
+			}
+		}
+	})
+	return f
+}
+
+// waitConverged waits until the fleet has converged.
+func waitConverged(t *testing.T, f *Fleet) {
+	t.Helper()
+	if err := f.WaitUntil(context.Background(), "the fleet converges", convergeTimeout, f.Converged); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// startLoad has clients send requests to a gateway until the end of the test, and checks the rules then.
+func startLoad(t *testing.T, f *Fleet, g *Gateway) {
+	stop := f.StartLoad(g)
+	t.Cleanup(func() {
+		if _, err := stop(); err != nil {
+			t.Error(err)
+		}
+	})
+}
+
+// A lease is transferred for every cause, under load: a token has one holder, tokens only grow, and clients of a gateway
+// that is no target notice nothing. The operators' commands work meanwhile.
+func TestLeaseTransfers(t *testing.T) {
+	t.Parallel()
+	f := newCheckedFleet(t, Options{Gateways: 5, Replicas: 3, Hosts: 3, Seed: 1})
+	spared := f.Gateways[4]
+	startLoad(t, f, spared)
+	ctl := func(code int, want string, args ...string) {
+		t.Helper()
+		cmd := exec.Command(dunemoorctl, append([]string{"fleet", "--admin", f.Gateways[0].admin}, args...)...)
+		out, _ := cmd.CombinedOutput()
+		if cmd.ProcessState.ExitCode() != code || !strings.Contains(string(out), want) {
+			t.Errorf("%q: got exit code %d and %s, want %d and %q", args, cmd.ProcessState.ExitCode(), out, code, want)
+		}
+	}
+	ctl(0, "g1 of fleet trial: ", "status")
+	ctl(0, `"duties": [`, "status", "--json")
+	ctl(0, "list/calendar", "duties")
+	ctl(0, "GATEWAY", "members")
+	ctl(2, "refused: there is no duty nothing", "move", "nothing", "g2")
+	ctl(2, "refused: g9 is no living member", "move", "list/calendar", "g9")
+	ctl(2, "refused: g4 is not a replica", "remove", "g4")
+	ctl(0, "done", "add", "g4")
+	f.Replicas++
+	waitConverged(t, f)
+	ctl(0, "done", "remove", "g4")
+	f.Replicas--
+	waitConverged(t, f)
+	ctl(1, "accepts 2 arg", "move", "list/calendar")
+	for _, cause := range TransferCauses {
+		gap, err := f.TransferLease(context.Background(), cause, endpointsLease, spared)
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Logf("%s: %v without a holder", cause, gap.Round(time.Millisecond))
+	}
+}
+
+// Nine processes under faults that a seed draws, with load at one that is spared, have no violation and converge.
+func TestDrawnFaults(t *testing.T) {
+	t.Parallel()
+	f := newCheckedFleet(t, Options{Gateways: 9, Replicas: 5, Hosts: 3, Seed: 5})
+	spared := f.Gateways[8]
+	startLoad(t, f, spared)
+	var names []string
+	for _, g := range f.Gateways {
+		names = append(names, g.Name)
+	}
+	plan := DrawPlan(f.Seed, 12*time.Second, names)
+	t.Logf("seed %d: %+v", plan.Seed, plan.Faults)
+	if err := f.Play(context.Background(), plan, spared); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// A gateway whose disk was wiped, restored from an older copy or corrupted is another replica: it doesn't vote as the one
+// of before, and replaces it.
+func TestChangedDiskIsAnotherReplica(t *testing.T) {
+	t.Parallel()
+	f := newCheckedFleet(t, Options{Gateways: 3, Replicas: 3, Hosts: 3, Seed: 2})
+	for _, change := range []string{"wiped", "restored", "corrupted"} {
+		g := f.Leader()
+		if g == nil {
+			t.Fatal("got no leader")
+		}
+		before, err := g.Status()
+		if err != nil {
+			t.Fatal(err)
+		}
+		if change == "restored" {
+			if err := g.CopyDisk(); err != nil {
+				t.Fatal(err)
+			}
+		}
+		g.Kill()
+		switch change {
+		case "wiped":
+			err = g.WipeDisk()
+		case "restored":
+			err = g.RestoreDisk()
+		case "corrupted":
+			err = corruptLog(g)
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := g.Start(); err != nil {
+			t.Fatal(err)
+		}
+		waitConverged(t, f)
+		after, err := g.Status()
+		if err != nil {
+			t.Fatal(err)
+		}
+		if after.ReplicaID == before.ReplicaID {
+			t.Errorf("%s: got replica %d of %s again, want another one", change, after.ReplicaID, g.Name)
+		}
+		found := false
+		for _, r := range after.Replicas {
+			if r.ID == before.ReplicaID {
+				t.Errorf("%s: got the old replica of %s in %v", change, g.Name, after.Replicas)
+			}
+			found = found || r.ID == after.ReplicaID
+		}
+		if !found {
+			t.Errorf("%s: got no new replica of %s in %v", change, g.Name, after.Replicas)
+		}
+	}
+}
+
+// A lease holder is paused between the check of its deadline and its publication. Another one holds the lease and has
+// published when it resumes: gateways reject its publication, and it goes on as a member. With the failpoint token-peer
+// they don't reject it, which the test notices.
+func TestPublicationOfEarlierHolderIsRejected(t *testing.T) {
+	t.Parallel()
+	for _, failpoint := range []string{"", "token-peer"} {
+		f := newCheckedFleet(t, Options{Program: builtWithFailpoints, Gateways: 3, Replicas: 3, Hosts: 3, Seed: 4, Env: []string{"DUNEMOOR_STOP_AT=acting list/calendar", "DUNEMOOR_FAILPOINT=" + failpoint}})
+		ctx, cancel := context.WithTimeout(context.Background(), convergeTimeout)
+		defer cancel()
+		var holder *Gateway
+		n := 0
+		if err := f.WaitUntil(ctx, "a holder pauses before its publication", convergeTimeout, func() bool {
+			if holder = f.LeaseHolder(endpointsLease); holder == nil {
+				return false
+			}
+			n = f.History.Len()
+			soon, cancel := context.WithTimeout(ctx, 3*sessionDuration) // it publishes every 2 s while it is the holder
+			defer cancel()
+			return holder.PauseAt(soon, "acting list/calendar") == nil
+		}); err != nil {
+			t.Fatal(err)
+		}
+		next, n, err := f.History.Wait(ctx, n, func(e Event) bool {
+			return e.Kind == LeaseAcquired && e.Lease == endpointsLease && e.Gateway != holder.Name
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+		f.Hosts.SetState(0, fakes.StateGone) // the next holder publishes it
+		for _, g := range f.Gateways {
+			if err := f.WaitUntil(ctx, "the next holder is known", convergeTimeout, func() bool {
+				s, err := g.Status()
+				knows := err == nil && s.Token(endpointsLease) >= next.Token
+				return g == holder || knows
+			}); err != nil {
+				t.Fatal(err)
+			}
+		}
+		if err := holder.Resume(); err != nil {
+			t.Fatal(err)
+		}
+		waitConverged(t, f)
+		rejected := 0
+		for _, e := range f.History.Events()[n:] {
+			if e.Kind == StalePublicationRejected && e.Token < next.Token && e.From == holder.Name {
+				rejected++
+			}
+		}
+		if (rejected > 0) != (failpoint == "") {
+			t.Errorf("failpoint %q: got %d publications of the earlier holder rejected", failpoint, rejected)
+		}
+		f.Close()
+	}
+}
+
+// The gateway that holds the lease of the health checks is paused between the check of its deadline and its request.
+// Another one has checked the host when it resumes: the host rejects its request, or accepts it if it ignores tokens,
+// which the test notices. The health checks are wrong all the while, as the host resets the requests of clients: the
+// rules hold.
+func TestHealthCheckOfEarlierHolderIsRejected(t *testing.T) {
+	t.Parallel()
+	const lease = healthCheckLease
+	for _, ignoresTokens := range []bool{false, true} {
+		f := newCheckedFleet(t, Options{Program: builtWithFailpoints, Gateways: 3, Replicas: 3, Hosts: 3, Seed: 6, Env: []string{"DUNEMOOR_STOP_AT=acting " + lease}})
+		ctx, cancel := context.WithTimeout(context.Background(), convergeTimeout)
+		defer cancel()
+		host := f.Hosts.Nodes[0]
+		host.IgnoresTokens.Store(ignoresTokens)
+		if err := f.WaitUntil(ctx, "each of three gateways holds one of three leases", convergeTimeout, func() bool {
+			holders := map[*Gateway]bool{}
+			for _, name := range []string{lease, housekeepingLease, endpointsLease} {
+				holders[f.LeaseHolder(name)] = true
+			}
+			return len(holders) == 3 && !holders[nil]
+		}); err != nil {
+			t.Fatal(err)
+		}
+		holder := f.LeaseHolder(lease)
+		loaded := f.next(holder, 1)
+		startLoad(t, f, loaded)
+		host.Behave(fakes.Behaviour{Work: 2 * time.Millisecond, Cores: 8, Mode: fakes.ResetAt})
+		n := f.History.Len()
+		if err := holder.PauseAt(ctx, "acting "+lease); err != nil {
+			t.Fatal(err)
+		}
+		next, _, err := f.History.Wait(ctx, n, func(e Event) bool { return e.Kind == LeaseAcquired && e.Lease == lease && e.Gateway != holder.Name })
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := f.WaitUntil(ctx, "the next holder checks the host", convergeTimeout, func() bool {
+			highest := f.Hosts.Ledger.LeaseRequests(lease).HighestToken
+			return highest >= next.Token
+		}); err != nil {
+			t.Fatal(err)
+		}
+		if err := holder.Resume(); err != nil {
+			t.Fatal(err)
+		}
+		if err := f.WaitUntil(ctx, "the earlier holder checks the host", convergeTimeout, func() bool { return f.Hosts.Ledger.LeaseRequests(lease).Stale > 0 }); err != nil {
+			t.Error(err)
+		}
+		if r := f.Hosts.Ledger.LeaseRequests(lease); (r.StaleAccepted > 0) != ignoresTokens {
+			t.Errorf("host ignores tokens %v: got %d requests of the earlier holder, %d accepted", ignoresTokens, r.Stale, r.StaleAccepted)
+		}
+		if err := f.WaitUntil(ctx, "the loaded gateway learns of the health check", convergeTimeout, func() bool {
+			m, err := loaded.Metrics()
+			return err == nil && m[`dunemoor_fleet_hints_total{pool="calendar"}`] > 0
+		}); err != nil {
+			t.Error(err)
+		}
+		waitConverged(t, f)
+	}
+}
+
+// A host that was down for a while is used again, with health checks by one gateway for all and without.
+func TestHostIsUsedAfterAnOutage(t *testing.T) {
+	t.Parallel()
+	for _, withoutChecks := range []bool{false, true} {
+		f := newCheckedFleet(t, Options{Gateways: 3, Replicas: 3, Hosts: 3, Seed: 7, WithoutHealthChecks: withoutChecks})
+		startLoad(t, f, f.Gateways[0])
+		host := f.Hosts.Nodes[0]
+		host.Crash()
+		time.Sleep(hostOutage) // the backoff grows meanwhile
+		before := f.Hosts.Ledger.ExecutionsAt(host.Name)
+		if err := host.Start(); err != nil {
+			t.Fatal(err)
+		}
+		began := time.Now()
+		if err := f.WaitUntil(context.Background(), "the host is used again", convergeTimeout, func() bool { return f.Hosts.Ledger.ExecutionsAt(host.Name) > before }); err != nil {
+			t.Error(err)
+		}
+		t.Logf("without health checks %v: used again after %v", withoutChecks, time.Since(began).Round(time.Millisecond))
+	}
+}
+
+// hostOutage is how long a host is down in TestHostIsUsedAfterAnOutage.
+const hostOutage = 7 * time.Second
+
+// Combinations of faults, each under load at a gateway that is spared. The log must show the fault, where it does.
+func TestFaultCombinations(t *testing.T) {
+	t.Parallel()
+	f := newCheckedFleet(t, Options{Program: builtWithFailpoints, Gateways: 9, Replicas: 5, Hosts: 3, Seed: 8})
+	spared := f.Gateways[8]
+	startLoad(t, f, spared)
+	second := Span(time.Second)
+	for _, c := range []struct {
+		name   string
+		log    string
+		faults []Fault
+	}{
+		{"a full disk at the leader", "file too large", []Fault{{Kind: faultDiskFull, Target: targetLeader, Duration: 4 * second}, {After: second / 2, Kind: faultTransfer, Target: "g2"}, {After: second / 2, Kind: faultTransfer, Target: "g3"}}},
+		{"an fsync that hangs at the leader", "stuck at fsync", []Fault{{Kind: faultHungSync, Target: targetLeader, Duration: 4 * second}, {After: second / 2, Kind: faultTransfer, Target: "g2"}, {After: second / 2, Kind: faultTransfer, Target: "g3"}}},
+		{"two halves that both reach the leader, and the lease holder killed", "", []Fault{{Kind: faultBridge, Target: targetLeader, Duration: 6 * second}, {After: second, Kind: faultKill, Target: targetHolder, Duration: 5 * second}}},
+		{"a link of the holder that flaps at the lease's period", "", []Fault{{Kind: faultFlappingLinks, Target: targetHolder, Duration: 7 * second}}},
+		{"seven of ten killed at once", "", []Fault{{Kind: faultKillMost, Target: targetLeader, Duration: 2 * second}}},
+	} {
+		if f.LeaseHolder(endpointsLease) == spared {
+			if _, err := f.TransferLease(context.Background(), OperatorTransfer, endpointsLease, spared); err != nil {
+				t.Fatal(err)
+			}
+		}
+		logStart := len(f.LogText())
+		began := time.Now()
+		if err := f.Play(context.Background(), &Plan{Faults: c.faults}, spared); err != nil {
+			t.Fatalf("%s: %v", c.name, err)
+		}
+		if !strings.Contains(f.LogText()[logStart:], c.log) {
+			t.Errorf("%s: got no %q in the log", c.name, c.log)
+		}
+		t.Logf("%s: converged after %v", c.name, time.Since(began).Round(time.Millisecond))
+	}
+}
+
+// corruptLog flips a bit in the middle of a gateway's write-ahead log.
+func corruptLog(g *Gateway) error {
+	logs, err := g.logFiles()
+	if err != nil {
+		return err
+	}
+	b, err := os.ReadFile(logs[0])
+	if err != nil {
+		return err
+	}
+	f, err := os.OpenFile(logs[0], os.O_RDWR, 0)
+	if err != nil {
+		return err
+	}
+	defer f.Close()
+	_, err = f.WriteAt([]byte{b[len(b)/2] ^ 0x10}, int64(len(b)/2))
+	return err
+}
+
+// Gateways with another key, of another fleet, or with a name that is taken are rejected.
+func TestForeignGatewaysAreRejected(t *testing.T) {
+	t.Parallel()
+	f := newCheckedFleet(t, Options{Gateways: 3, Replicas: 3, Hosts: 1, Seed: 3})
+	g := f.Gateways[2]
+	good, err := os.ReadFile(g.file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, c := range []struct {
+		name    string
+		replace []string
+		want    string
+	}{
+		{"another key", []string{"/key\"", "/other\""}, "the other side does not know the fleet's key"},
+		{"the disk of another fleet", []string{`id = "trial"`, `id = "rial"`}, "the disk belongs to another gateway"},
+		{"another fleet", []string{`id = "trial"`, `id = "rial"`, "/g3\"", "/g3-other\""}, `refused by it: its fleet is`},
+		{"a taken name", []string{"name = \"g3\"\nadmin", "name = \"g1\"\nadmin", "peer]]\nname = \"g1\"", "peer]]\nname = \"g3\"", "/g3\"", "/g3-second\""},
+			"another gateway with the name g1 is connected"},
+	} {
+		g.Kill()
+		if err := os.WriteFile(filepath.Join(f.Dir, "other"), []byte("this is not the key of that fleet"), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(g.file, []byte(strings.NewReplacer(c.replace...).Replace(string(good))), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		logStart := len(f.LogText())
+		if err := g.Start(); err != nil {
+			t.Fatal(err)
+		}
+		if err := f.WaitUntil(context.Background(), c.name+" is rejected", convergeTimeout, func() bool { return strings.Contains(f.LogText()[logStart:], c.want) }); err != nil {
+			t.Error(err)
+		}
+		g.Kill()
+	}
+	if err := os.WriteFile(g.file, good, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	// Another format of frames, and another protocol.
+	for _, greeting := range []string{"dunemoor\x09\x01", "GET / HTTP/1.1\r\n\r\n"} {
+		conn, err := net.Dial("tcp", f.Gateways[0].peers)
+		if err != nil {
+			t.Fatal(err)
+		}
+		conn.SetDeadline(time.Now().Add(convergeTimeout))
+		fmt.Fprintf(conn, "%-26s", greeting)
+		if _, err := io.ReadAll(conn); errors.Is(err, os.ErrDeadlineExceeded) {
+			t.Errorf("%q: got an open connection after %v", greeting, convergeTimeout)
+		}
+		conn.Close()
+	}
+	if err := g.Start(); err != nil {
+		t.Fatal(err)
+	}
+	waitConverged(t, f)
+}
--- a/internal/experiment/faulttest/history.go
+++ b/internal/experiment/faulttest/history.go
@@ -15,213 +15,194 @@
 	"time"
 )
 
-// Event is a line of a history: a fault that was put in, or what a gateway has logged.
+// Event is a line of a history: a fault, or what a gateway has logged.
 type Event struct {
-	At      time.Duration `json:"at"` // since the history began
+	At      time.Duration `json:"at"` // since the start of the history
 	Kind    string        `json:"kind"`
 	Gateway string        `json:"gateway,omitempty"`
-	Other   string        `json:"other,omitempty"`
-	Duty    string        `json:"duty,omitempty"`
+	Other   string        `json:"other,omitempty"` // gateway
+	Lease   string        `json:"duty,omitempty"`
 	Token   uint64        `json:"token,omitempty"`
-	Index   uint64        `json:"index,omitempty"`
+	Index   uint64        `json:"index,omitempty"` // of the log entry
 	From    string        `json:"from,omitempty"`
 	To      string        `json:"to,omitempty"`
 	Cause   string        `json:"cause,omitempty"`
 }
 
-// Kinds of events that gateways log.
+// Kinds of events that gateways log, as they are in files.
 const (
-	TakenUp   = "taken up"      // it knows that it owns the duty
-	LaidDown  = "laid down"     // it knows that it does not any more
-	Changed   = "changed hands" // as the leader saw it come into the record
-	Leads     = "leads"
-	Lapsed    = "lapsed"
-	SetAside  = "set aside" // a disk that can't be trusted
-	HasFormed = "formed"
-	Fenced    = "fenced"  // an old owner's word was not taken
-	Stopped   = "stopped" // at a place, as it was told to
+	LeaseAcquired            = "taken up"      // the gateway knows that it holds the lease
+	LeaseNoLongerHeld        = "laid down"     // the gateway knows that it doesn't any more
+	LeaseTransferred         = "changed hands" // committed, as the leader sees it
+	BecameLeader             = "leads"
+	SessionExpired           = "lapsed"
+	DiskQuarantined          = "set aside" // the disk can't be trusted
+	Bootstrapped             = "formed"
+	StalePublicationRejected = "fenced"  // of an earlier lease holder
+	PausedAtPoint            = "stopped" // as PauseAt had it
 )
 
-// History is what happened, in the order in which it was seen here.
+// logMessages are the log messages that are events.
+var logMessages = map[string]string{
+	"lease acquired":       LeaseAcquired,
+	"lease no longer held": LeaseNoLongerHeld,
+	"lease transferred":    LeaseTransferred,
+	"became leader":        BecameLeader,
+	"session expired":      SessionExpired,
+	"data directory quarantined, joining as a new replica": DiskQuarantined,
+	"fleet bootstrapped":         Bootstrapped,
+	"stale publication rejected": StalePublicationRejected,
+}
+
+// pausedPrefix begins the line of a process that pauses at a point, before the point's name.
+const pausedPrefix = "stopped at "
+
+// History records events in the order in which this process sees them.
 type History struct {
-	began time.Time
+	start time.Time
 
-	mu     sync.Mutex
+	mu     sync.Mutex // guards the fields below
 	events []Event
 	file   *os.File
 	out    *bufio.Writer
 }
 
-// NewHistory begins one that is written to a file, as JSON lines.
+// NewHistory returns a history that is also written to a file, as a line of JSON for each event.
 func NewHistory(path string) (*History, error) {
 	f, err := os.Create(path)
 	if err != nil {
 		return nil, err
 	}
-	return &History{began: time.Now(), file: f, out: bufio.NewWriter(f)}, nil
-}
-
-func (h *History) add(e Event) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	e.At = time.Since(h.began)
-	h.events = append(h.events, e)
-	if b, err := json.Marshal(e); err == nil {
-		h.out.Write(append(b, '\n'))
-	}
+	return &History{start: time.Now(), file: f, out: bufio.NewWriter(f)}, nil
 }
 
-// Now is the time of the history.
-func (h *History) Now() time.Duration { return time.Since(h.began) }
-
-func (h *History) fault(kind string, who ...string) {
-	e := Event{Kind: kind}
-	if len(who) > 0 {
-		e.Gateway = who[0]
+// ReadHistory reads the file of a history.
+func ReadHistory(path string) ([]Event, error) {
+	f, err := os.Open(path)
+	if err != nil {
+		return nil, err
 	}
-	if len(who) > 1 {
-		e.Other = who[1]
+	defer f.Close()
+	var events []Event
+	in := bufio.NewScanner(f)
+	for in.Scan() {
+		var e Event
+		if err := json.Unmarshal(in.Bytes(), &e); err != nil {
+			return nil, fmt.Errorf("%s:%d: %w", path, len(events)+1, err)
+		}
+		events = append(events, e)
 	}
-	h.add(e)
+	return events, in.Err()
 }
 
-// Close writes the file to its end.
+// Close writes the rest of the file.
 func (h *History) Close() error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return errors.Join(h.out.Flush(), h.file.Close())
 }
 
-// Events is all so far.
+// Now returns the time since the start of the history.
+func (h *History) Now() time.Duration { return time.Since(h.start) }
+
+// Len returns the number of events.
+func (h *History) Len() int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return len(h.events)
+}
+
+// Events returns all events so far.
 func (h *History) Events() []Event {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Clone(h.events)
 }
 
-// Read reads the file of a history.
-func Read(path string) ([]Event, error) {
-	f, err := os.Open(path)
-	if err != nil {
-		return nil, err
-	}
-	defer f.Close()
-	var list []Event
-	in := bufio.NewScanner(f)
-	for in.Scan() {
-		var e Event
-		if err := json.Unmarshal(in.Bytes(), &e); err != nil {
-			return nil, fmt.Errorf("%s:%d: %w", path, len(list)+1, err)
+// Wait waits for an event from the n-th on that matches, and returns it and the number of the event after it.
+func (h *History) Wait(ctx context.Context, n int, match func(Event) bool) (Event, int, error) {
+	for {
+		events := h.Events()
+		for ; n < len(events); n++ {
+			if match(events[n]) {
+				return events[n], n + 1, nil
+			}
+		}
+		select {
+		case <-ctx.Done():
+			return Event{}, n, ctx.Err()
+		case <-time.After(time.Millisecond):
 		}
-		list = append(list, e)
 	}
-	return list, in.Err()
 }
 
-// field reads a key of a log line, as slog's text has it.
-var field = regexp.MustCompile(`(\w+)=("(?:[^"\\]|\\.)*"|\S*)`)
-
-var kinds = map[string]string{
-	"lease acquired": TakenUp, "lease no longer held": LaidDown, "lease transferred": Changed, "became leader": Leads,
-	"session expired": Lapsed, "data directory quarantined, joining as a new replica": SetAside, "fleet bootstrapped": HasFormed,
-	"stale publication rejected": Fenced,
+// add adds an event at the current time.
+func (h *History) add(e Event) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	e.At = time.Since(h.start)
+	h.events = append(h.events, e)
+	if line, err := json.Marshal(e); err == nil {
+		h.out.Write(append(line, '\n'))
+	}
 }
 
-// heard takes a line of a gateway's log.
-func (h *History) heard(gateway, line string) {
-	e := Event{Gateway: gateway}
-	if place, ok := strings.CutPrefix(line, "stopped at "); ok {
-		e.Kind, e.Cause = Stopped, place
+// addFault adds a fault of up to two gateways.
+func (h *History) addFault(kind string, gateways ...string) {
+	e := Event{Kind: kind}
+	if len(gateways) > 0 {
+		e.Gateway = gateways[0]
 	}
-	for _, m := range field.FindAllStringSubmatch(line, -1) {
-		v := m[2]
-		if u, err := strconv.Unquote(v); err == nil {
-			v = u
-		}
-		switch m[1] {
-		case "msg":
-			e.Kind = kinds[v]
-		case "lease":
-			e.Duty = v
-		case "token":
-			e.Token, _ = strconv.ParseUint(v, 10, 64)
-		case "index":
-			e.Index, _ = strconv.ParseUint(v, 10, 64)
-		case "from":
-			e.From = v
-		case "to":
-			e.To = v
-		case "cause":
-			e.Cause = v
-		}
+	if len(gateways) > 1 {
+		e.Other = gateways[1]
 	}
-	if e.Kind != "" {
+	h.add(e)
+}
+
+// addLogLine adds the event of a log line, if it is one.
+func (h *History) addLogLine(gateway, line string) {
+	if e := parseLogLine(line); e.Kind != "" {
+		e.Gateway = gateway
 		h.add(e)
 	}
 }
 
-// Check looks for what must never be: a token with two owners, a duty whose token falls, a fleet
-// formed twice.
-func Check(events []Event) (bad []string) {
-	owner := map[uint64]string{}
-	grants := map[uint64]Event{} // by index of the record
-	formed := 0
-	for _, e := range events {
-		switch {
-		case e.Kind == HasFormed:
-			if formed++; formed > 1 {
-				bad = append(bad, fmt.Sprintf("the fleet was formed again by %s at %v", e.Gateway, e.At))
-			}
-		case e.Kind == TakenUp, e.Kind == Changed && e.To != "":
-			who := e.Duty + " " + e.Gateway
-			if e.Kind == Changed {
-				who = e.Duty + " " + e.To
-				grants[e.Index] = e
-			}
-			if was, ok := owner[e.Token]; ok && was != who {
-				bad = append(bad, fmt.Sprintf("token %d is of %s and of %s", e.Token, was, who))
-			}
-			owner[e.Token] = who
-		}
-	}
-	var indexes []uint64
-	for i := range grants {
-		indexes = append(indexes, i)
+// logAttribute matches a key and a value of a log line by slog's text handler.
+var logAttribute = regexp.MustCompile(`(\w+)=("(?:[^"\\]|\\.)*"|\S*)`)
+
+// parseLogLine returns the event of a log line. Its kind is "" where the line is none.
+func parseLogLine(line string) Event {
+	var e Event
+	if point, ok := strings.CutPrefix(line, pausedPrefix); ok {
+		e.Kind = PausedAtPoint
+		e.Cause = point
 	}
-	slices.Sort(indexes)
-	last := map[string]uint64{}
-	for _, i := range indexes {
-		e := grants[i]
-		if e.Token <= last[e.Duty] {
-			bad = append(bad, fmt.Sprintf("%s was given under token %d after %d", e.Duty, e.Token, last[e.Duty]))
+	for _, match := range logAttribute.FindAllStringSubmatch(line, -1) {
+		value := match[2]
+		if unquoted, err := strconv.Unquote(value); err == nil {
+			value = unquoted
 		}
-		last[e.Duty] = e.Token
+		e.setAttribute(match[1], value)
 	}
-	return bad
+	return e
 }
 
-// Wait waits for an event behind the n-th, and returns it with its number.
-func (h *History) Wait(ctx context.Context, n int, ok func(Event) bool) (Event, int, error) {
-	for {
-		h.mu.Lock()
-		for ; n < len(h.events); n++ {
-			if e := h.events[n]; ok(e) {
-				h.mu.Unlock()
-				return e, n + 1, nil
-			}
-		}
-		h.mu.Unlock()
-		select {
-		case <-ctx.Done():
-			return Event{}, n, ctx.Err()
-		case <-time.After(time.Millisecond):
-		}
+// setAttribute sets the field of a log attribute; malformed numbers are 0.
+func (e *Event) setAttribute(key, value string) {
+	switch key {
+	case "msg":
+		e.Kind = logMessages[value]
+	case "lease":
+		e.Lease = value
+	case "token":
+		e.Token, _ = strconv.ParseUint(value, 10, 64)
+	case "index":
+		e.Index, _ = strconv.ParseUint(value, 10, 64)
+	case "from":
+		e.From = value
+	case "to":
+		e.To = value
+	case "cause":
+		e.Cause = value
 	}
 }
-
-// Len is how many events there are.
-func (h *History) Len() int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return len(h.events)
-}
--- a/internal/experiment/faulttest/link.go
+++ b/internal/experiment/faulttest/link.go
@@ -7,179 +7,212 @@
 	"time"
 )
 
-// Link carries what one gateway sends to another, in user space, and can fail. Each way between
-// two gateways has its own: a gateway connects to others through the links that its file names,
-// and sends on the connections that it has opened. A stream, from a gateway to a relay of the fleet,
-// is for both ways: the way back of its link can be cut too.
+// Link forwards what one gateway sends to another, and can fail. Each direction between two gateways has a link of its
+// own: a gateway connects to others through the links in its file, and sends on the connections that it has opened. A
+// stream from a gateway to a relay is for both directions, so the return direction of its link can be blocked too.
 type Link struct {
-	ln net.Listener
-	to string
-
-	mu    sync.Mutex
-	cut   bool          // bytes are held back, connections stay
-	back  bool          // cut is also what comes back
-	delay time.Duration // of each piece
-	tear  bool          // the next piece ends in its midst, and with it the connection
-	conns map[net.Conn]struct{}
-	wake  chan struct{} // closed by each change
-	ended bool
+	listener net.Listener
+	target   string
+
+	mu            sync.Mutex // guards the fields below
+	blocked       bool       // bytes are held back, connections stay open
+	returnBlocked bool       // the same for the return direction
+	delay         time.Duration
+	truncateNext  bool // the next read is forwarded in part, and its connection closed
+	connections   map[net.Conn]struct{}
+	changed       chan struct{} // closed by each change
+	closed        bool
 }
 
-// NewLink starts one to an address, which must be of this machine.
-func NewLink(to string) (*Link, error) {
-	if host, _, err := net.SplitHostPort(to); err != nil || !net.ParseIP(host).IsLoopback() {
-		return nil, fmt.Errorf("nemesis: %q is no loopback address", to)
+const (
+	linkBufferSize  = 16 << 10
+	linkDialTimeout = time.Second
+)
+
+// NewLink starts a link to a loopback address.
+func NewLink(target string) (*Link, error) {
+	host, _, err := net.SplitHostPort(target)
+	if err != nil || !net.ParseIP(host).IsLoopback() {
+		return nil, fmt.Errorf("faulttest: %q is no loopback address", target)
 	}
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	l := &Link{ln: ln, to: to, conns: map[net.Conn]struct{}{}, wake: make(chan struct{})}
+	l := &Link{listener: listener, target: target, connections: map[net.Conn]struct{}{}, changed: make(chan struct{})}
 	go l.accept()
 	return l, nil
 }
 
-// Addr is where it listens.
-func (l *Link) Addr() string { return l.ln.Addr().String() }
+// Addr returns the address that the link listens on.
+func (l *Link) Addr() string { return l.listener.Addr().String() }
 
+// change changes the state, and wakes connections that wait for it.
 func (l *Link) change(do func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	do()
-	close(l.wake)
-	l.wake = make(chan struct{})
+	close(l.changed)
+	l.changed = make(chan struct{})
 }
 
-// Cut holds back all that goes this way, or lets it go on. Connections are not told: a machine
-// that is cut off says nothing.
-func (l *Link) Cut(on bool) { l.change(func() { l.cut = on }) }
+// SetBlocked holds back all bytes, or lets them go on. Connections stay open, as to a machine that is unreachable.
+func (l *Link) SetBlocked(blocked bool) { l.change(func() { l.blocked = blocked }) }
 
-// CutBack is Cut for what comes back by the same connections.
-func (l *Link) CutBack(on bool) { l.change(func() { l.back = on }) }
+// SetReturnBlocked is SetBlocked for the return direction of the connections.
+func (l *Link) SetReturnBlocked(blocked bool) { l.change(func() { l.returnBlocked = blocked }) }
 
-// Delay holds each piece back for so long.
-func (l *Link) Delay(d time.Duration) { l.change(func() { l.delay = d }) }
+// SetDelay delays each read.
+func (l *Link) SetDelay(d time.Duration) { l.change(func() { l.delay = d }) }
 
-// Tear ends the next piece, and its connection, in its midst.
-func (l *Link) Tear() { l.change(func() { l.tear = true }) }
+// TruncateNext forwards half of the next read, and closes its connection.
+func (l *Link) TruncateNext() { l.change(func() { l.truncateNext = true }) }
 
 // Heal ends all faults.
-func (l *Link) Heal() { l.change(func() { l.cut, l.back, l.delay, l.tear = false, false, 0, false }) }
+func (l *Link) Heal() {
+	l.change(func() {
+		l.blocked = false
+		l.returnBlocked = false
+		l.delay = 0
+		l.truncateNext = false
+	})
+}
 
-// Close ends it with all its connections.
+// Close closes the link and all its connections.
 func (l *Link) Close() {
-	l.change(func() { l.ended = true })
-	l.ln.Close()
+	l.change(func() { l.closed = true })
+	l.listener.Close()
 	l.mu.Lock()
-	for c := range l.conns {
+	defer l.mu.Unlock()
+	for c := range l.connections {
 		c.Close()
 	}
-	l.mu.Unlock()
 }
 
 func (l *Link) accept() {
 	for {
-		c, err := l.ln.Accept()
+		c, err := l.listener.Accept()
 		if err != nil {
 			return
 		}
-		go l.carry(c)
+		go l.forwardConnection(c)
 	}
 }
 
-func (l *Link) keep(c net.Conn) bool {
+// add adds a connection. It closes it and returns false where the link is closed.
+func (l *Link) add(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.ended {
+	if l.closed {
 		c.Close()
 		return false
 	}
-	l.conns[c] = struct{}{}
+	l.connections[c] = struct{}{}
 	return true
 }
 
-func (l *Link) drop(c net.Conn) {
+func (l *Link) remove(c net.Conn) {
 	c.Close()
 	l.mu.Lock()
-	delete(l.conns, c)
+	delete(l.connections, c)
 	l.mu.Unlock()
 }
 
-func (l *Link) carry(c net.Conn) {
-	if !l.keep(c) {
+// forwardConnection forwards an accepted connection.
+func (l *Link) forwardConnection(from net.Conn) {
+	if !l.add(from) {
 		return
 	}
-	defer l.drop(c)
-	if !l.pass(false) { // a new connection is one way of being heard
+	defer l.remove(from)
+	if !l.waitUnblocked(false) { // no new connection either while the link is blocked
 		return
 	}
-	d, err := net.DialTimeout("tcp", l.to, time.Second)
-	if err != nil || !l.keep(d) {
+	to, err := net.DialTimeout("tcp", l.target, linkDialTimeout)
+	if err != nil || !l.add(to) {
 		return
 	}
-	defer l.drop(d)
-	// The answers of a handshake go back by the same connection, and are let through: what is cut
-	// is what the one sends, and without it there is no answer. Of a stream all goes back there.
+	defer l.remove(to)
 	go func() {
-		defer l.drop(c)
-		b := make([]byte, 16<<10)
-		for {
-			n, err := d.Read(b)
-			if n > 0 && !l.pass(true) {
+		defer l.remove(from)
+		l.forwardReturn(to, from)
+	}()
+	l.forward(from, to)
+}
+
+// forward forwards in the link's direction until an end of a connection.
+func (l *Link) forward(from, to net.Conn) {
+	buffer := make([]byte, linkBufferSize)
+	for {
+		n, readErr := from.Read(buffer)
+		if n > 0 {
+			if !l.waitUnblocked(false) {
 				return
 			}
-			if n > 0 {
-				if _, err := c.Write(b[:n]); err != nil {
-					return
-				}
+			truncate := l.takeTruncate()
+			if truncate {
+				n /= 2
 			}
-			if err != nil {
+			if _, err := to.Write(buffer[:n]); err != nil || truncate {
 				return
 			}
 		}
-	}()
-	b := make([]byte, 16<<10)
+		if readErr != nil {
+			return
+		}
+	}
+}
+
+// forwardReturn forwards in the return direction: replies of a handshake, and all that a relay sends on a stream.
+func (l *Link) forwardReturn(from, to net.Conn) {
+	buffer := make([]byte, linkBufferSize)
 	for {
-		n, err := c.Read(b)
+		n, readErr := from.Read(buffer)
 		if n > 0 {
-			if !l.pass(false) {
+			if !l.waitUnblocked(true) {
 				return
 			}
-			l.mu.Lock()
-			torn := l.tear
-			l.tear = false
-			l.mu.Unlock()
-			if torn {
-				n /= 2
-			}
-			if _, err := d.Write(b[:n]); err != nil || torn {
+			if _, err := to.Write(buffer[:n]); err != nil {
 				return
 			}
 		}
-		if err != nil {
+		if readErr != nil {
 			return
 		}
 	}
 }
 
-// pass waits until something may go on; false: the link has ended.
-func (l *Link) pass(back bool) bool {
+// takeTruncate returns whether the current read is to be truncated.
+func (l *Link) takeTruncate() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	truncate := l.truncateNext
+	l.truncateNext = false
+	return truncate
+}
+
+// waitUnblocked waits for the delay, and while a direction is blocked. It returns false when the link is closed.
+func (l *Link) waitUnblocked(isReturn bool) bool {
 	l.mu.Lock()
 	delay := l.delay
 	l.mu.Unlock()
-	if delay > 0 && !back {
+	if delay > 0 && !isReturn {
 		time.Sleep(delay)
 	}
 	for {
 		l.mu.Lock()
-		cut, ended, wake := l.cut, l.ended, l.wake
-		if back {
-			cut = l.back
+		blocked := l.blocked
+		if isReturn {
+			blocked = l.returnBlocked
 		}
+		closed := l.closed
+		changed := l.changed
 		l.mu.Unlock()
-		if ended || !cut {
-			return !ended
+		if closed {
+			return false
+		}
+		if !blocked {
+			return true
 		}
-		<-wake
+		<-changed
 	}
 }
--- a/internal/experiment/faulttest/process.go
+++ b/internal/experiment/faulttest/process.go
@@ -1,5 +1,3 @@
-// Package faulttest starts several processes of the program, puts faults in between them and checks
-// what they did. It knows the program by its files, its addresses and its log alone.
 package faulttest
 
 import (
@@ -14,80 +12,86 @@
 	"golang.org/x/sys/unix"
 )
 
-// Process is one process of the program, started and ended by us.
+// maxLogLine is the longest log line that is read, in bytes.
+const maxLogLine = 1 << 20
+
+// Process is a process of the program that this one has started.
 type Process struct {
-	Name string
-	cmd  *exec.Cmd
-	done chan struct{}
-	code int
+	Name     string
+	cmd      *exec.Cmd
+	done     chan struct{}
+	exitCode int // set before done is closed
 }
 
-// StartProcess starts a program. Its log goes to out, and each line of it to heard.
-func StartProcess(name, bin string, args, env []string, out io.Writer, heard func(line string)) (*Process, error) {
-	p := &Process{Name: name, cmd: exec.Command(bin, args...), done: make(chan struct{})}
+// StartProcess starts a program. Its output goes to log, each line with time and name, and to onLogLine, which may be
+// nil.
+func StartProcess(name, program string, args, env []string, log io.Writer, onLogLine func(line string)) (*Process, error) {
+	p := &Process{Name: name, cmd: exec.Command(program, args...), done: make(chan struct{})}
 	p.cmd.Env = append(os.Environ(), env...)
 	r, w, err := os.Pipe()
 	if err != nil {
 		return nil, err
 	}
-	p.cmd.Stdout, p.cmd.Stderr = w, w
-	// It does not outlive us, however we end. The kernel looks at the thread that started it, and
-	// no thread of ours ends before the process does.
+	p.cmd.Stdout = w
+	p.cmd.Stderr = w
+	// It ends when this process does, however that ends. The kernel goes by the thread that started it, and threads of
+	// this process end with it.
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	if err := p.cmd.Start(); err != nil {
+	err = p.cmd.Start()
+	w.Close()
+	if err != nil {
 		r.Close()
-		w.Close()
 		return nil, err
 	}
-	w.Close()
-	read := make(chan struct{})
 	go func() {
-		defer close(read)
-		defer r.Close()
-		in := bufio.NewScanner(r)
-		in.Buffer(nil, 1<<20)
-		for in.Scan() {
-			fmt.Fprintf(out, "%s %s %s\n", time.Now().Format("15:04:05.000"), name, in.Text())
-			if heard != nil {
-				heard(in.Text())
-			}
-		}
-	}()
-	go func() {
-		<-read // all that it wrote, before it counts as ended
+		p.readLog(r, log, onLogLine) // all output is read before the process counts as ended
 		p.cmd.Wait()
-		p.code = p.cmd.ProcessState.ExitCode()
+		p.exitCode = p.cmd.ProcessState.ExitCode()
 		close(p.done)
 	}()
 	return p, nil
 }
 
-// Kill ends the process at once.
+// readLog reads the output until the process ends.
+func (p *Process) readLog(r io.ReadCloser, log io.Writer, onLogLine func(line string)) {
+	defer r.Close()
+	in := bufio.NewScanner(r)
+	in.Buffer(nil, maxLogLine)
+	for in.Scan() {
+		fmt.Fprintf(log, "%s %s %s\n", time.Now().Format("15:04:05.000"), p.Name, in.Text())
+		if onLogLine != nil {
+			onLogLine(in.Text())
+		}
+	}
+}
+
+// Kill ends the process at once, and waits for that.
 func (p *Process) Kill() {
 	p.cmd.Process.Kill()
 	<-p.done
 }
 
-// Stop stops the process where it is, Continue has it go on.
-func (p *Process) Stop() error { return p.cmd.Process.Signal(syscall.SIGSTOP) }
+// Pause stops the process with SIGSTOP.
+func (p *Process) Pause() error { return p.cmd.Process.Signal(syscall.SIGSTOP) }
 
-// Continue has a stopped process go on.
-func (p *Process) Continue() error { return p.cmd.Process.Signal(syscall.SIGCONT) }
+// Resume continues a paused process.
+func (p *Process) Resume() error { return p.cmd.Process.Signal(syscall.SIGCONT) }
 
-// Terminate asks the process to end in order.
+// Terminate asks the process to shut down, with SIGTERM.
 func (p *Process) Terminate() error { return p.cmd.Process.Signal(syscall.SIGTERM) }
 
-// FileMost bounds the size of what the process can write to a file from now on; -1: nothing does.
-// A disk that is full looks like that to it.
-func (p *Process) FileMost(bytes int64) error {
-	return unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: uint64(bytes), Max: unix.RLIM_INFINITY}, nil)
+// LimitFileSize limits the size of files that the process writes, in bytes; -1: no limit. To the process it is a full
+// disk.
+func (p *Process) LimitFileSize(size int64) error {
+	limit := &unix.Rlimit{Cur: uint64(size), Max: unix.RLIM_INFINITY}
+	return unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, limit, nil)
 }
 
-// Pid is its number, for those who look at what the kernel says of it.
+// Pid returns the process id.
 func (p *Process) Pid() int { return p.cmd.Process.Pid }
 
-// Ended is closed when the process has ended.
-func (p *Process) Ended() <-chan struct{} { return p.done }
+// Done returns a channel that is closed when the process has ended.
+func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Code is its exit code, once it has ended.
-func (p *Process) Code() int { return p.code }
+// ExitCode returns the exit code of a process that has ended.
+func (p *Process) ExitCode() int { return p.exitCode }
--- a/internal/experiment/faulttest/relays_test.go
+++ b/internal/experiment/faulttest/relays_test.go
@@ -9,30 +9,29 @@
 	"time"
 )
 
-// relayOf is where a gateway has its stream, by its own account; nil: nowhere.
+// relayOf returns the relay that a gateway has its stream to, by its own status; nil: none.
 func relayOf(f *Fleet, g *Gateway) *Gateway {
 	s, err := g.Status()
 	if err != nil {
 		return nil
 	}
-	return f.named(s.Relay.Name)
+	return f.byName(s.Relay.Name)
 }
 
-// relayed starts a fleet of three relays, which hold the record, and four gateways, the last of
-// which is loaded.
-func relayed(t *testing.T, seed uint64) (f *Fleet, loaded *Gateway) {
+// newRelayFleet starts a fleet of three relays, which are the replicas, and four gateways, the last of which has load.
+func newRelayFleet(t *testing.T, seed uint64) (f *Fleet, loaded *Gateway) {
 	t.Helper()
-	f = start(t, Options{Gateways: 7, Relays: 3, Keepers: 3, Nodes: 3, Seed: seed})
+	f = newCheckedFleet(t, Options{Gateways: 7, Relays: 3, Replicas: 3, Hosts: 3, Seed: seed})
 	loaded = f.Gateways[6]
-	load(t, f, loaded)
+	startLoad(t, f, loaded)
 	return f, loaded
 }
 
-// moved waits until all gateways are with a relay that is not the one that is named.
-func moved(t *testing.T, f *Fleet, from *Gateway) {
+// waitMoved waits until all gateways have a stream to another relay.
+func waitMoved(t *testing.T, f *Fleet, from *Gateway) {
 	t.Helper()
 	for _, g := range f.Gateways[f.Relays:] {
-		if err := f.Until(context.Background(), fmt.Sprintf("%s has a stream that is not with %s", g.Name, from.Name), formTime, func() bool {
+		if err := f.WaitUntil(context.Background(), fmt.Sprintf("%s has a stream to a relay other than %s", g.Name, from.Name), convergeTimeout, func() bool {
 			at := relayOf(f, g)
 			return at != nil && at != from
 		}); err != nil {
@@ -41,26 +40,25 @@
 	}
 }
 
-// undisturbed checks that behind the n-th event no gateway's session expired, and none of the duties
-// that gateways hold changed hands. While another is elected to lead, an owner's own deadline may
-// pass: it lays the duty down until it is confirmed, and nobody else has it. With a leader it does
-// not.
-func undisturbed(t *testing.T, f *Fleet, n int, led bool) {
+// checkUndisturbed checks that from the n-th event on no gateway's session expired, and no lease of a gateway was
+// transferred. During an election a holder's own deadline may pass: it releases the lease until it is confirmed, and no
+// other gateway has it. With a leader throughout it doesn't.
+func checkUndisturbed(t *testing.T, f *Fleet, n int, hadLeader bool) {
 	t.Helper()
 	for _, e := range f.History.Events()[n:] {
 		switch {
-		case e.Kind == Lapsed && f.gateway(e.Gateway):
-			t.Errorf("the session of %s lapsed at %v", e.Gateway, e.At)
-		case e.Kind == Changed && f.gateway(e.From):
-			t.Errorf("%s went from %s to %s at %v", e.Duty, e.From, e.To, e.At)
-		case e.Kind == LaidDown && f.gateway(e.Gateway) && led:
-			t.Errorf("%s was laid down by %s at %v", e.Duty, e.Gateway, e.At)
+		case e.Kind == SessionExpired && f.isGateway(e.Gateway):
+			t.Errorf("got the session of %s expired at %v", e.Gateway, e.At)
+		case e.Kind == LeaseTransferred && f.isGateway(e.From):
+			t.Errorf("got %s transferred from %s to %s at %v", e.Lease, e.From, e.To, e.At)
+		case e.Kind == LeaseNoLongerHeld && f.isGateway(e.Gateway) && hadLeader:
+			t.Errorf("got %s released by %s at %v", e.Lease, e.Gateway, e.At)
 		}
 	}
 }
 
-// gateway says whether a name is that of a gateway that is no relay.
-func (f *Fleet) gateway(name string) bool {
+// isGateway reports whether a name is that of a gateway and not of a relay.
+func (f *Fleet) isGateway(name string) bool {
 	for _, g := range f.Gateways[f.Relays:] {
 		if g.Name == name {
 			return true
@@ -69,36 +67,36 @@
 	return false
 }
 
-// settled waits until the duties are spread as they stay: none is moved only to be even.
-func settled(t *testing.T, f *Fleet) {
+// waitBalanced waits until each of three gateways holds a lease: none is transferred to balance them.
+func waitBalanced(t *testing.T, f *Fleet) {
 	t.Helper()
-	most := map[string]int{}
-	if err := f.Until(context.Background(), "duties are spread", formTime, func() bool {
-		clear(most)
-		for _, name := range []string{"check/calendar", "housekeeping", "list/calendar"} {
-			if g := f.Owner(name); g != nil {
-				most[g.Name]++
+	holders := map[string]int{}
+	if err := f.WaitUntil(context.Background(), "leases are balanced", convergeTimeout, func() bool {
+		clear(holders)
+		for _, name := range []string{healthCheckLease, housekeepingLease, endpointsLease} {
+			if g := f.LeaseHolder(name); g != nil {
+				holders[g.Name]++
 			}
 		}
-		return len(most) == 3
+		return len(holders) == 3
 	}); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// A relay is killed: its gateways are with another, no session lapses and no duty changes hands for
-// it, and clients notice nothing. So when it is the one that leads the record.
-func TestRelayKilled(t *testing.T) {
+// A relay is killed: its gateways move to another one, no session expires and no lease is transferred, and clients notice
+// nothing. So too when the relay is the leader.
+func TestKilledRelayDisturbsNoGateway(t *testing.T) {
 	t.Parallel()
-	f, loaded := relayed(t, 21)
+	f, loaded := newRelayFleet(t, 21)
 	for g, want := range map[*Gateway][]string{
 		loaded:        {"g7 of fleet trial: member\n", "at relay g", "7 members, 7 with a session"},
 		f.Gateways[0]: {"a relay: ", " gateways here, 16 at most, 4 at all relays that are up: g1 "},
 	} {
-		out, err := exec.Command(operators, "fleet", "--admin", g.admin, "status").CombinedOutput()
+		out, err := exec.Command(dunemoorctl, "fleet", "--admin", g.admin, "status").CombinedOutput()
 		for _, text := range want {
 			if err != nil || !strings.Contains(string(out), text) {
-				t.Errorf("status at %s has no %q: %v\n%s", g.Name, text, err, out)
+				t.Errorf("status at %s: got error %v and\n%s\nwant %q", g.Name, err, out, text)
 			}
 		}
 	}
@@ -109,14 +107,14 @@
 		m, err := g.Metrics()
 		for name, value := range want {
 			if m[name] != value {
-				t.Errorf("%s of %s is %v, want %v, %v", name, g.Name, m[name], value, err)
+				t.Errorf("%s of %s: got %v, want %v, error %v", name, g.Name, m[name], value, err)
 			}
 		}
 	}
 	for _, leads := range []bool{false, true} {
-		settled(t, f)
+		waitBalanced(t, f)
 		var down, leader *Gateway
-		if err := f.Until(context.Background(), "a relay that has gateways leads, or does not", formTime, func() bool {
+		if err := f.WaitUntil(context.Background(), "a relay with gateways is the leader, or is not", convergeTimeout, func() bool {
 			leader, down = f.Leader(), nil
 			for _, g := range f.Gateways[f.Relays:] {
 				if at := relayOf(f, g); at != nil && (at == leader) == leads {
@@ -128,117 +126,116 @@
 			t.Fatal(err)
 		}
 		n := f.History.Len()
-		t.Logf("%s is killed, %s leads", down.Name, leader.Name)
+		t.Logf("%s is killed, %s is the leader", down.Name, leader.Name)
 		down.Kill()
-		moved(t, f, down)
-		if err := f.Until(context.Background(), "a leader has confirmed all", formTime, func() bool { return f.confirmed(down) }); err != nil {
+		waitMoved(t, f, down)
+		if err := f.WaitUntil(context.Background(), "another leader has confirmed all", convergeTimeout, func() bool { return f.confirmed(down) }); err != nil {
 			t.Fatal(err)
 		}
-		undisturbed(t, f, n, down != leader)
+		checkUndisturbed(t, f, n, down != leader)
 		if err := down.Start(); err != nil {
 			t.Fatal(err)
 		}
-		whole(t, f)
+		waitConverged(t, f)
 	}
 }
 
-// confirmed says whether all but one have the word of a leader that is another.
-func (f *Fleet) confirmed(but *Gateway) bool {
+// confirmed reports whether all gateways but one have a session and another leader than that.
+func (f *Fleet) confirmed(except *Gateway) bool {
 	for _, g := range f.Gateways {
-		if g == but {
+		if g == except {
 			continue
 		}
-		if s, err := g.Status(); err != nil || s.Session == 0 || s.Leader == "" || s.Leader == but.Name {
+		if s, err := g.Status(); err != nil || s.Session == 0 || s.Leader == "" || s.Leader == except.Name {
 			return false
 		}
 	}
 	return true
 }
 
-// A relay is stopped for longer than sessions last: its gateways are with another, and when it goes
-// on, what it held back does no harm and it takes gateways again.
-func TestRelayStopped(t *testing.T) {
+// A relay is paused for longer than sessions last: its gateways move to another one. When it resumes, what it held back does
+// no harm, and it accepts gateways again.
+func TestPausedRelayLosesItsGateways(t *testing.T) {
 	t.Parallel()
-	f, loaded := relayed(t, 22)
+	f, loaded := newRelayFleet(t, 22)
 	var down *Gateway
-	if err := f.Until(context.Background(), "a relay has the loaded gateway", formTime, func() bool { down = relayOf(f, loaded); return down != nil }); err != nil {
+	if err := f.WaitUntil(context.Background(), "the loaded gateway has a relay", convergeTimeout, func() bool { down = relayOf(f, loaded); return down != nil }); err != nil {
 		t.Fatal(err)
 	}
 	n := f.History.Len()
-	if err := down.Stop(); err != nil {
+	if err := down.Pause(); err != nil {
 		t.Fatal(err)
 	}
-	stopped := time.Now()
-	moved(t, f, down)
-	t.Logf("all are with another after %v", time.Since(stopped).Round(time.Millisecond))
-	time.Sleep(time.Until(stopped.Add(3 * sessionTime))) // the stop itself
+	paused := time.Now()
+	waitMoved(t, f, down)
+	t.Logf("all have another relay after %v", time.Since(paused).Round(time.Millisecond))
+	time.Sleep(time.Until(paused.Add(pauseDuration)))
 	for _, e := range f.History.Events()[n:] {
-		if e.Kind == Lapsed {
-			t.Logf("the session of %s lapsed", e.Gateway) // on a busy machine 0.3 s are soon gone
+		if e.Kind == SessionExpired {
+			t.Logf("the session of %s expired", e.Gateway) // as may be on a busy machine
 		}
 	}
-	if err := down.Continue(); err != nil {
+	if err := down.Resume(); err != nil {
 		t.Fatal(err)
 	}
-	whole(t, f)
+	waitConverged(t, f)
 }
 
-// A relay that is cut one way, from each of its gateways and then to each of them, and from the
-// other relays: who it can't serve goes elsewhere.
-func TestRelayCutOneWay(t *testing.T) {
+// Gateways move away from a relay that receives nothing, that reaches no one, or that reaches no other relay.
+func TestGatewaysLeaveAPartitionedRelay(t *testing.T) {
 	t.Parallel()
-	f, loaded := relayed(t, 23)
-	for _, way := range []string{"hears nobody", "is heard by nobody", "is heard by no relay"} {
+	f, loaded := newRelayFleet(t, 23)
+	for _, fault := range []string{"receives nothing", "reaches no one", "reaches no relay"} {
 		var down *Gateway
-		if err := f.Until(context.Background(), "a relay has the loaded gateway", formTime, func() bool { down = relayOf(f, loaded); return down != nil }); err != nil {
+		if err := f.WaitUntil(context.Background(), "the loaded gateway has a relay", convergeTimeout, func() bool { down = relayOf(f, loaded); return down != nil }); err != nil {
 			t.Fatal(err)
 		}
-		switch way {
-		case "hears nobody":
-			f.Alone(down, false, true)
-		case "is heard by nobody":
-			f.Alone(down, true, false)
-		default: // it is there for its gateways, and what they say goes nowhere
+		switch fault {
+		case "receives nothing":
+			f.Isolate(down, false, true)
+		case "reaches no one":
+			f.Isolate(down, true, false)
+		default: // its gateways reach it, and what they send goes nowhere
 			for _, r := range f.Gateways[:f.Relays] {
 				if r != down {
-					f.Cut(down, r, true)
+					f.SetBlocked(down, r, true)
 				}
 			}
 		}
-		moved(t, f, down)
+		waitMoved(t, f, down)
 		if err := f.Heal(); err != nil {
 			t.Fatal(err)
 		}
-		whole(t, f)
+		waitConverged(t, f)
 	}
 }
 
-// All relays are restarted one by one, then all are down at once: gateways serve on without any, and
-// are of the fleet again once there are some.
-func TestRelaysRestarted(t *testing.T) {
+// All relays are restarted one by one, then all are down at once: gateways serve without any, and rejoin the fleet when
+// relays are back.
+func TestGatewaysServeWithoutRelays(t *testing.T) {
 	t.Parallel()
-	f, loaded := relayed(t, 24)
+	f, loaded := newRelayFleet(t, 24)
 	for _, r := range f.Gateways[:f.Relays] {
-		if code, err := r.Terminate(formTime); err != nil || code != 0 {
-			t.Fatalf("%s ends with %d, %v", r.Name, code, err)
+		if code, err := r.Terminate(convergeTimeout); err != nil || code != 0 {
+			t.Fatalf("%s: got exit code %d, error %v, want 0", r.Name, code, err)
 		}
-		moved(t, f, r)
+		waitMoved(t, f, r)
 		if err := r.Start(); err != nil {
 			t.Fatal(err)
 		}
-		whole(t, f)
+		waitConverged(t, f)
 	}
 	for _, r := range f.Gateways[:f.Relays] {
 		r.Kill()
 	}
-	if err := f.Until(context.Background(), "the loaded gateway has neither a relay nor time left of its session", formTime, func() bool {
+	if err := f.WaitUntil(context.Background(), "the loaded gateway has neither a relay nor a session", convergeTimeout, func() bool {
 		s, err := loaded.Status()
-		return err == nil && s.Relay.Name == "" && s.Expires == 0
+		return err == nil && s.Relay.Name == "" && s.ExpiresInMS == 0
 	}); err != nil {
 		t.Fatal(err)
 	}
 	served := f.Hosts.Ledger.Count().Requests
-	if err := f.Until(context.Background(), "it serves on", formTime, func() bool { return f.Hosts.Ledger.Count().Requests > served+50 }); err != nil {
+	if err := f.WaitUntil(context.Background(), "requests served without relays", convergeTimeout, func() bool { return f.Hosts.Ledger.Count().Requests > served+50 }); err != nil {
 		t.Fatal(err)
 	}
 	for _, r := range f.Gateways[:f.Relays] {
@@ -246,5 +243,5 @@
 			t.Fatal(err)
 		}
 	}
-	whole(t, f)
+	waitConverged(t, f)
 }
