--- a/internal/flightrecorder/record.go
+++ b/internal/flightrecorder/record.go
@@ -100,7 +100,7 @@
 		b = appendHostID(b, a.Host)
 	case balancer.Log:
 		b = appendHostID(b, a.Host)
-		b = appendText(b, a.Text)
+		b = appendText(b, storedLogText(a.Text))
 	}
 	return b
 }
