--- a/cmd/dunemoor/appliance.go
+++ b/cmd/dunemoor/appliance.go
@@ -73,12 +73,12 @@
 	a, errs := config.LoadAppliance(path)
 	if len(errs) > 0 {
 		for _, err := range errs[1:] {
-			slog.Error("configuration", "err", err)
+			slog.Error("invalid configuration", "err", err)
 		}
 		return errs[0]
 	}
 	if !a.Serves() {
-		return fmt.Errorf("%s: listener: there is none: whether a relay serves requests is used from the next start on", path)
+		return fmt.Errorf("%s: listener: there is none: whether a relay serves requests takes effect at the next start", path)
 	}
 	if err := g.Reload(a); err != nil {
 		return err
--- a/cmd/dunemoor/appliance_test.go
+++ b/cmd/dunemoor/appliance_test.go
@@ -97,7 +97,7 @@
 		waitForLog("configuration reloaded", 2*round-1)
 		write(strings.Replace(applianceFile(listen, fleets[0], nil), "unsafe", "unsave", 1))
 		p.Process.Signal(syscall.SIGHUP)
-		waitForLog("configuration not reloaded", round)
+		waitForLog("configuration reload failed", round)
 		write(applianceFile(listen, fleets[0], nil))
 		p.Process.Signal(syscall.SIGHUP)
 		waitForLog("configuration reloaded", 2*round)
--- a/cmd/dunemoor/config_test.go
+++ b/cmd/dunemoor/config_test.go
@@ -55,7 +55,7 @@
 		}
 	}
 	reload(text[:len(text)/2])
-	waitUntil(t, "the invalid file is logged", func() bool { return strings.Contains(p.out.String(), "not reloaded") })
+	waitUntil(t, "the invalid file is logged", func() bool { return strings.Contains(p.out.String(), "configuration reload failed") })
 	mustServe()
 	if oldRequests.Load() != 1 {
 		t.Errorf("after an invalid file: got %d requests at the old host, want 1", oldRequests.Load())
--- a/cmd/dunemoor/main.go
+++ b/cmd/dunemoor/main.go
@@ -86,7 +86,7 @@
 			return err
 		case <-s.reload:
 			if err := srv.reload(); err != nil {
-				slog.Error("configuration not reloaded, the old one stays", "err", err)
+				slog.Error("configuration reload failed, keeping the old one", "err", err)
 			}
 		case <-s.dump:
 			srv.gateway.Dump()
--- a/cmd/dunemoor/relay.go
+++ b/cmd/dunemoor/relay.go
@@ -67,12 +67,12 @@
 	now, errs := config.LoadAppliance(path)
 	if len(errs) > 0 {
 		for _, err := range errs {
-			slog.Error("configuration", "err", err)
+			slog.Error("invalid configuration", "err", err)
 		}
 		return
 	}
 	if changed := changedRelaySettings(before, now); len(changed) > 0 {
-		slog.Warn("settings changed in the file are used from the next start on", "settings", strings.Join(changed, ", "))
+		slog.Warn("changed settings take effect at the next start", "settings", strings.Join(changed, ", "))
 	}
 }
 
