--- a/internal/gateway/bench_process_test.go
+++ b/internal/gateway/bench_process_test.go
@@ -42,77 +42,99 @@
 		debug.SetMemoryLimit(720 << 20) // for thousands of clients
 	}
 	slog.SetDefault(slog.New(slog.DiscardHandler))
-	var addr string
-	delays := &overload.Delays{}
-	switch kind {
-	case "dunemoor", "dunemoor-64", "dunemoor-off", "dunemoor-rate":
-		limits := "memory_mb = 1024\nsockets = 40000"
-		if kind == "dunemoor-64" {
-			limits = "memory_mb = 64\nsockets = 4096"
-		}
-		if kind == "dunemoor-off" {
-			limits += "\noverload = false"
-		}
-		top := strings.Replace(overloadConfig, "sockets = 1024", limits, 1)
-		if kind == "dunemoor-rate" {
-			top = strings.Replace(top, "[[listener]]", "[limits.client]\nrate = 0.001\nburst = 1.0\n[[listener]]", 1)
-		}
-		a, errs := config.ParseAppliance("bench", top+poolConfig("p", "", strings.Split(host, ",")...)+
-			routeConfig("book", "path = \"/book\"\npool = \"p\"\nclass = \"book\"")+
-			routeConfig("r", "pool = \"p\"\nclass = \"lookup\"\ntimeout = \"20s\"\nstream = true\nleast_rate = 0"))
-		if len(errs) > 0 {
-			panic(errs[0])
-		}
-		g, err := StartAppliance(a, nil, nil, nil)
-		if err != nil {
-			panic(err)
+	addr, delays := startBenchProxy(kind, host)
+	if file := os.Getenv("DUNEMOOR_BENCH_PROFILE"); file != "" { // prefix of the file for a profile of this kind
+		if f, err := os.Create(file + "." + kind); err == nil && pprof.StartCPUProfile(f) == nil {
+			defer pprof.StopCPUProfile()
 		}
-		addr = g.appliance.listeners["127.0.0.1:0"].Addr().String()
-		delays = &g.engine.LoopDelays
+	}
+	fmt.Println(addr)
+	for in := bufio.NewScanner(os.Stdin); in.Scan(); { // each line asks for the counters
+		var m runtime.MemStats
+		runtime.ReadMemStats(&m)
+		fmt.Println(m.Mallocs, delays.Quantile(0.99).Microseconds())
+	}
+}
+
+// startBenchProxy starts a proxy of the kind and returns its address and the delays of its event loop.
+func startBenchProxy(kind, host string) (addr string, delays *overload.Delays) {
+	switch kind {
 	case "dunemoor-cgi":
-		web, cgi, _ := strings.Cut(host, ";")
-		text := strings.Replace(overloadConfig, "sockets = 1024", "memory_mb = 64\nsockets = 1024", 1) + poolConfig("http", "", web) + fastCGIPoolConfig("cgi", "", cgi) + fastCGIListener
-		for _, pool := range []string{"http", "cgi"} {
-			text += routeConfig(pool, "path = \"/"+pool+"\"\npool = \""+pool+"\"\nclass = \"lookup\"")
-		}
-		a, errs := config.ParseAppliance("bench", text)
-		if len(errs) > 0 {
-			panic(errs[0])
-		}
-		g, err := StartAppliance(a, nil, nil, nil)
-		if err != nil {
-			panic(err)
-		}
-		addr = g.appliance.listeners["127.0.0.1:0"].Addr().String() + ";" + g.appliance.listeners[fastCGIKey+"127.0.0.2:0"].Addr().String()
+		g := mustStartBenchGateway(mixedBenchConfig(host))
+		http := g.appliance.listeners["127.0.0.1:0"].Addr().String()
+		cgi := g.appliance.listeners[fastCGIKey+"127.0.0.2:0"].Addr().String()
+		return http + ";" + cgi, &overload.Delays{}
 	case "minimal":
 		// The least that a server can do: a read and a write, without parsing.
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			panic(err)
-		}
-		addr = ln.Addr().String()
+		ln := mustListen()
 		go serveConns(ln, rejectWithoutParsing)
+		return ln.Addr().String(), &overload.Delays{}
 	case "ReverseProxy":
 		p := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: host})
 		p.Transport = &http.Transport{MaxIdleConnsPerHost: 256}
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			panic(err)
-		}
-		addr = ln.Addr().String()
+		ln := mustListen()
 		go http.Serve(ln, p)
+		return ln.Addr().String(), &overload.Delays{}
+	default:
+		g := mustStartBenchGateway(benchConfig(kind, host))
+		return g.appliance.listeners["127.0.0.1:0"].Addr().String(), &g.engine.LoopDelays
 	}
-	if file := os.Getenv("DUNEMOOR_BENCH_PROFILE"); file != "" { // prefix of the file for a profile of this kind
-		if f, err := os.Create(file + "." + kind); err == nil && pprof.StartCPUProfile(f) == nil {
-			defer pprof.StopCPUProfile()
-		}
+}
+
+// benchConfig is the file of a gateway in front of hosts separated by commas.
+func benchConfig(kind, hosts string) string {
+	limits := "memory_mb = 1024\nsockets = 40000"
+	client := ""
+	switch kind {
+	case "dunemoor":
+	case "dunemoor-64":
+		limits = "memory_mb = 64\nsockets = 4096"
+	case "dunemoor-off":
+		limits += "\noverload = false"
+	case "dunemoor-rate":
+		client = "[limits.client]\nrate = 0.001\nburst = 1.0\n"
+	default:
+		panic("unknown kind of proxy " + kind)
 	}
-	fmt.Println(addr)
-	for in := bufio.NewScanner(os.Stdin); in.Scan(); { // each line asks for the counters
-		var m runtime.MemStats
-		runtime.ReadMemStats(&m)
-		fmt.Println(m.Mallocs, delays.Quantile(0.99).Microseconds())
+	text := strings.Replace(overloadConfig, "sockets = 1024", limits, 1)
+	text = strings.Replace(text, "[[listener]]", client+"[[listener]]", 1)
+	return text + poolConfig("p", "", strings.Split(hosts, ",")...) +
+		routeConfig("book", "path = \"/book\"\npool = \"p\"\nclass = \"book\"") +
+		routeConfig("r", "pool = \"p\"\nclass = \"lookup\"\ntimeout = \"20s\"\nstream = true\nleast_rate = 0")
+}
+
+// mixedBenchConfig is the file of a gateway in front of an HTTP host and a FastCGI responder, separated
+// by a semicolon, with a listener for each protocol.
+func mixedBenchConfig(hosts string) string {
+	web, cgi, _ := strings.Cut(hosts, ";")
+	text := strings.Replace(overloadConfig, "sockets = 1024", "memory_mb = 64\nsockets = 1024", 1) +
+		poolConfig("http", "", web) + fastCGIPoolConfig("cgi", "", cgi) + fastCGIListener
+	for _, pool := range []string{"http", "cgi"} {
+		text += routeConfig(pool, "path = \"/"+pool+"\"\npool = \""+pool+"\"\nclass = \"lookup\"")
+	}
+	return text
+}
+
+// mustStartBenchGateway starts a gateway in a process without a testing.B.
+func mustStartBenchGateway(text string) *Gateway {
+	a, errs := config.ParseAppliance("bench", text)
+	if len(errs) > 0 {
+		panic(errs[0])
+	}
+	g, err := StartAppliance(a, nil, nil, nil)
+	if err != nil {
+		panic(err)
+	}
+	return g
+}
+
+// mustListen opens a listener in a process without a testing.B.
+func mustListen() net.Listener {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		panic(err)
 	}
+	return ln
 }
 
 // rejectWithoutParsing answers whatever it reads with a rejection.
--- a/internal/gateway/bench_protocol_test.go
+++ b/internal/gateway/bench_protocol_test.go
@@ -41,73 +41,88 @@
 	go fcgi.Serve(ln, handler)
 	for b.Loop() {
 		c := startProxyProcess(b, "dunemoor-cgi", web.Listener.Addr().String()+";"+ln.Addr().String())
-		byHTTP, byCGI, _ := strings.Cut(strings.TrimPrefix(c.url, "http://"), ";")
-		server := &fakes.WebServer{Addr: byCGI}
-		clients := map[string]http.RoundTripper{"http": &http.Transport{MaxIdleConnsPerHost: 16}, "cgi": server}
-		type way struct {
-			name, client, path string
-			took               []time.Duration
-			span, cpu          time.Duration
-			mallocs            uint64
+		benchmarkProtocolPairs(b, c)
+	}
+}
+
+// protocolPair is a protocol of clients and one of hosts, with what was measured.
+type protocolPair struct {
+	name, path string
+	client     http.RoundTripper
+	took       []time.Duration // by request
+	span, cpu  time.Duration
+	mallocs    uint64
+}
+
+// benchmarkProtocolPairs measures the pairs in turn, seven rounds of which the first does not count, as
+// the gateway learns the rates of the hosts in it.
+func benchmarkProtocolPairs(b *testing.B, c *proxyProcess) {
+	byHTTP, byCGI, _ := strings.Cut(strings.TrimPrefix(c.url, "http://"), ";")
+	server := &fakes.WebServer{Addr: byCGI}
+	defer server.Close()
+	clients := map[string]http.RoundTripper{"http": &http.Transport{MaxIdleConnsPerHost: 16}, "cgi": server}
+	var pairs []*protocolPair
+	for _, from := range []string{"http", "cgi"} {
+		for _, to := range []string{"http", "cgi"} {
+			pairs = append(pairs, &protocolPair{name: from + "->" + to, client: clients[from], path: "/" + to})
 		}
-		var ways []*way
-		for _, from := range []string{"http", "cgi"} {
-			for _, to := range []string{"http", "cgi"} {
-				ways = append(ways, &way{name: from + "->" + to, client: from, path: "/" + to})
+	}
+	for round := range 7 {
+		for _, p := range pairs {
+			cpu, _ := c.usage(b)
+			mallocs, _ := c.counters(b)
+			started := time.Now()
+			took := sendFor(b, p.client, "http://"+byHTTP+p.path, 300*time.Millisecond)
+			if round == 0 {
+				continue
 			}
+			p.span += time.Since(started)
+			cpuAfter, _ := c.usage(b)
+			p.cpu += cpuAfter - cpu
+			mallocsAfter, _ := c.counters(b)
+			p.mallocs += mallocsAfter - mallocs
+			p.took = append(p.took, took...)
 		}
-		for round := range 7 {
-			for _, w := range ways {
-				cpu, _ := c.usage(b)
-				mallocs, _ := c.counters(b)
-				began := time.Now()
-				var mu sync.Mutex
-				var all sync.WaitGroup
-				var took []time.Duration
-				for range 16 {
-					all.Go(func() {
-						var own []time.Duration
-						for time.Since(began) < 300*time.Millisecond {
-							r, _ := http.NewRequest("GET", "http://"+byHTTP+w.path, nil)
-							at := time.Now()
-							resp, err := clients[w.client].RoundTrip(r)
-							if err != nil {
-								b.Error(err)
-								return
-							}
-							io.Copy(io.Discard, resp.Body)
-							resp.Body.Close()
-							if resp.StatusCode == 200 {
-								own = append(own, time.Since(at))
-							}
-						}
-						mu.Lock()
-						took = append(took, own...)
-						mu.Unlock()
-					})
+	}
+	for _, p := range pairs {
+		slices.Sort(p.took)
+		n := float64(len(p.took))
+		b.ReportMetric(n/p.span.Seconds(), p.name+"-rps")
+		b.ReportMetric(float64(p.took[len(p.took)*99/100].Microseconds()), p.name+"-p99-us")
+		b.ReportMetric(float64(p.cpu.Microseconds())/n, p.name+"-cpu-us")
+		b.ReportMetric(float64(p.mallocs)/n, p.name+"-allocs")
+	}
+}
+
+// sendFor sends requests with 16 clients for a span, and returns what each served one took.
+func sendFor(b *testing.B, client http.RoundTripper, url string, span time.Duration) (took []time.Duration) {
+	var mu sync.Mutex // guards took
+	var clients sync.WaitGroup
+	started := time.Now()
+	for range 16 {
+		clients.Go(func() {
+			var own []time.Duration
+			for time.Since(started) < span {
+				r, _ := http.NewRequest("GET", url, nil)
+				sentAt := time.Now()
+				resp, err := client.RoundTrip(r)
+				if err != nil {
+					b.Error(err)
+					return
 				}
-				all.Wait()
-				if round == 0 {
-					continue // the gateway learns the rates of the hosts
+				io.Copy(io.Discard, resp.Body)
+				resp.Body.Close()
+				if resp.StatusCode == 200 {
+					own = append(own, time.Since(sentAt))
 				}
-				w.span += time.Since(began)
-				after, _ := c.usage(b)
-				w.cpu += after - cpu
-				now, _ := c.counters(b)
-				w.mallocs += now - mallocs
-				w.took = append(w.took, took...)
 			}
-		}
-		server.Close()
-		for _, w := range ways {
-			slices.Sort(w.took)
-			n := float64(len(w.took))
-			b.ReportMetric(n/w.span.Seconds(), w.name+"-rps")
-			b.ReportMetric(float64(w.took[len(w.took)*99/100].Microseconds()), w.name+"-p99-us")
-			b.ReportMetric(float64(w.cpu.Microseconds())/n, w.name+"-cpu-us")
-			b.ReportMetric(float64(w.mallocs)/n, w.name+"-allocs")
-		}
+			mu.Lock()
+			defer mu.Unlock()
+			took = append(took, own...)
+		})
 	}
+	clients.Wait()
+	return took
 }
 
 // BenchmarkMultiplexed sends 10,000 requests of 8 KiB on 4 connections of a web server, 64 at once,
--- a/internal/gateway/fastcgi_frontend_test.go
+++ b/internal/gateway/fastcgi_frontend_test.go
@@ -32,8 +32,10 @@
 	})
 	g := startAppliance(t, singleRouteConfig("max_body = 3000000", addr)+fastCGIListener)
 	w := dialFastCGI(t, g.fastCGIAddr())
-	if status, text := w.send(1, fastCGIParams("POST", "/a?b=%20", "CONTENT_LENGTH", "4", "HTTP_HOST", "h.example.org", "HTTP_X_THING", "v",
-		"HTTP_PROXY", "http://evil", "REMOTE_ADDR", "192.0.2.4", "CONTENT_TYPE", "text/plain", "HTTP_CONNECTION", "keep-alive", "HTTP_TRANSFER_ENCODING", "chunked"), "four"); status != 201 || text != "POST /a?b=%20 4" {
+	params := fastCGIParams("POST", "/a?b=%20", "CONTENT_LENGTH", "4", "HTTP_HOST", "h.example.org", "HTTP_X_THING", "v",
+		"HTTP_PROXY", "http://evil", "REMOTE_ADDR", "192.0.2.4", "CONTENT_TYPE", "text/plain",
+		"HTTP_CONNECTION", "keep-alive", "HTTP_TRANSFER_ENCODING", "chunked")
+	if status, text := w.send(1, params, "four"); status != 201 || text != "POST /a?b=%20 4" {
 		t.Errorf("status %d, body %q, want 201 with the request", status, text)
 	}
 	r := got.Load()
@@ -45,6 +47,33 @@
 	if r.Host != "h.example.org" {
 		t.Errorf("host %q, want h.example.org", r.Host)
 	}
+	checkInvalidFastCGIRequests(t, w, hits)
+	// The connection is still usable, for bodies of any size.
+	for _, n := range []int{0, 1, frontend.MaxBufferedBytes, frontend.MaxBufferedBytes + 1, 2_000_000} {
+		stdin := strings.Repeat("y", n)
+		want := fmt.Sprintf("POST / %d", n)
+		if status, text := w.send(3, fastCGIParams("POST", "/", "CONTENT_LENGTH", fmt.Sprint(n)), stdin); status != 201 || text != want {
+			t.Errorf("%d bytes: status %d, body %q, want 201 and %q", n, status, text, want)
+		}
+		if status, text := w.send(4, fastCGIParams("POST", "/"), stdin); status != 201 || text != want {
+			t.Errorf("%d bytes without a length: status %d, body %q, want 201 and %q", n, status, text, want)
+		}
+	}
+	w.Write(fastcgi.AppendRecord(nil, fastcgi.GetValues, 0, fastcgi.AppendPair(nil, fastcgi.MpxsConns, "")))
+	w.send(5, fastCGIParams("GET", "/"), "")
+	if string(w.reply) != string(fastcgi.AppendPair(nil, fastcgi.MpxsConns, "1")) {
+		t.Errorf("values %q, want that requests are multiplexed", w.reply)
+	}
+	for id, e := range w.ended {
+		if len(e) == 0 {
+			t.Errorf("request %d has %d ends, want one or more", id, len(e))
+		}
+	}
+}
+
+// checkInvalidFastCGIRequests sends requests that are rejected without a request to the host.
+func checkInvalidFastCGIRequests(t *testing.T, w *fastCGIClient, hits *atomic.Int64) {
+	t.Helper()
 	before := hits.Load()
 	long := strings.Repeat("x", 100_000)
 	for _, c := range []struct {
@@ -74,25 +103,6 @@
 	if n := hits.Load() - before; n != 0 {
 		t.Errorf("%d invalid requests at the host, want 0", n)
 	}
-	// The connection is still usable, for bodies of any size.
-	for _, n := range []int{0, 1, frontend.MaxBufferedBytes, frontend.MaxBufferedBytes + 1, 2_000_000} {
-		if status, text := w.send(3, fastCGIParams("POST", "/", "CONTENT_LENGTH", fmt.Sprint(n)), strings.Repeat("y", n)); status != 201 || text != fmt.Sprintf("POST / %d", n) {
-			t.Errorf("%d bytes: status %d, body %q, want 201 with the length", n, status, text)
-		}
-		if status, text := w.send(4, fastCGIParams("POST", "/"), strings.Repeat("y", n)); status != 201 || text != fmt.Sprintf("POST / %d", n) {
-			t.Errorf("%d bytes without a length: status %d, body %q, want 201 with the length", n, status, text)
-		}
-	}
-	w.Write(fastcgi.AppendRecord(nil, fastcgi.GetValues, 0, fastcgi.AppendPair(nil, fastcgi.MpxsConns, "")))
-	w.send(5, fastCGIParams("GET", "/"), "")
-	if string(w.reply) != string(fastcgi.AppendPair(nil, fastcgi.MpxsConns, "1")) {
-		t.Errorf("values %q, want that requests are multiplexed", w.reply)
-	}
-	for id, e := range w.ended {
-		if len(e) == 0 {
-			t.Errorf("request %d has %d ends, want one or more", id, len(e))
-		}
-	}
 }
 
 // An abort at any moment cancels the attempt and gives one END_REQUEST with nothing after it, and the
@@ -154,37 +164,48 @@
 	testutil.WaitUntil(t, "no buffered body", func() bool { return g.maxBufferedBytes() == 0 })
 }
 
+// newHostLimit is how many attempts a new host gets at once.
+const newHostLimit = 4
+
+// fillHost sends requests until the only host is at its limit, where they stay in flight; inFlight counts
+// them there.
+func (w *fastCGIClient) fillHost(inFlight *atomic.Int64) {
+	w.Helper()
+	for id := range uint16(newHostLimit) {
+		w.Write(fastCGIRequest(id+1, fastcgi.KeepConn, fastCGIParams("POST", "/hold", "CONTENT_LENGTH", "0"), "", true))
+	}
+	testutil.WaitUntil(w, "the host at its limit", func() bool { return inFlight.Load() == newHostLimit })
+}
+
+// openRequests returns the number of requests in all pools.
+func (a *testAppliance) openRequests() (n int64) {
+	snapshot := a.engine.Snapshot()
+	defer snapshot.Release()
+	snapshot.Pools(func(p *engine.Pool) { n += p.OpenRequests() })
+	return n
+}
+
 // A request aborted while it waits for a host reaches none.
 func TestFastCGIAbortOfQueuedRequestReachesNoHost(t *testing.T) {
-	var held, queued atomic.Int64
+	var inFlight, queued atomic.Int64
 	addr, _ := startHTTPHost(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/queued" {
 			queued.Add(1)
 			return
 		}
-		held.Add(1)
+		inFlight.Add(1)
 		<-r.Context().Done()
 	})
 	g := startAppliance(t, singleRouteConfig("", addr)+fastCGIListener)
 	w := dialFastCGI(t, g.fastCGIAddr())
-	const hostLimit = 4 // attempts in flight at a new host
-	for id := range uint16(hostLimit) {
-		w.Write(fastCGIRequest(id+1, fastcgi.KeepConn, fastCGIParams("POST", "/hold", "CONTENT_LENGTH", "0"), "", true))
-	}
-	testutil.WaitUntil(t, "the host at its limit", func() bool { return held.Load() == hostLimit })
+	w.fillHost(&inFlight)
 	w.Write(fastCGIRequest(50, fastcgi.KeepConn, fastCGIParams("POST", "/queued", "CONTENT_LENGTH", "0"), "", true))
-	openRequests := func() (n int64) {
-		snapshot := g.engine.Snapshot()
-		defer snapshot.Release()
-		snapshot.Pools(func(p *engine.Pool) { n += p.OpenRequests() })
-		return n
-	}
-	testutil.WaitUntil(t, "the request queued", func() bool { return openRequests() == hostLimit+1 })
+	testutil.WaitUntil(t, "the request queued", func() bool { return g.openRequests() == newHostLimit+1 })
 	w.Write(fastcgi.AppendStreamEnd(nil, fastcgi.AbortRequest, 50))
 	if text, ok := w.readUntilEnd(50); !ok || text != "" {
 		t.Errorf("output %q, ended %t, want an end without output", text, ok)
 	}
-	testutil.WaitUntil(t, "the request forgotten", func() bool { return openRequests() == hostLimit })
+	testutil.WaitUntil(t, "the request forgotten", func() bool { return g.openRequests() == newHostLimit })
 	if n := queued.Load(); n != 0 {
 		t.Errorf("%d requests at the host, want 0", n)
 	}
@@ -193,7 +214,7 @@
 // A web server closes its connection while a request waits for a host, and the close stands behind
 // body bytes that are not read yet: the request reaches no host.
 func TestFastCGICloseDuringQueuedBodyReachesNoHost(t *testing.T) {
-	var held, queued atomic.Int64
+	var inFlight, queued atomic.Int64
 	hold := make(chan struct{})
 	release := sync.OnceFunc(func() { close(hold) })
 	addr, _ := startHTTPHost(t, func(w http.ResponseWriter, r *http.Request) {
@@ -201,31 +222,21 @@
 			queued.Add(1)
 			return
 		}
-		held.Add(1)
+		inFlight.Add(1)
 		<-hold
 	})
 	t.Cleanup(release)
 	g := startAppliance(t, singleRouteConfig("", addr)+fastCGIListener)
 	w := dialFastCGI(t, g.fastCGIAddr())
-	const hostLimit = 4 // attempts in flight at a new host
-	for id := range uint16(hostLimit) {
-		w.Write(fastCGIRequest(id+1, fastcgi.KeepConn, fastCGIParams("POST", "/hold", "CONTENT_LENGTH", "0"), "", true))
-	}
-	testutil.WaitUntil(t, "the host at its limit", func() bool { return held.Load() == hostLimit })
-	openRequests := func() (n int64) {
-		snapshot := g.engine.Snapshot()
-		defer snapshot.Release()
-		snapshot.Pools(func(p *engine.Pool) { n += p.OpenRequests() })
-		return n
-	}
+	w.fillHost(&inFlight)
 	leaving := dialFastCGI(t, g.fastCGIAddr())
 	body := strings.Repeat("x", 160<<10) // more than the gateway buffers and reads ahead on one connection
 	leaving.Write(fastCGIRequest(1, fastcgi.KeepConn, fastCGIParams("POST", "/queued", "CONTENT_LENGTH", "1000000"), body, false))
-	testutil.WaitUntil(t, "the request queued", func() bool { return openRequests() == hostLimit+1 })
+	testutil.WaitUntil(t, "the request queued", func() bool { return g.openRequests() == newHostLimit+1 })
 	leaving.Close()
 	testutil.WaitUntil(t, "the close at the gateway", func() bool { return closeWait(t, leaving) })
 	release()
-	testutil.WaitUntil(t, "all requests ended", func() bool { return openRequests() == 0 })
+	testutil.WaitUntil(t, "all requests ended", func() bool { return g.openRequests() == 0 })
 	if status, _ := w.send(50, fastCGIParams("GET", "/"), ""); status != 200 {
 		t.Errorf("status %d, want 200", status)
 	}
