--- /dev/null
+++ b/internal/experiment/fakes/responder.go
@@ -0,0 +1,127 @@
+package fakes
+
+import (
+	"io"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"net/http/fcgi"
+	"strconv"
+	"sync"
+	"time"
+)
+
+// Responder is a node that speaks FastCGI, by the implementation of the standard library.
+type Responder struct {
+	Name  string
+	Group string // of nodes that share idempotency keys
+
+	ledger *Ledger
+	work   time.Duration
+
+	mu          sync.Mutex // guards the fields below
+	address     string
+	listener    net.Listener // nil: it has crashed
+	connections map[net.Conn]struct{}
+	random      *rand.Rand
+}
+
+// StartResponder starts a responder on a free port of 127.0.0.1. work is the mean execution time of a request.
+func StartResponder(name, group string, ledger *Ledger, seed uint64, work time.Duration) (*Responder, error) {
+	return StartResponderAt("127.0.0.1:0", name, group, ledger, seed, work)
+}
+
+// StartResponderAt starts a responder at an address, which must be a loopback one.
+func StartResponderAt(address, name, group string, ledger *Ledger, seed uint64, work time.Duration) (*Responder, error) {
+	if err := checkLoopback(address); err != nil {
+		return nil, err
+	}
+	r := &Responder{
+		Name: name, Group: group, ledger: ledger, work: work, address: address, random: rand.New(rand.NewPCG(seed, 3)),
+	}
+	return r, r.Start()
+}
+
+// Addr returns the address that the responder listens on, also after a crash.
+func (r *Responder) Addr() string { return r.address }
+
+// Start starts the responder, also after a Crash.
+func (r *Responder) Start() error {
+	listener, err := net.Listen("tcp", r.address)
+	if err != nil {
+		return err
+	}
+	r.mu.Lock()
+	r.listener = listener
+	r.address = listener.Addr().String()
+	r.connections = map[net.Conn]struct{}{}
+	r.mu.Unlock()
+	go fcgi.Serve(&responderListener{listener, r}, http.HandlerFunc(r.serve))
+	return nil
+}
+
+// Crash stops the responder as a process that dies: connections are reset, new ones refused.
+func (r *Responder) Crash() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.listener == nil {
+		return
+	}
+	r.listener.Close()
+	r.listener = nil
+	for c := range r.connections {
+		reset(c)
+	}
+}
+
+// responderListener records the connections of a responder.
+type responderListener struct {
+	net.Listener
+	responder *Responder
+}
+
+// Accept implements net.Listener.
+func (l *responderListener) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	r := l.responder
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.listener != l.Listener {
+		reset(c)
+		return nil, net.ErrClosed
+	}
+	r.connections[c] = struct{}{}
+	return c, nil
+}
+
+func (r *Responder) serve(w http.ResponseWriter, q *http.Request) {
+	if q.ContentLength != 0 { // net/http/fcgi shares one reader for all empty bodies, which two must not read at once
+		if _, err := io.Copy(io.Discard, q.Body); err != nil {
+			return // a truncated request is not executed
+		}
+	}
+	id := q.Header.Get("X-Request-Id")
+	dropped := r.ledger.RecordExecution(Execution{
+		ID:    id,
+		Key:   q.Header.Get("Idempotency-Key"),
+		Node:  r.Name,
+		Group: r.Group,
+		At:    time.Now(),
+	})
+	work := r.drawWork()
+	if !dropped {
+		time.Sleep(work)
+	}
+	body := Answer(id)
+	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
+	io.WriteString(w, body)
+}
+
+func (r *Responder) drawWork() time.Duration {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return time.Duration(r.random.ExpFloat64() * float64(r.work))
+}
