--- a/internal/gateway/appliance_test.go
+++ b/internal/gateway/appliance_test.go
@@ -181,58 +181,31 @@
 // reset connections, and the file is reloaded several times: nothing non-idempotent runs twice, every
 // request is answered, and most are served.
 func TestServicesUnderFaultsAndReloads(t *testing.T) {
-	healthy := fakes.Behaviour{Work: 2 * time.Millisecond, Cores: 8}
-	names := []string{"calendar", "address", "remind"}
 	text, changedText := baseConfig, baseConfig
-	var ledgers []*fakes.Ledger
-	var firsts []*fakes.Fleet
-	for _, name := range names {
-		ledger := fakes.NewLedger()
-		var fleets [2]*fakes.Fleet
-		for i := range fleets {
-			var err error
-			if fleets[i], err = fakes.StartService(fmt.Sprint(name, i), 4, uint64(i), healthy, ledger); err != nil {
-				t.Fatal(err)
-			}
-			t.Cleanup(fleets[i].Close)
-		}
-		a, b := fleets[0], fleets[1]
-		pools := poolConfig(name, "fallback = [\""+name+"-old\"]", a.Addrs()...) + poolConfig(name+"-old", "", b.Addrs()...)
-		route := routeConfig(name, "path = \"/"+name+"\"\npool = \""+name+"\"")
-		text += pools + route
-		changedText += pools + route + routeConfig(name+"-more", "path = \"/"+name+"/more\"\npool = \""+name+"-old\"\nclass = \"lookup\"")
-		ledgers, firsts = append(ledgers, ledger), append(firsts, a)
+	var services []*testService
+	for _, name := range []string{"calendar", "address", "remind"} {
+		s := startTestService(t, name)
+		services = append(services, s)
+		text += s.config()
+		changedText += s.config() + routeConfig(name+"-more", "path = \"/"+name+"/more\"\npool = \""+name+"-old\"\nclass = \"lookup\"")
 	}
 	g := startAppliance(t, text)
-	var wait sync.WaitGroup
-	for i, name := range names {
-		classes := fakes.DefaultClasses()
-		for k := range classes {
-			classes[k].Path, classes[k].Timeout = "/"+name+"/x", 20*time.Second
-		}
-		load := fakes.Load{URL: g.urls[0], Rate: 100, Count: 500, Classes: classes, Seed: uint64(i + 1), Retries: 2}
-		wait.Add(1)
-		go func() {
-			defer wait.Done()
-			if err := load.Run(context.Background(), ledgers[i]); err != nil {
+	var loads sync.WaitGroup
+	for i, s := range services {
+		loads.Go(func() {
+			if err := s.load(g.urls[0], uint64(i+1)).Run(context.Background(), s.ledger); err != nil {
 				t.Error(err)
 			}
-		}()
-	}
-	waitServed := func(i, n int) {
-		t.Helper()
-		testutil.WaitUntil(t, "enough requests served", func() bool {
-			c := ledgers[i].Count()
-			return c.Outcomes[fakes.Served] >= n
 		})
 	}
-	waitServed(0, 50)
-	for _, n := range firsts[0].Nodes {
+	services[0].waitServed(t, 50)
+	for _, n := range services[0].primary.Nodes {
 		n.Crash() // all nodes of the first pool
 	}
-	hang := healthy
-	hang.Mode, hang.Share = fakes.ResetAt, 0.3
-	firsts[1].Nodes[0].Behave(hang)
+	resetting := healthyHost
+	resetting.Mode = fakes.ResetAt
+	resetting.Share = 0.3
+	services[1].primary.Nodes[0].Behave(resetting)
 	for round := range 6 {
 		next := text
 		if round%2 == 0 {
@@ -241,25 +214,79 @@
 		if err := g.Reload(mustParse(t, next)); err != nil {
 			t.Fatal(err)
 		}
-		waitServed(2, 60*(round+1))
+		services[2].waitServed(t, 60*(round+1))
 	}
-	for _, n := range firsts[0].Nodes {
+	for _, n := range services[0].primary.Nodes {
 		if err := n.Start(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	wait.Wait()
-	for i, name := range names {
-		c := ledgers[i].Count()
-		if broken := c.Violations(); broken != "" {
-			t.Errorf("%s: violations %s, want none; ran twice %v, rejected after execution %v",
-				name, broken, c.RanTwice, c.RejectedAfterExecution)
-		}
-		if c.Outcomes[fakes.Served]*100 < 85*c.Requests {
-			t.Errorf("%s: outcomes of %d requests %v, want 85%% or more served", name, c.Requests, c.Outcomes)
+	loads.Wait()
+	for _, s := range services {
+		s.check(t)
+	}
+}
+
+// healthyHost is how hosts of a testService behave at first.
+var healthyHost = fakes.Behaviour{Work: 2 * time.Millisecond, Cores: 8}
+
+// testService is a service with a pool and another one that it falls back to.
+type testService struct {
+	name              string
+	ledger            *fakes.Ledger
+	primary, fallback *fakes.Fleet
+}
+
+func startTestService(t *testing.T, name string) *testService {
+	t.Helper()
+	s := &testService{name: name, ledger: fakes.NewLedger()}
+	for i, fleet := range []**fakes.Fleet{&s.primary, &s.fallback} {
+		var err error
+		if *fleet, err = fakes.StartService(fmt.Sprint(name, i), 4, uint64(i), healthyHost, s.ledger); err != nil {
+			t.Fatal(err)
 		}
-		t.Logf("%s: outcomes of %d requests %v", name, c.Requests, c.Outcomes)
+		t.Cleanup((*fleet).Close)
+	}
+	return s
+}
+
+// config returns the pools and the route of the service.
+func (s *testService) config() string {
+	return poolConfig(s.name, "fallback = [\""+s.name+"-old\"]", s.primary.Addrs()...) +
+		poolConfig(s.name+"-old", "", s.fallback.Addrs()...) +
+		routeConfig(s.name, "path = \"/"+s.name+"\"\npool = \""+s.name+"\"")
+}
+
+// load returns the load of the clients of the service.
+func (s *testService) load(url string, seed uint64) *fakes.Load {
+	classes := fakes.DefaultClasses()
+	for i := range classes {
+		classes[i].Path = "/" + s.name + "/x"
+		classes[i].Timeout = 20 * time.Second
+	}
+	return &fakes.Load{URL: url, Rate: 100, Count: 500, Classes: classes, Seed: seed, Retries: 2}
+}
+
+// waitServed waits until n requests of the service are served.
+func (s *testService) waitServed(t *testing.T, n int) {
+	t.Helper()
+	testutil.WaitUntil(t, "enough requests served", func() bool {
+		return s.ledger.Count().Outcomes[fakes.Served] >= n
+	})
+}
+
+// check compares the ledger with the rules of the service.
+func (s *testService) check(t *testing.T) {
+	t.Helper()
+	c := s.ledger.Count()
+	if violations := c.Violations(); violations != "" {
+		t.Errorf("%s: violations %s, want none; ran twice %v, rejected after execution %v",
+			s.name, violations, c.RanTwice, c.RejectedAfterExecution)
+	}
+	if c.Outcomes[fakes.Served]*100 < 85*c.Requests {
+		t.Errorf("%s: outcomes of %d requests %v, want 85%% or more served", s.name, c.Requests, c.Outcomes)
 	}
+	t.Logf("%s: outcomes of %d requests %v", s.name, c.Requests, c.Outcomes)
 }
 
 // While discovery is down at the start the pool rejects at once and health names it; it serves as soon
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -72,13 +72,24 @@
 	return fmt.Sprintf(`{"version":%d,"full":true,"servers":[%s]}`, version, strings.Join(entries, ","))
 }
 
+// bodyOf returns a body for a request of the class: lookups have none.
+func bodyOf(class string) string {
+	if class == "look" {
+		return ""
+	}
+	return "b"
+}
+
+// listed reports whether the applied list has the host.
+func (g *testGateway) listed(id string) bool { return g.pool.Address(id) != "" }
+
 // A watch ends without reporting that a host drains, and the next full list omits that host: it gets
 // nothing new, even on kept connections, its requests in flight end as usual, and it is used again
 // once it is listed.
 func TestFullListWithoutDrainingHostRemovesIt(t *testing.T) {
 	release := make(chan struct{})
-	once := sync.OnceFunc(func() { close(release) })
-	defer once()
+	releaseSlow := sync.OnceFunc(func() { close(release) })
+	defer releaseSlow()
 	draining := testutil.NewHost(t, func(c net.Conn, r *http.Request, _ int) bool {
 		if strings.HasSuffix(r.URL.Path, "/slow") {
 			<-release
@@ -94,19 +105,15 @@
 
 	watch := list.nextCall(t)
 	watch.line(fullListJSON(41, memberJSON("s-1", draining, "ready")))
-	testutil.WaitUntil(t, "the host in the list", func() bool { return g.pool.Address("s-1") != "" })
+	testutil.WaitUntil(t, "the host in the list", func() bool { return g.listed("s-1") })
 	if resp, _ := g.send("look", "/api/quick", ""); resp.StatusCode != 200 { // leaves an idle connection
 		t.Fatalf("status %d, want 200", resp.StatusCode)
 	}
 	classes := []string{"look", "book", "report"}
 	responses := make(chan error, len(classes))
 	for _, class := range classes {
-		body := "b"
-		if class == "look" {
-			body = ""
-		}
 		go func() {
-			resp, text := g.send(class, "/api/slow", body, "Idempotency-Key", "k-"+class)
+			resp, text := g.send(class, "/api/slow", bodyOf(class), "Idempotency-Key", "k-"+class)
 			if resp.StatusCode != 200 || text != "good" {
 				responses <- fmt.Errorf("%s: status %d, body %q, want 200 with good", class, resp.StatusCode, text)
 				return
@@ -122,14 +129,11 @@
 		t.Errorf("watch from version %s, want 41", watch.index)
 	}
 	watch.line(fullListJSON(43, memberJSON("s-2", other, "ready")))
-	testutil.WaitUntil(t, "the list applied", func() bool { return g.pool.Address("s-2") != "" })
+	testutil.WaitUntil(t, "the list applied", func() bool { return g.listed("s-2") })
 	for range 4 {
 		for _, class := range classes {
-			body := "b"
-			if class == "look" {
-				body = ""
-			}
-			if resp, _ := g.send(class, "/api/quick", body, "Idempotency-Key", testutil.NewID()); resp.StatusCode != 200 {
+			resp, _ := g.send(class, "/api/quick", bodyOf(class), "Idempotency-Key", testutil.NewID())
+			if resp.StatusCode != 200 {
 				t.Errorf("%s: status %d, want 200", class, resp.StatusCode)
 			}
 		}
@@ -137,7 +141,7 @@
 	if n, _, _ := draining.Counts(); n != 1+len(classes) {
 		t.Errorf("%d requests at the removed host, want the %d from before", n, 1+len(classes))
 	}
-	once()
+	releaseSlow()
 	for range classes {
 		if err := <-responses; err != nil {
 			t.Errorf("in flight at the removed host: %v", err)
@@ -146,7 +150,7 @@
 	testutil.WaitUntil(t, "its connections closed", func() bool { _, opened, ended := draining.Counts(); return opened == ended })
 
 	watch.line(fullListJSON(44, memberJSON("s-1", draining, "ready")))
-	testutil.WaitUntil(t, "the list applied", func() bool { return g.pool.Address("s-1") != "" })
+	testutil.WaitUntil(t, "the list applied", func() bool { return g.listed("s-1") })
 	if resp, _ := g.send("look", "/api/quick", ""); resp.StatusCode != 200 {
 		t.Errorf("listed again: status %d, want 200", resp.StatusCode)
 	}
@@ -165,7 +169,7 @@
 	g := startGateway(t, cfg)
 	watch := list.nextCall(t)
 	watch.line(fullListJSON(41, memberJSON("s-1", draining, "ready")))
-	testutil.WaitUntil(t, "the host in the list", func() bool { return g.pool.Address("s-1") != "" })
+	testutil.WaitUntil(t, "the host in the list", func() bool { return g.listed("s-1") })
 	send, _ := dialClient(t, g)
 	if resp, err := send(); err != nil || resp.StatusCode != 200 {
 		t.Fatalf("response %v, error %v, want status 200", resp, err)
@@ -175,7 +179,7 @@
 	go func() { g.Stop(0); close(stopped) }()
 	testutil.WaitUntil(t, "the gateway to stop", func() bool { return !g.ready() })
 	watch.line(fullListJSON(43, memberJSON("s-1", draining, "draining"), memberJSON("s-2", other, "ready")))
-	testutil.WaitUntil(t, "the list applied", func() bool { return g.pool.Address("s-2") != "" && g.pool.Address("s-1") == "" })
+	testutil.WaitUntil(t, "the list applied", func() bool { return g.listed("s-2") && !g.listed("s-1") })
 	if resp, err := send(); err != nil || resp.StatusCode != 200 {
 		t.Fatalf("response %v, error %v, want status 200", resp, err)
 	}
--- a/internal/gateway/fastcgi_pool_test.go
+++ b/internal/gateway/fastcgi_pool_test.go
@@ -35,7 +35,8 @@
 			t.Fatal(err)
 		}
 		defer r.Crash()
-		responders, addrs = append(responders, r), append(addrs, r.Addr())
+		responders = append(responders, r)
+		addrs = append(addrs, r.Addr())
 	}
 	text := baseConfig + poolConfig("http", "", nodes.Addrs()...) + fastCGIPoolConfig("cgi", "", addrs...)
 	for _, pool := range []string{"http", "cgi"} {
@@ -52,10 +53,15 @@
 			classes := fakes.DefaultClasses()
 			for n := range classes {
 				c := &classes[n]
-				c.ClassHeader, c.Name = c.Name, fmt.Sprintf("%s by %s at %s", c.Name, []string{"http", "cgi"}[i], pool)
-				c.Path, c.Timeout = "/"+pool+"/x", 20*time.Second
+				c.ClassHeader = c.Name
+				c.Name = fmt.Sprintf("%s by %s at %s", c.Name, []string{"http", "cgi"}[i], pool)
+				c.Path = "/" + pool + "/x"
+				c.Timeout = 20 * time.Second
+			}
+			load := fakes.Load{
+				URL: g.urls[0], Rate: rate, Count: count, Classes: classes,
+				Seed: uint64(10*i + k), Retries: 2, Transport: by,
 			}
-			load := fakes.Load{URL: g.urls[0], Rate: rate, Count: count, Classes: classes, Seed: uint64(10*i + k), Retries: 2, Transport: by}
 			loads.Go(func() {
 				if err := load.Run(context.Background(), ledger); err != nil {
 					t.Error(err)
@@ -64,35 +70,55 @@
 		}
 	}
 	loadsDone := make(chan struct{})
-	go func() { loads.Wait(); close(loadsDone) }()
-	for i := 0; ; i++ {
-		select {
-		case <-loadsDone:
-		case <-time.After(300 * time.Millisecond): // faults, one after the other
-			nodes.Nodes[i%4].Crash()
-			responders[(i+1)%4].Crash()
-			time.Sleep(200 * time.Millisecond)
-			// A connection of another process may have taken the port: the host stays down until it is free.
-			testutil.WaitUntil(t, "the node on its address again", func() bool { return nodes.Nodes[i%4].Start() == nil })
-			testutil.WaitUntil(t, "the responder on its address again", func() bool { return responders[(i+1)%4].Start() == nil })
-			continue
-		}
-		break
+	go func() {
+		loads.Wait()
+		close(loadsDone)
+	}()
+	for i := 0; stillRunningAfter(loadsDone, 300*time.Millisecond); i++ {
+		crashFor(t, 200*time.Millisecond, nodes.Nodes[i%4], responders[(i+1)%4])
+	}
+	checkMixedLedger(t, ledger)
+}
+
+// stillRunningAfter waits for d, or until done is closed, and reports whether done is still open.
+func stillRunningAfter(done chan struct{}, d time.Duration) bool {
+	select {
+	case <-done:
+		return false
+	case <-time.After(d):
+		return true
 	}
+}
+
+// crashFor stops a node and a responder for a while and starts them on their addresses again. A
+// connection of another process may have taken a port meanwhile: the host stays down until it is free.
+func crashFor(t *testing.T, d time.Duration, node *fakes.Node, responder *fakes.Responder) {
+	t.Helper()
+	node.Crash()
+	responder.Crash()
+	time.Sleep(d)
+	testutil.WaitUntil(t, "the node on its address again", func() bool { return node.Start() == nil })
+	testutil.WaitUntil(t, "the responder on its address again", func() bool { return responder.Start() == nil })
+}
+
+// checkMixedLedger compares the ledger with the rules of the service and with the least share served of
+// each combination.
+func checkMixedLedger(t *testing.T, ledger *fakes.Ledger) {
+	t.Helper()
 	c := ledger.Count()
-	if broken := c.Violations(); broken != "" {
+	if violations := c.Violations(); violations != "" {
 		t.Errorf("violations %s, want none; ran twice %v, rejected after execution %v, not requested %v",
-			broken, c.RanTwice, c.RejectedAfterExecution, c.Unrequested)
+			violations, c.RanTwice, c.RejectedAfterExecution, c.Unrequested)
 	}
 	shares := map[string]float64{}
-	for name, ends := range c.ByClass {
-		n := 0
-		for _, k := range ends {
-			n += k
+	for name, outcomes := range c.ByClass {
+		total := 0
+		for _, n := range outcomes {
+			total += n
 		}
-		shares[name] = 100 * float64(ends[fakes.Served]) / float64(n)
+		shares[name] = 100 * float64(outcomes[fakes.Served]) / float64(total)
 		if shares[name] < 80 {
-			t.Errorf("%s: %.1f%% of %d served, want 80%% or more: %v", name, shares[name], n, ends)
+			t.Errorf("%s: %.1f%% of %d served, want 80%% or more: %v", name, shares[name], total, outcomes)
 		}
 	}
 	t.Logf("%d requests, outcomes %v, served in percent %v", c.Requests, c.Outcomes, shares)
--- a/internal/gateway/upgrade_test.go
+++ b/internal/gateway/upgrade_test.go
@@ -7,6 +7,7 @@
 	"io"
 	"net"
 	"net/http"
+	"net/url"
 	"strings"
 	"testing"
 	"time"
@@ -34,69 +35,93 @@
 	g := startAppliance(t, baseConfig+poolConfig("p", "", echo)+
 		routeConfig("ws", "path = \"/ws\"\npool = \"p\"\nclass = \"lookup\"\nupgrades = 2")+
 		routeConfig("plain", "pool = \"p\"\nclass = \"lookup\""))
-	open := func(path string) (net.Conn, *bufio.Reader, *http.Response) {
-		t.Helper()
-		c := dialURL(t, g.urls[0])
-		c.SetDeadline(time.Now().Add(testutil.WaitTimeout))
-		fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: a\r\nConnection: keep-alive, Upgrade\r\nUpgrade: websocket\r\nSec-WebSocket-Key: y\r\n\r\n", path)
-		in := bufio.NewReader(c)
-		resp, err := http.ReadResponse(in, nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return c, in, resp
+	plain := openUpgrade(t, g.urls[0]+"/")
+	if plain.response.StatusCode != 200 {
+		t.Errorf("route without upgrades: status %d, want 200", plain.response.StatusCode)
 	}
-	expectEcho := func(c net.Conn, in *bufio.Reader, text string) {
-		t.Helper()
-		io.WriteString(c, text)
-		got := make([]byte, len(text))
-		if _, err := io.ReadFull(in, got); err != nil || string(got) != text {
-			t.Errorf("echo %q, error %v, want %q", got, err, text)
-		}
-	}
-	if c, _, resp := open("/"); resp.StatusCode != 200 {
-		t.Errorf("route without upgrades: status %d, want 200", resp.StatusCode)
-	} else {
-		c.Close()
+	plain.Close()
+	first := openUpgrade(t, g.urls[0]+"/ws")
+	header := first.response.Header
+	if first.response.StatusCode != 101 || header.Get("Sec-WebSocket-Accept") != "x" || header.Get("Upgrade") != "websocket" {
+		t.Fatalf("response %+v, want 101 with the headers of the host", first.response)
 	}
-	a, inA, resp := open("/ws")
-	if resp.StatusCode != 101 || resp.Header.Get("Sec-WebSocket-Accept") != "x" || resp.Header.Get("Upgrade") != "websocket" {
-		t.Fatalf("response %+v, want 101 with the headers of the host", resp)
+	first.expectGreeting(t)
+	first.expectEcho(t, "one")
+	second := openUpgrade(t, g.urls[0]+"/ws")
+	second.expectGreeting(t)
+	second.expectEcho(t, strings.Repeat("two", 100_000))
+	third := openUpgrade(t, g.urls[0]+"/ws")
+	if third.response.StatusCode != 503 {
+		t.Errorf("third upgrade of two: status %d, want 503", third.response.StatusCode)
 	}
-	got := make([]byte, 2)
-	io.ReadFull(inA, got)
-	if string(got) != "hi" {
-		t.Errorf("bytes after the header section: %q, want hi", got)
-	}
-	expectEcho(a, inA, "one")
-	b, inB, _ := open("/ws")
-	io.ReadFull(inB, got)
-	expectEcho(b, inB, strings.Repeat("two", 100_000))
-	if c, _, resp := open("/ws"); resp.StatusCode != 503 {
-		t.Errorf("third upgrade of two: status %d, want 503", resp.StatusCode)
-	} else {
-		c.Close()
-	}
-	b.(*net.TCPConn).CloseWrite()
-	if rest, err := io.ReadAll(inB); err != nil || len(rest) > 0 {
+	third.Close()
+	second.Conn.(*net.TCPConn).CloseWrite()
+	if rest, err := io.ReadAll(second.in); err != nil || len(rest) > 0 {
 		t.Errorf("after a half close: %q, error %v, want the end", rest, err)
 	}
-	b.Close()
+	second.Close()
 	testutil.WaitUntil(t, "an upgrade allowed again", func() bool {
-		c, in, resp := open("/ws")
-		defer c.Close()
-		if resp.StatusCode == 101 {
-			io.ReadFull(in, got)
-			return true
+		again := openUpgrade(t, g.urls[0]+"/ws")
+		defer again.Close()
+		if again.response.StatusCode != 101 {
+			return false
 		}
-		return false
+		again.expectGreeting(t)
+		return true
 	})
 	done := make(chan struct{})
-	go func() { g.server.Shutdown(); close(done) }()
-	rest, err := io.ReadAll(inA)
+	go func() {
+		g.server.Shutdown()
+		close(done)
+	}()
+	rest, err := io.ReadAll(first.in)
 	if !bytes.HasPrefix(rest, []byte{0x88, 0x02, 0x03, 0xe9}) {
 		t.Errorf("during a drain: %x, error %v, want a close frame", rest, err)
 	}
-	a.Close()
+	first.Close()
 	<-done
 }
+
+// upgradedConn is a connection on which a client has requested an upgrade.
+type upgradedConn struct {
+	net.Conn
+	in       *bufio.Reader
+	response *http.Response
+}
+
+// openUpgrade requests an upgrade to WebSocket and reads the response.
+func openUpgrade(t *testing.T, target string) *upgradedConn {
+	t.Helper()
+	u, err := url.Parse(target)
+	if err != nil {
+		t.Fatal(err)
+	}
+	c := &upgradedConn{Conn: dialURL(t, "http://"+u.Host)}
+	c.SetDeadline(time.Now().Add(testutil.WaitTimeout))
+	fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: a\r\nConnection: keep-alive, Upgrade\r\n"+
+		"Upgrade: websocket\r\nSec-WebSocket-Key: y\r\n\r\n", u.Path)
+	c.in = bufio.NewReader(c)
+	if c.response, err = http.ReadResponse(c.in, nil); err != nil {
+		t.Fatal(err)
+	}
+	return c
+}
+
+// expectGreeting reads what the host sends right after its header section.
+func (c *upgradedConn) expectGreeting(t *testing.T) {
+	t.Helper()
+	got := make([]byte, 2)
+	if _, err := io.ReadFull(c.in, got); err != nil || string(got) != "hi" {
+		t.Errorf("bytes after the header section: %q, error %v, want hi", got, err)
+	}
+}
+
+// expectEcho sends the text and reads it back.
+func (c *upgradedConn) expectEcho(t *testing.T, text string) {
+	t.Helper()
+	io.WriteString(c, text)
+	got := make([]byte, len(text))
+	if _, err := io.ReadFull(c.in, got); err != nil || string(got) != text {
+		t.Errorf("echo %q, error %v, want %q", got, err, text)
+	}
+}
