--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -62,7 +62,8 @@
 					g.attemptEnded(id, 0, OK, Time(objectives*400)*ms)
 				}
 				for _, h := range g.b.hosts { // the limits of the hosts must not bind
-					h.limiter.limit, h.limiter.restingUntil = 10, 0
+					h.limiter.limit = 10
+					h.limiter.restingUntil = 0
 				}
 				g.advance(400 * ms)
 			}
--- a/balancer/checkpoint_test.go
+++ b/balancer/checkpoint_test.go
@@ -26,7 +26,7 @@
 			return
 		}
 		saved := h.b.Checkpoint(nil)
-		b, err := Restore(h.set, saved)
+		b, err := Restore(h.settings, saved)
 		if err != nil {
 			t.Fatalf("seed %d, event %d: %v", seed, n, err)
 		}
--- a/balancer/compat_test.go
+++ b/balancer/compat_test.go
@@ -25,7 +25,7 @@
 	}
 	h.play(events)
 	compat.Bytes(t, "checkpoint.bin", saved)
-	b, err := Restore(h.set, compat.Read(t, "checkpoint.bin"))
+	b, err := Restore(h.settings, compat.Read(t, "checkpoint.bin"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -131,7 +131,10 @@
 
 func TestPollStartsByRankAndBacksOff(t *testing.T) {
 	settings := testSettings()
-	settings.Poll, settings.Instances, settings.Rank, settings.PollTimeout = true, 4, 2, 8*time.Second
+	settings.Poll = true
+	settings.Instances = 4
+	settings.Rank = 2
+	settings.PollTimeout = 8 * time.Second
 	g := newTestGateway(t, settings, testHosts(1)...)
 	polls := func(d time.Duration) int { return len(g.advance(d)) }
 	if n := polls(999 * ms); n != 0 {
@@ -170,7 +173,8 @@
 // gateways return spread over several seconds.
 func TestEndpointListStaysInUseWhilePollsFail(t *testing.T) {
 	settings := testSettings()
-	settings.Poll, settings.PollTimeout = true, 10*time.Second
+	settings.Poll = true
+	settings.PollTimeout = 10 * time.Second
 	const gatewayCount, hostCount = 80, 60
 	f := newGatewayFleet(t, settings, gatewayCount, testHosts(hostCount))
 	drained := Host{ID: 7, Zone: 3, Cell: 3, State: Draining}
--- a/balancer/fuzz_test.go
+++ b/balancer/fuzz_test.go
@@ -47,45 +47,50 @@
 type history struct {
 	*testing.T
 	b        *Balancer
-	set      Settings
+	settings Settings
 	now      Time
-	timers   []Action
+	timers   []Action // that have not fired
 	next     RequestID
 	requests map[RequestID]*trackedRequest
 	open     []RequestID // with attempts in flight or without an answer
 	hosts    [6]Host
 	warming  [6][]Time // sends while warming
-	rate     float64   // highest rate of good answers so far
 
-	served   float64
-	servedAt Time
+	// Rate of good responses, in responses a second, averaged over four overload windows.
+	rate        float64
+	rateAt      Time
+	highestRate float64
 
 	onActions  func([]Action) // if set, called with what was decided
 	afterEvent func()         // if set, called after each event
 }
 
 // newHistory returns a history whose settings and hosts are chosen by the first bytes of the input.
-func newHistory(t *testing.T, c []byte) *history {
+func newHistory(t *testing.T, input []byte) *history {
 	h := &history{T: t, now: 1 << 40, requests: map[RequestID]*trackedRequest{}}
-	h.set = Settings{
-		Instances: []int{1, 2, 5, 40, 300}[c[0]%5], Step: Time(1+c[1]%5) * ms, MaxAttempts: 1 + int(c[2]%4),
-		Cancel: c[3]&1 == 0, MaxRetryAfter: time.Second,
-		Poll: c[3]&4 != 0, PollTimeout: 4 * time.Second,
+	h.settings = Settings{
+		Instances: []int{1, 2, 5, 40, 300}[input[0]%5], Step: Time(1+input[1]%5) * ms, MaxAttempts: 1 + int(input[2]%4),
+		Cancel: input[3]&1 == 0, MaxRetryAfter: time.Second,
+		Poll: input[3]&4 != 0, PollTimeout: 4 * time.Second,
 		SlowStartShare: 0.2, SlowStartWindow: 5 * time.Second, OverloadFactor: 2.5, OverloadWindow: time.Second,
 		OverQuotaWeight: 0.1, Tenants: []Tenant{{Quota: 5}, {}},
 	}
 	for i := range 5 {
-		cl := Class{LatencyObjective: Time(100+50*i) * ms, Deadline: Time(400+100*i) * ms, PriorityWeight: float64(1 + i),
-			DedupWindow: Time(c[4]) * 2 * ms}
+		class := Class{
+			LatencyObjective: Time(100+50*i) * ms, Deadline: Time(400+100*i) * ms, PriorityWeight: float64(1 + i),
+			DedupWindow: Time(input[4]) * 2 * ms,
+		}
 		if i > 0 {
-			cl.Idempotency, cl.DedupScope = IdempotentWithKey, DedupScope(i-1)
+			class.Idempotency = IdempotentWithKey
+			class.DedupScope = DedupScope(i - 1)
 		}
 		if i == 4 {
-			cl.Idempotency, cl.DedupScope = NonIdempotent, ScopeAll
+			class.Idempotency = NonIdempotent
+			class.DedupScope = ScopeAll
 		}
-		h.set.Classes = append(h.set.Classes, cl)
+		h.settings.Classes = append(h.settings.Classes, class)
 	}
-	b, err := New(h.set, uint64(c[5]))
+	b, err := New(h.settings, uint64(input[5]))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -94,8 +99,8 @@
 		h.hosts[i] = Host{ID: HostID(i + 1), Zone: i / 3, Cell: i / 2, Kind: i % 2}
 	}
 	b.Start(h.now)
-	b.UpdateEndpoints(h.now, ListSaved, h.hosts[:3+c[6]%4])
-	for i := 3 + int(c[6]%4); i < len(h.hosts); i++ {
+	b.UpdateEndpoints(h.now, ListSaved, h.hosts[:3+input[6]%4])
+	for i := 3 + int(input[6]%4); i < len(h.hosts); i++ {
 		h.hosts[i].State = Removed
 	}
 	h.settle()
@@ -146,9 +151,9 @@
 // request starts a request whose class and remaining time x chooses.
 func (h *history) request(x int) {
 	h.next++
-	cl := &h.set.Classes[x%5]
-	left := cl.Deadline * Time(x/5) / 50
-	h.requests[h.next] = &trackedRequest{class: cl, deadline: h.now + left}
+	class := &h.settings.Classes[x%5]
+	left := class.Deadline * Time(x/5) / 50
+	h.requests[h.next] = &trackedRequest{class: class, deadline: h.now + left}
 	h.open = append(h.open, h.next)
 	h.b.Request(h.now, Request{ID: h.next, Class: x % 5, Tenant: x & 1, Remaining: left, Duplicate: x&2 != 0})
 	h.settle()
@@ -174,14 +179,16 @@
 	if a.ended {
 		return
 	}
-	a.ended, a.result = true, result
+	a.ended = true
+	a.result = result
 	if result == OK {
 		r.answered = true
 		// Responses a second, averaged over four overload windows: an instance can not
 		// have learnt a higher rate of a warm host.
-		span := 4 * h.set.OverloadWindow.Seconds()
-		h.served = h.served*math.Exp(-(h.now-h.servedAt).Seconds()/span) + 1/span
-		h.servedAt, h.rate = h.now, max(h.rate, h.served)
+		span := 4 * h.settings.OverloadWindow.Seconds()
+		h.rate = h.rate*math.Exp(-(h.now-h.rateAt).Seconds()/span) + 1/span
+		h.rateAt = h.now
+		h.highestRate = max(h.highestRate, h.rate)
 	}
 	h.b.AttemptEnded(h.now, Outcome{Request: id, Attempt: n, Result: result,
 		Elapsed: h.now - a.sent, Closed: r.answered})
@@ -203,7 +210,8 @@
 	case 3:
 		e.State = Ready
 	case 4:
-		e.State, e.Started = Ready, max(h.now-Time(x)*8*ms, 1)
+		e.State = Ready
+		e.Started = max(h.now-Time(x)*8*ms, 1)
 		h.warming[x%6] = nil
 	}
 	if x&64 == 0 {
@@ -234,7 +242,7 @@
 // advance moves the clock by steps and fires the timers that are due.
 func (h *history) advance(d Time) {
 	for end := h.now + d; h.now < end; {
-		h.now += h.set.Step
+		h.now += h.settings.Step
 		var due []Action
 		keep := h.timers[:0]
 		for _, w := range h.timers {
@@ -286,7 +294,7 @@
 		case Send:
 			h.send(a)
 		case Cancel:
-			if r := h.requests[a.Request]; !h.set.Cancel || a.Attempt >= len(r.attempts) || r.attempts[a.Attempt].ended {
+			if r := h.requests[a.Request]; !h.settings.Cancel || a.Attempt >= len(r.attempts) || r.attempts[a.Attempt].ended {
 				h.Fatalf("cancel %+v of an attempt that is not in flight, want none", a)
 			}
 		case Close:
@@ -312,8 +320,8 @@
 	if host.State != Ready {
 		h.Fatalf("sent to host %d in state %d, want a ready host", host.ID, host.State)
 	}
-	if len(r.attempts) >= h.set.MaxAttempts {
-		h.Fatalf("request %d has another attempt, want %d at most", a.Request, h.set.MaxAttempts)
+	if len(r.attempts) >= h.settings.MaxAttempts {
+		h.Fatalf("request %d has another attempt, want %d at most", a.Request, h.settings.MaxAttempts)
 	}
 	if r.out() > 0 {
 		h.Fatalf("request %d has two attempts in flight, want one", a.Request)
@@ -341,19 +349,19 @@
 // this instance can have learnt.
 func (h *history) checkSlowStartBudget(i int, host Host) {
 	age := h.now - host.Started
-	if host.Started == 0 || age >= h.set.SlowStartWindow {
+	if host.Started == 0 || age >= h.settings.SlowStartWindow {
 		return
 	}
 	h.warming[i] = append(h.warming[i], h.now)
 	n := 0
 	for _, at := range h.warming[i] {
-		if h.now-at < h.set.OverloadWindow {
+		if h.now-at < h.settings.OverloadWindow {
 			n++
 		}
 	}
-	share := h.set.SlowStartShare + (1-h.set.SlowStartShare)*age.Seconds()/h.set.SlowStartWindow.Seconds()
-	if most := 2 + h.rate*h.set.OverloadFactor*share*h.set.OverloadWindow.Seconds(); float64(n) > most {
-		h.Fatalf("%d sends within %v to warming host %d, want at most %.1f", n, h.set.OverloadWindow, host.ID, most)
+	share := h.settings.SlowStartShare + (1-h.settings.SlowStartShare)*age.Seconds()/h.settings.SlowStartWindow.Seconds()
+	if most := 2 + h.highestRate*h.settings.OverloadFactor*share*h.settings.OverloadWindow.Seconds(); float64(n) > most {
+		h.Fatalf("%d sends within %v to warming host %d, want at most %.1f", n, h.settings.OverloadWindow, host.ID, most)
 	}
 }
 
--- a/balancer/hostset_test.go
+++ b/balancer/hostset_test.go
@@ -9,45 +9,48 @@
 // scanCandidates returns the hosts that pick may choose for a class, found by a scan of the whole
 // subset: the ready hosts or, if there are none, the suspected ones. It is the reference for the host
 // sets.
-func scanCandidates(b *Balancer, class int, ready []*host) []*host {
-	listed, out, excluded, broken := 0, 0, 0, 0
-	from := b.sets[setSubset].list
-	open := func(h *host) bool { return h.State == Ready && !h.slowStart.paced(b.now) && !b.atLimit(h) }
-	for _, h := range from {
+func scanCandidates(b *Balancer, class int, candidates []*host) []*host {
+	inService, ejected, excluded, broken := 0, 0, 0, 0
+	hosts := b.sets[setSubset].list
+	accepts := func(h *host) bool { return h.State == Ready && !h.slowStart.paced(b.now) && !b.atLimit(h) }
+	for _, h := range hosts {
 		switch {
 		case h.State != Ready:
 		case b.excludedFor(h, class):
 			excluded++
 		case b.ejected(h):
-			listed++
-			out++
+			inService++
+			ejected++
 			if h.ejection.cause == CauseConnectionsFailed {
 				broken++
 			}
 		default:
-			listed++
-			if open(h) {
-				ready = append(ready, h)
+			inService++
+			if accepts(h) {
+				candidates = append(candidates, h)
 			}
 		}
 	}
-	for _, h := range from {
-		switch {
-		case listed == 0 && excluded > 0 && open(h),
-			2*out > listed && b.ejected(h) && !b.excludedFor(h, class) && open(h) && (h.ejection.cause != CauseConnectionsFailed || broken == listed):
-			ready = append(ready, h)
+	for _, h := range hosts {
+		allExcluded := inService == 0 && excluded > 0
+		failOpen := 2*ejected > inService && b.ejected(h) && !b.excludedFor(h, class)
+		usable := h.ejection.cause != CauseConnectionsFailed || broken == inService
+		if (allExcluded || failOpen && usable) && accepts(h) {
+			candidates = append(candidates, h)
 		}
 	}
-	if len(ready) == 0 && b.settings.Classes[class].Idempotency != NonIdempotent {
-		for _, h := range from {
-			// The silence timeout may have shrunk since the last recheck; the next sweep sees that.
-			seen := h.sets.readySet == setDoubtful || h.recheckEntry.at <= b.now
-			if seen && h.State == Ready && !b.excludedFor(h, class) && !b.ejected(h) && !h.slowStart.paced(b.now) && b.suspected(h) {
-				ready = append(ready, h)
-			}
+	if len(candidates) > 0 || b.settings.Classes[class].Idempotency == NonIdempotent {
+		return candidates
+	}
+	for _, h := range hosts {
+		// The silence timeout may have shrunk since the last recheck; the next sweep sees that.
+		rechecked := h.sets.readySet == setDoubtful || h.recheckEntry.at <= b.now
+		inUse := h.State == Ready && !b.excludedFor(h, class) && !b.ejected(h) && !h.slowStart.paced(b.now)
+		if rechecked && inUse && b.suspected(h) {
+			candidates = append(candidates, h)
 		}
 	}
-	return ready
+	return candidates
 }
 
 // pickByScan is pick with a scan in place of the host sets.
@@ -91,7 +94,8 @@
 		got := map[*host]bool{}
 		for range 40 * (len(want) + 1) { // draws are random
 			if b.sendRate.limit > 0 {
-				b.sendRate.tokens, b.sendRate.refilledAt = sendRateBurstAttempts, b.now
+				b.sendRate.tokens = sendRateBurstAttempts
+				b.sendRate.refilledAt = b.now
 			}
 			if h := b.pick(r); h != nil {
 				got[h] = true
@@ -176,14 +180,16 @@
 	}
 	checkHostSets(t, g.b)
 	for _, h := range g.b.hosts[1:] {
-		h.ejection.count, h.limiter.restingUntil = 0, g.now+time.Minute
+		h.ejection.count = 0
+		h.limiter.restingUntil = g.now + time.Minute
 		g.b.recheck(h)
 	}
 	g.b.hosts[0].ejection.count = 0
 	g.b.recheck(g.b.hosts[0])
 	checkHostSets(t, g.b) // one ready
 	for i, h := range g.b.hosts {
-		h.limiter.restingUntil, h.hasErrors = 0, true
+		h.limiter.restingUntil = 0
+		h.hasErrors = true
 		for c := range h.errors {
 			if i%2 == c%2 || c == 0 && i > 10 {
 				h.errors[c].excludedUntil = g.now + time.Minute
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -168,7 +168,8 @@
 		t.Errorf("after good responses: %d exclusions, excluded %v, want 0 and false",
 			f.exclusions, g.b.excludedFor(h, 1))
 	}
-	g.b.hosts[1].errors[1], h.errors[1] = classErrors{excludedUntil: g.now + time.Second, exclusions: 1}, classErrors{excludedUntil: g.now + time.Second, exclusions: 1}
+	g.b.hosts[1].errors[1] = classErrors{excludedUntil: g.now + time.Second, exclusions: 1}
+	h.errors[1] = classErrors{excludedUntil: g.now + time.Second, exclusions: 1}
 	g.takeActions()
 	g.request(1, time.Second)
 	g.onlyAction(Send) // with errors at all hosts the exclusions do not apply
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -128,7 +128,8 @@
 func TestLateRequestsAreRejectedInEveryQueue(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[0].Deadline = 2 * time.Second
-	settings.Classes[1].Deadline, settings.Classes[1].LatencyObjective = 2*time.Second, 2*time.Second // of a higher weight
+	settings.Classes[1].Deadline = 2 * time.Second // of a higher weight
+	settings.Classes[1].LatencyObjective = 2 * time.Second
 	g := newTestGateway(t, settings)
 	low := g.request(0, 2*time.Second)
 	high := g.request(1, 2*time.Second)
@@ -151,7 +152,8 @@
 		settings.Instances = gateways
 		g := newTestGateway(t, settings, testHosts(1)...)
 		h := g.b.hosts[0]
-		h.limiter.limit, h.limiter.restingUntil = 0.4, g.now+time.Second
+		h.limiter.limit = 0.4
+		h.limiter.restingUntil = g.now + time.Second
 		g.b.recheck(h)
 		g.request(0, time.Second)
 		if len(g.actions) > 0 {
--- a/balancer/retune_test.go
+++ b/balancer/retune_test.go
@@ -146,7 +146,8 @@
 			g.attemptEnded(id, 0, OK, 5*ms)
 		}
 	}
-	g.b.subset.current, g.b.now = false, g.now
+	g.b.subset.current = false
+	g.b.now = g.now
 	for _, h := range g.b.hosts {
 		g.b.recheck(h)
 	}
--- a/balancer/selection_test.go
+++ b/balancer/selection_test.go
@@ -135,7 +135,11 @@
 	for _, tt := range tests {
 		g := newTestGateway(t, testSettings(), testHosts(2)...)
 		for i, h := range g.b.hosts {
-			h.rtt.seconds, h.rtt.at, h.rtt.sampled, h.inFlight, h.limiter.limit = tt.rtt[i], g.now, true, tt.pending[i], 10
+			h.rtt.seconds = tt.rtt[i]
+			h.rtt.at = g.now
+			h.rtt.sampled = true
+			h.inFlight = tt.pending[i]
+			h.limiter.limit = 10
 		}
 		for range 20 {
 			if got := g.b.pick(&request{class: &g.b.settings.Classes[0]}); got != g.b.hosts[tt.wantHost] {
@@ -150,7 +154,9 @@
 func TestPickComparesTwoRandomHosts(t *testing.T) {
 	g := newTestGateway(t, testSettings(), testHosts(4)...)
 	for i, h := range g.b.hosts {
-		h.rtt.seconds, h.rtt.at, h.rtt.sampled = float64(i+1), g.now, true
+		h.rtt.seconds = float64(i + 1)
+		h.rtt.at = g.now
+		h.rtt.sampled = true
 	}
 	got := map[HostID]int{}
 	for range 6000 {
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -16,7 +16,8 @@
 	users := map[HostID]int{} // instances that use the host
 	for rank := range instances {
 		settings := testSettings()
-		settings.Instances, settings.Rank = instances, rank
+		settings.Instances = instances
+		settings.Rank = rank
 		g := newTestGateway(t, settings, list...)
 		kinds := map[int]bool{}
 		got := g.serve(40, 0, func(HostID) time.Duration { return 200 * ms })
@@ -33,7 +34,8 @@
 	}
 	least, most := instances, 0
 	for _, h := range list {
-		least, most = min(least, users[h.ID]), max(most, users[h.ID])
+		least = min(least, users[h.ID])
+		most = max(most, users[h.ID])
 	}
 	if most-least > 4 {
 		t.Errorf("hosts are used by %d to %d instances, want a difference of 4 at most", least, most)
@@ -42,7 +44,8 @@
 
 func TestSubsetIsStableAndClosesHostsThatLeave(t *testing.T) {
 	settings := testSettings()
-	settings.Instances, settings.Rank = 60, 17
+	settings.Instances = 60
+	settings.Rank = 17
 	list := testHosts(30)
 	g := newTestGateway(t, settings, list...)
 	quick := func(HostID) time.Duration { return 100 * ms }
@@ -149,7 +152,8 @@
 // subsets stay spread over the hosts, and their first polls over the poll timeout.
 func TestRestartedGatewaysSpreadSubsetsAndPolls(t *testing.T) {
 	settings := testSettings()
-	settings.Poll, settings.PollTimeout = true, 10*time.Second
+	settings.Poll = true
+	settings.PollTimeout = 10 * time.Second
 	const gatewayCount, hostCount, restarted = 80, 60, 56
 	r := rand.New(rand.NewSource(5))
 	f := &gatewayFleet{t: t}
--- a/internal/discovery/propagation_test.go
+++ b/internal/discovery/propagation_test.go
@@ -179,7 +179,8 @@
 	for i := range gatewayCount {
 		before := &fakeService{startedAt: time.Now(), downAt: time.Hour, upAt: 2 * time.Hour}
 		if i%2 > 0 {
-			before.downAt, before.silentWatches = 20*time.Second, true
+			before.downAt = 20 * time.Second
+			before.silentWatches = true
 		}
 		after := &fakeService{startedAt: time.Now(), failure: f, failFirstCall: true, omitsDraining: i%4 > 1}
 		g := startGateway(ctx, t, m, i, gatewayCount, func(ctx context.Context, network, addr string) (net.Conn, error) {
--- a/internal/gateway/appliance_test.go
+++ b/internal/gateway/appliance_test.go
@@ -105,7 +105,8 @@
 		var list []*testutil.Host
 		for range 6 {
 			h := testutil.NewHost(t, testutil.RespondWith(testutil.ErrorResponse))
-			list, hosts = append(list, h), append(hosts, h.Addr())
+			list = append(list, h)
+			hosts = append(hosts, h.Addr())
 		}
 		requests := func() (n int) {
 			for _, h := range list {
--- a/internal/gateway/bench_body_test.go
+++ b/internal/gateway/bench_body_test.go
@@ -106,7 +106,9 @@
 			for time.Now().Before(until) {
 				target, method, body := url+fmt.Sprintf("/?n=%d", size), "GET", io.Reader(nil)
 				if way == "up" {
-					target, method, body = url+"/", "POST", io.LimitReader(zeroReader{}, size)
+					target = url + "/"
+					method = "POST"
+					body = io.LimitReader(zeroReader{}, size)
 				}
 				r, _ := http.NewRequest(method, target, body)
 				if way == "up" {
--- a/internal/gateway/bench_process_test.go
+++ b/internal/gateway/bench_process_test.go
@@ -204,7 +204,9 @@
 	if _, err := fmt.Fscan(out, &addr); err != nil {
 		b.Fatal(err)
 	}
-	c.url, c.in, c.out = "http://"+addr, in, out
+	c.url = "http://" + addr
+	c.in = in
+	c.out = out
 	b.Cleanup(func() { in.Close(); c.Wait() })
 	return c
 }
--- a/internal/gateway/body_helpers_test.go
+++ b/internal/gateway/body_helpers_test.go
@@ -13,7 +13,8 @@
 // randomBytes returns a reader of n bytes that depend on the seed.
 func randomBytes(seed uint64, n int64) io.Reader {
 	var key [32]byte
-	key[0], key[1] = byte(seed), byte(seed>>8)
+	key[0] = byte(seed)
+	key[1] = byte(seed >> 8)
 	return io.LimitReader(rand.NewChaCha8(key), n)
 }
 
--- a/internal/gateway/exchange_test.go
+++ b/internal/gateway/exchange_test.go
@@ -70,8 +70,11 @@
 		if p.method != "GET" {
 			p.up = sizes[rng.IntN(len(sizes))]
 		}
-		p.hostCutUp, p.hostCutDown, p.clientCut = cutAfter(p.up), cutAfter(p.down), cutAfter(p.up)
-		p.pause, p.hostPause = time.Duration(rng.IntN(3))*time.Millisecond, time.Duration(rng.IntN(3))*time.Millisecond
+		p.hostCutUp = cutAfter(p.up)
+		p.hostCutDown = cutAfter(p.down)
+		p.clientCut = cutAfter(p.up)
+		p.pause = time.Duration(rng.IntN(3)) * time.Millisecond
+		p.hostPause = time.Duration(rng.IntN(3)) * time.Millisecond
 		l.mu.Lock()
 		l.plans[p.id] = p
 		l.mu.Unlock()
--- a/internal/gateway/platform_body_test.go
+++ b/internal/gateway/platform_body_test.go
@@ -92,7 +92,8 @@
 	host := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	cfg := testConfig(host)
 	for i := range cfg.Settings.Classes {
-		cfg.Settings.Classes[i].LatencyObjective, cfg.Settings.Classes[i].Deadline = 200*time.Millisecond, 200*time.Millisecond
+		cfg.Settings.Classes[i].LatencyObjective = 200 * time.Millisecond
+		cfg.Settings.Classes[i].Deadline = 200 * time.Millisecond
 	}
 	g := startGateway(t, cfg)
 	const n = 2 * frontend.MaxBufferedBytes
--- a/internal/gateway/retune_test.go
+++ b/internal/gateway/retune_test.go
@@ -20,7 +20,8 @@
 // withClasses is the configuration with other classes, in the order given.
 func withClasses(cfg config.Platform, names ...string) *config.Platform {
 	idempotency := map[string]balancer.Idempotency{"look": balancer.Idempotent, "book": balancer.NonIdempotent, "next": balancer.NonIdempotent}
-	cfg.Classes, cfg.Settings.Classes = map[string]int{}, nil
+	cfg.Classes = map[string]int{}
+	cfg.Settings.Classes = nil
 	for i, name := range names {
 		cfg.Classes[name] = i
 		cfg.Settings.Classes = append(cfg.Settings.Classes, balancer.Class{
--- a/internal/overload/mix_test.go
+++ b/internal/overload/mix_test.go
@@ -82,7 +82,8 @@
 		c.Sample(now, Sample{Poll: time.Duration(waiting / capacity * float64(Interval)), Busy: busy})
 		if round >= 100 {
 			served += busy*capacity - rejected
-			low, high = min(low, c.Shed()), max(high, c.Shed())
+			low = min(low, c.Shed())
+			high = max(high, c.Shed())
 		}
 	}
 	servedShare := served / float64(rounds-100) / capacity
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -64,7 +64,8 @@
 		d := time.Duration(float64(Target) * (3 - c.Pressure()))
 		feedDelays(c, &now, Interval, 200, constantDelay(max(d, 0)))
 		if round > 100 {
-			low, high = min(low, c.Pressure()), max(high, c.Pressure())
+			low = min(low, c.Pressure())
+			high = max(high, c.Pressure())
 		}
 	}
 	if low < 1 || high > 3 {
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -77,7 +77,8 @@
 		}
 		score := [4]int{host, len(prefix), method, len(r.Headers)}
 		if best == nil || slices.Compare(score[:], bestScore[:]) > 0 {
-			best, bestScore = r, score
+			best = r
+			bestScore = score
 		}
 	}
 	return best
