--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -9,7 +9,7 @@
 
 // A gateway's event loop: report each event with the time, then carry out the
 // actions. Here the network and the clock are scripted; a real gateway sends
-// the request on Send and reports the answer with Outcome when it arrives.
+// the request on Send and reports the response with AttemptEnded when it arrives.
 func Example() {
 	settings := balancer.Settings{
 		Instances: 1,
@@ -33,9 +33,9 @@
 			case balancer.Cancel:
 				fmt.Printf("cancel attempt %d of request %d\n", a.Attempt, a.Request)
 			case balancer.Reject:
-				fmt.Printf("answer request %d: busy\n", a.Request)
+				fmt.Printf("reject request %d\n", a.Request)
 			case balancer.Fail:
-				fmt.Printf("answer request %d: error\n", a.Request)
+				fmt.Printf("fail request %d\n", a.Request)
 			case balancer.Wake:
 				timers[a.Token] = a.At
 			case balancer.Log:
@@ -58,7 +58,7 @@
 		Result: balancer.ConnectFailed, Elapsed: 5 * time.Millisecond})
 	carryOut()
 
-	// The answer went to the client.
+	// The response went to the client.
 	now += 40 * time.Millisecond
 	b.AttemptEnded(now, balancer.Outcome{Request: 1, Attempt: 1,
 		Result: balancer.OK, Elapsed: 40 * time.Millisecond, Closed: true})
--- a/balancer/selection_test.go
+++ b/balancer/selection_test.go
@@ -96,10 +96,10 @@
 	g.serve(60, 0, func(h HostID) time.Duration { return Time(20+60*(h%2)) * ms })
 	g.updateEndpoints(ListChanges, Host{ID: 11, Kind: 0}, Host{ID: 12, Kind: 1}, Host{ID: 13, Kind: -1})
 	n := len(g.b.hosts)
-	slow, fast, odd := g.b.estimatedRTT(g.b.hosts[n-3]), g.b.estimatedRTT(g.b.hosts[n-2]), g.b.estimatedRTT(g.b.hosts[n-1])
-	if math.Abs(slow-0.08) > 0.02 || math.Abs(fast-0.02) > 0.01 || odd <= fast || odd >= slow {
+	slow, fast, unknown := g.b.estimatedRTT(g.b.hosts[n-3]), g.b.estimatedRTT(g.b.hosts[n-2]), g.b.estimatedRTT(g.b.hosts[n-1])
+	if math.Abs(slow-0.08) > 0.02 || math.Abs(fast-0.02) > 0.01 || unknown <= fast || unknown >= slow {
 		t.Errorf("initial estimates %v, %v, and %v for an unknown kind, want about 0.08, 0.02 and a value between",
-			slow, fast, odd)
+			slow, fast, unknown)
 	}
 }
 
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -155,8 +155,8 @@
 	send(indented.String(), 2)
 	send("\r\n\t"+strings.ReplaceAll(indented.String(), "\n", "\r\n"), 2)
 	send(fmt.Sprintf(template+template, 3, 3, 4, 4), 3, 4)
-	whole := fmt.Sprintf(template, 5, 5)
-	for _, part := range []string{whole[:12], whole[12:13], whole[13:]} {
+	list := fmt.Sprintf(template, 5, 5)
+	for _, part := range []string{list[:12], list[12:13], list[13:]} {
 		server.lines <- part
 	}
 	if got := <-sink; !strings.Contains(got, "s-5") {
@@ -165,8 +165,8 @@
 	if got := len(server.requests()); got != 1 {
 		t.Errorf("%d watches, want 1", got)
 	}
-	server.lines <- whole[:6]
-	server.lines <- whole // inside the truncated one it is no list
+	server.lines <- list[:6]
+	server.lines <- list // inside the truncated one it is no list
 	testutil.WaitUntil(t, "a new watch after a truncated list", func() bool { return len(server.requests()) == 2 })
 }
 
@@ -253,7 +253,7 @@
 	}
 }
 
-// Where the list is polled, the balancer decides when a watch starts, and is told when it fails.
+// Where the list is polled, the balancer decides when a watch starts, and is notified when it fails.
 func TestPolledWatchStartsOnlyWhenPolled(t *testing.T) {
 	server := newWatchServer(t)
 	d := NewWatcher(server.addr(), true, 0)
--- a/internal/gateway/appliance_test.go
+++ b/internal/gateway/appliance_test.go
@@ -302,10 +302,10 @@
 	ln := testutil.Listen(t, "127.0.0.1:0", nil)
 	addr := ln.Addr().String()
 	ln.Close()
-	g := startAppliance(t, baseConfig+"[[pool]]\nname = \"told\"\ndiscovery = \""+addr+"\"\n"+poolConfig("static", "", static.Addr())+
-		routeConfig("r", "path = \"/told\"\npool = \"told\"\nclass = \"lookup\"")+routeConfig("s", "pool = \"static\"\nclass = \"lookup\""))
+	g := startAppliance(t, baseConfig+"[[pool]]\nname = \"polled\"\ndiscovery = \""+addr+"\"\n"+poolConfig("static", "", static.Addr())+
+		routeConfig("r", "path = \"/polled\"\npool = \"polled\"\nclass = \"lookup\"")+routeConfig("s", "pool = \"static\"\nclass = \"lookup\""))
 	began := time.Now()
-	resp, _ := fetch(t, "GET", g.urls[0]+"/told", "")
+	resp, _ := fetch(t, "GET", g.urls[0]+"/polled", "")
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" || strings.Contains(resp.Header.Get("Retry-After"), ".") {
 		t.Errorf("status %d, Retry-After %q, want 503 with whole seconds",
 			resp.StatusCode, resp.Header.Get("Retry-After"))
@@ -313,8 +313,8 @@
 	if took := time.Since(began); took > testutil.WaitTimeout/4 {
 		t.Errorf("rejected after %v, want at most %v", took, testutil.WaitTimeout/4)
 	}
-	if resp, text := fetch(t, "GET", g.urls[0]+"/_health", ""); resp.StatusCode != 200 || !strings.Contains(text, "pool told: no host") {
-		t.Errorf("health: status %d, body %q, want 200 that names pool told", resp.StatusCode, text)
+	if resp, text := fetch(t, "GET", g.urls[0]+"/_health", ""); resp.StatusCode != 200 || !strings.Contains(text, "pool polled: no host") {
+		t.Errorf("health: status %d, body %q, want 200 that names pool polled", resp.StatusCode, text)
 	}
 	if resp, _ := fetch(t, "GET", g.urls[0]+"/else", ""); resp.StatusCode != 200 {
 		t.Errorf("the other service: status %d, want 200", resp.StatusCode)
@@ -331,7 +331,7 @@
 		<-r.Context().Done()
 	}))
 	testutil.WaitUntil(t, "the pool to serve", func() bool {
-		resp, _ := fetch(t, "GET", g.urls[0]+"/told", "")
+		resp, _ := fetch(t, "GET", g.urls[0]+"/polled", "")
 		return resp.StatusCode == 200
 	})
 	if _, text := fetch(t, "GET", g.urls[0]+"/_health", ""); text != "ok\n" {
