--- a/cmd/experiment/scale_fleet.go
+++ b/cmd/experiment/scale_fleet.go
@@ -110,16 +110,16 @@
 		return nil, nil, err
 	}
 	d := fakes.StartDiscovery(fakes.Member{ID: "h1", Addr: "127.0.0.1:9", State: "ready", Kind: "a", Weight: 1})
-	o.Host, o.Discovery = []string{self, "scale", "hollow-host"}, d.Addr()
-	if o.Keepers = fleetKeepers; o.Gateways < fleetAlone {
-		o.Keepers = min(3, o.Gateways)
+	o.HostCommand, o.DiscoveryAddress = []string{self, "scale", "hollow-host"}, d.Addr()
+	if o.BootstrapReplicas = fleetKeepers; o.Gateways < fleetAlone {
+		o.BootstrapReplicas = min(3, o.Gateways)
 	}
-	o.Alone = o.Relays + fleetAlone
+	o.SingleMembers = o.Relays + fleetAlone
 	packs := fleetPacks
 	if o.Relays > 0 {
 		packs = fleetRelayPacks
 	}
-	o.Packed = max(1, (o.Gateways-fleetAlone+packs-1)/packs)
+	o.GatewaysPerProcess = max(1, (o.Gateways-fleetAlone+packs-1)/packs)
 	f, err := hollow.New(o)
 	if err != nil {
 		d.Close()
@@ -131,7 +131,7 @@
 		os.RemoveAll(o.Dir)
 	}
 	if err = f.Start(ctx); err == nil {
-		err = f.UntilWhole(ctx, wholeMost)
+		err = f.WaitComplete(ctx, wholeMost)
 	}
 	if err != nil {
 		text, _ := os.ReadFile(o.Dir + "/log")
@@ -189,16 +189,16 @@
 // counted is a fleet's account over a span at rest.
 type counted struct {
 	of           map[*hollow.Process]hollow.Rates
-	last         *hollow.Accounts
+	last         *hollow.FleetUsage
 	ends, device uint64
 	span         time.Duration
 }
 
 func countRest(ctx context.Context, f *hollow.Fleet, count time.Duration) (*counted, error) {
-	if _, err := f.Account(true); err != nil { // who is asked twice pays the same each time
+	if _, err := f.Usage(true); err != nil { // who is asked twice pays the same each time
 		return nil, err
 	}
-	first, err := f.Account(true)
+	first, err := f.Usage(true)
 	if err != nil {
 		return nil, err
 	}
@@ -208,35 +208,35 @@
 	case <-time.After(count):
 	}
 	// The kernel's account is taken before they are asked for theirs, which costs something.
-	last, err := f.Account(false)
+	last, err := f.Usage(false)
 	if err != nil {
 		return nil, err
 	}
-	own, err := f.Account(true)
+	own, err := f.Usage(true)
 	if err != nil {
 		return nil, err
 	}
 	c := &counted{of: map[*hollow.Process]hollow.Rates{}, last: last, span: count}
-	for p, x := range last.Of {
-		o := own.Of[p]
+	for p, x := range last.ByProcess {
+		o := own.ByProcess[p]
 		x.Heap, x.Goroutines = o.Heap, o.Goroutines
-		r, late := x.Since(first.Of[p]), o.Since(first.Of[p])
-		r.Syncs, r.Counted, r.Frames = late.Syncs, late.Counted, late.Frames
+		r, late := x.Since(first.ByProcess[p]), o.Since(first.ByProcess[p])
+		r.DiskSyncs, r.FrameBytesSent, r.FramesSent = late.DiskSyncs, late.FrameBytesSent, late.FramesSent
 		c.of[p] = r
 	}
-	c.ends, c.device = last.Sent(first)
+	c.ends, c.device = last.SentSince(first)
 	return c, nil
 }
 
 // roles are the processes of one gateway by its role: what owns no duty, where there is one.
 func roles(f *hollow.Fleet) map[string][]*hollow.Process {
-	owns, lead := f.Owns(), f.Leader()
+	owns, lead := f.LeaseCounts(), f.Leader()
 	all := map[string][]*hollow.Process{}
 	for i, p := range f.Processes {
 		switch {
 		case p == lead:
 			all["leader"] = append(all["leader"], p)
-		case i < f.Keepers:
+		case i < f.BootstrapReplicas:
 			all["keeper"] = append(all["keeper"], p)
 		case len(p.Names) == 1:
 			all["member"] = append(all["member"], p)
@@ -276,16 +276,16 @@
 		secs := c.span.Seconds()
 		s.add(role, "bytes/s", 20, size, of(func(p *hollow.Process) float64 { return c.of[p].PerSecond(c.of[p].Bytes()) }))
 		s.add(role, "packets/s", 0.5, size, of(func(p *hollow.Process) float64 { return c.of[p].PerSecond(c.of[p].Packets()) }))
-		s.add(role, "bytes/s by the carrier's counter, out", 5, size, of(func(p *hollow.Process) float64 { return c.of[p].Counted }))
+		s.add(role, "bytes/s by the carrier's counter, out", 5, size, of(func(p *hollow.Process) float64 { return c.of[p].FrameBytesSent }))
 		s.add(role, "bytes/s carried, out", 5, size, of(func(p *hollow.Process) float64 { return c.of[p].PerSecond(c.of[p].BytesOut) }))
 		s.add(role, "CPU ms/s", 0.5, size, of(func(p *hollow.Process) float64 { return c.of[p].CPU }))
-		s.add(role, "MB resident", 1, size, of(func(p *hollow.Process) float64 { return float64(c.last.Of[p].Resident) / mb }))
-		if !list[0].Real() {
-			s.add(role, "MB heap and stacks", 0.5, size, of(func(p *hollow.Process) float64 { return float64(c.last.Of[p].Heap) / mb }))
-			s.add(role, "goroutines", 1, size, of(func(p *hollow.Process) float64 { return float64(c.last.Of[p].Goroutines) }))
+		s.add(role, "MB resident", 1, size, of(func(p *hollow.Process) float64 { return float64(c.last.ByProcess[p].Resident) / mb }))
+		if !list[0].IsReal() {
+			s.add(role, "MB heap and stacks", 0.5, size, of(func(p *hollow.Process) float64 { return float64(c.last.ByProcess[p].Heap) / mb }))
+			s.add(role, "goroutines", 1, size, of(func(p *hollow.Process) float64 { return float64(c.last.ByProcess[p].Goroutines) }))
 		}
-		s.add(role, "connections", 0.5, size, of(func(p *hollow.Process) float64 { return float64(c.last.Of[p].Conns) }))
-		s.add(role, "fsyncs/s", 1/secs, size, of(func(p *hollow.Process) float64 { return c.of[p].Syncs }))
+		s.add(role, "connections", 0.5, size, of(func(p *hollow.Process) float64 { return float64(c.last.ByProcess[p].Conns) }))
+		s.add(role, "fsyncs/s", 1/secs, size, of(func(p *hollow.Process) float64 { return c.of[p].DiskSyncs }))
 	}
 }
 
@@ -304,7 +304,7 @@
 	settle, count := fleetSpan(e)
 	for _, n := range sizes {
 		err := func() error {
-			f, end, err := fleetOf(ctx, e, hollow.Options{Bin: bin, Real: real * n, Gateways: n, Pools: 1})
+			f, end, err := fleetOf(ctx, e, hollow.Options{Program: bin, RealMembers: real * n, Gateways: n, Pools: 1})
 			if err != nil {
 				return err
 			}
@@ -376,7 +376,7 @@
 			if err != nil {
 				return err
 			}
-			owns := f.Owns()
+			owns := f.LeaseCounts()
 			most, all := 0, 0
 			for _, k := range owns {
 				most, all = max(most, k), all+k
@@ -411,7 +411,7 @@
 // even waits until no gateway owns far more duties than another.
 func even(ctx context.Context, f *hollow.Fleet) error {
 	for end := time.Now().Add(wholeMost); time.Now().Before(end); time.Sleep(250 * time.Millisecond) {
-		owns := f.Owns()
+		owns := f.LeaseCounts()
 		most, least := 0, 1<<30
 		for _, name := range f.Names() {
 			most, least = max(most, owns[name]), min(least, owns[name])
@@ -482,25 +482,25 @@
 			if err := p.Start(ctx); err != nil {
 				return err
 			}
-			at, err := f.Wait(ctx, "session opened", began, 1, wholeMost)
+			at, err := f.WaitEvents(ctx, "session opened", began, 1, wholeMost)
 			if err != nil {
 				return err
 			}
 			// The first view follows its session, and the last of its connections may.
-			var x *hollow.Account
+			var x *hollow.ProcessUsage
 			for end := time.Now().Add(wholeMost); x == nil || x.Conns < 2*(n-1) && time.Now().Before(end); {
 				time.Sleep(300 * time.Millisecond)
-				a, err := f.Account(false)
+				a, err := f.Usage(false)
 				if err != nil {
 					return err
 				}
-				x = a.Of[p]
+				x = a.ByProcess[p]
 			}
 			s.add("one that comes back", "bytes until it has all connections and a view", 100, n, float64(x.Traffic.Bytes()))
 			s.add("one that comes back", "packets until it has all connections and a view", 1, n, float64(x.Traffic.Packets()))
 			s.add("one that comes back", "s until its session", 0.02, n, at.Sub(began).Seconds())
 			s.add("one that comes back", "CPU ms until it has all connections and a view", 5, n, float64(x.CPU.Milliseconds()))
-			if err := f.UntilWhole(ctx, wholeMost); err != nil {
+			if err := f.WaitComplete(ctx, wholeMost); err != nil {
 				return err
 			}
 			// All at once.
@@ -517,7 +517,7 @@
 				return err
 			}
 			started := time.Since(began)
-			at, err = f.Wait(ctx, "session opened", began, n, wholeMost)
+			at, err = f.WaitEvents(ctx, "session opened", began, n, wholeMost)
 			if err != nil {
 				return err
 			}
@@ -528,11 +528,11 @@
 			}
 			most := stop()
 			cpu := 0.0
-			a, err := f.Account(false)
+			a, err := f.Usage(false)
 			if err != nil {
 				return err
 			}
-			for _, x := range a.Of {
+			for _, x := range a.ByProcess {
 				cpu += x.CPU.Seconds()
 			}
 			s.add("all at once", "s until all have sessions", 0.05, n, at.Sub(began).Seconds())
@@ -575,16 +575,16 @@
 		}
 		said := make(chan outcome, 1)
 		go func() {
-			done, failed, err := p.Change(float64(rate), count+2*time.Second)
+			done, failed, err := p.ApplyOverrides(float64(rate), count+2*time.Second)
 			said <- outcome{done, failed, err}
 		}()
 		time.Sleep(time.Second)
-		first, err := f.AccountBut(p)
+		first, err := f.UsageExcept(p)
 		if err != nil {
 			return nil, err
 		}
 		time.Sleep(count)
-		last, err := f.AccountBut(p)
+		last, err := f.UsageExcept(p)
 		if err != nil {
 			return nil, err
 		}
@@ -593,8 +593,8 @@
 			return nil, o.err
 		}
 		c := &counted{of: map[*hollow.Process]hollow.Rates{}, last: last, span: count}
-		for p, x := range last.Of {
-			if was := first.Of[p]; was != nil {
+		for p, x := range last.ByProcess {
+			if was := first.ByProcess[p]; was != nil {
 				c.of[p] = x.Since(was)
 			}
 		}
@@ -603,7 +603,7 @@
 			for _, q := range roles(f)[role] {
 				if x, ok := c.of[q]; ok && q != p {
 					cpu, bytes = append(cpu, x.CPU), append(bytes, x.PerSecond(x.Bytes()))
-					packets, syncs = append(packets, x.PerSecond(x.Packets())), append(syncs, x.Syncs)
+					packets, syncs = append(packets, x.PerSecond(x.Packets())), append(syncs, x.DiskSyncs)
 				}
 			}
 			if len(cpu) == 0 {
@@ -640,11 +640,11 @@
 			stop := busiest()
 			began := time.Now()
 			lead.Kill()
-			at, err := f.Wait(ctx, "became leader", began, 1, wholeMost)
+			at, err := f.WaitEvents(ctx, "became leader", began, 1, wholeMost)
 			if err != nil {
 				return err
 			}
-			if err := f.UntilWhole(ctx, wholeMost); err != nil {
+			if err := f.WaitComplete(ctx, wholeMost); err != nil {
 				return err
 			}
 			whole := time.Since(began)
@@ -656,14 +656,14 @@
 			if err := lead.Start(ctx); err != nil {
 				return err
 			}
-			if err := f.UntilWhole(ctx, wholeMost); err != nil {
+			if err := f.WaitComplete(ctx, wholeMost); err != nil {
 				return err
 			}
 			time.Sleep(settle)
 			// A tenth of them, none a keeper.
 			gone := 0
 			var list []*hollow.Process
-			for i := len(f.Processes) - 1; i >= f.Keepers && gone < max(1, n/10); i-- {
+			for i := len(f.Processes) - 1; i >= f.BootstrapReplicas && gone < max(1, n/10); i-- {
 				list = append(list, f.Processes[i])
 				gone += len(f.Processes[i].Names)
 			}
@@ -675,7 +675,7 @@
 			for _, p := range list {
 				p.Kill()
 			}
-			if err := f.UntilWhole(ctx, wholeMost); err != nil {
+			if err := f.WaitComplete(ctx, wholeMost); err != nil {
 				return err
 			}
 			s.add("a tenth killed", "s until their sessions have lapsed everywhere", 0.1, n, time.Since(began).Seconds())
@@ -686,7 +686,7 @@
 					return err
 				}
 			}
-			if at, err = f.Wait(ctx, "session opened", began, gone, wholeMost); err != nil {
+			if at, err = f.WaitEvents(ctx, "session opened", began, gone, wholeMost); err != nil {
 				return err
 			}
 			s.add("a tenth killed", "s until they have sessions again", 0.05, n, at.Sub(began).Seconds())
--- a/cmd/experiment/scale_relays.go
+++ b/cmd/experiment/scale_relays.go
@@ -34,18 +34,18 @@
 	if e.Small {
 		relays = 3
 	}
-	return fleetOf(ctx, e, hollow.Options{Bin: bin, Real: relays, Relays: relays, Gateways: n, Pools: 1})
+	return fleetOf(ctx, e, hollow.Options{Program: bin, RealMembers: relays, Relays: relays, Gateways: n, Pools: 1})
 }
 
 // relayRoles are the processes of one relay or gateway by its role.
 func relayRoles(f *hollow.Fleet) map[string][]*hollow.Process {
 	all := map[string][]*hollow.Process{}
-	owns, lead := f.Owns(), f.Leader()
+	owns, lead := f.LeaseCounts(), f.Leader()
 	for i, p := range f.Processes {
 		switch {
 		case p == lead:
 			all["leader"] = append(all["leader"], p)
-		case i < f.Keepers:
+		case i < f.BootstrapReplicas:
 			all["keeper"] = append(all["keeper"], p)
 		case i < f.Relays:
 			all["relay"] = append(all["relay"], p)
@@ -99,8 +99,8 @@
 				s.add(role, "bytes/s", 20, n, of(func(p *hollow.Process) float64 { return c.of[p].PerSecond(c.of[p].Bytes()) }))
 				s.add(role, "packets/s", 0.5, n, of(func(p *hollow.Process) float64 { return c.of[p].PerSecond(c.of[p].Packets()) }))
 				s.add(role, "CPU ms/s", 0.5, n, of(func(p *hollow.Process) float64 { return c.of[p].CPU }))
-				s.add(role, "MB resident", 1, n, of(func(p *hollow.Process) float64 { return float64(c.last.Of[p].Resident) / mb }))
-				s.add(role, "connections", 0.5, n, of(func(p *hollow.Process) float64 { return float64(c.last.Of[p].Conns) }))
+				s.add(role, "MB resident", 1, n, of(func(p *hollow.Process) float64 { return float64(c.last.ByProcess[p].Resident) / mb }))
+				s.add(role, "connections", 0.5, n, of(func(p *hollow.Process) float64 { return float64(c.last.ByProcess[p].Conns) }))
 			}
 			// Those that are packed are many, and show the mean.
 			var packed, bytes, packets, cpu, resident float64
@@ -108,7 +108,7 @@
 				if k := float64(len(p.Names)); k > 1 {
 					packed += k
 					bytes, packets = bytes+x.PerSecond(x.Bytes()), packets+x.PerSecond(x.Packets())
-					cpu, resident = cpu+x.CPU, resident+float64(c.last.Of[p].Resident)/mb
+					cpu, resident = cpu+x.CPU, resident+float64(c.last.ByProcess[p].Resident)/mb
 				}
 			}
 			if packed > 0 {
@@ -134,15 +134,15 @@
 func word(ctx context.Context, f *hollow.Fleet, s *seriesBy, n int) error {
 	by := f.Processes[f.Relays]
 	began := time.Now()
-	if err := by.Say(by.Names[0], "h1", true); err != nil {
+	if err := by.SetDrained(by.Names[0], "h1", true); err != nil {
 		return err
 	}
-	if _, err := f.Wait(ctx, hollow.WordEvent, began, n, wholeMost); err != nil {
+	if _, err := f.WaitEvents(ctx, hollow.OverrideEvent, began, n, wholeMost); err != nil {
 		return err
 	}
 	var after []float64
-	for _, x := range f.Events(hollow.WordEvent, began) {
-		after = append(after, x.At.Sub(began).Seconds())
+	for _, x := range f.Events(hollow.OverrideEvent, began) {
+		after = append(after, x.Time.Sub(began).Seconds())
 	}
 	s.add("an operator's word", "s until half of the gateways go by it", 0.005, n, part(after, 0.5))
 	s.add("an operator's word", "s until 99.9 in 100", 0.005, n, part(after, 0.999))
@@ -154,7 +154,7 @@
 func spread(f *hollow.Fleet) string {
 	least, most, all := 1<<30, 0, 0
 	for _, p := range f.Processes[:f.Relays] {
-		if !p.Runs() {
+		if !p.IsRunning() {
 			continue
 		}
 		st, err := p.Status(false)
@@ -175,9 +175,9 @@
 			return nil, 0, err
 		}
 		for _, g := range st {
-			if g.Relay == nil || g.Joined == 0 {
+			if g.Relay == nil || g.JoinedUnixNano == 0 {
 				without++
-			} else if at := time.Unix(0, g.Joined); at.After(after) {
+			} else if at := time.Unix(0, g.JoinedUnixNano); at.After(after) {
 				list = append(list, at.Sub(after).Seconds())
 			}
 		}
@@ -212,7 +212,7 @@
 			var others, keepers []*hollow.Process
 			for i, p := range f.Processes[:f.Relays] {
 				switch {
-				case i >= f.Keepers:
+				case i >= f.BootstrapReplicas:
 					others = append(others, p)
 				case p != lead:
 					keepers = append(keepers, p)
@@ -224,7 +224,7 @@
 				list []*hollow.Process
 			}{
 				{"a relay killed", list[:1]}, {standsStill, list[1:2]}, // not the same: gateways come back to that in half a minute
-				{"half of the relays killed", list[:min(len(others)+(f.Keepers-1)/2, f.Relays/2)]},
+				{"half of the relays killed", list[:min(len(others)+(f.BootstrapReplicas-1)/2, f.Relays/2)]},
 				{"all relays restarted", f.Processes[:f.Relays]},
 			} {
 				stop := busiest()
@@ -232,7 +232,7 @@
 				still, all := fault.name == standsStill, len(fault.list) == f.Relays
 				for _, p := range fault.list {
 					if still {
-						if err := p.Stop(); err != nil {
+						if err := p.Pause(); err != nil {
 							return err
 						}
 						continue
@@ -245,7 +245,7 @@
 							return err
 						}
 					}
-					if _, err := f.Wait(ctx, "became leader", began, 1, wholeMost); err != nil {
+					if _, err := f.WaitEvents(ctx, "became leader", began, 1, wholeMost); err != nil {
 						return err
 					}
 				}
@@ -254,12 +254,12 @@
 				}
 				if still {
 					for _, p := range fault.list {
-						if err := p.Continue(); err != nil {
+						if err := p.Resume(); err != nil {
 							return err
 						}
 					}
 				}
-				if err := f.UntilWhole(ctx, wholeMost); err != nil {
+				if err := f.WaitComplete(ctx, wholeMost); err != nil {
 					return fmt.Errorf("%s: %w", fault.name, err)
 				}
 				whole := time.Since(began)
@@ -287,7 +287,7 @@
 						return err
 					}
 				}
-				if err := f.UntilWhole(ctx, wholeMost); err != nil {
+				if err := f.WaitComplete(ctx, wholeMost); err != nil {
 					return err
 				}
 				time.Sleep(settle)
--- a/internal/experiment/scaletest/hollow/calls.go
+++ b/internal/experiment/scaletest/hollow/calls.go
@@ -9,13 +9,13 @@
 	"dunemoor/internal/fleet"
 )
 
-// Status returns the status of each member of the process, by name; withCounts, its metrics as well.
-func (p *Process) Status(withCounts bool) (map[string]*Status, error) {
-	if p.Real() {
-		s, err := p.programStatus(withCounts)
+// Status returns the status of each member of the process, by name, where asked with its metrics.
+func (p *Process) Status(withMetrics bool) (map[string]*Status, error) {
+	if p.IsReal() {
+		s, err := p.programStatus(withMetrics)
 		return map[string]*Status{p.Names[0]: s}, err
 	}
-	r, err := p.request(&request{Report: true, Status: true, Metrics: withCounts})
+	r, err := p.request(&request{Report: true, Status: true, Metrics: withMetrics})
 	if err != nil {
 		return nil, err
 	}
@@ -23,7 +23,7 @@
 }
 
 // programStatus returns the status of a process of the program, by its admin address.
-func (p *Process) programStatus(withCounts bool) (*Status, error) {
+func (p *Process) programStatus(withMetrics bool) (*Status, error) {
 	s := &Status{}
 	text, err := p.get(fleet.PathFleet)
 	if err != nil {
@@ -32,11 +32,11 @@
 	if err := json.Unmarshal(text, s); err != nil {
 		return s, fmt.Errorf("read status of %s: %w", p.Names[0], err)
 	}
-	if !withCounts {
+	if !withMetrics {
 		return s, nil
 	}
 	text, err = p.get(fleet.PathMetrics)
-	s.Counts = parseFleetMetrics(string(text))
+	s.Metrics = parseFleetMetrics(string(text))
 	return s, err
 }
 
@@ -52,7 +52,7 @@
 
 // Report returns a host's report on itself, without those of its gateways; nil for a process of the program.
 func (p *Process) Report() (*Report, error) {
-	if p.Real() {
+	if p.IsReal() {
 		return nil, nil
 	}
 	r, err := p.request(&request{Report: true})
@@ -62,16 +62,16 @@
 	return r.Report, nil
 }
 
-// Say sets an operator's override for a host of the first pool, at a gateway of a process of hollow ones: the
+// SetDrained sets an operator's override for a host of the first pool, at a gateway of a process of hollow ones: the
 // host is drained, or no longer drained.
-func (p *Process) Say(gateway, host string, drain bool) error {
+func (p *Process) SetDrained(gateway, host string, drain bool) error {
 	_, err := p.request(&request{Override: &override{Gateway: gateway, Host: host, Drain: drain}})
 	return err
 }
 
-// Change sets overrides at the gateways of a process of hollow ones, in turn, for a duration, at a rate a second
+// ApplyOverrides sets overrides at the gateways of a process of hollow ones, in turn, for a duration, at a rate a second
 // of all together. It returns how many were applied and how many failed, when the last has ended.
-func (p *Process) Change(rate float64, duration time.Duration) (applied, failed int, err error) {
+func (p *Process) ApplyOverrides(rate float64, duration time.Duration) (applied, failed int, err error) {
 	load := &overrideLoad{Gateways: p.Names, Rate: rate, Duration: duration}
 	r, err := p.request(&request{OverrideLoad: load})
 	if err != nil {
--- a/internal/experiment/scaletest/hollow/complete.go
+++ b/internal/experiment/scaletest/hollow/complete.go
@@ -20,7 +20,7 @@
 func (f *Fleet) Complete() bool {
 	members := 0
 	for _, p := range f.Processes {
-		if p.Runs() {
+		if p.IsRunning() {
 			members += len(p.Names)
 		}
 	}
@@ -29,7 +29,7 @@
 		return status != nil && status.complete(members, f.Pools)
 	}
 	for _, p := range f.Processes {
-		if p.Runs() && !p.complete(members, f.Pools) {
+		if p.IsRunning() && !p.complete(members, f.Pools) {
 			return false
 		}
 	}
@@ -50,9 +50,9 @@
 	return true
 }
 
-// UntilWhole waits until the fleet is complete. It returns an error when that takes longer than the timeout, or
+// WaitComplete waits until the fleet is complete. It returns an error when that takes longer than the timeout, or
 // ctx's when ctx ends.
-func (f *Fleet) UntilWhole(ctx context.Context, timeout time.Duration) error {
+func (f *Fleet) WaitComplete(ctx context.Context, timeout time.Duration) error {
 	interval := max(completeInterval, time.Duration(len(f.Names()))*completeIntervalPerMember)
 	end := time.Now().Add(timeout)
 	for !f.Complete() {
@@ -71,7 +71,7 @@
 // Leader returns the process of the leader, which has no other members; nil where there is no leader.
 func (f *Fleet) Leader() *Process {
 	for _, p := range f.Processes {
-		if !p.Runs() || len(p.Names) > 1 {
+		if !p.IsRunning() || len(p.Names) > 1 {
 			continue
 		}
 		status := p.firstStatus()
@@ -100,8 +100,8 @@
 	return all[p.Names[0]]
 }
 
-// Owns returns how many leases each member holds, by its name, as the leader knows it; none without a leader.
-func (f *Fleet) Owns() map[string]int {
+// LeaseCounts returns how many leases each member holds, by its name, as the leader knows it; none without a leader.
+func (f *Fleet) LeaseCounts() map[string]int {
 	counts := map[string]int{}
 	status := f.leaderStatus()
 	if status == nil {
--- a/internal/experiment/scaletest/hollow/events.go
+++ b/internal/experiment/scaletest/hollow/events.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// Event is something that a member of the fleet has logged, or a WordEvent.
+// Event is something that a member of the fleet has logged, or an OverrideEvent.
 type Event struct {
-	What string // the log message, or WordEvent
-	By   string // name of the member; "" where its process has several and the event is not a WordEvent
-	At   time.Time
+	Message string // the log message, or OverrideEvent
+	Member  string // name of the member; "" where its process has several and the event is not an OverrideEvent
+	Time    time.Time
 }
 
 // eventLog holds the events of a fleet in the order of their arrival.
@@ -41,7 +41,7 @@
 	defer l.mu.Unlock()
 	var list []Event
 	for _, e := range l.events {
-		if e.What == message && !e.At.Before(from) {
+		if e.Message == message && !e.Time.Before(from) {
 			list = append(list, e)
 		}
 	}
@@ -54,15 +54,15 @@
 	return list
 }
 
-// Wait waits until there are count events with a message from a time on, and returns the time of the count-th
+// WaitEvents waits until there are count events with a message from a time on, and returns the time of the count-th
 // of them. It returns an error when that takes longer than the timeout, or ctx's when ctx ends.
-func (f *Fleet) Wait(ctx context.Context, message string, from time.Time, count int, timeout time.Duration) (time.Time, error) {
+func (f *Fleet) WaitEvents(ctx context.Context, message string, from time.Time, count int, timeout time.Duration) (time.Time, error) {
 	expired := time.After(timeout)
 	for {
 		list, added := f.events.since(message, from)
 		if len(list) >= count {
-			slices.SortFunc(list, func(a, b Event) int { return a.At.Compare(b.At) })
-			return list[count-1].At, nil
+			slices.SortFunc(list, func(a, b Event) int { return a.Time.Compare(b.Time) })
+			return list[count-1].Time, nil
 		}
 		select {
 		case <-added:
--- a/internal/experiment/scaletest/hollow/fleet.go
+++ b/internal/experiment/scaletest/hollow/fleet.go
@@ -17,17 +17,19 @@
 // Options describe a fleet. Its members are its relays, where it has some, and then its gateways; counts of the
 // first members are counted in this order.
 type Options struct {
-	Dir       string   // for configuration files, data directories and the log
-	Host      []string // command of a process of hollow gateways, which calls Serve
-	Bin       string   // path of the program
-	Real      int      // first members that are processes of the program
-	Gateways  int
-	Relays    int    // 0: the gateways are connected with each other
-	Keepers   int    // first members that are the bootstrap replicas of the coordination state
-	Alone     int    // first members that have a process each, so that it can be measured; raised to cover Keepers, Relays and Real
-	Packed    int    // gateways in each other process; 1 at least
-	Pools     int    // of each gateway; each pool's endpoint list has a lease
-	Discovery string // address of the service that has the pools' endpoint lists
+	Dir               string   // for configuration files, data directories and the log
+	HostCommand       []string // command of a process of hollow gateways, which calls Serve
+	Program           string   // path of the program
+	RealMembers       int      // first members that are processes of the program
+	Gateways          int
+	Relays            int // 0: the gateways are connected with each other
+	BootstrapReplicas int // first members that are the bootstrap replicas of the coordination state
+	// SingleMembers are the first members that have a process each, so that what one uses can be measured. New
+	// raises it to cover BootstrapReplicas, Relays and RealMembers.
+	SingleMembers      int
+	GatewaysPerProcess int    // gateways in each other process; 1 at least
+	Pools              int    // of each gateway; each pool's endpoint list has a lease
+	DiscoveryAddress   string // address of the service that has the pools' endpoint lists
 }
 
 // Fleet is a fleet of gateways on the loopback.
@@ -44,7 +46,7 @@
 // New reserves the addresses of a fleet and writes its files. It starts no process.
 func New(o Options) (*Fleet, error) {
 	members := o.Relays + o.Gateways
-	o.Alone = min(max(o.Alone, o.Keepers, o.Relays, o.Real), members)
+	o.SingleMembers = min(max(o.SingleMembers, o.BootstrapReplicas, o.Relays, o.RealMembers), members)
 	l, err := newLayout(o)
 	if err != nil {
 		return nil, fmt.Errorf("lay out fleet: %w", err)
@@ -57,8 +59,8 @@
 	}
 	for first := 0; first < members; {
 		count := 1
-		if first >= o.Alone {
-			count = min(max(1, o.Packed), members-first)
+		if first >= o.SingleMembers {
+			count = min(max(1, o.GatewaysPerProcess), members-first)
 		}
 		p := &Process{Names: l.names[first : first+count], fleet: f, first: first}
 		f.Processes = append(f.Processes, p)
--- a/internal/experiment/scaletest/hollow/host.go
+++ b/internal/experiment/scaletest/hollow/host.go
@@ -123,7 +123,7 @@
 		return fmt.Errorf("start gateway %s: already running", g.name)
 	}
 	g.run(func(at time.Time) {
-		h.write(&reply{Event: WordEvent, Gateway: g.name, UnixNano: at.UnixNano()})
+		h.write(&reply{Event: OverrideEvent, Gateway: g.name, UnixNano: at.UnixNano()})
 	})
 	return nil
 }
@@ -168,7 +168,7 @@
 			g.readStatus(s)
 		}
 		if withMetrics {
-			s.Counts = parseFleetMetrics(g.call(fleet.PathMetrics))
+			s.Metrics = parseFleetMetrics(g.call(fleet.PathMetrics))
 		}
 		r.Gateways[g.name] = s
 	}
--- a/internal/experiment/scaletest/hollow/layout.go
+++ b/internal/experiment/scaletest/hollow/layout.go
@@ -106,7 +106,7 @@
 	if l.options.Relays > 0 {
 		peers = l.options.Relays
 	}
-	addresses, err := reserveAddresses(peers + 2*l.options.Real)
+	addresses, err := reserveAddresses(peers + 2*l.options.RealMembers)
 	if err != nil {
 		return err
 	}
@@ -114,7 +114,7 @@
 	for _, address := range l.peerAddresses {
 		l.peers[netip.MustParseAddrPort(address)] = true
 	}
-	for i := range l.options.Real {
+	for i := range l.options.RealMembers {
 		l.clientAddresses = append(l.clientAddresses, addresses[peers+2*i])
 		l.adminAddresses = append(l.adminAddresses, addresses[peers+2*i+1])
 	}
@@ -127,7 +127,7 @@
 func (l *layout) dataDir(member int) string      { return filepath.Join(l.options.Dir, l.names[member]) }
 func (l *layout) keyFile() string                { return filepath.Join(l.options.Dir, "key") }
 func (l *layout) adminAddress(member int) string { return l.adminAddresses[member] }
-func (l *layout) isProgram(member int) bool      { return member < l.options.Real }
+func (l *layout) isProgram(member int) bool      { return member < l.options.RealMembers }
 func (l *layout) isRelay(member int) bool        { return member < l.options.Relays }
 
 // location returns the zone and the region of a relay or gateway, by its number among its kind.
@@ -165,7 +165,7 @@
 	fmt.Fprintf(b, "[limits]\nsockets = %d\n", baseSockets+socketsPerPool*l.options.Pools)
 	b.WriteString("[[class]]\nname = \"all\"\neffect = \"safe\"\naim = \"2s\"\ndeadline = \"10s\"\nworth = 1\n")
 	for pool := range l.options.Pools {
-		fmt.Fprintf(b, "[[pool]]\nname = \"p%d\"\ndiscovery = %q\n", pool, l.options.Discovery)
+		fmt.Fprintf(b, "[[pool]]\nname = \"p%d\"\ndiscovery = %q\n", pool, l.options.DiscoveryAddress)
 	}
 	for pool := range l.options.Pools {
 		fmt.Fprintf(b, "[[route]]\nname = \"r%d\"\npath = \"/p%d\"\npool = \"p%d\"\n", pool, pool, pool)
@@ -175,7 +175,7 @@
 // writeFleet writes the table of the fleet, up to its lists of relays or peers.
 func (l *layout) writeFleet(b *strings.Builder, member int) {
 	var replicas []string
-	for _, name := range l.names[:l.options.Keepers] {
+	for _, name := range l.names[:l.options.BootstrapReplicas] {
 		replicas = append(replicas, fmt.Sprintf("%q", name))
 	}
 	b.WriteString("[fleet]\nid = \"scale\"\n")
--- a/internal/experiment/scaletest/hollow/messages.go
+++ b/internal/experiment/scaletest/hollow/messages.go
@@ -35,8 +35,8 @@
 	Applied int     `json:"done,omitempty"`   // overrides that were applied
 	Failed  int     `json:"failed,omitempty"` // overrides that were rejected, or whose outcome is unknown
 
-	Event    string `json:"event,omitempty"` // a log message, or WordEvent
-	Gateway  string `json:"by,omitempty"`    // set for WordEvent
+	Event    string `json:"event,omitempty"` // a log message, or OverrideEvent
+	Gateway  string `json:"by,omitempty"`    // set for OverrideEvent
 	UnixNano int64  `json:"at,omitempty"`    // time of the event
 }
 
--- a/internal/experiment/scaletest/hollow/override.go
+++ b/internal/experiment/scaletest/hollow/override.go
@@ -10,8 +10,8 @@
 	"dunemoor/internal/fleet"
 )
 
-// WordEvent is the event of a gateway that has begun to drain a host by an operator's override.
-const WordEvent = "word"
+// OverrideEvent is the event of a gateway that has begun to drain a host by an operator's override.
+const OverrideEvent = "word"
 
 // overrideTimeout bounds how long an override may take to be written.
 const overrideTimeout = 15 * time.Second
--- a/internal/experiment/scaletest/hollow/process.go
+++ b/internal/experiment/scaletest/hollow/process.go
@@ -36,11 +36,11 @@
 	replies    chan *reply // closed when the output ends; of a host
 }
 
-// Real reports whether it is a process of the program.
-func (p *Process) Real() bool { return p.first < p.fleet.Options.Real }
+// IsReal reports whether it is a process of the program.
+func (p *Process) IsReal() bool { return p.first < p.fleet.Options.RealMembers }
 
-// Runs reports whether the process was started and not killed.
-func (p *Process) Runs() bool { return p.exited != nil }
+// IsRunning reports whether the process was started and not killed.
+func (p *Process) IsRunning() bool { return p.exited != nil }
 
 // Start starts the process, and waits until its hollow gateways have started. It ends with ctx, and with the
 // process that calls Start.
@@ -52,7 +52,7 @@
 	p.exited = make(chan struct{})
 	p.replies = make(chan *reply, 1)
 	go p.supervise(p.cmd, output, p.replies, p.exited)
-	if p.Real() {
+	if p.IsReal() {
 		return nil
 	}
 	var files []string
@@ -66,10 +66,10 @@
 // launch starts the command, and returns what is read of it: the log of the program, or a host's replies.
 func (p *Process) launch(ctx context.Context) (output *os.File, err error) {
 	f := p.fleet
-	if p.Real() {
-		p.cmd = exec.CommandContext(ctx, f.Bin, "--appliance", f.layout.file(p.first))
+	if p.IsReal() {
+		p.cmd = exec.CommandContext(ctx, f.Program, "--appliance", f.layout.file(p.first))
 	} else {
-		p.cmd = exec.CommandContext(ctx, f.Host[0], f.Host[1:]...)
+		p.cmd = exec.CommandContext(ctx, f.HostCommand[0], f.HostCommand[1:]...)
 	}
 	// It must not outlive this process even if that is killed.
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -80,7 +80,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if p.Real() {
+	if p.IsReal() {
 		p.cmd.Stdout, p.cmd.Stderr = f.log, writeEnd
 	} else {
 		p.cmd.Stdout, p.cmd.Stderr = writeEnd, f.log
@@ -98,7 +98,7 @@
 func (p *Process) supervise(cmd *exec.Cmd, output *os.File, replies chan<- *reply, exited chan<- struct{}) {
 	lines := bufio.NewScanner(output)
 	lines.Buffer(nil, maxOutputLineBytes)
-	if p.Real() {
+	if p.IsReal() {
 		p.readLog(lines)
 	} else {
 		p.readReplies(lines, replies)
@@ -115,7 +115,7 @@
 		fmt.Fprintln(p.fleet.log, lines.Text())
 		message, at, ok := parseLogLine(lines.Text())
 		if ok && slices.Contains(eventMessages, message) {
-			p.fleet.events.add(Event{What: message, By: p.Names[0], At: at})
+			p.fleet.events.add(Event{Message: message, Member: p.Names[0], Time: at})
 		}
 	}
 }
@@ -135,7 +135,7 @@
 		if r.Gateway == "" && len(p.Names) == 1 {
 			r.Gateway = p.Names[0]
 		}
-		p.fleet.events.add(Event{What: r.Event, By: r.Gateway, At: time.Unix(0, r.UnixNano)})
+		p.fleet.events.add(Event{Message: r.Event, Member: r.Gateway, Time: time.Unix(0, r.UnixNano)})
 	}
 }
 
@@ -173,9 +173,9 @@
 	p.exited = nil
 }
 
-// Stop halts the process with SIGSTOP until Continue. To others it looks like one whose machine has failed: its
+// Pause halts the process with SIGSTOP until Resume. To others it looks like one whose machine has failed: its
 // connections stay open.
-func (p *Process) Stop() error { return p.cmd.Process.Signal(syscall.SIGSTOP) }
+func (p *Process) Pause() error { return p.cmd.Process.Signal(syscall.SIGSTOP) }
 
-// Continue resumes a process after Stop.
-func (p *Process) Continue() error { return p.cmd.Process.Signal(syscall.SIGCONT) }
+// Resume resumes a process after Pause.
+func (p *Process) Resume() error { return p.cmd.Process.Signal(syscall.SIGCONT) }
--- a/internal/experiment/scaletest/hollow/status.go
+++ b/internal/experiment/scaletest/hollow/status.go
@@ -27,22 +27,23 @@
 		Name    string `json:"name"` // "": it has no stream
 		SinceMS int64  `json:"since_ms"`
 	} `json:"relay,omitempty"`
-	// Joined is when the stream was accepted, in nanoseconds since 1970, computed by the host when it answered.
-	Joined int64 `json:"joined,omitempty"`
+	// JoinedUnixNano is when the stream was accepted, in nanoseconds since 1970, computed by the host
+	// when it answered.
+	JoinedUnixNano int64 `json:"joined,omitempty"`
 	// Streams are those that a relay holds.
 	Streams *struct {
 		Streams int `json:"streams"`
 	} `json:"streams,omitempty"`
-	// Counts are the metrics dunemoor_fleet_*, by name without that prefix, where they were asked for.
-	Counts map[string]float64 `json:"counts,omitempty"`
+	// Metrics are the metrics dunemoor_fleet_*, by name without that prefix, where they were asked for.
+	Metrics map[string]float64 `json:"counts,omitempty"`
 }
 
-// setJoined sets Joined by the age of the stream.
+// setJoined sets JoinedUnixNano by the age of the stream.
 func (s *Status) setJoined(now time.Time) {
 	if s.Relay == nil || s.Relay.Name == "" {
 		return
 	}
-	s.Joined = now.UnixNano() - s.Relay.SinceMS*int64(time.Millisecond)
+	s.JoinedUnixNano = now.UnixNano() - s.Relay.SinceMS*int64(time.Millisecond)
 }
 
 // complete reports whether a gateway has a session and a leader, knows a number of open sessions, and knows a
--- a/internal/experiment/scaletest/hollow/usage.go
+++ b/internal/experiment/scaletest/hollow/usage.go
@@ -12,8 +12,8 @@
 	metricFramesSent     = "frames_sent_total"
 )
 
-// Account is what a process has used up to a time.
-type Account struct {
+// ProcessUsage is what a process has used up to a time.
+type ProcessUsage struct {
 	At         time.Time
 	CPU        time.Duration // since its start
 	Resident   uint64        // bytes
@@ -22,63 +22,63 @@
 	Conns      int           // ends of open connections between members of the fleet
 	Traffic    Traffic       // of these connections since they were opened
 
-	// Counts are the metrics of the only member of a process, as in Status.
-	Counts map[string]float64
+	// Metrics are those of the only member of a process, as in Status.
+	Metrics map[string]float64
 
 	traffic map[uint32]Traffic // of each of these connections, by the inode of its socket
 }
 
-// Accounts are the accounts of all processes that run, and what the loopback device has carried.
-type Accounts struct {
-	Of             map[*Process]*Account
+// FleetUsage is what all processes that run have used up to a time, and what the loopback device has carried.
+type FleetUsage struct {
+	ByProcess      map[*Process]*ProcessUsage
 	Bytes, Packets uint64 // of the loopback device, since the machine's start
 
 	traffic map[uint32]Traffic // of all connections of the machine, by the inode of their socket
 }
 
-// Account returns the accounts at present. With own set they include the processes' own reports and metrics,
+// Usage returns the fleet's usage up to now. With own set it includes the processes' own reports and metrics,
 // which cost the processes some work.
-func (f *Fleet) Account(own bool) (*Accounts, error) { return f.account(own, nil) }
+func (f *Fleet) Usage(own bool) (*FleetUsage, error) { return f.usage(own, nil) }
 
-// AccountBut returns the accounts at present, with the processes' own reports and metrics but for those of a
+// UsageExcept returns the fleet's usage up to now, with the processes' own reports and metrics but for those of a
 // process that carries out a request and doesn't reply meanwhile.
-func (f *Fleet) AccountBut(busy *Process) (*Accounts, error) { return f.account(true, busy) }
+func (f *Fleet) UsageExcept(busy *Process) (*FleetUsage, error) { return f.usage(true, busy) }
 
-func (f *Fleet) account(own bool, busy *Process) (*Accounts, error) {
-	all := &Accounts{Of: map[*Process]*Account{}, traffic: map[uint32]Traffic{}}
+func (f *Fleet) usage(own bool, busy *Process) (*FleetUsage, error) {
+	all := &FleetUsage{ByProcess: map[*Process]*ProcessUsage{}, traffic: map[uint32]Traffic{}}
 	for _, p := range f.Processes {
-		if !p.Runs() {
+		if !p.IsRunning() {
 			continue
 		}
-		a := &Account{traffic: map[uint32]Traffic{}}
-		all.Of[p] = a
+		u := &ProcessUsage{traffic: map[uint32]Traffic{}}
+		all.ByProcess[p] = u
 		if !own || p == busy {
 			continue
 		}
-		if err := a.readOwn(p); err != nil {
+		if err := u.readOwn(p); err != nil {
 			return nil, err
 		}
 	}
-	for p, a := range all.Of {
-		if err := a.readKernel(p.cmd.Process.Pid); err != nil {
+	for p, u := range all.ByProcess {
+		if err := u.readKernel(p.cmd.Process.Pid); err != nil {
 			return nil, err
 		}
 	}
-	if err := f.accountTraffic(all); err != nil {
+	if err := f.readTraffic(all); err != nil {
 		return nil, err
 	}
 	return all, nil
 }
 
 // readOwn adds a process's own report, and the metrics of its member if it has only one.
-func (a *Account) readOwn(p *Process) error {
+func (u *ProcessUsage) readOwn(p *Process) error {
 	report, err := p.Report()
 	if err != nil {
 		return err
 	}
 	if report != nil {
-		a.Heap = report.Heap
-		a.Goroutines = report.Goroutines
+		u.Heap = report.Heap
+		u.Goroutines = report.Goroutines
 	}
 	if len(p.Names) > 1 {
 		return nil
@@ -87,25 +87,25 @@
 	if err != nil {
 		return err
 	}
-	a.Counts = status[p.Names[0]].Counts
+	u.Metrics = status[p.Names[0]].Metrics
 	return nil
 }
 
 // readKernel adds the CPU time and the memory of a process.
-func (a *Account) readKernel(pid int) (err error) {
-	if a.CPU, err = cpuTime(pid); err != nil {
+func (u *ProcessUsage) readKernel(pid int) (err error) {
+	if u.CPU, err = cpuTime(pid); err != nil {
 		return err
 	}
-	if a.Resident, err = residentMemory(pid); err != nil {
+	if u.Resident, err = residentMemory(pid); err != nil {
 		return err
 	}
-	a.At = time.Now()
+	u.At = time.Now()
 	return nil
 }
 
-// accountTraffic adds the traffic of all connections, of the loopback device, and of each process's connections
+// readTraffic adds the traffic of all connections, of the loopback device, and of each process's connections
 // to other members.
-func (f *Fleet) accountTraffic(all *Accounts) error {
+func (f *Fleet) readTraffic(all *FleetUsage) error {
 	conns, err := listConns()
 	if err != nil {
 		return err
@@ -123,7 +123,7 @@
 			between[c.inode] = c.Traffic
 		}
 	}
-	for p, a := range all.Of {
+	for p, u := range all.ByProcess {
 		sockets, err := socketInodes(p.cmd.Process.Pid)
 		if err != nil {
 			return err
@@ -133,9 +133,9 @@
 			if !ok {
 				continue
 			}
-			a.Conns++
-			a.traffic[inode] = traffic
-			a.Traffic = a.Traffic.plus(traffic)
+			u.Conns++
+			u.traffic[inode] = traffic
+			u.Traffic = u.Traffic.plus(traffic)
 		}
 	}
 	return nil
@@ -144,41 +144,41 @@
 // isMember reports whether members of the fleet take connections of others at an address.
 func (f *Fleet) isMember(address netip.AddrPort) bool { return f.layout.peers[address] }
 
-// Rates are what a process used between two accounts, a second unless noted.
+// Rates are what a process used between two measurements, a second unless noted.
 type Rates struct {
-	CPU     float64       // milliseconds
-	Traffic               // in the whole span, of connections that are open at its end
-	Span    time.Duration // between the accounts
-	Syncs   float64       // of the disk
-	Counted float64       // bytes of frames sent, by the process's own metrics
-	Frames  float64       // sent, by the process's own metrics
+	CPU            float64       // milliseconds
+	Traffic                      // in the whole span, of connections that are open at its end
+	Span           time.Duration // between the measurements
+	DiskSyncs      float64       // fsyncs of the write-ahead log
+	FrameBytesSent float64       // bytes of frames sent, by the process's own metrics
+	FramesSent     float64       // frames sent, by the process's own metrics
 }
 
-// Since returns a process's rates since an earlier account.
-func (a *Account) Since(earlier *Account) Rates {
-	span := a.At.Sub(earlier.At)
+// Since returns a process's rates since an earlier measurement.
+func (u *ProcessUsage) Since(earlier *ProcessUsage) Rates {
+	span := u.At.Sub(earlier.At)
 	seconds := span.Seconds()
 	r := Rates{Span: span}
-	r.CPU = float64((a.CPU - earlier.CPU).Microseconds()) / 1000 / seconds
-	for inode, traffic := range a.traffic {
+	r.CPU = float64((u.CPU - earlier.CPU).Microseconds()) / 1000 / seconds
+	for inode, traffic := range u.traffic {
 		r.Traffic = r.Traffic.plus(traffic.since(earlier.traffic[inode]))
 	}
-	rate := func(metric string) float64 { return (a.Counts[metric] - earlier.Counts[metric]) / seconds }
-	r.Syncs = rate(metricDiskSyncs)
-	r.Counted = rate(metricFrameBytesSent)
-	r.Frames = rate(metricFramesSent)
+	rate := func(metric string) float64 { return (u.Metrics[metric] - earlier.Metrics[metric]) / seconds }
+	r.DiskSyncs = rate(metricDiskSyncs)
+	r.FrameBytesSent = rate(metricFrameBytesSent)
+	r.FramesSent = rate(metricFramesSent)
 	return r
 }
 
 // PerSecond returns a count of the span as a rate.
 func (r Rates) PerSecond(count uint64) float64 { return float64(count) / r.Span.Seconds() }
 
-// Sent returns the bytes with headers that were sent since earlier accounts: by the ends of all connections that
-// are open now, and by the loopback device.
-func (a *Accounts) Sent(earlier *Accounts) (ends, device uint64) {
-	for inode, traffic := range a.traffic {
+// SentSince returns the bytes with headers that were sent since an earlier measurement: by the ends of all
+// connections that are open now, and by the loopback device.
+func (u *FleetUsage) SentSince(earlier *FleetUsage) (ends, device uint64) {
+	for inode, traffic := range u.traffic {
 		sent := traffic.since(earlier.traffic[inode])
 		ends += sent.BytesOut + HeaderBytes*sent.PacketsOut
 	}
-	return ends, a.Bytes - earlier.Bytes
+	return ends, u.Bytes - earlier.Bytes
 }
