--- a/internal/frontend/fastcgi/conn.go
+++ b/internal/frontend/fastcgi/conn.go
@@ -123,25 +123,26 @@
 		return true
 	}
 	incomplete := 0
-	c.records.ForEachIncomplete(func(id uint16, begun bool) {
+	c.records.ForEachIncomplete(func(id uint16, paramsComplete bool) {
 		incomplete++
 		if quiet >= requestTimeout {
-			c.timeOut(id, begun)
+			c.timeOut(id, paramsComplete)
 		}
 	})
 	idle := noRequests && incomplete == 0
-	if idle && (quiet > idleTimeout || c.server.draining()) {
+	mayClose := quiet > idleTimeout || c.server.draining()
+	if idle && mayClose {
 		c.nc.Close()
 		return false
 	}
 	return true
 }
 
-// timeOut ends an incomplete request. begun says that its parameters are complete.
-func (c *conn) timeOut(id uint16, begun bool) {
+// timeOut ends an incomplete request. paramsComplete reports whether its parameters have all arrived.
+func (c *conn) timeOut(id uint16, paramsComplete bool) {
 	if r := c.find(id); r != nil {
 		r.stdin.CloseWrite(frontend.ErrBodyTooSlow)
-	} else if !begun {
+	} else if !paramsComplete {
 		c.records.RequestEnded(id)
 		c.writeError(id, http.StatusRequestTimeout, "the parameters come too slowly")
 	}
--- a/internal/frontend/fastcgi/response.go
+++ b/internal/frontend/fastcgi/response.go
@@ -116,7 +116,8 @@
 	length := resp.Body.Len()
 	isHead := method == http.MethodHead
 	mayHaveBody := !isHead && resp.Status != http.StatusNoContent && resp.Status != http.StatusNotModified
-	if length > 0 || resp.Body.Buffered() && mayHaveBody {
+	isEmpty := resp.Body.Buffered() && mayHaveBody
+	if length > 0 || isEmpty {
 		h["Content-Length"] = []string{strconv.FormatInt(length, 10)}
 	} else if values := resp.Header["Content-Length"]; len(values) == 1 && isHead {
 		h["Content-Length"] = values
--- a/internal/frontend/fastcgi/server.go
+++ b/internal/frontend/fastcgi/server.go
@@ -101,7 +101,8 @@
 	var lastRead time.Time
 	for c := range s.conns {
 		read, idle := c.idleSince()
-		if idle && (longest == nil || read.Before(lastRead)) {
+		idleLonger := longest == nil || read.Before(lastRead)
+		if idle && idleLonger {
 			longest = c
 			lastRead = read
 		}
--- a/internal/frontend/forward.go
+++ b/internal/frontend/forward.go
@@ -4,6 +4,7 @@
 	"net/http"
 	"net/netip"
 	"strings"
+	"unicode/utf8"
 )
 
 // Headers that tell a host about its client: RFC 7239, and those in use before it.
@@ -54,16 +55,22 @@
 
 // quoteHost returns a host as a value of the Forwarded header, quoted unless it is a token (RFC 7239, 4).
 func quoteHost(host string) string {
-	isToken := true
-	for _, c := range []byte(host) {
-		isToken = isToken && (isAlphanumeric(c) || c == '.' || c == '-' || c == '_')
-	}
-	if isToken {
+	if !strings.ContainsFunc(host, needsQuotes) {
 		return host
 	}
 	return `"` + strings.NewReplacer(`\`, `\\`, `"`, `\"`).Replace(host) + `"`
 }
 
+// needsQuotes reports whether a character of a host can't stand in a token.
+func needsQuotes(r rune) bool {
+	switch {
+	case r == '.', r == '-', r == '_':
+		return false
+	default:
+		return r >= utf8.RuneSelf || !isAlphanumeric(byte(r))
+	}
+}
+
 // isAlphanumeric reports whether c is an ASCII letter or digit.
 func isAlphanumeric(c byte) bool {
 	return '0' <= c && c <= '9' || 'a' <= c && c <= 'z' || 'A' <= c && c <= 'Z'
--- a/internal/frontend/ticket.go
+++ b/internal/frontend/ticket.go
@@ -66,12 +66,11 @@
 	if m.Target != "" && m.Target[0] != '/' {
 		host = m.HostHeader
 	}
-	query := route.Request{Method: m.Method, Header: t.headerValue}
-	var err error
-	if query.Host, query.Path, err = route.ParseTarget(m.Target, host); err != nil {
+	host, path, err := route.ParseTarget(m.Target, host)
+	if err != nil {
 		return NewRequestError(http.StatusBadRequest, "%v", err)
 	}
-	t.Route = t.snapshot.Route(&query)
+	t.Route = t.snapshot.Route(&route.Request{Method: m.Method, Host: host, Path: path, Header: t.headerValue})
 	if t.Route == nil {
 		return NewRequestError(http.StatusNotFound, "no route takes it")
 	}
