--- a/balancer/selection_test.go
+++ b/balancer/selection_test.go
@@ -96,10 +96,10 @@
 	g.serve(60, 0, func(h HostID) time.Duration { return Time(20+60*(h%2)) * ms })
 	g.updateEndpoints(ListChanges, Host{ID: 11, Kind: 0}, Host{ID: 12, Kind: 1}, Host{ID: 13, Kind: -1})
 	n := len(g.b.hosts)
-	slow, fast, odd := g.b.estimatedRTT(g.b.hosts[n-3]), g.b.estimatedRTT(g.b.hosts[n-2]), g.b.estimatedRTT(g.b.hosts[n-1])
-	if math.Abs(slow-0.08) > 0.02 || math.Abs(fast-0.02) > 0.01 || odd <= fast || odd >= slow {
+	slow, fast, unknown := g.b.estimatedRTT(g.b.hosts[n-3]), g.b.estimatedRTT(g.b.hosts[n-2]), g.b.estimatedRTT(g.b.hosts[n-1])
+	if math.Abs(slow-0.08) > 0.02 || math.Abs(fast-0.02) > 0.01 || unknown <= fast || unknown >= slow {
 		t.Errorf("initial estimates %v, %v, and %v for an unknown kind, want about 0.08, 0.02 and a value between",
-			slow, fast, odd)
+			slow, fast, unknown)
 	}
 }
 
@@ -135,7 +135,11 @@
 	for _, tt := range tests {
 		g := newTestGateway(t, testSettings(), testHosts(2)...)
 		for i, h := range g.b.hosts {
-			h.rtt.seconds, h.rtt.at, h.rtt.sampled, h.inFlight, h.limiter.limit = tt.rtt[i], g.now, true, tt.pending[i], 10
+			h.rtt.seconds = tt.rtt[i]
+			h.rtt.at = g.now
+			h.rtt.sampled = true
+			h.inFlight = tt.pending[i]
+			h.limiter.limit = 10
 		}
 		for range 20 {
 			if got := g.b.pick(&request{class: &g.b.settings.Classes[0]}); got != g.b.hosts[tt.wantHost] {
@@ -150,7 +154,9 @@
 func TestPickComparesTwoRandomHosts(t *testing.T) {
 	g := newTestGateway(t, testSettings(), testHosts(4)...)
 	for i, h := range g.b.hosts {
-		h.rtt.seconds, h.rtt.at, h.rtt.sampled = float64(i+1), g.now, true
+		h.rtt.seconds = float64(i + 1)
+		h.rtt.at = g.now
+		h.rtt.sampled = true
 	}
 	got := map[HostID]int{}
 	for range 6000 {
--- a/cmd/experiment/scale_process.go
+++ b/cmd/experiment/scale_process.go
@@ -125,7 +125,7 @@
 		}
 		select {
 		case <-changed:
-		case <-g.p.Ended():
+		case <-g.p.Done():
 			return fmt.Errorf("the program ended: %.300s", strings.TrimSpace(log))
 		case <-ctx.Done():
 			return fmt.Errorf("the program does not say %q: %w", text, ctx.Err())
@@ -324,7 +324,7 @@
 			return
 		}
 	}
-	c.list = append(c.list, scaletest.Series{Name: name, Unit: unit, By: c.by, Asked: c.asked, Resolution: resolution, Points: []scaletest.Point{{Size: float64(size), Value: value}}})
+	c.list = append(c.list, scaletest.Series{Name: name, Unit: unit, By: c.by, TargetSize: c.asked, Resolution: resolution, Points: []scaletest.Point{{Size: float64(size), Value: value}}})
 }
 
 func (c *collected) cpu(size int, name string, d time.Duration, of int) {
