--- a/internal/gateway/response_test.go
+++ b/internal/gateway/response_test.go
@@ -19,12 +19,14 @@
 // If the host of an idempotent request dies within a response, the client sees that it is incomplete
 // in any framing, and no other response is appended.
 func TestTruncatedResponseIsSeenByClient(t *testing.T) {
+	const chunkedHeader = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+	chunks := strings.Repeat("4\r\nxxxx\r\n", 50_000)
 	for name, text := range map[string]string{
 		"length":              "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + strings.Repeat("x", 200_000),
-		"chunks":              "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("4\r\nxxxx\r\n", 50_000) + "4\r\nxx",
-		"truncated size line": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("4\r\nxxxx\r\n", 50_000) + "4",
-		"no last chunk":       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("4\r\nxxxx\r\n", 50_000),
-		"broken chunks":       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("4\r\nxxxx\r\n", 50_000) + "zz\r\n",
+		"chunks":              chunkedHeader + chunks + "4\r\nxx",
+		"truncated size line": chunkedHeader + chunks + "4",
+		"no last chunk":       chunkedHeader + chunks,
+		"broken chunks":       chunkedHeader + chunks + "zz\r\n",
 	} {
 		var hosts []*testutil.Host
 		for range 2 {
@@ -53,8 +55,11 @@
 		}
 		g.Close()
 	}
-	// A response that the end of the connection ends is complete after a regular close, and not after
-	// a reset.
+}
+
+// A response that the end of the connection ends is complete after a regular close, and not after a
+// reset.
+func TestResponseEndedByConnectionIsCompleteUnlessReset(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		host := testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
 			io.WriteString(c, "HTTP/1.0 200 OK\r\n\r\n"+strings.Repeat("x", 100_000))
--- a/internal/gateway/upload_test.go
+++ b/internal/gateway/upload_test.go
@@ -173,7 +173,12 @@
 		}
 		g.Close()
 	}
-	// A refused connection proves that nothing ran, even while the body is still arriving.
+}
+
+// A refused connection proves that nothing ran, so the request is retried even while its body is still
+// arriving.
+func TestRefusedConnectionIsRetriedDuringUpload(t *testing.T) {
+	const bufferBytes = 8 << 10
 	ln := testutil.Listen(t, "127.0.0.1:0", nil)
 	dead := ln.Addr().String()
 	ln.Close()
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -90,72 +90,17 @@
 		f.Add(seed, uint8(20))
 	}
 	f.Fuzz(func(t *testing.T, seed uint64, n uint8) {
-		r := rand.New(rand.NewPCG(seed, 1))
-		pick := func(s ...string) string { return s[r.IntN(len(s))] }
-		segment := func() string { return "/" + pick("a", "b", "c", "ab") }
-		path := func() (p string) {
-			for range r.IntN(4) {
-				p += segment()
-			}
-			return p + pick("", "/")
-		}
-		var rules []Rule
-		for i := range int(n) {
-			rule := newRule(fmt.Sprint(i), path())
-			if rule.Path == "" {
-				rule.Path = "/"
-			}
-			for range r.IntN(3) {
-				if h := pick("x.org", "*.org", "*.x.org", "a.x.org", "y"); !slices.Contains(rule.Hosts, h) {
-					rule.Hosts = append(rule.Hosts, h)
-				}
-			}
-			if r.IntN(2) == 0 {
-				rule.Methods = []string{pick("GET", "POST")}
-			}
-			for _, name := range []string{"A", "B"} {
-				if r.IntN(3) == 0 {
-					rule.Headers = append(rule.Headers, Header{name, pick("", "1", "2")})
-				}
-			}
-			// A rule that is ambiguous beside the earlier ones is left out.
-			if _, problems := Compile(append(slices.Clone(rules), rule), []string{"p"}); len(problems) == 0 {
-				rules = append(rules, rule)
-			}
-		}
-		table, _ := Compile(rules, []string{"p"})
-		for _, route := range table.routes { // each route is reached by a request made for it
-			q := &Request{Host: "fresh", Path: route.Path, Method: "PROPFIND", Header: func(name string) (string, bool) {
-				for _, h := range route.Headers {
-					if h.Name == name {
-						return cmp.Or(h.Value, "fresh"), true
-					}
-				}
-				return "", false
-			}}
-			if len(route.Hosts) > 0 {
-				q.Host = strings.Replace(route.Hosts[0], "*", "fresh", 1)
-			}
-			if len(route.Methods) > 0 {
-				q.Method = route.Methods[0]
-			}
+		g := &generator{random: rand.New(rand.NewPCG(seed, 1))}
+		table, _ := Compile(g.rules(int(n)), []string{"p"})
+		for _, route := range table.routes {
+			q := requestFor(route)
 			if got := table.Match(q); got != route {
 				t.Fatalf("seed %d: want route %+v for %s %s%s, got %+v",
 					seed, route.Rule, q.Method, q.Host, q.Path, got)
 			}
 		}
 		for range 200 {
-			values := map[string]string{}
-			for _, name := range []string{"A", "B"} {
-				if v := pick("", "1", "2", "3"); v != "" {
-					values[name] = v
-				}
-			}
-			q := &Request{Host: pick("x.org", "a.x.org", "b.a.x.org", "org", "y", "z"), Path: path(), Method: pick("GET", "POST", "PUT"),
-				Header: func(name string) (string, bool) { v, ok := values[name]; return v, ok }}
-			if q.Path == "" {
-				q.Path = "/"
-			}
+			q, values := g.request()
 			if got, want := table.Match(q), matchByScan(table.routes, q); got != want {
 				t.Fatalf("seed %d: %s %s%s %v: route %+v, want %+v",
 					seed, q.Method, q.Host, q.Path, values, got, want)
@@ -164,6 +109,85 @@
 	})
 }
 
+// generator draws rules and requests that often match.
+type generator struct{ random *rand.Rand }
+
+func (g *generator) pick(values ...string) string { return values[g.random.IntN(len(values))] }
+
+// path returns a path of up to three segments, or "".
+func (g *generator) path() (path string) {
+	for range g.random.IntN(4) {
+		path += "/" + g.pick("a", "b", "c", "ab")
+	}
+	return path + g.pick("", "/")
+}
+
+// rules returns up to n rules, without those that are ambiguous beside earlier ones.
+func (g *generator) rules(n int) (rules []Rule) {
+	for i := range n {
+		rule := g.rule(fmt.Sprint(i))
+		if _, problems := Compile(append(slices.Clone(rules), rule), []string{"p"}); len(problems) == 0 {
+			rules = append(rules, rule)
+		}
+	}
+	return rules
+}
+
+func (g *generator) rule(name string) Rule {
+	rule := newRule(name, cmp.Or(g.path(), "/"))
+	for range g.random.IntN(3) {
+		host := g.pick("x.org", "*.org", "*.x.org", "a.x.org", "y")
+		if !slices.Contains(rule.Hosts, host) {
+			rule.Hosts = append(rule.Hosts, host)
+		}
+	}
+	if g.random.IntN(2) == 0 {
+		rule.Methods = []string{g.pick("GET", "POST")}
+	}
+	for _, header := range []string{"A", "B"} {
+		if g.random.IntN(3) == 0 {
+			rule.Headers = append(rule.Headers, Header{header, g.pick("", "1", "2")})
+		}
+	}
+	return rule
+}
+
+// request returns a request and the values of its headers.
+func (g *generator) request() (*Request, map[string]string) {
+	values := map[string]string{}
+	for _, name := range []string{"A", "B"} {
+		if value := g.pick("", "1", "2", "3"); value != "" {
+			values[name] = value
+		}
+	}
+	host := g.pick("x.org", "a.x.org", "b.a.x.org", "org", "y", "z")
+	path := cmp.Or(g.path(), "/")
+	method := g.pick("GET", "POST", "PUT")
+	return &Request{Host: host, Path: path, Method: method, Header: func(name string) (string, bool) {
+		value, ok := values[name]
+		return value, ok
+	}}, values
+}
+
+// requestFor returns a request that the route matches, and others only by wildcards or prefixes.
+func requestFor(route *Route) *Request {
+	q := &Request{Host: "fresh", Path: route.Path, Method: "PROPFIND", Header: func(name string) (string, bool) {
+		for _, h := range route.Headers {
+			if h.Name == name {
+				return cmp.Or(h.Value, "fresh"), true
+			}
+		}
+		return "", false
+	}}
+	if len(route.Hosts) > 0 {
+		q.Host = strings.Replace(route.Hosts[0], "*", "fresh", 1)
+	}
+	if len(route.Methods) > 0 {
+		q.Method = route.Methods[0]
+	}
+	return q
+}
+
 // BenchmarkMatch compares a lookup with that of http.ServeMux with the same patterns.
 func BenchmarkMatch(b *testing.B) {
 	for _, n := range []int{10, 1000, 10_000} {
