--- a/cmd/experiment/scale.go
+++ b/cmd/experiment/scale.go
@@ -19,29 +19,29 @@
 	"dunemoor/internal/experiment/scaletest"
 )
 
-// scalePart measures one thing at several sizes. Files of this package register theirs by
-// registerScale in an init function.
+// scalePart measures one thing at several sizes. The file of a part registers it with registerScale in an init
+// function.
 type scalePart struct {
-	Name  string
-	About string // what it measures, one line
-	By    string // what the sizes count
-	Sizes []int  // measured by default
-	Small []int  // of the test: seconds
-	Takes string // with Sizes, about
-	Run   func(ctx context.Context, e *scaleEnv, sizes []int) (*scaletest.Report, error)
+	name       string
+	about      string // what it measures, one line
+	by         string // what the sizes count
+	sizes      []int  // measured by default
+	smallSizes []int  // of the test: seconds
+	duration   string // with sizes, approximately
+	run        func(ctx context.Context, env *scaleEnv, sizes []int) (*scaletest.Report, error)
 }
 
-// scaleParts are all of them by name.
+// scaleParts has all parts by name.
 var scaleParts = map[string]*scalePart{}
 
-func registerScale(p *scalePart) {
-	if scaleParts[p.Name] != nil {
-		panic("scale: two parts are called " + p.Name)
+func registerScale(part *scalePart) {
+	if scaleParts[part.name] != nil {
+		panic("scale: two parts are named " + part.name)
 	}
-	scaleParts[p.Name] = p
+	scaleParts[part.name] = part
 }
 
-// scaleNames are the names of the parts in the order of the alphabet.
+// scaleNames returns the names of the parts in alphabetical order.
 func scaleNames() (names []string) {
 	for name := range scaleParts {
 		names = append(names, name)
@@ -50,131 +50,192 @@
 	return names
 }
 
-// scaleEnv is what parts have in common.
+// scaleEnv is what the parts share.
 type scaleEnv struct {
-	Dir   string    // for files; goes when the command ends
-	Said  io.Writer // what is under way
-	Small bool      // sizes are those of the test
+	dir      string    // for files; removed when the command ends
+	progress io.Writer // what is measured at the moment
+	small    bool      // sizes are those of the test
 
-	built sync.Once
-	bin   string
-	err   error
+	buildOnce sync.Once
+	binary    string
+	buildErr  error
 }
 
-// Program is the program, built once. Tests name one that is built already.
-func (e *scaleEnv) Program(ctx context.Context) (string, error) {
-	e.built.Do(func() {
-		if e.bin != "" {
+// program returns the path of the program, which it builds once unless the environment has one.
+func (env *scaleEnv) program(ctx context.Context) (string, error) {
+	env.buildOnce.Do(func() {
+		if env.binary != "" {
 			return
 		}
-		e.bin = filepath.Join(e.Dir, "dunemoor")
-		if said, err := exec.CommandContext(ctx, "go", "build", "-o", e.bin, "dunemoor/cmd/dunemoor").CombinedOutput(); err != nil {
-			e.err = fmt.Errorf("go build: %w\n%s", err, said)
+		env.binary = filepath.Join(env.dir, "dunemoor")
+		output, err := exec.CommandContext(ctx, "go", "build", "-o", env.binary, "dunemoor/cmd/dunemoor").CombinedOutput()
+		if err != nil {
+			env.buildErr = fmt.Errorf("go build: %w\n%s", err, output)
 		}
 	})
-	return e.bin, e.err
+	return env.binary, env.buildErr
 }
 
-// Sub makes a directory of a part's own.
-func (e *scaleEnv) Sub(name string) (string, error) { return os.MkdirTemp(e.Dir, name+"-") }
+// makeDir makes a directory of a part's own.
+func (env *scaleEnv) makeDir(name string) (string, error) { return os.MkdirTemp(env.dir, name+"-") }
+
+// scaleOptions are the flags of `scale`.
+type scaleOptions struct {
+	sizes    []int
+	small    bool
+	jsonFile string
+	binary   string
+}
 
 func scaleCommand() *cobra.Command {
-	var sizes []int
-	var small bool
-	var file, bin string
+	var options scaleOptions
 	cmd := &cobra.Command{
 		Use: "scale [PART ...]", Short: "Measure what the program costs by size: slopes with their errors, and where a line breaks",
 		Long: "Each part measures the program at several sizes and fits a line: slope, standard error, intercept,\n" +
 			"whether it is a line at all, and how far the size to design for lies beyond the largest measured.\n" +
 			"Without a part all are measured, one after the other.\n\nParts:\n" + scaleHelp(),
 		ValidArgs: scaleNames(),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			if len(args) == 0 {
-				args = scaleNames()
-			}
-			for _, name := range args {
-				if scaleParts[name] == nil {
-					return fmt.Errorf("%q is none of %s", name, strings.Join(scaleNames(), ", "))
-				}
-			}
-			if len(sizes) > 0 && (len(args) > 1 || small) {
-				return errors.New("--sizes: with one part only, and without --small")
-			}
-			dir, err := os.MkdirTemp("", "scale-")
-			if err != nil {
-				return err
-			}
-			defer os.RemoveAll(dir)
-			e := &scaleEnv{Dir: dir, Said: cmd.ErrOrStderr(), Small: small, bin: bin}
-			reports := []*scaletest.Report{}
-			var failed []error
-			for _, name := range args {
-				r, err := scaleRun(cmd.Context(), e, scaleParts[name], sizes)
-				if err != nil {
-					failed = append(failed, fmt.Errorf("%s: %w", name, err))
-				}
-				if r == nil {
-					continue
-				}
-				reports = append(reports, r)
-				if err := scaletest.Table(cmd.OutOrStdout(), r); err != nil {
-					return err
-				}
-			}
-			if file != "" {
-				text, err := json.MarshalIndent(reports, "", " ")
-				if err == nil {
-					err = os.WriteFile(file, append(text, '\n'), 0o644)
-				}
-				failed = append(failed, err)
-			}
-			return errors.Join(failed...)
-		},
-	}
-	cmd.AddCommand(hollowHost())
+		RunE:      func(cmd *cobra.Command, args []string) error { return options.run(cmd, args) },
+	}
+	cmd.AddCommand(hollowHostCommand())
 	f := cmd.Flags()
-	f.IntSliceVar(&sizes, "sizes", nil, "sizes in place of the part's own")
-	f.BoolVar(&small, "small", false, "the sizes of the test: seconds, and no figures to go by")
-	f.StringVar(&file, "json", "", "also write the reports to this file, as JSON")
-	f.StringVar(&bin, "bin", "", "the program; by default it is built")
+	f.IntSliceVar(&options.sizes, "sizes", nil, "sizes in place of the part's own")
+	f.BoolVar(&options.small, "small", false, "the sizes of the test: seconds, and no figures to go by")
+	f.StringVar(&options.jsonFile, "json", "", "also write the reports to this file, as JSON")
+	f.StringVar(&options.binary, "bin", "", "the program; by default it is built")
 	return cmd
 }
 
-// scaleRun has a part measure, and names in its report how.
-func scaleRun(ctx context.Context, e *scaleEnv, p *scalePart, sizes []int) (*scaletest.Report, error) {
+// run measures the named parts one after the other. A part that fails doesn't end the others.
+func (o *scaleOptions) run(cmd *cobra.Command, names []string) error {
+	if len(names) == 0 {
+		names = scaleNames()
+	}
+	if err := o.validate(names); err != nil {
+		return err
+	}
+	dir, err := os.MkdirTemp("", "scale-")
+	if err != nil {
+		return err
+	}
+	defer os.RemoveAll(dir)
+	env := &scaleEnv{dir: dir, progress: cmd.ErrOrStderr(), small: o.small, binary: o.binary}
+	reports := []*scaletest.Report{}
+	var errs []error
+	for _, name := range names {
+		report, err := scaleParts[name].measure(cmd.Context(), env, o.sizes)
+		if err != nil {
+			errs = append(errs, fmt.Errorf("%s: %w", name, err))
+		}
+		if report == nil {
+			continue
+		}
+		reports = append(reports, report)
+		if err := scaletest.Table(cmd.OutOrStdout(), report); err != nil {
+			return err
+		}
+	}
+	if o.jsonFile != "" {
+		errs = append(errs, writeScaleReports(o.jsonFile, reports))
+	}
+	return errors.Join(errs...)
+}
+
+func (o *scaleOptions) validate(names []string) error {
+	for _, name := range names {
+		if scaleParts[name] == nil {
+			return fmt.Errorf("%q is none of %s", name, strings.Join(scaleNames(), ", "))
+		}
+	}
+	if len(o.sizes) > 0 && (len(names) > 1 || o.small) {
+		return errors.New("--sizes: with one part only, and without --small")
+	}
+	return nil
+}
+
+func writeScaleReports(path string, reports []*scaletest.Report) error {
+	text, err := json.MarshalIndent(reports, "", " ")
+	if err != nil {
+		return err
+	}
+	return os.WriteFile(path, append(text, '\n'), 0o644)
+}
+
+// measure runs the part, and puts the command that does so into its report. No sizes: the part's own.
+func (p *scalePart) measure(ctx context.Context, env *scaleEnv, sizes []int) (*scaletest.Report, error) {
 	if ctx == nil {
 		ctx = context.Background()
 	}
-	command := "lab scale " + p.Name
+	command := "lab scale " + p.name
 	switch {
 	case len(sizes) > 0:
 		command += " --sizes " + joinInts(sizes)
-	case e.Small:
-		sizes, command = p.Small, command+" --small"
+	case env.small:
+		sizes = p.smallSizes
+		command += " --small"
 	default:
-		sizes = p.Sizes
+		sizes = p.sizes
 	}
-	r, err := p.Run(ctx, e, sizes)
-	if r != nil {
-		r.Part, r.Command = p.Name, command
+	report, err := p.run(ctx, env, sizes)
+	if report != nil {
+		report.Part = p.name
+		report.Command = command
 	}
-	return r, err
+	return report, err
 }
 
 func joinInts(list []int) string {
-	var s []string
+	var texts []string
 	for _, n := range list {
-		s = append(s, strconv.Itoa(n))
+		texts = append(texts, strconv.Itoa(n))
 	}
-	return strings.Join(s, ",")
+	return strings.Join(texts, ",")
 }
 
-// scaleHelp names each part, what it measures, its sizes and its time.
+// scaleHelp lists the parts with what they measure, their sizes and their duration.
 func scaleHelp() string {
 	var b strings.Builder
 	for _, name := range scaleNames() {
 		p := scaleParts[name]
-		fmt.Fprintf(&b, "  %s: %s\n      %ss %s; about %s\n", p.Name, p.About, p.By, joinInts(p.Sizes), p.Takes)
+		fmt.Fprintf(&b, "  %s: %s\n      %ss %s; about %s\n", p.name, p.about, p.by, joinInts(p.sizes), p.duration)
 	}
 	return b.String()
 }
+
+// seriesSet collects series by name and unit, in the order in which they are first added to.
+type seriesSet struct {
+	by         string
+	targetSize float64
+	list       []scaletest.Series
+}
+
+// add adds a point to a series; the resolution is that of its first point.
+func (s *seriesSet) add(size int, name, unit string, resolution, value float64) {
+	i := slices.IndexFunc(s.list, func(x scaletest.Series) bool { return x.Name == name && x.Unit == unit })
+	if i < 0 {
+		i = len(s.list)
+		s.list = append(s.list, scaletest.Series{Name: name, Unit: unit, By: s.by, Resolution: resolution, TargetSize: s.targetSize})
+	}
+	s.list[i].Points = append(s.list[i].Points, scaletest.Point{Size: float64(size), Value: value})
+}
+
+// breaksAt returns the size at which the fitted line of a series passes a limit. It is nil where there is no such line.
+func (s *seriesSet) breaksAt(name, unit string, limit float64, where string) (breaks []scaletest.Break) {
+	for i := range s.list {
+		series := &s.list[i]
+		if series.Name != name || series.Unit != unit {
+			continue
+		}
+		fit, err := series.Fit()
+		if err != nil || fit.Shape != scaletest.Line || fit.Slope <= 0 {
+			continue
+		}
+		size := max(0, (limit-fit.Intercept)/fit.Slope)
+		what := fmt.Sprintf("by the line, a %s passes the %v %s allowed", name, limit, unit)
+		if size == 0 {
+			what = fmt.Sprintf("a %s takes more than the %v %s allowed at any size", name, limit, unit)
+		}
+		breaks = append(breaks, scaletest.Break{By: s.by, Size: float64(int(size)), Where: where, What: what})
+	}
+	return breaks
+}
--- /dev/null
+++ b/cmd/experiment/scale_config.go
@@ -0,0 +1,109 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"strings"
+
+	"dunemoor/internal/experiment/scaletest"
+	"dunemoor/internal/route"
+)
+
+// Sizes to design for; the sources of the figures are in the operators' page.
+const (
+	targetRoutes  = 55_000
+	targetPools   = 7700 // services
+	targetHosts   = 180_000
+	targetTenants = 680_000
+	targetChanges = 19_000 // a day
+)
+
+// Pools of the configurations with many routes.
+const (
+	manyPools   = 250
+	manyHosts   = 20 // of each pool
+	smallPools  = 10
+	routesAHost = 10
+	hostsACell  = 3
+)
+
+// configName is the name of the configuration file; errors start with it.
+const configName = "box.toml"
+
+// memoryNote explains the figures of processes.
+const memoryNote = "memory_mb = 4096, so that the collector is not pressed; 1 MB is 2^20 bytes; CPU is of all threads, in ticks of 10 ms"
+
+// configHead returns the start of a configuration. Its memory limit is so high that the collector isn't pressed: what
+// a size needs is measured, not how the program does with less.
+func configHead() (string, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return "", err
+	}
+	defer listener.Close()
+	return fmt.Sprintf("name = \"box\"\n[limits]\nmemory_mb = 4096\nsockets = 8192\n[[listener]]\naddress = %q\n"+
+		"[[class]]\nname = \"lookup\"\neffect = \"safe\"\naim = \"1s\"\ndeadline = \"10s\"\nworth = 1\n", listener.Addr()), nil
+}
+
+// hostAddress returns an address of the loopback that nothing listens on.
+func hostAddress(i int) string { return fmt.Sprintf("127.%d.%d.%d:9", 100+i>>16, i>>8&255, i&255) }
+
+func poolsConfig(pools, hosts int) string {
+	var b strings.Builder
+	for p := range pools {
+		fmt.Fprintf(&b, "[[pool]]\nname = \"pool-%d\"\nmembers = [\n", p)
+		for h := range hosts {
+			fmt.Fprintf(&b, "  { id = \"p%d-h%d\", address = %q, zone = \"z%d\", cell = %d },\n", p, h, hostAddress(p*hosts+h), h%3, h/hostsACell)
+		}
+		b.WriteString("]\n")
+	}
+	return b.String()
+}
+
+// routeRules returns routes to pools, ten paths for each name of a host.
+func routeRules(n, pools int) (rules []route.Rule) {
+	for i := range n {
+		rules = append(rules, route.Rule{
+			Name: fmt.Sprintf("route-%d", i), Line: i + 1, Hosts: []string{fmt.Sprintf("shop-%d.example.org", i/routesAHost)}, Path: fmt.Sprintf("/part-%d", i%routesAHost),
+			Split: []route.Share{{Pool: fmt.Sprintf("pool-%d", i%pools), Weight: 1}},
+		})
+	}
+	return rules
+}
+
+func routesConfig(n, pools int) string {
+	var b strings.Builder
+	for _, r := range routeRules(n, pools) {
+		fmt.Fprintf(&b, "[[route]]\nname = %q\nhosts = [%q]\npath = %q\npool = %q\nclass = \"lookup\"\n", r.Name, r.Hosts[0], r.Path, r.Split[0].Pool)
+	}
+	return b.String()
+}
+
+func tenantsConfig(n int) string {
+	var b strings.Builder
+	b.WriteString("[limits.tenants]\nrate = 100000\nconcurrent = 10000\n")
+	for i := range n {
+		fmt.Fprintf(&b, "[[tenant]]\nname = \"tenant-%d\"\n", i)
+	}
+	return b.String()
+}
+
+// rejection starts the program with a configuration beyond a limit. The break has the error; there is none where the
+// program serves.
+func rejection(ctx context.Context, env *scaleEnv, size int, by, where, config string) ([]scaletest.Break, error) {
+	head, err := configHead()
+	if err != nil {
+		return nil, err
+	}
+	g, err := startGateway(ctx, env, head+config)
+	if err != nil {
+		text := err.Error()
+		if i := strings.Index(text, configName+":"); i >= 0 {
+			text = text[i:]
+		}
+		return []scaletest.Break{{By: by, Size: float64(size), What: text, Where: where}}, nil
+	}
+	g.process.Kill()
+	return nil, nil
+}
--- a/cmd/experiment/scale_fleet_test.go
+++ b/cmd/experiment/scale_fleet_test.go
@@ -132,17 +132,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel() // they mostly wait
-			p := scaleParts[name]
-			if p == nil {
+			part := scaleParts[name]
+			if part == nil {
 				t.Fatal("there is no such part")
 			}
-			var said strings.Builder
-			e := &scaleEnv{Dir: t.TempDir(), Said: &said, Small: true}
-			r, err := scaleRun(context.Background(), e, p, nil)
+			var progress strings.Builder
+			env := &scaleEnv{dir: t.TempDir(), progress: &progress, small: true}
+			r, err := part.measure(context.Background(), env, nil)
 			if err != nil {
-				t.Fatal(err, said.String())
+				t.Fatal(err, progress.String())
 			}
-			check(t, r, p.Small)
+			check(t, r, part.smallSizes)
 		})
 	}
 }
--- /dev/null
+++ b/cmd/experiment/scale_mesh.go
@@ -0,0 +1,213 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"slices"
+	"time"
+
+	"dunemoor/internal/cluster/lease"
+	"dunemoor/internal/experiment/scaletest"
+	"dunemoor/internal/experiment/scaletest/hollow"
+)
+
+// Parts that measure a fleet at rest.
+func init() {
+	registerScale(&scalePart{
+		name: "mesh", by: "gateway", sizes: []int{8, 12, 24, 48, 80}, smallSizes: []int{4, 6}, duration: "1 min",
+		about: "a fleet at rest, hollow gateways: bytes and packets by the kernel, CPU, memory, connections, by role",
+		run: func(ctx context.Context, env *scaleEnv, sizes []int) (*scaletest.Report, error) {
+			return measureMesh(ctx, env, sizes, hollowFleet)
+		},
+	})
+	registerScale(&scalePart{
+		name: "mesh-real", by: "gateway", sizes: []int{8, 12, 24, 48, 80}, smallSizes: []int{4, 5}, duration: "1 min",
+		about: "the same with processes of the program: how far hollow ones stand for them",
+		run: func(ctx context.Context, env *scaleEnv, sizes []int) (*scaletest.Report, error) {
+			binary, err := env.program(ctx)
+			if err != nil {
+				return nil, err
+			}
+			return measureMesh(ctx, env, sizes, func(n int) hollow.Options {
+				return hollow.Options{Bin: binary, Real: n, Gateways: n, Pools: 1}
+			})
+		},
+	})
+	registerScale(&scalePart{
+		name: "duties", by: "pool", sizes: []int{10, 25, 50, 100, 200}, smallSizes: []int{2, 4}, duration: "1 min",
+		about: "twelve hollow gateways at rest, by the number of pools: each has its list of hosts told by an owner",
+		run:   measureLeases,
+	})
+}
+
+// measureMesh measures fleets at rest by their size.
+func measureMesh(ctx context.Context, env *scaleEnv, sizes []int, options func(size int) hollow.Options) (*scaletest.Report, error) {
+	s := &seriesSet{by: "gateway", targetSize: targetGateways}
+	r := &scaletest.Report{}
+	err := forEachFleet(ctx, env, sizes, options, func(f *hollow.Fleet, n int) error {
+		usage, err := measureUsage(ctx, f, env.countTime())
+		if err != nil {
+			return err
+		}
+		s.addUsageByRole(f, usage, n)
+		r.Notes = append(r.Notes, fmt.Sprintf("%d gateways: %s%s", n, usage.describeTraffic(), usage.describePacked(f)))
+		return nil
+	})
+	if err != nil {
+		return nil, err
+	}
+	r.Series = s.sortByRole()
+	r.Breaks = append(s.meshLimits(), meshCaps()...)
+	r.Notes = append(r.Notes, trafficNote)
+	return r, nil
+}
+
+// addUsageByRole adds what a gateway of each role uses at rest.
+func (s *seriesSet) addUsageByRole(f *hollow.Fleet, u *fleetUsage, size int) {
+	byRole := processesByRole(f)
+	for _, role := range shownRoles {
+		processes := byRole[role]
+		if len(processes) == 0 {
+			continue
+		}
+		add := func(unit string, resolution float64, value processMeasure) {
+			s.add(size, role, unit, resolution, medianOf(processes, value))
+		}
+		add("bytes/s", 20, u.bytes)
+		add("packets/s", 0.5, u.packets)
+		add("bytes/s by the carrier's counter, out", 5, u.counted)
+		add("bytes/s carried, out", 5, u.payload)
+		add("CPU ms/s", 0.5, u.cpu)
+		add("MB resident", 1, u.resident)
+		if !processes[0].Real() {
+			add("MB heap and stacks", 0.5, u.heap)
+			add("goroutines", 1, u.goroutines)
+		}
+		add("connections", 0.5, u.conns)
+		add("fsyncs/s", 1/u.span.Seconds(), u.syncs)
+	}
+}
+
+// describePacked describes the CPU of the gateways that share a process, where there are such.
+func (u *fleetUsage) describePacked(f *hollow.Fleet) string {
+	packed := 0
+	cpu := 0.0
+	for p, rates := range u.rates {
+		if len(p.Names) > 1 {
+			packed += len(p.Names)
+			cpu += rates.CPU
+		}
+	}
+	if packed == 0 {
+		return ""
+	}
+	return fmt.Sprintf("; %d packed into %d processes: %.1f ms/s of CPU each", packed, len(f.Processes)-fleetAlone, cpu/float64(packed))
+}
+
+// meshLimits are the sizes at which the fitted lines pass the limits of a gateway.
+func (s *seriesSet) meshLimits() []scaletest.Break {
+	return slices.Concat(
+		s.breaksAt("member", "bytes/s", maxControlBytes, "internal/cluster/transport: runConn, an idle frame a second on each connection and its acknowledgement"),
+		s.breaksAt("leader", "bytes/s", maxControlBytes, "internal/cluster/node: the answers to renewals, and runConn"),
+		s.breaksAt("member", "CPU ms/s", maxControlCPU, "internal/cluster/transport: runConn and serveFrames, two goroutines and a timer a connection"),
+		s.breaksAt("member", "MB resident", maxControlMemory, "internal/cluster/transport: serveFrames, a reader of 64 KiB a connection"),
+	)
+}
+
+// meshCaps are the sizes at which the program refuses more.
+func meshCaps() []scaletest.Break {
+	return []scaletest.Break{
+		{By: "gateway", Size: lease.MaxMembers, What: "the record refuses the next member", Where: "internal/cluster/lease: MaxMembers"},
+		{By: "gateway", Size: 1024, What: "a file with more peers is refused", Where: "internal/config: maxPeers"},
+		{By: "gateway", Size: 2201, What: "further connections that come in are closed at once; from 1,101 on where all come back at once, as each has two while one replaces the other", Where: "internal/cluster/transport: maxConns"},
+		{By: "gateway", Size: 8192, What: "a leader drops renewals and commands that come while as many wait for a quorum; they come again 0.3 to 0.6 s later", Where: "internal/cluster/node: maxQueuedRenewals"},
+	}
+}
+
+// Sizes of the fleet whose leases are measured.
+const (
+	leaseFleet      = 12
+	smallLeaseFleet = 4
+)
+
+// measureLeases measures a fleet at rest by the number of its pools, each of which has a lease.
+func measureLeases(ctx context.Context, env *scaleEnv, sizes []int) (*scaletest.Report, error) {
+	s := &seriesSet{by: "pool"}
+	r := &scaletest.Report{}
+	gateways := leaseFleet
+	if env.small {
+		gateways = smallLeaseFleet
+	}
+	for _, pools := range sizes {
+		note, err := s.addLeases(ctx, env, gateways, pools)
+		if err != nil {
+			return nil, err
+		}
+		r.Notes = append(r.Notes, note)
+	}
+	r.Series = s.list
+	r.Breaks = s.breaksAt("gateway (median)", "bytes/s", maxControlBytes, "internal/fleet: listFollower.check, a heartbeat of each list to each gateway every 2 s (endpoints.HeartbeatInterval)")
+	r.Breaks = append(r.Breaks, scaletest.Break{By: "pool", Size: lease.MaxLeases, What: "the record takes no further duty", Where: "internal/cluster/lease: MaxLeases"})
+	return r, nil
+}
+
+// addLeases measures one number of pools.
+func (s *seriesSet) addLeases(ctx context.Context, env *scaleEnv, gateways, pools int) (note string, _ error) {
+	f, stop, err := startHollowFleet(ctx, env, hollow.Options{Gateways: gateways, Pools: pools})
+	if err != nil {
+		return "", err
+	}
+	defer stop()
+	if !env.small {
+		if err := waitUntilBalanced(ctx, f); err != nil {
+			return "", err
+		}
+	}
+	time.Sleep(env.settleTime())
+	usage, err := measureUsage(ctx, f, env.countTime())
+	if err != nil {
+		return "", err
+	}
+	highest, total := 0, 0
+	for _, leases := range f.Owns() {
+		highest = max(highest, leases)
+		total += leases
+	}
+	s.add(pools, "the record", "duties", 1, float64(total))
+	leader := f.Leader()
+	var others []*hollow.Process
+	for p := range usage.rates {
+		if p != leader {
+			others = append(others, p)
+		}
+	}
+	s.add(pools, "gateway (median)", "bytes/s", 20, medianOf(others, usage.bytes))
+	s.add(pools, "gateway (median)", "packets/s", 0.5, medianOf(others, usage.packets))
+	s.add(pools, "gateway (median)", "CPU ms/s", 0.5, medianOf(others, usage.cpu))
+	s.add(pools, "leader", "CPU ms/s", 0.5, usage.cpu(leader))
+	s.add(pools, "leader", "bytes/s", 20, usage.bytes(leader))
+	return fmt.Sprintf("%d lists of hosts told on %d gateways, %d duties with the one that owns most", pools, gateways, highest), nil
+}
+
+// balancedDifference is the difference in leases between two gateways that a balanced fleet may have.
+const balancedDifference = 2
+
+// waitUntilBalanced waits until no gateway holds far more leases than another.
+func waitUntilBalanced(ctx context.Context, f *hollow.Fleet) error {
+	for end := time.Now().Add(fleetTimeout); time.Now().Before(end); time.Sleep(250 * time.Millisecond) {
+		leases := f.Owns()
+		highest, lowest := 0, 1<<30
+		for _, name := range f.Names() {
+			highest = max(highest, leases[name])
+			lowest = min(lowest, leases[name])
+		}
+		if highest-lowest <= balancedDifference {
+			return nil
+		}
+		if ctx.Err() != nil {
+			return ctx.Err()
+		}
+	}
+	return errors.New("the leases are not balanced")
+}
--- /dev/null
+++ b/cmd/experiment/scale_record.go
@@ -0,0 +1,155 @@
+package main
+
+import (
+	"cmp"
+	"context"
+	"encoding/json"
+	"fmt"
+	"slices"
+	"time"
+
+	"dunemoor/internal/cluster/lease"
+	"dunemoor/internal/cluster/sim"
+	"dunemoor/internal/experiment/scaletest"
+)
+
+// Parts that run in this process, without gateways.
+func init() {
+	registerScale(&scalePart{
+		name: "record", by: "gateway", sizes: []int{100, 300, 1000, 3000, 4700}, smallSizes: []int{10, 30}, duration: "10 s",
+		about: "what a leader computes over a record of 500 duties: an answer to a renewal, a tick, what is shown",
+		run:   measureRecord,
+	})
+	registerScale(&scalePart{
+		name: "sim", by: "gateway", sizes: []int{25, 50, 100, 175, 250}, smallSizes: []int{4, 6}, duration: "1 min",
+		about: "the time that `experiment fleet cost` takes itself to play a fleet of 500 duties",
+		run:   measureSimulation,
+	})
+}
+
+// Leases of a simulated fleet; simulatedLeases is the number of `experiment fleet cost`.
+const (
+	simulatedLeases      = 500
+	smallSimulatedLeases = 20
+)
+
+func measureSimulation(ctx context.Context, env *scaleEnv, sizes []int) (*scaletest.Report, error) {
+	s := &seriesSet{by: "gateway", targetSize: targetGateways}
+	leases := simulatedLeases
+	if env.small {
+		leases = smallSimulatedLeases
+	}
+	for _, n := range sizes {
+		if ctx.Err() != nil {
+			return nil, ctx.Err()
+		}
+		startedAt := time.Now()
+		if _, err := sim.Measure(sim.Options{Seed: 1, Nodes: n, Replicas: min(fleetReplicas, n), Leases: leases}); err != nil {
+			return nil, err
+		}
+		s.add(n, "a fleet played", "s", 0.02, time.Since(startedAt).Seconds())
+	}
+	return &scaletest.Report{Series: s.list}, nil
+}
+
+// renewalAnswers is the name of the series whose values are bounded by the one goroutine that answers renewals.
+const renewalAnswers = "all gateways' answers of a second"
+
+// measureRecord measures what a leader computes over its state: for each renewal, each tick and each status. One
+// goroutine does all of it.
+func measureRecord(ctx context.Context, env *scaleEnv, sizes []int) (*scaletest.Report, error) {
+	s := &seriesSet{by: "gateway", targetSize: targetGateways}
+	for _, n := range sizes {
+		if ctx.Err() != nil {
+			return nil, ctx.Err()
+		}
+		state := newRecord(n, min(simulatedLeases, 10*n))
+		tracker := lease.NewExpiryTracker(0)
+		for id := range state.Sessions {
+			tracker.Renew(id, time.Hour)
+		}
+		answer := microseconds(env, func() { state.DeltaSince(state.Revision) })
+		s.add(n, "an answer to a renewal, nothing new", "us", 0.1, answer)
+		s.add(n, renewalAnswers, "ms/s", 0.1, answer*float64(n)/1000)
+		s.add(n, "sessions that have lapsed, none", "us", 0.1, microseconds(env, func() { tracker.Expired(time.Hour, state) }))
+		s.add(n, "duties to be given, none", "us", 0.1, microseconds(env, func() { lease.AssignFree(state) }))
+		s.add(n, "duties to be evened out, none", "us", 0.1, microseconds(env, func() { lease.Rebalance(state) }))
+		s.add(n, "a whole view", "KB of JSON", 0.1, float64(len(encodeView(state)))/1000)
+		s.add(n, "a snapshot", "us", 0.1, microseconds(env, func() { state.Encode() }))
+	}
+	return &scaletest.Report{Series: s.list, Breaks: s.renewalLimit()}, nil
+}
+
+// renewalLimit returns the first size at which answers to renewals take more than a core.
+func (s *seriesSet) renewalLimit() []scaletest.Break {
+	for i := range s.list {
+		series := &s.list[i]
+		if series.Name != renewalAnswers {
+			continue
+		}
+		slices.SortFunc(series.Points, func(a, b scaletest.Point) int { return cmp.Compare(a.Size, b.Size) })
+		for _, p := range series.Points {
+			if p.Value > 1000 {
+				return []scaletest.Break{{By: "gateway", Size: p.Size, What: "the first size at which answers to renewals alone take more than the one core that the loop has", Where: "internal/cluster/lease: State.DeltaSince"}}
+			}
+		}
+	}
+	return nil
+}
+
+// newRecord returns the state of a fleet whose gateways are all candidates for all leases, each of which has a holder.
+func newRecord(gateways, leases int) *lease.State {
+	const address = "10.0.0.1:7400"
+	state := lease.NewState(1)
+	var names []string
+	for i := range leases {
+		names = append(names, fmt.Sprintf("list/p%d", i))
+	}
+	for i := range gateways {
+		id := uint64(i + 1)
+		name := fmt.Sprintf("g%d", i+1)
+		state.Sessions[id] = &lease.Session{ID: id, OpenRequest: lease.OpenRequest{Name: name, DiskID: id, OpenSequence: 1, Zone: "z1", Address: address, CandidateLeases: names}, OpenedRevision: 1}
+		state.Members[name] = &lease.Member{Name: name, Session: id, DiskID: id, Zone: "z1", Address: address, OpenSequence: 1, ModRevision: 1}
+	}
+	for i, name := range names {
+		holder := uint64(i%gateways + 1)
+		state.Leases[name] = &lease.Lease{Name: name, HolderSession: holder, Holder: fmt.Sprintf("g%d", holder), Token: uint64(i + 1), SinceRevision: 1, ModRevision: 1}
+	}
+	state.Revision = 2
+	state.LastSessionID = uint64(gateways)
+	state.LastToken = uint64(leases)
+	return state
+}
+
+func encodeView(state *lease.State) []byte {
+	b, err := json.Marshal(state.DeltaSince(0))
+	if err != nil {
+		panic(err) // it has strings and numbers only
+	}
+	return b
+}
+
+// timingRounds is how often a duration is measured; the least counts.
+const timingRounds = 5
+
+// microseconds returns how long a call takes: the least mean of several rounds of a tenth of a second.
+func microseconds(env *scaleEnv, call func()) float64 {
+	roundTime := 100 * time.Millisecond
+	if env.small {
+		roundTime = time.Millisecond
+	}
+	least := 0.0
+	for range timingRounds {
+		calls := 0
+		startedAt := time.Now()
+		for calls == 0 || time.Since(startedAt) < roundTime {
+			call()
+			calls++
+		}
+		mean := float64(time.Since(startedAt).Nanoseconds()) / 1000 / float64(calls)
+		if least == 0 || mean < least {
+			least = mean
+		}
+	}
+	return least
+}
--- a/cmd/experiment/scale_relays.go
+++ b/cmd/experiment/scale_relays.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"slices"
 	"time"
@@ -13,51 +12,50 @@
 
 func init() {
 	registerScale(&scalePart{
-		Name: "relays", By: "gateway", Sizes: []int{300, 1000, 2000, 3000}, Small: []int{6}, Takes: "3 min",
-		About: "16 relays of the program and hollow gateways at rest, and an operator's word until all have it",
-		Run:   relaysRest,
-	})
-	registerScale(&scalePart{
-		Name: "relays-lost", By: "gateway", Sizes: []int{300, 1000, 2000, 3000}, Small: []int{6}, Takes: "5 min",
-		About: "the same: a relay is killed, one stands still, half are killed, all restarted; until their gateways are with others",
-		Run:   relaysLost,
+		name: "relays", by: "gateway", sizes: []int{300, 1000, 2000, 3000}, smallSizes: []int{6}, duration: "3 min",
+		about: "16 relays of the program and hollow gateways at rest, and an operator's word until all have it",
+		run:   measureRelays,
 	})
 }
 
-// relayFleet starts a fleet with relays, which are processes of the program.
-func relayFleet(ctx context.Context, e *scaleEnv, n int) (*hollow.Fleet, func(), error) {
-	bin, err := e.Program(ctx)
+// startRelayFleet starts a fleet with relays, which are processes of the program.
+func startRelayFleet(ctx context.Context, env *scaleEnv, gateways int) (_ *hollow.Fleet, stop func(), _ error) {
+	binary, err := env.program(ctx)
 	if err != nil {
 		return nil, nil, err
 	}
 	relays := fleetRelays
-	if e.Small {
-		relays = 3
+	if env.small {
+		relays = smallFleetRelays
 	}
-	return fleetOf(ctx, e, hollow.Options{Bin: bin, Real: relays, Relays: relays, Gateways: n, Pools: 1})
+	return startHollowFleet(ctx, env, hollow.Options{Bin: binary, Real: relays, Relays: relays, Gateways: gateways, Pools: 1})
 }
 
-// relayRoles are the processes of one relay or gateway by its role.
-func relayRoles(f *hollow.Fleet) map[string][]*hollow.Process {
-	all := map[string][]*hollow.Process{}
-	owns, lead := f.Owns(), f.Leader()
+// relayRoles are the roles of a fleet with relays, in the order of the reports.
+var relayRoles = []string{"leader", "keeper", "relay", "gateway"}
+
+// relayProcessesByRole returns the processes of a single relay or gateway by its role.
+func relayProcessesByRole(f *hollow.Fleet) map[string][]*hollow.Process {
+	byRole := map[string][]*hollow.Process{}
+	leases := f.Owns()
+	leader := f.Leader()
 	for i, p := range f.Processes {
 		switch {
-		case p == lead:
-			all["leader"] = append(all["leader"], p)
+		case p == leader:
+			byRole["leader"] = append(byRole["leader"], p)
 		case i < f.Keepers:
-			all["keeper"] = append(all["keeper"], p)
+			byRole["keeper"] = append(byRole["keeper"], p)
 		case i < f.Relays:
-			all["relay"] = append(all["relay"], p)
-		case len(p.Names) == 1 && owns[p.Names[0]] == 0:
-			all["gateway"] = append(all["gateway"], p)
+			byRole["relay"] = append(byRole["relay"], p)
+		case len(p.Names) == 1 && leases[p.Names[0]] == 0:
+			byRole["gateway"] = append(byRole["gateway"], p)
 		}
 	}
-	return all
+	return byRole
 }
 
-// part is the value that a share of a list is not above.
-func part(list []float64, share float64) float64 {
+// quantile sorts the list, and returns the value that a share of it doesn't exceed.
+func quantile(list []float64, share float64) float64 {
 	if len(list) == 0 {
 		return 0
 	}
@@ -65,248 +63,111 @@
 	return list[min(len(list)-1, int(share*float64(len(list))))]
 }
 
-func relaysRest(ctx context.Context, e *scaleEnv, sizes []int) (*scaletest.Report, error) {
-	s := &seriesBy{by: "gateway", asked: gatewaysAsked}
+func measureRelays(ctx context.Context, env *scaleEnv, sizes []int) (*scaletest.Report, error) {
+	s := &seriesSet{by: "gateway", targetSize: targetGateways}
 	r := &scaletest.Report{}
-	settle, count := fleetSpan(e)
 	for _, n := range sizes {
-		err := func() error {
-			began := time.Now()
-			f, end, err := relayFleet(ctx, e, n)
-			if err != nil {
-				return err
-			}
-			defer end()
-			formed := time.Since(began)
-			time.Sleep(settle)
-			c, err := countRest(ctx, f, count)
-			if err != nil {
-				return err
-			}
-			all := relayRoles(f)
-			for _, role := range []string{"leader", "keeper", "relay", "gateway"} {
-				list := all[role]
-				if len(list) == 0 {
-					continue
-				}
-				of := func(x func(*hollow.Process) float64) float64 {
-					var values []float64
-					for _, p := range list {
-						values = append(values, x(p))
-					}
-					return median(values)
-				}
-				s.add(role, "bytes/s", 20, n, of(func(p *hollow.Process) float64 { return c.of[p].PerSecond(c.of[p].Bytes()) }))
-				s.add(role, "packets/s", 0.5, n, of(func(p *hollow.Process) float64 { return c.of[p].PerSecond(c.of[p].Packets()) }))
-				s.add(role, "CPU ms/s", 0.5, n, of(func(p *hollow.Process) float64 { return c.of[p].CPU }))
-				s.add(role, "MB resident", 1, n, of(func(p *hollow.Process) float64 { return float64(c.last.Of[p].Resident) / mb }))
-				s.add(role, "connections", 0.5, n, of(func(p *hollow.Process) float64 { return float64(c.last.Of[p].Conns) }))
-			}
-			// Those that are packed are many, and show the mean.
-			var packed, bytes, packets, cpu, resident float64
-			for p, x := range c.of {
-				if k := float64(len(p.Names)); k > 1 {
-					packed += k
-					bytes, packets = bytes+x.PerSecond(x.Bytes()), packets+x.PerSecond(x.Packets())
-					cpu, resident = cpu+x.CPU, resident+float64(c.last.Of[p].Resident)/mb
-				}
-			}
-			if packed > 0 {
-				s.add("gateway, mean of the packed", "bytes/s", 20, n, bytes/packed)
-				s.add("gateway, mean of the packed", "packets/s", 0.5, n, packets/packed)
-				s.add("gateway, mean of the packed", "CPU ms/s", 0.1, n, cpu/packed)
-				s.add("gateway, mean of the packed", "MB resident", 0.1, n, resident/packed)
-			}
-			r.Notes = append(r.Notes, fmt.Sprintf("%d gateways: whole %.1f s after the start, processes' start with it; all ends of connections sent %d bytes/s with headers, the loopback device carried %d; streams %s",
-				n, formed.Seconds(), int(float64(c.ends)/c.span.Seconds()), int(float64(c.device)/c.span.Seconds()), spread(f)))
-			return word(ctx, f, s, n)
-		}()
+		note, err := s.addRelayFleet(ctx, env, n)
 		if err != nil {
 			return nil, err
 		}
+		r.Notes = append(r.Notes, note)
 	}
 	r.Series = s.list
-	r.Notes = append(r.Notes, "bytes are of both directions, counted by the kernel (TCP_INFO) with 52 bytes of IP and TCP a segment; packets too")
+	r.Notes = append(r.Notes, trafficNote)
 	return r, nil
 }
 
-// word says an operator's word at a gateway and measures until the others go by it.
-func word(ctx context.Context, f *hollow.Fleet, s *seriesBy, n int) error {
-	by := f.Processes[f.Relays]
-	began := time.Now()
-	if err := by.Say(by.Names[0], "h1", true); err != nil {
-		return err
-	}
-	if _, err := f.Wait(ctx, hollow.WordEvent, began, n, wholeMost); err != nil {
-		return err
+// addRelayFleet measures a fleet with relays at rest, and then an override.
+func (s *seriesSet) addRelayFleet(ctx context.Context, env *scaleEnv, n int) (note string, _ error) {
+	startedAt := time.Now()
+	f, stop, err := startRelayFleet(ctx, env, n)
+	if err != nil {
+		return "", err
 	}
-	var after []float64
-	for _, x := range f.Events(hollow.WordEvent, began) {
-		after = append(after, x.At.Sub(began).Seconds())
+	defer stop()
+	formationTime := time.Since(startedAt)
+	time.Sleep(env.settleTime())
+	usage, err := measureUsage(ctx, f, env.countTime())
+	if err != nil {
+		return "", err
 	}
-	s.add("an operator's word", "s until half of the gateways go by it", 0.005, n, part(after, 0.5))
-	s.add("an operator's word", "s until 99.9 in 100", 0.005, n, part(after, 0.999))
-	s.add("an operator's word", "s until the last", 0.005, n, part(after, 1))
-	return nil
-}
-
-// spread says how many streams the relays hold, the least and the most.
-func spread(f *hollow.Fleet) string {
-	least, most, all := 1<<30, 0, 0
-	for _, p := range f.Processes[:f.Relays] {
-		if !p.Runs() {
+	byRole := relayProcessesByRole(f)
+	for _, role := range relayRoles {
+		processes := byRole[role]
+		if len(processes) == 0 {
 			continue
 		}
-		st, err := p.Status(false)
-		if err != nil || st[p.Names[0]].Streams == nil {
-			return "not known"
-		}
-		k := st[p.Names[0]].Streams.Streams
-		least, most, all = min(least, k), max(most, k), all+k
+		s.add(n, role, "bytes/s", 20, medianOf(processes, usage.bytes))
+		s.add(n, role, "packets/s", 0.5, medianOf(processes, usage.packets))
+		s.add(n, role, "CPU ms/s", 0.5, medianOf(processes, usage.cpu))
+		s.add(n, role, "MB resident", 1, medianOf(processes, usage.resident))
+		s.add(n, role, "connections", 0.5, medianOf(processes, usage.conns))
 	}
-	return fmt.Sprintf("%d to %d a relay, %d in all", least, most, all)
+	s.addPacked(usage, n)
+	note = fmt.Sprintf("%d gateways: whole %.1f s after the start, processes' start with it; %s; streams %s", n, formationTime.Seconds(), usage.describeTraffic(), describeStreams(f))
+	return note, s.addOverrideSpread(ctx, f, n)
 }
 
-// joined are when gateways came to the relays that they have, after a time.
-func joined(f *hollow.Fleet, after time.Time) (list []float64, without int, err error) {
-	for _, p := range f.Processes[f.Relays:] {
-		st, err := p.Status(false)
-		if err != nil {
-			return nil, 0, err
-		}
-		for _, g := range st {
-			if g.Relay == nil || g.Joined == 0 {
-				without++
-			} else if at := time.Unix(0, g.Joined); at.After(after) {
-				list = append(list, at.Sub(after).Seconds())
-			}
+// addPacked adds the mean of the gateways that share processes, which are many.
+func (s *seriesSet) addPacked(u *fleetUsage, n int) {
+	var gateways, bytes, packets, cpu, resident float64
+	for p := range u.rates {
+		if len(p.Names) == 1 {
+			continue
 		}
+		gateways += float64(len(p.Names))
+		bytes += u.bytes(p)
+		packets += u.packets(p)
+		cpu += u.cpu(p)
+		resident += u.resident(p)
+	}
+	if gateways == 0 {
+		return
 	}
-	return list, without, nil
+	const name = "gateway, mean of the packed"
+	s.add(n, name, "bytes/s", 20, bytes/gateways)
+	s.add(n, name, "packets/s", 0.5, packets/gateways)
+	s.add(n, name, "CPU ms/s", 0.1, cpu/gateways)
+	s.add(n, name, "MB resident", 0.1, resident/gateways)
 }
 
-// standsStill is a relay that is stopped, so that its connections do not end.
-const standsStill = "a relay stands still"
-
-func relaysLost(ctx context.Context, e *scaleEnv, sizes []int) (*scaletest.Report, error) {
-	s := &seriesBy{by: "gateway", asked: gatewaysAsked}
-	r := &scaletest.Report{}
-	settle, _ := fleetSpan(e)
-	after := 6 * time.Second // two sessions: whoever lapses has by then
-	if e.Small {
-		after = time.Second
+// addOverrideSpread writes an override at a gateway, and measures until all gateways follow it.
+func (s *seriesSet) addOverrideSpread(ctx context.Context, f *hollow.Fleet, n int) error {
+	writer := f.Processes[f.Relays]
+	writtenAt := time.Now()
+	if err := writer.Say(writer.Names[0], "h1", true); err != nil {
+		return err
 	}
-	for _, n := range sizes {
-		err := func() error {
-			f, end, err := relayFleet(ctx, e, n)
-			if err != nil {
-				return err
-			}
-			defer end()
-			time.Sleep(settle)
-			lead := f.Leader()
-			if lead == nil {
-				return errors.New("nobody leads")
-			}
-			// Relays that keep no record come first, then keepers but the leader.
-			var others, keepers []*hollow.Process
-			for i, p := range f.Processes[:f.Relays] {
-				switch {
-				case i >= f.Keepers:
-					others = append(others, p)
-				case p != lead:
-					keepers = append(keepers, p)
-				}
-			}
-			list := append(others, keepers...)
-			for _, fault := range []struct {
-				name string
-				list []*hollow.Process
-			}{
-				{"a relay killed", list[:1]}, {standsStill, list[1:2]}, // not the same: gateways come back to that in half a minute
-				{"half of the relays killed", list[:min(len(others)+(f.Keepers-1)/2, f.Relays/2)]},
-				{"all relays restarted", f.Processes[:f.Relays]},
-			} {
-				stop := busiest()
-				began := time.Now()
-				still, all := fault.name == standsStill, len(fault.list) == f.Relays
-				for _, p := range fault.list {
-					if still {
-						if err := p.Stop(); err != nil {
-							return err
-						}
-						continue
-					}
-					p.Kill()
-				}
-				if all {
-					for _, p := range fault.list {
-						if err := p.Start(ctx); err != nil {
-							return err
-						}
-					}
-					if _, err := f.Wait(ctx, "became leader", began, 1, wholeMost); err != nil {
-						return err
-					}
-				}
-				if err := sleep(ctx, after); err != nil {
-					return err
-				}
-				if still {
-					for _, p := range fault.list {
-						if err := p.Continue(); err != nil {
-							return err
-						}
-					}
-				}
-				if err := f.UntilWhole(ctx, wholeMost); err != nil {
-					return fmt.Errorf("%s: %w", fault.name, err)
-				}
-				whole := time.Since(began)
-				most := stop()
-				times, without, err := joined(f, began)
-				for ; err == nil && without > 0 && time.Since(began) < wholeMost; times, without, err = joined(f, began) {
-					time.Sleep(time.Second)
-				}
-				if err != nil {
-					return err
-				}
-				lapsed := len(f.Events("session expired", began))
-				s.add(fault.name, "gateways that moved", 1, n, float64(len(times)))
-				s.add(fault.name, "s until half of them were with another", 0.01, n, part(times, 0.5))
-				s.add(fault.name, "s, 99 in 100", 0.01, n, part(times, 0.99))
-				s.add(fault.name, "s, the last", 0.01, n, part(times, 1))
-				s.add(fault.name, "sessions lapsed", 1, n, float64(lapsed))
-				s.add(fault.name, "KB on the loopback in the busiest second", 1, n, most/1000)
-				r.Notes = append(r.Notes, fmt.Sprintf("%d gateways, %s (%d): seen whole %.1f s after it, looked for from %v on; without a relay at last %d; streams %s", n, fault.name, len(fault.list), whole.Seconds(), after, without, spread(f)))
-				if all || still {
-					continue
-				}
-				for _, p := range fault.list {
-					if err := p.Start(ctx); err != nil {
-						return err
-					}
-				}
-				if err := f.UntilWhole(ctx, wholeMost); err != nil {
-					return err
-				}
-				time.Sleep(settle)
-			}
-			return nil
-		}()
-		if err != nil {
-			return nil, err
-		}
+	if _, err := f.Wait(ctx, hollow.WordEvent, writtenAt, n, fleetTimeout); err != nil {
+		return err
 	}
-	r.Series = s.list
-	return r, nil
+	var delays []float64
+	for _, event := range f.Events(hollow.WordEvent, writtenAt) {
+		delays = append(delays, event.At.Sub(writtenAt).Seconds())
+	}
+	const name = "an operator's word"
+	s.add(n, name, "s until half of the gateways go by it", 0.005, quantile(delays, 0.5))
+	s.add(n, name, "s until 99.9 in 100", 0.005, quantile(delays, 0.999))
+	s.add(n, name, "s until the last", 0.005, quantile(delays, 1))
+	return nil
 }
 
-func sleep(ctx context.Context, d time.Duration) error {
-	select {
-	case <-ctx.Done():
-		return ctx.Err()
-	case <-time.After(d):
-		return nil
+// describeStreams describes the streams that the relays have: the least, the most and the sum.
+func describeStreams(f *hollow.Fleet) string {
+	lowest, highest, total := 1<<30, 0, 0
+	for _, p := range f.Processes[:f.Relays] {
+		if !p.Runs() {
+			continue
+		}
+		status, err := p.Status(false)
+		if err != nil || status[p.Names[0]].Streams == nil {
+			return "not known"
+		}
+		streams := status[p.Names[0]].Streams.Streams
+		lowest = min(lowest, streams)
+		highest = max(highest, streams)
+		total += streams
 	}
+	return fmt.Sprintf("%d to %d a relay, %d in all", lowest, highest, total)
 }
--- /dev/null
+++ b/cmd/experiment/scale_restart.go
@@ -0,0 +1,222 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"time"
+
+	"dunemoor/internal/experiment/scaletest"
+	"dunemoor/internal/experiment/scaletest/hollow"
+)
+
+// Parts that end gateways and start them again.
+func init() {
+	registerScale(&scalePart{
+		name: "joins", by: "gateway", sizes: []int{8, 12, 24, 48, 80}, smallSizes: []int{4, 6}, duration: "1 min",
+		about: "a gateway that comes back, and all of them at once: bytes and time until they have sessions",
+		run:   measureJoins,
+	})
+	registerScale(&scalePart{
+		name: "lost", by: "gateway", sizes: []int{8, 12, 24, 48, 80}, smallSizes: []int{5}, duration: "2 min",
+		about: "the leader is killed, and a tenth of the gateways at once, which come back: times, the busiest second",
+		run:   measureLosses,
+	})
+}
+
+// Lines of the log that are waited for.
+const (
+	sessionOpened  = "session opened"
+	sessionExpired = "session expired"
+	becameLeader   = "became leader"
+)
+
+// trafficDelay is how long the traffic of a start is waited for after the last session is open.
+const trafficDelay = 300 * time.Millisecond
+
+func measureJoins(ctx context.Context, env *scaleEnv, sizes []int) (*scaletest.Report, error) {
+	s := &seriesSet{by: "gateway", targetSize: targetGateways}
+	r := &scaletest.Report{}
+	err := forEachFleet(ctx, env, sizes, hollowFleet, func(f *hollow.Fleet, n int) error {
+		if err := s.addRejoin(ctx, env, f, n); err != nil {
+			return err
+		}
+		if err := f.UntilWhole(ctx, fleetTimeout); err != nil {
+			return err
+		}
+		note, err := s.addColdStart(ctx, f, n)
+		r.Notes = append(r.Notes, note)
+		return err
+	})
+	if err != nil {
+		return nil, err
+	}
+	r.Series = s.list
+	return r, nil
+}
+
+// addRejoin restarts the last gateway that is alone in its process.
+func (s *seriesSet) addRejoin(ctx context.Context, env *scaleEnv, f *hollow.Fleet, n int) error {
+	p := f.Processes[min(n, fleetAlone)-1]
+	p.Kill()
+	time.Sleep(env.settleTime())
+	startedAt := time.Now()
+	if err := p.Start(ctx); err != nil {
+		return err
+	}
+	openedAt, err := f.Wait(ctx, sessionOpened, startedAt, 1, fleetTimeout)
+	if err != nil {
+		return err
+	}
+	// The first view follows the session, and so may the last connections.
+	var account *hollow.Account
+	for end := time.Now().Add(fleetTimeout); account == nil || account.Conns < 2*(n-1) && time.Now().Before(end); {
+		time.Sleep(trafficDelay)
+		accounts, err := f.Account(false)
+		if err != nil {
+			return err
+		}
+		account = accounts.Of[p]
+	}
+	const name = "one that comes back"
+	s.add(n, name, "bytes until it has all connections and a view", 100, float64(account.Traffic.Bytes()))
+	s.add(n, name, "packets until it has all connections and a view", 1, float64(account.Traffic.Packets()))
+	s.add(n, name, "s until its session", 0.02, openedAt.Sub(startedAt).Seconds())
+	s.add(n, name, "CPU ms until it has all connections and a view", 5, float64(account.CPU.Milliseconds()))
+	return nil
+}
+
+// addColdStart restarts all gateways at once.
+func (s *seriesSet) addColdStart(ctx context.Context, f *hollow.Fleet, n int) (note string, _ error) {
+	for _, p := range f.Processes {
+		p.Kill()
+	}
+	before, _, err := hollow.Loopback()
+	if err != nil {
+		return "", err
+	}
+	stop := watchPeak()
+	startedAt := time.Now()
+	if err := f.Start(ctx); err != nil {
+		return "", err
+	}
+	startTime := time.Since(startedAt)
+	openedAt, err := f.Wait(ctx, sessionOpened, startedAt, n, fleetTimeout)
+	if err != nil {
+		return "", err
+	}
+	time.Sleep(trafficDelay)
+	after, _, err := hollow.Loopback()
+	if err != nil {
+		return "", err
+	}
+	peak := stop()
+	accounts, err := f.Account(false)
+	if err != nil {
+		return "", err
+	}
+	cpu := 0.0
+	for _, account := range accounts.Of {
+		cpu += account.CPU.Seconds()
+	}
+	const name = "all at once"
+	s.add(n, name, "s until all have sessions", 0.05, openedAt.Sub(startedAt).Seconds())
+	s.add(n, name, "KB on the loopback, a gateway", 1, float64(after-before)/float64(n)/1000)
+	s.add(n, name, "KB in the busiest second, a gateway", 1, peak/float64(n)/1000)
+	s.add(n, name, "CPU s of all", 0.05, cpu)
+	return fmt.Sprintf("%d gateways: processes started in %.2f s", n, startTime.Seconds()), nil
+}
+
+func measureLosses(ctx context.Context, env *scaleEnv, sizes []int) (*scaletest.Report, error) {
+	s := &seriesSet{by: "gateway", targetSize: targetGateways}
+	r := &scaletest.Report{}
+	err := forEachFleet(ctx, env, sizes, hollowFleet, func(f *hollow.Fleet, n int) error {
+		expiredByLeader, err := s.addLeaderLoss(ctx, f, n)
+		if err != nil {
+			return err
+		}
+		time.Sleep(env.settleTime())
+		expired, killed, err := s.addGroupLoss(ctx, f, n)
+		if err != nil {
+			return err
+		}
+		r.Notes = append(r.Notes, fmt.Sprintf("%d gateways: %d sessions of living ones lapsed as the leader died, %d as %d others did", n, expiredByLeader, expired, killed))
+		return nil
+	})
+	if err != nil {
+		return nil, err
+	}
+	r.Series = s.list
+	return r, nil
+}
+
+// addLeaderLoss kills the leader, and starts it again when the fleet is complete without it.
+func (s *seriesSet) addLeaderLoss(ctx context.Context, f *hollow.Fleet, n int) (expired int, _ error) {
+	leader := f.Leader()
+	if leader == nil {
+		return 0, errors.New("there is no leader")
+	}
+	stop := watchPeak()
+	killedAt := time.Now()
+	leader.Kill()
+	electedAt, err := f.Wait(ctx, becameLeader, killedAt, 1, fleetTimeout)
+	if err != nil {
+		return 0, err
+	}
+	if err := f.UntilWhole(ctx, fleetTimeout); err != nil {
+		return 0, err
+	}
+	recovery := time.Since(killedAt)
+	peak := stop()
+	const name = "leader killed"
+	s.add(n, name, "s until another leads", 0.1, electedAt.Sub(killedAt).Seconds())
+	s.add(n, name, "s until its session has lapsed everywhere", 0.1, recovery.Seconds())
+	s.add(n, name, "KB in the busiest second, a gateway", 0.5, peak/float64(n)/1000)
+	expired = len(f.Events(sessionExpired, killedAt))
+	if err := leader.Start(ctx); err != nil {
+		return 0, err
+	}
+	return expired, f.UntilWhole(ctx, fleetTimeout)
+}
+
+// lossGroup returns processes of a tenth of the gateways, the last ones, none of them a replica where there are others,
+// and the number of their gateways.
+func lossGroup(f *hollow.Fleet, n int) (group []*hollow.Process, gateways int) {
+	for i := len(f.Processes) - 1; i >= f.Keepers && gateways < max(1, n/10); i-- {
+		group = append(group, f.Processes[i])
+		gateways += len(f.Processes[i].Names)
+	}
+	if gateways == 0 {
+		return f.Processes[len(f.Processes)-1:], 1
+	}
+	return group, gateways
+}
+
+// addGroupLoss kills a tenth of the gateways, and starts them again when the fleet is complete without them.
+func (s *seriesSet) addGroupLoss(ctx context.Context, f *hollow.Fleet, n int) (expired, killed int, _ error) {
+	group, killed := lossGroup(f, n)
+	stop := watchPeak()
+	killedAt := time.Now()
+	for _, p := range group {
+		p.Kill()
+	}
+	if err := f.UntilWhole(ctx, fleetTimeout); err != nil {
+		return 0, 0, err
+	}
+	const name = "a tenth killed"
+	s.add(n, name, "s until their sessions have lapsed everywhere", 0.1, time.Since(killedAt).Seconds())
+	expired = len(f.Events(sessionExpired, killedAt))
+	startedAt := time.Now()
+	for _, p := range group {
+		if err := p.Start(ctx); err != nil {
+			return 0, 0, err
+		}
+	}
+	openedAt, err := f.Wait(ctx, sessionOpened, startedAt, killed, fleetTimeout)
+	if err != nil {
+		return 0, 0, err
+	}
+	s.add(n, name, "s until they have sessions again", 0.05, openedAt.Sub(startedAt).Seconds())
+	s.add(n, name, "KB in the busiest second, a gateway", 0.5, stop()/float64(n)/1000)
+	return expired, killed, nil
+}
--- /dev/null
+++ b/cmd/experiment/scale_routes.go
@@ -0,0 +1,199 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"dunemoor/internal/experiment/scaletest"
+	"dunemoor/internal/route"
+)
+
+// Parts that measure a process of the program by what its configuration has.
+func init() {
+	registerScale(&scalePart{
+		name: "routes", by: "route", sizes: []int{1000, 3000, 10_000, 30_000, 55_000}, smallSizes: []int{20, 60, 120, 200}, duration: "a minute",
+		about: "a file of so many routes over 250 pools of 20 hosts: CPU and memory of a start and of a reload, time of a look-up",
+		run:   measureRoutes,
+	})
+	registerScale(&scalePart{
+		name: "pools", by: "pool", sizes: []int{16, 32, 64, 128, 256}, smallSizes: []int{2, 4, 8, 20}, duration: "half a minute",
+		about: "so many pools of one host each: memory, CPU of a start, of a reload and at rest; and what the reader says beyond its cap",
+		run:   measurePools,
+	})
+	registerScale(&scalePart{
+		name: "changes", by: "change", sizes: []int{1, 2, 4, 8, 16}, smallSizes: []int{1, 2, 5, 10}, duration: "half a minute",
+		about: "so many reloads in five seconds, of 1,000 routes over 250 pools of 20 hosts: CPU by their rate",
+		run:   measureReloads,
+	})
+}
+
+func measureRoutes(ctx context.Context, env *scaleEnv, sizes []int) (*scaletest.Report, error) {
+	s := &seriesSet{by: "route", targetSize: targetRoutes}
+	pools := manyPools
+	if env.small {
+		pools = smallPools
+	}
+	for _, n := range sizes {
+		head, err := configHead()
+		if err != nil {
+			return nil, err
+		}
+		used := min(n, pools) // a pool without a route is rejected
+		if err := s.addGateway(ctx, env, n, head+poolsConfig(used, manyHosts)+routesConfig(n, used), false); err != nil {
+			return nil, err
+		}
+		ns, err := matchTime(n, used)
+		if err != nil {
+			return nil, err
+		}
+		s.add(n, "a look-up", "ns", 1, ns)
+	}
+	return &scaletest.Report{
+		Series: s.list,
+		Breaks: steepGrowth(s.list),
+		Notes:  []string{memoryNote, "the longest answer is of one request at a time to a pool without a live host, while reloads go on"},
+	}, nil
+}
+
+// steepExponent is the least exponent of a power law that is reported as a break.
+const steepExponent = 1.5
+
+// steepGrowth returns the series that grow far faster than their size.
+func steepGrowth(list []scaletest.Series) (breaks []scaletest.Break) {
+	where := map[string]string{
+		"start":                         "internal/config: Text.Line, which walks all tables, called for each route by checker.rule",
+		"a reload":                      "Text.Line as at the start; and internal/engine: Snapshot.adopt, which looks for each route among all old ones, in the event loop",
+		"longest answer during reloads": "internal/engine: Snapshot.adopt, in the event loop: nothing is decided meanwhile",
+	}
+	for _, series := range list {
+		fit, err := series.Fit()
+		if err != nil || fit.Shape != scaletest.Power || fit.Exponent < steepExponent {
+			continue
+		}
+		last := series.Points[len(series.Points)-1]
+		breaks = append(breaks, scaletest.Break{By: "route", Size: last.Size, Where: where[series.Name],
+			What: fmt.Sprintf("%s grows by the power %.1f: %.0f %s", series.Name, fit.Exponent, last.Value, series.Unit)})
+	}
+	return breaks
+}
+
+// matchTime returns the time of a look-up in ns, over all routes in turn.
+func matchTime(n, pools int) (float64, error) {
+	var names []string
+	for i := range pools {
+		names = append(names, fmt.Sprintf("pool-%d", i))
+	}
+	rules := routeRules(n, pools)
+	table, errs := route.Compile(rules, names)
+	if len(errs) > 0 {
+		return 0, errs[0]
+	}
+	const lookUps = 1 << 20
+	requests := make([]route.Request, len(rules))
+	for i, r := range rules {
+		requests[(i*scatterFactor)%len(rules)] = route.Request{Host: r.Hosts[0], Path: r.Path + "/thing", Method: "GET"}
+	}
+	startedAt := time.Now()
+	for i := range lookUps {
+		if q := &requests[i%len(requests)]; q.Host != "" && table.Match(q) == nil {
+			return 0, fmt.Errorf("no route for %s%s", q.Host, q.Path)
+		}
+	}
+	return float64(time.Since(startedAt).Nanoseconds()) / lookUps, nil
+}
+
+// scatterFactor is a prime: its multiples modulo a size are in no order that a cache favours.
+const scatterFactor = 7919
+
+func measurePools(ctx context.Context, env *scaleEnv, sizes []int) (*scaletest.Report, error) {
+	s := &seriesSet{by: "pool", targetSize: targetPools}
+	for _, n := range sizes {
+		head, err := configHead()
+		if err != nil {
+			return nil, err
+		}
+		if err := s.addGateway(ctx, env, n, head+poolsConfig(n, 1)+routesConfig(n, n), true); err != nil {
+			return nil, err
+		}
+	}
+	const beyond = 257
+	breaks, err := rejection(ctx, env, beyond, "pool", "internal/config: maxPools", poolsConfig(beyond, 1)+routesConfig(beyond, beyond))
+	return &scaletest.Report{Series: s.list, Breaks: breaks, Notes: []string{memoryNote, "one host and one route a pool"}}, err
+}
+
+// reloadSpan is the time over which reloads are spread.
+const reloadSpan = 5 * time.Second
+
+// peakFactor is the rate of changes in the busiest hour over the mean rate: people and their pipelines change things in
+// some eight hours of the day (3), and in the busiest of these nearly twice as often as in the mean one. It is assumed,
+// not measured.
+const peakFactor = 5
+
+// Routes of the configuration that is reloaded.
+const (
+	reloadedRoutes      = 1000
+	smallReloadedRoutes = 20
+)
+
+// measureReloads measures one configuration by the number of reloads in a time span.
+func measureReloads(ctx context.Context, env *scaleEnv, sizes []int) (*scaletest.Report, error) {
+	peak := targetChanges / (24 * time.Hour).Seconds() * peakFactor
+	s := &seriesSet{by: "change", targetSize: peak * reloadSpan.Seconds()}
+	r := &scaletest.Report{Notes: []string{memoryNote,
+		fmt.Sprintf("sizes are changes in %v; asked for: %d a day, the busiest hour %d times the mean one (assumed: working hours 3, the busiest of them nearly 2): %.2f a second", reloadSpan, targetChanges, peakFactor, peak)}}
+	routes, pools, span := reloadedRoutes, manyPools, reloadSpan
+	if env.small {
+		routes, pools, span = smallReloadedRoutes, smallPools, time.Second/2
+	}
+	head, err := configHead()
+	if err != nil {
+		return nil, err
+	}
+	config := head + poolsConfig(pools, manyHosts) + routesConfig(routes, pools)
+	for _, n := range sizes {
+		fmt.Fprintf(env.progress, "%d changes in %v\n", n, span)
+		late, err := s.addReloads(ctx, env, n, span, config)
+		if err != nil {
+			return nil, err
+		}
+		if late > 0 {
+			r.Breaks = append(r.Breaks, scaletest.Break{By: "change", Size: float64(n), What: fmt.Sprintf("%d of them due before the last was in force; the program would take them for one", late),
+				Where: "cmd/dunemoor/main.go: the channel of SIGHUP, which has one place"})
+		}
+	}
+	r.Series = s.list
+	return r, nil
+}
+
+// addReloads reloads at equal intervals, each time when the last configuration is in force: the program takes two at a
+// time for one. It returns the number of reloads that were due before that.
+func (s *seriesSet) addReloads(ctx context.Context, env *scaleEnv, n int, span time.Duration, config string) (late int, _ error) {
+	g, err := startGateway(ctx, env, config)
+	if err != nil {
+		return 0, err
+	}
+	defer g.process.Kill()
+	reloads := 0
+	cpu, err := g.cpuDuring(func() error {
+		startedAt := time.Now()
+		for i := range n {
+			next := startedAt.Add(span * time.Duration(i) / time.Duration(n))
+			if wait := time.Until(next); wait > 0 {
+				time.Sleep(wait)
+			} else if i > 0 {
+				late++
+			}
+			if err := g.reload(ctx, &reloads); err != nil {
+				return err
+			}
+		}
+		time.Sleep(time.Until(startedAt.Add(span)))
+		return nil
+	})
+	if err != nil {
+		return 0, err
+	}
+	s.addCPU(n, fmt.Sprintf("%v with so many reloads", span), cpu, 1)
+	return late, nil
+}
--- /dev/null
+++ b/cmd/experiment/scale_tenants.go
@@ -0,0 +1,73 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"runtime"
+	"time"
+
+	"dunemoor/internal/experiment/scaletest"
+	"dunemoor/internal/ratelimit"
+)
+
+func init() {
+	registerScale(&scalePart{
+		name: "tenants", by: "tenant", sizes: []int{32, 64, 128, 256, 512, 1024}, smallSizes: []int{4, 8, 16, 40}, duration: "a quarter of a minute",
+		about: "so many tenants in the file: memory and CPU of a start; the shares alone, in this process, up to all tenants",
+		run:   measureTenants,
+	})
+}
+
+func measureTenants(ctx context.Context, env *scaleEnv, sizes []int) (*scaletest.Report, error) {
+	s := &seriesSet{by: "tenant", targetSize: targetTenants}
+	for _, n := range sizes {
+		head, err := configHead()
+		if err != nil {
+			return nil, err
+		}
+		if err := s.addGateway(ctx, env, n, head+tenantsConfig(n)+poolsConfig(1, 1)+routesConfig(1, 1), false); err != nil {
+			return nil, err
+		}
+	}
+	limiterSizes := []int{32, 1024, 10_000, 100_000, targetTenants}
+	if env.small {
+		limiterSizes = []int{1000, 3000, 10_000, 30_000}
+	}
+	for _, n := range limiterSizes {
+		s.addTenantLimiter(n)
+	}
+	r := &scaletest.Report{Series: s.list, Notes: []string{memoryNote,
+		"a request of the shares alone: internal/ratelimit/tenants.go, Tenants.fill walks all tenants at each, under the lock of all"}}
+	const beyond = 1025
+	var err error
+	r.Breaks, err = rejection(ctx, env, beyond, "tenant", "internal/config: maxTenants", tenantsConfig(beyond)+poolsConfig(1, 1)+routesConfig(1, 1))
+	return r, err
+}
+
+// tenantRequestTime is how long requests to the limiter are measured.
+const tenantRequestTime = 200 * time.Millisecond
+
+// addTenantLimiter measures the limiter of tenants alone.
+func (s *seriesSet) addTenantLimiter(n int) {
+	list := make([]ratelimit.Tenant, n)
+	for i := range list {
+		list[i] = ratelimit.Tenant{Name: fmt.Sprint("tenant-", i), Weight: 1}
+	}
+	before := heapBytes()
+	tenants := ratelimit.NewTenants(list, ratelimit.TenantLimits{Rate: 1e7, Concurrent: 1 << 20})
+	s.add(n, "the shares alone: memory", "KB", 4, (heapBytes()-before)/1024)
+	runtime.KeepAlive(list) // it is in both figures
+	now := ratelimit.Time(0)
+	requests := 0
+	startedAt := time.Now()
+	for time.Since(startedAt) < tenantRequestTime {
+		now += ratelimit.Time(time.Millisecond)
+		i := requests * scatterFactor % n
+		if tenants.Begin(now, i) == ratelimit.Admitted {
+			tenants.End(i)
+		}
+		requests++
+	}
+	runtime.KeepAlive(tenants)
+	s.add(n, "the shares alone: a request", "us", 0.01, mean(startedAt, requests)/1e3)
+}
--- a/cmd/experiment/scale_test.go
+++ b/cmd/experiment/scale_test.go
@@ -38,7 +38,7 @@
 			t.Errorf("%+v", r)
 		}
 		for _, s := range r.Series {
-			if len(s.Points) != len(scaleParts[r.Part].Small) || s.Fit == nil {
+			if len(s.Points) != len(scaleParts[r.Part].smallSizes) || s.Fit == nil {
 				t.Errorf("%s, %s: %+v", r.Part, s.Name, s)
 				continue
 			}
@@ -61,7 +61,7 @@
 		t.Fatal(out, err)
 	}
 	for name, p := range scaleParts {
-		if !strings.Contains(out, name+": "+p.About) || !strings.Contains(out, joinInts(p.Sizes)) || !strings.Contains(out, "about "+p.Takes) {
+		if !strings.Contains(out, name+": "+p.about) || !strings.Contains(out, joinInts(p.sizes)) || !strings.Contains(out, "about "+p.duration) {
 			t.Errorf("%s is not explained:\n%s", name, out)
 		}
 	}
