--- a/cmd/experiment/scale_fleet.go
+++ b/cmd/experiment/scale_fleet.go
@@ -61,18 +61,18 @@
 		return nil, nil, err
 	}
 	discovery := fakes.StartDiscovery(fakes.Member{ID: "h1", Addr: "127.0.0.1:9", State: "ready", Kind: "a", Weight: 1})
-	options.Host = []string{self, "scale", "hollow-host"}
-	options.Discovery = discovery.Addr()
-	options.Keepers = fleetReplicas
+	options.HostCommand = []string{self, "scale", "hollow-host"}
+	options.DiscoveryAddress = discovery.Addr()
+	options.BootstrapReplicas = fleetReplicas
 	if options.Gateways < fleetAlone {
-		options.Keepers = min(smallFleetReplicas, options.Gateways)
+		options.BootstrapReplicas = min(smallFleetReplicas, options.Gateways)
 	}
-	options.Alone = options.Relays + fleetAlone
+	options.SingleMembers = options.Relays + fleetAlone
 	packs := fleetPacks
 	if options.Relays > 0 {
 		packs = fleetRelayPacks
 	}
-	options.Packed = max(1, (options.Gateways-fleetAlone+packs-1)/packs)
+	options.GatewaysPerProcess = max(1, (options.Gateways-fleetAlone+packs-1)/packs)
 	f, err := hollow.New(options)
 	if err != nil {
 		discovery.Close()
@@ -84,7 +84,7 @@
 		os.RemoveAll(options.Dir)
 	}
 	if err = f.Start(ctx); err == nil {
-		err = f.UntilWhole(ctx, fleetTimeout)
+		err = f.WaitComplete(ctx, fleetTimeout)
 	}
 	if err != nil {
 		text, _ := os.ReadFile(options.Dir + "/log")
@@ -130,53 +130,53 @@
 // hollowFleet are the options of a fleet of hollow gateways with one pool.
 func hollowFleet(gateways int) hollow.Options { return hollow.Options{Gateways: gateways, Pools: 1} }
 
-// fleetUsage is what a fleet has used in a time span.
-type fleetUsage struct {
+// fleetRates are what a fleet has used in a time span.
+type fleetRates struct {
 	rates         map[*hollow.Process]hollow.Rates
-	last          *hollow.Accounts
+	last          *hollow.FleetUsage
 	sentBytes     uint64 // by all ends of connections, with headers
 	loopbackBytes uint64
 	span          time.Duration
 }
 
 // measureUsage measures a fleet at rest.
-func measureUsage(ctx context.Context, f *hollow.Fleet, span time.Duration) (*fleetUsage, error) {
-	if _, err := f.Account(true); err != nil { // so that both later ones cost the processes the same
+func measureUsage(ctx context.Context, f *hollow.Fleet, span time.Duration) (*fleetRates, error) {
+	if _, err := f.Usage(true); err != nil { // so that both later ones cost the processes the same
 		return nil, err
 	}
-	first, err := f.Account(true)
+	first, err := f.Usage(true)
 	if err != nil {
 		return nil, err
 	}
 	if err := sleep(ctx, span); err != nil {
 		return nil, err
 	}
-	// The kernel's account is taken before the processes' own, which costs them something.
-	last, err := f.Account(false)
+	// The kernel's figures are read before the processes' own, which cost them something.
+	last, err := f.Usage(false)
 	if err != nil {
 		return nil, err
 	}
-	own, err := f.Account(true)
+	own, err := f.Usage(true)
 	if err != nil {
 		return nil, err
 	}
-	u := &fleetUsage{rates: map[*hollow.Process]hollow.Rates{}, last: last, span: span}
-	for p, account := range last.Of {
-		account.Heap = own.Of[p].Heap
-		account.Goroutines = own.Of[p].Goroutines
-		rates := account.Since(first.Of[p])
-		ownRates := own.Of[p].Since(first.Of[p])
-		rates.Syncs = ownRates.Syncs
-		rates.Counted = ownRates.Counted
-		rates.Frames = ownRates.Frames
+	u := &fleetRates{rates: map[*hollow.Process]hollow.Rates{}, last: last, span: span}
+	for p, process := range last.ByProcess {
+		process.Heap = own.ByProcess[p].Heap
+		process.Goroutines = own.ByProcess[p].Goroutines
+		rates := process.Since(first.ByProcess[p])
+		ownRates := own.ByProcess[p].Since(first.ByProcess[p])
+		rates.DiskSyncs = ownRates.DiskSyncs
+		rates.FrameBytesSent = ownRates.FrameBytesSent
+		rates.FramesSent = ownRates.FramesSent
 		u.rates[p] = rates
 	}
-	u.sentBytes, u.loopbackBytes = last.Sent(first)
+	u.sentBytes, u.loopbackBytes = last.SentSince(first)
 	return u, nil
 }
 
 // describeTraffic compares the two counts of all traffic.
-func (u *fleetUsage) describeTraffic() string {
+func (u *fleetRates) describeTraffic() string {
 	seconds := u.span.Seconds()
 	return fmt.Sprintf("all ends of connections sent %d bytes/s with headers, the loopback device carried %d", int(float64(u.sentBytes)/seconds), int(float64(u.loopbackBytes)/seconds))
 }
@@ -185,27 +185,27 @@
 type processMeasure func(*hollow.Process) float64
 
 // Measures of a process at rest.
-func (u *fleetUsage) bytes(p *hollow.Process) float64 { r := u.rates[p]; return r.PerSecond(r.Bytes()) }
-func (u *fleetUsage) packets(p *hollow.Process) float64 {
+func (u *fleetRates) bytes(p *hollow.Process) float64 { r := u.rates[p]; return r.PerSecond(r.Bytes()) }
+func (u *fleetRates) packets(p *hollow.Process) float64 {
 	r := u.rates[p]
 	return r.PerSecond(r.Packets())
 }
-func (u *fleetUsage) payload(p *hollow.Process) float64 {
+func (u *fleetRates) payload(p *hollow.Process) float64 {
 	r := u.rates[p]
 	return r.PerSecond(r.BytesOut)
 }
-func (u *fleetUsage) counted(p *hollow.Process) float64 { return u.rates[p].Counted }
-func (u *fleetUsage) cpu(p *hollow.Process) float64     { return u.rates[p].CPU }
-func (u *fleetUsage) syncs(p *hollow.Process) float64   { return u.rates[p].Syncs }
-func (u *fleetUsage) conns(p *hollow.Process) float64   { return float64(u.last.Of[p].Conns) }
-func (u *fleetUsage) goroutines(p *hollow.Process) float64 {
-	return float64(u.last.Of[p].Goroutines)
+func (u *fleetRates) counted(p *hollow.Process) float64 { return u.rates[p].FrameBytesSent }
+func (u *fleetRates) cpu(p *hollow.Process) float64     { return u.rates[p].CPU }
+func (u *fleetRates) syncs(p *hollow.Process) float64   { return u.rates[p].DiskSyncs }
+func (u *fleetRates) conns(p *hollow.Process) float64   { return float64(u.last.ByProcess[p].Conns) }
+func (u *fleetRates) goroutines(p *hollow.Process) float64 {
+	return float64(u.last.ByProcess[p].Goroutines)
 }
-func (u *fleetUsage) resident(p *hollow.Process) float64 {
-	return float64(u.last.Of[p].Resident) / bytesPerMB
+func (u *fleetRates) resident(p *hollow.Process) float64 {
+	return float64(u.last.ByProcess[p].Resident) / bytesPerMB
 }
-func (u *fleetUsage) heap(p *hollow.Process) float64 {
-	return float64(u.last.Of[p].Heap) / bytesPerMB
+func (u *fleetRates) heap(p *hollow.Process) float64 {
+	return float64(u.last.ByProcess[p].Heap) / bytesPerMB
 }
 
 // medianOf returns the median of a measure over processes.
@@ -231,14 +231,14 @@
 
 // processesByRole returns the processes of a single gateway by its role: those that hold no lease, where there are such.
 func processesByRole(f *hollow.Fleet) map[string][]*hollow.Process {
-	leases := f.Owns()
+	leases := f.LeaseCounts()
 	leader := f.Leader()
 	byRole := map[string][]*hollow.Process{}
 	for i, p := range f.Processes {
 		switch {
 		case p == leader:
 			byRole["leader"] = append(byRole["leader"], p)
-		case i < f.Keepers:
+		case i < f.BootstrapReplicas:
 			byRole["keeper"] = append(byRole["keeper"], p)
 		case len(p.Names) == 1:
 			byRole["member"] = append(byRole["member"], p)
--- a/cmd/experiment/scale_mesh.go
+++ b/cmd/experiment/scale_mesh.go
@@ -30,7 +30,7 @@
 				return nil, err
 			}
 			return measureMesh(ctx, env, sizes, func(n int) hollow.Options {
-				return hollow.Options{Bin: binary, Real: n, Gateways: n, Pools: 1}
+				return hollow.Options{Program: binary, RealMembers: n, Gateways: n, Pools: 1}
 			})
 		},
 	})
@@ -64,7 +64,7 @@
 }
 
 // addUsageByRole adds what a gateway of each role uses at rest.
-func (s *seriesSet) addUsageByRole(f *hollow.Fleet, u *fleetUsage, size int) {
+func (s *seriesSet) addUsageByRole(f *hollow.Fleet, u *fleetRates, size int) {
 	byRole := processesByRole(f)
 	for _, role := range shownRoles {
 		processes := byRole[role]
@@ -80,7 +80,7 @@
 		add("bytes/s carried, out", 5, u.payload)
 		add("CPU ms/s", 0.5, u.cpu)
 		add("MB resident", 1, u.resident)
-		if !processes[0].Real() {
+		if !processes[0].IsReal() {
 			add("MB heap and stacks", 0.5, u.heap)
 			add("goroutines", 1, u.goroutines)
 		}
@@ -90,7 +90,7 @@
 }
 
 // describePacked describes the CPU of the gateways that share a process, where there are such.
-func (u *fleetUsage) describePacked(f *hollow.Fleet) string {
+func (u *fleetRates) describePacked(f *hollow.Fleet) string {
 	packed := 0
 	cpu := 0.0
 	for p, rates := range u.rates {
@@ -170,7 +170,7 @@
 		return "", err
 	}
 	highest, total := 0, 0
-	for _, leases := range f.Owns() {
+	for _, leases := range f.LeaseCounts() {
 		highest = max(highest, leases)
 		total += leases
 	}
@@ -196,7 +196,7 @@
 // waitUntilBalanced waits until no gateway holds far more leases than another.
 func waitUntilBalanced(ctx context.Context, f *hollow.Fleet) error {
 	for end := time.Now().Add(fleetTimeout); time.Now().Before(end); time.Sleep(250 * time.Millisecond) {
-		leases := f.Owns()
+		leases := f.LeaseCounts()
 		highest, lowest := 0, 1<<30
 		for _, name := range f.Names() {
 			highest = max(highest, leases[name])
--- a/cmd/experiment/scale_overrides.go
+++ b/cmd/experiment/scale_overrides.go
@@ -60,16 +60,16 @@
 	}
 	outcomes := make(chan outcome, 1)
 	go func() {
-		done, failed, err := writer.Change(float64(rate), span+overrideMargin)
+		done, failed, err := writer.ApplyOverrides(float64(rate), span+overrideMargin)
 		outcomes <- outcome{done, failed, err}
 	}()
 	time.Sleep(overrideMargin / 2)
-	first, err := f.AccountBut(writer)
+	first, err := f.UsageExcept(writer)
 	if err != nil {
 		return "", err
 	}
 	time.Sleep(span)
-	last, err := f.AccountBut(writer)
+	last, err := f.UsageExcept(writer)
 	if err != nil {
 		return "", err
 	}
@@ -77,10 +77,10 @@
 	if o.err != nil {
 		return "", o.err
 	}
-	usage := &fleetUsage{rates: map[*hollow.Process]hollow.Rates{}, last: last, span: span}
-	for p, account := range last.Of {
-		if before := first.Of[p]; before != nil && p != writer {
-			usage.rates[p] = account.Since(before)
+	usage := &fleetRates{rates: map[*hollow.Process]hollow.Rates{}, last: last, span: span}
+	for p, process := range last.ByProcess {
+		if before := first.ByProcess[p]; before != nil && p != writer {
+			usage.rates[p] = process.Since(before)
 		}
 	}
 	byRole := processesByRole(f)
@@ -90,7 +90,7 @@
 	return fmt.Sprintf("%d a second asked for: %d carried out, %d not or not known, in %v", rate, o.done, o.failed, span+overrideMargin), nil
 }
 
-func (s *seriesSet) addOverrideUsage(u *fleetUsage, role string, processes []*hollow.Process, rate int) {
+func (s *seriesSet) addOverrideUsage(u *fleetRates, role string, processes []*hollow.Process, rate int) {
 	var counted []*hollow.Process
 	for _, p := range processes {
 		if _, ok := u.rates[p]; ok {
--- a/cmd/experiment/scale_relay_losses.go
+++ b/cmd/experiment/scale_relay_losses.go
@@ -32,13 +32,13 @@
 	var others, replicas []*hollow.Process
 	for i, p := range f.Processes[:f.Relays] {
 		switch {
-		case i >= f.Keepers:
+		case i >= f.BootstrapReplicas:
 			others = append(others, p)
 		case p != leader:
 			replicas = append(replicas, p)
 		}
 	}
-	half := min(len(others)+(f.Keepers-1)/2, f.Relays/2)
+	half := min(len(others)+(f.BootstrapReplicas-1)/2, f.Relays/2)
 	list := append(others, replicas...)
 	return []relayFault{
 		{name: "a relay killed", relays: list[:1]},
@@ -86,7 +86,7 @@
 		if err := startProcesses(ctx, fault.relays); err != nil {
 			return nil, err
 		}
-		if err := f.UntilWhole(ctx, fleetTimeout); err != nil {
+		if err := f.WaitComplete(ctx, fleetTimeout); err != nil {
 			return nil, err
 		}
 		time.Sleep(env.settleTime())
@@ -114,7 +114,7 @@
 	if err := fault.inject(ctx, f, injectedAt, duration); err != nil {
 		return "", err
 	}
-	if err := f.UntilWhole(ctx, fleetTimeout); err != nil {
+	if err := f.WaitComplete(ctx, fleetTimeout); err != nil {
 		return "", fmt.Errorf("%s: %w", fault.name, err)
 	}
 	recovery := time.Since(injectedAt)
@@ -145,7 +145,7 @@
 			p.Kill()
 			continue
 		}
-		if err := p.Stop(); err != nil {
+		if err := p.Pause(); err != nil {
 			return err
 		}
 	}
@@ -153,7 +153,7 @@
 		if err := startProcesses(ctx, r.relays); err != nil {
 			return err
 		}
-		if _, err := f.Wait(ctx, becameLeader, injectedAt, 1, fleetTimeout); err != nil {
+		if _, err := f.WaitEvents(ctx, becameLeader, injectedAt, 1, fleetTimeout); err != nil {
 			return err
 		}
 	}
@@ -161,7 +161,7 @@
 		return err
 	}
 	for _, p := range r.relays {
-		if err := p.Continue(); err != nil {
+		if err := p.Resume(); err != nil {
 			return err
 		}
 	}
@@ -177,11 +177,11 @@
 			return nil, 0, err
 		}
 		for _, gateway := range status {
-			if gateway.Relay == nil || gateway.Joined == 0 {
+			if gateway.Relay == nil || gateway.JoinedUnixNano == 0 {
 				without++
 				continue
 			}
-			if joinedAt := time.Unix(0, gateway.Joined); joinedAt.After(after) {
+			if joinedAt := time.Unix(0, gateway.JoinedUnixNano); joinedAt.After(after) {
 				delays = append(delays, joinedAt.Sub(after).Seconds())
 			}
 		}
--- a/cmd/experiment/scale_relays.go
+++ b/cmd/experiment/scale_relays.go
@@ -28,7 +28,7 @@
 	if env.small {
 		relays = smallFleetRelays
 	}
-	return startHollowFleet(ctx, env, hollow.Options{Bin: binary, Real: relays, Relays: relays, Gateways: gateways, Pools: 1})
+	return startHollowFleet(ctx, env, hollow.Options{Program: binary, RealMembers: relays, Relays: relays, Gateways: gateways, Pools: 1})
 }
 
 // relayRoles are the roles of a fleet with relays, in the order of the reports.
@@ -37,13 +37,13 @@
 // relayProcessesByRole returns the processes of a single relay or gateway by its role.
 func relayProcessesByRole(f *hollow.Fleet) map[string][]*hollow.Process {
 	byRole := map[string][]*hollow.Process{}
-	leases := f.Owns()
+	leases := f.LeaseCounts()
 	leader := f.Leader()
 	for i, p := range f.Processes {
 		switch {
 		case p == leader:
 			byRole["leader"] = append(byRole["leader"], p)
-		case i < f.Keepers:
+		case i < f.BootstrapReplicas:
 			byRole["keeper"] = append(byRole["keeper"], p)
 		case i < f.Relays:
 			byRole["relay"] = append(byRole["relay"], p)
@@ -110,7 +110,7 @@
 }
 
 // addPacked adds the mean of the gateways that share processes, which are many.
-func (s *seriesSet) addPacked(u *fleetUsage, n int) {
+func (s *seriesSet) addPacked(u *fleetRates, n int) {
 	var gateways, bytes, packets, cpu, resident float64
 	for p := range u.rates {
 		if len(p.Names) == 1 {
@@ -136,15 +136,15 @@
 func (s *seriesSet) addOverrideSpread(ctx context.Context, f *hollow.Fleet, n int) error {
 	writer := f.Processes[f.Relays]
 	writtenAt := time.Now()
-	if err := writer.Say(writer.Names[0], "h1", true); err != nil {
+	if err := writer.SetDrained(writer.Names[0], "h1", true); err != nil {
 		return err
 	}
-	if _, err := f.Wait(ctx, hollow.WordEvent, writtenAt, n, fleetTimeout); err != nil {
+	if _, err := f.WaitEvents(ctx, hollow.OverrideEvent, writtenAt, n, fleetTimeout); err != nil {
 		return err
 	}
 	var delays []float64
-	for _, event := range f.Events(hollow.WordEvent, writtenAt) {
-		delays = append(delays, event.At.Sub(writtenAt).Seconds())
+	for _, event := range f.Events(hollow.OverrideEvent, writtenAt) {
+		delays = append(delays, event.Time.Sub(writtenAt).Seconds())
 	}
 	const name = "an operator's word"
 	s.add(n, name, "s until half of the gateways go by it", 0.005, quantile(delays, 0.5))
@@ -157,7 +157,7 @@
 func describeStreams(f *hollow.Fleet) string {
 	lowest, highest, total := 1<<30, 0, 0
 	for _, p := range f.Processes[:f.Relays] {
-		if !p.Runs() {
+		if !p.IsRunning() {
 			continue
 		}
 		status, err := p.Status(false)
--- a/cmd/experiment/scale_restart.go
+++ b/cmd/experiment/scale_restart.go
@@ -41,7 +41,7 @@
 		if err := s.addRejoin(ctx, env, f, n); err != nil {
 			return err
 		}
-		if err := f.UntilWhole(ctx, fleetTimeout); err != nil {
+		if err := f.WaitComplete(ctx, fleetTimeout); err != nil {
 			return err
 		}
 		note, err := s.addColdStart(ctx, f, n)
@@ -64,25 +64,25 @@
 	if err := p.Start(ctx); err != nil {
 		return err
 	}
-	openedAt, err := f.Wait(ctx, sessionOpened, startedAt, 1, fleetTimeout)
+	openedAt, err := f.WaitEvents(ctx, sessionOpened, startedAt, 1, fleetTimeout)
 	if err != nil {
 		return err
 	}
 	// The first view follows the session, and so may the last connections.
-	var account *hollow.Account
-	for end := time.Now().Add(fleetTimeout); account == nil || account.Conns < 2*(n-1) && time.Now().Before(end); {
+	var process *hollow.ProcessUsage
+	for end := time.Now().Add(fleetTimeout); process == nil || process.Conns < 2*(n-1) && time.Now().Before(end); {
 		time.Sleep(trafficDelay)
-		accounts, err := f.Account(false)
+		usages, err := f.Usage(false)
 		if err != nil {
 			return err
 		}
-		account = accounts.Of[p]
+		process = usages.ByProcess[p]
 	}
 	const name = "one that comes back"
-	s.add(n, name, "bytes until it has all connections and a view", 100, float64(account.Traffic.Bytes()))
-	s.add(n, name, "packets until it has all connections and a view", 1, float64(account.Traffic.Packets()))
+	s.add(n, name, "bytes until it has all connections and a view", 100, float64(process.Traffic.Bytes()))
+	s.add(n, name, "packets until it has all connections and a view", 1, float64(process.Traffic.Packets()))
 	s.add(n, name, "s until its session", 0.02, openedAt.Sub(startedAt).Seconds())
-	s.add(n, name, "CPU ms until it has all connections and a view", 5, float64(account.CPU.Milliseconds()))
+	s.add(n, name, "CPU ms until it has all connections and a view", 5, float64(process.CPU.Milliseconds()))
 	return nil
 }
 
@@ -101,7 +101,7 @@
 		return "", err
 	}
 	startTime := time.Since(startedAt)
-	openedAt, err := f.Wait(ctx, sessionOpened, startedAt, n, fleetTimeout)
+	openedAt, err := f.WaitEvents(ctx, sessionOpened, startedAt, n, fleetTimeout)
 	if err != nil {
 		return "", err
 	}
@@ -111,13 +111,13 @@
 		return "", err
 	}
 	peak := stop()
-	accounts, err := f.Account(false)
+	usages, err := f.Usage(false)
 	if err != nil {
 		return "", err
 	}
 	cpu := 0.0
-	for _, account := range accounts.Of {
-		cpu += account.CPU.Seconds()
+	for _, process := range usages.ByProcess {
+		cpu += process.CPU.Seconds()
 	}
 	const name = "all at once"
 	s.add(n, name, "s until all have sessions", 0.05, openedAt.Sub(startedAt).Seconds())
@@ -159,11 +159,11 @@
 	stop := watchPeak()
 	killedAt := time.Now()
 	leader.Kill()
-	electedAt, err := f.Wait(ctx, becameLeader, killedAt, 1, fleetTimeout)
+	electedAt, err := f.WaitEvents(ctx, becameLeader, killedAt, 1, fleetTimeout)
 	if err != nil {
 		return 0, err
 	}
-	if err := f.UntilWhole(ctx, fleetTimeout); err != nil {
+	if err := f.WaitComplete(ctx, fleetTimeout); err != nil {
 		return 0, err
 	}
 	recovery := time.Since(killedAt)
@@ -176,13 +176,13 @@
 	if err := leader.Start(ctx); err != nil {
 		return 0, err
 	}
-	return expired, f.UntilWhole(ctx, fleetTimeout)
+	return expired, f.WaitComplete(ctx, fleetTimeout)
 }
 
 // lossGroup returns processes of a tenth of the gateways, the last ones, none of them a replica where there are others,
 // and the number of their gateways.
 func lossGroup(f *hollow.Fleet, n int) (group []*hollow.Process, gateways int) {
-	for i := len(f.Processes) - 1; i >= f.Keepers && gateways < max(1, n/10); i-- {
+	for i := len(f.Processes) - 1; i >= f.BootstrapReplicas && gateways < max(1, n/10); i-- {
 		group = append(group, f.Processes[i])
 		gateways += len(f.Processes[i].Names)
 	}
@@ -200,7 +200,7 @@
 	for _, p := range group {
 		p.Kill()
 	}
-	if err := f.UntilWhole(ctx, fleetTimeout); err != nil {
+	if err := f.WaitComplete(ctx, fleetTimeout); err != nil {
 		return 0, 0, err
 	}
 	const name = "a tenth killed"
@@ -212,7 +212,7 @@
 			return 0, 0, err
 		}
 	}
-	openedAt, err := f.Wait(ctx, sessionOpened, startedAt, killed, fleetTimeout)
+	openedAt, err := f.WaitEvents(ctx, sessionOpened, startedAt, killed, fleetTimeout)
 	if err != nil {
 		return 0, 0, err
 	}
