--- a/tools/shape.sh
+++ b/tools/shape.sh
@@ -8,7 +8,7 @@
 max_complexity=20
 
 finished() { # drops the files of unfinished packages from a list of paths
-	grep -v '^#' tools/unfinished.txt | awk 'NR == FNR { skip[$1]; next } { dir = $1; sub(/\/[^\/]*$/, "", dir); if (!(dir in skip)) print }' - "$1"
+	grep -v '^#' tools/unfinished.txt | awk 'FILENAME == "-" { skip[$1]; next } { dir = $1; sub(/\/[^\/]*$/, "", dir); if (!(dir in skip)) print }' - "$1"
 }
 
 files=$(mktemp)
