--- a/cmd/dunemoorctl/flight.go
+++ b/cmd/dunemoorctl/flight.go
@@ -96,6 +96,7 @@
 					return err
 				}
 			}
+			fleet.Finish()
 			if classSpan > 0 {
 				return fleet.ClassText(cmd.OutOrStdout(), classSpan)
 			}
--- a/internal/flightrecorder/analyzer.go
+++ b/internal/flightrecorder/analyzer.go
@@ -14,7 +14,7 @@
 	maxHostsPerEvent = 64
 	// outsideWindow is the bucket of times outside the window.
 	outsideWindow = -1
-	// readyReason is the wait reason of a host that is available.
+	// readyReason is the wait reason of a host without any of the reasons that stateLetters has.
 	readyReason = "ready now"
 )
 
--- a/internal/flightrecorder/decoder.go
+++ b/internal/flightrecorder/decoder.go
@@ -154,11 +154,11 @@
 func (d *decoder) view(now balancer.Time) balancer.HostView {
 	v := balancer.HostView{Host: d.hostID()}
 	flags := d.uint8()
-	v.State = balancer.HostState(flags & 3)
-	v.InSubset = flags&(1<<2) != 0
-	v.Warming = flags&(1<<3) != 0
-	v.Overdue = flags&(1<<4) != 0
-	v.Cause = balancer.Cause(flags >> 5)
+	v.State = balancer.HostState(flags & viewStateMask)
+	v.InSubset = flags&(1<<viewInSubsetBit) != 0
+	v.Warming = flags&(1<<viewWarmingBit) != 0
+	v.Overdue = flags&(1<<viewOverdueBit) != 0
+	v.Cause = balancer.Cause(flags >> viewCauseShift)
 	v.InFlight = d.int()
 	v.ConcurrencyLimit = float64(d.varint()) / viewLimitScale
 	v.RecentRTT = float64(d.varint()) / viewMeanScale
--- a/internal/flightrecorder/fit.go
+++ b/internal/flightrecorder/fit.go
@@ -30,7 +30,7 @@
 	errorStream = 5 // errors of simulated hosts
 )
 
-// Errors of Fit.
+// errNoRequests is the error of Fit for a recording without any request that can be simulated.
 var errNoRequests = errors.New("no request is in the recording, or none whose state is known")
 
 // Fit makes a simulation from a recording with one session. The model is simple: a host serves one request
@@ -52,7 +52,7 @@
 		return nil, err
 	}
 	if sessions != 1 {
-		return nil, fmt.Errorf("the recording has %d sessions, a day is made from one", sessions)
+		return nil, fmt.Errorf("fit needs a recording of one session, this one has %d", sessions)
 	}
 	if len(f.Simulation.Arrivals) == 0 {
 		return nil, errNoRequests
--- a/internal/flightrecorder/fleet.go
+++ b/internal/flightrecorder/fleet.go
@@ -12,10 +12,11 @@
 )
 
 // Fleet counts over the recordings of many gateways, by second of the wall clock: what is harmless in one gateway
-// and harmful in all shows in no recording alone.
+// and harmful in all shows in no recording alone. Add adds each recording, then Finish completes the counts, and
+// then Text and ClassText write them.
 type Fleet struct {
 	seconds map[int64]*FleetSecond // by Unix time
-	changes []hostChange
+	changes []hostChange           // not counted yet, see Finish
 }
 
 // NewFleet returns a Fleet without any recording.
@@ -27,12 +28,12 @@
 	Requests        int
 	Duplicates      int // of Requests: sent again by clients
 	Attempts        int
-	Retries         int // of Attempts: not the first one of a request
-	WarmingAttempts int // of Attempts: at hosts that were warming up
-	Results         [balancer.InvalidResponse + 1]int
-	Rejected        [causeCount]int // by balancer.Cause
-	Failed          int             // requests
-	Polls           int             // of endpoint lists
+	Retries         int                               // of Attempts: not the first one of a request
+	WarmingAttempts int                               // of Attempts: at hosts that were warming up
+	Results         [balancer.InvalidResponse + 1]int // of attempts, by balancer.Result; Canceled has those of clients that left too
+	Rejected        [causeCount]int                   // by balancer.Cause
+	Failed          int                               // requests
+	Polls           int                               // of endpoint lists
 	Lists           [balancer.ListFailed + 1]int
 	ListEntries     int
 	Closes          int // hosts that were given up, with the connections to them
@@ -42,19 +43,15 @@
 
 	Classes []FleetClass // of the requests that came in it
 
-	// In host-seconds, set by Fleet.Text: ready hosts, those of them without an attempt of any gateway in
-	// flight, and attempts in flight times seconds.
-	Ready    float64
-	Idle     float64
-	InFlight float64
+	// Set by Fleet.Finish.
+	Ready    float64 // ready hosts, in host-seconds
+	Idle     float64 // of Ready: without an attempt of any gateway in flight
+	InFlight float64 // attempts in flight at ready hosts, in attempt-seconds
 
 	attemptsByHost map[balancer.HostID]int
 	sessionsByHost map[balancer.HostID]map[uint64]struct{} // that sent to it
 }
 
-// causeCount is the number of causes of rejected requests.
-const causeCount = balancer.CauseLowerPriority + 1
-
 // AttemptCounts counts attempts that ended.
 type AttemptCounts struct {
 	Ended     int
@@ -169,9 +166,9 @@
 	at       int64 // up to which it is counted, Unix time in nanoseconds
 }
 
-// countHostUse sums up the use of hosts as all gateways together saw it, and forgets the changes. A host is
-// ready from the time at which the first gateway learns so.
-func (f *Fleet) countHostUse() {
+// Finish sets Ready, Idle and InFlight of each second: the use of hosts as all gateways together saw it. It is
+// called once, after the last Add. A host is ready from the time at which the first gateway learns so.
+func (f *Fleet) Finish() {
 	slices.SortStableFunc(f.changes, func(a, b hostChange) int { return cmp.Compare(a.at, b.at) })
 	hosts := map[balancer.HostID]*hostUse{}
 	last := int64(0)
--- a/internal/flightrecorder/fleet_test.go
+++ b/internal/flightrecorder/fleet_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"io"
 	"math"
 	"strings"
 	"testing"
@@ -74,6 +73,7 @@
 	if ended == 0 || warming == 0 || warming >= attempts || fullLists != starts {
 		t.Errorf("got %d attempts ended, %d of %d at warming hosts, %d full lists; want some, some, and %d lists", ended, warming, attempts, fullLists, starts)
 	}
+	fleet.Finish()
 	var text bytes.Buffer
 	if err := fleet.Text(&text); err != nil {
 		t.Fatal(err)
@@ -106,9 +106,7 @@
 	session.end()
 	session.event(&Event{Kind: EventUpdateEndpoints, At: at(1000), List: balancer.ListChanges})
 	session.changeReady(at(1000), 1, false)
-	if err := f.Text(io.Discard); err != nil {
-		t.Fatal(err)
-	}
+	f.Finish()
 	s := f.Second(100)
 	for name, x := range map[string][2]float64{"ready": {s.Ready, 1.5}, "idle": {s.Idle, 1}, "in flight": {s.InFlight, 0.5}} {
 		if math.Abs(x[0]-x[1]) > 1e-9 {
--- a/internal/flightrecorder/fleet_text.go
+++ b/internal/flightrecorder/fleet_text.go
@@ -11,7 +11,18 @@
 	"dunemoor/balancer"
 )
 
-// classColumns and secondColumns are the heads of the tables.
+// classColumns and secondColumns are the heads of the tables. They are the words of earlier builds, as scripts
+// read them; writeClassRow and writeSecondRow have the field of each column. Among them:
+//
+//   - "repeats" are requests that clients sent again (Duplicates), "again" attempts after a request's first one
+//     (Retries), "sends" all attempts (Attempts)
+//   - "wait", "deadline", "spent", "worth less", "came late" are rejections by balancer.Cause: QueueTimeout,
+//     DeadlineExceeded, NoMoreAttempts, LowerPriority, ArrivedLate
+//   - "called off" are attempts that ended as Canceled, for whatever reason
+//   - "cold" is warming up, "out/host" attempts in flight at a ready host, "gw." gateways
+//
+// The results InvalidResponse and NotSent have no column, and neither have attempts that did not end: the columns
+// of results don't add up to "sends". The table by second has none for ArrivedLate.
 var (
 	classColumns = []string{
 		"second", "class", "requests", "repeats", "in time", "late", "wait", "deadline", "spent", "worth less",
@@ -82,9 +93,8 @@
 		c.Failed, unanswered, meanWait, meanLatency)
 }
 
-// Text writes a line a second. The error is that of w.
+// Text writes a line a second. Finish must have been called. The error is that of w.
 func (f *Fleet) Text(w io.Writer) error {
-	f.countHostUse()
 	buffered := bufio.NewWriter(w)
 	table := newTable(buffered, secondColumns)
 	seconds := f.sortedSeconds()
--- a/internal/flightrecorder/logtext.go
+++ b/internal/flightrecorder/logtext.go
@@ -3,7 +3,10 @@
 import "regexp"
 
 // storedLogTexts gives the text under which a recording stores a log line of the balancer. The text is part of
-// the format: recordings of earlier builds have it, and replays compare it.
+// the format: recordings of earlier builds have it, and replays compare it with that of the build that replays.
+//
+// Whoever changes the text of a log line in package balancer changes this table too, so that the line is stored
+// as before. A line that no pattern matches is stored as it is.
 var storedLogTexts = []struct {
 	line   *regexp.Regexp
 	stored string
--- a/internal/flightrecorder/record.go
+++ b/internal/flightrecorder/record.go
@@ -32,6 +32,22 @@
 	viewEstimateScale = 1e6 // microseconds
 )
 
+// causeCount is the number of causes that balancer.Cause has. Counts by cause are arrays of this length.
+const causeCount = int(balancer.CauseLowerPriority) + 1
+
+// The flags of a view, a byte: two bits for the state, one for each flag, and the rest for the cause.
+const (
+	viewStateMask   = 3
+	viewInSubsetBit = 2
+	viewWarmingBit  = 3
+	viewOverdueBit  = 4
+	viewCauseShift  = 5
+	viewCauseBits   = 3
+)
+
+// A view has room for every cause: this does not compile with more causes than the bits can tell apart.
+const _ = uint(1<<viewCauseBits - causeCount)
+
 // SessionStart is the payload of the first block of a session, in JSON. The field names are the keys.
 type SessionStart struct {
 	Name     string // of the gateway
@@ -115,7 +131,11 @@
 // appendView appends a host of a view. Times are relative to now; 0 stands for any that has passed.
 func appendView(b []byte, v *balancer.HostView, now balancer.Time) []byte {
 	b = appendHostID(b, v.Host)
-	flags := byte(v.State) | bit(v.InSubset)<<2 | bit(v.Warming)<<3 | bit(v.Overdue)<<4 | byte(v.Cause&7)<<5
+	flags := byte(v.State)
+	flags |= bit(v.InSubset) << viewInSubsetBit
+	flags |= bit(v.Warming) << viewWarmingBit
+	flags |= bit(v.Overdue) << viewOverdueBit
+	flags |= byte(v.Cause) << viewCauseShift
 	b = append(b, flags)
 	b = binary.AppendVarint(b, int64(v.InFlight))
 	b = binary.AppendVarint(b, int64(v.ConcurrencyLimit*viewLimitScale))
--- a/internal/flightrecorder/recorder.go
+++ b/internal/flightrecorder/recorder.go
@@ -68,17 +68,18 @@
 	ring    [ringSegments][]byte // each a checkpoint and the blocks after it
 	current int                  // index in ring
 
-	block       []byte // payload of the block being filled
-	blockOpen   bool   // a block is being filled
-	blockBase   balancer.Time
-	lastRecord  balancer.Time
-	nextViewAt  balancer.Time
-	nextInView  int // index of the first host of the next view
-	views       []balancer.HostView
-	checkpoint  []byte
-	rejected    uint64 // blocks that the sink didn't accept
-	resumeAt    balancer.Time
-	wantsResume bool // the sink wants a checkpoint
+	block      []byte // payload of the block being filled
+	blockOpen  bool   // a block is being filled
+	blockBase  balancer.Time
+	lastRecord balancer.Time
+	nextViewAt balancer.Time
+	nextInView int // index of the first host of the next view
+	views      []balancer.HostView
+	checkpoint []byte
+	// Checkpoints for the sink.
+	rejectedBlocks   uint64        // that the sink didn't accept
+	wantsCheckpoint  bool          // the sink asked for one, or didn't accept a block since the last one
+	nextCheckpointAt balancer.Time // the sink gets none before
 }
 
 // New returns a Recorder in front of bal, which must have the settings and the seed of start and must not have
@@ -108,7 +109,7 @@
 }
 
 // RejectedBlocks returns the number of blocks that the sink did not accept.
-func (r *Recorder) RejectedBlocks() uint64 { return r.rejected }
+func (r *Recorder) RejectedBlocks() uint64 { return r.rejectedBlocks }
 
 // SetClassNames sets the names of the classes of the next Retune. They are for readers of the recording.
 func (r *Recorder) SetClassNames(names []string) { r.start.Classes = names }
@@ -160,10 +161,10 @@
 func (r *Recorder) putBlock(kind byte, block []byte) {
 	accepted, wantCheckpoint := r.options.Sink.Put(block)
 	if !accepted {
-		r.rejected++
+		r.rejectedBlocks++
 	}
-	stillWanted := r.wantsResume && kind != blockCheckpoint
-	r.wantsResume = wantCheckpoint || !accepted || stillWanted
+	stillWanted := r.wantsCheckpoint && kind != blockCheckpoint
+	r.wantsCheckpoint = wantCheckpoint || !accepted || stillWanted
 }
 
 // fits reports whether a segment has room for a block with that payload, in bytes.
@@ -200,7 +201,7 @@
 		if segmentFull {
 			r.nextSegment()
 		}
-		if segmentFull || (r.wantsResume && now >= r.resumeAt) {
+		if segmentFull || (r.wantsCheckpoint && now >= r.nextCheckpointAt) {
 			r.writeCheckpoint(now)
 		}
 	}
@@ -212,7 +213,7 @@
 }
 
 func (r *Recorder) writeCheckpoint(now balancer.Time) {
-	r.resumeAt = now + checkpointInterval
+	r.nextCheckpointAt = now + checkpointInterval
 	r.checkpoint = r.balancer.Checkpoint(r.checkpoint[:0])
 	r.closeBlock(blockCheckpoint, r.lastRecord, r.checkpoint, true)
 }
--- a/internal/flightrecorder/simulation.go
+++ b/internal/flightrecorder/simulation.go
@@ -76,21 +76,21 @@
 	Late      int // served after it
 	Rejected  int
 	Failed    int
-	Abandoned int               // the client left
-	Causes    [causeBuckets]int // of Rejected and Failed, by balancer.Cause
-	Latencies []time.Duration   // of InTime and Late
+	Abandoned int             // the client left
+	Causes    [causeCount]int // of Rejected and Failed, by balancer.Cause
+	Latencies []time.Duration // of InTime and Late
 }
 
 const (
-	// causeBuckets is the number of causes that a ClassSummary tells apart.
-	causeBuckets = 8
 	// runOutTime is how long a simulation goes on after the last deadline.
 	runOutTime = time.Second
 	// connectFailureTime is when a gateway learns of a refused connection.
 	connectFailureTime = time.Millisecond
 )
 
-func (c *ClassSummary) countCause(cause balancer.Cause) { c.Causes[int(cause)%causeBuckets]++ }
+// countCause counts a cause. A recording may have one that this build doesn't know, or a damaged one; the
+// remainder keeps it within the array.
+func (c *ClassSummary) countCause(cause balancer.Cause) { c.Causes[int(cause)%causeCount]++ }
 
 // simulatedRequest is a request and its attempts.
 type simulatedRequest struct {
--- a/internal/flightrecorder/timeline.go
+++ b/internal/flightrecorder/timeline.go
@@ -21,7 +21,7 @@
 	Pending float64        // sum of the attempts in flight
 	Limit   float64        // sum of the concurrency limits
 	Mean    float64        // sum of the mean RTTs, in latency objectives
-	Reasons map[string]int // samples by the reason why the host was unavailable; "": it was available
+	Reasons map[string]int // samples by balancer.HostView.Unavailable; "": no reason that a view has
 }
 
 // ejectedReason is balancer.HostView.Unavailable of an ejected host, silentReason what it counts as where the
@@ -69,7 +69,9 @@
 }
 
 // stateLetters are the letters of time lines. A bucket shows the first one that holds for a third of its
-// samples.
+// samples. The reasons are those of balancer.HostView.Unavailable, which does not know everything that keeps the
+// balancer from a host: one whose trial request is in flight, one that is suspected to be silent, and one that is
+// excluded for a class have no letter here and count as available.
 var stateLetters = []stateLetter{
 	{"gone", ' ', "gone"},
 	{"draining", 'd', "draining"},
