--- a/cmd/dunemoorctl/fleet.go
+++ b/cmd/dunemoorctl/fleet.go
@@ -21,20 +21,22 @@
 	admin string // host:port, the gateway's admin address
 }
 
-// fleetCommand shows and changes a fleet, by calls at one of its gateways.
+// fleetCommand shows and changes a fleet, by calls at one of its gateways. Commands, parameters and headings of tables
+// keep the names that scripts know: "words" are overrides, a "duty" is a lease, "resign" releases it and "move"
+// transfers it. The terms of the code are aliases.
 func fleetCommand() *cobra.Command {
 	var c fleetClient
-	cmd := &cobra.Command{Use: "fleet", Short: "See who owns what in a fleet of gateways, and change it"}
+	cmd := &cobra.Command{Use: "fleet", Short: "Show the leases, members and overrides of a fleet of gateways, and change them"}
 	cmd.PersistentFlags().StringVar(&c.admin, "admin", "127.0.0.1:8090", "the gateway's address for operators, `host:port`")
 	cmd.AddCommand(
 		c.statusCommand(),
 		c.drainCommand(),
 		c.undrainCommand(),
-		c.tableCommand("words", "overrides", "Operators' overrides of hosts, as this gateway applies them", printOverrides),
-		c.tableCommand("members", "", "The gateways of the fleet", printMembers),
-		c.tableCommand("duties", "leases", "The leases, and who holds each", printLeases),
-		c.actionCommand("resign DUTY", "release", "Have the holder of a lease release it to another gateway", fleet.PathRelease, "duty"),
-		c.actionCommand("move DUTY GATEWAY", "transfer", "Have the holder of a lease transfer it to a gateway", fleet.PathTransfer, "duty", "to"),
+		c.tableCommand("words", "overrides", "List the operators' overrides of hosts, as this gateway applies them (alias: overrides)", printOverrides),
+		c.tableCommand("members", "", "List the gateways of the fleet", printMembers),
+		c.tableCommand("duties", "leases", "List the leases and their holders (alias: leases)", printLeases),
+		c.actionCommand("resign DUTY", "release", "Have the holder of the lease DUTY release it to another gateway (alias: release)", fleet.PathRelease, "duty"),
+		c.actionCommand("move DUTY GATEWAY", "transfer", "Have the holder of the lease DUTY transfer it to a gateway (alias: transfer)", fleet.PathTransfer, "duty", "to"),
 		c.actionCommand("add GATEWAY", "", "Add a replica of the coordination state at a gateway", fleet.PathAddReplica, "gateway"),
 		c.actionCommand("remove GATEWAY", "", "Remove the replica at a gateway", fleet.PathRemoveReplica, "gateway"),
 	)
@@ -80,7 +82,7 @@
 	return cmd
 }
 
-// tableCommand prints a part of the status; alias is another name for it, or "".
+// tableCommand prints a part of the status; alias is another name of the command, or "".
 func (c *fleetClient) tableCommand(use, alias, short string, print func(w io.Writer, s *cluster.Status)) *cobra.Command {
 	return &cobra.Command{
 		Use:     use,
@@ -98,7 +100,8 @@
 	}
 }
 
-// actionCommand makes an admin call; the arguments of the command are the values of the keys.
+// actionCommand makes an admin call; the arguments of the command are the values of the keys. alias is another name of
+// the command, or "".
 func (c *fleetClient) actionCommand(use, alias, short, path string, keys ...string) *cobra.Command {
 	return &cobra.Command{
 		Use:     use,
@@ -171,7 +174,7 @@
 	}
 	at, err := time.Parse(time.RFC3339, text)
 	if err != nil {
-		return 0, fmt.Errorf("--until: %q is neither a time like 2026-12-24T18:00:00Z nor one like 2h", text)
+		return 0, fmt.Errorf("--until: %q is neither a time like 2026-12-24T18:00:00Z nor a duration like 2h", text)
 	}
 	if !at.After(now) {
 		return 0, fmt.Errorf("--until: %s is over", text)
--- a/cmd/dunemoorctl/fleet_text.go
+++ b/cmd/dunemoorctl/fleet_text.go
@@ -73,7 +73,7 @@
 	fmt.Fprintln(w)
 }
 
-// printRelayLoad prints the streams of a gateway that is a relay.
+// printRelayLoad prints the streams of a gateway that is a relay. The "words" in it are records of the streams.
 func printRelayLoad(w io.Writer, s *cluster.Status) {
 	r := s.Streams
 	if r == nil {
@@ -91,6 +91,7 @@
 // newTable returns a writer of a table; the caller flushes it.
 func newTable(w io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(w, 0, 0, 2, ' ', 0) }
 
+// printMembers prints the gateways of the fleet with their sessions; DISK is the replica ID, in hexadecimal.
 func printMembers(w io.Writer, s *cluster.Status) {
 	t := newTable(w)
 	defer t.Flush()
@@ -108,6 +109,7 @@
 	}
 }
 
+// printOverrides prints the operators' overrides of hosts; ASKED AT is the gateway at which an override was made.
 func printOverrides(w io.Writer, s *cluster.Status) {
 	t := newTable(w)
 	defer t.Flush()
@@ -121,6 +123,7 @@
 	}
 }
 
+// printLeases prints the leases with their holders; TO is the gateway that a lease is being transferred to.
 func printLeases(w io.Writer, s *cluster.Status) {
 	t := newTable(w)
 	defer t.Flush()
--- a/cmd/dunemoorctl/main_test.go
+++ b/cmd/dunemoorctl/main_test.go
@@ -166,12 +166,15 @@
 	}
 }
 
-// The commands of a fleet have their names in the field's terms beside the earlier ones.
+// The commands of a fleet have their names in the field's terms beside the earlier ones, and their help says so.
 func TestFleetCommandAliases(t *testing.T) {
 	for alias, name := range map[string]string{"overrides": "words", "leases": "duties", "release": "resign", "transfer": "move"} {
 		cmd, _, err := rootCommand().Find([]string{"fleet", alias})
 		if err != nil || cmd.Name() != name {
 			t.Errorf("fleet %s: got command %q, error %v, want %q", alias, cmd.Name(), err, name)
 		}
+		if want := "alias: " + alias; !strings.Contains(cmd.Short, want) {
+			t.Errorf("fleet %s: got help %q, want it to have %q", name, cmd.Short, want)
+		}
 	}
 }
--- a/cmd/experiment/fleet_failpoints.go
+++ b/cmd/experiment/fleet_failpoints.go
@@ -24,7 +24,7 @@
 				for _, failpoint := range []string{"", c.Failpoint} {
 					violation, err := runFaultCase(cmd, &c, failpoint, program, filepath.Join(dir, c.Failpoint+"-"+failpoint))
 					if err == nil && (violation != "") != (failpoint != "") {
-						err = fmt.Errorf("with %q out it has seen %q", failpoint, violation)
+						err = fmt.Errorf("failpoint %q: got violation %q", failpoint, violation)
 					}
 					if err != nil {
 						errs = append(errs, fmt.Errorf("%s: %w", c.Failpoint, err))
--- a/cmd/experiment/fleet_run.go
+++ b/cmd/experiment/fleet_run.go
@@ -42,7 +42,7 @@
 	f.StringVar(&o.program, "bin", "bin/dunemoor", "the program")
 	f.StringVar(&o.dir, "dir", "fleet-run", "where files, disks, logs and the history are kept")
 	f.IntVar(&o.gateways, "gateways", 5, "processes")
-	f.IntVar(&o.replicas, "keepers", 3, "of them are replicas")
+	f.IntVar(&o.replicas, "keepers", 3, "how many of them are replicas")
 	f.Uint64Var(&o.seed, "seed", 1, "faults are drawn by it, without a file")
 	f.DurationVar(&o.faultTime, "for", 30*time.Second, "how long faults are injected, without a file")
 	return cmd
@@ -126,11 +126,13 @@
 	fleet    *faulttest.Fleet
 }
 
-// Roles in the table of the command idle.
+// Roles of gateways, as reports and tables name them.
 const (
-	idleLeader  = "leader"
-	idleReplica = "keeper"
-	idleMember  = "member"
+	roleLeader  = "leader"
+	roleReplica = "keeper"  // other than the leader
+	roleMember  = "member"  // without a replica, in a fleet without relays
+	roleRelay   = "relay"   // without a replica
+	roleGateway = "gateway" // with a stream to a relay
 )
 
 func (m *idleMeasurement) run(ctx context.Context, out io.Writer, program, dir string) error {
@@ -174,11 +176,11 @@
 	leader := m.fleet.Leader()
 	roles := map[string][]int{}
 	for i, g := range m.fleet.Gateways {
-		role := idleMember
+		role := roleMember
 		if g == leader {
-			role = idleLeader
+			role = roleLeader
 		} else if i < m.replicas {
-			role = idleReplica
+			role = roleReplica
 		}
 		roles[role] = append(roles[role], i)
 	}
@@ -189,7 +191,7 @@
 func (m *idleMeasurement) print(out io.Writer, first, last []map[string]float64) {
 	discovery := m.fleet.Hosts.Discovery
 	roles := m.byRole()
-	for _, role := range []string{idleLeader, idleReplica, idleMember} {
+	for _, role := range []string{roleLeader, roleReplica, roleMember} {
 		indexes := roles[role]
 		if len(indexes) == 0 {
 			continue
--- a/cmd/experiment/fleet_sim.go
+++ b/cmd/experiment/fleet_sim.go
@@ -62,10 +62,10 @@
 	}
 	f := cmd.Flags()
 	f.Uint64Var(&o.firstSeed, "seed", 1, "the first seed")
-	f.IntVar(&o.seeds, "seeds", 1000, "how many")
+	f.IntVar(&o.seeds, "seeds", 1000, "how many seeds")
 	f.StringVar(&o.scenario, "story", simScenarios[0], "the scenario: "+strings.Join(simScenarios, ", "))
-	f.IntVar(&o.gateways, "gateways", 0, "as many in each; 0: 3, 5 or 9 by the seed")
-	f.IntVar(&o.replicas, "keepers", 3, "of them are replicas, with --gateways")
+	f.IntVar(&o.gateways, "gateways", 0, "gateways in each fleet; 0: 3, 5 or 9 by the seed")
+	f.IntVar(&o.replicas, "keepers", 3, "how many of them are replicas, with --gateways")
 	f.IntVar(&o.leases, "duties", 6, "leases, with --gateways")
 	f.DurationVar(&o.faultTime, "for", 30*time.Second, "how long faults are injected, in virtual time")
 	return cmd
--- a/cmd/experiment/fleet_transfers.go
+++ b/cmd/experiment/fleet_transfers.go
@@ -50,7 +50,7 @@
 	f.IntVar(&o.fleets, "fleets", 1, "fleets side by side")
 	f.StringSliceVar(&o.causes, "cause", nil, "only these causes")
 	f.IntVar(&o.gateways, "gateways", 5, "processes of a fleet; clients send requests to the last, which is spared")
-	f.IntVar(&o.replicas, "keepers", 3, "of them are replicas")
+	f.IntVar(&o.replicas, "keepers", 3, "how many of them are replicas")
 	return cmd
 }
 
--- a/cmd/experiment/report.go
+++ b/cmd/experiment/report.go
@@ -18,11 +18,11 @@
 	run
 	About  string
 	Plots  []plot
-	Causes []causeCount
+	Causes []unservedCount
 }
 
-// causeCount counts the requests of a class that were not served, by cause.
-type causeCount struct {
+// unservedCount is the number of requests of a class that were not served, for one cause.
+type unservedCount struct {
 	Class string
 	Cause string
 	Count int
@@ -43,7 +43,7 @@
 		run:    r,
 		About:  about,
 		Plots:  []plot{requestPlot(r.Summary), latencyPlot(r.Summary), loadPlot(r.Summary)},
-		Causes: causeCounts(r.Summary),
+		Causes: unservedCounts(r.Summary),
 	}
 }
 
@@ -82,12 +82,13 @@
 	return newPlot("load of a core, by host", "least", "most", highest, series{"hosts", load})
 }
 
-func causeCounts(s *simulator.Summary) []causeCount {
-	var counts []causeCount
+// unservedCounts returns the counts of all classes and causes that are not 0.
+func unservedCounts(s *simulator.Summary) []unservedCount {
+	var counts []unservedCount
 	for _, class := range s.Classes {
 		for cause, count := range class.Causes {
 			if count > 0 {
-				counts = append(counts, causeCount{class.Name, balancer.Cause(cause).String(), count})
+				counts = append(counts, unservedCount{class.Name, balancer.Cause(cause).String(), count})
 			}
 		}
 	}
--- a/cmd/experiment/scale.go
+++ b/cmd/experiment/scale.go
@@ -166,7 +166,7 @@
 	if ctx == nil {
 		ctx = context.Background()
 	}
-	command := "lab scale " + p.name
+	command := "lab scale " + p.name // the program's earlier name, which reports keep
 	switch {
 	case len(sizes) > 0:
 		command += " --sizes " + joinInts(sizes)
@@ -209,7 +209,7 @@
 	list       []scaletest.Series
 }
 
-// add adds a point to a series; the resolution is that of its first point.
+// add adds a point to a series. The resolution, in the unit, is that of its first point.
 func (s *seriesSet) add(size int, name, unit string, resolution, value float64) {
 	i := slices.IndexFunc(s.list, func(x scaletest.Series) bool { return x.Name == name && x.Unit == unit })
 	if i < 0 {
--- a/cmd/experiment/scale_config.go
+++ b/cmd/experiment/scale_config.go
@@ -10,7 +10,7 @@
 	"dunemoor/internal/route"
 )
 
-// Sizes to design for; the sources of the figures are in the operators' page.
+// Sizes to design for; docs/CAPACITY.md has them with their sources.
 const (
 	targetRoutes  = 55_000
 	targetPools   = 7700 // services
@@ -21,11 +21,11 @@
 
 // Pools of the configurations with many routes.
 const (
-	manyPools   = 250
-	manyHosts   = 20 // of each pool
-	smallPools  = 10
-	routesAHost = 10
-	hostsACell  = 3
+	manyPools     = 250
+	manyHosts     = 20 // of each pool
+	smallPools    = 10
+	routesPerHost = 10
+	hostsPerCell  = 3
 )
 
 // configName is the name of the configuration file; errors start with it.
@@ -49,29 +49,31 @@
 // hostAddress returns an address of the loopback that nothing listens on.
 func hostAddress(i int) string { return fmt.Sprintf("127.%d.%d.%d:9", 100+i>>16, i>>8&255, i&255) }
 
+// poolsConfig returns pools with a number of hosts each.
 func poolsConfig(pools, hosts int) string {
 	var b strings.Builder
 	for p := range pools {
 		fmt.Fprintf(&b, "[[pool]]\nname = \"pool-%d\"\nmembers = [\n", p)
 		for h := range hosts {
-			fmt.Fprintf(&b, "  { id = \"p%d-h%d\", address = %q, zone = \"z%d\", cell = %d },\n", p, h, hostAddress(p*hosts+h), h%3, h/hostsACell)
+			fmt.Fprintf(&b, "  { id = \"p%d-h%d\", address = %q, zone = \"z%d\", cell = %d },\n", p, h, hostAddress(p*hosts+h), h%3, h/hostsPerCell)
 		}
 		b.WriteString("]\n")
 	}
 	return b.String()
 }
 
-// routeRules returns routes to pools, ten paths for each name of a host.
+// routeRules returns routes to pools, routesPerHost paths for each host name.
 func routeRules(n, pools int) (rules []route.Rule) {
 	for i := range n {
 		rules = append(rules, route.Rule{
-			Name: fmt.Sprintf("route-%d", i), Line: i + 1, Hosts: []string{fmt.Sprintf("shop-%d.example.org", i/routesAHost)}, Path: fmt.Sprintf("/part-%d", i%routesAHost),
+			Name: fmt.Sprintf("route-%d", i), Line: i + 1, Hosts: []string{fmt.Sprintf("shop-%d.example.org", i/routesPerHost)}, Path: fmt.Sprintf("/part-%d", i%routesPerHost),
 			Split: []route.Share{{Pool: fmt.Sprintf("pool-%d", i%pools), Weight: 1}},
 		})
 	}
 	return rules
 }
 
+// routesConfig returns the routes of routeRules as tables of a configuration.
 func routesConfig(n, pools int) string {
 	var b strings.Builder
 	for _, r := range routeRules(n, pools) {
@@ -80,6 +82,7 @@
 	return b.String()
 }
 
+// tenantsConfig returns tenants and the limits that they share.
 func tenantsConfig(n int) string {
 	var b strings.Builder
 	b.WriteString("[limits.tenants]\nrate = 100000\nconcurrent = 10000\n")
@@ -89,9 +92,9 @@
 	return b.String()
 }
 
-// rejection starts the program with a configuration beyond a limit. The break has the error; there is none where the
+// startBeyondLimit starts the program with a configuration beyond a limit. The break has the error; there is none where the
 // program serves.
-func rejection(ctx context.Context, env *scaleEnv, size int, by, where, config string) ([]scaletest.Break, error) {
+func startBeyondLimit(ctx context.Context, env *scaleEnv, size int, by, where, config string) ([]scaletest.Break, error) {
 	head, err := configHead()
 	if err != nil {
 		return nil, err
--- a/cmd/experiment/scale_fleet.go
+++ b/cmd/experiment/scale_fleet.go
@@ -27,15 +27,16 @@
 const (
 	fleetReplicas      = 5
 	smallFleetReplicas = 3
-	// fleetAlone counts the gateways that are alone in their process: the replicas, and three members.
-	fleetAlone = 8
-	// fleetPacks is the number of processes of the other gateways.
-	fleetPacks = 8
-	// A fleet with relays has as many gateways beside the relays, and more processes of packed gateways.
-	fleetRelays      = 16
-	smallFleetRelays = 3
-	fleetRelayPacks  = 48
-	fleetTimeout     = 90 * time.Second
+	// singleGateways is the number of gateways that are alone in their process: the replicas, and three members.
+	singleGateways = 8
+	// packedProcesses is the number of processes that the other gateways share.
+	packedProcesses = 8
+	// A fleet with relays has singleGateways beside the relays, and relayPackedProcesses for the other gateways.
+	fleetRelays          = 16
+	smallFleetRelays     = 3
+	relayPackedProcesses = 48
+	// fleetTimeout bounds each wait for a fleet.
+	fleetTimeout = 90 * time.Second
 )
 
 const bytesPerMB = 1 << 20
@@ -64,15 +65,15 @@
 	options.HostCommand = []string{self, "scale", "hollow-host"}
 	options.DiscoveryAddress = discovery.Addr()
 	options.BootstrapReplicas = fleetReplicas
-	if options.Gateways < fleetAlone {
+	if options.Gateways < singleGateways {
 		options.BootstrapReplicas = min(smallFleetReplicas, options.Gateways)
 	}
-	options.SingleMembers = options.Relays + fleetAlone
-	packs := fleetPacks
+	options.SingleMembers = options.Relays + singleGateways
+	processes := packedProcesses
 	if options.Relays > 0 {
-		packs = fleetRelayPacks
+		processes = relayPackedProcesses
 	}
-	options.GatewaysPerProcess = max(1, (options.Gateways-fleetAlone+packs-1)/packs)
+	options.GatewaysPerProcess = max(1, (options.Gateways-singleGateways+processes-1)/processes)
 	f, err := hollow.New(options)
 	if err != nil {
 		discovery.Close()
@@ -127,10 +128,10 @@
 	return nil
 }
 
-// hollowFleet are the options of a fleet of hollow gateways with one pool.
+// hollowFleet returns the options of a fleet of hollow gateways with one pool.
 func hollowFleet(gateways int) hollow.Options { return hollow.Options{Gateways: gateways, Pools: 1} }
 
-// fleetRates are what a fleet has used in a time span.
+// fleetRates is what a fleet has used in a time span.
 type fleetRates struct {
 	rates         map[*hollow.Process]hollow.Rates
 	last          *hollow.FleetUsage
@@ -184,7 +185,9 @@
 // processMeasure is a measure of a process.
 type processMeasure func(*hollow.Process) float64
 
-// Measures of a process at rest.
+// Measures of a process at rest: bytes, packets and syncs a second, CPU in ms a second, memory in MB (2^20 bytes).
+// bytes and packets are of both directions; payload and counted are the bytes sent, without headers: payload by the
+// kernel, counted by the transport's own counter.
 func (u *fleetRates) bytes(p *hollow.Process) float64 { r := u.rates[p]; return r.PerSecond(r.Bytes()) }
 func (u *fleetRates) packets(p *hollow.Process) float64 {
 	r := u.rates[p]
@@ -217,7 +220,7 @@
 	return median(values)
 }
 
-// median sorts the list.
+// median returns the median of a list, which it sorts; 0: the list is empty.
 func median(list []float64) float64 {
 	slices.Sort(list)
 	if len(list) == 0 {
@@ -227,7 +230,7 @@
 }
 
 // shownRoles are the roles of a fleet without relays, in the order of the reports.
-var shownRoles = []string{"leader", "keeper", "member"}
+var shownRoles = []string{roleLeader, roleReplica, roleMember}
 
 // processesByRole returns the processes of a single gateway by its role: those that hold no lease, where there are such.
 func processesByRole(f *hollow.Fleet) map[string][]*hollow.Process {
@@ -237,11 +240,11 @@
 	for i, p := range f.Processes {
 		switch {
 		case p == leader:
-			byRole["leader"] = append(byRole["leader"], p)
+			byRole[roleLeader] = append(byRole[roleLeader], p)
 		case i < f.BootstrapReplicas:
-			byRole["keeper"] = append(byRole["keeper"], p)
+			byRole[roleReplica] = append(byRole[roleReplica], p)
 		case len(p.Names) == 1:
-			byRole["member"] = append(byRole["member"], p)
+			byRole[roleMember] = append(byRole[roleMember], p)
 		}
 	}
 	for role, list := range byRole {
--- a/cmd/experiment/scale_gateway.go
+++ b/cmd/experiment/scale_gateway.go
@@ -28,6 +28,7 @@
 type gatewayProcess struct {
 	process *faulttest.Process
 	listen  string // where clients connect
+	reloads int    // that were requested so far
 
 	mu      sync.Mutex
 	log     bytes.Buffer
@@ -145,14 +146,13 @@
 	return after - before, err
 }
 
-// reload has the program read its file again, and waits until the configuration is in force. The counter has the
-// reloads so far.
-func (g *gatewayProcess) reload(ctx context.Context, reloads *int) error {
+// reload has the program read its file again, and waits until the configuration is in force.
+func (g *gatewayProcess) reload(ctx context.Context) error {
 	if err := syscall.Kill(g.process.Pid(), syscall.SIGHUP); err != nil {
 		return err
 	}
-	*reloads++
-	return g.waitForLog(ctx, `msg="configuration reloaded"`, *reloads)
+	g.reloads++
+	return g.waitForLog(ctx, `msg="configuration reloaded"`, g.reloads)
 }
 
 // Limits of the reloads that are measured.
@@ -165,7 +165,7 @@
 )
 
 // reloadCost returns the CPU time of a reload: the mean of as many as the resolution of the clock needs.
-func (g *gatewayProcess) reloadCost(ctx context.Context, env *scaleEnv, reloads *int) (time.Duration, error) {
+func (g *gatewayProcess) reloadCost(ctx context.Context, env *scaleEnv) (time.Duration, error) {
 	limit := maxReloads
 	if env.small {
 		limit = smallMaxReloads
@@ -177,7 +177,7 @@
 			return err
 		}
 		for n < limit {
-			if err := g.reload(ctx, reloads); err != nil {
+			if err := g.reload(ctx); err != nil {
 				return err
 			}
 			n++
@@ -185,7 +185,9 @@
 			if err != nil {
 				return err
 			}
-			if used := now - before; used >= minReloadCPU && n >= minReloads || used >= maxReloadCPU {
+			used := now - before
+			preciseEnough := used >= minReloadCPU && n >= minReloads
+			if preciseEnough || used >= maxReloadCPU {
 				return nil
 			}
 		}
@@ -259,7 +261,7 @@
 	s.add(size, name, "CPU ms", float64(cpuTick.Milliseconds())/float64(max(measurements, 1)), float64(cpu.Microseconds())/1000)
 }
 
-// addGateway measures a start with a configuration, idle too if told, and reloads.
+// addGateway measures a start with a configuration and reloads of it, and the program at rest where idle is set.
 func (s *seriesSet) addGateway(ctx context.Context, env *scaleEnv, size int, config string, idle bool) error {
 	fmt.Fprintf(env.progress, "%d %ss\n", size, s.by)
 	g, err := startGateway(ctx, env, config)
@@ -285,15 +287,14 @@
 		}
 		s.addCPU(size, "a second at rest", cpu, 3)
 	}
-	reloads := 0
 	stop := g.startProbe(ctx)
-	reloadCPU, err := g.reloadCost(ctx, env, &reloads)
+	reloadCPU, err := g.reloadCost(ctx, env)
 	longest := stop()
 	if err != nil {
 		return err
 	}
 	s.add(size, "longest answer during reloads", "ms", 1, float64(longest.Microseconds())/1000)
-	s.addCPU(size, "a reload", reloadCPU, reloads)
+	s.addCPU(size, "a reload", reloadCPU, g.reloads)
 	if _, peak, err = g.memory(); err != nil {
 		return err
 	}
--- a/cmd/experiment/scale_hosts.go
+++ b/cmd/experiment/scale_hosts.go
@@ -31,7 +31,7 @@
 			state = lastState
 			comma = ""
 		}
-		fmt.Fprintf(&b, `{"id":"host-%d","addr":%q,"zone":"z%d","kind":"m","cell":%d,"state":%q}%s`+"\n", i, hostAddress(i), i%10, i/hostsACell, state, comma)
+		fmt.Fprintf(&b, `{"id":"host-%d","addr":%q,"zone":"z%d","kind":"m","cell":%d,"state":%q}%s`+"\n", i, hostAddress(i), i%10, i/hostsPerCell, state, comma)
 	}
 	b.WriteString("]}\n")
 	if err := os.WriteFile(path+".new", b.Bytes(), 0o600); err != nil {
@@ -57,7 +57,7 @@
 	}
 	r.Series = s.list
 	const beyondStatic = 5001
-	r.Breaks, err = rejection(ctx, env, beyondStatic, "host", "internal/config: maxMembers; static lists only",
+	r.Breaks, err = startBeyondLimit(ctx, env, beyondStatic, "host", "internal/config: maxMembers; static lists only",
 		strings.ReplaceAll(poolsConfig(1, beyondStatic), "p0-", "")+routesConfig(1, 1))
 	if err != nil || env.small {
 		return r, err
--- a/cmd/experiment/scale_mesh.go
+++ b/cmd/experiment/scale_mesh.go
@@ -102,20 +102,21 @@
 	if packed == 0 {
 		return ""
 	}
-	return fmt.Sprintf("; %d packed into %d processes: %.1f ms/s of CPU each", packed, len(f.Processes)-fleetAlone, cpu/float64(packed))
+	return fmt.Sprintf("; %d packed into %d processes: %.1f ms/s of CPU each", packed, len(f.Processes)-singleGateways, cpu/float64(packed))
 }
 
 // meshLimits are the sizes at which the fitted lines pass the limits of a gateway.
 func (s *seriesSet) meshLimits() []scaletest.Break {
 	return slices.Concat(
-		s.breaksAt("member", "bytes/s", maxControlBytes, "internal/cluster/transport: runConn, an idle frame a second on each connection and its acknowledgement"),
-		s.breaksAt("leader", "bytes/s", maxControlBytes, "internal/cluster/node: the answers to renewals, and runConn"),
-		s.breaksAt("member", "CPU ms/s", maxControlCPU, "internal/cluster/transport: runConn and serveFrames, two goroutines and a timer a connection"),
-		s.breaksAt("member", "MB resident", maxControlMemory, "internal/cluster/transport: serveFrames, a reader of 64 KiB a connection"),
+		s.breaksAt(roleMember, "bytes/s", maxControlBytes, "internal/cluster/transport: runConn, an idle frame a second on each connection and its acknowledgement"),
+		s.breaksAt(roleLeader, "bytes/s", maxControlBytes, "internal/cluster/node: the answers to renewals, and runConn"),
+		s.breaksAt(roleMember, "CPU ms/s", maxControlCPU, "internal/cluster/transport: runConn and serveFrames, two goroutines and a timer a connection"),
+		s.breaksAt(roleMember, "MB resident", maxControlMemory, "internal/cluster/transport: serveFrames, a reader of 64 KiB a connection"),
 	)
 }
 
-// meshCaps are the sizes at which the program refuses more.
+// meshCaps are the sizes at which the program accepts no more. Where names the constant of each; those of other packages
+// that are not exported are repeated here as numbers.
 func meshCaps() []scaletest.Break {
 	return []scaletest.Break{
 		{By: "gateway", Size: lease.MaxMembers, What: "the record refuses the next member", Where: "internal/cluster/lease: MaxMembers"},
@@ -185,8 +186,8 @@
 	s.add(pools, "gateway (median)", "bytes/s", 20, medianOf(others, usage.bytes))
 	s.add(pools, "gateway (median)", "packets/s", 0.5, medianOf(others, usage.packets))
 	s.add(pools, "gateway (median)", "CPU ms/s", 0.5, medianOf(others, usage.cpu))
-	s.add(pools, "leader", "CPU ms/s", 0.5, usage.cpu(leader))
-	s.add(pools, "leader", "bytes/s", 20, usage.bytes(leader))
+	s.add(pools, roleLeader, "CPU ms/s", 0.5, usage.cpu(leader))
+	s.add(pools, roleLeader, "bytes/s", 20, usage.bytes(leader))
 	return fmt.Sprintf("%d lists of hosts told on %d gateways, %d duties with the one that owns most", pools, gateways, highest), nil
 }
 
--- a/cmd/experiment/scale_module.go
+++ b/cmd/experiment/scale_module.go
@@ -41,7 +41,7 @@
 func moduleHosts(n int) []balancer.Host {
 	hosts := make([]balancer.Host, n)
 	for i := range hosts {
-		hosts[i] = balancer.Host{ID: balancer.HostID(i + 1), Zone: i % 10, Cell: i / hostsACell, Kind: 1}
+		hosts[i] = balancer.Host{ID: balancer.HostID(i + 1), Zone: i % 10, Cell: i / hostsPerCell, Kind: 1}
 	}
 	return hosts
 }
--- a/cmd/experiment/scale_record.go
+++ b/cmd/experiment/scale_record.go
@@ -55,7 +55,7 @@
 // renewalAnswers is the name of the series whose values are bounded by the one goroutine that answers renewals.
 const renewalAnswers = "all gateways' answers of a second"
 
-// measureRecord measures what a leader computes over its state: for each renewal, each tick and each status. One
+// measureRecord measures what a leader computes over the coordination state: for each renewal, each tick and each status. One
 // goroutine does all of it.
 func measureRecord(ctx context.Context, env *scaleEnv, sizes []int) (*scaletest.Report, error) {
 	s := &seriesSet{by: "gateway", targetSize: targetGateways}
@@ -63,7 +63,7 @@
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
-		state := newRecord(n, min(simulatedLeases, 10*n))
+		state := newCoordinationState(n, min(simulatedLeases, 10*n))
 		tracker := lease.NewExpiryTracker(0)
 		for id := range state.Sessions {
 			tracker.Renew(id, time.Hour)
@@ -74,7 +74,7 @@
 		s.add(n, "sessions that have lapsed, none", "us", 0.1, microseconds(env, func() { tracker.Expired(time.Hour, state) }))
 		s.add(n, "duties to be given, none", "us", 0.1, microseconds(env, func() { lease.AssignFree(state) }))
 		s.add(n, "duties to be evened out, none", "us", 0.1, microseconds(env, func() { lease.Rebalance(state) }))
-		s.add(n, "a whole view", "KB of JSON", 0.1, float64(len(encodeView(state)))/1000)
+		s.add(n, "a whole view", "KB of JSON", 0.1, float64(len(encodeFullDelta(state)))/1000)
 		s.add(n, "a snapshot", "us", 0.1, microseconds(env, func() { state.Encode() }))
 	}
 	return &scaletest.Report{Series: s.list, Breaks: s.renewalLimit()}, nil
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// newRecord returns the state of a fleet whose gateways are all candidates for all leases, each of which has a holder.
-func newRecord(gateways, leases int) *lease.State {
+// newCoordinationState returns the coordination state of a fleet whose gateways are all candidates for all leases, each of which has a holder.
+func newCoordinationState(gateways, leases int) *lease.State {
 	const address = "10.0.0.1:7400"
 	state := lease.NewState(1)
 	var names []string
@@ -121,7 +121,8 @@
 	return state
 }
 
-func encodeView(state *lease.State) []byte {
+// encodeFullDelta returns the JSON of all of a state, as a gateway without any of it receives it.
+func encodeFullDelta(state *lease.State) []byte {
 	b, err := json.Marshal(state.DeltaSince(0))
 	if err != nil {
 		panic(err) // it has strings and numbers only
--- a/cmd/experiment/scale_relay_losses.go
+++ b/cmd/experiment/scale_relay_losses.go
@@ -94,6 +94,7 @@
 	return notes, nil
 }
 
+// startProcesses starts processes one after the other.
 func startProcesses(ctx context.Context, processes []*hollow.Process) error {
 	for _, p := range processes {
 		if err := p.Start(ctx); err != nil {
--- a/cmd/experiment/scale_relays.go
+++ b/cmd/experiment/scale_relays.go
@@ -32,7 +32,7 @@
 }
 
 // relayRoles are the roles of a fleet with relays, in the order of the reports.
-var relayRoles = []string{"leader", "keeper", "relay", "gateway"}
+var relayRoles = []string{roleLeader, roleReplica, roleRelay, roleGateway}
 
 // relayProcessesByRole returns the processes of a single relay or gateway by its role.
 func relayProcessesByRole(f *hollow.Fleet) map[string][]*hollow.Process {
@@ -42,19 +42,19 @@
 	for i, p := range f.Processes {
 		switch {
 		case p == leader:
-			byRole["leader"] = append(byRole["leader"], p)
+			byRole[roleLeader] = append(byRole[roleLeader], p)
 		case i < f.BootstrapReplicas:
-			byRole["keeper"] = append(byRole["keeper"], p)
+			byRole[roleReplica] = append(byRole[roleReplica], p)
 		case i < f.Relays:
-			byRole["relay"] = append(byRole["relay"], p)
+			byRole[roleRelay] = append(byRole[roleRelay], p)
 		case len(p.Names) == 1 && leases[p.Names[0]] == 0:
-			byRole["gateway"] = append(byRole["gateway"], p)
+			byRole[roleGateway] = append(byRole[roleGateway], p)
 		}
 	}
 	return byRole
 }
 
-// quantile sorts the list, and returns the value that a share of it doesn't exceed.
+// quantile returns the value that a share of a list doesn't exceed; 0: the list is empty. It sorts the list.
 func quantile(list []float64, share float64) float64 {
 	if len(list) == 0 {
 		return 0
--- a/cmd/experiment/scale_restart.go
+++ b/cmd/experiment/scale_restart.go
@@ -57,7 +57,7 @@
 
 // addRejoin restarts the last gateway that is alone in its process.
 func (s *seriesSet) addRejoin(ctx context.Context, env *scaleEnv, f *hollow.Fleet, n int) error {
-	p := f.Processes[min(n, fleetAlone)-1]
+	p := f.Processes[min(n, singleGateways)-1]
 	p.Kill()
 	time.Sleep(env.settleTime())
 	startedAt := time.Now()
--- a/cmd/experiment/scale_routes.go
+++ b/cmd/experiment/scale_routes.go
@@ -118,7 +118,7 @@
 		}
 	}
 	const beyond = 257
-	breaks, err := rejection(ctx, env, beyond, "pool", "internal/config: maxPools", poolsConfig(beyond, 1)+routesConfig(beyond, beyond))
+	breaks, err := startBeyondLimit(ctx, env, beyond, "pool", "internal/config: maxPools", poolsConfig(beyond, 1)+routesConfig(beyond, beyond))
 	return &scaletest.Report{Series: s.list, Breaks: breaks, Notes: []string{memoryNote, "one host and one route a pool"}}, err
 }
 
@@ -174,7 +174,6 @@
 		return 0, err
 	}
 	defer g.process.Kill()
-	reloads := 0
 	cpu, err := g.cpuDuring(func() error {
 		startedAt := time.Now()
 		for i := range n {
@@ -184,7 +183,7 @@
 			} else if i > 0 {
 				late++
 			}
-			if err := g.reload(ctx, &reloads); err != nil {
+			if err := g.reload(ctx); err != nil {
 				return err
 			}
 		}
--- a/cmd/experiment/scale_tenants.go
+++ b/cmd/experiment/scale_tenants.go
@@ -40,7 +40,7 @@
 		"a request of the shares alone: internal/ratelimit/tenants.go, Tenants.fill walks all tenants at each, under the lock of all"}}
 	const beyond = 1025
 	var err error
-	r.Breaks, err = rejection(ctx, env, beyond, "tenant", "internal/config: maxTenants", tenantsConfig(beyond)+poolsConfig(1, 1)+routesConfig(1, 1))
+	r.Breaks, err = startBeyondLimit(ctx, env, beyond, "tenant", "internal/config: maxTenants", tenantsConfig(beyond)+poolsConfig(1, 1)+routesConfig(1, 1))
 	return r, err
 }
 
--- a/cmd/experiment/search.go
+++ b/cmd/experiment/search.go
@@ -69,19 +69,19 @@
 		},
 	}
 	f := cmd.Flags()
-	f.Uint64Var(&o.seed, "seed", 1, "of the search")
-	f.IntVar(&o.runs, "runs", 320, "how many to play")
+	f.Uint64Var(&o.seed, "seed", 1, "seed of the search")
+	f.IntVar(&o.runs, "runs", 320, "how many runs to simulate")
 	f.Float64Var(&o.minutes, "minutes", 0, "end after so many; 0: never. What is found then depends on the machine")
-	f.IntVar(&o.findings, "finds", 3, "how many to make small")
-	f.StringVar(&o.outDir, "out", "", "directory that finds are written to as scenarios")
+	f.IntVar(&o.findings, "finds", 3, "how many findings to make small")
+	f.StringVar(&o.outDir, "out", "", "directory that findings are written to as scenarios")
 	f.StringArrayVar(&o.settings, "set", nil, "KEY=VALUE of what is changed of the scenario; may be repeated")
-	f.Float64Var(&o.ranges.LoadMin, "load-from", 0.4, "least load, of the scenario's")
-	f.Float64Var(&o.ranges.LoadMax, "load-to", 1.4, "most load")
-	f.IntVar(&o.ranges.MaxFaults, "troubles", 3, "most at once")
-	f.IntVar(&o.ranges.MaxBursts, "bursts", 1, "most at once")
-	f.IntVar(&o.ranges.MaxGateways, "gateways", 16, "most")
-	f.IntVar(&o.ranges.MaxHosts, "hosts", 40, "most; the load goes with them")
-	f.DurationVar(&o.ranges.Length, "length", 40*time.Second, "of a run")
+	f.Float64Var(&o.ranges.LoadMin, "load-from", 0.4, "least load, as a multiple of the scenario's")
+	f.Float64Var(&o.ranges.LoadMax, "load-to", 1.4, "most load, as a multiple of the scenario's")
+	f.IntVar(&o.ranges.MaxFaults, "troubles", 3, "most faults at once")
+	f.IntVar(&o.ranges.MaxBursts, "bursts", 1, "most bursts at once")
+	f.IntVar(&o.ranges.MaxGateways, "gateways", 16, "most gateways")
+	f.IntVar(&o.ranges.MaxHosts, "hosts", 40, "most hosts; the load is proportional to them")
+	f.DurationVar(&o.ranges.Length, "length", 40*time.Second, "length of a run")
 	return cmd
 }
 
--- a/internal/experiment/fakes/client.go
+++ b/internal/experiment/fakes/client.go
@@ -59,7 +59,7 @@
 	}
 	client := l.newClient()
 	defer client.CloseIdleConnections()
-	random := rand.New(rand.NewPCG(l.Seed, 2))
+	random := rand.New(rand.NewPCG(l.Seed, loadStream))
 	var requests sync.WaitGroup
 	defer requests.Wait()
 	next := time.Now()
--- a/internal/experiment/fakes/node.go
+++ b/internal/experiment/fakes/node.go
@@ -39,6 +39,13 @@
 	CongestionSlowdown float64
 }
 
+// Second seeds of random numbers, so that nodes, clients and responders with the same seed draw different ones.
+const (
+	nodeStream      = 1
+	loadStream      = 2
+	responderStream = 3
+)
+
 // defaultMaxQueued is Behaviour.MaxQueued where that is 0.
 const defaultMaxQueued = 1000
 
@@ -75,7 +82,7 @@
 	if err := checkLoopback(address); err != nil {
 		return nil, err
 	}
-	n := &Node{Name: name, Group: group, ledger: ledger, random: rand.New(rand.NewPCG(seed, 1)), address: address}
+	n := &Node{Name: name, Group: group, ledger: ledger, random: rand.New(rand.NewPCG(seed, nodeStream)), address: address}
 	n.behaviour.Store(&b)
 	return n, n.Start()
 }
--- a/internal/experiment/fakes/responder.go
+++ b/internal/experiment/fakes/responder.go
@@ -37,7 +37,7 @@
 		return nil, err
 	}
 	r := &Responder{
-		Name: name, Group: group, ledger: ledger, work: work, address: address, random: rand.New(rand.NewPCG(seed, 3)),
+		Name: name, Group: group, ledger: ledger, work: work, address: address, random: rand.New(rand.NewPCG(seed, responderStream)),
 	}
 	return r, r.Start()
 }
--- a/internal/experiment/faulttest/plan.go
+++ b/internal/experiment/faulttest/plan.go
@@ -138,9 +138,12 @@
 	maxLostDisks = 1
 )
 
+// planStream is the second seed of the random numbers of plans.
+const planStream = 3
+
 // DrawPlan draws faults for a time.
 func DrawPlan(seed uint64, length time.Duration, gateways []string) *Plan {
-	random := rand.New(rand.NewPCG(seed, 3))
+	random := rand.New(rand.NewPCG(seed, planStream))
 	p := &Plan{Seed: seed}
 	lostDisks := 0
 	for at := time.Duration(0); at < length; {
@@ -157,6 +160,7 @@
 	return p
 }
 
+// drawFault draws a fault. The order of the draws decides what a seed gives.
 func drawFault(random *rand.Rand, gateways []string) Fault {
 	f := Fault{
 		After:  Span(minFaultInterval + time.Duration(random.Int64N(int64(faultIntervalSpan)))),
--- a/internal/experiment/scaletest/fit.go
+++ b/internal/experiment/scaletest/fit.go
@@ -45,7 +45,7 @@
 const (
 	// relativeError is the error of a measurement of a process beside its resolution, as a share of the value.
 	relativeError = 0.05
-	// zeroValueDivisor: a value of 0 has the error of this part of the largest value.
+	// zeroValueDivisor: a value of 0 has the error of this part of the largest value, at least.
 	zeroValueDivisor = 1000
 	// A series is a line if no point is off by more than maxLineResidual of its value, and the exponent is 1 within
 	// exponentTolerance or within maxStandardErrors. It is a power if the exponent differs by more than both, and a
@@ -68,16 +68,16 @@
 // newSamples weights points by the error that each value is taken to have: over a span of a factor of ten and more the
 // largest sizes would otherwise decide alone.
 func newSamples(points []Point, resolution float64) *samples {
-	smallest := 0.0
+	valueForZero := 0.0 // by whose relativeError a value of 0 is weighted
 	for _, p := range points {
-		smallest = max(smallest, math.Abs(p.Value)/zeroValueDivisor)
+		valueForZero = max(valueForZero, math.Abs(p.Value)/zeroValueDivisor)
 	}
-	if smallest == 0 {
-		smallest = 1
+	if valueForZero == 0 {
+		valueForZero = 1
 	}
 	s := &samples{}
 	for _, p := range points {
-		valueError := math.Hypot(relativeError*p.Value, max(resolution, smallest*relativeError))
+		valueError := math.Hypot(relativeError*p.Value, max(resolution, valueForZero*relativeError))
 		s.sizes = append(s.sizes, p.Size)
 		s.values = append(s.values, p.Value)
 		s.weights = append(s.weights, 1/(valueError*valueError))
--- a/internal/experiment/scaletest/report.go
+++ b/internal/experiment/scaletest/report.go
@@ -22,7 +22,7 @@
 type Break struct {
 	By    string  `json:"by"`              // what the size counts
 	Size  float64 `json:"size"`            // at which it was seen
-	What  string  `json:"what"`            // was seen
+	What  string  `json:"what"`            // what was seen at that size
 	Where string  `json:"where,omitempty"` // file:line or function
 }
 
--- a/internal/experiment/simulator/clients.go
+++ b/internal/experiment/simulator/clients.go
@@ -222,7 +222,8 @@
 	return float64(client>>11)/(1<<53) < s.config.Clients.HonorRetryAfter
 }
 
-// retryDelay is the time that a client waits before its next request.
+// retryDelay is the time that a client waits before its next request. The jitter is drawn for each of them, also where
+// it isn't used: later draws don't depend on how clients behave.
 func (s *simulation) retryDelay(r *request, retryAfter time.Duration, immediate bool) time.Duration {
 	c := &s.config.Clients
 	delay := c.Backoff << min(r.retries, maxBackoffDoublings)
