--- a/cmd/dunemoorctl/main_test.go
+++ b/cmd/dunemoorctl/main_test.go
@@ -167,7 +167,7 @@
 }
 
 // The commands of a fleet have their names in the field's terms beside the earlier ones, and their help says so.
-func TestFleetCommandAliases(t *testing.T) {
+func TestFleetCommandHelpNamesAliases(t *testing.T) {
 	for alias, name := range map[string]string{"overrides": "words", "leases": "duties", "release": "resign", "transfer": "move"} {
 		cmd, _, err := rootCommand().Find([]string{"fleet", alias})
 		if err != nil || cmd.Name() != name {
--- a/cmd/experiment/experiment_test.go
+++ b/cmd/experiment/experiment_test.go
@@ -56,31 +56,32 @@
 		t.Fatal(err)
 	}
 	if out, err := runCommandLine("run", bad); err == nil || !strings.Contains(out, "bad.toml:2: lenght") {
-		t.Errorf("%v\n%s", err, out)
+		t.Errorf("got error %v and\n%s", err, out)
 	}
 }
 
-func TestSweep(t *testing.T) {
+// sweep prints a row for each value.
+func TestSweepVariesASetting(t *testing.T) {
 	out, err := runCommandLine("sweep", calm, "--vary", "gateways=1,3", "--set", "length=3s", "--seeds", "1")
 	if err != nil || !strings.Contains(out, "gateways=1") || !strings.Contains(out, "gateways=3") {
-		t.Errorf("%v\n%s", err, out)
+		t.Errorf("got error %v and\n%s", err, out)
 	}
 }
 
 // The same on both sides is no difference; an overload is one.
-func TestCompare(t *testing.T) {
+func TestCompareTellsOverloadFromChance(t *testing.T) {
 	out, err := runCommandLine("compare", calm, "--a", "length=3s", "--b", "length=3s", "--seeds", "5")
 	if err != nil || !strings.Contains(out, "no difference seen") {
-		t.Errorf("%v\n%s", err, out)
+		t.Errorf("got error %v and\n%s", err, out)
 	}
 	out, err = runCommandLine("compare", calm, "--a", "length=3s", "--b", "length=3s", "--b", "load=3", "--seeds", "5")
 	if err != nil || strings.Contains(out, "no difference seen") || !strings.Contains(out, "first: -0.") {
-		t.Errorf("%v\n%s", err, out)
+		t.Errorf("got error %v and\n%s", err, out)
 	}
 }
 
 // The confidence interval is about the mean, and as wide as the differences vary.
-func TestConfidenceInterval(t *testing.T) {
+func TestConfidenceIntervalContainsTheMean(t *testing.T) {
 	mean, low, high := confidenceInterval([]float64{1, 2, 3, 4, 5, 6, 7, 8, 9}, 1)
 	// By the normal approximation it is 5 ± 1.96 x 2.58/3, from 3.3 to 6.7.
 	if mean != 5 || low < 3 || low > 3.7 || high < 6.3 || high > 7 {
--- a/cmd/experiment/scale_fleet_test.go
+++ b/cmd/experiment/scale_fleet_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// value is what a report has of a series at a size.
+// value returns the value of a series of a report at a size.
 func value(t *testing.T, r *scaletest.Report, name, unit string, size float64) float64 {
 	t.Helper()
 	for _, s := range r.Series {
@@ -32,12 +32,12 @@
 			}
 		}
 	}
-	t.Fatalf("nothing of %s, %s at %v: %+v", name, unit, size, r.Series)
+	t.Fatalf("got no point of %s, %s at %v in %+v", name, unit, size, r.Series)
 	return 0
 }
 
-// Each part of the fleet at its small sizes: what is counted has the shape that the code gives it.
-func TestScaleFleet(t *testing.T) {
+// Each part that measures fleets counts, at its small sizes, what the code must send and keep.
+func TestScaleFleetPartsCountWhatTheCodeSends(t *testing.T) {
 	if testing.Short() {
 		t.Skip("fleets of processes")
 	}
@@ -46,37 +46,37 @@
 		"mesh-real": checkRest,
 		"duties": func(t *testing.T, r *scaletest.Report, sizes []int) {
 			for _, n := range sizes {
-				// A list each, and housekeeping. What is told of them in a second is not compared: at a
-				// start of two and of four lists that goes by the machine.
+				// A lease for each list, and housekeeping. The bytes a second are not compared: soon after the start
+				// of so few lists they depend on the machine.
 				if x := value(t, r, "the record", "duties", float64(n)); x != float64(n+1) {
-					t.Errorf("%v duties with %d lists", x, n)
+					t.Errorf("%d lists: got %v leases, want %d", n, x, n+1)
 				}
 				if x := value(t, r, "gateway (median)", "bytes/s", float64(n)); x <= 0 {
-					t.Errorf("%v bytes/s with %d lists", x, n)
+					t.Errorf("%d lists: got %v bytes/s, want some", n, x)
 				}
 			}
 		},
 		"joins": func(t *testing.T, r *scaletest.Report, sizes []int) {
 			for _, n := range sizes {
 				// Two connections to each other gateway, three segments to open each and four at least
-				// of the carrier's own handshake.
+				// of the transport's own handshake.
 				if x := value(t, r, "one that comes back", "packets until it has all connections and a view", float64(n)); x < float64(2*(n-1)*7) {
-					t.Errorf("%d gateways: one came back by %v packets", n, x)
+					t.Errorf("%d gateways: got %v packets of one that comes back, want at least %d", n, x, 2*(n-1)*7)
 				}
 				if x := value(t, r, "all at once", "KB on the loopback, a gateway", float64(n)); x <= 0 {
-					t.Errorf("%d gateways: %v KB", n, x)
+					t.Errorf("%d gateways: got %v KB on the loopback, want some", n, x)
 				}
 			}
 		},
 		"fleet-changes": func(t *testing.T, r *scaletest.Report, sizes []int) {
 			for _, n := range sizes {
-				if x := value(t, r, "leader", "fsyncs/s", float64(n)); x <= 0 {
-					t.Errorf("%d changes a second: %v fsyncs", n, x)
+				if x := value(t, r, roleLeader, "fsyncs/s", float64(n)); x <= 0 {
+					t.Errorf("%d changes a second: got %v fsyncs/s, want some", n, x)
 				}
 			}
 			for _, note := range r.Notes {
 				if strings.Contains(note, ": 0 carried out") {
-					t.Error(note)
+					t.Errorf("got %q, want some overrides applied", note)
 				}
 			}
 		},
@@ -86,46 +86,46 @@
 					"s until another leads": "leader killed", "s until their sessions have lapsed everywhere": "a tenth killed", "s until they have sessions again": "a tenth killed",
 				} {
 					if x := value(t, r, name, unit, float64(n)); x <= 0 {
-						t.Errorf("%d gateways: %v %s", n, x, unit)
+						t.Errorf("%d gateways, %s: got %v %s, want some", n, name, x, unit)
 					}
 				}
 			}
 		},
 		"relays": func(t *testing.T, r *scaletest.Report, sizes []int) {
 			for _, n := range sizes {
-				// One stream, whatever the size.
-				if x := value(t, r, "gateway", "connections", float64(n)); x != 1 {
-					t.Errorf("%d gateways: one has %v connections", n, x)
+				// One stream at any size.
+				if x := value(t, r, roleGateway, "connections", float64(n)); x != 1 {
+					t.Errorf("%d gateways: got %v connections of one, want 1", n, x)
 				}
 				half, all := value(t, r, "an operator's word", "s until half of the gateways go by it", float64(n)), value(t, r, "an operator's word", "s until the last", float64(n))
 				if half <= 0 || all < half {
-					t.Errorf("%d gateways: a word at half after %v s, at the last after %v", n, half, all)
+					t.Errorf("%d gateways: got an override at half after %v s, at the last after %v, want them to ascend from 0", n, half, all)
 				}
 			}
 		},
 		"relays-lost": func(t *testing.T, r *scaletest.Report, sizes []int) {
 			for _, n := range sizes {
 				if x := value(t, r, "all relays restarted", "gateways that moved", float64(n)); x != float64(n) {
-					t.Errorf("%v of %d gateways came back to relays that were all restarted", x, n)
+					t.Errorf("all relays restarted: got %v of %d gateways with a new stream, want all", x, n)
 				}
 			}
 			for _, note := range r.Notes {
 				if !strings.Contains(note, "without a relay at last 0;") {
-					t.Error(note)
+					t.Errorf("got %q, want no gateway without a relay", note)
 				}
 			}
 		},
 		"record": func(t *testing.T, r *scaletest.Report, sizes []int) {
 			for _, n := range sizes {
 				if x := value(t, r, "a whole view", "KB of JSON", float64(n)); x <= 0 {
-					t.Errorf("%d gateways: %v KB", n, x)
+					t.Errorf("%d gateways: got %v KB of JSON, want some", n, x)
 				}
 			}
 		},
 		"sim": func(t *testing.T, r *scaletest.Report, sizes []int) {
 			for _, n := range sizes {
 				if x := value(t, r, "a fleet played", "s", float64(n)); x <= 0 {
-					t.Errorf("%d gateways: %v s", n, x)
+					t.Errorf("%d gateways: got %v s, want some", n, x)
 				}
 			}
 		},
@@ -147,18 +147,18 @@
 	}
 }
 
+// checkRest checks a report of fleets at rest.
 func checkRest(t *testing.T, r *scaletest.Report, sizes []int) {
 	for _, n := range sizes {
-		for _, role := range []string{"leader", "member"} {
+		for _, role := range []string{roleLeader, roleMember} {
 			// One connection each way between two.
 			if x := value(t, r, role, "connections", float64(n)); x != float64(2*(n-1)) {
-				t.Errorf("%d gateways: %s has %v connections", n, role, x)
+				t.Errorf("%d gateways: got %v connections of the %s, want %d", n, x, role, 2*(n-1))
 			}
-			// What is carried is less than what goes over the wire with headers, and the carrier's own
-			// counter not more than what its connections carried, but for what was out as it was looked at.
+			// The payload that a process sends is less than what both directions have with headers.
 			bytes, carried := value(t, r, role, "bytes/s", float64(n)), value(t, r, role, "bytes/s carried, out", float64(n))
 			if carried <= 0 || bytes <= carried {
-				t.Errorf("%d gateways: %s sends %v bytes/s, with headers and both ways %v", n, role, carried, bytes)
+				t.Errorf("%d gateways: got %v bytes/s sent by the %s, and %v in both directions with headers, want more", n, carried, role, bytes)
 			}
 		}
 	}
--- a/cmd/experiment/scale_test.go
+++ b/cmd/experiment/scale_test.go
@@ -8,9 +8,8 @@
 	"testing"
 )
 
-// Each part runs with its small sizes, and gives points for each of them and the refusals beyond
-// the caps.
-func TestScaleSmall(t *testing.T) {
+// Each part measures a point at each of its small sizes, and reports what the program rejects beyond its limits.
+func TestScalePartsMeasureTheirSmallSizes(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "scale.json")
 	parts := []string{"routes", "pools", "hosts", "module", "tenants", "changes"}
 	out, err := runCommandLine(append([]string{"scale", "--small", "--json", file}, parts...)...)
@@ -31,43 +30,44 @@
 		Breaks []struct{ What, Where string }
 	}
 	if err := json.Unmarshal(text, &reports); err != nil || len(reports) != len(parts) {
-		t.Fatalf("%v: %d reports\n%s", err, len(reports), text)
+		t.Fatalf("got %d reports, error %v, want %d\n%s", len(reports), err, len(parts), text)
 	}
 	for i, r := range reports {
 		if r.Part != parts[i] || !strings.Contains(r.Command, r.Part+" --small") || len(r.Series) == 0 {
-			t.Errorf("%+v", r)
+			t.Errorf("got %+v, want a report of %s at its small sizes", r, parts[i])
 		}
 		for _, s := range r.Series {
 			if len(s.Points) != len(scaleParts[r.Part].smallSizes) || s.Fit == nil {
-				t.Errorf("%s, %s: %+v", r.Part, s.Name, s)
+				t.Errorf("%s, %s: got %+v, want a fit of %d points", r.Part, s.Name, s, len(scaleParts[r.Part].smallSizes))
 				continue
 			}
 			// 24 bytes a tenant: what was built meanwhile for the measurement does not count.
 			if last := s.Points[len(s.Points)-1]; s.Name == "the shares alone: memory" && (last.Value < 24*last.Size/1024*0.9 || last.Value > 24*last.Size/1024*3) {
-				t.Errorf("%s: %v KB for %v tenants", s.Name, last.Value, last.Size)
+				t.Errorf("%s: got %v KB for %v tenants, want 24 bytes each to three times that", s.Name, last.Value, last.Size)
 			}
 		}
 		if r.Part == "pools" || r.Part == "hosts" || r.Part == "tenants" {
 			if len(r.Breaks) == 0 || !strings.Contains(r.Breaks[0].What, "more than") {
-				t.Errorf("%s: no refusal beyond its cap: %+v", r.Part, r.Breaks)
+				t.Errorf("%s: got breaks %+v, want a rejection beyond the limit", r.Part, r.Breaks)
 			}
 		}
 	}
 }
 
-func TestScaleArguments(t *testing.T) {
+// The help explains each part; unknown parts and sizes for several of them are errors.
+func TestScaleHelpAndArguments(t *testing.T) {
 	out, err := runCommandLine("scale", "--help")
 	if err != nil {
 		t.Fatal(out, err)
 	}
 	for name, p := range scaleParts {
 		if !strings.Contains(out, name+": "+p.about) || !strings.Contains(out, joinInts(p.sizes)) || !strings.Contains(out, "about "+p.duration) {
-			t.Errorf("%s is not explained:\n%s", name, out)
+			t.Errorf("%s: got no explanation in\n%s", name, out)
 		}
 	}
 	for _, args := range [][]string{{"scale", "none"}, {"scale", "routes", "pools", "--sizes", "1,2"}, {"scale", "routes", "--small", "--sizes", "1,2"}} {
 		if out, err := runCommandLine(args...); err == nil {
-			t.Errorf("%v: no error\n%s", args, out)
+			t.Errorf("%v: got no error and\n%s", args, out)
 		}
 	}
 }
--- a/internal/experiment/fakes/discovery_test.go
+++ b/internal/experiment/fakes/discovery_test.go
@@ -8,7 +8,7 @@
 )
 
 // A watch sends the list and its changes, and nothing while discovery is silent.
-func TestDiscoveryWatch(t *testing.T) {
+func TestDiscoveryWatchSendsChanges(t *testing.T) {
 	f, err := StartFleet(4, 1, Behaviour{})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/experiment/fakes/webserver.go
+++ b/internal/experiment/fakes/webserver.go
@@ -19,7 +19,7 @@
 // http.RoundTripper, so that clients of HTTP can send through it.
 type WebServer struct {
 	Addr           string // a loopback address
-	MaxConnections int    // 0: 4; a gateway rejects more than fastcgi.ReqsMost requests at once on one
+	MaxConnections int    // 0: 4; a gateway rejects more than fastcgi.MaxRequestsPerConn requests at once on one
 
 	mu          sync.Mutex // guards the fields below
 	connections []*webConn
--- a/internal/experiment/faulttest/fleet_test.go
+++ b/internal/experiment/faulttest/fleet_test.go
@@ -154,7 +154,7 @@
 }
 
 // Nine processes under faults that a seed draws, with load at one that is spared, have no violation and converge.
-func TestDrawnFaults(t *testing.T) {
+func TestFleetConvergesAfterDrawnFaults(t *testing.T) {
 	t.Parallel()
 	f := newCheckedFleet(t, Options{Gateways: 9, Replicas: 5, Hosts: 3, Seed: 5})
 	spared := f.Gateways[8]
@@ -364,7 +364,7 @@
 const hostOutage = 7 * time.Second
 
 // Combinations of faults, each under load at a gateway that is spared. The log must show the fault, where it does.
-func TestFaultCombinations(t *testing.T) {
+func TestFleetConvergesAfterFaultCombinations(t *testing.T) {
 	t.Parallel()
 	f := newCheckedFleet(t, Options{Program: builtWithFailpoints, Gateways: 9, Replicas: 5, Hosts: 3, Seed: 8})
 	spared := f.Gateways[8]
--- a/internal/experiment/simulator/faults_test.go
+++ b/internal/experiment/simulator/faults_test.go
@@ -8,7 +8,7 @@
 )
 
 // Faults of the fleet as a whole are simulated, the rules hold, and the counts by second show the fault.
-func TestFleetWideFaults(t *testing.T) {
+func TestFleetWideFaultsShowInTheCounts(t *testing.T) {
 	second := time.Second
 	for _, tt := range []struct {
 		name        string
--- a/internal/experiment/simulator/summary.go
+++ b/internal/experiment/simulator/summary.go
@@ -42,7 +42,7 @@
 	Latency *hdrhistogram.Histogram `json:"-"`
 }
 
-// causeCount is the number of causes that a request can have.
+// causeCount is the number of causes that balancer.Cause has.
 const causeCount = int(balancer.CauseLowerPriority) + 1
 
 // maxLatency is the longest time that ClassSummary.Latency records.
--- a/internal/flightrecorder/analysis_text.go
+++ b/internal/flightrecorder/analysis_text.go
@@ -15,7 +15,10 @@
 // maxMagnitude is the highest digit of a rate.
 const maxMagnitude = 9
 
-// Text writes the analysis for a terminal, with so many of its ejections.
+// Text writes the analysis for a terminal, with at most that number of its ejections.
+//
+// Headings keep the words of earlier builds, as scripts read them: "asked" are Requests, "refused" Rejected, "left"
+// Abandoned, "good" Succeeded, "out" attempts in flight (Pending), and the hosts "drawn from" are those of the subset.
 func (a *Analysis) Text(w io.Writer, ejections int) {
 	a.writeReplay(w)
 	a.writeClasses(w)
@@ -67,7 +70,7 @@
 	return fmt.Sprint(class)
 }
 
-// writeWaitReasons writes the states of the hosts while requests waited in vain.
+// writeWaitReasons writes the states of the hosts while requests waited in vain, by their shares of the subset.
 func (a *Analysis) writeWaitReasons(w io.Writer) {
 	if a.TimedOutWaiting == 0 {
 		return
@@ -157,8 +160,9 @@
 	return formatHostID(e.Host)
 }
 
-// HostText writes the figures of one host, a line a bucket. It returns an error where the recording has no
-// host of that name.
+// HostText writes the figures of one host, a line a bucket: the means of the attempts in flight ("out"), of the
+// concurrency limit and of the RTT in latency objectives ("mean aims"), and the reasons why the host was unavailable,
+// with their shares of the samples ("looks"). It returns an error where the recording has no host of that name.
 func (a *Analysis) HostText(w io.Writer, name string) error {
 	for _, h := range a.Hosts {
 		if h.label() == name {
--- a/internal/flightrecorder/dump_test.go
+++ b/internal/flightrecorder/dump_test.go
@@ -8,7 +8,7 @@
 )
 
 // A dump is a file named by the gateway and the time; nothing else is left in the directory.
-func TestWriteDump(t *testing.T) {
+func TestWriteDumpNamesTheFileByGatewayAndTime(t *testing.T) {
 	dir := t.TempDir()
 	path, err := WriteDump(dir, "n0", time.Unix(1e9, 0), []byte("dump"))
 	if err != nil || filepath.Base(path) != "flight-n0-20010909T014640.000Z.dmf" {
--- a/internal/flightrecorder/fit.go
+++ b/internal/flightrecorder/fit.go
@@ -240,7 +240,7 @@
 	return f.Simulation.Run(b, f.Start), nil
 }
 
-// Compare writes the recorded outcome beside that of Try.
+// Compare writes the recorded outcome beside that of Try, with the headings of Analysis.Text.
 func (f *Fitted) Compare(w io.Writer, tried *Summary) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "class\t\tasked\tin time\tlate\trefused\tfailed\tleft\tp50\tp99\t")
--- a/internal/flightrecorder/trigger_test.go
+++ b/internal/flightrecorder/trigger_test.go
@@ -6,7 +6,7 @@
 )
 
 // The trigger fires from its share of rejected responses on, and not again within its interval.
-func TestTrigger(t *testing.T) {
+func TestTriggerFiresOnTheRejectedShare(t *testing.T) {
 	trigger := Trigger{RejectedShare: 0.2, Window: 5 * time.Second, MinResponses: 50, MinInterval: time.Minute}
 	fire := func(at time.Duration, responses, rejected int) (fired int) {
 		for i := range responses {
