--- a/internal/experiment/faulttest/disk.go
+++ b/internal/experiment/faulttest/disk.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"io/fs"
 	"os"
 	"path/filepath"
 )
@@ -63,9 +64,23 @@
 func (g *Gateway) diskCopy() string { return g.dir + ".copy" }
 
 // CopyDisk copies the disk as it is.
-func (g *Gateway) CopyDisk() error {
-	os.RemoveAll(g.diskCopy())
-	return os.CopyFS(g.diskCopy(), os.DirFS(g.dir))
+func (g *Gateway) CopyDisk() error { return copyLiveDir(g.diskCopy(), g.dir) }
+
+// maxCopyAttempts bounds the copies of a directory whose files vanish meanwhile.
+const maxCopyAttempts = 100
+
+// copyLiveDir copies the directory of a running gateway, which replaces files by renaming new ones: where one vanishes
+// while it is copied, the directory is copied again.
+func copyLiveDir(to, from string) (err error) {
+	for range maxCopyAttempts {
+		if err := os.RemoveAll(to); err != nil {
+			return err
+		}
+		if err = os.CopyFS(to, os.DirFS(from)); !errors.Is(err, fs.ErrNotExist) {
+			return err
+		}
+	}
+	return err
 }
 
 // RestoreDisk replaces the disk of a gateway that is down by its copy.
