--- a/internal/engine/attempts.go
+++ b/internal/engine/attempts.go
@@ -14,7 +14,7 @@
 	x.id, x.pool, x.attempts = e.lastID, p, x.attempts[:0]
 	e.requests[x.id] = x
 	p.openRequests.Add(1)
-	p.bal.Request(now, balancer.Request{
+	p.balancer.Request(now, balancer.Request{
 		ID: x.id, Class: x.Class, Tenant: x.Tenant, Duplicate: x.Duplicate,
 		Remaining: max(0, e.clock.at(e.beforeShutdown(x.Deadline))-now),
 	})
@@ -30,7 +30,7 @@
 		panic("engine: attempt of an unknown request or host")
 	}
 	n := len(x.attempts)
-	if x.attemptsSent > 0 && !p.mayRetry(now, x) {
+	if x.attemptsSent > 0 && !p.takeRetry(now, x) {
 		x.attempts = append(x.attempts, func() {})
 		p.denied = append(p.denied, balancer.Outcome{Request: x.id, Attempt: n, Result: balancer.NotSent, Closed: x.Finished()})
 		return
@@ -82,7 +82,7 @@
 	// Read once: whoever finishes the request between this event and its release reports that by an event of its
 	// own, and until then the balancer may send another attempt.
 	closed := x.Finished()
-	p.bal.AttemptEnded(now, balancer.Outcome{
+	p.balancer.AttemptEnded(now, balancer.Outcome{
 		Request: x.id, Attempt: n, Result: outcome,
 		Elapsed: elapsed, Closed: closed,
 	})
--- a/internal/engine/do.go
+++ b/internal/engine/do.go
@@ -94,7 +94,7 @@
 	}
 	x.streaming = true
 	p := x.pool
-	p.bal.AttemptEnded(now, balancer.Outcome{Request: x.id, Attempt: len(x.attempts) - 1, Result: balancer.Canceled, Closed: true})
+	p.balancer.AttemptEnded(now, balancer.Outcome{Request: x.id, Attempt: len(x.attempts) - 1, Result: balancer.Canceled, Closed: true})
 	p.perform(now)
 }
 
@@ -105,7 +105,7 @@
 		if x.streaming {
 			x.attempts[len(x.attempts)-1]()
 		} else {
-			p.bal.ClientGone(now, x.id)
+			p.balancer.ClientGone(now, x.id)
 		}
 		e.release(x)
 		p.perform(now)
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -36,7 +36,7 @@
 
 func (p *Pool) updateEndpoints(now balancer.Time, kind balancer.ListKind, list discovery.MemberList) {
 	if kind == balancer.ListFailed {
-		p.bal.UpdateEndpoints(now, kind, nil)
+		p.balancer.UpdateEndpoints(now, kind, nil)
 		return
 	}
 	listed := map[balancer.HostID]bool{}
@@ -61,7 +61,7 @@
 			}
 		}
 	}
-	p.bal.UpdateEndpoints(now, kind, entries)
+	p.balancer.UpdateEndpoints(now, kind, entries)
 	for _, id := range removed {
 		delete(p.hosts, id) // attempts in flight keep it
 	}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -110,7 +110,7 @@
 	for n := len(e.timers); n > 0 && len(e.timers) > 0 && e.timers[0].at <= now; n-- {
 		t := heap.Pop(&e.timers).(timer)
 		if !t.pool.ended {
-			t.pool.bal.Timer(now, t.token)
+			t.pool.balancer.Timer(now, t.token)
 			t.pool.perform(now)
 		}
 	}
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -634,7 +634,7 @@
 		ctx, leave := context.WithCancel(context.Background())
 		x := &Request{Method: "GET", Target: "/", Route: plan.routes[0], Class: look, Deadline: time.Now().Add(time.Second)}
 		p.do(func(balancer.Time) {
-			p.bal = leavingAfter{p.bal, func() {
+			p.balancer = leavingAfter{p.balancer, func() {
 				leave()
 				for !x.Finished() {
 					runtime.Gosched() // it is finished by a goroutine of its own
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -35,9 +35,13 @@
 	openRequests atomic.Int64 // until they are finished and no attempt is in flight
 
 	// The following belongs to the loop.
-	core        *balancer.Balancer
-	bal         flightrecorder.Balancer // core, or the recorder in front of it
-	record      *recording              // nil: nothing is recorded
+	// balancer gets all events: a recording lacks those that do not pass through it, and a replay then differs.
+	// unrecorded is for reading alone. They are the same if nothing is recorded, and else balancer is the recorder
+	// in front of unrecorded.
+	balancer   flightrecorder.Balancer
+	unrecorded *balancer.Balancer
+
+	record      *recording // nil: nothing is recorded
 	actions     []balancer.Action
 	denied      []balancer.Outcome // attempts that a retry budget denied
 	failingOver []*Request
@@ -60,7 +64,7 @@
 
 // NewPool returns a pool that is in no Snapshot yet. The caller starts its Transport's Run.
 func (e *Engine) NewPool(cfg PoolConfig) (*Pool, error) {
-	core, err := balancer.New(cfg.Settings, cfg.Seed)
+	unrecorded, err := balancer.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
@@ -68,7 +72,7 @@
 		cfg.Poll = func() {}
 	}
 	p := &Pool{
-		Name: cfg.Name, engine: e, cfg: cfg, core: core, bal: core,
+		Name: cfg.Name, engine: e, cfg: cfg, unrecorded: unrecorded, balancer: unrecorded,
 		hosts: map[balancer.HostID]*host{}, zones: newNameIndex(cfg.Zones), kinds: newNameIndex(cfg.Kinds),
 	}
 	if cfg.Recording != nil {
@@ -78,7 +82,7 @@
 	}
 	e.post(func(now balancer.Time) {
 		e.pools[p] = struct{}{}
-		p.bal.Start(now)
+		p.balancer.Start(now)
 		p.perform(now)
 	})
 	return p, nil
@@ -107,10 +111,10 @@
 // EjectedHosts returns the names of hosts that are ejected and have not answered since, limit at most.
 func (p *Pool) EjectedHosts(limit int) (names []string) {
 	p.do(func(balancer.Time) {
-		if usable, ready := p.core.Usable(); usable == ready {
+		if usable, ready := p.unrecorded.Usable(); usable == ready {
 			return
 		}
-		for _, v := range p.core.Views(nil) {
+		for _, v := range p.unrecorded.Views(nil) {
 			if h := p.hosts[v.Host]; h != nil && h.ready && v.Ejections > 0 && len(names) < limit {
 				names = append(names, h.id)
 			}
@@ -134,7 +138,7 @@
 func (p *Pool) HealthCheckPassed(name string, within time.Duration) {
 	p.engine.post(func(now balancer.Time) {
 		if h := p.hosts[hostID(name)]; h != nil && h.id == name && !p.ended {
-			p.bal.HealthCheckPassed(now, hostID(name), within)
+			p.balancer.HealthCheckPassed(now, hostID(name), within)
 			p.perform(now)
 		}
 	})
@@ -155,7 +159,7 @@
 // perform carries out the balancer's actions. It is called after each event of the pool.
 func (p *Pool) perform(now balancer.Time) {
 	for again := true; again; {
-		p.actions = p.bal.TakeActions(p.actions[:0])
+		p.actions = p.balancer.TakeActions(p.actions[:0])
 		for i := range p.actions {
 			p.performOne(now, &p.actions[i])
 		}
@@ -163,7 +167,7 @@
 		// follows: in the end, the final response.
 		again = len(p.denied) > 0
 		for _, o := range p.denied {
-			p.bal.AttemptEnded(now, o)
+			p.balancer.AttemptEnded(now, o)
 		}
 		p.denied = p.denied[:0]
 	}
@@ -216,7 +220,7 @@
 
 // publishCapacity tells the failover chains how many hosts can be used, where that has changed.
 func (p *Pool) publishCapacity(now balancer.Time) {
-	usable, inSubset := p.core.Usable()
+	usable, inSubset := p.unrecorded.Usable()
 	if inSubset > 0 {
 		usable = usable * p.readyHosts / inSubset // the subset stands for all
 	} else {
--- a/internal/engine/recording.go
+++ b/internal/engine/recording.go
@@ -53,10 +53,10 @@
 		Settings: p.cfg.Settings, Classes: rc.Classes,
 	}
 	var err error
-	if r.rec, err = flightrecorder.New(p.core, start, uint64(clock.start.UnixNano()), opts); err != nil {
+	if r.rec, err = flightrecorder.New(p.unrecorded, start, uint64(clock.start.UnixNano()), opts); err != nil {
 		return err
 	}
-	p.bal, p.record = r.rec, r
+	p.balancer, p.record = r.rec, r
 	if r.file != nil {
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
--- a/internal/engine/retry.go
+++ b/internal/engine/retry.go
@@ -10,9 +10,14 @@
 //
 //   - balancer (Balancer.mayRetry): in one pool, by the class's idempotency, its deduplication window, the time left
 //     and Settings.MaxAttempts. It decides first.
-//   - mayRetry below: over all pools of the failover chain, by MaxAttempts and by whether the last attempt is better
-//     kept for the next pool.
-//   - route.Budget: over all requests of a route, by the share of retries among its attempts.
+//   - Pool.takeRetry below: over all pools of the failover chain, by MaxAttempts and by whether the last attempt is
+//     better kept for the next pool.
+//   - route.Budget, which takeRetry asks last: over all requests of a route, by the share of retries among its attempts.
+//
+// A retry that the second or the third denies ends as balancer.NotSent, and the balancer decides again.
+//
+// None of them is asked when package upstream (shouldResend) sends a request again within one attempt: an open
+// connection was closed by its host before the request had been written, so it never ran.
 //
 // failOver then decides whether a request that its pool rejects goes on to the next pool.
 
@@ -25,9 +30,9 @@
 	maxStreamedRetryAfter = 50 * time.Millisecond
 )
 
-// mayRetry reports whether a request may have a further attempt that the balancer wants, and counts it in the route's
-// retry budget.
-func (p *Pool) mayRetry(now balancer.Time, x *Request) bool {
+// takeRetry reports whether a request may have a further attempt that the balancer wants. If so it takes a retry from the
+// route's budget, so it is called once for each attempt.
+func (p *Pool) takeRetry(now balancer.Time, x *Request) bool {
 	if p.keepsLastAttempt(now, x) {
 		return false
 	}
--- a/internal/engine/retune.go
+++ b/internal/engine/retune.go
@@ -33,7 +33,7 @@
 	if p.record != nil {
 		p.record.rec.SetClassNames(names)
 	}
-	if err := p.bal.Retune(now, set, from); err != nil {
+	if err := p.balancer.Retune(now, set, from); err != nil {
 		return err
 	}
 	if p.record != nil {
--- a/internal/engine/shutdown.go
+++ b/internal/engine/shutdown.go
@@ -30,7 +30,7 @@
 	close(e.shutdown.begun)
 	e.post(func(now balancer.Time) {
 		for p := range e.pools {
-			p.bal.Shutdown(now, e.clock.at(by))
+			p.balancer.Shutdown(now, e.clock.at(by))
 			p.perform(now)
 		}
 	})
--- a/internal/frontend/admission.go
+++ b/internal/frontend/admission.go
@@ -55,7 +55,7 @@
 		return nil, NewRequestError(http.StatusServiceUnavailable, "starting")
 	}
 	t := &Ticket{admission: a, snapshot: snapshot}
-	if err := t.admitMessage(m, received); err != nil {
+	if err := t.prepare(m, received); err != nil {
 		t.releaseLimits()
 		snapshot.Release()
 		return nil, err
--- a/internal/frontend/admit.go
+++ b/internal/frontend/applylimits.go
@@ -17,9 +17,9 @@
 // addresses in it change at will (RFC 8981).
 const clientSubnetBits = 64
 
-// clientAddr returns the address that a request counts for: the connection's, or the last one that a trusted proxy
-// names.
-func clientAddr(m *Message) netip.Addr {
+// rateLimitAddr returns the address that a request counts for in the limits of clients: the last one that a trusted proxy
+// names in X-Forwarded-For, or else ClientAddress.Addr.
+func rateLimitAddr(m *Message) netip.Addr {
 	values := m.Header[headerForwardedFor]
 	if !m.Client.Trusted || len(values) == 0 {
 		return m.Client.Addr
@@ -43,16 +43,16 @@
 	return maphash.Comparable(clientKeySeed, addr.Unmap())
 }
 
-// admit applies the limits to a request whose route, class and Duplicate are set. Its error is a *RejectedError.
+// applyLimits applies the limits to a request whose route, class and Duplicate are set. Its error is a *RejectedError.
 // Without an error the request counts until releaseLimits.
-func (t *Ticket) admit(m *Message) error {
+func (t *Ticket) applyLimits(m *Message) error {
 	limits := t.admission.Limits
 	if limits == nil {
 		return nil
 	}
 	knownClient := m.Client.Addr.IsValid()
 	if knownClient {
-		t.clientKey = clientKeyOf(clientAddr(m))
+		t.clientKey = clientKeyOf(rateLimitAddr(m))
 	}
 	exempt := t.exemptFromRetryAfter()
 	tooEarly := false
@@ -64,7 +64,7 @@
 		}
 		t.clientCounted = true
 	}
-	if t.shedLoad(tooEarly) {
+	if t.overloaded(tooEarly) {
 		return t.reject(RejectedByOverload, tooEarly && !m.Client.Trusted)
 	}
 	if !t.beginTenant() {
@@ -96,9 +96,9 @@
 	return ranks != nil && ranks[t.Class] == slices.Max(ranks)
 }
 
-// shedLoad reports whether a request is rejected because the gateway is overloaded. One that was sent before its
-// Retry-After has the rank of a duplicate.
-func (t *Ticket) shedLoad(tooEarly bool) bool {
+// overloaded reports whether a request is rejected because the gateway is overloaded, which is drawn at random for the
+// rank at which load is shed in part. A request that was sent before its Retry-After has the rank of a duplicate.
+func (t *Ticket) overloaded(tooEarly bool) bool {
 	overload := t.admission.Limits.Overload
 	if overload == nil || t.Route.FirstRanks == nil {
 		return false
@@ -142,7 +142,7 @@
 	return &RejectedError{Reason: reason, RetryAfter: after, TooEarly: tooEarly}
 }
 
-// releaseLimits ends what admit counts.
+// releaseLimits ends what applyLimits counts.
 func (t *Ticket) releaseLimits() {
 	t.releaseClient()
 	if t.tenantCounted {
--- a/internal/frontend/fastcgi/conn.go
+++ b/internal/frontend/fastcgi/conn.go
@@ -130,7 +130,7 @@
 		}
 	})
 	idle := noRequests && incomplete == 0
-	mayClose := quiet > idleTimeout || c.server.draining()
+	mayClose := quiet > idleTimeout || c.server.endsAfterResponse()
 	if idle && mayClose {
 		c.nc.Close()
 		return false
--- a/internal/frontend/fastcgi/response.go
+++ b/internal/frontend/fastcgi/response.go
@@ -211,7 +211,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.requests, r.id)
-	if !r.keepConn || c.server.draining() {
+	if !r.keepConn || c.server.endsAfterResponse() {
 		c.closing = true
 	}
 	return len(c.requests) == 0, c.closing
--- a/internal/frontend/fastcgi/server.go
+++ b/internal/frontend/fastcgi/server.go
@@ -43,8 +43,8 @@
 	mu    sync.Mutex // guards conns
 	conns map[*conn]struct{}
 
-	lastRequests atomic.Bool // connections end with their responses because of Shutdown
-	closed       atomic.Bool
+	shutdownEndsConns atomic.Bool // connections end with their responses because of Shutdown
+	closed            atomic.Bool
 }
 
 // New returns a Server that brings its requests through admission.
@@ -147,14 +147,14 @@
 	start := time.Now()
 	time.Sleep(backlogGrace)
 	s.listeners.CloseAll()
-	s.lastRequests.Store(true)
+	s.shutdownEndsConns.Store(true)
 	for time.Since(start) < shutdownTimeout && len(s.open()) > 0 {
 		time.Sleep(shutdownPollInterval)
 	}
 	s.Close()
 }
 
-// draining reports whether connections end with their responses.
-func (s *Server) draining() bool {
-	return s.lastRequests.Load() || s.admission.DrainEndsConnections()
+// endsAfterResponse reports whether connections end with their responses.
+func (s *Server) endsAfterResponse() bool {
+	return s.shutdownEndsConns.Load() || s.admission.DrainEndsConnections()
 }
--- a/internal/frontend/forward.go
+++ b/internal/frontend/forward.go
@@ -17,9 +17,12 @@
 
 // ClientAddress is where a request came from.
 type ClientAddress struct {
-	Addr    netip.Addr // of the connection, or of the client that a trusted proxy names
-	Trusted bool       // a trusted proxy: its headers about its own client are forwarded
-	Proto   string     // "http" or "https"
+	// Addr is the address of the connection's peer or, if that is a trusted proxy, the one that it names in a PROXY
+	// header (package http1) or in REMOTE_ADDR (package fastcgi). X-Forwarded-For is not considered here but in
+	// rateLimitAddr.
+	Addr    netip.Addr
+	Trusted bool   // a trusted proxy: its headers about its own client are forwarded
+	Proto   string // "http" or "https"
 }
 
 // SetForwardedHeaders adds the client's address to the headers that tell a host about it. Values of these headers
--- a/internal/frontend/http1/conn.go
+++ b/internal/frontend/http1/conn.go
@@ -51,7 +51,7 @@
 	idleDeadline  time.Time // the read deadline, if it is that of a wait for a request; else zero
 	writeDeadline body.LazyDeadline
 
-	lastRequest        bool        // the connection was to be closed when this request had arrived
+	servesLast         bool        // the table had woken the connection to be closed, but a request had arrived: it is the last
 	delayedSince       time.Time   // since when the next request may have been left unread; zero: it has just arrived
 	responseUntilClose atomic.Bool // the streamed response ends with the connection; read by any goroutine
 
--- a/internal/frontend/http1/conntable.go
+++ b/internal/frontend/http1/conntable.go
@@ -47,11 +47,11 @@
 type connState int
 
 const (
-	connWaiting  connState = iota // for a request, or lingering
-	connActive                    // has a request, or a part of one
-	connDraining                  // its goroutine has been woken to close it
-	connEvicted                   // its goroutine has been woken to close it at once, to make room
-	connClosed                    // is closed, or a tunnel, and counts no more
+	connWaiting connState = iota // for a request, or lingering
+	connActive                   // has a request, or a part of one
+	connClosing                  // its goroutine has been woken to close it
+	connEvicted                  // its goroutine has been woken to close it at once, to make room
+	connClosed                   // is closed, or a tunnel, and counts no more
 )
 
 // deadlinePassed is a deadline that wakes a goroutine that reads.
@@ -104,9 +104,9 @@
 		t.evicting--
 		t.open++
 		t.evicted.Broadcast()
-		c.lastRequest = true
-	case connDraining:
-		c.lastRequest = true
+		c.servesLast = true
+	case connClosing:
+		c.servesLast = true
 	}
 	c.state = connActive
 	t.enqueue(c, nil)
@@ -224,7 +224,7 @@
 		for c := from.next(); c != nil; c = from.next() {
 			t.enqueue(c, nil)
 			if c.state == connWaiting {
-				c.state = connDraining
+				c.state = connClosing
 				c.SetReadDeadline(deadlinePassed)
 			}
 		}
--- a/internal/frontend/http1/serve.go
+++ b/internal/frontend/http1/serve.go
@@ -25,7 +25,7 @@
 // serve answers the request whose header section has been read, and reports whether the connection stays open. The
 // response is due by when the request was received.
 func (s *Server) serve(c *clientConn, received time.Time) (keepAlive bool) {
-	if c.lastRequest || s.draining() {
+	if c.servesLast || s.endsAfterResponse() {
 		c.closeAfter = true
 	} else if !s.shuttingDown.Load() && s.conns.crowded() {
 		c.closeAfter = true
@@ -33,9 +33,9 @@
 	if c.request.Method == http.MethodGet && isHealthCheck(c.request.Target) {
 		return s.writeHealth(c) == nil
 	}
-	t, err := s.admit(c, received)
+	t, err := s.admitAndReadBody(c, received)
 	if err != nil {
-		return s.reject(c, err)
+		return s.answerError(c, err)
 	}
 	defer t.End()
 	if t.Route.Streams != nil {
@@ -46,7 +46,7 @@
 		return false
 	}
 	defer resp.Release()
-	if s.draining() { // since the request was read
+	if s.endsAfterResponse() { // since the request was read
 		c.closeAfter = true
 	}
 	return c.writeBuffered(t, &resp) == nil
@@ -68,9 +68,9 @@
 	return c.writeResponse(status, plainTextHeader, int64(len(text)), []byte(text))
 }
 
-// admit admits the request whose header section has been read, and reads its body, or the part of it that is buffered.
+// admitAndReadBody admits the request whose header section has been read, and reads its body, or the part of it that is buffered.
 // Without an error the caller ends the ticket.
-func (s *Server) admit(c *clientConn, received time.Time) (*frontend.Ticket, error) {
+func (s *Server) admitAndReadBody(c *clientConn, received time.Time) (*frontend.Ticket, error) {
 	r := &c.request
 	t, err := s.admission.Admit(&frontend.Message{
 		Method:     r.Method,
@@ -131,9 +131,9 @@
 	return nil
 }
 
-// reject answers a request that is not forwarded, and reports whether the connection stays open: it does after a
-// RejectedError, as a new connection would cost more than this response.
-func (s *Server) reject(c *clientConn, err error) (keepAlive bool) {
+// answerError answers a request that is not forwarded, because it is invalid or was rejected, and reports whether the
+// connection stays open: it does after a RejectedError, as a new connection would cost more than this response.
+func (s *Server) answerError(c *clientConn, err error) (keepAlive bool) {
 	var rejected *frontend.RejectedError
 	if !errors.As(err, &rejected) || !c.canSkipBody() {
 		s.failAndClose(c, err)
--- a/internal/frontend/http1/server.go
+++ b/internal/frontend/http1/server.go
@@ -58,9 +58,9 @@
 	watcher *disconnectWatcher // nil before the first Serve
 	closed  bool
 
-	shuttingDown atomic.Bool   // Shutdown has been called
-	lastRequests atomic.Bool   // connections end with their responses because of Shutdown
-	endTunnels   chan struct{} // closed when tunnels, and delays of rejected clients, have to end
+	shuttingDown      atomic.Bool   // Shutdown has been called
+	shutdownEndsConns atomic.Bool   // connections end with their responses because of Shutdown
+	endTunnels        chan struct{} // closed when tunnels, and delays of rejected clients, have to end
 }
 
 // New returns a Server that brings its requests through admission.
@@ -146,9 +146,9 @@
 	s.conns.awaitEvictions()
 }
 
-// draining reports whether connections end with their responses.
-func (s *Server) draining() bool {
-	return s.lastRequests.Load() || s.admission.DrainEndsConnections()
+// endsAfterResponse reports whether connections end with their responses.
+func (s *Server) endsAfterResponse() bool {
+	return s.shutdownEndsConns.Load() || s.admission.DrainEndsConnections()
 }
 
 // CloseListener closes a listener. Its connections are served on.
--- a/internal/frontend/http1/shutdown.go
+++ b/internal/frontend/http1/shutdown.go
@@ -45,13 +45,13 @@
 	s.admission.Stop(responsesDue)
 	s.shuttingDown.Store(true)
 	if s.sharedListeners {
-		s.lastRequests.Store(true)
+		s.shutdownEndsConns.Store(true)
 	} else {
 		time.Sleep(backlogGrace)
 	}
 	s.closeListeners()
 	waitWhile(s.conns.inUse, responsesDue.Add(-lastRequestsTime))
-	s.lastRequests.Store(true)
+	s.shutdownEndsConns.Store(true)
 	if s.sharedListeners {
 		s.conns.closeWaiting()
 	}
--- a/internal/frontend/http1/streaming.go
+++ b/internal/frontend/http1/streaming.go
@@ -56,7 +56,7 @@
 	requestStream := t.Body.Stream()
 	uploading := requestStream != nil && requestStream.Err() != io.EOF
 	longResponse := s.shuttingDown.Load() && !resp.Body.Buffered()
-	if uploading || longResponse || s.draining() {
+	if uploading || longResponse || s.endsAfterResponse() {
 		c.closeAfter = true
 	}
 	if resp.Tunnel != nil {
--- a/internal/frontend/plain.go
+++ b/internal/frontend/plain.go
@@ -10,10 +10,10 @@
 	"dunemoor/balancer"
 )
 
-// admitPlain applies the limits to a request on a plain route, which needs none of the platform's headers: its class
-// and timeout are the route's, and it gets an id if it has none. An id of the client's own is forwarded, and need not
-// be unique.
-func (t *Ticket) admitPlain(m *Message) error {
+// preparePlain is prepare for a request on a plain route, which needs none of the platform's headers: its class and
+// timeout are the route's, and it gets an id if it has none. An id of the client's own is forwarded, and need not be
+// unique.
+func (t *Ticket) preparePlain(m *Message) error {
 	limit := t.admission.MaxHeaders
 	if limit > 0 && countFields(m.Header) > limit {
 		return NewRequestError(http.StatusRequestHeaderFieldsTooLarge, "more than %d headers", limit)
@@ -26,7 +26,7 @@
 	if retried := m.Header[headerRetried]; len(retried) == 1 && retried[0] == "1" {
 		t.Duplicate = true
 	}
-	if err := t.admit(m); err != nil {
+	if err := t.applyLimits(m); err != nil {
 		return err
 	}
 	t.timeout = t.plainTimeout(m.Header[headerTimeout])
--- a/internal/frontend/platform.go
+++ b/internal/frontend/platform.go
@@ -44,8 +44,8 @@
 	return h, nil
 }
 
-// admitPlatform checks a request in the platform's protocol and applies the limits. Without an error its id is open.
-func (t *Ticket) admitPlatform(m *Message, received time.Time) error {
+// preparePlatform is prepare for a request in the platform's protocol. It checks its headers and applies the limits. Without an error its id is open.
+func (t *Ticket) preparePlatform(m *Message, received time.Time) error {
 	if m.HTTP10 {
 		return NewRequestError(http.StatusBadRequest, "requests come in HTTP/1.1")
 	}
@@ -63,7 +63,7 @@
 		return err
 	}
 	t.Duplicate = h.retried == "1"
-	if err := t.admit(m); err != nil {
+	if err := t.applyLimits(m); err != nil {
 		return err
 	}
 	// Hosts get a timeout of their own.
--- a/internal/frontend/ticket.go
+++ b/internal/frontend/ticket.go
@@ -38,8 +38,9 @@
 	page          []byte
 }
 
-// admitMessage checks a request, finds its route and applies the limits.
-func (t *Ticket) admitMessage(m *Message, received time.Time) error {
+// prepare checks a request, finds its route and applies the limits. It sets what the engine needs of the request, other
+// than its body and deadline.
+func (t *Ticket) prepare(m *Message, received time.Time) error {
 	t.Method = m.Method
 	t.Target = originForm(m.Target)
 	t.Host = m.Host
@@ -51,9 +52,9 @@
 		return err
 	}
 	if t.Route.Plain != nil {
-		return t.admitPlain(m)
+		return t.preparePlain(m)
 	}
-	return t.admitPlatform(m, received)
+	return t.preparePlatform(m, received)
 }
 
 // findRoute sets the route of a request, and what its split goes by.
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -42,16 +42,16 @@
 			return engine.Ended(acquireOutcome(err))
 		}
 		result := c.RoundTrip(ctx, x)
-		if !shouldRetry(ctx, x, result, reused) {
+		if !shouldResend(ctx, x, result, reused) {
 			return result
 		}
 	}
 }
 
-// shouldRetry reports whether an attempt goes on with another connection: a reused one was closed by its host
+// shouldResend reports whether an attempt goes on with another connection: a reused one was closed by its host
 // before the last byte of the request was written. That is proof that the request never ran, and says nothing
 // about the host. Each retry uses up an open connection, so that there are not many.
-func shouldRetry(ctx context.Context, x *engine.Request, result engine.Result, reused bool) bool {
+func shouldResend(ctx context.Context, x *engine.Request, result engine.Result, reused bool) bool {
 	if !reused || ctx.Err() != nil {
 		return false
 	}
