--- a/internal/frontend/http1/response.go
+++ b/internal/frontend/http1/response.go
@@ -142,7 +142,7 @@
 	return err
 }
 
-// appendLastChunk appends the end of a body in chunks, with its trailer section.
+// appendLastChunk appends the end of a body in chunks, with its trailer section, whose fields are in any order.
 func appendLastChunk(b []byte, trailer http.Header) []byte {
 	b = append(b, "0\r\n"...)
 	b = httpwire.AppendHeader(b, trailer)
--- a/internal/frontend/http1/streaming.go
+++ b/internal/frontend/http1/streaming.go
@@ -5,12 +5,12 @@
 	"io"
 	"net"
 	"net/http"
-	"strconv"
 	"time"
 
 	"dunemoor/internal/body"
 	"dunemoor/internal/engine"
 	"dunemoor/internal/frontend"
+	"dunemoor/internal/httpwire"
 )
 
 const (
@@ -18,8 +18,6 @@
 	// response. There is no limit of bytes, as what it has sent may fill all buffers on the way.
 	uploadLingerTimeout = 2 * time.Second
 	noByteLimit         = 1<<63 - 1
-	// chunkSizeRoom is the room that is left before content in a buffer, for the chunk's size, in bytes.
-	chunkSizeRoom = 8
 )
 
 // serveStreaming answers a request on a route that streams, and reports whether the connection stays open.
@@ -148,7 +146,7 @@
 	start := w.c.appendResponseHeader(make([]byte, 0, bufferSize), time.Now(), resp.Status, header, length)
 	parts := net.Buffers{start, buffered}
 	if w.chunked && len(buffered) > 0 {
-		parts[0] = appendChunkSize(start, len(buffered))
+		parts[0] = httpwire.AppendChunkSize(start, len(buffered))
 		parts = append(parts, crlf)
 	}
 	w.deadline.Reset(time.Now(), w.meter.Timeout())
@@ -159,7 +157,7 @@
 // copy copies a stream through buf, with the end of the body after its last byte.
 func (w *streamWriter) copy(ctx context.Context, stream *body.Stream, buf []byte) error {
 	for {
-		n, err := stream.Read(buf[chunkSizeRoom : len(buf)-len(crlf)])
+		n, err := stream.Read(buf[httpwire.ChunkPrefixBytes : len(buf)-httpwire.ChunkSuffixBytes])
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
@@ -177,11 +175,11 @@
 	}
 }
 
-// writeContent writes n bytes of content that are in buf from chunkSizeRoom on.
+// writeContent writes n bytes of content that are in buf from httpwire.ChunkPrefixBytes on.
 func (w *streamWriter) writeContent(buf []byte, n int) error {
-	out := buf[chunkSizeRoom : chunkSizeRoom+n]
+	out := buf[httpwire.ChunkPrefixBytes:][:n]
 	if w.chunked {
-		out = frameChunk(buf, n)
+		out = httpwire.FrameChunk(buf, n)
 	}
 	start := time.Now()
 	w.deadline.Reset(start, w.meter.Timeout())
@@ -200,20 +198,3 @@
 	_, err := w.c.TCPConn.Write(appendLastChunk(nil, frontend.ForwardedTrailer(stream.Trailer())))
 	return err
 }
-
-// appendChunkSize appends the line that starts a chunk of n bytes.
-func appendChunkSize(b []byte, n int) []byte {
-	b = strconv.AppendInt(b, int64(n), 16)
-	return append(b, crlf...)
-}
-
-// frameChunk makes a chunk, in place, of n bytes of content that are in buf from chunkSizeRoom on.
-func frameChunk(buf []byte, n int) []byte {
-	var room [chunkSizeRoom]byte
-	size := appendChunkSize(room[:0], n)
-	start := chunkSizeRoom - len(size)
-	end := chunkSizeRoom + n
-	copy(buf[start:], size)
-	copy(buf[end:], crlf)
-	return buf[start : end+len(crlf)]
-}
--- a/internal/upstream/http1/request.go
+++ b/internal/upstream/http1/request.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"dunemoor/internal/engine"
+	"dunemoor/internal/httpwire"
 	"dunemoor/internal/upstream"
 )
 
@@ -89,8 +90,7 @@
 	}
 	b = append(b, "\r\n\r\n"...)
 	if buffered := x.Body.Bytes(); isChunked && len(buffered) > 0 {
-		b = strconv.AppendInt(b, int64(len(buffered)), 16)
-		b = append(b, "\r\n"...)
+		b = httpwire.AppendChunkSize(b, len(buffered))
 	}
 	buf.Write(b)
 	return buf.Bytes()
--- a/internal/upstream/http1/upload.go
+++ b/internal/upstream/http1/upload.go
@@ -5,23 +5,19 @@
 	"io"
 	"net/http"
 	"os"
-	"strconv"
 	"strings"
 	"sync"
 	"time"
 
 	"dunemoor/internal/body"
 	"dunemoor/internal/engine"
+	"dunemoor/internal/httpwire"
 	"dunemoor/internal/upstream"
 )
 
-const (
-	// maxContinueWait is how long an upload waits for the host's 100 response. Some servers never send one (RFC
-	// 9110, 10.1.1: a client must not wait indefinitely).
-	maxContinueWait = time.Second
-	// chunkPrefixBytes is left free in a buffer before the content, for the size line of the chunk.
-	chunkPrefixBytes = 8
-)
+// maxContinueWait is how long an upload waits for the host's 100 response. Some servers never send one (RFC 9110, 10.1.1:
+// a client must not wait indefinitely).
+const maxContinueWait = time.Second
 
 // errNoMemory reports that there is no memory for the buffer of an upload.
 var errNoMemory = errors.New("http1: no memory for a streamed body")
@@ -115,13 +111,13 @@
 	meter := body.Meter{Pace: upstream.Streams(u.request, &defaultStreams).Pace}
 	deadline := body.LazyDeadline{SetDeadline: u.conn.SetWriteDeadline}
 	isChunked := u.request.Body.Len() < 0
-	content := buf[chunkPrefixBytes : len(buf)-len(crlf)]
+	content := buf[httpwire.ChunkPrefixBytes : len(buf)-httpwire.ChunkSuffixBytes]
 	for {
 		n, readErr := stream.Read(content)
 		if n > 0 {
 			part := content[:n]
 			if isChunked {
-				part = frameChunk(buf, n)
+				part = httpwire.FrameChunk(buf, n)
 			}
 			startedAt := time.Now()
 			deadline.Reset(startedAt, meter.Timeout())
@@ -159,18 +155,7 @@
 	return err
 }
 
-// frameChunk returns the part of buf that is the chunk of its n bytes of content, which begin at chunkPrefixBytes.
-func frameChunk(buf []byte, n int) []byte {
-	sizeLine := strconv.AppendInt(nil, int64(n), 16)
-	sizeLine = append(sizeLine, crlf...)
-	start := chunkPrefixBytes - len(sizeLine)
-	end := chunkPrefixBytes + n
-	copy(buf[start:], sizeLine)
-	copy(buf[end:], crlf)
-	return buf[start : end+len(crlf)]
-}
-
-// lastChunk returns the end of a chunked body, with its trailer section.
+// lastChunk returns the end of a chunked body, with its trailer section, whose fields are sorted by name.
 func lastChunk(trailer http.Header) []byte {
 	var b strings.Builder
 	b.WriteString("0\r\n")
