--- a/internal/engine/response.go
+++ b/internal/engine/response.go
@@ -74,8 +74,10 @@
 	HasResponse bool
 	Response    Response
 	Outcome     balancer.Result
-	// PartlySent reports that some bytes of the request were sent, but not the last. By the platform's protocol
-	// that proves that nothing ran; of plain HTTP it proves nothing.
+	// PartlySent reports that some bytes of the request were sent, but not the last. It comes with the Outcome
+	// balancer.ConnectFailed, although a connection was established: by the platform's protocol a host that lacks
+	// the last byte has run nothing, as if there had been no connection. On a plain route it may have:
+	// Pool.attemptEnded makes the Outcome balancer.Reset there, and upstream.Attempt does not send the request again.
 	PartlySent bool
 }
 
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -24,7 +24,7 @@
 // requests. The error is ErrTooManyConns or one of the dialer.
 type AcquireFunc func(ctx context.Context) (c Conn, reused bool, err error)
 
-// ErrTooManyConns is returned for a connection beyond the limit of a transport or host.
+// ErrTooManyConns is the error of AcquireFunc for a connection beyond the limit of a transport or host.
 var ErrTooManyConns = errors.New("upstream: too many connections to hosts")
 
 // Attempt makes an attempt: the request is written completely at most once. ctx ends when the attempt is to be
@@ -48,9 +48,10 @@
 	}
 }
 
-// shouldResend reports whether an attempt goes on with another connection: a reused one was closed by its host
+// shouldResend reports whether an attempt goes on with another connection. It is no retry: the balancer is not notified,
+// and neither MaxAttempts nor the route's retry budget counts it (engine/retry.go). The condition: a reused one was closed by its host
 // before the last byte of the request was written. That is proof that the request never ran, and says nothing
-// about the host. Each retry uses up an open connection, so that there are not many.
+// about the host. Each time uses up an open connection, so that there are not many.
 func shouldResend(ctx context.Context, x *engine.Request, result engine.Result, reused bool) bool {
 	if !reused || ctx.Err() != nil {
 		return false
@@ -61,7 +62,7 @@
 }
 
 // acquireOutcome returns the outcome of an attempt that got no connection. Both outcomes are proof that the
-// request never ran, as nothing was written.
+// request never ran, as nothing was written. The error itself is neither logged nor counted.
 func acquireOutcome(err error) balancer.Result {
 	isLocalShortage := errors.Is(err, ErrTooManyConns) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 	if isLocalShortage {
@@ -71,7 +72,9 @@
 }
 
 // OutcomeUnsent returns the outcome of an attempt that was given up, when ctx ended, before the last byte of the
-// request was written. NotSent is proof that the request never ran, as the host does not have all of it.
+// request was written. NotSent is proof that the request never ran, as the host does not have all of it. Canceled is
+// not taken for proof, though the same holds here: an attempt that was canceled, by a Cancel action or because its client
+// has left, has this outcome however much of it was written.
 func OutcomeUnsent(ctx context.Context) balancer.Result {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return balancer.Canceled
--- a/internal/upstream/fastcgi/call.go
+++ b/internal/upstream/fastcgi/call.go
@@ -17,7 +17,7 @@
 	abortTimeout = 5 * time.Second
 )
 
-// call is a request on a connection.
+// call is a request on a connection. The table at conn has the ways in which it ends.
 type call struct {
 	id     uint16
 	stdout *body.Pipe
@@ -50,7 +50,8 @@
 	c.Release()
 }
 
-// finishCall gives up a request. One that has not ended is abandoned, unless its response is complete.
+// finishCall gives up a request, of which records may have been written. One that has not ended is abandoned, unless its
+// response is complete.
 func (c *conn) finishCall(k *call, complete bool) {
 	select {
 	case <-k.ended:
--- a/internal/upstream/fastcgi/conn.go
+++ b/internal/upstream/fastcgi/conn.go
@@ -32,10 +32,25 @@
 
 // conn is a connection to a responder. A goroutine reads it from its start to its end, also while it is idle, so
 // that its end is seen at once.
+//
+// A request on it is a call. These methods end a call, or the use of a connection:
+//
+//	method           called when                                     written to the responder             the connection
+//	Release          a request has given up its capacity             nothing                              is closed if it carries no other call and is not to be kept
+//	forgetCall       nothing of the call was written                 nothing                              as by Release
+//	finishCall       the call has ended, or its response is not      as by abandon, unless it has ended   as by abandon, and then as by Release
+//	                 wanted any more                                 or its response is complete
+//	abandon          a call that has not ended is canceled           as by abort, if it carries others    is closed if it carries no other call
+//	abort            by abandon, in a goroutine of its own           ABORT_REQUEST                        as by drain if the call does not end within abortTimeout
+//	drain            it is stale, idle or out of step                nothing                              carries no further call, and is closed once it carries none
+//	connectionEnded  readLoop has met its end                        nothing                              is closed, and all of its calls end
+//
+// A call gives up its capacity once: by forgetCall or by finishCall. If there was no call yet, as for a connection that is
+// acquired and not used, its holder calls Release.
 type conn struct {
 	net.Conn
 	host       *host
-	generation int // of the host, at the time of the dial
+	generation int // of the host, when it was dialed
 	client     *fastcgi.Client
 
 	// The following are guarded by Transport.mu.
@@ -65,7 +80,8 @@
 	return c.idleSince, c.inFlight == 0 && !c.draining
 }
 
-// capacity returns how many requests the connection may carry at once. Transport.mu is held.
+// capacity returns how many requests the connection may carry at once. FCGI_MAX_REQS, which an application means for all
+// of its connections together (fastcgi.Values), is taken as a limit for each. Transport.mu is held.
 func (c *conn) capacity() int {
 	values := c.host.values
 	if !values.Multiplexes || c.generation != c.host.generation {
--- a/internal/upstream/fastcgi/getconn.go
+++ b/internal/upstream/fastcgi/getconn.go
@@ -34,7 +34,7 @@
 		return nil, false, upstream.ErrTooManyConns
 	}
 	t.conns.CountOpened()
-	target := dialTarget{addr: h.addr, generation: h.generation}
+	target := dialTarget{process: h.process, generation: h.generation}
 	queryValues := !h.valuesQueried
 	h.valuesQueried = true
 	dialing := make(chan struct{})
@@ -82,18 +82,21 @@
 	return !hostIsFull && !t.closed
 }
 
+// unixPrefix begins the address of a responder on a Unix domain socket.
+const unixPrefix = "unix:"
+
 // dialTarget is where a dial leads.
 type dialTarget struct {
-	addr       string
-	generation int // of the host
+	process    upstream.Process
+	generation int // of the host, when it had this process
 }
 
 // network splits the address into the arguments of a dialer.
 func (d dialTarget) network() (network, addr string) {
-	if path, ok := strings.CutPrefix(d.addr, "unix:"); ok {
+	if path, ok := strings.CutPrefix(d.process.Addr, unixPrefix); ok {
 		return "unix", path
 	}
-	return "tcp", d.addr
+	return "tcp", d.process.Addr
 }
 
 // dial establishes a connection that has been counted as open, with capacity reserved for a request.
--- a/internal/upstream/fastcgi/response.go
+++ b/internal/upstream/fastcgi/response.go
@@ -18,8 +18,6 @@
 )
 
 const (
-	// maxBufferTime is how long a response is buffered in the hope that all of it arrives.
-	maxBufferTime = 25 * time.Millisecond
 	// usualHeaderBytes is enough for the header section of most responses.
 	usualHeaderBytes = 2 << 10
 	// minReadBytes is the shortest space that the body is read into.
@@ -91,14 +89,14 @@
 	return s
 }
 
-// bufferStart reads what arrives within maxBufferTime after start, or all of a body that is short by its length.
+// bufferStart reads what arrives within upstream.MaxBufferTime after start, or all of a body that is short by its length.
 // complete tells that this is the whole body.
 func (s *responseStream) bufferStart(ctx context.Context, start []byte) (buffered []byte, complete bool, err error) {
 	stopClosing := context.AfterFunc(ctx, s.call.stdout.CloseRead)
 	defer stopClosing()
 	buffered = start
 	s.readBytes = int64(len(start))
-	until := time.Now().Add(maxBufferTime)
+	until := time.Now().Add(upstream.MaxBufferTime)
 	isShort := s.hasNoBody || s.length >= 0 && s.length <= maxStdoutBytes
 	for len(buffered) < maxStdoutBytes {
 		wait := time.Until(until)
--- a/internal/upstream/fastcgi/result_test.go
+++ b/internal/upstream/fastcgi/result_test.go
@@ -124,9 +124,9 @@
 	leftClient := &goneClient{}
 	leftClient.left.Store(true)
 	for name, change := range map[string]func(h *host, x *engine.Request){
-		"host drains":      func(h *host, _ *engine.Request) { h.Update(h.addr, 0, false) },
+		"host drains":      func(h *host, _ *engine.Request) { h.Update(h.process.Addr, 0, false) },
 		"host moves":       func(h *host, _ *engine.Request) { h.Update("127.0.0.1:9", 0, true) },
-		"host restarts":    func(h *host, _ *engine.Request) { h.Update(h.addr, 7, true) },
+		"host restarts":    func(h *host, _ *engine.Request) { h.Update(h.process.Addr, 7, true) },
 		"request finishes": func(_ *host, x *engine.Request) { x.Close() },
 		"client leaves":    func(_ *host, x *engine.Request) { x.Client = leftClient },
 		"write time ends":  func(_ *host, x *engine.Request) { x.WriteBy = time.Now() },
--- a/internal/upstream/fastcgi/roundtrip.go
+++ b/internal/upstream/fastcgi/roundtrip.go
@@ -12,7 +12,8 @@
 	"dunemoor/internal/upstream"
 )
 
-// defaultStreams is for routes that do not say how bodies are streamed: responses are, at any pace.
+// defaultStreams is for requests whose route has no Streams, which are those of tests: responses are streamed, at any
+// pace. Package http1 has another.
 var defaultStreams = engine.Streams{HeadDeadlineOnly: true, Pace: body.Pace{IdleTimeout: maxStallAlone}}
 
 // RoundTrip sends a request and receives the header section of its response, with the part of the body that is
--- a/internal/upstream/fastcgi/transport.go
+++ b/internal/upstream/fastcgi/transport.go
@@ -19,18 +19,14 @@
 	"dunemoor/internal/upstream"
 )
 
-const (
-	// maxIdle is how long a connection without a request is kept. The end of one by its responder is always seen,
-	// as each connection is read all the time.
-	maxIdle = 30 * time.Second
-	// defaultBodyBudgetBytes is the memory of which a Transport without a BodyBudget uses a share for buffers.
-	defaultBodyBudgetBytes = 64 << 20
-)
+// maxIdle is how long a connection without a request is kept. The end of one by its responder is always seen, as each
+// connection is read all the time.
+const maxIdle = 30 * time.Second
 
 // Options configure a Transport.
 type Options struct {
 	MaxConns     int               // open connections to all hosts together
-	BodyBudget   *body.Budget      // of the buffers of streamed bodies; nil: one of its own
+	BodyBudget   *body.Budget      // of the buffers of streamed bodies; see upstream.BodyBudget
 	DocumentRoot string            // directory of the scripts, for SCRIPT_FILENAME; "": none is sent
 	Params       map[string]string // sent with each request; they replace others of the same name
 }
@@ -49,11 +45,8 @@
 
 // NewTransport returns a Transport.
 func NewTransport(o Options) *Transport {
-	if o.BodyBudget == nil {
-		o.BodyBudget = body.NewBudget(defaultBodyBudgetBytes)
-	}
 	return &Transport{
-		bodyBudget:   o.BodyBudget,
+		bodyBudget:   upstream.BodyBudget(o.BodyBudget),
 		documentRoot: o.DocumentRoot,
 		params:       o.Params,
 		dialer:       upstream.NewDialer(0),
@@ -100,9 +93,8 @@
 
 	// The following are guarded by Transport.mu.
 
-	addr          string
-	started       int64          // of its process, as the endpoint list says
-	generation    int            // of addr and started: connections of an earlier one are not used
+	process       upstream.Process
+	generation    int            // how often process has changed: connections of an earlier generation are not used
 	values        fastcgi.Values // of the responder; zero until it has sent them
 	valuesQueried bool           // in this generation
 	dialing       chan struct{}  // closed when the last dial has ended; nil: none is under way
@@ -114,9 +106,8 @@
 	h.usable.Store(usable)
 	t := h.transport
 	t.mu.Lock()
-	if h.addr != addr || h.started != started {
-		h.addr = addr
-		h.started = started
+	if current := (upstream.Process{Addr: addr, Started: started}); h.process != current {
+		h.process = current
 		h.generation++
 		h.values = fastcgi.Values{}
 		h.valuesQueried = false
--- a/internal/upstream/http1/conn.go
+++ b/internal/upstream/http1/conn.go
@@ -13,13 +13,14 @@
 
 	"dunemoor/balancer"
 	"dunemoor/internal/engine"
+	"dunemoor/internal/upstream"
 )
 
 // conn is a connection to a host. It belongs to one attempt or, while it is idle, to the Transport.
 type conn struct {
 	net.Conn
 	host    *host
-	process process // that it leads to
+	process upstream.Process // that it leads to
 
 	reused    bool      // it has carried a request
 	idleSince time.Time // of its last request; guarded by Transport.mu while the connection is in the pool
@@ -32,7 +33,7 @@
 	proto     string            // version of the last response
 }
 
-func newConn(netConn net.Conn, h *host, target process) *conn {
+func newConn(netConn net.Conn, h *host, target upstream.Process) *conn {
 	c := &conn{Conn: netConn, host: h, process: target}
 	c.headerMax = &io.LimitedReader{R: c, N: maxHeaderBytes}
 	c.in = bufio.NewReader(c.headerMax)
--- a/internal/upstream/http1/idle_test.go
+++ b/internal/upstream/http1/idle_test.go
@@ -180,9 +180,9 @@
 
 func TestIdleConnectionsEndWithProcess(t *testing.T) {
 	for name, change := range map[string]func(h *host){
-		"restarted": func(h *host) { h.Update(h.process.addr, 1, true) },
+		"restarted": func(h *host) { h.Update(h.process.Addr, 1, true) },
 		"moved":     func(h *host) { h.Update("127.0.0.1:1", 0, true) },
-		"draining":  func(h *host) { h.Update(h.process.addr, 0, false) },
+		"draining":  func(h *host) { h.Update(h.process.Addr, 0, false) },
 	} {
 		server := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 		h := newTestHost(newTestTransport(), server.Addr())
--- a/internal/upstream/http1/response.go
+++ b/internal/upstream/http1/response.go
@@ -32,7 +32,8 @@
 // errMalformedResponse reports bytes that are not a valid response.
 var errMalformedResponse = errors.New("http1: malformed response")
 
-// defaultStreams is for routes that do not say how bodies are streamed: responses are, at any pace.
+// defaultStreams is for requests whose route has no Streams, which are those of tests: responses are streamed, at any
+// pace. Package fastcgi has another.
 var defaultStreams = engine.Streams{HeadDeadlineOnly: true, Pace: body.Pace{IdleTimeout: maxHeaderTime}}
 
 // readResponse reads the header section of the final response, and its body if that is short. Otherwise stream is
--- a/internal/upstream/http1/responsebody.go
+++ b/internal/upstream/http1/responsebody.go
@@ -17,17 +17,27 @@
 	"dunemoor/internal/upstream"
 )
 
+// How much of a response body is buffered before any of it is passed on, and for how long that may take. A response whose
+// buffered part is malformed or incomplete fails its attempt, and the request can have another.
+//
+//	route      framing                               buffered                  within
+//	platform   Content-Length up to maxSmallBytes    all                       maxResponseGap a read
+//	plain      Content-Length up to maxSmallBytes    all                       the idle timeout of the route's Pace
+//	platform   Content-Length above maxSmallBytes    maxLargeBuffered at most  upstream.MaxBufferTime
+//	platform   chunked, or ended by the connection   maxSmallBytes at most     upstream.MaxBufferTime
+//	plain      any other                             nothing
+//
+// If the memory for large responses is used up, nothing is buffered of a body with a Content-Length above maxSmallBytes.
 const (
 	// maxSmallBytes is the longest body that is always buffered. Longer ones take memory that is accounted for.
 	maxSmallBytes = 64 << 10
-	// maxPlatformBytes is the longest response in the platform's protocol, twice what hosts send. A greater length
-	// is noise.
+	// maxPlatformBytes is the greatest Content-Length that is accepted in the platform's protocol, twice what hosts
+	// send. A greater one is taken for noise, and its response is malformed.
 	maxPlatformBytes = 64 << 20
-	// maxLargeBuffered and maxBufferTime limit how much of a response in the platform's protocol that is longer
-	// than maxSmallBytes is buffered before any of it is passed on. Most malformed responses show by then, and the
-	// request can have another attempt.
+	// maxLargeBuffered limits, with upstream.MaxBufferTime, how much of a response in the platform's protocol that is
+	// longer than maxSmallBytes is buffered before any of it is passed on. Most malformed responses show by then,
+	// and the request can have another attempt.
 	maxLargeBuffered = 512 << 10
-	maxBufferTime    = 25 * time.Millisecond
 	// maxChunkWait is how much of a chunk is waited for, if more has arrived than is buffered.
 	maxChunkWait = 16 << 10
 )
@@ -132,7 +142,7 @@
 	return nil
 }
 
-// bufferStart reads up to maxLargeBuffered bytes of a body with a length, within maxBufferTime. If memory is short
+// bufferStart reads up to maxLargeBuffered bytes of a body with a length, within upstream.MaxBufferTime. If memory is short
 // it reads none. It returns nil if that is the whole body.
 func (s *responseStream) bufferStart(response *engine.Response) (*responseStream, error) {
 	size := min(s.length, maxLargeBuffered)
@@ -143,7 +153,7 @@
 	free := func() { t.releaseLargeBytes(size) }
 	buffered := make([]byte, size)
 	s.conn.readGap = 0
-	s.conn.SetReadDeadline(time.Now().Add(maxBufferTime))
+	s.conn.SetReadDeadline(time.Now().Add(upstream.MaxBufferTime))
 	n, err := io.ReadFull(s.reader, buffered)
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 		free()
@@ -160,10 +170,10 @@
 }
 
 // bufferUnknownLength reads up to maxSmallBytes of a body without a length, as long as more of it arrives within
-// maxBufferTime. It returns nil if that is the whole body.
+// upstream.MaxBufferTime. It returns nil if that is the whole body.
 func (s *responseStream) bufferUnknownLength(response *engine.Response) (*responseStream, error) {
 	page := body.AllocPage(maxSmallBytes)
-	n, err := s.fillWithin(page, maxBufferTime)
+	n, err := s.fillWithin(page, upstream.MaxBufferTime)
 	atEnd := err == io.EOF
 	if atEnd {
 		err = nil
--- a/internal/upstream/http1/result_test.go
+++ b/internal/upstream/http1/result_test.go
@@ -296,9 +296,9 @@
 // The endpoint list may change, or the request end, during a dial: then nothing is sent.
 func TestRequestIsCheckedAgainAfterDial(t *testing.T) {
 	for name, change := range map[string]func(h *host, x *engine.Request){
-		"host drains":      func(h *host, _ *engine.Request) { h.Update(h.process.addr, 0, false) },
+		"host drains":      func(h *host, _ *engine.Request) { h.Update(h.process.Addr, 0, false) },
 		"host moves":       func(h *host, _ *engine.Request) { h.Update("127.0.0.1:9", 0, true) },
-		"host restarts":    func(h *host, _ *engine.Request) { h.Update(h.process.addr, 7, true) },
+		"host restarts":    func(h *host, _ *engine.Request) { h.Update(h.process.Addr, 7, true) },
 		"request finishes": func(_ *host, x *engine.Request) { x.Close() },
 		"client leaves":    func(_ *host, x *engine.Request) { x.Client = goneClient{} },
 		"write time ends":  func(_ *host, x *engine.Request) { x.WriteBy = time.Now() },
--- a/internal/upstream/http1/transport.go
+++ b/internal/upstream/http1/transport.go
@@ -19,7 +19,9 @@
 )
 
 const (
-	// DefaultHostIdleTimeout is shorter than the time for which common servers keep an idle connection.
+	// DefaultHostIdleTimeout suits servers that keep an idle connection for a minute or more by default, such as
+	// nginx (75 s). Others keep it for less, such as Apache httpd and Node.js (5 s): a connection to them is often
+	// found closed, which closeExpired and isQuiet then notice.
 	DefaultHostIdleTimeout = time.Minute
 	// maxIdleShare is the share of the hosts' idle timeout for which connections are kept. A host must not close
 	// a connection while a request is being written to it.
@@ -32,8 +34,6 @@
 	// milliseconds after the first, and would be taken for that of the next request.
 	restAfterResponse = 10 * time.Millisecond
 	unsolicitedMemory = time.Minute
-	// defaultBodyBudgetBytes is the memory of which a Transport without a BodyBudget uses a share for buffers.
-	defaultBodyBudgetBytes = 64 << 20
 )
 
 // Options configure a Transport. The zero value of a field other than MaxConns and MaxLargeBytes is its default.
@@ -42,7 +42,7 @@
 	MaxLargeBytes   int64         // memory that large responses may take together
 	HostIdleTimeout time.Duration // after which hosts close an idle connection; DefaultHostIdleTimeout
 	DialTimeout     time.Duration // for a connection to be established; at most, and by default, 100 ms
-	BodyBudget      *body.Budget  // of the buffers of streamed bodies; one of its own
+	BodyBudget      *body.Budget  // of the buffers of streamed bodies; see upstream.BodyBudget
 }
 
 // Transport makes attempts at the hosts of a pool and keeps the connections to them. In place of http.Transport, it
@@ -54,7 +54,9 @@
 	minSilence        time.Duration
 	restAfterResponse time.Duration
 
-	largeBytes    atomic.Int64 // memory that large responses take
+	// largeBytes is the memory that responses beyond maxSmallBytes take. It is not a part of bodyBudget, and no status
+	// or metric has it.
+	largeBytes    atomic.Int64
 	maxLargeBytes atomic.Int64
 
 	mu              sync.Mutex
@@ -65,13 +67,10 @@
 
 // NewTransport returns a Transport.
 func NewTransport(o Options) *Transport {
-	if o.BodyBudget == nil {
-		o.BodyBudget = body.NewBudget(defaultBodyBudgetBytes)
-	}
 	hostIdleTimeout := cmp.Or(o.HostIdleTimeout, DefaultHostIdleTimeout)
 	t := &Transport{
 		dialer:            upstream.NewDialer(o.DialTimeout),
-		bodyBudget:        o.BodyBudget,
+		bodyBudget:        upstream.BodyBudget(o.BodyBudget),
 		maxIdle:           time.Duration(maxIdleShare * float64(hostIdleTimeout)),
 		minSilence:        minSilence,
 		restAfterResponse: restAfterResponse,
@@ -107,19 +106,13 @@
 
 func (t *Transport) releaseLargeBytes(n int64) { t.largeBytes.Add(-n) }
 
-// process is the process that a connection leads to. No connection is used after its host has moved or restarted.
-type process struct {
-	addr    string
-	started int64 // as the endpoint list says
-}
-
 // host is the Endpoint of a host.
 type host struct {
 	transport *Transport
 	usable    atomic.Bool // it accepts new requests
 
-	process      process   // guarded by Transport.mu
-	lastResponse time.Time // when a response last arrived; guarded by Transport.mu
+	process      upstream.Process // guarded by Transport.mu
+	lastResponse time.Time        // when a response last arrived; guarded by Transport.mu
 }
 
 // Update applies what the endpoint list says about the host. Idle connections that lead to another process, or to
@@ -128,7 +121,7 @@
 	t := h.transport
 	t.mu.Lock()
 	h.usable.Store(usable)
-	current := process{addr, started}
+	current := upstream.Process{Addr: addr, Started: started}
 	isStale := !usable || h.process != current
 	h.process = current
 	t.mu.Unlock()
