--- a/internal/engine/route.go
+++ b/internal/engine/route.go
@@ -28,7 +28,8 @@
 	ForwardsFailures bool
 	// Plain is set for clients that send none of the platform's headers.
 	Plain *Plain
-	// Streams is how bodies flow that are not buffered whole; nil: all are.
+	// Streams is how bodies flow that are not buffered whole. The gateway sets it on all its routes. Nil: all bodies of
+	// requests are buffered whole, up to frontend.MaxBufferedBytes, as on the routes of tests.
 	Streams *Streams
 
 	rule    *route.Route     // nil: the only pool gets all requests
--- a/internal/frontend/errors.go
+++ b/internal/frontend/errors.go
@@ -21,7 +21,8 @@
 	return NewRequestError(http.StatusRequestEntityTooLarge, "the body is longer than %d bytes", limit)
 }
 
-// RequestError is the error of a request that is invalid or can't be accepted. The client gets its text.
+// RequestError is the error of a request that is invalid, or that can't be accepted for lack of a resource (503). The client
+// gets its text, and no counter has it.
 type RequestError struct {
 	StatusCode int // of the response
 	text       string
--- a/internal/frontend/fastcgi/server.go
+++ b/internal/frontend/fastcgi/server.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// backlogGrace is how long after SIGTERM connections are accepted, and shutdownTimeout when after it the last are
-	// closed: just before the process is killed.
-	backlogGrace    = 600 * time.Millisecond
+	// shutdownTimeout is when after SIGTERM the last connections are closed: 0.1 s before the process is killed if the
+	// longest deadline is 3 s or more. If it is shorter the kill comes sooner (killGrace of package http1), which this
+	// server does not know; all responses are due before it all the same, by Admission.Stop.
 	shutdownTimeout = 3600 * time.Millisecond
 	// shutdownPollInterval is how often Shutdown looks whether all connections are closed.
 	shutdownPollInterval = 10 * time.Millisecond
@@ -145,7 +145,7 @@
 // no other knows what that has read. The Admission says when responses are due.
 func (s *Server) Shutdown() {
 	start := time.Now()
-	time.Sleep(backlogGrace)
+	time.Sleep(frontend.BacklogGrace)
 	s.listeners.CloseAll()
 	s.shutdownEndsConns.Store(true)
 	for time.Since(start) < shutdownTimeout && len(s.open()) > 0 {
@@ -154,7 +154,7 @@
 	s.Close()
 }
 
-// endsAfterResponse reports whether connections end with their responses.
+// endsAfterResponse reports whether connections end with their responses, because of Shutdown or of a drain.
 func (s *Server) endsAfterResponse() bool {
 	return s.shutdownEndsConns.Load() || s.admission.DrainEndsConnections()
 }
--- a/internal/frontend/fastcgi/server_test.go
+++ b/internal/frontend/fastcgi/server_test.go
@@ -35,7 +35,7 @@
 		records = fastcgi.AppendStream(records, fastcgi.Params, 1, fastcgi.AppendPair(nil, "REQUEST_METHOD", "GET"))
 		records = fastcgi.AppendStreamEnd(records, fastcgi.Params, 1)
 		records = fastcgi.AppendStreamEnd(records, fastcgi.Stdin, 1)
-		time.Sleep(backlogGrace - shutdownPollInterval)
+		time.Sleep(frontend.BacklogGrace - shutdownPollInterval)
 		client.Write(records[:4]) // a part of a record's header
 		time.Sleep(checkInterval / 2)
 		if _, err := client.Write(records[4:]); err != nil {
--- a/internal/frontend/headers.go
+++ b/internal/frontend/headers.go
@@ -22,7 +22,9 @@
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
 }
 
-// headersNotInTrailers frame, route or authenticate a message, or say how to read its content (RFC 9110, 6.5.1).
+// headersNotInTrailers frame, route or authenticate a message, or say how to read its content (RFC 9110, 6.5.1). They and
+// the hopByHopHeaders are dropped from a trailer section before it is forwarded. A client's trailer section that has one of
+// the few that httpwire forbids (forbiddenInTrailer) is answered with 400 instead.
 var headersNotInTrailers = []string{
 	"Host", "Content-Type", "Content-Encoding", "Authorization", "Set-Cookie", "Content-Range",
 }
--- a/internal/frontend/http1/conntable.go
+++ b/internal/frontend/http1/conntable.go
@@ -4,6 +4,8 @@
 	"container/list"
 	"sync"
 	"time"
+
+	"dunemoor/internal/frontend"
 )
 
 const (
@@ -220,7 +222,7 @@
 
 // closeWaitingLocked is closeWaiting; mu is held.
 func (t *connTable) closeWaitingLocked() {
-	for _, from := range []candidates{{&t.silent, backlogGrace}, {&t.idle, 0}} {
+	for _, from := range []candidates{{&t.silent, frontend.BacklogGrace}, {&t.idle, 0}} {
 		for c := from.next(); c != nil; c = from.next() {
 			t.enqueue(c, nil)
 			if c.state == connWaiting {
@@ -259,20 +261,20 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if newest := t.silent.Back(); newest != nil {
-		if time.Since(newest.Value.(*clientConn).queuedAt) < backlogGrace {
+		if time.Since(newest.Value.(*clientConn).queuedAt) < frontend.BacklogGrace {
 			return true
 		}
 	}
 	return t.evicting > 0 || t.open > t.silent.Len()+t.idle.Len()
 }
 
-// ConnCounts are numbers of client connections.
+// ConnCounts are numbers of client connections. The keys "spent" and "budget" are those of the admin status.
 type ConnCounts struct {
 	Open      int `json:"open"`   // all but tunnels
 	Silent    int `json:"silent"` // without a request yet
 	Idle      int `json:"idle"`   // between two requests
-	Lingering int `json:"spent"`  // after their last response
-	Limit     int `json:"budget"` // beyond which connections are evicted
+	Lingering int `json:"spent"`  // after their last response, in lingeringClose
+	Limit     int `json:"budget"` // number beyond which connections are evicted
 }
 
 // ConnCounts returns the current numbers of client connections.
--- a/internal/frontend/http1/serve.go
+++ b/internal/frontend/http1/serve.go
@@ -38,7 +38,7 @@
 		return s.answerError(c, err)
 	}
 	defer t.End()
-	if t.Route.Streams != nil {
+	if t.Route.Streams != nil { // as on all routes of the gateway
 		return s.serveStreaming(c, t)
 	}
 	resp, waiting := s.admission.Engine.Do(c.ctx, &t.Request)
@@ -114,7 +114,7 @@
 	return c.client
 }
 
-// readBody reads a body with a length as a whole.
+// readBody reads a body with a length as a whole, on a route without Streams. Other routes have startUpload.
 func (c *clientConn) readBody(t *frontend.Ticket) error {
 	length := c.request.ContentLength
 	if err := t.ReserveBody(length); err != nil {
--- a/internal/frontend/http1/server.go
+++ b/internal/frontend/http1/server.go
@@ -59,7 +59,7 @@
 	closed  bool
 
 	shuttingDown      atomic.Bool   // Shutdown has been called
-	shutdownEndsConns atomic.Bool   // connections end with their responses because of Shutdown
+	shutdownEndsConns atomic.Bool   // Shutdown has reached the step in which connections end with their responses
 	endTunnels        chan struct{} // closed when tunnels, and delays of rejected clients, have to end
 }
 
@@ -146,7 +146,7 @@
 	s.conns.awaitEvictions()
 }
 
-// endsAfterResponse reports whether connections end with their responses.
+// endsAfterResponse reports whether connections end with their responses, because of Shutdown or of a drain.
 func (s *Server) endsAfterResponse() bool {
 	return s.shutdownEndsConns.Load() || s.admission.DrainEndsConnections()
 }
--- a/internal/frontend/http1/shutdown.go
+++ b/internal/frontend/http1/shutdown.go
@@ -5,13 +5,23 @@
 	"time"
 
 	"dunemoor/internal/drain"
+	"dunemoor/internal/frontend"
 )
 
+// The times of a Shutdown. The steps after the listeners are closed come sooner if no connection is in use any more. With
+// SharedListeners the listeners are closed, and connections begin to end with their responses, at SIGTERM.
+//
+//	SIGTERM                         all responses are due at kill - 0.2 s, the health check fails
+//	SIGTERM + 0.6 s                 listeners are closed                      frontend.BacklogGrace
+//	kill - 0.5 s                    connections end with their responses,     responseMargin + lastRequestsTime
+//	                                tunnels end
+//	kill - 0.3 s                    connections without a request are closed  responseMargin + closeIdleTime
+//	kill - 0.2 s                    all responses are due                     responseMargin
+//	kill - 0.05 s                   Shutdown returns                          exitMargin
+//	kill: SIGTERM + 0.7 s + the longest deadline, 3 s at most                 killGrace, maxKillDeadline
+//
+// The FastCGI server has another rule: shutdownTimeout there.
 const (
-	// backlogGrace is how long after SIGTERM connections are accepted. Clients may still come for 0.4 s, and those in
-	// the listener's backlog count as accepted.
-	backlogGrace = 600 * time.Millisecond
-
 	// The process is killed killGrace and the longest deadline, but at most maxKillDeadline, after SIGTERM.
 	killGrace       = 700 * time.Millisecond
 	maxKillDeadline = 3 * time.Second
@@ -47,7 +57,7 @@
 	if s.sharedListeners {
 		s.shutdownEndsConns.Store(true)
 	} else {
-		time.Sleep(backlogGrace)
+		time.Sleep(frontend.BacklogGrace)
 	}
 	s.closeListeners()
 	waitWhile(s.conns.inUse, responsesDue.Add(-lastRequestsTime))
--- a/internal/frontend/limits.go
+++ b/internal/frontend/limits.go
@@ -19,19 +19,21 @@
 	MinRetryAfter time.Duration // Retry-After without pressure
 	MaxRetryAfter time.Duration
 
-	rejected [rejectReasonCount]atomic.Int64 // requests since the start
+	// rejected counts requests since the start: those with a RejectedError. Other responses with 503, for lack of memory
+	// for bodies, too many tunnels or before the first endpoint list, are RequestErrors and are in no counter.
+	rejected [rejectReasonCount]atomic.Int64
 }
 
 // RejectReason is why a request is rejected at admission.
 type RejectReason uint8
 
-// Reasons.
+// Reasons, with the names of String where they differ.
 const (
 	RejectedByOverload          RejectReason = iota // the gateway sheds load
 	RejectedByClientRate                            // the client sends more requests a second than it may
 	RejectedByClientConcurrency                     // the client has too many requests in flight
-	RejectedByClientDuplicates                      // the client sends too many duplicates
-	RejectedByTenantQuota                           // the tenant is over its quota
+	RejectedByClientDuplicates                      // the client sends too many duplicates; "client repeats"
+	RejectedByTenantQuota                           // the tenant is over its quota; "tenant share"
 	rejectReasonCount
 )
 
@@ -39,7 +41,7 @@
 	"overload", "client rate", "client concurrency", "client repeats", "tenant share",
 }
 
-// String returns the name that the reason has in metrics and responses.
+// String returns the name that the reason has in metrics, in responses and, under the key "refused", in the admin status.
 func (r RejectReason) String() string { return rejectReasonNames[r] }
 
 // RejectReasons returns all reasons.
--- a/internal/frontend/ticket.go
+++ b/internal/frontend/ticket.go
@@ -14,7 +14,8 @@
 const (
 	// MaxBodyBytes is the longest body of a request in the platform's protocol.
 	MaxBodyBytes = 32 << 20
-	// MaxBufferedBytes is the longest body that is buffered as a whole, on a route that does not stream.
+	// MaxBufferedBytes is the longest body of a request on a route without Streams, which is buffered as a whole. It is
+	// also the longest rest of a body that is read and discarded so that a connection can stay open.
 	MaxBufferedBytes = 64 << 10
 	// maxBufferedNearLimit is how much of a streamed body is buffered at most while memory for bodies is scarce.
 	maxBufferedNearLimit = 4 << 10
@@ -133,7 +134,7 @@
 	}
 }
 
-// MaxBuffered returns how many bytes of its body a request on a route that streams may buffer now.
+// MaxBuffered returns how many bytes of its body a request on a route with Streams may buffer now.
 func (t *Ticket) MaxBuffered() int64 {
 	limit := t.Route.Streams.BufferBytes
 	if t.admission.Bodies.NearLimit(body.RequestBodies) {
--- a/internal/httpwire/request.go
+++ b/internal/httpwire/request.go
@@ -186,8 +186,9 @@
 	return length, nil
 }
 
-// forbiddenInTrailer are fields that frame or route a message. They are not allowed in a trailer section (RFC
-// 9110, 6.5.1).
+// forbiddenInTrailer are fields that frame or route a message. A trailer section with one of them is an error, as one
+// recipient might act on it and another not (RFC 9110, 6.5.1). Fields that are only not forwarded are listed in package
+// frontend (headersNotInTrailers).
 var forbiddenInTrailer = map[string]bool{
 	"Transfer-Encoding": true,
 	"Content-Length":    true,
