--- a/internal/body/budget.go
+++ b/internal/body/budget.go
@@ -5,11 +5,16 @@
 // Purpose is what memory for bodies is reserved for.
 type Purpose uint8
 
-// Purposes of memory.
+// Purposes of memory, with the names of String.
 const (
-	RequestBodies  Purpose = iota // buffered parts of request bodies
-	ResponseBodies                // buffered response bodies beyond 64 KiB
-	StreamBuffers                 // buffers that streams are copied through
+	// RequestBodies are buffered parts of request bodies; "requests".
+	RequestBodies Purpose = iota
+	// ResponseBodies are buffered response bodies beyond 64 KiB; "answers". Nothing reserves memory for them here, so
+	// that Used returns 0: upstream/http1 counts them by itself (Transport.largeBytes), against as large a share of
+	// the memory limit (largeResponseShare of package gateway).
+	ResponseBodies
+	// StreamBuffers are buffers that streams are copied through; "flows".
+	StreamBuffers
 	purposeCount
 )
 
@@ -18,7 +23,7 @@
 // Purposes returns all purposes.
 func Purposes() []Purpose { return []Purpose{RequestBodies, ResponseBodies, StreamBuffers} }
 
-// String returns the name that the purpose has in metrics.
+// String returns the name that the purpose has in metrics and in the admin status.
 func (p Purpose) String() string { return purposeNames[p] }
 
 // purposeShares are the shares of the process's memory limit by purpose. A buffered body may exist twice while it is
@@ -59,11 +64,14 @@
 // Used returns how many bytes are reserved for a purpose, and how many may be.
 func (b *Budget) Used(p Purpose) (used, limit int64) { return b.used[p].Load(), b.limit[p].Load() }
 
-// NearLimit reports whether more than three quarters of a purpose's limit are in use. Less of each body is
-// buffered then.
+// nearLimitPercent is the share of a limit, in percent, beyond which memory is scarce.
+const nearLimitPercent = 75
+
+// NearLimit reports whether memory for a purpose is scarce: more than nearLimitPercent of its limit is in use. Less of
+// each body is buffered then, and streams get small buffers.
 func (b *Budget) NearLimit(p Purpose) bool {
 	used, limit := b.Used(p)
-	return used*4 > limit*3
+	return used*100 > limit*nearLimitPercent
 }
 
 // AcquireBuffer returns a buffer to copy a stream through, or nil if there is no memory for one. A small one is
--- a/internal/engine/do.go
+++ b/internal/engine/do.go
@@ -67,7 +67,8 @@
 			}
 			return Response{}, false
 		case <-late.C:
-			// The balancer should have responded; the client is not kept waiting for it.
+			// The balancer should have responded; the client is not kept waiting for it. To the balancer, and in its
+			// recording, it has left. Nothing logs or counts this response.
 			if x.Close() {
 				e.finishWithoutBalancer(x)
 				return Response{Kind: Failed}, true
@@ -98,7 +99,8 @@
 	p.perform(now)
 }
 
-// finishWithoutBalancer handles that a request was finished by whoever waited for it.
+// finishWithoutBalancer handles that a request was finished by whoever waited for it, and not by a response that came
+// through the loop: its client has left, or its response was due.
 func (e *Engine) finishWithoutBalancer(x *Request) {
 	e.post(func(now balancer.Time) {
 		p := x.pool
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -43,7 +43,7 @@
 
 	record      *recording // nil: nothing is recorded
 	actions     []balancer.Action
-	denied      []balancer.Outcome // attempts that a retry budget denied
+	denied      []balancer.Outcome // retries that takeRetry denied; not sent
 	failingOver []*Request
 	hosts       map[balancer.HostID]*host
 	readyHosts  int // that the list calls ready
@@ -163,8 +163,9 @@
 		for i := range p.actions {
 			p.performOne(now, &p.actions[i])
 		}
-		// An attempt that the retry budget denied was never sent. The balancer is notified and decides what
-		// follows: in the end, the final response.
+		// A retry that takeRetry denied was never sent. The balancer is notified and decides what follows. It may
+		// want another, which takeRetry denies as well, until its own MaxAttempts are over. The cause of the final
+		// response is then CauseNoMoreAttempts: it does not tell that the retry budget was used up.
 		again = len(p.denied) > 0
 		for _, o := range p.denied {
 			p.balancer.AttemptEnded(now, o)
--- a/internal/engine/retry.go
+++ b/internal/engine/retry.go
@@ -22,8 +22,9 @@
 // failOver then decides whether a request that its pool rejects goes on to the next pool.
 
 const (
-	// MaxAttempts is how many attempts a request has at most over all pools of its chain. The balancer of each pool
-	// is given the same bound, and counts only its own attempts.
+	// MaxAttempts is how many attempts a request has at most over all pools of its chain. The balancer of a pool counts
+	// only its own attempts, up to its Settings.MaxAttempts: that is the same number for the pools of an appliance,
+	// and caps.max_attempts on the platform. More than MaxAttempts there has no effect.
 	MaxAttempts = 4
 	// maxStreamedRetryAfter is the longest Retry-After of a streamed request whose only attempt never ran. It is short,
 	// as a single host was at fault.
--- a/internal/fastcgi/values.go
+++ b/internal/fastcgi/values.go
@@ -15,7 +15,7 @@
 // Values are the variables of an application (4.1). A field is zero if the application did not send it.
 type Values struct {
 	MaxConns    int  // connections that it accepts at once
-	MaxRequests int  // requests that it processes at once, over all connections
+	MaxRequests int  // requests that it processes at once, over all connections; but see appendValues
 	Multiplexes bool // it processes several requests at once on a connection
 }
 
@@ -46,7 +46,8 @@
 }
 
 // appendValues appends the variables that the body of a GET_VALUES record asks for to b, as name-value pairs,
-// and returns the extended slice. Variables that it does not know are left out (4.1). The error is ErrBody.
+// and returns the extended slice. Variables that it does not know are left out (4.1). FCGI_MAX_REQS, by the specification
+// a number over all connections, is answered with that of one, MaxRequestsPerConn. The error is ErrBody.
 func appendValues(b, query []byte, maxConns string) ([]byte, error) {
 	for len(query) > 0 {
 		name, _, rest, ok := CutPair(query)
--- a/internal/frontend/http1/conn.go
+++ b/internal/frontend/http1/conn.go
@@ -23,7 +23,7 @@
 	// requestTimeout is how long a client may take to send a header section, from the connect for the first request of
 	// a connection and from the first byte for each later one: it is to get an error or a close within 3 s of
 	// connecting. A body has to keep to Streams.Upload of its route instead; on a route without Streams, it has
-	// requestTimeout from the end of the header section.
+	// requestTimeout from the end of the header section, and so has the rest of a body that is discarded.
 	requestTimeout = 2500 * time.Millisecond
 	// idleTimeout is how long a connection is kept without a request, at least. A quarter more is possible.
 	idleTimeout = 15 * time.Second
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -55,7 +55,9 @@
 	OverloadWindow  microseconds `json:"fall"`
 }
 
-// discoveryByPolling is the value of the key "discovery" with which the balancer requests the endpoint list.
+// discoveryByPolling is the value of the key "discovery" with which the balancer requests the endpoint list. With
+// "subscribe" changes come only once the gateway has asked for them, by the action Poll; with "automatic" they come by
+// themselves.
 const discoveryByPolling = "subscribe"
 
 // timeUnit is the unit of all times in the settings object.
