--- a/internal/body/budget.go
+++ b/internal/body/budget.go
@@ -64,14 +64,18 @@
 // Used returns how many bytes are reserved for a purpose, and how many may be.
 func (b *Budget) Used(p Purpose) (used, limit int64) { return b.used[p].Load(), b.limit[p].Load() }
 
-// nearLimitPercent is the share of a limit, in percent, beyond which memory is scarce.
-const nearLimitPercent = 75
+// nearLimitNumerator of nearLimitDenominator parts of a limit may be in use before memory is scarce. The parts are few, as
+// the limit of a process without a memory limit is so great that a product of it could overflow.
+const (
+	nearLimitNumerator   = 3
+	nearLimitDenominator = 4
+)
 
-// NearLimit reports whether memory for a purpose is scarce: more than nearLimitPercent of its limit is in use. Less of
+// NearLimit reports whether memory for a purpose is scarce: more than three quarters of its limit are in use. Less of
 // each body is buffered then, and streams get small buffers.
 func (b *Budget) NearLimit(p Purpose) bool {
 	used, limit := b.Used(p)
-	return used*100 > limit*nearLimitPercent
+	return used*nearLimitDenominator > limit*nearLimitNumerator
 }
 
 // AcquireBuffer returns a buffer to copy a stream through, or nil if there is no memory for one. A small one is
--- a/internal/engine/do.go
+++ b/internal/engine/do.go
@@ -13,7 +13,7 @@
 
 // Do hands over a request and waits for its response. waiting is false if ctx has ended before: nobody
 // waits for the response, and nothing more goes out for the request. The caller releases the response, and
-// closes the flow of the request's body, if it has one.
+// closes the stream of the request's body, if it has one.
 func (e *Engine) Do(ctx context.Context, x *Request) (resp Response, waiting bool) {
 	if ctx.Err() != nil && x.Close() {
 		// The client had gone when the request was read, maybe long ago.
--- a/internal/engine/route.go
+++ b/internal/engine/route.go
@@ -28,7 +28,7 @@
 	ForwardsFailures bool
 	// Plain is set for clients that send none of the platform's headers.
 	Plain *Plain
-	// Streams is how bodies flow that are not buffered whole. The gateway sets it on all its routes. Nil: all bodies of
+	// Streams is how bodies are streamed that are not buffered whole. The gateway sets it on all its routes. Nil: all bodies of
 	// requests are buffered whole, up to frontend.MaxBufferedBytes, as on the routes of tests.
 	Streams *Streams
 
@@ -51,7 +51,7 @@
 	RequestHeaders, ResponseHeaders HeaderRules
 }
 
-// Streams is how bodies flow on a route.
+// Streams is how bodies are streamed on a route.
 type Streams struct {
 	BufferBytes      int64     // of a request's body that are kept, so that it can be sent again
 	MaxBodyBytes     int64     // of a request's body; 0: any
