--- a/internal/body/budget.go
+++ b/internal/body/budget.go
@@ -64,15 +64,14 @@
 // Used returns how many bytes are reserved for a purpose, and how many may be.
 func (b *Budget) Used(p Purpose) (used, limit int64) { return b.used[p].Load(), b.limit[p].Load() }
 
-// nearLimitNumerator of nearLimitDenominator parts of a limit may be in use before memory is scarce. The parts are few, as
-// the limit of a process without a memory limit is so great that a product of it could overflow.
+// Memory for a purpose is scarce while more than nearLimitNumerator / nearLimitDenominator of its limit is in use.
 const (
 	nearLimitNumerator   = 3
 	nearLimitDenominator = 4
 )
 
-// NearLimit reports whether memory for a purpose is scarce: more than three quarters of its limit are in use. Less of
-// each body is buffered then, and streams get small buffers.
+// NearLimit reports whether memory for a purpose is scarce. Less of each body is buffered then, and streams get small
+// buffers.
 func (b *Budget) NearLimit(p Purpose) bool {
 	used, limit := b.Used(p)
 	return used*nearLimitDenominator > limit*nearLimitNumerator
