--- a/internal/frontend/http1/conn.go
+++ b/internal/frontend/http1/conn.go
@@ -20,8 +20,10 @@
 )
 
 const (
-	// requestTimeout is how long a client may take to send a request, header section and body, if it is not streamed. A
-	// client that takes longer is to get an error or a close within 3 s of connecting.
+	// requestTimeout is how long a client may take to send a header section, from the connect for the first request of
+	// a connection and from the first byte for each later one: it is to get an error or a close within 3 s of
+	// connecting. A body has to keep to Streams.Upload of its route instead; on a route without Streams, it has
+	// requestTimeout from the end of the header section, and so has the rest of a body that is discarded.
 	requestTimeout = 2500 * time.Millisecond
 	// idleTimeout is how long a connection is kept without a request, at least. A quarter more is possible.
 	idleTimeout = 15 * time.Second
@@ -51,7 +53,7 @@
 	idleDeadline  time.Time // the read deadline, if it is that of a wait for a request; else zero
 	writeDeadline body.LazyDeadline
 
-	lastRequest        bool        // the connection was to be closed when this request had arrived
+	servesLast         bool        // the table had woken the connection to be closed, but a request had arrived: it is the last
 	delayedSince       time.Time   // since when the next request may have been left unread; zero: it has just arrived
 	responseUntilClose atomic.Bool // the streamed response ends with the connection; read by any goroutine
 
