--- a/internal/cluster/transport/accept.go
+++ b/internal/cluster/transport/accept.go
@@ -46,11 +46,15 @@
 			conn.Close()
 			continue
 		}
-		t.goroutines.Go(func() {
+		serving := t.run(func() {
 			t.serve(conn)
 			conn.Close()
 			t.removeConn(conn)
 		})
+		if !serving {
+			conn.Close()
+			return
+		}
 	}
 }
 
--- a/internal/cluster/transport/stream.go
+++ b/internal/cluster/transport/stream.go
@@ -196,7 +196,7 @@
 	ctx, cancel := context.WithCancel(t.ctx)
 	s := &Stream{transport: t, Name: name, cancel: cancel}
 	deadline := time.Now().Add(relay.DialTimeout)
-	t.goroutines.Go(func() {
+	t.run(func() {
 		defer cancel()
 		conn, err := t.connectStream(ctx, s, addr, deadline)
 		if err != nil {
--- a/internal/cluster/transport/transport.go
+++ b/internal/cluster/transport/transport.go
@@ -86,10 +86,11 @@
 	listener   net.Listener // nil: nobody connects to this gateway
 	ctx        context.Context
 	cancel     context.CancelFunc
-	goroutines sync.WaitGroup
-	startedAt  time.Time // times are compared as durations since, by the monotonic clock
+	goroutines sync.WaitGroup // started by run
+	startedAt  time.Time      // times are compared as durations since, by the monotonic clock
 
 	mu               sync.Mutex
+	closed           bool                     // Close has been called: no goroutine is started any more
 	conns            map[net.Conn]*remotePeer // incoming; nil until the handshake is done
 	partialSnapshots map[string]*partialSnapshot
 	loggedRelays     map[string]string // last logged state of the stream to a relay, by relay
@@ -114,13 +115,24 @@
 // Start begins to dial peers and to accept connections.
 func (t *Transport) Start() {
 	for _, p := range t.peers {
-		t.goroutines.Go(func() { t.maintain(p) })
+		t.run(func() { t.maintain(p) })
 	}
 	if t.listener != nil {
-		t.goroutines.Go(t.acceptLoop)
+		t.run(t.acceptLoop)
 	}
 }
 
+// run starts a goroutine that Close waits for. Once Close has been called it starts none, and returns false.
+func (t *Transport) run(work func()) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.closed {
+		return false
+	}
+	t.goroutines.Go(work)
+	return true
+}
+
 // Close closes all connections and waits for their goroutines.
 func (t *Transport) Close() {
 	t.cancel()
@@ -128,6 +140,7 @@
 		t.listener.Close()
 	}
 	t.mu.Lock()
+	t.closed = true
 	for conn := range t.conns {
 		conn.Close()
 	}
@@ -142,7 +155,7 @@
 		return
 	}
 	if f.SnapshotTo != 0 {
-		t.goroutines.Go(func() { t.handler.SnapshotSent(f.SnapshotTo, t.sendSnapshot(p, f)) })
+		t.run(func() { t.handler.SnapshotSent(f.SnapshotTo, t.sendSnapshot(p, f)) })
 		return
 	}
 	if !p.enqueue(byte(f.Kind), f.Body) {
