--- a/internal/engine/do.go
+++ b/internal/engine/do.go
@@ -13,7 +13,7 @@
 
 // Do hands over a request and waits for its response. waiting is false if ctx has ended before: nobody
 // waits for the response, and nothing more goes out for the request. The caller releases the response, and
-// closes the flow of the request's body, if it has one.
+// closes the stream of the request's body, if it has one.
 func (e *Engine) Do(ctx context.Context, x *Request) (resp Response, waiting bool) {
 	if ctx.Err() != nil && x.Close() {
 		// The client had gone when the request was read, maybe long ago.
@@ -67,7 +67,8 @@
 			}
 			return Response{}, false
 		case <-late.C:
-			// The balancer should have responded; the client is not kept waiting for it.
+			// The balancer should have responded; the client is not kept waiting for it. To the balancer, and in its
+			// recording, it has left. Nothing logs or counts this response.
 			if x.Close() {
 				e.finishWithoutBalancer(x)
 				return Response{Kind: Failed}, true
@@ -94,18 +95,19 @@
 	}
 	x.streaming = true
 	p := x.pool
-	p.bal.AttemptEnded(now, balancer.Outcome{Request: x.id, Attempt: len(x.attempts) - 1, Result: balancer.Canceled, Closed: true})
+	p.balancer.AttemptEnded(now, balancer.Outcome{Request: x.id, Attempt: len(x.attempts) - 1, Result: balancer.Canceled, Closed: true})
 	p.perform(now)
 }
 
-// finishWithoutBalancer handles that a request was finished by whoever waited for it.
+// finishWithoutBalancer handles that a request was finished by whoever waited for it, and not by a response that came
+// through the loop: its client has left, or its response was due.
 func (e *Engine) finishWithoutBalancer(x *Request) {
 	e.post(func(now balancer.Time) {
 		p := x.pool
 		if x.streaming {
 			x.attempts[len(x.attempts)-1]()
 		} else {
-			p.bal.ClientGone(now, x.id)
+			p.balancer.ClientGone(now, x.id)
 		}
 		e.release(x)
 		p.perform(now)
--- a/internal/engine/retry.go
+++ b/internal/engine/retry.go
@@ -10,24 +10,30 @@
 //
 //   - balancer (Balancer.mayRetry): in one pool, by the class's idempotency, its deduplication window, the time left
 //     and Settings.MaxAttempts. It decides first.
-//   - mayRetry below: over all pools of the failover chain, by MaxAttempts and by whether the last attempt is better
-//     kept for the next pool.
-//   - route.Budget: over all requests of a route, by the share of retries among its attempts.
+//   - Pool.takeRetry below: over all pools of the failover chain, by MaxAttempts and by whether the last attempt is
+//     better kept for the next pool.
+//   - route.Budget, which takeRetry asks last: over all requests of a route, by the share of retries among its attempts.
+//
+// A retry that the second or the third denies ends as balancer.NotSent, and the balancer decides again.
+//
+// None of them is asked when package upstream (shouldResend) sends a request again within one attempt: an open
+// connection was closed by its host before the request had been written, so it never ran.
 //
 // failOver then decides whether a request that its pool rejects goes on to the next pool.
 
 const (
-	// MaxAttempts is how many attempts a request has at most over all pools of its chain. The balancer of each pool
-	// is given the same bound, and counts only its own attempts.
+	// MaxAttempts is how many attempts a request has at most over all pools of its chain. The balancer of a pool counts
+	// only its own attempts, up to its Settings.MaxAttempts: that is the same number for the pools of an appliance,
+	// and caps.max_attempts on the platform. More than MaxAttempts there has no effect.
 	MaxAttempts = 4
 	// maxStreamedRetryAfter is the longest Retry-After of a streamed request whose only attempt never ran. It is short,
 	// as a single host was at fault.
 	maxStreamedRetryAfter = 50 * time.Millisecond
 )
 
-// mayRetry reports whether a request may have a further attempt that the balancer wants, and counts it in the route's
-// retry budget.
-func (p *Pool) mayRetry(now balancer.Time, x *Request) bool {
+// takeRetry reports whether a request may have a further attempt that the balancer wants. If so it takes a retry from the
+// route's budget, so it is called once for each attempt.
+func (p *Pool) takeRetry(now balancer.Time, x *Request) bool {
 	if p.keepsLastAttempt(now, x) {
 		return false
 	}
--- a/internal/frontend/fastcgi/server.go
+++ b/internal/frontend/fastcgi/server.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// backlogGrace is how long after SIGTERM connections are accepted, and shutdownTimeout when after it the last are
-	// closed: just before the process is killed.
-	backlogGrace    = 600 * time.Millisecond
+	// shutdownTimeout is when after SIGTERM the last connections are closed: 0.1 s before the process is killed if the
+	// longest deadline is 3 s or more. If it is shorter the kill comes sooner (killGrace of package http1), which this
+	// server does not know; all responses are due before it all the same, by Admission.Stop.
 	shutdownTimeout = 3600 * time.Millisecond
 	// shutdownPollInterval is how often Shutdown looks whether all connections are closed.
 	shutdownPollInterval = 10 * time.Millisecond
@@ -43,8 +43,8 @@
 	mu    sync.Mutex // guards conns
 	conns map[*conn]struct{}
 
-	lastRequests atomic.Bool // connections end with their responses because of Shutdown
-	closed       atomic.Bool
+	shutdownEndsConns atomic.Bool // connections end with their responses because of Shutdown
+	closed            atomic.Bool
 }
 
 // New returns a Server that brings its requests through admission.
@@ -145,16 +145,16 @@
 // no other knows what that has read. The Admission says when responses are due.
 func (s *Server) Shutdown() {
 	start := time.Now()
-	time.Sleep(backlogGrace)
+	time.Sleep(frontend.BacklogGrace)
 	s.listeners.CloseAll()
-	s.lastRequests.Store(true)
+	s.shutdownEndsConns.Store(true)
 	for time.Since(start) < shutdownTimeout && len(s.open()) > 0 {
 		time.Sleep(shutdownPollInterval)
 	}
 	s.Close()
 }
 
-// draining reports whether connections end with their responses.
-func (s *Server) draining() bool {
-	return s.lastRequests.Load() || s.admission.DrainEndsConnections()
+// endsAfterResponse reports whether connections end with their responses, because of Shutdown or of a drain.
+func (s *Server) endsAfterResponse() bool {
+	return s.shutdownEndsConns.Load() || s.admission.DrainEndsConnections()
 }
--- a/internal/frontend/http1/conntable.go
+++ b/internal/frontend/http1/conntable.go
@@ -4,6 +4,8 @@
 	"container/list"
 	"sync"
 	"time"
+
+	"dunemoor/internal/frontend"
 )
 
 const (
@@ -47,11 +49,11 @@
 type connState int
 
 const (
-	connWaiting  connState = iota // for a request, or lingering
-	connActive                    // has a request, or a part of one
-	connDraining                  // its goroutine has been woken to close it
-	connEvicted                   // its goroutine has been woken to close it at once, to make room
-	connClosed                    // is closed, or a tunnel, and counts no more
+	connWaiting connState = iota // for a request, or lingering
+	connActive                   // has a request, or a part of one
+	connClosing                  // its goroutine has been woken to close it
+	connEvicted                  // its goroutine has been woken to close it at once, to make room
+	connClosed                   // is closed, or a tunnel, and counts no more
 )
 
 // deadlinePassed is a deadline that wakes a goroutine that reads.
@@ -104,9 +106,9 @@
 		t.evicting--
 		t.open++
 		t.evicted.Broadcast()
-		c.lastRequest = true
-	case connDraining:
-		c.lastRequest = true
+		c.servesLast = true
+	case connClosing:
+		c.servesLast = true
 	}
 	c.state = connActive
 	t.enqueue(c, nil)
@@ -220,11 +222,11 @@
 
 // closeWaitingLocked is closeWaiting; mu is held.
 func (t *connTable) closeWaitingLocked() {
-	for _, from := range []candidates{{&t.silent, backlogGrace}, {&t.idle, 0}} {
+	for _, from := range []candidates{{&t.silent, frontend.BacklogGrace}, {&t.idle, 0}} {
 		for c := from.next(); c != nil; c = from.next() {
 			t.enqueue(c, nil)
 			if c.state == connWaiting {
-				c.state = connDraining
+				c.state = connClosing
 				c.SetReadDeadline(deadlinePassed)
 			}
 		}
@@ -259,20 +261,20 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if newest := t.silent.Back(); newest != nil {
-		if time.Since(newest.Value.(*clientConn).queuedAt) < backlogGrace {
+		if time.Since(newest.Value.(*clientConn).queuedAt) < frontend.BacklogGrace {
 			return true
 		}
 	}
 	return t.evicting > 0 || t.open > t.silent.Len()+t.idle.Len()
 }
 
-// ConnCounts are numbers of client connections.
+// ConnCounts are numbers of client connections. The keys "spent" and "budget" are those of the admin status.
 type ConnCounts struct {
 	Open      int `json:"open"`   // all but tunnels
 	Silent    int `json:"silent"` // without a request yet
 	Idle      int `json:"idle"`   // between two requests
-	Lingering int `json:"spent"`  // after their last response
-	Limit     int `json:"budget"` // beyond which connections are evicted
+	Lingering int `json:"spent"`  // after their last response, in lingeringClose
+	Limit     int `json:"budget"` // number beyond which connections are evicted
 }
 
 // ConnCounts returns the current numbers of client connections.
