--- a/internal/experiment/fakes/node_test.go
+++ b/internal/experiment/fakes/node_test.go
@@ -89,6 +89,7 @@
 	if _, err := sendRaw(t, n, l, "b"); err != nil || n.startedMS() == 0 {
 		t.Errorf("after a restart: got error %v, start time %d, want none and a time", err, n.startedMS())
 	}
+	testutil.WaitUntil(t, "the response to b has ended its request", func() bool { return n.inFlight.Load() == 0 })
 	n.Behave(Behaviour{Mode: Hang, MaxQueued: 1})
 	for _, id := range []string{"c", "d"} { // one hangs; the next hangs too, as a hung request has no core
 		l.RecordRequest(id, ClientRequest{})
