--- a/internal/cluster/transport/close_test.go
+++ b/internal/cluster/transport/close_test.go
@@ -8,9 +8,9 @@
 
 // The loop that owns a Transport may dial while another goroutine closes it: Close waits for what was started
 // before, and nothing is started after.
-func TestCloseWhileDialing(t *testing.T) {
+func TestCloseWaitsForDialsInProgress(t *testing.T) {
 	for range 200 {
-		gateway, _ := newSide(t, "g1", "key", false)
+		gateway := newGateway(t, "g1", "key")
 		dialed := make(chan struct{})
 		go func() {
 			defer close(dialed)
@@ -19,9 +19,9 @@
 			}
 		}()
 		gateway.Close()
-		_, endsAtClose := gateway.seen()
+		_, endsAtClose := gateway.received()
 		<-dialed
-		if _, ends := gateway.seen(); len(ends) != len(endsAtClose) {
+		if _, ends := gateway.received(); len(ends) != len(endsAtClose) {
 			t.Fatalf("got %d streams that ended after Close, want none", len(ends)-len(endsAtClose))
 		}
 	}
--- a/internal/cluster/transport/compat_test.go
+++ b/internal/cluster/transport/compat_test.go
@@ -10,7 +10,7 @@
 	"dunemoor/internal/testutil/compat"
 )
 
-// Frames of each kind, one behind the other.
+// Frames of all kinds keep their bytes, and are read back from a file of an earlier build.
 func TestCompatFrames(t *testing.T) {
 	kinds := []byte{
 		kindKeepalive, byte(node.KindRaft), byte(node.KindMessage), byte(relay.KindRecord), byte(relay.KindJoin), byte(relay.KindJoinReply),
@@ -22,15 +22,15 @@
 	}
 	compat.Bytes(t, "frames.bin", b)
 	in := bufio.NewReader(bytes.NewReader(compat.Read(t, "frames.bin")))
-	for i, k := range kinds {
+	for i, wantKind := range kinds {
 		kind, body, err := ReadFrame(in)
-		if err != nil || kind != k || len(body) != i {
-			t.Errorf("frame %d: kind %d, %d bytes, %v", i, kind, len(body), err)
+		if err != nil || kind != wantKind || len(body) != i {
+			t.Errorf("frame %d: got kind %d, %d bytes, error %v, want kind %d, %d bytes, no error", i, kind, len(body), err, wantKind, i)
 		}
 	}
 }
 
-// What a handshake is made of.
+// The messages and the constants of the handshake keep their bytes.
 func TestCompatHandshake(t *testing.T) {
 	key, d, a := []byte("a key of 32 bytes for this test."), bytes.Repeat([]byte{1}, nonceSize), bytes.Repeat([]byte{2}, nonceSize)
 	var b []byte
--- a/internal/cluster/transport/peer_test.go
+++ b/internal/cluster/transport/peer_test.go
@@ -1,12 +1,11 @@
 package transport
 
 import (
-	"bufio"
 	"bytes"
 	"fmt"
 	"io"
-	"math/rand/v2"
 	"net"
+	"slices"
 	"sync"
 	"sync/atomic"
 	"testing"
@@ -15,196 +14,185 @@
 	"dunemoor/internal/testutil"
 )
 
-// end is a gateway as its transport sees it.
-type end struct {
+// testPeer is a gateway that records what its transport delivers.
+type testPeer struct {
 	*Transport
-	mu     sync.Mutex
-	hellos []string
-	got    []string
-	snaps  []bool
+
+	mu        sync.Mutex
+	hellos    []string // names of the senders
+	frames    []string // as describeFrame returns them
+	snapshots []bool   // results of snapshots sent
 }
 
-func (e *end) ReceiveHello(h node.Hello) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.hellos = append(e.hellos, h.Name)
+func (p *testPeer) ReceiveHello(h node.Hello) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.hellos = append(p.hellos, h.Name)
 }
 
-func (e *end) Receive(from string, kind node.Kind, body []byte) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.got = append(e.got, frame(from, kind, len(body), string(body[:min(8, len(body))])))
+func (p *testPeer) Receive(from string, kind node.Kind, body []byte) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.frames = append(p.frames, describeFrame(from, kind, body))
 }
 
-// frame describes a frame: its sender, its kind, its size, and how it begins.
-func frame(from string, kind node.Kind, size int, begins string) string {
-	return fmt.Sprintf("%s %d %d %s", from, kind, size, begins)
+// describeFrame returns the sender, the kind and the size of a frame, and its first bytes.
+func describeFrame(from string, kind node.Kind, body []byte) string {
+	return fmt.Sprintf("%s %d %d %s", from, kind, len(body), body[:min(8, len(body))])
 }
 
-func (e *end) Unreachable(string) {}
+func (p *testPeer) Unreachable(string) {}
+
+func (p *testPeer) SnapshotSent(_ uint64, ok bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.snapshots = append(p.snapshots, ok)
+}
 
-func (e *end) SnapshotSent(_ uint64, ok bool) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.snaps = append(e.snaps, ok)
+func (p *testPeer) helloCount() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return len(p.hellos)
 }
 
-func (e *end) count(of *[]string) int {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return len(*of)
+func (p *testPeer) frameCount() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return len(p.frames)
 }
 
-// pair returns two gateways that are peers; by is what may be between them.
-func pair(t *testing.T, keys [2]string, by func(addr string) string) (ends [2]*end) {
+// newPeers returns two gateways that are peers, each with a key. proxy returns the address at which a gateway reaches
+// the other, given that at which the other listens.
+func newPeers(t *testing.T, keys [2]string, proxy func(address string) string) (peers [2]*testPeer) {
 	t.Helper()
-	var lns [2]net.Listener
-	for i := range lns {
-		lns[i] = testutil.Listen(t, "127.0.0.1:0", nil)
+	var listeners [2]net.Listener
+	for i := range listeners {
+		listeners[i] = testutil.Listen(t, "127.0.0.1:0", nil)
 	}
 	names := [2]string{"a", "b"}
-	for i := range ends {
-		e := &end{}
+	for i := range peers {
+		p := &testPeer{}
 		hello := node.Hello{Fleet: "f", Format: node.FormatVersion, Name: names[i], ReplicaID: uint64(i + 1)}
-		e.Transport = New(Config{
-			Name: names[i], Key: []byte(keys[i]), Peers: map[string]string{names[1-i]: by(lns[1-i].Addr().String())},
+		p.Transport = New(Config{
+			Name: names[i], Key: []byte(keys[i]), Peers: map[string]string{names[1-i]: proxy(listeners[1-i].Addr().String())},
 			Hello: func() node.Hello { return hello }, Validate: func(*node.Hello) error { return nil },
-		}, lns[i], e)
-		ends[i] = e
-		t.Cleanup(e.Close)
+		}, listeners[i], p)
+		peers[i] = p
+		t.Cleanup(p.Close)
 	}
-	ends[0].Start()
-	ends[1].Start()
-	return ends
+	peers[0].Start()
+	peers[1].Start()
+	return peers
 }
 
-func straight(addr string) string { return addr }
+// noProxy connects peers directly.
+func noProxy(address string) string { return address }
+
+func waitUntilConnected(t *testing.T, peers [2]*testPeer) {
+	t.Helper()
+	testutil.WaitUntil(t, "both have connected", func() bool { return peers[0].helloCount() > 0 && peers[1].helloCount() > 0 })
+}
 
 // Frames arrive in the order in which they were sent, after the hello, and a snapshot beside them.
-func TestCarry(t *testing.T) {
-	e := pair(t, [2]string{"key", "key"}, straight)
-	testutil.WaitUntil(t, "both have connected", func() bool { return e[0].count(&e[0].hellos) > 0 && e[1].count(&e[1].hellos) > 0 })
+func TestPeerReceivesFramesInOrderAndSnapshot(t *testing.T) {
+	peers := newPeers(t, [2]string{"key", "key"}, noProxy)
+	sender, receiver := peers[0], peers[1]
+	waitUntilConnected(t, peers)
 	for i := range 100 {
-		e[0].Send(&node.Frame{To: "b", Kind: node.KindMessage, Body: fmt.Appendf(nil, "n%03d", i)})
+		sender.Send(&node.Frame{To: "b", Kind: node.KindMessage, Body: fmt.Appendf(nil, "n%03d", i)})
 	}
-	testutil.WaitUntil(t, "all have arrived", func() bool { return e[1].count(&e[1].got) == 100 })
-	for i, got := range e[1].got {
-		if want := frame("a", node.KindMessage, 4, fmt.Sprintf("n%03d", i)); got != want {
-			t.Fatalf("frame %d is %q, want %q", i, got, want)
+	testutil.WaitUntil(t, "all have arrived", func() bool { return receiver.frameCount() == 100 })
+	for i, got := range receiver.frames {
+		if want := describeFrame("a", node.KindMessage, fmt.Appendf(nil, "n%03d", i)); got != want {
+			t.Fatalf("frame %d: got %q, want %q", i, got, want)
 		}
 	}
-	big := bytes.Repeat([]byte("snapshot"), 200_000)
-	e[0].Send(&node.Frame{To: "b", Kind: node.KindRaft, Body: big, SnapshotTo: 2})
-	testutil.WaitUntil(t, "the snapshot has arrived", func() bool { return e[1].count(&e[1].got) == 101 })
-	testutil.WaitUntil(t, "its sender knows", func() bool { e[0].mu.Lock(); defer e[0].mu.Unlock(); return len(e[0].snaps) == 1 && e[0].snaps[0] })
-	if got := e[1].got[100]; got != frame("a", node.KindRaft, len(big), "snapshot") {
-		t.Errorf("the snapshot is %q", got)
+	snapshot := bytes.Repeat([]byte("snapshot"), 200_000)
+	sender.Send(&node.Frame{To: "b", Kind: node.KindRaft, Body: snapshot, SnapshotTo: 2})
+	testutil.WaitUntil(t, "the snapshot has arrived", func() bool { return receiver.frameCount() == 101 })
+	testutil.WaitUntil(t, "the sender is notified of the snapshot", func() bool {
+		sender.mu.Lock()
+		defer sender.mu.Unlock()
+		return slices.Equal(sender.snapshots, []bool{true})
+	})
+	if got, want := receiver.frames[100], describeFrame("a", node.KindRaft, snapshot); got != want {
+		t.Errorf("snapshot: got %q, want %q", got, want)
 	}
 }
 
-// Idle frames count as sent too.
-func TestIdleCounts(t *testing.T) {
-	e := pair(t, [2]string{"key", "key"}, straight)
-	for i := range e {
-		c := &e[i].Counters
-		testutil.WaitUntil(t, "an idle frame counts", func() bool { return c.FramesSent.Load() > 0 && c.BytesSent.Load() >= frameHeaderBytes })
+// Keepalive frames count as sent, and are not delivered.
+func TestKeepaliveFramesAreCountedAndNotDelivered(t *testing.T) {
+	peers := newPeers(t, [2]string{"key", "key"}, noProxy)
+	for i := range peers {
+		counters := &peers[i].Counters
+		testutil.WaitUntil(t, "a keepalive frame is counted", func() bool {
+			return counters.FramesSent.Load() > 0 && counters.BytesSent.Load() >= frameHeaderBytes
+		})
 	}
-	if n := e[0].count(&e[0].got) + e[1].count(&e[1].got); n > 0 {
-		t.Errorf("%d frames were delivered", n)
+	if got := peers[0].frameCount() + peers[1].frameCount(); got > 0 {
+		t.Errorf("frames delivered: got %d, want 0", got)
 	}
 }
 
 // A peer with another key is rejected, on either side.
-func TestKey(t *testing.T) {
-	e := pair(t, [2]string{"key", "other"}, straight)
-	testutil.WaitUntil(t, "both are rejected", func() bool { return e[0].Counters.ConnsRejected.Load() > 1 && e[1].Counters.ConnsRejected.Load() > 1 })
-	if e[0].count(&e[0].hellos)+e[1].count(&e[1].hellos) > 0 {
-		t.Error("one was accepted")
+func TestPeerWithOtherKeyIsRejected(t *testing.T) {
+	peers := newPeers(t, [2]string{"key", "other"}, noProxy)
+	testutil.WaitUntil(t, "both are rejected", func() bool {
+		return peers[0].Counters.ConnsRejected.Load() > 1 && peers[1].Counters.ConnsRejected.Load() > 1
+	})
+	if got := peers[0].helloCount() + peers[1].helloCount(); got > 0 {
+		t.Errorf("hellos accepted: got %d, want 0", got)
 	}
 }
 
-// breaking returns a proxy that ends the first connection after a number of bytes; the next are passed on whole.
-func breaking(t *testing.T, after int64) func(addr string) string {
-	return func(addr string) string {
-		ln := testutil.Listen(t, "127.0.0.1:0", nil)
-		t.Cleanup(func() { ln.Close() })
-		var broke atomic.Bool
+// newInterruptingProxy returns a proxy that ends the first connection after a number of bytes; it forwards the next
+// ones to their end.
+func newInterruptingProxy(t *testing.T, afterBytes int64) func(address string) string {
+	return func(address string) string {
+		listener := testutil.Listen(t, "127.0.0.1:0", nil)
+		t.Cleanup(func() { listener.Close() })
+		var interrupted atomic.Bool
 		go func() {
 			for {
-				c, err := ln.Accept()
+				client, err := listener.Accept()
 				if err != nil {
 					return
 				}
-				d, err := net.Dial("tcp", addr)
+				server, err := net.Dial("tcp", address)
 				if err != nil {
-					c.Close()
+					client.Close()
 					continue
 				}
-				go func() { io.Copy(c, d); c.Close() }()
 				go func() {
-					defer c.Close()
-					defer d.Close()
-					n, _ := io.CopyN(d, c, after)
-					if n < after {
+					io.Copy(client, server)
+					client.Close()
+				}()
+				go func() {
+					defer client.Close()
+					defer server.Close()
+					n, _ := io.CopyN(server, client, afterBytes)
+					if n < afterBytes {
 						return
 					}
-					if broke.CompareAndSwap(false, true) {
+					if interrupted.CompareAndSwap(false, true) {
 						return
 					}
-					io.Copy(d, c)
+					io.Copy(server, client)
 				}()
 			}
 		}()
-		return ln.Addr().String()
+		return listener.Addr().String()
 	}
 }
 
 // A snapshot that is interrupted resumes where it was.
-func TestSnapshotResumes(t *testing.T) {
-	e := pair(t, [2]string{"key", "key"}, breaking(t, 1<<20))
-	testutil.WaitUntil(t, "both have connected", func() bool { return e[0].count(&e[0].hellos) > 0 && e[1].count(&e[1].hellos) > 0 })
-	big := bytes.Repeat([]byte("snapshot"), 400_000)
-	e[0].Send(&node.Frame{To: "b", Kind: node.KindRaft, Body: big, SnapshotTo: 2})
-	testutil.WaitUntil(t, "the snapshot has arrived", func() bool { return e[1].count(&e[1].got) == 1 })
-	if got := e[1].got[0]; got != frame("a", node.KindRaft, len(big), "snapshot") {
-		t.Errorf("the snapshot is %q", got)
-	}
-}
-
-// A frame is read as it was written, and one with any bit changed is not read as another: kind and body are under
-// the checksum, and a wrong length breaks it.
-func TestFrames(t *testing.T) {
-	r := rand.New(rand.NewPCG(1, 1))
-	for range 200 {
-		body := make([]byte, r.IntN(200))
-		for i := range body {
-			body[i] = byte(r.Uint32())
-		}
-		b := AppendFrame(nil, 7, body)
-		if kind, got, err := ReadFrame(bufio.NewReader(bytes.NewReader(b))); err != nil || kind != 7 || !bytes.Equal(got, body) {
-			t.Fatalf("%d, %v", kind, err)
-		}
-		b[r.IntN(len(b))] ^= 1 << r.IntN(8)
-		if _, _, err := ReadFrame(bufio.NewReader(bytes.NewReader(append(b, body...)))); err == nil {
-			t.Fatalf("a changed frame of %d bytes is read", len(body))
-		}
+func TestSnapshotResumesAfterInterruption(t *testing.T) {
+	peers := newPeers(t, [2]string{"key", "key"}, newInterruptingProxy(t, 1<<20))
+	waitUntilConnected(t, peers)
+	snapshot := bytes.Repeat([]byte("snapshot"), 400_000)
+	peers[0].Send(&node.Frame{To: "b", Kind: node.KindRaft, Body: snapshot, SnapshotTo: 2})
+	testutil.WaitUntil(t, "the snapshot has arrived", func() bool { return peers[1].frameCount() == 1 })
+	if got, want := peers[1].frames[0], describeFrame("a", node.KindRaft, snapshot); got != want {
+		t.Errorf("snapshot: got %q, want %q", got, want)
 	}
 }
-
-// Whatever arrives, reading ends and takes no more memory than has arrived.
-func FuzzReadFrame(f *testing.F) {
-	f.Add(AppendFrame(nil, 1, []byte("body")))
-	f.Add([]byte{255, 255, 127, 0, 1, 0, 0, 0, 0})
-	f.Fuzz(func(t *testing.T, b []byte) {
-		in := bufio.NewReader(bytes.NewReader(b))
-		for {
-			kind, body, err := ReadFrame(in)
-			if err != nil {
-				return
-			}
-			if len(body) > len(b) {
-				t.Fatalf("%d bytes of kind %d out of %d", len(body), kind, len(b))
-			}
-		}
-	})
-}
