--- a/internal/cluster/relay/compat_test.go
+++ b/internal/cluster/relay/compat_test.go
@@ -8,7 +8,7 @@
 	"dunemoor/internal/testutil/compat"
 )
 
-// Relays and gateways of two builds understand one another.
+// The messages between relays and gateways keep their bytes.
 func TestCompatFormats(t *testing.T) {
 	compat.JSON(t, "join.json", &JoinRequest{})
 	compat.JSON(t, "answer.json", &JoinReply{})
@@ -16,6 +16,7 @@
 	compat.Values(t, "kinds.txt", KindIdle, KindRecord, KindJoin, KindJoinReply, KindHeartbeat, KindRoutes, Broadcast)
 }
 
+// Records keep their bytes, and those of an earlier build are read.
 func TestCompatRecords(t *testing.T) {
 	want := []Record{
 		{To: "g1", Kind: node.KindMessage, Body: []byte("from a gateway")},
@@ -28,12 +29,12 @@
 	}
 	compat.Bytes(t, "records.bin", b)
 	var got []Record
-	if bad := ReadRecords(compat.Read(t, "records.bin"), func(r *Record) { got = append(got, *r) }); bad != 0 {
-		t.Errorf("%d records can't be read", bad)
+	if malformed := ReadRecords(compat.Read(t, "records.bin"), func(r *Record) { got = append(got, *r) }); malformed != 0 {
+		t.Errorf("malformed records: got %d, want 0", malformed)
 	}
 	want[2].Body = []byte{}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("read back: %+v", got)
+		t.Errorf("records: got %+v, want %+v", got, want)
 	}
 }
 
@@ -44,7 +45,7 @@
 	compat.Bytes(t, "beat.bin", f.encodeHeartbeat(func(r *Relay) bool { return r.Zone != "z1" }))
 	for i, want := range []bool{false, true, true, false} {
 		if got := f.hasCapacity(compat.Read(t, "beat.bin"), i); got != want {
-			t.Errorf("relay %d has room: %v", i, got)
+			t.Errorf("relay %d has capacity: got %t, want %t", i, got, want)
 		}
 	}
 }
