--- a/internal/cluster/node/node_test.go
+++ b/internal/cluster/node/node_test.go
@@ -10,148 +10,163 @@
 	"dunemoor/internal/cluster/wal"
 )
 
-// start is the time at which nodes are made.
-const start = time.Hour
+// testStart is the time at which nodes are made.
+const testStart = time.Hour
 
-func newNode(t *testing.T, cfg Config) *Node {
+// newTestNode returns a node of the fleet "f", whose only replica at the start is r1.
+func newTestNode(t *testing.T, cfg Config) *Node {
 	t.Helper()
 	cfg.Fleet, cfg.BootstrapReplicas, cfg.Disk = "f", []string{"r1"}, wal.Identity{ReplicaID: 7, Boots: 1}
-	n, err := New(start, cfg)
+	n, err := New(testStart, cfg)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("New: got %v, want no error", err)
 	}
 	return n
 }
 
-// messages returns the messages of an output, and their receivers.
-func messages(t *testing.T, o *Output) (to []string, list []*Message) {
+// sentMessages returns the messages of an output, and their receivers.
+func sentMessages(t *testing.T, output *Output) (receivers []string, messages []*Message) {
 	t.Helper()
-	for _, f := range o.Frames {
+	for _, f := range output.Frames {
 		m, err := DecodeMessage(f.Body)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("DecodeMessage: got %v, want no error", err)
 		}
-		to, list = append(to, f.To), append(list, m)
+		receivers, messages = append(receivers, f.To), append(messages, m)
 	}
-	return to, list
+	return receivers, messages
 }
 
-// In a fleet with relays a publication for all is one frame, and one for a gateway goes by its name; in a
-// full mesh publications go to the peers that are known.
-func TestPublish(t *testing.T) {
-	published := func(n *Node) []string {
-		o := n.TakeOutput()
-		to, _ := messages(t, &o)
-		return to
+// In a fleet with relays a publication for all is one frame, and one for a gateway goes by its name; in a full mesh
+// publications go to the peers that are known.
+func TestPublishAddressesRelaysOrKnownPeers(t *testing.T) {
+	takeReceivers := func(n *Node) []string {
+		output := n.TakeOutput()
+		receivers, _ := sentMessages(t, &output)
+		return receivers
 	}
-	n := newNode(t, Config{Name: "g1", UsesRelays: true})
-	n.Publish(start, "", "d", 1, 1, nil)
-	n.Publish(start, "g2", "d", 1, 2, nil)
-	n.Publish(start, "g1", "d", 1, 3, nil)
-	if to := published(n); !slices.Equal(to, []string{Broadcast, "g2"}) {
-		t.Error("with relays it is sent to", to)
+	n := newTestNode(t, Config{Name: "g1", UsesRelays: true})
+	n.Publish(testStart, "", "d", 1, 1, nil)
+	n.Publish(testStart, "g2", "d", 1, 2, nil)
+	n.Publish(testStart, "g1", "d", 1, 3, nil)
+	if got, want := takeReceivers(n), []string{Broadcast, "g2"}; !slices.Equal(got, want) {
+		t.Errorf("receivers with relays: got %q, want %q", got, want)
 	}
-	n = newNode(t, Config{Name: "g1", Peers: []string{"r1", "g2"}})
-	n.Publish(start, "", "d", 1, 1, nil)
-	if to := published(n); len(to) != 0 {
-		t.Error("it is sent to peers that are not known:", to)
+	n = newTestNode(t, Config{Name: "g1", Peers: []string{"r1", "g2"}})
+	n.Publish(testStart, "", "d", 1, 1, nil)
+	if got := takeReceivers(n); len(got) != 0 {
+		t.Errorf("receivers in a mesh without known peers: got %q, want none", got)
 	}
 	n.replica.hellos["g2"] = Hello{Name: "g2"}
-	n.Publish(start, "", "d", 1, 1, nil)
-	if to := published(n); !slices.Equal(to, []string{"g2"}) {
-		t.Error("in a mesh it is sent to", to)
+	n.Publish(testStart, "", "d", 1, 1, nil)
+	if got, want := takeReceivers(n), []string{"g2"}; !slices.Equal(got, want) {
+		t.Errorf("receivers in a mesh with one known peer: got %q, want %q", got, want)
 	}
 }
 
-// A node that was reconnected renews at once and retries its proposals, at the known leader first, and
-// reports that. A gateway asks for compact deltas, a relay does not.
-func TestReconnected(t *testing.T) {
-	for _, c := range []struct {
+// A node that was reconnected renews at once and retries its proposals, at the known leader first, and reports that. A
+// gateway asks for compact deltas, a relay does not.
+func TestReconnectedRenewsAndRetriesAtKnownLeader(t *testing.T) {
+	for _, tt := range []struct {
+		name    string
 		cfg     Config
 		compact bool
 		role    lease.Role
 	}{
-		{Config{Name: "g1", UsesRelays: true}, true, lease.RoleGateway},
-		{Config{Name: "r1", UsesRelays: true}, false, lease.RoleRelay},
-		{Config{Name: "r2", UsesRelays: true, Peers: []string{"r1"}}, false, lease.RoleRelay},
-		{Config{Name: "g1", Peers: []string{"r1"}}, false, ""},
+		{"gateway", Config{Name: "g1", UsesRelays: true}, true, lease.RoleGateway},
+		{"relay", Config{Name: "r1", UsesRelays: true}, false, lease.RoleRelay},
+		{"relay with a peer", Config{Name: "r2", UsesRelays: true, Peers: []string{"r1"}}, false, lease.RoleRelay},
+		{"gateway in a mesh", Config{Name: "g1", Peers: []string{"r1"}}, false, ""},
 	} {
-		n := newNode(t, c.cfg)
-		n.Tick(start)
+		n := newTestNode(t, tt.cfg)
+		n.Tick(testStart)
 		n.session.target.name = "x" // not this gateway itself
 		n.TakeOutput()
 		n.proposals.list = nil
 		s := n.session
-		s.openProposal, s.id, s.renewedAt, s.renewDelay = 0, 5, start, lease.RenewInterval
-		if role := s.openCommand().Open.Role; role != c.role {
-			t.Errorf("%+v opens a session as %q", c.cfg, role)
+		s.openProposal, s.id, s.renewedAt, s.renewDelay = 0, 5, testStart, lease.RenewInterval
+		if got := s.openCommand().Open.Role; got != tt.role {
+			t.Errorf("%s: role of the session: got %q, want %q", tt.name, got, tt.role)
 		}
-		n.Propose(start, lease.Command{Op: lease.OpAcquire, Lease: "d"})
+		n.Propose(testStart, lease.Command{Op: lease.OpAcquire, Lease: "d"})
 		n.TakeOutput()
-		n.Tick(start + time.Millisecond)
-		o := n.TakeOutput()
-		if _, list := messages(t, &o); slices.ContainsFunc(list, func(m *Message) bool { return m.Renew != nil || m.Proposal != nil }) {
-			t.Error("retried without need")
+		n.Tick(testStart + time.Millisecond)
+		output := n.TakeOutput()
+		_, messages := sentMessages(t, &output)
+		if renewals, proposals := splitMessages(messages); len(renewals) != 0 || len(proposals) != 0 {
+			t.Errorf("%s: before Reconnected: got %d renewals and %d proposals, want none", tt.name, len(renewals), len(proposals))
 		}
+
 		n.view.leader = "lead"
-		n.Reconnected(start + 2*time.Millisecond)
-		o = n.TakeOutput()
-		to, list := messages(t, &o)
-		if slices.ContainsFunc(to, func(name string) bool { return name != "lead" }) {
-			t.Error("the known leader is not asked first:", to)
+		n.Reconnected(testStart + 2*time.Millisecond)
+		output = n.TakeOutput()
+		receivers, messages := sentMessages(t, &output)
+		if slices.ContainsFunc(receivers, func(name string) bool { return name != "lead" }) {
+			t.Errorf("%s: receivers after Reconnected: got %q, want the leader alone", tt.name, receivers)
+		}
+		renewals, proposals := splitMessages(messages)
+		if len(renewals) != 1 || len(proposals) != 1 {
+			t.Errorf("%s: after Reconnected: got %d renewals and %d proposals, want 1 and 1", tt.name, len(renewals), len(proposals))
 		}
-		renewals, proposals := 0, 0
-		for _, m := range list {
-			if m.Renew != nil {
-				renewals++
-				if m.Renew.Compact != c.compact {
-					t.Errorf("%+v renews with compact %v", c.cfg, m.Renew.Compact)
-				}
-			} else if m.Proposal != nil {
-				proposals++
+		for _, m := range renewals {
+			if m.Renew.Compact != tt.compact {
+				t.Errorf("%s: compact renewal: got %t, want %t", tt.name, m.Renew.Compact, tt.compact)
 			}
 		}
-		if renewals != 1 || proposals != 1 || !o.RenewalSent || !o.Reconnected {
-			t.Errorf("%+v: %d renewals, %d proposals, %+v", c.cfg, renewals, proposals, o)
+		if !output.RenewalSent || !output.Reconnected {
+			t.Errorf("%s: output after Reconnected: got %+v, want RenewalSent and Reconnected", tt.name, output)
+		}
+		checkLeaderReplies(t, n)
+	}
+}
+
+// splitMessages returns the renewals among messages, and the proposals.
+func splitMessages(messages []*Message) (renewals, proposals []*Message) {
+	for _, m := range messages {
+		switch {
+		case m.Renew != nil:
+			renewals = append(renewals, m)
+		case m.Proposal != nil:
+			proposals = append(proposals, m)
 		}
-		checkReplies(t, n)
 	}
+	return renewals, proposals
 }
 
-// checkReplies checks that a leader's reply is reported and one of another gateway is not.
-func checkReplies(t *testing.T, n *Node) {
+// checkLeaderReplies checks that a leader's reply is reported and one of another gateway is not.
+func checkLeaderReplies(t *testing.T, n *Node) {
 	t.Helper()
 	n.session.target.name = "r1"
-	reply := func(at time.Duration, r *RenewReply) Output {
-		r.Session, r.Seq = 5, n.session.lastSeq
-		n.Receive(at, "r1", KindMessage, encodeMessage(&Message{RenewReply: r}))
+	receive := func(at time.Duration, reply *RenewReply) Output {
+		reply.Session, reply.Seq = 5, n.session.lastSeq
+		n.Receive(at, "r1", KindMessage, encodeMessage(&Message{RenewReply: reply}))
 		return n.TakeOutput()
 	}
-	o := reply(start+3*time.Millisecond, &RenewReply{Delta: &lease.StateDelta{Revision: 1, SessionCount: 4700}})
-	if s := n.Status(start); !o.LeaderResponded || s.Sessions != 4700 {
-		t.Errorf("leader responded %v, %d sessions", o.LeaderResponded, s.Sessions)
+	output := receive(testStart+3*time.Millisecond, &RenewReply{Delta: &lease.StateDelta{Revision: 1, SessionCount: 4700}})
+	if got := n.Status(testStart).Sessions; !output.LeaderResponded || got != 4700 {
+		t.Errorf("reply of the leader: got LeaderResponded %t and %d sessions, want true and 4700", output.LeaderResponded, got)
 	}
-	o = reply(start+4*time.Millisecond, &RenewReply{Leader: "r2"})
-	if o.LeaderResponded {
-		t.Error("a reply of a gateway that does not lead counts as the leader's")
+	output = receive(testStart+4*time.Millisecond, &RenewReply{Leader: "r2"})
+	if output.LeaderResponded {
+		t.Error("reply of a gateway that does not lead: got LeaderResponded true, want false")
 	}
 }
 
 // A replica whose disk is known to be an older copy stops.
-func TestDiskOutdated(t *testing.T) {
-	n := newNode(t, Config{Name: "g1", UsesRelays: true})
-	n.DiskOutdated(start, "a relay knows a later stream")
+func TestDiskOutdatedHaltsNode(t *testing.T) {
+	n := newTestNode(t, Config{Name: "g1", UsesRelays: true})
+	n.DiskOutdated(testStart, "a relay knows a later stream")
 	if err := n.Halted(); !errors.Is(err, wal.ErrCopied) {
-		t.Error(err)
+		t.Errorf("Halted: got %v, want %v", err, wal.ErrCopied)
 	}
 }
 
 // The hello of a gateway that no connection is made with is rejected with a reason.
-func TestValidateHello(t *testing.T) {
+func TestValidateHelloRejectsWithReason(t *testing.T) {
 	own := Hello{Fleet: "f", Format: FormatVersion, Name: "g1", ClusterID: 5}
-	good := Hello{Fleet: "f", Format: FormatVersion, Name: "g2"}
-	if err := ValidateHello(&own, &good, []string{"g2"}); err != nil {
-		t.Error(err)
+	valid := Hello{Fleet: "f", Format: FormatVersion, Name: "g2"}
+	if err := ValidateHello(&own, &valid, []string{"g2"}); err != nil {
+		t.Errorf("valid hello: got %v, want no error", err)
 	}
 	for name, change := range map[string]func(h *Hello){
 		"fleet":      func(h *Hello) { h.Fleet = "other" },
@@ -160,11 +175,11 @@
 		"no peer":    func(h *Hello) { h.Name = "g3" },
 		"cluster ID": func(h *Hello) { h.ClusterID = 6 },
 	} {
-		h := good
-		change(&h)
+		hello := valid
+		change(&hello)
 		var rejected *HelloError
-		if err := ValidateHello(&own, &h, []string{"g1", "g2"}); !errors.As(err, &rejected) || rejected.Reason == "" {
-			t.Errorf("%s: %v", name, err)
+		if err := ValidateHello(&own, &hello, []string{"g1", "g2"}); !errors.As(err, &rejected) || rejected.Reason == "" {
+			t.Errorf("%s: got %v, want a HelloError with a reason", name, err)
 		}
 	}
 }
