--- a/internal/cluster/clock_test.go
+++ b/internal/cluster/clock_test.go
@@ -10,15 +10,15 @@
 	"testing"
 )
 
-// The wall clock may jump by hours in either direction. Nothing here reads it except to show it: what is compared are
-// durations of a clock that nobody sets.
-func TestNoWallClock(t *testing.T) {
-	wall := map[string]bool{"Unix": true, "UnixNano": true, "UnixMilli": true, "UnixMicro": true, "UTC": true, "Local": true, "Date": true, "ModTime": true}
-	shown := map[string]bool{
-		"storage.go quarantine":         true, // the name of what was set aside
-		"failpoint/enabled.go WallTime": true, // of a failpoint
+// The wall clock may jump by hours in either direction. The package and those below it read it for display alone, and
+// compare times of the monotonic clock.
+func TestPackagesDoNotReadWallClock(t *testing.T) {
+	wallClock := map[string]bool{"Unix": true, "UnixNano": true, "UnixMilli": true, "UnixMicro": true, "UTC": true, "Local": true, "Date": true, "ModTime": true}
+	allowed := map[string]bool{
+		"storage.go quarantine":         true, // the name of the directory that is set aside
+		"failpoint/enabled.go WallTime": true, // set by a failpoint
 	}
-	seen := 0
+	reads := 0
 	err := filepath.WalkDir(".", func(path string, d os.DirEntry, err error) error {
 		if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return err
@@ -35,19 +35,19 @@
 			}
 			ast.Inspect(decl, func(n ast.Node) bool {
 				s, ok := n.(*ast.SelectorExpr)
-				if !ok || !wall[s.Sel.Name] {
+				if !ok || !wallClock[s.Sel.Name] {
 					return true
 				}
-				seen++
-				if !shown[path+" "+name] {
-					t.Errorf("%s: %s reads the wall clock (%s)", set.Position(n.Pos()), name, s.Sel.Name)
+				reads++
+				if !allowed[path+" "+name] {
+					t.Errorf("%s: got a read of the wall clock in %s (%s), want none", set.Position(n.Pos()), name, s.Sel.Name)
 				}
 				return true
 			})
 		}
 		return nil
 	})
-	if err != nil || seen == 0 {
-		t.Errorf("nothing was checked: %v", err)
+	if err != nil || reads == 0 {
+		t.Errorf("got %d reads of the wall clock and error %v, want the allowed reads and no error", reads, err)
 	}
 }
--- a/internal/cluster/compat_test.go
+++ b/internal/cluster/compat_test.go
@@ -4,6 +4,7 @@
 	"os"
 	"path/filepath"
 	"slices"
+	"strings"
 	"testing"
 
 	"github.com/prometheus/client_golang/prometheus"
@@ -13,19 +14,19 @@
 	"dunemoor/internal/testutil/compat"
 )
 
-// What operators' tools read at /admin/fleet.
+// The status at /admin/fleet, which operators' tools read, keeps its keys.
 func TestCompatStatus(t *testing.T) {
 	compat.JSON(t, "status.json", &Status{})
 }
 
-// The names of all metrics, of a mesh, a relay and a gateway.
+// The metrics of a relay and of a gateway keep their names and types.
 func TestCompatMetrics(t *testing.T) {
-	relays := relaysOf(t, 2)
+	relays := newRelays(t, 2)
 	names := map[string]bool{}
-	for _, p := range []*member{join(t, "r1", relays, nil), join(t, "g1", relays, nil)} {
-		r := prometheus.NewRegistry()
-		p.RegisterMetrics(r)
-		families, err := r.Gather()
+	for _, m := range []*member{startMember(t, "r1", relays, nil), startMember(t, "g1", relays, nil)} {
+		registry := prometheus.NewRegistry()
+		m.RegisterMetrics(registry)
+		families, err := registry.Gather()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -37,28 +38,23 @@
 	for name := range names {
 		list = append(list, name)
 	}
-	slices.SortFunc(list, func(a, b any) int {
-		if a.(string) < b.(string) {
-			return -1
-		}
-		return 1
-	})
+	slices.SortFunc(list, func(a, b any) int { return strings.Compare(a.(string), b.(string)) })
 	compat.Values(t, "metrics.txt", list...)
 }
 
-// Overrides that an earlier build has saved are read at a start, and saved in the same form.
-func TestCompatWords(t *testing.T) {
+// Overrides that an earlier build has saved are read at the start, and saved with the same bytes.
+func TestCompatOverrides(t *testing.T) {
 	dir := t.TempDir()
-	f, err := New(Config{FleetID: "f", Name: "g1", Listen: "127.0.0.1:0", DataDir: dir, Key: []byte(testKey), BootstrapReplicas: []string{"g1"}})
+	c, err := New(Config{FleetID: "f", Name: "g1", Listen: "127.0.0.1:0", DataDir: dir, Key: []byte(testKey), BootstrapReplicas: []string{"g1"}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.dir.Close()
-	defer f.listener.Close()
+	defer c.dir.Close()
+	defer c.listener.Close()
 	saved := node.OverrideSet{ClusterID: 5, ModRevision: 6, List: []lease.Override{
 		{Pool: "web", Host: "w1", Reason: "disk", CreatedBy: "g2", Remaining: 3600e9, CreatedRevision: 4}, {Pool: "web", Host: "w2", CreatedBy: "g1", CreatedRevision: 6},
 	}}
-	if err := f.writeOverrides(&saved); err != nil {
+	if err := c.writeOverrides(&saved); err != nil {
 		t.Fatal(err)
 	}
 	b, err := os.ReadFile(filepath.Join(dir, "words.json"))
@@ -69,7 +65,7 @@
 	if err := os.WriteFile(filepath.Join(dir, "words.json"), compat.Read(t, "words.json"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if got := f.readOverrides(); got.ClusterID != 5 || got.ModRevision != 6 || !slices.Equal(got.List, saved.List) {
-		t.Errorf("read back: %+v", got)
+	if got := c.readOverrides(); got.ClusterID != 5 || got.ModRevision != 6 || !slices.Equal(got.List, saved.List) {
+		t.Errorf("overrides: got %+v, want %+v", got, saved)
 	}
 }
