--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -77,7 +77,7 @@
 	case Canceled:
 		// An attempt that was canceled at its request's deadline has timed out all the same. That a
 		// client has gone, or another attempt has answered, says nothing of the host.
-		if attempt.request.timedOut {
+		if attempt.request.answeredByBalancer {
 			b.observeTimeout(attempt, rtt)
 		}
 	case Reset:
--- a/balancer/checkpoint.go
+++ b/balancer/checkpoint.go
@@ -109,7 +109,7 @@
 }
 
 func (b *Balancer) codePolling(c *checkpointCodec) {
-	c.codeBool(&b.poller.polling)
+	c.codeBool(&b.poller.listsArrive)
 	codeInt(c, &b.poller.failures)
 }
 
--- a/balancer/checkpoint_hosts.go
+++ b/balancer/checkpoint_hosts.go
@@ -59,7 +59,7 @@
 	c.codeBool(&h.counted.ready)
 	c.codeBool(&h.counted.inUse)
 	c.codeBool(&h.counted.ejected)
-	c.codeBool(&h.counted.broken)
+	c.codeBool(&h.counted.unreachable)
 	codeInt(c, &h.brokenResponses)
 	codeInt(c, &h.ejection.count)
 	codeInt(c, &h.ejection.cause)
--- a/balancer/checkpoint_requests.go
+++ b/balancer/checkpoint_requests.go
@@ -58,7 +58,7 @@
 	}
 	c.codeBool(&request.Duplicate)
 	c.codeBool(&request.done)
-	c.codeBool(&request.timedOut)
+	c.codeBool(&request.answeredByBalancer)
 	c.codeBool(&request.streaming)
 	n := c.codeCount(len(request.attempts))
 	for i := range n {
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -105,9 +105,9 @@
 	return relative
 }
 
-// atLimit reports whether a host gets no other attempt now: as it rests, has as many in flight as it may, or
-// does not answer the ones that it has in time.
-func (b *Balancer) atLimit(host *host) bool {
+// takesNoMore reports whether a host gets no other attempt now: as it rests, has as many in flight as it may,
+// or does not answer the ones that it has in time.
+func (b *Balancer) takesNoMore(host *host) bool {
 	oldest, notOvertaken := host.oldestNotOvertaken()
 	counted := host.inFlight
 	if b.stalled.areUnanswered() {
--- a/balancer/hostset.go
+++ b/balancer/hostset.go
@@ -5,12 +5,12 @@
 
 // The sets.
 const (
-	setReady    setKind = iota // in the subset, and ready as far as is known
-	setSilent                  // ejected as silent, else ready
-	setBroken                  // ejected as connections to it fail, else ready
-	setDoubtful                // has one attempt in flight that takes long, else ready
-	setBusy                    // has attempts in flight
-	setSubset                  // in the subset
+	setReady       setKind = iota // in the subset, and ready as far as is known
+	setSilent                     // ejected as silent, else ready
+	setUnreachable                // ejected as connections to it fail, else ready
+	setSuspected                  // has one attempt in flight that takes long, else ready
+	setBusy                       // has attempts in flight
+	setSubset                     // in the subset
 	setCount
 
 	setNone setKind = -1
--- a/balancer/hostset_test.go
+++ b/balancer/hostset_test.go
@@ -10,9 +10,9 @@
 // subset: the ready hosts or, if there are none, the suspected ones. It is the reference for the host
 // sets.
 func scanCandidates(b *Balancer, class int, candidates []*host) []*host {
-	inService, ejected, excluded, broken := 0, 0, 0, 0
+	inService, ejected, excluded, unreachable := 0, 0, 0, 0
 	hosts := b.sets[setSubset].list
-	accepts := func(h *host) bool { return h.State == Ready && !h.slowStart.paced(b.now) && !b.atLimit(h) }
+	accepts := func(h *host) bool { return h.State == Ready && !h.slowStart.paced(b.now) && !b.takesNoMore(h) }
 	for _, h := range hosts {
 		switch {
 		case h.State != Ready:
@@ -22,7 +22,7 @@
 			inService++
 			ejected++
 			if h.ejection.cause == CauseConnectionsFailed {
-				broken++
+				unreachable++
 			}
 		default:
 			inService++
@@ -34,7 +34,7 @@
 	for _, h := range hosts {
 		allExcluded := inService == 0 && excluded > 0
 		failOpen := 2*ejected > inService && b.ejected(h) && !b.excludedFor(h, class)
-		usable := h.ejection.cause != CauseConnectionsFailed || broken == inService
+		usable := h.ejection.cause != CauseConnectionsFailed || unreachable == inService
 		if (allExcluded || failOpen && usable) && accepts(h) {
 			candidates = append(candidates, h)
 		}
@@ -44,7 +44,7 @@
 	}
 	for _, h := range hosts {
 		// The silence timeout may have shrunk since the last recheck; the next sweep sees that.
-		rechecked := h.sets.readySet == setDoubtful || h.recheckEntry.at <= b.now
+		rechecked := h.sets.readySet == setSuspected || h.recheckEntry.at <= b.now
 		inUse := h.State == Ready && !b.excludedFor(h, class) && !b.ejected(h) && !h.slowStart.paced(b.now)
 		if rechecked && inUse && b.suspected(h) {
 			candidates = append(candidates, h)
--- a/balancer/polling.go
+++ b/balancer/polling.go
@@ -16,9 +16,9 @@
 // failure with an exponential, jittered and bounded backoff. The backoff counts from the start of a poll that
 // hung: a change counts as known 6 s after discovery can be reached, however often polls have failed.
 type endpointPoller struct {
-	polling  bool // a list was received since the last failure
-	pollAt   Time // when the next poll is due
-	failures int  // since the last list
+	listsArrive bool // a list was received since the last failure
+	pollAt      Time // when the next poll is due
+	failures    int  // since the last list
 }
 
 // startPolling begins to poll, spread by rank so that a fleet that starts together does not overload
@@ -36,7 +36,7 @@
 
 // pollDue polls discovery if that is due. Another poll follows if this one hangs.
 func (b *Balancer) pollDue() {
-	if b.now < b.poller.pollAt || b.poller.polling {
+	if b.now < b.poller.pollAt || b.poller.listsArrive {
 		return
 	}
 	b.act(Action{Kind: Poll})
@@ -46,10 +46,10 @@
 // pollFailed polls again after a backoff; the old list stays valid.
 func (b *Balancer) pollFailed() {
 	poller := &b.poller
-	if poller.polling || poller.failures == 0 {
+	if poller.listsArrive || poller.failures == 0 {
 		b.log(logEndpointsLost, "endpoint list unavailable, polling again")
 	}
-	poller.polling = false
+	poller.listsArrive = false
 	if !b.settings.Poll {
 		return
 	}
@@ -76,6 +76,6 @@
 	if b.poller.failures > 0 {
 		b.log(logEndpointsRegained, "endpoint list available again")
 	}
-	b.poller.polling = true
+	b.poller.listsArrive = true
 	b.poller.failures = 0
 }
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -4,18 +4,18 @@
 // have ended.
 type request struct {
 	Request
-	class     *Class
-	arrived   Time
-	deadline  Time
-	waitUntil Time // while it is queued: it is rejected from then on
-	band      int  // index of its queue
-	inFlight  int  // attempts
-	done      bool // it has its final response
-	timedOut  bool // it was answered for want of time or hosts
-	streaming bool // a response is being streamed: the request belongs to that attempt
-	queued    bool
-	link      listNode[request] // in its queue
-	attempts  []*attempt        // in the order sent
+	class              *Class
+	arrived            Time
+	deadline           Time
+	waitUntil          Time // while it is queued: it is rejected from then on
+	band               int  // index of its queue
+	inFlight           int  // attempts
+	done               bool // it has its final response
+	answeredByBalancer bool // it was answered for want of time or hosts
+	streaming          bool // a response is being streamed: the request belongs to that attempt
+	queued             bool
+	link               listNode[request] // in its queue
+	attempts           []*attempt        // in the order sent
 }
 
 // attempt is one attempt of a request at a host.
--- a/balancer/response.go
+++ b/balancer/response.go
@@ -17,7 +17,7 @@
 // answer gives the final response to a request that will not be served: a rejection only where a retry by the
 // client is known to be harmless, and else a failure.
 func (b *Balancer) answer(request *request, cause Cause) {
-	request.timedOut = true
+	request.answeredByBalancer = true
 	if cause == CauseQueueTimeout {
 		b.recordStarvation(request, true)
 	}
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -174,7 +174,7 @@
 		}
 		want := Time(0)
 		if class == 1 {
-			want = second + 600*ms - answerMarginSteps*g.b.settings.Step
+			want = second + 600*ms - marginSteps*g.b.settings.Step
 		}
 		if at := g.onlyAction(Send).At; at != want {
 			t.Errorf("class %d: the retry has to be out by %v, want %v", class, at-began, want-began)
@@ -316,7 +316,7 @@
 	h.limiter.limit = 1
 	for _, share := range []float64{0, 1} {
 		g.b.stalled.unansweredShare = share
-		if at, want := g.b.atLimit(h), share == 0; at != want {
+		if at, want := g.b.takesNoMore(h), share == 0; at != want {
 			t.Errorf("with an unanswered share of %v: at its limit %v, want %v", share, at, want)
 		}
 	}
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -24,12 +24,12 @@
 
 // The choices of sets. Their order is that of the sets.
 var (
-	readyHosts     = eligibleSets{first: setReady, count: 1}
-	exceptBroken   = eligibleSets{first: setReady, count: 2} // also hosts that are ejected as silent
-	includeBroken  = eligibleSets{first: setReady, count: 3} // also hosts to which connections fail
-	errorsAnywhere = eligibleSets{first: setReady, count: 3, includeExcluded: true}
-	// doubtfulHosts are those of which it is not known whether they are silent or have one costly request.
-	doubtfulHosts = eligibleSets{first: setDoubtful, count: 1}
+	readyHosts         = eligibleSets{first: setReady, count: 1}
+	exceptUnreachable  = eligibleSets{first: setReady, count: 2} // also hosts that are ejected as silent
+	includeUnreachable = eligibleSets{first: setReady, count: 3} // also hosts to which connections fail
+	errorsAnywhere     = eligibleSets{first: setReady, count: 3, includeExcluded: true}
+	// suspectedHosts are those of which it is not known whether they are silent or have one costly request.
+	suspectedHosts = eligibleSets{first: setSuspected, count: 1}
 )
 
 // contains reports whether a set is among them.
@@ -52,20 +52,20 @@
 	}
 	excluded := &b.excluded[request.Class]
 	counts := subsetCounts{
-		ready:   b.counts.ready - excluded.ready,
-		ejected: b.counts.ejected - excluded.ejected,
-		broken:  b.counts.broken - excluded.broken,
+		ready:       b.counts.ready - excluded.ready,
+		ejected:     b.counts.ejected - excluded.ejected,
+		unreachable: b.counts.unreachable - excluded.unreachable,
 	}
 	host := b.draw(request, b.eligibleSets(counts, excluded.ready))
 	if host != nil {
 		return host
 	}
-	// Before it waits, a request that can be retried goes to a doubtful host: that shows whether it is
+	// Before it waits, a request that can be retried goes to a suspected host: that shows whether it is
 	// silent. It guards against a fleet of hosts that are each idle but for one costly request.
 	if request.class.Idempotency == NonIdempotent {
 		return nil
 	}
-	return b.draw(request, doubtfulHosts)
+	return b.draw(request, suspectedHosts)
 }
 
 // draw chooses among the hosts of sets, as if the ready ones were gathered first: it draws, and passes over
@@ -166,11 +166,11 @@
 		return readyHosts
 	}
 	b.log(logFailOpen, "failing open: %d of %d hosts are ejected", counts.ejected, counts.ready)
-	allBroken := counts.broken == counts.ready
-	if allBroken {
-		return includeBroken
+	allUnreachable := counts.unreachable == counts.ready
+	if allUnreachable {
+		return includeUnreachable
 	}
-	return exceptBroken
+	return exceptUnreachable
 }
 
 // pickInScope chooses among the hosts of a scope, in the subset or not, as pick does. Of a large scope
@@ -186,9 +186,9 @@
 	eligible := b.eligibleSets(counts, excluded)
 	b.gatherFromScope(request, scope, eligible)
 	if len(b.candidates) == 0 {
-		doubtful := doubtfulHosts // unlike in pick, also those excluded for the class, where all are
-		doubtful.includeExcluded = eligible.includeExcluded
-		b.gatherFromScope(request, scope, doubtful)
+		suspected := suspectedHosts // unlike in pick, also those excluded for the class, where all are
+		suspected.includeExcluded = eligible.includeExcluded
+		b.gatherFromScope(request, scope, suspected)
 	}
 	return b.chooseCandidate(request)
 }
@@ -217,8 +217,8 @@
 			continue
 		}
 		ejected := b.ejected(host)
-		broken := ejected && host.ejection.connectionsFail()
-		counts.add(standing{ready: true, ejected: ejected, broken: broken}, 1)
+		unreachable := ejected && host.ejection.connectionsFail()
+		counts.add(standing{ready: true, ejected: ejected, unreachable: unreachable}, 1)
 	}
 	return counts, excluded
 }
--- a/balancer/stalled.go
+++ b/balancer/stalled.go
@@ -32,7 +32,7 @@
 	case OK, Failed, Full, InvalidResponse:
 		s.unansweredShare -= unansweredSampleWeight * s.unansweredShare
 	case TimedOut, Canceled:
-		timedOut := attempt.result == TimedOut || attempt.request.timedOut
+		timedOut := attempt.result == TimedOut || attempt.request.answeredByBalancer
 		if timedOut {
 			s.unansweredShare += unansweredSampleWeight * (1 - s.unansweredShare)
 		}
--- a/balancer/standing.go
+++ b/balancer/standing.go
@@ -5,12 +5,12 @@
 	ready       bool // it is in the subset, and listed as ready
 	inUse       bool // neither warming nor ejected
 	ejected     bool
-	broken      bool // ejected, as connections to it fail
+	unreachable bool // ejected, as connections to it fail
 	unrecovered bool // without a response since it was ejected
 }
 
 // subsetCounts counts the hosts of the subset by standing.
-type subsetCounts struct{ ready, inUse, ejected, broken, unrecovered int }
+type subsetCounts struct{ ready, inUse, ejected, unreachable, unrecovered int }
 
 // add counts n hosts of a standing.
 func (c *subsetCounts) add(counted standing, n int) {
@@ -23,8 +23,8 @@
 	if counted.ejected {
 		c.ejected += n
 	}
-	if counted.broken {
-		c.broken += n
+	if counted.unreachable {
+		c.unreachable += n
 	}
 	if counted.unrecovered {
 		c.unrecovered += n
@@ -38,9 +38,9 @@
 		return setNone
 	}
 	ejected := b.ejected(host)
-	if b.atLimit(host) {
+	if b.takesNoMore(host) {
 		if !ejected && b.suspected(host) {
-			return setDoubtful
+			return setSuspected
 		}
 		return setNone
 	}
@@ -48,7 +48,7 @@
 	case !ejected:
 		return setReady
 	case host.ejection.connectionsFail():
-		return setBroken
+		return setUnreachable
 	}
 	return setSilent
 }
@@ -68,7 +68,7 @@
 		ready:       true,
 		inUse:       b.isInUse(host),
 		ejected:     ejected,
-		broken:      ejected && host.ejection.connectionsFail(),
+		unreachable: ejected && host.ejection.connectionsFail(),
 		unrecovered: host.ejection.count > 0,
 	}
 }
--- a/internal/frontend/ticket.go
+++ b/internal/frontend/ticket.go
@@ -150,10 +150,10 @@
 // SetBodyReceived sets when the last byte of a streamed body was received. The request is at the engine by then.
 func (t *Ticket) SetBodyReceived(at time.Time) { t.BodyArrived(t.responseDue(at)) }
 
-// responseDue returns when the response to a request is due that was received at a time: balancer.AnswerMargin before the
+// responseDue returns when the response to a request is due that was received at a time: balancer.ClientMargin before the
 // client's timeout.
 func (t *Ticket) responseDue(received time.Time) time.Time {
-	return received.Add(t.timeout - balancer.AnswerMargin)
+	return received.Add(t.timeout - balancer.ClientMargin)
 }
 
 // Discard ends a request that is not handed to the engine.
