--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -55,7 +55,8 @@
 }
 
 // log logs a line, at most one of a kind in logInterval. A HostID among the arguments is the host that the
-// line is about. docs/on-call.md explains each line.
+// line is about. docs/on-call.md explains each line. Recordings store the texts, and replays compare them:
+// whoever changes one keeps its stored form in internal/flightrecorder/logtext.go.
 func (b *Balancer) log(kind logKind, format string, args ...any) {
 	limiter := &b.logs[kind]
 	if limiter.logged && b.now-limiter.at < logInterval {
--- a/balancer/api.go
+++ b/balancer/api.go
@@ -156,14 +156,15 @@
 	ID        RequestID
 	Class     int           // index in Settings.Classes
 	Tenant    int           // index in Settings.Tenants
-	Remaining time.Duration // until the client gives up; 0: it is due now
+	Remaining time.Duration // until the client gives up, less ClientMargin; 0: it is due now
 	Duplicate bool          // the client has sent it before
 }
 
 // Result says how an attempt ended.
 type Result uint8
 
-// Results. Those marked as proof prove that the attempt never ran; after any other it may have.
+// Results. Those marked as proof prove that the attempt never ran; after any other it may have. Quoted is the
+// text of String, which logs and recordings have, where it is another word.
 const (
 	OK              Result = iota
 	Failed                 // the host answered with an error
@@ -171,9 +172,9 @@
 	TimedOut               // no response in time
 	ConnectFailed          // no connection (proof)
 	Reset                  // the connection broke
-	Canceled               // canceled by a Cancel action
+	Canceled               // canceled by a Cancel action, or as its client has left
 	NotSent                // the gateway did not send it (proof)
-	InvalidResponse        // what arrived is no valid response
+	InvalidResponse        // "Spoilt": what arrived is no valid response
 )
 
 // MayHaveRun reports whether an attempt with this result may have run.
@@ -188,34 +189,34 @@
 	Closed  bool          // the client has its response, nothing more is owed
 }
 
-// Cause says why a request got a final response without being served, or why a host is ejected. It is for
-// observers: nothing is decided by it.
+// Cause says why a request got a final response without being served, or why a host is ejected. Causes of
+// final responses are for observers; that of an ejection decides when failing open uses the host.
 type Cause uint8
 
-// Causes.
+// Causes. Quoted is the text of String, which logs and recordings have.
 const (
-	CauseNone              Cause = iota
-	CauseArrivedLate             // it arrived with no time left to be sent
-	CauseQueueTimeout            // it waited for a host as long as it may
-	CauseDeadlineExceeded        // its deadline has come, with an attempt in flight or none
-	CauseNoMoreAttempts          // its attempts have ended and it may not be retried
-	CauseConnectionsFailed       // of a host: connections fail
-	CauseSilent                  // of a host: it takes requests and answers none
-	CauseLowerPriority           // it left capacity to a class of higher priority
+	CauseNone              Cause = iota // "none"
+	CauseArrivedLate                    // "late": it arrived with no time left to be sent
+	CauseQueueTimeout                   // "wait": it waited for a host as long as it may
+	CauseDeadlineExceeded               // "deadline": its deadline has come, an attempt in flight or not
+	CauseNoMoreAttempts                 // "spent": its attempts have ended and it may not be retried
+	CauseConnectionsFailed              // "connections fail": of a host, also after resets (Balancer.observe)
+	CauseSilent                         // "silent": of a host, it takes requests and answers none
+	CauseLowerPriority                  // "worth less": it left capacity to a class of higher priority
 )
 
 // ActionKind says what the gateway is to do.
 type ActionKind uint8
 
-// Kinds of actions.
+// Kinds of actions. Quoted is the text of String, which logs and recordings have, where it is another word.
 const (
 	Send   ActionKind = iota // start an attempt of Request at Host; At: the latest time to send, if not 0
 	Cancel                   // cancel Attempt of Request
-	Reject                   // final response: a rejection, a retry is harmless; RetryAfter: advice, or 0
+	Reject                   // "Refuse": final response, a retry is harmless; RetryAfter: advice or 0
 	Fail                     // final response: an error that does not say whether the request ran
 	Wake                     // call Timer with Token at At or soon after
 	Close                    // close the idle connections to Host
-	Poll                     // poll discovery for changes from now on
+	Poll                     // "Watch": poll discovery for changes, again and again until ListFailed
 	Log                      // log Text, which is about Host if that is not 0
 )
 
--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -81,7 +81,8 @@
 			b.observeTimeout(attempt, rtt)
 		}
 	case Reset:
-		// As with invalid responses, what resets connections may do so to any host's.
+		// As with invalid responses, what resets connections may do so to any host's. The second broken
+		// response in a row, if it is a reset, counts as a failed connection.
 		b.addSample(host, rtt)
 		if b.countBrokenResponse(host) {
 			b.eject(host, CauseConnectionsFailed)
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -168,13 +168,15 @@
 	request.class = &b.settings.Classes[arrived.Class]
 	request.arrived = b.now
 	request.deadline = b.now + min(max(arrived.Remaining, 0), request.class.Deadline)
-	request.band = b.queues.bandOf[arrived.Class][b.partOf(request)]
+	request.band = b.queues.bandOf[arrived.Class][b.classifyArrival(request)]
 	b.open[arrived.ID] = request
 	return request
 }
 
-// AttemptStarted reports that the response of an attempt is being streamed: the request belongs to that
-// attempt. Attempts of a request are numbered from 0.
+// AttemptStarted reports that the response of an attempt has begun to be streamed to the client, not that the
+// attempt was sent: the request belongs to that attempt from here on, which still counts as in flight at its
+// host. Attempts of a request are numbered from 0. It is for callers that stream within an attempt, as the
+// simulator does; the engine ends the attempt instead (internal/engine, beginStreaming).
 func (b *Balancer) AttemptStarted(now Time, id RequestID, number int) {
 	b.now = now
 	attempt := b.attemptAt(id, number)
@@ -213,7 +215,8 @@
 }
 
 // Shutdown reports that the gateway ends: open requests are due by then, however long their clients would
-// wait. Requests that arrive later have no more time than that.
+// wait. The time is not kept: for requests that arrive later, the caller sets Remaining so that they are due
+// by then too.
 func (b *Balancer) Shutdown(now, by Time) {
 	b.now = now
 	for _, id := range slices.Sorted(maps.Keys(b.open)) {
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -27,14 +27,14 @@
 // the host is used for that share of the time, and rests otherwise.
 type concurrencyLimiter struct {
 	limit        float64       // attempts in flight from this instance; 0: not set yet
-	recentRTT    movingAverage // in latency objectives
+	recentRTT    movingAverage // as relativeRTT returns it
 	reducedAt    Time
 	restingUntil Time // with a limit below one: the host gets nothing before
 }
 
 // limitSample is a response or timeout, as the limiter sees it.
 type limitSample struct {
-	rtt       float64 // in latency objectives
+	rtt       float64 // as relativeRTT returns it
 	objective Time    // latency objective of its class
 	sentAt    Time
 }
@@ -47,7 +47,8 @@
 	judgedByMean := l.limit >= 1
 	meanOver := l.recentRTT.mean > limitTargetObjectives
 	sampleOver := sample.rtt > limitTargetObjectives
-	if !meanOver || !(judgedByMean || sampleOver) {
+	over = meanOver && (judgedByMean || sampleOver)
+	if !over {
 		return false
 	}
 	// Only an attempt sent after the last reduction can tell whether that was enough.
@@ -68,9 +69,12 @@
 	l.limit += limitGrowthAttempts / (instances * l.limit)
 }
 
-// full reports whether a host with attempts in flight may have no other. One without any may always have one.
-func (l *concurrencyLimiter) full(inFlight int) bool {
-	return inFlight > 0 && float64(inFlight+1) > l.limit
+// full reports whether a host with attempts in flight may have no other.
+func (l *concurrencyLimiter) full(inFlight int) bool { return limitReached(inFlight, l.limit) }
+
+// limitReached reports whether a limit allows no attempt beside those in flight. The first is always allowed.
+func limitReached(inFlight int, limit float64) bool {
+	return inFlight > 0 && float64(inFlight+1) > limit
 }
 
 // resting reports whether a host with a limit below one is not to be used now.
@@ -88,14 +92,17 @@
 	}
 	neededWhileResting := limiter.limit < 1 && b.queues.lastUnserved >= sample.sentAt
 	needed := b.queues.length > 0 || neededWhileResting
-	atLimit := host.inFlight+1 >= int(limiter.limit)
-	if needed && atLimit {
+	usedBefore := host.inFlight + 1 // with the attempt that has just ended
+	wholeLimitUsed := usedBefore >= int(limiter.limit)
+	if needed && wholeLimitUsed {
 		limiter.grow(instances)
 	}
 }
 
-// relativeRTT returns an RTT, in seconds, in latency objectives of the class, or as much relative to the
-// class's typical RTT, whichever is more.
+// relativeRTT returns an RTT, given in seconds, relative to the targets of the limit:
+// limitTargetObjectives stands for the lower one of the two. It is the RTT in latency objectives of the
+// class, or in typical RTTs of the class, scaled so that limitTargetTypicalRTTs of them give
+// limitTargetObjectives, whichever is more.
 func (b *Balancer) relativeRTT(class int, rtt float64) float64 {
 	relative := rtt / b.settings.Classes[class].LatencyObjective.Seconds()
 	typical := &b.typicalRTT.byClass[class]
@@ -116,11 +123,15 @@
 	if host.limiter.resting(b.now) || host.limiter.full(counted) {
 		return true
 	}
-	return notOvertaken > 0 && b.overdue(oldest) || b.suspected(host)
+	return b.overdue(oldest) || b.suspected(host)
 }
 
-// overdue reports whether an attempt has taken so long that its host gets no other.
-func (b *Balancer) overdue(attempt *attempt) bool {
-	age := float64(b.now - attempt.sentAt)
-	return age > overdueObjectives*float64(attempt.request.class.LatencyObjective)
+// overdue reports whether the oldest attempt at a host that was not overtaken, nil for none, has taken so
+// long that the host gets no other.
+func (b *Balancer) overdue(oldest *attempt) bool {
+	if oldest == nil {
+		return false
+	}
+	age := float64(b.now - oldest.sentAt)
+	return age > overdueObjectives*float64(oldest.request.class.LatencyObjective)
 }
--- a/balancer/deadline.go
+++ b/balancer/deadline.go
@@ -4,18 +4,18 @@
 
 // ClientMargin is how long before a client stops waiting its response is due at the gateway: the time that
 // the response needs to reach the client. A gateway subtracts it when it computes Request.Remaining. The
-// Balancer in turn answers a request marginSteps event steps before the deadline that follows from Remaining.
+// Balancer in turn answers a request ahead of the deadline that follows from Remaining, by its stepMargin.
 const ClientMargin = 5 * time.Millisecond
 
 const (
 	// marginSteps is how many event steps ahead of its deadline a request is answered at the
 	// latest. One step may pass until the event is handled, and one until its actions are.
 	marginSteps = 2
-	// retryMargins is how many answer margins must be left before the deadline for a retry.
+	// retryMargins is how many step margins must be left before the deadline for a retry.
 	retryMargins = 2
 )
 
-// stepMargin returns how long ahead of its deadline a request is answered at the latest.
+// stepMargin returns how long ahead of its deadline a request is answered at the latest: marginSteps steps.
 func (b *Balancer) stepMargin() Time { return marginSteps * b.settings.Step }
 
 // tooLateToSend reports whether a new request has no time left to be sent.
--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -9,8 +9,8 @@
 	ejectionJitterMin = 0.75
 	// ejectionJitterRange is how much greater than the least that factor may be.
 	ejectionJitterRange = 0.5
-	// brokenResponseThreshold is how many broken responses or resets in a row count as a failure of the
-	// host. A single one may be caused on the way.
+	// brokenResponseThreshold is how many broken responses in a row, invalid ones or resets, count as a
+	// failure of the host. A single one may be caused on the way.
 	brokenResponseThreshold = 2
 )
 
--- a/balancer/exclusion.go
+++ b/balancer/exclusion.go
@@ -104,8 +104,9 @@
 	}
 }
 
-// holdTrial excludes a host that answered a class with errors until the result of the attempt that is being
-// sent is known, so that it is tried with one request at a time.
+// holdTrial excludes a host that was excluded for a class, and has not recovered since, while the attempt
+// that is being sent is its trial, so that it is tried with one request at a time. The exclusion lasts as
+// long as a first one; a good response ends it sooner if it brings the share of errors below the limit.
 func (b *Balancer) holdTrial(host *host, class int) {
 	errors := &host.errors[class]
 	if errors.exclusions > 0 {
--- a/balancer/host.go
+++ b/balancer/host.go
@@ -13,7 +13,7 @@
 	ejection        ejection
 	brokenResponses int           // invalid responses and resets in a row
 	errors          []classErrors // by class
-	hasErrors       bool          // one of them is not zero
+	hasErrors       bool          // an error was counted in one of them, however long ago
 	slowStart       slowStart
 	ring            ringPosition
 
--- a/balancer/hostset.go
+++ b/balancer/hostset.go
@@ -7,7 +7,7 @@
 const (
 	setReady       setKind = iota // in the subset, and ready as far as is known
 	setSilent                     // ejected as silent, else ready
-	setUnreachable                // ejected as connections to it fail, else ready
+	setUnreachable                // ejected with CauseConnectionsFailed, else ready
 	setSuspected                  // has one attempt in flight that takes long, else ready
 	setBusy                       // has attempts in flight
 	setSubset                     // in the subset
--- a/balancer/polling.go
+++ b/balancer/polling.go
@@ -12,11 +12,14 @@
 	startSpreadDivisor = 4
 )
 
-// endpointPoller decides when discovery is polled for the endpoint list: at once after each list, and after a
-// failure with an exponential, jittered and bounded backoff. The backoff counts from the start of a poll that
-// hung: a change counts as known 6 s after discovery can be reached, however often polls have failed.
+// endpointPoller decides when the gateway begins to poll discovery for the endpoint list. After a Poll
+// action the gateway repeats its polls by itself, until it reports ListFailed. So nothing is decided here
+// while lists arrive; a Poll that brings no list within PollTimeout is repeated, and after a failure
+// polling begins again with an exponential, jittered and bounded backoff. The backoff counts from the
+// start of a poll that hung: a change counts as known 6 s after discovery can be reached, however often
+// polls have failed.
 type endpointPoller struct {
-	listsArrive bool // a list was received since the last failure
+	listsArrive bool // a list was received since the last failure: the gateway polls
 	pollAt      Time // when the next poll is due
 	failures    int  // since the last list
 }
@@ -34,7 +37,7 @@
 	b.wake(b.poller.pollAt, tokenPoll<<tokenShift)
 }
 
-// pollDue polls discovery if that is due. Another poll follows if this one hangs.
+// pollDue polls discovery if that is due and no lists arrive. Another poll follows if this one hangs.
 func (b *Balancer) pollDue() {
 	if b.now < b.poller.pollAt || b.poller.listsArrive {
 		return
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -6,8 +6,8 @@
 	// duplicateWeight is the priority of a client's duplicate in the queues, as a share of its class's:
 	// it may come too late.
 	duplicateWeight = 0.5
-	// maxQueueTimeObjectives is how long a request waits at most, in latency objectives of its class,
-	// divided by the instances that share a host.
+	// maxQueueTimeObjectives is how long after its arrival a request may still wait, in latency objectives of
+	// its class, divided by the instances that share a host.
 	maxQueueTimeObjectives = 0.2
 	// sweepIntervalObjectives is the time between checks of the queues and of busy hosts, in shortest latency
 	// objectives.
@@ -27,7 +27,8 @@
 
 // requestQueues decides in which order waiting requests are sent: by the priority weight of their class, and
 // lower for those beyond their tenant's quota and for duplicates. Within a queue the oldest is first, except
-// that a retry goes to the front.
+// that a retry goes to the front. A request that has provably never run and finds no host holds up all behind
+// it, in its own queue and in all lower ones, also requests that could use other hosts (dispatchQueue).
 type requestQueues struct {
 	byPriority   []linkedList[request] // the highest first
 	bandOf       [][classParts]int     // index of the queue by class and part
@@ -35,13 +36,15 @@
 	lastUnserved Time                  // when a request last found no host; 0: never
 }
 
-// partOf returns the part of its class that a request belongs to.
-func (b *Balancer) partOf(request *request) classPart {
+// classifyArrival returns the part of its class that a request belongs to. It takes a token from the tenant's
+// quota, and so is called once for a request: when it arrives.
+func (b *Balancer) classifyArrival(arrived *request) classPart {
 	var part classPart
-	if !b.quotas.take(b.now, request.Tenant) {
+	withinQuota := b.quotas.take(b.now, arrived.Tenant)
+	if !withinQuota {
 		part |= partOverQuota
 	}
-	if request.Duplicate {
+	if arrived.Duplicate {
 		part |= partDuplicate
 	}
 	return part
@@ -116,10 +119,11 @@
 	q.length--
 }
 
-// maxQueueTime returns how long a request may wait for a host. That is a small share of its latency
-// objective, the smaller the more instances share a host, as capacity there then becomes free by
-// responses to others, which are not seen here. Rejected early, a client may still be served in time
-// elsewhere or later.
+// maxQueueTime returns how long after its arrival a request may wait for a host. A retry has no time of its
+// own: one that finds no host later than that after the request's arrival is rejected at once. The time is a
+// small share of the latency objective, the smaller the more instances share a host, as capacity there then
+// becomes free by responses to others, which are not seen here. Rejected early, a client may still be served
+// in time elsewhere or later.
 func (b *Balancer) maxQueueTime(class *Class) Time {
 	return Time(maxQueueTimeObjectives * float64(class.LatencyObjective) / b.sharingInstances())
 }
@@ -159,8 +163,10 @@
 	}
 }
 
-// dispatchQueue sends what waits in a queue. A retry that is bound to its scope does not hold up those behind
-// it. It reports whether no host is ready for a request that was not sent yet.
+// dispatchQueue sends what waits in a queue. It stops at the first request that has provably never run
+// and finds no host, and reports that: the caller then sends nothing of the lower queues either, as what
+// becomes free belongs to the higher priority. A request that may have run, such as a retry that is bound
+// to its scope, does not hold up those behind it.
 func (b *Balancer) dispatchQueue(queue *linkedList[request]) (noneReady bool) {
 	node := queue.head
 	for node != nil {
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -11,7 +11,7 @@
 	band               int  // index of its queue
 	inFlight           int  // attempts
 	done               bool // it has its final response
-	answeredByBalancer bool // it was answered for want of time or hosts
+	answeredByBalancer bool // its response is the balancer's, for whatever Cause
 	streaming          bool // a response is being streamed: the request belongs to that attempt
 	queued             bool
 	link               listNode[request] // in its queue
--- a/balancer/sendrate.go
+++ b/balancer/sendrate.go
@@ -31,7 +31,7 @@
 // the attempts sent; the limit is reduced once a round when the mean RTT passes its target, and grows while
 // it is below.
 type sendRateController struct {
-	limit      float64       // attempts a second; 0: none
+	limit      float64       // attempts a second; 0: not limited
 	pressure   movingAverage // RTT of the last responses from any host, in targets
 	reducedAt  Time
 	grownAt    Time
--- a/balancer/standing.go
+++ b/balancer/standing.go
@@ -1,5 +1,31 @@
 package balancer
 
+// The states of a host, of which it may have several. An instant is on the Balancer's clock, an age
+// counts from the Send action, an objective is the latency objective of the attempt's class. Shown is the
+// letter in `dunemoorctl flight show` (HostView.Unavailable), a field of HostView, or Balancer.Usable.
+//
+//	state        condition                             unit       ends when                      shown as
+//	draining     listed as Draining                               listed as Ready                d
+//	undrawn      not in this instance's subset                    the subset moves (subset.go)   -
+//	ejected      ejection.count > 0, and before until  instant    until; then one trial request, X or S
+//	             or with its trial request in flight              and any response is the end
+//	 unreachable cause CauseConnectionsFailed                                                    X
+//	 silent      cause CauseSilent                                                               S
+//	unrecovered  ejection.count > 0                    ejections  the host responds              Usable
+//	warming      started within SlowStartWindow        duration   SlowStartWindow is over        Warming
+//	paced        warming, before slowStart.nextSend    instant    nextSend                       c
+//	resting      before limiter.restingUntil           instant    restingUntil                   r
+//	full         attempts in flight + 1 > limit        attempts   an attempt ends, limit grows   f
+//	overdue      oldest attempt not overtaken is older objectives it ends or is overtaken        o
+//	             than overdueObjectives
+//	suspected    only attempt not overtaken is older   duration   it ends or is overtaken, or    nothing
+//	             than silenceTimeout; not resting                 another is sent
+//	excluded     for a class, before excludedUntil     instant    excludedUntil, good responses  ExcludedFor
+//
+// The letters X and S end at until, though the host's trial request may still be in flight. An attempt is
+// overtaken once its host has given overtakenResponses responses to later ones (stalled.go), and stalled if
+// in addition it is older than silenceTimeout and stalledObjectives.
+
 // standing is what a host counts as in the subset.
 type standing struct {
 	ready       bool // it is in the subset, and listed as ready
@@ -32,7 +58,7 @@
 }
 
 // readySetOf decides which of the first four sets a host belongs to, whether or not it is in the subset. Its
-// inputs are the host's listed state, ejection, slow start and concurrency limit.
+// inputs are the host's listed state, slow start, concurrency limit and ejection, in this order.
 func (b *Balancer) readySetOf(host *host) setKind {
 	if host.State != Ready || host.slowStart.paced(b.now) {
 		return setNone
--- a/balancer/view.go
+++ b/balancer/view.go
@@ -9,7 +9,7 @@
 	Overdue           bool    // its oldest attempt has taken long, and it gets no other
 	InFlight          int     // attempts in flight
 	ConcurrencyLimit  float64 // attempts that it may have in flight from this instance
-	RecentRTT         float64 // mean RTT of its last responses, in latency objectives
+	RecentRTT         float64 // mean RTT of its last responses; 0.375 is the target of the limit
 	EstimatedRTT      float64 // RTT by which it is chosen, in seconds
 	Cause             Cause   // of its last ejection
 	Ejections         int     // since its last response; 0: it is not ejected
@@ -55,12 +55,14 @@
 	return view
 }
 
-// Unavailable returns a code for what keeps a host from the next request; "": nothing does. Analyses of
-// recordings print the code.
+// Unavailable returns a code for what keeps a host from the next request; "": nothing that the view has.
+// Analyses of recordings print the code. It is an approximation of readySetOf: it does not know of a trial
+// request in flight, of a suspected host, of an exclusion for the request's class, or that overtaken attempts
+// may not count against the limit.
 func (v *HostView) Unavailable(now Time) string {
 	inBackoff := v.Ejections > 0 && now < v.EjectedUntil
 	paced := v.Warming && now < v.NextSlowStartSend
-	atLimit := v.InFlight > 0 && float64(v.InFlight+1) > v.ConcurrencyLimit
+	full := limitReached(v.InFlight, v.ConcurrencyLimit)
 	switch {
 	case v.State == Removed:
 		return "gone"
@@ -76,22 +78,23 @@
 		return "resting"
 	case v.Overdue:
 		return "overdue"
-	case atLimit:
+	case full:
 		return "full"
 	}
 	return ""
 }
 
-// Queued returns the number of requests that wait for a host, and the limit of attempts a second that the
-// Balancer has set itself, 0 where there is none.
+// Queued returns the number of requests that wait for a host, and the limit of attempts a second to all hosts
+// together; 0: not limited. The limit is as last computed: it is not in force while fewer than
+// sendRateMinInstances instances share a host.
 func (b *Balancer) Queued() (requests int, sendRate float64) {
 	return b.queues.length, b.sendRate.limit
 }
 
 // hostOverdue reports whether the oldest attempt at a host is overdue.
 func (b *Balancer) hostOverdue(host *host) bool {
-	oldest, notOvertaken := host.oldestNotOvertaken()
-	return notOvertaken > 0 && b.overdue(oldest)
+	oldest, _ := host.oldestNotOvertaken()
+	return b.overdue(oldest)
 }
 
 // Endpoints appends the hosts as listed, with those that were removed and still have attempts in flight.
