--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -163,10 +163,9 @@
 	}
 }
 
-// dispatchQueue sends what waits in a queue. It stops at the first request that has provably never run
-// and finds no host, and reports that: the caller then sends nothing of the lower queues either, as what
-// becomes free belongs to the higher priority. A request that may have run, such as a retry that is bound
-// to its scope, does not hold up those behind it.
+// dispatchQueue sends what waits in a queue. It stops at the first request that has provably never run and
+// finds no host, and reports that: the caller then sends nothing of the lower queues either. A request that
+// may have run, such as a retry that is bound to its scope, does not hold up those behind it.
 func (b *Balancer) dispatchQueue(queue *linkedList[request]) (noneReady bool) {
 	node := queue.head
 	for node != nil {
