--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -77,11 +77,12 @@
 	case Canceled:
 		// An attempt that was canceled at its request's deadline has timed out all the same. That a
 		// client has gone, or another attempt has answered, says nothing of the host.
-		if attempt.request.timedOut {
+		if attempt.request.answeredByBalancer {
 			b.observeTimeout(attempt, rtt)
 		}
 	case Reset:
-		// As with invalid responses, what resets connections may do so to any host's.
+		// As with invalid responses, what resets connections may do so to any host's. The second broken
+		// response in a row, if it is a reset, counts as a failed connection.
 		b.addSample(host, rtt)
 		if b.countBrokenResponse(host) {
 			b.eject(host, CauseConnectionsFailed)
--- a/balancer/polling.go
+++ b/balancer/polling.go
@@ -12,13 +12,16 @@
 	startSpreadDivisor = 4
 )
 
-// endpointPoller decides when discovery is polled for the endpoint list: at once after each list, and after a
-// failure with an exponential, jittered and bounded backoff. The backoff counts from the start of a poll that
-// hung: a change counts as known 6 s after discovery can be reached, however often polls have failed.
+// endpointPoller decides when the gateway begins to poll discovery for the endpoint list. After a Poll
+// action the gateway repeats its polls by itself, until it reports ListFailed. So nothing is decided here
+// while lists arrive; a Poll that brings no list within PollTimeout is repeated, and after a failure
+// polling begins again with an exponential, jittered and bounded backoff. The backoff counts from the
+// start of a poll that hung: a change counts as known 6 s after discovery can be reached, however often
+// polls have failed.
 type endpointPoller struct {
-	polling  bool // a list was received since the last failure
-	pollAt   Time // when the next poll is due
-	failures int  // since the last list
+	listsArrive bool // a list was received since the last failure: the gateway polls
+	pollAt      Time // when the next poll is due
+	failures    int  // since the last list
 }
 
 // startPolling begins to poll, spread by rank so that a fleet that starts together does not overload
@@ -34,9 +37,9 @@
 	b.wake(b.poller.pollAt, tokenPoll<<tokenShift)
 }
 
-// pollDue polls discovery if that is due. Another poll follows if this one hangs.
+// pollDue polls discovery if that is due and no lists arrive. Another poll follows if this one hangs.
 func (b *Balancer) pollDue() {
-	if b.now < b.poller.pollAt || b.poller.polling {
+	if b.now < b.poller.pollAt || b.poller.listsArrive {
 		return
 	}
 	b.act(Action{Kind: Poll})
@@ -46,10 +49,10 @@
 // pollFailed polls again after a backoff; the old list stays valid.
 func (b *Balancer) pollFailed() {
 	poller := &b.poller
-	if poller.polling || poller.failures == 0 {
+	if poller.listsArrive || poller.failures == 0 {
 		b.log(logEndpointsLost, "endpoint list unavailable, polling again")
 	}
-	poller.polling = false
+	poller.listsArrive = false
 	if !b.settings.Poll {
 		return
 	}
@@ -76,6 +79,6 @@
 	if b.poller.failures > 0 {
 		b.log(logEndpointsRegained, "endpoint list available again")
 	}
-	b.poller.polling = true
+	b.poller.listsArrive = true
 	b.poller.failures = 0
 }
