--- a/balancer/api.go
+++ b/balancer/api.go
@@ -216,7 +216,7 @@
 	Fail                     // final response: an error that does not say whether the request ran
 	Wake                     // call Timer with Token at At or soon after
 	Close                    // close the idle connections to Host
-	Poll                     // "Watch": poll discovery for changes, again and again until ListFailed
+	Poll                     // "Watch": poll discovery for changes from now on, until ListFailed
 	Log                      // log Text, which is about Host if that is not 0
 )
 
--- a/balancer/polling.go
+++ b/balancer/polling.go
@@ -13,13 +13,12 @@
 )
 
 // endpointPoller decides when the gateway begins to poll discovery for the endpoint list. After a Poll
-// action the gateway repeats its polls by itself, until it reports ListFailed. So nothing is decided here
-// while lists arrive; a Poll that brings no list within PollTimeout is repeated, and after a failure
-// polling begins again with an exponential, jittered and bounded backoff. The backoff counts from the
-// start of a poll that hung: a change counts as known 6 s after discovery can be reached, however often
-// polls have failed.
+// action the gateway goes on receiving lists by itself, until it reports ListFailed. So nothing is decided
+// here while lists arrive. A Poll that brings no list within PollTimeout is repeated; after a failure polling
+// begins again with an exponential, jittered and bounded backoff. The backoff counts from the start of a poll
+// that hung: a change counts as known 6 s after discovery can be reached, however often polls have failed.
 type endpointPoller struct {
-	listsArrive bool // a list was received since the last failure: the gateway polls
+	listsArrive bool // a list was received since the last failure, and others follow
 	pollAt      Time // when the next poll is due
 	failures    int  // since the last list
 }
