--- a/internal/body/pipe_test.go
+++ b/internal/body/pipe_test.go
@@ -8,6 +8,8 @@
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"dunemoor/internal/testutil"
 )
 
 // Bytes are read in the order in which they were written, whatever the sizes of reads and writes, and the pipe never
@@ -54,7 +56,7 @@
 
 // A reader that reads nothing blocks its writer until the timeout, and no writer after CloseRead.
 func TestPipeBlocksUntilTimeout(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	testutil.VirtualTime(t, func(t *testing.T) {
 		p := NewPipe(10)
 		start := time.Now()
 		if err := p.Write(make([]byte, 11), time.Second); err != ErrPipeFull || time.Since(start) != time.Second {
--- a/internal/discovery/file_test.go
+++ b/internal/discovery/file_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"dunemoor/balancer"
+	"dunemoor/internal/testutil"
 )
 
 // listSink collects the lists of a file.
@@ -121,7 +122,7 @@
 		}
 	}
 	write(oneHost)
-	synctest.Test(t, func(t *testing.T) {
+	testutil.VirtualTime(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		c, done := make(listSink, 4), make(chan struct{})
 		go func() { defer close(done); NewFile(path).Run(ctx, c) }()
--- a/internal/discovery/propagation_test.go
+++ b/internal/discovery/propagation_test.go
@@ -15,6 +15,7 @@
 	"dunemoor/balancer"
 	"dunemoor/internal/discovery"
 	"dunemoor/internal/engine"
+	"dunemoor/internal/testutil"
 )
 
 // maxChangeDelay is how long after discovery has a change and is reachable a gateway may take to apply
@@ -109,7 +110,7 @@
 	for _, m := range modes {
 		for _, f := range callFailures {
 			t.Run(m.name+"/"+f.name, func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { testChangeAfterFailedCalls(t, m, f.callFailure) })
+				testutil.VirtualTime(t, func(t *testing.T) { testChangeAfterFailedCalls(t, m, f.callFailure) })
 			})
 		}
 	}
@@ -117,8 +118,6 @@
 
 // testChangeAfterFailedCalls runs some gateways of a fleet, the first and the last among them.
 func testChangeAfterFailedCalls(t *testing.T, m mode, f callFailure) {
-	// With 50 gateways the race detector itself has failed (CHECK in tsan_rtl.cpp), as thousands of
-	// goroutines come and go.
 	const fleetSize, gatewayCount = 300, 12
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
@@ -163,7 +162,7 @@
 				continue // no list is older than the full list requested here
 			}
 			t.Run(m.name+"/"+f.name, func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { testChangeAfterAddressChange(t, m, f.callFailure) })
+				testutil.VirtualTime(t, func(t *testing.T) { testChangeAfterAddressChange(t, m, f.callFailure) })
 			})
 		}
 	}
@@ -218,7 +217,7 @@
 	for _, m := range modes {
 		for _, silent := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s/silent %v", m.name, silent), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { testWatchesLostTogether(t, m, silent) })
+				testutil.VirtualTime(t, func(t *testing.T) { testWatchesLostTogether(t, m, silent) })
 			})
 		}
 	}
@@ -290,7 +289,7 @@
 // Where lists are polled, the watcher makes a call for each poll while none is under way, and for a
 // new address; not for a poll that a running call has answered, nor twice for an address.
 func TestPolledWatcherCallsOnlyForPollsAndMoves(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	testutil.VirtualTime(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
 		before := &fakeService{startedAt: time.Now(), downAt: time.Hour, upAt: 2 * time.Hour}
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -13,7 +13,6 @@
 	"strings"
 	"sync"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"dunemoor/balancer"
@@ -230,7 +229,7 @@
 		"before the response": func(_ net.Conn, fallsSilent func()) { fallsSilent() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
+			testutil.VirtualTime(t, func(t *testing.T) {
 				done, silentSince := make(chan struct{}), make(chan time.Time, 1)
 				sink, end := startVirtualWatch(t, func(n int, c net.Conn) {
 					if n == 1 {
--- a/internal/engine/harness_test.go
+++ b/internal/engine/harness_test.go
@@ -5,13 +5,13 @@
 	"fmt"
 	"sync"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"dunemoor/balancer"
 	"dunemoor/internal/body"
 	"dunemoor/internal/discovery"
 	"dunemoor/internal/route"
+	"dunemoor/internal/testutil"
 )
 
 // The tests of this package run in virtual time, on transports without sockets.
@@ -152,7 +152,7 @@
 // runInVirtualTime runs a test with an engine of its own, and stops the engine afterwards.
 func runInVirtualTime(t *testing.T, test func(t *testing.T, h *harness)) {
 	t.Helper()
-	synctest.Test(t, func(t *testing.T) {
+	testutil.VirtualTime(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		h := &harness{Engine: New(5), t: t, poolStop: map[string]int{}}
 		go h.Run(ctx)
--- a/internal/frontend/fastcgi/server_test.go
+++ b/internal/frontend/fastcgi/server_test.go
@@ -4,19 +4,19 @@
 	"io"
 	"net"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"dunemoor/internal/body"
 	"dunemoor/internal/engine"
 	"dunemoor/internal/fastcgi"
 	"dunemoor/internal/frontend"
+	"dunemoor/internal/testutil"
 )
 
 // A request that has arrived in part when connections begin to end is read to its end and answered: only the goroutine
 // that reads a connection may close it.
 func TestShutdownServesPartialRequest(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	testutil.VirtualTime(t, func(t *testing.T) {
 		admission := frontend.NewAdmission(engine.New(1), body.NewBudget(1<<20))
 		s := New(admission, Options{MaxConns: 8})
 		client, server := net.Pipe()
--- /dev/null
+++ b/internal/testutil/race_on.go
@@ -0,0 +1,6 @@
+//go:build race
+
+package testutil
+
+// raceDetector tells whether the tests are built with the race detector.
+const raceDetector = true
