--- a/internal/frontend/http1/conntable.go
+++ b/internal/frontend/http1/conntable.go
@@ -43,6 +43,8 @@
 	lingering list.List  // have had their last response, and what their clients still send is discarded
 	silent    list.List  // have had no request yet
 	idle      list.List  // are between two requests
+
+	clock func() time.Time // by default time.Now
 }
 
 // connState is what a connection is doing.
@@ -59,6 +61,14 @@
 // deadlinePassed is a deadline that wakes a goroutine that reads.
 var deadlinePassed = time.Unix(1, 0)
 
+// now returns the time by which the age of connections is told.
+func (t *connTable) now() time.Time {
+	if t.clock != nil {
+		return t.clock()
+	}
+	return time.Now()
+}
+
 // add adds a new connection, and evicts another if there are too many. It returns false if the connection has to be
 // closed at once, as none can be evicted.
 func (t *connTable) add(c *clientConn) bool {
@@ -150,7 +160,7 @@
 	}
 	c.queue = queue
 	c.element = nil
-	c.queuedAt = time.Now()
+	c.queuedAt = t.now()
 	if queue != nil {
 		c.element = queue.PushBack(c)
 	}
@@ -174,7 +184,7 @@
 // there is none.
 func (t *connTable) evict() *clientConn {
 	for _, from := range t.evictionOrder() {
-		for c := from.next(); c != nil; c = from.next() {
+		for c := from.next(t.now()); c != nil; c = from.next(t.now()) {
 			t.enqueue(c, nil)
 			if c.state == connWaiting {
 				c.state = connEvicted
@@ -200,14 +210,14 @@
 	}
 }
 
-// next returns the oldest connection in the queue if it has been there for long enough, and else nil.
-func (from candidates) next() *clientConn {
+// next returns the oldest connection in the queue if it has been there for long enough by now, and else nil.
+func (from candidates) next(now time.Time) *clientConn {
 	front := from.queue.Front()
 	if front == nil {
 		return nil
 	}
 	c := front.Value.(*clientConn)
-	if time.Since(c.queuedAt) < from.minAge {
+	if now.Sub(c.queuedAt) < from.minAge {
 		return nil
 	}
 	return c
@@ -223,7 +233,7 @@
 // closeWaitingLocked is closeWaiting; mu is held.
 func (t *connTable) closeWaitingLocked() {
 	for _, from := range []candidates{{&t.silent, frontend.BacklogGrace}, {&t.idle, 0}} {
-		for c := from.next(); c != nil; c = from.next() {
+		for c := from.next(t.now()); c != nil; c = from.next(t.now()) {
 			t.enqueue(c, nil)
 			if c.state == connWaiting {
 				c.state = connClosing
@@ -261,7 +271,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if newest := t.silent.Back(); newest != nil {
-		if time.Since(newest.Value.(*clientConn).queuedAt) < frontend.BacklogGrace {
+		if t.now().Sub(newest.Value.(*clientConn).queuedAt) < frontend.BacklogGrace {
 			return true
 		}
 	}
--- a/internal/frontend/http1/conntable_test.go
+++ b/internal/frontend/http1/conntable_test.go
@@ -100,6 +100,14 @@
 	}
 }
 
+// stopClock stops the clock of a table after some time, so that no pause of the machine makes a connection older.
+func stopClock(table *connTable, after time.Duration) {
+	start := time.Now()
+	table.mu.Lock()
+	defer table.mu.Unlock()
+	table.clock = func() time.Time { return start.Add(min(time.Since(start), after)) }
+}
+
 // Hundreds of connections without a request leave descriptors for those with one, at the smallest limit in service. So do
 // connections that are idle for long, but none that has just been used is closed.
 func TestSilentConnectionsLeaveRoomForRequests(t *testing.T) {
@@ -107,6 +115,7 @@
 	cfg.sockets = 256
 	g := startGateway(t, cfg)
 	table := &g.server.conns
+	stopClock(table, minIdleTime-time.Millisecond)
 	used := 0
 	for range table.limit * crowdedPercent / 100 {
 		if err := testutil.RoundTrip(g.dial()); err != nil {
--- a/internal/frontend/http1/gateway_test.go
+++ b/internal/frontend/http1/gateway_test.go
@@ -52,7 +52,9 @@
 	t.Helper()
 	e := engine.New(7)
 	ctx, cancel := context.WithCancel(context.Background())
-	transport := hosts.NewTransport(hosts.Options{MaxConns: 1024, DialTimeout: testutil.WaitTimeout})
+	// A connection that comes up late on a busy machine must not count as a host's failure.
+	dialer := net.Dialer{Timeout: testutil.WaitTimeout}
+	transport := hosts.NewTransport(hosts.Options{MaxConns: 1024, DialContext: dialer.DialContext})
 	settings := balancer.Settings{
 		Instances: 1, MaxAttempts: 4, Cancel: true, MaxRetryAfter: time.Second, Step: 5 * time.Millisecond,
 		Classes: []balancer.Class{
--- a/internal/frontend/http1/server_test.go
+++ b/internal/frontend/http1/server_test.go
@@ -30,6 +30,8 @@
 	g := startGateway(t, withHealthyHost(t))
 	c := g.dialWithTimeout()
 	in := bufio.NewReader(c)
+	// A listener that Serve gets only after Shutdown is closed, and with it what waits to be accepted.
+	testutil.WaitUntil(t, "the connection is accepted", func() bool { return g.server.ConnCounts().Open == 1 })
 	stopped := make(chan struct{})
 	go func() {
 		g.server.Shutdown()
--- a/internal/upstream/http1/idle.go
+++ b/internal/upstream/http1/idle.go
@@ -94,7 +94,7 @@
 
 // dial establishes a connection that has been counted as open.
 func (t *Transport) dial(ctx context.Context, h *host, target upstream.Process) (*conn, error) {
-	netConn, err := t.dialer.DialContext(ctx, "tcp", target.Addr)
+	netConn, err := t.dialContext(ctx, "tcp", target.Addr)
 	if err != nil {
 		t.mu.Lock()
 		t.idle.CountClosed()
--- a/internal/upstream/http1/transport.go
+++ b/internal/upstream/http1/transport.go
@@ -43,12 +43,17 @@
 	HostIdleTimeout time.Duration // after which hosts close an idle connection; DefaultHostIdleTimeout
 	DialTimeout     time.Duration // for a connection to be established; at most, and by default, 100 ms
 	BodyBudget      *body.Budget  // of the buffers of streamed bodies; see upstream.BodyBudget
+
+	// DialContext establishes connections; by default a net.Dialer with DialTimeout. One that is set has limits of
+	// its own.
+	DialContext func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
 // Transport makes attempts at the hosts of a pool and keeps the connections to them. In place of http.Transport, it
 // writes a request completely at most once and never dials more connections than it has requests.
 type Transport struct {
 	dialer            net.Dialer
+	dialContext       func(ctx context.Context, network, addr string) (net.Conn, error)
 	bodyBudget        *body.Budget
 	maxIdle           time.Duration
 	minSilence        time.Duration
@@ -76,6 +81,10 @@
 		restAfterResponse: restAfterResponse,
 		idle:              upstream.NewPool[*host, *conn](o.MaxConns),
 	}
+	t.dialContext = o.DialContext
+	if t.dialContext == nil {
+		t.dialContext = t.dialer.DialContext
+	}
 	t.maxLargeBytes.Store(o.MaxLargeBytes)
 	return t
 }
