--- a/internal/frontend/http1/server.go
+++ b/internal/frontend/http1/server.go
@@ -51,8 +51,11 @@
 	sharedListeners bool
 	maxHeaderBytes  int
 	longestDeadline atomic.Int64 // a time.Duration
-	listeners       frontend.Listeners[ListenOptions]
-	conns           connTable
+	// lastRequests is how long before all responses are due connections begin to end with their responses:
+	// lastRequestsTime, but longer in tests.
+	lastRequests time.Duration
+	listeners    frontend.Listeners[ListenOptions]
+	conns        connTable
 
 	mu      sync.Mutex         // guards watcher and closed, and orders Serve and Close
 	watcher *disconnectWatcher // nil before the first Serve
@@ -70,6 +73,7 @@
 		plainRoutes:     o.PlainRoutes,
 		sharedListeners: o.SharedListeners,
 		maxHeaderBytes:  cmp.Or(o.MaxHeaderBytes, defaultMaxHeaderBytes),
+		lastRequests:    lastRequestsTime,
 		endTunnels:      make(chan struct{}),
 	}
 	s.conns.evicted = sync.NewCond(&s.conns.mu)
--- a/internal/frontend/http1/server_test.go
+++ b/internal/frontend/http1/server_test.go
@@ -28,6 +28,8 @@
 // the exit the connection ends with a response, and no request fails.
 func TestShutdownServesOpenConnections(t *testing.T) {
 	g := startGateway(t, withHealthyHost(t))
+	// A client that sends nothing in this time loses its connection; no pause of a busy machine may take as long.
+	g.server.lastRequests = 1500 * time.Millisecond
 	c := g.dialWithTimeout()
 	in := bufio.NewReader(c)
 	// A listener that Serve gets only after Shutdown is closed, and with it what waits to be accepted.
