--- a/cmd/dunemoor/appliance_test.go
+++ b/cmd/dunemoor/appliance_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"net/http"
 	"os"
 	"path/filepath"
 	"strings"
@@ -40,6 +39,24 @@
 	return b.String()
 }
 
+// replaceFile replaces a file in one step, as an operator's editor does.
+func replaceFile(t *testing.T, path, text string) {
+	t.Helper()
+	writeFile(t, path+".new", text)
+	if err := os.Rename(path+".new", path); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// patientClasses returns the fakes' classes with long timeouts, as machines may be busy.
+func patientClasses() []fakes.Class {
+	classes := fakes.DefaultClasses()
+	for i := range classes {
+		classes[i].Timeout = 20 * time.Second
+	}
+	return classes
+}
+
 // The program serves by a file. SIGHUP reloads it under load, again and again; an invalid file changes nothing, and after
 // SIGTERM no request is left without a response.
 func TestApplianceReloadsUnderLoad(t *testing.T) {
@@ -53,67 +70,25 @@
 		}
 		defer fleets[i].Close()
 	}
-	listen := freeAddress(t)
+	listen, admin := freeAddress(t), freeAddress(t)
 	path := filepath.Join(t.TempDir(), "box.toml")
-	write := func(text string) {
-		t.Helper()
-		if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.Rename(path+".new", path); err != nil {
-			t.Fatal(err)
-		}
-	}
-	calls := freeAddress(t)
-	write("admin = \"" + calls + "\"\n" + applianceFile(listen, fleets[0], nil))
+	writeFile(t, path, "admin = \""+admin+"\"\n"+applianceFile(listen, fleets[0], nil))
 	p := startWithFile(t, path, listen, "-appliance", path)
 	p.waitReady(t)
-	resp, err := http.Get("http://" + calls + "/admin/status")
-	if err != nil {
-		t.Fatal(err)
-	}
-	resp.Body.Close()
-	if resp.StatusCode != 200 {
-		t.Errorf("admin status: got %d, want 200", resp.StatusCode)
+	if got := call("GET", admin, "/admin/status"); got != 200 {
+		t.Errorf("admin status: got %d, want 200", got)
 	}
-	classes := fakes.DefaultClasses()
-	for i := range classes {
-		classes[i].Timeout = 20 * time.Second
-	}
-	load := fakes.Load{URL: p.url, Rate: 200, Count: 1200, Classes: classes, Seed: 9, Retries: 2}
+	load := fakes.Load{URL: p.url, Rate: 200, Count: 1200, Classes: patientClasses(), Seed: 9, Retries: 2}
 	var wait sync.WaitGroup
 	wait.Go(func() {
 		if err := load.Run(context.Background(), ledger); err != nil {
 			t.Error(err)
 		}
 	})
-	waitForLog := func(text string, times int) {
-		t.Helper()
-		waitUntil(t, text, func() bool { return strings.Count(p.out.String(), text) >= times })
-	}
-	for round := 1; round <= 4; round++ {
-		write(applianceFile(listen, fleets[0], fleets[1]))
-		p.Process.Signal(syscall.SIGHUP)
-		waitForLog("configuration reloaded", 2*round-1)
-		write(strings.Replace(applianceFile(listen, fleets[0], nil), "unsafe", "unsave", 1))
-		p.Process.Signal(syscall.SIGHUP)
-		waitForLog("configuration reload failed", round)
-		write(applianceFile(listen, fleets[0], nil))
-		p.Process.Signal(syscall.SIGHUP)
-		waitForLog("configuration reloaded", 2*round)
-	}
-	if !strings.Contains(p.out.String(), "box.toml:") || !strings.Contains(p.out.String(), "unsave") {
-		t.Errorf("got a log without the invalid value: %s", p.out.String())
-	}
-	write(applianceFile(listen, fleets[0], fleets[1]))
-	p.Process.Signal(syscall.SIGHUP)
-	waitForLog("configuration reloaded", 9)
+	reloadRepeatedly(t, p, listen, fleets)
 	wait.Wait()
 	p.Process.Signal(syscall.SIGTERM)
-	<-p.exited
-	if code := p.ProcessState.ExitCode(); code != 0 {
-		t.Errorf("got exit code %d, want 0: %s", code, p.out.String())
-	}
+	p.mustExitCleanly(t)
 	c := ledger.Count()
 	if violations := c.Violations(); violations != "" {
 		t.Errorf("got violations %s, want none: ran twice %v, rejected after execution %v", violations, c.RanTwice, c.RejectedAfterExecution)
@@ -123,6 +98,41 @@
 	}
 }
 
+// reloadRepeatedly reloads the file of a program, in turn with a second pool, invalid, and with one pool. It waits for each
+// reload, and leaves the program with both pools.
+func reloadRepeatedly(t *testing.T, p *program, listen string, fleets [2]*fakes.Fleet) {
+	t.Helper()
+	reloaded, failed := 0, 0
+	reload := func(text string) {
+		t.Helper()
+		replaceFile(t, p.config, text)
+		p.Process.Signal(syscall.SIGHUP)
+	}
+	mustReload := func(text string) {
+		t.Helper()
+		reload(text)
+		reloaded++
+		p.waitForLog(t, "configuration reloaded", reloaded)
+	}
+	mustFailToReload := func(text string) {
+		t.Helper()
+		reload(text)
+		failed++
+		p.waitForLog(t, "configuration reload failed", failed)
+	}
+	onePool := applianceFile(listen, fleets[0], nil)
+	twoPools := applianceFile(listen, fleets[0], fleets[1])
+	for range 4 {
+		mustReload(twoPools)
+		mustFailToReload(strings.Replace(onePool, "unsafe", "unsave", 1))
+		mustReload(onePool)
+	}
+	if out := p.out.String(); !strings.Contains(out, "box.toml:") || !strings.Contains(out, "unsave") {
+		t.Errorf("got a log without the invalid value: %s", out)
+	}
+	mustReload(twoPools)
+}
+
 // The process is paused for a while under load, as a virtual machine may be. Requests that waited meanwhile have a
 // response, and none is rejected afterwards: a pause must not count as overload.
 func TestPausedProcessRejectsNothing(t *testing.T) {
@@ -133,17 +143,11 @@
 	}
 	defer fleet.Close()
 	listen, path := freeAddress(t), filepath.Join(t.TempDir(), "box.toml")
-	if err := os.WriteFile(path, []byte(applianceFile(listen, fleet, nil)), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	writeFile(t, path, applianceFile(listen, fleet, nil))
 	p := startWithFile(t, path, listen, "-appliance", path)
 	p.waitReady(t)
-	classes := fakes.DefaultClasses()
-	for i := range classes {
-		classes[i].Timeout = 20 * time.Second
-	}
 	// So few requests that a busy machine keeps up: only the pause counts.
-	load := fakes.Load{URL: p.url, Rate: 60, Count: 300, Classes: classes, Seed: 9}
+	load := fakes.Load{URL: p.url, Rate: 60, Count: 300, Classes: patientClasses(), Seed: 9}
 	done := make(chan error, 1)
 	go func() { done <- load.Run(context.Background(), ledger) }()
 	for range 3 {
@@ -170,9 +174,7 @@
 // An invalid file ends the program at the start, with a line for each error.
 func TestInvalidApplianceEndsTheProgram(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "box.toml")
-	if err := os.WriteFile(path, []byte("name = 5\n[[listner]]\n"), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	writeFile(t, path, "name = 5\n[[listner]]\n")
 	p := startWithFile(t, path, "127.0.0.1:0", "-appliance", path)
 	<-p.exited
 	if out := p.out.String(); p.ProcessState.ExitCode() != 1 || !strings.Contains(out, path+":1: name: ") || !strings.Contains(out, path+":2: listner") {
--- a/cmd/dunemoor/bench_test.go
+++ b/cmd/dunemoor/bench_test.go
@@ -76,62 +76,20 @@
 func BenchmarkRequestPath(b *testing.B) {
 	host := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "good") }))
 	defer host.Close()
-	dir := b.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, "key"), []byte("this key is of a test and of nothing else"), 0o600); err != nil {
-		b.Fatal(err)
-	}
-	var peers, addrs []string
-	for range 3 {
-		peers, addrs = append(peers, freeAddress(b)), append(addrs, freeAddress(b))
-	}
-	file := func(name, listen string, fleet bool) string {
-		text := fmt.Sprintf("name = %q\n[[listener]]\naddress = %q\n[[class]]\nname = \"lookup\"\neffect = \"safe\"\naim = \"2s\"\ndeadline = \"10s\"\nworth = 1\n"+
-			"[[pool]]\nname = \"p\"\nmembers = [{ id = \"h\", address = %q }]\n[[route]]\nname = \"all\"\npool = \"p\"\nclass = \"lookup\"\n", name, listen, host.Listener.Addr())
-		if fleet {
-			i := slices.Index(addrs, listen)
-			text += fmt.Sprintf("[fleet]\nid = \"path\"\nlisten = %q\ndata_dir = %q\nkey_file = %q\nfirst = [\"g0\", \"g1\", \"g2\"]\n", peers[i], filepath.Join(dir, name), filepath.Join(dir, "key"))
-			for k, addr := range peers {
-				if k != i {
-					text += fmt.Sprintf("[[fleet.peer]]\nname = \"g%d\"\naddress = %q\n", k, addr)
-				}
-			}
-		}
-		path := filepath.Join(dir, name+".toml")
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			b.Fatal(err)
-		}
-		return path
-	}
-	listen := freeAddress(b)
-	programs := []*program{startWithFile(b, "", listen, "-appliance", file("alone", listen, false))}
-	for i, addr := range addrs {
-		p := startWithFile(b, "", addr, "-appliance", file(fmt.Sprint("g", i), addr, true))
-		if i == 0 {
-			programs = append(programs, p)
-		}
-	}
-	for _, p := range programs {
-		p.waitReady(b)
-	}
-	waitUntil(b, "session with the fleet", func() bool { return strings.Contains(programs[1].out.String(), "session opened") })
+	programs := startAloneAndInFleet(b, host.Listener.Addr().String())
 	for b.Loop() {
-		var rest, objects, requests [2]float64
-		var cpu [2]time.Duration
+		costs := [2]pathCost{{kind: "alone"}, {kind: "fleet"}}
 		var ratios []float64
 		for i, p := range programs {
 			sendRequests(b, p.url, pathSpan) // opens the connections
-			was := p.allocated(b)
+			before := p.allocated(b)
 			time.Sleep(pathSpan)
-			rest[i] = p.allocated(b) - was
+			costs[i].idleObjects = p.allocated(b) - before
 		}
 		for range pathRounds {
 			var rate [2]float64
 			for i, p := range programs {
-				was, used := p.allocated(b), p.cpu(b)
-				rate[i] = float64(sendRequests(b, p.url, pathSpan))
-				requests[i] += rate[i]
-				objects[i] += p.allocated(b) - was - rest[i]
-				cpu[i] += p.cpu(b) - used
+				rate[i] = costs[i].measure(b, p)
 			}
 			ratios = append(ratios, rate[1]/rate[0])
 		}
@@ -139,12 +97,86 @@
 		b.ReportMetric(ratios[len(ratios)/2], "fleet/alone")
 		b.ReportMetric(ratios[0], "least")
 		b.ReportMetric(ratios[len(ratios)-1], "most")
-		for i, kind := range []string{"alone", "fleet"} {
-			b.ReportMetric(requests[i]/pathRounds/pathSpan.Seconds(), "requests/s-"+kind)
-			b.ReportMetric(float64(cpu[i].Microseconds())/requests[i], "us/request-"+kind)
-			b.ReportMetric(objects[i]/requests[i], "allocs/request-"+kind)
+		for i := range costs {
+			costs[i].report(b)
+		}
+	}
+}
+
+// pathCost is what the requests to one program have cost it.
+type pathCost struct {
+	kind        string
+	idleObjects float64 // allocated in pathSpan without requests
+	requests    float64
+	objects     float64 // allocated, less idleObjects
+	cpu         time.Duration
+}
+
+// measure sends requests for pathSpan, and returns their number.
+func (c *pathCost) measure(b *testing.B, p *program) float64 {
+	objectsBefore := p.allocated(b)
+	cpuBefore := p.cpu(b)
+	requests := float64(sendRequests(b, p.url, pathSpan))
+	c.requests += requests
+	c.objects += p.allocated(b) - objectsBefore - c.idleObjects
+	c.cpu += p.cpu(b) - cpuBefore
+	return requests
+}
+
+func (c *pathCost) report(b *testing.B) {
+	b.ReportMetric(c.requests/pathRounds/pathSpan.Seconds(), "requests/s-"+c.kind)
+	b.ReportMetric(float64(c.cpu.Microseconds())/c.requests, "us/request-"+c.kind)
+	b.ReportMetric(c.objects/c.requests, "allocs/request-"+c.kind)
+}
+
+// startAloneAndInFleet starts a gateway alone and a fleet of three, all with one host. It returns the one alone and the
+// first of the fleet, once they are ready.
+func startAloneAndInFleet(b *testing.B, host string) []*program {
+	dir := b.TempDir()
+	writeFile(b, filepath.Join(dir, "key"), "this key is of a test and of nothing else")
+	start := func(name, listen, fleet string) *program {
+		path := filepath.Join(dir, name+".toml")
+		writeFile(b, path, gatewayFile(name, listen, host)+fleet)
+		return startWithFile(b, "", listen, "-appliance", path)
+	}
+	var peers, addrs []string
+	for range 3 {
+		peers = append(peers, freeAddress(b))
+		addrs = append(addrs, freeAddress(b))
+	}
+	programs := []*program{start("alone", freeAddress(b), "")}
+	for i, addr := range addrs {
+		p := start(fmt.Sprint("g", i), addr, fleetSection(dir, i, peers))
+		if i == 0 {
+			programs = append(programs, p)
+		}
+	}
+	for _, p := range programs {
+		p.waitReady(b)
+	}
+	programs[1].waitForLog(b, "session opened", 1)
+	return programs
+}
+
+// gatewayFile returns the file of a gateway with one host.
+func gatewayFile(name, listen, host string) string {
+	return fmt.Sprintf("name = %q\n[[listener]]\naddress = %q\n"+
+		"[[class]]\nname = \"lookup\"\neffect = \"safe\"\naim = \"2s\"\ndeadline = \"10s\"\nworth = 1\n"+
+		"[[pool]]\nname = \"p\"\nmembers = [{ id = \"h\", address = %q }]\n"+
+		"[[route]]\nname = \"all\"\npool = \"p\"\nclass = \"lookup\"\n", name, listen, host)
+}
+
+// fleetSection returns the part of a file that makes the i-th gateway a member of a fleet; peers are the addresses of
+// all members. The fleet's key is in dir, and so is the state of each gateway.
+func fleetSection(dir string, i int, peers []string) string {
+	text := fmt.Sprintf("[fleet]\nid = \"path\"\nlisten = %q\ndata_dir = %q\nkey_file = %q\nfirst = [\"g0\", \"g1\", \"g2\"]\n",
+		peers[i], filepath.Join(dir, fmt.Sprint("g", i)), filepath.Join(dir, "key"))
+	for k, addr := range peers {
+		if k != i {
+			text += fmt.Sprintf("[[fleet.peer]]\nname = \"g%d\"\naddress = %q\n", k, addr)
 		}
 	}
+	return text
 }
 
 // sendRequests has clients send requests for a time, and returns the number of responses.
--- a/cmd/dunemoor/config_test.go
+++ b/cmd/dunemoor/config_test.go
@@ -5,7 +5,6 @@
 	"io"
 	"net/http"
 	"net/http/httptest"
-	"os"
 	"strings"
 	"syscall"
 	"testing"
@@ -47,15 +46,13 @@
 	}
 	reload := func(file string) {
 		t.Helper()
-		if err := os.WriteFile(p.config, []byte(file), 0o600); err != nil {
-			t.Fatal(err)
-		}
+		writeFile(t, p.config, file)
 		if err := p.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
 	}
 	reload(text[:len(text)/2])
-	waitUntil(t, "the invalid file is logged", func() bool { return strings.Contains(p.out.String(), "configuration reload failed") })
+	p.waitForLog(t, "configuration reload failed", 1)
 	mustServe()
 	if oldRequests.Load() != 1 {
 		t.Errorf("after an invalid file: got %d requests at the old host, want 1", oldRequests.Load())
@@ -70,12 +67,9 @@
 	if err := p.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, "the program stops", func() bool { return strings.Contains(p.out.String(), "stopping") })
+	p.waitForLog(t, "stopping", 1)
 	p.Process.Signal(syscall.SIGHUP)
-	<-p.exited
-	if code := p.ProcessState.ExitCode(); code != 0 {
-		t.Errorf("got exit code %d, want 0: %s", code, p.out.String())
-	}
+	p.mustExitCleanly(t)
 }
 
 // An invalid configuration ends the program with one line that names the field, and exit code 1.
--- a/cmd/dunemoor/descriptors_test.go
+++ b/cmd/dunemoor/descriptors_test.go
@@ -42,127 +42,169 @@
 // new ones are served by the host that it has. The descriptors for discovery are reserved, with as many descriptors as
 // the configuration says and with fewer.
 func TestEndpointListArrivesWithoutFreeDescriptors(t *testing.T) {
-	for _, tt := range []struct {
-		name        string
-		descriptors int // of the process
-		configured  int // by the configuration
-		clients     int
-		members     int
-	}{
-		{"as configured", 64, 64, 40, 30},
-		{"fewer than configured", 128, 1024, 90, 60},
+	for _, tt := range []descriptorsCase{
+		{name: "as configured", descriptors: 64, configured: 64, clients: 40, members: 30},
+		{name: "fewer than configured", descriptors: 128, configured: 1024, clients: 90, members: 60},
 	} {
-		t.Run(tt.name, func(t *testing.T) {
-			t.Setenv(descriptorsVariable, fmt.Sprint(tt.descriptors))
-			var hung atomic.Int64
-			release := make(chan struct{})
-			old := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				io.Copy(io.Discard, r.Body)
-				hung.Add(1)
-				<-release
-				io.WriteString(w, "done")
-			}))
-			t.Cleanup(old.Close)
-			releaseHosts := sync.OnceFunc(func() { close(release) })
-			t.Cleanup(releaseHosts)
-			newHost, newRequests := countingHost(t)
-			members := make([]string, tt.members)
-			for i := range members {
-				members[i] = strings.TrimPrefix(old.URL, "http://")
-			}
-			discovery := freeAddress(t) // not started yet
-			text := strings.NewReplacer(`"sockets":1024`, fmt.Sprintf(`"sockets":%d`, tt.configured), "2000000", "60000000").Replace(platformConfig(members...))
-			p := start(t, text, freeAddress(t))
-			p.waitReady(t)
-			if err := os.WriteFile(p.config, []byte(strings.Replace(text, `"discovery":"`+unusedAddress, `"discovery":"`+discovery, 1)), 0o600); err != nil {
-				t.Fatal(err)
-			}
-			if err := p.Process.Signal(syscall.SIGHUP); err != nil {
-				t.Fatal(err)
-			}
-			waitUntil(t, "discovery address reloaded", func() bool { return strings.Contains(p.out.String(), "configuration reloaded") })
+		t.Run(tt.name, tt.run)
+	}
+}
 
-			var ended, served atomic.Int64 // requests; served are those with a response of a host
-			var clients sync.WaitGroup
-			connect := func(request string) net.Conn {
-				c, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
-				if err != nil {
-					t.Fatal(err)
-				}
-				t.Cleanup(func() { c.Close() })
-				c.SetDeadline(time.Now().Add(2 * waitTimeout))
-				io.WriteString(c, request)
-				return c
-			}
-			for i := range tt.clients {
-				c := connect(fmt.Sprintf("POST /api/1 HTTP/1.1\r\nHost: a\r\nX-Request-ID: crowd-%d\r\nX-Priority-Class: book\r\n"+
-					"X-Timeout: 60\r\nContent-Length: 1\r\n\r\nx", i))
-				clients.Go(func() {
-					defer ended.Add(1)
-					if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil {
-						if text, err := io.ReadAll(resp.Body); err == nil && resp.StatusCode == 200 && string(text) == "done" {
-							served.Add(1)
-						}
-					}
-				})
-			}
-			waitUntil(t, "as many requests in flight as possible", func() bool {
-				return hung.Load()+ended.Load() >= int64(tt.clients) || p.descriptors() >= tt.descriptors-1
-			})
-			for range tt.descriptors {
-				connect("")
-			}
-			inFlight := hung.Load()
-			t.Logf("%d requests in flight, %d of %d descriptors", inFlight, p.descriptors(), tt.descriptors)
+// descriptorsCase is a case of TestEndpointListArrivesWithoutFreeDescriptors.
+type descriptorsCase struct {
+	name        string
+	descriptors int // of the process
+	configured  int // by the configuration
+	clients     int // with a request each
+	members     int // of the known list, all at one address
+}
 
-			ln, err := net.Listen("tcp", discovery)
-			if err != nil {
-				t.Fatal(err)
-			}
-			lines := make(chan string)
-			server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				for {
-					select {
-					case line := <-lines:
-						io.WriteString(w, line+"\n")
-						w.(http.Flusher).Flush()
-					case <-r.Context().Done():
-						return
-					}
-				}
-			})}
-			go server.Serve(ln)
-			t.Cleanup(func() { server.Close() })
-			sendLine := func(line string) {
-				t.Helper()
-				select {
-				case lines <- line:
-				case <-time.After(waitTimeout):
-					t.Fatalf("discovery: got no call, with %d of %d descriptors open: %s", p.descriptors(), tt.descriptors, p.out.String())
-				}
-			}
-			healthStatus := func() (status int) { // 0 where the connection is closed for lack of descriptors
-				if resp, err := http.Get(p.url + "/_health"); err == nil {
-					resp.Body.Close()
-					status = resp.StatusCode
-				}
-				return status
-			}
-			sendLine(`{"version":7,"full":true,"servers":[]}`)
-			waitUntil(t, "the list is in use", func() bool { return healthStatus() == 503 })
-			releaseHosts()
-			clients.Wait()
-			sendLine(fmt.Sprintf(`{"version":8,"full":true,"servers":[{"id":"s-new","addr":%q,"state":"ready"}]}`, newHost))
-			waitUntil(t, "new requests are served", func() bool {
-				sendRequest(p.url)
-				return newRequests.Load() > 0
-			})
-			if hung.Load() != inFlight {
-				t.Errorf("got %d requests at hosts that the list lacks, want %d as when it came", hung.Load(), inFlight)
-			}
-			if served.Load() != inFlight {
-				t.Errorf("got %d requests in flight there served, want %d", served.Load(), inFlight)
-			}
-		})
+func (tt descriptorsCase) run(t *testing.T) {
+	t.Setenv(descriptorsVariable, fmt.Sprint(tt.descriptors))
+	oldHost := startHangingHost(t)
+	newHost, newRequests := countingHost(t)
+	discoveryAddress := freeAddress(t) // not started yet
+	p := tt.start(t, oldHost.addr, discoveryAddress)
+	crowd := clientCrowd{program: p}
+	for i := range tt.clients {
+		crowd.sendRequest(t, i)
+	}
+	waitUntil(t, "as many requests in flight as possible", func() bool {
+		return oldHost.requests.Load()+crowd.ended.Load() >= int64(tt.clients) || p.descriptors() >= tt.descriptors-1
+	})
+	for range tt.descriptors {
+		crowd.connect(t)
+	}
+	inFlight := oldHost.requests.Load()
+	t.Logf("%d requests in flight, %d of %d descriptors", inFlight, p.descriptors(), tt.descriptors)
+
+	discovery := startLineDiscovery(t, discoveryAddress)
+	sendLine := func(line string) {
+		t.Helper()
+		select {
+		case discovery <- line:
+		case <-time.After(waitTimeout):
+			t.Fatalf("discovery: got no call, with %d of %d descriptors open: %s", p.descriptors(), tt.descriptors, p.out.String())
+		}
+	}
+	sendLine(`{"version":7,"full":true,"servers":[]}`)
+	waitUntil(t, "the list is in use", func() bool { return call("GET", p.address(), "/_health") == 503 })
+	oldHost.release()
+	crowd.clients.Wait()
+	sendLine(fmt.Sprintf(`{"version":8,"full":true,"servers":[{"id":"s-new","addr":%q,"state":"ready"}]}`, newHost))
+	waitUntil(t, "new requests are served", func() bool {
+		sendRequest(p.url)
+		return newRequests.Load() > 0
+	})
+	if got := oldHost.requests.Load(); got != inFlight {
+		t.Errorf("got %d requests at hosts that the list lacks, want %d as when it came", got, inFlight)
+	}
+	if got := crowd.served.Load(); got != inFlight {
+		t.Errorf("got %d requests in flight there served, want %d", got, inFlight)
+	}
+}
+
+// start runs the program with its known list at a host, and waits until it has reloaded the address of discovery.
+func (tt descriptorsCase) start(t *testing.T, host, discovery string) *program {
+	t.Helper()
+	members := make([]string, tt.members)
+	for i := range members {
+		members[i] = host
+	}
+	sockets := fmt.Sprintf(`"sockets":%d`, tt.configured)
+	text := strings.NewReplacer(`"sockets":1024`, sockets, "2000000", "60000000").Replace(platformConfig(members...))
+	p := start(t, text, freeAddress(t))
+	p.waitReady(t)
+	writeFile(t, p.config, strings.Replace(text, `"discovery":"`+unusedAddress, `"discovery":"`+discovery, 1))
+	if err := p.Process.Signal(syscall.SIGHUP); err != nil {
+		t.Fatal(err)
+	}
+	p.waitForLog(t, "configuration reloaded", 1)
+	return p
+}
+
+// hangingHost is a host that responds to no request before its release.
+type hangingHost struct {
+	addr     string
+	requests atomic.Int64 // received
+	release  func()
+}
+
+func startHangingHost(t *testing.T) *hangingHost {
+	released := make(chan struct{})
+	h := &hangingHost{release: sync.OnceFunc(func() { close(released) })}
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		io.Copy(io.Discard, r.Body)
+		h.requests.Add(1)
+		<-released
+		io.WriteString(w, "done")
+	}))
+	t.Cleanup(server.Close)
+	t.Cleanup(h.release)
+	h.addr = strings.TrimPrefix(server.URL, "http://")
+	return h
+}
+
+// clientCrowd is many clients of a program, each with a connection of its own.
+type clientCrowd struct {
+	program *program
+	clients sync.WaitGroup // that have sent a request
+	ended   atomic.Int64   // requests
+	served  atomic.Int64   // of ended: with a response of a host
+}
+
+// connect opens a connection, which stays open until the end of the test.
+func (c *clientCrowd) connect(t *testing.T) net.Conn {
+	t.Helper()
+	nc, err := net.Dial("tcp", c.program.address())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { nc.Close() })
+	nc.SetDeadline(time.Now().Add(2 * waitTimeout))
+	return nc
+}
+
+// sendRequest sends the i-th request, and counts its end.
+func (c *clientCrowd) sendRequest(t *testing.T, i int) {
+	t.Helper()
+	nc := c.connect(t)
+	fmt.Fprintf(nc, "POST /api/1 HTTP/1.1\r\nHost: a\r\nX-Request-ID: crowd-%d\r\nX-Priority-Class: book\r\n"+
+		"X-Timeout: 60\r\nContent-Length: 1\r\n\r\nx", i)
+	c.clients.Go(func() {
+		defer c.ended.Add(1)
+		resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
+		if err != nil {
+			return
+		}
+		text, err := io.ReadAll(resp.Body)
+		if err == nil && resp.StatusCode == 200 && string(text) == "done" {
+			c.served.Add(1)
+		}
+	})
+}
+
+// startLineDiscovery starts a discovery service at an address. It responds to a watch with the lines that are sent to the
+// channel, which has no buffer: a line that was sent has a watch to go to.
+func startLineDiscovery(t *testing.T, addr string) chan<- string {
+	t.Helper()
+	ln, err := net.Listen("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
 	}
+	lines := make(chan string)
+	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		for {
+			select {
+			case line := <-lines:
+				io.WriteString(w, line+"\n")
+				w.(http.Flusher).Flush()
+			case <-r.Context().Done():
+				return
+			}
+		}
+	})}
+	go server.Serve(ln)
+	t.Cleanup(func() { server.Close() })
+	return lines
 }
--- a/cmd/dunemoor/kill_test.go
+++ b/cmd/dunemoor/kill_test.go
@@ -56,80 +56,81 @@
 		io.WriteString(w, "done")
 	}))
 	defer host.Close()
+	addr := strings.TrimPrefix(host.URL, "http://")
 	for name, discovery := range map[string]string{"down": unusedAddress, "hung": hungDiscovery(t)} {
-		for _, platform := range []bool{false, true} {
-			test := "discovery " + name + ", own socket"
-			if platform {
-				test = "discovery " + name + ", the platform's socket"
-			}
-			t.Run(test, func(t *testing.T) {
-				text := strings.ReplaceAll(platformConfig(strings.TrimPrefix(host.URL, "http://")), unusedAddress, discovery)
-				addr, tmp := freeAddress(t), t.TempDir()
-				path := filepath.Join(tmp, "config.json")
-				if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-					t.Fatal(err)
-				}
-				var socket *os.File
-				if platform {
-					var ln net.Listener
-					ln, socket = openSocket(t)
-					addr = ln.Addr().String()
-				}
-				startProgram := func() *program {
-					if platform {
-						return startOnSocket(t, socket, text, freeAddress(t), tmp)
-					}
-					return startWithDiscovery(t, discovery, path, addr)
-				}
-				dial := func() (c net.Conn) {
-					waitUntil(t, "connection", func() (ok bool) {
-						var err error
-						c, err = net.Dial("tcp", addr)
-						return err == nil
-					})
-					t.Cleanup(func() { c.Close() })
-					c.SetDeadline(time.Now().Add(waitTimeout))
-					return c
-				}
-				readResponse := func(c net.Conn) (string, error) {
-					resp, err := http.ReadResponse(bufio.NewReader(c), nil)
-					if err != nil {
-						return "", err
-					}
-					defer resp.Body.Close()
-					text, err := io.ReadAll(resp.Body)
-					return string(text), err
-				}
-				var killed []net.Conn
-				for _, path := range []string{"/api/1", "/hold"} {
-					before := inFlight.Load()
-					p := startProgram()
-					c := dial()
-					io.WriteString(c, bookRequest(path)) // it fails where the process has ended
-					if path == "/hold" {
-						waitUntil(t, "request at the host", func() bool { return inFlight.Load() > before })
-					}
-					p.Process.Kill()
-					<-p.exited
-					killed = append(killed, c)
-				}
-				p := startProgram()
-				c := dial()
-				if _, err := io.WriteString(c, bookRequest("/api/1")); err != nil {
-					t.Fatal(err)
-				}
-				if text, err := readResponse(c); text != "done" || err != nil {
-					t.Errorf("got body %q, error %v, want \"done\"\n%s", text, err, p.out.String())
-				}
-				for i, c := range killed { // the platform's socket keeps connections that were not accepted
-					text, err := readResponse(c)
-					timedOut := err != nil && os.IsTimeout(err)
-					wrongBody := err == nil && text != "done"
-					if timedOut || wrongBody {
-						t.Errorf("client %d of a killed process: got %q, %v, want the end of the connection or a response", i, text, err)
-					}
-				}
+		t.Run("discovery "+name+", own socket", func(t *testing.T) {
+			listen := freeAddress(t)
+			path := filepath.Join(t.TempDir(), "config.json")
+			writeFile(t, path, strings.ReplaceAll(platformConfig(addr), unusedAddress, discovery))
+			checkKillAfterAccept(t, listen, &inFlight, func() *program { return startWithDiscovery(t, discovery, path, listen) })
+		})
+		t.Run("discovery "+name+", the platform's socket", func(t *testing.T) {
+			text := strings.ReplaceAll(platformConfig(addr), unusedAddress, discovery)
+			ln, socket := openSocket(t)
+			tmp := t.TempDir()
+			checkKillAfterAccept(t, ln.Addr().String(), &inFlight, func() *program {
+				return startOnSocket(t, socket, text, freeAddress(t), tmp)
 			})
+		})
+	}
+}
+
+// checkKillAfterAccept kills two processes that serve at an address, the second one with a request in flight, and sends
+// a request to the third. inFlight counts the requests to "/hold" that have reached the host.
+func checkKillAfterAccept(t *testing.T, addr string, inFlight *atomic.Int64, startProgram func() *program) {
+	t.Helper()
+	var killed []net.Conn
+	for _, path := range []string{"/api/1", "/hold"} {
+		before := inFlight.Load()
+		p := startProgram()
+		c := dialUntilConnected(t, addr)
+		io.WriteString(c, bookRequest(path)) // it fails where the process has ended
+		if path == "/hold" {
+			waitUntil(t, "request at the host", func() bool { return inFlight.Load() > before })
 		}
+		p.Process.Kill()
+		<-p.exited
+		killed = append(killed, c)
+	}
+	p := startProgram()
+	c := dialUntilConnected(t, addr)
+	if _, err := io.WriteString(c, bookRequest("/api/1")); err != nil {
+		t.Fatal(err)
+	}
+	if text, err := readResponse(c); text != "done" || err != nil {
+		t.Errorf("got body %q, error %v, want \"done\"\n%s", text, err, p.out.String())
+	}
+	for i, c := range killed { // the platform's socket keeps connections that were not accepted
+		text, err := readResponse(c)
+		timedOut := err != nil && os.IsTimeout(err)
+		wrongBody := err == nil && text != "done"
+		if timedOut || wrongBody {
+			t.Errorf("client %d of a killed process: got %q, %v, want the end of the connection or a response", i, text, err)
+		}
+	}
+}
+
+// dialUntilConnected connects to an address at which a process is about to listen.
+func dialUntilConnected(t *testing.T, addr string) net.Conn {
+	t.Helper()
+	var c net.Conn
+	waitUntil(t, "connection", func() bool {
+		var err error
+		c, err = net.Dial("tcp", addr)
+		return err == nil
+	})
+	t.Cleanup(func() { c.Close() })
+	c.SetDeadline(time.Now().Add(waitTimeout))
+	return c
+}
+
+// readResponse reads a response and returns its body.
+func readResponse(c net.Conn) (string, error) {
+	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+	if err != nil {
+		return "", err
 	}
+	defer resp.Body.Close()
+	text, err := io.ReadAll(resp.Body)
+	return string(text), err
 }
--- a/cmd/dunemoor/program_test.go
+++ b/cmd/dunemoor/program_test.go
@@ -52,6 +52,9 @@
 	exited chan struct{}
 }
 
+// address is where the program serves clients.
+func (p *program) address() string { return strings.TrimPrefix(p.url, "http://") }
+
 // output collects what a process has written.
 type output struct {
 	mu   sync.Mutex
@@ -82,13 +85,25 @@
 	}
 }
 
+// waitForLog waits until the program has written text, at least so many times.
+func (p *program) waitForLog(t testing.TB, text string, times int) {
+	t.Helper()
+	waitUntil(t, text, func() bool { return strings.Count(p.out.String(), text) >= times })
+}
+
+// writeFile writes a file, in place of an earlier one.
+func writeFile(t testing.TB, path, text string) {
+	t.Helper()
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
 // start runs the program with a configuration.
 func start(t *testing.T, config, listen string, args ...string) *program {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	writeFile(t, path, config)
 	return startWithFile(t, path, listen, args...)
 }
 
@@ -101,9 +116,25 @@
 // startWithDiscovery is startWithFile with GW_DISCOVERY set to an address.
 func startWithDiscovery(t testing.TB, discovery, path, listen string, args ...string) *program {
 	t.Helper()
-	p := &program{Cmd: exec.Command(os.Args[0], args...), url: "http://" + listen, config: path, exited: make(chan struct{})}
-	p.Env = append(os.Environ(), programVariable+"=1", "GW_CONFIG="+path, "GW_LISTEN="+listen, "GW_DISCOVERY="+discovery)
-	p.Stdout, p.Stderr = &p.out, &p.out
+	p := newProgram(path, listen, args...)
+	p.url = "http://" + listen
+	p.Env = append(p.Env, "GW_DISCOVERY="+discovery)
+	p.run(t)
+	return p
+}
+
+// newProgram returns a program that is to listen at an address, with the configuration in a file.
+func newProgram(path, listen string, args ...string) *program {
+	p := &program{Cmd: exec.Command(os.Args[0], args...), config: path, exited: make(chan struct{})}
+	p.Env = append(os.Environ(), programVariable+"=1", "GW_CONFIG="+path, "GW_LISTEN="+listen)
+	p.Stdout = &p.out
+	p.Stderr = &p.out
+	return p
+}
+
+// run starts the process, and kills it at the end of the test.
+func (p *program) run(t testing.TB) {
+	t.Helper()
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -115,7 +146,15 @@
 		p.Process.Kill()
 		<-p.exited
 	})
-	return p
+}
+
+// mustExitCleanly waits for the end of the process, whose exit code must be 0.
+func (p *program) mustExitCleanly(t testing.TB) {
+	t.Helper()
+	<-p.exited
+	if code := p.ProcessState.ExitCode(); code != 0 {
+		t.Errorf("got exit code %d, want 0: %s", code, p.out.String())
+	}
 }
 
 // waitReady waits until the program reports that it can serve.
@@ -164,6 +203,18 @@
 
 var lastID atomic.Int64
 
+// newBookRequest returns a request of class "book" with the headers of the platform.
+func newBookRequest(url string) (*http.Request, error) {
+	r, err := http.NewRequest(http.MethodPost, url, strings.NewReader("body"))
+	if err != nil {
+		return nil, err
+	}
+	r.Header.Set("X-Priority-Class", "book")
+	r.Header.Set("X-Request-ID", fmt.Sprintf("%016x", lastID.Add(1)))
+	r.Header.Set("X-Timeout", "2")
+	return r, nil
+}
+
 // sendRequest sends a request on a connection of its own. accepted is whether there was a connection.
 func sendRequest(url string) (accepted bool, err error) {
 	nc, err := net.DialTimeout("tcp", strings.TrimPrefix(url, "http://"), waitTimeout)
@@ -174,13 +225,10 @@
 		DisableKeepAlives: true,
 		DialContext:       func(context.Context, string, string) (net.Conn, error) { return nc, nil },
 	}, Timeout: waitTimeout}
-	r, err := http.NewRequest(http.MethodPost, url+"/api/1", strings.NewReader("body"))
+	r, err := newBookRequest(url + "/api/1")
 	if err != nil {
 		return false, err
 	}
-	r.Header.Set("X-Priority-Class", "book")
-	r.Header.Set("X-Request-ID", fmt.Sprintf("%016x", lastID.Add(1)))
-	r.Header.Set("X-Timeout", "2")
 	resp, err := client.Do(r)
 	if err != nil {
 		return true, err
--- a/cmd/dunemoor/recording_test.go
+++ b/cmd/dunemoor/recording_test.go
@@ -16,9 +16,7 @@
 	dir := t.TempDir()
 	settings, file := filepath.Join(dir, "flight.toml"), filepath.Join(dir, "all.dmf")
 	text := fmt.Sprintf("ring_kb = 128\ndir = %q\nfile = %q\n", dir, file)
-	if err := os.WriteFile(settings, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	writeFile(t, settings, text)
 	addr, _ := countingHost(t)
 	p := start(t, platformConfig(addr), freeAddress(t), "-flight", settings)
 	p.waitReady(t)
@@ -32,10 +30,7 @@
 		return len(dumps) == 1
 	})
 	p.Process.Signal(syscall.SIGTERM)
-	<-p.exited
-	if code := p.ProcessState.ExitCode(); code != 0 {
-		t.Errorf("got exit code %d, want 0: %s", code, p.out.String())
-	}
+	p.mustExitCleanly(t)
 	for _, path := range append(dumps, file) {
 		f, err := os.Open(path)
 		if err != nil {
@@ -47,9 +42,7 @@
 			t.Errorf("%s: got %+v, error %v, want at least 4 events without loss or divergence", filepath.Base(path), rep, err)
 		}
 	}
-	if err := os.WriteFile(settings, []byte("ring_kb = 1\n"), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	writeFile(t, settings, "ring_kb = 1\n")
 	p = start(t, platformConfig(addr), freeAddress(t), "-flight", settings)
 	<-p.exited
 	if want := "dunemoor: " + settings + ":1: ring_kb: "; p.ProcessState.ExitCode() != 1 || !strings.Contains(p.out.String(), want) {
--- a/cmd/dunemoor/relay_test.go
+++ b/cmd/dunemoor/relay_test.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"net/http"
-	"os"
 	"path/filepath"
 	"strings"
 	"syscall"
@@ -15,20 +14,16 @@
 func TestRelayWithoutListeners(t *testing.T) {
 	dir, admin, listen := t.TempDir(), freeAddress(t), freeAddress(t)
 	key, path := filepath.Join(dir, "key"), filepath.Join(dir, "relay.toml")
-	if err := os.WriteFile(key, []byte(strings.Repeat("k", 32)), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	writeFile(t, key, strings.Repeat("k", 32))
 	text := fmt.Sprintf("name = \"r1\"\nadmin = %q\n[fleet]\nid = \"f\"\nlisten = %q\ndata_dir = %q\nkey_file = %q\nfirst = [\"r1\"]\n[[fleet.relay]]\nname = \"r1\"\naddress = %[2]q\n",
 		admin, listen, filepath.Join(dir, "disk"), key)
 	write := func(text string) {
 		t.Helper()
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
+		writeFile(t, path, text)
 	}
 	write(text)
 	p := startWithFile(t, path, admin, "-appliance", path)
-	waitUntil(t, "log line of the start", func() bool { return strings.Contains(p.out.String(), "msg=relaying") })
+	p.waitForLog(t, "msg=relaying", 1)
 	for _, call := range []string{"health", "status", "fleet", "metrics"} {
 		resp, err := http.Get("http://" + admin + "/admin/" + call)
 		if err != nil {
@@ -44,11 +39,8 @@
 	} {
 		write(c.text)
 		p.Process.Signal(syscall.SIGHUP)
-		waitUntil(t, c.log, func() bool { return strings.Contains(p.out.String(), c.log) })
+		p.waitForLog(t, c.log, 1)
 	}
 	p.Process.Signal(syscall.SIGTERM)
-	<-p.exited
-	if code := p.ProcessState.ExitCode(); code != 0 {
-		t.Errorf("got exit code %d, want 0: %s", code, p.out.String())
-	}
+	p.mustExitCleanly(t)
 }
--- a/cmd/dunemoor/shutdown_test.go
+++ b/cmd/dunemoor/shutdown_test.go
@@ -66,9 +66,7 @@
 	case <-time.After(waitTimeout):
 		t.Fatalf("the program still runs after %v", waitTimeout)
 	}
-	if code := p.ProcessState.ExitCode(); code != 0 {
-		t.Errorf("got exit code %d, want 0: %s", code, p.out.String())
-	}
+	p.mustExitCleanly(t)
 }
 
 // A request that was accepted just before the listener closed has its response before the exit.
@@ -92,7 +90,7 @@
 		t.Fatal(err)
 	}
 	for end := time.Now().Add(waitTimeout); ; time.Sleep(5 * time.Millisecond) {
-		nc, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
+		nc, err := net.Dial("tcp", p.address())
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			break // the listener is closed, the request still in flight
 		} else if err == nil {
@@ -106,10 +104,7 @@
 	if err := <-result; err != nil {
 		t.Errorf("request lost: %v", err)
 	}
-	<-p.exited
-	if code := p.ProcessState.ExitCode(); code != 0 {
-		t.Errorf("got exit code %d, want 0: %s", code, p.out.String())
-	}
+	p.mustExitCleanly(t)
 }
 
 // A request in flight at a hung host, with more time left than the gateway takes to shut down, has a response before the
@@ -125,7 +120,7 @@
 	text := strings.ReplaceAll(platformConfig(strings.TrimPrefix(host.URL, "http://")), "2000000", "60000000")
 	p := start(t, text, freeAddress(t))
 	p.waitReady(t)
-	c, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
+	c, err := net.Dial("tcp", p.address())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -144,8 +139,5 @@
 	if _, err := io.ReadAll(resp.Body); err != nil || resp.StatusCode != 502 {
 		t.Errorf("got status %d, error %v, want 502", resp.StatusCode, err)
 	}
-	<-p.exited
-	if code := p.ProcessState.ExitCode(); code != 0 {
-		t.Errorf("got exit code %d, want 0: %s", code, p.out.String())
-	}
+	p.mustExitCleanly(t)
 }
--- a/cmd/dunemoor/upgrade_test.go
+++ b/cmd/dunemoor/upgrade_test.go
@@ -2,13 +2,11 @@
 
 import (
 	"context"
-	"fmt"
 	"io"
 	"net"
 	"net/http"
 	"net/http/httptest"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"strings"
 	"sync"
@@ -22,25 +20,11 @@
 func startOnSocket(t *testing.T, socket *os.File, config, admin, tmp string) *program {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	p := &program{Cmd: exec.Command(os.Args[0]), config: path, exited: make(chan struct{})}
-	p.Env = append(os.Environ(), programVariable+"=1", "GW_CONFIG="+path, "GW_LISTEN="+freeAddress(t),
-		"GW_FD=3", "GW_ADMIN="+admin, "TMPDIR="+tmp)
+	writeFile(t, path, config)
+	p := newProgram(path, freeAddress(t))
+	p.Env = append(p.Env, "GW_FD=3", "GW_ADMIN="+admin, "TMPDIR="+tmp)
 	p.ExtraFiles = []*os.File{socket}
-	p.Stdout, p.Stderr = &p.out, &p.out
-	if err := p.Start(); err != nil {
-		t.Fatal(err)
-	}
-	go func() {
-		p.Wait()
-		close(p.exited)
-	}()
-	t.Cleanup(func() {
-		p.Process.Kill()
-		<-p.exited
-	})
+	p.run(t)
 	return p
 }
 
@@ -66,9 +50,10 @@
 	return strings.NewReplacer(unusedAddress, list, `"version":1`, `"version":0`).Replace(platformConfig(addr))
 }
 
-// call makes an admin call and returns its status; 0: there was no response.
-func call(method, admin, path string) int {
-	r, _ := http.NewRequest(method, "http://"+admin+path, nil)
+// call makes a request without a body at an address, and returns the status of the response; 0: there was none, as where
+// the connection is closed.
+func call(method, address, path string) int {
+	r, _ := http.NewRequest(method, "http://"+address+path, nil)
 	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
 		return 0
@@ -77,6 +62,30 @@
 	return resp.StatusCode
 }
 
+// upgrades starts processes that share a socket, one after the other.
+type upgrades struct {
+	listener net.Listener
+	socket   *os.File
+	tmp      string // in which the processes share the instance lock
+}
+
+func newUpgrades(t *testing.T) *upgrades {
+	ln, socket := openSocket(t)
+	return &upgrades{listener: ln, socket: socket, tmp: t.TempDir()}
+}
+
+// url is the address of the socket.
+func (u *upgrades) url() string { return "http://" + u.listener.Addr().String() }
+
+// startReady starts the next process, and returns it with its admin address once it is ready.
+func (u *upgrades) startReady(t *testing.T, config string) (p *program, admin string) {
+	t.Helper()
+	admin = freeAddress(t)
+	p = startOnSocket(t, u.socket, config, admin, u.tmp)
+	waitUntil(t, "the new process is ready", func() bool { return call("GET", admin, "/admin/health") == 200 })
+	return p, admin
+}
+
 // Three times under load a new process takes over from an old one on the same socket. Each request has one response,
 // on persistent and on new connections, and the old processes end by themselves: an old one must neither accept new
 // connections nor close the socket, and a new one must not report ready before it can serve.
@@ -86,52 +95,23 @@
 		io.WriteString(w, "done")
 	}))
 	defer host.Close()
-	addr := strings.TrimPrefix(host.URL, "http://")
-	config := configWithDiscovery(t, addr)
-	ln, socket := openSocket(t)
-	url, tmp := "http://"+ln.Addr().String(), t.TempDir()
-	startNew := func() (*program, string) {
-		admin := freeAddress(t)
-		p := startOnSocket(t, socket, config, admin, tmp)
-		waitUntil(t, "the new process is ready", func() bool { return call("GET", admin, "/admin/health") == 200 })
-		return p, admin
-	}
-	old, _ := startNew()
+	config := configWithDiscovery(t, strings.TrimPrefix(host.URL, "http://"))
+	u := newUpgrades(t)
+	old, _ := u.startReady(t, config)
 	ctx, cancel := context.WithCancel(context.Background())
 	var served atomic.Int64
 	var clients sync.WaitGroup
 	for i := range 4 {
 		client := &http.Client{Timeout: waitTimeout, Transport: &http.Transport{DisableKeepAlives: i == 0}}
-		clients.Go(func() {
-			for ctx.Err() == nil {
-				r, _ := http.NewRequest(http.MethodPost, url+"/api/1", strings.NewReader("body"))
-				r.Header.Set("X-Priority-Class", "book")
-				r.Header.Set("X-Request-ID", fmt.Sprintf("%016x", lastID.Add(1)))
-				r.Header.Set("X-Timeout", "2")
-				resp, err := client.Do(r)
-				if err != nil {
-					t.Errorf("request lost: %v", err)
-					return
-				}
-				text, err := io.ReadAll(resp.Body)
-				resp.Body.Close()
-				if err != nil || resp.StatusCode != 200 || string(text) != "done" {
-					t.Errorf("got status %d, body %q, error %v, want 200 and \"done\"", resp.StatusCode, text, err)
-				}
-				served.Add(1)
-			}
-		})
+		clients.Go(func() { sendUntilDone(ctx, t, client, u.url(), &served) })
 	}
 	for range 3 {
-		next, admin := startNew()
+		next, admin := u.startReady(t, config)
 		before := served.Load()
 		if err := old.Process.Signal(syscall.SIGTERM); err != nil {
 			t.Fatal(err)
 		}
-		<-old.exited
-		if code := old.ProcessState.ExitCode(); code != 0 {
-			t.Errorf("got exit code %d, want 0: %s", code, old.out.String())
-		}
+		old.mustExitCleanly(t)
 		waitUntil(t, "requests served after the upgrade", func() bool { return served.Load() > before+50 || t.Failed() })
 		if got := call("GET", admin, "/admin/health"); got != 200 {
 			t.Errorf("health of the new process: got %d, want 200: %s", got, next.out.String())
@@ -142,6 +122,37 @@
 	clients.Wait()
 }
 
+// sendUntilDone sends requests, one after the other, until ctx ends or one is lost. It counts those with a response.
+func sendUntilDone(ctx context.Context, t *testing.T, client *http.Client, url string, served *atomic.Int64) {
+	for ctx.Err() == nil {
+		status, body, err := postBook(client, url+"/api/1")
+		if err != nil && status == 0 {
+			t.Errorf("request lost: %v", err)
+			return
+		}
+		if err != nil || status != 200 || body != "done" {
+			t.Errorf("got status %d, body %q, error %v, want 200 and \"done\"", status, body, err)
+		}
+		served.Add(1)
+	}
+}
+
+// postBook sends a request of class "book". status is 0 where there was no response; the error of a response that ends
+// early comes with its status.
+func postBook(client *http.Client, url string) (status int, body string, err error) {
+	r, err := newBookRequest(url)
+	if err != nil {
+		return 0, "", err
+	}
+	resp, err := client.Do(r)
+	if err != nil {
+		return 0, "", err
+	}
+	defer resp.Body.Close()
+	text, err := io.ReadAll(resp.Body)
+	return resp.StatusCode, string(text), err
+}
+
 // A new process is not ready until it has the endpoint list, as it would serve by an old one while another process has
 // the current one. Without discovery it is ready after a while, so that an upgrade doesn't depend on it.
 func TestUpgradeWaitsForTheEndpointList(t *testing.T) {
@@ -177,50 +188,27 @@
 // time left to serve it.
 func TestOldProcessAcceptsNoNewConnections(t *testing.T) {
 	release := make(chan struct{})
-	startHost := func(body string) *httptest.Server {
-		host := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			if r.URL.Path == "/api/slow" {
-				<-release
-			}
-			io.WriteString(w, body)
-		}))
-		t.Cleanup(host.Close)
-		return host
-	}
-	ln, socket := openSocket(t)
+	u := newUpgrades(t)
 	post := func(path string) string {
-		c := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: waitTimeout}
-		r, _ := http.NewRequest(http.MethodPost, "http://"+ln.Addr().String()+path, strings.NewReader("x"))
-		r.Header.Set("X-Priority-Class", "book")
-		r.Header.Set("X-Request-ID", fmt.Sprintf("%016x", lastID.Add(1)))
-		r.Header.Set("X-Timeout", "2")
-		resp, err := c.Do(r)
-		if err != nil {
+		client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: waitTimeout}
+		status, body, err := postBook(&client, u.url()+path)
+		if err != nil && status == 0 {
 			return err.Error()
 		}
-		defer resp.Body.Close()
-		text, _ := io.ReadAll(resp.Body)
-		return string(text)
-	}
-	tmp := t.TempDir()
-	startProgram := func(host *httptest.Server) *program {
-		admin := freeAddress(t)
-		addr := strings.TrimPrefix(host.URL, "http://")
-		p := startOnSocket(t, socket, configWithDiscovery(t, addr), admin, tmp) // ready at once: the request in flight must not time out meanwhile
-		waitUntil(t, "ready", func() bool { return call("GET", admin, "/admin/health") == 200 })
-		return p
-	}
-	old := startProgram(startHost("old"))
+		return body
+	}
+	// Ready at once: the request in flight must not time out meanwhile.
+	old, _ := u.startReady(t, configWithDiscovery(t, startNamedHost(t, "old", release)))
 	slow := make(chan string, 1)
 	go func() { slow <- post("/api/slow") }()
 	if got := post("/api/1"); got != "old" {
 		t.Fatalf("got body %q, want \"old\"", got)
 	}
-	startProgram(startHost("new"))
+	u.startReady(t, configWithDiscovery(t, startNamedHost(t, "new", release)))
 	if err := old.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, "the old process stops", func() bool { return strings.Contains(old.out.String(), "stopping") })
+	old.waitForLog(t, "stopping", 1)
 	consecutive := 0
 	for n := 0; n < 100 && consecutive < 20; n++ { // the log line comes a moment before the end of accepting
 		if post("/api/1") == "new" {
@@ -242,3 +230,15 @@
 		t.Errorf("request in flight: got body %q, want \"old\"\n%s", got, old.out.String())
 	}
 }
+
+// startNamedHost starts a host that responds with its name, to "/api/slow" once release is closed.
+func startNamedHost(t *testing.T, name string, release <-chan struct{}) (addr string) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if r.URL.Path == "/api/slow" {
+			<-release
+		}
+		io.WriteString(w, name)
+	}))
+	t.Cleanup(server.Close)
+	return strings.TrimPrefix(server.URL, "http://")
+}
