--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -27,10 +27,10 @@
 
 // run serves batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
-	h := host{balancers: map[uint32]*balancer.Balancer{}, out: simwire.NewWriter(out)}
+	s := server{balancers: map[uint32]*balancer.Balancer{}, out: simwire.NewWriter(out)}
 	r := simwire.NewReader(in)
 	for number := 1; ; number++ {
-		err := h.serveBatch(r)
+		err := s.serveBatch(r)
 		if err == io.EOF {
 			return nil
 		}
@@ -40,15 +40,15 @@
 	}
 }
 
-// host holds the balancers by instance number. They share nothing.
-type host struct {
+// server holds the balancers by instance number. They share nothing.
+type server struct {
 	balancers map[uint32]*balancer.Balancer
 	out       *simwire.Writer
 	actions   []balancer.Action
 }
 
 // serveBatch reads a batch and replies to it. It returns io.EOF where there is no further batch.
-func (h *host) serveBatch(r *simwire.Reader) error {
+func (s *server) serveBatch(r *simwire.Reader) error {
 	now, err := r.Batch()
 	if err != nil {
 		return err
@@ -62,9 +62,9 @@
 		if !more {
 			break
 		}
-		h.handle(now, &e)
+		s.handle(now, &e)
 	}
-	if err := h.out.Flush(); err != nil {
+	if err := s.out.Flush(); err != nil {
 		return fmt.Errorf("reply: %w", err)
 	}
 	return nil
@@ -72,27 +72,27 @@
 
 // handle passes one event to its balancer and collects the actions. An instance that panics is reported as
 // crashed and removed; the others go on.
-func (h *host) handle(now balancer.Time, e *simwire.Event) {
+func (s *server) handle(now balancer.Time, e *simwire.Event) {
 	defer func() {
 		if p := recover(); p != nil {
-			delete(h.balancers, e.Instance)
-			h.out.Crash(e.Instance, fmt.Sprintf("%v\n%s", p, debug.Stack()))
+			delete(s.balancers, e.Instance)
+			s.out.Crash(e.Instance, fmt.Sprintf("%v\n%s", p, debug.Stack()))
 		}
 	}()
 	switch e.Code {
 	case simwire.Start:
-		h.start(now, e)
+		s.start(now, e)
 	case simwire.Stop:
-		delete(h.balancers, e.Instance)
+		delete(s.balancers, e.Instance)
 	}
-	b := h.balancers[e.Instance]
+	b := s.balancers[e.Instance]
 	if b == nil {
 		return
 	}
 	dispatch(b, now, e)
-	h.actions = b.TakeActions(h.actions[:0])
-	for i := range h.actions {
-		h.out.Action(e.Instance, &h.actions[i])
+	s.actions = b.TakeActions(s.actions[:0])
+	for i := range s.actions {
+		s.out.Action(e.Instance, &s.actions[i])
 	}
 }
 
@@ -115,18 +115,18 @@
 }
 
 // start creates the balancer of an instance, in the place of an earlier one.
-func (h *host) start(now balancer.Time, e *simwire.Event) {
-	delete(h.balancers, e.Instance)
+func (s *server) start(now balancer.Time, e *simwire.Event) {
+	delete(s.balancers, e.Instance)
 	settings, err := protocol.ParseSettings(e.Settings)
 	if err != nil {
-		h.out.Crash(e.Instance, err.Error())
+		s.out.Crash(e.Instance, err.Error())
 		return
 	}
 	b, err := balancer.New(settings, e.Seed)
 	if err != nil {
-		h.out.Crash(e.Instance, err.Error())
+		s.out.Crash(e.Instance, err.Error())
 		return
 	}
 	b.Start(now)
-	h.balancers[e.Instance] = b
+	s.balancers[e.Instance] = b
 }
--- a/internal/flightrecorder/analysis.go
+++ b/internal/flightrecorder/analysis.go
@@ -49,13 +49,13 @@
 
 // Ejection is a host that was ejected.
 type Ejection struct {
-	At      balancer.Time
-	Host    balancer.HostID
-	Cause   balancer.Cause
-	Request balancer.RequestID // whose end was the cause, or the oldest in flight at the host
-	Class   int                // of Request; -1: there was none
-	Age     time.Duration      // of Request's attempt
-	Pending int                // attempts in flight at the host
+	At       balancer.Time
+	Host     balancer.HostID
+	Cause    balancer.Cause
+	Request  balancer.RequestID // whose end was the cause, or the oldest in flight at the host
+	Class    int                // of Request; -1: there was none
+	Age      time.Duration      // of Request's attempt
+	InFlight int                // attempts in flight at the host
 }
 
 // maxEjections is the number of ejections that an Analysis describes.
--- a/internal/flightrecorder/analysis_test.go
+++ b/internal/flightrecorder/analysis_test.go
@@ -140,7 +140,7 @@
 		for _, h := range a.Hosts {
 			for i := range h.Buckets {
 				if b := &h.Buckets[i]; b.Samples > 0 {
-					sum += b.Pending / float64(b.Samples)
+					sum += b.InFlightSum / float64(b.Samples)
 				}
 			}
 		}
--- a/internal/flightrecorder/analysis_text.go
+++ b/internal/flightrecorder/analysis_text.go
@@ -18,7 +18,7 @@
 // Text writes the analysis for a terminal, with at most that number of its ejections.
 //
 // Headings keep the words of earlier builds, as scripts read them: "asked" are Requests, "refused" Rejected, "left"
-// Abandoned, "good" Succeeded, "out" attempts in flight (Pending), and the hosts "drawn from" are those of the subset.
+// Abandoned, "good" Succeeded, "out" attempts in flight (InFlight), and the hosts "drawn from" are those of the subset.
 func (a *Analysis) Text(w io.Writer, ejections int) {
 	a.writeReplay(w)
 	a.writeClasses(w)
@@ -142,7 +142,7 @@
 	fmt.Fprintln(w)
 	for _, e := range a.Ejections[:shown] {
 		at := (e.At - a.From).Round(time.Millisecond)
-		fmt.Fprintf(w, "%10v %-18s %-16v %d out", at, a.hostLabel(&e), e.Cause, e.Pending)
+		fmt.Fprintf(w, "%10v %-18s %-16v %d out", at, a.hostLabel(&e), e.Cause, e.InFlight)
 		if e.Class >= 0 && e.Class < len(a.ClassNames) {
 			fmt.Fprintf(w, ", request %d of %s for %v", e.Request, a.ClassNames[e.Class], e.Age.Round(time.Millisecond/10))
 		}
@@ -182,7 +182,7 @@
 		}
 		samples := float64(b.Samples)
 		from := time.Duration(i) * a.BucketSize
-		fmt.Fprintf(w, "%10v %8.2f %8.2f %10.3f ", from, b.Pending/samples, b.Limit/samples, b.Mean/samples)
+		fmt.Fprintf(w, "%10v %8.2f %8.2f %10.3f ", from, b.InFlightSum/samples, b.ConcurrencyLimitSum/samples, b.RecentRTTSum/samples)
 		for _, l := range stateLetters {
 			if count := b.Reasons[l.reason]; count > 0 {
 				fmt.Fprintf(w, " %s %.0f%%", l.reason, 100*float64(count)/samples)
--- a/internal/flightrecorder/analyzer.go
+++ b/internal/flightrecorder/analyzer.go
@@ -9,8 +9,8 @@
 const (
 	// samplesPerBucket is the number of times that the state of hosts is sampled within a bucket.
 	samplesPerBucket = 8
-	// maxHostsPerEvent is the number of hosts up to which the hosts are looked at after each event, so that
-	// no ejection is missed.
+	// maxHostsPerEvent is the number of hosts up to which they are inspected after each event, so that no
+	// ejection is missed. Of more hosts an ejection that ends between two samples is missed.
 	maxHostsPerEvent = 64
 	// outsideWindow is the bucket of times outside the window.
 	outsideWindow = -1
@@ -42,30 +42,30 @@
 type analyzer struct {
 	*Analysis
 	window       Window
-	base         balancer.Time // of the first event; 0: there was none
+	firstEventAt balancer.Time // of the first event; 0: there was none
 	sessionStart balancer.Time
 	settings     *balancer.Settings
 
-	hosts        map[balancer.HostID]*HostTimeline
-	hostNames    map[balancer.HostID]string
-	openRequests map[balancer.RequestID]*openRequest
-	openAttempts map[attemptKey]openAttempt
-	ejections    map[balancer.HostID]int          // as of the last look
-	viewed       map[balancer.HostID][]HostBucket // from recorded views
-	nextSampleAt balancer.Time
-	views        []balancer.HostView
+	timelines     map[balancer.HostID]*HostTimeline
+	hostNames     map[balancer.HostID]string
+	openRequests  map[balancer.RequestID]*openRequest
+	openAttempts  map[attemptKey]openAttempt
+	ejectionsSeen map[balancer.HostID]int          // when the hosts were last inspected
+	viewed        map[balancer.HostID][]HostBucket // from recorded views
+	nextSampleAt  balancer.Time
+	views         []balancer.HostView
 }
 
 func newAnalyzer(window Window) *analyzer {
 	return &analyzer{
-		Analysis:     &Analysis{BucketSize: window.Bucket, WaitReasons: map[string]float64{}},
-		window:       window,
-		hosts:        map[balancer.HostID]*HostTimeline{},
-		hostNames:    map[balancer.HostID]string{},
-		openRequests: map[balancer.RequestID]*openRequest{},
-		openAttempts: map[attemptKey]openAttempt{},
-		ejections:    map[balancer.HostID]int{},
-		viewed:       map[balancer.HostID][]HostBucket{},
+		Analysis:      &Analysis{BucketSize: window.Bucket, WaitReasons: map[string]float64{}},
+		window:        window,
+		timelines:     map[balancer.HostID]*HostTimeline{},
+		hostNames:     map[balancer.HostID]string{},
+		openRequests:  map[balancer.RequestID]*openRequest{},
+		openAttempts:  map[attemptKey]openAttempt{},
+		ejectionsSeen: map[balancer.HostID]int{},
+		viewed:        map[balancer.HostID][]HostBucket{},
 	}
 }
 
@@ -105,8 +105,8 @@
 }
 
 func (a *analyzer) addViews(it *Item) {
-	bucket := a.bucket(it.At)
-	if a.base == 0 || bucket == outsideWindow {
+	bucket := a.bucketAt(it.At)
+	if a.firstEventAt == 0 || bucket == outsideWindow {
 		return
 	}
 	for i := range it.Views {
@@ -115,9 +115,9 @@
 	}
 }
 
-// bucket returns the number of the bucket of a time.
-func (a *analyzer) bucket(now balancer.Time) int {
-	at := now - a.base
+// bucketAt returns the number of the bucket of a time.
+func (a *analyzer) bucketAt(now balancer.Time) int {
+	at := now - a.firstEventAt
 	if at < a.window.From || (a.window.To > 0 && at >= a.window.To) {
 		return outsideWindow
 	}
@@ -126,22 +126,22 @@
 
 // observe processes an event and the actions that were recorded.
 func (a *analyzer) observe(b *balancer.Balancer, e *Event, actions []balancer.Action) {
-	if a.base == 0 {
-		a.base = e.At
+	if a.firstEventAt == 0 {
+		a.firstEventAt = e.At
 	}
-	bucket := a.bucket(e.At)
+	bucket := a.bucketAt(e.At)
 	if bucket != outsideWindow {
 		a.extendTo(e.At, bucket)
 	}
 	ended := a.processEvent(e, bucket)
-	waited := 0
+	timedOutWaiting := 0
 	for i := range actions {
 		if a.processAction(&actions[i], e.At, bucket) {
-			waited++
+			timedOutWaiting++
 		}
 	}
 	if bucket != outsideWindow {
-		a.lookAtHosts(b, e, bucket, waited, ended)
+		a.inspectHosts(b, e, bucket, timedOutWaiting, ended)
 	}
 }
 
@@ -223,7 +223,7 @@
 }
 
 // processAction counts an action. It returns true for a request that waited for a host in vain.
-func (a *analyzer) processAction(action *balancer.Action, now balancer.Time, bucket int) (waited bool) {
+func (a *analyzer) processAction(action *balancer.Action, now balancer.Time, bucket int) (timedOutWaiting bool) {
 	switch action.Kind {
 	case balancer.Send:
 		a.attemptSent(action, now, bucket)
@@ -262,20 +262,20 @@
 
 // timeline returns the timeline of a host, and adds it where there is none.
 func (a *analyzer) timeline(id balancer.HostID) *HostTimeline {
-	h := a.hosts[id]
+	h := a.timelines[id]
 	if h == nil {
 		h = &HostTimeline{ID: id}
-		a.hosts[id] = h
+		a.timelines[id] = h
 		a.Hosts = append(a.Hosts, h)
 	}
 	return h
 }
 
-// lookAtHosts samples the state of the hosts after an event, finds ejections, and explains why requests waited
+// inspectHosts samples the state of the hosts after an event, finds ejections, and explains why requests waited
 // in vain. ended is the attempt that the event ends, or nil.
-func (a *analyzer) lookAtHosts(b *balancer.Balancer, e *Event, bucket, waited int, ended *openAttempt) {
+func (a *analyzer) inspectHosts(b *balancer.Balancer, e *Event, bucket, timedOutWaiting int, ended *openAttempt) {
 	sampleDue := e.At >= a.nextSampleAt
-	if !sampleDue && waited == 0 && len(a.hosts) > maxHostsPerEvent {
+	if !sampleDue && timedOutWaiting == 0 && len(a.timelines) > maxHostsPerEvent {
 		return
 	}
 	a.views = b.Views(a.views[:0])
@@ -288,10 +288,10 @@
 			inSubset++
 			reasons[reason]++
 		}
-		if v.Ejections > 0 && a.ejections[v.Host] == 0 {
+		if v.Ejections > 0 && a.ejectionsSeen[v.Host] == 0 {
 			a.addEjection(v, e, ended)
 		}
-		a.ejections[v.Host] = v.Ejections
+		a.ejectionsSeen[v.Host] = v.Ejections
 		if sampleDue {
 			h := a.timeline(v.Host)
 			h.Buckets = addSample(h.Buckets, bucket, v, reason)
@@ -300,18 +300,18 @@
 	if sampleDue {
 		a.nextSampleAt = e.At + a.window.Bucket/samplesPerBucket
 	}
-	if waited > 0 && inSubset > 0 {
-		a.addWaitReasons(waited, reasons, inSubset)
+	if timedOutWaiting > 0 && inSubset > 0 {
+		a.addWaitReasons(timedOutWaiting, reasons, inSubset)
 	}
 }
 
-func (a *analyzer) addWaitReasons(waited int, reasons map[string]int, inSubset int) {
-	a.TimedOutWaiting += waited
+func (a *analyzer) addWaitReasons(requests int, reasons map[string]int, inSubset int) {
+	a.TimedOutWaiting += requests
 	for reason, hosts := range reasons {
 		if reason == "" {
 			reason = readyReason
 		}
-		a.WaitReasons[reason] += float64(waited) * float64(hosts) / float64(inSubset)
+		a.WaitReasons[reason] += float64(requests) * float64(hosts) / float64(inSubset)
 	}
 }
 
@@ -322,7 +322,7 @@
 	if len(a.Ejections) >= maxEjections {
 		return
 	}
-	ejection := Ejection{At: e.At, Host: v.Host, Cause: v.Cause, Pending: v.InFlight, Class: -1}
+	ejection := Ejection{At: e.At, Host: v.Host, Cause: v.Cause, InFlight: v.InFlight, Class: -1}
 	byEndedAttempt := v.Cause != balancer.CauseSilent && ended != nil && ended.host == v.Host
 	if byEndedAttempt {
 		ejection.Request = e.Outcome.Request
--- a/internal/flightrecorder/decoder.go
+++ b/internal/flightrecorder/decoder.go
@@ -160,9 +160,9 @@
 	v.Overdue = flags&(1<<viewOverdueBit) != 0
 	v.Cause = balancer.Cause(flags >> viewCauseShift)
 	v.InFlight = d.int()
-	v.ConcurrencyLimit = float64(d.varint()) / viewLimitScale
-	v.RecentRTT = float64(d.varint()) / viewMeanScale
-	v.EstimatedRTT = float64(d.varint()) / viewEstimateScale
+	v.ConcurrencyLimit = float64(d.varint()) / viewConcurrencyLimitScale
+	v.RecentRTT = float64(d.varint()) / viewRecentRTTScale
+	v.EstimatedRTT = float64(d.varint()) / viewEstimatedRTTScale
 	v.Ejections = d.int()
 	for _, at := range []*balancer.Time{&v.EjectedUntil, &v.RestingUntil, &v.NextSlowStartSend} {
 		if left := d.duration(); left > 0 {
--- a/internal/flightrecorder/fit_model.go
+++ b/internal/flightrecorder/fit_model.go
@@ -40,7 +40,7 @@
 		}
 		f.Simulation.Hosts[id] = model
 		for _, a := range h.attempts {
-			if within(model.Down, a.sentAt) || within(model.Silent, a.sentAt) {
+			if inAnySpan(model.Down, a.sentAt) || inAnySpan(model.Silent, a.sentAt) {
 				continue
 			}
 			total++
--- a/internal/flightrecorder/plot.go
+++ b/internal/flightrecorder/plot.go
@@ -24,12 +24,12 @@
 
 // Colors of the lines.
 const (
-	requestsColor = "#333"
-	servedColor   = "#2a8"
-	rejectedColor = "#d33"
-	failedColor   = "#a4a"
-	limitColor    = "#333"
-	pendingColor  = "#26c"
+	requestsColor         = "#333"
+	servedColor           = "#2a8"
+	rejectedColor         = "#d33"
+	failedColor           = "#a4a"
+	concurrencyLimitColor = "#333"
+	inFlightColor         = "#26c"
 )
 
 // stateColors are the backgrounds of a host's buckets, by the letter of stateLetters.
@@ -146,17 +146,17 @@
 			p.printf(`<rect x="%.1f" y="%.0f" width="%.1f" height="%d" fill="%s"/>`, plotLeft+float64(i)*p.step, top, p.step, laneHeight, color)
 		}
 		if b.Samples > 0 {
-			highest = max(highest, b.Limit/float64(b.Samples), b.Pending/float64(b.Samples))
+			highest = max(highest, b.ConcurrencyLimitSum/float64(b.Samples), b.InFlightSum/float64(b.Samples))
 		}
 	}
 	fmt.Fprintln(p)
-	p.line(top, highest, limitColor, len(h.Buckets), func(i int) (float64, bool) {
+	p.line(top, highest, concurrencyLimitColor, len(h.Buckets), func(i int) (float64, bool) {
 		b := &h.Buckets[i]
-		return b.Limit / float64(max(b.Samples, 1)), b.Samples > 0
+		return b.ConcurrencyLimitSum / float64(max(b.Samples, 1)), b.Samples > 0
 	})
-	p.line(top, highest, pendingColor, len(h.Buckets), func(i int) (float64, bool) {
+	p.line(top, highest, inFlightColor, len(h.Buckets), func(i int) (float64, bool) {
 		b := &h.Buckets[i]
-		return b.Pending / float64(max(b.Samples, 1)), b.Samples > 0
+		return b.InFlightSum / float64(max(b.Samples, 1)), b.Samples > 0
 	})
 	p.scale(top, "%.1f", highest)
 }
--- a/internal/flightrecorder/record.go
+++ b/internal/flightrecorder/record.go
@@ -27,9 +27,9 @@
 
 // Units of the figures in a view, per unit of a balancer.HostView.
 const (
-	viewLimitScale    = 1e3 // thousandths of an attempt
-	viewMeanScale     = 1e3 // thousandths of a latency objective
-	viewEstimateScale = 1e6 // microseconds
+	viewConcurrencyLimitScale = 1e3 // thousandths of an attempt
+	viewRecentRTTScale        = 1e3 // thousandths of a latency objective
+	viewEstimatedRTTScale     = 1e6 // microseconds
 )
 
 // causeCount is the number of causes that balancer.Cause has. Counts by cause are arrays of this length.
@@ -138,9 +138,9 @@
 	flags |= byte(v.Cause) << viewCauseShift
 	b = append(b, flags)
 	b = binary.AppendVarint(b, int64(v.InFlight))
-	b = binary.AppendVarint(b, int64(v.ConcurrencyLimit*viewLimitScale))
-	b = binary.AppendVarint(b, int64(v.RecentRTT*viewMeanScale))
-	b = binary.AppendVarint(b, int64(v.EstimatedRTT*viewEstimateScale))
+	b = binary.AppendVarint(b, int64(v.ConcurrencyLimit*viewConcurrencyLimitScale))
+	b = binary.AppendVarint(b, int64(v.RecentRTT*viewRecentRTTScale))
+	b = binary.AppendVarint(b, int64(v.EstimatedRTT*viewEstimatedRTTScale))
 	b = binary.AppendVarint(b, int64(v.Ejections))
 	for _, at := range []balancer.Time{v.EjectedUntil, v.RestingUntil, v.NextSlowStartSend} {
 		b = binary.AppendVarint(b, int64(max(at-now, 0)))
--- a/internal/flightrecorder/recorder.go
+++ b/internal/flightrecorder/recorder.go
@@ -104,7 +104,7 @@
 	for i := range r.ring {
 		r.ring[i] = make([]byte, 0, options.RingBytes/ringSegments)
 	}
-	r.closeBlock(blockStart, start.At, startJSON, false)
+	r.writeBlock(blockStart, start.At, startJSON, false)
 	return r, nil
 }
 
@@ -131,8 +131,8 @@
 	return dst
 }
 
-// closeBlock writes a block to the ring, if inRing is set, and to the sink.
-func (r *Recorder) closeBlock(kind byte, base balancer.Time, payload []byte, inRing bool) {
+// writeBlock writes a block to the ring, if inRing is set, and to the sink.
+func (r *Recorder) writeBlock(kind byte, base balancer.Time, payload []byte, inRing bool) {
 	h := header{kind: kind, session: r.session, number: r.nextNumber, base: base}
 	r.nextNumber++
 	var encoded [headerSize]byte
@@ -181,7 +181,7 @@
 	if !fits(r.ring[r.current], len(r.block)) {
 		r.nextSegment() // one event had more actions than there was room for
 	}
-	r.closeBlock(blockRecords, r.blockBase, r.block, true)
+	r.writeBlock(blockRecords, r.blockBase, r.block, true)
 	r.block = r.block[:0]
 }
 
@@ -215,7 +215,7 @@
 func (r *Recorder) writeCheckpoint(now balancer.Time) {
 	r.nextCheckpointAt = now + checkpointInterval
 	r.checkpoint = r.balancer.Checkpoint(r.checkpoint[:0])
-	r.closeBlock(blockCheckpoint, r.lastRecord, r.checkpoint, true)
+	r.writeBlock(blockCheckpoint, r.lastRecord, r.checkpoint, true)
 }
 
 // beginEvent begins the record of an event; size is the most bytes that it takes.
--- a/internal/flightrecorder/recorder_events.go
+++ b/internal/flightrecorder/recorder_events.go
@@ -92,9 +92,9 @@
 	r.nextNumber = 0
 	r.sessionBase = now
 	r.lastRecord = now
-	r.closeBlock(blockStart, now, r.startJSON, false)
+	r.writeBlock(blockStart, now, r.startJSON, false)
 	r.checkpoint = r.balancer.Checkpoint(r.checkpoint[:0])
-	r.closeBlock(blockCheckpoint, now, r.checkpoint, true)
+	r.writeBlock(blockCheckpoint, now, r.checkpoint, true)
 	return nil
 }
 
--- a/internal/flightrecorder/simulation.go
+++ b/internal/flightrecorder/simulation.go
@@ -57,7 +57,7 @@
 // Span is a span of time; To is not part of it.
 type Span struct{ From, To balancer.Time }
 
-func within(spans []Span, t balancer.Time) bool {
+func inAnySpan(spans []Span, t balancer.Time) bool {
 	return slices.ContainsFunc(spans, func(s Span) bool { return s.From <= t && t < s.To })
 }
 
@@ -288,12 +288,12 @@
 	}
 	r.attempts = append(r.attempts, attempt)
 	s.summary.Attempts++
-	if within(h.Down, s.now) {
+	if inAnySpan(h.Down, s.now) {
 		s.schedule(s.now+connectFailureTime, func() { s.endAttempt(attempt, balancer.ConnectFailed) })
 		return
 	}
 	r.executions++
-	unanswered := within(h.Silent, s.now) || (h.UnansweredShare > 0 && s.Random.Float64() < h.UnansweredShare)
+	unanswered := inAnySpan(h.Silent, s.now) || (h.UnansweredShare > 0 && s.Random.Float64() < h.UnansweredShare)
 	if !unanswered {
 		h.jobs = append(h.jobs, attempt)
 		if len(h.jobs) == 1 {
--- a/internal/flightrecorder/timeline.go
+++ b/internal/flightrecorder/timeline.go
@@ -17,11 +17,11 @@
 
 // HostBucket sums up the samples of a host within a bucket.
 type HostBucket struct {
-	Samples int
-	Pending float64        // sum of the attempts in flight
-	Limit   float64        // sum of the concurrency limits
-	Mean    float64        // sum of the mean RTTs, in latency objectives
-	Reasons map[string]int // samples by balancer.HostView.Unavailable; "": no reason that a view has
+	Samples             int
+	InFlightSum         float64        // of the attempts in flight
+	ConcurrencyLimitSum float64        // of the concurrency limits
+	RecentRTTSum        float64        // of the mean RTTs, in latency objectives
+	Reasons             map[string]int // samples by balancer.HostView.Unavailable; "": no reason that a view has
 }
 
 // ejectedReason is balancer.HostView.Unavailable of an ejected host, silentReason what it counts as where the
@@ -41,9 +41,9 @@
 		b.Reasons = map[string]int{}
 	}
 	b.Samples++
-	b.Pending += float64(v.InFlight)
-	b.Limit += v.ConcurrencyLimit
-	b.Mean += v.RecentRTT
+	b.InFlightSum += float64(v.InFlight)
+	b.ConcurrencyLimitSum += v.ConcurrencyLimit
+	b.RecentRTTSum += v.RecentRTT
 	if reason == ejectedReason && v.Cause == balancer.CauseSilent {
 		reason = silentReason
 	}
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -54,8 +54,8 @@
 
 func (f *fieldReader) duration() time.Duration { return time.Duration(f.uint32()) * timeUnit }
 
-// floats skips a list of 32-bit floats: its length in one byte, then the numbers.
-func (f *fieldReader) floats() { f.bytes(4 * uint64(f.uint8())) }
+// skipFloats skips a list of 32-bit floats: its length in one byte, then the numbers.
+func (f *fieldReader) skipFloats() { f.bytes(4 * uint64(f.uint8())) }
 
 // host reads an address of four bytes and a port; a HostID is both in one number.
 func (f *fieldReader) host() balancer.HostID {
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -121,7 +121,7 @@
 		f.uint16()
 		f.duration()
 		f.host()
-		f.floats()
+		f.skipFloats()
 	case PeerMessage:
 		f.uint16()
 		f.bytes(uint64(f.uint16()))
@@ -149,8 +149,8 @@
 	code := f.uint16()
 	o.Elapsed = f.duration()
 	o.Closed = f.uint8() != 0
-	f.floats()
-	result, known := results[code]
+	f.skipFloats()
+	result, known := resultsByCode[code]
 	if !known && !f.truncated {
 		return fmt.Errorf("unknown outcome %d", code)
 	}
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -90,8 +90,8 @@
 // flagDuplicate is the bit of a request's flags that marks a request that the client sends again.
 const flagDuplicate = 2
 
-// results maps the codes of attempt outcomes.
-var results = map[uint16]balancer.Result{
+// resultsByCode maps the codes of attempt outcomes.
+var resultsByCode = map[uint16]balancer.Result{
 	100: balancer.OK,
 	301: balancer.Failed,
 	302: balancer.Full,
