--- a/internal/flightrecorder/fit.go
+++ b/internal/flightrecorder/fit.go
@@ -67,12 +67,17 @@
 type fitter struct {
 	*Fitted
 	settings     *balancer.Settings
-	arrivals     map[balancer.RequestID]int // index in Simulation.Arrivals
-	done         map[balancer.RequestID]bool
+	requests     map[balancer.RequestID]*fittedRequest
 	openAttempts map[attemptKey]*fittedAttempt
-	attempts     map[balancer.RequestID]int // sent
 	hosts        map[balancer.HostID]*fittedHost
-	servedBy     map[balancer.RequestID]*fittedAttempt // by request
+}
+
+// fittedRequest is a request of the recording.
+type fittedRequest struct {
+	arrival  int            // index in Simulation.Arrivals
+	done     bool           // it has a final response, or its client has left
+	attempts int            // sent
+	servedBy *fittedAttempt // the last successful one; nil: none
 }
 
 // fittedAttempt is an attempt of the recording.
@@ -100,12 +105,9 @@
 func newFitter() *fitter {
 	return &fitter{
 		Fitted:       &Fitted{Simulation: &Simulation{Hosts: map[balancer.HostID]*SimulatedHost{}}},
-		arrivals:     map[balancer.RequestID]int{},
-		done:         map[balancer.RequestID]bool{},
+		requests:     map[balancer.RequestID]*fittedRequest{},
 		openAttempts: map[attemptKey]*fittedAttempt{},
-		attempts:     map[balancer.RequestID]int{},
 		hosts:        map[balancer.HostID]*fittedHost{},
-		servedBy:     map[balancer.RequestID]*fittedAttempt{},
 	}
 }
 
@@ -126,9 +128,7 @@
 	case EventUpdateEndpoints:
 		f.addEndpoints(e.At, e.List, slices.Clone(e.Hosts))
 	case EventRequest:
-		f.arrivals[e.Request.ID] = len(f.Simulation.Arrivals)
-		f.Simulation.Arrivals = append(f.Simulation.Arrivals, Arrival{Request: e.Request, At: e.At})
-		f.Recorded.Classes[e.Request.Class].Requests++
+		f.addRequest(e)
 	case EventClientGone:
 		f.clientGone(e)
 	case EventAttemptEnded:
@@ -152,40 +152,39 @@
 	f.Simulation.Endpoints = append(f.Simulation.Endpoints, EndpointUpdate{at, kind, hosts})
 }
 
+func (f *fitter) addRequest(e *Event) {
+	f.requests[e.Request.ID] = &fittedRequest{arrival: len(f.Simulation.Arrivals)}
+	f.Simulation.Arrivals = append(f.Simulation.Arrivals, Arrival{Request: e.Request, At: e.At})
+	f.Recorded.Classes[e.Request.Class].Requests++
+}
+
 func (f *fitter) clientGone(e *Event) {
-	i, ok := f.arrivals[e.Request.ID]
-	if !ok || f.done[e.Request.ID] {
+	r := f.requests[e.Request.ID]
+	if r == nil || r.done {
 		return
 	}
-	f.done[e.Request.ID] = true
-	arrival := &f.Simulation.Arrivals[i]
+	r.done = true
+	arrival := &f.Simulation.Arrivals[r.arrival]
 	arrival.GoneAt = e.At
 	f.Recorded.Classes[arrival.Request.Class].Abandoned++
 }
 
 func (f *fitter) processAction(a *balancer.Action, now balancer.Time) {
-	i, ok := f.arrivals[a.Request]
-	if !ok {
+	r := f.requests[a.Request]
+	if r == nil {
 		return
 	}
-	class := f.Simulation.Arrivals[i].Request.Class
+	class := f.Simulation.Arrivals[r.arrival].Request.Class
 	switch a.Kind {
 	case balancer.Send:
-		key := attemptKey{a.Request, f.attempts[a.Request]}
-		f.attempts[a.Request]++
+		key := attemptKey{a.Request, r.attempts}
+		r.attempts++
 		f.openAttempts[key] = &fittedAttempt{host: a.Host, class: class, sentAt: now}
 		f.Recorded.Attempts++
 	case balancer.Reject, balancer.Fail:
-		if f.done[a.Request] {
-			return
-		}
-		f.done[a.Request] = true
-		counts := &f.Recorded.Classes[class]
-		counts.countCause(a.Cause)
-		if a.Kind == balancer.Reject {
-			counts.Rejected++
-		} else {
-			counts.Failed++
+		if !r.done {
+			r.done = true
+			f.Recorded.Classes[class].countRejected(a)
 		}
 	}
 }
@@ -203,7 +202,8 @@
 		h = &fittedHost{}
 		f.hosts[attempt.host] = h
 	}
-	arrival := &f.Simulation.Arrivals[f.arrivals[o.Request]]
+	r := f.requests[o.Request]
+	arrival := &f.Simulation.Arrivals[r.arrival]
 	remaining := arrival.Request.Remaining
 	attempt.result = o.Result
 	attempt.serviceTime = e.At - max(attempt.sentAt, h.lastResponse)
@@ -213,20 +213,10 @@
 		return
 	}
 	h.lastResponse = e.At
-	f.servedBy[o.Request] = attempt
-	if !f.done[o.Request] {
-		f.done[o.Request] = true
-		f.countServed(attempt.class, e.At-arrival.At)
-	}
-}
-
-func (f *fitter) countServed(class int, latency time.Duration) {
-	counts := &f.Recorded.Classes[class]
-	counts.Latencies = append(counts.Latencies, latency)
-	if latency <= latencyObjective(f.settings, class) {
-		counts.InTime++
-	} else {
-		counts.Late++
+	r.servedBy = attempt
+	if !r.done {
+		r.done = true
+		f.Recorded.Classes[attempt.class].countServed(e.At-arrival.At, latencyObjective(f.settings, attempt.class))
 	}
 }
 
--- a/internal/flightrecorder/fit_model.go
+++ b/internal/flightrecorder/fit_model.go
@@ -133,7 +133,7 @@
 	known := make([][]time.Duration, len(f.settings.Classes))
 	for i := range f.Simulation.Arrivals {
 		a := &f.Simulation.Arrivals[i]
-		if served := f.servedBy[a.Request.ID]; served != nil {
+		if served := f.requests[a.Request.ID].servedBy; served != nil {
 			speed := f.Simulation.Hosts[served.host].Speed
 			a.Work = max(time.Duration(float64(served.serviceTime)*speed), 1)
 			known[a.Request.Class] = append(known[a.Request.Class], a.Work)
--- a/internal/flightrecorder/fleet.go
+++ b/internal/flightrecorder/fleet.go
@@ -34,7 +34,7 @@
 	Rejected        [causeCount]int                   // by balancer.Cause
 	Failed          int                               // requests
 	Polls           int                               // of endpoint lists
-	Lists           [balancer.ListFailed + 1]int
+	Lists           [balancer.ListFailed + 1]int      // by balancer.ListKind
 	ListEntries     int
 	Closes          int // hosts that were given up, with the connections to them
 
--- a/internal/flightrecorder/fleet_session.go
+++ b/internal/flightrecorder/fleet_session.go
@@ -225,7 +225,8 @@
 	}
 }
 
-// settle returns a request whose outcome is to be counted, or nil where it is counted already or unknown.
+// settle marks a request as settled, so that its outcome is counted once. It returns nil where the request was settled
+// before or is unknown.
 func (s *fleetSession) settle(id balancer.RequestID) *fleetRequest {
 	r := s.requests[id]
 	if r == nil || r.settled {
--- a/internal/flightrecorder/simulation.go
+++ b/internal/flightrecorder/simulation.go
@@ -88,9 +88,26 @@
 	connectFailureTime = time.Millisecond
 )
 
-// countCause counts a cause. A recording may have one that this build doesn't know, or a damaged one; the
-// remainder keeps it within the array.
-func (c *ClassSummary) countCause(cause balancer.Cause) { c.Causes[int(cause)%causeCount]++ }
+// countServed counts a request that was served, against the latency objective of the class.
+func (c *ClassSummary) countServed(latency, objective time.Duration) {
+	c.Latencies = append(c.Latencies, latency)
+	if latency <= objective {
+		c.InTime++
+	} else {
+		c.Late++
+	}
+}
+
+// countRejected counts a request that the action rejects or fails. A recording may have a cause that this build
+// doesn't know, or a damaged one; the remainder keeps it within the array.
+func (c *ClassSummary) countRejected(a *balancer.Action) {
+	c.Causes[int(a.Cause)%causeCount]++
+	if a.Kind == balancer.Reject {
+		c.Rejected++
+	} else {
+		c.Failed++
+	}
+}
 
 // simulatedRequest is a request and its attempts.
 type simulatedRequest struct {
@@ -108,7 +125,6 @@
 	host     *SimulatedHost
 	sentAt   balancer.Time
 	deadline balancer.Time
-	starts   int // times that its service began; the ends of earlier ones are ignored
 	ended    bool
 }
 
@@ -247,13 +263,7 @@
 		return
 	}
 	r.done = true
-	class := &s.summary.Classes[r.Request.Class]
-	class.countCause(a.Cause)
-	if a.Kind == balancer.Reject {
-		class.Rejected++
-	} else {
-		class.Failed++
-	}
+	s.summary.Classes[r.Request.Class].countRejected(&a)
 }
 
 func (s *Simulation) arrive(a *Arrival) {
@@ -303,21 +313,19 @@
 	s.schedule(attempt.deadline, func() { s.endAttempt(attempt, balancer.TimedOut) })
 }
 
-// beginService has a host serve the first of its jobs.
+// beginService has a host serve the first of its jobs. It is called once for each job, when that becomes the first.
 func (s *Simulation) beginService(h *SimulatedHost) {
 	if len(h.jobs) == 0 {
 		return
 	}
 	attempt := h.jobs[0]
-	attempt.starts++
-	start := attempt.starts
 	speed := h.Speed
 	if speed == 0 {
 		speed = 1
 	}
 	doneAt := s.now + balancer.Time(float64(attempt.request.Work)/speed)
 	s.schedule(doneAt, func() {
-		if !attempt.ended && attempt.starts == start {
+		if !attempt.ended {
 			s.endAttempt(attempt, s.drawResult(attempt))
 		}
 	})
@@ -342,7 +350,9 @@
 	s.removeJob(attempt)
 	r := attempt.request
 	if result == balancer.OK && !r.done {
-		s.countServed(r)
+		r.done = true
+		class := r.Request.Class
+		s.summary.Classes[class].countServed(s.now-r.At, latencyObjective(&s.Settings, class))
 	}
 	s.deliver(func() {
 		s.balancer.AttemptEnded(s.now, balancer.Outcome{
@@ -368,18 +378,6 @@
 	}
 }
 
-func (s *Simulation) countServed(r *simulatedRequest) {
-	r.done = true
-	class := &s.summary.Classes[r.Request.Class]
-	latency := s.now - r.At
-	class.Latencies = append(class.Latencies, latency)
-	if latency <= latencyObjective(&s.Settings, r.Request.Class) {
-		class.InTime++
-	} else {
-		class.Late++
-	}
-}
-
 // latencyObjective is the latency objective of a class, or its deadline where that is shorter or there is no
 // objective.
 func latencyObjective(settings *balancer.Settings, class int) time.Duration {
