--- a/cmd/dunemoorctl/flight.go
+++ b/cmd/dunemoorctl/flight.go
@@ -34,6 +34,15 @@
 	return nil
 }
 
+// readRecording returns what read makes of a file. An error of read names the file.
+func readRecording[T any](path string, read func(io.Reader) (T, error)) (result T, err error) {
+	err = withFile(path, func(in io.Reader) (err error) {
+		result, err = read(in)
+		return err
+	})
+	return result, err
+}
+
 func flightShowCommand() *cobra.Command {
 	var window flightrecorder.Window
 	var ejections int
@@ -43,10 +52,8 @@
 		Args:  cobra.ExactArgs(1),
 		Short: "Show the outcome of the requests, why some were rejected, and the state of each host",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			var analysis *flightrecorder.Analysis
-			err := withFile(args[0], func(in io.Reader) (err error) {
-				analysis, err = flightrecorder.Analyse(in, window)
-				return err
+			analysis, err := readRecording(args[0], func(in io.Reader) (*flightrecorder.Analysis, error) {
+				return flightrecorder.Analyse(in, window)
 			})
 			if err != nil {
 				return err
@@ -113,10 +120,8 @@
 		Args:  cobra.ExactArgs(1),
 		Short: "Replay a recording; an error tells the first difference to what was recorded",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			var report *flightrecorder.Report
-			err := withFile(args[0], func(in io.Reader) (err error) {
-				report, err = flightrecorder.Replay(flightrecorder.NewReader(in), nil, nil)
-				return err
+			report, err := readRecording(args[0], func(in io.Reader) (*flightrecorder.Report, error) {
+				return flightrecorder.Replay(flightrecorder.NewReader(in), nil, nil)
 			})
 			if err != nil {
 				return err
@@ -152,11 +157,7 @@
 			"To judge a change, try the same file with the builds before and after it. The model is simple\n" +
 			"(docs/design/flightrecorder.md), so compare tries with one another rather than with what was recorded.",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			var fitted *flightrecorder.Fitted
-			err := withFile(args[0], func(in io.Reader) (err error) {
-				fitted, err = flightrecorder.Fit(in)
-				return err
-			})
+			fitted, err := readRecording(args[0], flightrecorder.Fit)
 			if err != nil {
 				return err
 			}
--- a/internal/classid/classid.go
+++ b/internal/classid/classid.go
@@ -9,7 +9,7 @@
 	"dunemoor/balancer"
 )
 
-// Class is a class with its name.
+// Class is a class with its name. Its number is its index in balancer.Settings.Classes and balancer.Request.Class.
 type Class struct {
 	Name  string
 	Rules balancer.Class
@@ -57,7 +57,8 @@
 		rules := c.Rules
 		rules.Retired = w.Rules.Retired
 		if !a.taken[i] && c.Name == w.Name && rules == w.Rules {
-			a.taken[i], a.list[i] = true, w
+			a.taken[i] = true
+			a.list[i] = w
 			return true
 		}
 	}
@@ -71,10 +72,13 @@
 	}
 	from := a.predecessor(w)
 	if a.free < len(a.current) {
-		a.taken[a.free], a.list[a.free], a.from[a.free] = true, w, from
+		a.taken[a.free] = true
+		a.list[a.free] = w
+		a.from[a.free] = from
 		return
 	}
-	a.list, a.from = append(a.list, w), append(a.from, from)
+	a.list = append(a.list, w)
+	a.from = append(a.from, from)
 }
 
 // isFree reports whether a current number can be given to another class.
@@ -95,6 +99,7 @@
 // trim drops the last numbers while they are free.
 func (a *assignment) trim() {
 	for n := len(a.list); n > 0 && n <= len(a.current) && a.isFree(n-1); n-- {
-		a.list, a.from = a.list[:n-1], a.from[:n-1]
+		a.list = a.list[:n-1]
+		a.from = a.from[:n-1]
 	}
 }
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -52,7 +52,7 @@
 	if clock > math.MaxInt64/uint64(timeUnit) {
 		return 0, r.errorf(0, "clock %d is out of range", clock)
 	}
-	r.remaining = binary.LittleEndian.Uint32(r.data[8:])
+	r.remaining = binary.LittleEndian.Uint32(r.data[clockSize:])
 	r.position = batchHeaderSize
 	return balancer.Time(clock) * timeUnit, nil
 }
@@ -110,7 +110,7 @@
 		e.Request.ID = balancer.RequestID(f.uint32())
 		e.Attempt = int(f.uint16())
 		f.host()
-		f.duration()
+		f.duration() // since the attempt was sent
 	case AttemptEnd:
 		return decodeOutcome(&e.Outcome, f)
 	case ClientGone:
@@ -118,13 +118,13 @@
 	case Timer:
 		e.Token = f.uint64()
 	case HealthCheckEnd:
-		f.uint16()
-		f.duration()
+		f.uint16()   // result
+		f.duration() // since the health check was sent
 		f.host()
-		f.skipFloats()
+		f.skipFloats() // load report
 	case PeerMessage:
-		f.uint16()
-		f.bytes(uint64(f.uint16()))
+		f.uint16()                  // rank of the sender
+		f.bytes(uint64(f.uint16())) // payload
 	case Stop:
 	default:
 		return fmt.Errorf("unknown event code %d", e.Code)
@@ -149,7 +149,7 @@
 	code := f.uint16()
 	o.Elapsed = f.duration()
 	o.Closed = f.uint8() != 0
-	f.skipFloats()
+	f.skipFloats() // load report
 	result, known := resultsByCode[code]
 	if !known && !f.truncated {
 		return fmt.Errorf("unknown outcome %d", code)
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -75,9 +75,10 @@
 
 // Sizes in bytes.
 const (
-	lengthSize       = 4  // of a frame's length
-	batchHeaderSize  = 12 // clock and number of records
-	recordHeaderSize = 5  // code and length
+	lengthSize       = 4 // of a frame's length
+	clockSize        = 8
+	batchHeaderSize  = clockSize + 4 // and the number of records
+	recordHeaderSize = 5             // code and length
 	listEntrySize    = 24
 	maxFrameSize     = 1 << 30
 	maxTextSize      = 1 << 10 // of a log line or a crash report
