--- a/internal/classid/classid_test.go
+++ b/internal/classid/classid_test.go
@@ -27,90 +27,114 @@
 	return strings.Join(s, " ")
 }
 
-func TestAssign(t *testing.T) {
-	look, book, strict := class("look", balancer.Idempotent), class("book", balancer.NonIdempotent), class("look", balancer.NonIdempotent)
+func TestAssignKeepsNumbersInUse(t *testing.T) {
+	look := class("look", balancer.Idempotent)
+	strictLook := class("look", balancer.NonIdempotent)
+	retiredLook := look
+	retiredLook.Rules.Retired = true
+	book := class("book", balancer.NonIdempotent)
 	more := class("more", balancer.Idempotent)
-	none, all := func(int) bool { return false }, func(int) bool { return true }
-	gone := look
-	gone.Rules.Retired = true
+	none := func(int) bool { return false }
+	all := func(int) bool { return true }
 	for _, c := range []struct {
-		name        string
-		now, wanted []Class
-		inUse       func(int) bool
-		want        string
-		from        []int
+		name            string
+		current, wanted []Class
+		inUse           func(int) bool
+		wantList        string
+		wantFrom        []int
 	}{
 		{"nothing new", []Class{look, book}, []Class{look, book}, all, "look book", []int{0, 1}},
 		{"in another order", []Class{look, book}, []Class{book, look}, all, "look book", []int{0, 1}},
 		{"one appears", []Class{look}, []Class{look, book}, all, "look book", []int{0, -1}},
 		{"one vanishes", []Class{look, book}, []Class{book}, none, "(look) book", []int{0, 1}},
 		{"the last vanishes", []Class{book, look}, []Class{book}, none, "book (look)", []int{0, 1}},
-		{"it is forgotten once no request uses it", []Class{book, gone}, []Class{book}, none, "book", []int{0}},
-		{"but not before", []Class{book, gone}, []Class{book}, all, "book (look)", []int{0, 1}},
-		{"it comes again", []Class{gone, book}, []Class{look, book}, all, "look book", []int{0, 1}},
-		{"with stricter rules", []Class{look, book}, []Class{strict, book}, none, "(look) book look", []int{0, 1, 0}},
-		{"a free number is used", []Class{gone, book}, []Class{book, more}, none, "more book", []int{-1, 1}},
-		{"one that is in use is not", []Class{gone, book}, []Class{book, more}, all, "(look) book more", []int{0, 1, -1}},
+		{"it is forgotten once no request uses it", []Class{book, retiredLook}, []Class{book}, none, "book", []int{0}},
+		{"but not before", []Class{book, retiredLook}, []Class{book}, all, "book (look)", []int{0, 1}},
+		{"it comes again", []Class{retiredLook, book}, []Class{look, book}, all, "look book", []int{0, 1}},
+		{"with stricter rules", []Class{look, book}, []Class{strictLook, book}, none, "(look) book look", []int{0, 1, 0}},
+		{"a free number is used", []Class{retiredLook, book}, []Class{book, more}, none, "more book", []int{-1, 1}},
+		{"one that is in use is not", []Class{retiredLook, book}, []Class{book, more}, all, "(look) book more", []int{0, 1, -1}},
 	} {
-		list, from := Assign(c.now, c.wanted, c.inUse)
-		if got := show(list); got != c.want || !slices.Equal(from, c.from) {
-			t.Errorf("%s: %s from %v, want %s from %v", c.name, got, from, c.want, c.from)
+		list, from := Assign(c.current, c.wanted, c.inUse)
+		if got := show(list); got != c.wantList || !slices.Equal(from, c.wantFrom) {
+			t.Errorf("%s: got %s from %v, want %s from %v", c.name, got, from, c.wantList, c.wantFrom)
 		}
 	}
 }
 
 // Whatever changes come: a number that requests use keeps its rules, each wanted class has one number, and no more
 // numbers are kept than are needed.
-func TestNumbersKeepTheirRules(t *testing.T) {
-	names := []string{"a", "b", "c", "d", "e"}
+func TestNumbersKeepTheirRulesOverRandomChanges(t *testing.T) {
 	for seed := range uint64(500) {
 		rng := rand.New(rand.NewPCG(seed, 0))
-		var now []Class
-		under := map[int]balancer.Class{} // numbers that requests use, with their rules
+		var current []Class
+		inUse := map[int]balancer.Class{} // numbers that requests use, with their rules
 		for range 40 {
-			var wanted []Class
-			for _, n := range names {
-				if rng.IntN(2) == 0 {
-					wanted = append(wanted, class(n, balancer.Idempotency(rng.IntN(3))))
-				}
-			}
+			wanted := drawClasses(rng)
 			if len(wanted) == 0 {
 				continue
 			}
-			most := 0
-			for n := range under {
-				most = max(most, n+1)
-			}
-			list, from := Assign(now, wanted, func(i int) bool { _, used := under[i]; return used })
-			if len(list) != len(from) || len(list) > max(len(now), most)+len(wanted) {
-				t.Fatalf("seed %d: %d numbers, %d before", seed, len(list), len(now))
-			}
-			for n, rules := range under {
-				if got := list[n].Rules; got.Idempotency != rules.Idempotency {
-					t.Fatalf("seed %d: rules under number %d have changed", seed, n)
-				}
-			}
-			for _, w := range wanted {
-				if n := len(slices.DeleteFunc(slices.Clone(list), func(c Class) bool { return c != w })); n != 1 {
-					t.Fatalf("seed %d: %s has %d numbers", seed, w.Name, n)
-				}
+			list, from := Assign(current, wanted, func(i int) bool { _, used := inUse[i]; return used })
+			if len(from) != len(list) {
+				t.Fatalf("seed %d: got %d numbers from %d", seed, len(list), len(from))
 			}
-			live := 0
+			checkNumbers(t, seed, list, current, wanted, inUse)
 			for i, c := range list {
-				if !c.Rules.Retired {
-					live++
-					if rng.IntN(2) == 0 {
-						under[i] = c.Rules
-					}
+				if !c.Rules.Retired && rng.IntN(2) == 0 {
+					inUse[i] = c.Rules
 				}
 				if rng.IntN(3) == 0 {
-					delete(under, i)
+					delete(inUse, i)
 				}
 			}
-			if live != len(wanted) {
-				t.Fatalf("seed %d: %d live classes, want %d", seed, live, len(wanted))
+			current = list
+		}
+	}
+}
+
+// drawClasses draws some classes, each with any idempotency.
+func drawClasses(rng *rand.Rand) (classes []Class) {
+	for _, name := range []string{"a", "b", "c", "d", "e"} {
+		if rng.IntN(2) == 0 {
+			classes = append(classes, class(name, balancer.Idempotency(rng.IntN(3))))
+		}
+	}
+	return classes
+}
+
+// checkNumbers checks the list that Assign has made of current and wanted.
+func checkNumbers(t *testing.T, seed uint64, list, current, wanted []Class, inUse map[int]balancer.Class) {
+	t.Helper()
+	needed := len(current)
+	for number := range inUse {
+		needed = max(needed, number+1)
+	}
+	if len(list) > needed+len(wanted) {
+		t.Fatalf("seed %d: got %d numbers, %d before", seed, len(list), len(current))
+	}
+	for number, rules := range inUse {
+		if got := list[number].Rules; got.Idempotency != rules.Idempotency {
+			t.Fatalf("seed %d: rules under number %d have changed", seed, number)
+		}
+	}
+	for _, w := range wanted {
+		numbers := 0
+		for _, c := range list {
+			if c == w {
+				numbers++
 			}
-			now = list
 		}
+		if numbers != 1 {
+			t.Fatalf("seed %d: got %d numbers for %s, want 1", seed, numbers, w.Name)
+		}
+	}
+	live := 0
+	for _, c := range list {
+		if !c.Rules.Retired {
+			live++
+		}
+	}
+	if live != len(wanted) {
+		t.Fatalf("seed %d: got %d live classes, want %d", seed, live, len(wanted))
 	}
 }
