--- a/internal/flightrecorder/analysis_test.go
+++ b/internal/flightrecorder/analysis_test.go
@@ -16,10 +16,7 @@
 	s := faultyTraffic()
 	var out bufferSink
 	_, sum := record(t, s, 6, Options{Sink: &out})
-	a, err := Analyse(bytes.NewReader(out.Bytes()), Window{Bucket: 500 * ms})
-	if err != nil {
-		t.Fatal(err)
-	}
+	a := analyzed(t, out.Bytes(), Window{Bucket: 500 * ms})
 	for i := range sum.Classes {
 		want, got := &sum.Classes[i], &a.Classes[i]
 		if got.Requests != want.Requests || got.InTime != want.InTime || got.Served != want.InTime+want.Late ||
@@ -73,14 +70,8 @@
 func TestAnalysisOfAWindow(t *testing.T) {
 	var out bufferSink
 	record(t, randomTraffic(6, 3000), 6, Options{Sink: &out})
-	all, err := Analyse(bytes.NewReader(out.Bytes()), Window{})
-	if err != nil {
-		t.Fatal(err)
-	}
-	part, err := Analyse(bytes.NewReader(out.Bytes()), Window{From: 2 * time.Second, To: 4 * time.Second})
-	if err != nil {
-		t.Fatal(err)
-	}
+	all := analyzed(t, out.Bytes(), Window{})
+	part := analyzed(t, out.Bytes(), Window{From: 2 * time.Second, To: 4 * time.Second})
 	requests := func(a *Analysis) (n int) {
 		for _, c := range a.Classes {
 			n += c.Requests
@@ -107,10 +98,7 @@
 	}
 	var out bufferSink
 	record(t, s, 8, Options{Sink: &out})
-	a, err := Analyse(bytes.NewReader(out.Bytes()), Window{})
-	if err != nil {
-		t.Fatal(err)
-	}
+	a := analyzed(t, out.Bytes(), Window{})
 	sum := 0.0
 	for _, x := range a.WaitReasons {
 		sum += x
@@ -123,18 +111,15 @@
 // Where this build decides otherwise than recorded, hosts are as the recorded views have them, and the text says so.
 func TestAnalysisOfAnotherBuildUsesItsViews(t *testing.T) {
 	s := randomTraffic(6, 3000)
-	var same, other bufferSink
+	var same bufferSink
 	record(t, s, 6, Options{Sink: &same, ViewInterval: 50 * ms})
-	bal, _ := balancer.New(s.Settings, 5)
-	New(bal, SessionStart{Seed: 5, At: s.Endpoints[0].At, Settings: s.Settings}, 1006, Options{Sink: &other})
-	mixed := append(bytes.Clone(other.Bytes()), same.Bytes()[firstBlockSize(t, same.Bytes()):]...)
-	want, err := Analyse(bytes.NewReader(same.Bytes()), Window{})
-	if err != nil || want.FromViews {
-		t.Fatalf("same build: got from views %v, error %v, want neither", want.FromViews, err)
+	want := analyzed(t, same.Bytes(), Window{})
+	if want.FromViews {
+		t.Fatal("same build: got the hosts from views, want them from the replay")
 	}
-	a, err := Analyse(bytes.NewReader(mixed), Window{})
-	if err != nil || !a.FromViews || a.EjectionCount > 0 {
-		t.Fatalf("other build: got from views %v, %d ejections, error %v, want views alone", a.FromViews, a.EjectionCount, err)
+	a := analyzed(t, withOtherSeed(t, same.Bytes(), s, 5, 1006), Window{})
+	if !a.FromViews || a.EjectionCount > 0 {
+		t.Fatalf("other build: got from views %v, %d ejections, want views alone", a.FromViews, a.EjectionCount)
 	}
 	pending := func(a *Analysis) (sum float64) {
 		for _, h := range a.Hosts {
@@ -162,10 +147,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, err := Analyse(bytes.NewReader(recording), Window{})
-	if err != nil {
-		t.Fatal(err)
-	}
+	a := analyzed(t, recording, Window{})
 	var text, svg bytes.Buffer
 	a.Text(&text, 10)
 	for _, h := range a.Hosts {
--- a/internal/flightrecorder/bench_test.go
+++ b/internal/flightrecorder/bench_test.go
@@ -10,15 +10,8 @@
 // benchRecorder returns a Recorder with a list of hosts, and its time.
 func benchRecorder(b *testing.B) (*Recorder, balancer.Time) {
 	s := randomTraffic(1, 1)
-	bal, err := balancer.New(s.Settings, 1)
-	if err != nil {
-		b.Fatal(err)
-	}
 	at := s.Endpoints[0].At
-	rec, err := New(bal, SessionStart{Seed: 1, At: at, Settings: s.Settings}, 1, Options{RingBytes: 1 << 20})
-	if err != nil {
-		b.Fatal(err)
-	}
+	rec := newRecorder(b, SessionStart{Seed: 1, At: at, Settings: s.Settings}, 1, Options{RingBytes: 1 << 20})
 	rec.Start(at)
 	rec.UpdateEndpoints(at, balancer.ListSaved, s.Endpoints[0].Hosts)
 	rec.TakeActions(nil)
--- a/internal/flightrecorder/compat_test.go
+++ b/internal/flightrecorder/compat_test.go
@@ -1,7 +1,6 @@
 package flightrecorder
 
 import (
-	"bytes"
 	"testing"
 	"time"
 
@@ -19,9 +18,8 @@
 	if rep.Divergence != nil || rep.Events < 1000 || rep.SkippedEvents > 0 || len(rep.Losses) > 0 || rep.MatchingStates == 0 {
 		t.Errorf("got %+v, divergence %v; want all events replayed, a matching state and no divergence", rep, rep.Divergence)
 	}
-	a, err := Analyse(bytes.NewReader(compat.Read(t, "recording.dmf")), Window{})
-	if err != nil || a == nil {
-		t.Errorf("analysis: got %v, error %v", a, err)
+	if a := analyzed(t, compat.Read(t, "recording.dmf"), Window{}); a == nil {
+		t.Error("analysis: got none")
 	}
 }
 
@@ -29,19 +27,12 @@
 // of an earlier build is replayed without a divergence.
 func TestCompatEveryEvent(t *testing.T) {
 	s := randomTraffic(3, 1)
-	bal, err := balancer.New(s.Settings, 3)
-	if err != nil {
-		t.Fatal(err)
-	}
 	now := balancer.Time(time.Hour)
 	start := SessionStart{
 		Name: "n0", Build: "b1", Classes: []string{"look"}, Seed: 3, At: now, Settings: s.Settings, Wall: time.Unix(0, 0).UTC(),
 	}
 	var out bufferSink
-	r, err := New(bal, start, 77, Options{ViewInterval: ms, Sink: &out})
-	if err != nil {
-		t.Fatal(err)
-	}
+	r := newRecorder(t, start, 77, Options{ViewInterval: ms, Sink: &out})
 	var list []balancer.Host
 	for i := range 70 {
 		list = append(list, balancer.Host{ID: balancer.HostID(i + 1), Zone: i % 3, Cell: i % 7, Kind: i % 2})
--- a/internal/flightrecorder/helpers_test.go
+++ b/internal/flightrecorder/helpers_test.go
@@ -86,18 +86,26 @@
 	return true, false
 }
 
-// record runs a simulation with a Recorder in front of the balancer.
-func record(t testing.TB, s *Simulation, seed uint64, opts Options) (*Recorder, *Summary) {
+// newRecorder returns a Recorder in front of a balancer with the settings and the seed of start.
+func newRecorder(t testing.TB, start SessionStart, session uint64, opts Options) *Recorder {
 	t.Helper()
-	bal, err := balancer.New(s.Settings, seed)
+	bal, err := balancer.New(start.Settings, start.Seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := s.Endpoints[0].At
-	rec, err := New(bal, SessionStart{Name: "n0", Seed: seed, At: at, Settings: s.Settings, Wall: time.Unix(0, 0)}, 1000+seed, opts)
+	rec, err := New(bal, start, session, opts)
 	if err != nil {
 		t.Fatal(err)
 	}
+	return rec
+}
+
+// record runs a simulation with a Recorder in front of the balancer.
+func record(t testing.TB, s *Simulation, seed uint64, opts Options) (*Recorder, *Summary) {
+	t.Helper()
+	at := s.Endpoints[0].At
+	start := SessionStart{Name: "n0", Seed: seed, At: at, Settings: s.Settings, Wall: time.Unix(0, 0)}
+	rec := newRecorder(t, start, 1000+seed, opts)
 	rec.NameHost(at, 1, "s-1")
 	sum := s.Run(rec, at)
 	rec.Flush()
@@ -114,6 +122,25 @@
 	return rep
 }
 
+// analyzed returns the analysis of a recording.
+func analyzed(t testing.TB, data []byte, window Window) *Analysis {
+	t.Helper()
+	a, err := Analyse(bytes.NewReader(data), window)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return a
+}
+
+// withOtherSeed returns a recording of a simulation with the start block of another seed, as if another build had made
+// it: a replay decides otherwise than was recorded.
+func withOtherSeed(t testing.TB, data []byte, s *Simulation, seed, session uint64) []byte {
+	t.Helper()
+	var other bufferSink
+	newRecorder(t, SessionStart{Seed: seed, At: s.Endpoints[0].At, Settings: s.Settings}, session, Options{Sink: &other})
+	return append(other.Bytes(), data[firstBlockSize(t, data):]...)
+}
+
 // firstBlockSize is the size of the first block, in bytes.
 func firstBlockSize(t testing.TB, data []byte) int {
 	t.Helper()
--- a/internal/flightrecorder/plot_test.go
+++ b/internal/flightrecorder/plot_test.go
@@ -1,7 +1,6 @@
 package flightrecorder
 
 import (
-	"bytes"
 	"encoding/xml"
 	"io"
 	"testing"
@@ -15,10 +14,7 @@
 	var out bufferSink
 	rec, _ := record(t, faultyTraffic(), 6, Options{})
 	rec.NameHost(balancer.Time(2*time.Hour), 2, `<&">`)
-	a, err := Analyse(bytes.NewReader(rec.Dump(nil)), Window{})
-	if err != nil {
-		t.Fatal(err)
-	}
+	a := analyzed(t, rec.Dump(nil), Window{})
 	if err := a.SVG(&out); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/flightrecorder/recorder_test.go
+++ b/internal/flightrecorder/recorder_test.go
@@ -14,15 +14,8 @@
 // A shutdown and a health check are read as they were recorded.
 func TestShutdownAndHealthCheckAreRecorded(t *testing.T) {
 	s := randomTraffic(1, 1)
-	bal, err := balancer.New(s.Settings, 1)
-	if err != nil {
-		t.Fatal(err)
-	}
 	now := balancer.Time(time.Hour)
-	r, err := New(bal, SessionStart{Settings: s.Settings, Seed: 1, At: now}, 1, Options{})
-	if err != nil {
-		t.Fatal(err)
-	}
+	r := newRecorder(t, SessionStart{Settings: s.Settings, Seed: 1, At: now}, 1, Options{})
 	r.Start(now)
 	r.HealthCheckPassed(now+ms, 7, 20*ms)
 	r.Shutdown(now+2*ms, now+3*time.Second)
@@ -92,10 +85,10 @@
 // is a label of the session.
 func TestTimesAreRecordedByTheBalancersClock(t *testing.T) {
 	s := randomTraffic(1, 10)
-	bal, _ := balancer.New(s.Settings, 1)
 	var out bufferSink
 	at := s.Endpoints[0].At
-	rec, _ := New(bal, SessionStart{Seed: 1, At: at, Settings: s.Settings, Wall: time.Now().Add(-9000 * time.Hour)}, 1, Options{Sink: &out})
+	start := SessionStart{Seed: 1, At: at, Settings: s.Settings, Wall: time.Now().Add(-9000 * time.Hour)}
+	rec := newRecorder(t, start, 1, Options{Sink: &out})
 	for _, d := range []time.Duration{0, 5 * time.Hour, 4 * time.Hour} {
 		rec.Timer(at+d, 0)
 		rec.TakeActions(nil)
--- a/internal/flightrecorder/replay_test.go
+++ b/internal/flightrecorder/replay_test.go
@@ -3,8 +3,6 @@
 import (
 	"strings"
 	"testing"
-
-	"dunemoor/balancer"
 )
 
 // A replay makes the recorded decisions, with hosts that crash, are silent, drain and warm up, and lists that fail.
@@ -30,12 +28,7 @@
 	s := randomTraffic(3, 500)
 	var out bufferSink
 	record(t, s, 3, Options{Sink: &out})
-	// The start block of another seed before the same records.
-	var other bufferSink
-	bal, _ := balancer.New(s.Settings, 4)
-	New(bal, SessionStart{Seed: 4, At: s.Endpoints[0].At, Settings: s.Settings}, 1003, Options{Sink: &other})
-	first := firstBlockSize(t, out.Bytes())
-	rep := replayed(t, append(other.Bytes(), out.Bytes()[first:]...))
+	rep := replayed(t, withOtherSeed(t, out.Bytes(), s, 4, 1003))
 	if rep.Divergence == nil || !strings.Contains(rep.Divergence.What, "action") || rep.Divergence.Event == 0 {
 		t.Fatalf("other seed: got divergence %v, want one of an action", rep.Divergence)
 	}
