--- a/cmd/dunemoor/bench_test.go
+++ b/cmd/dunemoor/bench_test.go
@@ -55,7 +55,8 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	for _, s := range strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+2:]))[11:13] {
+	afterName := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+2:]))
+	for _, s := range afterName[11:13] { // utime and stime, see proc_pid_stat(5)
 		n, _ := strconv.Atoi(s) // hundredths of a second
 		d += time.Duration(n) * 10 * time.Millisecond
 	}
--- a/cmd/dunemoor/program_test.go
+++ b/cmd/dunemoor/program_test.go
@@ -184,18 +184,18 @@
 
 // platformConfig returns a configuration of the platform with a saved list of hosts.
 func platformConfig(hosts ...string) string {
-	type member map[string]any
-	list := []member{}
+	type object map[string]any
+	list := []object{}
 	for i, addr := range hosts {
-		list = append(list, member{"id": fmt.Sprint("s-", i), "addr": addr, "state": "ready"})
+		list = append(list, object{"id": fmt.Sprint("s-", i), "addr": addr, "state": "ready"})
 	}
-	text, _ := json.Marshal(member{
+	text, _ := json.Marshal(object{
 		"name": "n0", "discovery": unusedAddress, "seed": "1f",
-		"limits": member{"cores": 1, "memory_mb": 192, "sockets": 1024},
-		"known":  member{"version": 1, "full": true, "servers": list},
-		"settings": member{
-			"balancers": 1, "step": 5000, "caps": member{"cancel": true, "max_attempts": 4},
-			"classes": []member{{"name": "book", "effect": "at_most_once", "hard_limit": 2000000, "promise": 2000000}},
+		"limits": object{"cores": 1, "memory_mb": 192, "sockets": 1024},
+		"known":  object{"version": 1, "full": true, "servers": list},
+		"settings": object{
+			"balancers": 1, "step": 5000, "caps": object{"cancel": true, "max_attempts": 4},
+			"classes": []object{{"name": "book", "effect": "at_most_once", "hard_limit": 2000000, "promise": 2000000}},
 		},
 	})
 	return string(text)
--- a/cmd/dunemoorctl/appliance.go
+++ b/cmd/dunemoorctl/appliance.go
@@ -64,7 +64,8 @@
 				return err
 			}
 			u, err := url.Parse(args[2])
-			if err != nil || u.Host == "" || !slices.Contains([]string{"http", "https"}, u.Scheme) {
+			isHTTP := err == nil && u.Host != "" && slices.Contains([]string{"http", "https"}, u.Scheme)
+			if !isHTTP {
 				return fmt.Errorf("%q is no URL like http://example.org/path", args[2])
 			}
 			header, err := parseHeaders(headers)
--- a/internal/flightrecorder/analysis.go
+++ b/internal/flightrecorder/analysis.go
@@ -35,6 +35,18 @@
 // RateBucket counts the requests that came, and the responses, in a bucket.
 type RateBucket struct{ Requests, Served, Rejected, Failed int }
 
+// rateSeries are the rates that time lines and plots show; the headings are words of earlier builds, see Analysis.Text.
+var rateSeries = []struct {
+	heading string
+	color   string
+	count   func(RateBucket) int
+}{
+	{"asked", requestsColor, func(r RateBucket) int { return r.Requests }},
+	{"served", servedColor, func(r RateBucket) int { return r.Served }},
+	{"refused", rejectedColor, func(r RateBucket) int { return r.Rejected }},
+	{"failed", failedColor, func(r RateBucket) int { return r.Failed }},
+}
+
 // ClassCounts is the outcome of the requests of a class.
 type ClassCounts struct {
 	Requests  int
--- a/internal/flightrecorder/analysis_text.go
+++ b/internal/flightrecorder/analysis_text.go
@@ -89,10 +89,9 @@
 // writeTimelines writes a row for each rate and each host, with a column a bucket.
 func (a *Analysis) writeTimelines(w io.Writer) {
 	fmt.Fprintf(w, "\n%-18s %v a column, from %s on\n", "", a.BucketSize, a.Wall.UTC().Format(wallTimeFormat))
-	a.writeRateRow(w, "asked", func(r RateBucket) int { return r.Requests })
-	a.writeRateRow(w, "served", func(r RateBucket) int { return r.Served })
-	a.writeRateRow(w, "refused", func(r RateBucket) int { return r.Rejected })
-	a.writeRateRow(w, "failed", func(r RateBucket) int { return r.Failed })
+	for _, series := range rateSeries {
+		a.writeRateRow(w, series.heading, series.count)
+	}
 	for _, h := range a.Hosts {
 		fmt.Fprintf(w, "%-18s ", h.label())
 		for i := range h.Buckets {
@@ -180,12 +179,11 @@
 		if b.Samples == 0 {
 			continue
 		}
-		samples := float64(b.Samples)
 		from := time.Duration(i) * a.BucketSize
-		fmt.Fprintf(w, "%10v %8.2f %8.2f %10.3f ", from, b.InFlightSum/samples, b.ConcurrencyLimitSum/samples, b.RecentRTTSum/samples)
+		fmt.Fprintf(w, "%10v %8.2f %8.2f %10.3f ", from, b.meanInFlight(), b.meanConcurrencyLimit(), b.meanRecentRTT())
 		for _, l := range stateLetters {
 			if count := b.Reasons[l.reason]; count > 0 {
-				fmt.Fprintf(w, " %s %.0f%%", l.reason, 100*float64(count)/samples)
+				fmt.Fprintf(w, " %s %.0f%%", l.reason, 100*float64(count)/float64(b.Samples))
 			}
 		}
 		fmt.Fprintln(w)
--- a/internal/flightrecorder/fleet.go
+++ b/internal/flightrecorder/fleet.go
@@ -153,12 +153,21 @@
 
 // hostChange is a change of a host's state by the wall clock.
 type hostChange struct {
-	at       int64 // Unix time in nanoseconds
-	host     balancer.HostID
-	attempts int8 // 1: one was sent; -1: one ended
-	ready    int8 // 1: listed as ready; -1: listed otherwise; 0: no change
+	at   int64 // Unix time in nanoseconds
+	host balancer.HostID
+	kind hostChangeKind
 }
 
+// hostChangeKind is what changes of a host.
+type hostChangeKind uint8
+
+const (
+	hostAttemptSent hostChangeKind = iota
+	hostAttemptEnded
+	hostReady    // an endpoint list has it as ready
+	hostNotReady // an endpoint list has it otherwise, or no longer
+)
+
 // hostUse is the state of a host while its changes are summed up.
 type hostUse struct {
 	inFlight int
@@ -166,6 +175,20 @@
 	at       int64 // up to which it is counted, Unix time in nanoseconds
 }
 
+// apply applies a change.
+func (u *hostUse) apply(kind hostChangeKind) {
+	switch kind {
+	case hostAttemptSent:
+		u.inFlight++
+	case hostAttemptEnded:
+		u.inFlight--
+	case hostReady:
+		u.ready = true
+	case hostNotReady:
+		u.ready = false
+	}
+}
+
 // Finish sets Ready, Idle and InFlight of each second: the use of hosts as all gateways together saw it. It is
 // called once, after the last Add. A host is ready from the time at which the first gateway learns so.
 func (f *Fleet) Finish() {
@@ -179,10 +202,7 @@
 			hosts[change.host] = use
 		}
 		f.addHostUse(use, change.at)
-		use.inFlight += int(change.attempts)
-		if change.ready != 0 {
-			use.ready = change.ready > 0
-		}
+		use.apply(change.kind)
 		last = change.at
 	}
 	for _, use := range hosts {
--- a/internal/flightrecorder/fleet_session.go
+++ b/internal/flightrecorder/fleet_session.go
@@ -54,20 +54,10 @@
 	return s.fleet.secondAt(s.wall(at).Unix())
 }
 
-func (s *fleetSession) changeAttempts(at balancer.Time, host balancer.HostID, change int8) {
-	s.addChange(hostChange{at: s.wall(at).UnixNano(), host: host, attempts: change})
+func (s *fleetSession) addChange(at balancer.Time, host balancer.HostID, kind hostChangeKind) {
+	s.fleet.changes = append(s.fleet.changes, hostChange{at: s.wall(at).UnixNano(), host: host, kind: kind})
 }
 
-func (s *fleetSession) changeReady(at balancer.Time, host balancer.HostID, ready bool) {
-	change := int8(-1)
-	if ready {
-		change = 1
-	}
-	s.addChange(hostChange{at: s.wall(at).UnixNano(), host: host, ready: change})
-}
-
-func (s *fleetSession) addChange(c hostChange) { s.fleet.changes = append(s.fleet.changes, c) }
-
 // end ends the attempts in flight where the session ends: the gateway was killed, or the recording stops. s may
 // be nil.
 func (s *fleetSession) end() {
@@ -77,7 +67,7 @@
 	for _, r := range s.requests {
 		for i, host := range r.hosts {
 			if r.ended&(1<<i) == 0 {
-				s.changeAttempts(s.lastEvent, host, -1)
+				s.addChange(s.lastEvent, host, hostAttemptEnded)
 			}
 		}
 	}
@@ -146,7 +136,7 @@
 		s.served(r, e.At)
 	}
 	r.ended |= 1 << o.Attempt
-	s.changeAttempts(e.At, host, -1)
+	s.addChange(e.At, host, hostAttemptEnded)
 }
 
 // isWarming reports whether a host has started less than the slow start window ago.
@@ -180,8 +170,12 @@
 		s.removeUnlisted(e)
 	}
 	for _, h := range e.Hosts {
+		change := hostNotReady
+		if h.State == balancer.Ready {
+			change = hostReady
+		}
 		if e.List != balancer.ListSaved { // a saved list may be out of date
-			s.changeReady(e.At, h.ID, h.State == balancer.Ready)
+			s.addChange(e.At, h.ID, change)
 		}
 		if h.State == balancer.Removed {
 			delete(s.startTimes, h.ID)
@@ -196,7 +190,7 @@
 	for id := range s.startTimes {
 		listed := slices.ContainsFunc(e.Hosts, func(h balancer.Host) bool { return h.ID == id })
 		if !listed {
-			s.changeReady(e.At, id, false)
+			s.addChange(e.At, id, hostNotReady)
 		}
 	}
 }
@@ -251,7 +245,7 @@
 		second.WarmingAttempts++
 	}
 	second.attemptsByHost[a.Host]++
-	s.changeAttempts(at, a.Host, 1)
+	s.addChange(at, a.Host, hostAttemptSent)
 	if second.sessionsByHost[a.Host] == nil {
 		second.sessionsByHost[a.Host] = map[uint64]struct{}{}
 	}
--- a/internal/flightrecorder/fleet_test.go
+++ b/internal/flightrecorder/fleet_test.go
@@ -138,7 +138,7 @@
 	session.lastEvent = at(700)
 	session.end()
 	session.event(&Event{Kind: EventUpdateEndpoints, At: at(1000), List: balancer.ListChanges})
-	session.changeReady(at(1000), 1, false)
+	session.addChange(at(1000), 1, hostNotReady)
 	f.Finish()
 	s := f.Second(100)
 	for name, x := range map[string][2]float64{"ready": {s.Ready, 1.5}, "idle": {s.Idle, 1}, "in flight": {s.InFlight, 0.5}} {
--- a/internal/flightrecorder/plot.go
+++ b/internal/flightrecorder/plot.go
@@ -121,17 +121,10 @@
 	for _, r := range a.Rates {
 		highest = max(highest, float64(r.Requests))
 	}
-	lines := []struct {
-		color string
-		count func(RateBucket) int
-	}{
-		{requestsColor, func(r RateBucket) int { return r.Requests }},
-		{servedColor, func(r RateBucket) int { return r.Served }},
-		{rejectedColor, func(r RateBucket) int { return r.Rejected }},
-		{failedColor, func(r RateBucket) int { return r.Failed }},
-	}
-	for _, l := range lines {
-		p.line(top, highest, l.color, len(a.Rates), func(i int) (float64, bool) { return float64(l.count(a.Rates[i])), true })
+	for _, series := range rateSeries {
+		p.line(top, highest, series.color, len(a.Rates), func(i int) (float64, bool) {
+			return float64(series.count(a.Rates[i])), true
+		})
 	}
 	p.scale(top, "%.0f", highest/a.BucketSize.Seconds())
 }
@@ -145,18 +138,16 @@
 		if color := stateColors[b.letter()]; color != "" {
 			p.printf(`<rect x="%.1f" y="%.0f" width="%.1f" height="%d" fill="%s"/>`, plotLeft+float64(i)*p.step, top, p.step, laneHeight, color)
 		}
-		if b.Samples > 0 {
-			highest = max(highest, b.ConcurrencyLimitSum/float64(b.Samples), b.InFlightSum/float64(b.Samples))
-		}
+		highest = max(highest, b.meanConcurrencyLimit(), b.meanInFlight())
 	}
 	fmt.Fprintln(p)
 	p.line(top, highest, concurrencyLimitColor, len(h.Buckets), func(i int) (float64, bool) {
 		b := &h.Buckets[i]
-		return b.ConcurrencyLimitSum / float64(max(b.Samples, 1)), b.Samples > 0
+		return b.meanConcurrencyLimit(), b.Samples > 0
 	})
 	p.line(top, highest, inFlightColor, len(h.Buckets), func(i int) (float64, bool) {
 		b := &h.Buckets[i]
-		return b.InFlightSum / float64(max(b.Samples, 1)), b.Samples > 0
+		return b.meanInFlight(), b.Samples > 0
 	})
 	p.scale(top, "%.1f", highest)
 }
--- a/internal/flightrecorder/reader.go
+++ b/internal/flightrecorder/reader.go
@@ -32,12 +32,12 @@
 	offset      int64 // of the next byte to read
 	block       header
 	blockOffset int64
-	payload     []byte  // of block
-	records     decoder // of payload
-	now         balancer.Time
-	hosts       []balancer.Host
-	views       []balancer.HostView
-	pending     []Item // to be returned before anything else
+	payload     []byte              // of block
+	records     decoder             // of payload
+	now         balancer.Time       // of the last record that has a time
+	hosts       []balancer.Host     // of the last endpoint list, reused
+	views       []balancer.HostView // of the last view, reused
+	pending     []Item              // to be returned before anything else
 
 	foundAny     bool   // a header was found
 	inSession    bool   // a block was read
--- a/internal/flightrecorder/replay.go
+++ b/internal/flightrecorder/replay.go
@@ -12,12 +12,12 @@
 // Report is the result of a replay.
 type Report struct {
 	Sessions           int
-	Events             int // delivered
-	MatchingActions    int // equal to the recorded ones
-	SkippedEvents      int // not delivered, as the state before them is lost
-	MatchingStates     int // checkpoints equal to the replayed state
-	ForeignCheckpoints int // that this build can't read: a replay can't start there
-	ForeignReason      string
+	Events             int         // delivered
+	MatchingActions    int         // equal to the recorded ones
+	SkippedEvents      int         // not delivered, as the state before them is lost
+	MatchingStates     int         // checkpoints equal to the replayed state
+	ForeignCheckpoints int         // that this build can't read: a replay can't start there
+	ForeignReason      string      // why the last of them can't be read
 	Losses             []string    // at most maxLosses
 	Divergence         *Difference // nil: all decisions were equal
 }
@@ -83,7 +83,7 @@
 	hosts        []balancer.Host
 	recorded     []balancer.Action
 	replayed     []balancer.Action
-	buffers      [2][]byte
+	buffers      [2][]byte // reused: what is compared, as bytes
 	lossCount    int
 }
 
--- a/internal/flightrecorder/simulation.go
+++ b/internal/flightrecorder/simulation.go
@@ -238,6 +238,7 @@
 	}
 }
 
+// execute executes an action. Polls, closed connections and log lines have no effect in a simulation.
 func (s *Simulation) execute(a balancer.Action) {
 	switch a.Kind {
 	case balancer.Send:
--- a/internal/flightrecorder/timeline.go
+++ b/internal/flightrecorder/timeline.go
@@ -24,6 +24,13 @@
 	Reasons             map[string]int // samples by balancer.HostView.Unavailable; "": no reason that a view has
 }
 
+// The means over the samples; 0 without any.
+func (b *HostBucket) meanInFlight() float64 { return b.InFlightSum / float64(max(b.Samples, 1)) }
+func (b *HostBucket) meanConcurrencyLimit() float64 {
+	return b.ConcurrencyLimitSum / float64(max(b.Samples, 1))
+}
+func (b *HostBucket) meanRecentRTT() float64 { return b.RecentRTTSum / float64(max(b.Samples, 1)) }
+
 // ejectedReason is balancer.HostView.Unavailable of an ejected host, silentReason what it counts as where the
 // host was ejected for silence.
 const (
