--- a/cmd/dunemoorctl/fleet.go
+++ b/cmd/dunemoorctl/fleet.go
@@ -32,13 +32,38 @@
 		c.statusCommand(),
 		c.drainCommand(),
 		c.undrainCommand(),
-		c.tableCommand("words", "overrides", "List the operators' overrides of hosts, as this gateway applies them (alias: overrides)", printOverrides),
-		c.tableCommand("members", "", "List the gateways of the fleet", printMembers),
-		c.tableCommand("duties", "leases", "List the leases and their holders (alias: leases)", printLeases),
-		c.actionCommand("resign DUTY", "release", "Have the holder of the lease DUTY release it to another gateway (alias: release)", fleet.PathRelease, "duty"),
-		c.actionCommand("move DUTY GATEWAY", "transfer", "Have the holder of the lease DUTY transfer it to a gateway (alias: transfer)", fleet.PathTransfer, "duty", "to"),
-		c.actionCommand("add GATEWAY", "", "Add a replica of the coordination state at a gateway", fleet.PathAddReplica, "gateway"),
-		c.actionCommand("remove GATEWAY", "", "Remove the replica at a gateway", fleet.PathRemoveReplica, "gateway"),
+		c.tableCommand(&cobra.Command{
+			Use:     "words",
+			Aliases: []string{"overrides"},
+			Short:   "List the operators' overrides of hosts, as this gateway applies them (alias: overrides)",
+		}, printOverrides),
+		c.tableCommand(&cobra.Command{
+			Use:   "members",
+			Short: "List the gateways of the fleet",
+		}, printMembers),
+		c.tableCommand(&cobra.Command{
+			Use:     "duties",
+			Aliases: []string{"leases"},
+			Short:   "List the leases and their holders (alias: leases)",
+		}, printLeases),
+		c.actionCommand(&cobra.Command{
+			Use:     "resign DUTY",
+			Aliases: []string{"release"},
+			Short:   "Have the holder of the lease DUTY release it to another gateway (alias: release)",
+		}, fleet.PathRelease, "duty"),
+		c.actionCommand(&cobra.Command{
+			Use:     "move DUTY GATEWAY",
+			Aliases: []string{"transfer"},
+			Short:   "Have the holder of the lease DUTY transfer it to a gateway (alias: transfer)",
+		}, fleet.PathTransfer, "duty", "to"),
+		c.actionCommand(&cobra.Command{
+			Use:   "add GATEWAY",
+			Short: "Add a replica of the coordination state at a gateway",
+		}, fleet.PathAddReplica, "gateway"),
+		c.actionCommand(&cobra.Command{
+			Use:   "remove GATEWAY",
+			Short: "Remove the replica at a gateway",
+		}, fleet.PathRemoveReplica, "gateway"),
 	)
 	return cmd
 }
@@ -82,47 +107,31 @@
 	return cmd
 }
 
-// tableCommand prints a part of the status; alias is another name of the command, or "".
-func (c *fleetClient) tableCommand(use, alias, short string, print func(w io.Writer, s *cluster.Status)) *cobra.Command {
-	return &cobra.Command{
-		Use:     use,
-		Aliases: aliases(alias),
-		Short:   short,
-		Args:    cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			s, _, err := c.status()
-			if err != nil {
-				return err
-			}
-			print(cmd.OutOrStdout(), s)
-			return nil
-		},
-	}
-}
-
-// actionCommand makes an admin call; the arguments of the command are the values of the keys. alias is another name of
-// the command, or "".
-func (c *fleetClient) actionCommand(use, alias, short, path string, keys ...string) *cobra.Command {
-	return &cobra.Command{
-		Use:     use,
-		Aliases: aliases(alias),
-		Short:   short,
-		Args:    cobra.ExactArgs(len(keys)),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			parameters := url.Values{}
-			for i, key := range keys {
-				parameters.Set(key, args[i])
-			}
-			return c.post(cmd.OutOrStdout(), path, parameters)
-		},
+// tableCommand makes cmd print a part of the status.
+func (c *fleetClient) tableCommand(cmd *cobra.Command, print func(w io.Writer, s *cluster.Status)) *cobra.Command {
+	cmd.Args = cobra.NoArgs
+	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
+		s, _, err := c.status()
+		if err != nil {
+			return err
+		}
+		print(cmd.OutOrStdout(), s)
+		return nil
 	}
+	return cmd
 }
 
-func aliases(alias string) []string {
-	if alias == "" {
-		return nil
+// actionCommand makes cmd send an admin call; its arguments are the values of the keys.
+func (c *fleetClient) actionCommand(cmd *cobra.Command, path string, keys ...string) *cobra.Command {
+	cmd.Args = cobra.ExactArgs(len(keys))
+	cmd.RunE = func(cmd *cobra.Command, args []string) error {
+		parameters := url.Values{}
+		for i, key := range keys {
+			parameters.Set(key, args[i])
+		}
+		return c.post(cmd.OutOrStdout(), path, parameters)
 	}
-	return []string{alias}
+	return cmd
 }
 
 func (c *fleetClient) drainCommand() *cobra.Command {
--- a/internal/flightrecorder/recorder_events.go
+++ b/internal/flightrecorder/recorder_events.go
@@ -31,11 +31,11 @@
 }
 
 // AttemptStarted records the event and passes it on.
-func (r *Recorder) AttemptStarted(now balancer.Time, id balancer.RequestID, n int) {
+func (r *Recorder) AttemptStarted(now balancer.Time, id balancer.RequestID, attempt int) {
 	r.beginEvent(now, recordAttemptStarted, maxRecord)
 	r.block = binary.AppendUvarint(r.block, uint64(id))
-	r.block = binary.AppendVarint(r.block, int64(n))
-	r.balancer.AttemptStarted(now, id, n)
+	r.block = binary.AppendVarint(r.block, int64(attempt))
+	r.balancer.AttemptStarted(now, id, attempt)
 }
 
 // AttemptEnded records the event and passes it on.
@@ -80,7 +80,7 @@
 		return err
 	}
 	r.flush()
-	for i := range r.ring {
+	for i := range r.ring { // a dump has the start of one session, and can't explain blocks of another
 		r.ring[i] = r.ring[i][:0]
 	}
 	r.start.Settings = settings
