--- a/cmd/dunemoor/shutdown_test.go
+++ b/cmd/dunemoor/shutdown_test.go
@@ -25,18 +25,16 @@
 	defer host.Close()
 	p := start(t, platformConfig(strings.TrimPrefix(host.URL, "http://")), freeAddress(t))
 	p.waitReady(t)
-	var served, after atomic.Int64
+	var served, servedAfterStop atomic.Int64
 	var stopAt atomic.Int64 // Unix time in ns of the signal, 0 before it
 	var clients sync.WaitGroup
 	for range 2 {
-		clients.Add(1)
-		go func() {
-			defer clients.Done()
+		clients.Go(func() {
 			for {
 				stop := stopAt.Load()
 				accepted, err := sendRequest(p.url)
 				if err == nil && stop > 0 {
-					after.Add(1)
+					servedAfterStop.Add(1)
 				}
 				switch {
 				case stop > 0 && time.Since(time.Unix(0, stop)) > clientsAfterStop:
@@ -48,7 +46,7 @@
 				}
 				served.Add(1)
 			}
-		}()
+		})
 	}
 	for end := time.Now().Add(waitTimeout); served.Load() < 10 && time.Now().Before(end); {
 		time.Sleep(5 * time.Millisecond)
@@ -58,7 +56,7 @@
 		t.Fatal(err)
 	}
 	clients.Wait()
-	if after.Load() == 0 {
+	if servedAfterStop.Load() == 0 {
 		t.Error("got no request served after SIGTERM")
 	}
 	select {
@@ -89,17 +87,13 @@
 	if err := p.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(waitTimeout); ; time.Sleep(5 * time.Millisecond) {
+	waitUntil(t, "the listener is closed", func() bool { // with the request still in flight
 		nc, err := net.Dial("tcp", p.address())
-		if errors.Is(err, syscall.ECONNREFUSED) {
-			break // the listener is closed, the request still in flight
-		} else if err == nil {
+		if err == nil {
 			nc.Close()
 		}
-		if time.Now().After(end) {
-			t.Fatalf("the listener is still open after %v", waitTimeout)
-		}
-	}
+		return errors.Is(err, syscall.ECONNREFUSED)
+	})
 	close(release)
 	if err := <-result; err != nil {
 		t.Errorf("request lost: %v", err)
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"encoding/binary"
 	"io"
-	"os"
 	"os/exec"
 	"path/filepath"
 	"strings"
@@ -15,6 +14,18 @@
 const settings = `{"balancers": 1, "caps": {"cancel": true}, "step": 1000,
 	"classes": [{"effect": "idempotent", "promise": 300000, "hard_limit": 1200000}]}`
 
+// Codes of records, as the wire has them.
+const (
+	codeStart      = 0
+	codeList       = 1
+	codeRequest    = 2
+	codeAttemptEnd = 4
+	codeTimer      = 6
+	codeStop       = 9
+	codeSend       = 64
+	codeCrash      = 73
+)
+
 func le32(v ...uint32) (b []byte) {
 	for _, x := range v {
 		b = binary.LittleEndian.AppendUint32(b, x)
@@ -35,18 +46,18 @@
 }
 
 func startInstance(instance uint32, settings string) []byte {
-	return record(0, le32(instance, 1, 0, uint32(len(settings))), []byte(settings))
+	return record(codeStart, le32(instance, 1, 0, uint32(len(settings))), []byte(settings))
 }
 
 var address = []byte{10, 0, 0, 1, 0x28, 0x23}
 
 func endpointList(instance uint32) []byte {
-	return record(1, le32(instance), []byte{3}, make([]byte, 8), le32(1),
+	return record(codeList, le32(instance), []byte{3}, make([]byte, 8), le32(1),
 		make([]byte, 8), []byte{0}, address, make([]byte, 4), []byte{3}, make([]byte, 4))
 }
 
 func request(instance, id uint32) []byte {
-	return record(2, le32(instance, id), []byte{0, 0, 0}, le32(0, 1000000), make([]byte, 9))
+	return record(codeRequest, le32(instance, id), []byte{0, 0, 0}, le32(0, 1000000), make([]byte, 9))
 }
 
 // reply reads one reply and returns the codes of its records with their bodies.
@@ -94,16 +105,16 @@
 	}
 	in.Write(batch(2000, startInstance(3, settings), endpointList(3), request(3, 77)))
 	codes, bodies := reply(t, out)
-	i := bytes.IndexByte(codes, 64)
+	i := bytes.IndexByte(codes, codeSend)
 	if i < 0 || !bytes.Equal(bodies[i][:14], append(le32(3, 77), address...)) {
 		t.Fatalf("got actions %v %x, want one that sends request 77", codes, bodies)
 	}
-	ended := record(4, le32(3, 77), []byte{0, 0}, address, []byte{100, 0}, le32(500), []byte{1, 0})
+	ended := record(codeAttemptEnd, le32(3, 77), []byte{0, 0}, address, []byte{100, 0}, le32(500), []byte{1, 0})
 	in.Write(batch(3000, ended, request(9, 78))) // 9 was never started
 	if codes, _ := reply(t, out); len(codes) != 0 {
 		t.Errorf("after the attempt's end: got actions %v, want none", codes)
 	}
-	in.Write(batch(4000, record(9, le32(3)), request(3, 79)))
+	in.Write(batch(4000, record(codeStop, le32(3)), request(3, 79)))
 	if codes, _ := reply(t, out); len(codes) != 0 {
 		t.Errorf("stopped instance: got actions %v, want none", codes)
 	}
@@ -121,10 +132,10 @@
 	var crashed []string
 	sent := false
 	for i, c := range codes {
-		if c == 73 {
+		if c == codeCrash {
 			crashed = append(crashed, string(bodies[i][6:]))
 		}
-		sent = sent || c == 64 && bodies[i][0] == 3
+		sent = sent || c == codeSend && bodies[i][0] == 3
 	}
 	if len(crashed) != 2 || !strings.Contains(crashed[0], "there are none") || !sent {
 		t.Errorf("got crashes %q, instance 3 sent: %v; want two crashes, and a send of instance 3", crashed, sent)
@@ -173,25 +184,27 @@
 	}
 	good := batch(1, startInstance(3, settings))
 	for _, tt := range []struct {
-		name string
-		in   []byte
-		code int
-		want string
+		name   string
+		in     []byte
+		status int
+		want   string
 	}{
 		{"clean end", good, 0, ""},
 		{"truncated", good[:len(good)-2], 1, "batch 1: at byte 173: input ends"},
 		{"oversized", append(bytes.Clone(good), 255, 255, 255, 255), 1, "batch 2: at byte 175: frame length"},
-		{"inconsistent", batch(1, record(6, le32(3))), 1, "at byte 16: record"},
+		{"inconsistent", batch(1, record(codeTimer, le32(3))), 1, "at byte 16: record"},
 	} {
 		cmd := exec.Command(bin)
 		var stderr bytes.Buffer
-		cmd.Stdin, cmd.Stderr, cmd.Env = bytes.NewReader(tt.in), &stderr, os.Environ()
+		cmd.Stdin = bytes.NewReader(tt.in)
+		cmd.Stderr = &stderr
 		timer := time.AfterFunc(time.Minute, func() { cmd.Process.Kill() })
 		cmd.Run()
 		timer.Stop()
 		text := stderr.String()
-		if cmd.ProcessState.ExitCode() != tt.code || !strings.Contains(text, tt.want) || strings.Count(text, "\n") > 1 {
-			t.Errorf("%s: got exit status %d and %q on standard error, want %d and one line with %q", tt.name, cmd.ProcessState.ExitCode(), text, tt.code, tt.want)
+		status := cmd.ProcessState.ExitCode()
+		if status != tt.status || !strings.Contains(text, tt.want) || strings.Count(text, "\n") > 1 {
+			t.Errorf("%s: got exit status %d and %q on standard error, want %d and one line with %q", tt.name, status, text, tt.status, tt.want)
 		}
 	}
 }
--- a/internal/flightrecorder/helpers_test.go
+++ b/internal/flightrecorder/helpers_test.go
@@ -13,61 +13,80 @@
 const ms = time.Millisecond
 
 // randomTraffic returns random requests to some hosts: one crashes, one is silent for a while, endpoint lists
-// change, hosts drain and start, and clients leave.
+// change, hosts drain and start, and clients leave. The draws are part of testdata/compat.
 func randomTraffic(seed uint64, requests int) *Simulation {
 	r := rand.New(rand.NewPCG(seed, 99))
 	s := &Simulation{
-		Settings: balancer.Settings{
-			Instances: 1 + int(seed%3), Step: ms, MaxAttempts: 4, Cancel: true, MaxRetryAfter: time.Second,
-			Classes: []balancer.Class{
-				{LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 1},
-				{LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 2, Idempotency: balancer.IdempotentWithKey, DedupScope: balancer.ScopeCell, DedupWindow: 600 * ms},
-				{LatencyObjective: 100 * ms, Deadline: 400 * ms, PriorityWeight: 5, Idempotency: balancer.NonIdempotent},
-			},
-			SlowStartShare: 0.3, SlowStartWindow: 3 * time.Second, OverloadFactor: 2.5, OverloadWindow: time.Second,
-		},
-		Hosts:  map[balancer.HostID]*SimulatedHost{},
-		Random: rand.New(rand.NewPCG(seed, 7)),
+		Settings: trafficSettings(1 + int(seed%3)),
+		Hosts:    map[balancer.HostID]*SimulatedHost{},
+		Random:   rand.New(rand.NewPCG(seed, 7)),
 	}
-	now := balancer.Time(time.Hour)
+	start := balancer.Time(time.Hour)
 	var list []balancer.Host
 	for i := range 6 {
 		id := balancer.HostID(i + 1)
 		list = append(list, balancer.Host{ID: id, Zone: i / 3, Cell: i / 2, Kind: i % 2})
 		s.Hosts[id] = &SimulatedHost{Speed: 0.5 + r.Float64(), ErrorShares: []float64{0.02, 0, 0.01}}
 	}
-	s.Endpoints = append(s.Endpoints, EndpointUpdate{now, balancer.ListSaved, list})
-	t := now
+	end := s.addArrivals(r, start, requests)
+	s.addFaults(list, start, end)
+	return s
+}
+
+func trafficSettings(instances int) balancer.Settings {
+	return balancer.Settings{
+		Instances: instances, Step: ms, MaxAttempts: 4, Cancel: true, MaxRetryAfter: time.Second,
+		Classes: []balancer.Class{
+			{LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 1},
+			{LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 2, Idempotency: balancer.IdempotentWithKey, DedupScope: balancer.ScopeCell, DedupWindow: 600 * ms},
+			{LatencyObjective: 100 * ms, Deadline: 400 * ms, PriorityWeight: 5, Idempotency: balancer.NonIdempotent},
+		},
+		SlowStartShare: 0.3, SlowStartWindow: 3 * time.Second, OverloadFactor: 2.5, OverloadWindow: time.Second,
+	}
+}
+
+// addArrivals adds random requests of all classes, and returns the time of the last one.
+func (s *Simulation) addArrivals(r *rand.Rand, start balancer.Time, requests int) balancer.Time {
+	at := start
 	for i := range requests {
-		t += time.Duration(r.ExpFloat64() * float64(6*ms))
+		at += time.Duration(r.ExpFloat64() * float64(6*ms))
 		class := r.IntN(3)
 		left := s.Settings.Classes[class].Deadline
 		a := Arrival{
 			Request: balancer.Request{ID: balancer.RequestID(i + 1), Class: class, Remaining: left, Duplicate: r.IntN(9) == 0},
-			At:      t, Work: time.Duration(r.ExpFloat64() * float64(15*ms)),
+			At:      at,
+			Work:    time.Duration(r.ExpFloat64() * float64(15*ms)),
 		}
 		if r.IntN(50) == 0 {
-			a.GoneAt = t + 20*ms
+			a.GoneAt = at + 20*ms
 		}
 		s.Arrivals = append(s.Arrivals, a)
 	}
-	part := func(x float64) balancer.Time { return now + balancer.Time(x*float64(t-now)) }
+	return at
+}
+
+// addFaults adds the endpoint lists, faults of two hosts, one that drains and one that starts.
+func (s *Simulation) addFaults(list []balancer.Host, start, end balancer.Time) {
+	part := func(x float64) balancer.Time { return start + balancer.Time(x*float64(end-start)) }
+	update := func(at balancer.Time, kind balancer.ListKind, hosts ...balancer.Host) {
+		s.Endpoints = append(s.Endpoints, EndpointUpdate{at, kind, hosts})
+	}
 	s.Hosts[1].Down = []Span{{part(0.2), part(0.35)}}
 	s.Hosts[2].Silent = []Span{{part(0.4), part(0.5)}}
+	update(start, balancer.ListSaved, list...)
 	gone := list[3]
 	gone.State = balancer.Draining
-	s.Endpoints = append(s.Endpoints, EndpointUpdate{part(0.55), balancer.ListChanges, []balancer.Host{gone}})
+	update(part(0.55), balancer.ListChanges, gone)
 	gone.State = balancer.Removed
-	s.Endpoints = append(s.Endpoints, EndpointUpdate{part(0.6), balancer.ListChanges, []balancer.Host{gone}})
-	s.Endpoints = append(s.Endpoints, EndpointUpdate{part(0.62), balancer.ListFailed, nil})
+	update(part(0.6), balancer.ListChanges, gone)
+	update(part(0.62), balancer.ListFailed)
 	started := balancer.Host{ID: 77, Zone: 1, Cell: 1, Started: part(0.65)}
 	s.Hosts[77] = &SimulatedHost{Speed: 1}
-	s.Endpoints = append(s.Endpoints, EndpointUpdate{part(0.7), balancer.ListChanges, []balancer.Host{started}})
+	update(part(0.7), balancer.ListChanges, started)
 	// Discovery restarts: the full list, with one host gone and one in another cell.
 	full := slices.Clone(list[1:])
 	full[0].Cell = 2
-	s.Endpoints = append(s.Endpoints, EndpointUpdate{part(0.85), balancer.ListFull, append(full, started)})
-	return s
+	update(part(0.85), balancer.ListFull, append(full, started)...)
 }
 
 // bufferSink keeps the blocks that it accepts; reject, if set, reports whether the n-th one is rejected.
@@ -166,11 +185,10 @@
 	s := randomTraffic(6, 6000)
 	s.Settings.Instances = 1
 	for _, h := range s.Hosts {
-		h.Speed, h.ErrorShares = 1, []float64{0.05, 0, 0}
-	}
-	s.Hosts[5].Speed = 0.5
-	for _, h := range s.Hosts {
+		h.Speed = 1
+		h.ErrorShares = []float64{0.05, 0, 0}
 		h.UnansweredShare = 0.01
 	}
+	s.Hosts[5].Speed = 0.5
 	return s
 }
--- a/internal/flightrecorder/reader_test.go
+++ b/internal/flightrecorder/reader_test.go
@@ -38,8 +38,10 @@
 	data := out.Bytes()
 	starts := blockOffsets(t, data)
 	// In the middle, with no checkpoint near that would hide the loss.
+	hasRecords := func(block int) bool { return data[starts[block]+5] == blockRecords }
 	k := len(starts) / 3
-	for ; data[starts[k]+5] != blockRecords || data[starts[k+1]+5] != blockRecords || data[starts[k+2]+5] != blockRecords; k++ {
+	for !(hasRecords(k) && hasRecords(k+1) && hasRecords(k+2)) {
+		k++
 	}
 	for _, c := range []struct {
 		name string
@@ -149,7 +151,8 @@
 		} else if err != nil {
 			t.Fatal(err)
 		}
-		r.pending, r.records.data = r.pending[:0], nil
+		r.pending = r.pending[:0]
+		r.records.data = nil
 		n++
 	}
 	if want := (1 << 30) / len(data) * len(blockOffsets(t, data)); n < want {
