--- a/internal/flightrecorder/analysis_test.go
+++ b/internal/flightrecorder/analysis_test.go
@@ -24,21 +24,9 @@
 			t.Errorf("class %d: got %+v, want %+v", i, got, want)
 		}
 	}
-	// Host 1 refuses connections from 0.2 to 0.35 of the time.
 	for _, h := range a.Hosts {
-		if h.ID != 1 {
-			continue
-		}
-		if h.Name != "s-1" {
-			t.Errorf("host 1: got name %q, want \"s-1\"", h.Name)
-		}
-		var letters []byte
-		for i := range h.Buckets {
-			letters = append(letters, h.Buckets[i].letter())
-		}
-		n := len(letters)
-		if !strings.Contains(string(letters[n*20/100:n*36/100]), "XX") || strings.Contains(string(letters[n*60/100:]), "X") {
-			t.Errorf("host 1: got time line %q, want it ejected for a fifth of it, and not at the end", letters)
+		if h.ID == 1 {
+			checkRefusingHost(t, h)
 		}
 	}
 	causes := map[balancer.Cause]int{}
@@ -51,6 +39,27 @@
 	if causes[balancer.CauseConnectionsFailed] == 0 || causes[balancer.CauseSilent] == 0 {
 		t.Errorf("got ejections by cause %v, want some for failed connections and for silence", causes)
 	}
+	checkAnalysisText(t, a)
+}
+
+// checkRefusingHost checks the time line of host 1, which refuses connections from 0.2 to 0.35 of the time.
+func checkRefusingHost(t *testing.T, h *HostTimeline) {
+	t.Helper()
+	if h.Name != "s-1" {
+		t.Errorf("host 1: got name %q, want \"s-1\"", h.Name)
+	}
+	var letters []byte
+	for i := range h.Buckets {
+		letters = append(letters, h.Buckets[i].letter())
+	}
+	n := len(letters)
+	if !strings.Contains(string(letters[n*20/100:n*36/100]), "XX") || strings.Contains(string(letters[n*60/100:]), "X") {
+		t.Errorf("host 1: got time line %q, want it ejected for a fifth of it, and not at the end", letters)
+	}
+}
+
+func checkAnalysisText(t *testing.T, a *Analysis) {
+	t.Helper()
 	var text strings.Builder
 	a.Text(&text, 5)
 	for _, want := range []string{"s-1", "asked", "ejections, the first 5", "silent"} {
--- a/internal/flightrecorder/fit_test.go
+++ b/internal/flightrecorder/fit_test.go
@@ -6,6 +6,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"dunemoor/balancer"
 )
 
 // A simulation made from a recording has the recorded hosts, and its outcome with the same balancer is near the
@@ -21,28 +23,9 @@
 	if n := len(f.Simulation.Arrivals); n != 6000 {
 		t.Fatalf("got %d arrivals, want 6000", n)
 	}
-	if x := f.Simulation.Hosts[5].Speed / f.Simulation.Hosts[3].Speed; x < 0.35 || x > 0.7 {
-		t.Errorf("got %.2f of the speed of host 3 for host 5, want about 0.5", x)
-	}
-	if x := f.Simulation.Hosts[3].UnansweredShare; x < 0.004 || x > 0.03 {
-		t.Errorf("got %.4f of the attempts unanswered, want about 0.01", x)
-	}
-	if x := f.Simulation.Hosts[3].ErrorShares[0]; x < 0.03 || x > 0.07 {
-		t.Errorf("got %.4f errors in class 0, want about 0.05", x)
-	}
-	for _, c := range []struct {
-		name      string
-		got, want []Span
-	}{{"down", f.Simulation.Hosts[1].Down, s.Hosts[1].Down}, {"silent", f.Simulation.Hosts[2].Silent, s.Hosts[2].Silent}} {
-		if len(c.got) == 0 {
-			t.Errorf("%s: got no span, want %v", c.name, c.want)
-			continue
-		}
-		from, to := c.got[0].From, c.got[len(c.got)-1].To
-		if w := c.want[0]; from < w.From || from > w.From+(w.To-w.From)/2 || to > w.To+time.Second {
-			t.Errorf("%s: got from %v to %v, want about %v to %v", c.name, from, to, w.From, w.To)
-		}
-	}
+	checkFittedHosts(t, f.Simulation.Hosts)
+	checkFittedSpan(t, "down", f.Simulation.Hosts[1].Down, s.Hosts[1].Down[0])
+	checkFittedSpan(t, "silent", f.Simulation.Hosts[2].Silent, s.Hosts[2].Silent[0])
 	tried, err := f.Try()
 	if err != nil {
 		t.Fatal(err)
@@ -51,10 +34,11 @@
 		t.Errorf("got %+v, want no request unanswered or executed twice", tried)
 	}
 	for i := range tried.Classes {
-		was, is := &f.Recorded.Classes[i], &tried.Classes[i]
-		x, y := float64(was.InTime)/float64(was.Requests), float64(is.InTime)/float64(is.Requests)
-		if is.Requests != was.Requests || math.Abs(x-y) > 0.08 {
-			t.Errorf("class %d: got %.3f in time, want about %.3f as recorded", i, y, x)
+		recorded, got := &f.Recorded.Classes[i], &tried.Classes[i]
+		recordedShare := float64(recorded.InTime) / float64(recorded.Requests)
+		gotShare := float64(got.InTime) / float64(got.Requests)
+		if got.Requests != recorded.Requests || math.Abs(recordedShare-gotShare) > 0.08 {
+			t.Errorf("class %d: got %.3f in time, want about %.3f as recorded", i, gotShare, recordedShare)
 		}
 	}
 	again, _ := f.Try()
@@ -70,6 +54,33 @@
 	}
 }
 
+// checkFittedHosts checks the models of two hosts of faultyTraffic, of which host 5 has half the speed.
+func checkFittedHosts(t *testing.T, hosts map[balancer.HostID]*SimulatedHost) {
+	t.Helper()
+	if x := hosts[5].Speed / hosts[3].Speed; x < 0.35 || x > 0.7 {
+		t.Errorf("got %.2f of the speed of host 3 for host 5, want about 0.5", x)
+	}
+	if x := hosts[3].UnansweredShare; x < 0.004 || x > 0.03 {
+		t.Errorf("got %.4f of the attempts unanswered, want about 0.01", x)
+	}
+	if x := hosts[3].ErrorShares[0]; x < 0.03 || x > 0.07 {
+		t.Errorf("got %.4f errors in class 0, want about 0.05", x)
+	}
+}
+
+// checkFittedSpan checks that spans together are about the one of the simulation that was recorded.
+func checkFittedSpan(t *testing.T, name string, got []Span, want Span) {
+	t.Helper()
+	if len(got) == 0 {
+		t.Errorf("%s: got no span, want %v", name, want)
+		return
+	}
+	from, to := got[0].From, got[len(got)-1].To
+	if from < want.From || from > want.From+(want.To-want.From)/2 || to > want.To+time.Second {
+		t.Errorf("%s: got from %v to %v, want about %v to %v", name, from, to, want.From, want.To)
+	}
+}
+
 // A recording that begins in mid-flight has its hosts from the checkpoint.
 func TestFitOfARecordingInMidFlight(t *testing.T) {
 	rec, _ := record(t, randomTraffic(5, 12000), 5, Options{RingBytes: minRingBytes})
