--- a/internal/flightrecorder/analysis.go
+++ b/internal/flightrecorder/analysis.go
@@ -16,11 +16,11 @@
 	Gateway    string
 	Build      string
 	ClassNames []string
-	From       balancer.Time
-	To         balancer.Time
-	Wall       time.Time     // of From, by the wall clock as it was at the start of the session
-	BucketSize time.Duration // of Rates and of the hosts' buckets
-	Hosts      []*HostTimeline
+	From       balancer.Time   // of the first event in the window
+	To         balancer.Time   // of the last event in the window
+	Wall       time.Time       // of From, by the wall clock as it was at the start of the session
+	BucketSize time.Duration   // of Rates and of the hosts' buckets
+	Hosts      []*HostTimeline // in the order of their names, or IDs where they have none
 	Classes    []ClassCounts
 	Rates      []RateBucket
 	// TimedOutWaiting is the number of requests that waited for a host in vain. WaitReasons distributes it by
--- a/internal/flightrecorder/fleet.go
+++ b/internal/flightrecorder/fleet.go
@@ -59,8 +59,8 @@
 	Elapsed   time.Duration // of Succeeded, together
 }
 
-// meanElapsed is the mean time of successful attempts, in milliseconds.
-func (c *AttemptCounts) meanElapsed() int {
+// meanElapsedMS is the mean time of successful attempts, in milliseconds.
+func (c *AttemptCounts) meanElapsedMS() int {
 	if c.Succeeded == 0 {
 		return 0
 	}
--- a/internal/flightrecorder/fleet_text.go
+++ b/internal/flightrecorder/fleet_text.go
@@ -117,7 +117,7 @@
 		s.Rejected[balancer.CauseLowerPriority], s.Failed,
 		lists, s.Lists[balancer.ListFailed], s.ListEntries, s.Closes,
 		hosts, maxAttempts, maxGateways,
-		s.Warm.Ended, s.Warm.meanElapsed(),
-		s.Warming.Ended, s.Warming.Succeeded, s.Warming.meanElapsed(),
+		s.Warm.Ended, s.Warm.meanElapsedMS(),
+		s.Warming.Ended, s.Warming.Succeeded, s.Warming.meanElapsedMS(),
 		int(s.Ready+0.5), int(100*s.Idle/ready), int(100*s.InFlight/ready))
 }
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -11,7 +11,8 @@
 	"dunemoor/balancer"
 )
 
-// Reader reads batches and the events in them.
+// Reader reads batches and the events in them: Batch begins a batch, and Next reads its events until it returns
+// false.
 type Reader struct {
 	in        *bufio.Reader
 	frame     bytes.Buffer
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -58,6 +58,9 @@
 	actionPoll   = 74
 )
 
+// pollOn has an instance notified of changes of the endpoint list.
+const pollOn = 1
+
 // Kinds of endpoint list.
 const (
 	listFailed  = 0
@@ -80,6 +83,13 @@
 	batchHeaderSize  = clockSize + 4 // and the number of records
 	recordHeaderSize = 5             // code and length
 	listEntrySize    = 24
+	requestIDSize    = 4
+	attemptSize      = 2
+	hostSize         = 6 // address and port
+	durationSize     = 4
+	timeSize         = 8 // of a point in time
+	tokenSize        = 8
+	textLengthSize   = 2
 	maxFrameSize     = 1 << 30
 	maxTextSize      = 1 << 10 // of a log line or a crash report
 	ioBufferSize     = 1 << 16
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -160,7 +160,7 @@
 		act  balancer.Action
 		want string
 	}{
-		// Action.At is the latest time to send; the frame's field is an attempt timeout, which is not used.
+		// Action.At is the latest time to send; the frame's field is when it is given up, which is not used.
 		{balancer.Action{Kind: balancer.Send, Request: 0x5d3a91c4, Host: host, At: 8492506 * time.Microsecond},
 			"40 16000000 03000000 c4913a5d 0a124a07 2b23 0000000000000000"},
 		{balancer.Action{Kind: balancer.Reject, Request: 0x5d3a91c4, RetryAfter: 250 * time.Millisecond},
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -41,31 +41,31 @@
 func (w *Writer) Action(instance uint32, a *balancer.Action) {
 	switch a.Kind {
 	case balancer.Send:
-		w.record(actionSend, instance, 18)
+		w.record(actionSend, instance, requestIDSize+hostSize+timeSize)
 		w.uint32(uint32(a.Request))
 		w.host(a.Host)
-		w.uint64(0) // no attempt timeout of its own, and no delay: the client's deadline holds
+		w.uint64(0) // the time at which the attempt is given up; 0: at the client's deadline
 	case balancer.Cancel:
-		w.record(actionCancel, instance, 6)
+		w.record(actionCancel, instance, requestIDSize+attemptSize)
 		w.uint32(uint32(a.Request))
 		w.uint16(uint16(a.Attempt))
 	case balancer.Reject:
-		w.record(actionReject, instance, 8)
+		w.record(actionReject, instance, requestIDSize+durationSize)
 		w.uint32(uint32(a.Request))
 		w.uint32(uint32(a.RetryAfter / timeUnit))
 	case balancer.Fail:
-		w.record(actionFail, instance, 4)
+		w.record(actionFail, instance, requestIDSize)
 		w.uint32(uint32(a.Request))
 	case balancer.Wake:
-		w.record(actionWake, instance, 16)
+		w.record(actionWake, instance, timeSize+tokenSize)
 		w.uint64(uint64((a.At + timeUnit - 1) / timeUnit)) // rounded up: a timer must not fire early
 		w.uint64(a.Token)
 	case balancer.Close:
-		w.record(actionClose, instance, 6)
+		w.record(actionClose, instance, hostSize)
 		w.host(a.Host)
 	case balancer.Poll:
 		w.record(actionPoll, instance, 1)
-		w.reply = append(w.reply, 1)
+		w.reply = append(w.reply, pollOn)
 	case balancer.Log:
 		w.text(actionLog, instance, a.Text)
 	}
@@ -76,7 +76,7 @@
 
 func (w *Writer) text(code byte, instance uint32, text string) {
 	text = text[:min(len(text), maxTextSize)]
-	w.record(code, instance, 2+len(text))
+	w.record(code, instance, textLengthSize+len(text))
 	w.uint16(uint16(len(text)))
 	w.reply = append(w.reply, text...)
 }
