--- a/internal/flightrecorder/analysis.go
+++ b/internal/flightrecorder/analysis.go
@@ -16,11 +16,11 @@
 	Gateway    string
 	Build      string
 	ClassNames []string
-	From       balancer.Time
-	To         balancer.Time
-	Wall       time.Time     // of From, by the wall clock as it was at the start of the session
-	BucketSize time.Duration // of Rates and of the hosts' buckets
-	Hosts      []*HostTimeline
+	From       balancer.Time   // of the first event in the window
+	To         balancer.Time   // of the last event in the window
+	Wall       time.Time       // of From, by the wall clock as it was at the start of the session
+	BucketSize time.Duration   // of Rates and of the hosts' buckets
+	Hosts      []*HostTimeline // in the order of their names, or IDs where they have none
 	Classes    []ClassCounts
 	Rates      []RateBucket
 	// TimedOutWaiting is the number of requests that waited for a host in vain. WaitReasons distributes it by
@@ -35,6 +35,18 @@
 // RateBucket counts the requests that came, and the responses, in a bucket.
 type RateBucket struct{ Requests, Served, Rejected, Failed int }
 
+// rateSeries are the rates that time lines and plots show; the headings are words of earlier builds, see Analysis.Text.
+var rateSeries = []struct {
+	heading string
+	color   string
+	count   func(RateBucket) int
+}{
+	{"asked", requestsColor, func(r RateBucket) int { return r.Requests }},
+	{"served", servedColor, func(r RateBucket) int { return r.Served }},
+	{"refused", rejectedColor, func(r RateBucket) int { return r.Rejected }},
+	{"failed", failedColor, func(r RateBucket) int { return r.Failed }},
+}
+
 // ClassCounts is the outcome of the requests of a class.
 type ClassCounts struct {
 	Requests  int
@@ -49,13 +61,13 @@
 
 // Ejection is a host that was ejected.
 type Ejection struct {
-	At      balancer.Time
-	Host    balancer.HostID
-	Cause   balancer.Cause
-	Request balancer.RequestID // whose end was the cause, or the oldest in flight at the host
-	Class   int                // of Request; -1: there was none
-	Age     time.Duration      // of Request's attempt
-	Pending int                // attempts in flight at the host
+	At       balancer.Time
+	Host     balancer.HostID
+	Cause    balancer.Cause
+	Request  balancer.RequestID // whose end was the cause, or the oldest in flight at the host
+	Class    int                // of Request; -1: there was none
+	Age      time.Duration      // of Request's attempt
+	InFlight int                // attempts in flight at the host
 }
 
 // maxEjections is the number of ejections that an Analysis describes.
--- a/internal/flightrecorder/analysis_test.go
+++ b/internal/flightrecorder/analysis_test.go
@@ -16,10 +16,7 @@
 	s := faultyTraffic()
 	var out bufferSink
 	_, sum := record(t, s, 6, Options{Sink: &out})
-	a, err := Analyse(bytes.NewReader(out.Bytes()), Window{Bucket: 500 * ms})
-	if err != nil {
-		t.Fatal(err)
-	}
+	a := analyzed(t, out.Bytes(), Window{Bucket: 500 * ms})
 	for i := range sum.Classes {
 		want, got := &sum.Classes[i], &a.Classes[i]
 		if got.Requests != want.Requests || got.InTime != want.InTime || got.Served != want.InTime+want.Late ||
@@ -27,21 +24,9 @@
 			t.Errorf("class %d: got %+v, want %+v", i, got, want)
 		}
 	}
-	// Host 1 refuses connections from 0.2 to 0.35 of the time.
 	for _, h := range a.Hosts {
-		if h.ID != 1 {
-			continue
-		}
-		if h.Name != "s-1" {
-			t.Errorf("host 1: got name %q, want \"s-1\"", h.Name)
-		}
-		var letters []byte
-		for i := range h.Buckets {
-			letters = append(letters, h.Buckets[i].letter())
-		}
-		n := len(letters)
-		if !strings.Contains(string(letters[n*20/100:n*36/100]), "XX") || strings.Contains(string(letters[n*60/100:]), "X") {
-			t.Errorf("host 1: got time line %q, want it ejected for a fifth of it, and not at the end", letters)
+		if h.ID == 1 {
+			checkRefusingHost(t, h)
 		}
 	}
 	causes := map[balancer.Cause]int{}
@@ -54,6 +39,27 @@
 	if causes[balancer.CauseConnectionsFailed] == 0 || causes[balancer.CauseSilent] == 0 {
 		t.Errorf("got ejections by cause %v, want some for failed connections and for silence", causes)
 	}
+	checkAnalysisText(t, a)
+}
+
+// checkRefusingHost checks the time line of host 1, which refuses connections from 0.2 to 0.35 of the time.
+func checkRefusingHost(t *testing.T, h *HostTimeline) {
+	t.Helper()
+	if h.Name != "s-1" {
+		t.Errorf("host 1: got name %q, want \"s-1\"", h.Name)
+	}
+	var letters []byte
+	for i := range h.Buckets {
+		letters = append(letters, h.Buckets[i].letter())
+	}
+	n := len(letters)
+	if !strings.Contains(string(letters[n*20/100:n*36/100]), "XX") || strings.Contains(string(letters[n*60/100:]), "X") {
+		t.Errorf("host 1: got time line %q, want it ejected for a fifth of it, and not at the end", letters)
+	}
+}
+
+func checkAnalysisText(t *testing.T, a *Analysis) {
+	t.Helper()
 	var text strings.Builder
 	a.Text(&text, 5)
 	for _, want := range []string{"s-1", "asked", "ejections, the first 5", "silent"} {
@@ -73,14 +79,8 @@
 func TestAnalysisOfAWindow(t *testing.T) {
 	var out bufferSink
 	record(t, randomTraffic(6, 3000), 6, Options{Sink: &out})
-	all, err := Analyse(bytes.NewReader(out.Bytes()), Window{})
-	if err != nil {
-		t.Fatal(err)
-	}
-	part, err := Analyse(bytes.NewReader(out.Bytes()), Window{From: 2 * time.Second, To: 4 * time.Second})
-	if err != nil {
-		t.Fatal(err)
-	}
+	all := analyzed(t, out.Bytes(), Window{})
+	part := analyzed(t, out.Bytes(), Window{From: 2 * time.Second, To: 4 * time.Second})
 	requests := func(a *Analysis) (n int) {
 		for _, c := range a.Classes {
 			n += c.Requests
@@ -107,10 +107,7 @@
 	}
 	var out bufferSink
 	record(t, s, 8, Options{Sink: &out})
-	a, err := Analyse(bytes.NewReader(out.Bytes()), Window{})
-	if err != nil {
-		t.Fatal(err)
-	}
+	a := analyzed(t, out.Bytes(), Window{})
 	sum := 0.0
 	for _, x := range a.WaitReasons {
 		sum += x
@@ -123,24 +120,21 @@
 // Where this build decides otherwise than recorded, hosts are as the recorded views have them, and the text says so.
 func TestAnalysisOfAnotherBuildUsesItsViews(t *testing.T) {
 	s := randomTraffic(6, 3000)
-	var same, other bufferSink
+	var same bufferSink
 	record(t, s, 6, Options{Sink: &same, ViewInterval: 50 * ms})
-	bal, _ := balancer.New(s.Settings, 5)
-	New(bal, SessionStart{Seed: 5, At: s.Endpoints[0].At, Settings: s.Settings}, 1006, Options{Sink: &other})
-	mixed := append(bytes.Clone(other.Bytes()), same.Bytes()[firstBlockSize(t, same.Bytes()):]...)
-	want, err := Analyse(bytes.NewReader(same.Bytes()), Window{})
-	if err != nil || want.FromViews {
-		t.Fatalf("same build: got from views %v, error %v, want neither", want.FromViews, err)
+	want := analyzed(t, same.Bytes(), Window{})
+	if want.FromViews {
+		t.Fatal("same build: got the hosts from views, want them from the replay")
 	}
-	a, err := Analyse(bytes.NewReader(mixed), Window{})
-	if err != nil || !a.FromViews || a.EjectionCount > 0 {
-		t.Fatalf("other build: got from views %v, %d ejections, error %v, want views alone", a.FromViews, a.EjectionCount, err)
+	a := analyzed(t, withOtherSeed(t, same.Bytes(), s, 5, 1006), Window{})
+	if !a.FromViews || a.EjectionCount > 0 {
+		t.Fatalf("other build: got from views %v, %d ejections, want views alone", a.FromViews, a.EjectionCount)
 	}
 	pending := func(a *Analysis) (sum float64) {
 		for _, h := range a.Hosts {
 			for i := range h.Buckets {
 				if b := &h.Buckets[i]; b.Samples > 0 {
-					sum += b.Pending / float64(b.Samples)
+					sum += b.InFlightSum / float64(b.Samples)
 				}
 			}
 		}
@@ -162,10 +156,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, err := Analyse(bytes.NewReader(recording), Window{})
-	if err != nil {
-		t.Fatal(err)
-	}
+	a := analyzed(t, recording, Window{})
 	var text, svg bytes.Buffer
 	a.Text(&text, 10)
 	for _, h := range a.Hosts {
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -58,6 +58,9 @@
 	actionPoll   = 74
 )
 
+// pollOn has an instance notified of changes of the endpoint list.
+const pollOn = 1
+
 // Kinds of endpoint list.
 const (
 	listFailed  = 0
@@ -75,10 +78,18 @@
 
 // Sizes in bytes.
 const (
-	lengthSize       = 4  // of a frame's length
-	batchHeaderSize  = 12 // clock and number of records
-	recordHeaderSize = 5  // code and length
+	lengthSize       = 4 // of a frame's length
+	clockSize        = 8
+	batchHeaderSize  = clockSize + 4 // and the number of records
+	recordHeaderSize = 5             // code and length
 	listEntrySize    = 24
+	requestIDSize    = 4
+	attemptSize      = 2
+	hostSize         = 6 // address and port
+	durationSize     = 4
+	timeSize         = 8 // of a point in time
+	tokenSize        = 8
+	textLengthSize   = 2
 	maxFrameSize     = 1 << 30
 	maxTextSize      = 1 << 10 // of a log line or a crash report
 	ioBufferSize     = 1 << 16
@@ -90,8 +101,8 @@
 // flagDuplicate is the bit of a request's flags that marks a request that the client sends again.
 const flagDuplicate = 2
 
-// results maps the codes of attempt outcomes.
-var results = map[uint16]balancer.Result{
+// resultsByCode maps the codes of attempt outcomes.
+var resultsByCode = map[uint16]balancer.Result{
 	100: balancer.OK,
 	301: balancer.Failed,
 	302: balancer.Full,
