--- a/internal/cluster/relays_test.go
+++ b/internal/cluster/relays_test.go
@@ -15,14 +15,14 @@
 // order, and a gateway that loses its relay goes to another with the session that it has.
 func TestGatewaysKeepSessionsWhenRelayIsLostAndReplaced(t *testing.T) {
 	relays, numbers := newRelays(t, 3), make(chan uint64)
-	var members, gateways []*member
+	var relayMembers, gateways []*member
 	for _, r := range relays {
-		members = append(members, startMember(t, r.Name, relays, numbers))
+		relayMembers = append(relayMembers, startMember(t, r.Name, relays, numbers))
 	}
 	for i := range 6 {
 		gateways = append(gateways, startMember(t, fmt.Sprintf("g%d", i+1), relays, numbers))
 	}
-	members = append(members, gateways...)
+	members := slices.Concat(relayMembers, gateways)
 	for _, m := range members {
 		waitUntilSession(t, m)
 	}
@@ -34,16 +34,9 @@
 		number++
 		numbers <- number
 	}
-	testutil.WaitUntil(t, "all but the holder have received all", func() bool { return allButHolderReceived(members, number) })
-	for _, m := range members {
-		for i, got := range m.received() {
-			if want := uint64(i + 1); got != want {
-				t.Fatalf("%s: publication %d: got %d, want %d, in %v", m.cfg.Name, i, got, want, m.received())
-			}
-		}
-	}
+	checkAllReceived(t, members, number)
 	streams := 0
-	for _, m := range members[:3] {
+	for _, m := range relayMembers {
 		streams += m.Status().Streams.Streams
 	}
 	if streams != len(gateways) {
@@ -55,18 +48,7 @@
 	testutil.WaitUntil(t, "the lease has a holder that is up", func() bool {
 		return all(left, func(m *member) bool { holder := m.holder(); return holder != "" && holder != lost })
 	})
-	// What was published while a gateway moved is lost; what follows is not.
-	least := number + 1
-	testutil.WaitUntil(t, "all that are left receive publications again", func() bool {
-		number++
-		numbers <- number
-		return allButHolderReceived(left, least)
-	})
-	for _, m := range left {
-		if got := m.received(); !slices.IsSorted(got) || len(slices.Compact(slices.Clone(got))) != len(got) {
-			t.Errorf("%s: publications: got %v, want each once and in order", m.cfg.Name, got)
-		}
-	}
+	checkPublicationsGoOn(t, left, numbers, number)
 
 	// The relay is replaced, with an empty disk: its epochs begin anew, and the others accept it.
 	left = append(left, startMember(t, lost, relays, numbers))
@@ -81,6 +63,36 @@
 	}
 }
 
+// checkAllReceived checks that all members but the holder receive each publication from 1 to last, in order.
+func checkAllReceived(t *testing.T, members []*member, last uint64) {
+	t.Helper()
+	testutil.WaitUntil(t, "all but the holder have received all", func() bool { return allButHolderReceived(members, last) })
+	for _, m := range members {
+		for i, got := range m.received() {
+			if want := uint64(i + 1); got != want {
+				t.Fatalf("%s: publication %d: got %d, want %d, in %v", m.cfg.Name, i, got, want, m.received())
+			}
+		}
+	}
+}
+
+// checkPublicationsGoOn publishes further numbers after the last one, and checks that the members receive some of them,
+// each once and in order. What was published while a gateway moved may be lost; what follows is not.
+func checkPublicationsGoOn(t *testing.T, members []*member, numbers chan<- uint64, last uint64) {
+	t.Helper()
+	least := last + 1
+	testutil.WaitUntil(t, "all that are left receive publications again", func() bool {
+		last++
+		numbers <- last
+		return allButHolderReceived(members, least)
+	})
+	for _, m := range members {
+		if got := m.received(); !slices.IsSorted(got) || len(slices.Compact(slices.Clone(got))) != len(got) {
+			t.Errorf("%s: publications: got %v, want each once and in order", m.cfg.Name, got)
+		}
+	}
+}
+
 // closeRelayOf closes the relay named lost, and returns the other members. It checks that the gateways reach other
 // relays with their sessions, and that those of the relay were notified of its end.
 func closeRelayOf(t *testing.T, lost string, members, gateways []*member) (left []*member) {
@@ -114,14 +126,11 @@
 	return left
 }
 
-// A process that has the key and claims another name in its join is rejected, and a second gateway with a name gets
-// no stream while the first is connected.
-func TestRelayRejectsForeignNameAndSecondGateway(t *testing.T) {
+// A process that has the key and claims another's name or replica in its join gets no stream.
+func TestRelayRejectsJoinInAnothersName(t *testing.T) {
 	relays, numbers := newRelays(t, 3), make(chan uint64)
-	r1 := startMember(t, "r1", relays, numbers) // in the zone of all gateways
-	relayMembers := []*member{r1, startMember(t, "r2", relays, numbers), startMember(t, "r3", relays, numbers)}
-	first := startMember(t, "g1", relays, numbers)
-	waitUntilSession(t, first)
+	relayMembers, gateway := startRelaysAndGateway(t, relays, numbers)
+	r1 := relayMembers[0]
 	counters := &r1.transport.Counters
 	relayHello := *r1.hello.Load()
 	for _, tt := range []struct {
@@ -130,19 +139,15 @@
 		helloReplica, joinReplica uint64
 	}{
 		{"a name in the join that is not the hello's", "g9", "g1", 9, 9},
-		{"another's replica", "g1", "g1", 9, first.Status().ReplicaID},
+		{"another's replica", "g1", "g1", 9, gateway.Status().ReplicaID},
 		{"a relay's name", "r1", "r1", 9, 9},
 	} {
 		malformed, rejected := counters.FramesMalformed.Load(), counters.ConnsRejected.Load()
 		hello := relayHello
 		hello.Name, hello.ReplicaID = tt.helloName, tt.helloReplica
+		join := relay.JoinRequest{Name: tt.joinName, ReplicaID: tt.joinReplica, Epoch: 1 << 60}
 		stream := &rejectedStream{ended: make(chan error, 1)}
-		dialer := transport.New(transport.Config{
-			Name: tt.helloName, Key: []byte(testKey), Hello: func() node.Hello { return hello }, Validate: func(*node.Hello) error { return nil },
-			StreamHandler: stream, ValidateStream: func(*node.Hello) error { return nil },
-		}, nil, stream)
-		dialer.Start()
-		dialer.Dial("r1", relays[0].Address, relay.KindJoin, encodeJSON(relay.JoinRequest{Name: tt.joinName, ReplicaID: tt.joinReplica, Epoch: 1 << 60}))
+		dialer := dialJoin(hello, relays[0], join, stream)
 		if err := <-stream.ended; err == nil || stream.frames > 0 {
 			t.Errorf("%s: got end %v after %d frames, want an error after none", tt.name, err, stream.frames)
 		}
@@ -151,7 +156,12 @@
 		})
 		dialer.Close()
 	}
+}
 
+// A second gateway with a name gets no stream while the first is connected, and takes its place afterwards.
+func TestRelayRejectsSecondGatewayWithName(t *testing.T) {
+	relays, numbers := newRelays(t, 3), make(chan uint64)
+	relayMembers, first := startRelaysAndGateway(t, relays, numbers)
 	before := first.Status().Relay
 	second := startMember(t, "g1", relays, numbers)
 	testutil.WaitUntil(t, "the second is rejected", func() bool {
@@ -181,6 +191,29 @@
 	}
 }
 
+// startRelaysAndGateway starts all relays, the first in the zone of all gateways, and the gateway g1, which has a session
+// when it returns.
+func startRelaysAndGateway(t *testing.T, relays []Relay, numbers <-chan uint64) (relayMembers []*member, gateway *member) {
+	t.Helper()
+	for _, r := range relays {
+		relayMembers = append(relayMembers, startMember(t, r.Name, relays, numbers))
+	}
+	gateway = startMember(t, "g1", relays, numbers)
+	waitUntilSession(t, gateway)
+	return relayMembers, gateway
+}
+
+// dialJoin connects to a relay with a hello and asks for a stream by a join request.
+func dialJoin(hello node.Hello, to Relay, join relay.JoinRequest, stream *rejectedStream) *transport.Transport {
+	dialer := transport.New(transport.Config{
+		Name: hello.Name, Key: []byte(testKey), Hello: func() node.Hello { return hello }, Validate: func(*node.Hello) error { return nil },
+		StreamHandler: stream, ValidateStream: func(*node.Hello) error { return nil },
+	}, nil, stream)
+	dialer.Start()
+	dialer.Dial(to.Name, to.Address, relay.KindJoin, encodeJSON(join))
+	return dialer
+}
+
 // rejectedStream handles a stream that is expected to end without a frame.
 type rejectedStream struct {
 	frames int
