--- a/cmd/experiment/scale_gateway.go
+++ b/cmd/experiment/scale_gateway.go
@@ -155,16 +155,18 @@
 	return g.waitForLog(ctx, `msg="configuration reloaded"`, g.reloads)
 }
 
-// Limits of the reloads that are measured.
+// Bounds of the reloads that reloadCost measures, and of the CPU time that they take in all. It ends as soon as both
+// minimums or one of the maximums are reached.
 const (
 	minReloads      = 5
 	maxReloads      = 50
-	smallMaxReloads = 2
+	smallMaxReloads = 2 // in place of maxReloads in a small run
+	minReloadCPU    = 100 * cpuTick
 	maxReloadCPU    = 5 * time.Second
-	minReloadCPU    = 100 * cpuTick // so that a tick is a hundredth of what is measured
 )
 
-// reloadCost returns the CPU time of a reload: the mean of as many as the resolution of the clock needs.
+// reloadCost returns the CPU time of a reload: the mean of as many as the bounds above ask for, as a single one may take
+// less than the resolution of the clock.
 func (g *gatewayProcess) reloadCost(ctx context.Context, env *scaleEnv) (time.Duration, error) {
 	limit := maxReloads
 	if env.small {
