--- a/internal/experiment/faulttest/overrides_test.go
+++ b/internal/experiment/faulttest/overrides_test.go
@@ -19,73 +19,103 @@
 		t.Run("failpoint "+failpoint, func(t *testing.T) {
 			t.Parallel()
 			f := newCheckedFleet(t, Options{Program: builtWithFailpoints, Gateways: 4, Replicas: 3, Hosts: 3, Seed: 10, Env: []string{"DUNEMOOR_FAILPOINT=" + failpoint}})
-			host, member := f.Hosts.Nodes[0].Name, f.Gateways[3]
-			ctl := func(code int, args ...string) {
-				t.Helper()
-				cmd := exec.Command(dunemoorctl, append([]string{"fleet", "--admin", f.Gateways[1].admin}, args...)...)
-				if out, _ := cmd.CombinedOutput(); cmd.ProcessState.ExitCode() != code {
-					t.Fatalf("%q: got exit code %d, want %d: %s", args, cmd.ProcessState.ExitCode(), code, out)
-				}
-			}
-			waitUntil := func(what string, condition func() bool) {
-				t.Helper()
-				if err := f.WaitUntil(context.Background(), what, convergeTimeout, condition); err != nil {
-					t.Fatal(err)
-				}
-			}
-			// executionsAtHost returns how many of the next requests of the member's clients are executed at the host.
-			executionsAtHost := func() int {
-				stop := f.StartLoad(member)
-				defer func() {
-					if _, err := stop(); err != nil {
-						t.Error(err)
-					}
-					f.Seed++
-				}()
-				time.Sleep(drainGracePeriod)
-				before, total := f.Hosts.Ledger.ExecutionsAt(host), f.Hosts.Ledger.Count().Executions
-				waitUntil("a hundred executions", func() bool { return f.Hosts.Ledger.Count().Executions >= total+100 })
-				return f.Hosts.Ledger.ExecutionsAt(host) - before
-			}
-			if executionsAtHost() == 0 {
-				t.Error("before the override: got no request at the host")
-			}
-			ctl(2, "drain", "nothing/"+host)
-			ctl(1, "drain", "calendar/"+host, "--until", "yesterday")
-			ctl(0, "drain", "calendar/"+host, "--reason", "a disk is to be changed", "--until", "1h")
+			o := &overrideTest{T: t, fleet: f, host: f.Hosts.Nodes[0].Name, member: f.Gateways[3]}
+			o.checkHostInUse("before the override")
+			o.ctl(2, "drain", "nothing/"+o.host)
+			o.ctl(1, "drain", "calendar/"+o.host, "--until", "yesterday")
+			o.ctl(0, "drain", "calendar/"+o.host, "--reason", "a disk is to be changed", "--until", "1h")
 			for _, g := range f.Gateways {
-				waitUntil(g.Name+" has the override", func() bool {
+				o.waitUntil(g.Name+" has the override", func() bool {
 					s, err := g.Status()
-					return err == nil && len(s.Overrides) == 1 && s.Overrides[0].Host == host
+					return err == nil && len(s.Overrides) == 1 && s.Overrides[0].Host == o.host
 				})
 			}
-			if n := executionsAtHost(); n > 0 {
+			if n := o.executionsAtHost(); n > 0 {
 				t.Errorf("got %d requests at a draining host, want 0", n)
 			}
-			for _, g := range f.Gateways {
-				g.Kill()
-			}
-			if err := member.Start(); err != nil {
-				t.Fatal(err)
-			}
-			waitUntil("the member responds", func() bool { _, err := member.Status(); return err == nil })
-			if n := executionsAtHost(); (n > 0) != (failpoint != "") {
+			o.startMemberAlone()
+			if n := o.executionsAtHost(); (n > 0) != (failpoint != "") {
 				t.Errorf("failpoint %q: got %d requests at a draining host, from a gateway that started alone", failpoint, n)
 			}
 			if err := f.Heal(); err != nil {
 				t.Fatal(err)
 			}
 			waitConverged(t, f)
-			waitUntil("the member has the override again", func() bool { s, err := member.Status(); return err == nil && len(s.Overrides) == 1 })
-			ctl(0, "undrain", "calendar/"+host)
-			ctl(2, "undrain", "calendar/"+host)
-			waitUntil("the override is removed", func() bool { s, err := member.Status(); return err == nil && len(s.Overrides) == 0 })
-			if executionsAtHost() == 0 {
-				t.Error("after the override: got no request at the host")
-			}
+			o.waitUntil("the member has the override again", func() bool { return o.memberHasOverrides(1) })
+			o.ctl(0, "undrain", "calendar/"+o.host)
+			o.ctl(2, "undrain", "calendar/"+o.host)
+			o.waitUntil("the override is removed", func() bool { return o.memberHasOverrides(0) })
+			o.checkHostInUse("after the override")
 			if n := strings.Count(f.LogText(), "operator overrides changed"); n < 2*len(f.Gateways) {
 				t.Errorf("got %d log lines of changed overrides, want at least %d", n, 2*len(f.Gateways))
 			}
 		})
 	}
 }
+
+// overrideTest is a fleet in which operators override a host.
+type overrideTest struct {
+	*testing.T
+	fleet  *Fleet
+	host   string
+	member *Gateway // without a replica
+}
+
+// ctl runs the operators' program at another gateway than the member, and checks its exit code.
+func (o *overrideTest) ctl(code int, args ...string) {
+	o.Helper()
+	cmd := exec.Command(dunemoorctl, append([]string{"fleet", "--admin", o.fleet.Gateways[1].admin}, args...)...)
+	if out, _ := cmd.CombinedOutput(); cmd.ProcessState.ExitCode() != code {
+		o.Fatalf("%q: got exit code %d, want %d: %s", args, cmd.ProcessState.ExitCode(), code, out)
+	}
+}
+
+func (o *overrideTest) waitUntil(what string, condition func() bool) {
+	o.Helper()
+	if err := o.fleet.WaitUntil(context.Background(), what, convergeTimeout, condition); err != nil {
+		o.Fatal(err)
+	}
+}
+
+// executionsAtHost returns how many of the next requests of the member's clients are executed at the host.
+func (o *overrideTest) executionsAtHost() int {
+	o.Helper()
+	f := o.fleet
+	stop := f.StartLoad(o.member)
+	defer func() {
+		if _, err := stop(); err != nil {
+			o.Error(err)
+		}
+		f.Seed++
+	}()
+	time.Sleep(drainGracePeriod)
+	before, total := f.Hosts.Ledger.ExecutionsAt(o.host), f.Hosts.Ledger.Count().Executions
+	o.waitUntil("a hundred executions", func() bool { return f.Hosts.Ledger.Count().Executions >= total+100 })
+	return f.Hosts.Ledger.ExecutionsAt(o.host) - before
+}
+
+// checkHostInUse checks that the host gets requests.
+func (o *overrideTest) checkHostInUse(when string) {
+	o.Helper()
+	if o.executionsAtHost() == 0 {
+		o.Errorf("%s: got no request at the host", when)
+	}
+}
+
+// startMemberAlone kills all gateways and starts the member, which responds when it returns.
+func (o *overrideTest) startMemberAlone() {
+	o.Helper()
+	for _, g := range o.fleet.Gateways {
+		g.Kill()
+	}
+	if err := o.member.Start(); err != nil {
+		o.Fatal(err)
+	}
+	o.waitUntil("the member responds", func() bool { _, err := o.member.Status(); return err == nil })
+}
+
+// memberHasOverrides reports whether the member responds and knows as many overrides.
+func (o *overrideTest) memberHasOverrides(count int) bool {
+	s, err := o.member.Status()
+	return err == nil && len(s.Overrides) == count
+}
