--- a/internal/experiment/simulator/faults.go
+++ b/internal/experiment/simulator/faults.go
@@ -108,9 +108,9 @@
 	s.setState(h, balancer.Removed, s.config.Endpoints.UpdateDelay)
 }
 
-// impairment is what all active faults of a host make of it.
+// impairment is what all active faults of a host make of it. A host without faults is unimpaired.
 type impairment struct {
-	down          bool
+	down          bool // it must not run
 	silent        bool // packets to it get lost
 	draining      bool
 	hung          bool
@@ -121,6 +121,9 @@
 	lossyShare    float64 // share of the responses that get lost or are resets
 }
 
+// unimpaired is the impairment of a host without faults.
+var unimpaired = impairment{slowdown: 1}
+
 // listedState is the state of a running host in endpoint lists.
 func (i *impairment) listedState() balancer.HostState {
 	if i.draining {
@@ -132,7 +135,7 @@
 // impairmentOf combines the active faults of a host. They may overlap: the host is down until the last fault
 // that has it down has ended, and as slow as the worst makes it.
 func (s *simulation) impairmentOf(h *host) impairment {
-	result := impairment{slowdown: 1}
+	result := unimpaired
 	for _, index := range h.activeFaults {
 		f := &s.config.Faults[index]
 		switch f.Kind {
@@ -163,7 +166,7 @@
 // changeHostFaults adds a fault to a host, or removes it.
 func (s *simulation) changeHostFaults(h *host, index int, begins bool) {
 	s.advance(h)
-	before := s.impairmentOf(h)
+	before := h.impairment
 	if begins {
 		h.activeFaults = append(h.activeFaults, index)
 	} else {
@@ -171,13 +174,8 @@
 	}
 	now := s.impairmentOf(h)
 	s.changeProcess(h, &before, &now, s.config.Faults[index].Kind)
-	h.silent = now.silent
-	h.hung = now.hung
-	h.responsesLost = now.responsesLost
-	h.slowdown = now.slowdown
-	h.errorShare = now.errorShare
-	h.lossyShare = now.lossyShare
-	s.changePartition(h, &now)
+	h.impairment = now
+	s.changePartition(h, &before, &now)
 	s.reschedule(h)
 }
 
@@ -203,15 +201,14 @@
 }
 
 // changePartition partitions a host or connects it again.
-func (s *simulation) changePartition(h *host, now *impairment) {
-	if now.partitioned && !h.partitioned {
+func (s *simulation) changePartition(h *host, before, now *impairment) {
+	if now.partitioned && !before.partitioned {
 		s.partition(h)
 	}
-	connectedAgain := h.partitioned && !now.partitioned
+	connectedAgain := before.partitioned && !now.partitioned
 	if connectedAgain && !now.down && h.state == balancer.Removed {
 		s.setState(h, now.listedState(), s.config.Endpoints.UpdateDelay)
 	}
-	h.partitioned = now.partitioned
 }
 
 // partition cuts a host off. Gateways that see resets lose their connections and attempts at once.
--- a/internal/experiment/simulator/faults_overlap_test.go
+++ b/internal/experiment/simulator/faults_overlap_test.go
@@ -71,7 +71,7 @@
 // know before the host has responded. Too much work for a warming host is still a violation.
 func TestWarmingRuleIgnoresSlowness(t *testing.T) {
 	c := smallFleet(1)
-	h := &host{HostGroup: c.Hosts[0], running: true, slowdown: 18, startedAt: 10 * time.Second}
+	h := &host{HostGroup: c.Hosts[0], running: true, impairment: impairment{slowdown: 18}, startedAt: 10 * time.Second}
 	s := &simulation{config: c, summary: &Summary{}, now: 10 * time.Second, maxMeanWork: 0.02}
 	r := &request{work: 0.02}
 	for range 20 { // 0.4 s of work, of 1.2 s that are allowed at 0.3 of two cores, and slack
--- a/internal/experiment/simulator/host.go
+++ b/internal/experiment/simulator/host.go
@@ -20,15 +20,9 @@
 	startedAt   balancer.Time // 0: before the run
 	incarnation uint32        // counts its stops
 
-	activeFaults  []int // indexes of the faults
-	silent        bool  // packets to it get lost
-	hung          bool
-	responsesLost bool
-	partitioned   bool
-	replaced      bool
-	slowdown      float64 // factor of 1 or more
-	errorShare    float64 // share of the responses that are immediate errors
-	lossyShare    float64 // share of the responses that get lost or are resets
+	activeFaults []int // indexes of the faults
+	impairment         // by activeFaults; changed by changeHostFaults alone
+	replaced     bool
 
 	congested      bool
 	congestedSince balancer.Time // since when it holds CongestionStart requests a core; 0: it doesn't
@@ -91,7 +85,7 @@
 // addHost adds a host that isn't running.
 func (s *simulation) addHost(group HostGroup, cell int) *host {
 	id := len(s.hosts)
-	h := &host{HostGroup: group, id: id, cell: cell, random: newStream(s.config.Seed, streamErrors, id), slowdown: 1}
+	h := &host{HostGroup: group, id: id, cell: cell, random: newStream(s.config.Seed, streamErrors, id), impairment: unimpaired}
 	s.hosts = append(s.hosts, h)
 	return h
 }
@@ -99,8 +93,6 @@
 // startHost starts a host's process, which begins to warm up.
 func (s *simulation) startHost(h *host) {
 	h.running = true
-	h.silent = false
-	h.hung = false
 	h.startedAt = s.now
 	h.advancedAt = s.now
 	window := s.config.Settings.SlowStartWindow
--- a/internal/experiment/simulator/host_test.go
+++ b/internal/experiment/simulator/host_test.go
@@ -15,7 +15,7 @@
 	var means []float64
 	for i := range uint64(runs) {
 		s := &simulation{summary: &Summary{}, config: Config{Settings: balancer.Settings{Classes: make([]balancer.Class, 1)}}}
-		h := &host{HostGroup: group, running: true, slowdown: 1}
+		h := &host{HostGroup: group, running: true, impairment: unimpaired}
 		s.hosts = []*host{h}
 		arrivals, work := newStream(seed+i, "arrive", 0), newStream(seed+i, "work", 0)
 		arrived, served, total := 0, 0, 0.0
--- a/internal/experiment/simulator/rules_test.go
+++ b/internal/experiment/simulator/rules_test.go
@@ -19,7 +19,7 @@
 	second := time.Second
 	c := smallFleet(1)
 	s := &simulation{config: c, summary: &Summary{Classes: make([]ClassSummary, 3), Gateways: make([]GatewaySummary, 1)}, now: 10 * second, maxMeanWork: 0.02}
-	h := &host{HostGroup: c.Hosts[0], running: true, slowdown: 1, drainNoticeAt: make([]balancer.Time, 1)}
+	h := &host{HostGroup: c.Hosts[0], running: true, impairment: unimpaired, drainNoticeAt: make([]balancer.Time, 1)}
 	g := &gateway{networkRandom: newStream(1, streamNetwork, 0), idleConnections: map[int]connectionSet{}, openRequests: map[balancer.RequestID]*request{}}
 	r := &request{id: 7, class: 1, gateway: g, sentAt: s.now, deadline: s.now + second, work: 0.02, retries: 99}
 	s.hosts, s.gateways, g.openRequests[7] = []*host{h}, []*gateway{g}, r
@@ -59,7 +59,7 @@
 		}},
 		"idempotency key outside its scope": {RuleTwice, func(u ruleRun) {
 			u.request.class = 2
-			u.receiveTwice(0, &host{HostGroup: u.host.HostGroup, id: 5, cell: 5, slowdown: 1})
+			u.receiveTwice(0, &host{HostGroup: u.host.HostGroup, id: 5, cell: 5, impairment: unimpaired})
 		}},
 		"attempt after the response": {RuleLost, func(u ruleRun) { u.request.done = true; u.sendAttempt() }},
 		"two responses": {RuleLost, func(u ruleRun) {
