--- a/internal/experiment/scenariosearch/mutate.go
+++ b/internal/experiment/scenariosearch/mutate.go
@@ -17,10 +17,12 @@
 	minHosts = 2
 	// minDuration is the shortest fault or burst.
 	minDuration = 500 * time.Millisecond
-	// timeGrain and shareGrain are what drawn times and numbers are rounded to.
-	timeGrain  = 10 * time.Millisecond
-	shareGrain = 1000
-	rateGrain  = 100
+	// timeStep is what drawn times are rounded to.
+	timeStep = 10 * time.Millisecond
+	// numberSteps: drawn numbers are rounded to this part of 1.
+	numberSteps = 1000
+	// rateSteps: rates are rounded to this part of a request per second.
+	rateSteps = 100
 )
 
 // estimatedFaults are the kinds of fault that PossibleShare estimates.
@@ -150,11 +152,11 @@
 }
 
 func (s *Search) drawNumber(low, high float64) float64 {
-	return math.Round((low+s.random.Float64()*(high-low))*shareGrain) / shareGrain
+	return math.Round((low+s.random.Float64()*(high-low))*numberSteps) / numberSteps
 }
 
 func (s *Search) drawTime(low, high time.Duration) time.Duration {
-	return (low + time.Duration(s.random.Float64()*float64(high-low))).Round(timeGrain)
+	return (low + time.Duration(s.random.Float64()*float64(high-low))).Round(timeStep)
 }
 
 // drawLogUniform draws a whole number from low to high whose logarithm is uniform.
@@ -178,7 +180,7 @@
 // scaleLoad multiplies the rates of all classes.
 func scaleLoad(c *simulator.Config, factor float64) {
 	for i := range c.Classes {
-		c.Classes[i].Rate = math.Round(c.Classes[i].Rate*factor*rateGrain) / rateGrain
+		c.Classes[i].Rate = math.Round(c.Classes[i].Rate*factor*rateSteps) / rateSteps
 	}
 }
 
--- a/internal/experiment/simulator/clients.go
+++ b/internal/experiment/simulator/clients.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"math"
 	"slices"
 	"time"
 
@@ -23,6 +22,7 @@
 	gateway            *gateway
 	gatewayIncarnation uint32
 	done               bool // the client has a response or has left
+	leftEarly          bool // the client has left before its deadline, and doesn't retry
 	responses          int
 	attempts           []attempt
 
@@ -202,7 +202,7 @@
 	if immediate {
 		limit *= immediateRetryFactor
 	}
-	if o == outcomeServed || r.retries >= limit {
+	if o == outcomeServed || r.leftEarly || r.retries >= limit {
 		s.countOutcome(r, o)
 		return
 	}
@@ -276,10 +276,8 @@
 		s.violation(RuleLost, "request %d has no response at its deadline", r.id)
 	}
 	r.done = true
+	r.leftEarly = early
 	s.deliver(r.gateway, func() { r.gateway.balancer.ClientGone(s.now, r.id) })
-	if early {
-		r.retries = math.MaxInt // the client doesn't retry
-	}
 	s.clientDone(r, outcomeAbandoned, 0)
 	if early {
 		s.forgetIfDone(r)
--- a/internal/experiment/simulator/discovery.go
+++ b/internal/experiment/simulator/discovery.go
@@ -75,7 +75,7 @@
 func (s *simulation) poll(g *gateway) {
 	s.currentSecond().Polls++
 	g.polls++
-	e := event{kind: eventPollDone, index: int32(g.id), incarnation: g.polls}
+	e := event{kind: eventPollDone, index: int32(g.id), poll: g.polls}
 	start := max(s.now, s.discoveryBusyUntil)
 	switch {
 	case s.discoveryOutages > 0:
@@ -90,10 +90,10 @@
 	s.queue.push(e)
 }
 
-// pollDone is the end of a poll: it returns the full list, and changes from then on. number identifies the
-// poll; one from before a stop of the gateway, or followed by another, is ignored.
-func (s *simulation) pollDone(g *gateway, number uint32, succeeded bool) {
-	if !g.running || number != g.polls {
+// pollDone is the end of a poll, which is identified by its number: the gateway gets the full list, and changes
+// from then on. A poll that another one has followed is ignored.
+func (s *simulation) pollDone(g *gateway, poll uint32, succeeded bool) {
+	if !g.running || poll != g.polls {
 		return
 	}
 	g.watching = succeeded && s.discoveryOutages == 0
--- a/internal/experiment/simulator/eventqueue.go
+++ b/internal/experiment/simulator/eventqueue.go
@@ -30,7 +30,8 @@
 	sequence    uint64 // orders events at the same instant: first scheduled, first run
 	kind        eventKind
 	index       int32  // a gateway, a host, a class, a fault or a result
-	incarnation uint32 // of the gateway, for its timers and polls
+	incarnation uint32 // of the gateway that set a timer
+	poll        uint32 // number of a poll, counted by its gateway
 	number      uint64
 	request     *request
 }
--- a/internal/experiment/simulator/simulation.go
+++ b/internal/experiment/simulator/simulation.go
@@ -180,7 +180,7 @@
 	case eventEndpointUpdate:
 		s.updateEndpoint(s.gateways[e.index], s.hosts[e.number])
 	case eventPollDone:
-		s.pollDone(s.gateways[e.index], e.incarnation, e.number == 1)
+		s.pollDone(s.gateways[e.index], e.poll, e.number == 1)
 	case eventPartitionDetected:
 		s.partitionDetected(s.hosts[e.index])
 	case eventSecond:
