--- a/cmd/experiment/scale_fleet.go
+++ b/cmd/experiment/scale_fleet.go
@@ -169,7 +169,6 @@
 		ownRates := own.ByProcess[p].Since(first.ByProcess[p])
 		rates.DiskSyncs = ownRates.DiskSyncs
 		rates.FrameBytesSent = ownRates.FrameBytesSent
-		rates.FramesSent = ownRates.FramesSent
 		u.rates[p] = rates
 	}
 	u.sentBytes, u.loopbackBytes = last.SentSince(first)
--- a/internal/experiment/fakes/webserver.go
+++ b/internal/experiment/fakes/webserver.go
@@ -18,13 +18,13 @@
 // WebServer is a web server that forwards requests by FastCGI, many at once on a few connections. It is an
 // http.RoundTripper, so that clients of HTTP can send through it.
 type WebServer struct {
-	Addr           string // a loopback address
-	MaxConnections int    // 0: 4; a gateway rejects more than fastcgi.MaxRequestsPerConn requests at once on one
+	Addr           string       // a loopback address
+	MaxConnections int          // 0: 4; a gateway rejects more than fastcgi.MaxRequestsPerConn requests at once on one
+	Aborts         atomic.Int64 // requests that were aborted as their client left
 
 	mu          sync.Mutex // guards the fields below
 	connections []*webConn
 	next        int // index in connections
-	Aborts      atomic.Int64
 }
 
 const (
@@ -148,7 +148,7 @@
 	return &http.Response{StatusCode: status, Header: header, Body: io.NopCloser(bytes.NewReader(body)), Request: r}, nil
 }
 
-// connection returns the connections in turn. One that has ended is opened again.
+// connection returns one of the connections, each in turn. It opens one that is not open.
 func (s *WebServer) connection() (*webConn, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/experiment/scaletest/hollow/usage.go
+++ b/internal/experiment/scaletest/hollow/usage.go
@@ -9,7 +9,6 @@
 const (
 	metricDiskSyncs      = "disk_syncs_total"
 	metricFrameBytesSent = "frame_bytes_sent_total"
-	metricFramesSent     = "frames_sent_total"
 )
 
 // ProcessUsage is what a process has used up to a time.
@@ -151,7 +150,6 @@
 	Span           time.Duration // between the measurements
 	DiskSyncs      float64       // fsyncs of the write-ahead log
 	FrameBytesSent float64       // bytes of frames sent, by the process's own metrics
-	FramesSent     float64       // frames sent, by the process's own metrics
 }
 
 // Since returns a process's rates since an earlier measurement.
@@ -166,7 +164,6 @@
 	rate := func(metric string) float64 { return (u.Metrics[metric] - earlier.Metrics[metric]) / seconds }
 	r.DiskSyncs = rate(metricDiskSyncs)
 	r.FrameBytesSent = rate(metricFrameBytesSent)
-	r.FramesSent = rate(metricFramesSent)
 	return r
 }
 
