--- a/cmd/experiment/scale_config.go
+++ b/cmd/experiment/scale_config.go
@@ -63,8 +63,8 @@
 }
 
 // routeRules returns routes to pools, routesPerHost paths for each host name.
-func routeRules(n, pools int) (rules []route.Rule) {
-	for i := range n {
+func routeRules(routes, pools int) (rules []route.Rule) {
+	for i := range routes {
 		rules = append(rules, route.Rule{
 			Name: fmt.Sprintf("route-%d", i), Line: i + 1, Hosts: []string{fmt.Sprintf("shop-%d.example.org", i/routesPerHost)}, Path: fmt.Sprintf("/part-%d", i%routesPerHost),
 			Split: []route.Share{{Pool: fmt.Sprintf("pool-%d", i%pools), Weight: 1}},
@@ -74,19 +74,19 @@
 }
 
 // routesConfig returns the routes of routeRules as tables of a configuration.
-func routesConfig(n, pools int) string {
+func routesConfig(routes, pools int) string {
 	var b strings.Builder
-	for _, r := range routeRules(n, pools) {
+	for _, r := range routeRules(routes, pools) {
 		fmt.Fprintf(&b, "[[route]]\nname = %q\nhosts = [%q]\npath = %q\npool = %q\nclass = \"lookup\"\n", r.Name, r.Hosts[0], r.Path, r.Split[0].Pool)
 	}
 	return b.String()
 }
 
 // tenantsConfig returns tenants and the limits that they share.
-func tenantsConfig(n int) string {
+func tenantsConfig(tenants int) string {
 	var b strings.Builder
 	b.WriteString("[limits.tenants]\nrate = 100000\nconcurrent = 10000\n")
-	for i := range n {
+	for i := range tenants {
 		fmt.Fprintf(&b, "[[tenant]]\nname = \"tenant-%d\"\n", i)
 	}
 	return b.String()
--- a/cmd/experiment/scale_hosts.go
+++ b/cmd/experiment/scale_hosts.go
@@ -21,13 +21,13 @@
 }
 
 // writeHosts writes hosts in the form of discovery's full list; the last one is in the given state.
-func writeHosts(path string, n int, lastState string) error {
+func writeHosts(path string, hosts int, lastState string) error {
 	var b bytes.Buffer
 	b.WriteString(`{"version": 1, "full": true, "servers": [` + "\n")
-	for i := range n {
+	for i := range hosts {
 		state := "ready"
 		comma := ","
-		if i == n-1 {
+		if i == hosts-1 {
 			state = lastState
 			comma = ""
 		}
@@ -50,9 +50,9 @@
 	}
 	path := filepath.Join(dir, "hosts.json")
 	config := fmt.Sprintf("[[pool]]\nname = \"pool-0\"\nmembers_file = %q\n", path) + routesConfig(1, 1)
-	for _, n := range sizes {
-		if err := s.addHosts(ctx, env, n, path, config); err != nil {
-			return nil, fmt.Errorf("%d hosts: %w", n, err)
+	for _, size := range sizes {
+		if err := s.addHosts(ctx, env, size, path, config); err != nil {
+			return nil, fmt.Errorf("%d hosts: %w", size, err)
 		}
 	}
 	r.Series = s.list
@@ -74,9 +74,9 @@
 )
 
 // addHosts measures one number of hosts.
-func (s *seriesSet) addHosts(ctx context.Context, env *scaleEnv, n int, path, config string) error {
-	fmt.Fprintf(env.progress, "%d hosts\n", n)
-	if err := writeHosts(path, n, "ready"); err != nil {
+func (s *seriesSet) addHosts(ctx context.Context, env *scaleEnv, size int, path, config string) error {
+	fmt.Fprintf(env.progress, "%d hosts\n", size)
+	if err := writeHosts(path, size, "ready"); err != nil {
 		return err
 	}
 	head, err := configHead()
@@ -100,23 +100,23 @@
 	if err != nil {
 		return err
 	}
-	s.addCPU(n, "start", startCPU, 1)
-	s.add(n, "resident at rest", "MB", 1, resident)
-	s.add(n, "peak of the start", "MB", 1, peak)
-	s.addCPU(n, "a second at rest", idleCPU, 3)
+	s.addCPU(size, "start", startCPU, 1)
+	s.add(size, "resident at rest", "MB", 1, resident)
+	s.add(size, "peak of the start", "MB", 1, peak)
+	s.addCPU(size, "a second at rest", idleCPU, 3)
 	changes := hostChanges
 	if env.small {
 		changes = smallHostChanges
 	}
-	changeCPU, err := g.hostChangeCost(ctx, n, changes, path, idleCPU)
+	changeCPU, err := g.hostChangeCost(ctx, size, changes, path, idleCPU)
 	if err != nil {
 		return err
 	}
-	s.addCPU(n, "a change of one host", changeCPU, changes)
+	s.addCPU(size, "a change of one host", changeCPU, changes)
 	if _, peak, err = g.memory(); err != nil {
 		return err
 	}
-	s.add(n, "peak with changes", "MB", 1, peak)
+	s.add(size, "peak with changes", "MB", 1, peak)
 	return nil
 }
 
--- a/cmd/experiment/scale_mesh.go
+++ b/cmd/experiment/scale_mesh.go
@@ -29,8 +29,8 @@
 			if err != nil {
 				return nil, err
 			}
-			return measureMesh(ctx, env, sizes, func(n int) hollow.Options {
-				return hollow.Options{Program: binary, RealMembers: n, Gateways: n, Pools: 1}
+			return measureMesh(ctx, env, sizes, func(size int) hollow.Options {
+				return hollow.Options{Program: binary, RealMembers: size, Gateways: size, Pools: 1}
 			})
 		},
 	})
@@ -45,13 +45,13 @@
 func measureMesh(ctx context.Context, env *scaleEnv, sizes []int, options func(size int) hollow.Options) (*scaletest.Report, error) {
 	s := &seriesSet{by: "gateway", targetSize: targetGateways}
 	r := &scaletest.Report{}
-	err := forEachFleet(ctx, env, sizes, options, func(f *hollow.Fleet, n int) error {
+	err := forEachFleet(ctx, env, sizes, options, func(f *hollow.Fleet, size int) error {
 		usage, err := measureUsage(ctx, f, env.countTime())
 		if err != nil {
 			return err
 		}
-		s.addUsageByRole(f, usage, n)
-		r.Notes = append(r.Notes, fmt.Sprintf("%d gateways: %s%s", n, usage.describeTraffic(), usage.describePacked(f)))
+		s.addUsageByRole(f, usage, size)
+		r.Notes = append(r.Notes, fmt.Sprintf("%d gateways: %s%s", size, usage.describeTraffic(), usage.describePacked(f)))
 		return nil
 	})
 	if err != nil {
--- a/cmd/experiment/scale_module.go
+++ b/cmd/experiment/scale_module.go
@@ -38,8 +38,8 @@
 	now      time.Duration
 }
 
-func moduleHosts(n int) []balancer.Host {
-	hosts := make([]balancer.Host, n)
+func moduleHosts(count int) []balancer.Host {
+	hosts := make([]balancer.Host, count)
 	for i := range hosts {
 		hosts[i] = balancer.Host{ID: balancer.HostID(i + 1), Zone: i % 10, Cell: i / hostsPerCell, Kind: 1}
 	}
@@ -123,9 +123,9 @@
 	if env.small {
 		changes, requests = 50, 100
 	}
-	for _, n := range sizes {
-		fmt.Fprintf(env.progress, "%d hosts in the module\n", n)
-		if err := s.addModule(n, changes, requests); err != nil {
+	for _, size := range sizes {
+		fmt.Fprintf(env.progress, "%d hosts in the module\n", size)
+		if err := s.addModule(size, changes, requests); err != nil {
 			return nil, err
 		}
 	}
@@ -133,8 +133,8 @@
 }
 
 // addModule measures one number of hosts.
-func (s *seriesSet) addModule(n, changes, requests int) error {
-	hosts := moduleHosts(n)
+func (s *seriesSet) addModule(size, changes, requests int) error {
+	hosts := moduleHosts(size)
 	before := heapBytes() // without the list of hosts, which is the caller's
 	m, err := newModuleBench(hosts)
 	if err != nil {
@@ -142,17 +142,17 @@
 	}
 	startedAt := time.Now()
 	m.update(balancer.ListFull, m.hosts)
-	s.add(n, "the first list", "ms", 0.01, float64(time.Since(startedAt).Microseconds())/1000)
-	s.add(n, "memory of the module", "KB", 4, (heapBytes()-before)/1024)
+	s.add(size, "the first list", "ms", 0.01, float64(time.Since(startedAt).Microseconds())/1000)
+	s.add(size, "memory of the module", "KB", 4, (heapBytes()-before)/1024)
 	startedAt = time.Now()
 	m.changeHosts(changes)
-	s.add(n, "a change of one host", "us", 0.1, mean(startedAt, changes)/1e3)
+	s.add(size, "a change of one host", "us", 0.1, mean(startedAt, changes)/1e3)
 	startedAt = time.Now()
 	lists := m.replaceLists(changes / 10)
-	s.add(n, "a whole list with one change", "ms", 0.001, mean(startedAt, lists)/1e6)
+	s.add(size, "a whole list with one change", "ms", 0.001, mean(startedAt, lists)/1e6)
 	startedAt = time.Now()
 	sent := m.sendRequests(requests)
-	s.add(n, "a request", "ns", 10, mean(startedAt, sent))
+	s.add(size, "a request", "ns", 10, mean(startedAt, sent))
 	runtime.KeepAlive(m)
 	return nil
 }
--- a/cmd/experiment/scale_record.go
+++ b/cmd/experiment/scale_record.go
@@ -39,15 +39,15 @@
 	if env.small {
 		leases = smallSimulatedLeases
 	}
-	for _, n := range sizes {
+	for _, size := range sizes {
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
 		startedAt := time.Now()
-		if _, err := sim.Measure(sim.Options{Seed: 1, Nodes: n, Replicas: min(fleetReplicas, n), Leases: leases}); err != nil {
+		if _, err := sim.Measure(sim.Options{Seed: 1, Nodes: size, Replicas: min(fleetReplicas, size), Leases: leases}); err != nil {
 			return nil, err
 		}
-		s.add(n, "a fleet played", "s", 0.02, time.Since(startedAt).Seconds())
+		s.add(size, "a fleet played", "s", 0.02, time.Since(startedAt).Seconds())
 	}
 	return &scaletest.Report{Series: s.list}, nil
 }
@@ -59,23 +59,23 @@
 // goroutine does all of it.
 func measureRecord(ctx context.Context, env *scaleEnv, sizes []int) (*scaletest.Report, error) {
 	s := &seriesSet{by: "gateway", targetSize: targetGateways}
-	for _, n := range sizes {
+	for _, size := range sizes {
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
-		state := newCoordinationState(n, min(simulatedLeases, 10*n))
+		state := newCoordinationState(size, min(simulatedLeases, 10*size))
 		tracker := lease.NewExpiryTracker(0)
 		for id := range state.Sessions {
 			tracker.Renew(id, time.Hour)
 		}
 		answer := microseconds(env, func() { state.DeltaSince(state.Revision) })
-		s.add(n, "an answer to a renewal, nothing new", "us", 0.1, answer)
-		s.add(n, renewalAnswers, "ms/s", 0.1, answer*float64(n)/1000)
-		s.add(n, "sessions that have lapsed, none", "us", 0.1, microseconds(env, func() { tracker.Expired(time.Hour, state) }))
-		s.add(n, "duties to be given, none", "us", 0.1, microseconds(env, func() { lease.AssignFree(state) }))
-		s.add(n, "duties to be evened out, none", "us", 0.1, microseconds(env, func() { lease.Rebalance(state) }))
-		s.add(n, "a whole view", "KB of JSON", 0.1, float64(len(encodeFullDelta(state)))/1000)
-		s.add(n, "a snapshot", "us", 0.1, microseconds(env, func() { state.Encode() }))
+		s.add(size, "an answer to a renewal, nothing new", "us", 0.1, answer)
+		s.add(size, renewalAnswers, "ms/s", 0.1, answer*float64(size)/1000)
+		s.add(size, "sessions that have lapsed, none", "us", 0.1, microseconds(env, func() { tracker.Expired(time.Hour, state) }))
+		s.add(size, "duties to be given, none", "us", 0.1, microseconds(env, func() { lease.AssignFree(state) }))
+		s.add(size, "duties to be evened out, none", "us", 0.1, microseconds(env, func() { lease.Rebalance(state) }))
+		s.add(size, "a whole view", "KB of JSON", 0.1, float64(len(encodeFullDelta(state)))/1000)
+		s.add(size, "a snapshot", "us", 0.1, microseconds(env, func() { state.Encode() }))
 	}
 	return &scaletest.Report{Series: s.list, Breaks: s.renewalLimit()}, nil
 }
--- a/cmd/experiment/scale_relay_losses.go
+++ b/cmd/experiment/scale_relay_losses.go
@@ -51,8 +51,8 @@
 func measureRelayLosses(ctx context.Context, env *scaleEnv, sizes []int) (*scaletest.Report, error) {
 	s := &seriesSet{by: "gateway", targetSize: targetGateways}
 	r := &scaletest.Report{}
-	for _, n := range sizes {
-		notes, err := s.addRelayLosses(ctx, env, n)
+	for _, size := range sizes {
+		notes, err := s.addRelayLosses(ctx, env, size)
 		if err != nil {
 			return nil, err
 		}
@@ -63,8 +63,8 @@
 }
 
 // addRelayLosses injects the faults into one fleet.
-func (s *seriesSet) addRelayLosses(ctx context.Context, env *scaleEnv, n int) (notes []string, _ error) {
-	f, stop, err := startRelayFleet(ctx, env, n)
+func (s *seriesSet) addRelayLosses(ctx context.Context, env *scaleEnv, size int) (notes []string, _ error) {
+	f, stop, err := startRelayFleet(ctx, env, size)
 	if err != nil {
 		return nil, err
 	}
@@ -75,7 +75,7 @@
 		return nil, errors.New("there is no leader")
 	}
 	for _, fault := range relayFaults(f, leader) {
-		note, err := s.addRelayFault(ctx, env, f, n, fault)
+		note, err := s.addRelayFault(ctx, env, f, size, fault)
 		if err != nil {
 			return nil, err
 		}
@@ -105,7 +105,7 @@
 }
 
 // addRelayFault injects a fault, and measures until all gateways have a relay.
-func (s *seriesSet) addRelayFault(ctx context.Context, env *scaleEnv, f *hollow.Fleet, n int, fault relayFault) (note string, _ error) {
+func (s *seriesSet) addRelayFault(ctx context.Context, env *scaleEnv, f *hollow.Fleet, size int, fault relayFault) (note string, _ error) {
 	duration := 6 * time.Second // two sessions: those that expire have done so by then
 	if env.small {
 		duration = time.Second
@@ -129,14 +129,14 @@
 		return "", err
 	}
 	expired := len(f.Events(sessionExpired, injectedAt))
-	s.add(n, fault.name, "gateways that moved", 1, float64(len(delays)))
-	s.add(n, fault.name, "s until half of them were with another", 0.01, quantile(delays, 0.5))
-	s.add(n, fault.name, "s, 99 in 100", 0.01, quantile(delays, 0.99))
-	s.add(n, fault.name, "s, the last", 0.01, quantile(delays, 1))
-	s.add(n, fault.name, "sessions lapsed", 1, float64(expired))
-	s.add(n, fault.name, "KB on the loopback in the busiest second", 1, peak/1000)
+	s.add(size, fault.name, "gateways that moved", 1, float64(len(delays)))
+	s.add(size, fault.name, "s until half of them were with another", 0.01, quantile(delays, 0.5))
+	s.add(size, fault.name, "s, 99 in 100", 0.01, quantile(delays, 0.99))
+	s.add(size, fault.name, "s, the last", 0.01, quantile(delays, 1))
+	s.add(size, fault.name, "sessions lapsed", 1, float64(expired))
+	s.add(size, fault.name, "KB on the loopback in the busiest second", 1, peak/1000)
 	return fmt.Sprintf("%d gateways, %s (%d): seen whole %.1f s after it, looked for from %v on; without a relay at last %d; streams %s",
-		n, fault.name, len(fault.relays), recovery.Seconds(), duration, without, describeStreams(f)), nil
+		size, fault.name, len(fault.relays), recovery.Seconds(), duration, without, describeStreams(f)), nil
 }
 
 // inject injects the fault and waits for its duration. Relays that were paused run again afterwards.
--- a/cmd/experiment/scale_relays.go
+++ b/cmd/experiment/scale_relays.go
@@ -66,8 +66,8 @@
 func measureRelays(ctx context.Context, env *scaleEnv, sizes []int) (*scaletest.Report, error) {
 	s := &seriesSet{by: "gateway", targetSize: targetGateways}
 	r := &scaletest.Report{}
-	for _, n := range sizes {
-		note, err := s.addRelayFleet(ctx, env, n)
+	for _, size := range sizes {
+		note, err := s.addRelayFleet(ctx, env, size)
 		if err != nil {
 			return nil, err
 		}
@@ -79,9 +79,9 @@
 }
 
 // addRelayFleet measures a fleet with relays at rest, and then an override.
-func (s *seriesSet) addRelayFleet(ctx context.Context, env *scaleEnv, n int) (note string, _ error) {
+func (s *seriesSet) addRelayFleet(ctx context.Context, env *scaleEnv, size int) (note string, _ error) {
 	startedAt := time.Now()
-	f, stop, err := startRelayFleet(ctx, env, n)
+	f, stop, err := startRelayFleet(ctx, env, size)
 	if err != nil {
 		return "", err
 	}
@@ -98,19 +98,19 @@
 		if len(processes) == 0 {
 			continue
 		}
-		s.add(n, role, "bytes/s", 20, medianOf(processes, usage.bytes))
-		s.add(n, role, "packets/s", 0.5, medianOf(processes, usage.packets))
-		s.add(n, role, "CPU ms/s", 0.5, medianOf(processes, usage.cpu))
-		s.add(n, role, "MB resident", 1, medianOf(processes, usage.resident))
-		s.add(n, role, "connections", 0.5, medianOf(processes, usage.conns))
+		s.add(size, role, "bytes/s", 20, medianOf(processes, usage.bytes))
+		s.add(size, role, "packets/s", 0.5, medianOf(processes, usage.packets))
+		s.add(size, role, "CPU ms/s", 0.5, medianOf(processes, usage.cpu))
+		s.add(size, role, "MB resident", 1, medianOf(processes, usage.resident))
+		s.add(size, role, "connections", 0.5, medianOf(processes, usage.conns))
 	}
-	s.addPacked(usage, n)
-	note = fmt.Sprintf("%d gateways: whole %.1f s after the start, processes' start with it; %s; streams %s", n, formationTime.Seconds(), usage.describeTraffic(), describeStreams(f))
-	return note, s.addOverrideSpread(ctx, f, n)
+	s.addPacked(usage, size)
+	note = fmt.Sprintf("%d gateways: whole %.1f s after the start, processes' start with it; %s; streams %s", size, formationTime.Seconds(), usage.describeTraffic(), describeStreams(f))
+	return note, s.addOverrideSpread(ctx, f, size)
 }
 
 // addPacked adds the mean of the gateways that share processes, which are many.
-func (s *seriesSet) addPacked(u *fleetRates, n int) {
+func (s *seriesSet) addPacked(u *fleetRates, size int) {
 	var gateways, bytes, packets, cpu, resident float64
 	for p := range u.rates {
 		if len(p.Names) == 1 {
@@ -126,20 +126,20 @@
 		return
 	}
 	const name = "gateway, mean of the packed"
-	s.add(n, name, "bytes/s", 20, bytes/gateways)
-	s.add(n, name, "packets/s", 0.5, packets/gateways)
-	s.add(n, name, "CPU ms/s", 0.1, cpu/gateways)
-	s.add(n, name, "MB resident", 0.1, resident/gateways)
+	s.add(size, name, "bytes/s", 20, bytes/gateways)
+	s.add(size, name, "packets/s", 0.5, packets/gateways)
+	s.add(size, name, "CPU ms/s", 0.1, cpu/gateways)
+	s.add(size, name, "MB resident", 0.1, resident/gateways)
 }
 
 // addOverrideSpread writes an override at a gateway, and measures until all gateways follow it.
-func (s *seriesSet) addOverrideSpread(ctx context.Context, f *hollow.Fleet, n int) error {
+func (s *seriesSet) addOverrideSpread(ctx context.Context, f *hollow.Fleet, size int) error {
 	writer := f.Processes[f.Relays]
 	writtenAt := time.Now()
 	if err := writer.SetDrained(writer.Names[0], "h1", true); err != nil {
 		return err
 	}
-	if _, err := f.WaitEvents(ctx, hollow.OverrideEvent, writtenAt, n, fleetTimeout); err != nil {
+	if _, err := f.WaitEvents(ctx, hollow.OverrideEvent, writtenAt, size, fleetTimeout); err != nil {
 		return err
 	}
 	var delays []float64
@@ -147,9 +147,9 @@
 		delays = append(delays, event.Time.Sub(writtenAt).Seconds())
 	}
 	const name = "an operator's word"
-	s.add(n, name, "s until half of the gateways go by it", 0.005, quantile(delays, 0.5))
-	s.add(n, name, "s until 99.9 in 100", 0.005, quantile(delays, 0.999))
-	s.add(n, name, "s until the last", 0.005, quantile(delays, 1))
+	s.add(size, name, "s until half of the gateways go by it", 0.005, quantile(delays, 0.5))
+	s.add(size, name, "s until 99.9 in 100", 0.005, quantile(delays, 0.999))
+	s.add(size, name, "s until the last", 0.005, quantile(delays, 1))
 	return nil
 }
 
--- a/cmd/experiment/scale_restart.go
+++ b/cmd/experiment/scale_restart.go
@@ -37,14 +37,14 @@
 func measureJoins(ctx context.Context, env *scaleEnv, sizes []int) (*scaletest.Report, error) {
 	s := &seriesSet{by: "gateway", targetSize: targetGateways}
 	r := &scaletest.Report{}
-	err := forEachFleet(ctx, env, sizes, hollowFleet, func(f *hollow.Fleet, n int) error {
-		if err := s.addRejoin(ctx, env, f, n); err != nil {
+	err := forEachFleet(ctx, env, sizes, hollowFleet, func(f *hollow.Fleet, size int) error {
+		if err := s.addRejoin(ctx, env, f, size); err != nil {
 			return err
 		}
 		if err := f.WaitComplete(ctx, fleetTimeout); err != nil {
 			return err
 		}
-		note, err := s.addColdStart(ctx, f, n)
+		note, err := s.addColdStart(ctx, f, size)
 		r.Notes = append(r.Notes, note)
 		return err
 	})
@@ -56,8 +56,8 @@
 }
 
 // addRejoin restarts the last gateway that is alone in its process.
-func (s *seriesSet) addRejoin(ctx context.Context, env *scaleEnv, f *hollow.Fleet, n int) error {
-	p := f.Processes[min(n, singleGateways)-1]
+func (s *seriesSet) addRejoin(ctx context.Context, env *scaleEnv, f *hollow.Fleet, size int) error {
+	p := f.Processes[min(size, singleGateways)-1]
 	p.Kill()
 	time.Sleep(env.settleTime())
 	startedAt := time.Now()
@@ -70,7 +70,7 @@
 	}
 	// The first view follows the session, and so may the last connections.
 	var process *hollow.ProcessUsage
-	for end := time.Now().Add(fleetTimeout); process == nil || process.Conns < 2*(n-1) && time.Now().Before(end); {
+	for end := time.Now().Add(fleetTimeout); process == nil || process.Conns < 2*(size-1) && time.Now().Before(end); {
 		time.Sleep(trafficDelay)
 		usages, err := f.Usage(false)
 		if err != nil {
@@ -79,15 +79,15 @@
 		process = usages.ByProcess[p]
 	}
 	const name = "one that comes back"
-	s.add(n, name, "bytes until it has all connections and a view", 100, float64(process.Traffic.Bytes()))
-	s.add(n, name, "packets until it has all connections and a view", 1, float64(process.Traffic.Packets()))
-	s.add(n, name, "s until its session", 0.02, openedAt.Sub(startedAt).Seconds())
-	s.add(n, name, "CPU ms until it has all connections and a view", 5, float64(process.CPU.Milliseconds()))
+	s.add(size, name, "bytes until it has all connections and a view", 100, float64(process.Traffic.Bytes()))
+	s.add(size, name, "packets until it has all connections and a view", 1, float64(process.Traffic.Packets()))
+	s.add(size, name, "s until its session", 0.02, openedAt.Sub(startedAt).Seconds())
+	s.add(size, name, "CPU ms until it has all connections and a view", 5, float64(process.CPU.Milliseconds()))
 	return nil
 }
 
 // addColdStart restarts all gateways at once.
-func (s *seriesSet) addColdStart(ctx context.Context, f *hollow.Fleet, n int) (note string, _ error) {
+func (s *seriesSet) addColdStart(ctx context.Context, f *hollow.Fleet, size int) (note string, _ error) {
 	for _, p := range f.Processes {
 		p.Kill()
 	}
@@ -101,7 +101,7 @@
 		return "", err
 	}
 	startTime := time.Since(startedAt)
-	openedAt, err := f.WaitEvents(ctx, sessionOpened, startedAt, n, fleetTimeout)
+	openedAt, err := f.WaitEvents(ctx, sessionOpened, startedAt, size, fleetTimeout)
 	if err != nil {
 		return "", err
 	}
@@ -120,27 +120,27 @@
 		cpu += process.CPU.Seconds()
 	}
 	const name = "all at once"
-	s.add(n, name, "s until all have sessions", 0.05, openedAt.Sub(startedAt).Seconds())
-	s.add(n, name, "KB on the loopback, a gateway", 1, float64(after-before)/float64(n)/1000)
-	s.add(n, name, "KB in the busiest second, a gateway", 1, peak/float64(n)/1000)
-	s.add(n, name, "CPU s of all", 0.05, cpu)
-	return fmt.Sprintf("%d gateways: processes started in %.2f s", n, startTime.Seconds()), nil
+	s.add(size, name, "s until all have sessions", 0.05, openedAt.Sub(startedAt).Seconds())
+	s.add(size, name, "KB on the loopback, a gateway", 1, float64(after-before)/float64(size)/1000)
+	s.add(size, name, "KB in the busiest second, a gateway", 1, peak/float64(size)/1000)
+	s.add(size, name, "CPU s of all", 0.05, cpu)
+	return fmt.Sprintf("%d gateways: processes started in %.2f s", size, startTime.Seconds()), nil
 }
 
 func measureLosses(ctx context.Context, env *scaleEnv, sizes []int) (*scaletest.Report, error) {
 	s := &seriesSet{by: "gateway", targetSize: targetGateways}
 	r := &scaletest.Report{}
-	err := forEachFleet(ctx, env, sizes, hollowFleet, func(f *hollow.Fleet, n int) error {
-		expiredByLeader, err := s.addLeaderLoss(ctx, f, n)
+	err := forEachFleet(ctx, env, sizes, hollowFleet, func(f *hollow.Fleet, size int) error {
+		expiredByLeader, err := s.addLeaderLoss(ctx, f, size)
 		if err != nil {
 			return err
 		}
 		time.Sleep(env.settleTime())
-		expired, killed, err := s.addGroupLoss(ctx, f, n)
+		expired, killed, err := s.addGroupLoss(ctx, f, size)
 		if err != nil {
 			return err
 		}
-		r.Notes = append(r.Notes, fmt.Sprintf("%d gateways: %d sessions of living ones lapsed as the leader died, %d as %d others did", n, expiredByLeader, expired, killed))
+		r.Notes = append(r.Notes, fmt.Sprintf("%d gateways: %d sessions of living ones lapsed as the leader died, %d as %d others did", size, expiredByLeader, expired, killed))
 		return nil
 	})
 	if err != nil {
@@ -151,7 +151,7 @@
 }
 
 // addLeaderLoss kills the leader, and starts it again when the fleet is complete without it.
-func (s *seriesSet) addLeaderLoss(ctx context.Context, f *hollow.Fleet, n int) (expired int, _ error) {
+func (s *seriesSet) addLeaderLoss(ctx context.Context, f *hollow.Fleet, size int) (expired int, _ error) {
 	leader := f.Leader()
 	if leader == nil {
 		return 0, errors.New("there is no leader")
@@ -169,9 +169,9 @@
 	recovery := time.Since(killedAt)
 	peak := stop()
 	const name = "leader killed"
-	s.add(n, name, "s until another leads", 0.1, electedAt.Sub(killedAt).Seconds())
-	s.add(n, name, "s until its session has lapsed everywhere", 0.1, recovery.Seconds())
-	s.add(n, name, "KB in the busiest second, a gateway", 0.5, peak/float64(n)/1000)
+	s.add(size, name, "s until another leads", 0.1, electedAt.Sub(killedAt).Seconds())
+	s.add(size, name, "s until its session has lapsed everywhere", 0.1, recovery.Seconds())
+	s.add(size, name, "KB in the busiest second, a gateway", 0.5, peak/float64(size)/1000)
 	expired = len(f.Events(sessionExpired, killedAt))
 	if err := leader.Start(ctx); err != nil {
 		return 0, err
@@ -181,8 +181,8 @@
 
 // lossGroup returns processes of a tenth of the gateways, the last ones, none of them a replica where there are others,
 // and the number of their gateways.
-func lossGroup(f *hollow.Fleet, n int) (group []*hollow.Process, gateways int) {
-	for i := len(f.Processes) - 1; i >= f.BootstrapReplicas && gateways < max(1, n/10); i-- {
+func lossGroup(f *hollow.Fleet, size int) (group []*hollow.Process, gateways int) {
+	for i := len(f.Processes) - 1; i >= f.BootstrapReplicas && gateways < max(1, size/10); i-- {
 		group = append(group, f.Processes[i])
 		gateways += len(f.Processes[i].Names)
 	}
@@ -193,8 +193,8 @@
 }
 
 // addGroupLoss kills a tenth of the gateways, and starts them again when the fleet is complete without them.
-func (s *seriesSet) addGroupLoss(ctx context.Context, f *hollow.Fleet, n int) (expired, killed int, _ error) {
-	group, killed := lossGroup(f, n)
+func (s *seriesSet) addGroupLoss(ctx context.Context, f *hollow.Fleet, size int) (expired, killed int, _ error) {
+	group, killed := lossGroup(f, size)
 	stop := watchPeak()
 	killedAt := time.Now()
 	for _, p := range group {
@@ -204,7 +204,7 @@
 		return 0, 0, err
 	}
 	const name = "a tenth killed"
-	s.add(n, name, "s until their sessions have lapsed everywhere", 0.1, time.Since(killedAt).Seconds())
+	s.add(size, name, "s until their sessions have lapsed everywhere", 0.1, time.Since(killedAt).Seconds())
 	expired = len(f.Events(sessionExpired, killedAt))
 	startedAt := time.Now()
 	for _, p := range group {
@@ -216,7 +216,7 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	s.add(n, name, "s until they have sessions again", 0.05, openedAt.Sub(startedAt).Seconds())
-	s.add(n, name, "KB in the busiest second, a gateway", 0.5, stop()/float64(n)/1000)
+	s.add(size, name, "s until they have sessions again", 0.05, openedAt.Sub(startedAt).Seconds())
+	s.add(size, name, "KB in the busiest second, a gateway", 0.5, stop()/float64(size)/1000)
 	return expired, killed, nil
 }
--- a/cmd/experiment/scale_routes.go
+++ b/cmd/experiment/scale_routes.go
@@ -34,20 +34,20 @@
 	if env.small {
 		pools = smallPools
 	}
-	for _, n := range sizes {
+	for _, size := range sizes {
 		head, err := configHead()
 		if err != nil {
 			return nil, err
 		}
-		used := min(n, pools) // a pool without a route is rejected
-		if err := s.addGateway(ctx, env, n, head+poolsConfig(used, manyHosts)+routesConfig(n, used), false); err != nil {
+		used := min(size, pools) // a pool without a route is rejected
+		if err := s.addGateway(ctx, env, size, head+poolsConfig(used, manyHosts)+routesConfig(size, used), false); err != nil {
 			return nil, err
 		}
-		ns, err := matchTime(n, used)
+		ns, err := matchTime(size, used)
 		if err != nil {
 			return nil, err
 		}
-		s.add(n, "a look-up", "ns", 1, ns)
+		s.add(size, "a look-up", "ns", 1, ns)
 	}
 	return &scaletest.Report{
 		Series: s.list,
@@ -79,12 +79,12 @@
 }
 
 // matchTime returns the time of a look-up in ns, over all routes in turn.
-func matchTime(n, pools int) (float64, error) {
+func matchTime(routes, pools int) (float64, error) {
 	var names []string
 	for i := range pools {
 		names = append(names, fmt.Sprintf("pool-%d", i))
 	}
-	rules := routeRules(n, pools)
+	rules := routeRules(routes, pools)
 	table, errs := route.Compile(rules, names)
 	if len(errs) > 0 {
 		return 0, errs[0]
@@ -108,12 +108,12 @@
 
 func measurePools(ctx context.Context, env *scaleEnv, sizes []int) (*scaletest.Report, error) {
 	s := &seriesSet{by: "pool", targetSize: targetPools}
-	for _, n := range sizes {
+	for _, size := range sizes {
 		head, err := configHead()
 		if err != nil {
 			return nil, err
 		}
-		if err := s.addGateway(ctx, env, n, head+poolsConfig(n, 1)+routesConfig(n, n), true); err != nil {
+		if err := s.addGateway(ctx, env, size, head+poolsConfig(size, 1)+routesConfig(size, size), true); err != nil {
 			return nil, err
 		}
 	}
@@ -151,14 +151,14 @@
 		return nil, err
 	}
 	config := head + poolsConfig(pools, manyHosts) + routesConfig(routes, pools)
-	for _, n := range sizes {
-		fmt.Fprintf(env.progress, "%d changes in %v\n", n, span)
-		late, err := s.addReloads(ctx, env, n, span, config)
+	for _, size := range sizes {
+		fmt.Fprintf(env.progress, "%d changes in %v\n", size, span)
+		late, err := s.addReloads(ctx, env, size, span, config)
 		if err != nil {
 			return nil, err
 		}
 		if late > 0 {
-			r.Breaks = append(r.Breaks, scaletest.Break{By: "change", Size: float64(n), What: fmt.Sprintf("%d of them due before the last was in force; the program would take them for one", late),
+			r.Breaks = append(r.Breaks, scaletest.Break{By: "change", Size: float64(size), What: fmt.Sprintf("%d of them due before the last was in force; the program would take them for one", late),
 				Where: "cmd/dunemoor/main.go: the channel of SIGHUP, which has one place"})
 		}
 	}
@@ -168,7 +168,7 @@
 
 // addReloads reloads at equal intervals, each time when the last configuration is in force: the program takes two at a
 // time for one. It returns the number of reloads that were due before that.
-func (s *seriesSet) addReloads(ctx context.Context, env *scaleEnv, n int, span time.Duration, config string) (late int, _ error) {
+func (s *seriesSet) addReloads(ctx context.Context, env *scaleEnv, reloads int, span time.Duration, config string) (late int, _ error) {
 	g, err := startGateway(ctx, env, config)
 	if err != nil {
 		return 0, err
@@ -176,8 +176,8 @@
 	defer g.process.Kill()
 	cpu, err := g.cpuDuring(func() error {
 		startedAt := time.Now()
-		for i := range n {
-			next := startedAt.Add(span * time.Duration(i) / time.Duration(n))
+		for i := range reloads {
+			next := startedAt.Add(span * time.Duration(i) / time.Duration(reloads))
 			if wait := time.Until(next); wait > 0 {
 				time.Sleep(wait)
 			} else if i > 0 {
@@ -193,6 +193,6 @@
 	if err != nil {
 		return 0, err
 	}
-	s.addCPU(n, fmt.Sprintf("%v with so many reloads", span), cpu, 1)
+	s.addCPU(reloads, fmt.Sprintf("%v with so many reloads", span), cpu, 1)
 	return late, nil
 }
--- a/cmd/experiment/scale_tenants.go
+++ b/cmd/experiment/scale_tenants.go
@@ -20,12 +20,12 @@
 
 func measureTenants(ctx context.Context, env *scaleEnv, sizes []int) (*scaletest.Report, error) {
 	s := &seriesSet{by: "tenant", targetSize: targetTenants}
-	for _, n := range sizes {
+	for _, size := range sizes {
 		head, err := configHead()
 		if err != nil {
 			return nil, err
 		}
-		if err := s.addGateway(ctx, env, n, head+tenantsConfig(n)+poolsConfig(1, 1)+routesConfig(1, 1), false); err != nil {
+		if err := s.addGateway(ctx, env, size, head+tenantsConfig(size)+poolsConfig(1, 1)+routesConfig(1, 1), false); err != nil {
 			return nil, err
 		}
 	}
@@ -33,8 +33,8 @@
 	if env.small {
 		limiterSizes = []int{1000, 3000, 10_000, 30_000}
 	}
-	for _, n := range limiterSizes {
-		s.addTenantLimiter(n)
+	for _, size := range limiterSizes {
+		s.addTenantLimiter(size)
 	}
 	r := &scaletest.Report{Series: s.list, Notes: []string{memoryNote,
 		"a request of the shares alone: internal/ratelimit/tenants.go, Tenants.fill walks all tenants at each, under the lock of all"}}
@@ -48,26 +48,26 @@
 const tenantRequestTime = 200 * time.Millisecond
 
 // addTenantLimiter measures the limiter of tenants alone.
-func (s *seriesSet) addTenantLimiter(n int) {
-	list := make([]ratelimit.Tenant, n)
+func (s *seriesSet) addTenantLimiter(size int) {
+	list := make([]ratelimit.Tenant, size)
 	for i := range list {
 		list[i] = ratelimit.Tenant{Name: fmt.Sprint("tenant-", i), Weight: 1}
 	}
 	before := heapBytes()
 	tenants := ratelimit.NewTenants(list, ratelimit.TenantLimits{Rate: 1e7, Concurrent: 1 << 20})
-	s.add(n, "the shares alone: memory", "KB", 4, (heapBytes()-before)/1024)
+	s.add(size, "the shares alone: memory", "KB", 4, (heapBytes()-before)/1024)
 	runtime.KeepAlive(list) // it is in both figures
 	now := ratelimit.Time(0)
 	requests := 0
 	startedAt := time.Now()
 	for time.Since(startedAt) < tenantRequestTime {
 		now += ratelimit.Time(time.Millisecond)
-		i := requests * scatterFactor % n
+		i := requests * scatterFactor % size
 		if tenants.Begin(now, i) == ratelimit.Admitted {
 			tenants.End(i)
 		}
 		requests++
 	}
 	runtime.KeepAlive(tenants)
-	s.add(n, "the shares alone: a request", "us", 0.01, mean(startedAt, requests)/1e3)
+	s.add(size, "the shares alone: a request", "us", 0.01, mean(startedAt, requests)/1e3)
 }
