--- a/cmd/experiment/scale.go
+++ b/cmd/experiment/scale.go
@@ -24,7 +24,7 @@
 type scalePart struct {
 	name       string
 	about      string // what it measures, one line
-	by         string // what the sizes count
+	by         string // what the sizes count, in the singular
 	sizes      []int  // measured by default
 	smallSizes []int  // of the test: seconds
 	duration   string // with sizes, approximately
@@ -204,12 +204,13 @@
 
 // seriesSet collects series by name and unit, in the order in which they are first added to.
 type seriesSet struct {
-	by         string
-	targetSize float64
+	by         string  // what the sizes count, in the singular
+	targetSize float64 // the size to design for; 0: none
 	list       []scaletest.Series
 }
 
-// add adds a point to a series. The resolution, in the unit, is that of its first point.
+// add adds a point to a series. The resolution is the least difference that the measurement can tell, in the unit; that of
+// the first point counts.
 func (s *seriesSet) add(size int, name, unit string, resolution, value float64) {
 	i := slices.IndexFunc(s.list, func(x scaletest.Series) bool { return x.Name == name && x.Unit == unit })
 	if i < 0 {
@@ -219,7 +220,8 @@
 	s.list[i].Points = append(s.list[i].Points, scaletest.Point{Size: float64(size), Value: value})
 }
 
-// breaksAt returns the size at which the fitted line of a series passes a limit. It is nil where there is no such line.
+// breaksAt returns the size at which the fitted line of a series passes a limit in its unit; nil where the series has no
+// line that grows. where is the place in the code that makes it grow.
 func (s *seriesSet) breaksAt(name, unit string, limit float64, where string) (breaks []scaletest.Break) {
 	for i := range s.list {
 		series := &s.list[i]
--- a/cmd/experiment/scale_config.go
+++ b/cmd/experiment/scale_config.go
@@ -19,12 +19,12 @@
 	targetChanges = 19_000 // a day
 )
 
-// Pools of the configurations with many routes.
+// Shape of the configurations that are measured.
 const (
 	manyPools     = 250
 	manyHosts     = 20 // of each pool
-	smallPools    = 10
-	routesPerHost = 10
+	smallPools    = 10 // in place of manyPools in a small run
+	routesPerHost = 10 // paths of a host name
 	hostsPerCell  = 3
 )
 
--- a/cmd/experiment/scale_fleet.go
+++ b/cmd/experiment/scale_fleet.go
@@ -15,9 +15,11 @@
 	"dunemoor/internal/experiment/scaletest/hollow"
 )
 
-// Limits of a gateway's control plane at the size to design for.
+// targetGateways is the size of a fleet to design for.
+const targetGateways = 4700
+
+// Limits of what a gateway may use for its fleet, at that size.
 const (
-	targetGateways   = 4700
 	maxControlBytes  = 3000 // a second, both directions, with headers
 	maxControlCPU    = 11   // ms a second
 	maxControlMemory = 64   // MB
--- a/cmd/experiment/scale_gateway.go
+++ b/cmd/experiment/scale_gateway.go
@@ -242,10 +242,13 @@
 	response.Body.Close()
 }
 
+// idleSeconds is how long the program is measured at rest.
+const idleSeconds = 3
+
 // idleCPU returns the CPU time of a second at rest, after the work that the start left.
 func (g *gatewayProcess) idleCPU(env *scaleEnv) (time.Duration, error) {
 	settle := time.Second
-	span := 3 * time.Second
+	span := idleSeconds * time.Second
 	if env.small {
 		settle = 0
 		span = 200 * time.Millisecond
@@ -263,7 +266,8 @@
 	s.add(size, name, "CPU ms", float64(cpuTick.Milliseconds())/float64(max(measurements, 1)), float64(cpu.Microseconds())/1000)
 }
 
-// addGateway measures a start with a configuration and reloads of it, and the program at rest where idle is set.
+// addGateway measures a start with a configuration and reloads of it, and the program at rest where idle is set. The size
+// is what the configuration has of seriesSet.by.
 func (s *seriesSet) addGateway(ctx context.Context, env *scaleEnv, size int, config string, idle bool) error {
 	fmt.Fprintf(env.progress, "%d %ss\n", size, s.by)
 	g, err := startGateway(ctx, env, config)
@@ -287,7 +291,7 @@
 		if err != nil {
 			return err
 		}
-		s.addCPU(size, "a second at rest", cpu, 3)
+		s.addCPU(size, "a second at rest", cpu, idleSeconds)
 	}
 	stop := g.startProbe(ctx)
 	reloadCPU, err := g.reloadCost(ctx, env)
--- a/cmd/experiment/scale_hosts.go
+++ b/cmd/experiment/scale_hosts.go
@@ -103,7 +103,7 @@
 	s.addCPU(size, "start", startCPU, 1)
 	s.add(size, "resident at rest", "MB", 1, resident)
 	s.add(size, "peak of the start", "MB", 1, peak)
-	s.addCPU(size, "a second at rest", idleCPU, 3)
+	s.addCPU(size, "a second at rest", idleCPU, idleSeconds)
 	changes := hostChanges
 	if env.small {
 		changes = smallHostChanges
--- a/cmd/experiment/scale_mesh.go
+++ b/cmd/experiment/scale_mesh.go
@@ -115,8 +115,8 @@
 	)
 }
 
-// meshCaps are the sizes at which the program accepts no more. Where names the constant of each; those of other packages
-// that are not exported are repeated here as numbers.
+// meshCaps are the sizes at which the program accepts no more. Where names the constant that decides; the numbers of those
+// that are not exported stand here again.
 func meshCaps() []scaletest.Break {
 	return []scaletest.Break{
 		{By: "gateway", Size: lease.MaxMembers, What: "the record refuses the next member", Where: "internal/cluster/lease: MaxMembers"},
--- a/cmd/experiment/scale_record.go
+++ b/cmd/experiment/scale_record.go
@@ -55,8 +55,8 @@
 // renewalAnswers is the name of the series whose values are bounded by the one goroutine that answers renewals.
 const renewalAnswers = "all gateways' answers of a second"
 
-// measureRecord measures what a leader computes over the coordination state: for each renewal, each tick and each status. One
-// goroutine does all of it.
+// measureRecord measures what a leader computes over the coordination state: for each renewal, each tick and each status.
+// One goroutine of the leader does all of it.
 func measureRecord(ctx context.Context, env *scaleEnv, sizes []int) (*scaletest.Report, error) {
 	s := &seriesSet{by: "gateway", targetSize: targetGateways}
 	for _, size := range sizes {
@@ -97,7 +97,8 @@
 	return nil
 }
 
-// newCoordinationState returns the coordination state of a fleet whose gateways are all candidates for all leases, each of which has a holder.
+// newCoordinationState returns the coordination state of a fleet whose gateways are all candidates for all leases, each of
+// which has a holder.
 func newCoordinationState(gateways, leases int) *lease.State {
 	const address = "10.0.0.1:7400"
 	state := lease.NewState(1)
@@ -130,10 +131,11 @@
 	return b
 }
 
-// timingRounds is how often a duration is measured; the least counts.
+// timingRounds is the number of rounds in which microseconds measures a call.
 const timingRounds = 5
 
-// microseconds returns how long a call takes: the least mean of several rounds of a tenth of a second.
+// microseconds returns how long a call takes: the least of the means of timingRounds rounds, of a tenth of a second each
+// (a millisecond in a small run).
 func microseconds(env *scaleEnv, call func()) float64 {
 	roundTime := 100 * time.Millisecond
 	if env.small {
--- a/cmd/experiment/scale_routes.go
+++ b/cmd/experiment/scale_routes.go
@@ -125,9 +125,9 @@
 // reloadSpan is the time over which reloads are spread.
 const reloadSpan = 5 * time.Second
 
-// peakFactor is the rate of changes in the busiest hour over the mean rate: people and their pipelines change things in
-// some eight hours of the day (3), and in the busiest of these nearly twice as often as in the mean one. It is assumed,
-// not measured.
+// peakFactor is the rate of changes in the busiest hour as a multiple of the day's mean rate. It is assumed, not measured:
+// changes come in eight hours of the day (a factor of 3), and in the busiest of these nearly twice as often as in the mean
+// one.
 const peakFactor = 5
 
 // Routes of the configuration that is reloaded.
