--- a/internal/experiment/faulttest/fleet_test.go
+++ b/internal/experiment/faulttest/fleet_test.go
@@ -100,11 +100,24 @@
 // waitConverged waits until the fleet has converged.
 func waitConverged(t *testing.T, f *Fleet) {
 	t.Helper()
-	if err := f.WaitUntil(context.Background(), "the fleet converges", convergeTimeout, f.Converged); err != nil {
+	waitUntil(t, f, "the fleet converges", f.Converged)
+}
+
+// waitUntil waits for a condition of a fleet, and fails the test where it takes longer than convergeTimeout.
+func waitUntil(t *testing.T, f *Fleet, what string, condition func() bool) {
+	t.Helper()
+	if err := f.WaitUntil(context.Background(), what, convergeTimeout, condition); err != nil {
 		t.Fatal(err)
 	}
 }
 
+// runCtl runs the operators' program at a gateway, and returns its output and its exit code.
+func runCtl(g *Gateway, args ...string) (output string, code int) {
+	cmd := exec.Command(dunemoorctl, append([]string{"fleet", "--admin", g.admin}, args...)...)
+	text, _ := cmd.CombinedOutput() // the error is the exit code
+	return string(text), cmd.ProcessState.ExitCode()
+}
+
 // startLoad has clients send requests to a gateway until the end of the test, and checks the rules then.
 func startLoad(t *testing.T, f *Fleet, g *Gateway) {
 	stop := f.StartLoad(g)
@@ -124,10 +137,8 @@
 	startLoad(t, f, spared)
 	ctl := func(code int, want string, args ...string) {
 		t.Helper()
-		cmd := exec.Command(dunemoorctl, append([]string{"fleet", "--admin", f.Gateways[0].admin}, args...)...)
-		out, _ := cmd.CombinedOutput()
-		if cmd.ProcessState.ExitCode() != code || !strings.Contains(string(out), want) {
-			t.Errorf("%q: got exit code %d and %s, want %d and %q", args, cmd.ProcessState.ExitCode(), out, code, want)
+		if out, got := runCtl(f.Gateways[0], args...); got != code || !strings.Contains(out, want) {
+			t.Errorf("%q: got exit code %d and %s, want %d and %q", args, got, out, code, want)
 		}
 	}
 	ctl(0, "g1 of fleet trial: ", "status")
--- a/internal/experiment/faulttest/overrides_test.go
+++ b/internal/experiment/faulttest/overrides_test.go
@@ -1,8 +1,6 @@
 package faulttest
 
 import (
-	"context"
-	"os/exec"
 	"strings"
 	"testing"
 	"time"
@@ -64,17 +62,14 @@
 // ctl runs the operators' program at another gateway than the member, and checks its exit code.
 func (o *overrideTest) ctl(code int, args ...string) {
 	o.Helper()
-	cmd := exec.Command(dunemoorctl, append([]string{"fleet", "--admin", o.fleet.Gateways[1].admin}, args...)...)
-	if out, _ := cmd.CombinedOutput(); cmd.ProcessState.ExitCode() != code {
-		o.Fatalf("%q: got exit code %d, want %d: %s", args, cmd.ProcessState.ExitCode(), code, out)
+	if out, got := runCtl(o.fleet.Gateways[1], args...); got != code {
+		o.Fatalf("%q: got exit code %d, want %d: %s", args, got, code, out)
 	}
 }
 
 func (o *overrideTest) waitUntil(what string, condition func() bool) {
 	o.Helper()
-	if err := o.fleet.WaitUntil(context.Background(), what, convergeTimeout, condition); err != nil {
-		o.Fatal(err)
-	}
+	waitUntil(o.T, o.fleet, what, condition)
 }
 
 // executionsAtHost returns how many of the next requests of the member's clients are executed at the host.
--- a/internal/experiment/faulttest/relays_test.go
+++ b/internal/experiment/faulttest/relays_test.go
@@ -1,7 +1,6 @@
 package faulttest
 
 import (
-	"context"
 	"fmt"
 	"os/exec"
 	"strings"
@@ -18,6 +17,16 @@
 	return f.byName(s.Relay.Name)
 }
 
+// waitRelayOf waits until a gateway has a stream to a relay, and returns the relay.
+func waitRelayOf(t *testing.T, f *Fleet, g *Gateway) (relay *Gateway) {
+	t.Helper()
+	waitUntil(t, f, g.Name+" has a relay", func() bool {
+		relay = relayOf(f, g)
+		return relay != nil
+	})
+	return relay
+}
+
 // newRelayFleet starts a fleet of three relays, which are the replicas, and four gateways, the last of which has load.
 func newRelayFleet(t *testing.T, seed uint64) (f *Fleet, loaded *Gateway) {
 	t.Helper()
@@ -31,12 +40,10 @@
 func waitMoved(t *testing.T, f *Fleet, from *Gateway) {
 	t.Helper()
 	for _, g := range f.Gateways[f.Relays:] {
-		if err := f.WaitUntil(context.Background(), fmt.Sprintf("%s has a stream to a relay other than %s", g.Name, from.Name), convergeTimeout, func() bool {
+		waitUntil(t, f, fmt.Sprintf("%s has a stream to a relay other than %s", g.Name, from.Name), func() bool {
 			at := relayOf(f, g)
 			return at != nil && at != from
-		}); err != nil {
-			t.Fatal(err)
-		}
+		})
 	}
 }
 
@@ -71,7 +78,7 @@
 func waitBalanced(t *testing.T, f *Fleet) {
 	t.Helper()
 	holders := map[string]int{}
-	if err := f.WaitUntil(context.Background(), "leases are balanced", convergeTimeout, func() bool {
+	waitUntil(t, f, "leases are balanced", func() bool {
 		clear(holders)
 		for _, name := range []string{healthCheckLease, housekeepingLease, endpointsLease} {
 			if g := f.LeaseHolder(name); g != nil {
@@ -79,9 +86,7 @@
 			}
 		}
 		return len(holders) == 3
-	}); err != nil {
-		t.Fatal(err)
-	}
+	})
 }
 
 // A relay is killed: its gateways move to another one, no session expires and no lease is transferred, and clients notice
@@ -114,7 +119,7 @@
 	for _, leads := range []bool{false, true} {
 		waitBalanced(t, f)
 		var down, leader *Gateway
-		if err := f.WaitUntil(context.Background(), "a relay with gateways is the leader, or is not", convergeTimeout, func() bool {
+		waitUntil(t, f, "a relay with gateways is the leader, or is not", func() bool {
 			leader, down = f.Leader(), nil
 			for _, g := range f.Gateways[f.Relays:] {
 				if at := relayOf(f, g); at != nil && (at == leader) == leads {
@@ -122,16 +127,12 @@
 				}
 			}
 			return down != nil && leader != nil
-		}); err != nil {
-			t.Fatal(err)
-		}
+		})
 		n := f.History.Len()
 		t.Logf("%s is killed, %s is the leader", down.Name, leader.Name)
 		down.Kill()
 		waitMoved(t, f, down)
-		if err := f.WaitUntil(context.Background(), "another leader has confirmed all", convergeTimeout, func() bool { return f.confirmed(down) }); err != nil {
-			t.Fatal(err)
-		}
+		waitUntil(t, f, "another leader has confirmed all", func() bool { return f.confirmed(down) })
 		checkUndisturbed(t, f, n, down != leader)
 		if err := down.Start(); err != nil {
 			t.Fatal(err)
@@ -158,10 +159,7 @@
 func TestPausedRelayLosesItsGateways(t *testing.T) {
 	t.Parallel()
 	f, loaded := newRelayFleet(t, 22)
-	var down *Gateway
-	if err := f.WaitUntil(context.Background(), "the loaded gateway has a relay", convergeTimeout, func() bool { down = relayOf(f, loaded); return down != nil }); err != nil {
-		t.Fatal(err)
-	}
+	down := waitRelayOf(t, f, loaded)
 	n := f.History.Len()
 	if err := down.Pause(); err != nil {
 		t.Fatal(err)
@@ -186,10 +184,7 @@
 	t.Parallel()
 	f, loaded := newRelayFleet(t, 23)
 	for _, fault := range []string{"receives nothing", "reaches no one", "reaches no relay"} {
-		var down *Gateway
-		if err := f.WaitUntil(context.Background(), "the loaded gateway has a relay", convergeTimeout, func() bool { down = relayOf(f, loaded); return down != nil }); err != nil {
-			t.Fatal(err)
-		}
+		down := waitRelayOf(t, f, loaded)
 		switch fault {
 		case "receives nothing":
 			f.Isolate(down, false, true)
@@ -228,16 +223,12 @@
 	for _, r := range f.Gateways[:f.Relays] {
 		r.Kill()
 	}
-	if err := f.WaitUntil(context.Background(), "the loaded gateway has neither a relay nor a session", convergeTimeout, func() bool {
+	waitUntil(t, f, "the loaded gateway has neither a relay nor a session", func() bool {
 		s, err := loaded.Status()
 		return err == nil && s.Relay.Name == "" && s.ExpiresInMS == 0
-	}); err != nil {
-		t.Fatal(err)
-	}
+	})
 	served := f.Hosts.Ledger.Count().Requests
-	if err := f.WaitUntil(context.Background(), "requests served without relays", convergeTimeout, func() bool { return f.Hosts.Ledger.Count().Requests > served+50 }); err != nil {
-		t.Fatal(err)
-	}
+	waitUntil(t, f, "requests served without relays", func() bool { return f.Hosts.Ledger.Count().Requests > served+50 })
 	for _, r := range f.Gateways[:f.Relays] {
 		if err := r.Start(); err != nil {
 			t.Fatal(err)
