--- a/internal/experiment/faulttest/link.go
+++ b/internal/experiment/faulttest/link.go
@@ -134,21 +134,23 @@
 	defer l.remove(to)
 	go func() {
 		defer l.remove(from)
-		l.forwardReturn(to, from)
+		l.forward(to, from, true)
 	}()
-	l.forward(from, to)
+	l.forward(from, to, false)
 }
 
-// forward forwards in the link's direction until an end of a connection.
-func (l *Link) forward(from, to net.Conn) {
+// forward forwards in the link's direction or, with isReturn set, in the other one: replies of a handshake, and all that a
+// relay sends on a stream. It returns at an end of a connection, or when the link is closed. Only the link's own direction is
+// truncated.
+func (l *Link) forward(from, to net.Conn, isReturn bool) {
 	buffer := make([]byte, linkBufferSize)
 	for {
 		n, readErr := from.Read(buffer)
 		if n > 0 {
-			if !l.waitUnblocked(false) {
+			if !l.waitUnblocked(isReturn) {
 				return
 			}
-			truncate := l.takeTruncate()
+			truncate := !isReturn && l.takeTruncate()
 			if truncate {
 				n /= 2
 			}
@@ -162,25 +164,6 @@
 	}
 }
 
-// forwardReturn forwards in the return direction: replies of a handshake, and all that a relay sends on a stream.
-func (l *Link) forwardReturn(from, to net.Conn) {
-	buffer := make([]byte, linkBufferSize)
-	for {
-		n, readErr := from.Read(buffer)
-		if n > 0 {
-			if !l.waitUnblocked(true) {
-				return
-			}
-			if _, err := to.Write(buffer[:n]); err != nil {
-				return
-			}
-		}
-		if readErr != nil {
-			return
-		}
-	}
-}
-
 // takeTruncate returns whether the current read is to be truncated.
 func (l *Link) takeTruncate() bool {
 	l.mu.Lock()
