--- a/internal/experiment/simulator/clients.go
+++ b/internal/experiment/simulator/clients.go
@@ -134,7 +134,7 @@
 	s.summary.Gateways[g.id].Requests++
 	g.openRequests[r.id] = r
 	s.queue.push(event{at: r.deadline + responseGracePeriod, kind: eventClientLeaves, request: r})
-	if share := s.config.Clients.LeaveEarly; share > 0 && s.earlyRandom.Float64() < share {
+	if share := s.config.Clients.LeaveEarly; share > 0 && s.earlyLeaveRandom.Float64() < share {
 		at := s.now + (r.deadline-s.now)/earlyLeaveDivisor
 		s.queue.push(event{at: at, kind: eventClientLeaves, number: 1, request: r})
 	}
@@ -154,9 +154,9 @@
 	first := 0
 	if s.config.TrafficSkew > 0 {
 		total := s.trafficShares[len(s.trafficShares)-1]
-		first, _ = slices.BinarySearch(s.trafficShares, s.frontRandom.Float64()*total)
+		first, _ = slices.BinarySearch(s.trafficShares, s.gatewayChoiceRandom.Float64()*total)
 	} else {
-		first = s.frontRandom.IntN(len(s.gateways))
+		first = s.gatewayChoiceRandom.IntN(len(s.gateways))
 	}
 	for i := range s.gateways {
 		g := s.gateways[(first+i)%len(s.gateways)]
--- a/internal/experiment/simulator/discovery.go
+++ b/internal/experiment/simulator/discovery.go
@@ -41,7 +41,7 @@
 	for i := range s.gateways {
 		at := s.now + delay
 		if spread := s.config.Endpoints.Spread; spread > 0 {
-			at += time.Duration(s.listRandom.Float64() * float64(spread))
+			at += time.Duration(s.listDelayRandom.Float64() * float64(spread))
 		}
 		s.queue.push(event{at: at, kind: eventEndpointUpdate, index: int32(i), number: uint64(h.id)})
 	}
--- a/internal/experiment/simulator/faults.go
+++ b/internal/experiment/simulator/faults.go
@@ -45,7 +45,7 @@
 		all = len(s.gateways)
 	}
 	count := max(1, int(f.Share*float64(all)+0.5))
-	s.faultTargets[index] = newStream(s.config.Seed, streamFaults, index).Perm(all)[:count]
+	s.faultTargets[index] = newStream(s.config.Seed, streamFaultTargets, index).Perm(all)[:count]
 }
 
 // scheduleSteps spreads the targets of a fault over its steps.
--- a/internal/experiment/simulator/random.go
+++ b/internal/experiment/simulator/random.go
@@ -9,16 +9,16 @@
 
 // Labels of random streams. A label selects the numbers that are drawn, so it never changes.
 const (
-	streamFront    = "front"   // which gateway a client is sent to
-	streamClients  = "clients" // identity and backoff of clients
-	streamEarly    = "early"   // which clients leave early
-	streamShares   = "parts"   // the gateways' shares of the traffic
-	streamLists    = "lists"   // when gateways learn of a host
-	streamArrivals = "arrive " // and the class
-	streamWork     = "work "   // and the class
-	streamErrors   = "errors"  // of a host
-	streamNetwork  = "net"     // of a gateway
-	streamFaults   = "trouble" // targets of a fault
+	streamGatewayChoice = "front"   // which gateway a client is sent to
+	streamClients       = "clients" // identity and backoff of clients
+	streamEarlyLeave    = "early"   // which clients leave early
+	streamTrafficShares = "parts"   // the gateways' shares of the traffic
+	streamListDelays    = "lists"   // when gateways learn of a host
+	streamArrivals      = "arrive " // followed by a class: times of its first requests
+	streamWork          = "work "   // followed by a class: work of its requests
+	streamErrors        = "errors"  // which responses of a host are errors or get lost
+	streamNetwork       = "net"     // delays between a gateway and hosts
+	streamFaultTargets  = "trouble" // targets of a fault
 )
 
 // newStream returns the random stream for one purpose and one object; nothing else draws from it. So an
--- a/internal/experiment/simulator/simulation.go
+++ b/internal/experiment/simulator/simulation.go
@@ -15,13 +15,13 @@
 	hosts    []*host
 	gateways []*gateway
 
-	// Random streams.
-	arrivalRandom []*rand.Rand // by class
-	workRandom    []*rand.Rand // by class
-	frontRandom   *rand.Rand
-	clientRandom  *rand.Rand
-	listRandom    *rand.Rand
-	earlyRandom   *rand.Rand
+	// Random streams; random.go says what each is for.
+	arrivalRandom       []*rand.Rand // by class
+	workRandom          []*rand.Rand // by class
+	gatewayChoiceRandom *rand.Rand
+	clientRandom        *rand.Rand
+	listDelayRandom     *rand.Rand
+	earlyLeaveRandom    *rand.Rand
 
 	faultTargets       [][]int   // by fault: indexes of hosts or gateways
 	maxMeanWork        float64   // of all classes, in seconds
@@ -75,10 +75,10 @@
 			Seconds:  make([]Second, int(config.Length.Seconds()+1)),
 			Gateways: make([]GatewaySummary, config.Gateways),
 		},
-		frontRandom:  newStream(config.Seed, streamFront, 0),
-		clientRandom: newStream(config.Seed, streamClients, 0),
-		listRandom:   newStream(config.Seed, streamLists, 0),
-		earlyRandom:  newStream(config.Seed, streamEarly, 0),
+		gatewayChoiceRandom: newStream(config.Seed, streamGatewayChoice, 0),
+		clientRandom:        newStream(config.Seed, streamClients, 0),
+		listDelayRandom:     newStream(config.Seed, streamListDelays, 0),
+		earlyLeaveRandom:    newStream(config.Seed, streamEarlyLeave, 0),
 	}
 	if s.config.Network.ConnectTimeout == 0 {
 		s.config.Network.ConnectTimeout = defaultConnectTimeout
@@ -105,7 +105,7 @@
 
 // drawTrafficShares draws how much of the traffic each gateway receives.
 func (s *simulation) drawTrafficShares() {
-	random := newStream(s.config.Seed, streamShares, 0)
+	random := newStream(s.config.Seed, streamTrafficShares, 0)
 	sum := 0.0
 	for range s.config.Gateways {
 		if s.config.TrafficSkew > 0 {
