--- a/internal/experiment/scaletest/hollow/calls.go
+++ b/internal/experiment/scaletest/hollow/calls.go
@@ -50,7 +50,7 @@
 	return io.ReadAll(response.Body)
 }
 
-// Report returns a host's report on itself, without those of its gateways; nil for a process of the program.
+// Report returns a hollow host's report on itself, without those of its gateways; nil for a process of the program.
 func (p *Process) Report() (*Report, error) {
 	if p.IsReal() {
 		return nil, nil
--- a/internal/experiment/scaletest/hollow/host.go
+++ b/internal/experiment/scaletest/hollow/host.go
@@ -23,14 +23,14 @@
 	"dunemoor/internal/fleet"
 )
 
-// maxRequestBytes is the longest line that a host reads.
+// maxRequestBytes is the longest line that a hollow host reads.
 const maxRequestBytes = 16 << 20
 
 // eventMessages are the log messages that are passed on as events, as the program words them.
 var eventMessages = []string{"session opened", "session expired", "became leader", "fleet bootstrapped", "lease acquired"}
 
-// host is a process of hollow gateways.
-type host struct {
+// hollowHost is a process of hollow gateways. It is no host of a pool.
+type hollowHost struct {
 	mu       sync.Mutex // guards gateways
 	gateways map[string]*gateway
 
@@ -38,11 +38,11 @@
 	replies *json.Encoder
 }
 
-// Serve runs a host of hollow gateways: it carries out the requests that it reads from in and writes replies
+// Serve runs a hollow host: it carries out the requests that it reads from in and writes replies
 // and events to out, until in ends. It then stops all gateways that it has started. Meanwhile the process's
 // default logger is its own. It returns the first error of in or out, or that of a malformed request.
 func Serve(in io.Reader, out io.Writer) error {
-	h := &host{gateways: map[string]*gateway{}, replies: json.NewEncoder(out)}
+	h := &hollowHost{gateways: map[string]*gateway{}, replies: json.NewEncoder(out)}
 	previous := slog.Default()
 	slog.SetDefault(slog.New(logHandler{h}))
 	defer slog.SetDefault(previous)
@@ -62,14 +62,14 @@
 	return lines.Err()
 }
 
-func (h *host) write(r *reply) error {
+func (h *hollowHost) write(r *reply) error {
 	h.writing.Lock()
 	defer h.writing.Unlock()
 	return h.replies.Encode(r)
 }
 
 // close stops all gateways.
-func (h *host) close() {
+func (h *hollowHost) close() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var closing sync.WaitGroup
@@ -80,7 +80,7 @@
 }
 
 // do carries out a request.
-func (h *host) do(r *request) *reply {
+func (h *hollowHost) do(r *request) *reply {
 	switch {
 	case len(r.Start) > 0:
 		return errorReply(h.startAll(r.Start))
@@ -98,7 +98,7 @@
 
 // startAll starts gateways by their files, and returns the first error. A gateway that fails to start doesn't
 // keep those after it from being started.
-func (h *host) startAll(files []string) error {
+func (h *hollowHost) startAll(files []string) error {
 	var first error
 	for _, file := range files {
 		err := h.start(file)
@@ -110,7 +110,7 @@
 }
 
 // start starts a gateway by its file.
-func (h *host) start(file string) error {
+func (h *hollowHost) start(file string) error {
 	g, err := startGateway(file)
 	if err != nil {
 		return fmt.Errorf("start gateway of %s: %w", file, err)
@@ -129,7 +129,7 @@
 }
 
 // gateway returns a gateway that runs.
-func (h *host) gateway(name string) (*gateway, error) {
+func (h *hollowHost) gateway(name string) (*gateway, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	g := h.gateways[name]
@@ -140,7 +140,7 @@
 }
 
 // allGateways returns the gateways that run, in no order.
-func (h *host) allGateways() []*gateway {
+func (h *hollowHost) allGateways() []*gateway {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var list []*gateway
@@ -150,8 +150,8 @@
 	return list
 }
 
-// report returns the host's report, where asked with the status and the metrics of each gateway.
-func (h *host) report(withStatus, withMetrics bool) *Report {
+// report returns the hollow host's report, where asked with the status and the metrics of each gateway.
+func (h *hollowHost) report(withStatus, withMetrics bool) *Report {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
 	r := &Report{
@@ -175,8 +175,8 @@
 	return r
 }
 
-// logHandler takes the log of a host's gateways and passes some of its messages on as events.
-type logHandler struct{ host *host }
+// logHandler takes the log of a hollow host's gateways and passes some of its messages on as events.
+type logHandler struct{ host *hollowHost }
 
 func (l logHandler) Enabled(_ context.Context, level slog.Level) bool { return level >= slog.LevelInfo }
 func (l logHandler) WithAttrs([]slog.Attr) slog.Handler               { return l }
--- a/internal/experiment/scaletest/hollow/messages.go
+++ b/internal/experiment/scaletest/hollow/messages.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// request is what a host is to do: one of Start, Override, OverrideLoad and Report. It is a line of JSON on the
-// host's standard input. Each request gets a reply.
+// request is what a hollow host is to do: one of Start, Override, OverrideLoad and Report. It is a line of JSON on the
+// hollow host's standard input. Each request gets a reply.
 type request struct {
 	Start        []string      `json:"start,omitempty"` // files of gateways
 	Override     *override     `json:"say,omitempty"`
@@ -14,7 +14,7 @@
 	Metrics bool `json:"counts,omitempty"`
 }
 
-// override is an operator's override of a host, set at a gateway.
+// override is an operator's override of a host of a pool, set at a gateway.
 type override struct {
 	Gateway string `json:"by"`
 	Host    string `json:"host"`
@@ -28,7 +28,7 @@
 	Duration time.Duration `json:"for"`
 }
 
-// reply is a line of JSON on a host's standard output: the reply to a request, or, with Event set, an event.
+// reply is a line of JSON on a hollow host's standard output: the reply to a request, or, with Event set, an event.
 type reply struct {
 	Error   string  `json:"error,omitempty"`
 	Report  *Report `json:"report,omitempty"`
@@ -48,7 +48,7 @@
 	return &reply{Error: err.Error()}
 }
 
-// Report is a host's report on itself.
+// Report is a hollow host's report on itself.
 type Report struct {
 	Goroutines int                `json:"goroutines"`
 	Heap       uint64             `json:"heap"` // bytes in use by objects and stacks
--- a/internal/experiment/scaletest/hollow/override.go
+++ b/internal/experiment/scaletest/hollow/override.go
@@ -17,7 +17,7 @@
 const overrideTimeout = 15 * time.Second
 
 // setOverride sets an operator's override at a gateway, for a host of its first pool.
-func (h *host) setOverride(o *override) error {
+func (h *hollowHost) setOverride(o *override) error {
 	g, err := h.gateway(o.Gateway)
 	if err != nil {
 		return err
@@ -57,7 +57,7 @@
 
 // applyOverrides sets overrides at gateways in turn at a steady rate, and returns how many were applied and how
 // many failed. Each gateway sets its own one after the other, so that slow ones lower the rate.
-func (h *host) applyOverrides(load *overrideLoad) (applied, failed int) {
+func (h *hollowHost) applyOverrides(load *overrideLoad) (applied, failed int) {
 	gateways := len(load.Gateways)
 	interval := time.Duration(float64(gateways) / load.Rate * float64(time.Second))
 	var counts overrideCounts
@@ -72,7 +72,7 @@
 
 // toggleOverrides drains a host and ends that again, by turns, once each interval from an offset on, until a
 // duration has passed.
-func (h *host) toggleOverrides(gateway string, offset, interval, duration time.Duration, counts *overrideCounts) {
+func (h *hollowHost) toggleOverrides(gateway string, offset, interval, duration time.Duration, counts *overrideCounts) {
 	began := time.Now()
 	end := began.Add(duration)
 	drain := true
--- a/internal/experiment/scaletest/hollow/process.go
+++ b/internal/experiment/scaletest/hollow/process.go
@@ -18,10 +18,10 @@
 // maxOutputLineBytes is the longest line that is read of a process's output.
 const maxOutputLineBytes = 64 << 20
 
-// errProcessEnded is returned for a request to a host that has ended, or whose output is malformed.
+// errProcessEnded is returned for a request to a hollow host that has ended, or whose output is malformed.
 var errProcessEnded = errors.New("the process has ended")
 
-// Process is a process of the fleet: a host of hollow gateways, or a relay or gateway of the program. Start and
+// Process is a process of the fleet: a hollow host, or a relay or gateway of the program. Start and
 // Kill must not be called at the same time as other methods.
 type Process struct {
 	Names []string // of its members
@@ -33,7 +33,7 @@
 
 	requesting sync.Mutex // held from a request to its reply
 	stdin      io.WriteCloser
-	replies    chan *reply // closed when the output ends; of a host
+	replies    chan *reply // closed when the output ends; of a hollow host
 }
 
 // IsReal reports whether it is a process of the program.
@@ -63,7 +63,7 @@
 	return err
 }
 
-// launch starts the command, and returns what is read of it: the log of the program, or a host's replies.
+// launch starts the command, and returns what is read of it: the log of the program, or a hollow host's replies.
 func (p *Process) launch(ctx context.Context) (output *os.File, err error) {
 	f := p.fleet
 	if p.IsReal() {
@@ -120,7 +120,7 @@
 	}
 }
 
-// readReplies reads a host's replies and events. It returns early on a line that is neither.
+// readReplies reads a hollow host's replies and events. It returns early on a line that is neither.
 func (p *Process) readReplies(lines *bufio.Scanner, replies chan<- *reply) {
 	for lines.Scan() {
 		r := &reply{}
@@ -139,7 +139,7 @@
 	}
 }
 
-// request sends a request to a host and returns its reply, or the error that it has.
+// request sends a request to a hollow host and returns its reply, or the error that it has.
 func (p *Process) request(r *request) (*reply, error) {
 	p.requesting.Lock()
 	defer p.requesting.Unlock()
--- a/internal/experiment/scaletest/hollow/status.go
+++ b/internal/experiment/scaletest/hollow/status.go
@@ -27,7 +27,7 @@
 		Name    string `json:"name"` // "": it has no stream
 		SinceMS int64  `json:"since_ms"`
 	} `json:"relay,omitempty"`
-	// JoinedUnixNano is when the stream was accepted, in nanoseconds since 1970, computed by the host
+	// JoinedUnixNano is when the stream was accepted, in nanoseconds since 1970, computed by the hollow host
 	// when it answered.
 	JoinedUnixNano int64 `json:"joined,omitempty"`
 	// Streams are those that a relay holds.
--- a/internal/experiment/scaletest/hollow/usage.go
+++ b/internal/experiment/scaletest/hollow/usage.go
@@ -16,8 +16,8 @@
 	At         time.Time
 	CPU        time.Duration // since its start
 	Resident   uint64        // bytes
-	Heap       uint64        // bytes, by the process's own report; of a host
-	Goroutines int           // by the process's own report; of a host
+	Heap       uint64        // bytes, by the process's own report; of a hollow host
+	Goroutines int           // by the process's own report; of a hollow host
 	Conns      int           // ends of open connections between members of the fleet
 	Traffic    Traffic       // of these connections since they were opened
 
