--- a/cmd/experiment/scale_fleet.go
+++ b/cmd/experiment/scale_fleet.go
@@ -183,31 +183,49 @@
 	return fmt.Sprintf("all ends of connections sent %d bytes/s with headers, the loopback device carried %d", int(float64(u.sentBytes)/seconds), int(float64(u.loopbackBytes)/seconds))
 }
 
-// processMeasure is a measure of a process.
+// processMeasure is a measure of a process, such as fleetRates.bytes.
 type processMeasure func(*hollow.Process) float64
 
-// Measures of a process at rest: bytes, packets and syncs a second, CPU in ms a second, memory in MB (2^20 bytes).
-// bytes and packets are of both directions; payload and counted are the bytes sent, without headers: payload by the
-// kernel, counted by the transport's own counter.
-func (u *fleetRates) bytes(p *hollow.Process) float64 { r := u.rates[p]; return r.PerSecond(r.Bytes()) }
+// bytes is the traffic of both directions with headers, in bytes a second, counted by the kernel.
+func (u *fleetRates) bytes(p *hollow.Process) float64 {
+	r := u.rates[p]
+	return r.PerSecond(r.Bytes())
+}
+
+// packets is the segments of both directions a second, counted by the kernel.
 func (u *fleetRates) packets(p *hollow.Process) float64 {
 	r := u.rates[p]
 	return r.PerSecond(r.Packets())
 }
-func (u *fleetRates) payload(p *hollow.Process) float64 {
+
+// payloadSent is the payload sent in bytes a second, counted by the kernel.
+func (u *fleetRates) payloadSent(p *hollow.Process) float64 {
 	r := u.rates[p]
 	return r.PerSecond(r.BytesOut)
 }
-func (u *fleetRates) counted(p *hollow.Process) float64 { return u.rates[p].FrameBytesSent }
-func (u *fleetRates) cpu(p *hollow.Process) float64     { return u.rates[p].CPU }
-func (u *fleetRates) syncs(p *hollow.Process) float64   { return u.rates[p].DiskSyncs }
-func (u *fleetRates) conns(p *hollow.Process) float64   { return float64(u.last.ByProcess[p].Conns) }
+
+// frameBytesSent is the bytes of frames sent a second, counted by the process itself.
+func (u *fleetRates) frameBytesSent(p *hollow.Process) float64 { return u.rates[p].FrameBytesSent }
+
+// cpu is the CPU time in milliseconds a second.
+func (u *fleetRates) cpu(p *hollow.Process) float64 { return u.rates[p].CPU }
+
+// syncs is the fsyncs of the write-ahead log a second.
+func (u *fleetRates) syncs(p *hollow.Process) float64 { return u.rates[p].DiskSyncs }
+
+// conns is the number of ends of connections to other members at the end of the span.
+func (u *fleetRates) conns(p *hollow.Process) float64 { return float64(u.last.ByProcess[p].Conns) }
+
 func (u *fleetRates) goroutines(p *hollow.Process) float64 {
 	return float64(u.last.ByProcess[p].Goroutines)
 }
+
+// resident is the resident memory in MB (2^20 bytes).
 func (u *fleetRates) resident(p *hollow.Process) float64 {
 	return float64(u.last.ByProcess[p].Resident) / bytesPerMB
 }
+
+// heap is the memory in use by objects and stacks in MB (2^20 bytes), by the process's own report.
 func (u *fleetRates) heap(p *hollow.Process) float64 {
 	return float64(u.last.ByProcess[p].Heap) / bytesPerMB
 }
--- a/cmd/experiment/scale_mesh.go
+++ b/cmd/experiment/scale_mesh.go
@@ -76,8 +76,8 @@
 		}
 		add("bytes/s", 20, u.bytes)
 		add("packets/s", 0.5, u.packets)
-		add("bytes/s by the carrier's counter, out", 5, u.counted)
-		add("bytes/s carried, out", 5, u.payload)
+		add("bytes/s by the carrier's counter, out", 5, u.frameBytesSent)
+		add("bytes/s carried, out", 5, u.payloadSent)
 		add("CPU ms/s", 0.5, u.cpu)
 		add("MB resident", 1, u.resident)
 		if !processes[0].IsReal() {
