--- a/cmd/experiment/scale_mesh.go
+++ b/cmd/experiment/scale_mesh.go
@@ -29,8 +29,8 @@
 			if err != nil {
 				return nil, err
 			}
-			return measureMesh(ctx, env, sizes, func(n int) hollow.Options {
-				return hollow.Options{Program: binary, RealMembers: n, Gateways: n, Pools: 1}
+			return measureMesh(ctx, env, sizes, func(size int) hollow.Options {
+				return hollow.Options{Program: binary, RealMembers: size, Gateways: size, Pools: 1}
 			})
 		},
 	})
@@ -45,13 +45,13 @@
 func measureMesh(ctx context.Context, env *scaleEnv, sizes []int, options func(size int) hollow.Options) (*scaletest.Report, error) {
 	s := &seriesSet{by: "gateway", targetSize: targetGateways}
 	r := &scaletest.Report{}
-	err := forEachFleet(ctx, env, sizes, options, func(f *hollow.Fleet, n int) error {
+	err := forEachFleet(ctx, env, sizes, options, func(f *hollow.Fleet, size int) error {
 		usage, err := measureUsage(ctx, f, env.countTime())
 		if err != nil {
 			return err
 		}
-		s.addUsageByRole(f, usage, n)
-		r.Notes = append(r.Notes, fmt.Sprintf("%d gateways: %s%s", n, usage.describeTraffic(), usage.describePacked(f)))
+		s.addUsageByRole(f, usage, size)
+		r.Notes = append(r.Notes, fmt.Sprintf("%d gateways: %s%s", size, usage.describeTraffic(), usage.describePacked(f)))
 		return nil
 	})
 	if err != nil {
@@ -76,8 +76,8 @@
 		}
 		add("bytes/s", 20, u.bytes)
 		add("packets/s", 0.5, u.packets)
-		add("bytes/s by the carrier's counter, out", 5, u.counted)
-		add("bytes/s carried, out", 5, u.payload)
+		add("bytes/s by the carrier's counter, out", 5, u.frameBytesSent)
+		add("bytes/s carried, out", 5, u.payloadSent)
 		add("CPU ms/s", 0.5, u.cpu)
 		add("MB resident", 1, u.resident)
 		if !processes[0].IsReal() {
@@ -115,8 +115,8 @@
 	)
 }
 
-// meshCaps are the sizes at which the program accepts no more. Where names the constant of each; those of other packages
-// that are not exported are repeated here as numbers.
+// meshCaps are the sizes at which the program accepts no more. Where names the constant that decides; the numbers of those
+// that are not exported stand here again.
 func meshCaps() []scaletest.Break {
 	return []scaletest.Break{
 		{By: "gateway", Size: lease.MaxMembers, What: "the record refuses the next member", Where: "internal/cluster/lease: MaxMembers"},
--- a/internal/experiment/simulator/clients.go
+++ b/internal/experiment/simulator/clients.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"math"
 	"slices"
 	"time"
 
@@ -23,6 +22,7 @@
 	gateway            *gateway
 	gatewayIncarnation uint32
 	done               bool // the client has a response or has left
+	leftEarly          bool // the client has left before its deadline, and doesn't retry
 	responses          int
 	attempts           []attempt
 
@@ -134,7 +134,7 @@
 	s.summary.Gateways[g.id].Requests++
 	g.openRequests[r.id] = r
 	s.queue.push(event{at: r.deadline + responseGracePeriod, kind: eventClientLeaves, request: r})
-	if share := s.config.Clients.LeaveEarly; share > 0 && s.earlyRandom.Float64() < share {
+	if share := s.config.Clients.LeaveEarly; share > 0 && s.earlyLeaveRandom.Float64() < share {
 		at := s.now + (r.deadline-s.now)/earlyLeaveDivisor
 		s.queue.push(event{at: at, kind: eventClientLeaves, number: 1, request: r})
 	}
@@ -154,9 +154,9 @@
 	first := 0
 	if s.config.TrafficSkew > 0 {
 		total := s.trafficShares[len(s.trafficShares)-1]
-		first, _ = slices.BinarySearch(s.trafficShares, s.frontRandom.Float64()*total)
+		first, _ = slices.BinarySearch(s.trafficShares, s.gatewayChoiceRandom.Float64()*total)
 	} else {
-		first = s.frontRandom.IntN(len(s.gateways))
+		first = s.gatewayChoiceRandom.IntN(len(s.gateways))
 	}
 	for i := range s.gateways {
 		g := s.gateways[(first+i)%len(s.gateways)]
@@ -202,7 +202,7 @@
 	if immediate {
 		limit *= immediateRetryFactor
 	}
-	if o == outcomeServed || r.retries >= limit {
+	if o == outcomeServed || r.leftEarly || r.retries >= limit {
 		s.countOutcome(r, o)
 		return
 	}
@@ -276,10 +276,8 @@
 		s.violation(RuleLost, "request %d has no response at its deadline", r.id)
 	}
 	r.done = true
+	r.leftEarly = early
 	s.deliver(r.gateway, func() { r.gateway.balancer.ClientGone(s.now, r.id) })
-	if early {
-		r.retries = math.MaxInt // the client doesn't retry
-	}
 	s.clientDone(r, outcomeAbandoned, 0)
 	if early {
 		s.forgetIfDone(r)
