--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -14,32 +14,32 @@
 	g := newTestGateway(t, settings, testHosts(10)...)
 	quick := func(HostID) time.Duration { return 40 * ms }
 	g.serve(100, 0, quick)
-	if p := g.b.sendRate.pressure.mean; p > 1 || g.b.sendRate.limit != 0 {
-		t.Fatalf("at the usual RTT: pressure %v, send rate %v, want a pressure of at most 1 and no send rate",
+	if p := g.b.sendRate.rttTargets.mean; p > 1 || g.b.sendRate.limit != 0 {
+		t.Fatalf("at the usual RTT: recent RTT %v targets, send rate %v, want at most 1 target and no send rate",
 			p, g.b.sendRate.limit)
 	}
 	g.serve(12, 0, func(HostID) time.Duration { return 100 * ms }) // a quarter of the latency objective
 	if g.b.sendRate.limit == 0 {
-		t.Errorf("at 2.5 times the usual RTT: no send rate at a pressure of %v, want one", g.b.sendRate.pressure.mean)
+		t.Errorf("at 2.5 times the usual RTT: no send rate at a recent RTT of %v targets, want one", g.b.sendRate.rttTargets.mean)
 	}
 	if l := g.b.typicalRTT.byClass[0].mean; l > 0.05 {
 		t.Errorf("usual RTT %v after a short overload, want at most 0.05", l)
 	}
 }
 
-// An attempt that is out for unusually long raises the pressure before its response arrives, as the
-// hosts left after a crash are overloaded before the first late response.
-func TestOverdueAttemptRaisesPressure(t *testing.T) {
+// An attempt that is out for unusually long raises the RTT that the send rate is reduced by before its
+// response arrives, as the hosts left after a crash are overloaded before the first late response.
+func TestUnansweredAttemptRaisesRTTOfSendRate(t *testing.T) {
 	settings := testSettings()
 	settings.Instances = 100
 	g := newTestGateway(t, settings, testHosts(10)...)
 	g.serve(60, 0, func(HostID) time.Duration { return 20 * ms })
-	before := g.b.sendRate.pressure.mean
+	before := g.b.sendRate.rttTargets.mean
 	g.request(0, time.Second)
 	g.onlyAction(Send)
 	g.advance(300 * ms)
-	if p := g.b.sendRate.pressure.mean; p <= before {
-		t.Errorf("pressure %v after 300 ms without a response, want above %v", p, before)
+	if p := g.b.sendRate.rttTargets.mean; p <= before {
+		t.Errorf("recent RTT of %v targets after 300 ms without a response, want above %v", p, before)
 	}
 }
 
--- a/balancer/checkpoint.go
+++ b/balancer/checkpoint.go
@@ -87,7 +87,7 @@
 	c.codeAverages(&b.typicalRTT.byKind)
 	c.codeAverage(&b.typicalRTT.any)
 	c.codeAverage(&b.pacer.warmHostRate)
-	c.codeAverage(&b.sendRate.pressure)
+	c.codeAverage(&b.sendRate.rttTargets)
 }
 
 // codeAdmission codes the quotas and the send rate, and the times of the next sweep and poll, which the
--- a/balancer/checkpoint_test.go
+++ b/balancer/checkpoint_test.go
@@ -100,7 +100,7 @@
 		reflect.TypeFor[starvationTracker]():  "unserved | span",
 		reflect.TypeFor[typicalRTTs]():        "byClass byKind any |",
 		reflect.TypeFor[tenantQuotas]():       "buckets |",
-		reflect.TypeFor[sendRateController](): "limit pressure reducedAt grownAt tokens refilledAt sent | rateSpan growthTime",
+		reflect.TypeFor[sendRateController](): "limit rttTargets reducedAt grownAt tokens refilledAt sent | rateSpan growthTime",
 		reflect.TypeFor[slowStartPacer]():     "successes warmHostRate |",
 		reflect.TypeFor[stalledAttempts]():    "unansweredShare |",
 		reflect.TypeFor[endpointPoller]():     "listsArrive pollAt failures |",
--- a/balancer/compat_fields_test.go
+++ b/balancer/compat_fields_test.go
@@ -85,7 +85,7 @@
 		{"typical RTT by kind", b.typicalRTT.byKind, []movingAverage{{mean: 9.5, n: 115}}},
 		{"typical RTT", b.typicalRTT.any, movingAverage{mean: 10.5, n: 116}},
 		{"rate of a warm host", b.pacer.warmHostRate, movingAverage{mean: 11.5, n: 117}},
-		{"pressure", b.sendRate.pressure, movingAverage{mean: 12.5, n: 118}},
+		{"RTT in targets of the send rate", b.sendRate.rttTargets, movingAverage{mean: 12.5, n: 118}},
 		{"quota tokens", b.quotas.buckets[0].tokens, 13.5},
 		{"quota refilled", int64(b.quotas.buckets[0].refilledAt), 119},
 		{"send rate reduced", int64(b.sendRate.reducedAt), 120},
--- a/balancer/sendrate.go
+++ b/balancer/sendrate.go
@@ -16,13 +16,13 @@
 	sendRateGrowthDecays = 0.5
 	// sendRateEndArrivals is the limit at which it ends, in arrival rates of requests.
 	sendRateEndArrivals = 2
-	// maxPressureSample bounds the RTT that one response counts as, in targets.
-	maxPressureSample = 3
-	// pressureSampleWeight is the weight of one response in the mean pressure.
-	pressureSampleWeight = 1.0 / 8
-	// pressureDeviations is how far above its target the mean pressure must be for a reduction, in mean
-	// deviations, so that chance alone does not reduce the rate.
-	pressureDeviations = 1.0
+	// sendRateMaxSampleTargets bounds the RTT that one response counts as, in targets.
+	sendRateMaxSampleTargets = 3
+	// sendRateSampleWeight is the weight of one response in the recent mean RTT.
+	sendRateSampleWeight = 1.0 / 8
+	// sendRateReductionDeviations is how far above its target the recent mean RTT must be for a reduction, in
+	// mean deviations, so that chance alone does not reduce the rate.
+	sendRateReductionDeviations = 1.0
 )
 
 // sendRateController limits how many attempts a second this instance sends to all hosts together. It guards
@@ -32,7 +32,7 @@
 // it is below.
 type sendRateController struct {
 	limit      float64       // attempts a second; 0: not limited
-	pressure   movingAverage // RTT of the last responses from any host, in targets
+	rttTargets movingAverage // RTT of the last responses from any host, in targets
 	reducedAt  Time
 	grownAt    Time
 	tokens     float64 // attempts that may be sent at once, as of refilledAt
@@ -44,17 +44,17 @@
 	growthTime float64 // in which the limit grows by a factor of e, in seconds
 }
 
-// observe updates the limit after a response to an attempt sent at sentAt, whose RTT was pressure targets.
-// arrivals is the rate of requests at this instance.
-func (c *sendRateController) observe(now, sentAt Time, pressure float64, arrivals *decayingRate) {
-	c.pressure.blend(min(pressure, maxPressureSample), pressureSampleWeight)
-	overloaded := c.pressure.mean > 1+pressureDeviations*c.pressure.dev
+// observe updates the limit after a response to an attempt sent at sentAt, whose RTT is the sample, in targets
+// of its class. arrivals is the rate of requests at this instance.
+func (c *sendRateController) observe(now, sentAt Time, sample float64, arrivals *decayingRate) {
+	c.rttTargets.blend(min(sample, sendRateMaxSampleTargets), sendRateSampleWeight)
+	overloaded := c.rttTargets.mean > 1+sendRateReductionDeviations*c.rttTargets.dev
 	// Only an attempt sent after the last reduction can tell whether that was enough.
 	newRound := sentAt >= c.reducedAt
 	switch {
 	case overloaded && newRound:
 		c.reduce(now)
-	case c.limit > 0 && c.pressure.mean <= 1:
+	case c.limit > 0 && c.rttTargets.mean <= 1:
 		c.grow(now, arrivals)
 	}
 }
@@ -66,8 +66,8 @@
 	if c.limit == 0 || sent < c.limit {
 		c.limit = sent
 	}
-	c.limit = max(c.limit/c.pressure.mean, 1/c.rateSpan)
-	c.pressure.mean = 1
+	c.limit = max(c.limit/c.rttTargets.mean, 1/c.rateSpan)
+	c.rttTargets.mean = 1
 	c.reducedAt = now
 	c.grownAt = now
 }
@@ -106,8 +106,8 @@
 
 // adjustSendRate updates the send rate after a response that took rtt seconds.
 func (b *Balancer) adjustSendRate(attempt *attempt, rtt float64) {
-	pressure := rtt / b.sendRateTarget(attempt.request.Class)
-	b.sendRate.observe(b.now, attempt.sentAt, pressure, &b.arrivals)
+	sample := rtt / b.sendRateTarget(attempt.request.Class)
+	b.sendRate.observe(b.now, attempt.sentAt, sample, &b.arrivals)
 }
 
 // withinSendRate reports whether the send rate lets a request be sent now. Requests of low priority leave
