--- a/balancer/sendrate.go
+++ b/balancer/sendrate.go
@@ -44,7 +44,7 @@
 	growthTime float64 // in which the limit grows by a factor of e, in seconds
 }
 
-// observe updates the limit after a response to an attempt sent at sentAt, whose RTT is the sample, in targets
+// observe updates the limit after a response to an attempt sent at sentAt. The sample is its RTT, in targets
 // of its class. arrivals is the rate of requests at this instance.
 func (c *sendRateController) observe(now, sentAt Time, sample float64, arrivals *decayingRate) {
 	c.rttTargets.blend(min(sample, sendRateMaxSampleTargets), sendRateSampleWeight)
