--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -37,7 +37,7 @@
 		b.paceSlowStart(host)
 	}
 	b.sets.add(setBusy, host)
-	b.recheck(host)
+	b.updateStanding(host)
 	b.act(Action{Kind: Send, Request: request.ID, Host: host.ID, At: sendBy})
 	b.sweep.inFlight++
 	b.sendRate.countSent(b.now)
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -44,15 +44,15 @@
 	logs    [logKinds]logLimiter
 
 	// Hosts.
-	hosts    []*host // in an order that does not depend on that of a map
-	byID     map[HostID]*host
-	sets     hostSets       // the subset, and the ready hosts in it
-	rechecks recheckHeap    // hosts by the time when their standing may change
-	counts   subsetCounts   // of the subset
-	excluded []subsetCounts // of the hosts excluded for a class, by class
-	ring     hostRing
-	subset   subset
-	scopes   dedupScopes
+	hosts        []*host // in an order that does not depend on that of a map
+	byID         map[HostID]*host
+	sets         hostSets       // the subset, and the ready hosts in it
+	dueStandings dueHeap        // hosts by the time when their standing may change
+	counts       subsetCounts   // of the subset
+	excluded     []subsetCounts // of the hosts excluded for a class, by class
+	ring         hostRing
+	subset       subset
+	scopes       dedupScopes
 
 	// Requests.
 	open     map[RequestID]*request
@@ -199,7 +199,7 @@
 	b.learnStalled(attempt)
 	elapsed := max(outcome.Elapsed, 1) // a mean of 0 would be no divisor
 	b.observe(attempt, elapsed.Seconds())
-	b.recheck(host)
+	b.updateStanding(host)
 	b.afterAttempt(attempt.request, attempt, outcome.Closed) // it may free the attempt
 	b.dropRemoved(host)
 	b.dispatchWaiting()
--- a/balancer/checkpoint_hosts.go
+++ b/balancer/checkpoint_hosts.go
@@ -1,6 +1,7 @@
 package balancer
 
-// codeHosts codes the hosts, the sets that they are in and the times of their rechecks.
+// codeHosts codes the hosts, the sets that they are in and the times at which their
+// standing is due.
 func (b *Balancer) codeHosts(c *checkpointCodec) {
 	n := c.codeCount(len(b.hosts))
 	if c.decoding {
@@ -24,9 +25,9 @@
 	for set := range b.sets {
 		b.codeSet(c, setKind(set))
 	}
-	b.codeHostList(c, &b.rechecks.hosts)
-	for i, host := range b.rechecks.hosts {
-		host.recheckEntry.position = i + 1
+	b.codeHostList(c, &b.dueStandings.hosts)
+	for i, host := range b.dueStandings.hosts {
+		host.due.position = i + 1
 	}
 	if c.decoding {
 		b.recountHosts()
@@ -48,7 +49,7 @@
 	codeInt(c, &h.ejection.until)
 	codeInt(c, &h.slowStart.startedAt)
 	codeInt(c, &h.slowStart.nextSend)
-	codeInt(c, &h.recheckEntry.at)
+	codeInt(c, &h.due.at)
 	c.codeFloat(&h.rtt.seconds)
 	c.codeFloat(&h.limiter.limit)
 	c.codeBool(&h.rtt.sampled)
--- a/balancer/checkpoint_test.go
+++ b/balancer/checkpoint_test.go
@@ -83,14 +83,14 @@
 // only where a replay goes wrong much later.
 func TestCheckpointNamesEveryField(t *testing.T) {
 	known := map[reflect.Type]string{
-		reflect.TypeFor[Balancer](): "random now hosts sets rechecks ring subset arrivals open queues sweep starvation typicalRTT " +
+		reflect.TypeFor[Balancer](): "random now hosts sets dueStandings ring subset arrivals open queues sweep starvation typicalRTT " +
 			"quotas sendRate pacer stalled poller logs | settings scales actions byID counts excluded scopes touched candidates pool",
 		reflect.TypeFor[host](): "Host rtt limiter ejection inFlight attempts lastResponse errors hasErrors brokenResponses slowStart " +
-			"counted recheckEntry sets | index ring",
+			"counted due sets | index ring",
 		reflect.TypeFor[randomSource]():       "state |",
 		reflect.TypeFor[scales]():             "| shortestObjective errorPenalty minEstimateDecay",
-		reflect.TypeFor[recheckHeap]():        "hosts |",
-		reflect.TypeFor[recheckEntry]():       "at | position",
+		reflect.TypeFor[dueHeap]():            "hosts |",
+		reflect.TypeFor[dueEntry]():           "at | position",
 		reflect.TypeFor[membership]():         "| position readySet",
 		reflect.TypeFor[hostRing]():           "built | byKind hosts place start warm warming",
 		reflect.TypeFor[ringPosition]():       "| hash place counted",
--- a/balancer/compat_fields_test.go
+++ b/balancer/compat_fields_test.go
@@ -105,7 +105,7 @@
 		{"hosts suspected", hostIDs(b.sets[setSuspected].list), "[7]"},
 		{"hosts busy", hostIDs(b.sets[setBusy].list), "[7]"},
 		{"hosts of the subset", hostIDs(b.sets[setSubset].list), "[8 7]"},
-		{"rechecks", hostIDs(b.rechecks.hosts), "[7]"},
+		{"standings due", hostIDs(b.dueStandings.hosts), "[7]"},
 	}
 }
 
@@ -128,7 +128,7 @@
 		{"ejected until", int64(host.ejection.until), 155},
 		{"started", int64(host.slowStart.startedAt), 156},
 		{"next send in slow start", int64(host.slowStart.nextSend), 157},
-		{"recheck", int64(host.recheckEntry.at), 158},
+		{"standing due", int64(host.due.at), 158},
 		{"RTT", host.rtt.seconds, 17.5},
 		{"limit", host.limiter.limit, 18.5},
 		{"sampled", host.rtt.sampled, true},
--- a/balancer/recheck.go
+++ b/balancer/dueheap.go
@@ -1,22 +1,23 @@
 package balancer
 
-// recheckHeap orders hosts by the time of their next recheck. Hosts know their position in it.
-type recheckHeap struct{ hosts []*host }
+// dueHeap orders hosts by when their standing is due to be updated without an event. No timer is set:
+// those that are due are updated before a host is next chosen. Hosts know their position in the heap.
+type dueHeap struct{ hosts []*host }
 
-// recheckEntry is what a host knows of its place in the heap.
-type recheckEntry struct {
+// dueEntry is what a host knows of its place in the heap.
+type dueEntry struct {
 	at       Time // forever: it is not in the heap
 	position int  // counted from 1; 0: it is not in the heap
 }
 
 // due reports whether the first host is due.
-func (q *recheckHeap) due(now Time) bool {
-	return len(q.hosts) > 0 && q.hosts[0].recheckEntry.at <= now
+func (q *dueHeap) due(now Time) bool {
+	return len(q.hosts) > 0 && q.hosts[0].due.at <= now
 }
 
-// schedule sets the time of a host's next recheck; forever: there is none.
-func (q *recheckHeap) schedule(host *host, at Time) {
-	entry := &host.recheckEntry
+// schedule sets when a host is due; forever: never.
+func (q *dueHeap) schedule(host *host, at Time) {
+	entry := &host.due
 	scheduled := entry.position != 0
 	unchanged := entry.at == at && scheduled == (at != forever)
 	if unchanged {
@@ -35,9 +36,9 @@
 }
 
 // cancel removes a host from the heap.
-func (q *recheckHeap) cancel(host *host) {
-	i := host.recheckEntry.position - 1
-	host.recheckEntry = recheckEntry{at: forever}
+func (q *dueHeap) cancel(host *host) {
+	i := host.due.position - 1
+	host.due = dueEntry{at: forever}
 	if i < 0 {
 		return
 	}
@@ -47,15 +48,15 @@
 	q.hosts = q.hosts[:last]
 	if i < last {
 		q.hosts[i] = moved
-		moved.recheckEntry.position = i + 1
+		moved.due.position = i + 1
 		q.restore(i)
 	}
 }
 
 // restore moves the host at i to where it belongs.
-func (q *recheckHeap) restore(i int) { q.siftDown(q.siftUp(i)) }
+func (q *dueHeap) restore(i int) { q.siftDown(q.siftUp(i)) }
 
-func (q *recheckHeap) siftUp(i int) int {
+func (q *dueHeap) siftUp(i int) int {
 	for i > 0 {
 		parent := (i - 1) / 2
 		if q.at(parent) <= q.at(i) {
@@ -67,7 +68,7 @@
 	return i
 }
 
-func (q *recheckHeap) siftDown(i int) {
+func (q *dueHeap) siftDown(i int) {
 	for {
 		child := 2*i + 1
 		if child >= len(q.hosts) {
@@ -86,10 +87,10 @@
 }
 
 // at returns the time of the host at i.
-func (q *recheckHeap) at(i int) Time { return q.hosts[i].recheckEntry.at }
+func (q *dueHeap) at(i int) Time { return q.hosts[i].due.at }
 
-func (q *recheckHeap) swap(i, j int) {
+func (q *dueHeap) swap(i, j int) {
 	q.hosts[i], q.hosts[j] = q.hosts[j], q.hosts[i]
-	q.hosts[i].recheckEntry.position = i + 1
-	q.hosts[j].recheckEntry.position = j + 1
+	q.hosts[i].due.position = i + 1
+	q.hosts[j].due.position = j + 1
 }
--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -96,5 +96,5 @@
 	trialAt := now + Time(b.random.unit()*float64(within))
 	host.ejection.shortenBackoff(trialAt)
 	host.rtt.sampled = false
-	b.recheck(host)
+	b.updateStanding(host)
 }
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -73,7 +73,7 @@
 	if host.State != Ready {
 		b.removeFromSubset(host)
 	}
-	b.recheck(host)
+	b.updateStanding(host)
 	b.dropRemoved(host)
 }
 
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -78,9 +78,9 @@
 	}
 	b := g.b
 	if len(b.byID) != 60 || len(b.hosts) != 60 || len(b.ring.hosts) > 60 || b.ring.ready() != 60 ||
-		len(b.sets[setSubset].list) > 60 || len(b.rechecks.hosts) > 60 || cap(b.ring.hosts) > 256 {
-		t.Errorf("state after 1200 replacements: %d by id, %d hosts, %d on the ring (capacity %d), %v ready, %d in the subset, %d due for a recheck; want at most 60 each",
-			len(b.byID), len(b.hosts), len(b.ring.hosts), cap(b.ring.hosts), [2]int{b.ring.warm, b.ring.warming}, len(b.sets[setSubset].list), len(b.rechecks.hosts))
+		len(b.sets[setSubset].list) > 60 || len(b.dueStandings.hosts) > 60 || cap(b.ring.hosts) > 256 {
+		t.Errorf("state after 1200 replacements: %d by id, %d hosts, %d on the ring (capacity %d), %v ready, %d in the subset, %d whose standing is due; want at most 60 each",
+			len(b.byID), len(b.hosts), len(b.ring.hosts), cap(b.ring.hosts), [2]int{b.ring.warm, b.ring.warming}, len(b.sets[setSubset].list), len(b.dueStandings.hosts))
 	}
 	for _, l := range b.ring.byKind {
 		if len(l.hosts) != 60 {
--- a/balancer/host.go
+++ b/balancer/host.go
@@ -17,9 +17,9 @@
 	slowStart       slowStart
 	ring            ringPosition
 
-	sets         membership
-	counted      standing // what Balancer.counts has of it
-	recheckEntry recheckEntry
+	sets    membership
+	counted standing // what Balancer.counts has of it
+	due     dueEntry
 }
 
 // oldestNotOvertaken returns the attempt in flight longest that was not overtaken, and how many of those
@@ -47,7 +47,7 @@
 		errors:       make([]classErrors, len(b.settings.Classes)),
 		ring:         ringPosition{hash: mixBits(uint64(entry.ID))},
 		sets:         membership{readySet: setNone},
-		recheckEntry: recheckEntry{at: forever},
+		due:          dueEntry{at: forever},
 	}
 	b.byID[entry.ID] = added
 	b.hosts = append(b.hosts, added)
@@ -68,6 +68,6 @@
 	b.hosts[last] = nil // the slice must not keep a host that is gone
 	b.hosts = b.hosts[:last]
 	b.ring.remove(host)
-	b.rechecks.cancel(host)
+	b.dueStandings.cancel(host)
 	b.invalidateRing()
 }
--- a/balancer/hostset_test.go
+++ b/balancer/hostset_test.go
@@ -43,10 +43,10 @@
 		return candidates
 	}
 	for _, h := range hosts {
-		// The silence timeout may have shrunk since the last recheck; the next sweep sees that.
-		rechecked := h.sets.readySet == setSuspected || h.recheckEntry.at <= b.now
+		// The silence timeout may have shrunk since the host's last update; the next sweep sees that.
+		updated := h.sets.readySet == setSuspected || h.due.at <= b.now
 		inUse := h.State == Ready && !b.excludedFor(h, class) && !b.ejected(h) && !h.slowStart.paced(b.now)
-		if rechecked && inUse && b.suspected(h) {
+		if updated && inUse && b.suspected(h) {
 			candidates = append(candidates, h)
 		}
 	}
@@ -171,21 +171,21 @@
 
 	for _, h := range g.b.hosts {
 		g.b.eject(h, CauseSilent)
-		g.b.recheck(h)
+		g.b.updateStanding(h)
 	}
 	checkHostSets(t, g.b) // all ejected: fail open
 	for _, h := range g.b.hosts {
 		h.ejection.cause = CauseConnectionsFailed
-		g.b.recheck(h)
+		g.b.updateStanding(h)
 	}
 	checkHostSets(t, g.b)
 	for _, h := range g.b.hosts[1:] {
 		h.ejection.count = 0
 		h.limiter.restingUntil = g.now + time.Minute
-		g.b.recheck(h)
+		g.b.updateStanding(h)
 	}
 	g.b.hosts[0].ejection.count = 0
-	g.b.recheck(g.b.hosts[0])
+	g.b.updateStanding(g.b.hosts[0])
 	checkHostSets(t, g.b) // one ready
 	for i, h := range g.b.hosts {
 		h.limiter.restingUntil = 0
@@ -195,7 +195,7 @@
 				h.errors[c].excludedUntil = g.now + time.Minute
 			}
 		}
-		g.b.recheck(h)
+		g.b.updateStanding(h)
 	}
 	checkHostSets(t, g.b) // every class excluded somewhere, one nearly everywhere
 }
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -187,7 +187,7 @@
 			t.Errorf("class %d: excluded after one error, want two", class)
 		}
 		g.b.recordError(a)
-		g.b.recheck(h)
+		g.b.updateStanding(h)
 		if got := g.b.excludedFor(h, class); got != want {
 			t.Errorf("class %d: excluded %v after two errors to class 0, want %v", class, got, want)
 		}
--- a/balancer/policy_test.go
+++ b/balancer/policy_test.go
@@ -81,7 +81,7 @@
 // filesWithoutDecisions are the files of the package that hold no rule: types, data structures and codecs.
 var filesWithoutDecisions = []string{
 	"actions.go", "api.go", "checkpoint.go", "checkpoint_codec.go", "checkpoint_hosts.go", "checkpoint_requests.go",
-	"host.go", "hostset.go", "list.go", "random.go", "recheck.go", "request.go", "retune.go", "settings.go", "view.go",
+	"host.go", "hostset.go", "list.go", "random.go", "dueheap.go", "request.go", "retune.go", "settings.go", "view.go",
 }
 
 // balancerGuide returns the files that the doc comment of Balancer names, each with what it decides.
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -154,7 +154,7 @@
 		h := g.b.hosts[0]
 		h.limiter.limit = 0.4
 		h.limiter.restingUntil = g.now + time.Second
-		g.b.recheck(h)
+		g.b.updateStanding(h)
 		g.request(0, time.Second)
 		if len(g.actions) > 0 {
 			t.Fatalf("%d gateways: actions %v at once, want none", gateways, g.actions)
--- a/balancer/retune.go
+++ b/balancer/retune.go
@@ -26,7 +26,7 @@
 	b.requeue()
 	b.subset.current = false
 	for _, host := range b.hosts {
-		b.recheck(host)
+		b.updateStanding(host)
 	}
 	return nil
 }
@@ -65,7 +65,7 @@
 	for _, host := range b.hosts {
 		host.errors = continued(host.errors, from)
 		for class := range host.errors {
-			host.errors[class].counted = false // recheck counts it again
+			host.errors[class].counted = false // updateStanding counts it again
 		}
 	}
 }
--- a/balancer/retune_test.go
+++ b/balancer/retune_test.go
@@ -133,8 +133,8 @@
 	}
 }
 
-// Retuning to the same settings leaves the state the same byte for byte, except that all hosts are due
-// for a recheck.
+// Retuning to the same settings leaves the state the same byte for byte, except for the standing of
+// hosts, which is updated.
 func TestRetuneToSameSettingsChangesNothing(t *testing.T) {
 	g := newTestGateway(t, testSettings(), testHosts(5)...)
 	for i := range 200 {
@@ -149,7 +149,7 @@
 	g.b.subset.current = false
 	g.b.now = g.now
 	for _, h := range g.b.hosts {
-		g.b.recheck(h)
+		g.b.updateStanding(h)
 	}
 	before := g.b.Checkpoint(nil)
 	if err := g.b.Retune(g.now, testSettings(), []int{0, 1, 2}); err != nil {
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -79,7 +79,7 @@
 		i, j := b.random.twoBelow(total)
 		x := b.sets.at(eligible.first, i)
 		y := b.sets.at(eligible.first, j)
-		if b.refreshPair(x, y) {
+		if b.updateBusyPair(x, y) {
 			continue
 		}
 		bothTried := request.tried(x) && request.tried(y)
@@ -94,13 +94,13 @@
 	return b.chooseCandidate(request)
 }
 
-// refreshPair rechecks two hosts, the second only if the first has not moved, and reports whether one has
-// moved to another set.
-func (b *Balancer) refreshPair(x, y *host) (moved bool) {
-	if b.refreshStanding(x) {
+// updateBusyPair updates two hosts as updateBusyHost does, the second only if the first has not moved, and
+// reports whether one has moved.
+func (b *Balancer) updateBusyPair(x, y *host) (moved bool) {
+	if b.updateBusyHost(x) {
 		return true
 	}
-	return y != x && b.refreshStanding(y)
+	return y != x && b.updateBusyHost(y)
 }
 
 // bothUsable reports whether neither of two hosts is excluded for a class, or that does not matter.
@@ -120,7 +120,7 @@
 	for set := eligible.first; set < eligible.end(); set++ {
 		for i := len(b.sets[set].list) - 1; i >= 0; i-- {
 			host := b.sets[set].list[i]
-			moved := b.refreshStanding(host)
+			moved := b.updateBusyHost(host)
 			if !moved && b.usable(host, request.Class, eligible) {
 				b.candidates = append(b.candidates, host)
 			}
--- a/balancer/silence.go
+++ b/balancer/silence.go
@@ -37,7 +37,7 @@
 	for _, host := range b.sets[setBusy].list {
 		b.sweep.inFlight += host.inFlight
 		b.cancelStalled(host)
-		b.recheck(host)
+		b.updateStanding(host)
 		b.checkSilence(host)
 	}
 }
@@ -65,6 +65,6 @@
 	second := first.next
 	if second != nil && b.unansweredTooLong(second.item) {
 		b.eject(host, CauseSilent)
-		b.recheck(host)
+		b.updateStanding(host)
 	}
 }
--- a/balancer/silence_test.go
+++ b/balancer/silence_test.go
@@ -58,7 +58,7 @@
 			t.Fatalf("%d requests sent to it while another host is ready, want 0", got[1])
 		}
 		g.b.byID[2].limiter.restingUntil = g.now + time.Minute // the other is not ready any more
-		g.b.recheck(g.b.byID[2])
+		g.b.updateStanding(g.b.byID[2])
 		g.request(2, time.Second)
 		for _, a := range g.actions {
 			if a.Kind == Send {
--- a/balancer/stalled.go
+++ b/balancer/stalled.go
@@ -91,6 +91,6 @@
 		return
 	}
 	for _, host := range b.sets[setBusy].list {
-		b.recheck(host)
+		b.updateStanding(host)
 	}
 }
--- a/balancer/standing.go
+++ b/balancer/standing.go
@@ -99,9 +99,9 @@
 	}
 }
 
-// recheck puts a host into the set that it belongs to and updates the counts. It is called after each event
-// that concerns the host, and at the time that it schedules itself.
-func (b *Balancer) recheck(host *host) {
+// updateStanding puts a host into the set that it belongs to and updates the counts. It is called after each
+// event that concerns the host, and when the standing is due by itself.
+func (b *Balancer) updateStanding(host *host) {
 	if host.slowStart.warming {
 		b.updateRank(host)
 	}
@@ -119,7 +119,7 @@
 		b.counts.add(counted, 1)
 		host.counted = counted
 	}
-	b.rechecks.schedule(host, b.nextRecheck(host))
+	b.dueStandings.schedule(host, b.nextStandingChange(host))
 }
 
 // countExclusions updates, for each class, whether a host counts as excluded, given its standing now.
@@ -136,8 +136,9 @@
 	}
 }
 
-// nextRecheck returns the next time at which a host's standing may change without an event; forever: none.
-func (b *Balancer) nextRecheck(host *host) Time {
+// nextStandingChange returns the next time at which a host's standing may change without an event; forever:
+// none.
+func (b *Balancer) nextStandingChange(host *host) Time {
 	next := forever
 	consider := func(at Time) {
 		if at > b.now {
@@ -164,19 +165,20 @@
 	return next
 }
 
-// refreshStanding rechecks a busy host, as time has passed, and reports whether it moved to another set.
-func (b *Balancer) refreshStanding(host *host) (moved bool) {
+// updateBusyHost updates a host with attempts in flight, as time has passed, and reports whether it moved to
+// another set.
+func (b *Balancer) updateBusyHost(host *host) (moved bool) {
 	if host.inFlight == 0 {
 		return false
 	}
 	before := host.sets.readySet
-	b.recheck(host)
+	b.updateStanding(host)
 	return host.sets.readySet != before
 }
 
-// refreshDueStandings rechecks the hosts whose standing may have changed without an event.
-func (b *Balancer) refreshDueStandings() {
-	for b.rechecks.due(b.now) {
-		b.recheck(b.rechecks.hosts[0])
+// updateDueStandings updates the hosts whose standing may have changed without an event.
+func (b *Balancer) updateDueStandings() {
+	for b.dueStandings.due(b.now) {
+		b.updateStanding(b.dueStandings.hosts[0])
 	}
 }
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -54,7 +54,7 @@
 
 // refreshSubset brings the subset up to date with the ring, the standing of its hosts and the traffic.
 func (b *Balancer) refreshSubset() {
-	b.refreshDueStandings()
+	b.updateDueStandings()
 	size := b.subsetSize()
 	if !b.subset.current {
 		b.startSubset(size)
@@ -109,7 +109,7 @@
 		}
 		if !host.inSubset() && (!enough || !b.isInUse(host)) {
 			b.sets.add(setSubset, host)
-			b.recheck(host)
+			b.updateStanding(host)
 		}
 		b.subset.scanned++
 	}
@@ -145,6 +145,6 @@
 		return
 	}
 	b.sets.remove(setSubset, host)
-	b.recheck(host)
+	b.updateStanding(host)
 	b.act(Action{Kind: Close, Host: host.ID})
 }
--- a/balancer/view_test.go
+++ b/balancer/view_test.go
@@ -12,10 +12,10 @@
 		t.Errorf("%d of %d hosts usable, want 3 of 3", usable, ready)
 	}
 	g.b.eject(g.b.byID[1], CauseSilent)
-	g.b.recheck(g.b.byID[1])
+	g.b.updateStanding(g.b.byID[1])
 	// It counts as ejected until it has answered, even after the ejection ends.
 	g.b.now = g.b.byID[1].ejection.until + 1
-	g.b.recheck(g.b.byID[1])
+	g.b.updateStanding(g.b.byID[1])
 	if usable, ready := g.b.Usable(); usable != 2 || ready != 3 {
 		t.Errorf("after an ejection %d of %d hosts usable, want 2 of 3", usable, ready)
 	}
