--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -112,18 +112,18 @@
 	return relative
 }
 
-// takesNoMore reports whether a host gets no other attempt now: as it rests, has as many in flight as it may,
-// or does not answer the ones that it has in time.
-func (b *Balancer) takesNoMore(host *host) bool {
+// acceptsAttempts reports whether a host may be sent another attempt now: unless it is resting, full, overdue
+// or suspected (standing.go). The host's listed state, slow start and ejection are not looked at.
+func (b *Balancer) acceptsAttempts(host *host) bool {
 	oldest, notOvertaken := host.oldestNotOvertaken()
 	counted := host.inFlight
 	if b.stalled.areUnanswered() {
 		counted = notOvertaken // overtaken attempts are most likely on connections that have become silent
 	}
 	if host.limiter.resting(b.now) || host.limiter.full(counted) {
-		return true
+		return false
 	}
-	return b.overdue(oldest) || b.suspected(host)
+	return !b.overdue(oldest) && !b.suspected(host)
 }
 
 // overdue reports whether the oldest attempt at a host that was not overtaken, nil for none, has taken so
--- a/balancer/hostset_test.go
+++ b/balancer/hostset_test.go
@@ -12,7 +12,7 @@
 func scanCandidates(b *Balancer, class int, candidates []*host) []*host {
 	inService, ejected, excluded, unreachable := 0, 0, 0, 0
 	hosts := b.sets[setSubset].list
-	accepts := func(h *host) bool { return h.State == Ready && !h.slowStart.paced(b.now) && !b.takesNoMore(h) }
+	accepts := func(h *host) bool { return h.State == Ready && !h.slowStart.paced(b.now) && b.acceptsAttempts(h) }
 	for _, h := range hosts {
 		switch {
 		case h.State != Ready:
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -316,7 +316,7 @@
 	h.limiter.limit = 1
 	for _, share := range []float64{0, 1} {
 		g.b.stalled.unansweredShare = share
-		if at, want := g.b.takesNoMore(h), share == 0; at != want {
+		if at, want := !g.b.acceptsAttempts(h), share == 0; at != want {
 			t.Errorf("with an unanswered share of %v: at its limit %v, want %v", share, at, want)
 		}
 	}
--- a/balancer/standing.go
+++ b/balancer/standing.go
@@ -64,7 +64,7 @@
 		return setNone
 	}
 	ejected := b.ejected(host)
-	if b.takesNoMore(host) {
+	if !b.acceptsAttempts(host) {
 		if !ejected && b.suspected(host) {
 			return setSuspected
 		}
