--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -25,7 +25,7 @@
 // dedupWindowEnd returns when the deduplication window ends for retries after a first attempt that may have
 // run: by then the last byte of a retry has to be sent.
 func (b *Balancer) dedupWindowEnd(first *attempt) Time {
-	return first.sentAt + first.request.class.DedupWindow - b.stepMargin()
+	return first.sentAt + first.request.class.DedupWindow - b.dedupMargin()
 }
 
 // sendBy returns the time after which nothing of a request's next attempt may be sent; 0: at any time.
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -174,7 +174,7 @@
 		}
 		want := Time(0)
 		if class == 1 {
-			want = second + 600*ms - marginSteps*g.b.settings.Step
+			want = second + 600*ms - dedupMarginSteps*g.b.settings.Step
 		}
 		if at := g.onlyAction(Send).At; at != want {
 			t.Errorf("class %d: the retry has to be out by %v, want %v", class, at-began, want-began)
