--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -218,3 +218,6 @@
 	}
 	return f
 }
+
+// discardActions drops the pending actions.
+func (b *Balancer) discardActions() { b.actions = b.actions[:0] }
--- /dev/null
+++ b/balancer/polling_test.go
@@ -0,0 +1,97 @@
+package balancer
+
+import (
+	"testing"
+	"time"
+)
+
+func TestPollStartsByRankAndBacksOff(t *testing.T) {
+	settings := testSettings()
+	settings.Poll = true
+	settings.Instances = 4
+	settings.Rank = 2
+	settings.PollTimeout = 8 * time.Second
+	g := newTestGateway(t, settings, testHosts(1)...)
+	polls := func(d time.Duration) int { return len(g.advance(d)) }
+	if n := polls(999 * ms); n != 0 {
+		t.Errorf("%d polls before the time that its rank gives, want 0", n)
+	}
+	if n := polls(2 * ms); n != 1 {
+		t.Fatalf("%d polls at the time that its rank gives, want 1", n)
+	}
+	g.updateEndpoints(ListFailed)
+	if n := polls(time.Second); n != 1 {
+		t.Errorf("%d polls within a second of a failure, want 1", n)
+	}
+	g.updateEndpoints(ListChanges)
+	if n := polls(time.Minute); n != 0 {
+		t.Errorf("%d polls while a list is awaited, want 0", n)
+	}
+	g.updateEndpoints(ListFailed)
+	gaps := []int{}
+	for range 5 {
+		start := g.now
+		for polls(10*ms) == 0 {
+		}
+		gaps = append(gaps, int((g.now-start)/ms))
+		g.updateEndpoints(ListFailed)
+	}
+	if gaps[4] <= gaps[0] || gaps[4] > 8000 {
+		t.Errorf("gaps of %v ms between polls, want them to grow and to stay within 8000", gaps)
+	}
+	settings.Poll = false
+	if g := newTestGateway(t, settings, testHosts(1)...); len(g.advance(time.Minute)) != 0 {
+		t.Error("polls though the list is pushed, want none")
+	}
+}
+
+// Discovery is out for ten seconds: the last list, with its draining hosts, stays in use, and the
+// gateways return spread over several seconds.
+func TestEndpointListStaysInUseWhilePollsFail(t *testing.T) {
+	settings := testSettings()
+	settings.Poll = true
+	settings.PollTimeout = 10 * time.Second
+	const gatewayCount, hostCount = 80, 60
+	f := newGatewayFleet(t, settings, gatewayCount, testHosts(hostCount))
+	drained := Host{ID: 7, Zone: 3, Cell: 3, State: Draining}
+	f.updateEndpoints(drained)
+	returns := map[int]int{} // answered polls, by second since discovery is back
+	for _, g := range f.gateways {
+		began := g.now
+		g.updateEndpoints(ListFailed) // all watches end at once
+		for range 200 {
+			for _, a := range g.advance(100 * ms) {
+				if a.Kind != Poll {
+					continue
+				}
+				if since := g.now - began; since < 10*time.Second {
+					g.updateEndpoints(ListFailed)
+				} else {
+					returns[int((since-10*time.Second)/time.Second)]++
+					g.updateEndpoints(ListChanges)
+				}
+			}
+			id := g.request(0, time.Second)
+			for _, a := range g.actions {
+				if a.Kind == Send && a.Host == drained.ID {
+					t.Fatalf("request sent to host %d, %v after the list gave it as draining, want none",
+						a.Host, g.now-began)
+				}
+				if a.Kind == Send {
+					g.attemptEnded(id, 0, OK, 10*ms)
+				}
+			}
+		}
+		if len(g.b.hosts) != hostCount {
+			t.Errorf("%d hosts known, want the %d of the last list", len(g.b.hosts), hostCount)
+		}
+	}
+	for second, c := range returns {
+		if c > gatewayCount/2 {
+			t.Errorf("%d of %d gateways return in second %d, want at most half", c, gatewayCount, second)
+		}
+	}
+	if len(returns) < 4 {
+		t.Errorf("the gateways return within %d seconds, want 4 or more", len(returns))
+	}
+}
--- /dev/null
+++ b/balancer/sendrate_test.go
@@ -0,0 +1,84 @@
+package balancer
+
+import (
+	"testing"
+	"time"
+)
+
+// Responses are compared with the usual RTT of their class too: a fleet can be overloaded while
+// responses are far within the latency objective.
+func TestSendRateIsReducedAboveUsualRTT(t *testing.T) {
+	settings := testSettings()
+	settings.Instances = 100
+	g := newTestGateway(t, settings, testHosts(10)...)
+	quick := func(HostID) time.Duration { return 40 * ms }
+	g.serve(100, 0, quick)
+	if p := g.b.sendRate.rttTargets.mean; p > 1 || g.b.sendRate.limit != 0 {
+		t.Fatalf("at the usual RTT: recent RTT %v targets, send rate %v, want at most 1 target and no send rate",
+			p, g.b.sendRate.limit)
+	}
+	g.serve(12, 0, func(HostID) time.Duration { return 100 * ms }) // a quarter of the latency objective
+	if g.b.sendRate.limit == 0 {
+		t.Errorf("at 2.5 times the usual RTT: no send rate at a recent RTT of %v targets, want one", g.b.sendRate.rttTargets.mean)
+	}
+	if l := g.b.typicalRTT.byClass[0].mean; l > 0.05 {
+		t.Errorf("usual RTT %v after a short overload, want at most 0.05", l)
+	}
+}
+
+// An attempt that is out for unusually long raises the RTT that the send rate is reduced by before its
+// response arrives, as the hosts left after a crash are overloaded before the first late response.
+func TestUnansweredAttemptRaisesRTTOfSendRate(t *testing.T) {
+	settings := testSettings()
+	settings.Instances = 100
+	g := newTestGateway(t, settings, testHosts(10)...)
+	g.serve(60, 0, func(HostID) time.Duration { return 20 * ms })
+	before := g.b.sendRate.rttTargets.mean
+	g.request(0, time.Second)
+	g.onlyAction(Send)
+	g.advance(300 * ms)
+	if p := g.b.sendRate.rttTargets.mean; p <= before {
+		t.Errorf("recent RTT of %v targets after 300 ms without a response, want above %v", p, before)
+	}
+}
+
+// In a fleet where each instance has less than one attempt at a host, limits per host cannot bound the
+// load, so the send rate has to.
+func TestOverloadReducesSendRateByPriorityWeight(t *testing.T) {
+	settings := testSettings()
+	settings.Instances = 200
+	g := newTestGateway(t, settings, testHosts(20)...)
+	serve := func(objectives float64) (low, high int) {
+		for range 100 {
+			for _, class := range []int{0, 2} {
+				id := g.request(class, time.Second)
+				if len(g.actions) == 1 && g.actions[0].Kind == Send {
+					if class == 0 {
+						low++
+					} else {
+						high++
+					}
+					g.attemptEnded(id, 0, OK, Time(objectives*400)*ms)
+				}
+				for _, h := range g.b.hosts { // the limits of the hosts must not bind
+					h.limiter.limit = 10
+					h.limiter.restingUntil = 0
+				}
+				g.advance(400 * ms)
+			}
+		}
+		return low, high
+	}
+	if low, high := serve(0.1); low != 100 || high != 100 {
+		t.Fatalf("sent %d of low and %d of high weight while responses are quick, want 100 of each", low, high)
+	}
+	low, high := serve(0.9)
+	if low > 50 || high < 2*low {
+		t.Errorf("sent %d of low and %d of high weight while responses are late, want at most 50 of low and twice as many of high weight",
+			low, high)
+	}
+	serve(0.1)
+	if low, high := serve(0.1); low != 100 || high != 100 {
+		t.Errorf("sent %d of low and %d of high weight after the overload, want 100 of each", low, high)
+	}
+}
