--- a/internal/route/budget.go
+++ b/internal/route/budget.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Retries may be saved up for maxSavedTime, and of maxSavedAttempts first attempts: those of a route that was quiet must
-// not come all at once.
+// The retries that a route may save up: those of a route that was quiet must not come all at once.
 const (
-	maxSavedTime     = 10 * time.Second
-	maxSavedAttempts = 100
+	maxSavedTime     = 10 * time.Second // of the floor
+	maxSavedAttempts = 100              // first attempts whose share is saved up
 )
 
 // Budget bounds the retries of a route: a share of its first attempts, and a floor. It only denies retries that the
 // balancer allows. It guards against retries that feed the overload that causes them.
 type Budget struct {
-	share  float64 // retries for each first attempt
-	floor  float64 // retries a second beside that
-	tokens float64
-	filled Time
-	began  bool
+	share    float64 // retries for each first attempt
+	floor    float64 // retries a second beside that
+	tokens   float64 // retries saved up at filledAt
+	filledAt Time
+	began    bool // filledAt is set
 }
 
-// NewBudget returns a Budget that has the floor of one second saved up.
+// NewBudget returns a Budget that has the floor of one second saved up. share is in retries for each first attempt, floor
+// in retries a second.
 func NewBudget(share, floor float64) *Budget {
 	return &Budget{share: share, floor: floor, tokens: floor}
 }
@@ -45,12 +45,14 @@
 	return true
 }
 
+// fill adds the floor for the time since the last call. An earlier time adds nothing.
 func (b *Budget) fill(now Time) {
 	if !b.began {
-		b.began, b.filled = true, now
+		b.began = true
+		b.filledAt = now
 	}
-	if now > b.filled {
-		b.tokens = min(b.tokens+b.floor*(now-b.filled).Seconds(), b.capacity())
-		b.filled = now
+	if now > b.filledAt {
+		b.tokens = min(b.tokens+b.floor*(now-b.filledAt).Seconds(), b.capacity())
+		b.filledAt = now
 	}
 }
--- a/internal/route/budget_test.go
+++ b/internal/route/budget_test.go
@@ -58,8 +58,8 @@
 	if f.Retry(now) {
 		t.Error("an earlier time has added an attempt, want none")
 	}
-	if f.filled != now {
-		t.Errorf("the time went back by %v, want it unchanged", now-f.filled)
+	if f.filledAt != now {
+		t.Errorf("the time went back by %v, want it unchanged", now-f.filledAt)
 	}
 	if !f.Retry(now + time.Second) {
 		t.Error("no retry a second later, want one")
--- a/internal/route/chain.go
+++ b/internal/route/chain.go
@@ -43,14 +43,14 @@
 
 // chainPool is the state of a pool in a Chain.
 type chainPool struct {
-	minShare float64
-	capacity float64 // c as it counts
-	target   float64 // c as it is
-	risesAt  Time    // capacity may rise from then on
-	updated  Time    // of capacity
-	known    bool
-	hosts    int
-	trialAt  Time // the next trial
+	minShare  float64
+	capacity  float64 // c as it counts
+	target    float64 // c by the hosts that are usable now
+	risesAt   Time    // capacity may rise from then on
+	updatedAt Time    // when capacity was last raised to what the time allows
+	known     bool    // there was a report of its hosts
+	hosts     int
+	trialAt   Time // the next trial
 }
 
 // NewChain returns a Chain of pools with these shares of hosts that each needs, above 0 and up to 1.
@@ -70,19 +70,21 @@
 	if hosts > 0 {
 		target = min(1, float64(usable)/(float64(hosts)*p.minShare))
 	}
-	switch {
-	case !p.known:
-		p.known, p.capacity = true, target
-	case target < p.capacity:
+	if !p.known || target < p.capacity {
 		p.capacity = target
 	}
-	if target < p.target || target > p.target && p.target <= p.capacity {
+	p.known = true
+	riseBegins := target > p.target && p.target <= p.capacity
+	if target < p.target || riseBegins {
 		p.risesAt = now + settleTime
 	}
-	if target <= 0 && (p.target > 0 || hosts > 0 && p.hosts == 0) {
+	firstHosts := hosts > 0 && p.hosts == 0
+	lostOrNew := p.target > 0 || firstHosts
+	if target <= 0 && lostOrNew {
 		p.trialAt = now + trialInterval
 	}
-	p.target, p.hosts = target, hosts
+	p.target = target
+	p.hosts = hosts
 }
 
 // Trial reports whether a request is to go to a pool that has no share of the traffic, to find out whether its hosts are
@@ -92,23 +94,35 @@
 	for i := range c.pools {
 		p := &c.pools[i]
 		p.advance(now)
-		if p.target <= 0 && p.hosts > 0 && now >= p.trialAt && (idempotent || now-p.trialAt >= idempotentTrialTime) {
+		if p.trialDue(now, idempotent) {
 			p.trialAt = now + trialInterval
 			return i, true
 		}
-		if left -= p.capacity; left <= 0 {
+		left -= p.capacity
+		if left <= 0 {
 			break
 		}
 	}
 	return 0, false
 }
 
+// trialDue reports whether a pool without a usable host is to get a trial.
+func (p *chainPool) trialDue(now Time, idempotent bool) bool {
+	noneUsable := p.target <= 0 && p.hosts > 0
+	if !noneUsable || now < p.trialAt {
+		return false
+	}
+	return idempotent || now-p.trialAt >= idempotentTrialTime
+}
+
 // Next returns the pool that a request may go to after one that rejected it: the next with a capacity, or any other such
 // pool where the request was a trial.
 func (c *Chain) Next(now Time, from int, trial bool) (pool int, ok bool) {
 	for i := range c.pools {
 		p := &c.pools[i]
-		if p.advance(now); p.capacity > 0 && (i > from || trial && i != from) {
+		p.advance(now)
+		inOrder := i > from || trial && i != from
+		if p.capacity > 0 && inOrder {
 			return i, true
 		}
 	}
@@ -117,15 +131,18 @@
 
 // advance lets the capacity of a pool rise up to now.
 func (p *chainPool) advance(now Time) {
-	if from := max(p.updated, p.risesAt); p.capacity < p.target && now > from {
-		p.capacity = min(p.target, p.capacity+float64(now-from)/float64(returnTime))
+	risingSince := max(p.updatedAt, p.risesAt)
+	if p.capacity < p.target && now > risingSince {
+		p.capacity = min(p.target, p.capacity+float64(now-risingSince)/float64(returnTime))
 	}
-	p.updated = now
+	p.updatedAt = now
 }
 
 // Shares appends the share of the traffic that each pool gets; they sum up to 1.
 func (c *Chain) Shares(now Time, dst []float64) []float64 {
-	from, left, sum := len(dst), 1.0, 0.0
+	first := len(dst) // index of the first pool's share
+	left := 1.0
+	sum := 0.0
 	for i := range c.pools {
 		p := &c.pools[i]
 		p.advance(now)
@@ -135,11 +152,11 @@
 		dst = append(dst, share)
 	}
 	if sum <= 0 {
-		dst[from] = 1
+		dst[first] = 1
 		return dst
 	}
-	for i := range dst[from:] {
-		dst[from+i] /= sum
+	for i := range dst[first:] {
+		dst[first+i] /= sum
 	}
 	return dst
 }
@@ -149,8 +166,9 @@
 func (c *Chain) Choose(now Time, u float64) int {
 	var space [maxPools]float64
 	shares := c.Shares(now, space[:0])
-	for i, s := range shares {
-		if u -= s; u < 0 {
+	for i, share := range shares {
+		u -= share
+		if u < 0 {
 			return i
 		}
 	}
--- a/internal/route/compile.go
+++ b/internal/route/compile.go
@@ -56,13 +56,13 @@
 	for _, root := range c.table.roots(r.Hosts) {
 		n := root.descend(r.Path)
 		for _, other := range n.routes {
-			if rank(r) == rank(other) && overlap(r, other) {
+			if r.specificity() == other.specificity() && overlap(r, other) {
 				c.report(&r.Rule, &other.Rule, "a request can match this and route %q alike", other.Name)
 				break
 			}
 		}
 		n.routes = append(n.routes, r)
-		slices.SortStableFunc(n.routes, func(x, y *Route) int { return rank(y) - rank(x) })
+		slices.SortStableFunc(n.routes, func(x, y *Route) int { return y.specificity() - x.specificity() })
 	}
 }
 
@@ -98,7 +98,7 @@
 			return err
 		}
 	}
-	r.shares = compileShares(r.Split)
+	r.pools = weightedPools(r.Split)
 	return nil
 }
 
--- a/internal/route/normalize.go
+++ b/internal/route/normalize.go
@@ -181,11 +181,14 @@
 		if !ok || !strings.EqualFold(scheme, "http") && !strings.EqualFold(scheme, "https") {
 			return "", "", ErrAmbiguousPath
 		}
-		i := strings.IndexAny(rest, "/?")
-		if i < 0 {
-			authority, target = rest, "/"
-		} else if authority, target = rest[:i], rest[i:]; target[0] == '?' {
-			target = "/"
+		authority = rest
+		target = "/"
+		end := strings.IndexAny(rest, "/?")
+		if end >= 0 {
+			authority = rest[:end]
+		}
+		if end >= 0 && rest[end] == '/' {
+			target = rest[end:]
 		}
 	}
 	if host, err = NormalizeHost(header); err != nil {
--- a/internal/route/split.go
+++ b/internal/route/split.go
@@ -2,21 +2,21 @@
 
 import "math"
 
-// share is a pool's share of a route, with the hash of the pool's name.
-type share struct {
+// weightedPool is a pool that a route goes to.
+type weightedPool struct {
 	pool   int // index in Split
 	weight float64
 	hash   uint64 // of the pool's name
 }
 
-// compileShares returns the shares with a weight.
-func compileShares(split []Share) (list []share) {
-	for i, s := range split {
-		if s.Weight > 0 {
-			list = append(list, share{i, float64(s.Weight), hash(s.Pool)})
+// weightedPools returns the pools of a split that have a weight.
+func weightedPools(split []Share) (pools []weightedPool) {
+	for i, share := range split {
+		if share.Weight > 0 {
+			pools = append(pools, weightedPool{pool: i, weight: float64(share.Weight), hash: hash(share.Pool)})
 		}
 	}
-	return list
+	return pools
 }
 
 // Pool returns the pool that a request of the route goes to, as an index in Split. The same key always goes to the same pool
@@ -26,19 +26,22 @@
 // chosen. So a change of weights moves only the keys that the changed pools gain or lose, whatever their number and order:
 // from 1 and 99 to 5 and 95, four keys in a hundred.
 func (r *Route) Pool(key string, chance uint64) int {
-	if len(r.shares) == 1 {
-		return r.shares[0].pool
+	if len(r.pools) == 1 {
+		return r.pools[0].pool
 	}
-	h := chance
+	keyHash := chance
 	if key != "" {
-		h = hash(key)
+		keyHash = hash(key)
 	}
-	best, lowest := 0, math.Inf(1)
-	for i := range r.shares {
-		s := &r.shares[i]
-		u := (float64(mixBits(h^s.hash)>>11) + 0.5) / (1 << 53) // above 0 and below 1
-		if x := -math.Log(u) / s.weight; x < lowest {
-			best, lowest = s.pool, x
+	best := 0
+	lowest := math.Inf(1)
+	for i := range r.pools {
+		candidate := &r.pools[i]
+		unit := (float64(mixBits(keyHash^candidate.hash)>>11) + 0.5) / (1 << 53) // above 0 and below 1
+		number := -math.Log(unit) / candidate.weight
+		if number < lowest {
+			best = candidate.pool
+			lowest = number
 		}
 	}
 	return best
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -50,7 +50,7 @@
 	Rule
 	Index   int // among the rules
 	methods []string
-	shares  []share
+	pools   []weightedPool // of Split, those with a weight
 }
 
 // Table finds the routes of requests. It is immutable.
@@ -100,13 +100,14 @@
 	return roots
 }
 
-// rank orders routes of the same host and path: a named method first, then more headers.
-func rank(r *Route) int {
-	n := len(r.Headers)
+// specificity orders routes of the same host and path, the highest first: one with a named method before one with any
+// number of headers.
+func (r *Route) specificity() int {
+	specificity := len(r.Headers)
 	if len(r.methods) > 0 {
-		n += maxHeaders + 1
+		specificity += maxHeaders + 1
 	}
-	return n
+	return specificity
 }
 
 // overlap reports whether a request can match both of two routes of the same host and path.
@@ -150,40 +151,47 @@
 		}
 	}
 	if len(t.suffix) > 0 {
-		for rest := q.Host; ; {
-			i := strings.IndexByte(rest, '.')
-			if i < 0 {
-				break
-			}
-			rest = rest[i+1:]
-			if n := t.suffix[rest]; n != nil {
-				if r := n.match(q); r != nil {
-					return r
-				}
-			}
+		if r := t.matchSuffix(q); r != nil {
+			return r
 		}
 	}
 	return t.any.match(q)
 }
 
+// matchSuffix returns the route of the longest suffix of a request's host that has one, nil if there is none.
+func (t *Table) matchSuffix(q *Request) *Route {
+	rest := q.Host
+	for {
+		i := strings.IndexByte(rest, '.')
+		if i < 0 {
+			return nil
+		}
+		rest = rest[i+1:]
+		n := t.suffix[rest]
+		if n == nil {
+			continue
+		}
+		if r := n.match(q); r != nil {
+			return r
+		}
+	}
+}
+
 // match returns the matching route with the longest path of a host.
 func (n *node) match(q *Request) *Route {
 	var visited [maxSegments + 1]*node
-	depth := 0
 	visited[0] = n
-	for rest := q.Path[1:]; rest != "" && n.next != nil && depth < maxSegments; {
-		i := strings.IndexByte(rest, '/')
-		s := rest
-		if i >= 0 {
-			s, rest = rest[:i], rest[i+1:]
-		} else {
-			rest = ""
-		}
-		if n = n.next[s]; n == nil {
+	depth := 0
+	rest := q.Path[1:]
+	for rest != "" && depth < maxSegments {
+		segment, after, _ := strings.Cut(rest, "/")
+		next := visited[depth].next[segment]
+		if next == nil {
 			break
 		}
 		depth++
-		visited[depth] = n
+		visited[depth] = next
+		rest = after
 	}
 	for ; depth >= 0; depth-- {
 		for _, r := range visited[depth].routes {
