--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -27,7 +27,7 @@
 		attempt.trial = true
 		host.ejection.trialInFlight = true
 	}
-	b.holdTrial(host, request.Class)
+	b.excludeDuringTrial(host, request.Class)
 	request.attempts = append(request.attempts, attempt)
 	request.inFlight++
 	host.inFlight++
--- a/balancer/checkpoint.go
+++ b/balancer/checkpoint.go
@@ -64,7 +64,7 @@
 	if c.err != nil {
 		return
 	}
-	b.codeAdmission(c)
+	b.codeLimits(c)
 	b.codePolling(c)
 	b.codeLogs(c)
 	b.codeHosts(c)
@@ -90,9 +90,9 @@
 	c.codeAverage(&b.sendRate.rttTargets)
 }
 
-// codeAdmission codes the quotas and the send rate, and the times of the next sweep and poll, which the
-// format has among them.
-func (b *Balancer) codeAdmission(c *checkpointCodec) {
+// codeLimits codes the quotas, the send rate and the share of unanswered attempts, and the times of the next
+// sweep and poll, which the format has among them.
+func (b *Balancer) codeLimits(c *checkpointCodec) {
 	for tenant := range b.quotas.buckets {
 		bucket := &b.quotas.buckets[tenant]
 		c.codeFloat(&bucket.tokens)
--- a/balancer/checkpoint_hosts.go
+++ b/balancer/checkpoint_hosts.go
@@ -15,7 +15,7 @@
 		decoded := &host{
 			index:  i,
 			errors: make([]classErrors, len(b.settings.Classes)),
-			sets:   membership{readySet: setNone},
+			sets:   membership{selectionSet: setNone},
 		}
 		decoded.code(c)
 		b.hosts[i] = decoded
@@ -92,7 +92,7 @@
 	for i, host := range b.sets[set].list {
 		host.sets.position[set] = i + 1
 		if set < setBusy {
-			host.sets.readySet = set
+			host.sets.selectionSet = set
 		}
 	}
 }
@@ -122,7 +122,7 @@
 // recountHosts computes, after decoding, what is derived from the hosts.
 func (b *Balancer) recountHosts() {
 	for _, host := range b.hosts {
-		host.ring.counted = host.rank()
+		host.ring.counted = host.ringStatus()
 		b.ring.count(host.ring.counted, 1)
 		host.counted.unrecovered = host.counted.ready && host.ejection.count > 0
 		b.counts.add(host.counted, 1)
--- a/balancer/checkpoint_test.go
+++ b/balancer/checkpoint_test.go
@@ -91,7 +91,7 @@
 		reflect.TypeFor[scales]():             "| shortestObjective errorPenalty minEstimateDecay",
 		reflect.TypeFor[dueHeap]():            "hosts |",
 		reflect.TypeFor[dueEntry]():           "at | position",
-		reflect.TypeFor[membership]():         "| position readySet",
+		reflect.TypeFor[membership]():         "| position selectionSet",
 		reflect.TypeFor[hostRing]():           "built | byKind hosts place start warm warming",
 		reflect.TypeFor[ringPosition]():       "| hash place counted",
 		reflect.TypeFor[subset]():             "current scanned nextMove |",
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -13,7 +13,7 @@
 	b.updateHosts(kind, list)
 	b.invalidateRing()
 	for _, host := range b.touched {
-		b.updateRank(host)
+		b.updateRingStatus(host)
 	}
 	for _, host := range b.touched {
 		b.applyUpdate(host)
--- a/balancer/exclusion.go
+++ b/balancer/exclusion.go
@@ -40,9 +40,9 @@
 func (e *classErrors) addError() { e.share += errorSampleWeight * (1 - e.share) }
 
 // addSuccess adds a good response to the share, given the share above which the host is excluded.
-func (e *classErrors) addSuccess(limit float64) {
+func (e *classErrors) addSuccess(maxShare float64) {
 	e.share -= errorSampleWeight * e.share
-	if e.share < limit {
+	if e.share < maxShare {
 		e.excludedUntil = 0
 	}
 	if e.share < recoveredErrorShare {
@@ -53,8 +53,8 @@
 // excludedFor reports whether a host is excluded for a class.
 func (b *Balancer) excludedFor(host *host, class int) bool { return host.errors[class].excluded(b.now) }
 
-// errorLimit returns the share of errors above which a host is excluded for a class.
-func (b *Balancer) errorLimit(class int) float64 {
+// maxErrorShareOf returns the share of errors above which a host is excluded for a class.
+func (b *Balancer) maxErrorShareOf(class int) float64 {
 	if b.settings.Classes[class].Idempotency == NonIdempotent {
 		return maxErrorShareNonIdempotent
 	}
@@ -86,7 +86,7 @@
 	if class == attempt.request.Class {
 		errors.lastAt = b.now
 	}
-	if errors.share <= b.errorLimit(class) || attempt.sentAt < errors.excludedAt {
+	if errors.share <= b.maxErrorShareOf(class) || attempt.sentAt < errors.excludedAt {
 		return
 	}
 	errors.exclude(b.now, b.backoff(errors.exclusions))
@@ -99,15 +99,15 @@
 func (b *Balancer) recordSuccess(attempt *attempt) {
 	for class := range attempt.host.errors {
 		if b.countsForClass(attempt.request.Class, class) {
-			attempt.host.errors[class].addSuccess(b.errorLimit(class))
+			attempt.host.errors[class].addSuccess(b.maxErrorShareOf(class))
 		}
 	}
 }
 
-// holdTrial excludes a host that was excluded for a class, and has not recovered since, while the attempt
-// that is being sent is its trial, so that it is tried with one request at a time. The exclusion lasts as
-// long as a first one; a good response ends it sooner if it brings the share of errors below the limit.
-func (b *Balancer) holdTrial(host *host, class int) {
+// excludeDuringTrial excludes a host again that was excluded for a class and has not recovered since, as an
+// attempt of that class is sent to it: so it is tried with one request at a time. The exclusion lasts as long
+// as a first one; a good response ends it sooner if it brings the share of errors below the limit.
+func (b *Balancer) excludeDuringTrial(host *host, class int) {
 	errors := &host.errors[class]
 	if errors.exclusions > 0 {
 		errors.excludedUntil = b.now + b.backoff(0)
--- a/balancer/exclusion_test.go
+++ b/balancer/exclusion_test.go
@@ -48,7 +48,7 @@
 			f.exclusions, g.b.excludedFor(h, 1), exclusions+1)
 	}
 	for range 4 {
-		f.addSuccess(g.b.errorLimit(1))
+		f.addSuccess(g.b.maxErrorShareOf(1))
 	}
 	if f.exclusions != 0 || g.b.excludedFor(h, 1) {
 		t.Errorf("after good responses: %d exclusions, excluded %v, want 0 and false",
--- a/balancer/host.go
+++ b/balancer/host.go
@@ -46,7 +46,7 @@
 		rtt:          rttEstimate{at: b.now},
 		errors:       make([]classErrors, len(b.settings.Classes)),
 		ring:         ringPosition{hash: mixBits(uint64(entry.ID))},
-		sets:         membership{readySet: setNone},
+		sets:         membership{selectionSet: setNone},
 		due:          dueEntry{at: forever},
 	}
 	b.byID[entry.ID] = added
--- a/balancer/hostset.go
+++ b/balancer/hostset.go
@@ -1,6 +1,7 @@
 package balancer
 
-// setKind names a set of hosts. A host is in one of the first four at most: the set that readySetOf returns.
+// setKind names a set of hosts. The first four are the selection sets: hosts are chosen from them, and a host
+// is in one of them at most, the one that selectionSetOf returns.
 type setKind int
 
 // The sets.
@@ -25,8 +26,8 @@
 
 // membership is what a host knows of the sets that it is in.
 type membership struct {
-	position [setCount]int // in each set, counted from 1; 0: it is not in it
-	readySet setKind       // which of the first four it is in
+	position     [setCount]int // in each set, counted from 1; 0: it is not in it
+	selectionSet setKind       // the selection set that it is in, or setNone
 }
 
 // contains reports whether a host is in a set.
@@ -56,18 +57,18 @@
 	host.sets.position[set] = 0
 }
 
-// move moves a host to one of the first four sets, or to none.
+// move moves a host to a selection set, or to none.
 func (s *hostSets) move(host *host, set setKind) {
-	if host.sets.readySet == set {
+	if host.sets.selectionSet == set {
 		return
 	}
-	if host.sets.readySet != setNone {
-		s.remove(host.sets.readySet, host)
+	if host.sets.selectionSet != setNone {
+		s.remove(host.sets.selectionSet, host)
 	}
 	if set != setNone {
 		s.add(set, host)
 	}
-	host.sets.readySet = set
+	host.sets.selectionSet = set
 }
 
 // total returns the number of hosts in sets.
@@ -89,5 +90,5 @@
 	return s[set].list[i]
 }
 
-// inSubset reports whether this instance uses the host.
+// inSubset reports whether the host is in the subset of this instance.
 func (h *host) inSubset() bool { return h.sets.contains(setSubset) }
--- a/balancer/ring.go
+++ b/balancer/ring.go
@@ -20,55 +20,56 @@
 
 // ringPosition is what a host knows of its position on the ring.
 type ringPosition struct {
-	hash    uint64 // orders the hosts of a kind
-	place   int    // counted as that of the instance is
-	counted rank   // rank that the ring counts the host under
+	hash    uint64     // orders the hosts of a kind
+	place   int        // counted as that of the instance is
+	counted ringStatus // as hostRing counts the host
 }
 
-// rank says how a host counts on the ring.
-type rank int
+// ringStatus says how a host counts on the ring.
+type ringStatus int
 
-// Ranks of hosts.
+// Values of ringStatus.
 const (
-	rankNotReady rank = iota
-	rankWarm          // ready
-	rankWarming       // ready, in slow start
+	ringNotReady ringStatus = iota // it has no place
+	ringWarm                       // ready
+	ringWarming                    // ready, in slow start
 )
 
-// rank returns how a host counts now.
-func (h *host) rank() rank {
+// ringStatus returns how a host counts now.
+func (h *host) ringStatus() ringStatus {
 	switch {
 	case h.State != Ready:
-		return rankNotReady
+		return ringNotReady
 	case h.slowStart.warming:
-		return rankWarming
+		return ringWarming
 	}
-	return rankWarm
+	return ringWarm
 }
 
 // ready returns how many hosts are ready.
 func (r *hostRing) ready() int { return r.warm + r.warming }
 
-// count adds n hosts of a rank.
-func (r *hostRing) count(counted rank, n int) {
-	switch counted {
-	case rankWarm:
+// count adds n hosts of a status.
+func (r *hostRing) count(status ringStatus, n int) {
+	switch status {
+	case ringWarm:
 		r.warm += n
-	case rankWarming:
+	case ringWarming:
 		r.warming += n
 	}
 }
 
-// updateRank counts a host under its rank. It is called where that may have changed.
-func (b *Balancer) updateRank(host *host) {
+// updateRingStatus counts a host as it is now, and ends its slow start where that is over. It is called where
+// either may have changed.
+func (b *Balancer) updateRingStatus(host *host) {
 	b.endSlowStart(host)
-	rank := host.rank()
-	if rank == host.ring.counted {
+	status := host.ringStatus()
+	if status == host.ring.counted {
 		return
 	}
 	b.ring.count(host.ring.counted, -1)
-	b.ring.count(rank, 1)
-	host.ring.counted = rank
+	b.ring.count(status, 1)
+	host.ring.counted = status
 	b.ring.built = false
 	b.subset.current = false
 }
@@ -86,7 +87,7 @@
 	ring.place = b.settings.Rank * places / b.settings.Instances
 	ring.start = 0
 	ready := ring.ready()
-	warmingCount := places == ready
+	warmingHavePlaces := places == ready
 	segments := ring.segments()
 	place := 0
 	found := false
@@ -97,7 +98,7 @@
 			ring.start = len(ring.hosts)
 			found = true
 		}
-		if warmingCount || !host.slowStart.warming {
+		if warmingHavePlaces || !host.slowStart.warming {
 			place++
 		}
 		ring.hosts = append(ring.hosts, host)
@@ -176,7 +177,7 @@
 		segment := &segments[i]
 		segment.hosts = list.hosts
 		for _, host := range list.hosts {
-			if host.ring.counted != rankNotReady {
+			if host.ring.counted != ringNotReady {
 				segment.ready++
 			}
 		}
@@ -208,7 +209,7 @@
 func (s *ringSegment) position() float64 { return (float64(s.placed) + 0.5) / float64(s.ready) }
 
 func (s *ringSegment) skipNotReady() {
-	for len(s.hosts) > 0 && s.hosts[0].ring.counted == rankNotReady {
+	for len(s.hosts) > 0 && s.hosts[0].ring.counted == ringNotReady {
 		s.hosts = s.hosts[1:]
 	}
 }
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -24,10 +24,10 @@
 
 // The choices of sets. Their order is that of the sets.
 var (
-	readyHosts         = eligibleSets{first: setReady, count: 1}
-	exceptUnreachable  = eligibleSets{first: setReady, count: 2} // also hosts that are ejected as silent
-	includeUnreachable = eligibleSets{first: setReady, count: 3} // also hosts to which connections fail
-	errorsAnywhere     = eligibleSets{first: setReady, count: 3, includeExcluded: true}
+	readyHosts     = eligibleSets{first: setReady, count: 1}
+	readyOrSilent  = eligibleSets{first: setReady, count: 2} // not those to which connections fail
+	readyOrEjected = eligibleSets{first: setReady, count: 3}
+	evenExcluded   = eligibleSets{first: setReady, count: 3, includeExcluded: true}
 	// suspectedHosts are those of which it is not known whether they are silent or have one costly request.
 	suspectedHosts = eligibleSets{first: setSuspected, count: 1}
 )
@@ -159,7 +159,7 @@
 // connections fail are spared while any other is up: they would use up a request's attempts in no time.
 func (b *Balancer) eligibleSets(counts subsetCounts, excluded int) eligibleSets {
 	if counts.ready == 0 && excluded > 0 {
-		return errorsAnywhere // one host is as good as another
+		return evenExcluded // one host is as good as another
 	}
 	mostEjected := 2*counts.ejected > counts.ready
 	if !mostEjected {
@@ -168,9 +168,9 @@
 	b.log(logFailOpen, "failing open: %d of %d hosts are ejected", counts.ejected, counts.ready)
 	allUnreachable := counts.unreachable == counts.ready
 	if allUnreachable {
-		return includeUnreachable
+		return readyOrEjected
 	}
-	return exceptUnreachable
+	return readyOrSilent
 }
 
 // pickInScope chooses among the hosts of a scope, in the subset or not, as pick does. Of a large scope
@@ -198,7 +198,7 @@
 	for range maxDraws {
 		x := scope[b.random.below(len(scope))]
 		y := scope[b.random.below(len(scope))]
-		bothReady := x != y && b.readySetOf(x) == setReady && b.readySetOf(y) == setReady
+		bothReady := x != y && b.selectionSetOf(x) == setReady && b.selectionSetOf(y) == setReady
 		if bothReady && b.bothUsable(x, y, request.Class, readyHosts) {
 			return b.lessLoaded(request, x, y)
 		}
@@ -227,7 +227,7 @@
 func (b *Balancer) gatherFromScope(request *request, scope []*host, eligible eligibleSets) {
 	b.candidates = b.candidates[:0]
 	for _, host := range scope {
-		if eligible.contains(b.readySetOf(host)) && b.usable(host, request.Class, eligible) {
+		if eligible.contains(b.selectionSetOf(host)) && b.usable(host, request.Class, eligible) {
 			b.candidates = append(b.candidates, host)
 		}
 	}
--- a/balancer/sendrate.go
+++ b/balancer/sendrate.go
@@ -14,7 +14,8 @@
 	sendRateBurstAttempts = 4
 	// sendRateGrowthDecays is the time in which the limit grows by a factor of e, in decays of RTT estimates.
 	sendRateGrowthDecays = 0.5
-	// sendRateEndArrivals is the limit at which it ends, in arrival rates of requests.
+	// sendRateEndArrivals is the limit above which the send rate is no longer limited, in arrival rates of
+	// requests.
 	sendRateEndArrivals = 2
 	// sendRateMaxSampleTargets bounds the RTT that one response counts as, in targets.
 	sendRateMaxSampleTargets = 3
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -8,11 +8,11 @@
 
 // Limits of settings. What exceeds them is a mistake, and would overflow.
 const (
-	maxTime   = 1000 * time.Hour
-	maxCount  = 1 << 20 // of instances and attempts
-	maxFigure = 1e12    // of shares, factors, weights and rates
-	// maxPollTimeout bounds PollTimeout, from which the backoff of polls follows: a change counts as
-	// known 6 s after it could be learnt, however long a poll the settings allow.
+	maxTime  = 1000 * time.Hour
+	maxCount = 1 << 20 // of instances and attempts
+	maxFloat = 1e12    // of shares, factors, weights and quotas
+	// maxPollTimeout bounds PollTimeout, from which the backoff of polls follows: an instance has to know a
+	// change 6 s after it could be learnt, however long a poll the settings allow.
 	maxPollTimeout = 10 * time.Second
 )
 
@@ -35,7 +35,7 @@
 	if err := checkDurations(settings); err != nil {
 		return err
 	}
-	if err := checkFigures(settings); err != nil {
+	if err := checkFloats(settings); err != nil {
 		return err
 	}
 	if err := checkClasses(settings); err != nil {
@@ -43,8 +43,8 @@
 	}
 	for i, tenant := range settings.Tenants {
 		quota := tenant.Quota
-		if !isFigure(quota) {
-			return fmt.Errorf("settings: tenant %d: quota: %v is not between 0 and %v", i, quota, maxFigure)
+		if !isValidFloat(quota) {
+			return fmt.Errorf("settings: tenant %d: quota: %v is not between 0 and %v", i, quota, maxFloat)
 		}
 	}
 	setDefaults(settings)
@@ -94,7 +94,7 @@
 	return nil
 }
 
-func checkFigures(settings *Settings) error {
+func checkFloats(settings *Settings) error {
 	for _, field := range []struct {
 		name  string
 		value float64
@@ -103,8 +103,8 @@
 		{"overload factor", settings.OverloadFactor},
 		{"over-quota worth", settings.OverQuotaWeight},
 	} {
-		if !isFigure(field.value) {
-			return fmt.Errorf("settings: %s: %v is not between 0 and %v", field.name, field.value, maxFigure)
+		if !isValidFloat(field.value) {
+			return fmt.Errorf("settings: %s: %v is not between 0 and %v", field.name, field.value, maxFloat)
 		}
 	}
 	return nil
@@ -145,14 +145,14 @@
 		return fmt.Errorf("unknown effect %d", class.Idempotency)
 	case class.DedupScope > ScopeCell:
 		return fmt.Errorf("unknown group %d", class.DedupScope)
-	case !isFigure(class.PriorityWeight):
-		return fmt.Errorf("worth: %v is not between 0 and %v", class.PriorityWeight, maxFigure)
+	case !isValidFloat(class.PriorityWeight):
+		return fmt.Errorf("worth: %v is not between 0 and %v", class.PriorityWeight, maxFloat)
 	}
 	return nil
 }
 
-// isFigure reports whether a value is in range, which NaN is not.
-func isFigure(value float64) bool { return value >= 0 && value <= maxFigure }
+// isValidFloat reports whether a share, factor, weight or quota is in range, which NaN is not.
+func isValidFloat(value float64) bool { return value >= 0 && value <= maxFloat }
 
 // orDefault sets a value that is zero.
 func orDefault[T int | float64 | Time](value *T, byDefault T) {
--- a/balancer/standing.go
+++ b/balancer/standing.go
@@ -57,9 +57,9 @@
 	}
 }
 
-// readySetOf decides which of the first four sets a host belongs to, whether or not it is in the subset. Its
+// selectionSetOf decides which selection set a host belongs to, whether or not it is in the subset. Its
 // inputs are the host's listed state, slow start, concurrency limit and ejection, in this order.
-func (b *Balancer) readySetOf(host *host) setKind {
+func (b *Balancer) selectionSetOf(host *host) setKind {
 	if host.State != Ready || host.slowStart.paced(b.now) {
 		return setNone
 	}
@@ -103,12 +103,12 @@
 // event that concerns the host, and when the standing is due by itself.
 func (b *Balancer) updateStanding(host *host) {
 	if host.slowStart.warming {
-		b.updateRank(host)
+		b.updateRingStatus(host)
 	}
 	counted := b.standingOf(host)
 	set := setNone
 	if counted.ready {
-		set = b.readySetOf(host)
+		set = b.selectionSetOf(host)
 	}
 	b.sets.move(host, set)
 	if host.hasErrors {
@@ -171,9 +171,9 @@
 	if host.inFlight == 0 {
 		return false
 	}
-	before := host.sets.readySet
+	before := host.sets.selectionSet
 	b.updateStanding(host)
-	return host.sets.readySet != before
+	return host.sets.selectionSet != before
 }
 
 // updateDueStandings updates the hosts whose standing may have changed without an event.
--- a/balancer/view.go
+++ b/balancer/view.go
@@ -9,7 +9,7 @@
 	Overdue           bool    // its oldest attempt has taken long, and it gets no other
 	InFlight          int     // attempts in flight
 	ConcurrencyLimit  float64 // attempts that it may have in flight from this instance
-	RecentRTT         float64 // mean RTT of its last responses; 0.375 is the target of the limit
+	RecentRTT         float64 // mean RTT of its last responses (relativeRTT); above 0.375 the limit falls
 	EstimatedRTT      float64 // RTT by which it is chosen, in seconds
 	Cause             Cause   // of its last ejection
 	Ejections         int     // since its last response; 0: it is not ejected
@@ -56,9 +56,9 @@
 }
 
 // Unavailable returns a code for what keeps a host from the next request; "": nothing that the view has.
-// Analyses of recordings print the code. It is an approximation of readySetOf: it does not know of a trial
-// request in flight, of a suspected host, of an exclusion for the request's class, or that overtaken attempts
-// may not count against the limit.
+// Analyses of recordings print the code. It is an approximation of selectionSetOf: it does not know of a
+// trial request in flight, of a suspected host, of an exclusion for the request's class, or that overtaken
+// attempts may not count against the limit.
 func (v *HostView) Unavailable(now Time) string {
 	inBackoff := v.Ejections > 0 && now < v.EjectedUntil
 	paced := v.Warming && now < v.NextSlowStartSend
