--- a/internal/overload/delays.go
+++ b/internal/overload/delays.go
@@ -17,8 +17,8 @@
 const (
 	// stepBits gives each power of two 8 buckets: a quantile is the upper end of one.
 	stepBits = 3
-	// delayBits is of the longest duration with a bucket, 2^40 ns or 18 minutes: no request waits so
-	// long. Longer ones count as that.
+	// delayBits gives the longest duration with a bucket, 2^40 ns or 18 minutes: no request waits so long. Longer ones
+	// count as that.
 	delayBits    = 40
 	delayBuckets = (delayBits - stepBits + 1) << stepBits
 )
@@ -26,13 +26,18 @@
 // Add counts a duration. A negative one, of a clock that was set back, counts as 0.
 func (h *Delays) Add(d time.Duration) {
 	d = max(d, 0)
-	h.counts[bucket(d)].Add(1)
-	for old := h.max.Load(); int64(d) > old && !h.max.CompareAndSwap(old, int64(d)); old = h.max.Load() {
+	h.counts[bucketOf(d)].Add(1)
+	for {
+		longest := h.max.Load()
+		if int64(d) <= longest || h.max.CompareAndSwap(longest, int64(d)) {
+			return
+		}
 	}
 }
 
-// bucket returns the index of the bucket of d.
-func bucket(d time.Duration) int {
+// bucketOf returns the index of the bucket of a duration: each nanosecond below 2^stepBits has one, and above that each
+// power of two has 2^stepBits.
+func bucketOf(d time.Duration) int {
 	n := uint64(min(d, 1<<delayBits-1))
 	if n < 1<<stepBits {
 		return int(n)
@@ -41,13 +46,13 @@
 	return (shift+1)<<stepBits + int(n>>shift)&(1<<stepBits-1)
 }
 
-// upper returns the longest duration in a bucket.
-func upper(i int) time.Duration {
-	if i < 1<<stepBits {
-		return time.Duration(i)
+// longestIn returns the longest duration in a bucket.
+func longestIn(bucket int) time.Duration {
+	if bucket < 1<<stepBits {
+		return time.Duration(bucket)
 	}
-	shift := i>>stepBits - 1
-	return time.Duration((uint64(i&(1<<stepBits-1)|1<<stepBits)+1)<<shift - 1)
+	shift := bucket>>stepBits - 1
+	return time.Duration((uint64(bucket&(1<<stepBits-1)|1<<stepBits)+1)<<shift - 1)
 }
 
 // Quantile returns what the share q of the durations stayed within, at most the longest of all.
@@ -59,10 +64,12 @@
 		counts[i] = h.counts[i].Load()
 		total += counts[i]
 	}
-	need, seen := uint64(math.Ceil(q*float64(total))), uint64(0)
-	for i, n := range counts {
-		if seen += n; n > 0 && seen >= need {
-			return min(upper(i), h.Max())
+	need := uint64(math.Ceil(q * float64(total)))
+	seen := uint64(0)
+	for bucket, n := range counts {
+		seen += n
+		if n > 0 && seen >= need {
+			return min(longestIn(bucket), h.Max())
 		}
 	}
 	return h.Max()
--- a/internal/overload/delays_test.go
+++ b/internal/overload/delays_test.go
@@ -45,9 +45,9 @@
 			low, high, h.Max(), time.Duration(1<<delayBits-1), time.Duration(1<<62))
 	}
 	for d := time.Duration(1); d < 1<<delayBits; d += d/9 + 1 {
-		if i := bucket(d); upper(i) < d || i > 0 && upper(i-1) >= d {
+		if i := bucketOf(d); longestIn(i) < d || i > 0 && longestIn(i-1) >= d {
 			t.Fatalf("%d is in bucket %d with the upper bound %d, want the lowest bucket that holds it",
-				d, i, upper(i))
+				d, i, longestIn(i))
 		}
 	}
 }
--- a/internal/overload/mix.go
+++ b/internal/overload/mix.go
@@ -10,40 +10,45 @@
 	evenWeight = 0.02
 )
 
-// rank counts the requests of a rank.
-type rank struct {
+// rankMix is the ranks with what is known of their requests, the lowest first. The last rank, which is never shed, does
+// not count in the mix.
+type rankMix []rankRequests
+
+// rankRequests counts the requests of a rank.
+type rankRequests struct {
 	requests atomic.Uint64
 	counted  uint64  // requests at the last interval
 	share    float64 // of the requests of all ranks but the last, lately
 }
 
-// updateMix updates the shares of the ranks by the requests since the last time.
-func updateMix(list []rank) {
+// update updates the shares of the ranks by the requests since the last time.
+func (m rankMix) update() {
 	total := 0.0
-	for i := range list[:len(list)-1] {
-		total += float64(list[i].requests.Load() - list[i].counted)
+	for i := range m[:len(m)-1] {
+		total += float64(m[i].requests.Load() - m[i].counted)
 	}
 	if total == 0 {
 		return
 	}
-	for i := range list[:len(list)-1] {
-		r := &list[i]
-		requests := r.requests.Load()
-		r.share += mixWeight * (float64(requests-r.counted)/total - r.share)
-		r.counted = requests
+	for i := range m[:len(m)-1] {
+		rank := &m[i]
+		requests := rank.requests.Load()
+		rank.share += mixWeight * (float64(requests-rank.counted)/total - rank.share)
+		rank.counted = requests
 	}
 }
 
-// eachShare calls yield with the share of each rank, until it returns false.
-func eachShare(list []rank, yield func(rank int, share float64) bool) {
-	n, sum := float64(len(list)-1), 0.0
-	for i := range list[:len(list)-1] {
-		sum += list[i].share
+// eachShare calls yield with the share of each rank but the last, until it returns false.
+func (m rankMix) eachShare(yield func(rank int, share float64) bool) {
+	ranks := float64(len(m) - 1)
+	sum := 0.0
+	for i := range m[:len(m)-1] {
+		sum += m[i].share
 	}
-	for i := range list[:len(list)-1] {
-		share := 1 / n
+	for i := range m[:len(m)-1] {
+		share := 1 / ranks
 		if sum > 0 {
-			share = evenWeight/n + (1-evenWeight)*list[i].share/sum
+			share = evenWeight/ranks + (1-evenWeight)*m[i].share/sum
 		}
 		if !yield(i, share) {
 			return
@@ -51,25 +56,29 @@
 	}
 }
 
+// maxPressure is the pressure that sheds all ranks but the last.
+func (m rankMix) maxPressure() float64 { return float64(len(m) - 1) }
+
 // pressureOf returns the pressure that sheds a share of the mix.
-func pressureOf(list []rank, share float64) (pressure float64) {
+func (m rankMix) pressureOf(share float64) (pressure float64) {
 	if share >= 1 {
-		return float64(len(list) - 1)
+		return m.maxPressure()
 	}
-	eachShare(list, func(_ int, ofRank float64) bool {
+	m.eachShare(func(_ int, ofRank float64) bool {
 		if share < ofRank {
 			pressure += max(share, 0) / ofRank
 			return false
 		}
-		pressure, share = pressure+1, share-ofRank
+		pressure++
+		share -= ofRank
 		return true
 	})
-	return min(pressure, float64(len(list)-1))
+	return min(pressure, m.maxPressure())
 }
 
 // shareOf returns the share of the mix that a pressure sheds.
-func shareOf(list []rank, pressure float64) (share float64) {
-	eachShare(list, func(rank int, ofRank float64) bool {
+func (m rankMix) shareOf(pressure float64) (share float64) {
+	m.eachShare(func(rank int, ofRank float64) bool {
 		share += ofRank * min(max(pressure-float64(rank), 0), 1)
 		return true
 	})
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -68,20 +68,22 @@
 // between 0 and the number of ranks less one: rank r is shed by the part by which the pressure is above r. The last rank is
 // never shed by it, and does not count in the mix. Delay and Sample belong to one goroutine; all else may be called by any.
 type Controller struct {
-	ranks     atomic.Pointer[[]rank]
-	pressure  atomic.Uint64 // as bits
-	shed      atomic.Uint64 // share, as bits
-	idleCores atomic.Uint64 // share, as bits
-
-	began         Time // of this interval
-	minDelay      time.Duration
-	hasDelay      bool
-	previousDelay time.Duration // minimum of the interval before
+	// What other goroutines read; floats as bits.
+	mix       atomic.Pointer[rankMix]
+	pressure  atomic.Uint64 // in ranks
+	shed      atomic.Uint64 // share of the requests
+	idleCores atomic.Uint64 // share of the cores
+
+	// What the goroutine of Delay and Sample alone uses.
+	began         Time          // of this interval
+	minDelay      time.Duration // least delay of an event in it
+	hasDelay      bool          // there was one
+	previousDelay time.Duration // measured in the interval before
 	appliedDelay  time.Duration // that the share stands for
 	calm          int           // good intervals in a row
-	share         float64
-	idle          float64 // share of the cores, lately
-	sample        Sample
+	share         float64       // of the requests that is shed
+	idle          float64       // share of the cores, lately
+	sample        Sample        // the last
 }
 
 // New returns a Controller for a number of ranks.
@@ -93,8 +95,8 @@
 
 // SetRanks sets the number of ranks. What is known of their mix is forgotten.
 func (c *Controller) SetRanks(ranks int) {
-	list := make([]rank, max(ranks, 1))
-	c.ranks.Store(&list)
+	mix := make(rankMix, max(ranks, 1))
+	c.mix.Store(&mix)
 }
 
 // Pressure returns what is shed now: the ranks below it wholly, the one that it falls into in part.
@@ -114,13 +116,13 @@
 
 // Admit reports whether a request of a rank is admitted. u is random, from 0 to below 1.
 func (c *Controller) Admit(rank int, u float64) bool {
-	list := *c.ranks.Load()
-	if rank >= len(list)-1 {
+	mix := *c.mix.Load()
+	if rank >= len(mix)-1 {
 		return true
 	}
-	list[rank].requests.Add(1)
-	bits := c.pressure.Load()
-	return bits == 0 || u >= math.Float64frombits(bits)-float64(rank)
+	mix[rank].requests.Add(1)
+	pressure := c.Pressure()
+	return pressure == 0 || u >= pressure-float64(rank)
 }
 
 // Delay reports how long an event has waited for the loop.
@@ -129,7 +131,8 @@
 		c.endInterval(now)
 	}
 	if !c.hasDelay || d < c.minDelay {
-		c.minDelay, c.hasDelay = d, true
+		c.minDelay = d
+		c.hasDelay = true
 	}
 }
 
@@ -147,23 +150,32 @@
 	measured := c.measuredDelay()
 	delay := max(min(measured, c.previousDelay, maxDelay), 0)
 	c.previousDelay = measured
-	idle := 0.0
-	if busy := c.sample.Busy; measured <= Target && busy > 0 {
-		idle = max(fullyBusy-busy, 0) / fullyBusy
-	}
+	idle := c.idleNow(measured)
 	share := c.nextShare(now, measured, delay, idle)
-	list := *c.ranks.Load()
-	updateMix(list)
-	pressure := pressureOf(list, share)
-	if required := c.resourcePressure(len(list)); required > pressure {
-		pressure, share = required, shareOf(list, required)
+	mix := *c.mix.Load()
+	mix.update()
+	pressure := mix.pressureOf(share)
+	required := c.resourcePressure(mix)
+	if required > pressure {
+		pressure = required
+		share = mix.shareOf(required)
 	}
 	c.share = share
 	c.idle += idleWeight * (idle - c.idle)
 	c.idleCores.Store(math.Float64bits(c.idle))
 	c.shed.Store(math.Float64bits(share))
 	c.pressure.Store(math.Float64bits(pressure))
-	c.began, c.hasDelay = now, false
+	c.began = now
+	c.hasDelay = false
+}
+
+// idleNow returns the share of the cores that was idle in this interval while nothing waited; 0 where that is not known.
+func (c *Controller) idleNow(measured time.Duration) float64 {
+	busy := c.sample.Busy
+	if measured > Target || busy <= 0 {
+		return 0
+	}
+	return max(fullyBusy-busy, 0) / fullyBusy
 }
 
 // measuredDelay returns the delay of this interval.
@@ -173,7 +185,8 @@
 		delay = c.minDelay
 	}
 	delay = max(delay, c.sample.RunQueue, c.sample.Poll)
-	if gc := progress(c.sample.GC, gcThreshold); gc > 0 {
+	gc := progress(c.sample.GC, gcThreshold)
+	if gc > 0 {
 		delay = max(delay, Target+time.Duration(gc*float64(maxDelay-Target)))
 	}
 	return delay
@@ -188,24 +201,31 @@
 		c.calm = 0
 		share += alpha * (delay - Target).Seconds()
 	case measured <= Target:
-		if c.calm++; c.calm > calmIntervals {
-			step := fallStep
-			if measured < Target/4 {
-				step = fastFallStep
-			}
-			step = max(step, idleFallShare*share*idle)
-			share -= step * min(float64(now-c.began)/float64(Interval), maxFallIntervals)
+		c.calm++
+		if c.calm > calmIntervals {
+			share -= c.fall(now, measured, share, idle)
 		}
 	}
-	if share = min(share, 1); share < minShare {
+	share = min(share, 1)
+	if share < minShare {
 		return 0
 	}
 	return share
 }
 
+// fall returns by how much a share falls in a good interval.
+func (c *Controller) fall(now Time, measured time.Duration, share, idle float64) float64 {
+	step := fallStep
+	if measured < Target/4 {
+		step = fastFallStep
+	}
+	step = max(step, idleFallShare*share*idle)
+	return step * min(float64(now-c.began)/float64(Interval), maxFallIntervals)
+}
+
 // resourcePressure returns the pressure that memory and descriptors alone require.
-func (c *Controller) resourcePressure(ranks int) float64 {
-	return float64(ranks-1) * max(progress(c.sample.Heap, heapThreshold), progress(c.sample.Files, descriptorThreshold))
+func (c *Controller) resourcePressure(mix rankMix) float64 {
+	return mix.maxPressure() * max(progress(c.sample.Heap, heapThreshold), progress(c.sample.Files, descriptorThreshold))
 }
 
 // progress returns how far x is on the way from a threshold to 1.
--- a/internal/overload/ranks.go
+++ b/internal/overload/ranks.go
@@ -21,12 +21,15 @@
 	type kind struct {
 		weight    float64
 		objective time.Duration
-		rank      *int
+		rank      *int // where its rank is set
 	}
-	first, duplicate = make([]int, len(classes)), make([]int, len(classes))
+	first = make([]int, len(classes))
+	duplicate = make([]int, len(classes))
 	var kinds []kind
-	for i, c := range classes {
-		kinds = append(kinds, kind{c.Weight, c.LatencyObjective, &first[i]}, kind{c.Weight * duplicateWeight, c.LatencyObjective, &duplicate[i]})
+	for i, class := range classes {
+		kinds = append(kinds,
+			kind{class.Weight, class.LatencyObjective, &first[i]},
+			kind{class.Weight * duplicateWeight, class.LatencyObjective, &duplicate[i]})
 	}
 	sort.SliceStable(kinds, func(i, j int) bool {
 		if kinds[i].weight != kinds[j].weight {
@@ -35,8 +38,11 @@
 		return kinds[i].objective > kinds[j].objective
 	})
 	for i, k := range kinds {
-		if i > 0 && (kinds[i-1].weight != k.weight || kinds[i-1].objective != k.objective) {
-			count++
+		if i > 0 {
+			below := kinds[i-1]
+			if below.weight != k.weight || below.objective != k.objective {
+				count++
+			}
 		}
 		*k.rank = count
 	}
