--- a/internal/ratelimit/clients.go
+++ b/internal/ratelimit/clients.go
@@ -16,36 +16,39 @@
 const (
 	entriesPerSet      = 8 // a client's entry is looked for among these
 	shardCount         = 64
-	entryBytes         = 32  // of a clientEntry, as the tests check
-	duplicatesPerFirst = 0.5 // that a client may send for each first request
-	maxSavedDuplicates = 5
-	// shardBits are the bits of a hash that choose something else than the set.
+	entryBytes         = 32  // size of a clientEntry, as the tests check
+	duplicatesPerFirst = 0.5 // duplicates that a client may send for each first request
+	maxSavedDuplicates = 5   // duplicates that it may save up
+	// shardBits is how many low bits of a hash do not choose the set: the lowest ones choose the shard.
 	shardBits = 8
+
+	nanosPerMilli  = int64(time.Millisecond)
+	nanosPerSecond = 1e9
 )
 
-// clientEntry is the state of a client.
+// clientEntry is the state of a client. Its units are small ones, as the table has many entries.
 type clientEntry struct {
-	key        uint64
-	tokens     float32
-	duplicates float32 // that it may send
-	at         int64   // of the last request, ns
-	retryAfter int32   // ms after at
-	inFlight   int32
+	hash             uint64  // of the client's key; 0: the entry is free
+	tokens           float32 // requests that it may send, as of lastNanos
+	duplicates       float32 // duplicates that it may send
+	lastNanos        int64   // time of the last request, or of the last Retry-After
+	retryAfterMillis int32   // after lastNanos; 0: none
+	inFlight         int32   // requests
 }
 
 // Clients is a table of fixed size. A client that is not in it replaces the one of its set that sent a request longest ago
 // and has none in flight: a million new addresses replace one another and clients that are idle, and the table never
 // grows. A client that was replaced begins anew with a full burst: limits hold for clients that send requests often.
 type Clients struct {
-	limits ClientLimits
+	limits ClientLimits // read with the lock of any shard, written with those of all
 	seed   uint64
 	shards [shardCount]shard
-	mask   uint64 // of the number of a set
+	mask   uint64 // sets of a shard, less one: they are a power of two
 }
 
 // shard is a part of the table with its lock.
 type shard struct {
-	mu      sync.Mutex
+	mu      sync.Mutex // guards entries
 	entries []clientEntry
 }
 
@@ -78,7 +81,8 @@
 	}
 }
 
-// lock locks the shard of a client. The caller unlocks it.
+// lock locks the shard of a client, and returns it with the hash of the client's key, which is never 0. The caller
+// unlocks it.
 func (c *Clients) lock(key uint64) (s *shard, hash uint64) {
 	hash = max(mixBits(key^c.seed), 1)
 	s = &c.shards[hash%shardCount]
@@ -97,18 +101,21 @@
 	set := c.set(s, hash)
 	var oldest *clientEntry
 	for i := range set {
-		e := &set[i]
-		if e.key == hash {
-			return e
+		entry := &set[i]
+		if entry.hash == hash {
+			return entry
 		}
-		if e.inFlight == 0 && (oldest == nil || e.at < oldest.at) {
-			oldest = e
+		older := oldest == nil || entry.lastNanos < oldest.lastNanos
+		if entry.inFlight == 0 && older {
+			oldest = entry
 		}
 	}
 	if oldest == nil {
 		return nil
 	}
-	*oldest = clientEntry{key: hash, tokens: float32(c.limits.Burst), duplicates: maxSavedDuplicates, at: int64(now)}
+	*oldest = clientEntry{
+		hash: hash, tokens: float32(c.limits.Burst), duplicates: maxSavedDuplicates, lastNanos: int64(now),
+	}
 	return oldest
 }
 
@@ -119,43 +126,45 @@
 func (c *Clients) Begin(now Time, key uint64, duplicate, exempt bool) (d Decision, early bool) {
 	s, hash := c.lock(key)
 	defer s.mu.Unlock()
-	e := c.find(s, hash, now)
-	if e == nil {
+	entry := c.find(s, hash, now)
+	if entry == nil {
 		return Admitted, false
 	}
-	elapsed := max(int64(now)-e.at, 0) // a clock that went back gives nothing
-	if e.retryAfter > 0 && elapsed < int64(e.retryAfter)*int64(time.Millisecond) {
+	elapsedNanos := max(int64(now)-entry.lastNanos, 0) // a clock that went back gives nothing
+	if elapsedNanos < int64(entry.retryAfterMillis)*nanosPerMilli {
 		early = !exempt
 		duplicate = duplicate || early
-		e.retryAfter -= int32(elapsed / int64(time.Millisecond))
+		entry.retryAfterMillis -= int32(elapsedNanos / nanosPerMilli)
 	} else {
-		e.retryAfter = 0
+		entry.retryAfterMillis = 0
 	}
-	e.at = max(e.at, int64(now))
-	return c.decide(e, elapsed, duplicate), early
+	entry.lastNanos = max(entry.lastNanos, int64(now))
+	return c.decide(entry, elapsedNanos, duplicate), early
 }
 
-// decide admits a request of a client or not. elapsed is the time since its last request, ns.
-func (c *Clients) decide(e *clientEntry, elapsed int64, duplicate bool) Decision {
-	if c.limits.Rate > 0 {
-		e.tokens = float32(math.Min(float64(e.tokens)+c.limits.Rate*float64(elapsed)/1e9, math.Max(c.limits.Burst, 1)))
+// decide admits a request of a client or not. elapsedNanos is the time since its last request.
+func (c *Clients) decide(entry *clientEntry, elapsedNanos int64, duplicate bool) Decision {
+	rateLimited := c.limits.Rate > 0
+	if rateLimited {
+		refilled := float64(entry.tokens) + c.limits.Rate*float64(elapsedNanos)/nanosPerSecond
+		entry.tokens = float32(math.Min(refilled, math.Max(c.limits.Burst, 1)))
 	}
 	switch {
-	case c.limits.Rate > 0 && e.tokens < 1:
+	case rateLimited && entry.tokens < 1:
 		return Rate
-	case c.limits.Concurrent > 0 && int(e.inFlight) >= c.limits.Concurrent:
+	case c.limits.Concurrent > 0 && int(entry.inFlight) >= c.limits.Concurrent:
 		return Concurrent
-	case duplicate && e.duplicates < 1:
+	case duplicate && entry.duplicates < 1:
 		return Duplicates
 	case duplicate:
-		e.duplicates--
+		entry.duplicates--
 	default:
-		e.duplicates = min(e.duplicates+duplicatesPerFirst, maxSavedDuplicates)
+		entry.duplicates = min(entry.duplicates+duplicatesPerFirst, maxSavedDuplicates)
 	}
-	if c.limits.Rate > 0 {
-		e.tokens--
+	if rateLimited {
+		entry.tokens--
 	}
-	e.inFlight++
+	entry.inFlight++
 	return Admitted
 }
 
@@ -165,8 +174,9 @@
 	defer s.mu.Unlock()
 	set := c.set(s, hash)
 	for i := range set {
-		if e := &set[i]; e.key == hash && e.inFlight > 0 {
-			e.inFlight--
+		entry := &set[i]
+		if entry.hash == hash && entry.inFlight > 0 {
+			entry.inFlight--
 			return
 		}
 	}
@@ -176,9 +186,12 @@
 func (c *Clients) SetRetryAfter(now Time, key uint64, after time.Duration) {
 	s, hash := c.lock(key)
 	defer s.mu.Unlock()
-	if e := c.find(s, hash, now); e != nil {
-		e.at, e.retryAfter = max(e.at, int64(now)), int32(min(after.Milliseconds(), math.MaxInt32))
+	entry := c.find(s, hash, now)
+	if entry == nil {
+		return
 	}
+	entry.lastNanos = max(entry.lastNanos, int64(now))
+	entry.retryAfterMillis = int32(min(after.Milliseconds(), math.MaxInt32))
 }
 
 // mixBits spreads the bits of z (the finalizer of splitmix64).
--- a/internal/ratelimit/tenants.go
+++ b/internal/ratelimit/tenants.go
@@ -18,33 +18,33 @@
 }
 
 const (
-	// burstSpan is how long a tenant may save up its share, and how long at most what it leaves is lent: so what is lent
-	// is taken back within it.
+	// burstSpan is how long a tenant may save up its share of the rate, and over how long what it leaves is saved up for
+	// others: a tenant that returns has its share again within it.
 	burstSpan = time.Second
 	// maxElapsed bounds the time that is made up for at once.
 	maxElapsed = 10 * burstSpan
-	// reservedShare is the share of the places that is not lent, so that a tenant which returns to its share finds some
-	// free at once; the others become free as lent ones end.
+	// reservedShare is the share of the requests in flight that is not lent, so that a tenant which returns to its share
+	// finds some free at once; the others become free as lent ones end.
 	reservedShare = 0.2
 )
 
-// Tenants shares a rate and places by weight. Each tenant has a bucket that fills at its share of the rate; what overflows
-// goes into a common bucket that any tenant may use.
+// Tenants shares a rate and the requests in flight by weight. Each tenant has a bucket that fills at its share of the
+// rate; what overflows goes into a common bucket that any tenant may use.
 type Tenants struct {
-	mu       sync.Mutex
+	mu       sync.Mutex // guards all below
 	limits   TenantLimits
 	tenants  []tenant
-	common   float64
-	inFlight int
+	common   float64 // tokens that any tenant may use, as of filledAt
+	inFlight int     // requests of all tenants
 	filledAt Time
-	began    bool
+	began    bool // filledAt is set
 }
 
 // tenant is the state of a Tenant.
 type tenant struct {
-	share    float64 // of all
-	tokens   float64
-	inFlight int
+	share    float64 // of the weights of all, and so of the limits
+	tokens   float64 // requests that it may send, as of filledAt
+	inFlight int     // requests
 }
 
 // NewTenants returns the shares of tenants, which are known by their index in the list.
@@ -64,7 +64,8 @@
 // fill fills the buckets for the time that has passed.
 func (t *Tenants) fill(now Time) {
 	if !t.began {
-		t.began, t.filledAt = true, now
+		t.began = true
+		t.filledAt = now
 	}
 	if now <= t.filledAt {
 		return
@@ -76,7 +77,8 @@
 		x := &t.tenants[i]
 		rate := x.share * t.limits.Rate
 		x.tokens += rate * elapsed
-		if capacity := max(rate*span, 1); x.tokens > capacity {
+		capacity := max(rate*span, 1)
+		if x.tokens > capacity {
 			t.common += x.tokens - capacity
 			x.tokens = capacity
 		}
@@ -89,11 +91,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	x := &t.tenants[i]
-	if limit := t.limits.Concurrent; limit > 0 {
-		own := max(x.share*float64(limit), 1)
-		if float64(x.inFlight) >= own && float64(t.inFlight) >= (1-reservedShare)*float64(limit) {
-			return Concurrent
-		}
+	if t.limits.Concurrent > 0 && !t.mayBegin(x) {
+		return Concurrent
 	}
 	if t.limits.Rate > 0 {
 		t.fill(now)
@@ -111,6 +110,14 @@
 	return Admitted
 }
 
+// mayBegin reports whether a tenant may have another request in flight: one of its own share, or one that is lent.
+func (t *Tenants) mayBegin(x *tenant) bool {
+	limit := float64(t.limits.Concurrent)
+	own := max(x.share*limit, 1)
+	lendable := (1 - reservedShare) * limit
+	return float64(x.inFlight) < own || float64(t.inFlight) < lendable
+}
+
 // End reports the end of a request that was admitted.
 func (t *Tenants) End(i int) {
 	t.mu.Lock()
