--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -26,21 +26,12 @@
 	var actions []balancer.Action        // ours; reused for every event
 	carryOut := func() {
 		actions = b.TakeActions(actions[:0])
-		for _, a := range actions {
-			switch a.Kind {
-			case balancer.Send:
-				fmt.Printf("send request %d to host %d\n", a.Request, a.Host)
-			case balancer.Cancel:
-				fmt.Printf("cancel attempt %d of request %d\n", a.Attempt, a.Request)
-			case balancer.Reject:
-				fmt.Printf("reject request %d\n", a.Request)
-			case balancer.Fail:
-				fmt.Printf("fail request %d\n", a.Request)
-			case balancer.Wake:
-				timers[a.Token] = a.At
-			case balancer.Log:
-				fmt.Println("log:", a.Text)
+		for _, action := range actions {
+			if action.Kind == balancer.Wake {
+				timers[action.Token] = action.At
+				continue
 			}
+			printAction(action)
 		}
 	}
 
@@ -75,3 +66,19 @@
 	// log: host 7 ejected: connections fail
 	// send request 1 to host 8
 }
+
+// printAction is what the scripted network does.
+func printAction(action balancer.Action) {
+	switch action.Kind {
+	case balancer.Send:
+		fmt.Printf("send request %d to host %d\n", action.Request, action.Host)
+	case balancer.Cancel:
+		fmt.Printf("cancel attempt %d of request %d\n", action.Attempt, action.Request)
+	case balancer.Reject:
+		fmt.Printf("reject request %d\n", action.Request)
+	case balancer.Fail:
+		fmt.Printf("fail request %d\n", action.Request)
+	case balancer.Log:
+		fmt.Println("log:", action.Text)
+	}
+}
--- a/balancer/hostset_test.go
+++ b/balancer/hostset_test.go
@@ -131,9 +131,10 @@
 	}
 }
 
-// Of 5,000 hosts half leave and 2,000 new ones start in one event; then all are ejected, then one is
-// ready, then every class is excluded at some hosts and one class at nearly all.
-func TestHostSetsMatchFullScanOfLargeList(t *testing.T) {
+// newGatewayAfterReplacement returns a gateway of 5,000 hosts of which half have left, while 2,000 new ones have
+// started in the same event. It checks that those that have left receive nothing.
+func newGatewayAfterReplacement(t *testing.T) *benchGateway {
+	t.Helper()
 	g, list := newBenchGateway(t, 5000, testSettings())
 	for range 2000 {
 		g.round(64)
@@ -148,15 +149,11 @@
 			t.Fatalf("sent to host %d, which has left", a.Host)
 		}
 	}
-	sent := map[HostID]int{}
 	for range 3000 {
 		g.round(64)
 		for _, a := range g.actions {
-			if a.Kind == Send {
-				sent[a.Host]++
-				if a.Host <= 2500 {
-					t.Fatalf("sent to host %d, which has left", a.Host)
-				}
+			if a.Kind == Send && a.Host <= 2500 {
+				t.Fatalf("sent to host %d, which has left", a.Host)
 			}
 		}
 	}
@@ -167,6 +164,13 @@
 	if n := len(g.b.hosts); n != 4500 || len(g.b.byID) != n {
 		t.Fatalf("%d hosts, %d by id, want 4500", n, len(g.b.byID))
 	}
+	return g
+}
+
+// The host sets hold what a scan finds after a large replacement of hosts; then with all hosts ejected, then with
+// one ready, then with every class excluded at some hosts and one class at nearly all.
+func TestHostSetsMatchFullScanOfLargeList(t *testing.T) {
+	g := newGatewayAfterReplacement(t)
 	checkHostSets(t, g.b)
 
 	for _, h := range g.b.hosts {
--- a/balancer/policy_test.go
+++ b/balancer/policy_test.go
@@ -9,14 +9,8 @@
 	"testing"
 )
 
-// The policy is read by whoever is on call: its files are short, its lines fit a screen and its functions half
-// of one, no file that may decide is left out of the policy, and the doc comment of Balancer names each file.
-func TestPolicyStaysReadable(t *testing.T) {
-	const (
-		maxFileLines     = 300
-		maxFunctionLines = 40
-		maxLineLength    = 110
-	)
+// Whoever is on call starts at the doc comment of Balancer: it names each file of the policy, and no other.
+func TestCommentOfBalancerNamesPolicyFiles(t *testing.T) {
 	policy := policyFiles(t)
 	guide := balancerGuide(t, policy["balancer.go"])
 	for name := range policy {
@@ -32,17 +26,27 @@
 	if !strings.Contains(policy["balancer.go"], "are in api.go") {
 		t.Error("the comment of Balancer does not name api.go")
 	}
-	sources, err := filepath.Glob("*.go")
+}
+
+// sourceFiles returns the names of the package's files without its tests.
+func sourceFiles(t *testing.T) []string {
+	t.Helper()
+	files, err := filepath.Glob("*.go")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, name := range sources {
-		if strings.HasSuffix(name, "_test.go") {
-			continue
-		}
-		if decides := policy[name] != ""; decides == slices.Contains(filesWithoutDecisions, name) {
-			t.Errorf("%s: is in the policy %v; it must be either there or in filesWithoutDecisions", name, decides)
-		}
+	return slices.DeleteFunc(files, func(name string) bool { return strings.HasSuffix(name, "_test.go") })
+}
+
+// The files are read by whoever is on call: they are short, their lines fit a screen and their functions half of
+// one.
+func TestPolicyStaysReadable(t *testing.T) {
+	const (
+		maxFileLines     = 300
+		maxFunctionLines = 40
+		maxLineLength    = 110
+	)
+	for _, name := range sourceFiles(t) {
 		text, err := os.ReadFile(name)
 		if err != nil {
 			t.Fatal(err)
@@ -64,6 +68,16 @@
 			}
 		}
 	}
+}
+
+// No file that may decide is left out of the policy.
+func TestFilesOutsidePolicyDecideNothing(t *testing.T) {
+	policy := policyFiles(t)
+	for _, name := range sourceFiles(t) {
+		if decides := policy[name] != ""; decides == slices.Contains(filesWithoutDecisions, name) {
+			t.Errorf("%s: is in the policy %v; it must be either there or in filesWithoutDecisions", name, decides)
+		}
+	}
 	// A rule ends in a line to on-call, a random draw or an action.
 	decision := regexp.MustCompile(`b\.log\(|b\.random\.(unit|below|twoBelow)\(|b\.act\(Action\{Kind: (Send|Cancel|Reject|Fail|Close|Poll)\b`)
 	for _, name := range filesWithoutDecisions {
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -151,19 +151,47 @@
 // Most of 80 gateways restart within a second during a release, each with its own outdated list: their
 // subsets stay spread over the hosts, and their first polls over the poll timeout.
 func TestRestartedGatewaysSpreadSubsetsAndPolls(t *testing.T) {
+	const gatewayCount, hostCount, restarted = 80, 60, 56
+	began := Time(time.Hour)
+	f := newRestartedFleet(t, began, gatewayCount, hostCount, restarted)
+	for h, x := range f.shared() {
+		if x > 3*minSharingInstances {
+			t.Errorf("%d gateways use host %d, want at most %d", x, h, 3*minSharingInstances)
+		}
+	}
+	total := 0
+	for at, c := range f.failPolls() {
+		most, second := gatewayCount, int(at-began/Time(time.Second))
+		if second >= 5 {
+			most = gatewayCount / 2 // backoff
+		}
+		if total += c; c > most {
+			t.Errorf("%d polls in second %d, want at most %d", c, second, most)
+		}
+	}
+	if total < gatewayCount || total > 10*gatewayCount {
+		t.Errorf("%d polls in 10 s, want %d to %d", total, gatewayCount, 10*gatewayCount)
+	}
+	for i := range f.gateways { // the old list stays in use
+		if got := f.subset(i); len(got) < minSubsetHosts {
+			t.Errorf("gateway %d uses %d hosts, want %v or more", i, len(got), minSubsetHosts)
+		}
+	}
+}
+
+// newRestartedFleet returns gateways of which the first ones have started within the second after a time and the others
+// at it, each with an outdated list of its own: some hosts are draining, the first ones are missing.
+func newRestartedFleet(t *testing.T, began Time, gatewayCount, hostCount, restarted int) *gatewayFleet {
 	settings := testSettings()
 	settings.Poll = true
 	settings.PollTimeout = 10 * time.Second
-	const gatewayCount, hostCount, restarted = 80, 60, 56
+	settings.Instances = gatewayCount
 	r := rand.New(rand.NewSource(5))
 	f := &gatewayFleet{t: t}
-	polls := map[Time]int{} // by second
-	settings.Instances = gatewayCount
-	began := Time(time.Hour)
 	for rank := range gatewayCount {
 		settings.Rank = rank
 		old := testHosts(hostCount)
-		for range 4 { // an outdated list: some hosts are draining, the first ones are missing
+		for range 4 {
 			old[r.Intn(hostCount)].State = Draining
 		}
 		old = old[r.Intn(3):]
@@ -180,13 +208,14 @@
 		g.b.refreshSubset()
 		f.gateways = append(f.gateways, g)
 	}
-	for h, x := range f.shared() {
-		if x > 3*minSharingInstances {
-			t.Errorf("%d gateways use host %d, want at most %d", x, h, 3*minSharingInstances)
-		}
-	}
+	return f
+}
+
+// failPolls plays ten seconds in which each poll fails, and returns the number of polls by the second of the clock.
+func (f *gatewayFleet) failPolls() map[Time]int {
+	polls := map[Time]int{}
 	for _, g := range f.gateways {
-		for range 100 { // each poll fails
+		for range 100 {
 			at := g.now
 			for _, a := range g.advance(100 * ms) {
 				if a.Kind == Poll {
@@ -196,24 +225,7 @@
 			}
 		}
 	}
-	total := 0
-	for at, c := range polls {
-		most, second := gatewayCount, int(at-began/Time(time.Second))
-		if second >= 5 {
-			most = gatewayCount / 2 // backoff
-		}
-		if total += c; c > most {
-			t.Errorf("%d polls in second %d, want at most %d", c, second, most)
-		}
-	}
-	if total < gatewayCount || total > 10*gatewayCount {
-		t.Errorf("%d polls in 10 s, want %d to %d", total, gatewayCount, 10*gatewayCount)
-	}
-	for i := range f.gateways { // the old list stays in use
-		if got := f.subset(i); len(got) < minSubsetHosts {
-			t.Errorf("gateway %d uses %d hosts, want %v or more", i, len(got), minSubsetHosts)
-		}
-	}
+	return polls
 }
 
 // When one host in ten is replaced, the subset of a gateway changes by that share and some more, as
--- a/internal/route/chain_test.go
+++ b/internal/route/chain_test.go
@@ -7,41 +7,54 @@
 	"time"
 )
 
+// expectFirstShare checks the share of the first pool of a chain.
+func expectFirstShare(t *testing.T, c *Chain, now Time, what string, want float64) {
+	t.Helper()
+	got := c.Shares(now, nil)[0]
+	if math.Abs(got-want) > 0.001 {
+		t.Errorf("%s: share of the first pool %.3f, want %.3f", what, got, want)
+	}
+}
+
+// newChainOfTwo returns a chain of two pools whose ten and four hosts are all usable at a time.
+func newChainOfTwo(now Time) *Chain {
+	c := NewChain(DefaultMinShare, DefaultMinShare)
+	c.SetUsable(now, 0, 10, 10)
+	c.SetUsable(now, 1, 4, 4)
+	return c
+}
+
 // Traffic leaves a pool at once as its usable hosts fall below its minimum share, and returns late and
 // slowly.
 func TestSharesMoveAtOnceAndReturnSlowly(t *testing.T) {
-	c := NewChain(DefaultMinShare, DefaultMinShare)
 	now := Time(time.Hour)
-	share := func() float64 { return c.Shares(now, nil)[0] }
-	expectShare := func(what string, got, want float64) {
-		t.Helper()
-		if math.Abs(got-want) > 0.001 {
-			t.Errorf("%s: share of the first pool %.3f, want %.3f", what, got, want)
-		}
-	}
-	c.SetUsable(now, 0, 10, 10)
-	c.SetUsable(now, 1, 4, 4)
-	expectShare("all usable", share(), 1)
+	c := newChainOfTwo(now)
+	expectFirstShare(t, c, now, "all usable", 1)
 	c.SetUsable(now, 0, 8, 10)
-	expectShare("8 of 10 are enough", share(), 1)
+	expectFirstShare(t, c, now, "8 of 10 are enough", 1)
 	c.SetUsable(now, 0, 5, 10)
-	expectShare("5 of 10", share(), 0.7)
+	expectFirstShare(t, c, now, "5 of 10", 0.7)
 	c.SetUsable(now, 0, 0, 10)
-	expectShare("none usable", share(), 0)
+	expectFirstShare(t, c, now, "none usable", 0)
 	c.SetUsable(now, 0, 10, 10)
-	expectShare("just returned", share(), 0)
+	expectFirstShare(t, c, now, "just returned", 0)
 	now += settleTime
-	expectShare("settled", share(), 0)
+	expectFirstShare(t, c, now, "settled", 0)
 	now += returnTime / 2
-	expectShare("half way through the return", share(), 0.5)
+	expectFirstShare(t, c, now, "half way through the return", 0.5)
 	c.SetUsable(now, 0, 0, 10)
-	expectShare("none usable again", share(), 0)
+	expectFirstShare(t, c, now, "none usable again", 0)
 	now += time.Hour
 	c.SetUsable(now, 0, 10, 10)
 	now += settleTime + returnTime
-	expectShare("long after", share(), 1)
+	expectFirstShare(t, c, now, "long after", 1)
+}
 
-	// A host that is usable for less than settleTime brings no traffic back.
+// A host that is usable for less than settleTime brings no traffic back.
+func TestFlappingHostsBringNoTrafficBack(t *testing.T) {
+	now := Time(time.Hour)
+	c := newChainOfTwo(now)
+	expectFirstShare(t, c, now, "all usable", 1)
 	c.SetUsable(now, 0, 0, 10)
 	moved := false
 	for range 50 {
@@ -49,17 +62,22 @@
 		c.SetUsable(now, 0, 10, 10)
 		now += settleTime / 2
 		c.SetUsable(now, 0, 0, 10)
-		moved = moved || share() > 0
+		moved = moved || c.Shares(now, nil)[0] > 0
 	}
 	if moved {
 		t.Error("traffic returns to a pool whose hosts flap, want none")
 	}
+}
 
-	// If both are weak, each gets its part of what they can serve; if both have none, the first rejects.
+// If both pools are weak, each gets its part of what they can serve; if both have none, the first rejects.
+func TestWeakPoolsShareByWhatTheyCanServe(t *testing.T) {
+	now := Time(time.Hour)
+	c := newChainOfTwo(now)
+	c.SetUsable(now, 0, 0, 10)
 	c.SetUsable(now, 1, 1, 4)
-	expectShare("none of the first usable, one of the second", share(), 0)
+	expectFirstShare(t, c, now, "none of the first usable, one of the second", 0)
 	c.SetUsable(now, 1, 0, 4)
-	expectShare("none of both usable", share(), 1)
+	expectFirstShare(t, c, now, "none of both usable", 1)
 	d := NewChain(1, 1)
 	d.SetUsable(now, 0, 2, 10)
 	d.SetUsable(now, 1, 1, 10)
