--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -21,6 +21,15 @@
 	}
 }
 
+// lookupAndBookingClasses returns a class of lookups, and one of bookings with five times the weight, a tight
+// latency objective and no retries after they may have run.
+func lookupAndBookingClasses() []Class {
+	return []Class{
+		{LatencyObjective: 380 * ms, Deadline: 1340 * ms, PriorityWeight: 1},
+		{LatencyObjective: 130 * ms, Deadline: 400 * ms, PriorityWeight: 5, Idempotency: NonIdempotent},
+	}
+}
+
 // testHosts returns n ready hosts, two to a cell and zone.
 func testHosts(n int) []Host {
 	var list []Host
@@ -129,7 +138,13 @@
 // newTestGateway returns a gateway that has started with a saved list of the hosts.
 func newTestGateway(t *testing.T, settings Settings, hosts ...Host) *testGateway {
 	t.Helper()
-	b, err := New(settings, 7)
+	return newSeededTestGateway(t, settings, 7, hosts...)
+}
+
+// newSeededTestGateway is newTestGateway with a seed for the Balancer's random decisions.
+func newSeededTestGateway(t *testing.T, settings Settings, seed uint64, hosts ...Host) *testGateway {
+	t.Helper()
+	b, err := New(settings, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -207,17 +222,8 @@
 	f := &gatewayFleet{t: t}
 	settings.Instances = n
 	for settings.Rank = range n {
-		b, err := New(settings, uint64(settings.Rank)+1) // as in service each has a seed of its own
-		if err != nil {
-			t.Fatal(err)
-		}
-		g := &testGateway{T: t, b: b, now: time.Hour}
-		b.Start(g.now)
-		g.updateEndpoints(ListSaved, list...)
-		f.gateways = append(f.gateways, g)
+		seed := uint64(settings.Rank) + 1 // as in service each has a seed of its own
+		f.gateways = append(f.gateways, newSeededTestGateway(t, settings, seed, list...))
 	}
 	return f
 }
-
-// discardActions drops the pending actions.
-func (b *Balancer) discardActions() { b.actions = b.actions[:0] }
--- a/balancer/quota_test.go
+++ b/balancer/quota_test.go
@@ -19,7 +19,7 @@
 	overQuota := requestOf(0)
 	withinQuota := requestOf(1)
 	list := testHosts(1)
-	g.b.discardActions()
+	g.b.TakeActions(nil)
 	g.updateEndpoints(ListFull, list...)
 	order := map[RequestID]int{}
 	for i, a := range g.actions {
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -50,13 +50,7 @@
 // A retry goes to a host that the request has not been sent to, while one is ready.
 func TestRetryPrefersUntriedHost(t *testing.T) {
 	for seed := range uint64(200) {
-		b, err := New(testSettings(), seed)
-		if err != nil {
-			t.Fatal(err)
-		}
-		g := &testGateway{T: t, b: b, now: time.Hour}
-		b.Start(g.now)
-		g.updateEndpoints(ListSaved, testHosts(3)...)
+		g := newSeededTestGateway(t, testSettings(), seed, testHosts(3)...)
 		id := g.request(0, time.Second)
 		tried := map[HostID]bool{}
 		for n := range 3 {
--- a/balancer/silence_test.go
+++ b/balancer/silence_test.go
@@ -8,13 +8,14 @@
 	"time"
 )
 
-func TestSilentHostIsEjectedUntilItAnswers(t *testing.T) {
+// A host with a single attempt unanswered is not ejected, and receives nothing more until it answers.
+func TestHostThatPausesReceivesNothingUntilItAnswers(t *testing.T) {
 	g := newTestGateway(t, testSettings(), testHosts(3)...)
 	g.serve(60, 0, func(HostID) time.Duration { return 10 * ms })
 	unanswered := g.requestUntilSentTo(1, 10*ms)
 	g.advance(200 * ms)
 	if got := g.serve(50, 0, func(HostID) time.Duration { return ms }); got[1] != 0 {
-		t.Fatalf("%d requests sent to the silent host, want 0", got[1])
+		t.Fatalf("%d requests sent to the host that pauses, want 0", got[1])
 	}
 	g.attemptEnded(unanswered, 0, OK, 250*ms) // it only paused
 	if h := g.b.hosts[0]; h.ejection.count != 0 {
@@ -151,10 +152,7 @@
 	settings := testSettings()
 	settings.Instances = 2
 	settings.Step = ms
-	settings.Classes = []Class{
-		{LatencyObjective: 380 * ms, Deadline: 1340 * ms, PriorityWeight: 1},
-		{LatencyObjective: 130 * ms, Deadline: 400 * ms, PriorityWeight: 5, Idempotency: NonIdempotent},
-	}
+	settings.Classes = lookupAndBookingClasses()
 	p := &silentConnectionsPlay{
 		random: rand.New(rand.NewSource(seed)), work: map[RequestID]float64{}, attempts: map[gatewayRequest]int{},
 	}
--- a/balancer/starvation_test.go
+++ b/balancer/starvation_test.go
@@ -44,10 +44,7 @@
 	settings := testSettings()
 	settings.Step = ms
 	settings.Instances = gatewayCount
-	settings.Classes = []Class{
-		{LatencyObjective: 380 * ms, Deadline: 1340 * ms, PriorityWeight: 1},
-		{LatencyObjective: 130 * ms, Deadline: 400 * ms, PriorityWeight: 5, Idempotency: NonIdempotent},
-	}
+	settings.Classes = lookupAndBookingClasses()
 	p := &overloadPlay{
 		random:   rand.New(rand.NewSource(seed)),
 		settings: settings,
