--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -76,11 +76,14 @@
 	return nil
 }
 
+// namedValue is a field of the settings with the name that it has in recordings.
+type namedValue[T float64 | time.Duration] struct {
+	name  string
+	value T
+}
+
 func checkDurations(settings *Settings) error {
-	for _, field := range []struct {
-		name  string
-		value time.Duration
-	}{
+	for _, field := range []namedValue[time.Duration]{
 		{"step", settings.Step},
 		{"max retry after", settings.MaxRetryAfter},
 		{"ask within", settings.PollTimeout},
@@ -95,10 +98,7 @@
 }
 
 func checkFloats(settings *Settings) error {
-	for _, field := range []struct {
-		name  string
-		value float64
-	}{
+	for _, field := range []namedValue[float64]{
 		{"cold from", settings.SlowStartShare},
 		{"overload factor", settings.OverloadFactor},
 		{"over-quota worth", settings.OverQuotaWeight},
--- a/balancer/silence.go
+++ b/balancer/silence.go
@@ -30,8 +30,8 @@
 	return notOvertaken == 1 && !host.limiter.resting(b.now) && b.unansweredTooLong(oldest)
 }
 
-// checkBusyHosts updates the standing of the hosts with attempts in flight, as time has passed, and ejects
-// silent ones.
+// checkBusyHosts looks at the hosts with attempts in flight, as time has passed: it cancels stalled attempts,
+// updates the standing of the hosts and ejects silent ones.
 func (b *Balancer) checkBusyHosts() {
 	b.sweep.inFlight = 0
 	for _, host := range b.sets[setBusy].list {
--- a/balancer/standing.go
+++ b/balancer/standing.go
@@ -6,7 +6,7 @@
 //
 //	state        condition                             unit       ends when                      shown as
 //	draining     listed as Draining                               listed as Ready                d
-//	undrawn      not in this instance's subset                    the subset moves (subset.go)   -
+//	outside      not in this instance's subset                    the subset moves (subset.go)   -
 //	ejected      ejection.count > 0, and before until  instant    until; then one trial request, X or S
 //	             or with its trial request in flight              and any response is the end
 //	 unreachable cause CauseConnectionsFailed                                                    X
--- a/internal/route/normalize.go
+++ b/internal/route/normalize.go
@@ -33,11 +33,8 @@
 	for i := 0; i < len(path); i++ {
 		switch c := path[i]; {
 		case c == '%':
-			if i+2 >= len(path) || hexValue(path[i+1]) < 0 || hexValue(path[i+2]) < 0 {
-				return "", ErrAmbiguousPath
-			}
-			x := byte(hexValue(path[i+1])<<4 | hexValue(path[i+2]))
-			if x == '/' || x == '\\' || x < ' ' || x == 0x7f {
+			decoded, ok := decodeEscape(path[i:])
+			if !ok || decoded == '/' || decoded == '\\' || decoded < ' ' || decoded == 0x7f {
 				return "", ErrAmbiguousPath
 			}
 			escaped = true
@@ -75,7 +72,21 @@
 	return name == "." || name == ".."
 }
 
-// unescape decodes the escapes of unreserved characters, and writes the others in capitals.
+// decodeEscape returns the byte of the escape that a text begins with, as in "%2F"; false: it begins with none.
+func decodeEscape(s string) (decoded byte, ok bool) {
+	if len(s) < 3 || s[0] != '%' {
+		return 0, false
+	}
+	high := hexValue(s[1])
+	low := hexValue(s[2])
+	if high < 0 || low < 0 {
+		return 0, false
+	}
+	return byte(high<<4 | low), true
+}
+
+// unescape decodes the escapes of unreserved characters, and writes the others in capitals. All escapes of the path are
+// whole.
 func unescape(path string) string {
 	var b strings.Builder
 	b.Grow(len(path))
@@ -84,8 +95,9 @@
 			b.WriteByte(path[i])
 			continue
 		}
-		if x := byte(hexValue(path[i+1])<<4 | hexValue(path[i+2])); isUnreserved(x) {
-			b.WriteByte(x)
+		decoded, _ := decodeEscape(path[i:])
+		if isUnreserved(decoded) {
+			b.WriteByte(decoded)
 		} else {
 			b.WriteString(strings.ToUpper(path[i : i+3]))
 		}
