--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -19,7 +19,7 @@
 // send starts an attempt.
 func (b *Balancer) send(request *request, host *host) {
 	sendBy := b.sendBy(request)
-	attempt := b.pool.newAttempt()
+	attempt := b.freeAttempts.take()
 	attempt.request = request
 	attempt.host = host
 	attempt.sentAt = b.now
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -70,9 +70,10 @@
 	poller     endpointPoller
 
 	// Memory that is used again.
-	touched    []*host // of UpdateEndpoints
-	candidates []*host // of pick
-	pool       requestPool
+	touched      []*host // of UpdateEndpoints
+	candidates   []*host // of pick
+	freeRequests freeList[request]
+	freeAttempts freeList[attempt]
 }
 
 // scales are the units of the rules, which follow from the settings.
@@ -163,7 +164,7 @@
 
 // openRequest returns a request that has just arrived.
 func (b *Balancer) openRequest(arrived Request) *request {
-	request := b.pool.newRequest()
+	request := b.freeRequests.take()
 	request.Request = arrived
 	request.class = &b.settings.Classes[arrived.Class]
 	request.arrived = b.now
--- a/balancer/checkpoint_test.go
+++ b/balancer/checkpoint_test.go
@@ -84,7 +84,7 @@
 func TestCheckpointNamesEveryField(t *testing.T) {
 	known := map[reflect.Type]string{
 		reflect.TypeFor[Balancer](): "random now hosts sets dueStandings ring subset arrivals open queues sweep starvation typicalRTT " +
-			"quotas sendRate pacer stalled poller logs | settings scales actions byID counts excluded scopes touched candidates pool",
+			"quotas sendRate pacer stalled poller logs | settings scales actions byID counts excluded scopes touched candidates freeRequests freeAttempts",
 		reflect.TypeFor[host](): "Host rtt limiter ejection inFlight attempts lastResponse errors hasErrors brokenResponses slowStart " +
 			"counted due sets | index ring",
 		reflect.TypeFor[randomSource]():       "state |",
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -61,43 +61,29 @@
 	return request.attempts[number]
 }
 
-// requestPool holds requests and attempts that are no longer used, so that in steady state none is allocated.
-type requestPool struct {
-	requests []*request
-	attempts []*attempt
-}
-
-// newRequest returns an empty request.
-func (p *requestPool) newRequest() *request {
-	last := len(p.requests) - 1
-	if last < 0 {
-		return &request{}
-	}
-	reused := p.requests[last]
-	p.requests = p.requests[:last]
-	return reused
-}
+// freeList holds items that are no longer used, so that in steady state none is allocated.
+type freeList[T any] struct{ items []*T }
 
-// newAttempt returns an empty attempt.
-func (p *requestPool) newAttempt() *attempt {
-	last := len(p.attempts) - 1
+// take returns an item that is not used: one that was put back, or a new one.
+func (l *freeList[T]) take() *T {
+	last := len(l.items) - 1
 	if last < 0 {
-		return &attempt{}
+		return new(T)
 	}
-	reused := p.attempts[last]
-	p.attempts = p.attempts[:last]
-	return reused
+	item := l.items[last]
+	l.items = l.items[:last]
+	return item
 }
 
-// put takes back a request with its attempts.
-func (p *requestPool) put(unused *request) {
+// recycle takes back a request with its attempts, as empty ones.
+func (b *Balancer) recycle(unused *request) {
 	for _, ended := range unused.attempts {
 		*ended = attempt{} // it must not keep a host that is gone
 	}
-	p.attempts = append(p.attempts, unused.attempts...)
+	b.freeAttempts.items = append(b.freeAttempts.items, unused.attempts...)
 	clear(unused.attempts)
 	*unused = request{attempts: unused.attempts[:0]}
-	p.requests = append(p.requests, unused)
+	b.freeRequests.items = append(b.freeRequests.items, unused)
 }
 
 // releaseRequest forgets a closed request once its last attempt has ended.
@@ -106,5 +92,5 @@
 		return
 	}
 	delete(b.open, request.ID)
-	b.pool.put(request)
+	b.recycle(request)
 }
