--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -19,7 +19,7 @@
 // send starts an attempt.
 func (b *Balancer) send(request *request, host *host) {
 	sendBy := b.sendBy(request)
-	attempt := b.pool.newAttempt()
+	attempt := b.freeAttempts.take()
 	attempt.request = request
 	attempt.host = host
 	attempt.sentAt = b.now
@@ -27,7 +27,7 @@
 		attempt.trial = true
 		host.ejection.trialInFlight = true
 	}
-	b.holdTrial(host, request.Class)
+	b.excludeDuringTrial(host, request.Class)
 	request.attempts = append(request.attempts, attempt)
 	request.inFlight++
 	host.inFlight++
@@ -37,7 +37,7 @@
 		b.paceSlowStart(host)
 	}
 	b.sets.add(setBusy, host)
-	b.recheck(host)
+	b.updateStanding(host)
 	b.act(Action{Kind: Send, Request: request.ID, Host: host.ID, At: sendBy})
 	b.sweep.inFlight++
 	b.sendRate.countSent(b.now)
--- a/balancer/checkpoint_hosts.go
+++ b/balancer/checkpoint_hosts.go
@@ -1,6 +1,7 @@
 package balancer
 
-// codeHosts codes the hosts, the sets that they are in and the times of their rechecks.
+// codeHosts codes the hosts, the sets that they are in and the times at which their
+// standing is due.
 func (b *Balancer) codeHosts(c *checkpointCodec) {
 	n := c.codeCount(len(b.hosts))
 	if c.decoding {
@@ -14,7 +15,7 @@
 		decoded := &host{
 			index:  i,
 			errors: make([]classErrors, len(b.settings.Classes)),
-			sets:   membership{readySet: setNone},
+			sets:   membership{selectionSet: setNone},
 		}
 		decoded.code(c)
 		b.hosts[i] = decoded
@@ -24,9 +25,9 @@
 	for set := range b.sets {
 		b.codeSet(c, setKind(set))
 	}
-	b.codeHostList(c, &b.rechecks.hosts)
-	for i, host := range b.rechecks.hosts {
-		host.recheckEntry.position = i + 1
+	b.codeHostList(c, &b.dueStandings.hosts)
+	for i, host := range b.dueStandings.hosts {
+		host.due.position = i + 1
 	}
 	if c.decoding {
 		b.recountHosts()
@@ -48,7 +49,7 @@
 	codeInt(c, &h.ejection.until)
 	codeInt(c, &h.slowStart.startedAt)
 	codeInt(c, &h.slowStart.nextSend)
-	codeInt(c, &h.recheckEntry.at)
+	codeInt(c, &h.due.at)
 	c.codeFloat(&h.rtt.seconds)
 	c.codeFloat(&h.limiter.limit)
 	c.codeBool(&h.rtt.sampled)
@@ -91,7 +92,7 @@
 	for i, host := range b.sets[set].list {
 		host.sets.position[set] = i + 1
 		if set < setBusy {
-			host.sets.readySet = set
+			host.sets.selectionSet = set
 		}
 	}
 }
@@ -121,7 +122,7 @@
 // recountHosts computes, after decoding, what is derived from the hosts.
 func (b *Balancer) recountHosts() {
 	for _, host := range b.hosts {
-		host.ring.counted = host.rank()
+		host.ring.counted = host.ringStatus()
 		b.ring.count(host.ring.counted, 1)
 		host.counted.unrecovered = host.counted.ready && host.ejection.count > 0
 		b.counts.add(host.counted, 1)
--- a/balancer/silence.go
+++ b/balancer/silence.go
@@ -30,14 +30,14 @@
 	return notOvertaken == 1 && !host.limiter.resting(b.now) && b.unansweredTooLong(oldest)
 }
 
-// checkBusyHosts updates the standing of the hosts with attempts in flight, as time has passed, and ejects
-// silent ones.
+// checkBusyHosts looks at the hosts with attempts in flight, as time has passed: it cancels stalled attempts,
+// updates the standing of the hosts and ejects silent ones.
 func (b *Balancer) checkBusyHosts() {
 	b.sweep.inFlight = 0
 	for _, host := range b.sets[setBusy].list {
 		b.sweep.inFlight += host.inFlight
 		b.cancelStalled(host)
-		b.recheck(host)
+		b.updateStanding(host)
 		b.checkSilence(host)
 	}
 }
@@ -65,6 +65,6 @@
 	second := first.next
 	if second != nil && b.unansweredTooLong(second.item) {
 		b.eject(host, CauseSilent)
-		b.recheck(host)
+		b.updateStanding(host)
 	}
 }
