--- a/internal/config/appliance_test.go
+++ b/internal/config/appliance_test.go
@@ -1,7 +1,6 @@
 package config
 
 import (
-	"os"
 	"strconv"
 	"strings"
 	"testing"
@@ -30,63 +29,76 @@
 	}
 }
 
+// invalidExamples are changes of the example that make it invalid, each with its error.
+var invalidExamples = []struct {
+	old, new string // text of the example, and its replacement
+	want     string // how the error begins, after file and line
+	at       string // text of the example that begins on the line that the error names
+}{
+	{`effect = "safe"`, `effect = "save"`, `class.effect: "save" is none of safe, keyed, unsafe`, `effect = "safe"`},
+	{`deadline = "4s"`, `deadline = 4`, "class.deadline: ", `deadline = "4s"`},
+	{`aim = "500ms"`, `aim = "5s"`, "class.aim: 5s is not between 0 and the deadline", `aim = "500ms"`},
+	{`window = "2500ms"`, ``, "class.window: is missing", "[[class]]\nname = \"report\""},
+	{`sockets = 1024`, `sockets = 5`, "limits.sockets: 5 is not between 64 and", `sockets = 1024`},
+	{`address = "127.0.0.1:8080"`, `address = "8080"`, `listener.address: "8080" is no address`, `address = "127.0.0.1:8080"`},
+	{`fallback = ["calendar-old"]`, `fallback = ["calender-old"]`, `pool.fallback: "calender-old": there is no pool`, `fallback =`},
+	{`fallback = ["calendar-old"]`, ``, `pool.name: no route uses "calendar-old"`, `name = "calendar-old"`},
+	{`pool = "address"` + "\n", `pool = "adress"` + "\n", `route "address": pool "adress": there is none of that name`, "[[route]]\nname = \"address\""},
+	{`class = "lookup"`, `class = "look"`, `route.class: "look": there is no class`, `class = "lookup"`},
+	{`retry_share = 0.1`, `retry_share = 7.0`, "route.retry_share: 7 is not between 0 and 3", `retry_share`},
+	{`timeout = "2s"`, `timeuot = "2s"`, "route.timeuot: there is no such setting", `timeout = "2s"`},
+	{`split_by = "X-Household"`, `pool = "calendar"`, "route.pool: it has both pool and split", `split_by`},
+	{`{ id = "cal-2", address = "127.0.0.1:9102", cell = 1 }`, `{ id = "cal-1", address = "127.0.0.1:9102" }`, `pool.members: "cal-1" is there twice`, "members = ["},
+	{`name = "calendar-next"`, `name = "calendar"`, `pool.name: "calendar" is taken (line `, `name = "calendar-next"`},
+}
+
+// lineOf returns the line of a text on which the first occurrence of part begins, counted from 1.
+func lineOf(t *testing.T, text, part string) int {
+	t.Helper()
+	before, _, found := strings.Cut(text, part)
+	if !found {
+		t.Fatalf("the text lacks %q", part)
+	}
+	return 1 + strings.Count(before, "\n")
+}
+
 // Each error is one line with file, line and field.
 func TestParseApplianceErrorNamesLineAndField(t *testing.T) {
-	text, err := os.ReadFile(applianceExample)
-	if err != nil {
-		t.Fatal(err)
-	}
-	valid := string(text)
-	lineOf := func(s string) int { return 1 + strings.Count(valid[:strings.Index(valid, s)], "\n") }
-	for _, c := range []struct {
-		old, new string // text of the example, and its replacement
-		want     string
-		line     int
-	}{
-		{`effect = "safe"`, `effect = "save"`, `class.effect: "save" is none of safe, keyed, unsafe`, lineOf(`effect = "safe"`)},
-		{`deadline = "4s"`, `deadline = 4`, "class.deadline: ", lineOf(`deadline = "4s"`)},
-		{`aim = "500ms"`, `aim = "5s"`, "class.aim: 5s is not between 0 and the deadline", lineOf(`aim = "500ms"`)},
-		{`window = "2500ms"`, ``, "class.window: is missing", lineOf(`[[class]]` + "\nname = \"report\"")},
-		{`sockets = 1024`, `sockets = 5`, "limits.sockets: 5 is not between 64 and", lineOf(`sockets = 1024`)},
-		{`address = "127.0.0.1:8080"`, `address = "8080"`, `listener.address: "8080" is no address`, lineOf(`address = "127.0.0.1:8080"`)},
-		{`fallback = ["calendar-old"]`, `fallback = ["calender-old"]`, `pool.fallback: "calender-old": there is no pool`, lineOf(`fallback =`)},
-		{`fallback = ["calendar-old"]`, ``, `pool.name: no route uses "calendar-old"`, lineOf(`name = "calendar-old"`)},
-		{`pool = "address"` + "\n", `pool = "adress"` + "\n", `route "address": pool "adress": there is none of that name`, lineOf("[[route]]\nname = \"address\"")},
-		{`class = "lookup"`, `class = "look"`, `route.class: "look": there is no class`, lineOf(`class = "lookup"`)},
-		{`retry_share = 0.1`, `retry_share = 7.0`, "route.retry_share: 7 is not between 0 and 3", lineOf(`retry_share`)},
-		{`timeout = "2s"`, `timeuot = "2s"`, "route.timeuot: there is no such setting", lineOf(`timeout = "2s"`)},
-		{`split_by = "X-Household"`, `pool = "calendar"`, "route.pool: it has both pool and split", lineOf(`split_by`)},
-		{`{ id = "cal-2", address = "127.0.0.1:9102", cell = 1 }`, `{ id = "cal-1", address = "127.0.0.1:9102" }`, `pool.members: "cal-1" is there twice`, lineOf("members = [")},
-		{`name = "calendar-next"`, `name = "calendar"`, `pool.name: "calendar" is taken (line `, lineOf(`name = "calendar-next"`)},
-		{`path = "/address"`, `hosts = ["calendar.example.org"]`, "", 0}, // a route of another method is valid
-	} {
-		if !strings.Contains(valid, c.old) {
-			t.Fatalf("the example lacks %q", c.old)
-		}
-		_, errs := ParseAppliance("f", strings.Replace(valid, c.old, c.new, 1))
-		if c.want == "" {
-			if len(errs) > 0 {
-				t.Errorf("%q: errors %v, want none", c.new, errs)
-			}
-			continue
-		}
+	valid := readExample(t, applianceExample)
+	for _, c := range invalidExamples {
+		_, errs := ParseAppliance("f", replaceFirst(t, valid, c.old, c.new))
+		wantLine := lineOf(t, valid, c.at)
 		found := false
 		for _, err := range errs {
 			if strings.Contains(err.Error(), "\n") {
 				t.Errorf("error %q, want one line", err)
 			}
-			at, rest, _ := strings.Cut(strings.TrimPrefix(err.Error(), "f:"), ": ")
-			found = found || strings.HasPrefix(rest, c.want) && at == strconv.Itoa(c.line)
+			line, rest, _ := strings.Cut(strings.TrimPrefix(err.Error(), "f:"), ": ")
+			found = found || strings.HasPrefix(rest, c.want) && line == strconv.Itoa(wantLine)
 		}
 		if !found {
-			t.Errorf("%q: errors %v, want line %d: %q", c.new, errs, c.line, c.want)
+			t.Errorf("%q: errors %v, want line %d: %q", c.new, errs, wantLine, c.want)
 		}
 	}
-	// The error of a duplicate route names both lines.
+}
+
+func TestParseApplianceAcceptsSamePathWithOtherMethods(t *testing.T) {
+	text := replaceFirst(t, readExample(t, applianceExample), `path = "/address"`, `hosts = ["calendar.example.org"]`)
+	if _, errs := ParseAppliance("f", text); len(errs) > 0 {
+		t.Errorf("errors %v, want none", errs)
+	}
+}
+
+func TestParseApplianceErrorNamesBothLinesOfDuplicateRoutes(t *testing.T) {
+	valid := readExample(t, applianceExample)
+	firstLine := lineOf(t, valid, "[[route]]\nname = \"address\"")
 	_, errs := ParseAppliance("f", valid+"\n[[route]]\nname = \"again\"\npath = \"/address/\"\npool = \"address\"\nmethods = [\"HEAD\"]\n")
-	if len(errs) != 1 || !strings.Contains(errs[0].Error(), "alike (line "+strconv.Itoa(lineOf("[[route]]\nname = \"address\""))+")") {
-		t.Errorf("errors %v, want one that names the line of the other route", errs)
+	if len(errs) != 1 || !strings.Contains(errs[0].Error(), "alike (line "+strconv.Itoa(firstLine)+")") {
+		t.Errorf("errors %v, want one that names line %d of the other route", errs, firstLine)
 	}
+}
+
+func TestLoadApplianceRejectsEmptyAndMissingFiles(t *testing.T) {
 	if _, errs := ParseAppliance("f", ""); len(errs) != 5 {
 		t.Errorf("empty file: errors %v, want 5", errs)
 	}
@@ -98,21 +110,14 @@
 // One error does not hide the others: a value of a wrong type, one out of range and an unknown key are
 // all reported, each once, and nothing that follows from them.
 func TestParseApplianceReportsAllErrorsAtOnce(t *testing.T) {
-	text, err := os.ReadFile(applianceExample)
-	if err != nil {
-		t.Fatal(err)
-	}
-	invalid := string(text)
+	invalid := readExample(t, applianceExample)
 	for _, c := range [][2]string{
 		{`deadline = "4s"`, `deadline = 4`}, {`memory_mb = 64`, `memory_mb = "64"`}, {`sockets = 1024`, `sockets = 5`},
 		{`timeout = "2s"`, `timeuot = "2s"`}, {`effect = "unsafe"`, `effect = "unsave"`}, {`worth = 5`, `wort = 5`},
 		{`address = "127.0.0.1:8080"`, `address = "127.0.0.1:99999"`}, {`"127.0.0.1:9201"`, `"127.0.0.1:0"`},
 		{`name = "depot-1"`, "admin = \"10.0.0.1:8090\"\nname = \"depot\\u001b[31m\""},
 	} {
-		if !strings.Contains(invalid, c[0]) {
-			t.Fatalf("the example lacks %q", c[0])
-		}
-		invalid = strings.Replace(invalid, c[0], c[1], 1)
+		invalid = replaceFirst(t, invalid, c[0], c[1])
 	}
 	_, errs := ParseAppliance("f", invalid)
 	var messages []string
@@ -140,17 +145,13 @@
 
 // A limit that leaves pools without descriptors is an error of the file, not of the running gateway.
 func TestParseApplianceRejectsPoolsWithoutSockets(t *testing.T) {
-	text, err := os.ReadFile(applianceExample)
-	if err != nil {
-		t.Fatal(err)
-	}
-	valid := string(text)
+	valid := readExample(t, applianceExample)
 	for _, c := range []struct{ old, new, want string }{
 		{`sockets = 1024`, `sockets = 64`, ""},
 		{`fallback = ["calendar-old"]`, "fallback = [\"calendar-old\"]\nsockets = 0.6", ""},
 		{`fallback = ["calendar-old"]`, "fallback = [\"calendar-old\"]\nsockets = 1.0", "limits.sockets: 1024 are too few: 4 pools would have 0.0 each"},
 	} {
-		_, errs := ParseAppliance("f", strings.Replace(valid, c.old, c.new, 1))
+		_, errs := ParseAppliance("f", replaceFirst(t, valid, c.old, c.new))
 		if c.want == "" && len(errs) > 0 || c.want != "" && (len(errs) != 1 || !strings.Contains(errs[0].Error(), c.want)) {
 			t.Errorf("%q: errors %v, want %q", c.new, errs, c.want)
 		}
--- a/internal/config/platform_reload_test.go
+++ b/internal/config/platform_reload_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 )
@@ -14,19 +13,53 @@
   {"name":"look","effect":"idempotent","hard_limit":1000000,"promise":400000},
   {"name":"book","effect":"at_most_once","hard_limit":400000,"promise":130000,"window":1}]}}`
 
-// A file is rejected as a whole on a reload if it is empty or truncated, lacks what the first one had
-// or has invalid values; one with other values is applied.
-func TestReloadPlatformRejectsIncompleteFiles(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "config.json")
-	env := func(name string) string {
+// reloadedWith is reloadedConfig with another text in place of old.
+func reloadedWith(old, new string) string { return strings.ReplaceAll(reloadedConfig, old, new) }
+
+// reloads are files that replace reloadedConfig, with what comes of them.
+var reloads = []struct {
+	name string
+	text string
+	want string // in the error; "": no error
+}{
+	{"the same", reloadedConfig, ""},
+	{"another discovery", reloadedWith("127.0.0.1:1", "127.0.0.1:7"), ""},
+	{"another class without optional keys", reloadedWith(`"window":1}`, `"window":1},{"name":"n","effect":"idempotent","hard_limit":5,"promise":4}`), ""},
+	{"fewer attempts", reloadedWith(`"max_attempts":4`, `"max_attempts":1`), ""},
+	{"empty", "", "unexpected end"},
+	{"blank", " \n", "unexpected end"},
+	{"truncated", reloadedConfig[:len(reloadedConfig)/2], "unexpected end"},
+	{"truncated by a byte", reloadedConfig[:len(reloadedConfig)-1], "unexpected end"},
+	{"null", "null", "no host:port"},
+	{"no attempts", reloadedWith(`,"max_attempts":4`, ``), "settings.caps.max_attempts: missing"},
+	{"null attempts", reloadedWith(`"max_attempts":4`, `"max_attempts":null`), "settings.caps.max_attempts: missing"},
+	{"0 attempts", reloadedWith(`"max_attempts":4`, `"max_attempts":0`), "caps.max_attempts: 0 is not above 0"},
+	{"negative attempts", reloadedWith(`"max_attempts":4`, `"max_attempts":-1`), "max attempts: -1"},
+	{"attempts as text", reloadedWith(`"max_attempts":4`, `"max_attempts":"4"`), "max_attempts"},
+	{"half an attempt", reloadedWith(`"max_attempts":4`, `"max_attempts":1.5`), "max_attempts"},
+	{"deadline 0", reloadedWith(`"hard_limit":400000`, `"hard_limit":0`), "class 1: deadline"},
+	{"deadline as text", reloadedWith(`"hard_limit":400000`, `"hard_limit":"x"`), "hard_limit"},
+	{"deadline null", reloadedWith(`"hard_limit":400000`, `"hard_limit":null`), "class 1: deadline"},
+	{"no deadline", reloadedWith(`"hard_limit":400000,`, ``), "class 1: deadline"},
+	{"no latency objective in one class", reloadedWith(`"promise":130000,`, ``), "settings.classes[].promise: missing"},
+	{"no classes", reloadedWith(`"classes":[`, `"klasses":[`), "classes"},
+	{"no seed", reloadedWith(`"seed":"1f",`, ``), "seed"},
+	{"no name", reloadedWith(`"name":"n",`, ``), "name: missing"},
+	{"no second address", reloadedWith(`"admin":"127.0.0.1:2",`, ``), "admin: missing"},
+	{"no list", reloadedWith(`"known":{"version":1,"full":true,"servers":[]},`, ``), "known: missing"},
+	{"malformed list", reloadedWith(`"servers":[]`, `"servers":{}`), "Servers"},
+	{"no rank", reloadedWith(`"rank":0,`, ``), "settings.rank: missing"},
+	{"two values", reloadedConfig + reloadedConfig, "after top-level value"},
+}
+
+// platformFileInUse writes reloadedConfig to a file and loads it. It returns the environment that names the file, and the
+// file's path.
+func platformFileInUse(t *testing.T) (env func(name string) string, path string, first *Platform) {
+	t.Helper()
+	path = writeTempFile(t, "config.json", reloadedConfig)
+	env = func(name string) string {
 		return map[string]string{"GW_CONFIG": path, "GW_DISCOVERY": "127.0.0.1:9"}[name]
 	}
-	write := func(text string) {
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	write(reloadedConfig)
 	first, err := LoadPlatform(env)
 	if err != nil {
 		t.Fatal(err)
@@ -34,42 +67,17 @@
 	if first.Admin != "127.0.0.1:2" || first.Discovery != "127.0.0.1:9" {
 		t.Errorf("admin %q, discovery %q, want 127.0.0.1:2 and 127.0.0.1:9", first.Admin, first.Discovery)
 	}
-	changed := func(old, new string) string { return strings.NewReplacer(old, new).Replace(reloadedConfig) }
-	for _, c := range []struct {
-		name string
-		text string
-		want string // in the error; "": no error
-	}{
-		{"the same", reloadedConfig, ""},
-		{"another discovery", changed("127.0.0.1:1", "127.0.0.1:7"), ""},
-		{"another class without optional keys", changed(`"window":1}`, `"window":1},{"name":"n","effect":"idempotent","hard_limit":5,"promise":4}`), ""},
-		{"fewer attempts", changed(`"max_attempts":4`, `"max_attempts":1`), ""},
-		{"empty", "", "unexpected end"},
-		{"blank", " \n", "unexpected end"},
-		{"truncated", reloadedConfig[:len(reloadedConfig)/2], "unexpected end"},
-		{"truncated by a byte", reloadedConfig[:len(reloadedConfig)-1], "unexpected end"},
-		{"null", "null", "no host:port"},
-		{"no attempts", changed(`,"max_attempts":4`, ``), "settings.caps.max_attempts: missing"},
-		{"null attempts", changed(`"max_attempts":4`, `"max_attempts":null`), "settings.caps.max_attempts: missing"},
-		{"0 attempts", changed(`"max_attempts":4`, `"max_attempts":0`), "caps.max_attempts: 0 is not above 0"},
-		{"negative attempts", changed(`"max_attempts":4`, `"max_attempts":-1`), "max attempts: -1"},
-		{"attempts as text", changed(`"max_attempts":4`, `"max_attempts":"4"`), "max_attempts"},
-		{"half an attempt", changed(`"max_attempts":4`, `"max_attempts":1.5`), "max_attempts"},
-		{"deadline 0", changed(`"hard_limit":400000`, `"hard_limit":0`), "class 1: deadline"},
-		{"deadline as text", changed(`"hard_limit":400000`, `"hard_limit":"x"`), "hard_limit"},
-		{"deadline null", changed(`"hard_limit":400000`, `"hard_limit":null`), "class 1: deadline"},
-		{"no deadline", changed(`"hard_limit":400000,`, ``), "class 1: deadline"},
-		{"no latency objective in one class", changed(`"promise":130000,`, ``), "settings.classes[].promise: missing"},
-		{"no classes", changed(`"classes":[`, `"klasses":[`), "classes"},
-		{"no seed", changed(`"seed":"1f",`, ``), "seed"},
-		{"no name", changed(`"name":"n",`, ``), "name: missing"},
-		{"no second address", changed(`"admin":"127.0.0.1:2",`, ``), "admin: missing"},
-		{"no list", changed(`"known":{"version":1,"full":true,"servers":[]},`, ``), "known: missing"},
-		{"malformed list", changed(`"servers":[]`, `"servers":{}`), "Servers"},
-		{"no rank", changed(`"rank":0,`, ``), "settings.rank: missing"},
-		{"two values", reloadedConfig + reloadedConfig, "after top-level value"},
-	} {
-		write(c.text)
+	return env, path, first
+}
+
+// A file is rejected as a whole on a reload if it is empty or truncated, lacks what the first one had
+// or has invalid values; one with other values is applied.
+func TestReloadPlatformRejectsIncompleteFiles(t *testing.T) {
+	env, path, first := platformFileInUse(t)
+	for _, c := range reloads {
+		if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
+			t.Fatal(err)
+		}
 		got, err := ReloadPlatform(env, first)
 		switch {
 		case c.want == "" && err != nil:
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -1,8 +1,6 @@
 package config
 
 import (
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
@@ -24,11 +22,7 @@
 // name and value.
 func loadPlatformText(t *testing.T, text string, vars ...string) (*Platform, error) {
 	t.Helper()
-	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	env := map[string]string{"GW_CONFIG": path}
+	env := map[string]string{"GW_CONFIG": writeTempFile(t, "config.json", text)}
 	for i := 0; i < len(vars); i += 2 {
 		env[vars[i]] = vars[i+1]
 	}
@@ -77,11 +71,7 @@
 		{`"dial_timeout":250000`, `"dial_timeout":-1`, "caps.dial_timeout"},
 		{`{"name":"n3"`, `{"name":`, "GW_CONFIG"},
 	} {
-		text := strings.Replace(platformConfig, tt.from, tt.to, 1)
-		if text == platformConfig {
-			t.Fatalf("%s is not in the configuration", tt.from)
-		}
-		_, err := loadPlatformText(t, text)
+		_, err := loadPlatformText(t, replaceFirst(t, platformConfig, tt.from, tt.to))
 		if err == nil || !strings.Contains(err.Error(), tt.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: error %v, want one line with %q", tt.to, err, tt.want)
 		}
--- a/internal/config/recording_test.go
+++ b/internal/config/recording_test.go
@@ -1,26 +1,14 @@
 package config
 
 import (
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
 )
 
-// writeRecordingFile writes the text to a file and returns its path.
-func writeRecordingFile(t *testing.T, text string) string {
-	t.Helper()
-	path := filepath.Join(t.TempDir(), "flight.toml")
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	return path
-}
-
 func TestLoadRecordingReadsAllFields(t *testing.T) {
 	dir := t.TempDir()
-	c, err := LoadRecording(writeRecordingFile(t, "ring_kb = 256\nview_every = \"100ms\"\ndir = \""+dir+"\"\n[trigger]\nrefused = 0.25\nwithin = \"2s\"\n"))
+	c, err := LoadRecording(writeTempFile(t, "flight.toml", "ring_kb = 256\nview_every = \"100ms\"\ndir = \""+dir+"\"\n[trigger]\nrefused = 0.25\nwithin = \"2s\"\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,7 +16,7 @@
 		c.Trigger.RejectedShare != 0.25 || c.Trigger.Window != 2*time.Second || c.Trigger.MinInterval != defaultTriggerPause || c.Trigger.MinResponses != defaultTriggerLeast {
 		t.Errorf("recording %+v, want the values of the file and defaults", c)
 	}
-	if c, err = LoadRecording(writeRecordingFile(t, "")); err != nil || c.RingBytes != defaultRingBytes || c.Trigger.RejectedShare != 0 {
+	if c, err = LoadRecording(writeTempFile(t, "flight.toml", "")); err != nil || c.RingBytes != defaultRingBytes || c.Trigger.RejectedShare != 0 {
 		t.Errorf("empty file: recording %+v, error %v, want defaults", c, err)
 	}
 }
@@ -48,7 +36,7 @@
 		"ring_kb = 256\nfile_mb = ":                  ":2: ",
 		"dir = \"/tmp\"\n[trigger]\nwithin = \"0s\"": ":3: trigger.within: 0 is not between 0.1 and",
 	} {
-		path := writeRecordingFile(t, text)
+		path := writeTempFile(t, "flight.toml", text)
 		_, err := LoadRecording(path)
 		if err == nil || !strings.HasPrefix(err.Error(), path+want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q: error %v, want %q", text, err, want)
