--- a/internal/upstream/fastcgi/conn_test.go
+++ b/internal/upstream/fastcgi/conn_test.go
@@ -189,33 +189,13 @@
 		c.Write(okRecords(id, "good"))
 	})
 	transport, h := newTestHost(t, r.Addr().String())
-	attempt(h, newTestRequest("POST", "/first", ""))
-	testutil.WaitUntil(t, "the responder has sent its values", func() bool {
-		transport.mu.Lock()
-		defer transport.mu.Unlock()
-		return h.values.Multiplexes && len(transport.conns.Conns(h)) == 1
-	})
-	transport.mu.Lock()
-	c := transport.conns.Conns(h)[0]
-	transport.mu.Unlock()
+	learnMultiplexing(t, transport, h)
+	c := waitForOnlyConn(t, transport, h)
 	var others sync.WaitGroup
-	startOther := func(target string, bodyBytes int) {
-		others.Go(func() {
-			if _, text, err := attempt(h, newTestRequest("POST", target, strings.Repeat("x", bodyBytes))); text != "good" || err != nil {
-				t.Errorf("%s: got body %q, error %v, want \"good\"", target, text, err)
-			}
-		})
-	}
-	startOther("/stall", 0)
+	others.Go(func() { checkGoodResponse(t, h, "/stall", "") })
 	testutil.WaitUntil(t, "it is sent", func() bool { return r.requests.Load() == 2 })
-	startOther("/big", 32<<20) // more than all buffers between hold
-	testutil.WaitUntil(t, "it is being written", func() bool {
-		if c.writeMu.TryLock() {
-			c.writeMu.Unlock()
-			return false
-		}
-		return c.client.NumOpen() == 2
-	})
+	others.Go(func() { checkGoodResponse(t, h, "/big", strings.Repeat("x", 32<<20)) }) // more than all buffers between hold
+	testutil.WaitUntil(t, "it is being written", func() bool { return isWriting(c) && c.client.NumOpen() == 2 })
 	client := &goneClient{}
 	x := newTestRequest("POST", "/late", "")
 	x.Client = client
@@ -234,31 +214,27 @@
 	if n := late.Load(); n != 0 {
 		t.Errorf("the responder got the late request %d times, want 0", n)
 	}
-	if _, text, err := attempt(h, newTestRequest("POST", "/", "")); text != "good" || err != nil {
-		t.Errorf("next request: got body %q, error %v, want \"good\"", text, err)
-	}
+	checkGoodResponse(t, h, "/", "")
 }
 
 // A responder that does not know GET_VALUES, or closes the connection for it, gets one request at a time on each
 // connection.
 func TestNoMultiplexingWithoutValues(t *testing.T) {
 	for _, values := range []valuesBehavior{emptyValues, closeConnection} {
-		r := startResponder(t, values, func(c net.Conn, id uint16, _ map[string]string, _ string) {
-			time.Sleep(5 * time.Millisecond)
-			c.Write(okRecords(id, "good"))
-		})
-		_, h := newTestHost(t, r.Addr().String())
-		var attempts sync.WaitGroup
-		for range 10 {
-			attempts.Go(func() {
-				if _, text, err := attempt(h, newTestRequest("POST", "/", "")); text != "good" || err != nil {
-					t.Errorf("%s: got body %q, error %v, want \"good\"", values, text, err)
-				}
+		t.Run(string(values), func(t *testing.T) {
+			r := startResponder(t, values, func(c net.Conn, id uint16, _ map[string]string, _ string) {
+				time.Sleep(5 * time.Millisecond)
+				c.Write(okRecords(id, "good"))
 			})
-		}
-		attempts.Wait()
-		if conns := r.conns.Load(); conns < 5 {
-			t.Errorf("%s: got %d connections for ten requests at once, want at least 5", values, conns)
-		}
+			_, h := newTestHost(t, r.Addr().String())
+			var attempts sync.WaitGroup
+			for range 10 {
+				attempts.Go(func() { checkGoodResponse(t, h, "/", "") })
+			}
+			attempts.Wait()
+			if conns := r.conns.Load(); conns < 5 {
+				t.Errorf("got %d connections for ten requests at once, want at least 5", conns)
+			}
+		})
 	}
 }
--- a/internal/upstream/fastcgi/helpers_test.go
+++ b/internal/upstream/fastcgi/helpers_test.go
@@ -177,6 +177,14 @@
 	return result, string(received), err
 }
 
+// checkGoodResponse makes an attempt and checks that the body of its response is "good".
+func checkGoodResponse(t *testing.T, h *host, target, text string) {
+	t.Helper()
+	if _, got, err := attempt(h, newTestRequest("POST", target, text)); got != "good" || err != nil {
+		t.Errorf("%s: got body %q, error %v, want \"good\"", target, got, err)
+	}
+}
+
 // learnMultiplexing makes an attempt and waits until the transport knows that the responder multiplexes.
 func learnMultiplexing(t *testing.T, transport *Transport, h *host) {
 	t.Helper()
@@ -188,6 +196,32 @@
 	})
 }
 
+// waitForOnlyConn waits until a host has one connection, and returns it.
+func waitForOnlyConn(t *testing.T, transport *Transport, h *host) *conn {
+	t.Helper()
+	var only *conn
+	testutil.WaitUntil(t, "the host has one connection", func() bool {
+		transport.mu.Lock()
+		defer transport.mu.Unlock()
+		conns := transport.conns.Conns(h)
+		if len(conns) != 1 {
+			return false
+		}
+		only = conns[0]
+		return true
+	})
+	return only
+}
+
+// isWriting reports whether records are being written to a connection.
+func isWriting(c *conn) bool {
+	if c.writeMu.TryLock() {
+		c.writeMu.Unlock()
+		return false
+	}
+	return true
+}
+
 // waitUntilNoneOpen waits until all connections have ended.
 func waitUntilNoneOpen(t *testing.T, transport *Transport) {
 	t.Helper()
--- a/internal/upstream/fastcgi/result_test.go
+++ b/internal/upstream/fastcgi/result_test.go
@@ -15,57 +15,60 @@
 	"dunemoor/internal/testutil"
 )
 
-// The table of docs/design/fastcgi.md: what a responder does decides whether the request may have run. A wrong
-// outcome would let a request that is not idempotent run twice.
+// responseOutcomes is the table of docs/design/fastcgi.md: what a responder does, and the outcome of the attempt.
+var responseOutcomes = []struct {
+	name     string
+	respond  func(c net.Conn, id uint16)
+	want     balancer.Result // OK: there is a response
+	wantText string
+}{
+	{"response", func(c net.Conn, id uint16) { c.Write(okRecords(id, "good")) }, balancer.OK, "good"},
+	{"without end of STDOUT", func(c net.Conn, id uint16) { c.Write(completedRecords(id, "X: y\n\ngood")) }, balancer.OK, "good"},
+	{"with exit status", func(c net.Conn, id uint16) {
+		c.Write(append(stdoutRecords(id, "X: y\n\ngood"), endRecord(id, fastcgi.EndRequestBody{AppStatus: 7})...))
+	}, balancer.OK, "good"},
+	{"in pieces, with STDERR between", func(c net.Conn, id uint16) {
+		for _, s := range []string{"X: y", "\r\n\r", "\ngo", "od"} {
+			c.Write(append(stdoutRecords(id, s), fastcgi.AppendRecord(nil, fastcgi.Stderr, id, []byte("note"))...))
+			time.Sleep(time.Millisecond)
+		}
+		c.Write(endRecord(id, fastcgi.EndRequestBody{}))
+	}, balancer.OK, "good"},
+	{"right length", func(c net.Conn, id uint16) { c.Write(completedRecords(id, "Content-Length: 4\n\ngood")) }, balancer.OK, "good"},
+	{"wrong length", func(c net.Conn, id uint16) { c.Write(completedRecords(id, "Content-Length: 5\n\ngood")) }, balancer.InvalidResponse, ""},
+	{"two lengths", func(c net.Conn, id uint16) {
+		c.Write(completedRecords(id, "Content-Length: 4\nContent-Length: 4\n\ngood"))
+	}, balancer.InvalidResponse, ""},
+	{"overloaded", func(c net.Conn, id uint16) {
+		c.Write(endRecord(id, fastcgi.EndRequestBody{ProtocolStatus: fastcgi.Overloaded}))
+	}, balancer.Full, ""},
+	{"can't multiplex", func(c net.Conn, id uint16) {
+		c.Write(endRecord(id, fastcgi.EndRequestBody{ProtocolStatus: fastcgi.CantMultiplex}))
+	}, balancer.Full, ""},
+	{"unknown role", func(c net.Conn, id uint16) {
+		c.Write(endRecord(id, fastcgi.EndRequestBody{ProtocolStatus: fastcgi.UnknownRole}))
+	}, balancer.Full, ""},
+	{"overloaded after half a header", func(c net.Conn, id uint16) {
+		c.Write(append(stdoutRecords(id, "X: "), endRecord(id, fastcgi.EndRequestBody{ProtocolStatus: fastcgi.Overloaded})...))
+	}, balancer.InvalidResponse, ""},
+	{"complete without output", func(c net.Conn, id uint16) { c.Write(endRecord(id, fastcgi.EndRequestBody{AppStatus: 1})) }, balancer.InvalidResponse, ""},
+	{"STDERR only", func(c net.Conn, id uint16) {
+		c.Write(append(fastcgi.AppendRecord(nil, fastcgi.Stderr, id, []byte("oh")), endRecord(id, fastcgi.EndRequestBody{AppStatus: 1})...))
+	}, balancer.InvalidResponse, ""},
+	{"malformed header", func(c net.Conn, id uint16) { c.Write(completedRecords(id, "good\n\n")) }, balancer.InvalidResponse, ""},
+	{"incomplete header", func(c net.Conn, id uint16) { c.Write(completedRecords(id, "X: y\n")) }, balancer.InvalidResponse, ""},
+	{"closed at once", func(c net.Conn, id uint16) { c.Close() }, balancer.Reset, ""},
+	{"reset at once", func(c net.Conn, id uint16) { c.(*net.TCPConn).SetLinger(0); c.Close() }, balancer.Reset, ""},
+	{"closed within a record", func(c net.Conn, id uint16) { c.Write(stdoutRecords(id, "X: y\n\ngood")[:14]); c.Close() }, balancer.Reset, ""},
+	{"closed between records", func(c net.Conn, id uint16) { c.Write(stdoutRecords(id, "X: y\n")); c.Close() }, balancer.Reset, ""},
+	{"closed after the header", func(c net.Conn, id uint16) { c.Write(stdoutRecords(id, "X: y\n\ngo")); c.Close() }, balancer.Reset, ""},
+	{"other version", func(c net.Conn, id uint16) { c.Write([]byte("HTTP/1.1 200 OK\r\n\r\n")) }, balancer.Reset, ""},
+}
+
+// What a responder does decides whether the request may have run. A wrong outcome would let a request that is not
+// idempotent run twice.
 func TestOutcomeOfResponse(t *testing.T) {
-	for _, test := range []struct {
-		name     string
-		respond  func(c net.Conn, id uint16)
-		want     balancer.Result // OK: there is a response
-		wantText string
-	}{
-		{"response", func(c net.Conn, id uint16) { c.Write(okRecords(id, "good")) }, balancer.OK, "good"},
-		{"without end of STDOUT", func(c net.Conn, id uint16) { c.Write(completedRecords(id, "X: y\n\ngood")) }, balancer.OK, "good"},
-		{"with exit status", func(c net.Conn, id uint16) {
-			c.Write(append(stdoutRecords(id, "X: y\n\ngood"), endRecord(id, fastcgi.EndRequestBody{AppStatus: 7})...))
-		}, balancer.OK, "good"},
-		{"in pieces, with STDERR between", func(c net.Conn, id uint16) {
-			for _, s := range []string{"X: y", "\r\n\r", "\ngo", "od"} {
-				c.Write(append(stdoutRecords(id, s), fastcgi.AppendRecord(nil, fastcgi.Stderr, id, []byte("note"))...))
-				time.Sleep(time.Millisecond)
-			}
-			c.Write(endRecord(id, fastcgi.EndRequestBody{}))
-		}, balancer.OK, "good"},
-		{"right length", func(c net.Conn, id uint16) { c.Write(completedRecords(id, "Content-Length: 4\n\ngood")) }, balancer.OK, "good"},
-		{"wrong length", func(c net.Conn, id uint16) { c.Write(completedRecords(id, "Content-Length: 5\n\ngood")) }, balancer.InvalidResponse, ""},
-		{"two lengths", func(c net.Conn, id uint16) {
-			c.Write(completedRecords(id, "Content-Length: 4\nContent-Length: 4\n\ngood"))
-		}, balancer.InvalidResponse, ""},
-		{"overloaded", func(c net.Conn, id uint16) {
-			c.Write(endRecord(id, fastcgi.EndRequestBody{ProtocolStatus: fastcgi.Overloaded}))
-		}, balancer.Full, ""},
-		{"can't multiplex", func(c net.Conn, id uint16) {
-			c.Write(endRecord(id, fastcgi.EndRequestBody{ProtocolStatus: fastcgi.CantMultiplex}))
-		}, balancer.Full, ""},
-		{"unknown role", func(c net.Conn, id uint16) {
-			c.Write(endRecord(id, fastcgi.EndRequestBody{ProtocolStatus: fastcgi.UnknownRole}))
-		}, balancer.Full, ""},
-		{"overloaded after half a header", func(c net.Conn, id uint16) {
-			c.Write(append(stdoutRecords(id, "X: "), endRecord(id, fastcgi.EndRequestBody{ProtocolStatus: fastcgi.Overloaded})...))
-		}, balancer.InvalidResponse, ""},
-		{"complete without output", func(c net.Conn, id uint16) { c.Write(endRecord(id, fastcgi.EndRequestBody{AppStatus: 1})) }, balancer.InvalidResponse, ""},
-		{"STDERR only", func(c net.Conn, id uint16) {
-			c.Write(append(fastcgi.AppendRecord(nil, fastcgi.Stderr, id, []byte("oh")), endRecord(id, fastcgi.EndRequestBody{AppStatus: 1})...))
-		}, balancer.InvalidResponse, ""},
-		{"malformed header", func(c net.Conn, id uint16) { c.Write(completedRecords(id, "good\n\n")) }, balancer.InvalidResponse, ""},
-		{"incomplete header", func(c net.Conn, id uint16) { c.Write(completedRecords(id, "X: y\n")) }, balancer.InvalidResponse, ""},
-		{"closed at once", func(c net.Conn, id uint16) { c.Close() }, balancer.Reset, ""},
-		{"reset at once", func(c net.Conn, id uint16) { c.(*net.TCPConn).SetLinger(0); c.Close() }, balancer.Reset, ""},
-		{"closed within a record", func(c net.Conn, id uint16) { c.Write(stdoutRecords(id, "X: y\n\ngood")[:14]); c.Close() }, balancer.Reset, ""},
-		{"closed between records", func(c net.Conn, id uint16) { c.Write(stdoutRecords(id, "X: y\n")); c.Close() }, balancer.Reset, ""},
-		{"closed after the header", func(c net.Conn, id uint16) { c.Write(stdoutRecords(id, "X: y\n\ngo")); c.Close() }, balancer.Reset, ""},
-		{"other version", func(c net.Conn, id uint16) { c.Write([]byte("HTTP/1.1 200 OK\r\n\r\n")) }, balancer.Reset, ""},
-	} {
+	for _, test := range responseOutcomes {
 		t.Run(test.name, func(t *testing.T) {
 			r := startResponder(t, emptyValues, func(c net.Conn, id uint16, _ map[string]string, _ string) { test.respond(c, id) })
 			_, h := newTestHost(t, r.Addr().String())
--- a/internal/upstream/http1/result_test.go
+++ b/internal/upstream/http1/result_test.go
@@ -15,48 +15,50 @@
 	"dunemoor/internal/testutil"
 )
 
+// responseOutcomes are what a host may send, with the outcome of the attempt.
+var responseOutcomes = []struct {
+	name, response string
+	want           balancer.Result
+	wantKept       int // connections kept for the next attempt
+}{
+	{"good", testutil.OKResponse, balancer.OK, 1},
+	{"good after 100", "HTTP/1.1 100 Continue\r\n\r\n" + testutil.OKResponse, balancer.OK, 1},
+	{"good, chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\n0\r\n\r\n", balancer.OK, 1},
+	{"good, then closing", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\ngood", balancer.OK, 0},
+	{"error", testutil.ErrorResponse, balancer.Failed, 1},
+	{"rejected", testutil.RejectedResponse, balancer.Full, 1},
+	{"rejected after the deadline", "HTTP/1.1 504 Over\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", balancer.Full, 1},
+	{"503 without proof", "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", balancer.Failed, 1},
+	{"proof with another status", "HTTP/1.1 500 Oops\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", balancer.Failed, 1},
+	{"proof with another value", "HTTP/1.1 503 Full\r\nX-Not-Processed: 0\r\nContent-Length: 0\r\n\r\n", balancer.Failed, 1},
+	{"good after informational responses", "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + testutil.OKResponse, balancer.OK, 1},
+	{"good with malformed load report", "HTTP/1.1 200 OK\r\nX-Server-Load: \x80;;=\r\nContent-Length: 4\r\n\r\ngood", balancer.OK, 1},
+	{"good and a second response", testutil.OKResponse + testutil.OKResponse, balancer.OK, 0},
+	{"good and noise", testutil.OKResponse + "\x80\x01HTTP\r\n\r\n", balancer.OK, 0},
+	{"good, chunked, and noise", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\n0\r\n\r\n\x80", balancer.OK, 0},
+	{"good, chunked, with trailer", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4;a=b\r\ngood\r\n0\r\nX-Sum: 1\r\n\r\n", balancer.OK, 1},
+	{"length of 3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\ngood", balancer.InvalidResponse, 0},
+	{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\ngood", balancer.InvalidResponse, 0},
+	{"negative length", "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\ngood", balancer.InvalidResponse, 0},
+	{"length and chunks", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\n0\r\n\r\n", balancer.InvalidResponse, 0},
+	{"no length", "HTTP/1.1 200 OK\r\n\r\ngood", balancer.InvalidResponse, 0},
+	{"length not reached", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\ngood", balancer.InvalidResponse, 0},
+	{"invalid chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\nzz\r\ngood\r\n0\r\n\r\n", balancer.InvalidResponse, 0},
+	{"invalid chunk after many", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("4\r\ngood\r\n", maxSmallBytes/8) + "zz\r\n", balancer.InvalidResponse, 0},
+	{"negative chunk size", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n-4\r\ngood\r\n0\r\n\r\n", balancer.InvalidResponse, 0},
+	{"endless header", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: pppp\r\n", maxHeaderBytes), balancer.InvalidResponse, 0},
+	{"incomplete header", "HTTP/1.1 200 OK\r\nContent-Le", balancer.InvalidResponse, 0},
+	{"noise", "\x80\x01\xff\r\n\r\n", balancer.InvalidResponse, 0},
+	{"noise without line end", "\x80", balancer.InvalidResponse, 0},
+	{"invalid status", "HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\ngood", balancer.InvalidResponse, 0},
+	{"no status", "HTTP/1.1 OK 200\r\nContent-Length: 4\r\n\r\ngood", balancer.InvalidResponse, 0},
+	{"other protocol", "ICY 200 OK\r\nContent-Length: 4\r\n\r\ngood", balancer.InvalidResponse, 0},
+	{"invalid field line", "HTTP/1.1 200 OK\r\nno colon\r\nContent-Length: 4\r\n\r\ngood", balancer.InvalidResponse, 0},
+}
+
 // A wrong outcome would let a request that is not idempotent run twice.
 func TestOutcomeOfResponse(t *testing.T) {
-	tests := []struct {
-		name, response string
-		want           balancer.Result
-		wantKept       int // connections kept for the next attempt
-	}{
-		{"good", testutil.OKResponse, balancer.OK, 1},
-		{"good after 100", "HTTP/1.1 100 Continue\r\n\r\n" + testutil.OKResponse, balancer.OK, 1},
-		{"good, chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\n0\r\n\r\n", balancer.OK, 1},
-		{"good, then closing", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\ngood", balancer.OK, 0},
-		{"error", testutil.ErrorResponse, balancer.Failed, 1},
-		{"rejected", testutil.RejectedResponse, balancer.Full, 1},
-		{"rejected after the deadline", "HTTP/1.1 504 Over\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", balancer.Full, 1},
-		{"503 without proof", "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", balancer.Failed, 1},
-		{"proof with another status", "HTTP/1.1 500 Oops\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", balancer.Failed, 1},
-		{"proof with another value", "HTTP/1.1 503 Full\r\nX-Not-Processed: 0\r\nContent-Length: 0\r\n\r\n", balancer.Failed, 1},
-		{"good after informational responses", "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + testutil.OKResponse, balancer.OK, 1},
-		{"good with malformed load report", "HTTP/1.1 200 OK\r\nX-Server-Load: \x80;;=\r\nContent-Length: 4\r\n\r\ngood", balancer.OK, 1},
-		{"good and a second response", testutil.OKResponse + testutil.OKResponse, balancer.OK, 0},
-		{"good and noise", testutil.OKResponse + "\x80\x01HTTP\r\n\r\n", balancer.OK, 0},
-		{"good, chunked, and noise", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\n0\r\n\r\n\x80", balancer.OK, 0},
-		{"good, chunked, with trailer", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4;a=b\r\ngood\r\n0\r\nX-Sum: 1\r\n\r\n", balancer.OK, 1},
-		{"length of 3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\ngood", balancer.InvalidResponse, 0},
-		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\ngood", balancer.InvalidResponse, 0},
-		{"negative length", "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\ngood", balancer.InvalidResponse, 0},
-		{"length and chunks", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\n0\r\n\r\n", balancer.InvalidResponse, 0},
-		{"no length", "HTTP/1.1 200 OK\r\n\r\ngood", balancer.InvalidResponse, 0},
-		{"length not reached", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\ngood", balancer.InvalidResponse, 0},
-		{"invalid chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\nzz\r\ngood\r\n0\r\n\r\n", balancer.InvalidResponse, 0},
-		{"invalid chunk after many", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("4\r\ngood\r\n", maxSmallBytes/8) + "zz\r\n", balancer.InvalidResponse, 0},
-		{"negative chunk size", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n-4\r\ngood\r\n0\r\n\r\n", balancer.InvalidResponse, 0},
-		{"endless header", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: pppp\r\n", maxHeaderBytes), balancer.InvalidResponse, 0},
-		{"incomplete header", "HTTP/1.1 200 OK\r\nContent-Le", balancer.InvalidResponse, 0},
-		{"noise", "\x80\x01\xff\r\n\r\n", balancer.InvalidResponse, 0},
-		{"noise without line end", "\x80", balancer.InvalidResponse, 0},
-		{"invalid status", "HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\ngood", balancer.InvalidResponse, 0},
-		{"no status", "HTTP/1.1 OK 200\r\nContent-Length: 4\r\n\r\ngood", balancer.InvalidResponse, 0},
-		{"other protocol", "ICY 200 OK\r\nContent-Length: 4\r\n\r\ngood", balancer.InvalidResponse, 0},
-		{"invalid field line", "HTTP/1.1 200 OK\r\nno colon\r\nContent-Length: 4\r\n\r\ngood", balancer.InvalidResponse, 0},
-	}
-	for _, test := range tests {
+	for _, test := range responseOutcomes {
 		t.Run(test.name, func(t *testing.T) {
 			transport := newTestTransport()
 			server := testutil.NewHost(t, testutil.RespondWith(test.response))
