--- a/internal/config/appliance.go
+++ b/internal/config/appliance.go
@@ -113,7 +113,7 @@
 
 var protocols = []string{HTTP1, FastCGI}
 
-// LoadAppliance reads a file. It returns all mistakes.
+// LoadAppliance reads a file. It returns all of its errors.
 func LoadAppliance(path string) (*Appliance, []error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -131,22 +131,22 @@
 	}
 	a := &Appliance{Name: f.Name}
 	if a.Name == "" {
-		c.bad("", 0, "name", "is missing: what this gateway is called")
+		c.addErrorf("", 0, "name", "is missing: what this gateway is called")
 	}
-	c.name("", 0, a.Name)
-	c.admin(a, f.Admin)
-	c.processLimits(a, &f)
-	c.clientLimits(a, &f)
-	c.tenantLimits(a, &f)
+	c.checkName("", 0, a.Name)
+	c.readAdmin(a, f.Admin)
+	c.readProcessLimits(a, &f)
+	c.readClientLimits(a, &f)
+	c.readTenantLimits(a, &f)
 	if f.isRelayOnly() {
 		a.Table, _ = route.Compile(nil, nil)
 	} else {
-		c.listeners(a, &f)
-		c.classes(a, &f)
-		c.pools(a, &f)
-		c.routes(a, &f)
+		c.readListeners(a, &f)
+		c.readClasses(a, &f)
+		c.readPools(a, &f)
+		c.readRoutes(a, &f)
 	}
-	c.fleet(a, f.Fleet)
+	c.readFleet(a, f.Fleet)
 	if len(c.errors) > 0 {
 		return nil, c.errors
 	}
--- a/internal/config/checker.go
+++ b/internal/config/checker.go
@@ -6,14 +6,15 @@
 	"strings"
 )
 
-// checker collects the mistakes of a file.
+// checker reads a file and collects its errors. Methods that read set a part of the Appliance and check it; methods that
+// check only add errors.
 type checker struct {
 	*Text
 	errors []error
 }
 
-// bad records a mistake at a key of the n-th table of a name.
-func (c *checker) bad(table string, n int, key, format string, args ...any) {
+// addErrorf adds an error at a key of the n-th table of a name.
+func (c *checker) addErrorf(table string, n int, key, format string, args ...any) {
 	line := c.Line(table, n, key)
 	if c.LeftOut(line) {
 		return // it was reported when the line was read
@@ -22,53 +23,53 @@
 	c.errors = append(c.errors, c.Errorf(line, strings.TrimSuffix(field, "."), format, args...))
 }
 
-// within records a mistake where x is out of bounds.
-func (c *checker) within(table string, n int, key string, x, low, high float64) {
+// checkRange adds an error where x is out of bounds.
+func (c *checker) checkRange(table string, n int, key string, x, low, high float64) {
 	if !(x >= low && x <= high) {
-		c.bad(table, n, key, "%v is not between %v and %v", x, low, high)
+		c.addErrorf(table, n, key, "%v is not between %v and %v", x, low, high)
 	}
 }
 
 // maxNameBytes is how long a name may be: names are in logs, file names and status lines.
 const maxNameBytes = 64
 
-// name records a mistake where a name could not be in a log, a file name or a terminal as it is. The caller reports an
+// checkName adds an error where a name could not be in a log, a file name or a terminal as it is. The caller reports an
 // empty one.
-func (c *checker) name(table string, n int, name string) { c.nameAt(table, n, "name", name) }
+func (c *checker) checkName(table string, n int, name string) { c.checkNameAt(table, n, "name", name) }
 
-// nameAt is name for a name at another key.
-func (c *checker) nameAt(table string, n int, key, name string) {
+// checkNameAt is checkName for a name at another key.
+func (c *checker) checkNameAt(table string, n int, key, name string) {
 	if len(name) > maxNameBytes {
-		c.bad(table, n, key, "is longer than %d characters", maxNameBytes)
+		c.addErrorf(table, n, key, "is longer than %d characters", maxNameBytes)
 		return
 	}
 	for _, r := range name {
 		if !isAlphanumeric(r) && !strings.ContainsRune("-_.:[]", r) {
-			c.bad(table, n, key, "%q has %q in it: letters, digits, '-', '_', '.' and ':' only", name, r)
+			c.addErrorf(table, n, key, "%q has %q in it: letters, digits, '-', '_', '.' and ':' only", name, r)
 			return
 		}
 	}
 }
 
-// uniqueName records a mistake where a name is missing or taken. taken has the index of each name so far.
-func (c *checker) uniqueName(table string, n int, name string, taken map[string]int) {
+// checkUniqueName adds an error where a name is missing or taken. taken has the index of each name so far.
+func (c *checker) checkUniqueName(table string, n int, name string, taken map[string]int) {
 	first, isTaken := taken[name]
 	switch {
 	case name == "":
-		c.bad(table, n, "name", "is missing")
+		c.addErrorf(table, n, "name", "is missing")
 	case isTaken:
-		c.bad(table, n, "name", "%q is taken (line %d)", name, c.Line(table, first, "name"))
+		c.addErrorf(table, n, "name", "%q is taken (line %d)", name, c.Line(table, first, "name"))
 	}
 	taken[name] = n
 }
 
-// uniqueAddress records a mistake where an address is no host:port or that of another. taken has the name at each address
+// checkUniqueAddress adds an error where an address is no host:port or that of another. taken has the name at each address
 // so far.
-func (c *checker) uniqueAddress(table string, n int, name, address string, taken map[string]string) {
+func (c *checker) checkUniqueAddress(table string, n int, name, address string, taken map[string]string) {
 	if !isHostPort(address, 1) {
-		c.bad(table, n, "address", "%q is no host:port", address)
+		c.addErrorf(table, n, "address", "%q is no host:port", address)
 	} else if other := taken[address]; other != "" {
-		c.bad(table, n, "address", "%q is that of %s", address, other)
+		c.addErrorf(table, n, "address", "%q is that of %s", address, other)
 	}
 	taken[address] = name
 }
--- a/internal/config/classes.go
+++ b/internal/config/classes.go
@@ -21,56 +21,56 @@
 	"": balancer.ScopeAll, "all": balancer.ScopeAll, "zone": balancer.ScopeZone, "cell": balancer.ScopeCell,
 }
 
-// classes reads the kinds of requests.
-func (c *checker) classes(a *Appliance, f *applianceFile) {
+// readClasses reads the kinds of requests.
+func (c *checker) readClasses(a *Appliance, f *applianceFile) {
 	if len(f.Class) == 0 {
-		c.bad("", 0, "class", "there is none: a route needs one")
+		c.addErrorf("", 0, "class", "there is none: a route needs one")
 	}
 	if len(f.Class) > maxClasses {
-		c.bad("class", maxClasses, "", "more than %d classes", maxClasses)
+		c.addErrorf("class", maxClasses, "", "more than %d classes", maxClasses)
 	}
 	for i, x := range f.Class {
-		c.name("class", i, x.Name)
-		k := c.class(i, &x)
+		c.checkName("class", i, x.Name)
+		k := c.readClass(i, &x)
 		first := slices.IndexFunc(a.Classes, func(o Class) bool { return o.Name == x.Name })
 		switch {
 		case x.Name == "":
-			c.bad("class", i, "name", "is missing")
+			c.addErrorf("class", i, "name", "is missing")
 		case first >= 0:
-			c.bad("class", i, "name", "%q is taken (line %d)", x.Name, c.Line("class", first, "name"))
+			c.addErrorf("class", i, "name", "%q is taken (line %d)", x.Name, c.Line("class", first, "name"))
 		}
-		c.classTimes(i, &k)
-		c.within("class", i, "worth", k.PriorityWeight, 0, 1e6)
+		c.checkClassTimes(i, &k)
+		c.checkRange("class", i, "worth", k.PriorityWeight, 0, 1e6)
 		a.Classes = append(a.Classes, k)
 	}
 }
 
-func (c *checker) class(i int, x *classFile) (k Class) {
+func (c *checker) readClass(i int, x *classFile) (k Class) {
 	k.Name = x.Name
 	k.LatencyObjective, k.Deadline = time.Duration(x.Aim), time.Duration(x.Limit)
 	k.PriorityWeight, k.DedupWindow = x.Worth, time.Duration(x.Window)
 	var ok bool
 	if k.Idempotency, ok = idempotencies[x.Effect]; !ok {
-		c.bad("class", i, "effect", "%q is none of safe, keyed, unsafe", x.Effect)
+		c.addErrorf("class", i, "effect", "%q is none of safe, keyed, unsafe", x.Effect)
 	}
 	if k.DedupScope, ok = dedupScopes[x.Group]; !ok {
-		c.bad("class", i, "group", "%q is none of all, zone, cell", x.Group)
+		c.addErrorf("class", i, "group", "%q is none of all, zone, cell", x.Group)
 	}
 	return k
 }
 
-// classTimes checks the times of a class.
-func (c *checker) classTimes(i int, k *Class) {
+// checkClassTimes checks the times of a class.
+func (c *checker) checkClassTimes(i int, k *Class) {
 	if k.Deadline <= 0 || k.Deadline > maxTimeout {
-		c.bad("class", i, "deadline", "%v is not above 0 and up to %v", k.Deadline, maxTimeout)
+		c.addErrorf("class", i, "deadline", "%v is not above 0 and up to %v", k.Deadline, maxTimeout)
 	}
 	if k.LatencyObjective < 0 || k.Deadline > 0 && k.LatencyObjective > k.Deadline {
-		c.bad("class", i, "aim", "%v is not between 0 and the deadline", k.LatencyObjective)
+		c.addErrorf("class", i, "aim", "%v is not between 0 and the deadline", k.LatencyObjective)
 	}
 	if k.DedupWindow < 0 || k.DedupWindow > maxTimeout {
-		c.bad("class", i, "window", "%v is not between 0 and %v", k.DedupWindow, maxTimeout)
+		c.addErrorf("class", i, "window", "%v is not between 0 and %v", k.DedupWindow, maxTimeout)
 	}
 	if k.Idempotency == balancer.IdempotentWithKey && k.DedupWindow == 0 {
-		c.bad("class", i, "window", "is missing: for how long do hosts drop the repeats of a key")
+		c.addErrorf("class", i, "window", "is missing: for how long do hosts drop the repeats of a key")
 	}
 }
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -43,62 +43,62 @@
 	keyFileMode = 0o077
 )
 
-// fleet checks the part for a fleet.
-func (c *checker) fleet(a *Appliance, f *fleetFile) {
+// readFleet reads the part for a fleet.
+func (c *checker) readFleet(a *Appliance, f *fleetFile) {
 	if f == nil {
 		return
 	}
 	out := &Fleet{ID: f.ID, Listen: f.Listen, DataDir: f.DataDir, KeyFile: f.KeyFile, BootstrapReplicas: f.First}
 	if f.ID == "" {
-		c.bad("fleet", 0, "id", "is missing: what the fleet is called, the same at all its gateways")
+		c.addErrorf("fleet", 0, "id", "is missing: what the fleet is called, the same at all its gateways")
 	}
-	c.nameAt("fleet", 0, "id", f.ID)
-	c.fleetListen(a.Name, f)
+	c.checkNameAt("fleet", 0, "id", f.ID)
+	c.checkFleetListen(a.Name, f)
 	if !strings.HasPrefix(f.DataDir, "/") {
-		c.bad("fleet", 0, "data_dir", "%q is no path from the root", f.DataDir)
+		c.addErrorf("fleet", 0, "data_dir", "%q is no path from the root", f.DataDir)
 	}
 	if f.KeyFile == "" {
-		c.bad("fleet", 0, "key_file", "is missing: a file with the key that the fleet's gateways share")
+		c.addErrorf("fleet", 0, "key_file", "is missing: a file with the key that the fleet's gateways share")
 	}
-	peers := c.peers(a.Name, f, out)
-	c.relays(a.Name, f, out)
-	c.bootstrapReplicas(a.Name, peers, out)
+	peers := c.readPeers(a.Name, f, out)
+	c.readRelays(a.Name, f, out)
+	c.checkBootstrapReplicas(a.Name, peers, out)
 	a.Fleet = out
 }
 
-// fleetListen checks the address for other gateways, which a gateway with a stream to a relay has not.
-func (c *checker) fleetListen(name string, f *fleetFile) {
+// checkFleetListen checks the address for other gateways, which a gateway with a stream to a relay has not.
+func (c *checker) checkFleetListen(name string, f *fleetFile) {
 	hasStream := len(f.Relay) > 0 && !slices.ContainsFunc(f.Relay, func(r relayFile) bool { return r.Name == name })
 	switch {
 	case hasStream && f.Listen != "":
-		c.bad("fleet", 0, "listen", "is for relays: this gateway connects to one, and nobody to it")
+		c.addErrorf("fleet", 0, "listen", "is for relays: this gateway connects to one, and nobody to it")
 	case !hasStream && !isHostPort(f.Listen, 1):
-		c.bad("fleet", 0, "listen", "%q is no address like \"10.0.0.4:7400\"", f.Listen)
+		c.addErrorf("fleet", 0, "listen", "%q is no address like \"10.0.0.4:7400\"", f.Listen)
 	}
 }
 
-// peers reads the other gateways of a full mesh, and returns the index of each name.
-func (c *checker) peers(name string, f *fleetFile, out *Fleet) map[string]int {
+// readPeers reads the other gateways of a full mesh, and returns the index of each name.
+func (c *checker) readPeers(name string, f *fleetFile, out *Fleet) map[string]int {
 	if len(f.Peer) > maxPeers {
-		c.bad("fleet.peer", maxPeers, "", "more than %d", maxPeers)
+		c.addErrorf("fleet.peer", maxPeers, "", "more than %d", maxPeers)
 	}
 	names, addresses := map[string]int{}, map[string]string{}
 	for i, p := range f.Peer {
-		c.name("fleet.peer", i, p.Name)
-		c.uniqueName("fleet.peer", i, p.Name, names)
+		c.checkName("fleet.peer", i, p.Name)
+		c.checkUniqueName("fleet.peer", i, p.Name, names)
 		if p.Name == name {
 			out.Zone, out.Machine = p.Zone, p.Machine // all gateways may have the same list
 			continue
 		}
-		c.uniqueAddress("fleet.peer", i, p.Name, p.Address, addresses)
+		c.checkUniqueAddress("fleet.peer", i, p.Name, p.Address, addresses)
 		out.Peers = append(out.Peers, FleetPeer(p))
 	}
 	return names
 }
 
-// bootstrapReplicas checks the gateways that form the fleet.
-func (c *checker) bootstrapReplicas(name string, peers map[string]int, out *Fleet) {
-	bad := func(format string, args ...any) { c.bad("fleet", 0, "first", format, args...) }
+// checkBootstrapReplicas checks the gateways that form the fleet.
+func (c *checker) checkBootstrapReplicas(name string, peers map[string]int, out *Fleet) {
+	bad := func(format string, args ...any) { c.addErrorf("fleet", 0, "first", format, args...) }
 	list := out.BootstrapReplicas
 	switch {
 	case len(list) == 0:
@@ -122,52 +122,52 @@
 	}
 }
 
-// relays checks the relays, and the place of this gateway.
-func (c *checker) relays(name string, f *fleetFile, out *Fleet) {
+// readRelays checks the relays, and the place of this gateway.
+func (c *checker) readRelays(name string, f *fleetFile, out *Fleet) {
 	if len(f.Relay) == 0 {
 		for _, own := range []struct{ key, value string }{{"zone", f.Zone}, {"region", f.Region}} {
 			if own.value != "" {
-				c.bad("fleet", 0, own.key, "is for fleets with [[fleet.relay]]; among peers it stands with each [[fleet.peer]]")
+				c.addErrorf("fleet", 0, own.key, "is for fleets with [[fleet.relay]]; among peers it stands with each [[fleet.peer]]")
 			}
 		}
 		return
 	}
 	if len(f.Peer) > 0 {
-		c.bad("fleet.peer", 0, "", "there are relays too: gateways are connected with all others, or with one relay")
+		c.addErrorf("fleet.peer", 0, "", "there are relays too: gateways are connected with all others, or with one relay")
 	}
 	if len(f.Relay) > maxRelays {
-		c.bad("fleet.relay", maxRelays, "", "more than %d", maxRelays)
+		c.addErrorf("fleet.relay", maxRelays, "", "more than %d", maxRelays)
 	}
-	c.nameAt("fleet", 0, "zone", f.Zone)
-	c.nameAt("fleet", 0, "region", f.Region)
+	c.checkNameAt("fleet", 0, "zone", f.Zone)
+	c.checkNameAt("fleet", 0, "region", f.Region)
 	out.Zone, out.Region = f.Zone, f.Region
 	names, addresses := map[string]int{}, map[string]string{}
 	var regions []string
 	for i, r := range f.Relay {
-		c.name("fleet.relay", i, r.Name)
-		c.nameAt("fleet.relay", i, "zone", r.Zone)
-		c.nameAt("fleet.relay", i, "region", r.Region)
-		c.uniqueName("fleet.relay", i, r.Name, names)
-		c.uniqueAddress("fleet.relay", i, r.Name, r.Address, addresses)
+		c.checkName("fleet.relay", i, r.Name)
+		c.checkNameAt("fleet.relay", i, "zone", r.Zone)
+		c.checkNameAt("fleet.relay", i, "region", r.Region)
+		c.checkUniqueName("fleet.relay", i, r.Name, names)
+		c.checkUniqueAddress("fleet.relay", i, r.Name, r.Address, addresses)
 		if !slices.Contains(regions, r.Region) {
 			regions = append(regions, r.Region)
 		}
 		if r.Name == name {
-			c.ownRelay(i, f, &r)
+			c.checkOwnRelay(i, f, &r)
 			out.Zone, out.Region = r.Zone, r.Region
 		}
 		out.Relays = append(out.Relays, FleetRelay(r))
 	}
 	if !slices.Contains(regions, out.Region) {
-		c.bad("fleet", 0, "region", "no relay is in region %q, they are in %q", out.Region, regions)
+		c.addErrorf("fleet", 0, "region", "no relay is in region %q, they are in %q", out.Region, regions)
 	}
 }
 
-// ownRelay checks that a relay's own zone and region agree with its entry.
-func (c *checker) ownRelay(i int, f *fleetFile, r *relayFile) {
+// checkOwnRelay checks that a relay's own zone and region agree with its entry.
+func (c *checker) checkOwnRelay(i int, f *fleetFile, r *relayFile) {
 	for _, x := range []struct{ key, own, relay string }{{"zone", f.Zone, r.Zone}, {"region", f.Region, r.Region}} {
 		if x.own != "" && x.own != x.relay {
-			c.bad("fleet", 0, x.key, "%q, and as a relay it is in %q (line %d)", x.own, x.relay, c.Line("fleet.relay", i, x.key))
+			c.addErrorf("fleet", 0, x.key, "%q, and as a relay it is in %q (line %d)", x.own, x.relay, c.Line("fleet.relay", i, x.key))
 		}
 	}
 }
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -37,54 +37,54 @@
 // HostSockets returns how many descriptors connections to hosts may use.
 func HostSockets(all int) float64 { return hostShare * float64(SharedSockets(all)) }
 
-// processLimits reads what the process may use.
-func (c *checker) processLimits(a *Appliance, f *applianceFile) {
+// readProcessLimits reads what the process may use.
+func (c *checker) readProcessLimits(a *Appliance, f *applianceFile) {
 	a.Limits = Limits{
 		Cores: f.Limits.Cores, MemoryMB: cmp.Or(f.Limits.MemoryMB, DefaultMemoryMB), Sockets: cmp.Or(f.Limits.Sockets, defaultSockets),
 		HeadKB: cmp.Or(f.Limits.HeadKB, defaultHeadKB), Headers: cmp.Or(f.Limits.Headers, defaultHeaders),
 		NoLoadShedding: f.Limits.Overload != nil && !*f.Limits.Overload,
 	}
-	c.within("limits", 0, "memory_mb", float64(a.Limits.MemoryMB), 16, 1<<20)
-	c.within("limits", 0, "sockets", float64(a.Limits.Sockets), minSockets, 1<<20)
-	c.within("limits", 0, "head_kb", float64(a.Limits.HeadKB), 1, 64)
-	c.within("limits", 0, "headers", float64(a.Limits.Headers), 8, 1000)
-	c.within("limits", 0, "cores", a.Limits.Cores, 0, 1024)
+	c.checkRange("limits", 0, "memory_mb", float64(a.Limits.MemoryMB), 16, 1<<20)
+	c.checkRange("limits", 0, "sockets", float64(a.Limits.Sockets), minSockets, 1<<20)
+	c.checkRange("limits", 0, "head_kb", float64(a.Limits.HeadKB), 1, 64)
+	c.checkRange("limits", 0, "headers", float64(a.Limits.Headers), 8, 1000)
+	c.checkRange("limits", 0, "cores", a.Limits.Cores, 0, 1024)
 }
 
-// clientLimits reads what one client may use.
-func (c *checker) clientLimits(a *Appliance, f *applianceFile) {
+// readClientLimits reads what one client may use.
+func (c *checker) readClientLimits(a *Appliance, f *applianceFile) {
 	l, x := &a.Limits, &f.Limits.Client
 	l.Clients = ratelimit.ClientLimits{Rate: x.Rate, Burst: cmp.Or(x.Burst, burstFactor*x.Rate), Concurrent: x.Concurrent}
 	l.ClientTableKB = cmp.Or(x.TableKB, defaultClientTableKB)
-	c.within("limits.client", 0, "rate", l.Clients.Rate, 0, 1e6)
-	c.within("limits.client", 0, "burst", l.Clients.Burst, 0, 1e6)
-	c.within("limits.client", 0, "concurrent", float64(l.Clients.Concurrent), 0, 1<<20)
-	c.within("limits.client", 0, "table_kb", float64(l.ClientTableKB), 16, 1<<20)
+	c.checkRange("limits.client", 0, "rate", l.Clients.Rate, 0, 1e6)
+	c.checkRange("limits.client", 0, "burst", l.Clients.Burst, 0, 1e6)
+	c.checkRange("limits.client", 0, "concurrent", float64(l.Clients.Concurrent), 0, 1<<20)
+	c.checkRange("limits.client", 0, "table_kb", float64(l.ClientTableKB), 16, 1<<20)
 }
 
-// tenantLimits reads what tenants may use.
-func (c *checker) tenantLimits(a *Appliance, f *applianceFile) {
+// readTenantLimits reads what tenants may use.
+func (c *checker) readTenantLimits(a *Appliance, f *applianceFile) {
 	l, x := &a.Limits, &f.Limits.Tenants
 	l.Tenants = ratelimit.TenantLimits{Rate: x.Rate, Concurrent: x.Concurrent}
 	l.TenantHeader = cmp.Or(textproto.CanonicalMIMEHeaderKey(x.Header), defaultTenantHeader)
-	c.within("limits.tenants", 0, "rate", l.Tenants.Rate, 0, 1e7)
-	c.within("limits.tenants", 0, "concurrent", float64(l.Tenants.Concurrent), 0, 1<<20)
+	c.checkRange("limits.tenants", 0, "rate", l.Tenants.Rate, 0, 1e7)
+	c.checkRange("limits.tenants", 0, "concurrent", float64(l.Tenants.Concurrent), 0, 1<<20)
 	if len(f.Tenant) > maxTenants {
-		c.bad("tenant", maxTenants, "", "more than %d tenants", maxTenants)
+		c.addErrorf("tenant", maxTenants, "", "more than %d tenants", maxTenants)
 	}
 	for i, t := range f.Tenant {
 		if t.Name == "" {
-			c.bad("tenant", i, "name", "is missing")
+			c.addErrorf("tenant", i, "name", "is missing")
 		}
-		c.name("tenant", i, t.Name)
+		c.checkName("tenant", i, t.Name)
 		if slices.ContainsFunc(a.Tenants, func(o ratelimit.Tenant) bool { return o.Name == t.Name }) {
-			c.bad("tenant", i, "name", "%q is taken", t.Name)
+			c.addErrorf("tenant", i, "name", "%q is taken", t.Name)
 		}
 		weight := cmp.Or(t.Weight, 1)
-		c.within("tenant", i, "weight", weight, 0.001, 1e6)
+		c.checkRange("tenant", i, "weight", weight, 0.001, 1e6)
 		a.Tenants = append(a.Tenants, ratelimit.Tenant{Name: t.Name, Weight: weight})
 	}
 	if len(f.Tenant) > 0 && l.Tenants == (ratelimit.TenantLimits{}) {
-		c.bad("tenant", 0, "name", "limits.tenants sets neither rate nor concurrent: what would they share")
+		c.addErrorf("tenant", 0, "name", "limits.tenants sets neither rate nor concurrent: what would they share")
 	}
 }
--- a/internal/config/listeners.go
+++ b/internal/config/listeners.go
@@ -8,63 +8,63 @@
 	"strings"
 )
 
-// admin checks the address of the operators' calls. Whoever reaches it can drain the gateway, and nobody is
+// readAdmin reads the address of the operators' calls. Whoever reaches it can drain the gateway, and nobody is
 // authenticated: so it is a loopback address.
-func (c *checker) admin(a *Appliance, addr string) {
+func (c *checker) readAdmin(a *Appliance, addr string) {
 	if a.Admin = addr; addr == "" {
 		return
 	}
 	host, _, _ := net.SplitHostPort(addr)
 	if ip, err := netip.ParseAddr(host); !isHostPort(addr, 0) || err != nil || !ip.IsLoopback() {
-		c.bad("", 0, "admin", "%q is no loopback address like \"127.0.0.1:8090\"", addr)
+		c.addErrorf("", 0, "admin", "%q is no loopback address like \"127.0.0.1:8090\"", addr)
 	}
 }
 
-// listeners reads where clients connect.
-func (c *checker) listeners(a *Appliance, f *applianceFile) {
+// readListeners reads where clients connect.
+func (c *checker) readListeners(a *Appliance, f *applianceFile) {
 	if len(f.Listener) == 0 {
-		c.bad("", 0, "listener", "there is none: clients could not connect")
+		c.addErrorf("", 0, "listener", "there is none: clients could not connect")
 	}
 	for i, l := range f.Listener {
 		l.Protocol = cmp.Or(l.Protocol, HTTP1)
-		c.listener(i, &l)
+		c.checkListener(i, &l)
 		l.Name = cmp.Or(l.Name, l.Address)
 		for k, o := range a.Listeners {
 			if o.Address == l.Address {
-				c.bad("listener", i, "address", "%q is listened on already (line %d)", l.Address, c.Line("listener", k, "address"))
+				c.addErrorf("listener", i, "address", "%q is listened on already (line %d)", l.Address, c.Line("listener", k, "address"))
 			} else if o.Name == l.Name {
-				c.bad("listener", i, "name", "%q is taken (line %d)", l.Name, c.Line("listener", k, "name"))
+				c.addErrorf("listener", i, "name", "%q is taken (line %d)", l.Name, c.Line("listener", k, "name"))
 			}
 		}
 		a.Listeners = append(a.Listeners, Listener{
-			Name: l.Name, Address: l.Address, Protocol: l.Protocol, ProxyProtocol: l.Proxy, TrustedProxies: c.trustedProxies(i, l.Trusted),
+			Name: l.Name, Address: l.Address, Protocol: l.Protocol, ProxyProtocol: l.Proxy, TrustedProxies: c.readTrustedProxies(i, l.Trusted),
 		})
 	}
 }
 
-// listener checks a listener by itself.
-func (c *checker) listener(i int, l *listenerFile) {
+// checkListener checks a listener by itself.
+func (c *checker) checkListener(i int, l *listenerFile) {
 	if !slices.Contains(protocols, l.Protocol) {
-		c.bad("listener", i, "protocol", "%q is none of %s", l.Protocol, strings.Join(protocols, ", "))
+		c.addErrorf("listener", i, "protocol", "%q is none of %s", l.Protocol, strings.Join(protocols, ", "))
 	}
 	if !isHostPort(l.Address, 0) && !(l.Protocol == FastCGI && isUnixPath(l.Address)) {
-		c.bad("listener", i, "address", "%q is no address like \"127.0.0.1:8080\"", l.Address)
+		c.addErrorf("listener", i, "address", "%q is no address like \"127.0.0.1:8080\"", l.Address)
 	}
 	if l.Protocol == FastCGI && l.Proxy {
-		c.bad("listener", i, "proxy_protocol", "is for http1 listeners: a web server names its client by REMOTE_ADDR")
+		c.addErrorf("listener", i, "proxy_protocol", "is for http1 listeners: a web server names its client by REMOTE_ADDR")
 	}
-	c.name("listener", i, l.Name)
+	c.checkName("listener", i, l.Name)
 }
 
-// trustedProxies reads addresses and networks.
-func (c *checker) trustedProxies(i int, list []string) (prefixes []netip.Prefix) {
+// readTrustedProxies reads addresses and networks.
+func (c *checker) readTrustedProxies(i int, list []string) (prefixes []netip.Prefix) {
 	for _, text := range list {
 		p, err := netip.ParsePrefix(text)
 		if addr, addrErr := netip.ParseAddr(text); err != nil && addrErr == nil {
 			p, err = netip.PrefixFrom(addr, addr.BitLen()), nil
 		}
 		if err != nil || p.Masked() != p {
-			c.bad("listener", i, "trusted", "%q is no address or network like \"10.0.0.0/8\"", text)
+			c.addErrorf("listener", i, "trusted", "%q is no address or network like \"10.0.0.0/8\"", text)
 		}
 		prefixes = append(prefixes, p)
 	}
--- a/internal/config/pools.go
+++ b/internal/config/pools.go
@@ -25,13 +25,13 @@
 // fixedParams are the FastCGI parameters that a file can't set.
 var fixedParams = []string{"CONTENT_LENGTH", "REQUEST_METHOD", "HTTP_PROXY"}
 
-// pools reads the pools.
-func (c *checker) pools(a *Appliance, f *applianceFile) {
+// readPools reads the pools.
+func (c *checker) readPools(a *Appliance, f *applianceFile) {
 	if len(f.Pool) == 0 {
-		c.bad("", 0, "pool", "there is none: requests have nowhere to go")
+		c.addErrorf("", 0, "pool", "there is none: requests have nowhere to go")
 	}
 	if len(f.Pool) > maxPools {
-		c.bad("pool", maxPools, "", "more than %d pools", maxPools)
+		c.addErrorf("pool", maxPools, "", "more than %d pools", maxPools)
 	}
 	index := map[string]int{}
 	for i, x := range f.Pool {
@@ -40,30 +40,30 @@
 			SlowStart: SlowStart{x.ColdFrom, time.Duration(x.WarmAfter)},
 			Protocol:  x.Protocol, ScriptRoot: x.Root, Params: x.Params, HealthCheckPath: x.Check,
 		}
-		c.healthCheck(i, &p, f.Fleet != nil)
-		c.poolProtocol(i, &p)
-		c.name("pool", i, x.Name)
+		c.checkHealthCheckPath(i, &p, f.Fleet != nil)
+		c.checkPoolProtocol(i, &p)
+		c.checkName("pool", i, x.Name)
 		if first, taken := index[x.Name]; taken {
-			c.bad("pool", i, "name", "%q is taken (line %d)", x.Name, c.Line("pool", first, "name"))
+			c.addErrorf("pool", i, "name", "%q is taken (line %d)", x.Name, c.Line("pool", first, "name"))
 		} else if index[x.Name] = i; x.Name == "" {
-			c.bad("pool", i, "name", "is missing")
+			c.addErrorf("pool", i, "name", "is missing")
 		}
-		c.source(i, &x)
-		c.within("pool", i, "need", p.MinShare, 0.01, 1)
-		c.within("pool", i, "sockets", p.SocketShare, 0, 1)
-		c.within("pool", i, "cold_from", p.SlowStart.Share, 0, 1)
-		c.within("pool", i, "warm_after", p.SlowStart.Window.Seconds(), 0, maxTimeout.Seconds())
-		p.Members = c.members(i, &x, p.Protocol)
+		c.checkSource(i, &x)
+		c.checkRange("pool", i, "need", p.MinShare, 0.01, 1)
+		c.checkRange("pool", i, "sockets", p.SocketShare, 0, 1)
+		c.checkRange("pool", i, "cold_from", p.SlowStart.Share, 0, 1)
+		c.checkRange("pool", i, "warm_after", p.SlowStart.Window.Seconds(), 0, maxTimeout.Seconds())
+		p.Members = c.readMembers(i, &x, p.Protocol)
 		a.Pools = append(a.Pools, p)
 	}
-	c.socketShares(a)
+	c.checkSocketShares(a)
 	for i := range a.Pools {
-		c.fallback(i, &a.Pools[i], index)
+		c.checkFallback(i, &a.Pools[i], index)
 	}
 }
 
-// source checks that a pool has one source of its members.
-func (c *checker) source(i int, x *poolFile) {
+// checkSource checks that a pool has one source of its members.
+func (c *checker) checkSource(i int, x *poolFile) {
 	sources := 0
 	for _, has := range []bool{len(x.Members) > 0, x.File != "", x.Discovery != ""} {
 		if has {
@@ -71,26 +71,26 @@
 		}
 	}
 	if sources != 1 {
-		c.bad("pool", i, "name", "it needs one of members, members_file and discovery, it has %d", sources)
+		c.addErrorf("pool", i, "name", "it needs one of members, members_file and discovery, it has %d", sources)
 	}
 	if x.Discovery != "" && !isHostPort(x.Discovery, 1) {
-		c.bad("pool", i, "discovery", "%q is no host:port", x.Discovery)
+		c.addErrorf("pool", i, "discovery", "%q is no host:port", x.Discovery)
 	}
 }
 
-// members reads a static list.
-func (c *checker) members(i int, x *poolFile, protocol string) (list []Member) {
+// readMembers reads a static list.
+func (c *checker) readMembers(i int, x *poolFile, protocol string) (list []Member) {
 	if len(x.Members) > maxMembers {
-		c.bad("pool", i, "members", "more than %d", maxMembers)
+		c.addErrorf("pool", i, "members", "more than %d", maxMembers)
 	}
 	ids := map[string]bool{}
 	for _, m := range x.Members {
 		m.ID = cmp.Or(m.ID, m.Address)
 		if !isHostPort(m.Address, 1) && !(protocol == FastCGI && isUnixPath(m.Address)) {
-			c.bad("pool", i, "members", "%q is no host:port", m.Address)
+			c.addErrorf("pool", i, "members", "%q is no host:port", m.Address)
 		}
 		if ids[m.ID] {
-			c.bad("pool", i, "members", "%q is there twice", m.ID)
+			c.addErrorf("pool", i, "members", "%q is there twice", m.ID)
 		}
 		ids[m.ID] = true
 		list = append(list, Member(m))
@@ -98,56 +98,56 @@
 	return list
 }
 
-// fallback checks the pools that stand in for a pool.
-func (c *checker) fallback(i int, p *Pool, index map[string]int) {
+// checkFallback checks the pools that stand in for a pool.
+func (c *checker) checkFallback(i int, p *Pool, index map[string]int) {
 	if len(p.Fallback) > maxFallback {
-		c.bad("pool", i, "fallback", "%d pools, %d at most", len(p.Fallback), maxFallback)
+		c.addErrorf("pool", i, "fallback", "%d pools, %d at most", len(p.Fallback), maxFallback)
 	}
 	for k, name := range p.Fallback {
 		switch _, exists := index[name]; {
 		case !exists:
-			c.bad("pool", i, "fallback", "%q: there is no pool of that name", name)
+			c.addErrorf("pool", i, "fallback", "%q: there is no pool of that name", name)
 		case name == p.Name:
-			c.bad("pool", i, "fallback", "%q is the pool itself", name)
+			c.addErrorf("pool", i, "fallback", "%q is the pool itself", name)
 		case slices.Contains(p.Fallback[:k], name):
-			c.bad("pool", i, "fallback", "%q is there twice", name)
+			c.addErrorf("pool", i, "fallback", "%q is there twice", name)
 		}
 	}
 }
 
-// poolProtocol checks the protocol of a pool, and the settings that depend on it.
-func (c *checker) poolProtocol(i int, p *Pool) {
+// checkPoolProtocol checks the protocol of a pool, and the settings that depend on it.
+func (c *checker) checkPoolProtocol(i int, p *Pool) {
 	p.Protocol = cmp.Or(p.Protocol, HTTP1)
 	if !slices.Contains(protocols, p.Protocol) {
-		c.bad("pool", i, "protocol", "%q is none of %s", p.Protocol, strings.Join(protocols, ", "))
+		c.addErrorf("pool", i, "protocol", "%q is none of %s", p.Protocol, strings.Join(protocols, ", "))
 	}
 	if p.Protocol == FastCGI {
-		c.fastCGIPool(i, p)
+		c.checkFastCGIPool(i, p)
 		return
 	}
 	if p.ScriptRoot != "" {
-		c.bad("pool", i, "script_root", "is for pools with protocol = %q", FastCGI)
+		c.addErrorf("pool", i, "script_root", "is for pools with protocol = %q", FastCGI)
 	}
 	if len(p.Params) > 0 {
-		c.bad("pool", i, "params", "is for pools with protocol = %q", FastCGI)
+		c.addErrorf("pool", i, "params", "is for pools with protocol = %q", FastCGI)
 	}
 }
 
-func (c *checker) fastCGIPool(i int, p *Pool) {
+func (c *checker) checkFastCGIPool(i int, p *Pool) {
 	if p.ScriptRoot != "" && !strings.HasPrefix(p.ScriptRoot, "/") {
-		c.bad("pool", i, "script_root", "%q is no path from the root", p.ScriptRoot)
+		c.addErrorf("pool", i, "script_root", "%q is no path from the root", p.ScriptRoot)
 	}
 	if len(p.Params) > maxParams {
-		c.bad("pool", i, "params", "%d, %d at most", len(p.Params), maxParams)
+		c.addErrorf("pool", i, "params", "%d, %d at most", len(p.Params), maxParams)
 	}
 	for name, value := range p.Params {
 		switch {
 		case !isParamName(name):
-			c.bad("pool", i, "params", "%q is no name of a parameter: capitals, digits and '_'", name)
+			c.addErrorf("pool", i, "params", "%q is no name of a parameter: capitals, digits and '_'", name)
 		case slices.Contains(fixedParams, name):
-			c.bad("pool", i, "params", "%q is not to be changed: messages are read by it, or programs are led astray", name)
+			c.addErrorf("pool", i, "params", "%q is not to be changed: messages are read by it, or programs are led astray", name)
 		case strings.ContainsRune(value, 0):
-			c.bad("pool", i, "params", "%s: %q can't be sent", name, value)
+			c.addErrorf("pool", i, "params", "%s: %q can't be sent", name, value)
 		}
 	}
 }
@@ -158,35 +158,35 @@
 	})
 }
 
-// socketShares checks that the descriptors for hosts suffice for all pools.
-func (c *checker) socketShares(a *Appliance) {
+// checkSocketShares checks that the descriptors for hosts suffice for all pools.
+func (c *checker) checkSocketShares(a *Appliance) {
 	sum, unset := 0.0, 0
 	for i, p := range a.Pools {
 		if sum += p.SocketShare; p.SocketShare == 0 {
 			unset++
 		}
 		if sum > 1+shareTolerance {
-			c.bad("pool", i, "sockets", "with this the pools have %.3g times the descriptors for hosts", sum)
+			c.addErrorf("pool", i, "sockets", "with this the pools have %.3g times the descriptors for hosts", sum)
 			return
 		}
 	}
 	if unset > 0 && a.Limits.Sockets >= minSockets {
 		if each := (1 - sum) / float64(unset) * HostSockets(a.Limits.Sockets); each < minPoolSockets {
-			c.bad("limits", 0, "sockets", "%d are too few: %d pools would have %.1f each for their hosts, %d at least", a.Limits.Sockets, unset, each, minPoolSockets)
+			c.addErrorf("limits", 0, "sockets", "%d are too few: %d pools would have %.1f each for their hosts, %d at least", a.Limits.Sockets, unset, each, minPoolSockets)
 		}
 	}
 }
 
-// healthCheck checks the path of health checks.
-func (c *checker) healthCheck(i int, p *Pool, inFleet bool) {
+// checkHealthCheckPath checks the path of health checks.
+func (c *checker) checkHealthCheckPath(i int, p *Pool, inFleet bool) {
 	switch {
 	case p.HealthCheckPath == "":
 	case !inFleet:
-		c.bad("pool", i, "check", "needs [fleet]: it is one gateway that tries hosts for all")
+		c.addErrorf("pool", i, "check", "needs [fleet]: it is one gateway that tries hosts for all")
 	case p.Protocol == FastCGI:
-		c.bad("pool", i, "check", "is for pools with protocol = %q", HTTP1)
+		c.addErrorf("pool", i, "check", "is for pools with protocol = %q", HTTP1)
 	case !isRequestPath(p.HealthCheckPath):
-		c.bad("pool", i, "check", "%q is no path like \"/alive\"", p.HealthCheckPath)
+		c.addErrorf("pool", i, "check", "%q is no path like \"/alive\"", p.HealthCheckPath)
 	}
 }
 
--- a/internal/config/recording.go
+++ b/internal/config/recording.go
@@ -40,7 +40,7 @@
 	} `toml:"trigger"`
 }
 
-// LoadRecording reads the flight recorder's file. It returns the first mistake.
+// LoadRecording reads the flight recorder's file. It returns the first of its errors.
 func LoadRecording(path string) (*engine.RecordingConfig, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -32,17 +32,17 @@
 	"Connection", "Content-Length", "Expect", "Host", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "X-Timeout",
 }
 
-// routes reads the routes and compiles their table.
-func (c *checker) routes(a *Appliance, f *applianceFile) {
+// readRoutes reads the routes and compiles their table.
+func (c *checker) readRoutes(a *Appliance, f *applianceFile) {
 	if len(f.Route) == 0 {
-		c.bad("", 0, "route", "there is none: no request would be served")
+		c.addErrorf("", 0, "route", "there is none: no request would be served")
 	}
 	var rules []route.Rule
 	for i := range f.Route {
 		x := &f.Route[i]
-		a.Routes = append(a.Routes, c.route(i, x, a.Classes))
-		c.name("route", i, x.Name)
-		rules = append(rules, c.rule(i, x))
+		a.Routes = append(a.Routes, c.readRoute(i, x, a.Classes))
+		c.checkName("route", i, x.Name)
+		rules = append(rules, c.readRule(i, x))
 	}
 	var pools []string
 	for _, p := range a.Pools {
@@ -57,11 +57,11 @@
 		c.errors = append(c.errors, c.Errorf(p.Line, fmt.Sprintf("route %q", p.Rule), "%s", text))
 	}
 	a.Table = table
-	c.unusedPools(a, rules)
+	c.checkPoolsUsed(a, rules)
 }
 
-// route reads what a route assigns to its requests.
-func (c *checker) route(i int, x *routeFile, classes []Class) Route {
+// readRoute reads what a route assigns to its requests.
+func (c *checker) readRoute(i int, x *routeFile, classes []Class) Route {
 	r := Route{
 		Class: x.Class, Timeout: cmp.Or(time.Duration(x.Timeout), defaultTimeout), RetryableMethods: x.Repeatable,
 		BufferBytes: orDefault(x.Hold, defaultBufferBytes), MinRate: orDefault(x.LeastRate, defaultMinRate),
@@ -69,34 +69,34 @@
 		IdleTimeout: cmp.Or(time.Duration(x.Idle), defaultIdleTimeout),
 		RetryShare:  defaultRetryShare, RetryFloor: defaultRetryFloor, FailureStatuses: x.Failures,
 	}
-	c.within("route", i, "hold", float64(r.BufferBytes), 0, maxBufferBytes)
-	c.within("route", i, "idle", r.IdleTimeout.Seconds(), 0.1, maxIdleTimeout.Seconds())
-	c.within("route", i, "upgrades", float64(r.MaxTunnels), 0, maxTunnels)
-	r.RequestHeaders, r.ResponseHeaders = c.headers(i, "request", x.Request), c.headers(i, "answer", x.Answer)
-	c.plainOnly(i, x, &r)
+	c.checkRange("route", i, "hold", float64(r.BufferBytes), 0, maxBufferBytes)
+	c.checkRange("route", i, "idle", r.IdleTimeout.Seconds(), 0.1, maxIdleTimeout.Seconds())
+	c.checkRange("route", i, "upgrades", float64(r.MaxTunnels), 0, maxTunnels)
+	r.RequestHeaders, r.ResponseHeaders = c.readHeaderRules(i, "request", x.Request), c.readHeaderRules(i, "answer", x.Answer)
+	c.checkPlatformRoute(i, x, &r)
 	if x.Failures == nil {
 		r.FailureStatuses = route.DefaultFailureStatuses
 	}
 	for _, status := range x.Failures {
 		if status < 400 || status > 599 {
-			c.bad("route", i, "failures", "%d is not from 400 to 599", status)
+			c.addErrorf("route", i, "failures", "%d is not from 400 to 599", status)
 		}
 	}
-	c.within("route", i, "timeout", r.Timeout.Seconds(), 0.001, maxTimeout.Seconds())
+	c.checkRange("route", i, "timeout", r.Timeout.Seconds(), 0.001, maxTimeout.Seconds())
 	if x.RetryShare != nil {
 		r.RetryShare = *x.RetryShare
 	}
 	if x.RetryFloor != nil {
 		r.RetryFloor = *x.RetryFloor
 	}
-	c.within("route", i, "retry_share", r.RetryShare, 0, maxRetryShare)
-	c.within("route", i, "retry_floor", r.RetryFloor, 0, math.MaxInt32)
+	c.checkRange("route", i, "retry_share", r.RetryShare, 0, maxRetryShare)
+	c.checkRange("route", i, "retry_floor", r.RetryFloor, 0, math.MaxInt32)
 	if x.Class != "" && !slices.ContainsFunc(classes, func(k Class) bool { return k.Name == x.Class }) {
-		c.bad("route", i, "class", "%q: there is no class of that name", x.Class)
+		c.addErrorf("route", i, "class", "%q: there is no class of that name", x.Class)
 	}
 	for _, m := range x.Repeatable {
 		if m != "PUT" && m != "DELETE" {
-			c.bad("route", i, "repeatable", "%q: only PUT and DELETE can be said to be, GET, HEAD and OPTIONS are, POST is not", m)
+			c.addErrorf("route", i, "repeatable", "%q: only PUT and DELETE can be said to be, GET, HEAD and OPTIONS are, POST is not", m)
 		}
 	}
 	return r
@@ -110,8 +110,8 @@
 	return int64(*s)
 }
 
-// plainOnly checks that a route without a class has no settings for plain requests.
-func (c *checker) plainOnly(i int, x *routeFile, r *Route) {
+// checkPlatformRoute checks that a route without a class has no settings for plain requests.
+func (c *checker) checkPlatformRoute(i int, x *routeFile, r *Route) {
 	if x.Class != "" {
 		return
 	}
@@ -120,15 +120,15 @@
 		"idle": x.Idle != 0, "least_rate": x.LeastRate != nil, "upgrades": x.Upgrades != 0, "failures": x.Failures != nil,
 	} {
 		if set {
-			c.bad("route", i, key, "is for routes that give a class")
+			c.addErrorf("route", i, key, "is for routes that give a class")
 		}
 	}
 }
 
 func isEmpty(r *engine.HeaderRules) bool { return len(r.Set)+len(r.Add)+len(r.Remove) == 0 }
 
-// rule reads which requests a route is for, and which pools they go to.
-func (c *checker) rule(i int, x *routeFile) route.Rule {
+// readRule reads which requests a route is for, and which pools they go to.
+func (c *checker) readRule(i int, x *routeFile) route.Rule {
 	rule := route.Rule{
 		Name: x.Name, Line: c.Line("route", i, ""), Hosts: x.Hosts, Path: x.Path, Methods: x.Methods, SplitBy: x.SplitBy,
 	}
@@ -138,7 +138,7 @@
 	slices.SortFunc(rule.Headers, func(p, q route.Header) int { return strings.Compare(p.Name, q.Name) })
 	switch {
 	case x.Pool != "" && len(x.Split) > 0:
-		c.bad("route", i, "pool", "it has both pool and split")
+		c.addErrorf("route", i, "pool", "it has both pool and split")
 	case x.Pool != "":
 		rule.Split = []route.Share{{Pool: x.Pool, Weight: 1}}
 	}
@@ -149,8 +149,8 @@
 	return rule
 }
 
-// unusedPools checks that each pool is used by a route, or stands in for one that is.
-func (c *checker) unusedPools(a *Appliance, rules []route.Rule) {
+// checkPoolsUsed checks that each pool is used by a route, or stands in for one that is.
+func (c *checker) checkPoolsUsed(a *Appliance, rules []route.Rule) {
 	used := map[string]bool{}
 	for _, rule := range rules {
 		for _, s := range rule.Split {
@@ -166,38 +166,38 @@
 	}
 	for i, p := range a.Pools {
 		if !used[p.Name] && p.Name != "" {
-			c.bad("pool", i, "name", "no route uses %q, nor does it stand in for one that is used", p.Name)
+			c.addErrorf("pool", i, "name", "no route uses %q, nor does it stand in for one that is used", p.Name)
 		}
 	}
 }
 
-// headers checks the rules for the headers of a route.
-func (c *checker) headers(n int, key string, f headersFile) (r engine.HeaderRules) {
-	r.Set, r.Add = c.headerValues(n, key, f.Set), c.headerValues(n, key, f.Add)
+// readHeaderRules reads the rules for the headers of a route.
+func (c *checker) readHeaderRules(n int, key string, f headersFile) (r engine.HeaderRules) {
+	r.Set, r.Add = c.readHeaderValues(n, key, f.Set), c.readHeaderValues(n, key, f.Add)
 	for _, s := range f.Remove {
-		r.Remove = append(r.Remove, c.headerName(n, key, s))
+		r.Remove = append(r.Remove, c.readHeaderName(n, key, s))
 	}
 	return r
 }
 
-func (c *checker) headerName(n int, key, s string) string {
+func (c *checker) readHeaderName(n int, key, s string) string {
 	if !isToken(s) {
-		c.bad("route", n, key, "%q is no name of a header", s)
+		c.addErrorf("route", n, key, "%q is no name of a header", s)
 	}
 	canonical := textproto.CanonicalMIMEHeaderKey(s)
 	if slices.Contains(fixedHeaders, canonical) {
-		c.bad("route", n, key, "%q is not to be changed: messages are read by it, or the gateway makes it", s)
+		c.addErrorf("route", n, key, "%q is not to be changed: messages are read by it, or the gateway makes it", s)
 	}
 	return canonical
 }
 
-func (c *checker) headerValues(n int, key string, from map[string]string) map[string]string {
+func (c *checker) readHeaderValues(n int, key string, from map[string]string) map[string]string {
 	to := map[string]string{}
 	for s, v := range from {
 		if strings.ContainsFunc(v, func(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }) {
-			c.bad("route", n, key, "%s: %q can't be sent in a header", s, v)
+			c.addErrorf("route", n, key, "%s: %q can't be sent in a header", s, v)
 		}
-		to[c.headerName(n, key, s)] = v
+		to[c.readHeaderName(n, key, s)] = v
 	}
 	return to
 }
--- a/internal/config/text.go
+++ b/internal/config/text.go
@@ -10,7 +10,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Error is a mistake in a file.
+// Error is an error in a file, at a line and field.
 type Error struct {
 	Path  string
 	Line  int    // 0: not known
@@ -147,41 +147,41 @@
 
 // Decode reads the text into v. A key that v has no field for is an error.
 func (t *Text) Decode(v any) error {
-	if mistakes := t.DecodeAll(v); len(mistakes) > 0 {
-		return mistakes[0]
+	if errs := t.DecodeAll(v); len(errs) > 0 {
+		return errs[0]
 	}
 	return nil
 }
 
-// maxMistakes is how many values of a wrong type are reported.
-const maxMistakes = 20
+// maxTypeErrors is how many values of a wrong type are reported.
+const maxTypeErrors = 20
 
-// DecodeAll reads the text into v and returns all mistakes: after a value of a wrong type it goes on without that line, so
-// that one mistake does not hide the others. LeftOut reports such lines.
-func (t *Text) DecodeAll(v any) (mistakes []error) {
+// DecodeAll reads the text into v and returns all errors: after a value of a wrong type it goes on without that line, so
+// that one error does not hide the others. LeftOut reports such lines.
+func (t *Text) DecodeAll(v any) (errs []error) {
 	data := t.data
 	defer func() { t.data = data }()
 	form := reflect.TypeOf(v).Elem()
-	for range maxMistakes {
+	for range maxTypeErrors {
 		into := reflect.New(form)
 		into.Elem().Set(reflect.ValueOf(v).Elem()) // its defaults
 		meta, err := toml.Decode(t.data, into.Interface())
 		if err != nil {
-			line, mistake := t.locate(err, form)
-			mistakes = append(mistakes, mistake)
+			line, located := t.locate(err, form)
+			errs = append(errs, located)
 			if !t.leaveOut(line) {
-				return mistakes
+				return errs
 			}
 			continue
 		}
 		reflect.ValueOf(v).Elem().Set(into.Elem())
 		for _, unknown := range meta.Undecoded() {
 			key := unknown.String()
-			mistakes = append(mistakes, t.Errorf(t.firstLine(key), key, "there is no such setting"))
+			errs = append(errs, t.Errorf(t.firstLine(key), key, "there is no such setting"))
 		}
-		return mistakes
+		return errs
 	}
-	return mistakes
+	return errs
 }
 
 // leaveOut removes a line that is a setting by itself, and reports whether it did.
@@ -209,7 +209,7 @@
 // locate converts an error of the library. Of a value of the wrong type in one of several tables of a name the library
 // reports the line of the last of them; so each of them is read by itself, with that key alone, and the first that fails
 // has the error.
-func (t *Text) locate(err error, form reflect.Type) (line int, mistake error) {
+func (t *Text) locate(err error, form reflect.Type) (line int, located error) {
 	key, text := "", ""
 	var parseError toml.ParseError
 	if errors.As(err, &parseError) {
