--- a/internal/config/appliance.go
+++ b/internal/config/appliance.go
@@ -34,16 +34,16 @@
 
 // Limits are what the process may use.
 type Limits struct {
-	Cores          float64
-	MemoryMB       int
-	Sockets        int
-	HeadKB         int // of a request
-	Headers        int // of a request on a plain route
+	Cores          float64 // 0: all
+	MemoryMB       int     // MiB
+	Sockets        int     // file descriptors; SharedSockets divides them
+	HeadKB         int     // KiB of a request's header section
+	Headers        int     // fields of a request on a plain route
 	NoLoadShedding bool
-	Clients        ratelimit.ClientLimits
-	ClientTableKB  int
-	Tenants        ratelimit.TenantLimits
-	TenantHeader   string // names the tenant
+	Clients        ratelimit.ClientLimits // of each client
+	ClientTableKB  int                    // KiB of the table of clients
+	Tenants        ratelimit.TenantLimits // of all tenants together
+	TenantHeader   string                 // names the tenant of a request
 }
 
 // Listener is where clients connect.
@@ -66,11 +66,11 @@
 	ScriptRoot      string            // of a FastCGI pool
 	Params          map[string]string // of a FastCGI pool, beside the gateway's own or in their place
 	Members         []Member
-	File            string // the members are read from it, and again when it changes
-	Discovery       string // host:port of the service that lists the members
-	MinShare        float64
-	Fallback        []string
-	SocketShare     float64 // of the descriptors for hosts
+	File            string   // the members are read from it, and again when it changes
+	Discovery       string   // host:port of the service that lists the members
+	MinShare        float64  // of its hosts: with fewer healthy ones a part of its traffic goes to Fallback
+	Fallback        []string // pools in the order of the failover chain
+	SocketShare     float64  // of the descriptors for hosts; 0: an equal part of what the other pools leave
 	SlowStart       SlowStart
 	HealthCheckPath string // by which one gateway of the fleet checks ejected hosts
 }
@@ -87,22 +87,22 @@
 	Cell                    int
 }
 
-// Route is a route with what it assigns to requests that have none of the platform's headers.
+// Route is what a route assigns to its requests. Table has what it matches.
 type Route struct {
 	Class            string // "": the class header names it
 	Timeout          time.Duration
-	RetryableMethods []string // that may be retried though they are not safe
-	FailureStatuses  []int    // of hosts
-	BufferBytes      int64    // of a body that are kept so that it can be sent again
-	MaxBodyBytes     int64    // 0: any
-	HeadDeadlineOnly bool     // the timeout is for the response's head
-	IdleTimeout      time.Duration
-	MinRate          int64 // bytes a second
-	MaxTunnels       int
+	RetryableMethods []string           // that may be retried though they are not safe
+	FailureStatuses  []int              // of hosts
+	BufferBytes      int64              // of a body that are kept so that it can be sent again
+	MaxBodyBytes     int64              // 0: any
+	HeadDeadlineOnly bool               // the timeout is for the response's head
+	IdleTimeout      time.Duration      // without a byte, of a client or host
+	MinRate          int64              // of a client or host, in bytes a second; 0: any
+	MaxTunnels       int                // concurrent connections that have switched to another protocol
 	RequestHeaders   engine.HeaderRules // for hosts
 	ResponseHeaders  engine.HeaderRules // for clients
-	RetryShare       float64
-	RetryFloor       float64
+	RetryShare       float64            // retries for each first attempt
+	RetryFloor       float64            // retries a second, beside RetryShare
 }
 
 // Protocols of listeners and pools.
@@ -126,8 +126,10 @@
 func ParseAppliance(path, text string) (*Appliance, []error) {
 	c := &checker{Text: NewText(path, text)}
 	var f applianceFile
-	if c.errors = c.DecodeAll(&f); len(c.errors) > 0 && reflect.ValueOf(f).IsZero() {
-		return nil, c.errors // it is no TOML
+	c.errors = c.DecodeAll(&f)
+	isTOML := len(c.errors) == 0 || !reflect.ValueOf(f).IsZero()
+	if !isTOML {
+		return nil, c.errors
 	}
 	a := &Appliance{Name: f.Name}
 	if a.Name == "" {
--- a/internal/config/checker.go
+++ b/internal/config/checker.go
@@ -78,13 +78,6 @@
 	return r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9'
 }
 
-// isToken reports whether s is a token of RFC 9110, section 5.6.2.
-func isToken(s string) bool {
-	return s != "" && !strings.ContainsFunc(s, func(r rune) bool {
-		return !isAlphanumeric(r) && !strings.ContainsRune("!#$%&'*+-.^_`|~", r)
-	})
-}
-
 // maxUnixPath is the longest path of a socket, with the byte that ends it (unix(7)).
 const maxUnixPath = 108
 
--- a/internal/config/classes.go
+++ b/internal/config/classes.go
@@ -45,18 +45,23 @@
 	}
 }
 
-func (c *checker) readClass(i int, x *classFile) (k Class) {
-	k.Name = x.Name
-	k.LatencyObjective, k.Deadline = time.Duration(x.Aim), time.Duration(x.Limit)
-	k.PriorityWeight, k.DedupWindow = x.Worth, time.Duration(x.Window)
-	var ok bool
-	if k.Idempotency, ok = idempotencies[x.Effect]; !ok {
+func (c *checker) readClass(i int, x *classFile) Class {
+	idempotency, ok := idempotencies[x.Effect]
+	if !ok {
 		c.addErrorf("class", i, "effect", "%q is none of safe, keyed, unsafe", x.Effect)
 	}
-	if k.DedupScope, ok = dedupScopes[x.Group]; !ok {
+	dedupScope, ok := dedupScopes[x.Group]
+	if !ok {
 		c.addErrorf("class", i, "group", "%q is none of all, zone, cell", x.Group)
 	}
-	return k
+	return Class{Name: x.Name, Class: balancer.Class{
+		LatencyObjective: time.Duration(x.Aim),
+		Deadline:         time.Duration(x.Limit),
+		PriorityWeight:   x.Worth,
+		Idempotency:      idempotency,
+		DedupScope:       dedupScope,
+		DedupWindow:      time.Duration(x.Window),
+	}}
 }
 
 // checkClassTimes checks the times of a class.
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"bytes"
 	"fmt"
 	"os"
 	"slices"
@@ -82,12 +83,15 @@
 	if len(f.Peer) > maxPeers {
 		c.addErrorf("fleet.peer", maxPeers, "", "more than %d", maxPeers)
 	}
-	names, addresses := map[string]int{}, map[string]string{}
+	names := map[string]int{}
+	addresses := map[string]string{}
 	for i, p := range f.Peer {
 		c.checkName("fleet.peer", i, p.Name)
 		c.checkUniqueName("fleet.peer", i, p.Name, names)
 		if p.Name == name {
-			out.Zone, out.Machine = p.Zone, p.Machine // all gateways may have the same list
+			// All gateways may have the same list: the entry of this one has its place.
+			out.Zone = p.Zone
+			out.Machine = p.Machine
 			continue
 		}
 		c.checkUniqueAddress("fleet.peer", i, p.Name, p.Address, addresses)
@@ -98,26 +102,26 @@
 
 // checkBootstrapReplicas checks the gateways that form the fleet.
 func (c *checker) checkBootstrapReplicas(name string, peers map[string]int, out *Fleet) {
-	bad := func(format string, args ...any) { c.addErrorf("fleet", 0, "first", format, args...) }
+	addErrorf := func(format string, args ...any) { c.addErrorf("fleet", 0, "first", format, args...) }
 	list := out.BootstrapReplicas
 	switch {
 	case len(list) == 0:
-		bad("is missing: the gateways that hold the fleet's record at first; three or five, as most of them have to be up")
+		addErrorf("is missing: the gateways that hold the fleet's record at first; three or five, as most of them have to be up")
 	case len(list) > maxBootstrapReplicas:
-		bad("%d gateways, %d at most", len(list), maxBootstrapReplicas)
+		addErrorf("%d gateways, %d at most", len(list), maxBootstrapReplicas)
 	}
 	for i, replica := range list {
 		_, isPeer := peers[replica]
 		switch {
 		case len(out.Relays) > 0:
 			if !out.IsRelay(replica) {
-				bad("%q is no relay: in a fleet that has some they hold the record", replica)
+				addErrorf("%q is no relay: in a fleet that has some they hold the record", replica)
 			}
 		case !isPeer && replica != name:
-			bad("%q is neither a peer nor this gateway", replica)
+			addErrorf("%q is neither a peer nor this gateway", replica)
 		}
 		if slices.Contains(list[:i], replica) {
-			bad("%q is there twice", replica)
+			addErrorf("%q is there twice", replica)
 		}
 	}
 }
@@ -141,7 +145,8 @@
 	c.checkNameAt("fleet", 0, "zone", f.Zone)
 	c.checkNameAt("fleet", 0, "region", f.Region)
 	out.Zone, out.Region = f.Zone, f.Region
-	names, addresses := map[string]int{}, map[string]string{}
+	names := map[string]int{}
+	addresses := map[string]string{}
 	var regions []string
 	for i, r := range f.Relay {
 		c.checkName("fleet.relay", i, r.Name)
@@ -188,8 +193,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("fleet.key_file: %w", err)
 	}
-	if b = []byte(strings.TrimSpace(string(b))); len(b) < minKeyBytes {
-		return nil, fmt.Errorf("fleet.key_file: %s: %d bytes, %d at least: head -c 32 /dev/urandom | base64", path, len(b), minKeyBytes)
+	key := bytes.TrimSpace(b)
+	if len(key) < minKeyBytes {
+		return nil, fmt.Errorf("fleet.key_file: %s: %d bytes, %d at least: head -c 32 /dev/urandom | base64", path, len(key), minKeyBytes)
 	}
-	return b, nil
+	return key, nil
 }
--- a/internal/config/listeners.go
+++ b/internal/config/listeners.go
@@ -11,11 +11,14 @@
 // readAdmin reads the address of the operators' calls. Whoever reaches it can drain the gateway, and nobody is
 // authenticated: so it is a loopback address.
 func (c *checker) readAdmin(a *Appliance, addr string) {
-	if a.Admin = addr; addr == "" {
+	a.Admin = addr
+	if addr == "" {
 		return
 	}
 	host, _, _ := net.SplitHostPort(addr)
-	if ip, err := netip.ParseAddr(host); !isHostPort(addr, 0) || err != nil || !ip.IsLoopback() {
+	ip, err := netip.ParseAddr(host)
+	isLoopback := err == nil && ip.IsLoopback()
+	if !isLoopback || !isHostPort(addr, 0) {
 		c.addErrorf("", 0, "admin", "%q is no loopback address like \"127.0.0.1:8090\"", addr)
 	}
 }
@@ -59,14 +62,20 @@
 // readTrustedProxies reads addresses and networks.
 func (c *checker) readTrustedProxies(i int, list []string) (prefixes []netip.Prefix) {
 	for _, text := range list {
-		p, err := netip.ParsePrefix(text)
-		if addr, addrErr := netip.ParseAddr(text); err != nil && addrErr == nil {
-			p, err = netip.PrefixFrom(addr, addr.BitLen()), nil
-		}
-		if err != nil || p.Masked() != p {
+		prefix, ok := parseNetwork(text)
+		if !ok {
 			c.addErrorf("listener", i, "trusted", "%q is no address or network like \"10.0.0.0/8\"", text)
 		}
-		prefixes = append(prefixes, p)
+		prefixes = append(prefixes, prefix)
 	}
 	return prefixes
 }
+
+// parseNetwork parses an address, as a network of that address alone, or a network without bits behind its mask.
+func parseNetwork(text string) (prefix netip.Prefix, ok bool) {
+	if addr, err := netip.ParseAddr(text); err == nil {
+		return netip.PrefixFrom(addr, addr.BitLen()), true
+	}
+	prefix, err := netip.ParsePrefix(text)
+	return prefix, err == nil && prefix.Masked() == prefix
+}
--- a/internal/config/pools.go
+++ b/internal/config/pools.go
@@ -36,18 +36,24 @@
 	index := map[string]int{}
 	for i, x := range f.Pool {
 		p := Pool{
-			Name: x.Name, File: x.File, Discovery: x.Discovery, MinShare: cmp.Or(x.Need, route.DefaultMinShare), Fallback: x.Fallback, SocketShare: x.Sockets,
-			SlowStart: SlowStart{x.ColdFrom, time.Duration(x.WarmAfter)},
+			Name: x.Name, File: x.File, Discovery: x.Discovery,
+			MinShare: cmp.Or(x.Need, route.DefaultMinShare), Fallback: x.Fallback, SocketShare: x.Sockets,
+			SlowStart: SlowStart{Share: x.ColdFrom, Window: time.Duration(x.WarmAfter)},
 			Protocol:  x.Protocol, ScriptRoot: x.Root, Params: x.Params, HealthCheckPath: x.Check,
 		}
 		c.checkHealthCheckPath(i, &p, f.Fleet != nil)
 		c.checkPoolProtocol(i, &p)
 		c.checkName("pool", i, x.Name)
-		if first, taken := index[x.Name]; taken {
+		first, isTaken := index[x.Name]
+		switch {
+		case isTaken:
 			c.addErrorf("pool", i, "name", "%q is taken (line %d)", x.Name, c.Line("pool", first, "name"))
-		} else if index[x.Name] = i; x.Name == "" {
+		case x.Name == "":
 			c.addErrorf("pool", i, "name", "is missing")
 		}
+		if !isTaken {
+			index[x.Name] = i
+		}
 		c.checkSource(i, &x)
 		c.checkRange("pool", i, "need", p.MinShare, 0.01, 1)
 		c.checkRange("pool", i, "sockets", p.SocketShare, 0, 1)
@@ -160,9 +166,11 @@
 
 // checkSocketShares checks that the descriptors for hosts suffice for all pools.
 func (c *checker) checkSocketShares(a *Appliance) {
-	sum, unset := 0.0, 0
+	sum := 0.0
+	unset := 0
 	for i, p := range a.Pools {
-		if sum += p.SocketShare; p.SocketShare == 0 {
+		sum += p.SocketShare
+		if p.SocketShare == 0 {
 			unset++
 		}
 		if sum > 1+shareTolerance {
@@ -170,10 +178,12 @@
 			return
 		}
 	}
-	if unset > 0 && a.Limits.Sockets >= minSockets {
-		if each := (1 - sum) / float64(unset) * HostSockets(a.Limits.Sockets); each < minPoolSockets {
-			c.addErrorf("limits", 0, "sockets", "%d are too few: %d pools would have %.1f each for their hosts, %d at least", a.Limits.Sockets, unset, each, minPoolSockets)
-		}
+	if unset == 0 || a.Limits.Sockets < minSockets {
+		return
+	}
+	each := (1 - sum) / float64(unset) * HostSockets(a.Limits.Sockets)
+	if each < minPoolSockets {
+		c.addErrorf("limits", 0, "sockets", "%d are too few: %d pools would have %.1f each for their hosts, %d at least", a.Limits.Sockets, unset, each, minPoolSockets)
 	}
 }
 
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"dunemoor/internal/engine"
+	"dunemoor/internal/httpwire"
 	"dunemoor/internal/route"
 )
 
@@ -22,7 +23,7 @@
 	maxBufferBytes     = 1 << 20  // beyond it a few requests fill the memory for bodies
 	defaultIdleTimeout = 30 * time.Second
 	maxIdleTimeout     = 24 * time.Hour
-	defaultMinRate     = 256 // bytes a second: a modem of 1985 does
+	defaultMinRate     = 256 // bytes a second
 	maxTunnels         = 1 << 16
 	maxRetryShare      = 3
 )
@@ -72,7 +73,8 @@
 	c.checkRange("route", i, "hold", float64(r.BufferBytes), 0, maxBufferBytes)
 	c.checkRange("route", i, "idle", r.IdleTimeout.Seconds(), 0.1, maxIdleTimeout.Seconds())
 	c.checkRange("route", i, "upgrades", float64(r.MaxTunnels), 0, maxTunnels)
-	r.RequestHeaders, r.ResponseHeaders = c.readHeaderRules(i, "request", x.Request), c.readHeaderRules(i, "answer", x.Answer)
+	r.RequestHeaders = c.readHeaderRules(i, "request", x.Request)
+	r.ResponseHeaders = c.readHeaderRules(i, "answer", x.Answer)
 	c.checkPlatformRoute(i, x, &r)
 	if x.Failures == nil {
 		r.FailureStatuses = route.DefaultFailureStatuses
@@ -173,7 +175,8 @@
 
 // readHeaderRules reads the rules for the headers of a route.
 func (c *checker) readHeaderRules(n int, key string, f headersFile) (r engine.HeaderRules) {
-	r.Set, r.Add = c.readHeaderValues(n, key, f.Set), c.readHeaderValues(n, key, f.Add)
+	r.Set = c.readHeaderValues(n, key, f.Set)
+	r.Add = c.readHeaderValues(n, key, f.Add)
 	for _, s := range f.Remove {
 		r.Remove = append(r.Remove, c.readHeaderName(n, key, s))
 	}
@@ -181,7 +184,7 @@
 }
 
 func (c *checker) readHeaderName(n int, key, s string) string {
-	if !isToken(s) {
+	if !httpwire.IsToken(s) {
 		c.addErrorf("route", n, key, "%q is no name of a header", s)
 	}
 	canonical := textproto.CanonicalMIMEHeaderKey(s)
--- a/internal/config/text.go
+++ b/internal/config/text.go
@@ -73,8 +73,9 @@
 	if !ok || strings.HasPrefix(line, "#") {
 		return ""
 	}
+	key = strings.Trim(strings.TrimSpace(key), `"'`)
 	last := &t.tables[len(t.tables)-1]
-	if key = strings.Trim(strings.TrimSpace(key), `"'`); last.keys[key] == 0 {
+	if last.keys[key] == 0 {
 		last.keys[key] = n
 	}
 	for _, q := range []string{`"""`, "'''"} {
@@ -105,18 +106,21 @@
 	return 0
 }
 
-// firstLine returns the first line of a dotted key, in any table.
+// firstLine returns the first line of a dotted key, in any table. Of "a.b.c" it looks for a table of that name, then for
+// the key "c" in a table "a.b", then for "b.c" in "a", and at last for the whole key at the top of the file.
 func (t *Text) firstLine(dotted string) int {
-	for name, key := dotted, ""; ; {
+	name := dotted
+	key := ""
+	for {
 		if line := t.lineIn(name, key); line > 0 {
 			return line
 		}
-		i := strings.LastIndexByte(name, '.')
-		key = strings.TrimSuffix(name[i+1:]+"."+key, ".")
-		if i < 0 {
-			return t.tables[0].keys[key]
+		lastDot := strings.LastIndexByte(name, '.')
+		if lastDot < 0 {
+			return t.tables[0].keys[dotted]
 		}
-		name = name[:i]
+		key = strings.TrimSuffix(name[lastDot+1:]+"."+key, ".")
+		name = name[:lastDot]
 	}
 }
 
