--- a/internal/config/classes.go
+++ b/internal/config/classes.go
@@ -56,7 +56,7 @@
 	}
 	return Class{Name: x.Name, Class: balancer.Class{
 		LatencyObjective: time.Duration(x.Aim),
-		Deadline:         time.Duration(x.Limit),
+		Deadline:         time.Duration(x.Deadline),
 		PriorityWeight:   x.Worth,
 		Idempotency:      idempotency,
 		DedupScope:       dedupScope,
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -38,33 +38,33 @@
 type listenerFile struct {
 	Name, Address, Protocol string
 	Trusted                 []string
-	Proxy                   bool `toml:"proxy_protocol"`
+	ProxyProtocol           bool `toml:"proxy_protocol"`
 }
 
 type classFile struct {
-	Name   string
-	Aim    Duration
-	Limit  Duration `toml:"deadline"`
-	Worth  float64
-	Effect string
-	Group  string
-	Window Duration
+	Name     string
+	Aim      Duration
+	Deadline Duration
+	Worth    float64
+	Effect   string
+	Group    string
+	Window   Duration
 }
 
 type poolFile struct {
-	Name      string
-	Members   []memberFile
-	File      string `toml:"members_file"`
-	Discovery string
-	Protocol  string
-	Root      string `toml:"script_root"`
-	Params    map[string]string
-	Need      float64
-	Fallback  []string
-	Sockets   float64
-	ColdFrom  float64  `toml:"cold_from"`
-	WarmAfter Duration `toml:"warm_after"`
-	Check     string
+	Name        string
+	Members     []memberFile
+	MembersFile string `toml:"members_file"`
+	Discovery   string
+	Protocol    string
+	ScriptRoot  string `toml:"script_root"`
+	Params      map[string]string
+	Need        float64
+	Fallback    []string
+	Sockets     float64
+	ColdFrom    float64  `toml:"cold_from"`
+	WarmAfter   Duration `toml:"warm_after"`
+	Check       string
 }
 
 type memberFile struct {
--- a/internal/config/listeners.go
+++ b/internal/config/listeners.go
@@ -40,7 +40,7 @@
 			}
 		}
 		a.Listeners = append(a.Listeners, Listener{
-			Name: l.Name, Address: l.Address, Protocol: l.Protocol, ProxyProtocol: l.Proxy, TrustedProxies: c.readTrustedProxies(i, l.Trusted),
+			Name: l.Name, Address: l.Address, Protocol: l.Protocol, ProxyProtocol: l.ProxyProtocol, TrustedProxies: c.readTrustedProxies(i, l.Trusted),
 		})
 	}
 }
@@ -53,7 +53,7 @@
 	if !isHostPort(l.Address, 0) && !(l.Protocol == FastCGI && isUnixPath(l.Address)) {
 		c.addErrorf("listener", i, "address", "%q is no address like \"127.0.0.1:8080\"", l.Address)
 	}
-	if l.Protocol == FastCGI && l.Proxy {
+	if l.Protocol == FastCGI && l.ProxyProtocol {
 		c.addErrorf("listener", i, "proxy_protocol", "is for http1 listeners: a web server names its client by REMOTE_ADDR")
 	}
 	c.checkName("listener", i, l.Name)
--- a/internal/config/pools.go
+++ b/internal/config/pools.go
@@ -36,10 +36,10 @@
 	index := map[string]int{}
 	for i, x := range f.Pool {
 		p := Pool{
-			Name: x.Name, File: x.File, Discovery: x.Discovery,
+			Name: x.Name, File: x.MembersFile, Discovery: x.Discovery,
 			MinShare: cmp.Or(x.Need, route.DefaultMinShare), Fallback: x.Fallback, SocketShare: x.Sockets,
 			SlowStart: SlowStart{Share: x.ColdFrom, Window: time.Duration(x.WarmAfter)},
-			Protocol:  x.Protocol, ScriptRoot: x.Root, Params: x.Params, HealthCheckPath: x.Check,
+			Protocol:  x.Protocol, ScriptRoot: x.ScriptRoot, Params: x.Params, HealthCheckPath: x.Check,
 		}
 		c.checkHealthCheckPath(i, &p, f.Fleet != nil)
 		c.checkPoolProtocol(i, &p)
@@ -71,7 +71,7 @@
 // checkSource checks that a pool has one source of its members.
 func (c *checker) checkSource(i int, x *poolFile) {
 	sources := 0
-	for _, has := range []bool{len(x.Members) > 0, x.File != "", x.Discovery != ""} {
+	for _, has := range []bool{len(x.Members) > 0, x.MembersFile != "", x.Discovery != ""} {
 		if has {
 			sources++
 		}
