--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -161,7 +161,7 @@
 			return MemberList{}, p.errorAt(at, "host %d: it has no id", i+1)
 		case ids[m.ID]:
 			return MemberList{}, p.errorAt(at, "id: %q is there twice", m.ID)
-		case m.State != stateReady && m.State != stateDraining:
+		case m.State != StateReady && m.State != StateDraining:
 			return MemberList{}, p.errorAt(at, "host %s: state: %q is neither ready nor draining", m.ID, m.State)
 		}
 		if _, port, err := net.SplitHostPort(m.Addr); err != nil || port == "" {
--- a/internal/discovery/members.go
+++ b/internal/discovery/members.go
@@ -27,17 +27,17 @@
 
 // States of members.
 const (
-	stateReady    = "ready"
-	stateDraining = "draining"
-	stateGone     = "gone"
+	StateReady    = "ready"
+	StateDraining = "draining" // it gets nothing new
+	StateGone     = "gone"     // it has left the list
 )
 
 // HostState returns the state of a member. A host with an unknown state gets no new requests.
 func (m *Member) HostState() balancer.HostState {
 	switch m.State {
-	case stateReady:
+	case StateReady:
 		return balancer.Ready
-	case stateGone:
+	case StateGone:
 		return balancer.Removed
 	}
 	return balancer.Draining
--- a/internal/fleet/endpoints.go
+++ b/internal/fleet/endpoints.go
@@ -27,8 +27,6 @@
 	watchCheckInterval = 250 * time.Millisecond
 	// minResyncInterval is the least time between two requests for the full list.
 	minResyncInterval = watchCheckInterval
-	// memberGone is the state of a host that has left the list.
-	memberGone = "gone"
 )
 
 // endpointPublication is what the holder of a list lease publishes.
@@ -223,7 +221,7 @@
 		clear(x.hosts)
 	}
 	for _, h := range hosts {
-		if h.State == memberGone {
+		if h.State == discovery.StateGone {
 			delete(x.hosts, h.ID)
 		} else {
 			x.hosts[h.ID] = h
--- a/internal/override/override.go
+++ b/internal/override/override.go
@@ -13,12 +13,6 @@
 	"dunemoor/internal/discovery"
 )
 
-// States of a host in an endpoint list.
-const (
-	stateDraining = "draining" // it gets nothing new
-	stateGone     = "gone"
-)
-
 // Filter applies overrides to the endpoint list of one pool.
 type Filter struct {
 	drained map[string]bool             // hosts with an override
@@ -46,7 +40,7 @@
 	}
 	out := slices.Clone(hosts)
 	for i, h := range out {
-		if h.State == stateGone {
+		if h.State == discovery.StateGone {
 			delete(f.listed, h.ID)
 			continue
 		}
@@ -61,7 +55,7 @@
 	previous := f.drained
 	f.drained = set(drained)
 	for _, id := range slices.Sorted(maps.Keys(f.listed)) {
-		if h := f.listed[id]; previous[id] != f.drained[id] && h.State != stateDraining {
+		if h := f.listed[id]; previous[id] != f.drained[id] && h.State != discovery.StateDraining {
 			changed = append(changed, f.withOverride(h))
 		}
 	}
@@ -70,7 +64,7 @@
 
 func (f *Filter) withOverride(h discovery.Member) discovery.Member {
 	if f.drained[h.ID] {
-		h.State = stateDraining
+		h.State = discovery.StateDraining
 	}
 	return h
 }
