--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -29,9 +29,9 @@
 	path     string
 	Interval time.Duration // between two reads; set before Run
 
-	text     []byte // as it was last, good or bad
-	logged   string // the last error, so that each is logged once
-	received bool   // a good list was read
+	lastText   []byte // that was read, valid or not; nil if the last read failed
+	lastLogged string // text of the last error, so that it is logged once; "" after a valid list
+	received   bool   // a valid list was read
 }
 
 // NewFile returns a File.
@@ -54,27 +54,36 @@
 // read reads the file and sends the list if it has changed.
 func (f *File) read(to Sink) {
 	text, err := readBounded(f.path, maxFileBytes)
-	if err == nil {
-		if f.text != nil && bytes.Equal(text, f.text) {
-			return
-		}
-		f.text = text
-		var list MemberList
-		if list, err = ParseFile(f.path, text); err == nil {
-			if f.received || f.logged != "" {
-				slog.Info("endpoint file loaded", "file", f.path, "hosts", len(list.Servers))
-			}
-			f.received, f.logged = true, ""
-			to.UpdateEndpoints(balancer.ListFull, list)
-			return
-		}
-	} else {
-		f.text = nil // when it is back it is read again
+	if err != nil {
+		f.lastText = nil // a file that is back is sent again, also if it is the same
+		f.logError(err)
+		return
+	}
+	isUnchanged := f.lastText != nil && bytes.Equal(text, f.lastText)
+	if isUnchanged {
+		return
 	}
-	if err.Error() != f.logged {
-		f.logged = err.Error()
-		slog.Error("read endpoint file failed, keeping the last list", "err", err)
+	f.lastText = text
+	list, err := ParseFile(f.path, text)
+	if err != nil {
+		f.logError(err)
+		return
+	}
+	if f.received || f.lastLogged != "" {
+		slog.Info("endpoint file loaded", "file", f.path, "hosts", len(list.Servers))
+	}
+	f.received = true
+	f.lastLogged = ""
+	to.UpdateEndpoints(balancer.ListFull, list)
+}
+
+// logError logs an error of a read, unless the read before had the same.
+func (f *File) logError(err error) {
+	if err.Error() == f.lastLogged {
+		return
 	}
+	f.lastLogged = err.Error()
+	slog.Error("read endpoint file failed, keeping the last list", "err", err)
 }
 
 // ReadFile reads the endpoint list of a file.
@@ -100,7 +109,7 @@
 	return text, err
 }
 
-// fileForm is the form of a file, with all keys of discovery: weights are not used.
+// fileForm is the form of a file. It has all keys of discovery, as unknown ones are errors; weights are not used.
 type fileForm struct {
 	Version uint64 `json:"version"`
 	Full    bool   `json:"full"`
@@ -116,7 +125,7 @@
 	} `json:"servers"`
 }
 
-// ParseError is a mistake in a file of hosts.
+// ParseError is an error in a file of hosts, at a line counted from 1.
 type ParseError struct {
 	Path string
 	Line int
@@ -168,7 +177,9 @@
 			return MemberList{}, p.errorAt(at, "host %s: addr: %q is no host:port", m.ID, m.Addr)
 		}
 		ids[m.ID] = true
-		list.Servers = append(list.Servers, Member{m.ID, m.Addr, m.Zone, m.Kind, m.Cell, m.State, m.StartedMS})
+		list.Servers = append(list.Servers, Member{
+			ID: m.ID, Addr: m.Addr, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, State: m.State, StartedMS: m.StartedMS,
+		})
 	}
 	return list, nil
 }
--- a/internal/discovery/members.go
+++ b/internal/discovery/members.go
@@ -9,9 +9,9 @@
 
 // MemberList is the endpoint list, or changes of it, in discovery's form.
 type MemberList struct {
-	Version uint64
-	Full    bool
-	Servers []Member
+	Version uint64   // of the list, with these changes
+	Full    bool     // Servers is the whole list, and not changes of it
+	Servers []Member // in changes, those that are new or that changed
 }
 
 // Member is a host of the list.
@@ -22,7 +22,7 @@
 	Kind      string
 	Cell      int
 	State     string
-	StartedMS int64 `json:"started_ms"`
+	StartedMS int64 `json:"started_ms"` // when its process started, in milliseconds; 0: long ago
 }
 
 // States of members.
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -10,7 +10,7 @@
 // maxListBytes bounds a list, without white space.
 const maxListBytes = 16 << 20
 
-// errLongList is the error of a list over maxListBytes.
+// errLongList reports a list over maxListBytes.
 var errLongList = fmt.Errorf("discovery's list is longer than %d bytes", maxListBytes)
 
 // stream reads a watch: lists in JSON, indented or not, and empty lines between them as heartbeats. The bytes of a list are no
@@ -19,9 +19,12 @@
 	from        io.Reader
 	onHeartbeat func()
 	inLine      bool // the line has something in it
-	size        int  // bytes since the last list, without white space
+	listBytes   int  // received since the last list, without white space
 }
 
+// listDecoded notes that the bytes received so far were a complete list.
+func (s *stream) listDecoded() { s.listBytes = 0 }
+
 // Read implements io.Reader.
 func (s *stream) Read(b []byte) (int, error) {
 	n, err := s.from.Read(b)
@@ -33,10 +36,10 @@
 			s.inLine = false
 		case c != ' ' && c != '\t' && c != '\r':
 			s.inLine = true
-			s.size++
+			s.listBytes++
 		}
 	}
-	if s.size > maxListBytes {
+	if s.listBytes > maxListBytes {
 		return 0, errLongList
 	}
 	return n, err
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -23,18 +23,19 @@
 
 	// heartbeatInterval is how often a watch sends an empty line while nothing changes.
 	heartbeatInterval = 2 * time.Second
-	// maxSilence is how long a call may be silent before it is given up: a heartbeat is missing then, and half of one is for
-	// a busy machine. What a silent watch misses counts as known 6 s after its silence began, which may be right after a
-	// heartbeat, and what discovery has 6 s after it can be reached, which may be right after the begin of a call that hangs:
-	// a new call must have brought it by then, in its turn where it is one of a whole fleet's.
-	maxSilence  = heartbeatInterval + heartbeatInterval/2
+	// maxSilence is how long a call may be silent before it is given up: one heartbeat is missing then, and half an interval
+	// more is for a busy machine. The gateway is expected to know what a silent watch misses 6 s after the silence began,
+	// which may be right after a heartbeat, and what discovery has 6 s after it can be reached, which may be right after a
+	// call began that hangs. A new call has to bring it by then, also where a whole fleet calls and is served in turn.
+	maxSilence = heartbeatInterval + heartbeatInterval/2
+	// dialTimeout limits the time for a connection to discovery to be established.
 	dialTimeout = time.Second
-	// minBackoff is the time before a new call, doubled to maxBackoff. An agent answers at once and at no cost, and what it
-	// has counts as known also without a watch: drains that it receives as discovery returns have to be known within the
-	// grace period for them, half a second and more.
+	// minBackoff is the time before a new call, doubled to maxBackoff. It is short as an agent answers at once and at no
+	// cost, and as the gateway is expected to know what the agent has also without a watch: a drain that the agent receives
+	// when discovery returns, within the grace period of half a second or more.
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 250 * time.Millisecond
-	// callsAfterMove is how many calls are made at once after a change of the address.
+	// callsAfterMove is how many calls are made without backoff after a change of the address.
 	callsAfterMove = 2
 )
 
@@ -46,10 +47,10 @@
 	client     http.Client
 	MaxSilence time.Duration // after which a watch is given up; set before Run
 
-	mu          sync.Mutex
-	addr        string
+	mu          sync.Mutex              // guards the fields below
+	addr        string                  // host:port
 	moves       int                     // changes of addr
-	version     uint64                  // of the list at addr that was sent to the Sink
+	version     uint64                  // of the list at addr that was sent to the Sink; 0: none
 	cancelWatch context.CancelCauseFunc // of the current watch
 }
 
@@ -87,14 +88,15 @@
 	if addr == d.addr {
 		return
 	}
-	d.addr, d.version = addr, 0
+	d.addr = addr
+	d.version = 0
 	d.moves++
 	select {
 	case d.moved <- struct{}{}:
 	default: // Run has yet to see the change before
 	}
 	if d.cancelWatch != nil {
-		d.cancelWatch(errMoved) // after the send above
+		d.cancelWatch(errMoved) // after the send above, as Run takes the item when the watch has ended
 	}
 }
 
@@ -111,19 +113,20 @@
 
 // watchState is what Run knows of its calls.
 type watchState struct {
-	backoff   time.Duration
-	lost      bool // the loss of the watch was logged
-	immediate int  // calls that wait for nothing
+	backoff        time.Duration // before the next call, unless it is immediate
+	lossLogged     bool          // the loss of the watch was logged
+	immediateCalls int           // calls to make without waiting for a poll or the backoff
 }
 
-// reset is the state after a call that was answered.
-func (s *watchState) reset(immediate int) { *s = watchState{minBackoff, false, immediate} }
+// newWatchState returns the state after a call that was answered, or after a change of the address.
+func newWatchState(immediateCalls int) watchState {
+	return watchState{backoff: minBackoff, immediateCalls: immediateCalls}
+}
 
 // Run watches the list until ctx ends. A call that fails is repeated, soon at first; where the balancer polls, it is notified
 // instead and decides when. After a change of the address a failed call is repeated once at once.
 func (d *Watcher) Run(ctx context.Context, to Sink) {
-	var s watchState
-	s.reset(0)
+	s := newWatchState(0)
 	for ctx.Err() == nil {
 		if !d.waitForPoll(ctx, &s) {
 			return
@@ -133,22 +136,22 @@
 			return
 		}
 		if errors.Is(err, errMoved) {
-			drain(d.moved)
-			s.reset(callsAfterMove)
+			discardItem(d.moved)
+			s = newWatchState(callsAfterMove)
 			continue
 		}
 		if received {
-			s.reset(0)
+			s = newWatchState(0)
 		}
-		if !s.lost {
+		if !s.lossLogged {
 			slog.Warn("endpoint watch failed, retrying", "err", err)
-			s.lost = true
+			s.lossLogged = true
 		}
-		if s.immediate > 0 {
+		if s.immediateCalls > 0 {
 			continue
 		}
 		if d.polled {
-			drain(d.polls) // this call was for what was polled meanwhile
+			discardItem(d.polls) // this call was for what was polled meanwhile
 			to.UpdateEndpoints(balancer.ListFailed, MemberList{})
 			continue
 		}
@@ -158,8 +161,8 @@
 
 // waitForPoll waits until a call is to be made. It returns false where ctx has ended.
 func (d *Watcher) waitForPoll(ctx context.Context, s *watchState) bool {
-	if s.immediate > 0 {
-		s.immediate--
+	if s.immediateCalls > 0 {
+		s.immediateCalls--
 		return true
 	}
 	if !d.polled {
@@ -170,7 +173,7 @@
 		return false
 	case <-d.polls:
 	case <-d.moved:
-		s.immediate = callsAfterMove - 1
+		s.immediateCalls = callsAfterMove - 1 // beside the call that is made now
 	}
 	return true
 }
@@ -180,33 +183,33 @@
 	select {
 	case <-ctx.Done():
 	case <-d.moved:
-		s.reset(callsAfterMove)
+		*s = newWatchState(callsAfterMove)
 		return
 	case <-time.After(s.backoff):
 	}
 	s.backoff = min(2*s.backoff, maxBackoff)
 }
 
-// drain receives an item, if there is one.
-func drain(c chan struct{}) {
+// discardItem receives an item, if there is one.
+func discardItem(c chan struct{}) {
 	select {
 	case <-c:
 	default:
 	}
 }
 
-// call is one watch.
+// call is one HTTP call of a Watcher, which is a watch until it ends.
 type call struct {
-	watcher  *Watcher
-	to       Sink
-	addr     string
-	moves    int    // of the watcher, when the call began
-	version  uint64 // of the last list
-	received bool   // anything
-	silence  *time.Timer
+	watcher      *Watcher
+	to           Sink
+	addr         string
+	moves        int         // of the watcher, when the call began
+	version      uint64      // of the last list
+	received     bool        // a list or a heartbeat
+	silenceTimer *time.Timer // cancels the call after Watcher.MaxSilence
 }
 
-// watch makes one call until it ends, and reports whether it received anything.
+// watch makes one call until it ends. received reports whether it counts as answered: then the backoff begins anew.
 func (d *Watcher) watch(ctx context.Context, to Sink) (received bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -214,8 +217,8 @@
 	c := &call{watcher: d, to: to, addr: d.addr, moves: d.moves, version: d.version}
 	d.cancelWatch = cancel
 	d.mu.Unlock()
-	c.silence = time.AfterFunc(d.MaxSilence, func() { cancel(errSilent) })
-	defer c.silence.Stop()
+	c.silenceTimer = time.AfterFunc(d.MaxSilence, func() { cancel(errSilent) })
+	defer c.silenceTimer.Stop()
 	received, err = c.run(ctx)
 	if cause := context.Cause(ctx); cause == errSilent || cause == errMoved {
 		err = cause
@@ -251,28 +254,29 @@
 		case err != nil:
 			return c.received, err
 		}
-		c.alive()
-		stream.size = 0
+		c.recordLife()
+		stream.listDecoded()
 		if received, err := c.apply(list); err != nil {
 			return received, err
 		}
 	}
 }
 
-// alive records a sign of life.
-func (c *call) alive() {
-	c.silence.Reset(c.watcher.MaxSilence)
+// recordLife records a sign of life of the service.
+func (c *call) recordLife() {
+	c.silenceTimer.Reset(c.watcher.MaxSilence)
 	c.received = true
 }
 
 // heartbeat handles an empty line.
 func (c *call) heartbeat() {
 	d := c.watcher
-	if d.polled && !c.received && c.version > 0 && d.setVersion(c.moves, c.version) {
-		// The call that the balancer polled for has been answered: nothing has changed.
+	answersPoll := d.polled && !c.received && c.version > 0
+	if answersPoll && d.setVersion(c.moves, c.version) {
+		// Nothing has changed since the version that the call asked for.
 		c.to.UpdateEndpoints(balancer.ListChanges, MemberList{Version: c.version})
 	}
-	c.alive()
+	c.recordLife()
 }
 
 // apply passes on a list. received is what watch reports where the call ends by it.
