--- a/internal/fleet/calls.go
+++ b/internal/fleet/calls.go
@@ -45,8 +45,8 @@
 
 func badRequest(err error) response { return response{http.StatusBadRequest, err.Error() + "\n"} }
 
-// post returns a call that changes something.
-func post(do func(context.Context, url.Values) response) admin.Call {
+// postCall returns a call by POST, which changes something.
+func postCall(do func(context.Context, url.Values) response) admin.Call {
 	return admin.Call{Method: http.MethodPost, Do: func(ctx context.Context, v url.Values) (int, string, string) {
 		r := do(ctx, v)
 		return r.status, r.text, ""
@@ -68,13 +68,13 @@
 	calls := map[string]admin.Call{
 		PathFleet:   {Method: http.MethodGet, Do: f.statusCall},
 		PathMetrics: {Method: http.MethodGet, Do: f.metricsCall()},
-		PathTransfer: post(func(ctx context.Context, v url.Values) response {
+		PathTransfer: postCall(func(ctx context.Context, v url.Values) response {
 			if err := require(v, "duty", "to"); err != nil {
 				return badRequest(err)
 			}
 			return f.transfer(ctx, v.Get("duty"), v.Get("to"))
 		}),
-		PathRelease: post(func(ctx context.Context, v url.Values) response {
+		PathRelease: postCall(func(ctx context.Context, v url.Values) response {
 			if err := require(v, "duty"); err != nil {
 				return badRequest(err)
 			}
@@ -98,7 +98,7 @@
 
 // replicaCall returns the call that adds or removes a replica.
 func (f *Fleet) replicaCall(op lease.Op) admin.Call {
-	return post(func(ctx context.Context, v url.Values) response {
+	return postCall(func(ctx context.Context, v url.Values) response {
 		if err := require(v, "gateway"); err != nil {
 			return badRequest(err)
 		}
--- a/internal/fleet/endpoints.go
+++ b/internal/fleet/endpoints.go
@@ -39,31 +39,31 @@
 type endpointList struct {
 	fleet      *Fleet
 	pool, addr string
-	lease      string
+	leaseName  string
 	events     chan func(*listFollower)
 	watches    atomic.Uint64 // of discovery, begun since the start
 }
 
 func newEndpointList(f *Fleet, pool, addr string) *endpointList {
-	return &endpointList{fleet: f, pool: pool, addr: addr, lease: listLeasePrefix + pool, events: make(chan func(*listFollower), maxListEvents)}
+	return &endpointList{fleet: f, pool: pool, addr: addr, leaseName: listLeasePrefix + pool, events: make(chan func(*listFollower), maxListEvents)}
 }
 
 // listFollower is an endpointList while it runs. It belongs to one goroutine.
 type listFollower struct {
 	*endpointList
-	sink          discovery.Sink
-	state         *endpoints.Follower
-	hosts         map[string]discovery.Member // the full list
-	held          *leaseholder.Lease          // nil: this gateway is not the holder
-	seq           uint64                      // of the last publication
-	resyncAt      time.Duration               // when the full list was last requested
-	publishedAt   time.Duration               // when the last publication was sent to all
-	cancelWatch   context.CancelFunc          // nil: discovery is not watched
-	watchSequence uint64                      // of the last watch
+	sink           discovery.Sink
+	state          *endpoints.Follower
+	hosts          map[string]discovery.Member // the full list
+	lease          *leaseholder.Lease          // nil: this gateway is not the holder
+	publicationSeq uint64                      // of the last publication under lease
+	resyncAt       time.Duration               // when the full list was last requested
+	publishedAt    time.Duration               // when the last publication was sent to all
+	cancelWatch    context.CancelFunc          // nil: discovery is not watched
+	watchSeq       uint64                      // of the last watch
 }
 
-// post lets the list's goroutine do something. It reports false where too much waits.
-func (l *endpointList) post(do func(*listFollower)) bool {
+// enqueue has the list's goroutine call do. It returns false if maxListEvents wait.
+func (l *endpointList) enqueue(do func(*listFollower)) bool {
 	select {
 	case l.events <- do:
 		return true
@@ -72,16 +72,16 @@
 	}
 }
 
-// hold is the work under the list lease: discovery is watched while it runs.
-func (l *endpointList) hold(ctx context.Context, held *leaseholder.Lease) {
-	if !l.post(func(x *listFollower) { x.setHeld(held) }) {
+// runAsHolder is the work under the list lease: discovery is watched while it runs.
+func (l *endpointList) runAsHolder(ctx context.Context, lease *leaseholder.Lease) {
+	if !l.enqueue(func(x *listFollower) { x.setLease(lease) }) {
 		return // it is started again
 	}
 	<-ctx.Done()
 	stopped := make(chan struct{})
 	stop := func(x *listFollower) {
-		if x.held == held {
-			x.setHeld(nil)
+		if x.lease == lease {
+			x.setLease(nil)
 		}
 		close(stopped)
 	}
@@ -102,13 +102,13 @@
 		slog.Warn("malformed endpoint publication", "pool", l.pool, "err", err)
 		return
 	}
-	l.post(func(x *listFollower) { x.receive(p.Token, &update) })
+	l.enqueue(func(x *listFollower) { x.receive(p.Token, &update) })
 }
 
 // Resync implements cluster.Subscriber: another gateway asks for the full list.
 func (l *endpointList) Resync(from string, _ []byte) {
-	l.post(func(x *listFollower) {
-		if x.held == nil || x.state.Version() == 0 {
+	l.enqueue(func(x *listFollower) {
+		if x.lease == nil || x.state.Version() == 0 {
 			return
 		}
 		byID := func(a, b discovery.Member) int { return cmp.Compare(a.ID, b.ID) }
@@ -161,7 +161,7 @@
 	if !watch && x.state.Version() == 0 {
 		x.requestResync(now)
 	}
-	if x.held != nil && x.state.Version() > 0 && now >= x.publishedAt+endpoints.HeartbeatInterval {
+	if x.lease != nil && x.state.Version() > 0 && now >= x.publishedAt+endpoints.HeartbeatInterval {
 		x.publishHeartbeat()
 	}
 }
@@ -169,10 +169,10 @@
 func (x *listFollower) startWatch(ctx context.Context, watches *sync.WaitGroup) {
 	watchCtx, cancel := context.WithCancel(ctx)
 	x.cancelWatch = cancel
-	x.watchSequence++
+	x.watchSeq++
 	x.watches.Add(1)
 	w := discovery.NewWatcher(x.addr, false, x.state.Version())
-	sink := &watchSink{x.endpointList, watchCtx, x.watchSequence}
+	sink := &watchSink{x.endpointList, watchCtx, x.watchSeq}
 	watches.Go(func() { w.Run(watchCtx, sink) })
 }
 
@@ -180,13 +180,13 @@
 type watchSink struct {
 	*endpointList
 	ctx      context.Context
-	sequence uint64
+	watchSeq uint64
 }
 
 // UpdateEndpoints implements discovery.Sink.
 func (s *watchSink) UpdateEndpoints(kind balancer.ListKind, list discovery.MemberList) {
 	receive := func(x *listFollower) {
-		if x.watchSequence == s.sequence && x.cancelWatch != nil {
+		if x.watchSeq == s.watchSeq && x.cancelWatch != nil {
 			x.receiveDirect(kind, list)
 		}
 	}
@@ -205,7 +205,7 @@
 	}
 	x.store(full, list.Servers)
 	x.sink.UpdateEndpoints(kind, list)
-	if x.held == nil {
+	if x.lease == nil {
 		return
 	}
 	u := endpoints.Update{Kind: endpoints.KindChanges, From: from, Version: list.Version}
@@ -229,11 +229,13 @@
 	}
 }
 
-// setHeld notes whether this gateway is the holder.
-func (x *listFollower) setHeld(held *leaseholder.Lease) {
-	x.held, x.seq, x.publishedAt = held, 0, 0
-	x.state.SetHolder(leaseholder.Now(), held != nil)
-	if held != nil && x.state.Version() > 0 {
+// setLease notes the lease that this gateway holds, nil for none.
+func (x *listFollower) setLease(lease *leaseholder.Lease) {
+	x.lease = lease
+	x.publicationSeq = 0
+	x.publishedAt = 0
+	x.state.SetHolder(leaseholder.Now(), lease != nil)
+	if lease != nil && x.state.Version() > 0 {
 		x.publishHeartbeat() // others may know less
 	}
 }
@@ -249,12 +251,12 @@
 		slog.Error("encode endpoint publication failed", "pool", x.pool, "err", err)
 		return
 	}
-	x.seq++
+	x.publicationSeq++
 	if to == "" {
 		x.publishedAt = leaseholder.Now()
 	}
-	if x.held.Valid() {
-		x.fleet.cluster.Publish(to, x.held, x.seq, b)
+	if x.lease.Valid() {
+		x.fleet.cluster.Publish(to, x.lease, x.publicationSeq, b)
 	}
 }
 
@@ -281,8 +283,8 @@
 
 // requestResync asks the holder for the full list, but not too often.
 func (x *listFollower) requestResync(now time.Duration) {
-	if x.held == nil && now >= x.resyncAt+minResyncInterval {
+	if x.lease == nil && now >= x.resyncAt+minResyncInterval {
 		x.resyncAt = now
-		x.fleet.cluster.RequestResync(x.lease, nil)
+		x.fleet.cluster.RequestResync(x.leaseName, nil)
 	}
 }
--- a/internal/fleet/endpoints/endpoints.go
+++ b/internal/fleet/endpoints/endpoints.go
@@ -52,23 +52,23 @@
 
 // Follower is one gateway's view of one pool's list.
 type Follower struct {
-	version    uint64
-	known      bool   // there is a list
-	token      uint64 // of the holder whose update was last accepted
-	heardAt    time.Duration
+	version    uint64 // of the list, if there is one
+	hasList    bool
+	token      uint64        // of the holder whose update was last accepted
+	updatedAt  time.Duration // when that was, or when the wait for a holder's update began
 	isHolder   bool
 	unassisted bool // no update has arrived for too long
 }
 
 // NewFollower returns a Follower without a list.
 func NewFollower(now time.Duration) *Follower {
-	return &Follower{heardAt: now - PublicationTimeout + StartupTimeout}
+	return &Follower{updatedAt: now - PublicationTimeout + StartupTimeout}
 }
 
 // SetHolder sets whether this gateway is the holder.
 func (f *Follower) SetHolder(now time.Duration, isHolder bool) {
 	if f.isHolder && !isHolder {
-		f.heardAt = now // the next holder gets its time
+		f.updatedAt = now // the next holder gets its time
 	}
 	f.isHolder = isHolder
 }
@@ -77,10 +77,13 @@
 func (f *Follower) Receive(now time.Duration, token uint64, u Update) Verdict {
 	v := f.classify(token, u)
 	if v == Apply {
-		f.version, f.known = u.Version, true
+		f.version = u.Version
+		f.hasList = true
 	}
 	if v == Apply || v == Current {
-		f.token, f.heardAt, f.unassisted = token, now, false
+		f.token = token
+		f.updatedAt = now
+		f.unassisted = false
 	}
 	return v
 }
@@ -89,7 +92,7 @@
 	switch {
 	case f.isHolder || token < f.token:
 		return Ignore // this gateway publishes the list, or the update is of a former holder
-	case token != f.token && f.known && u.Version < f.version:
+	case token != f.token && f.hasList && u.Version < f.version:
 		return Ignore // a new holder that knows less than this gateway
 	}
 	switch u.Kind {
@@ -98,7 +101,7 @@
 	case KindChanges:
 		return f.classifyChanges(u)
 	case KindHeartbeat:
-		if !f.known || u.Version != f.version {
+		if !f.hasList || u.Version != f.version {
 			return Outdated
 		}
 		return Current
@@ -108,7 +111,7 @@
 
 func (f *Follower) classifyChanges(u Update) Verdict {
 	switch {
-	case !f.known || u.From > f.version:
+	case !f.hasList || u.From > f.version:
 		return Outdated
 	case u.Version <= f.version && u.From < f.version:
 		return Current // they came with the full list
@@ -121,17 +124,18 @@
 // ReceiveDirect takes a list of discovery itself, and reports whether it counts: changes that are no newer
 // than what a holder has published meanwhile do not.
 func (f *Follower) ReceiveDirect(version uint64, full bool) bool {
-	if !full && f.known && version <= f.version {
+	if !full && f.hasList && version <= f.version {
 		return false
 	}
-	f.version, f.known = version, true
+	f.version = version
+	f.hasList = true
 	return true
 }
 
 // ShouldWatch reports whether this gateway has to watch discovery now: as the holder, or as it has had no
 // valid update for too long.
 func (f *Follower) ShouldWatch(now time.Duration) bool {
-	if !f.isHolder && now-f.heardAt >= PublicationTimeout {
+	if !f.isHolder && now-f.updatedAt >= PublicationTimeout {
 		f.unassisted = true
 	}
 	return f.isHolder || f.unassisted
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -24,8 +24,8 @@
 	ctx           context.Context
 	cancel        context.CancelFunc
 
-	applying sync.Mutex                            // overrides are applied one set after the other
-	drain    func(hostsByPool map[string][]string) // nil: the gateway does not serve yet
+	overridesMu sync.Mutex                            // held while overrides are applied, one set after the other
+	drain       func(hostsByPool map[string][]string) // nil: the gateway does not serve yet; guarded by overridesMu
 }
 
 // leaveTimeout is how long a shutdown waits for the fleet to know of it; without, the session expires.
@@ -51,12 +51,12 @@
 		if p.HealthCheckPath != "" {
 			h := newHealthCheck(f, p.Name, p.HealthCheckPath)
 			f.healthChecks = append(f.healthChecks, h)
-			c.Register(h.lease, h.run, h)
+			c.Register(h.leaseName, h.runAsHolder, h)
 		}
 		if p.Discovery != "" {
 			l := newEndpointList(f, p.Name, p.Discovery)
 			f.endpointLists[p.Name] = l
-			c.Register(l.lease, l.hold, l)
+			c.Register(l.leaseName, l.runAsHolder, l)
 		}
 	}
 	return f, nil
@@ -91,9 +91,9 @@
 // accordance with operators' overrides.
 func (f *Fleet) SetPools(pools func(name string) (Pool, bool), drain func(hostsByPool map[string][]string)) {
 	f.pools.Store(&pools)
-	f.applying.Lock()
+	f.overridesMu.Lock()
 	f.drain = drain
-	f.applying.Unlock()
+	f.overridesMu.Unlock()
 	f.applyOverrides() // those that have arrived meanwhile
 	for _, h := range f.healthChecks {
 		go h.reportEjected(f.ctx)
--- a/internal/fleet/healthcheck.go
+++ b/internal/fleet/healthcheck.go
@@ -51,21 +51,26 @@
 
 // healthCheck checks the ejected hosts of a pool, by one gateway for all.
 type healthCheck struct {
-	fleet  *Fleet
-	pool   string
-	path   string // that hosts are asked for
-	lease  string
-	client http.Client
-
-	mu      sync.Mutex
-	checker *healthcheck.Checker // nil: this gateway is not the holder
-	seq     uint64               // of the last publication
-
-	passed, failed, fenced, received atomic.Uint64
+	fleet     *Fleet
+	pool      string
+	path      string // that hosts are asked for
+	leaseName string
+	client    http.Client
+
+	mu             sync.Mutex           // guards the two fields below
+	checker        *healthcheck.Checker // nil: this gateway is not the holder
+	publicationSeq uint64               // of the last publication as this holder
+
+	// Counters of metrics.
+
+	passed   atomic.Uint64 // checks that a host has passed
+	failed   atomic.Uint64 // checks without a response, or with a bad status
+	fenced   atomic.Uint64 // checks that a host rejected, as it knows a later holder
+	received atomic.Uint64 // hosts that have passed, of publications and of checks of this gateway
 }
 
 func newHealthCheck(f *Fleet, pool, path string) *healthCheck {
-	return &healthCheck{fleet: f, pool: pool, path: path, lease: checkLeasePrefix + pool, client: http.Client{
+	return &healthCheck{fleet: f, pool: pool, path: path, leaseName: checkLeasePrefix + pool, client: http.Client{
 		Timeout:       healthcheck.Timeout,
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		// No proxy, and no connection is kept: the question is whether a new client is served.
@@ -95,7 +100,7 @@
 			continue
 		}
 		if b, err := json.Marshal(hostReport{names}); err == nil {
-			c.fleet.cluster.RequestResync(c.lease, b)
+			c.fleet.cluster.RequestResync(c.leaseName, b)
 		}
 	}
 }
@@ -145,8 +150,8 @@
 	}
 }
 
-// run is the work under the lease: hosts are checked while it runs.
-func (c *healthCheck) run(ctx context.Context, l *leaseholder.Lease) {
+// runAsHolder is the work under the check lease: hosts are checked while it runs.
+func (c *healthCheck) runAsHolder(ctx context.Context, l *leaseholder.Lease) {
 	c.setChecker(healthcheck.NewChecker())
 	defer c.setChecker(nil)
 	var checks sync.WaitGroup
@@ -168,7 +173,8 @@
 func (c *healthCheck) setChecker(checker *healthcheck.Checker) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.checker, c.seq = checker, 0
+	c.checker = checker
+	c.publicationSeq = 0
 }
 
 func (c *healthCheck) due() []string {
@@ -184,24 +190,30 @@
 	if c.checker != nil {
 		c.checker.Checked(leaseholder.Now(), name)
 	}
-	c.seq++
-	return c.seq
+	c.publicationSeq++
+	return c.publicationSeq
 }
 
 // check checks a host, and publishes that it has passed.
 func (c *healthCheck) check(l *leaseholder.Lease, name string) {
-	passed := c.ask(l, name)
+	passed := c.request(l, name)
 	seq := c.checked(name)
-	if b, err := json.Marshal(hostReport{[]string{name}}); passed && err == nil && l.Valid() {
-		c.fleet.cluster.Publish("", l, seq, b)
-		c.notifyPool([]string{name})
+	if !passed {
+		return
+	}
+	names := []string{name}
+	b, err := json.Marshal(hostReport{names})
+	if err != nil || !l.Valid() {
+		return
 	}
+	c.fleet.cluster.Publish("", l, seq, b)
+	c.notifyPool(names)
 }
 
-// ask sends one request to a host, and reports whether it passes. The lease is checked last before the
+// request sends one request to a host, and reports whether it passes. The lease is checked last before the
 // request is sent; what happens in between is for the host's fence, and a check changes nothing at a host
 // without one.
-func (c *healthCheck) ask(l *leaseholder.Lease, name string) (passed bool) {
+func (c *healthCheck) request(l *leaseholder.Lease, name string) (passed bool) {
 	p, ok := c.fleet.pool(c.pool)
 	if !ok {
 		return false
--- a/internal/fleet/healthcheck/healthcheck.go
+++ b/internal/fleet/healthcheck/healthcheck.go
@@ -35,14 +35,14 @@
 
 // Checker is the work of the holder of one pool's health check lease.
 type Checker struct {
-	hosts    map[string]*host
-	inFlight int
+	hosts    map[string]*host // by name
+	inFlight int              // checks under way
 }
 
 type host struct {
-	reportedAt time.Duration // last, by any gateway
-	dueAt      time.Duration
-	inFlight   bool
+	reportedAt time.Duration // when a gateway last reported it as ejected
+	dueAt      time.Duration // when it may be checked next
+	inFlight   bool          // a check of it is under way
 }
 
 // NewChecker returns a Checker without hosts.
@@ -89,7 +89,8 @@
 // Checked reports that the check of a host has ended.
 func (c *Checker) Checked(now time.Duration, name string) {
 	if h := c.hosts[name]; h != nil && h.inFlight {
-		h.inFlight, h.dueAt = false, now+Interval
+		h.inFlight = false
+		h.dueAt = now + Interval
 		c.inFlight--
 	}
 }
--- a/internal/fleet/overrides.go
+++ b/internal/fleet/overrides.go
@@ -40,8 +40,8 @@
 
 // applyOverrides applies the present overrides in the gateway, if that serves.
 func (f *Fleet) applyOverrides() {
-	f.applying.Lock()
-	defer f.applying.Unlock()
+	f.overridesMu.Lock()
+	defer f.overridesMu.Unlock()
 	if f.drain != nil {
 		f.drain(f.Drained())
 	}
@@ -77,7 +77,7 @@
 // overrideCalls returns the operators' calls about hosts.
 func (f *Fleet) overrideCalls() map[string]admin.Call {
 	return map[string]admin.Call{
-		PathDrain: post(func(ctx context.Context, v url.Values) response {
+		PathDrain: postCall(func(ctx context.Context, v url.Values) response {
 			o, err := parseOverride(v)
 			if err != nil {
 				return badRequest(err)
@@ -87,7 +87,7 @@
 			}
 			return resultResponse(f.proposeOverride(ctx, lease.OpDrainHost, o))
 		}),
-		PathUndrain: post(func(ctx context.Context, v url.Values) response {
+		PathUndrain: postCall(func(ctx context.Context, v url.Values) response {
 			o, err := parseOverride(v)
 			if err != nil {
 				return badRequest(err)
