--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -38,7 +38,7 @@
 
 // An attempt goes on with another connection only if a reused one was closed before the last byte of the request,
 // which proves that it never ran, and if the request can be sent again.
-func TestAttemptRetriesOnOtherConnection(t *testing.T) {
+func TestAttemptResendsOnOtherConnection(t *testing.T) {
 	plain := &engine.Route{Plain: &engine.Plain{}}
 	notConnected := engine.Ended(balancer.ConnectFailed)
 	partlySent := engine.Result{Outcome: balancer.ConnectFailed, PartlySent: true}
