--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -1,5 +1,5 @@
 // Package upstream contains what the transports of all protocols have in common: the loop of one attempt with its
-// rule for retries, dialing, and the pool that keeps connections to hosts.
+// rule for resending on another connection, dialing, the limits of bodies, and the pool that keeps connections to hosts.
 package upstream
 
 import (
@@ -48,10 +48,10 @@
 	}
 }
 
-// shouldResend reports whether an attempt goes on with another connection. It is no retry: the balancer is not notified,
-// and neither MaxAttempts nor the route's retry budget counts it (engine/retry.go). The condition: a reused one was closed by its host
-// before the last byte of the request was written. That is proof that the request never ran, and says nothing
-// about the host. Each time uses up an open connection, so that there are not many.
+// shouldResend reports whether an attempt goes on with another connection: if a reused one was closed by its host before
+// the last byte of the request was written. That is proof that the request never ran, and says nothing about the host.
+// Each time uses up an open connection, so that there are not many. It is no retry: the balancer is not notified, and
+// neither MaxAttempts nor the route's retry budget counts it (engine/retry.go).
 func shouldResend(ctx context.Context, x *engine.Request, result engine.Result, reused bool) bool {
 	if !reused || ctx.Err() != nil {
 		return false
--- a/internal/upstream/fastcgi/response.go
+++ b/internal/upstream/fastcgi/response.go
@@ -73,20 +73,13 @@
 }
 
 func newResponseStream(c *conn, k *call, up *upload, x *engine.Request, status int, length int64) *responseStream {
-	settings := upstream.Streams(x, &defaultStreams)
-	s := &responseStream{
+	pace, due := upstream.ResponseLimits(x, &defaultStreams)
+	return &responseStream{
 		conn: c, call: k, upload: up, length: length,
 		hasNoBody: httpwire.ResponseHasNoBody(x.Method, status),
-		meter:     body.Meter{Pace: settings.Pace},
+		meter:     body.Meter{Pace: pace},
+		due:       due,
 	}
-	if settings.HeadDeadlineOnly {
-		s.meter.MinRate = 0 // an event stream may be silent
-		return s
-	}
-	if due, known := x.Due(); known {
-		s.due = due
-	}
-	return s
 }
 
 // bufferStart reads what arrives within upstream.MaxBufferTime after start, or all of a body that is short by its length.
--- a/internal/upstream/http1/responsebody.go
+++ b/internal/upstream/http1/responsebody.go
@@ -97,18 +97,13 @@
 }
 
 func newResponseStream(c *conn, x *engine.Request, up *upload, header http.Header) *responseStream {
-	settings := upstream.Streams(x, &defaultStreams)
-	s := &responseStream{conn: c, upload: up, header: header, length: -1}
-	s.meter.Pace = settings.Pace
-	s.deadline.SetDeadline = c.SetReadDeadline
-	if settings.HeadDeadlineOnly {
-		s.meter.MinRate = 0 // an event stream may be silent
-		return s
+	pace, due := upstream.ResponseLimits(x, &defaultStreams)
+	return &responseStream{
+		conn: c, upload: up, header: header, length: -1,
+		meter:    body.Meter{Pace: pace},
+		deadline: body.LazyDeadline{SetDeadline: c.SetReadDeadline},
+		due:      due,
 	}
-	if due, known := x.Due(); known {
-		s.due = due
-	}
-	return s
 }
 
 // startWithLength reads the buffered part of a body with a Content-Length.
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -1,6 +1,11 @@
 package upstream
 
-import "dunemoor/internal/engine"
+import (
+	"time"
+
+	"dunemoor/internal/body"
+	"dunemoor/internal/engine"
+)
 
 // IsPlain reports whether the hosts of the request's route follow only the rules of HTTP or FastCGI. Other hosts
 // follow the platform's protocol, in which a request runs only after its last byte has arrived.
@@ -14,6 +19,23 @@
 	return x.Route.Streams
 }
 
+// ResponseLimits returns the pace that a host must keep with the body of a response, and when its last byte is due. due is
+// zero if only the pace bounds the body. The pace has no minimum rate where the request's deadline ends with the header
+// section, as an event stream may be silent.
+func ResponseLimits(x *engine.Request, defaults *engine.Streams) (pace body.Pace, due time.Time) {
+	settings := Streams(x, defaults)
+	pace = settings.Pace
+	if settings.HeadDeadlineOnly {
+		pace.MinRate = 0
+		return pace, time.Time{}
+	}
+	at, known := x.Due()
+	if !known {
+		return pace, time.Time{}
+	}
+	return pace, at
+}
+
 // bodyConsumed reports whether a part of the streamed body has been read, so that the request can't be sent
 // again.
 func bodyConsumed(x *engine.Request) bool { return !x.Body.Buffered() && x.Body.Stream().Consumed() }
