--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -22,17 +22,21 @@
 	burstFactor = 2
 )
 
-// ownSockets is how many descriptors the process itself needs at least: the three that it is started with, the runtime's
-// two, a listener and its epoll set, the operators' address and a call there, a watch of discovery and the one that
-// replaces it, files that are read, and a connection that is just accepted or closed. Where there are more, 8 in 100 are
-// left for that.
-const ownSockets = 19
-
-// SharedSockets returns the number of descriptors that the shares of clients and hosts are of.
-func SharedSockets(all int) int { return max(min(all, (all-ownSockets)*100/92), 0) }
+const (
+	// ownSockets is how many descriptors the process itself needs at least: the three that it is started with, the
+	// runtime's two, a listener and its epoll set, the operators' address and a call there, a watch of discovery and the
+	// one that replaces it, files that are read, and a connection that is just accepted or closed.
+	ownSockets = 19
+	// sharedPercent is what connections have of SharedSockets: to clients 50 (package gateway), to hosts 42 (hostShare).
+	// The rest is for the process itself.
+	sharedPercent = 92
+	// hostShare is the share of SharedSockets that connections to hosts may use.
+	hostShare = 0.42
+)
 
-// hostShare is the share of the descriptors that connections to hosts may use.
-const hostShare = 0.42
+// SharedSockets returns the number of descriptors that clients and hosts have their shares of: all, or as many fewer as
+// leave ownSockets when the shares are used up.
+func SharedSockets(all int) int { return max(min(all, (all-ownSockets)*100/sharedPercent), 0) }
 
 // HostSockets returns how many descriptors connections to hosts may use.
 func HostSockets(all int) float64 { return hostShare * float64(SharedSockets(all)) }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -28,9 +28,9 @@
 	Discovery string // address of the service that has the endpoint list
 	Seed      uint64
 
-	Cores    float64
-	MemoryMB int
-	Sockets  int // file descriptors that the process may have
+	Cores    float64 // 0: all
+	MemoryMB int     // MiB; 0: DefaultMemoryMB
+	Sockets  int     // file descriptors that the process may have
 
 	Known    discovery.MemberList // the endpoint list that this gateway had last
 	Settings balancer.Settings
@@ -41,10 +41,10 @@
 	Zones   map[string]int
 	Kinds   map[string]int
 
-	keys *keySet // of the file: a later one must have them too
-
 	ConnIdle    time.Duration // a host closes a connection that was idle this long
-	DialTimeout time.Duration
+	DialTimeout time.Duration // for a connection to a host to be established
+
+	keys *keySet // of the file: a later one must have them too
 }
 
 // Defaults and bounds of the platform's configuration.
@@ -67,7 +67,7 @@
 	envFD        = "GW_FD"
 )
 
-// Memory returns how many bytes the process may use.
+// Memory returns how much memory the process may use, in bytes.
 func (c *Platform) Memory() int64 { return int64(cmp.Or(c.MemoryMB, DefaultMemoryMB)) << 20 }
 
 // platformFile is the form of the file that GW_CONFIG names.
@@ -134,7 +134,7 @@
 }
 
 // applyEnvironment replaces values by those of the environment.
-func (f *platformFile) applyEnvironment(getenv func(string) string) (err error) {
+func (f *platformFile) applyEnvironment(getenv func(string) string) error {
 	for _, v := range []struct {
 		name string
 		to   *string
@@ -143,11 +143,15 @@
 			*v.to = s
 		}
 	}
-	if s := getenv(envFD); s != "" {
-		if f.fd, err = strconv.Atoi(s); err != nil || f.fd < firstFreeDescriptor {
-			return fmt.Errorf("%s: %q is no number of a descriptor from %d on", envFD, s, firstFreeDescriptor)
-		}
+	s := getenv(envFD)
+	if s == "" {
+		return nil
+	}
+	fd, err := strconv.Atoi(s)
+	if err != nil || fd < firstFreeDescriptor {
+		return fmt.Errorf("%s: %q is no number of a descriptor from %d on", envFD, s, firstFreeDescriptor)
 	}
+	f.fd = fd
 	return nil
 }
 
--- a/internal/config/text.go
+++ b/internal/config/text.go
@@ -210,38 +210,57 @@
 // LeftOut reports whether DecodeAll has left a line out.
 func (t *Text) LeftOut(line int) bool { return t.leftOut[line] }
 
-// locate converts an error of the library. Of a value of the wrong type in one of several tables of a name the library
-// reports the line of the last of them; so each of them is read by itself, with that key alone, and the first that fails
-// has the error.
+// locate converts an error of the library to an Error at its line. line is 0 if the library names none.
 func (t *Text) locate(err error, form reflect.Type) (line int, located error) {
-	key, text := "", ""
+	line, key, text, ok := parseLibraryError(err)
+	if !ok {
+		return 0, fmt.Errorf("%s: %w", t.path, err)
+	}
+	if invalid := t.firstInvalidLine(key, form); invalid > 0 {
+		line = invalid
+	}
+	return line, t.Errorf(line, key, "%s", text)
+}
+
+// parseLibraryError returns the line, the dotted key and the text of an error of the library.
+func parseLibraryError(err error) (line int, key, text string, ok bool) {
 	var parseError toml.ParseError
 	if errors.As(err, &parseError) {
-		line, key, text = parseError.Position.Line, parseError.LastKey, parseError.Message
-	} else if m := decodeError.FindStringSubmatch(err.Error()); m != nil {
-		fmt.Sscan(m[1], &line)
-		key, text = m[2], m[3]
-	} else {
-		return 0, fmt.Errorf("%s: %w", t.path, err)
+		return parseError.Position.Line, parseError.LastKey, parseError.Message, true
 	}
-	i := strings.LastIndexByte(key, '.')
-	if i < 0 || t.count(key[:i]) < 2 {
-		return line, t.Errorf(line, key, "%s", text)
+	m := decodeError.FindStringSubmatch(err.Error())
+	if m == nil {
+		return 0, "", "", false
+	}
+	fmt.Sscan(m[1], &line)
+	return line, m[2], m[3], true
+}
+
+// firstInvalidLine returns the line of the first invalid value of a dotted key that several tables of one name may have,
+// and 0 if there is one such table, or if no value is invalid by itself. The library reports the line of the last of the
+// tables; so each of them is read by itself, with that key alone.
+func (t *Text) firstInvalidLine(dotted string, form reflect.Type) int {
+	lastDot := strings.LastIndexByte(dotted, '.')
+	if lastDot < 0 {
+		return 0
+	}
+	name, key := dotted[:lastDot], dotted[lastDot+1:]
+	if t.count(name) < 2 {
+		return 0
 	}
 	lines := strings.Split(t.data, "\n")
-	for k := range t.tables {
-		x := &t.tables[k]
-		at := x.keys[key[i+1:]]
-		if x.name != key[:i] || at == 0 {
+	for i := range t.tables {
+		table := &t.tables[i]
+		keyLine := table.keys[key]
+		if table.name != name || keyLine == 0 {
 			continue
 		}
-		alone := lines[x.line-1] + "\n" + lines[at-1]
+		alone := lines[table.line-1] + "\n" + lines[keyLine-1]
 		if _, err := toml.Decode(alone, reflect.New(form).Interface()); err != nil {
-			line = at
-			break
+			return keyLine
 		}
 	}
-	return line, t.Errorf(line, key, "%s", text)
+	return 0
 }
 
 // count returns the number of tables of a name.
