--- a/internal/config/checker.go
+++ b/internal/config/checker.go
@@ -23,13 +23,19 @@
 	c.errors = append(c.errors, c.Errorf(line, strings.TrimSuffix(field, "."), format, args...))
 }
 
-// checkRange adds an error where x is out of bounds.
-func (c *checker) checkRange(table string, n int, key string, x, low, high float64) {
-	if !(x >= low && x <= high) {
-		c.addErrorf(table, n, key, "%v is not between %v and %v", x, low, high)
+// checkRange adds an error where a value is out of bounds, or no number.
+func (c *checker) checkRange(table string, n int, key string, value, low, high float64) {
+	if !isBetween(value, low, high) {
+		c.addErrorf(table, n, key, notBetween, value, low, high)
 	}
 }
 
+// notBetween is the text of the error for a value that is not between two bounds.
+const notBetween = "%v is not between %v and %v"
+
+// isBetween reports whether a value is within bounds, which count as within. NaN is not.
+func isBetween(value, low, high float64) bool { return value >= low && value <= high }
+
 // maxNameBytes is how long a name may be: names are in logs, file names and status lines.
 const maxNameBytes = 64
 
--- a/internal/config/recording.go
+++ b/internal/config/recording.go
@@ -47,15 +47,18 @@
 		return nil, err
 	}
 	f := recordingFile{RingKB: defaultRingBytes >> 10, ViewEvery: Duration(defaultViewInterval), FileMB: defaultFileBytes >> 20}
-	f.Trigger.Within, f.Trigger.Pause, f.Trigger.Least = Duration(defaultTriggerWithin), Duration(defaultTriggerPause), defaultTriggerLeast
+	f.Trigger.Within = Duration(defaultTriggerWithin)
+	f.Trigger.Pause = Duration(defaultTriggerPause)
+	f.Trigger.Least = defaultTriggerLeast
 	file := NewText(path, string(text))
 	if err := file.Decode(&f); err != nil {
 		return nil, err
 	}
-	for _, check := range []func(*Text, *recordingFile) error{checkRecordingBounds, checkRecordingPaths} {
-		if err := check(file, &f); err != nil {
-			return nil, err
-		}
+	if err := checkRecordingBounds(file, &f); err != nil {
+		return nil, err
+	}
+	if err := checkRecordingPaths(file, &f); err != nil {
+		return nil, err
 	}
 	return &engine.RecordingConfig{
 		RingBytes: f.RingKB << 10, ViewInterval: time.Duration(f.ViewEvery), Dir: f.Dir,
@@ -88,8 +91,8 @@
 		{"trigger.least", float64(f.Trigger.Least), 1, math.MaxInt32},
 		{"trigger.pause", time.Duration(f.Trigger.Pause).Seconds(), 1, math.MaxInt32},
 	} {
-		if !(x.value >= x.low && x.value <= x.high) {
-			return file.Errorf(file.dottedLine(x.key), x.key, "%v is not between %v and %v", x.value, x.low, x.high)
+		if !isBetween(x.value, x.low, x.high) {
+			return file.Errorf(file.dottedLine(x.key), x.key, notBetween, x.value, x.low, x.high)
 		}
 	}
 	return nil
--- a/internal/fleet/calls.go
+++ b/internal/fleet/calls.go
@@ -109,17 +109,21 @@
 // transfer transfers a lease to another gateway, or to any where the target is empty, and waits until that
 // has happened as far as is known here.
 func (f *Fleet) transfer(ctx context.Context, name, target string) response {
-	holder, token := f.holder(name)
+	oldHolder, oldToken := f.holder(name)
 	r := resultResponse(f.cluster.Propose(ctx, lease.Command{Op: lease.OpTransfer, Lease: name, Target: target}))
-	if r.status != http.StatusOK || target != "" && holder == target {
+	alreadyThere := target != "" && oldHolder == target
+	if r.status != http.StatusOK || alreadyThere {
 		return r
 	}
-	end := time.Now().Add(transferTimeout)
+	deadline := time.Now().Add(transferTimeout)
 	for {
-		if now, next := f.holder(name); now != "" && next != token && (target == "" || now == target) {
-			return response{http.StatusOK, fmt.Sprintf("done: %s owns it, token %d\n", now, next)}
+		holder, token := f.holder(name)
+		isNewGrant := holder != "" && token != oldToken
+		isWanted := target == "" || holder == target
+		if isNewGrant && isWanted {
+			return response{http.StatusOK, fmt.Sprintf("done: %s owns it, token %d\n", holder, token)}
 		}
-		if time.Now().After(end) {
+		if time.Now().After(deadline) {
 			text := fmt.Sprintf("asked, and not seen to have happened after %v: see the fleet's duties\n", transferTimeout)
 			return response{http.StatusGatewayTimeout, text}
 		}
