--- a/internal/upstream/http1/conn.go
+++ b/internal/upstream/http1/conn.go
@@ -25,19 +25,19 @@
 	reused    bool      // it has carried a request
 	idleSince time.Time // of its last request; guarded by Transport.mu while the connection is in the pool
 
-	readGap   time.Duration     // limit of the time of a single read; 0: none
-	readErr   error             // the first error of a read other than a timeout
-	headerMax *io.LimitedReader // limits the length of a response's header section
-	in        *bufio.Reader     // buffers headerMax
-	text      *textproto.Reader // reads header sections from in
-	proto     string            // version of the last response
+	readGap      time.Duration     // limit of the time of a single read; 0: none
+	readErr      error             // the first error of a read other than a timeout
+	headerLimit  *io.LimitedReader // limits the length of a response's header section
+	in           *bufio.Reader     // buffers headerLimit
+	headerReader *textproto.Reader // reads header sections from in
+	lastProto    string            // HTTP version of the last response
 }
 
 func newConn(netConn net.Conn, h *host, target upstream.Process) *conn {
 	c := &conn{Conn: netConn, host: h, process: target}
-	c.headerMax = &io.LimitedReader{R: c, N: maxHeaderBytes}
-	c.in = bufio.NewReader(c.headerMax)
-	c.text = textproto.NewReader(c.in)
+	c.headerLimit = &io.LimitedReader{R: c, N: maxHeaderBytes}
+	c.in = bufio.NewReader(c.headerLimit)
+	c.headerReader = textproto.NewReader(c.in)
 	return c
 }
 
--- a/internal/upstream/http1/response.go
+++ b/internal/upstream/http1/response.go
@@ -18,7 +18,7 @@
 const (
 	// maxHeaderBytes limits the header section of a response, and its trailer section.
 	maxHeaderBytes = 16 << 10
-	// unlimitedBytes removes the limit of conn.headerMax.
+	// unlimitedBytes removes the limit of conn.headerLimit.
 	unlimitedBytes = math.MaxInt64
 	// maxHeaderTime limits the time for a header section to arrive once it has begun, on plain routes.
 	maxHeaderTime = 5 * time.Second
@@ -42,7 +42,7 @@
 func (c *conn) readResponse(x *engine.Request, up *upload) (response engine.Response, stream *responseStream, err error) {
 	defer c.setReadGap(0)
 	for {
-		c.headerMax.N = maxHeaderBytes
+		c.headerLimit.N = maxHeaderBytes
 		if _, err := c.in.Peek(1); err != nil {
 			return response, nil, err
 		}
@@ -76,7 +76,7 @@
 // messageError returns the error of a response that failed with err after its first byte. The host has gone if the
 // connection ended. If it stays open but sends no complete response, the response is malformed.
 func (c *conn) messageError(err error) error {
-	isTooLong := c.headerMax.N <= 0
+	isTooLong := c.headerLimit.N <= 0
 	if isTooLong || errors.Is(err, os.ErrDeadlineExceeded) {
 		return errMalformedResponse
 	}
@@ -108,10 +108,10 @@
 // readHeader reads a status line and header section. Unlike http.ReadResponse it keeps a Content-Length beside a
 // Transfer-Encoding.
 func (c *conn) readHeader(response *engine.Response) error {
-	c.proto = ""
+	c.lastProto = ""
 	response.Status = 0
 	response.Header = nil
-	line, err := c.text.ReadLine()
+	line, err := c.headerReader.ReadLine()
 	if err != nil {
 		return err
 	}
@@ -119,12 +119,12 @@
 	if !ok {
 		return errMalformedResponse
 	}
-	fields, err := c.text.ReadMIMEHeader()
+	fields, err := c.headerReader.ReadMIMEHeader()
 	var malformed textproto.ProtocolError
 	if errors.As(err, &malformed) {
 		err = errMalformedResponse
 	}
-	c.proto = proto
+	c.lastProto = proto
 	response.Status = status
 	response.Header = http.Header(fields)
 	return err
--- a/internal/upstream/http1/responsebody.go
+++ b/internal/upstream/http1/responsebody.go
@@ -46,7 +46,7 @@
 // returns nil if that is all of it. A body that is framed in two ways is malformed, as the next recipient could
 // interpret it differently.
 func (c *conn) readBody(x *engine.Request, up *upload, response *engine.Response) (*responseStream, error) {
-	c.headerMax.N = unlimitedBytes
+	c.headerLimit.N = unlimitedBytes
 	if httpwire.ResponseHasNoBody(x.Method, response.Status) {
 		return nil, nil
 	}
@@ -274,8 +274,8 @@
 
 // readTrailer reads the trailer section (RFC 9112, 7.1.2), which follows the last chunk.
 func (c *conn) readTrailer() (http.Header, error) {
-	c.headerMax.N = maxHeaderBytes
-	defer func() { c.headerMax.N = unlimitedBytes }()
+	c.headerLimit.N = maxHeaderBytes
+	defer func() { c.headerLimit.N = unlimitedBytes }()
 	start, err := c.in.Peek(len(crlf))
 	if err != nil {
 		return nil, io.ErrUnexpectedEOF
--- a/internal/upstream/http1/roundtrip.go
+++ b/internal/upstream/http1/roundtrip.go
@@ -97,7 +97,7 @@
 		c.host.transport.unsolicitedReceived()
 		return false
 	}
-	return c.proto == "HTTP/1.1" && !announcesClose(header)
+	return c.lastProto == "HTTP/1.1" && !announcesClose(header)
 }
 
 // finish gives up the connection after a complete response, and keeps it if it is reusable. An upload that is still
--- a/internal/upstream/http1/tunnel.go
+++ b/internal/upstream/http1/tunnel.go
@@ -12,7 +12,7 @@
 }
 
 func newTunnel(c *conn) *tunnel {
-	c.headerMax.N = unlimitedBytes
+	c.headerLimit.N = unlimitedBytes
 	c.SetReadDeadline(time.Time{})
 	c.SetWriteDeadline(time.Time{})
 	return &tunnel{conn: c}
