--- a/internal/config/text.go
+++ b/internal/config/text.go
@@ -10,7 +10,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Error is a mistake in a file.
+// Error is an error in a file, at a line and field.
 type Error struct {
 	Path  string
 	Line  int    // 0: not known
@@ -73,8 +73,9 @@
 	if !ok || strings.HasPrefix(line, "#") {
 		return ""
 	}
+	key = strings.Trim(strings.TrimSpace(key), `"'`)
 	last := &t.tables[len(t.tables)-1]
-	if key = strings.Trim(strings.TrimSpace(key), `"'`); last.keys[key] == 0 {
+	if last.keys[key] == 0 {
 		last.keys[key] = n
 	}
 	for _, q := range []string{`"""`, "'''"} {
@@ -105,18 +106,21 @@
 	return 0
 }
 
-// firstLine returns the first line of a dotted key, in any table.
+// firstLine returns the first line of a dotted key, in any table. Of "a.b.c" it looks for a table of that name, then for
+// the key "c" in a table "a.b", then for "b.c" in "a", and at last for the whole key at the top of the file.
 func (t *Text) firstLine(dotted string) int {
-	for name, key := dotted, ""; ; {
+	name := dotted
+	key := ""
+	for {
 		if line := t.lineIn(name, key); line > 0 {
 			return line
 		}
-		i := strings.LastIndexByte(name, '.')
-		key = strings.TrimSuffix(name[i+1:]+"."+key, ".")
-		if i < 0 {
-			return t.tables[0].keys[key]
+		lastDot := strings.LastIndexByte(name, '.')
+		if lastDot < 0 {
+			return t.tables[0].keys[dotted]
 		}
-		name = name[:i]
+		key = strings.TrimSuffix(name[lastDot+1:]+"."+key, ".")
+		name = name[:lastDot]
 	}
 }
 
@@ -147,41 +151,41 @@
 
 // Decode reads the text into v. A key that v has no field for is an error.
 func (t *Text) Decode(v any) error {
-	if mistakes := t.DecodeAll(v); len(mistakes) > 0 {
-		return mistakes[0]
+	if errs := t.DecodeAll(v); len(errs) > 0 {
+		return errs[0]
 	}
 	return nil
 }
 
-// maxMistakes is how many values of a wrong type are reported.
-const maxMistakes = 20
+// maxTypeErrors is how many values of a wrong type are reported.
+const maxTypeErrors = 20
 
-// DecodeAll reads the text into v and returns all mistakes: after a value of a wrong type it goes on without that line, so
-// that one mistake does not hide the others. LeftOut reports such lines.
-func (t *Text) DecodeAll(v any) (mistakes []error) {
+// DecodeAll reads the text into v and returns all errors: after a value of a wrong type it goes on without that line, so
+// that one error does not hide the others. LeftOut reports such lines.
+func (t *Text) DecodeAll(v any) (errs []error) {
 	data := t.data
 	defer func() { t.data = data }()
 	form := reflect.TypeOf(v).Elem()
-	for range maxMistakes {
+	for range maxTypeErrors {
 		into := reflect.New(form)
 		into.Elem().Set(reflect.ValueOf(v).Elem()) // its defaults
 		meta, err := toml.Decode(t.data, into.Interface())
 		if err != nil {
-			line, mistake := t.locate(err, form)
-			mistakes = append(mistakes, mistake)
+			line, located := t.locate(err, form)
+			errs = append(errs, located)
 			if !t.leaveOut(line) {
-				return mistakes
+				return errs
 			}
 			continue
 		}
 		reflect.ValueOf(v).Elem().Set(into.Elem())
 		for _, unknown := range meta.Undecoded() {
 			key := unknown.String()
-			mistakes = append(mistakes, t.Errorf(t.firstLine(key), key, "there is no such setting"))
+			errs = append(errs, t.Errorf(t.firstLine(key), key, "there is no such setting"))
 		}
-		return mistakes
+		return errs
 	}
-	return mistakes
+	return errs
 }
 
 // leaveOut removes a line that is a setting by itself, and reports whether it did.
@@ -206,38 +210,57 @@
 // LeftOut reports whether DecodeAll has left a line out.
 func (t *Text) LeftOut(line int) bool { return t.leftOut[line] }
 
-// locate converts an error of the library. Of a value of the wrong type in one of several tables of a name the library
-// reports the line of the last of them; so each of them is read by itself, with that key alone, and the first that fails
-// has the error.
-func (t *Text) locate(err error, form reflect.Type) (line int, mistake error) {
-	key, text := "", ""
+// locate converts an error of the library to an Error at its line. line is 0 if the library names none.
+func (t *Text) locate(err error, form reflect.Type) (line int, located error) {
+	line, key, text, ok := parseLibraryError(err)
+	if !ok {
+		return 0, fmt.Errorf("%s: %w", t.path, err)
+	}
+	if invalid := t.firstInvalidLine(key, form); invalid > 0 {
+		line = invalid
+	}
+	return line, t.Errorf(line, key, "%s", text)
+}
+
+// parseLibraryError returns the line, the dotted key and the text of an error of the library.
+func parseLibraryError(err error) (line int, key, text string, ok bool) {
 	var parseError toml.ParseError
 	if errors.As(err, &parseError) {
-		line, key, text = parseError.Position.Line, parseError.LastKey, parseError.Message
-	} else if m := decodeError.FindStringSubmatch(err.Error()); m != nil {
-		fmt.Sscan(m[1], &line)
-		key, text = m[2], m[3]
-	} else {
-		return 0, fmt.Errorf("%s: %w", t.path, err)
+		return parseError.Position.Line, parseError.LastKey, parseError.Message, true
 	}
-	i := strings.LastIndexByte(key, '.')
-	if i < 0 || t.count(key[:i]) < 2 {
-		return line, t.Errorf(line, key, "%s", text)
+	m := decodeError.FindStringSubmatch(err.Error())
+	if m == nil {
+		return 0, "", "", false
+	}
+	fmt.Sscan(m[1], &line)
+	return line, m[2], m[3], true
+}
+
+// firstInvalidLine returns the line of the first invalid value of a dotted key that several tables of one name may have,
+// and 0 if there is one such table, or if no value is invalid by itself. The library reports the line of the last of the
+// tables; so each of them is read by itself, with that key alone.
+func (t *Text) firstInvalidLine(dotted string, form reflect.Type) int {
+	lastDot := strings.LastIndexByte(dotted, '.')
+	if lastDot < 0 {
+		return 0
+	}
+	name, key := dotted[:lastDot], dotted[lastDot+1:]
+	if t.count(name) < 2 {
+		return 0
 	}
 	lines := strings.Split(t.data, "\n")
-	for k := range t.tables {
-		x := &t.tables[k]
-		at := x.keys[key[i+1:]]
-		if x.name != key[:i] || at == 0 {
+	for i := range t.tables {
+		table := &t.tables[i]
+		keyLine := table.keys[key]
+		if table.name != name || keyLine == 0 {
 			continue
 		}
-		alone := lines[x.line-1] + "\n" + lines[at-1]
+		alone := lines[table.line-1] + "\n" + lines[keyLine-1]
 		if _, err := toml.Decode(alone, reflect.New(form).Interface()); err != nil {
-			line = at
-			break
+			return keyLine
 		}
 	}
-	return line, t.Errorf(line, key, "%s", text)
+	return 0
 }
 
 // count returns the number of tables of a name.
--- a/internal/discovery/members.go
+++ b/internal/discovery/members.go
@@ -9,9 +9,9 @@
 
 // MemberList is the endpoint list, or changes of it, in discovery's form.
 type MemberList struct {
-	Version uint64
-	Full    bool
-	Servers []Member
+	Version uint64   // of the list, with these changes
+	Full    bool     // Servers is the whole list, and not changes of it
+	Servers []Member // in changes, those that are new or that changed
 }
 
 // Member is a host of the list.
@@ -22,22 +22,22 @@
 	Kind      string
 	Cell      int
 	State     string
-	StartedMS int64 `json:"started_ms"`
+	StartedMS int64 `json:"started_ms"` // when its process started, in milliseconds; 0: long ago
 }
 
 // States of members.
 const (
-	stateReady    = "ready"
-	stateDraining = "draining"
-	stateGone     = "gone"
+	StateReady    = "ready"
+	StateDraining = "draining" // it gets nothing new
+	StateGone     = "gone"     // it has left the list
 )
 
 // HostState returns the state of a member. A host with an unknown state gets no new requests.
 func (m *Member) HostState() balancer.HostState {
 	switch m.State {
-	case stateReady:
+	case StateReady:
 		return balancer.Ready
-	case stateGone:
+	case StateGone:
 		return balancer.Removed
 	}
 	return balancer.Draining
--- a/internal/upstream/http1/responsebody.go
+++ b/internal/upstream/http1/responsebody.go
@@ -46,7 +46,7 @@
 // returns nil if that is all of it. A body that is framed in two ways is malformed, as the next recipient could
 // interpret it differently.
 func (c *conn) readBody(x *engine.Request, up *upload, response *engine.Response) (*responseStream, error) {
-	c.headerMax.N = unlimitedBytes
+	c.headerLimit.N = unlimitedBytes
 	if httpwire.ResponseHasNoBody(x.Method, response.Status) {
 		return nil, nil
 	}
@@ -97,18 +97,13 @@
 }
 
 func newResponseStream(c *conn, x *engine.Request, up *upload, header http.Header) *responseStream {
-	settings := upstream.Streams(x, &defaultStreams)
-	s := &responseStream{conn: c, upload: up, header: header, length: -1}
-	s.meter.Pace = settings.Pace
-	s.deadline.SetDeadline = c.SetReadDeadline
-	if settings.HeadDeadlineOnly {
-		s.meter.MinRate = 0 // an event stream may be silent
-		return s
+	pace, due := upstream.ResponseLimits(x, &defaultStreams)
+	return &responseStream{
+		conn: c, upload: up, header: header, length: -1,
+		meter:    body.Meter{Pace: pace},
+		deadline: body.LazyDeadline{SetDeadline: c.SetReadDeadline},
+		due:      due,
 	}
-	if due, known := x.Due(); known {
-		s.due = due
-	}
-	return s
 }
 
 // startWithLength reads the buffered part of a body with a Content-Length.
@@ -279,8 +274,8 @@
 
 // readTrailer reads the trailer section (RFC 9112, 7.1.2), which follows the last chunk.
 func (c *conn) readTrailer() (http.Header, error) {
-	c.headerMax.N = maxHeaderBytes
-	defer func() { c.headerMax.N = unlimitedBytes }()
+	c.headerLimit.N = maxHeaderBytes
+	defer func() { c.headerLimit.N = unlimitedBytes }()
 	start, err := c.in.Peek(len(crlf))
 	if err != nil {
 		return nil, io.ErrUnexpectedEOF
