--- a/internal/gateway/appliance_test.go
+++ b/internal/gateway/appliance_test.go
@@ -15,15 +15,11 @@
 	"dunemoor/internal/testutil"
 )
 
-// Plain clients send none of our headers: their requests reach the pool that the route names, hosts
-// receive id and timeout, and any status is returned as it is.
-func TestPlainClientReachesRoutedPool(t *testing.T) {
-	var last *http.Request
-	var mu sync.Mutex
+// startStatusAppliance returns a gateway with a plain route for /address, and its host. The host answers with the status that
+// the path names, or else with 200, and a text that names the path where the status and the method allow one.
+func startStatusAppliance(t *testing.T) (*testAppliance, *testutil.Host) {
+	t.Helper()
 	host := testutil.NewHost(t, func(c net.Conn, r *http.Request, _ int) bool {
-		mu.Lock()
-		last = r
-		mu.Unlock()
 		status, text := 200, "text of "+r.URL.Path
 		fmt.Sscanf(r.URL.Path, "/address/%d", &status)
 		if r.Method == "HEAD" || status == 204 || status == 304 {
@@ -42,6 +38,13 @@
 class = "lookup"
 timeout = "10s"
 repeatable = ["PUT"]`))
+	return g, host
+}
+
+// Plain clients send none of our headers: their requests reach the pool that the route names, and any status is returned as
+// it is.
+func TestPlainClientReachesRoutedPool(t *testing.T) {
+	g, _ := startStatusAppliance(t)
 	for _, status := range []int{200, 201, 204, 205, 301, 304, 404, 418, 501, 599} {
 		resp, text := fetch(t, "GET", fmt.Sprintf("%s/address/%d", g.urls[0], status), "")
 		if resp.StatusCode != status || resp.Header.Get("Location") != "/elsewhere" || len(resp.Header["X-A"]) != 2 {
@@ -55,31 +58,44 @@
 	if resp, text := fetch(t, "HEAD", g.urls[0]+"/address/x", ""); resp.StatusCode != 200 || text != "" {
 		t.Errorf("HEAD: status %d, body %q, want 200 without a body", resp.StatusCode, text)
 	}
+	if resp, text := fetch(t, "GET", g.urls[0]+"/other", ""); resp.StatusCode != 404 {
+		t.Errorf("no route: status %d, body %q, want 404", resp.StatusCode, text)
+	}
+}
+
+// Hosts receive the target, id and timeout of a plain client, or an id and a timeout of the gateway's if it sends none, and no
+// header that concerns its connection only.
+func TestPlainRequestReachesHostWithIDAndTimeout(t *testing.T) {
+	g, host := startStatusAppliance(t)
+	lastRequest := func() *http.Request {
+		host.Mu.Lock()
+		defer host.Mu.Unlock()
+		return host.Requests[len(host.Requests)-1]
+	}
+	timeoutOf := func(r *http.Request) (seconds float64) {
+		fmt.Sscan(r.Header.Get("X-Timeout"), &seconds)
+		return seconds
+	}
+
 	fetch(t, "PUT", g.urls[0]+"/address/x?a=%2F%zz", "a body", "X-Request-Id", "mine-1", "X-Timeout", "2.5", "Connection", "X-Hop", "X-Hop", "1")
-	mu.Lock()
-	if last.RequestURI != "/address/x?a=%2F%zz" || last.Header.Get("X-Request-Id") != "mine-1" || last.Header.Get("X-Hop") != "" {
+	got := lastRequest()
+	if got.RequestURI != "/address/x?a=%2F%zz" || got.Header.Get("X-Request-Id") != "mine-1" || got.Header.Get("X-Hop") != "" {
 		t.Errorf("the host got %s with headers %v, want the target and id of the client and no X-Hop",
-			last.RequestURI, last.Header)
+			got.RequestURI, got.Header)
 	}
-	var left float64
-	fmt.Sscan(last.Header.Get("X-Timeout"), &left)
-	if left <= 1 || left > 2.5 {
-		t.Errorf("X-Timeout %q at the host, want 1 to 2.5 s", last.Header.Get("X-Timeout"))
+	if seconds := timeoutOf(got); seconds <= 1 || seconds > 2.5 {
+		t.Errorf("X-Timeout %q at the host, want 1 to 2.5 s", got.Header.Get("X-Timeout"))
 	}
-	mu.Unlock()
+
 	fetch(t, "GET", g.urls[0]+"/address/x", "")
-	mu.Lock()
-	if id := last.Header.Get("X-Request-Id"); len(id) != 16 {
+	got = lastRequest()
+	if id := got.Header.Get("X-Request-Id"); len(id) != 16 {
 		t.Errorf("generated id %q, want 16 characters", id)
 	}
-	fmt.Sscan(last.Header.Get("X-Timeout"), &left)
-	if left <= 5 || left > 10 {
-		t.Errorf("X-Timeout %q at the host, want 5 to the 10 s of the route", last.Header.Get("X-Timeout"))
-	}
-	mu.Unlock()
-	if resp, text := fetch(t, "GET", g.urls[0]+"/other", ""); resp.StatusCode != 404 {
-		t.Errorf("no route: status %d, body %q, want 404", resp.StatusCode, text)
+	if seconds := timeoutOf(got); seconds <= 5 || seconds > 10 {
+		t.Errorf("X-Timeout %q at the host, want 5 to the 10 s of the route", got.Header.Get("X-Timeout"))
 	}
+
 	// Plain routes allow repeated ids, as tracing clients send them.
 	for range 2 {
 		if resp, _ := fetch(t, "GET", g.urls[0]+"/address/x", "", "X-Request-Id", "trace-7"); resp.StatusCode != 200 {
--- a/internal/gateway/bench_body_test.go
+++ b/internal/gateway/bench_body_test.go
@@ -15,6 +15,9 @@
 	"time"
 )
 
+// proxyKinds are the proxies that BenchmarkBeside compares, in the order of its figures.
+var proxyKinds = []string{"dunemoor", "ReverseProxy"}
+
 // BenchmarkBeside sends bodies up and down through the gateway and through httputil.ReverseProxy, each
 // a process on one core, in turn. It measures CPU time a request, the ratio of throughputs and peak
 // memory.
@@ -28,72 +31,92 @@
 		writeZeros(w, n)
 	}))
 	defer host.Close()
-	kinds := []string{"dunemoor", "ReverseProxy"}
+	hostAddr := host.Listener.Addr().String()
 	for _, size := range []int64{1 << 10, 64 << 10, 1 << 20, 64 << 20} {
 		for _, way := range []string{"up", "down"} {
 			b.Run(fmt.Sprintf("%dKiB/%s", size>>10, way), func(b *testing.B) {
 				for b.Loop() {
-					var children []*proxyProcess
-					for _, k := range kinds {
-						children = append(children, startProxyProcess(b, k, host.Listener.Addr().String()))
-					}
-					took, cpu, peak, count := make([]time.Duration, 2), make([]time.Duration, 2), make([]int, 2), make([]int, 2)
-					for range 6 { // in turn, so that other load of the machine affects both
-						for i, c := range children {
-							before, _ := c.usage(b)
-							began := time.Now()
-							count[i] += runLoad(b, c.url, way, size, 300*time.Millisecond)
-							took[i] += time.Since(began)
-							after, top := c.usage(b)
-							cpu[i] += after - before
-							peak[i] = top
-						}
-					}
-					for i, k := range kinds {
-						b.ReportMetric(float64(cpu[i].Microseconds())/float64(count[i]), k+"-us/op")
-						b.ReportMetric(float64(peak[i])/1024, k+"-peak-MB")
-					}
-					rate := func(i int) float64 { return float64(count[i]) / took[i].Seconds() }
-					b.ReportMetric(rate(0)/rate(1), "throughput-ratio")
-					b.ReportMetric(float64(cpu[0])/float64(count[0])/(float64(cpu[1])/float64(count[1])), "cpu-ratio")
+					compareProxies(b, hostAddr, way, size)
 				}
 			})
 		}
 	}
 	b.Run("200x64MiB", func(b *testing.B) {
 		for b.Loop() {
-			for _, k := range kinds {
-				c := startProxyProcess(b, k, host.Listener.Addr().String())
-				var all sync.WaitGroup
-				for range 200 {
-					all.Go(func() {
-						var resp *http.Response
-						for { // a new host is not sent 200 requests at once
-							var err error
-							if resp, err = http.Get(c.url + fmt.Sprintf("/?n=%d", 64<<20)); err != nil {
-								b.Error(err)
-								return
-							}
-							if resp.StatusCode == http.StatusOK {
-								break
-							}
-							resp.Body.Close() // frees the connection before the next request
-							time.Sleep(50 * time.Millisecond)
-						}
-						defer resp.Body.Close()
-						if n, err := io.Copy(io.Discard, resp.Body); n != 64<<20 {
-							b.Errorf("%d bytes, error %v, want %d", n, err, 64<<20)
-						}
-					})
-				}
-				all.Wait()
-				_, peak := c.usage(b)
-				b.ReportMetric(float64(peak)/1024, k+"-peak-MB")
+			for _, kind := range proxyKinds {
+				proxy := startProxyProcess(b, kind, hostAddr)
+				downloadAtOnce(b, proxy.url, 200, 64<<20)
+				_, peak := proxy.usage(b)
+				b.ReportMetric(float64(peak)/1024, kind+"-peak-MB")
 			}
 		}
 	})
 }
 
+// proxyLoad is what one of proxyKinds has cost.
+type proxyLoad struct {
+	requests     int // served
+	elapsed, cpu time.Duration
+	peakKB       int
+}
+
+// compareProxies loads each of proxyKinds with bodies of a size in bytes, and reports what they cost.
+func compareProxies(b *testing.B, hostAddr, way string, size int64) {
+	b.Helper()
+	var proxies []*proxyProcess
+	for _, kind := range proxyKinds {
+		proxies = append(proxies, startProxyProcess(b, kind, hostAddr))
+	}
+	loads := make([]proxyLoad, len(proxies))
+	for range 6 { // in turn, so that other load of the machine affects both
+		for i, proxy := range proxies {
+			load := &loads[i]
+			cpuBefore, _ := proxy.usage(b)
+			began := time.Now()
+			load.requests += runLoad(b, proxy.url, way, size, 300*time.Millisecond)
+			load.elapsed += time.Since(began)
+			cpuAfter, peakKB := proxy.usage(b)
+			load.cpu += cpuAfter - cpuBefore
+			load.peakKB = peakKB
+		}
+	}
+	for i, kind := range proxyKinds {
+		b.ReportMetric(float64(loads[i].cpu.Microseconds())/float64(loads[i].requests), kind+"-us/op")
+		b.ReportMetric(float64(loads[i].peakKB)/1024, kind+"-peak-MB")
+	}
+	throughput := func(load proxyLoad) float64 { return float64(load.requests) / load.elapsed.Seconds() }
+	cpuPerRequest := func(load proxyLoad) float64 { return float64(load.cpu) / float64(load.requests) }
+	b.ReportMetric(throughput(loads[0])/throughput(loads[1]), "throughput-ratio")
+	b.ReportMetric(cpuPerRequest(loads[0])/cpuPerRequest(loads[1]), "cpu-ratio")
+}
+
+// downloadAtOnce downloads bodies of a size in bytes with a number of clients at once.
+func downloadAtOnce(b *testing.B, url string, clients int, size int64) {
+	var all sync.WaitGroup
+	for range clients {
+		all.Go(func() {
+			var resp *http.Response
+			for { // a new host is not sent all requests at once
+				var err error
+				if resp, err = http.Get(url + fmt.Sprintf("/?n=%d", size)); err != nil {
+					b.Error(err)
+					return
+				}
+				if resp.StatusCode == http.StatusOK {
+					break
+				}
+				resp.Body.Close() // frees the connection before the next request
+				time.Sleep(50 * time.Millisecond)
+			}
+			defer resp.Body.Close()
+			if n, err := io.Copy(io.Discard, resp.Body); n != size {
+				b.Errorf("%d bytes, error %v, want %d", n, err, size)
+			}
+		})
+	}
+	all.Wait()
+}
+
 // runLoad sends requests with 8 clients for a span, and returns how many were served.
 func runLoad(b *testing.B, url, way string, size int64, span time.Duration) int {
 	var n atomic.Int64
