--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -83,6 +83,34 @@
 // listed reports whether the applied list has the host.
 func (g *testGateway) listed(id string) bool { return g.pool.Address(id) != "" }
 
+// startSlowRequests sends a request of each class that its host answers late, and returns a channel that gets an error for each,
+// nil where it is served.
+func (g *testGateway) startSlowRequests(classes []string) <-chan error {
+	responses := make(chan error, len(classes))
+	for _, class := range classes {
+		go func() {
+			resp, text := g.send(class, "/api/slow", bodyOf(class), "Idempotency-Key", "k-"+class)
+			if resp.StatusCode != 200 || text != "good" {
+				responses <- fmt.Errorf("%s: status %d, body %q, want 200 with good", class, resp.StatusCode, text)
+				return
+			}
+			responses <- nil
+		}()
+	}
+	return responses
+}
+
+// expectServed sends a request of each class that its host answers at once.
+func (g *testGateway) expectServed(classes []string) {
+	g.Helper()
+	for _, class := range classes {
+		resp, _ := g.send(class, "/api/quick", bodyOf(class), "Idempotency-Key", testutil.NewID())
+		if resp.StatusCode != 200 {
+			g.Errorf("%s: status %d, want 200", class, resp.StatusCode)
+		}
+	}
+}
+
 // A watch ends without reporting that a host drains, and the next full list omits that host: it gets
 // nothing new, even on kept connections, its requests in flight end as usual, and it is used again
 // once it is listed.
@@ -110,17 +138,7 @@
 		t.Fatalf("status %d, want 200", resp.StatusCode)
 	}
 	classes := []string{"look", "book", "report"}
-	responses := make(chan error, len(classes))
-	for _, class := range classes {
-		go func() {
-			resp, text := g.send(class, "/api/slow", bodyOf(class), "Idempotency-Key", "k-"+class)
-			if resp.StatusCode != 200 || text != "good" {
-				responses <- fmt.Errorf("%s: status %d, body %q, want 200 with good", class, resp.StatusCode, text)
-				return
-			}
-			responses <- nil
-		}()
-	}
+	responses := g.startSlowRequests(classes)
 	testutil.WaitUntil(t, "three requests in flight", func() bool { n, _, _ := draining.Counts(); return n == 1+len(classes) })
 
 	close(watch.ended)
@@ -131,12 +149,7 @@
 	watch.line(fullListJSON(43, memberJSON("s-2", other, "ready")))
 	testutil.WaitUntil(t, "the list applied", func() bool { return g.listed("s-2") })
 	for range 4 {
-		for _, class := range classes {
-			resp, _ := g.send(class, "/api/quick", bodyOf(class), "Idempotency-Key", testutil.NewID())
-			if resp.StatusCode != 200 {
-				t.Errorf("%s: status %d, want 200", class, resp.StatusCode)
-			}
-		}
+		g.expectServed(classes)
 	}
 	if n, _, _ := draining.Counts(); n != 1+len(classes) {
 		t.Errorf("%d requests at the removed host, want the %d from before", n, 1+len(classes))
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -31,67 +31,83 @@
 		routeConfig("look", "pool = \"p\"\nclass = \"lookup\"")+routeConfig("book", "path = \"/book\"\npool = \"p\"\nclass = \"book\""))
 }
 
+// manyClients is a connection that counts as many clients behind a trusted proxy: each request is of another one.
+type manyClients struct {
+	*http.Client
+	dials   atomic.Int64
+	clients int
+}
+
+func newManyClients(t *testing.T) *manyClients {
+	t.Helper()
+	m := &manyClients{}
+	m.Client = &http.Client{Timeout: testutil.WaitTimeout, Transport: &http.Transport{DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
+		m.dials.Add(1)
+		return (&net.Dialer{}).DialContext(ctx, network, addr)
+	}}}
+	t.Cleanup(m.CloseIdleConnections)
+	return m
+}
+
+// send sends the request of another client, and returns its response without the body.
+func (m *manyClients) send(t *testing.T, method, url, body string) *http.Response {
+	t.Helper()
+	r, _ := http.NewRequest(method, url, strings.NewReader(body))
+	m.clients++
+	r.Header.Set("X-Forwarded-For", fmt.Sprintf("9.9.9.9, 10.0.0.%d", m.clients))
+	resp, err := m.Do(r)
+	if err != nil {
+		t.Fatal(err)
+	}
+	io.Copy(io.Discard, resp.Body)
+	resp.Body.Close()
+	return resp
+}
+
 // Under pressure requests of the lowest weight are rejected first, with a Retry-After; bookings are
 // served, and the connection of a rejected request stays open.
 func TestOverloadShedsByPriorityWeight(t *testing.T) {
 	host := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
-	// The peer is a trusted proxy, so each request may be of another client.
 	g := startLimitedAppliance(t, "", host)
 	for _, ln := range g.appliance.listeners {
 		g.server.SetListenOptions(ln, http1.ListenOptions{TrustedProxies: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")}})
 	}
 	g.engine.Sample(overload.Sample{Heap: 1})
 	testutil.WaitUntil(t, "pressure", func() bool { return g.engine.Overload.Pressure() > 4.5 })
-	var dials atomic.Int64
-	client := &http.Client{Timeout: testutil.WaitTimeout, Transport: &http.Transport{DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-		dials.Add(1)
-		return (&net.Dialer{}).DialContext(ctx, network, addr)
-	}}}
-	defer client.CloseIdleConnections()
-	clients := 0
-	send := func(method, path, body string) *http.Response {
-		t.Helper()
-		r, _ := http.NewRequest(method, g.urls[0]+path, strings.NewReader(body))
-		clients++
-		r.Header.Set("X-Forwarded-For", fmt.Sprintf("9.9.9.9, 10.0.0.%d", clients))
-		resp, err := client.Do(r)
-		if err != nil {
-			t.Fatal(err)
-		}
-		io.Copy(io.Discard, resp.Body)
-		resp.Body.Close()
-		return resp
-	}
+	client := newManyClients(t)
 	for range 20 {
 		g.engine.Sample(overload.Sample{Heap: 1})
-		resp := send("GET", "/", "")
+		resp := client.send(t, "GET", g.urls[0]+"/", "")
 		after, err := strconv.Atoi(resp.Header.Get("Retry-After"))
 		if resp.StatusCode != 503 || err != nil || after < 1 || after > 30 {
 			t.Errorf("lookup: status %d, Retry-After %q, want 503 and 1 to 30 s",
 				resp.StatusCode, resp.Header.Get("Retry-After"))
 		}
-		if resp := send("POST", "/", strings.Repeat("x", 50_000)); resp.StatusCode != 503 {
+		if resp := client.send(t, "POST", g.urls[0]+"/", strings.Repeat("x", 50_000)); resp.StatusCode != 503 {
 			t.Errorf("lookup with a body: status %d, want 503", resp.StatusCode)
 		}
-		if resp := send("POST", "/book", "x"); resp.StatusCode != 200 {
+		if resp := client.send(t, "POST", g.urls[0]+"/book", "x"); resp.StatusCode != 200 {
 			t.Errorf("booking: status %d, want 200", resp.StatusCode)
 		}
 	}
-	if dials.Load() != 1 {
-		t.Errorf("%d connections, want 1: rejections must not close it", dials.Load())
+	if n := client.dials.Load(); n != 1 {
+		t.Errorf("%d connections, want 1: rejections must not close it", n)
 	}
 	if n := g.gate.Limits.Rejected(frontend.RejectedByOverload); n != 40 {
-		t.Errorf("%d refusals are counted", n)
+		t.Errorf("%d rejections counted, want 40", n)
 	}
 	if n, _, _ := host.Counts(); n != 20 {
 		t.Errorf("%d requests at the host, want the 20 bookings", n)
 	}
-	// overload = false switches this off.
-	off := startLimitedAppliance(t, "overload = false", host)
-	if off.engine.Overload != nil {
+}
+
+func TestOverloadCanBeSwitchedOff(t *testing.T) {
+	host := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
+	g := startLimitedAppliance(t, "overload = false", host)
+	if g.engine.Overload != nil {
 		t.Error("overload controller with overload = false, want none")
 	}
-	if resp, _ := fetch(t, "GET", off.urls[0]+"/", ""); resp.StatusCode != 200 {
+	if resp, _ := fetch(t, "GET", g.urls[0]+"/", ""); resp.StatusCode != 200 {
 		t.Errorf("overload = false: status %d, want 200", resp.StatusCode)
 	}
 }
@@ -204,7 +220,7 @@
 		t.Errorf("another address: status %d, want 200", got)
 	}
 	if n := g.gate.Limits.Rejected(frontend.RejectedByClientRate); n != 3 {
-		t.Errorf("%d refusals are counted", n)
+		t.Errorf("%d rejections counted, want 3", n)
 	}
 	text := strings.Replace(overloadConfig, "[[listener]]", "[limits.client]\nconcurrent = 3\n[[listener]]", 1) + poolConfig("p", "", host.Addr()) +
 		routeConfig("look", "pool = \"p\"\nclass = \"lookup\"")
@@ -243,8 +259,11 @@
 		t.Errorf("unknown tenant: status %d, want 200", got)
 	}
 	if n := g.gate.Limits.Rejected(frontend.RejectedByTenantQuota); n != 2 {
-		t.Errorf("%d refusals are counted", n)
+		t.Errorf("%d rejections counted, want 2", n)
 	}
+}
+
+func TestInvalidLimitsAreReported(t *testing.T) {
 	for text, want := range map[string]string{
 		"[[tenant]]\nname = \"x\"": "tenant.name: limits.tenants sets neither",
 		"[limits.tenants]\nrate = 1.0\n[[tenant]]\nname = \"x\"\nweight = -1.0": "tenant.weight: -1 is not between",
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -26,20 +26,14 @@
 	second.Close()
 	extended := strings.Replace(base, "[[class]]", "[[listener]]\nname = \"more\"\naddress = \""+free+"\"\n[[class]]", 1) +
 		poolConfig("q", "", other.Addr()) + routeConfig("s", "path = \"/q\"\npool = \"q\"\nclass = \"lookup\"")
-	get := func(url string, want int) {
-		t.Helper()
-		if resp, text := fetch(t, "GET", url, ""); resp.StatusCode != want {
-			t.Errorf("%s: status %d, body %q, want %d", url, resp.StatusCode, text, want)
-		}
-	}
 	pool := g.appliance.pools["p"].Pool
-	get(g.urls[0]+"/q", 200)
+	expectOK(t, g.urls[0]+"/q")
 	var goroutines int
 	for round := range 5 {
 		if err := g.Reload(mustParse(t, extended)); err != nil {
 			t.Fatal(err)
 		}
-		get("http://"+free+"/q", 200)
+		expectOK(t, "http://"+free+"/q")
 		if n, _, _ := other.Counts(); n != round+1 {
 			t.Errorf("%d requests at the host of the new pool, want %d", n, round+1)
 		}
@@ -49,21 +43,15 @@
 		if err := g.Reload(mustParse(t, taken)); err == nil || !strings.Contains(err.Error(), "listener third") {
 			t.Errorf("listener address in use: error %v, want one that names the listener", err)
 		}
-		get("http://"+free+"/q", 200)
+		expectOK(t, "http://"+free+"/q")
 		other.Mu.Lock()
 		other.Requests = other.Requests[:round+1]
 		other.Mu.Unlock()
 		if err := g.Reload(mustParse(t, base)); err != nil {
 			t.Fatal(err)
 		}
-		testutil.WaitUntil(t, "the listener closed", func() bool {
-			c, err := net.Dial("tcp", free)
-			if err == nil {
-				c.Close()
-			}
-			return err != nil
-		})
-		get(g.urls[0]+"/q", 200) // served by p again
+		testutil.WaitUntil(t, "the listener closed", func() bool { return !accepts(free) })
+		expectOK(t, g.urls[0]+"/q") // served by p again
 		testutil.WaitUntil(t, "the connections of the removed pool closed", func() bool {
 			_, accepted, ended := other.Counts()
 			return accepted == ended
@@ -78,6 +66,24 @@
 	testutil.WaitUntil(t, "no goroutine of the removed parts", func() bool { return runtime.NumGoroutine() <= goroutines })
 }
 
+// expectOK requests a URL and expects status 200.
+func expectOK(t *testing.T, url string) {
+	t.Helper()
+	if resp, text := fetch(t, "GET", url, ""); resp.StatusCode != 200 {
+		t.Errorf("%s: status %d, body %q, want 200", url, resp.StatusCode, text)
+	}
+}
+
+// accepts reports whether connections to an address are accepted.
+func accepts(addr string) bool {
+	c, err := net.Dial("tcp", addr)
+	if err != nil {
+		return false
+	}
+	c.Close()
+	return true
+}
+
 // The members file of a pool is followed, also after a change to another file, and a reload to a file
 // that cannot be read changes nothing.
 func TestMembersFileIsFollowed(t *testing.T) {
--- a/internal/gateway/retune_test.go
+++ b/internal/gateway/retune_test.go
@@ -31,49 +31,58 @@
 	return &cfg
 }
 
+// heldRequest is a request to /api/held whose first attempt is reset once it is released. Other requests are answered at
+// once.
+type heldRequest struct {
+	attempts atomic.Int64
+	released chan struct{}
+}
+
+// newHost returns a host that holds the request.
+func (h *heldRequest) newHost(t *testing.T) *testutil.Host {
+	t.Helper()
+	return testutil.NewHost(t, func(c net.Conn, r *http.Request, _ int) bool {
+		if r.URL.Path == "/api/held" && h.attempts.Add(1) == 1 {
+			<-h.released
+			c.(*net.TCPConn).SetLinger(0)
+			return false
+		}
+		_, err := fmt.Fprint(c, testutil.OKResponse)
+		return err == nil
+	})
+}
+
+// expectStatus sends a request of a class and expects the status.
+func (g *testGateway) expectStatus(when, class, body string, want int) {
+	g.Helper()
+	if resp, text := g.send(class, "/api/1", body); resp.StatusCode != want {
+		g.Errorf("%s: status %d, body %s, want %d", when, resp.StatusCode, text, want)
+	}
+}
+
 // Classes are added and removed under load: requests in flight keep the rules that they came with, and
 // nothing is left of removed classes.
 func TestRetuneChangesClassesUnderLoad(t *testing.T) {
-	hold := make(chan struct{})
-	var held atomic.Int64
-	host := func() *testutil.Host {
-		return testutil.NewHost(t, func(c net.Conn, r *http.Request, _ int) bool {
-			if r.URL.Path == "/api/held" {
-				if held.Add(1) == 1 { // the first attempt is reset once hold is closed
-					<-hold
-					c.(*net.TCPConn).SetLinger(0)
-					return false
-				}
-			}
-			_, err := fmt.Fprint(c, testutil.OKResponse)
-			return err == nil
-		})
-	}
-	cfg := withClasses(*testConfig(host(), host()), "look", "book")
+	held := &heldRequest{released: make(chan struct{})}
+	cfg := withClasses(*testConfig(held.newHost(t), held.newHost(t)), "look", "book")
 	g := startGateway(t, cfg)
 	out := make(chan string, 1)
 	go func() {
 		resp, text := g.send("look", "/api/held", "")
 		out <- fmt.Sprint(resp.StatusCode, text)
 	}()
-	testutil.WaitUntil(t, "the request at the host", func() bool { return held.Load() == 1 })
-	if resp, _ := g.send("next", "/api/1", "x"); resp.StatusCode != 400 {
-		t.Errorf("class not added yet: status %d, want 400", resp.StatusCode)
-	}
+	testutil.WaitUntil(t, "the request at the host", func() bool { return held.attempts.Load() == 1 })
+	g.expectStatus("class not added yet", "next", "x", 400)
 	if err := g.Retune(withClasses(*cfg, "next", "book")); err != nil {
 		t.Fatal(err)
 	}
-	if resp, text := g.send("next", "/api/1", "x"); resp.StatusCode != 200 {
-		t.Errorf("added class: status %d, body %s, want 200", resp.StatusCode, text)
-	}
-	if resp, _ := g.send("look", "/api/1", ""); resp.StatusCode != 400 {
-		t.Errorf("removed class: status %d, want 400", resp.StatusCode)
-	}
-	close(hold)
+	g.expectStatus("added class", "next", "x", 200)
+	g.expectStatus("removed class", "look", "", 400)
+	close(held.released)
 	if got := <-out; got != "200good" {
 		t.Errorf("idempotent request of a removed class after a reset: %s, want 200good", got)
 	}
-	if n := held.Load(); n != 2 {
+	if n := held.attempts.Load(); n != 2 {
 		t.Errorf("sent %d times, want 2", n)
 	}
 	for i := range 50 { // indexes of removed classes are reused
@@ -96,9 +105,7 @@
 	if err := g.Retune(invalid); err == nil {
 		t.Error("settings without instances: no error, want one")
 	}
-	if resp, _ := g.send("look", "/api/1", ""); resp.StatusCode != 200 {
-		t.Errorf("after rejected settings: status %d, want 200", resp.StatusCode)
-	}
+	g.expectStatus("after rejected settings", "look", "", 200)
 }
 
 // A recording continues across new settings, and all of it replays.
