--- a/internal/engine/reload_test.go
+++ b/internal/engine/reload_test.go
@@ -52,7 +52,8 @@
 		}
 		synctest.Wait()
 		if servedAfter != 50 || next.attemptCount() != 50 || h.poolStop["a"] != 0 {
-			t.Errorf("after the reload: got %d served, %d attempts in the new pool, %d stops of the old one, want 50, 50 and 0", servedAfter, next.attemptCount(), h.poolStop["a"])
+			t.Errorf("after the reload: got %d served, %d attempts in the new pool, %d stops of the old one, want 50, 50 and 0",
+				servedAfter, next.attemptCount(), h.poolStop["a"])
 		}
 
 		close(release)
@@ -61,10 +62,7 @@
 		if servedBefore != 200 || h.poolStop["a"] != 0 {
 			t.Errorf("while a client holds the old Snapshot: got %d served of those in flight, %d stops of the old pool, want 200 and 0", servedBefore, h.poolStop["a"])
 		}
-		request := &Request{Method: "GET", Target: "/", Route: held.routes[0], Class: classIdempotent, Deadline: time.Now().Add(time.Second)}
-		if response, _ := h.Do(context.Background(), request); response.Kind != Served || old.attemptsOf(request) != 1 {
-			t.Errorf("last request on the old Snapshot: got %+v after %d attempts in the old pool, want it served after 1", response, old.attemptsOf(request))
-		}
+		checkServedOn(t, h, held, old)
 		held.Release()
 		synctest.Wait()
 		if h.poolStop["a"] != 1 || h.poolStop["b"] != 0 {
@@ -74,6 +72,16 @@
 	})
 }
 
+// checkServedOn checks that a request on a Snapshot is served by one attempt of a transport.
+func checkServedOn(t *testing.T, h *harness, s *Snapshot, transport *scriptedTransport) {
+	t.Helper()
+	request := &Request{Method: "GET", Target: "/", Route: s.routes[0], Class: classIdempotent, Deadline: time.Now().Add(time.Second)}
+	response, _ := h.Do(context.Background(), request)
+	if attempts := transport.attemptsOf(request); response.Kind != Served || attempts != 1 {
+		t.Errorf("last request on the old Snapshot: got %+v after %d attempts in the old pool, want it served after 1", response, attempts)
+	}
+}
+
 // checkOneSnapshotLeft checks, in the loop, that the engine keeps one pool, and neither an old Snapshot nor a request.
 func checkOneSnapshotLeft(t *testing.T, h *harness) {
 	t.Helper()
--- a/internal/frontend/http1/request_test.go
+++ b/internal/frontend/http1/request_test.go
@@ -25,10 +25,14 @@
 	return ok && netErr.Timeout()
 }
 
-// An invalid request gets an error or a close soon, and its connection ends with that; no host gets any of it.
-func TestInvalidRequestGetsErrorOrClose(t *testing.T) {
-	host := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
-	g := startGateway(t, withHosts(host))
+// invalidRequest is a request that no client may send.
+type invalidRequest struct {
+	name, request string
+	status        string // of the response; "": a close without a response will do
+}
+
+// invalidRequests returns requests that are invalid in one way each.
+func invalidRequests() []invalidRequest {
 	header := func(first string, lines ...string) string {
 		return first + "\r\nHost: a\r\n" + strings.Join(lines, "\r\n") + "\r\n\r\n"
 	}
@@ -37,10 +41,7 @@
 	const post = "POST /api/1 HTTP/1.1"
 	hidden := "0\r\n\r\n" + testutil.LookRequest(testutil.NewID())
 	long := fmt.Sprintf("Content-Length: %d", len(hidden))
-	for _, tt := range []struct {
-		name, request string
-		status        string // as it begins; "": a close without a response will do
-	}{
+	return []invalidRequest{
 		{"length and encoding", header(post, class, timeout, id(), long, "Transfer-Encoding: chunked") + hidden, "400"},
 		{"encoding and length", header(post, class, timeout, id(), "Transfer-Encoding: chunked", long) + hidden, "400"},
 		{"length and encoding in HTTP/1.0", header("POST /api/1 HTTP/1.0", class, timeout, id(), long, "Transfer-Encoding: chunked") + hidden, "400"},
@@ -66,7 +67,14 @@
 		{"half a header section", post + "\r\nHost: a\r\nX-Prio", ""},
 		{"half a body", header(post, class, timeout, id(), "Content-Length: 10") + "half", "400"},
 		{"nothing", "", ""},
-	} {
+	}
+}
+
+// An invalid request gets an error or a close soon, and its connection ends with that; no host gets any of it.
+func TestInvalidRequestGetsErrorOrClose(t *testing.T) {
+	host := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
+	g := startGateway(t, withHosts(host))
+	for _, tt := range invalidRequests() {
 		t.Run(tt.name, func(t *testing.T) {
 			c, err := net.Dial("tcp", strings.TrimPrefix(g.url, "http://"))
 			if err != nil {
--- a/internal/gateway/upgrade_test.go
+++ b/internal/gateway/upgrade_test.go
@@ -15,9 +15,10 @@
 	"dunemoor/internal/testutil"
 )
 
-// A connection is upgraded where the route allows it, bytes pass both ways, the number of upgrades is
-// limited, and WebSocket clients get a close frame at a drain.
-func TestUpgradeForwardsBytesBothWays(t *testing.T) {
+// startUpgradeAppliance returns a gateway with a route for two upgrades under /ws and one without any. Its host greets on
+// an upgraded connection, and then echoes.
+func startUpgradeAppliance(t *testing.T) *testAppliance {
+	t.Helper()
 	echo := startRawHost(t, func(c net.Conn) {
 		in := bufio.NewReader(c)
 		r, err := http.ReadRequest(in)
@@ -32,9 +33,15 @@
 			"Upgrade: websocket\r\nSec-WebSocket-Accept: x\r\n\r\nhi")
 		io.Copy(c, in)
 	})
-	g := startAppliance(t, baseConfig+poolConfig("p", "", echo)+
+	return startAppliance(t, baseConfig+poolConfig("p", "", echo)+
 		routeConfig("ws", "path = \"/ws\"\npool = \"p\"\nclass = \"lookup\"\nupgrades = 2")+
 		routeConfig("plain", "pool = \"p\"\nclass = \"lookup\""))
+}
+
+// A connection is upgraded where the route allows it, bytes pass both ways, the number of upgrades is
+// limited, and WebSocket clients get a close frame at a drain.
+func TestUpgradeForwardsBytesBothWays(t *testing.T) {
+	g := startUpgradeAppliance(t)
 	plain := openUpgrade(t, g.urls[0]+"/")
 	if plain.response.StatusCode != 200 {
 		t.Errorf("route without upgrades: status %d, want 200", plain.response.StatusCode)
--- a/internal/gateway/upload_test.go
+++ b/internal/gateway/upload_test.go
@@ -18,10 +18,11 @@
 	"dunemoor/internal/testutil"
 )
 
-// Bodies arrive byte for byte in both directions, whatever their size and framing.
-func TestBodiesOfAnySizeArriveUnchanged(t *testing.T) {
-	addr, _ := startHTTPHost(t, func(w http.ResponseWriter, r *http.Request) {
-		w.Header().Set("X-Framing", fmt.Sprint(r.ContentLength))
+// startChecksumHost starts a host that tells the checksum and the trailer of each body, and answers with as many bytes as the
+// parameter back says, in chunks with a trailer if there is a parameter chunked.
+func startChecksumHost(t *testing.T) (addr string) {
+	t.Helper()
+	addr, _ = startHTTPHost(t, func(w http.ResponseWriter, r *http.Request) {
 		got, n, err := checksum(r.Body)
 		if err != nil {
 			t.Error(err)
@@ -40,26 +41,43 @@
 		}
 		io.Copy(w, randomBytes(9, back))
 	})
-	g := startAppliance(t, singleRouteConfig("max_body = \"64MiB\"", addr))
+	return addr
+}
+
+// newUpload returns a request to a startChecksumHost with a body of n bytes, which asks for as many back. If it is chunked, it
+// has a trailer.
+func newUpload(t *testing.T, url string, n int64, chunked bool) *http.Request {
+	t.Helper()
+	query := fmt.Sprintf("/?back=%d", n)
+	if chunked {
+		query += "&chunked=1"
+	}
+	r, err := http.NewRequest("POST", url+query, randomBytes(7, n))
+	if err != nil {
+		t.Fatal(err)
+	}
+	switch {
+	case chunked:
+		r.ContentLength = -1
+		r.Trailer = http.Header{"X-After": nil}
+		r.Body = io.NopCloser(io.MultiReader(randomBytes(7, n), setTrailerAtEOF(r)))
+	case n == 0:
+		r.ContentLength = 0
+		r.Body = http.NoBody
+	default:
+		r.ContentLength = n
+	}
+	return r
+}
+
+// Bodies arrive byte for byte in both directions, whatever their size and framing.
+func TestBodiesOfAnySizeArriveUnchanged(t *testing.T) {
+	g := startAppliance(t, singleRouteConfig("max_body = \"64MiB\"", startChecksumHost(t)))
 	client := &http.Client{Timeout: testutil.WaitTimeout}
 	defer client.CloseIdleConnections()
 	for _, n := range []int64{0, 1, 65535, 65536, 65537, 1 << 20, 20 << 20} {
 		for _, chunked := range []bool{false, true} {
-			r, err := http.NewRequest("POST", fmt.Sprintf("%s/?back=%d&chunked=%s", g.urls[0], n, strings.Repeat("1", map[bool]int{true: 1}[chunked])), randomBytes(7, n))
-			if err != nil {
-				t.Fatal(err)
-			}
-			if !chunked {
-				r.ContentLength = n
-				if n == 0 {
-					r.Body = http.NoBody
-				}
-			} else {
-				r.ContentLength = -1
-				r.Trailer = http.Header{"X-After": nil}
-				r.Body = io.NopCloser(io.MultiReader(randomBytes(7, n), setTrailerAtEOF(r)))
-			}
-			resp, err := client.Do(r)
+			resp, err := client.Do(newUpload(t, g.urls[0], n, chunked))
 			if err != nil {
 				t.Fatalf("%d bytes, chunked %t: error %v, want a response", n, chunked, err)
 			}
