--- a/internal/frontend/http1/conntable_test.go
+++ b/internal/frontend/http1/conntable_test.go
@@ -71,6 +71,9 @@
 		if i > table.limit {
 			t.Fatalf("no crowd after %d connections", i)
 		}
+		table.mu.Lock()
+		makeAllNew(table)
+		table.mu.Unlock()
 		if c := g.dial(); i%2 == 0 {
 			if err := testutil.RoundTrip(c); err != nil {
 				t.Fatal(err)
@@ -80,9 +83,7 @@
 		}
 	}
 	table.mu.Lock()
-	for _, queue := range []*list.List{&table.idle, &table.silent} {
-		makeOlder(queue, minIdleTime)
-	}
+	makeAllOld(table)
 	table.mu.Unlock()
 	for i := 0; table.crowded(); i++ {
 		if i > 2*table.limit {
@@ -92,11 +93,25 @@
 	}
 }
 
-// makeOlder makes the connections in a queue older; the table's mu is held.
-func makeOlder(queue *list.List, age time.Duration) {
-	for e := queue.Front(); e != nil; e = e.Next() {
-		c := e.Value.(*clientConn)
-		c.queuedAt = c.queuedAt.Add(-age)
+// makeAllNew makes all connections without a request so new that no pause of the machine makes them old enough to be closed,
+// and takes requestTimeout off silent ones; the table's mu is held.
+func makeAllNew(table *connTable) {
+	for _, queue := range []*list.List{&table.silent, &table.idle} {
+		for e := queue.Front(); e != nil; e = e.Next() {
+			e.Value.(*clientConn).queuedAt = time.Now().Add(time.Hour)
+		}
+	}
+	for e := table.silent.Front(); e != nil; e = e.Next() {
+		e.Value.(*clientConn).SetReadDeadline(time.Time{})
+	}
+}
+
+// makeAllOld makes all connections without a request old enough to be closed; the table's mu is held.
+func makeAllOld(table *connTable) {
+	for _, queue := range []*list.List{&table.silent, &table.idle} {
+		for e := queue.Front(); e != nil; e = e.Next() {
+			e.Value.(*clientConn).queuedAt = time.Time{}
+		}
 	}
 }
 
@@ -114,6 +129,10 @@
 		}
 		used++
 	}
+	testutil.WaitUntil(t, "all connections that have been used are idle", func() bool { return g.server.ConnCounts().Idle == used })
+	table.mu.Lock()
+	makeAllNew(table)
+	table.mu.Unlock()
 	for i := range 600 {
 		g.dial()
 		if i%20 == 0 {
@@ -129,7 +148,7 @@
 		t.Errorf("%d of %d connections that have just been used are open, want all", kept, used)
 	}
 	table.mu.Lock()
-	makeOlder(&table.idle, minIdleTime)
+	makeAllOld(table)
 	before := table.idle.Len()
 	table.mu.Unlock()
 	// Without silent connections, each new connection evicts an idle one. Some of those dialed above may still be accepted
@@ -186,15 +205,6 @@
 	"drained": func(table *connTable) { table.closeWaitingLocked() },
 }
 
-// makeAllOld makes all connections without a request old enough to be closed; the table's mu is held.
-func makeAllOld(table *connTable) {
-	for _, queue := range []*list.List{&table.silent, &table.idle} {
-		for e := queue.Front(); e != nil; e = e.Next() {
-			e.Value.(*clientConn).queuedAt = time.Time{}
-		}
-	}
-}
-
 // A request that has arrived but is not read when its connection is to be closed is answered, and ends its connection. So
 // is one that arrives as its connection times out.
 func TestUnreadRequestIsServedWhenConnectionCloses(t *testing.T) {
--- a/internal/frontend/http1/gateway_test.go
+++ b/internal/frontend/http1/gateway_test.go
@@ -53,12 +53,15 @@
 	e := engine.New(7)
 	ctx, cancel := context.WithCancel(context.Background())
 	transport := hosts.NewTransport(hosts.Options{MaxConns: 1024, DialTimeout: testutil.WaitTimeout})
+	// The balancer rejects queued requests, and ejects hosts that don't answer, after a share of the latency objective: a
+	// fifth at least, which here is longer than tests wait for anything (testutil.WaitTimeout).
+	const objective = 5 * time.Minute
 	settings := balancer.Settings{
 		Instances: 1, MaxAttempts: 4, Cancel: true, MaxRetryAfter: time.Second, Step: 5 * time.Millisecond,
 		Classes: []balancer.Class{
-			{LatencyObjective: 10 * time.Second, Deadline: time.Minute},
-			{LatencyObjective: 10 * time.Second, Deadline: time.Minute, Idempotency: balancer.NonIdempotent},
-			{LatencyObjective: 10 * time.Second, Deadline: time.Minute, Idempotency: balancer.IdempotentWithKey, DedupWindow: 30 * time.Second},
+			{LatencyObjective: objective, Deadline: objective},
+			{LatencyObjective: objective, Deadline: objective, Idempotency: balancer.NonIdempotent},
+			{LatencyObjective: objective, Deadline: objective, Idempotency: balancer.IdempotentWithKey, DedupWindow: 30 * time.Second},
 		},
 	}
 	pool, err := e.NewPool(engine.PoolConfig{Settings: settings, Transport: transport})
--- a/internal/frontend/http1/request_test.go
+++ b/internal/frontend/http1/request_test.go
@@ -187,7 +187,8 @@
 
 // A request's timeout counts from its last byte: its body may take longer to arrive than its client waits for the response.
 func TestTimeoutCountsFromLastByte(t *testing.T) {
-	const timeout = 500 * time.Millisecond
+	// Between requestTimeout, in which the body has to arrive, and nothing: a pause of the machine of a second does no harm.
+	const timeout = 1200 * time.Millisecond
 	g := startGateway(t, withHealthyHost(t))
 	c := g.dial()
 	fmt.Fprintf(c, "POST /api/1 HTTP/1.1\r\nHost: a\r\nX-Priority-Class: book\r\nX-Timeout: %v\r\nX-Request-ID: %s\r\n"+
--- a/internal/frontend/http1/server_test.go
+++ b/internal/frontend/http1/server_test.go
@@ -27,7 +27,12 @@
 // Clients with a connection are served on it long after Shutdown is called, as they may have no other gateway. Shortly before
 // the exit the connection ends with a response, and no request fails.
 func TestShutdownServesOpenConnections(t *testing.T) {
+	// How long a client may pause at the end without losing its connection between two requests.
+	if got := lastRequestsTime - closeIdleTime; got != 200*time.Millisecond {
+		t.Errorf("connections end with their responses for %v before idle ones are closed, want 200ms", got)
+	}
 	g := startGateway(t, withHealthyHost(t))
+	g.server.lastRequestsTime = 1500 * time.Millisecond // so that this client may pause for longer, on a busy machine
 	c := g.dialWithTimeout()
 	in := bufio.NewReader(c)
 	stopped := make(chan struct{})
@@ -69,7 +74,7 @@
 		close(stopped)
 	}()
 	testutil.WaitUntil(t, "Shutdown has begun", g.server.shuttingDown.Load)
-	ln := testutil.Listen(t, "127.0.0.1:0", nil)
+	ln := &countingListener{Listener: testutil.Listen(t, "127.0.0.1:0", nil)}
 	served := make(chan error, 1)
 	go func() { served <- g.server.Serve(ln) }()
 	select {
@@ -77,8 +82,12 @@
 		if err != nil {
 			t.Errorf("Serve: got %v, want nil", err)
 		}
-	case <-stopped:
-		t.Error("Serve goes on, want it to return")
+	case <-time.After(testutil.WaitTimeout):
+		t.Fatal("Serve goes on, want it to return")
+	}
+	// One that goes on may return when Shutdown closes all listeners.
+	if n := ln.accepts.Load(); n != 0 {
+		t.Errorf("Serve goes on: got %d calls of Accept, want none", n)
 	}
 	if _, err := net.Dial("tcp", ln.Addr().String()); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("dial the listener: got %v, want %v", err, syscall.ECONNREFUSED)
@@ -86,6 +95,17 @@
 	<-stopped
 }
 
+// countingListener counts the calls of Accept.
+type countingListener struct {
+	net.Listener
+	accepts atomic.Int32
+}
+
+func (l *countingListener) Accept() (net.Conn, error) {
+	l.accepts.Add(1)
+	return l.Listener.Accept()
+}
+
 // shortListener fails a number of times as if there were no descriptors left.
 type shortListener struct {
 	net.Listener
