--- a/internal/gateway/appliance.go
+++ b/internal/gateway/appliance.go
@@ -41,7 +41,7 @@
 // drained is as for SetDrained.
 func StartAppliance(a *config.Appliance, rc *engine.RecordingConfig, newSource SourceFunc, drained map[string][]string) (*Gateway, error) {
 	g := newGateway(rand.Uint64(), a.Limits.Sockets, memoryBytes(a.Limits.MemoryMB), http1.Options{LongestDeadline: longestDeadline(a), PlainRoutes: true, MaxHeaderBytes: a.Limits.HeadKB << 10})
-	g.gate.MaxHeaders = a.Limits.Headers
+	g.admission.MaxHeaders = a.Limits.Headers
 	if newSource == nil {
 		newSource = func(_, addr string) Source { return discovery.NewWatcher(addr, false, 0) }
 	}
@@ -83,7 +83,7 @@
 		{"limits.sockets", old.Sockets != limits.Sockets}, {"limits.head_kb", old.HeadKB != limits.HeadKB},
 		{"limits.headers", old.Headers != limits.Headers}, {"limits.overload", old.NoLoadShedding != limits.NoLoadShedding},
 		// The limits of clients take effect at once, where there is a table to keep them in.
-		{"limits.client", g.gate.Limits.Clients == nil && old.Clients != limits.Clients},
+		{"limits.client", g.admission.Limits.Clients == nil && old.Clients != limits.Clients},
 		{"limits.client.table_kb", old.ClientTableKB != limits.ClientTableKB},
 		{"limits.tenants", old.Tenants != limits.Tenants || old.TenantHeader != limits.TenantHeader},
 		{"fleet", !reflect.DeepEqual(file.Fleet, a.Fleet) || !equalChecks(file.Pools, a.Pools)},
@@ -129,8 +129,8 @@
 }
 
 // drainedHosts returns the hosts of a pool that operators drain.
-func (b *appliance) drainedHosts(pool string) []string {
-	if drained := b.drained.Load(); drained != nil {
+func (a *appliance) drainedHosts(pool string) []string {
+	if drained := a.drained.Load(); drained != nil {
 		return (*drained)[pool]
 	}
 	return nil
--- a/internal/gateway/body_helpers_test.go
+++ b/internal/gateway/body_helpers_test.go
@@ -64,7 +64,7 @@
 func (g *Gateway) maxBufferedBytes() int64 {
 	most := int64(0)
 	for _, purpose := range body.Purposes() {
-		used, _ := g.gate.Bodies.Used(purpose)
+		used, _ := g.admission.Bodies.Used(purpose)
 		most = max(most, used)
 	}
 	return most
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -53,7 +53,7 @@
 	if resp, err := send(); err != nil || resp.StatusCode != 200 {
 		t.Errorf("open connection at the start of the drain: response %v, error %v, want 200", resp, err)
 	}
-	testutil.WaitUntil(t, "connections to leave", func() bool { s, _ := g.gate.Draining(); return s >= drain.Leaving })
+	testutil.WaitUntil(t, "connections to leave", func() bool { s, _ := g.admission.Draining(); return s >= drain.Leaving })
 	if resp, err := send(); err != nil || resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("once connections leave: response %v, error %v, want 200 with Connection: close", resp, err)
 	}
@@ -101,7 +101,7 @@
 	}()
 	testutil.WaitUntil(t, "the request in flight", func() bool { return g.openRequests() == 1 })
 	g.Quiesce()
-	testutil.WaitUntil(t, "connections to be closed", func() bool { s, _ := g.gate.Draining(); return s == drain.Closing })
+	testutil.WaitUntil(t, "connections to be closed", func() bool { s, _ := g.admission.Draining(); return s == drain.Closing })
 	close(release)
 	if err := <-result; err != nil {
 		t.Errorf("request in flight during the drain: %v, want a response with Connection: close", err)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -40,7 +40,7 @@
 // Gateway is a running gateway. Its methods are called from one goroutine, unless they say otherwise.
 type Gateway struct {
 	engine         *engine.Engine
-	gate           *frontend.Admission
+	admission      *frontend.Admission
 	server         *http1.Server
 	fastCGI        *fcgi.Server // nil: no listener speaks FastCGI
 	listenerErrors chan error
@@ -48,8 +48,8 @@
 	ctx    context.Context // of all that runs
 	cancel context.CancelFunc
 
-	sockets int
-	memory  int64
+	maxSockets  int   // file descriptors of the process
+	memoryLimit int64 // bytes
 
 	appliance *appliance // nil: of the platform
 
@@ -63,11 +63,11 @@
 }
 
 // newGateway returns a Gateway without pools.
-func newGateway(seed uint64, sockets int, memory int64, o http1.Options) *Gateway {
-	g := &Gateway{engine: engine.New(seed), listenerErrors: make(chan error, 1), sockets: sockets, memory: memory}
-	g.gate = frontend.NewAdmission(g.engine, body.NewBudget(memory))
-	o.MaxConns, o.SpareConns = clientSocketLimits(sockets)
-	g.server = http1.New(g.gate, o)
+func newGateway(seed uint64, maxSockets int, memoryLimit int64, o http1.Options) *Gateway {
+	g := &Gateway{engine: engine.New(seed), listenerErrors: make(chan error, 1), maxSockets: maxSockets, memoryLimit: memoryLimit}
+	g.admission = frontend.NewAdmission(g.engine, body.NewBudget(memoryLimit))
+	o.MaxConns, o.SpareConns = clientSocketLimits(maxSockets)
+	g.server = http1.New(g.admission, o)
 	g.ctx, g.cancel = context.WithCancel(context.Background())
 	go g.server.RunDrain(g.ctx)
 	return g
@@ -75,10 +75,10 @@
 
 // clientSocketLimits returns how many of the descriptors are for clients, and how many more there may be before a new
 // connection is closed at once.
-func clientSocketLimits(sockets int) (limit, spare int) {
-	sockets = config.SharedSockets(sockets)
-	limit = sockets * clientPercent / 100
-	return limit, sockets*(clientPercent+sparePercent)/100 - limit
+func clientSocketLimits(maxSockets int) (limit, spare int) {
+	shared := config.SharedSockets(maxSockets)
+	limit = shared * clientPercent / 100
+	return limit, shared*(clientPercent+sparePercent)/100 - limit
 }
 
 // serve accepts requests by HTTP/1.1 from ln.
@@ -143,18 +143,18 @@
 }
 
 // Ready reports whether requests can be served, and if not why.
-func (g *Gateway) Ready() (bool, string) { return g.gate.Health() }
+func (g *Gateway) Ready() (bool, string) { return g.admission.Health() }
 
 // Quiesce begins a drain: the health check fails, and connections end once their clients have their responses. A
 // second call changes nothing.
 func (g *Gateway) Quiesce() {
-	g.gate.StartDrain()
+	g.admission.StartDrain()
 	slog.Info("draining")
 }
 
 // Resume ends a drain.
 func (g *Gateway) Resume() {
-	g.gate.CancelDrain()
+	g.admission.CancelDrain()
 	slog.Info("drain canceled, serving")
 }
 
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -15,13 +15,13 @@
 	// minRetryAfter is the Retry-After of a rejection without pressure. Ordinary clients wait whole seconds: so that
 	// they come back spread, it is several.
 	minRetryAfter = 4 * time.Second
-	// maxGateRetryAfter is the longest Retry-After of a rejection at admission.
-	maxGateRetryAfter = 30 * time.Second
+	// maxAdmissionRetryAfter is the longest Retry-After of a rejection at admission.
+	maxAdmissionRetryAfter = 30 * time.Second
 )
 
 // setLimits sets up load shedding and the limits of clients and tenants.
 func (g *Gateway) setLimits(a *config.Appliance) {
-	l := &frontend.Limits{MinRetryAfter: minRetryAfter, MaxRetryAfter: maxGateRetryAfter, TenantHeader: a.Limits.TenantHeader, TenantIndex: map[string]int{}}
+	l := &frontend.Limits{MinRetryAfter: minRetryAfter, MaxRetryAfter: maxAdmissionRetryAfter, TenantHeader: a.Limits.TenantHeader, TenantIndex: map[string]int{}}
 	if !a.Limits.NoLoadShedding {
 		_, _, n := overload.Ranks(classRanks(newClasses(a)))
 		l.Overload = overload.New(n)
@@ -36,7 +36,7 @@
 			l.TenantIndex[t.Name] = i
 		}
 	}
-	g.gate.Limits = l
+	g.admission.Limits = l
 }
 
 // classRanks returns what the ranks of the classes depend on when load is shed.
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -93,7 +93,7 @@
 	if n := client.dials.Load(); n != 1 {
 		t.Errorf("%d connections, want 1: rejections must not close it", n)
 	}
-	if n := g.gate.Limits.Rejected(frontend.RejectedByOverload); n != 40 {
+	if n := g.admission.Limits.Rejected(frontend.RejectedByOverload); n != 40 {
 		t.Errorf("%d rejections counted, want 40", n)
 	}
 	if n, _, _ := host.Counts(); n != 20 {
@@ -219,7 +219,7 @@
 	if got := from("127.0.0.2", "/"); got != 200 {
 		t.Errorf("another address: status %d, want 200", got)
 	}
-	if n := g.gate.Limits.Rejected(frontend.RejectedByClientRate); n != 3 {
+	if n := g.admission.Limits.Rejected(frontend.RejectedByClientRate); n != 3 {
 		t.Errorf("%d rejections counted, want 3", n)
 	}
 	text := strings.Replace(overloadConfig, "[[listener]]", "[limits.client]\nconcurrent = 3\n[[listener]]", 1) + poolConfig("p", "", host.Addr()) +
@@ -258,7 +258,7 @@
 	if got := send("unknown"); got != 200 {
 		t.Errorf("unknown tenant: status %d, want 200", got)
 	}
-	if n := g.gate.Limits.Rejected(frontend.RejectedByTenantQuota); n != 2 {
+	if n := g.admission.Limits.Rejected(frontend.RejectedByTenantQuota); n != 2 {
 		t.Errorf("%d rejections counted, want 2", n)
 	}
 }
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -55,7 +55,7 @@
 
 // startFastCGI starts the frontend for FastCGI.
 func (g *Gateway) startFastCGI() {
-	limit, spare := clientSocketLimits(g.sockets)
-	g.fastCGI = fcgi.New(g.gate, fcgi.Options{MaxConns: limit / fastCGIShareDivisor})
+	limit, spare := clientSocketLimits(g.maxSockets)
+	g.fastCGI = fcgi.New(g.admission, fcgi.Options{MaxConns: limit / fastCGIShareDivisor})
 	g.server.SetConnLimits(limit-limit/fastCGIShareDivisor, spare)
 }
--- a/internal/gateway/meter.go
+++ b/internal/gateway/meter.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// descriptorSampleInterval is how many samples lie between two counts of the descriptors, whose cost grows with
+	// samplesPerDescriptorCount is how many samples there are for each count of the descriptors, whose cost grows with
 	// their number.
-	descriptorSampleInterval = 10
+	samplesPerDescriptorCount = 10
 	// pingInterval is how often a byte is sent through a pipe. A runtime that has more to do than it can polls the
 	// network seldom, and handles what has arrived in order: a request that waits in its socket waits as long as the
 	// byte does, and neither the loop nor the run queue show it.
@@ -28,7 +28,7 @@
 func (g *Gateway) sampleProcess(ctx context.Context) {
 	tick := time.NewTicker(overload.Interval)
 	defer tick.Stop()
-	m := newProcessMeter(g.memory, g.sockets)
+	m := newProcessMeter(g.memoryLimit, g.maxSockets)
 	if err := m.startPing(ctx); err != nil {
 		slog.Warn("measuring how long received bytes wait is not possible", "err", err)
 	}
@@ -44,8 +44,8 @@
 
 // processMeter measures the state of the process.
 type processMeter struct {
-	memory      float64 // limit, bytes
-	sockets     float64 // limit
+	memoryLimit float64 // bytes
+	maxSockets  float64 // file descriptors
 	metrics     []metrics.Sample
 	runQueue    []uint64 // the last counts of the run-queue histogram
 	gcSeconds   float64  // at the last sample
@@ -68,8 +68,8 @@
 	metricCPUSeconds
 )
 
-func newProcessMeter(memory int64, sockets int) *processMeter {
-	m := &processMeter{memory: float64(memory), sockets: float64(sockets)}
+func newProcessMeter(memoryLimit int64, maxSockets int) *processMeter {
+	m := &processMeter{memoryLimit: float64(memoryLimit), maxSockets: float64(maxSockets)}
 	for _, name := range []string{
 		"/sched/latencies:seconds", "/gc/heap/live:bytes", "/memory/classes/heap/stacks:bytes",
 		"/cpu/classes/gc/total:cpu-seconds", "/cpu/classes/total:cpu-seconds",
@@ -142,11 +142,11 @@
 			bytes += float64(x.Uint64())
 		}
 	}
-	s.Heap = bytes / m.memory
+	s.Heap = bytes / m.memoryLimit
 	s.GC = m.gcShare()
-	if m.samples%descriptorSampleInterval == 0 {
+	if m.samples%samplesPerDescriptorCount == 0 {
 		if list, err := os.ReadDir("/proc/self/fd"); err == nil {
-			m.descriptors = float64(len(list)) / m.sockets
+			m.descriptors = float64(len(list)) / m.maxSockets
 		}
 	}
 	m.samples++
--- a/internal/gateway/platform.go
+++ b/internal/gateway/platform.go
@@ -30,7 +30,7 @@
 	g.sharesSocket = shared
 	g.transport = hosts.NewTransport(hosts.Options{
 		MaxConns: int(config.HostSockets(cfg.Sockets)), MaxLargeBytes: int64(largeResponseShare * float64(cfg.Memory())),
-		HostIdleTimeout: cfg.ConnIdle, DialTimeout: cfg.DialTimeout, BodyBudget: g.gate.Bodies,
+		HostIdleTimeout: cfg.ConnIdle, DialTimeout: cfg.DialTimeout, BodyBudget: g.admission.Bodies,
 	})
 	g.watcher = discovery.NewWatcher(cfg.Discovery, cfg.Settings.Poll, cfg.Known.Version)
 	pool, err := g.engine.NewPool(g.platformPoolConfig(cfg, rc))
@@ -54,7 +54,7 @@
 
 // serveAfterFirstList serves once discovery has sent a list: another process serves meanwhile.
 func (g *Gateway) serveAfterFirstList(ln net.Listener) {
-	g.gate.SetNotReady()
+	g.admission.SetNotReady()
 	sink := firstListSink{Sink: g.pool, first: make(chan struct{})}
 	go g.watcher.Run(g.ctx, &sink)
 	go func() {
@@ -65,7 +65,7 @@
 			return
 		}
 		g.serve(ln)
-		g.gate.SetReady()
+		g.admission.SetReady()
 	}()
 }
 
@@ -187,8 +187,8 @@
 	}
 	use := func(halves int) {
 		setMemory(float64(halves) / 2)
-		g.server.SetConnLimits(clientSocketLimits(g.sockets * halves / 2))
-		g.transport.SetLimits(int(config.HostSockets(g.sockets*halves/2)), int64(largeResponseShare*float64(g.memory)*float64(halves)/2))
+		g.server.SetConnLimits(clientSocketLimits(g.maxSockets * halves / 2))
+		g.transport.SetLimits(int(config.HostSockets(g.maxSockets*halves/2)), int64(largeResponseShare*float64(g.memoryLimit)*float64(halves)/2))
 	}
 	g.useHalf = func() { use(1) }
 	_, alone, err := instancelock.TryLock(dir)
--- a/internal/gateway/platform_test.go
+++ b/internal/gateway/platform_test.go
@@ -175,7 +175,7 @@
 	testutil.WaitUntil(t, "good health with a host", func() bool { return get() == 200 })
 	g.pool.UpdateEndpoints(balancer.ListChanges, discovery.MemberList{Servers: []discovery.Member{{ID: "s-1", Addr: "127.0.0.1:1", State: "draining"}}})
 	testutil.WaitUntil(t, "bad health with the last host draining", func() bool { return get() == 503 })
-	g.gate.Stop(time.Now().Add(time.Minute))
+	g.admission.Stop(time.Now().Add(time.Minute))
 	g.pool.UpdateEndpoints(balancer.ListChanges, discovery.MemberList{Servers: []discovery.Member{{ID: "s-1", Addr: "127.0.0.1:1", State: "ready"}}})
 	if status := get(); status != 503 {
 		t.Errorf("health during a shutdown: status %d, want 503", status)
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	// maxRetryAfter is the longest Retry-After of a rejection.
-	maxRetryAfter = 5 * time.Second
+	// maxBalancerRetryAfter is the longest Retry-After of a request that a balancer rejects.
+	maxBalancerRetryAfter = 5 * time.Second
 	// A host that has just started is taken to be overloaded by overloadFactor times what it can do, kept up for
 	// overloadWindow. They matter only where the file says how hosts start.
 	overloadFactor = 2.5
@@ -56,7 +56,7 @@
 // balancerSettings returns the settings of a pool's balancer.
 func balancerSettings(p config.Pool, classes []balancer.Class) balancer.Settings {
 	return balancer.Settings{
-		Instances: 1, Classes: classes, MaxAttempts: engine.MaxAttempts, Cancel: true, MaxRetryAfter: maxRetryAfter,
+		Instances: 1, Classes: classes, MaxAttempts: engine.MaxAttempts, Cancel: true, MaxRetryAfter: maxBalancerRetryAfter,
 		SlowStartShare: p.SlowStart.Share, SlowStartWindow: p.SlowStart.Window, OverloadFactor: overloadFactor, OverloadWindow: overloadWindow,
 	}
 }
@@ -65,9 +65,9 @@
 func (g *Gateway) newPool(a *config.Appliance, cfg config.Pool, set balancer.Settings, classNames []string) (*appliancePool, error) {
 	p := &appliancePool{cfg: cfg, settings: set, newSource: g.appliance.newSource, stopSource: func() {}, currentSink: new(atomic.Pointer[endpointSink])}
 	if cfg.Protocol == config.FastCGI {
-		p.transport = responders.NewTransport(responders.Options{BodyBudget: g.gate.Bodies, DocumentRoot: cfg.ScriptRoot, Params: cfg.Params})
+		p.transport = responders.NewTransport(responders.Options{BodyBudget: g.admission.Bodies, DocumentRoot: cfg.ScriptRoot, Params: cfg.Params})
 	} else {
-		p.transport = hosts.NewTransport(hosts.Options{BodyBudget: g.gate.Bodies})
+		p.transport = hosts.NewTransport(hosts.Options{BodyBudget: g.admission.Bodies})
 	}
 	p.ctx, p.cancel = context.WithCancel(g.ctx)
 	var err error
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -114,7 +114,7 @@
 func (g *Gateway) commit(c *change) {
 	g.commitPools(c)
 	g.server.SetLongestDeadline(longestDeadline(c.file))
-	if l := g.gate.Limits; l.Clients != nil {
+	if l := g.admission.Limits; l.Clients != nil {
 		l.Clients.SetLimits(c.file.Limits.Clients)
 	}
 	if controller := g.engine.Overload; controller != nil {
@@ -122,11 +122,11 @@
 		controller.SetRanks(n)
 	}
 	g.engine.Use(c.snapshot)
-	b := g.appliance
-	b.pools, b.file = c.pools, c.file
-	b.published.Store(&c.pools)
+	a := g.appliance
+	a.pools, a.file = c.pools, c.file
+	a.published.Store(&c.pools)
 	for name, p := range c.pools {
-		p.overrides.setDrained(b.drainedHosts(name)) // what changed while it was made
+		p.overrides.setDrained(a.drainedHosts(name)) // what changed while it was made
 	}
 	g.commitListeners(c)
 }
@@ -136,7 +136,7 @@
 	shares := poolShares(c.file)
 	for i, cfg := range c.file.Pools {
 		p := c.pools[cfg.Name]
-		p.transport.SetLimits(int(shares[i]*config.HostSockets(g.sockets)), int64(shares[i]*largeResponseShare*float64(g.memory)))
+		p.transport.SetLimits(int(shares[i]*config.HostSockets(g.maxSockets)), int64(shares[i]*largeResponseShare*float64(g.memoryLimit)))
 		if p == g.appliance.pools[cfg.Name] && !equalSources(p.cfg, cfg) {
 			p.stopSource()
 			if err := p.setSource(cfg, false); err != nil {
@@ -149,8 +149,8 @@
 
 // commitListeners closes the listeners that are gone, and serves the new ones.
 func (g *Gateway) commitListeners(c *change) {
-	b := g.appliance
-	for key, ln := range b.listeners {
+	a := g.appliance
+	for key, ln := range a.listeners {
 		if c.listeners[key] != nil {
 			continue
 		}
@@ -176,5 +176,5 @@
 			g.serveWith(serve, ln)
 		}
 	}
-	b.listeners = c.listeners
+	a.listeners = c.listeners
 }
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -40,17 +40,17 @@
 
 // Status returns what the gateway counts now. It may be called by any goroutine.
 func (g *Gateway) Status() any {
-	state, _ := g.gate.Draining()
+	state, _ := g.admission.Draining()
 	s := Status{
-		State: state.String(), IDs: g.gate.OpenIDs(), Clients: g.server.ConnCounts(),
+		State: state.String(), IDs: g.admission.OpenIDs(), Clients: g.server.ConnCounts(),
 		Bodies: map[string]Bytes{}, Refused: map[string]int64{}, Loop: newDelay(&g.engine.LoopDelays),
 	}
-	s.Ready, s.Detail = g.gate.Health()
+	s.Ready, s.Detail = g.admission.Health()
 	for _, cause := range body.Purposes() {
-		used, limit := g.gate.Bodies.Used(cause)
+		used, limit := g.admission.Bodies.Used(cause)
 		s.Bodies[cause.String()] = Bytes{used, limit}
 	}
-	if l := g.gate.Limits; l != nil {
+	if l := g.admission.Limits; l != nil {
 		for _, reason := range frontend.RejectReasons() {
 			s.Refused[reason.String()] = l.Rejected(reason)
 		}
