--- a/internal/gateway/appliance.go
+++ b/internal/gateway/appliance.go
@@ -40,12 +40,21 @@
 // StartAppliance starts a gateway by its configuration file. Nothing is left behind where it fails. newSource may be nil;
 // drained is as for SetDrained.
 func StartAppliance(a *config.Appliance, rc *engine.RecordingConfig, newSource SourceFunc, drained map[string][]string) (*Gateway, error) {
-	g := newGateway(rand.Uint64(), a.Limits.Sockets, memoryBytes(a.Limits.MemoryMB), http1.Options{LongestDeadline: longestDeadline(a), PlainRoutes: true, MaxHeaderBytes: a.Limits.HeadKB << 10})
+	g := newGateway(rand.Uint64(), a.Limits.Sockets, memoryBytes(a.Limits.MemoryMB), http1.Options{
+		LongestDeadline: longestDeadline(a),
+		PlainRoutes:     true,
+		MaxHeaderBytes:  a.Limits.HeadKB << 10,
+	})
 	g.admission.MaxHeaders = a.Limits.Headers
 	if newSource == nil {
 		newSource = func(_, addr string) Source { return discovery.NewWatcher(addr, false, 0) }
 	}
-	g.appliance = &appliance{recording: rc, newSource: newSource, pools: map[string]*appliancePool{}, listeners: map[string]net.Listener{}}
+	g.appliance = &appliance{
+		recording: rc,
+		newSource: newSource,
+		pools:     map[string]*appliancePool{},
+		listeners: map[string]net.Listener{},
+	}
 	g.appliance.drained.Store(&drained)
 	g.setLimits(a)
 	go g.engine.Run(g.ctx)
@@ -74,14 +83,19 @@
 // needRestart returns the settings of a file that differ from those in use and take effect at the next start.
 func (g *Gateway) needRestart(a *config.Appliance) (names []string) {
 	file := g.appliance.file
-	old, limits := file.Limits, a.Limits
-	for _, s := range []struct {
+	old := file.Limits
+	limits := a.Limits
+	for _, setting := range []struct {
 		name    string
 		changed bool
 	}{
-		{"admin", file.Admin != a.Admin}, {"limits.cores", old.Cores != limits.Cores}, {"limits.memory_mb", old.MemoryMB != limits.MemoryMB},
-		{"limits.sockets", old.Sockets != limits.Sockets}, {"limits.head_kb", old.HeadKB != limits.HeadKB},
-		{"limits.headers", old.Headers != limits.Headers}, {"limits.overload", old.NoLoadShedding != limits.NoLoadShedding},
+		{"admin", file.Admin != a.Admin},
+		{"limits.cores", old.Cores != limits.Cores},
+		{"limits.memory_mb", old.MemoryMB != limits.MemoryMB},
+		{"limits.sockets", old.Sockets != limits.Sockets},
+		{"limits.head_kb", old.HeadKB != limits.HeadKB},
+		{"limits.headers", old.Headers != limits.Headers},
+		{"limits.overload", old.NoLoadShedding != limits.NoLoadShedding},
 		// The limits of clients take effect at once, where there is a table to keep them in.
 		{"limits.client", g.admission.Limits.Clients == nil && old.Clients != limits.Clients},
 		{"limits.client.table_kb", old.ClientTableKB != limits.ClientTableKB},
@@ -89,8 +103,8 @@
 		{"fleet", !reflect.DeepEqual(file.Fleet, a.Fleet) || !equalChecks(file.Pools, a.Pools)},
 		{"tenant", !slices.Equal(file.Tenants, a.Tenants)},
 	} {
-		if s.changed {
-			names = append(names, s.name)
+		if setting.changed {
+			names = append(names, setting.name)
 		}
 	}
 	return names
@@ -110,6 +124,7 @@
 	return maps.Equal(paths(a), paths(b))
 }
 
+// longestDeadline returns the longest deadline of all classes of a file.
 func longestDeadline(a *config.Appliance) (longest time.Duration) {
 	for _, c := range a.Classes {
 		longest = max(longest, c.Deadline)
@@ -138,8 +153,12 @@
 
 // Pool returns the pool with a name, or nil. It may be called by any goroutine.
 func (g *Gateway) Pool(name string) *engine.Pool {
-	if pools := g.appliance.published.Load(); pools != nil && (*pools)[name] != nil {
-		return (*pools)[name].Pool
+	pools := g.appliance.published.Load()
+	if pools == nil {
+		return nil
+	}
+	if p := (*pools)[name]; p != nil {
+		return p.Pool
 	}
 	return nil
 }
--- a/internal/gateway/classes.go
+++ b/internal/gateway/classes.go
@@ -13,28 +13,37 @@
 // that may be retried, one that may not.
 type classes struct {
 	list          []balancer.Class
-	names         []string
-	index         map[string]int
-	nonIdempotent []int // by the number of a class of the file: the number of the one that may not be retried
+	names         []string       // in recordings, as list
+	index         map[string]int // number of a class of the file by its name
+	nonIdempotent []int          // by the number of a class of the file: the number of the one that may not be retried
 }
 
+// newClasses returns the classes of a file.
 func newClasses(a *config.Appliance) *classes {
 	c := &classes{index: map[string]int{}, nonIdempotent: make([]int, len(a.Classes))}
-	for i, k := range a.Classes {
-		c.list, c.names = append(c.list, k.Class), append(c.names, k.Name)
-		c.index[k.Name], c.nonIdempotent[i] = i, i
+	for i, class := range a.Classes {
+		c.add(class.Name, class.Class)
+		c.index[class.Name] = i
+		c.nonIdempotent[i] = i
 	}
-	for i, k := range a.Classes {
-		if k.Idempotency == balancer.NonIdempotent {
+	for i, class := range a.Classes {
+		if class.Idempotency == balancer.NonIdempotent {
 			continue
 		}
-		k.Idempotency, k.DedupWindow = balancer.NonIdempotent, 0
+		class.Idempotency = balancer.NonIdempotent
+		class.DedupWindow = 0
 		c.nonIdempotent[i] = len(c.list)
-		c.list, c.names = append(c.list, k.Class), append(c.names, k.Name+" once")
+		c.add(class.Name+" once", class.Class)
 	}
 	return c
 }
 
+// add adds a class with the next number.
+func (c *classes) add(name string, class balancer.Class) {
+	c.list = append(c.list, class)
+	c.names = append(c.names, name)
+}
+
 // newRoute returns a route of the file for the engine.
 func newRoute(name string, r config.Route, c *classes, shedsLoad bool) *engine.Route {
 	out := &engine.Route{Name: name, Classes: c.list, ClassNames: c.index, Streams: protocolStreams(), Classify: classifyProtocol}
@@ -46,11 +55,22 @@
 	}
 	i := c.index[r.Class]
 	out.Plain = &engine.Plain{
-		Class: i, NonIdempotentClass: c.nonIdempotent[i], Timeout: r.Timeout, RetryableMethods: r.RetryableMethods,
-		MaxTunnels: r.MaxTunnels, RequestHeaders: r.RequestHeaders, ResponseHeaders: r.ResponseHeaders,
+		Class:              i,
+		NonIdempotentClass: c.nonIdempotent[i],
+		Timeout:            r.Timeout,
+		RetryableMethods:   r.RetryableMethods,
+		MaxTunnels:         r.MaxTunnels,
+		RequestHeaders:     r.RequestHeaders,
+		ResponseHeaders:    r.ResponseHeaders,
 	}
 	pace := body.Pace{IdleTimeout: r.IdleTimeout, MinRate: r.MinRate}
-	out.Streams = &engine.Streams{BufferBytes: r.BufferBytes, MaxBodyBytes: r.MaxBodyBytes, HeadDeadlineOnly: r.HeadDeadlineOnly, Pace: pace, Upload: pace}
+	out.Streams = &engine.Streams{
+		BufferBytes:      r.BufferBytes,
+		MaxBodyBytes:     r.MaxBodyBytes,
+		HeadDeadlineOnly: r.HeadDeadlineOnly,
+		Pace:             pace,
+		Upload:           pace,
+	}
 	out.ForwardsFailures = true
 	failures := r.FailureStatuses
 	out.Classify = func(a *engine.Response) balancer.Result {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -14,14 +14,11 @@
 
 	"dunemoor/internal/admin"
 	"dunemoor/internal/body"
-	"dunemoor/internal/classid"
 	"dunemoor/internal/config"
-	"dunemoor/internal/discovery"
 	"dunemoor/internal/engine"
 	"dunemoor/internal/frontend"
 	fcgi "dunemoor/internal/frontend/fastcgi"
 	"dunemoor/internal/frontend/http1"
-	hosts "dunemoor/internal/upstream/http1"
 )
 
 // Shares of the file descriptors, in percent. Clients have a third of all at most for their requests; each request
@@ -51,20 +48,19 @@
 	maxSockets  int   // file descriptors of the process
 	memoryLimit int64 // bytes
 
-	appliance *appliance // nil: of the platform
-
-	// Of the platform.
-	watcher      *discovery.Watcher
-	pool         *engine.Pool
-	classes      []classid.Class // by their number
-	transport    *hosts.Transport
-	sharesSocket bool   // the platform holds the socket for clients
-	useHalf      func() // leaves half of the machine to another process; nil: there is none
+	// One of these is set, by the kind of the gateway.
+	appliance *appliance
+	platform  *platform
 }
 
 // newGateway returns a Gateway without pools.
 func newGateway(seed uint64, maxSockets int, memoryLimit int64, o http1.Options) *Gateway {
-	g := &Gateway{engine: engine.New(seed), listenerErrors: make(chan error, 1), maxSockets: maxSockets, memoryLimit: memoryLimit}
+	g := &Gateway{
+		engine:         engine.New(seed),
+		listenerErrors: make(chan error, 1),
+		maxSockets:     maxSockets,
+		memoryLimit:    memoryLimit,
+	}
 	g.admission = frontend.NewAdmission(g.engine, body.NewBudget(memoryLimit))
 	o.MaxConns, o.SpareConns = clientSocketLimits(maxSockets)
 	g.server = http1.New(g.admission, o)
@@ -110,8 +106,8 @@
 // Stop shuts the gateway down gracefully: all requests get their response. It waits for recordings to be written, at
 // most for the timeout.
 func (g *Gateway) Stop(timeout time.Duration) {
-	if g.useHalf != nil {
-		g.useHalf()
+	if g.platform != nil && g.platform.useHalf != nil {
+		g.platform.useHalf()
 	}
 	var frontends sync.WaitGroup
 	if g.fastCGI != nil {
@@ -123,6 +119,9 @@
 	g.engine.Wait(timeout)
 }
 
+// closeTimeout is how long Close waits for recordings to be written.
+const closeTimeout = time.Minute
+
 // Close ends the gateway at once.
 func (g *Gateway) Close() {
 	g.server.Close()
@@ -130,7 +129,7 @@
 		g.fastCGI.Close()
 	}
 	g.cancel()
-	g.engine.Wait(time.Minute)
+	g.engine.Wait(closeTimeout)
 }
 
 // Admin serves the operators' calls on ln, with the calls of other parts by their paths.
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -21,7 +21,12 @@
 
 // setLimits sets up load shedding and the limits of clients and tenants.
 func (g *Gateway) setLimits(a *config.Appliance) {
-	l := &frontend.Limits{MinRetryAfter: minRetryAfter, MaxRetryAfter: maxAdmissionRetryAfter, TenantHeader: a.Limits.TenantHeader, TenantIndex: map[string]int{}}
+	l := &frontend.Limits{
+		MinRetryAfter: minRetryAfter,
+		MaxRetryAfter: maxAdmissionRetryAfter,
+		TenantHeader:  a.Limits.TenantHeader,
+		TenantIndex:   map[string]int{},
+	}
 	if !a.Limits.NoLoadShedding {
 		_, _, n := overload.Ranks(classRanks(newClasses(a)))
 		l.Overload = overload.New(n)
--- a/internal/gateway/meter.go
+++ b/internal/gateway/meter.go
@@ -47,13 +47,13 @@
 	memoryLimit float64 // bytes
 	maxSockets  float64 // file descriptors
 	metrics     []metrics.Sample
-	runQueue    []uint64 // the last counts of the run-queue histogram
-	gcSeconds   float64  // at the last sample
-	cpuSeconds  float64  // at the last sample
-	samples     int
-	descriptors float64 // share of the limit
-	usedCPU     time.Duration
-	usedAt      time.Time
+	runQueue    []uint64      // the last counts of the run-queue histogram
+	gcSeconds   float64       // at the last sample
+	cpuSeconds  float64       // at the last sample
+	samples     int           // so far
+	descriptors float64       // in use at the last count, as a share of maxSockets
+	usedCPU     time.Duration // by usedAt
+	usedAt      time.Time     // of the last sample
 
 	fastestPing atomic.Int64 // since the last sample, ns; 0: none has arrived
 	pingSent    atomic.Int64 // when the byte under way was sent, ns; 0: none is under way
@@ -68,6 +68,7 @@
 	metricCPUSeconds
 )
 
+// newProcessMeter returns a meter of a process with a memory limit in bytes and a limit of file descriptors.
 func newProcessMeter(memoryLimit int64, maxSockets int) *processMeter {
 	m := &processMeter{memoryLimit: float64(memoryLimit), maxSockets: float64(maxSockets)}
 	for _, name := range []string{
@@ -91,6 +92,7 @@
 	return nil
 }
 
+// sendPings sends a byte at each pingInterval, unless one is under way.
 func (m *processMeter) sendPings(ctx context.Context, w *os.File) {
 	tick := time.NewTicker(pingInterval)
 	defer tick.Stop()
@@ -108,6 +110,7 @@
 	}
 }
 
+// receivePings receives the bytes and keeps the shortest time that one took.
 func (m *processMeter) receivePings(r *os.File) {
 	var b [1]byte
 	for {
@@ -151,7 +154,8 @@
 	}
 	m.samples++
 	s.Busy = m.cpuShare()
-	s.Files, s.Poll = m.descriptors, m.pollDelay()
+	s.Files = m.descriptors
+	s.Poll = m.pollDelay()
 	return s
 }
 
@@ -164,7 +168,8 @@
 	if elapsed := cpu.Float64() - m.cpuSeconds; elapsed > 0 {
 		share = (gc.Float64() - m.gcSeconds) / elapsed
 	}
-	m.gcSeconds, m.cpuSeconds = gc.Float64(), cpu.Float64()
+	m.gcSeconds = gc.Float64()
+	m.cpuSeconds = cpu.Float64()
 	return share
 }
 
@@ -175,11 +180,13 @@
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &r) != nil {
 		return 0
 	}
-	now, used := time.Now(), time.Duration(r.Utime.Nano()+r.Stime.Nano())
+	now := time.Now()
+	used := time.Duration(r.Utime.Nano() + r.Stime.Nano())
 	if span := now.Sub(m.usedAt); !m.usedAt.IsZero() && span > 0 {
 		share = float64(used-m.usedCPU) / float64(span) / float64(runtime.GOMAXPROCS(0))
 	}
-	m.usedCPU, m.usedAt = used, now
+	m.usedCPU = used
+	m.usedAt = now
 	return share
 }
 
@@ -199,7 +206,8 @@
 	}
 	seen := uint64(0)
 	for i, n := range added {
-		if seen += n; n > 0 && seen*2 >= total {
+		seen += n
+		if n > 0 && seen*2 >= total {
 			return time.Duration(math.Max(h.Buckets[i], 0) * float64(time.Second))
 		}
 	}
--- a/internal/gateway/platform.go
+++ b/internal/gateway/platform.go
@@ -23,28 +23,46 @@
 // that it was given: it has to be ready within 6 s.
 const firstListTimeout = 2 * time.Second
 
+// platform is the state of a gateway of the platform, which has one pool.
+type platform struct {
+	pool         *engine.Pool
+	transport    *hosts.Transport
+	watcher      *discovery.Watcher // of the pool's endpoint list
+	classes      []classid.Class    // by their number
+	sharesSocket bool               // the platform holds the socket for clients
+	useHalf      func()             // leaves half of the machine to another process; nil: there is none
+}
+
 // StartPlatform starts a gateway of the platform that serves on ln.
 func StartPlatform(cfg *config.Platform, rc *engine.RecordingConfig, ln net.Listener) (*Gateway, error) {
 	shared := cfg.ClientsFD > 0
-	g := newGateway(cfg.Seed, cfg.Sockets, cfg.Memory(), http1.Options{LongestDeadline: longestPlatformDeadline(cfg), SharedListeners: shared})
-	g.sharesSocket = shared
-	g.transport = hosts.NewTransport(hosts.Options{
-		MaxConns: int(config.HostSockets(cfg.Sockets)), MaxLargeBytes: int64(largeResponseShare * float64(cfg.Memory())),
-		HostIdleTimeout: cfg.ConnIdle, DialTimeout: cfg.DialTimeout, BodyBudget: g.admission.Bodies,
+	g := newGateway(cfg.Seed, cfg.Sockets, cfg.Memory(), http1.Options{
+		LongestDeadline: longestPlatformDeadline(cfg),
+		SharedListeners: shared,
+	})
+	p := &platform{sharesSocket: shared}
+	g.platform = p
+	p.transport = hosts.NewTransport(hosts.Options{
+		MaxConns:        int(config.HostSockets(cfg.Sockets)),
+		MaxLargeBytes:   int64(largeResponseShare * float64(cfg.Memory())),
+		HostIdleTimeout: cfg.ConnIdle,
+		DialTimeout:     cfg.DialTimeout,
+		BodyBudget:      g.admission.Bodies,
 	})
-	g.watcher = discovery.NewWatcher(cfg.Discovery, cfg.Settings.Poll, cfg.Known.Version)
-	pool, err := g.engine.NewPool(g.platformPoolConfig(cfg, rc))
+	p.watcher = discovery.NewWatcher(cfg.Discovery, cfg.Settings.Poll, cfg.Known.Version)
+	var err error
+	p.pool, err = g.engine.NewPool(p.poolConfig(cfg, rc))
 	if err != nil {
 		g.cancel()
 		return nil, err
 	}
-	go g.transport.Run(g.ctx)
+	go p.transport.Run(g.ctx)
 	go g.engine.Run(g.ctx)
-	pool.UpdateEndpoints(balancer.ListSaved, cfg.Known)
-	g.pool, g.classes = pool, classesByNumber(cfg)
+	p.pool.UpdateEndpoints(balancer.ListSaved, cfg.Known)
+	p.classes = classesByNumber(cfg)
 	g.engine.Use(g.platformSnapshot(cfg))
 	if !shared {
-		go g.watcher.Run(g.ctx, pool)
+		go p.watcher.Run(g.ctx, p.pool)
 		g.serve(ln)
 		return g, nil
 	}
@@ -55,8 +73,8 @@
 // serveAfterFirstList serves once discovery has sent a list: another process serves meanwhile.
 func (g *Gateway) serveAfterFirstList(ln net.Listener) {
 	g.admission.SetNotReady()
-	sink := firstListSink{Sink: g.pool, first: make(chan struct{})}
-	go g.watcher.Run(g.ctx, &sink)
+	sink := firstListSink{Sink: g.platform.pool, first: make(chan struct{})}
+	go g.platform.watcher.Run(g.ctx, &sink)
 	go func() {
 		select {
 		case <-sink.first:
@@ -84,10 +102,15 @@
 	}
 }
 
-// platformPoolConfig returns the configuration of the only pool.
-func (g *Gateway) platformPoolConfig(cfg *config.Platform, rc *engine.RecordingConfig) engine.PoolConfig {
+// poolConfig returns the configuration of the only pool.
+func (p *platform) poolConfig(cfg *config.Platform, rc *engine.RecordingConfig) engine.PoolConfig {
 	pc := engine.PoolConfig{
-		Settings: cfg.Settings, Seed: cfg.Seed, Zones: cfg.Zones, Kinds: cfg.Kinds, Transport: g.transport, Poll: g.watcher.Poll,
+		Settings:  cfg.Settings,
+		Seed:      cfg.Seed,
+		Zones:     cfg.Zones,
+		Kinds:     cfg.Kinds,
+		Transport: p.transport,
+		Poll:      p.watcher.Poll,
 	}
 	if rc != nil {
 		names := make([]string, len(cfg.Classes))
@@ -105,24 +128,32 @@
 // an error within 3 s. Receivers of responses, and hosts, may pause for longer.
 func protocolStreams() *engine.Streams {
 	return &engine.Streams{
-		BufferBytes: frontend.MaxBufferedBytes, MaxBodyBytes: frontend.MaxBodyBytes, HeadDeadlineOnly: true,
-		Pace:   body.Pace{IdleTimeout: 10 * time.Second},
-		Upload: body.Pace{IdleTimeout: 2 * time.Second, MinRate: 8 << 10},
+		BufferBytes:      frontend.MaxBufferedBytes,
+		MaxBodyBytes:     frontend.MaxBodyBytes,
+		HeadDeadlineOnly: true,
+		Pace:             body.Pace{IdleTimeout: 10 * time.Second},
+		Upload:           body.Pace{IdleTimeout: 2 * time.Second, MinRate: 8 << 10},
 	}
 }
 
 // platformSnapshot returns the Snapshot with one route to the only pool, for the classes by their numbers.
 func (g *Gateway) platformSnapshot(cfg *config.Platform) *engine.Snapshot {
+	classes := g.platform.classes
 	names := make(map[string]int, len(cfg.Classes))
-	rules := make([]balancer.Class, len(g.classes))
-	for i, c := range g.classes {
-		if rules[i] = c.Rules; !c.Rules.Retired {
+	rules := make([]balancer.Class, len(classes))
+	for i, c := range classes {
+		rules[i] = c.Rules
+		if !c.Rules.Retired {
 			names[c.Name] = i
 		}
 	}
 	return g.engine.NewSnapshot(nil, []*engine.Route{{
-		Classes: rules, ClassNames: names, Tenants: cfg.Tenants, Streams: protocolStreams(), Classify: classifyProtocol,
-	}}, nil, engine.PoolUse{Pool: g.pool, MinShare: 1})
+		Classes:    rules,
+		ClassNames: names,
+		Tenants:    cfg.Tenants,
+		Streams:    protocolStreams(),
+		Classify:   classifyProtocol,
+	}}, nil, engine.PoolUse{Pool: g.platform.pool, MinShare: 1})
 }
 
 // classifyProtocol classifies a response by the platform's protocol.
@@ -145,6 +176,7 @@
 	return list
 }
 
+// longestPlatformDeadline returns the longest deadline of all classes.
 func longestPlatformDeadline(cfg *config.Platform) (longest time.Duration) {
 	for _, c := range cfg.Settings.Classes {
 		longest = max(longest, c.Deadline)
@@ -155,20 +187,22 @@
 // Retune puts new settings into effect for new requests; requests under way keep theirs. On an error nothing has
 // changed.
 func (g *Gateway) Retune(cfg *config.Platform) error {
-	old := g.classes
-	err := g.engine.Retune(g.pool, func(inUse func(int) bool) (balancer.Settings, []int, []string, *engine.Snapshot) {
+	p := g.platform
+	old := p.classes
+	err := g.engine.Retune(p.pool, func(inUse func(int) bool) (balancer.Settings, []int, []string, *engine.Snapshot) {
 		list, from := classid.Assign(old, classesByNumber(cfg), inUse)
-		set := cfg.Settings
-		set.Classes = make([]balancer.Class, len(list))
+		settings := cfg.Settings
+		settings.Classes = make([]balancer.Class, len(list))
 		names := make([]string, len(list))
 		for i, c := range list {
-			set.Classes[i], names[i] = c.Rules, c.Name
+			settings.Classes[i] = c.Rules
+			names[i] = c.Name
 		}
-		g.classes = list
-		return set, from, names, g.platformSnapshot(cfg)
+		p.classes = list
+		return settings, from, names, g.platformSnapshot(cfg)
 	})
 	if err != nil {
-		g.classes = old
+		p.classes = old
 		return err
 	}
 	g.server.SetLongestDeadline(longestPlatformDeadline(cfg))
@@ -176,21 +210,23 @@
 }
 
 // SetDiscovery has the endpoint list come from another address.
-func (g *Gateway) SetDiscovery(addr string) { g.watcher.SetAddress(addr) }
+func (g *Gateway) SetDiscovery(addr string) { g.platform.watcher.SetAddress(addr) }
 
 // ShareMachine limits the gateway to half of the machine while another process that has the lock in the same directory
 // runs, as where one takes over from the other. setMemory is called with the gateway's share of the memory. ShareMachine
 // is called before Stop, and does nothing where the platform holds no socket.
 func (g *Gateway) ShareMachine(dir string, setMemory func(share float64)) {
-	if g.transport == nil || !g.sharesSocket {
+	p := g.platform
+	if p == nil || !p.sharesSocket {
 		return
 	}
 	use := func(halves int) {
 		setMemory(float64(halves) / 2)
-		g.server.SetConnLimits(clientSocketLimits(g.maxSockets * halves / 2))
-		g.transport.SetLimits(int(config.HostSockets(g.maxSockets*halves/2)), int64(largeResponseShare*float64(g.memoryLimit)*float64(halves)/2))
+		sockets := g.maxSockets * halves / 2
+		g.server.SetConnLimits(clientSocketLimits(sockets))
+		p.transport.SetLimits(int(config.HostSockets(sockets)), int64(largeResponseShare*float64(g.memoryLimit)*float64(halves)/2))
 	}
-	g.useHalf = func() { use(1) }
+	p.useHalf = func() { use(1) }
 	_, alone, err := instancelock.TryLock(dir)
 	if err != nil {
 		slog.Warn("instance lock unavailable, using half of the limits", "err", err)
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -42,28 +42,42 @@
 // appliancePool is a pool with the source of its endpoint list.
 type appliancePool struct {
 	*engine.Pool
-	cfg         config.Pool
-	transport   transport
-	ctx         context.Context
-	cancel      context.CancelFunc
-	settings    balancer.Settings
+	cfg       config.Pool
+	settings  balancer.Settings // a reload that changes them makes a new pool
+	transport transport
+	ctx       context.Context // canceled when the engine stops the pool
+	cancel    context.CancelFunc
+
 	newSource   SourceFunc
-	stopSource  context.CancelFunc
-	currentSink *atomic.Pointer[endpointSink]
+	stopSource  context.CancelFunc            // of the current source
+	currentSink *atomic.Pointer[endpointSink] // of the current source
 	overrides   *overrideFilter
 }
 
 // balancerSettings returns the settings of a pool's balancer.
 func balancerSettings(p config.Pool, classes []balancer.Class) balancer.Settings {
 	return balancer.Settings{
-		Instances: 1, Classes: classes, MaxAttempts: engine.MaxAttempts, Cancel: true, MaxRetryAfter: maxBalancerRetryAfter,
-		SlowStartShare: p.SlowStart.Share, SlowStartWindow: p.SlowStart.Window, OverloadFactor: overloadFactor, OverloadWindow: overloadWindow,
+		Instances:       1,
+		Classes:         classes,
+		MaxAttempts:     engine.MaxAttempts,
+		Cancel:          true,
+		MaxRetryAfter:   maxBalancerRetryAfter,
+		SlowStartShare:  p.SlowStart.Share,
+		SlowStartWindow: p.SlowStart.Window,
+		OverloadFactor:  overloadFactor,
+		OverloadWindow:  overloadWindow,
 	}
 }
 
 // newPool returns a pool without endpoints.
 func (g *Gateway) newPool(a *config.Appliance, cfg config.Pool, set balancer.Settings, classNames []string) (*appliancePool, error) {
-	p := &appliancePool{cfg: cfg, settings: set, newSource: g.appliance.newSource, stopSource: func() {}, currentSink: new(atomic.Pointer[endpointSink])}
+	p := &appliancePool{
+		cfg:         cfg,
+		settings:    set,
+		newSource:   g.appliance.newSource,
+		stopSource:  func() {},
+		currentSink: new(atomic.Pointer[endpointSink]),
+	}
 	if cfg.Protocol == config.FastCGI {
 		p.transport = responders.NewTransport(responders.Options{BodyBudget: g.admission.Bodies, DocumentRoot: cfg.ScriptRoot, Params: cfg.Params})
 	} else {
@@ -72,7 +86,10 @@
 	p.ctx, p.cancel = context.WithCancel(g.ctx)
 	var err error
 	p.Pool, err = g.engine.NewPool(engine.PoolConfig{
-		Name: cfg.Name, Settings: set, Seed: rand.Uint64(), Transport: p.transport,
+		Name:      cfg.Name,
+		Settings:  set,
+		Seed:      rand.Uint64(),
+		Transport: p.transport,
 		Stop:      p.cancel, // the source ends with it
 		Recording: poolRecording(g.appliance.recording, a.Name, cfg.Name, classNames),
 	})
@@ -154,7 +171,9 @@
 // poolShares returns the share of descriptors and memory for hosts that each pool has: its own, where the file sets one,
 // and an equal part of the rest otherwise.
 func poolShares(a *config.Appliance) []float64 {
-	shares, left, unset := make([]float64, len(a.Pools)), 1.0, 0
+	shares := make([]float64, len(a.Pools))
+	left := 1.0
+	unset := 0 // pools without a share of their own
 	for i, p := range a.Pools {
 		shares[i] = p.SocketShare
 		left -= p.SocketShare
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -27,7 +27,8 @@
 	snapshot  *engine.Snapshot
 }
 
-// apply puts a file into use, all at once. On an error nothing has changed.
+// apply puts a file into use, all at once. On an error nothing has changed. While the gateway is running, a new pool has to
+// have an endpoint list; at the start it may be without one.
 func (g *Gateway) apply(a *config.Appliance, running bool) error {
 	c := &change{file: a, classes: newClasses(a), listeners: map[string]net.Listener{}, pools: map[string]*appliancePool{}}
 	if err := g.prepare(c, running); err != nil {
@@ -123,7 +124,8 @@
 	}
 	g.engine.Use(c.snapshot)
 	a := g.appliance
-	a.pools, a.file = c.pools, c.file
+	a.pools = c.pools
+	a.file = c.file
 	a.published.Store(&c.pools)
 	for name, p := range c.pools {
 		p.overrides.setDrained(a.drainedHosts(name)) // what changed while it was made
@@ -160,7 +162,8 @@
 			g.server.CloseListener(ln)
 		}
 	}
-	if g.fastCGI == nil && slices.ContainsFunc(c.file.Listeners, func(l config.Listener) bool { return l.Protocol == config.FastCGI }) {
+	needsFastCGI := slices.ContainsFunc(c.file.Listeners, func(l config.Listener) bool { return l.Protocol == config.FastCGI })
+	if needsFastCGI && g.fastCGI == nil {
 		g.startFastCGI()
 	}
 	for _, l := range c.file.Listeners {
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -42,20 +42,25 @@
 func (g *Gateway) Status() any {
 	state, _ := g.admission.Draining()
 	s := Status{
-		State: state.String(), IDs: g.admission.OpenIDs(), Clients: g.server.ConnCounts(),
-		Bodies: map[string]Bytes{}, Refused: map[string]int64{}, Loop: newDelay(&g.engine.LoopDelays),
+		State:   state.String(),
+		IDs:     g.admission.OpenIDs(),
+		Clients: g.server.ConnCounts(),
+		Bodies:  map[string]Bytes{},
+		Refused: map[string]int64{},
+		Loop:    newDelay(&g.engine.LoopDelays),
 	}
 	s.Ready, s.Detail = g.admission.Health()
-	for _, cause := range body.Purposes() {
-		used, limit := g.admission.Bodies.Used(cause)
-		s.Bodies[cause.String()] = Bytes{used, limit}
+	for _, purpose := range body.Purposes() {
+		used, limit := g.admission.Bodies.Used(purpose)
+		s.Bodies[purpose.String()] = Bytes{used, limit}
 	}
 	if l := g.admission.Limits; l != nil {
 		for _, reason := range frontend.RejectReasons() {
 			s.Refused[reason.String()] = l.Rejected(reason)
 		}
 		if l.Overload != nil {
-			s.Pressure, s.Shed = l.Overload.Pressure(), l.Overload.Shed()
+			s.Pressure = l.Overload.Pressure()
+			s.Shed = l.Overload.Shed()
 		}
 	}
 	return s
