--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -28,16 +28,18 @@
 )
 
 const (
-	// MaxConns is how many connections may be open; beyond, the one that has been silent longest is closed. Callers
-	// come a few at a time, and some stay without a call.
+	// MaxConns is how many connections may be open. Beyond it the one that has been without a call for longest is closed.
+	// Callers come a few at a time, and some stay without a call.
 	MaxConns = 16
-	// readTimeout is for a call to arrive. Some callers stay for 4 s with half a call: that costs only a descriptor.
+	// readTimeout is how long a call may take to arrive. Some callers stay for 4 s with half a call, which costs only a
+	// descriptor.
 	readTimeout = 5 * time.Second
-	// responseTime is for a response to be written.
-	responseTime   = time.Second
-	maxHeaderBytes = 4 << 10
-	// callTimeout is how long a Call may take: its caller still gets a response then.
+	// callTimeout is how long a Call may take. It is shorter than readTimeout, so that its caller still gets a response.
 	callTimeout = 4 * time.Second
+	// writeTimeout is when after the call's header section its response has to be written.
+	writeTimeout = readTimeout + time.Second
+	// maxHeaderBytes is the longest header section of a call.
+	maxHeaderBytes = 4 << 10
 
 	typeText = "text/plain; charset=utf-8"
 	typeJSON = "application/json"
@@ -47,16 +49,20 @@
 type Target interface {
 	// Ready reports whether the process is ready to serve, with a line of text.
 	Ready() (ok bool, text string)
+	// Quiesce starts a drain. If one is in progress it does nothing.
 	Quiesce()
+	// Resume ends a drain in any state.
 	Resume()
 	// Status returns what is counted, to be written as JSON.
 	Status() any
 }
 
-// Call is an operators' call. Do may wait until ctx ends; contentType may be empty for plain text.
+// Call is an operators' call.
 type Call struct {
-	Method string
-	Do     func(ctx context.Context, with url.Values) (status int, text, contentType string)
+	Method string // HTTP method; calls by another get status 405
+	// Do carries out the call with the parameters of its query. It may wait until ctx ends, after callTimeout. An empty
+	// contentType stands for plain text.
+	Do func(ctx context.Context, with url.Values) (status int, text, contentType string)
 }
 
 // Server serves calls.
@@ -64,10 +70,10 @@
 	http  http.Server
 	calls map[string]Call // by path
 
-	mu       sync.Mutex
-	silent   list.List // connections without a call so far, oldest first
-	elements map[net.Conn]*list.Element
-	open     int
+	mu       sync.Mutex                 // guards all below
+	silent   list.List                  // connections without a call so far, oldest first
+	elements map[net.Conn]*list.Element // of silent
+	open     int                        // connections
 }
 
 // New returns a Server for the calls on a Target, and others by their paths.
@@ -77,9 +83,12 @@
 		s.calls[path] = c
 	}
 	s.http = http.Server{
-		Handler: http.HandlerFunc(s.serveCall), ConnState: s.track,
-		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) },
-		ReadTimeout: readTimeout, WriteTimeout: readTimeout + responseTime, MaxHeaderBytes: maxHeaderBytes,
+		Handler:                      http.HandlerFunc(s.serveCall),
+		ConnState:                    s.track,
+		ConnContext:                  withConn,
+		ReadTimeout:                  readTimeout,
+		WriteTimeout:                 writeTimeout,
+		MaxHeaderBytes:               maxHeaderBytes,
 		ErrorLog:                     log.New(io.Discard, "", 0), // it would have a line for each bad caller
 		DisableGeneralOptionsHandler: true,
 	}
@@ -99,6 +108,11 @@
 // connKey is the key of the connection among the values of a call's context.
 type connKey struct{}
 
+// withConn returns the context of the calls of a connection.
+func withConn(ctx context.Context, c net.Conn) context.Context {
+	return context.WithValue(ctx, connKey{}, c)
+}
+
 // targetCalls returns the calls on a Target.
 func targetCalls(to Target) map[string]Call {
 	text := func(method string, do func() (int, string)) Call {
@@ -136,18 +150,22 @@
 // serveCall serves one call.
 func (s *Server) serveCall(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	s.hasCalled(r.Context().Value(connKey{}).(net.Conn))
+	s.removeSilent(r.Context().Value(connKey{}).(net.Conn))
 	s.mu.Unlock()
-	status, text, contentType := http.StatusNotFound, "no such call\n", ""
-	if c, ok := s.calls[r.URL.Path]; ok {
-		if r.Method == c.Method {
-			ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
-			status, text, contentType = c.Do(ctx, r.URL.Query())
-			cancel()
-		} else {
-			w.Header().Set("Allow", c.Method)
-			status, text = http.StatusMethodNotAllowed, "this call is by "+c.Method+"\n"
-		}
+	var status int
+	var text, contentType string
+	switch call, found := s.calls[r.URL.Path]; {
+	case !found:
+		status = http.StatusNotFound
+		text = "no such call\n"
+	case r.Method != call.Method:
+		w.Header().Set("Allow", call.Method)
+		status = http.StatusMethodNotAllowed
+		text = "this call is by " + call.Method + "\n"
+	default:
+		ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
+		status, text, contentType = call.Do(ctx, r.URL.Query())
+		cancel()
 	}
 	w.Header().Set("Content-Type", cmp.Or(contentType, typeText))
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
@@ -155,8 +173,8 @@
 	io.WriteString(w, text) // if it fails the caller has gone
 }
 
-// track bounds the number of connections: it guards against callers who stay without a call, and would in time use up
-// all descriptors.
+// track bounds the number of connections by MaxConns. It guards against callers that stay without a call, and would in
+// time use up all descriptors.
 func (s *Server) track(c net.Conn, state http.ConnState) {
 	var victim net.Conn
 	s.mu.Lock()
@@ -168,7 +186,7 @@
 			victim = s.silent.Front().Value.(net.Conn)
 		}
 	case http.StateClosed, http.StateHijacked:
-		s.hasCalled(c)
+		s.removeSilent(c)
 		s.open--
 	}
 	s.mu.Unlock()
@@ -177,8 +195,8 @@
 	}
 }
 
-// hasCalled removes a connection from the silent ones; mu is held.
-func (s *Server) hasCalled(c net.Conn) {
+// removeSilent removes a connection that has had a call, or is closed, from the silent ones; mu is held.
+func (s *Server) removeSilent(c net.Conn) {
 	if e := s.elements[c]; e != nil {
 		s.silent.Remove(e)
 		delete(s.elements, c)
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -3,29 +3,32 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"net"
 	"net/http"
-	"strings"
+	"os"
 	"sync/atomic"
 	"testing"
+	"time"
 
 	"dunemoor/internal/testutil"
 )
 
-// target counts the calls.
-type target struct {
+// countingTarget counts the calls.
+type countingTarget struct {
 	ready             atomic.Bool
 	quiesced, resumed atomic.Int64
 }
 
-func (t *target) Ready() (bool, string) { return t.ready.Load(), "so\n" }
-func (t *target) Quiesce()              { t.quiesced.Add(1) }
-func (t *target) Resume()               { t.resumed.Add(1) }
-func (t *target) Status() any           { return map[string]int{"open": 7} }
+func (t *countingTarget) Ready() (bool, string) { return t.ready.Load(), "so\n" }
+func (t *countingTarget) Quiesce()              { t.quiesced.Add(1) }
+func (t *countingTarget) Resume()               { t.resumed.Add(1) }
+func (t *countingTarget) Status() any           { return map[string]int{"open": 7} }
 
-func serve(t *testing.T) (*target, string) {
+// startServer starts a Server on loopback, and returns its target and its address.
+func startServer(t *testing.T) (*countingTarget, string) {
 	ln := testutil.Listen(t, "127.0.0.1:0", nil)
-	to := &target{}
+	to := &countingTarget{}
 	s := New(to, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -33,7 +36,7 @@
 	t.Cleanup(func() {
 		cancel()
 		if err := <-done; err != nil {
-			t.Error(err)
+			t.Errorf("Serve: got %v, want nil", err)
 		}
 	})
 	return to, ln.Addr().String()
@@ -62,32 +65,39 @@
 	return resp.StatusCode
 }
 
-func TestCalls(t *testing.T) {
-	to, addr := serve(t)
+func TestCallsAreServedByMethodAndPath(t *testing.T) {
+	to, addr := startServer(t)
 	for _, c := range []struct {
 		method, path string
 		ready        bool
 		want         int
 	}{
-		{"GET", PathHealth, true, 200}, {"GET", PathHealth, false, 503}, {"POST", PathHealth, true, 405},
-		{"POST", PathQuiesce, true, 200}, {"GET", PathQuiesce, true, 405}, {"POST", PathQuiesce, true, 200},
-		{"POST", PathResume, true, 200}, {"DELETE", PathResume, true, 405},
-		{"GET", "/", true, 404}, {"POST", "/admin/quiesce/", true, 404}, {"POST", "/admin", true, 404},
+		{"GET", PathHealth, true, 200},
+		{"GET", PathHealth, false, 503},
+		{"POST", PathHealth, true, 405},
+		{"POST", PathQuiesce, true, 200},
+		{"GET", PathQuiesce, true, 405},
+		{"POST", PathQuiesce, true, 200},
+		{"POST", PathResume, true, 200},
+		{"DELETE", PathResume, true, 405},
+		{"GET", "/", true, 404},
+		{"POST", "/admin/quiesce/", true, 404},
+		{"POST", "/admin", true, 404},
 	} {
 		to.ready.Store(c.ready)
 		if got := call(t, addr, c.method, c.path); got != c.want {
-			t.Errorf("%s %s: %d, want %d", c.method, c.path, got, c.want)
+			t.Errorf("%s %s: got status %d, want %d", c.method, c.path, got, c.want)
 		}
 	}
-	if q, r := to.quiesced.Load(), to.resumed.Load(); q != 2 || r != 1 {
-		t.Errorf("%d drains and %d ends of a drain were called for", q, r)
+	if quiesced, resumed := to.quiesced.Load(), to.resumed.Load(); quiesced != 2 || resumed != 1 {
+		t.Errorf("got %d calls of Quiesce and %d of Resume, want 2 and 1", quiesced, resumed)
 	}
 }
 
 // Callers without a call, or with half of one, keep nobody from a response, and have no more than their share of
 // connections.
-func TestSilentCallers(t *testing.T) {
-	to, addr := serve(t)
+func TestSilentCallersKeepNobodyOut(t *testing.T) {
+	to, addr := startServer(t)
 	to.ready.Store(true)
 	var silent []net.Conn
 	for i := range 3 * MaxConns {
@@ -103,12 +113,13 @@
 	}
 	for range 20 {
 		if got := call(t, addr, "GET", PathHealth); got != 200 {
-			t.Errorf("health: %d", got)
+			t.Errorf("health: got status %d, want 200", got)
 		}
 	}
 	// The first connection was closed in favor of others.
-	if _, err := silent[0].Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "timeout") {
-		t.Errorf("the oldest silent caller is still there: %v", err)
+	silent[0].SetReadDeadline(time.Now().Add(testutil.WaitTimeout))
+	if _, err := silent[0].Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("the oldest silent caller: got %v, want the end of its connection", err)
 	}
 	if to.quiesced.Load() != 0 {
 		t.Error("half a call was served")
--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -16,10 +16,10 @@
 	Closing              // connections without a request are closed
 )
 
-var names = [...]string{"serving", "noticed", "leaving", "closing"}
+var stateNames = [...]string{"serving", "noticed", "leaving", "closing"}
 
-// String returns the name of the state.
-func (s State) String() string { return names[s] }
+// String returns the name that the state has in the health check and in the admin status.
+func (s State) String() string { return stateNames[s] }
 
 // Times are how long after its begin a drain enters its states.
 type Times struct {
@@ -27,22 +27,23 @@
 	Close time.Duration // most connections in use have had a response since Leave
 }
 
-// Drain is a drain, or none. The zero value is Serving. It is immutable: each call returns another.
+// Drain is a drain, or none. The zero value is Serving. It is immutable: each call returns another. Times are given on
+// any one clock.
 type Drain struct {
-	on    bool
-	began time.Duration
-	times Times
+	inProgress bool
+	began      time.Duration
+	times      Times
 }
 
-// Quiesce begins a drain. One that is on goes on as it was: a caller who repeats the call, not knowing whether the first
+// Quiesce begins a drain. One in progress goes on as it was: a caller that repeats the call, not knowing whether the first
 // came through, must not gain time by it.
 func (d Drain) Quiesce(now time.Duration, t Times) Drain {
-	if d.on {
+	if d.inProgress {
 		return d
 	}
 	t.Leave = max(t.Leave, 0)
 	t.Close = max(t.Close, t.Leave)
-	return Drain{on: true, began: now, times: t}
+	return Drain{inProgress: true, began: now, times: t}
 }
 
 // Resume ends a drain in any state.
@@ -50,24 +51,27 @@
 
 // State returns the state at a time. A clock that goes backward leaves it at Noticed at least.
 func (d Drain) State(now time.Duration) State {
-	switch age := now - d.began; {
-	case !d.on:
+	age := now - d.began
+	switch {
+	case !d.inProgress:
 		return Serving
 	case age >= d.times.Close:
 		return Closing
 	case age >= d.times.Leave:
 		return Leaving
+	default:
+		return Noticed
 	}
-	return Noticed
 }
 
-// Next returns when the state changes by itself; never is true where it does not.
+// Next returns when the state changes next by itself; never is true if it does not.
 func (d Drain) Next(now time.Duration) (at time.Duration, never bool) {
 	switch d.State(now) {
 	case Noticed:
 		return d.began + d.times.Leave, false
 	case Leaving:
 		return d.began + d.times.Close, false
+	default:
+		return 0, true
 	}
-	return 0, true
 }
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -6,78 +6,96 @@
 	"time"
 )
 
-const ms = time.Millisecond
+// testTimes are the times of the drains of all tests.
+var testTimes = Times{Leave: 1600 * time.Millisecond, Close: 1900 * time.Millisecond}
 
-var times = Times{Leave: 1600 * ms, Close: 1900 * ms}
-
-func TestStates(t *testing.T) {
-	d := Drain{}.Quiesce(time.Hour, times)
-	for _, c := range []struct {
+func TestDrainAdvancesWithTime(t *testing.T) {
+	const (
+		began = time.Hour
+		ms    = time.Millisecond
+	)
+	d := Drain{}.Quiesce(began, testTimes)
+	for _, tt := range []struct {
 		after time.Duration
 		want  State
 		next  time.Duration // after the call; 0: none
 	}{
-		{0, Noticed, 1600 * ms}, {1599 * ms, Noticed, 1600 * ms}, {1600 * ms, Leaving, 1900 * ms},
-		{1899 * ms, Leaving, 1900 * ms}, {1900 * ms, Closing, 0}, {time.Hour, Closing, 0},
+		{0, Noticed, 1600 * ms},
+		{1599 * ms, Noticed, 1600 * ms},
+		{1600 * ms, Leaving, 1900 * ms},
+		{1899 * ms, Leaving, 1900 * ms},
+		{1900 * ms, Closing, 0},
+		{time.Hour, Closing, 0},
 		{-time.Minute, Noticed, 1600 * ms}, // a clock that was set back
 	} {
-		now := time.Hour + c.after
-		if got := d.State(now); got != c.want {
-			t.Errorf("after %v: %v, want %v", c.after, got, c.want)
+		now := began + tt.after
+		if got := d.State(now); got != tt.want {
+			t.Errorf("after %v: got state %v, want %v", tt.after, got, tt.want)
 		}
 		at, never := d.Next(now)
-		if never != (c.next == 0) || !never && at != time.Hour+c.next {
-			t.Errorf("after %v: next at %v, %t", c.after, at, never)
+		if wantNever := tt.next == 0; never != wantNever {
+			t.Errorf("after %v: got never %t, want %t", tt.after, never, wantNever)
+		} else if !never && at != began+tt.next {
+			t.Errorf("after %v: got the next state after %v, want %v", tt.after, at-began, tt.next)
 		}
 	}
 	if got := (Drain{}).State(time.Hour); got != Serving {
-		t.Errorf("before any call: %v", got)
+		t.Errorf("before any call: got state %v, want %v", got, Serving)
 	}
 }
 
 // A repeated call changes nothing: it guards against a drain that never ends as its caller repeats a call whose response
 // was lost.
-func TestRepeatedCall(t *testing.T) {
-	d := Drain{}.Quiesce(0, times).Quiesce(1800*ms, times)
-	if got := d.State(1900 * ms); got != Closing {
-		t.Errorf("the second call returned it to %v", got)
+func TestRepeatedQuiesceGainsNoTime(t *testing.T) {
+	d := Drain{}.Quiesce(0, testTimes).Quiesce(1800*time.Millisecond, testTimes)
+	if got := d.State(1900 * time.Millisecond); got != Closing {
+		t.Errorf("after a second call: got state %v, want %v", got, Closing)
 	}
 }
 
 // Any order of calls, at any times: a drain only advances until Resume, Resume serves at once, and the next drain begins
 // from its start.
-func TestAnyOrder(t *testing.T) {
+func TestDrainOnlyAdvancesUntilResume(t *testing.T) {
 	for seed := range uint64(2000) {
 		rng := rand.New(rand.NewPCG(seed, 0))
 		var d Drain
-		var now, since time.Duration
-		on, was := false, Serving
+		var now, began time.Duration
+		draining := false
+		last := Serving
 		for range 50 {
 			now += time.Duration(rng.Int64N(int64(time.Second)))
 			switch rng.IntN(4) {
 			case 0:
-				if d = d.Quiesce(now, times); !on {
-					on, since, was = true, now, Noticed
+				d = d.Quiesce(now, testTimes)
+				if !draining {
+					draining = true
+					began = now
+					last = Noticed
 				}
 			case 1:
 				d = d.Resume()
-				on, was = false, Serving
+				draining = false
+				last = Serving
 			}
 			got := d.State(now)
-			want := Serving
-			if on {
-				want = Noticed
-				if now-since >= times.Leave {
-					want = Leaving
-				}
-				if now-since >= times.Close {
-					want = Closing
-				}
-			}
-			if got != want || got < was {
-				t.Fatalf("seed %d: %v at %v, want %v, was %v", seed, got, now-since, want, was)
+			if want := wantState(draining, now-began); got != want || got < last {
+				t.Fatalf("seed %d: got state %v after %v, want %v, and no less than %v", seed, got, now-began, want, last)
 			}
-			was = got
+			last = got
 		}
 	}
 }
+
+// wantState is the state of a drain of an age.
+func wantState(draining bool, age time.Duration) State {
+	switch {
+	case !draining:
+		return Serving
+	case age >= testTimes.Close:
+		return Closing
+	case age >= testTimes.Leave:
+		return Leaving
+	default:
+		return Noticed
+	}
+}
