--- a/internal/frontend/http1/conntable_test.go
+++ b/internal/frontend/http1/conntable_test.go
@@ -5,7 +5,6 @@
 	"io"
 	"maps"
 	"net"
-	"net/http"
 	"strings"
 	"testing"
 	"time"
@@ -310,12 +309,7 @@
 // A client that has sent more before it reads its last response sees that response: the connection ends regularly, and not
 // by a reset because of unread bytes.
 func TestLastResponseIsReadBehindUnreadBytes(t *testing.T) {
-	release := make(chan struct{})
-	host := testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
-		<-release
-		io.WriteString(c, testutil.OKResponse)
-		return true
-	})
+	host, release := newHoldingHost(t)
 	g := startGateway(t, withHosts(host))
 	client := g.dialWithTimeout()
 	io.WriteString(client, closingRequest())
--- a/internal/frontend/http1/disconnect_test.go
+++ b/internal/frontend/http1/disconnect_test.go
@@ -30,6 +30,9 @@
 	"reset":      func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 }
 
+// disconnectNames are the keys of disconnects, to have clients leave in each way in turn.
+var disconnectNames = []string{"close", "half close", "reset"}
+
 // stopWatcher stops the goroutine that notices when clients leave, as if it had no turn on a busy machine.
 func (g *testGateway) stopWatcher() {
 	g.Helper()
@@ -135,7 +138,7 @@
 	testutil.WaitUntil(t, "all errors are written", func() bool { return responses.Load() == inFlight })
 	g.stopWatcher()
 	for i, c := range conns {
-		disconnects[[]string{"close", "half close", "reset"}[i%3]](c)
+		disconnects[disconnectNames[i%len(disconnectNames)]](c)
 	}
 	testutil.WaitUntil(t, "all closes have arrived", func() bool { return g.disconnected() == clients })
 	close(release)
@@ -151,12 +154,7 @@
 	for how, disconnect := range disconnects {
 		for _, unnoticed := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, unnoticed %t", how, unnoticed), func(t *testing.T) {
-				release := make(chan struct{})
-				host := testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
-					<-release
-					io.WriteString(c, testutil.OKResponse)
-					return true
-				})
+				host, release := newHoldingHost(t)
 				cfg := withHosts(host)
 				pace := body.Pace{IdleTimeout: testutil.WaitTimeout}
 				cfg.streams = &engine.Streams{BufferBytes: 64 << 10, Pace: pace, Upload: pace}
@@ -227,15 +225,10 @@
 // Clients that leave in a burst, in any way, while their requests wait for a host have left, and nothing is sent for them:
 // neither then nor when the host has capacity again.
 func TestBurstOfDisconnectsWhileRequestsAreQueued(t *testing.T) {
-	release := make(chan struct{})
-	host := testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
-		<-release
-		io.WriteString(c, testutil.OKResponse)
-		return true
-	})
+	host, release := newHoldingHost(t)
 	g := startGateway(t, withHosts(host))
 	const clients = 200
-	conns := map[string]*net.TCPConn{}
+	conns := map[string]*net.TCPConn{} // by request id
 	for range clients {
 		c, id := g.dial(), testutil.NewID()
 		io.WriteString(c, testutil.LookRequest(id))
@@ -252,16 +245,8 @@
 	host.Mu.Unlock()
 	i := 0
 	for _, c := range conns {
+		disconnects[disconnectNames[i%len(disconnectNames)]](c)
 		i++
-		switch i % 3 {
-		case 0:
-			c.CloseWrite()
-		case 1:
-			c.SetLinger(0)
-			c.Close()
-		default:
-			c.Close()
-		}
 	}
 	testutil.WaitUntil(t, "the requests of all others have ended", func() bool { return g.admission.OpenIDs() == maxInFlightPerHost })
 	close(release)
@@ -293,8 +278,10 @@
 	host := testutil.NewHost(t, testutil.NeverRespond)
 	g := startGateway(t, withHosts(host))
 	for i, more := range []string{"", "GET ", strings.Repeat("x", 64<<10)} {
-		c := g.dial()
-		io.WriteString(c, testutil.LookRequest(testutil.NewID())+more)
+		c := g.dialWithTimeout()
+		if _, err := io.WriteString(c, testutil.LookRequest(testutil.NewID())+more); err != nil {
+			t.Fatalf("write a request and %d bytes more, which the kernel's buffers have to hold: %v", len(more), err)
+		}
 		testutil.WaitUntil(t, "the host has the request", func() bool { n, _, _ := host.Counts(); return n == i+1 })
 		c.Close()
 		testutil.WaitUntil(t, "the request has ended", func() bool { return g.admission.OpenIDs() == 0 })
--- a/internal/frontend/http1/gateway_test.go
+++ b/internal/frontend/http1/gateway_test.go
@@ -47,6 +47,18 @@
 	return withHosts(testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse)))
 }
 
+// newHoldingHost returns a host that answers its requests once release is closed.
+func newHoldingHost(t *testing.T) (host *testutil.Host, release chan struct{}) {
+	t.Helper()
+	release = make(chan struct{})
+	host = testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
+		<-release
+		io.WriteString(c, testutil.OKResponse)
+		return true
+	})
+	return host, release
+}
+
 // startGateway starts a gateway with one route, whose requests are in the platform's protocol.
 func startGateway(t *testing.T, cfg *testConfig) *testGateway {
 	t.Helper()
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -32,8 +32,8 @@
 
 // listen opens a listener. It replaces the socket file of a process that has ended.
 func listen(l config.Listener) (net.Listener, error) {
-	path, unix := strings.CutPrefix(l.Address, unixPrefix)
-	if !unix {
+	path, isUnix := strings.CutPrefix(l.Address, unixPrefix)
+	if !isUnix {
 		return net.Listen("tcp", l.Address)
 	}
 	ln, err := net.Listen("unix", path)
