--- a/internal/frontend/http1/conntable_test.go
+++ b/internal/frontend/http1/conntable_test.go
@@ -71,7 +71,10 @@
 			t.Fatalf("no crowd after %d connections", i)
 		}
 		table.mu.Lock()
-		makeAllNew(table)
+		for _, queue := range []*list.List{&table.idle, &table.silent} {
+			setAge(queue, maxSilentTimeCrowded/4)
+		}
+		disableTimeouts(&table.silent)
 		table.mu.Unlock()
 		if c := g.dial(); i%2 == 0 {
 			if err := testutil.RoundTrip(c); err != nil {
@@ -82,7 +85,9 @@
 		}
 	}
 	table.mu.Lock()
-	makeAllOld(table)
+	for _, queue := range []*list.List{&table.idle, &table.silent} {
+		setAge(queue, minIdleTime)
+	}
 	table.mu.Unlock()
 	for i := 0; table.crowded(); i++ {
 		if i > 2*table.limit {
@@ -92,15 +97,16 @@
 	}
 }
 
-// makeAllNew makes all connections without a request so new that no pause of the machine makes them old enough to be closed,
-// and takes requestTimeout off silent ones; the table's mu is held.
-func makeAllNew(table *connTable) {
-	for _, queue := range []*list.List{&table.silent, &table.idle} {
-		for e := queue.Front(); e != nil; e = e.Next() {
-			e.Value.(*clientConn).queuedAt = time.Now().Add(time.Hour)
-		}
+// setAge makes the connections in a queue of an age, however long the test has taken so far; the table's mu is held.
+func setAge(queue *list.List, age time.Duration) {
+	for e := queue.Front(); e != nil; e = e.Next() {
+		e.Value.(*clientConn).queuedAt = time.Now().Add(-age)
 	}
-	for e := table.silent.Front(); e != nil; e = e.Next() {
+}
+
+// disableTimeouts takes the read deadlines off the connections in a queue; the table's mu is held.
+func disableTimeouts(queue *list.List) {
+	for e := queue.Front(); e != nil; e = e.Next() {
 		e.Value.(*clientConn).SetReadDeadline(time.Time{})
 	}
 }
@@ -129,10 +135,10 @@
 		used++
 	}
 	testutil.WaitUntil(t, "all connections that have been used are idle", func() bool { return g.server.ConnCounts().Idle == used })
-	table.mu.Lock()
-	makeAllNew(table)
-	table.mu.Unlock()
 	for i := range 600 {
+		table.mu.Lock()
+		setAge(&table.idle, minIdleTime/4)
+		table.mu.Unlock()
 		g.dial()
 		if i%20 == 0 {
 			if err := testutil.RoundTrip(g.dial()); err != nil {
@@ -147,7 +153,7 @@
 		t.Errorf("%d of %d connections that have just been used are open, want all", kept, used)
 	}
 	table.mu.Lock()
-	makeAllOld(table)
+	setAge(&table.idle, minIdleTime)
 	before := table.idle.Len()
 	table.mu.Unlock()
 	// Without silent connections, each new connection evicts an idle one. Some of those dialed above may still be accepted
