--- a/internal/frontend/http1/conntable_test.go
+++ b/internal/frontend/http1/conntable_test.go
@@ -5,7 +5,6 @@
 	"io"
 	"maps"
 	"net"
-	"net/http"
 	"strings"
 	"testing"
 	"time"
@@ -67,10 +66,17 @@
 	cfg.sockets = 128
 	g := startGateway(t, cfg)
 	table := &g.server.conns
+	stopClock(table, maxSilentTimeCrowded/2)
 	for i := 0; !table.crowded(); i++ {
 		if i > table.limit {
 			t.Fatalf("no crowd after %d connections", i)
 		}
+		table.mu.Lock()
+		for _, queue := range []*list.List{&table.idle, &table.silent} {
+			setAge(table, queue, maxSilentTimeCrowded/4)
+		}
+		disableTimeouts(&table.silent)
+		table.mu.Unlock()
 		if c := g.dial(); i%2 == 0 {
 			if err := testutil.RoundTrip(c); err != nil {
 				t.Fatal(err)
@@ -81,7 +87,7 @@
 	}
 	table.mu.Lock()
 	for _, queue := range []*list.List{&table.idle, &table.silent} {
-		makeOlder(queue, minIdleTime)
+		setAge(table, queue, minIdleTime)
 	}
 	table.mu.Unlock()
 	for i := 0; table.crowded(); i++ {
@@ -92,11 +98,26 @@
 	}
 }
 
-// makeOlder makes the connections in a queue older; the table's mu is held.
-func makeOlder(queue *list.List, age time.Duration) {
+// setAge makes the connections in a queue of an age, however long the test has taken so far; the table's mu is held.
+func setAge(table *connTable, queue *list.List, age time.Duration) {
 	for e := queue.Front(); e != nil; e = e.Next() {
-		c := e.Value.(*clientConn)
-		c.queuedAt = c.queuedAt.Add(-age)
+		e.Value.(*clientConn).queuedAt = table.now().Add(-age)
+	}
+}
+
+// disableTimeouts takes the read deadlines off the connections in a queue; the table's mu is held.
+func disableTimeouts(queue *list.List) {
+	for e := queue.Front(); e != nil; e = e.Next() {
+		e.Value.(*clientConn).SetReadDeadline(time.Time{})
+	}
+}
+
+// makeAllOld makes all connections without a request old enough to be closed; the table's mu is held.
+func makeAllOld(table *connTable) {
+	for _, queue := range []*list.List{&table.silent, &table.idle} {
+		for e := queue.Front(); e != nil; e = e.Next() {
+			e.Value.(*clientConn).queuedAt = time.Time{}
+		}
 	}
 }
 
@@ -115,7 +136,7 @@
 	cfg.sockets = 256
 	g := startGateway(t, cfg)
 	table := &g.server.conns
-	stopClock(table, minIdleTime-time.Millisecond)
+	stopClock(table, minIdleTime/2)
 	used := 0
 	for range table.limit * crowdedPercent / 100 {
 		if err := testutil.RoundTrip(g.dial()); err != nil {
@@ -123,7 +144,11 @@
 		}
 		used++
 	}
+	testutil.WaitUntil(t, "all connections that have been used are idle", func() bool { return g.server.ConnCounts().Idle == used })
 	for i := range 600 {
+		table.mu.Lock()
+		setAge(table, &table.idle, minIdleTime/4)
+		table.mu.Unlock()
 		g.dial()
 		if i%20 == 0 {
 			if err := testutil.RoundTrip(g.dial()); err != nil {
@@ -138,7 +163,7 @@
 		t.Errorf("%d of %d connections that have just been used are open, want all", kept, used)
 	}
 	table.mu.Lock()
-	makeOlder(&table.idle, minIdleTime)
+	setAge(table, &table.idle, minIdleTime)
 	before := table.idle.Len()
 	table.mu.Unlock()
 	// Without silent connections, each new connection evicts an idle one. Some of those dialed above may still be accepted
@@ -195,15 +220,6 @@
 	"drained": func(table *connTable) { table.closeWaitingLocked() },
 }
 
-// makeAllOld makes all connections without a request old enough to be closed; the table's mu is held.
-func makeAllOld(table *connTable) {
-	for _, queue := range []*list.List{&table.silent, &table.idle} {
-		for e := queue.Front(); e != nil; e = e.Next() {
-			e.Value.(*clientConn).queuedAt = time.Time{}
-		}
-	}
-}
-
 // A request that has arrived but is not read when its connection is to be closed is answered, and ends its connection. So
 // is one that arrives as its connection times out.
 func TestUnreadRequestIsServedWhenConnectionCloses(t *testing.T) {
@@ -309,12 +325,7 @@
 // A client that has sent more before it reads its last response sees that response: the connection ends regularly, and not
 // by a reset because of unread bytes.
 func TestLastResponseIsReadBehindUnreadBytes(t *testing.T) {
-	release := make(chan struct{})
-	host := testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
-		<-release
-		io.WriteString(c, testutil.OKResponse)
-		return true
-	})
+	host, release := newHoldingHost(t)
 	g := startGateway(t, withHosts(host))
 	client := g.dialWithTimeout()
 	io.WriteString(client, closingRequest())
--- a/internal/frontend/http1/gateway_test.go
+++ b/internal/frontend/http1/gateway_test.go
@@ -36,14 +36,12 @@
 type testConfig struct {
 	hosts   []*testutil.Host
 	sockets int
-	// latencyObjective is that of all classes; requests may wait for a host for a fifth of it.
-	latencyObjective time.Duration
 	streams          *engine.Streams // nil: all bodies are buffered
 	classify         func()          // if set, called in the engine's loop with each response of a host
 }
 
 func withHosts(hosts ...*testutil.Host) *testConfig {
-	return &testConfig{hosts: hosts, sockets: 1024, latencyObjective: 10 * time.Second}
+	return &testConfig{hosts: hosts, sockets: 1024}
 }
 
 // withHealthyHost returns the config of a gateway with a host that answers each request.
@@ -51,6 +49,18 @@
 	return withHosts(testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse)))
 }
 
+// newHoldingHost returns a host that answers its requests once release is closed.
+func newHoldingHost(t *testing.T) (host *testutil.Host, release chan struct{}) {
+	t.Helper()
+	release = make(chan struct{})
+	host = testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
+		<-release
+		io.WriteString(c, testutil.OKResponse)
+		return true
+	})
+	return host, release
+}
+
 // startGateway starts a gateway with one route, whose requests are in the platform's protocol.
 func startGateway(t *testing.T, cfg *testConfig) *testGateway {
 	t.Helper()
@@ -59,12 +69,15 @@
 	// A connection that comes up late on a busy machine must not count as a host's failure.
 	dialer := net.Dialer{Timeout: testutil.WaitTimeout}
 	transport := hosts.NewTransport(hosts.Options{MaxConns: 1024, DialContext: dialer.DialContext})
+	// The balancer rejects queued requests, and ejects hosts that don't answer, after a share of the latency objective: a
+	// fifth at least, which here is longer than tests wait for anything (testutil.WaitTimeout).
+	const objective = 5 * time.Minute
 	settings := balancer.Settings{
 		Instances: 1, MaxAttempts: 4, Cancel: true, MaxRetryAfter: time.Second, Step: 5 * time.Millisecond,
 		Classes: []balancer.Class{
-			{LatencyObjective: cfg.latencyObjective, Deadline: time.Minute},
-			{LatencyObjective: cfg.latencyObjective, Deadline: time.Minute, Idempotency: balancer.NonIdempotent},
-			{LatencyObjective: cfg.latencyObjective, Deadline: time.Minute, Idempotency: balancer.IdempotentWithKey, DedupWindow: 30 * time.Second},
+			{LatencyObjective: objective, Deadline: objective},
+			{LatencyObjective: objective, Deadline: objective, Idempotency: balancer.NonIdempotent},
+			{LatencyObjective: objective, Deadline: objective, Idempotency: balancer.IdempotentWithKey, DedupWindow: 30 * time.Second},
 		},
 	}
 	pool, err := e.NewPool(engine.PoolConfig{Settings: settings, Transport: transport})
--- a/internal/frontend/http1/server.go
+++ b/internal/frontend/http1/server.go
@@ -51,11 +51,8 @@
 	sharedListeners bool
 	maxHeaderBytes  int
 	longestDeadline atomic.Int64 // a time.Duration
-	// lastRequests is how long before all responses are due connections begin to end with their responses:
-	// lastRequestsTime, but longer in tests.
-	lastRequests time.Duration
-	listeners    frontend.Listeners[ListenOptions]
-	conns        connTable
+	listeners       frontend.Listeners[ListenOptions]
+	conns           connTable
 
 	mu      sync.Mutex         // guards watcher and closed, and orders Serve and Close
 	watcher *disconnectWatcher // nil before the first Serve
@@ -64,17 +61,18 @@
 	shuttingDown      atomic.Bool   // Shutdown has been called
 	shutdownEndsConns atomic.Bool   // Shutdown has reached the step in which connections end with their responses
 	endTunnels        chan struct{} // closed when tunnels, and delays of rejected clients, have to end
+	lastRequestsTime  time.Duration // the constant, unless a test sets it before Shutdown
 }
 
 // New returns a Server that brings its requests through admission.
 func New(admission *frontend.Admission, o Options) *Server {
 	s := &Server{
-		admission:       admission,
-		plainRoutes:     o.PlainRoutes,
-		sharedListeners: o.SharedListeners,
-		maxHeaderBytes:  cmp.Or(o.MaxHeaderBytes, defaultMaxHeaderBytes),
-		lastRequests:    lastRequestsTime,
-		endTunnels:      make(chan struct{}),
+		admission:        admission,
+		plainRoutes:      o.PlainRoutes,
+		sharedListeners:  o.SharedListeners,
+		maxHeaderBytes:   cmp.Or(o.MaxHeaderBytes, defaultMaxHeaderBytes),
+		endTunnels:       make(chan struct{}),
+		lastRequestsTime: lastRequestsTime,
 	}
 	s.conns.evicted = sync.NewCond(&s.conns.mu)
 	s.SetLongestDeadline(o.LongestDeadline)
--- a/internal/frontend/http1/server_test.go
+++ b/internal/frontend/http1/server_test.go
@@ -27,9 +27,13 @@
 // Clients with a connection are served on it long after Shutdown is called, as they may have no other gateway. Shortly before
 // the exit the connection ends with a response, and no request fails.
 func TestShutdownServesOpenConnections(t *testing.T) {
+	// How long a client may pause at the end without losing its connection between two requests.
+	if got := lastRequestsTime - closeIdleTime; got != 200*time.Millisecond {
+		t.Errorf("connections end with their responses for %v before idle ones are closed, want 200ms", got)
+	}
 	g := startGateway(t, withHealthyHost(t))
 	// A client that sends nothing in this time loses its connection; no pause of a busy machine may take as long.
-	g.server.lastRequests = 1500 * time.Millisecond
+	g.server.lastRequestsTime = 1500 * time.Millisecond
 	c := g.dialWithTimeout()
 	in := bufio.NewReader(c)
 	// A listener that Serve gets only after Shutdown is closed, and with it what waits to be accepted.
@@ -73,7 +77,7 @@
 		close(stopped)
 	}()
 	testutil.WaitUntil(t, "Shutdown has begun", g.server.shuttingDown.Load)
-	ln := testutil.Listen(t, "127.0.0.1:0", nil)
+	ln := &countingListener{Listener: testutil.Listen(t, "127.0.0.1:0", nil)}
 	served := make(chan error, 1)
 	go func() { served <- g.server.Serve(ln) }()
 	select {
@@ -81,8 +85,12 @@
 		if err != nil {
 			t.Errorf("Serve: got %v, want nil", err)
 		}
-	case <-stopped:
-		t.Error("Serve goes on, want it to return")
+	case <-time.After(testutil.WaitTimeout):
+		t.Fatal("Serve goes on, want it to return")
+	}
+	// One that goes on may return when Shutdown closes all listeners.
+	if n := ln.accepts.Load(); n != 0 {
+		t.Errorf("Serve goes on: got %d calls of Accept, want none", n)
 	}
 	if _, err := net.Dial("tcp", ln.Addr().String()); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("dial the listener: got %v, want %v", err, syscall.ECONNREFUSED)
@@ -90,6 +98,17 @@
 	<-stopped
 }
 
+// countingListener counts the calls of Accept.
+type countingListener struct {
+	net.Listener
+	accepts atomic.Int32
+}
+
+func (l *countingListener) Accept() (net.Conn, error) {
+	l.accepts.Add(1)
+	return l.Listener.Accept()
+}
+
 // shortListener fails a number of times as if there were no descriptors left.
 type shortListener struct {
 	net.Listener
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -53,7 +53,7 @@
 	if resp, err := send(); err != nil || resp.StatusCode != 200 {
 		t.Errorf("open connection at the start of the drain: response %v, error %v, want 200", resp, err)
 	}
-	testutil.WaitUntil(t, "connections to leave", func() bool { s, _ := g.gate.Draining(); return s >= drain.Leaving })
+	testutil.WaitUntil(t, "connections to leave", func() bool { s, _ := g.admission.Draining(); return s >= drain.Leaving })
 	if resp, err := send(); err != nil || resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("once connections leave: response %v, error %v, want 200 with Connection: close", resp, err)
 	}
@@ -72,15 +72,12 @@
 		}
 	}
 	// It stays open, though the drain would have closed it by now.
-	kept.SetReadDeadline(time.Now().Add(10 * drainCloseInterval))
+	kept.SetReadDeadline(time.Now().Add(250 * time.Millisecond))
 	if _, err := kept.Read(make([]byte, 1)); err == nil || !strings.Contains(err.Error(), "timeout") {
 		t.Errorf("open connection after the drain: error %v, want a timeout", err)
 	}
 }
 
-// drainCloseInterval is how often a drain closes idle connections.
-const drainCloseInterval = 25 * time.Millisecond
-
 // A request in flight when a drain closes connections is answered.
 func TestDrainWaitsForRequestsInFlight(t *testing.T) {
 	release := make(chan struct{})
@@ -101,7 +98,7 @@
 	}()
 	testutil.WaitUntil(t, "the request in flight", func() bool { return g.openRequests() == 1 })
 	g.Quiesce()
-	testutil.WaitUntil(t, "connections to be closed", func() bool { s, _ := g.gate.Draining(); return s == drain.Closing })
+	testutil.WaitUntil(t, "connections to be closed", func() bool { s, _ := g.admission.Draining(); return s == drain.Closing })
 	close(release)
 	if err := <-result; err != nil {
 		t.Errorf("request in flight during the drain: %v, want a response with Connection: close", err)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -14,14 +14,11 @@
 
 	"dunemoor/internal/admin"
 	"dunemoor/internal/body"
-	"dunemoor/internal/classid"
 	"dunemoor/internal/config"
-	"dunemoor/internal/discovery"
 	"dunemoor/internal/engine"
 	"dunemoor/internal/frontend"
 	fcgi "dunemoor/internal/frontend/fastcgi"
 	"dunemoor/internal/frontend/http1"
-	hosts "dunemoor/internal/upstream/http1"
 )
 
 // Shares of the file descriptors, in percent. Clients have a third of all at most for their requests; each request
@@ -40,7 +37,7 @@
 // Gateway is a running gateway. Its methods are called from one goroutine, unless they say otherwise.
 type Gateway struct {
 	engine         *engine.Engine
-	gate           *frontend.Admission
+	admission      *frontend.Admission
 	server         *http1.Server
 	fastCGI        *fcgi.Server // nil: no listener speaks FastCGI
 	listenerErrors chan error
@@ -48,26 +45,25 @@
 	ctx    context.Context // of all that runs
 	cancel context.CancelFunc
 
-	sockets int
-	memory  int64
+	maxSockets  int   // file descriptors of the process
+	memoryLimit int64 // bytes
 
-	appliance *appliance // nil: of the platform
-
-	// Of the platform.
-	watcher      *discovery.Watcher
-	pool         *engine.Pool
-	classes      []classid.Class // by their number
-	transport    *hosts.Transport
-	sharesSocket bool   // the platform holds the socket for clients
-	useHalf      func() // leaves half of the machine to another process; nil: there is none
+	// One of these is set, by the kind of the gateway.
+	appliance *appliance
+	platform  *platform
 }
 
 // newGateway returns a Gateway without pools.
-func newGateway(seed uint64, sockets int, memory int64, o http1.Options) *Gateway {
-	g := &Gateway{engine: engine.New(seed), listenerErrors: make(chan error, 1), sockets: sockets, memory: memory}
-	g.gate = frontend.NewAdmission(g.engine, body.NewBudget(memory))
-	o.MaxConns, o.SpareConns = clientSocketLimits(sockets)
-	g.server = http1.New(g.gate, o)
+func newGateway(seed uint64, maxSockets int, memoryLimit int64, o http1.Options) *Gateway {
+	g := &Gateway{
+		engine:         engine.New(seed),
+		listenerErrors: make(chan error, 1),
+		maxSockets:     maxSockets,
+		memoryLimit:    memoryLimit,
+	}
+	g.admission = frontend.NewAdmission(g.engine, body.NewBudget(memoryLimit))
+	o.MaxConns, o.SpareConns = clientSocketLimits(maxSockets)
+	g.server = http1.New(g.admission, o)
 	g.ctx, g.cancel = context.WithCancel(context.Background())
 	go g.server.RunDrain(g.ctx)
 	return g
@@ -75,10 +71,10 @@
 
 // clientSocketLimits returns how many of the descriptors are for clients, and how many more there may be before a new
 // connection is closed at once.
-func clientSocketLimits(sockets int) (limit, spare int) {
-	sockets = config.SharedSockets(sockets)
-	limit = sockets * clientPercent / 100
-	return limit, sockets*(clientPercent+sparePercent)/100 - limit
+func clientSocketLimits(maxSockets int) (limit, spare int) {
+	shared := config.SharedSockets(maxSockets)
+	limit = shared * clientPercent / 100
+	return limit, shared*(clientPercent+sparePercent)/100 - limit
 }
 
 // serve accepts requests by HTTP/1.1 from ln.
@@ -110,8 +106,8 @@
 // Stop shuts the gateway down gracefully: all requests get their response. It waits for recordings to be written, at
 // most for the timeout.
 func (g *Gateway) Stop(timeout time.Duration) {
-	if g.useHalf != nil {
-		g.useHalf()
+	if g.platform != nil && g.platform.useHalf != nil {
+		g.platform.useHalf()
 	}
 	var frontends sync.WaitGroup
 	if g.fastCGI != nil {
@@ -123,6 +119,9 @@
 	g.engine.Wait(timeout)
 }
 
+// closeTimeout is how long Close waits for recordings to be written.
+const closeTimeout = time.Minute
+
 // Close ends the gateway at once.
 func (g *Gateway) Close() {
 	g.server.Close()
@@ -130,7 +129,7 @@
 		g.fastCGI.Close()
 	}
 	g.cancel()
-	g.engine.Wait(time.Minute)
+	g.engine.Wait(closeTimeout)
 }
 
 // Admin serves the operators' calls on ln, with the calls of other parts by their paths.
@@ -143,18 +142,18 @@
 }
 
 // Ready reports whether requests can be served, and if not why.
-func (g *Gateway) Ready() (bool, string) { return g.gate.Health() }
+func (g *Gateway) Ready() (bool, string) { return g.admission.Health() }
 
 // Quiesce begins a drain: the health check fails, and connections end once their clients have their responses. A
 // second call changes nothing.
 func (g *Gateway) Quiesce() {
-	g.gate.StartDrain()
+	g.admission.StartDrain()
 	slog.Info("draining")
 }
 
 // Resume ends a drain.
 func (g *Gateway) Resume() {
-	g.gate.CancelDrain()
+	g.admission.CancelDrain()
 	slog.Info("drain canceled, serving")
 }
 
--- a/internal/gateway/meter.go
+++ b/internal/gateway/meter.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// descriptorSampleInterval is how many samples lie between two counts of the descriptors, whose cost grows with
+	// samplesPerDescriptorCount is how many samples there are for each count of the descriptors, whose cost grows with
 	// their number.
-	descriptorSampleInterval = 10
+	samplesPerDescriptorCount = 10
 	// pingInterval is how often a byte is sent through a pipe. A runtime that has more to do than it can polls the
 	// network seldom, and handles what has arrived in order: a request that waits in its socket waits as long as the
 	// byte does, and neither the loop nor the run queue show it.
@@ -28,7 +28,7 @@
 func (g *Gateway) sampleProcess(ctx context.Context) {
 	tick := time.NewTicker(overload.Interval)
 	defer tick.Stop()
-	m := newProcessMeter(g.memory, g.sockets)
+	m := newProcessMeter(g.memoryLimit, g.maxSockets)
 	if err := m.startPing(ctx); err != nil {
 		slog.Warn("measuring how long received bytes wait is not possible", "err", err)
 	}
@@ -44,16 +44,16 @@
 
 // processMeter measures the state of the process.
 type processMeter struct {
-	memory      float64 // limit, bytes
-	sockets     float64 // limit
+	memoryLimit float64 // bytes
+	maxSockets  float64 // file descriptors
 	metrics     []metrics.Sample
-	runQueue    []uint64 // the last counts of the run-queue histogram
-	gcSeconds   float64  // at the last sample
-	cpuSeconds  float64  // at the last sample
-	samples     int
-	descriptors float64 // share of the limit
-	usedCPU     time.Duration
-	usedAt      time.Time
+	runQueue    []uint64      // the last counts of the run-queue histogram
+	gcSeconds   float64       // at the last sample
+	cpuSeconds  float64       // at the last sample
+	samples     int           // so far
+	descriptors float64       // in use at the last count, as a share of maxSockets
+	usedCPU     time.Duration // by usedAt
+	usedAt      time.Time     // of the last sample
 
 	fastestPing atomic.Int64 // since the last sample, ns; 0: none has arrived
 	pingSent    atomic.Int64 // when the byte under way was sent, ns; 0: none is under way
@@ -68,8 +68,9 @@
 	metricCPUSeconds
 )
 
-func newProcessMeter(memory int64, sockets int) *processMeter {
-	m := &processMeter{memory: float64(memory), sockets: float64(sockets)}
+// newProcessMeter returns a meter of a process with a memory limit in bytes and a limit of file descriptors.
+func newProcessMeter(memoryLimit int64, maxSockets int) *processMeter {
+	m := &processMeter{memoryLimit: float64(memoryLimit), maxSockets: float64(maxSockets)}
 	for _, name := range []string{
 		"/sched/latencies:seconds", "/gc/heap/live:bytes", "/memory/classes/heap/stacks:bytes",
 		"/cpu/classes/gc/total:cpu-seconds", "/cpu/classes/total:cpu-seconds",
@@ -91,6 +92,7 @@
 	return nil
 }
 
+// sendPings sends a byte at each pingInterval, unless one is under way.
 func (m *processMeter) sendPings(ctx context.Context, w *os.File) {
 	tick := time.NewTicker(pingInterval)
 	defer tick.Stop()
@@ -108,6 +110,7 @@
 	}
 }
 
+// receivePings receives the bytes and keeps the shortest time that one took.
 func (m *processMeter) receivePings(r *os.File) {
 	var b [1]byte
 	for {
@@ -142,16 +145,17 @@
 			bytes += float64(x.Uint64())
 		}
 	}
-	s.Heap = bytes / m.memory
+	s.Heap = bytes / m.memoryLimit
 	s.GC = m.gcShare()
-	if m.samples%descriptorSampleInterval == 0 {
+	if m.samples%samplesPerDescriptorCount == 0 {
 		if list, err := os.ReadDir("/proc/self/fd"); err == nil {
-			m.descriptors = float64(len(list)) / m.sockets
+			m.descriptors = float64(len(list)) / m.maxSockets
 		}
 	}
 	m.samples++
 	s.Busy = m.cpuShare()
-	s.Files, s.Poll = m.descriptors, m.pollDelay()
+	s.Files = m.descriptors
+	s.Poll = m.pollDelay()
 	return s
 }
 
@@ -164,7 +168,8 @@
 	if elapsed := cpu.Float64() - m.cpuSeconds; elapsed > 0 {
 		share = (gc.Float64() - m.gcSeconds) / elapsed
 	}
-	m.gcSeconds, m.cpuSeconds = gc.Float64(), cpu.Float64()
+	m.gcSeconds = gc.Float64()
+	m.cpuSeconds = cpu.Float64()
 	return share
 }
 
@@ -175,11 +180,13 @@
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &r) != nil {
 		return 0
 	}
-	now, used := time.Now(), time.Duration(r.Utime.Nano()+r.Stime.Nano())
+	now := time.Now()
+	used := time.Duration(r.Utime.Nano() + r.Stime.Nano())
 	if span := now.Sub(m.usedAt); !m.usedAt.IsZero() && span > 0 {
 		share = float64(used-m.usedCPU) / float64(span) / float64(runtime.GOMAXPROCS(0))
 	}
-	m.usedCPU, m.usedAt = used, now
+	m.usedCPU = used
+	m.usedAt = now
 	return share
 }
 
@@ -199,7 +206,8 @@
 	}
 	seen := uint64(0)
 	for i, n := range added {
-		if seen += n; n > 0 && seen*2 >= total {
+		seen += n
+		if n > 0 && seen*2 >= total {
 			return time.Duration(math.Max(h.Buckets[i], 0) * float64(time.Second))
 		}
 	}
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -27,7 +27,8 @@
 	snapshot  *engine.Snapshot
 }
 
-// apply puts a file into use, all at once. On an error nothing has changed.
+// apply puts a file into use, all at once. On an error nothing has changed. While the gateway is running, a new pool has to
+// have an endpoint list; at the start it may be without one.
 func (g *Gateway) apply(a *config.Appliance, running bool) error {
 	c := &change{file: a, classes: newClasses(a), listeners: map[string]net.Listener{}, pools: map[string]*appliancePool{}}
 	if err := g.prepare(c, running); err != nil {
@@ -114,7 +115,7 @@
 func (g *Gateway) commit(c *change) {
 	g.commitPools(c)
 	g.server.SetLongestDeadline(longestDeadline(c.file))
-	if l := g.gate.Limits; l.Clients != nil {
+	if l := g.admission.Limits; l.Clients != nil {
 		l.Clients.SetLimits(c.file.Limits.Clients)
 	}
 	if controller := g.engine.Overload; controller != nil {
@@ -122,11 +123,12 @@
 		controller.SetRanks(n)
 	}
 	g.engine.Use(c.snapshot)
-	b := g.appliance
-	b.pools, b.file = c.pools, c.file
-	b.published.Store(&c.pools)
+	a := g.appliance
+	a.pools = c.pools
+	a.file = c.file
+	a.published.Store(&c.pools)
 	for name, p := range c.pools {
-		p.overrides.setDrained(b.drainedHosts(name)) // what changed while it was made
+		p.overrides.setDrained(a.drainedHosts(name)) // what changed while it was made
 	}
 	g.commitListeners(c)
 }
@@ -136,7 +138,7 @@
 	shares := poolShares(c.file)
 	for i, cfg := range c.file.Pools {
 		p := c.pools[cfg.Name]
-		p.transport.SetLimits(int(shares[i]*config.HostSockets(g.sockets)), int64(shares[i]*largeResponseShare*float64(g.memory)))
+		p.transport.SetLimits(int(shares[i]*config.HostSockets(g.maxSockets)), int64(shares[i]*largeResponseShare*float64(g.memoryLimit)))
 		if p == g.appliance.pools[cfg.Name] && !equalSources(p.cfg, cfg) {
 			p.stopSource()
 			if err := p.setSource(cfg, false); err != nil {
@@ -149,8 +151,8 @@
 
 // commitListeners closes the listeners that are gone, and serves the new ones.
 func (g *Gateway) commitListeners(c *change) {
-	b := g.appliance
-	for key, ln := range b.listeners {
+	a := g.appliance
+	for key, ln := range a.listeners {
 		if c.listeners[key] != nil {
 			continue
 		}
@@ -160,7 +162,8 @@
 			g.server.CloseListener(ln)
 		}
 	}
-	if g.fastCGI == nil && slices.ContainsFunc(c.file.Listeners, func(l config.Listener) bool { return l.Protocol == config.FastCGI }) {
+	needsFastCGI := slices.ContainsFunc(c.file.Listeners, func(l config.Listener) bool { return l.Protocol == config.FastCGI })
+	if needsFastCGI && g.fastCGI == nil {
 		g.startFastCGI()
 	}
 	for _, l := range c.file.Listeners {
@@ -176,5 +179,5 @@
 			g.serveWith(serve, ln)
 		}
 	}
-	b.listeners = c.listeners
+	a.listeners = c.listeners
 }
