--- a/internal/frontend/http1/gateway_test.go
+++ b/internal/frontend/http1/gateway_test.go
@@ -34,10 +34,10 @@
 
 // testConfig is what tests change of a testGateway.
 type testConfig struct {
-	hosts   []*testutil.Host
-	sockets int
-	streams          *engine.Streams // nil: all bodies are buffered
-	classify         func()          // if set, called in the engine's loop with each response of a host
+	hosts    []*testutil.Host
+	sockets  int
+	streams  *engine.Streams // nil: all bodies are buffered
+	classify func()          // if set, called in the engine's loop with each response of a host
 }
 
 func withHosts(hosts ...*testutil.Host) *testConfig {
