--- a/cmd/experiment/experiment_test.go
+++ b/cmd/experiment/experiment_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"io"
 	"os"
 	"path/filepath"
 	"strings"
@@ -11,15 +12,20 @@
 
 // runCommandLine runs a command line and returns what it prints.
 func runCommandLine(args ...string) (string, error) {
-	cmd := rootCommand()
 	var out bytes.Buffer
-	cmd.SetOut(&out)
-	cmd.SetErr(&out)
-	cmd.SetArgs(args)
-	err := cmd.Execute()
+	err := executeCommandLine(&out, &out, args...)
 	return out.String(), err
 }
 
+// executeCommandLine executes a command line, which writes its results to stdout, and errors and progress to stderr.
+func executeCommandLine(stdout, stderr io.Writer, args ...string) error {
+	cmd := rootCommand()
+	cmd.SetOut(stdout)
+	cmd.SetErr(stderr)
+	cmd.SetArgs(args)
+	return cmd.Execute()
+}
+
 const calm = "../../scenarios/calm.toml"
 
 // run prints a line of JSON for each run, and fails where an expectation is missed or a flag or a file is invalid.
@@ -128,11 +134,11 @@
 	var printed []string
 	dir := t.TempDir()
 	for range 2 {
-		out, err := runCommandLine(append(args, "--out", dir)...)
-		if err != nil {
-			t.Fatal(out, err)
+		var stdout, stderr bytes.Buffer // of which stderr has the progress after some seconds
+		if err := executeCommandLine(&stdout, &stderr, append(args, "--out", dir)...); err != nil {
+			t.Fatal(stdout.String(), stderr.String(), err)
 		}
-		printed = append(printed, out)
+		printed = append(printed, stdout.String())
 	}
 	if printed[0] != printed[1] || !strings.Contains(printed[0], "48 played") {
 		t.Errorf("second search of the same seed: got\n%s\nwant\n%s", printed[1], printed[0])
--- a/internal/upstream/http1/helpers_test.go
+++ b/internal/upstream/http1/helpers_test.go
@@ -18,8 +18,11 @@
 	"dunemoor/internal/testutil"
 )
 
+// newTestTransport returns a Transport whose dials may take testutil.WaitTimeout, as the machine may be busy.
 func newTestTransport() *Transport {
-	return NewTransport(Options{DialTimeout: testutil.WaitTimeout, MaxConns: 1024, MaxLargeBytes: 16 << 20})
+	transport := NewTransport(Options{MaxConns: 1024, MaxLargeBytes: 16 << 20})
+	transport.dialer.Timeout = testutil.WaitTimeout
+	return transport
 }
 
 // newTestHost returns a host of a Transport at an address.
--- a/internal/upstream/http1/result_test.go
+++ b/internal/upstream/http1/result_test.go
@@ -210,7 +210,8 @@
 
 // The dial ends by a timeout of its own, as proof that nothing ran, however long the configured timeout is.
 func TestUnansweredDialIsConnectFailed(t *testing.T) {
-	h := newTestHost(newTestTransport(), listenWithFullBacklog(t))
+	transport := NewTransport(Options{DialTimeout: testutil.WaitTimeout, MaxConns: 1024, MaxLargeBytes: 16 << 20})
+	h := newTestHost(transport, listenWithFullBacklog(t))
 	startedAt := time.Now()
 	if got, _ := attempt(t, h, newTestRequest("b")); got != balancer.ConnectFailed {
 		t.Errorf("got outcome %v, want ConnectFailed", got)
