--- a/balancer/checkpoint.go
+++ b/balancer/checkpoint.go
@@ -87,7 +87,7 @@
 	c.codeAverages(&b.typicalRTT.byKind)
 	c.codeAverage(&b.typicalRTT.any)
 	c.codeAverage(&b.pacer.warmHostRate)
-	c.codeAverage(&b.sendRate.rttTargets)
+	c.codeAverage(&b.sendRate.recentRTT)
 }
 
 // codeLimits codes the quotas, the send rate and the share of unanswered attempts, and the times of the next
--- a/balancer/checkpoint_hosts.go
+++ b/balancer/checkpoint_hosts.go
@@ -1,7 +1,7 @@
 package balancer
 
-// codeHosts codes the hosts, the sets that they are in and the times at which their
-// standing is due.
+// codeHosts codes the hosts, the sets that they are in and the times when their
+// standing is updated without an event.
 func (b *Balancer) codeHosts(c *checkpointCodec) {
 	n := c.codeCount(len(b.hosts))
 	if c.decoding {
@@ -27,7 +27,7 @@
 	}
 	b.codeHostList(c, &b.dueStandings.hosts)
 	for i, host := range b.dueStandings.hosts {
-		host.due.position = i + 1
+		host.nextUpdate.position = i + 1
 	}
 	if c.decoding {
 		b.recountHosts()
@@ -49,7 +49,7 @@
 	codeInt(c, &h.ejection.until)
 	codeInt(c, &h.slowStart.startedAt)
 	codeInt(c, &h.slowStart.nextSend)
-	codeInt(c, &h.due.at)
+	codeInt(c, &h.nextUpdate.at)
 	c.codeFloat(&h.rtt.seconds)
 	c.codeFloat(&h.limiter.limit)
 	c.codeBool(&h.rtt.sampled)
--- a/balancer/checkpoint_test.go
+++ b/balancer/checkpoint_test.go
@@ -86,7 +86,7 @@
 		reflect.TypeFor[Balancer](): "random now hosts sets dueStandings ring subset arrivals open queues sweep starvation typicalRTT " +
 			"quotas sendRate pacer stalled poller logs | settings scales actions byID counts excluded scopes touched candidates freeRequests freeAttempts",
 		reflect.TypeFor[host](): "Host rtt limiter ejection inFlight attempts lastResponse errors hasErrors brokenResponses slowStart " +
-			"counted due sets | index ring",
+			"counted nextUpdate sets | index ring",
 		reflect.TypeFor[randomSource]():       "state |",
 		reflect.TypeFor[scales]():             "| shortestObjective errorPenalty minEstimateDecay",
 		reflect.TypeFor[dueHeap]():            "hosts |",
@@ -100,7 +100,7 @@
 		reflect.TypeFor[starvationTracker]():  "unserved | span",
 		reflect.TypeFor[typicalRTTs]():        "byClass byKind any |",
 		reflect.TypeFor[tenantQuotas]():       "buckets |",
-		reflect.TypeFor[sendRateController](): "limit rttTargets reducedAt grownAt tokens refilledAt sent | rateSpan growthTime",
+		reflect.TypeFor[sendRateController](): "limit recentRTT reducedAt grownAt tokens refilledAt sent | rateSpan growthTime",
 		reflect.TypeFor[slowStartPacer]():     "successes warmHostRate |",
 		reflect.TypeFor[stalledAttempts]():    "unansweredShare |",
 		reflect.TypeFor[endpointPoller]():     "listsArrive pollAt failures |",
--- a/balancer/concurrency_test.go
+++ b/balancer/concurrency_test.go
@@ -207,9 +207,9 @@
 			g.advance(600 * ms)
 		}
 		g.attemptEnded(id, 0, Canceled, 600*ms)
-		if h.rtt.sampled == clientGone || (h.limiter.restingUntil > g.now) == clientGone || (g.b.sendRate.rttTargets.seen) == clientGone {
+		if h.rtt.sampled == clientGone || (h.limiter.restingUntil > g.now) == clientGone || (g.b.sendRate.recentRTT.seen) == clientGone {
 			t.Errorf("client gone %v: sampled %v, rest until %v at %v, recent RTT in targets %v; want all three unless the client has gone",
-				clientGone, h.rtt.sampled, h.limiter.restingUntil, g.now, g.b.sendRate.rttTargets)
+				clientGone, h.rtt.sampled, h.limiter.restingUntil, g.now, g.b.sendRate.recentRTT)
 		}
 	}
 }
--- a/balancer/deadline.go
+++ b/balancer/deadline.go
@@ -5,11 +5,11 @@
 // The margins, each with what it is subtracted from and what is due by then. A step is Settings.Step: one may
 // pass until an event is handled, and one until its actions are carried out.
 //
-//	margin        length             ahead of                        due by then
-//	ClientMargin  5 ms               the client's timeout            the response, at the gateway
-//	answerMargin  answerMarginSteps  the request's deadline          the balancer's answer
-//	retryMargin   retryMarginSteps   the request's deadline          the start of its last retry
-//	dedupMargin   dedupMarginSteps   the deduplication window's end the last byte of a retry with a key
+//	margin        length             ahead of                         due by then
+//	ClientMargin  5 ms               the client's timeout             the response, at the gateway
+//	answerMargin  answerMarginSteps  the request's deadline           the balancer's answer
+//	retryMargin   retryMarginSteps   the request's deadline           the start of its last retry
+//	dedupMargin   dedupMarginSteps   the deduplication window's end   the last byte of a retry with a key
 //
 // The deadline of a request follows from Request.Remaining, which has ClientMargin off already.
 
--- a/balancer/dueheap.go
+++ b/balancer/dueheap.go
@@ -10,14 +10,14 @@
 	position int  // counted from 1; 0: it is not in the heap
 }
 
-// due reports whether the first host is due.
-func (q *dueHeap) due(now Time) bool {
-	return len(q.hosts) > 0 && q.hosts[0].due.at <= now
+// firstIsDue reports whether the first host is due.
+func (q *dueHeap) firstIsDue(now Time) bool {
+	return len(q.hosts) > 0 && q.hosts[0].nextUpdate.at <= now
 }
 
 // schedule sets when a host is due; forever: never.
 func (q *dueHeap) schedule(host *host, at Time) {
-	entry := &host.due
+	entry := &host.nextUpdate
 	scheduled := entry.position != 0
 	unchanged := entry.at == at && scheduled == (at != forever)
 	if unchanged {
@@ -37,8 +37,8 @@
 
 // cancel removes a host from the heap.
 func (q *dueHeap) cancel(host *host) {
-	i := host.due.position - 1
-	host.due = dueEntry{at: forever}
+	i := host.nextUpdate.position - 1
+	host.nextUpdate = dueEntry{at: forever}
 	if i < 0 {
 		return
 	}
@@ -48,7 +48,7 @@
 	q.hosts = q.hosts[:last]
 	if i < last {
 		q.hosts[i] = moved
-		moved.due.position = i + 1
+		moved.nextUpdate.position = i + 1
 		q.restore(i)
 	}
 }
@@ -87,10 +87,10 @@
 }
 
 // at returns the time of the host at i.
-func (q *dueHeap) at(i int) Time { return q.hosts[i].due.at }
+func (q *dueHeap) at(i int) Time { return q.hosts[i].nextUpdate.at }
 
 func (q *dueHeap) swap(i, j int) {
 	q.hosts[i], q.hosts[j] = q.hosts[j], q.hosts[i]
-	q.hosts[i].due.position = i + 1
-	q.hosts[j].due.position = j + 1
+	q.hosts[i].nextUpdate.position = i + 1
+	q.hosts[j].nextUpdate.position = j + 1
 }
--- a/balancer/host.go
+++ b/balancer/host.go
@@ -19,7 +19,8 @@
 
 	sets    membership
 	counted standing // what Balancer.counts has of it
-	due     dueEntry
+	// nextUpdate is when the standing is updated without an event.
+	nextUpdate dueEntry
 }
 
 // oldestNotOvertaken returns the attempt in flight longest that was not overtaken, and how many of those
@@ -47,7 +48,7 @@
 		errors:       make([]classErrors, len(b.settings.Classes)),
 		ring:         ringPosition{hash: mixBits(uint64(entry.ID))},
 		sets:         membership{selectionSet: setNone},
-		due:          dueEntry{at: forever},
+		nextUpdate:   dueEntry{at: forever},
 	}
 	b.byID[entry.ID] = added
 	b.hosts = append(b.hosts, added)
--- a/balancer/hostset_test.go
+++ b/balancer/hostset_test.go
@@ -44,9 +44,9 @@
 	}
 	for _, h := range hosts {
 		// The silence timeout may have shrunk since the host's last update; the next sweep sees that.
-		updated := h.sets.selectionSet == setSuspected || h.due.at <= b.now
+		suspicionKnown := h.sets.selectionSet == setSuspected || h.nextUpdate.at <= b.now
 		inUse := h.State == Ready && !b.excludedFor(h, class) && !b.ejected(h) && !h.slowStart.paced(b.now)
-		if updated && inUse && b.suspected(h) {
+		if suspicionKnown && inUse && b.suspected(h) {
 			candidates = append(candidates, h)
 		}
 	}
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -17,14 +17,14 @@
 	case Idempotent:
 		return true
 	case IdempotentWithKey:
-		return b.now <= b.dedupWindowEnd(first)
+		return b.now <= b.dedupSendBy(first)
 	}
 	return false
 }
 
-// dedupWindowEnd returns when the deduplication window ends for retries after a first attempt that may have
-// run: by then the last byte of a retry has to be sent.
-func (b *Balancer) dedupWindowEnd(first *attempt) Time {
+// dedupSendBy returns by when the last byte of a retry has to be sent after a first attempt that may have
+// run: dedupMargin before its deduplication window ends.
+func (b *Balancer) dedupSendBy(first *attempt) Time {
 	return first.sentAt + first.request.class.DedupWindow - b.dedupMargin()
 }
 
@@ -34,7 +34,7 @@
 	if first == nil || request.class.Idempotency != IdempotentWithKey {
 		return 0
 	}
-	return b.dedupWindowEnd(first)
+	return b.dedupSendBy(first)
 }
 
 // mayRetry reports whether a request gets another attempt: by the number of attempts, the time left and its
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -1,7 +1,7 @@
 package balancer
 
 // Failure-aware peak EWMA with two choices: of two random ready hosts, the one with the lower RTT estimate x
-// (own attempts in flight + 1) gets the request. Hosts come from the first sets of hostset.go: the ready
+// (own attempts in flight + 1) gets the request. Hosts come from the selection sets (hostset.go): the ready
 // ones, and where most hosts are ejected, those too.
 
 const (
@@ -27,7 +27,8 @@
 	readyHosts     = eligibleSets{first: setReady, count: 1}
 	readyOrSilent  = eligibleSets{first: setReady, count: 2} // not those to which connections fail
 	readyOrEjected = eligibleSets{first: setReady, count: 3}
-	evenExcluded   = eligibleSets{first: setReady, count: 3, includeExcluded: true}
+	// readyEjectedOrExcluded are for a class that every host answers with errors.
+	readyEjectedOrExcluded = eligibleSets{first: setReady, count: 3, includeExcluded: true}
 	// suspectedHosts are those of which it is not known whether they are silent or have one costly request.
 	suspectedHosts = eligibleSets{first: setSuspected, count: 1}
 )
@@ -159,7 +160,7 @@
 // connections fail are spared while any other is up: they would use up a request's attempts in no time.
 func (b *Balancer) eligibleSets(counts subsetCounts, excluded int) eligibleSets {
 	if counts.ready == 0 && excluded > 0 {
-		return evenExcluded // one host is as good as another
+		return readyEjectedOrExcluded // one host is as good as another
 	}
 	mostEjected := 2*counts.ejected > counts.ready
 	if !mostEjected {
--- a/balancer/sendrate.go
+++ b/balancer/sendrate.go
@@ -29,11 +29,11 @@
 // sendRateController limits how many attempts a second this instance sends to all hosts together. It guards
 // against overload of the whole fleet where many instances share a host: each has only a part of an attempt
 // there, and a concurrency limit per host can't act. Inputs are the RTT of each response from any host and
-// the attempts sent; the limit is reduced once a round when the mean RTT passes its target, and grows while
-// it is below.
+// the attempts sent; the limit is reduced once a round when the mean RTT is a mean deviation above its
+// target, and grows while it is below.
 type sendRateController struct {
 	limit      float64       // attempts a second; 0: not limited
-	rttTargets movingAverage // RTT of the last responses from any host, in targets
+	recentRTT  movingAverage // RTT of the last responses from any host, in targets of their classes
 	reducedAt  Time
 	grownAt    Time
 	tokens     float64 // attempts that may be sent at once, as of refilledAt
@@ -48,14 +48,14 @@
 // observe updates the limit after a response to an attempt sent at sentAt. The sample is its RTT, in targets
 // of its class. arrivals is the rate of requests at this instance.
 func (c *sendRateController) observe(now, sentAt Time, sample float64, arrivals *decayingRate) {
-	c.rttTargets.blend(min(sample, sendRateMaxSampleTargets), sendRateSampleWeight)
-	overloaded := c.rttTargets.mean > 1+sendRateReductionDeviations*c.rttTargets.dev
+	c.recentRTT.blend(min(sample, sendRateMaxSampleTargets), sendRateSampleWeight)
+	overloaded := c.recentRTT.mean > 1+sendRateReductionDeviations*c.recentRTT.dev
 	// Only an attempt sent after the last reduction can tell whether that was enough.
 	newRound := sentAt >= c.reducedAt
 	switch {
 	case overloaded && newRound:
 		c.reduce(now)
-	case c.limit > 0 && c.rttTargets.mean <= 1:
+	case c.limit > 0 && c.recentRTT.mean <= 1:
 		c.grow(now, arrivals)
 	}
 }
@@ -67,8 +67,8 @@
 	if c.limit == 0 || sent < c.limit {
 		c.limit = sent
 	}
-	c.limit = max(c.limit/c.rttTargets.mean, 1/c.rateSpan)
-	c.rttTargets.mean = 1
+	c.limit = max(c.limit/c.recentRTT.mean, 1/c.rateSpan)
+	c.recentRTT.mean = 1
 	c.reducedAt = now
 	c.grownAt = now
 }
--- a/balancer/sendrate_test.go
+++ b/balancer/sendrate_test.go
@@ -13,13 +13,13 @@
 	g := newTestGateway(t, settings, testHosts(10)...)
 	quick := func(HostID) time.Duration { return 40 * ms }
 	g.serve(100, 0, quick)
-	if p := g.b.sendRate.rttTargets.mean; p > 1 || g.b.sendRate.limit != 0 {
+	if p := g.b.sendRate.recentRTT.mean; p > 1 || g.b.sendRate.limit != 0 {
 		t.Fatalf("at the usual RTT: recent RTT %v targets, send rate %v, want at most 1 target and no send rate",
 			p, g.b.sendRate.limit)
 	}
 	g.serve(12, 0, func(HostID) time.Duration { return 100 * ms }) // a quarter of the latency objective
 	if g.b.sendRate.limit == 0 {
-		t.Errorf("at 2.5 times the usual RTT: no send rate at a recent RTT of %v targets, want one", g.b.sendRate.rttTargets.mean)
+		t.Errorf("at 2.5 times the usual RTT: no send rate at a recent RTT of %v targets, want one", g.b.sendRate.recentRTT.mean)
 	}
 	if l := g.b.typicalRTT.byClass[0].mean; l > 0.05 {
 		t.Errorf("usual RTT %v after a short overload, want at most 0.05", l)
@@ -33,11 +33,11 @@
 	settings.Instances = 100
 	g := newTestGateway(t, settings, testHosts(10)...)
 	g.serve(60, 0, func(HostID) time.Duration { return 20 * ms })
-	before := g.b.sendRate.rttTargets.mean
+	before := g.b.sendRate.recentRTT.mean
 	g.request(0, time.Second)
 	g.onlyAction(Send)
 	g.advance(300 * ms)
-	if p := g.b.sendRate.rttTargets.mean; p <= before {
+	if p := g.b.sendRate.recentRTT.mean; p <= before {
 		t.Errorf("recent RTT of %v targets after 300 ms without a response, want above %v", p, before)
 	}
 }
--- a/balancer/standing.go
+++ b/balancer/standing.go
@@ -100,7 +100,7 @@
 }
 
 // updateStanding puts a host into the set that it belongs to and updates the counts. It is called after each
-// event that concerns the host, and when the standing is due by itself.
+// event that concerns the host, and at the times that nextStandingChange gives.
 func (b *Balancer) updateStanding(host *host) {
 	if host.slowStart.warming {
 		b.updateRingStatus(host)
@@ -178,7 +178,7 @@
 
 // updateDueStandings updates the hosts whose standing may have changed without an event.
 func (b *Balancer) updateDueStandings() {
-	for b.dueStandings.due(b.now) {
+	for b.dueStandings.firstIsDue(b.now) {
 		b.updateStanding(b.dueStandings.hosts[0])
 	}
 }
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -179,8 +179,8 @@
 	}
 }
 
-// newRestartedFleet returns gateways of which the first ones have started within the second after a time and the others
-// at it, each with an outdated list of its own: some hosts are draining, the first ones are missing.
+// newRestartedFleet returns gateways of which the first `restarted` have started within the second after began and the
+// others at began, each with an outdated list of its own: some hosts are draining, the first ones are missing.
 func newRestartedFleet(t *testing.T, began Time, gatewayCount, hostCount, restarted int) *gatewayFleet {
 	settings := testSettings()
 	settings.Poll = true
--- a/balancer/view.go
+++ b/balancer/view.go
@@ -4,7 +4,7 @@
 type HostView struct {
 	Host              HostID
 	State             HostState
-	InSubset          bool    // this instance uses it
+	InSubset          bool    // it is in the subset of this instance
 	Warming           bool    // it started less than SlowStartWindow ago
 	Overdue           bool    // its oldest attempt has taken long, and it gets no other
 	InFlight          int     // attempts in flight
--- a/cmd/dunemoor/program_test.go
+++ b/cmd/dunemoor/program_test.go
@@ -52,7 +52,7 @@
 	exited chan struct{}
 }
 
-// address is where the program serves clients.
+// address is where the program serves clients; "" for one of startOnSocket.
 func (p *program) address() string { return strings.TrimPrefix(p.url, "http://") }
 
 // output collects what a process has written.
--- a/internal/config/checker.go
+++ b/internal/config/checker.go
@@ -7,7 +7,7 @@
 )
 
 // checker reads a file and collects its errors. Methods that read set a part of the Appliance and check it; methods that
-// check only add errors.
+// check add errors, and what they find taken to the sets of names that they are given.
 type checker struct {
 	*Text
 	errors []error
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -27,15 +27,15 @@
 	// runtime's two, a listener and its epoll set, the operators' address and a call there, a watch of discovery and the
 	// one that replaces it, files that are read, and a connection that is just accepted or closed.
 	ownSockets = 19
-	// sharedPercent is what connections have of SharedSockets: to clients 50 (package gateway), to hosts 42 (hostShare).
-	// The rest is for the process itself.
+	// sharedPercent is the share of SharedSockets, in percent, that connections use: those of clients 50 (package
+	// gateway), those to hosts 42 (hostShare). The rest is for the process itself.
 	sharedPercent = 92
 	// hostShare is the share of SharedSockets that connections to hosts may use.
 	hostShare = 0.42
 )
 
-// SharedSockets returns the number of descriptors that clients and hosts have their shares of: all, or as many fewer as
-// leave ownSockets when the shares are used up.
+// SharedSockets returns the number of descriptors that the shares of clients and hosts are computed from: all, or as many
+// fewer as leave ownSockets when both use their shares up.
 func SharedSockets(all int) int { return max(min(all, (all-ownSockets)*100/sharedPercent), 0) }
 
 // HostSockets returns how many descriptors connections to hosts may use.
--- a/internal/config/pools.go
+++ b/internal/config/pools.go
@@ -39,7 +39,7 @@
 			Name: x.Name, File: x.MembersFile, Discovery: x.Discovery,
 			MinShare: cmp.Or(x.Need, route.DefaultMinShare), Fallback: x.Fallback, SocketShare: x.Sockets,
 			SlowStart: SlowStart{Share: x.ColdFrom, Window: time.Duration(x.WarmAfter)},
-			Protocol:  x.Protocol, ScriptRoot: x.ScriptRoot, Params: x.Params, HealthCheckPath: x.Check,
+			Protocol:  cmp.Or(x.Protocol, HTTP1), ScriptRoot: x.ScriptRoot, Params: x.Params, HealthCheckPath: x.Check,
 		}
 		c.checkHealthCheckPath(i, &p, f.Fleet != nil)
 		c.checkPoolProtocol(i, &p)
@@ -123,7 +123,6 @@
 
 // checkPoolProtocol checks the protocol of a pool, and the settings that depend on it.
 func (c *checker) checkPoolProtocol(i int, p *Pool) {
-	p.Protocol = cmp.Or(p.Protocol, HTTP1)
 	if !slices.Contains(protocols, p.Protocol) {
 		c.addErrorf("pool", i, "protocol", "%q is none of %s", p.Protocol, strings.Join(protocols, ", "))
 	}
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -24,15 +24,15 @@
 	// heartbeatInterval is how often a watch sends an empty line while nothing changes.
 	heartbeatInterval = 2 * time.Second
 	// maxSilence is how long a call may be silent before it is given up: one heartbeat is missing then, and half an interval
-	// more is for a busy machine. The gateway is expected to know what a silent watch misses 6 s after the silence began,
-	// which may be right after a heartbeat, and what discovery has 6 s after it can be reached, which may be right after a
-	// call began that hangs. A new call has to bring it by then, also where a whole fleet calls and is served in turn.
+	// more is for a busy machine. Two things have to hold: a change that a silent watch misses is known 6 s after the
+	// silence began, and what discovery has is known 6 s after it can be reached. The worst case is a call that hangs from
+	// just before, then one new call, in a fleet after its turn.
 	maxSilence = heartbeatInterval + heartbeatInterval/2
 	// dialTimeout limits the time for a connection to discovery to be established.
 	dialTimeout = time.Second
-	// minBackoff is the time before a new call, doubled to maxBackoff. It is short as an agent answers at once and at no
-	// cost, and as the gateway is expected to know what the agent has also without a watch: a drain that the agent receives
-	// when discovery returns, within the grace period of half a second or more.
+	// minBackoff is the time before a new call, doubled to maxBackoff. It is short, as the discovery service answers a call at
+	// once and at no cost, and as drains that it learns of when it returns have to be known within their grace period,
+	// half a second or more.
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 250 * time.Millisecond
 	// callsAfterMove is how many calls are made without backoff after a change of the address.
@@ -198,7 +198,7 @@
 	}
 }
 
-// call is one HTTP call of a Watcher, which is a watch until it ends.
+// call is one HTTP request for the list, whose response stays open: a watch.
 type call struct {
 	watcher      *Watcher
 	to           Sink
@@ -254,7 +254,7 @@
 		case err != nil:
 			return c.received, err
 		}
-		c.recordLife()
+		c.restartSilenceTimer()
 		stream.listDecoded()
 		if received, err := c.apply(list); err != nil {
 			return received, err
@@ -262,8 +262,8 @@
 	}
 }
 
-// recordLife records a sign of life of the service.
-func (c *call) recordLife() {
+// restartSilenceTimer notes that a list or a heartbeat has arrived.
+func (c *call) restartSilenceTimer() {
 	c.silenceTimer.Reset(c.watcher.MaxSilence)
 	c.received = true
 }
@@ -276,7 +276,7 @@
 		// Nothing has changed since the version that the call asked for.
 		c.to.UpdateEndpoints(balancer.ListChanges, MemberList{Version: c.version})
 	}
-	c.recordLife()
+	c.restartSilenceTimer()
 }
 
 // apply passes on a list. received is what watch reports where the call ends by it.
--- a/internal/experiment/scenariosearch/mutate.go
+++ b/internal/experiment/scenariosearch/mutate.go
@@ -19,9 +19,9 @@
 	minDuration = 500 * time.Millisecond
 	// timeStep is what drawn times are rounded to.
 	timeStep = 10 * time.Millisecond
-	// numberSteps: drawn numbers are rounded to this part of 1.
+	// numberSteps is how many steps there are from 0 to 1: drawn numbers are rounded to 1/numberSteps.
 	numberSteps = 1000
-	// rateSteps: rates are rounded to this part of a request per second.
+	// rateSteps is how many steps there are in one request a second: rates are rounded to 1/rateSteps.
 	rateSteps = 100
 )
 
--- a/internal/fleet/healthcheck.go
+++ b/internal/fleet/healthcheck.go
@@ -57,9 +57,9 @@
 	leaseName string
 	client    http.Client
 
-	mu             sync.Mutex           // guards the two fields below
-	checker        *healthcheck.Checker // nil: this gateway is not the holder
-	publicationSeq uint64               // of the last publication as this holder
+	mu       sync.Mutex           // guards the two fields below
+	checker  *healthcheck.Checker // nil: this gateway is not the holder
+	checkSeq uint64               // of the last check as this holder; a publication has that of its check
 
 	// Counters of metrics.
 
@@ -174,7 +174,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.checker = checker
-	c.publicationSeq = 0
+	c.checkSeq = 0
 }
 
 func (c *healthCheck) due() []string {
@@ -190,8 +190,8 @@
 	if c.checker != nil {
 		c.checker.Checked(leaseholder.Now(), name)
 	}
-	c.publicationSeq++
-	return c.publicationSeq
+	c.checkSeq++
+	return c.checkSeq
 }
 
 // check checks a host, and publishes that it has passed.
--- a/internal/flightrecorder/analysis_test.go
+++ b/internal/flightrecorder/analysis_test.go
@@ -130,17 +130,17 @@
 	if !a.FromViews || a.EjectionCount > 0 {
 		t.Fatalf("other build: got from views %v, %d ejections, want views alone", a.FromViews, a.EjectionCount)
 	}
-	pending := func(a *Analysis) (sum float64) {
+	inFlight := func(a *Analysis) (sum float64) {
 		for _, h := range a.Hosts {
 			for i := range h.Buckets {
 				if b := &h.Buckets[i]; b.Samples > 0 {
-					sum += b.InFlightSum / float64(b.Samples)
+					sum += b.meanInFlight()
 				}
 			}
 		}
 		return sum
 	}
-	if x, y := pending(a), pending(want); math.Abs(x-y) > 0.3*y || y == 0 {
+	if x, y := inFlight(a), inFlight(want); math.Abs(x-y) > 0.3*y || y == 0 {
 		t.Errorf("got %.1f attempts in flight by the views, want about %.1f as by the replay", x, y)
 	}
 	var text strings.Builder
--- a/internal/flightrecorder/compat_test.go
+++ b/internal/flightrecorder/compat_test.go
@@ -18,8 +18,8 @@
 	if rep.Divergence != nil || rep.Events < 1000 || rep.SkippedEvents > 0 || len(rep.Losses) > 0 || rep.MatchingStates == 0 {
 		t.Errorf("got %+v, divergence %v; want all events replayed, a matching state and no divergence", rep, rep.Divergence)
 	}
-	if a := analyzed(t, compat.Read(t, "recording.dmf"), Window{}); a == nil {
-		t.Error("analysis: got none")
+	if a := analyzed(t, compat.Read(t, "recording.dmf"), Window{}); len(a.Hosts) == 0 || len(a.Classes) == 0 {
+		t.Errorf("analysis: got %d hosts and %d classes, want some", len(a.Hosts), len(a.Classes))
 	}
 }
 
--- a/internal/flightrecorder/fit.go
+++ b/internal/flightrecorder/fit.go
@@ -184,7 +184,7 @@
 	case balancer.Reject, balancer.Fail:
 		if !r.done {
 			r.done = true
-			f.Recorded.Classes[class].countRejected(a)
+			f.Recorded.Classes[class].countNotServed(a)
 		}
 	}
 }
--- a/internal/flightrecorder/record.go
+++ b/internal/flightrecorder/record.go
@@ -28,7 +28,7 @@
 // Units of the figures in a view, per unit of a balancer.HostView.
 const (
 	viewConcurrencyLimitScale = 1e3 // thousandths of an attempt
-	viewRecentRTTScale        = 1e3 // thousandths of a latency objective
+	viewRecentRTTScale        = 1e3 // thousandths of what balancer.HostView.RecentRTT counts in
 	viewEstimatedRTTScale     = 1e6 // microseconds
 )
 
--- a/internal/flightrecorder/simulation.go
+++ b/internal/flightrecorder/simulation.go
@@ -98,9 +98,9 @@
 	}
 }
 
-// countRejected counts a request that the action rejects or fails. A recording may have a cause that this build
+// countNotServed counts a request that the action rejects or fails. A recording may have a cause that this build
 // doesn't know, or a damaged one; the remainder keeps it within the array.
-func (c *ClassSummary) countRejected(a *balancer.Action) {
+func (c *ClassSummary) countNotServed(a *balancer.Action) {
 	c.Causes[int(a.Cause)%causeCount]++
 	if a.Kind == balancer.Reject {
 		c.Rejected++
@@ -264,7 +264,7 @@
 		return
 	}
 	r.done = true
-	s.summary.Classes[r.Request.Class].countRejected(&a)
+	s.summary.Classes[r.Request.Class].countNotServed(&a)
 }
 
 func (s *Simulation) arrive(a *Arrival) {
--- a/internal/flightrecorder/timeline.go
+++ b/internal/flightrecorder/timeline.go
@@ -20,7 +20,7 @@
 	Samples             int
 	InFlightSum         float64        // of the attempts in flight
 	ConcurrencyLimitSum float64        // of the concurrency limits
-	RecentRTTSum        float64        // of the mean RTTs, in latency objectives
+	RecentRTTSum        float64        // of balancer.HostView.RecentRTT
 	Reasons             map[string]int // samples by balancer.HostView.Unavailable; "": no reason that a view has
 }
 
--- a/internal/frontend/http1/conntable.go
+++ b/internal/frontend/http1/conntable.go
@@ -44,7 +44,7 @@
 	silent    list.List  // have had no request yet
 	idle      list.List  // are between two requests
 
-	clock func() time.Time // by default time.Now
+	clock func() time.Time // replaces time.Now in tests
 }
 
 // connState is what a connection is doing.
@@ -61,7 +61,7 @@
 // deadlinePassed is a deadline that wakes a goroutine that reads.
 var deadlinePassed = time.Unix(1, 0)
 
-// now returns the time by which the age of connections is told.
+// now returns the time that the ages of connections are computed with; mu is held.
 func (t *connTable) now() time.Time {
 	if t.clock != nil {
 		return t.clock()
--- a/internal/frontend/http1/conntable_test.go
+++ b/internal/frontend/http1/conntable_test.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// setAge makes the connections in a queue of an age, however long the test has taken so far; the table's mu is held.
+// setAge sets the age of all connections in a queue, however long the test has taken so far; the table's mu is held.
 func setAge(table *connTable, queue *list.List, age time.Duration) {
 	for e := queue.Front(); e != nil; e = e.Next() {
 		e.Value.(*clientConn).queuedAt = table.now().Add(-age)
--- a/internal/frontend/http1/gateway_test.go
+++ b/internal/frontend/http1/gateway_test.go
@@ -69,8 +69,9 @@
 	// A connection that comes up late on a busy machine must not count as a host's failure.
 	dialer := net.Dialer{Timeout: testutil.WaitTimeout}
 	transport := hosts.NewTransport(hosts.Options{MaxConns: 1024, DialContext: dialer.DialContext})
-	// The balancer rejects queued requests, and ejects hosts that don't answer, after a share of the latency objective: a
-	// fifth at least, which here is longer than tests wait for anything (testutil.WaitTimeout).
+	// Queued requests are rejected after a fifth of the objective. A host counts as silent after half of it until its
+	// class has a response, and then by the RTTs of the class: a test that holds requests back must not have had
+	// responses of their class.
 	const objective = 5 * time.Minute
 	settings := balancer.Settings{
 		Instances: 1, MaxAttempts: 4, Cancel: true, MaxRetryAfter: time.Second, Step: 5 * time.Millisecond,
@@ -103,7 +104,7 @@
 	}}, nil, engine.PoolUse{Pool: pool, MinShare: 1}))
 	g := &testGateway{T: t, admission: frontend.NewAdmission(e, body.NewBudget(64<<20))}
 	g.server = New(g.admission, Options{
-		MaxConns: cfg.sockets * 48 / 100, SpareConns: cfg.sockets * 2 / 100, LongestDeadline: time.Minute,
+		MaxConns: cfg.sockets * 48 / 100, SpareConns: cfg.sockets * 2 / 100, LongestDeadline: objective,
 	})
 	ln := testutil.Listen(t, "127.0.0.1:0", nil)
 	g.url = "http://" + ln.Addr().String()
--- a/internal/frontend/http1/request_test.go
+++ b/internal/frontend/http1/request_test.go
@@ -187,7 +187,8 @@
 
 // A request's timeout counts from its last byte: its body may take longer to arrive than its client waits for the response.
 func TestTimeoutCountsFromLastByte(t *testing.T) {
-	// Between requestTimeout, in which the body has to arrive, and nothing: a pause of the machine of a second does no harm.
+	// The body arrives after 1.5 s, a second before requestTimeout, with 1.2 s left for the response: a pause of the machine
+	// of a second on either side does no harm.
 	const timeout = 1200 * time.Millisecond
 	g := startGateway(t, withHealthyHost(t))
 	c := g.dial()
--- a/internal/frontend/http1/server.go
+++ b/internal/frontend/http1/server.go
@@ -61,18 +61,18 @@
 	shuttingDown      atomic.Bool   // Shutdown has been called
 	shutdownEndsConns atomic.Bool   // Shutdown has reached the step in which connections end with their responses
 	endTunnels        chan struct{} // closed when tunnels, and delays of rejected clients, have to end
-	lastRequestsTime  time.Duration // the constant, unless a test sets it before Shutdown
+	connsEndBeforeDue time.Duration // lastRequestsTime; tests set it before Shutdown
 }
 
 // New returns a Server that brings its requests through admission.
 func New(admission *frontend.Admission, o Options) *Server {
 	s := &Server{
-		admission:        admission,
-		plainRoutes:      o.PlainRoutes,
-		sharedListeners:  o.SharedListeners,
-		maxHeaderBytes:   cmp.Or(o.MaxHeaderBytes, defaultMaxHeaderBytes),
-		endTunnels:       make(chan struct{}),
-		lastRequestsTime: lastRequestsTime,
+		admission:         admission,
+		plainRoutes:       o.PlainRoutes,
+		sharedListeners:   o.SharedListeners,
+		maxHeaderBytes:    cmp.Or(o.MaxHeaderBytes, defaultMaxHeaderBytes),
+		endTunnels:        make(chan struct{}),
+		connsEndBeforeDue: lastRequestsTime,
 	}
 	s.conns.evicted = sync.NewCond(&s.conns.mu)
 	s.SetLongestDeadline(o.LongestDeadline)
--- a/internal/frontend/http1/server_test.go
+++ b/internal/frontend/http1/server_test.go
@@ -33,7 +33,7 @@
 	}
 	g := startGateway(t, withHealthyHost(t))
 	// A client that sends nothing in this time loses its connection; no pause of a busy machine may take as long.
-	g.server.lastRequestsTime = 1500 * time.Millisecond
+	g.server.connsEndBeforeDue = 1500 * time.Millisecond
 	c := g.dialWithTimeout()
 	in := bufio.NewReader(c)
 	// A listener that Serve gets only after Shutdown is closed, and with it what waits to be accepted.
@@ -70,7 +70,11 @@
 
 // A listener that comes after Shutdown is called is closed, as its clients would not be served to the end.
 func TestServeAfterShutdownClosesListener(t *testing.T) {
-	g := startGateway(t, withHealthyHost(t))
+	host, release := newHoldingHost(t)
+	g := startGateway(t, withHosts(host))
+	// While it has a request, Shutdown lasts for seconds: a Serve that returns before has not waited for its end.
+	io.WriteString(g.dial(), testutil.LookRequest(testutil.NewID()))
+	testutil.WaitUntil(t, "the host has the request", func() bool { n, _, _ := host.Counts(); return n == 1 })
 	stopped := make(chan struct{})
 	go func() {
 		g.server.Shutdown()
@@ -85,9 +89,10 @@
 		if err != nil {
 			t.Errorf("Serve: got %v, want nil", err)
 		}
-	case <-time.After(testutil.WaitTimeout):
-		t.Fatal("Serve goes on, want it to return")
+	case <-stopped:
+		t.Error("Serve goes on until Shutdown has ended, want it to return")
 	}
+	close(release)
 	// One that goes on may return when Shutdown closes all listeners.
 	if n := ln.accepts.Load(); n != 0 {
 		t.Errorf("Serve goes on: got %d calls of Accept, want none", n)
--- a/internal/frontend/http1/shutdown.go
+++ b/internal/frontend/http1/shutdown.go
@@ -60,7 +60,7 @@
 		time.Sleep(frontend.BacklogGrace)
 	}
 	s.closeListeners()
-	waitWhile(s.conns.inUse, responsesDue.Add(-s.lastRequestsTime))
+	waitWhile(s.conns.inUse, responsesDue.Add(-s.connsEndBeforeDue))
 	s.shutdownEndsConns.Store(true)
 	if s.sharedListeners {
 		s.conns.closeWaiting()
--- a/internal/gateway/appliance.go
+++ b/internal/gateway/appliance.go
@@ -132,8 +132,8 @@
 	return longest
 }
 
-// SetDrained sets the hosts that operators drain, by pool: they get no new requests, whatever their lists say. It may be
-// called by any goroutine.
+// SetDrained sets the hosts that operators drain, by pool: they get no new requests, whatever their lists say. It is for
+// an appliance, and may be called by any goroutine.
 func (g *Gateway) SetDrained(hosts map[string][]string) {
 	g.appliance.drained.Store(&hosts)
 	if pools := g.appliance.published.Load(); pools != nil {
@@ -144,14 +144,14 @@
 }
 
 // drainedHosts returns the hosts of a pool that operators drain.
-func (a *appliance) drainedHosts(pool string) []string {
-	if drained := a.drained.Load(); drained != nil {
+func (s *appliance) drainedHosts(pool string) []string {
+	if drained := s.drained.Load(); drained != nil {
 		return (*drained)[pool]
 	}
 	return nil
 }
 
-// Pool returns the pool with a name, or nil. It may be called by any goroutine.
+// Pool returns the pool of an appliance with a name, or nil. It may be called by any goroutine.
 func (g *Gateway) Pool(name string) *engine.Pool {
 	pools := g.appliance.published.Load()
 	if pools == nil {
--- a/internal/gateway/classes.go
+++ b/internal/gateway/classes.go
@@ -13,7 +13,7 @@
 // that may be retried, one that may not.
 type classes struct {
 	list          []balancer.Class
-	names         []string       // in recordings, as list
+	names         []string       // names in recordings, by the number of a class
 	index         map[string]int // number of a class of the file by its name
 	nonIdempotent []int          // by the number of a class of the file: the number of the one that may not be retried
 }
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -72,7 +72,7 @@
 		}
 	}
 	// It stays open, though the drain would have closed it by now.
-	kept.SetReadDeadline(time.Now().Add(250 * time.Millisecond))
+	kept.SetReadDeadline(time.Now().Add(250 * time.Millisecond)) // more than ten times drainCloseInterval of http1
 	if _, err := kept.Read(make([]byte, 1)); err == nil || !strings.Contains(err.Error(), "timeout") {
 		t.Errorf("open connection after the drain: error %v, want a timeout", err)
 	}
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -31,10 +31,10 @@
 		routeConfig("look", "pool = \"p\"\nclass = \"lookup\"")+routeConfig("book", "path = \"/book\"\npool = \"p\"\nclass = \"book\""))
 }
 
-// manyClients is a connection that counts as many clients behind a trusted proxy: each request is of another one.
+// manyClients is an HTTP client that counts as many clients behind a trusted proxy: each request is of another one.
 type manyClients struct {
 	*http.Client
-	dials   atomic.Int64
+	dials   atomic.Int64 // its connections
 	clients int
 }
 
--- a/internal/gateway/platform.go
+++ b/internal/gateway/platform.go
@@ -28,7 +28,7 @@
 	pool         *engine.Pool
 	transport    *hosts.Transport
 	watcher      *discovery.Watcher // of the pool's endpoint list
-	classes      []classid.Class    // by their number
+	numbered     []classid.Class    // the classes by their number
 	sharesSocket bool               // the platform holds the socket for clients
 	useHalf      func()             // leaves half of the machine to another process; nil: there is none
 }
@@ -59,7 +59,7 @@
 	go p.transport.Run(g.ctx)
 	go g.engine.Run(g.ctx)
 	p.pool.UpdateEndpoints(balancer.ListSaved, cfg.Known)
-	p.classes = classesByNumber(cfg)
+	p.numbered = classesByNumber(cfg)
 	g.engine.Use(g.platformSnapshot(cfg))
 	if !shared {
 		go p.watcher.Run(g.ctx, p.pool)
@@ -138,10 +138,10 @@
 
 // platformSnapshot returns the Snapshot with one route to the only pool, for the classes by their numbers.
 func (g *Gateway) platformSnapshot(cfg *config.Platform) *engine.Snapshot {
-	classes := g.platform.classes
+	numbered := g.platform.numbered
 	names := make(map[string]int, len(cfg.Classes))
-	rules := make([]balancer.Class, len(classes))
-	for i, c := range classes {
+	rules := make([]balancer.Class, len(numbered))
+	for i, c := range numbered {
 		rules[i] = c.Rules
 		if !c.Rules.Retired {
 			names[c.Name] = i
@@ -185,10 +185,10 @@
 }
 
 // Retune puts new settings into effect for new requests; requests under way keep theirs. On an error nothing has
-// changed.
+// changed. It is for a gateway of the platform.
 func (g *Gateway) Retune(cfg *config.Platform) error {
 	p := g.platform
-	old := p.classes
+	old := p.numbered
 	err := g.engine.Retune(p.pool, func(inUse func(int) bool) (balancer.Settings, []int, []string, *engine.Snapshot) {
 		list, from := classid.Assign(old, classesByNumber(cfg), inUse)
 		settings := cfg.Settings
@@ -198,18 +198,18 @@
 			settings.Classes[i] = c.Rules
 			names[i] = c.Name
 		}
-		p.classes = list
+		p.numbered = list
 		return settings, from, names, g.platformSnapshot(cfg)
 	})
 	if err != nil {
-		p.classes = old
+		p.numbered = old
 		return err
 	}
 	g.server.SetLongestDeadline(longestPlatformDeadline(cfg))
 	return nil
 }
 
-// SetDiscovery has the endpoint list come from another address.
+// SetDiscovery has the endpoint list come from another address. It is for a gateway of the platform.
 func (g *Gateway) SetDiscovery(addr string) { g.platform.watcher.SetAddress(addr) }
 
 // ShareMachine limits the gateway to half of the machine while another process that has the lock in the same directory
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -70,10 +70,10 @@
 }
 
 // newPool returns a pool without endpoints.
-func (g *Gateway) newPool(a *config.Appliance, cfg config.Pool, set balancer.Settings, classNames []string) (*appliancePool, error) {
+func (g *Gateway) newPool(a *config.Appliance, cfg config.Pool, settings balancer.Settings, classNames []string) (*appliancePool, error) {
 	p := &appliancePool{
 		cfg:         cfg,
-		settings:    set,
+		settings:    settings,
 		newSource:   g.appliance.newSource,
 		stopSource:  func() {},
 		currentSink: new(atomic.Pointer[endpointSink]),
@@ -87,7 +87,7 @@
 	var err error
 	p.Pool, err = g.engine.NewPool(engine.PoolConfig{
 		Name:      cfg.Name,
-		Settings:  set,
+		Settings:  settings,
 		Seed:      rand.Uint64(),
 		Transport: p.transport,
 		Stop:      p.cancel, // the source ends with it
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -81,10 +81,10 @@
 
 // preparePool returns the pool that is in use, or a new one where settings or protocol have changed.
 func (g *Gateway) preparePool(c *change, cfg config.Pool, running bool) (*appliancePool, error) {
-	set := balancerSettings(cfg, c.classes.list)
+	settings := balancerSettings(cfg, c.classes.list)
 	p := g.appliance.pools[cfg.Name]
-	if p == nil || !reflect.DeepEqual(p.settings, set) || !equalProtocols(p.cfg, cfg) {
-		p, err := g.newPool(c.file, cfg, set, c.classes.names)
+	if p == nil || !reflect.DeepEqual(p.settings, settings) || !equalProtocols(p.cfg, cfg) {
+		p, err := g.newPool(c.file, cfg, settings, c.classes.names)
 		if err != nil {
 			return nil, err
 		}
@@ -123,12 +123,12 @@
 		controller.SetRanks(n)
 	}
 	g.engine.Use(c.snapshot)
-	a := g.appliance
-	a.pools = c.pools
-	a.file = c.file
-	a.published.Store(&c.pools)
+	state := g.appliance
+	state.pools = c.pools
+	state.file = c.file
+	state.published.Store(&c.pools)
 	for name, p := range c.pools {
-		p.overrides.setDrained(a.drainedHosts(name)) // what changed while it was made
+		p.overrides.setDrained(state.drainedHosts(name)) // what changed while it was made
 	}
 	g.commitListeners(c)
 }
--- a/internal/gateway/retune_test.go
+++ b/internal/gateway/retune_test.go
@@ -97,8 +97,8 @@
 			t.Fatalf("change %d: status %d, want 200", i, resp.StatusCode)
 		}
 	}
-	if len(g.platform.classes) > 4 {
-		t.Errorf("%d classes, want at most 4", len(g.platform.classes))
+	if len(g.platform.numbered) > 4 {
+		t.Errorf("%d classes, want at most 4", len(g.platform.numbered))
 	}
 	invalid := withClasses(*cfg, "book")
 	invalid.Settings.Instances = 0
--- a/internal/overload/mix.go
+++ b/internal/overload/mix.go
@@ -31,10 +31,10 @@
 		return
 	}
 	for i := range m[:len(m)-1] {
-		rank := &m[i]
-		requests := rank.requests.Load()
-		rank.share += mixWeight * (float64(requests-rank.counted)/total - rank.share)
-		rank.counted = requests
+		counts := &m[i]
+		requests := counts.requests.Load()
+		counts.share += mixWeight * (float64(requests-counts.counted)/total - counts.share)
+		counts.counted = requests
 	}
 }
 
--- a/internal/ratelimit/tenants.go
+++ b/internal/ratelimit/tenants.go
@@ -23,7 +23,7 @@
 	burstSpan = time.Second
 	// maxElapsed bounds the time that is made up for at once.
 	maxElapsed = 10 * burstSpan
-	// reservedShare is the share of the requests in flight that is not lent, so that a tenant which returns to its share
+	// reservedShare is the share of TenantLimits.Concurrent that is not lent, so that a tenant which returns to its share
 	// finds some free at once; the others become free as lent ones end.
 	reservedShare = 0.2
 )
--- a/internal/testutil/virtualtime.go
+++ b/internal/testutil/virtualtime.go
@@ -6,7 +6,8 @@
 	"testing/synctest"
 )
 
-// VirtualTime runs test in a synctest bubble. Under the race detector the bubble has one processor.
+// VirtualTime runs test in a synctest bubble. Under the race detector the whole process has one processor
+// meanwhile, so it is not for tests that call t.Parallel; .ci/run runs these packages without the detector too.
 //
 // The runtime keeps one race detector context for all timers of a bubble and uses it without a lock
 // where a goroutine receives from a timer that is already due (unlockAndRun in runtime/time.go of Go
--- a/internal/upstream/http1/transport.go
+++ b/internal/upstream/http1/transport.go
@@ -44,8 +44,7 @@
 	DialTimeout     time.Duration // for a connection to be established; at most, and by default, 100 ms
 	BodyBudget      *body.Budget  // of the buffers of streamed bodies; see upstream.BodyBudget
 
-	// DialContext establishes connections; by default a net.Dialer with DialTimeout. One that is set has limits of
-	// its own.
+	// DialContext replaces the dialer, for tests. DialTimeout and its limit of 100 ms do not apply then.
 	DialContext func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
