--- a/balancer/api.go
+++ b/balancer/api.go
@@ -1,24 +1,24 @@
-// Package balancer makes the decisions of an HTTP load balancer that runs as a fleet of gateways, one or a
-// thousand: which host gets a request, when it is retried, when it is rejected.
+// Package balancer implements the decisions of an HTTP load balancer that runs in a fleet of one to about a
+// thousand gateways: which host a request is sent to, when it is retried and when it is rejected.
 //
-// A [Balancer] is a state machine without I/O. The gateway that embeds it reports what happens (a request
-// arrives, an attempt ends, a timer fires, the endpoint list changes) by calling one method for each event,
-// with the current time, and then carries out the [Action] values that [Balancer.TakeActions] returns. The
-// Balancer starts no goroutine, reads no clock and does no I/O; the same events and seed always lead to the
-// same actions.
+// A [Balancer] is a state machine without I/O. The gateway that embeds it calls one method for each event
+// (a request arrives, an attempt ends, a timer fires, the endpoint list changes), passes the current time,
+// and then carries out the [Action] values that [Balancer.TakeActions] returns. The Balancer starts no
+// goroutine, reads no clock and does no I/O; the same events and the same seed always produce the same
+// actions.
 //
-// The Balancer keeps no slice that it is given, and what TakeActions appends belongs to the caller; in
-// steady state neither side allocates. A request is kept until it has its response and all its attempts have
-// ended, and a removed host until its last attempt has. After a restart, pass the endpoint list that was
-// saved last as ListSaved, right after Start.
+// The Balancer does not retain slices that are passed to it, and the slice that TakeActions appends to
+// belongs to the caller; in the steady state neither allocates. A request is kept until it has its final
+// response and all its attempts have ended, and a removed host until its last attempt has ended. After a
+// restart, pass the endpoint list that was last saved as ListSaved, right after Start.
 //
-// A Balancer is not safe for concurrent use. A gateway with several threads runs one Balancer in one event
-// loop, or one for each thread with Instances raised accordingly.
+// A Balancer is not safe for concurrent use. A gateway with several threads runs either one Balancer in one
+// event loop, or one Balancer per thread with Instances raised accordingly.
 //
-// Each rule is a type, or a few functions, in a file of its own; the comment of [Balancer], in
-// balancer.go, lists them, and policy in deploy/balancer.toml names the files. The events in balancer.go
-// are where to start reading. For observers there are [Balancer.Views], and [Balancer.Checkpoint] with
-// [Restore].
+// Each rule is a type or a few functions in a file of its own. The comment of [Balancer], in balancer.go,
+// lists these files; the policy setting in deploy/balancer.toml lists them too. Start reading at the event
+// methods in balancer.go. [Balancer.Views], [Balancer.Checkpoint] and [Restore] are for monitoring and
+// replay.
 package balancer
 
 import (
@@ -26,108 +26,114 @@
 	"time"
 )
 
-// Time is an instant on the gateway's own monotonic clock, as the time since an arbitrary start. It must
-// never go back.
+// Time is an instant on the gateway's monotonic clock, given as the duration since an arbitrary start. It
+// must not decrease from one event to the next.
 type Time = time.Duration
 
-// HostID identifies a host. The Balancer only compares IDs.
+// HostID identifies a host. The Balancer only compares and hashes IDs.
 type HostID uint64
 
-// RequestID identifies a client request, below 1<<56. An ID must not be used again while a request or an
+// RequestID identifies a client request and is below 1<<56. An ID must not be reused while a request or an
 // attempt with it is open.
 type RequestID uint64
 
-// Idempotency says what a request may do when it is executed more than once.
+// Idempotency specifies whether a request may be executed more than once.
 type Idempotency uint8
 
 // Values of Idempotency.
 const (
-	Idempotent        Idempotency = iota // it may be executed any number of times
-	IdempotentWithKey                    // the hosts of a scope drop duplicates within a window
-	NonIdempotent                        // it must be executed once at most
+	Idempotent        Idempotency = iota // may be executed any number of times
+	IdempotentWithKey                    // the hosts of a DedupScope drop duplicates within DedupWindow
+	NonIdempotent                        // must be executed at most once
 )
 
-// DedupScope says which hosts drop duplicates of a request with an idempotency key.
+// DedupScope specifies which hosts drop duplicates of a request with an idempotency key.
 type DedupScope uint8
 
-// Scopes.
+// Values of DedupScope.
 const (
 	ScopeAll  DedupScope = iota // all hosts
 	ScopeZone                   // the hosts of one zone
 	ScopeCell                   // the hosts of one cell
 )
 
-// Class describes one kind of request. The tags of Class and Settings are their names in recordings.
+// Class describes one kind of request. The JSON tags of Class and Settings are the field names in
+// recordings.
 type Class struct {
-	// LatencyObjective is the time within which a response earns the full weight. 0: the Deadline.
+	// LatencyObjective is the time within which a response counts in full. Zero means Deadline.
 	LatencyObjective time.Duration `json:"Aim"`
-	// Deadline is how long a client waits in all.
+	// Deadline is the maximum time that a client waits for the response, over all attempts.
 	Deadline time.Duration
-	// PriorityWeight is the weight of a response, relative to those of other classes. 0: 1.
+	// PriorityWeight is the weight of a response relative to those of other classes. Zero means 1.
 	PriorityWeight float64     `json:"Worth"`
 	Idempotency    Idempotency `json:"Effect"`
-	// DedupScope and DedupWindow are for IdempotentWithKey: which hosts drop duplicates, and for how long
-	// after the first attempt that may have run.
+	// DedupScope and DedupWindow apply to IdempotentWithKey: which hosts drop duplicates, and for how long
+	// after the Send of the first attempt that may have run.
 	DedupScope  DedupScope    `json:"Group"`
 	DedupWindow time.Duration `json:"Window"`
-	// Retired means that no more requests of the class arrive: it is kept for open ones.
+	// Retired is set for a class that receives no new requests and is kept for open ones.
 	Retired bool
 }
 
-// Tenant describes one customer.
+// Tenant describes a customer with a request quota.
 type Tenant struct {
-	// Quota is its requests a second over all instances. 0: no quota.
+	// Quota is the rate in requests per second over all instances. Zero means no quota.
 	Quota float64
 }
 
-// Settings is what a Balancer knows of its deployment. The zero value of an optional field stands for the
-// default named beside it.
+// Settings configures a Balancer. The zero value of an optional field means the default named in its
+// comment.
 type Settings struct {
-	// Instances is the number of balancers in the fleet, this one included; at least 1.
+	// Instances is the number of balancers in the fleet, including this one; at least 1.
 	Instances int
-	// Rank is the number of this one, from 0.
+	// Rank is the index of this balancer among the Instances, starting at 0.
 	Rank    int
 	Classes []Class
-	// Tenants is optional.
+	// Tenants are the customers with quotas. Optional.
 	Tenants []Tenant
-	// Step is the least time between two instants at which events are handled. 0: they are handled as
-	// they come.
+	// Step is the minimum time between two instants at which the gateway handles events. Zero means that it
+	// handles events as they arrive.
 	Step time.Duration
 
-	// MaxAttempts is how many attempts a request may have, one at a time. 0: 3.
+	// MaxAttempts is the maximum number of attempts of a request; at most one is in flight at a time. Zero
+	// means 3.
 	MaxAttempts int
-	// Cancel allows Cancel actions.
+	// Cancel enables Cancel actions.
 	Cancel bool
-	// MaxRetryAfter is the longest Retry-After that a client heeds. 0: none is sent.
+	// MaxRetryAfter is the longest Retry-After that clients honor. Zero means that none is sent.
 	MaxRetryAfter time.Duration
-	// OverQuotaWeight is the weight of a request beyond its tenant's quota, as a share of its class's. 0:
-	// none.
+	// OverQuotaWeight is the factor applied to the priority weight of a request over its tenant's quota.
+	// Zero gives such a request the weight 0.
 	OverQuotaWeight float64 `json:"OverQuotaWorth"`
 
-	// Poll means that the endpoint list has to be polled, as it is not pushed.
+	// Poll is set if the gateway polls discovery for the endpoint list instead of receiving it by push.
 	Poll bool `json:"Ask"`
-	// PollTimeout is the longest time without a poll under way. 0: 10 s, which is also the maximum.
+	// PollTimeout is the time after which a poll without a result is repeated; retry delays derive from it.
+	// Zero means 10 s, which is also the maximum.
 	PollTimeout time.Duration `json:"AskWithin"`
 
-	// SlowStartShare is the share of its capacity that a host starts with. 0: 1, there is no slow start.
+	// SlowStartShare is the share of its capacity that a host is assumed to have right after its start.
+	// Zero means 1, which disables slow start.
 	SlowStartShare float64 `json:"ColdFrom"`
-	// SlowStartWindow is how long after its start a host has its full capacity. 0: at once.
+	// SlowStartWindow is the time from its start until a host has its full capacity. Zero means that it has
+	// it at once.
 	SlowStartWindow time.Duration `json:"WarmAfter"`
-	// OverloadFactor is the multiple of its present capacity that overloads a warming host, if it is kept
-	// up for OverloadWindow. 0: 2.
+	// OverloadFactor is the multiple of its current capacity that overloads a warming host if the load
+	// persists for OverloadWindow. Zero means 2.
 	OverloadFactor float64
-	// OverloadWindow is in addition the unit of the spans of rates. 0: 1 s.
+	// OverloadWindow is the time for which a load must persist to overload a warming host, and the unit of
+	// the time constants of measured rates. Zero means 1 s.
 	OverloadWindow time.Duration `json:"Fall"`
 }
 
-// HostState is what the endpoint list says of a host.
+// HostState is the state of a host in the endpoint list.
 type HostState uint8
 
-// States of a host.
+// Values of HostState.
 const (
-	Ready    HostState = iota // it takes requests
-	Draining                  // it finishes its work and gets nothing new
-	Removed                   // it is gone; only among changes
+	Ready    HostState = iota // accepts requests
+	Draining                  // finishes its requests and receives no new ones
+	Removed                   // no longer part of the pool; occurs only in ListChanges
 )
 
 // Host is an entry of the endpoint list.
@@ -135,89 +141,90 @@
 	ID      HostID
 	Zone    int
 	Cell    int
-	Kind    int // machines of one kind have a similar capacity
+	Kind    int // hosts of the same kind have similar capacity
 	State   HostState
-	Started Time // when it last started; 0: long ago
+	Started Time // when it last started; 0 if that was long ago
 }
 
-// ListKind says how an endpoint list is to be read.
+// ListKind specifies how to interpret an endpoint list.
 type ListKind uint8
 
-// Kinds of lists.
+// Values of ListKind.
 const (
-	ListFull    ListKind = iota // the complete list; hosts that it lacks are gone
-	ListChanges                 // only entries that changed
-	ListSaved                   // the complete list as saved earlier, perhaps stale
-	ListFailed                  // a poll failed or a watch broke; no entries
+	ListFull    ListKind = iota // the complete list; hosts missing from it are removed
+	ListChanges                 // only the entries that changed
+	ListSaved                   // the complete list as saved before a restart, possibly stale
+	ListFailed                  // a poll failed or a watch ended; the list is empty
 )
 
-// Request is a client's request, which is owed one final response.
+// Request is a client's request. It gets exactly one final response.
 type Request struct {
 	ID        RequestID
 	Class     int           // index in Settings.Classes
 	Tenant    int           // index in Settings.Tenants
-	Remaining time.Duration // until the client gives up, less ClientMargin; 0: it is due now
-	Duplicate bool          // the client has sent it before
+	Remaining time.Duration // time until the client gives up, minus ClientMargin; 0 if it is due now
+	Duplicate bool          // the client has sent this request before
 }
 
-// Result says how an attempt ended.
+// Result is the outcome of an attempt.
 type Result uint8
 
-// Results. Those marked as proof prove that the attempt never ran; after any other it may have. Quoted is the
-// text of String, which logs and recordings have, where it is another word.
+// Values of Result. After those marked "never ran" the host has certainly not executed the attempt; after
+// any other it may have. A quoted name is the text of String in logs and recordings where it differs.
 const (
 	OK              Result = iota
 	Failed                 // the host answered with an error
-	Full                   // the host rejected it unseen (proof)
+	Full                   // the host rejected it without executing it (never ran)
 	TimedOut               // no response in time
-	ConnectFailed          // no connection (proof)
-	Reset                  // the connection broke
-	Canceled               // canceled by a Cancel action, or as its client has left
-	NotSent                // the gateway did not send it (proof)
-	InvalidResponse        // "Spoilt": what arrived is no valid response
+	ConnectFailed          // the connection could not be established (never ran)
+	Reset                  // the connection was closed before the response was complete
+	Canceled               // canceled by a Cancel action, or because the client disconnected
+	NotSent                // the gateway did not send it (never ran)
+	InvalidResponse        // "Spoilt": the response is malformed
 )
 
-// MayHaveRun reports whether an attempt with this result may have run.
+// MayHaveRun reports whether the host may have executed an attempt that ended with this result.
 func (r Result) MayHaveRun() bool { return r != Full && r != ConnectFailed && r != NotSent }
 
-// Outcome is the end of one attempt. Each Send action has exactly one.
+// Outcome reports the end of one attempt. Each Send action leads to exactly one Outcome.
 type Outcome struct {
 	Request RequestID
-	Attempt int // attempts of a request count from 0 in the order of their Send actions
+	Attempt int // index among the attempts of the request, in the order of their Send actions
 	Result  Result
-	Elapsed time.Duration // since the Send action
-	Closed  bool          // the client has its response, nothing more is owed
+	Elapsed time.Duration // time since the Send action
+	Closed  bool          // the client has its response; no further response is needed
 }
 
-// Cause says why a request got a final response without being served, or why a host is ejected. Causes of
-// final responses are for observers; that of an ejection decides when failing open uses the host.
+// Cause is the reason why a request got a final response from the balancer, or why a host is ejected. The
+// causes of final responses are informational; the cause of an ejection determines whether failing open may
+// use the host.
 type Cause uint8
 
-// Causes. Quoted is the text of String, which logs and recordings have.
+// Values of Cause, each with the text of String, which logs and recordings contain.
 const (
 	CauseNone              Cause = iota // "none"
-	CauseArrivedLate                    // "late": it arrived with no time left to be sent
-	CauseQueueTimeout                   // "wait": it waited for a host as long as it may
-	CauseDeadlineExceeded               // "deadline": its deadline has come, an attempt in flight or not
-	CauseNoMoreAttempts                 // "spent": its attempts have ended and it may not be retried
-	CauseConnectionsFailed              // "connections fail": of a host, also after resets (Balancer.observe)
-	CauseSilent                         // "silent": of a host, it takes requests and answers none
-	CauseLowerPriority                  // "worth less": it left capacity to a class of higher priority
+	CauseArrivedLate                    // "late": it arrived too late to be sent
+	CauseQueueTimeout                   // "wait": it reached its maximum time in the queue
+	CauseDeadlineExceeded               // "deadline": its deadline passed, attempt in flight or not
+	CauseNoMoreAttempts                 // "spent": its attempts ended and it may not be retried
+	CauseConnectionsFailed              // "connections fail": a host whose connections fail or are reset
+	CauseSilent                         // "silent": a host that accepts requests and does not respond
+	CauseLowerPriority                  // "worth less": it was rejected in favor of a higher priority
 )
 
-// ActionKind says what the gateway is to do.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
-// Kinds of actions. Quoted is the text of String, which logs and recordings have, where it is another word.
+// Values of ActionKind. A quoted name is the text of String in logs and recordings where it differs.
 const (
-	Send   ActionKind = iota // start an attempt of Request at Host; At: the latest time to send, if not 0
+	Send   ActionKind = iota // start an attempt of Request at Host; a nonzero At is the latest time to send
 	Cancel                   // cancel Attempt of Request
-	Reject                   // "Refuse": final response, a retry is harmless; RetryAfter: advice or 0
-	Fail                     // final response: an error that does not say whether the request ran
-	Wake                     // call Timer with Token at At or soon after
+	Reject                   // "Refuse": final response; a retry is safe; RetryAfter is advice or 0
+	Fail                     // final response: an error; the request may have run
+	Wake                     // call Timer with Token at At or shortly after
 	Close                    // close the idle connections to Host
-	Poll                     // "Watch": poll discovery for changes from now on, until ListFailed
-	Log                      // log Text, which is about Host if that is not 0
+	Poll                     // "Watch": poll or watch discovery from now on, until ListFailed
+	Log                      // log Text; Host is the host that it is about, or 0
 )
 
 // Names for logs and recordings, in the order of the constants.
@@ -233,15 +240,16 @@
 	}
 )
 
-// String returns the name of the result, for logs.
+// String returns the name of the result as in logs and recordings.
 func (r Result) String() string { return nameOf(resultNames[:], int(r)) }
 
-// String returns the name of the kind, for logs.
+// String returns the name of the kind as in logs and recordings.
 func (k ActionKind) String() string { return nameOf(actionNames[:], int(k)) }
 
-// String returns the name of the cause, for logs.
+// String returns the name of the cause as in logs and recordings.
 func (c Cause) String() string { return nameOf(causeNames[:], int(c)) }
 
+// nameOf returns names[i], or the number if i has no name.
 func nameOf(names []string, i int) string {
 	if i < len(names) {
 		return names[i]
@@ -249,15 +257,16 @@
 	return strconv.Itoa(i)
 }
 
-// Action is one thing for the gateway to do. Only the fields that its kind names have a meaning.
+// Action is an operation for the gateway to carry out. Only the fields that the comment of its kind names
+// are set.
 type Action struct {
 	Kind       ActionKind
 	Request    RequestID
-	Attempt    int
+	Attempt    int // index among the attempts of the request
 	Host       HostID
 	At         Time
 	RetryAfter time.Duration
 	Token      uint64
 	Text       string
-	Cause      Cause // of Reject and Fail
+	Cause      Cause // set for Reject and Fail
 }
--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -1,9 +1,9 @@
 package balancer
 
-// Attempts: what is sent, and what is learnt from how it ends.
+// This file sends attempts and updates the state of hosts and classes when they end.
 
-// dispatch sends a request if a host is ready for it, and else queues it. It does not overtake requests that
-// are queued already.
+// dispatch sends a request if a host is ready for it, and queues it otherwise. It is always queued if
+// others are waiting, so that it does not overtake them.
 func (b *Balancer) dispatch(request *request, isRetry bool) {
 	if b.queues.length == 0 {
 		host := b.pick(request)
@@ -16,7 +16,7 @@
 	b.dispatchWaiting()
 }
 
-// send starts an attempt.
+// send starts an attempt of a request at a host.
 func (b *Balancer) send(request *request, host *host) {
 	sendBy := b.sendBy(request)
 	attempt := b.freeAttempts.take()
@@ -44,7 +44,7 @@
 	b.scheduleSweep()
 }
 
-// endAttempt takes an attempt that has ended off its request and host.
+// endAttempt marks an attempt as ended and removes it from the attempts in flight of its request and host.
 func (b *Balancer) endAttempt(attempt *attempt, result Result) {
 	attempt.ended = true
 	attempt.result = result
@@ -57,7 +57,7 @@
 	}
 }
 
-// observe learns from the end of an attempt, which took rtt seconds.
+// observe updates the state of the host and of the class from the end of an attempt that took rtt seconds.
 func (b *Balancer) observe(attempt *attempt, rtt float64) {
 	host := attempt.host
 	if attempt.trial {
@@ -75,14 +75,14 @@
 	case TimedOut:
 		b.observeTimeout(attempt, rtt)
 	case Canceled:
-		// An attempt that was canceled at its request's deadline has timed out all the same. That a
-		// client has gone, or another attempt has answered, says nothing of the host.
+		// An attempt canceled at the deadline of its request counts as timed out. A cancellation because
+		// the client disconnected or another attempt was answered is no information about the host.
 		if attempt.request.answeredByBalancer {
 			b.observeTimeout(attempt, rtt)
 		}
 	case Reset:
-		// As with invalid responses, what resets connections may do so to any host's. The second broken
-		// response in a row, if it is a reset, counts as a failed connection.
+		// Like malformed responses, resets may be caused on the path and then affect any host. The second
+		// broken response in a row counts as a failed connection if it is a reset.
 		b.addSample(host, rtt)
 		if b.countBrokenResponse(host) {
 			b.eject(host, CauseConnectionsFailed)
@@ -93,7 +93,7 @@
 	}
 }
 
-// limitSampleOf returns an attempt's RTT, in seconds, as the concurrency limiter sees it.
+// limitSampleOf returns the sample for the concurrency limiter of an attempt that took rtt seconds.
 func (b *Balancer) limitSampleOf(attempt *attempt, rtt float64) limitSample {
 	return limitSample{
 		rtt:       b.relativeRTT(attempt.request.Class, rtt),
@@ -102,10 +102,10 @@
 	}
 }
 
-// observeSuccess learns from a good response.
+// observeSuccess handles a successful response.
 func (b *Balancer) observeSuccess(attempt *attempt, rtt float64) {
 	host := attempt.host
-	sample := b.limitSampleOf(attempt, rtt) // relative to the typical RTT of before
+	sample := b.limitSampleOf(attempt, rtt) // relative to the typical RTT before this response
 	host.brokenResponses = 0
 	b.recordSuccess(attempt)
 	b.countOvertaken(attempt)
@@ -119,8 +119,8 @@
 	b.readmit(host)
 }
 
-// observeFull learns from a rejection by a host that is full. It takes no more, and rejections are fast:
-// a host that gives nothing else would attract everything that waits. So they count as slow responses.
+// observeFull handles a rejection by a host that is at capacity. Rejections count as slow responses: they
+// are fast, and a host that only rejects would otherwise attract all waiting requests.
 func (b *Balancer) observeFull(attempt *attempt, rtt float64) {
 	sample := b.limitSampleOf(attempt, rtt)
 	sample.rtt = max(sample.rtt, 1)
@@ -130,7 +130,8 @@
 	b.readmit(attempt.host)
 }
 
-// observeError learns from an error response. A fast error says nothing of the host's speed.
+// observeError handles an error response. An error response that is faster than the RTT estimate is no
+// sample of the host's speed.
 func (b *Balancer) observeError(attempt *attempt, rtt float64) {
 	host := attempt.host
 	host.brokenResponses = 0
@@ -141,8 +142,9 @@
 	b.readmit(host)
 }
 
-// observeInvalid learns from an invalid response. The host did the work and took that long. What breaks
-// responses on their way may do so to any host's, but a host that gives nothing else counts as failing.
+// observeInvalid handles a malformed response. Its RTT is a sample, because the host did execute the
+// request. A single one may be caused on the path, which affects any host; from the second in a row on, the
+// error penalty applies.
 func (b *Balancer) observeInvalid(attempt *attempt, rtt float64) {
 	host := attempt.host
 	if b.countBrokenResponse(host) {
@@ -152,7 +154,7 @@
 	b.readmit(host)
 }
 
-// observeTimeout learns from an attempt without a response in time. Its RTT would have been longer yet.
+// observeTimeout handles an attempt that got no response in time. Its RTT would have been at least rtt.
 func (b *Balancer) observeTimeout(attempt *attempt, rtt float64) {
 	b.addSample(attempt.host, rtt)
 	b.adjustLimit(attempt.host, b.limitSampleOf(attempt, rtt))
--- a/balancer/averages.go
+++ b/balancer/averages.go
@@ -2,40 +2,40 @@
 
 import "math"
 
-// Weights of samples in moving averages.
+// Weights of a sample in the moving averages.
 const (
-	meanSampleWeight     = 0.1       // the last ten samples make up most of a mean
-	longTermSampleWeight = 1.0 / 256 // a short overload must not change a typical RTT
-	maxSpanSampleWeight  = 0.5       // of one sample in a mean over a span, however long ago the last one is
+	meanSampleWeight     = 0.1       // the last ten samples make up most of the mean
+	longTermSampleWeight = 1.0 / 256 // low, so that a short overload does not change a typical RTT
+	maxSpanSampleWeight  = 0.5       // upper bound in addOverSpan, however long ago the last sample was added
 )
 
-// movingAverage is an exponential moving average with its mean deviation. The first sample sets the mean, and
-// the deviation to half of it.
+// movingAverage is an exponential moving average with its mean deviation. The first sample sets the mean to
+// the sample and the deviation to half of it.
 type movingAverage struct {
 	mean, dev float64
-	seen      bool // there was a sample
-	n         int  // samples of addLongTerm
-	at        Time // of the last sample of addOverSpan
+	seen      bool // a sample has been added
+	n         int  // number of samples added by addLongTerm
+	at        Time // time of the last sample added by addOverSpan
 }
 
 // add adds a sample with meanSampleWeight.
 func (m *movingAverage) add(sample float64) { m.blend(sample, meanSampleWeight) }
 
-// addLongTerm adds a sample. All samples have the same weight at first, and then longTermSampleWeight.
+// addLongTerm adds a sample. The first samples are weighted equally; later ones have longTermSampleWeight.
 func (m *movingAverage) addLongTerm(sample float64) {
 	m.n++
 	m.blend(sample, max(1/float64(m.n), longTermSampleWeight))
 }
 
-// addOverSpan adds a sample, with more weight the longer ago the last one is, so that the average covers a
-// span, in seconds, however rare the samples are.
+// addOverSpan adds a sample with a weight that grows with the time since the last one. The average then
+// covers about span seconds, however rare the samples are.
 func (m *movingAverage) addOverSpan(sample float64, now Time, span float64) {
 	weight := 1 - math.Exp(-(now-m.at).Seconds()/span)
 	m.at = now
 	m.blend(sample, min(max(weight, meanSampleWeight), maxSpanSampleWeight))
 }
 
-// blend adds a sample with a weight between 0 and 1.
+// blend adds a sample with the given weight between 0 and 1.
 func (m *movingAverage) blend(sample, weight float64) {
 	if !m.seen {
 		m.mean = sample
@@ -47,18 +47,19 @@
 	m.mean += weight * (sample - m.mean)
 }
 
-// decayingRate is an exponentially decaying count of events, as events a second.
+// decayingRate is an exponentially decaying event rate, in events per second.
 type decayingRate struct {
-	rate float64 // at the time at
+	rate float64 // value at the time at
 	at   Time
 
-	// The rate is often read several times at an instant, and computed once.
+	// The value of the last call of now is cached, because the rate is often read several times at the same
+	// instant.
 	readAt   Time
 	readRate float64
 }
 
-// now returns the rate at a time, in events a second. The span of the decay, in seconds, is the same in all
-// calls.
+// now returns the rate at the given time, in events per second. span is the time constant of the decay in
+// seconds and must be the same in all calls.
 func (r *decayingRate) now(now Time, span float64) float64 {
 	if now != r.readAt {
 		r.readRate = r.rate * math.Exp(-(now-r.at).Seconds()/span)
@@ -67,20 +68,20 @@
 	return r.readRate
 }
 
-// add counts an event.
+// add counts an event at the given time.
 func (r *decayingRate) add(now Time, span float64) {
 	r.rate = r.now(now, span) + 1/span
 	r.at = now
 	r.readRate = r.rate
 }
 
-// decayingShare is a share between 0 and 1 that decays while nothing is added.
+// decayingShare is a share between 0 and 1 that decays exponentially between updates.
 type decayingShare struct {
-	share float64 // at the time at
+	share float64 // value at the time at
 	at    Time
 }
 
-// now returns the share at a time. The span of the decay is in seconds.
+// now returns the share at the given time. span is the time constant of the decay in seconds.
 func (s *decayingShare) now(now Time, span float64) float64 {
 	return s.share * math.Exp(-(now-s.at).Seconds()/span)
 }
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -6,61 +6,62 @@
 	"slices"
 )
 
-// Balancer decides for one pool of one gateway. It is not safe for concurrent use.
+// Balancer makes the load balancing decisions for one pool of one gateway. It is not safe for concurrent
+// use.
 //
-// Each rule is a type of its own, or a few functions, in a file of its name:
+// Each rule is a type or a few functions in the file of that name:
 //
-//	selection.go    which of two random hosts gets a request, and when to fail open
-//	rtt.go          the RTT estimate of each host, by which it is chosen
-//	standing.go     which hosts are ready, as the rules below say
+//	selection.go    which of two random hosts is chosen, and when selection fails open
+//	rtt.go          the RTT estimate of each host, on which the choice is based
+//	standing.go     which hosts are ready according to the rules below
 //	concurrency.go  how many attempts a host may have in flight
-//	slowstart.go    how often a host is sent to that has just started
-//	ejection.go     when a host is ejected, and when it is tried again
-//	silence.go      when a host counts as silent
+//	slowstart.go    how often a recently started host is sent an attempt
+//	ejection.go     when a host is ejected and when it gets a trial request
+//	silence.go      when a host is considered silent
 //	stalled.go      when an attempt on a silent connection is canceled
-//	exclusion.go    when a host is excluded for a class that it answers with errors
+//	exclusion.go    when a host is excluded for a class because of error responses
 //	sendrate.go     how many attempts are sent to all hosts together
-//	starvation.go   when a request yields to a class of higher priority
-//	quota.go        which requests are beyond their tenant's quota
-//	queue.go        how long requests wait for a host, and in which order
+//	starvation.go   when a request is rejected in favor of a class of higher priority
+//	quota.go        which requests exceed the quota of their tenant
+//	queue.go        how long and in which order requests wait for a host
 //	deadline.go     when a request is answered at the latest
-//	retry.go        whether a request has another attempt
-//	response.go     the final response, and its Retry-After
-//	attempt.go      what is learnt from the end of an attempt
+//	retry.go        whether a request gets another attempt
+//	response.go     the final response and its Retry-After
+//	attempt.go      how the end of an attempt updates the state
 //	subset.go       which part of the hosts this instance uses
-//	ring.go         the order of hosts that all instances share
-//	endpoints.go    what a new endpoint list changes
-//	polling.go      when discovery is polled for it
+//	ring.go         the order of hosts that is the same in all instances
+//	endpoints.go    how an endpoint list is applied
+//	polling.go      when discovery is polled for the endpoint list
 //	scope.go        which hosts drop duplicates of a request with an idempotency key
-//	averages.go     what weight samples have in means
+//	averages.go     the weights of samples in moving averages
 //
-// This file has the events. The types of its API are in api.go.
+// This file contains the event methods. The types of the API are in api.go.
 type Balancer struct {
 	settings Settings
 	scales
-	now     Time // of the event that is being handled
+	now     Time // time of the event being handled
 	random  randomSource
 	actions []Action
 	logs    [logKinds]logLimiter
 
 	// Hosts.
-	hosts        []*host // in an order that does not depend on that of a map
+	hosts        []*host // in an order that does not depend on map iteration
 	byID         map[HostID]*host
 	sets         hostSets       // the subset, and the ready hosts in it
-	dueStandings dueHeap        // hosts by the time when their standing may change
-	counts       subsetCounts   // of the subset
-	excluded     []subsetCounts // of the hosts excluded for a class, by class
+	dueStandings dueHeap        // hosts by the next time at which their standing may change without an event
+	counts       subsetCounts   // counts of hosts in the subset
+	excluded     []subsetCounts // the same for the hosts excluded for a class, by class
 	ring         hostRing
 	subset       subset
 	scopes       dedupScopes
 
 	// Requests.
 	open     map[RequestID]*request
-	arrivals decayingRate // requests a second
+	arrivals decayingRate // requests per second
 	queues   requestQueues
 	sweep    sweep
 
-	// Rules that are not about one host.
+	// State of the rules that do not concern a single host.
 	typicalRTT typicalRTTs
 	sendRate   sendRateController
 	quotas     tenantQuotas
@@ -69,25 +70,26 @@
 	stalled    stalledAttempts
 	poller     endpointPoller
 
-	// Memory that is used again.
-	touched      []*host // of UpdateEndpoints
-	candidates   []*host // of pick
+	// Buffers and free lists, reused to avoid allocations.
+	touched      []*host // hosts that UpdateEndpoints may have changed
+	candidates   []*host // hosts that pick chooses from
 	freeRequests freeList[request]
 	freeAttempts freeList[attempt]
 }
 
-// scales are the units of the rules, which follow from the settings.
+// scales are reference values that several rules derive their constants from. They depend only on the
+// settings.
 type scales struct {
-	shortestObjective Time    // latency objective
-	errorPenalty      float64 // RTT that an error counts as, in seconds
-	minEstimateDecay  float64 // decay of RTT estimates with enough traffic, in seconds
+	shortestObjective Time    // shortest latency objective of all classes
+	errorPenalty      float64 // RTT assumed for an error, in seconds
+	minEstimateDecay  float64 // time constant of RTT estimates while there is enough traffic, in seconds
 }
 
-// forever is a time that never comes.
+// forever is later than any event. It stands for a time that is not set or never comes.
 const forever Time = math.MaxInt64
 
-// New returns a Balancer for the settings, or an error if they are invalid. All its random decisions follow
-// from the seed.
+// New returns a Balancer with the given settings, or an error if they are invalid. The seed determines all
+// its random decisions.
 func New(settings Settings, seed uint64) (*Balancer, error) {
 	if err := check(&settings); err != nil {
 		return nil, err
@@ -108,7 +110,7 @@
 	return b, nil
 }
 
-// configure gives the rules what follows from the settings alone.
+// configure computes the parameters of the rules that depend only on the settings.
 func (b *Balancer) configure() {
 	b.scales = scalesOf(b.settings.Classes)
 	b.sendRate.rateSpan = b.rateSpan()
@@ -117,7 +119,7 @@
 	b.quotas.configure(b.settings.Tenants, b.settings.Instances)
 }
 
-// scalesOf returns the scales of the classes that are not retired.
+// scalesOf returns the scales for the classes that are not retired.
 func scalesOf(classes []Class) scales {
 	result := scales{shortestObjective: forever}
 	for _, class := range classes {
@@ -132,8 +134,8 @@
 	return result
 }
 
-// Start is the first event: the gateway has started. Where the endpoint list has to be polled, polling begins
-// here.
+// Start is the first event: the gateway has started. If the settings require polling, the first poll of the
+// endpoint list is scheduled.
 func (b *Balancer) Start(now Time) {
 	b.now = now
 	if b.settings.Poll {
@@ -141,8 +143,8 @@
 	}
 }
 
-// Request is a client's request, which is owed one final response from here on. One with an ID that is in
-// use, or of an unknown class, is ignored.
+// Request reports a client's request. From then on the Balancer ensures that it gets exactly one final
+// response. A request with an ID in use or of an unknown class is ignored.
 func (b *Balancer) Request(now Time, arrived Request) {
 	b.now = now
 	unknownClass := arrived.Class < 0 || arrived.Class >= len(b.settings.Classes)
@@ -162,7 +164,7 @@
 	}
 }
 
-// openRequest returns a request that has just arrived.
+// openRequest returns the state of a request that has just arrived.
 func (b *Balancer) openRequest(arrived Request) *request {
 	request := b.freeRequests.take()
 	request.Request = arrived
@@ -174,10 +176,11 @@
 	return request
 }
 
-// AttemptStarted reports that the response of an attempt has begun to be streamed to the client, not that the
-// attempt was sent: the request belongs to that attempt from here on, which still counts as in flight at its
-// host. Attempts of a request are numbered from 0. It is for callers that stream within an attempt, as the
-// simulator does; the engine ends the attempt instead (internal/engine, beginStreaming).
+// AttemptStarted reports that the gateway has begun to stream the response of an attempt to the client (not
+// that the attempt was sent). From then on no other attempt can serve the request; the attempt still counts
+// as in flight at its host. number is the index of the attempt, from 0. It is for callers that keep the
+// attempt open while they stream, such as the simulator; the engine ends the attempt instead
+// (internal/engine, beginStreaming).
 func (b *Balancer) AttemptStarted(now Time, id RequestID, number int) {
 	b.now = now
 	attempt := b.attemptAt(id, number)
@@ -197,16 +200,16 @@
 	}
 	host := attempt.host
 	b.endAttempt(attempt, outcome.Result)
-	b.learnStalled(attempt)
-	elapsed := max(outcome.Elapsed, 1) // a mean of 0 would be no divisor
+	b.observeStalled(attempt)
+	elapsed := max(outcome.Elapsed, 1) // a mean of 0 could not be used as a divisor
 	b.observe(attempt, elapsed.Seconds())
 	b.updateStanding(host)
-	b.afterAttempt(attempt.request, attempt, outcome.Closed) // it may free the attempt
+	b.afterAttempt(attempt.request, attempt, outcome.Closed) // may free the attempt
 	b.dropRemoved(host)
 	b.dispatchWaiting()
 }
 
-// ClientGone reports that no client waits for the request any more.
+// ClientGone reports that the client no longer waits for the response to a request.
 func (b *Balancer) ClientGone(now Time, id RequestID) {
 	b.now = now
 	request := b.open[id]
@@ -215,9 +218,9 @@
 	}
 }
 
-// Shutdown reports that the gateway ends: open requests are due by then, however long their clients would
-// wait. The time is not kept: for requests that arrive later, the caller sets Remaining so that they are due
-// by then too.
+// Shutdown reports that the gateway stops at the time by: open requests get their final response by then,
+// even if their deadlines are later. The time is not stored: the caller must set Remaining of requests that
+// arrive later so that they are due by then as well.
 func (b *Balancer) Shutdown(now, by Time) {
 	b.now = now
 	for _, id := range slices.Sorted(maps.Keys(b.open)) {
--- a/balancer/checkpoint.go
+++ b/balancer/checkpoint.go
@@ -5,17 +5,16 @@
 	"fmt"
 )
 
-// A checkpoint is the complete state of a Balancer as bytes. A Balancer restored from it acts exactly as the
-// one that it was taken from, so that a recording can be replayed from any checkpoint and not only from the
-// start.
+// A checkpoint is the complete state of a Balancer, encoded as bytes. A Balancer restored from it produces
+// exactly the same actions as the original, so that a replay of a recording can start at any checkpoint.
 //
-// The code functions below encode or decode, as the codec says: one function for both keeps them alike. The
-// order of the fields is that of the format.
+// Each code method both encodes and decodes, depending on the codec, so that the two directions cannot
+// diverge. The order of the fields defines the format.
 
-// checkpointVersion changes whenever the contents of a checkpoint change.
+// checkpointVersion must be raised whenever the contents of a checkpoint change.
 const checkpointVersion = 4
 
-// Checkpoint appends the state to dst. The actions decided before must have been taken.
+// Checkpoint appends the encoded state to dst. The caller must have taken all pending actions before.
 func (b *Balancer) Checkpoint(dst []byte) []byte {
 	encoder := checkpointCodec{buf: dst}
 	version := uint64(checkpointVersion)
@@ -24,8 +23,8 @@
 	return encoder.buf
 }
 
-// Restore returns the Balancer that a checkpoint was taken of, or an error where the data is not a checkpoint
-// of this version and these settings. The settings must be those that the Balancer had.
+// Restore returns a Balancer with the state of a checkpoint, or an error if the data is not a checkpoint of
+// this version for these settings. The settings must be those of the Balancer that wrote the checkpoint.
 func Restore(settings Settings, data []byte) (*Balancer, error) {
 	b, err := New(settings, 0)
 	if err != nil {
@@ -35,11 +34,11 @@
 	var version uint64
 	decoder.codeUint(&version)
 	if version != checkpointVersion {
-		return nil, fmt.Errorf("checkpoint: version %d, this build reads %d", version, checkpointVersion)
+		return nil, fmt.Errorf("checkpoint: unsupported version %d, want %d", version, checkpointVersion)
 	}
 	b.codeState(&decoder)
 	if decoder.err == nil && len(decoder.buf) > 0 {
-		decoder.err = errors.New("it is followed by more bytes")
+		decoder.err = errors.New("trailing data after the state")
 	}
 	if decoder.err != nil {
 		return nil, fmt.Errorf("checkpoint: %w", decoder.err)
@@ -47,7 +46,7 @@
 	return b, nil
 }
 
-// codeState codes the state, without the settings and what is derived from them.
+// codeState codes the state, except for the settings and values derived from them.
 func (b *Balancer) codeState(c *checkpointCodec) {
 	codeInt(c, &b.random.state)
 	codeInt(c, &b.now)
@@ -60,7 +59,7 @@
 	c.codeRate(&b.arrivals)
 	c.codeRate(&b.sendRate.sent)
 	c.codeRate(&b.pacer.successes)
-	b.codeLearnt(c)
+	b.codeEstimates(c)
 	if c.err != nil {
 		return
 	}
@@ -71,12 +70,12 @@
 	b.codeRequests(c)
 }
 
-// codeLearnt codes what was learnt of classes and kinds of hosts.
-func (b *Balancer) codeLearnt(c *checkpointCodec) {
+// codeEstimates codes the estimates by class and by kind of host.
+func (b *Balancer) codeEstimates(c *checkpointCodec) {
 	classes := len(b.settings.Classes)
 	c.codeAverages(&b.typicalRTT.byClass)
 	if c.decoding && len(b.typicalRTT.byClass) != classes {
-		c.fail("it is of %d classes, the settings have %d", len(b.typicalRTT.byClass), classes)
+		c.fail("%d classes in the checkpoint, %d in the settings", len(b.typicalRTT.byClass), classes)
 		return
 	}
 	for class := range b.starvation.unserved {
@@ -90,8 +89,8 @@
 	c.codeAverage(&b.sendRate.recentRTT)
 }
 
-// codeLimits codes the quotas, the send rate and the share of unanswered attempts, and the times of the next
-// sweep and poll, which the format has among them.
+// codeLimits codes the quotas, the send rate, the share of unanswered attempts, and the times of the next
+// sweep and the next poll, which the format places between them.
 func (b *Balancer) codeLimits(c *checkpointCodec) {
 	for tenant := range b.quotas.buckets {
 		bucket := &b.quotas.buckets[tenant]
--- a/balancer/checkpoint_codec.go
+++ b/balancer/checkpoint_codec.go
@@ -7,21 +7,21 @@
 	"math"
 )
 
-// checkpointCodec encodes or decodes a checkpoint: each of its code functions appends the value to buf, or
-// sets it from the first bytes of buf and takes those off. Integers are varints, signed ones zigzag-encoded;
-// floats are 8 bytes, little-endian.
+// checkpointCodec encodes or decodes a checkpoint. Its code methods append a value to buf when encoding,
+// and consume the value from the start of buf when decoding. Integers are varints, signed ones with zigzag
+// encoding; floats are 8 bytes in little-endian order.
 type checkpointCodec struct {
 	buf      []byte
 	decoding bool
-	err      error // the first; after it, values are zero
+	err      error // the first error; values decoded after it are zero
 }
 
-// float64Size is the size of an encoded float in bytes.
+// float64Size is the encoded size of a float64 in bytes.
 const float64Size = 8
 
-var errTruncated = errors.New("it is cut off")
+var errTruncated = errors.New("unexpected end of data")
 
-// fail notes an error, unless there was one before.
+// fail records an error unless there is one already.
 func (c *checkpointCodec) fail(format string, args ...any) { c.setError(fmt.Errorf(format, args...)) }
 
 func (c *checkpointCodec) setError(err error) {
@@ -80,30 +80,30 @@
 	*v = bit != 0
 }
 
-// codeCount codes a number of items, each of which has at least a byte: it guards against allocating memory
-// for items that are not there. It returns the number.
+// codeCount codes the number of the items that follow, and returns it. An item takes at least one byte, so
+// a count above the number of remaining bytes is rejected before memory is allocated for the items.
 func (c *checkpointCodec) codeCount(n int) int {
 	count := uint64(n)
 	c.codeUint(&count)
 	if c.decoding && count > uint64(len(c.buf)) {
-		c.fail("%d items in %d bytes", count, len(c.buf))
+		c.fail("count %d exceeds the %d remaining bytes", count, len(c.buf))
 		return 0
 	}
 	return int(count)
 }
 
-// codeIndex codes an index below n, or -1. It returns the index.
+// codeIndex codes an index in [-1, n), and returns it.
 func (c *checkpointCodec) codeIndex(i, n int) int {
 	codeInt(c, &i)
 	outOfRange := i < -1 || i >= n
 	if c.decoding && outOfRange {
-		c.fail("%d is not among %d", i, n)
+		c.fail("index %d is out of range, length %d", i, n)
 		return -1
 	}
 	return i
 }
 
-// codeAverages codes moving averages and their number.
+// codeAverages codes a slice of moving averages with its length.
 func (c *checkpointCodec) codeAverages(averages *[]movingAverage) {
 	n := c.codeCount(len(*averages))
 	if c.decoding {
@@ -128,6 +128,6 @@
 	c.codeFloat(&rate.rate)
 	codeInt(c, &rate.at)
 	if c.decoding {
-		rate.readAt = -1 // it is computed again
+		rate.readAt = -1 // invalidates the cached value
 	}
 }
--- a/balancer/checkpoint_hosts.go
+++ b/balancer/checkpoint_hosts.go
@@ -1,7 +1,6 @@
 package balancer
 
-// codeHosts codes the hosts, the sets that they are in and the times when their
-// standing is updated without an event.
+// codeHosts codes the hosts, the sets that contain them and the heap of their standing updates.
 func (b *Balancer) codeHosts(c *checkpointCodec) {
 	n := c.codeCount(len(b.hosts))
 	if c.decoding {
@@ -73,7 +72,7 @@
 	}
 }
 
-// code codes a host's errors in a class.
+// code codes the error state of a host for one class.
 func (e *classErrors) code(c *checkpointCodec) {
 	c.codeFloat(&e.share)
 	codeInt(c, &e.lastAt)
@@ -83,7 +82,7 @@
 	c.codeBool(&e.counted)
 }
 
-// codeSet codes the hosts of a set in their order.
+// codeSet codes the hosts of a set in order.
 func (b *Balancer) codeSet(c *checkpointCodec, set setKind) {
 	b.codeHostList(c, &b.sets[set].list)
 	if !c.decoding {
@@ -97,7 +96,7 @@
 	}
 }
 
-// codeHostList codes a list of hosts, each by its index.
+// codeHostList codes a list of hosts by their indexes.
 func (b *Balancer) codeHostList(c *checkpointCodec, list *[]*host) {
 	n := c.codeCount(len(*list))
 	if c.decoding {
@@ -110,7 +109,7 @@
 		}
 		index = c.codeIndex(index, len(b.hosts))
 		if index < 0 {
-			c.fail("a list names no host")
+			c.fail("host list contains an invalid index")
 			return
 		}
 		if c.decoding {
@@ -119,7 +118,7 @@
 	}
 }
 
-// recountHosts computes, after decoding, what is derived from the hosts.
+// recountHosts recomputes the counts that are derived from the decoded hosts.
 func (b *Balancer) recountHosts() {
 	for _, host := range b.hosts {
 		host.ring.counted = host.ringStatus()
--- a/balancer/checkpoint_requests.go
+++ b/balancer/checkpoint_requests.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// codeRequests codes the requests in the order of their IDs, then the queues, then the attempts at each host
-// in the order sent.
+// codeRequests codes the requests in the order of their IDs, then the queues, then the attempts in flight
+// at each host in the order they were sent.
 func (b *Balancer) codeRequests(c *checkpointCodec) {
 	ids := slices.Sorted(maps.Keys(b.open))
 	n := c.codeCount(len(ids))
@@ -42,7 +42,7 @@
 	codeInt(c, &request.ID)
 	codeInt(c, &request.Class)
 	if request.Class < 0 || request.Class >= len(b.settings.Classes) {
-		c.fail("a request of class %d", request.Class)
+		c.fail("request class %d is out of range", request.Class)
 		return
 	}
 	request.class = &b.settings.Classes[request.Class]
@@ -53,7 +53,7 @@
 	codeInt(c, &request.waitUntil)
 	codeInt(c, &request.band)
 	if request.band < 0 || request.band >= len(b.queues.byPriority) {
-		c.fail("a request in queue %d", request.band)
+		c.fail("request queue %d is out of range", request.band)
 		return
 	}
 	c.codeBool(&request.Duplicate)
@@ -72,7 +72,8 @@
 	}
 }
 
-// codeAttempt codes an attempt, with as much of its host as is needed where the host was dropped.
+// codeAttempt codes an attempt. Its host may no longer be in the list; the ID, zone and cell are therefore
+// coded with the attempt.
 func (b *Balancer) codeAttempt(c *checkpointCodec, attempt *attempt) {
 	var listed Host
 	known := false
@@ -99,12 +100,13 @@
 	}
 	attempt.host = b.restoredHost(listed, known, attempt.ended)
 	if attempt.host == nil {
-		c.fail("an attempt at an unknown host")
+		c.fail("attempt in flight at an unknown host")
 	}
 }
 
-// restoredHost returns the host of a decoded attempt; nil: it is unknown. Of a host that was dropped
-// after the attempt ended only zone and cell still count, for retries with an idempotency key.
+// restoredHost returns the host of a decoded attempt, or nil if it is unknown. A host that was dropped
+// after the attempt ended is represented by its ID, zone and cell, which determine the hosts for retries
+// with an idempotency key.
 func (b *Balancer) restoredHost(listed Host, known, ended bool) *host {
 	switch {
 	case known:
@@ -131,7 +133,7 @@
 		codeInt(c, &id)
 		request := b.open[id]
 		if request == nil || request.queued {
-			c.fail("a queue has an unknown request")
+			c.fail("queue contains an unknown or repeated request")
 			return
 		}
 		request.band = band
@@ -139,7 +141,7 @@
 	}
 }
 
-// codeInFlight codes the attempts in flight at a host, each by its request and number.
+// codeInFlight codes the attempts in flight at a host, each by request ID and attempt index.
 func (b *Balancer) codeInFlight(c *checkpointCodec, host *host) {
 	n := c.codeCount(host.inFlight)
 	if !c.decoding {
@@ -159,7 +161,7 @@
 		attempt := b.attemptAt(id, number)
 		valid := attempt != nil && !attempt.ended && attempt.host == host && attempt.link.item == nil
 		if !valid {
-			c.fail("a host has an unknown attempt")
+			c.fail("host has an unknown or repeated attempt in flight")
 			return
 		}
 		attempt.link.item = attempt
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -1,47 +1,51 @@
 package balancer
 
 const (
-	// initialLimitAttempts is how many attempts in flight a new host may have from all instances together.
+	// initialLimitAttempts is the initial limit of a new host, in attempts in flight from all instances
+	// together.
 	initialLimitAttempts = 4
-	// minLimitAttempts is how many a host may always have from all instances: one is served while the next
-	// arrives.
+	// minLimitAttempts is the lowest limit of a host, in attempts in flight from all instances together:
+	// one attempt can be served while the next one arrives.
 	minLimitAttempts = 2
-	// limitGrowthAttempts is how much the limits of all instances together grow in a round trip in which a
-	// request needed it.
+	// limitGrowthAttempts is the growth of the limits of all instances together per round trip in which a
+	// request needed it, in attempts.
 	limitGrowthAttempts = 0.3
-	// limitTargetObjectives is the mean RTT that a limit steers to, in latency objectives.
+	// limitTargetObjectives is the target mean RTT of the limiter, in latency objectives.
 	limitTargetObjectives = 0.375
-	// limitTargetTypicalRTTs is the same in typical RTTs of the class. The lower target holds.
+	// limitTargetTypicalRTTs is the target mean RTT in typical RTTs of the class. The lower of the two
+	// targets applies.
 	limitTargetTypicalRTTs = 2
-	// recentRTTSpanObjectives is the span of the recent mean RTT, in shortest latency objectives: shorter
-	// than the time in which an overloaded host becomes slow.
+	// recentRTTSpanObjectives is the time constant of the recent mean RTT, in shortest latency objectives.
+	// It is shorter than the time in which an overloaded host becomes slow.
 	recentRTTSpanObjectives = 0.5
-	// overdueObjectives is the age of an attempt, in latency objectives, from which its host gets no other.
+	// overdueObjectives is the age of an attempt, in latency objectives, above which its host receives no
+	// further attempts.
 	overdueObjectives = 0.5
 )
 
-// concurrencyLimiter decides how many attempts a host may have in flight from this instance. It guards
-// against crowding, which wastes the work of requests that are served too late, and can make a host slow for
-// good. Input is the RTT of each response and timeout, in latency objectives of its class. The limit is
-// reduced when the mean RTT passes its target, and grows while requests wait. A limit below one means that
-// the host is used for that share of the time, and rests otherwise.
+// concurrencyLimiter limits the attempts that a host may have in flight from this instance. It prevents an
+// overload, which wastes the work on responses that arrive too late and can keep a host slow permanently.
+// Its input is the RTT of each response and timeout, in latency objectives of the class. The limit is
+// reduced when the mean RTT exceeds the target, and grows while requests wait. With a limit below one, the
+// host is used only for that fraction of the time and rests in between.
 type concurrencyLimiter struct {
-	limit        float64       // attempts in flight from this instance; 0: not set yet
-	recentRTT    movingAverage // as relativeRTT returns it
+	limit        float64       // attempts in flight from this instance; 0 until it is set
+	recentRTT    movingAverage // mean of relativeRTT over the last samples
 	reducedAt    Time
-	restingUntil Time // with a limit below one: the host gets nothing before
+	restingUntil Time // with a limit below one, the host receives no attempts before this time
 }
 
-// limitSample is a response or timeout, as the limiter sees it.
+// limitSample is the input of the limiter from one response or timeout.
 type limitSample struct {
-	rtt       float64 // as relativeRTT returns it
-	objective Time    // latency objective of its class
+	rtt       float64 // value of relativeRTT
+	objective Time    // latency objective of the class
 	sentAt    Time
 }
 
-// observe adds a sample to the recent mean, whose span is in seconds, and reduces the limit where the mean is
-// over the target. It reports whether it is. A resting host is judged by each response alone, as the mean is
-// from before the rest. instances is how many share the host.
+// observe adds a sample to the recent mean and reduces the limit if the mean is above the target. It
+// reports whether the RTT is above the target. If the limit is below one, the sample itself must be above
+// the target as well, because the mean still includes samples from before the host rested. span is the time
+// constant of the mean in seconds, and instances is the number of instances that share the host.
 func (l *concurrencyLimiter) observe(now Time, sample limitSample, span, instances float64) (over bool) {
 	l.recentRTT.addOverSpan(sample.rtt, now, span)
 	judgedByMean := l.limit >= 1
@@ -51,7 +55,7 @@
 	if !over {
 		return false
 	}
-	// Only an attempt sent after the last reduction can tell whether that was enough.
+	// Attempts sent before the last reduction do not show its effect.
 	if sample.sentAt >= l.reducedAt {
 		reduced := l.limit * limitTargetObjectives / l.recentRTT.mean
 		l.limit = max(minLimitAttempts/instances, reduced)
@@ -64,25 +68,25 @@
 	return true
 }
 
-// grow raises the limit after a response.
+// grow increases the limit after a response.
 func (l *concurrencyLimiter) grow(instances float64) {
 	l.limit += limitGrowthAttempts / (instances * l.limit)
 }
 
-// full reports whether a host with attempts in flight may have no other.
+// full reports whether a host with that many attempts in flight is at its limit.
 func (l *concurrencyLimiter) full(inFlight int) bool { return limitReached(inFlight, l.limit) }
 
-// limitReached reports whether a limit allows no attempt beside those in flight. The first is always allowed.
+// limitReached reports whether the limit allows no further attempt. The first attempt is always allowed.
 func limitReached(inFlight int, limit float64) bool {
 	return inFlight > 0 && float64(inFlight+1) > limit
 }
 
-// resting reports whether a host with a limit below one is not to be used now.
+// resting reports whether a host with a limit below one must not be used at the moment.
 func (l *concurrencyLimiter) resting(now Time) bool { return now < l.restingUntil }
 
-// adjustLimit updates a host's limit after a response or timeout. It grows while requests wait; a limit below
-// one grows also where a request found no host since the attempt was sent, as queues are short where many
-// instances share a host.
+// adjustLimit updates the limit of a host after a response or timeout. The limit grows while requests wait.
+// A limit below one also grows if a request found no host after the attempt was sent: where many instances
+// share a host, requests wait only for a short time, and usually none is waiting when the response arrives.
 func (b *Balancer) adjustLimit(host *host, sample limitSample) {
 	span := recentRTTSpanObjectives * b.shortestObjective.Seconds()
 	instances := b.sharingInstances()
@@ -92,17 +96,17 @@
 	}
 	neededWhileResting := limiter.limit < 1 && b.queues.lastUnserved >= sample.sentAt
 	needed := b.queues.length > 0 || neededWhileResting
-	usedBefore := host.inFlight + 1 // with the attempt that has just ended
+	usedBefore := host.inFlight + 1 // including the attempt that has just ended
 	wholeLimitUsed := usedBefore >= int(limiter.limit)
 	if needed && wholeLimitUsed {
 		limiter.grow(instances)
 	}
 }
 
-// relativeRTT returns an RTT, given in seconds, relative to the targets of the limit:
-// limitTargetObjectives stands for the lower one of the two. It is the RTT in latency objectives of the
-// class, or in typical RTTs of the class, scaled so that limitTargetTypicalRTTs of them give
-// limitTargetObjectives, whichever is more.
+// relativeRTT returns an RTT, given in seconds, relative to the target of the limiter: a value of
+// limitTargetObjectives means that the RTT is equal to the lower of the two targets. It is the larger of
+// the RTT in latency objectives of the class, and the RTT in typical RTTs of the class scaled so that
+// limitTargetTypicalRTTs of them give limitTargetObjectives.
 func (b *Balancer) relativeRTT(class int, rtt float64) float64 {
 	relative := rtt / b.settings.Classes[class].LatencyObjective.Seconds()
 	typical := &b.typicalRTT.byClass[class]
@@ -112,13 +116,14 @@
 	return relative
 }
 
-// acceptsAttempts reports whether a host may be sent another attempt now: unless it is resting, full, overdue
-// or suspected (standing.go). The host's listed state, slow start and ejection are not looked at.
+// acceptsAttempts reports whether a host may be sent another attempt now, that is, whether it is not
+// resting, full, overdue or suspected (standing.go). It ignores the listed state, slow start and ejection
+// of the host.
 func (b *Balancer) acceptsAttempts(host *host) bool {
 	oldest, notOvertaken := host.oldestNotOvertaken()
 	counted := host.inFlight
 	if b.stalled.areUnanswered() {
-		counted = notOvertaken // overtaken attempts are most likely on connections that have become silent
+		counted = notOvertaken // overtaken attempts are probably on connections that have become silent
 	}
 	if host.limiter.resting(b.now) || host.limiter.full(counted) {
 		return false
@@ -126,8 +131,8 @@
 	return !b.overdue(oldest) && !b.suspected(host)
 }
 
-// overdue reports whether the oldest attempt at a host that was not overtaken, nil for none, has taken so
-// long that the host gets no other.
+// overdue reports whether an attempt has been in flight for so long that its host receives no further
+// attempts. The argument is the oldest attempt at the host that was not overtaken, or nil.
 func (b *Balancer) overdue(oldest *attempt) bool {
 	if oldest == nil {
 		return false
--- a/balancer/dueheap.go
+++ b/balancer/dueheap.go
@@ -1,13 +1,14 @@
 package balancer
 
-// dueHeap orders hosts by when their standing is due to be updated without an event. No timer is set:
-// those that are due are updated before a host is next chosen. Hosts know their position in the heap.
+// dueHeap is a min-heap of hosts by the time at which their standing must be updated without an event.
+// There is no timer for it: due hosts are updated before the next selection of a host. Each host stores its
+// position in the heap.
 type dueHeap struct{ hosts []*host }
 
-// dueEntry is what a host knows of its place in the heap.
+// dueEntry is the heap entry of a host.
 type dueEntry struct {
-	at       Time // forever: it is not in the heap
-	position int  // counted from 1; 0: it is not in the heap
+	at       Time // due time; forever if the host is not in the heap
+	position int  // position in the heap, counted from 1; 0 if the host is not in the heap
 }
 
 // firstIsDue reports whether the first host is due.
@@ -15,7 +16,7 @@
 	return len(q.hosts) > 0 && q.hosts[0].nextUpdate.at <= now
 }
 
-// schedule sets when a host is due; forever: never.
+// schedule sets the due time of a host. The time forever removes it from the heap.
 func (q *dueHeap) schedule(host *host, at Time) {
 	entry := &host.nextUpdate
 	scheduled := entry.position != 0
@@ -44,7 +45,7 @@
 	}
 	last := len(q.hosts) - 1
 	moved := q.hosts[last]
-	q.hosts[last] = nil // the heap must not keep a host that is gone
+	q.hosts[last] = nil // avoids retaining a removed host
 	q.hosts = q.hosts[:last]
 	if i < last {
 		q.hosts[i] = moved
@@ -53,7 +54,7 @@
 	}
 }
 
-// restore moves the host at i to where it belongs.
+// restore moves the host at index i to its place in the heap order.
 func (q *dueHeap) restore(i int) { q.siftDown(q.siftUp(i)) }
 
 func (q *dueHeap) siftUp(i int) int {
@@ -86,7 +87,7 @@
 	}
 }
 
-// at returns the time of the host at i.
+// at returns the due time of the host at index i.
 func (q *dueHeap) at(i int) Time { return q.hosts[i].nextUpdate.at }
 
 func (q *dueHeap) swap(i, j int) {
--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -1,42 +1,43 @@
 package balancer
 
 const (
-	// ejectionBackoffObjectives is the mean length of a first ejection, in shortest latency objectives.
+	// ejectionBackoffObjectives is the mean duration of a first ejection, in shortest latency objectives.
 	ejectionBackoffObjectives = 2
-	// ejectionMaxDoublings is how many times that doubles at most.
+	// ejectionMaxDoublings is the maximum number of times that this duration doubles.
 	ejectionMaxDoublings = 5
-	// ejectionJitterMin is the least factor of chance in the length of an ejection.
+	// ejectionJitterMin is the lower bound of the random factor applied to the duration.
 	ejectionJitterMin = 0.75
-	// ejectionJitterRange is how much greater than the least that factor may be.
+	// ejectionJitterRange is the difference between the upper and the lower bound of that factor.
 	ejectionJitterRange = 0.5
-	// brokenResponseThreshold is how many broken responses in a row, invalid ones or resets, count as a
-	// failure of the host. A single one may be caused on the way.
+	// brokenResponseThreshold is the number of broken responses in a row, malformed or reset, that count as
+	// a failure of the host. A single one may be caused on the path.
 	brokenResponseThreshold = 2
 )
 
-// ejection decides whether a host is ejected: taken out of use for all classes, as connections to it fail or
-// it does not answer. An ejection lasts a random time that doubles with each one in a row. Then the host gets
-// one trial request, and any response of the host ends the ejection.
+// ejection decides whether a host is ejected, that is, taken out of use for all classes because connections
+// to it fail or it does not respond. The duration is random, and its mean doubles with each ejection in a
+// row. Then the host receives one trial request; any response of the host ends the ejection.
 type ejection struct {
-	count            int   // since the last response; 0: not ejected
-	cause            Cause // of the last one
-	until            Time  // the host gets nothing before
+	count            int   // ejections since the last response; 0 if the host is not ejected
+	cause            Cause // cause of the last ejection
+	until            Time  // end of the backoff, before which the host receives nothing
 	trialInFlight    bool
-	backoffShortened bool // by a health check, since the last response
+	backoffShortened bool // a health check has shortened the backoff since the last response
 }
 
-// active reports whether a host is ejected: until its backoff ends, and then for all but one trial request.
+// active reports whether a host is ejected now: during its backoff, and then while a trial request is in
+// flight.
 func (e *ejection) active(now Time) bool {
 	return e.count > 0 && (e.inBackoff(now) || e.trialInFlight)
 }
 
-// inBackoff reports whether the host does not get a trial request yet.
+// inBackoff reports whether it is too early for a trial request.
 func (e *ejection) inBackoff(now Time) bool { return now < e.until }
 
-// connectionsFail reports whether the last ejection was as connections to the host fail.
+// connectionsFail reports whether the cause of the last ejection was failing connections.
 func (e *ejection) connectionsFail() bool { return e.cause == CauseConnectionsFailed }
 
-// shortenBackoff ends the backoff at a time, if that is earlier.
+// shortenBackoff ends the backoff at the given time unless it ends earlier.
 func (e *ejection) shortenBackoff(at Time) {
 	e.until = min(e.until, at)
 	e.backoffShortened = true
@@ -45,7 +46,8 @@
 // ejected reports whether a host is ejected now.
 func (b *Balancer) ejected(host *host) bool { return host.ejection.active(b.now) }
 
-// eject ejects a host, for longer each time in a row.
+// eject ejects a host, unless it is still in the backoff of an earlier ejection. The backoff grows with the
+// number of ejections in a row.
 func (b *Balancer) eject(host *host, cause Cause) {
 	ejection := &host.ejection
 	if ejection.count > 0 && ejection.inBackoff(b.now) {
@@ -59,7 +61,7 @@
 	}
 }
 
-// backoff returns how long a host is out of use after a number of failures before.
+// backoff returns a random backoff after the given number of previous failures in a row.
 func (b *Balancer) backoff(failures int) Time {
 	doublings := min(failures, ejectionMaxDoublings)
 	mean := float64(ejectionBackoffObjectives*b.shortestObjective) * float64(int(1)<<doublings)
@@ -77,16 +79,16 @@
 	b.log(logReadmitted, "host %x readmitted", host.ID)
 }
 
-// countBrokenResponse counts an invalid response or a reset. It reports whether there were so many in a row
-// that the host counts as failing.
+// countBrokenResponse counts a malformed response or a reset. It reports whether the number in a row has
+// reached brokenResponseThreshold.
 func (b *Balancer) countBrokenResponse(host *host) (failing bool) {
 	host.brokenResponses++
 	return host.brokenResponses >= brokenResponseThreshold
 }
 
-// HealthCheckPassed reports that an ejected host may have recovered: its RTT counts as unknown, and its
-// backoff ends at a random moment within a time. That happens once until the host responds, as the health
-// check may be wrong.
+// HealthCheckPassed reports that a health check of an ejected host has passed. The RTT estimate of the host
+// is reset, and its backoff ends at a random time within the given duration. This happens only once until
+// the host responds, because the health check may pass for a host that still fails.
 func (b *Balancer) HealthCheckPassed(now Time, id HostID, within Time) {
 	b.now = now
 	host := b.byID[id]
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -1,6 +1,6 @@
 package balancer
 
-// UpdateEndpoints takes an endpoint list, or the failure to get one.
+// UpdateEndpoints applies an endpoint list, or with ListFailed reports that none was received.
 func (b *Balancer) UpdateEndpoints(now Time, kind ListKind, list []Host) {
 	b.now = now
 	if kind == ListFailed {
@@ -18,11 +18,11 @@
 	for _, host := range b.touched {
 		b.applyUpdate(host)
 	}
-	clear(b.touched) // it must not keep hosts that are gone
+	clear(b.touched) // avoids retaining removed hosts
 	b.dispatchWaiting()
 }
 
-// updateHosts takes over the entries of a list. The hosts that may have changed are touched.
+// updateHosts applies the entries of a list and collects the hosts that may have changed in b.touched.
 func (b *Balancer) updateHosts(kind ListKind, list []Host) {
 	b.touched = b.touched[:0]
 	if kind != ListChanges {
@@ -39,7 +39,7 @@
 	}
 }
 
-// updateEndpoint takes over one entry of the list. It returns nil for one that is removed and unknown.
+// updateEndpoint applies one entry of the list. It returns nil for a removed host that is not known.
 func (b *Balancer) updateEndpoint(entry Host) *host {
 	host := b.byID[entry.ID]
 	if host == nil {
@@ -61,10 +61,10 @@
 	return host
 }
 
-// applyUpdate draws the conclusions of a new list for a host, once all of the list is known: the limit
-// and the pace of a new host depend on how many instances share it.
+// applyUpdate updates the state of a host after all entries of a list were applied: the limit and the
+// pacing of a new host depend on how many instances share it.
 func (b *Balancer) applyUpdate(host *host) {
-	if host.limiter.limit == 0 { // it is new
+	if host.limiter.limit == 0 { // the host is new
 		host.limiter.limit = initialLimitAttempts / b.sharingInstances()
 	}
 	if host.slowStart.warming && host.slowStart.nextSend == 0 {
@@ -77,7 +77,8 @@
 	b.dropRemoved(host)
 }
 
-// invalidateRing has the ring, the scopes and the subset built again before they are next used.
+// invalidateRing marks the ring, the scopes and the subset as outdated; they are rebuilt before the next
+// use.
 func (b *Balancer) invalidateRing() {
 	b.ring.built = false
 	b.scopes.built = false
--- a/balancer/exclusion.go
+++ b/balancer/exclusion.go
@@ -1,45 +1,46 @@
 package balancer
 
 const (
-	// errorSampleWeight is the weight of one response in a host's share of errors in a class.
+	// errorSampleWeight is the weight of one response in a host's error share for a class.
 	errorSampleWeight = 0.25
-	// maxErrorShare is the share of errors above which a host is excluded for a class: reached by the third
-	// error in a row.
+	// maxErrorShare is the error share above which a host is excluded for a class. Three errors in a row
+	// exceed it.
 	maxErrorShare = 0.5
-	// maxErrorShareNonIdempotent is the same for non-idempotent classes: reached by the second error in a
-	// row.
+	// maxErrorShareNonIdempotent is the same for non-idempotent classes. Two errors in a row exceed it.
 	maxErrorShareNonIdempotent = 0.35
-	// recoveredErrorShare is the share below which the next exclusion is as short as the first.
+	// recoveredErrorShare is the error share below which the backoff of the next exclusion starts anew.
 	recoveredErrorShare = 0.25
 )
 
-// classErrors decides whether a host is excluded for one class, as it answers that class with errors. It
-// guards against a host that fails fast and so attracts what waits while the others are at their limits; the
-// host goes on serving other classes. Inputs are the host's good and bad responses. An exclusion lasts as
-// long as an ejection would, and is followed by one trial request at a time.
+// classErrors decides whether a host is excluded for one class because it responds to that class with
+// errors. Without it, a host that fails fast would attract the waiting requests while the other hosts are
+// at their limits. The host continues to serve other classes. The inputs are the successful and the error
+// responses of the host. An exclusion lasts as long as an ejection would, and is followed by one trial
+// request at a time.
 type classErrors struct {
-	share         float64 // of errors among the last responses
-	lastAt        Time    // of the last error
-	exclusions    int     // since the host last recovered
-	excludedAt    Time    // last time
+	share         float64 // moving average of errors among the responses
+	lastAt        Time    // time of the last error
+	exclusions    int     // exclusions since the host last recovered
+	excludedAt    Time    // start of the last exclusion
 	excludedUntil Time
-	counted       bool // Balancer.excluded counts the host for the class
+	counted       bool // the host is included in Balancer.excluded for the class
 }
 
 // excluded reports whether the host is excluded for the class now.
 func (e *classErrors) excluded(now Time) bool { return now < e.excludedUntil }
 
-// exclude excludes the host for a time.
+// exclude excludes the host for the duration of the backoff.
 func (e *classErrors) exclude(now, backoff Time) {
 	e.excludedAt = now
 	e.excludedUntil = now + backoff
 	e.exclusions++
 }
 
-// addError adds an error to the share.
+// addError adds an error response to the share.
 func (e *classErrors) addError() { e.share += errorSampleWeight * (1 - e.share) }
 
-// addSuccess adds a good response to the share, given the share above which the host is excluded.
+// addSuccess adds a successful response to the share. maxShare is the share above which the host is
+// excluded.
 func (e *classErrors) addSuccess(maxShare float64) {
 	e.share -= errorSampleWeight * e.share
 	if e.share < maxShare {
@@ -50,10 +51,10 @@
 	}
 }
 
-// excludedFor reports whether a host is excluded for a class.
+// excludedFor reports whether a host is excluded for a class now.
 func (b *Balancer) excludedFor(host *host, class int) bool { return host.errors[class].excluded(b.now) }
 
-// maxErrorShareOf returns the share of errors above which a host is excluded for a class.
+// maxErrorShareOf returns the error share above which a host is excluded for a class.
 func (b *Balancer) maxErrorShareOf(class int) float64 {
 	if b.settings.Classes[class].Idempotency == NonIdempotent {
 		return maxErrorShareNonIdempotent
@@ -61,13 +62,14 @@
 	return maxErrorShare
 }
 
-// countsForClass reports whether a response to a request of one class counts for another. All responses count
-// for non-idempotent classes: a request of those is lost by an error, as it may not be retried.
+// countsForClass reports whether a response to a request of requestClass counts for class. For
+// non-idempotent classes all responses count: an error loses a request of such a class, because it may not
+// be retried.
 func (b *Balancer) countsForClass(requestClass, class int) bool {
 	return class == requestClass || b.settings.Classes[class].Idempotency == NonIdempotent
 }
 
-// recordError records an error of a host with each class that it counts for.
+// recordError records an error response for each class that it counts for.
 func (b *Balancer) recordError(attempt *attempt) {
 	for class := range attempt.host.errors {
 		if b.countsForClass(attempt.request.Class, class) {
@@ -76,8 +78,8 @@
 	}
 }
 
-// recordErrorFor records an error of a host with a class, and excludes the host where its share of errors is
-// too high. An attempt sent before the last exclusion does not exclude it again.
+// recordErrorFor records an error response for a class, and excludes the host for it if the error share is
+// too high. Responses to attempts sent before the last exclusion do not exclude the host again.
 func (b *Balancer) recordErrorFor(attempt *attempt, class int) {
 	host := attempt.host
 	host.hasErrors = true
@@ -95,7 +97,7 @@
 	}
 }
 
-// recordSuccess records a good response of a host with each class that it counts for.
+// recordSuccess records a successful response for each class that it counts for.
 func (b *Balancer) recordSuccess(attempt *attempt) {
 	for class := range attempt.host.errors {
 		if b.countsForClass(attempt.request.Class, class) {
@@ -104,9 +106,10 @@
 	}
 }
 
-// excludeDuringTrial excludes a host again that was excluded for a class and has not recovered since, as an
-// attempt of that class is sent to it: so it is tried with one request at a time. The exclusion lasts as long
-// as a first one; a good response ends it sooner if it brings the share of errors below the limit.
+// excludeDuringTrial is called when an attempt of a class is sent to a host. If the host was excluded for
+// the class and has not recovered since, it is excluded again for the duration of a first exclusion, so
+// that it gets one trial request at a time. A successful response ends this exclusion early if it brings
+// the error share below the limit.
 func (b *Balancer) excludeDuringTrial(host *host, class int) {
 	errors := &host.errors[class]
 	if errors.exclusions > 0 {
--- a/balancer/host.go
+++ b/balancer/host.go
@@ -1,30 +1,30 @@
 package balancer
 
-// host is what this instance knows of one host. Each rule has its own part.
+// host is the state of one host in this instance. Each rule has a part of its own.
 type host struct {
-	Host         // as listed
-	index        int
-	inFlight     int                 // attempts of this instance
-	attempts     linkedList[attempt] // in flight, in the order sent
-	lastResponse Time                // of any kind
+	Host                             // the entry of the endpoint list
+	index        int                 // index in Balancer.hosts
+	inFlight     int                 // attempts of this instance in flight
+	attempts     linkedList[attempt] // the attempts in flight in the order they were sent
+	lastResponse Time                // time of the last response of any kind
 
 	rtt             rttEstimate
 	limiter         concurrencyLimiter
 	ejection        ejection
-	brokenResponses int           // invalid responses and resets in a row
-	errors          []classErrors // by class
-	hasErrors       bool          // an error was counted in one of them, however long ago
+	brokenResponses int           // malformed responses and resets in a row
+	errors          []classErrors // error state by class
+	hasErrors       bool          // at least one error was ever recorded in errors
 	slowStart       slowStart
 	ring            ringPosition
 
 	sets    membership
-	counted standing // what Balancer.counts has of it
-	// nextUpdate is when the standing is updated without an event.
+	counted standing // standing as last added to Balancer.counts
+	// nextUpdate is the next time at which the standing must be updated without an event.
 	nextUpdate dueEntry
 }
 
-// oldestNotOvertaken returns the attempt in flight longest that was not overtaken, and how many of those
-// there are.
+// oldestNotOvertaken returns the oldest attempt in flight that was not overtaken, or nil, and the number of
+// such attempts.
 func (h *host) oldestNotOvertaken() (oldest *attempt, count int) {
 	for node := h.attempts.head; node != nil; node = node.next {
 		if node.item.overtaken() {
@@ -38,7 +38,7 @@
 	return oldest, count
 }
 
-// addHost adds a host that was not known. The caller sets the rest of its entry.
+// addHost adds a host that is not known yet. The caller copies the rest of the entry.
 func (b *Balancer) addHost(entry Host) *host {
 	added := &host{
 		Host:         Host{ID: entry.ID, Kind: entry.Kind},
@@ -56,7 +56,7 @@
 	return added
 }
 
-// dropRemoved forgets a removed host without attempts in flight.
+// dropRemoved deletes a removed host once it has no attempts in flight.
 func (b *Balancer) dropRemoved(host *host) {
 	known := b.byID[host.ID] == host
 	if host.State != Removed || host.inFlight > 0 || !known {
@@ -66,7 +66,7 @@
 	last := len(b.hosts) - 1
 	b.hosts[host.index] = b.hosts[last]
 	b.hosts[host.index].index = host.index
-	b.hosts[last] = nil // the slice must not keep a host that is gone
+	b.hosts[last] = nil // avoids retaining a removed host
 	b.hosts = b.hosts[:last]
 	b.ring.remove(host)
 	b.dueStandings.cancel(host)
--- a/balancer/hostset.go
+++ b/balancer/hostset.go
@@ -1,15 +1,15 @@
 package balancer
 
-// setKind names a set of hosts. The first four are the selection sets: hosts are chosen from them, and a host
-// is in one of them at most, the one that selectionSetOf returns.
+// setKind identifies a set of hosts. The first four are the selection sets, from which hosts are chosen. A
+// host is in at most one of them, the one that selectionSetOf returns.
 type setKind int
 
-// The sets.
+// Values of setKind.
 const (
-	setReady       setKind = iota // in the subset, and ready as far as is known
-	setSilent                     // ejected as silent, else ready
-	setUnreachable                // ejected with CauseConnectionsFailed, else ready
-	setSuspected                  // has one attempt in flight that takes long, else ready
+	setReady       setKind = iota // in the subset and ready as of the last update
+	setSilent                     // ejected with CauseSilent, otherwise ready
+	setUnreachable                // ejected with CauseConnectionsFailed, otherwise ready
+	setSuspected                  // has a single attempt in flight that takes too long, otherwise ready
 	setBusy                       // has attempts in flight
 	setSubset                     // in the subset
 	setCount
@@ -17,20 +17,20 @@
 	setNone setKind = -1
 )
 
-// hostSet is a set whose hosts know their position in it, so that a host joins, leaves and is drawn from
-// it at a cost that does not grow with their number.
+// hostSet is a set of hosts. Each host stores its position in the set, so that the cost of adding, removing
+// and drawing a host does not depend on the size of the set.
 type hostSet struct{ list []*host }
 
 // hostSets holds the sets by kind.
 type hostSets [setCount]hostSet
 
-// membership is what a host knows of the sets that it is in.
+// membership is the position of a host in the sets that contain it.
 type membership struct {
-	position     [setCount]int // in each set, counted from 1; 0: it is not in it
-	selectionSet setKind       // the selection set that it is in, or setNone
+	position     [setCount]int // position in each set, counted from 1; 0 if the set does not contain the host
+	selectionSet setKind       // the selection set that contains the host, or setNone
 }
 
-// contains reports whether a host is in a set.
+// contains reports whether the set contains the host.
 func (m *membership) contains(set setKind) bool { return m.position[set] != 0 }
 
 // add adds a host to a set.
@@ -42,7 +42,7 @@
 	host.sets.position[set] = len(s[set].list)
 }
 
-// remove removes a host from a set. The last host of the set takes its place.
+// remove removes a host from a set and moves the last host of the set to its position.
 func (s *hostSets) remove(set setKind, host *host) {
 	if !host.sets.contains(set) {
 		return
@@ -52,12 +52,12 @@
 	last := len(list) - 1
 	list[i] = list[last]
 	list[i].sets.position[set] = i + 1
-	list[last] = nil // the list must not keep a host that is gone
+	list[last] = nil // avoids retaining a removed host
 	s[set].list = list[:last]
 	host.sets.position[set] = 0
 }
 
-// move moves a host to a selection set, or to none.
+// move moves a host to a selection set, or to none if set is setNone.
 func (s *hostSets) move(host *host, set setKind) {
 	if host.sets.selectionSet == set {
 		return
@@ -71,7 +71,7 @@
 	host.sets.selectionSet = set
 }
 
-// total returns the number of hosts in sets.
+// total returns the number of hosts in the eligible sets.
 func (s *hostSets) total(sets eligibleSets) int {
 	total := 0
 	for set := sets.first; set < sets.end(); set++ {
@@ -80,7 +80,7 @@
 	return total
 }
 
-// at returns the i-th host of the sets from one on, taken as one list.
+// at returns the host at index i of the concatenation of the sets from first on.
 func (s *hostSets) at(first setKind, i int) *host {
 	set := first
 	for i >= len(s[set].list) {
--- a/balancer/list.go
+++ b/balancer/list.go
@@ -1,10 +1,10 @@
 package balancer
 
-// linkedList is a doubly linked list. Its items hold their own nodes, so that nothing is allocated, and
-// can be removed from anywhere.
+// linkedList is a doubly linked list. The nodes are embedded in the items, so that the list allocates
+// nothing and an item can be removed from any position.
 type linkedList[T any] struct{ head, tail *listNode[T] }
 
-// listNode is an item's place in a list.
+// listNode is the node of an item.
 type listNode[T any] struct {
 	item       *T
 	prev, next *listNode[T]
--- a/balancer/polling.go
+++ b/balancer/polling.go
@@ -1,31 +1,31 @@
 package balancer
 
 const (
-	// pollBackoffDivisor gives the mean of the first delay after a failed poll: PollTimeout divided by it.
+	// pollBackoffDivisor determines the mean delay after a first failed poll: PollTimeout divided by it.
 	pollBackoffDivisor = 16
-	// maxPollDoublings is how many times that delay doubles at most.
+	// maxPollDoublings is the maximum number of times that this delay doubles.
 	maxPollDoublings = 2
-	// pollJitterMin is the least factor of chance in the delay.
+	// pollJitterMin is the lower bound of the random factor applied to the delay.
 	pollJitterMin = 0.5
-	// pollStartSpreadDivisor gives the time over which the first polls of the instances are spread:
+	// pollStartSpreadDivisor determines the time over which the first polls of all instances are spread:
 	// PollTimeout divided by it.
 	pollStartSpreadDivisor = 4
 )
 
-// endpointPoller decides when the gateway begins to poll discovery for the endpoint list. A Poll action is
-// the beginning: from then on the gateway polls or watches by itself and reports each list, until it reports
-// ListFailed. So nothing is decided here while lists arrive. A Poll that brings no list within PollTimeout
-// is repeated; after a failure the next one follows an exponential, jittered and bounded backoff. The
-// backoff counts from the start of a poll that hung, as an instance has to know the list 6 s after discovery
-// can be reached again, however often polls have failed.
+// endpointPoller decides when the gateway starts to poll discovery for the endpoint list. After a Poll
+// action the gateway polls or watches on its own and reports each list until it reports ListFailed, so no
+// decision is needed while lists arrive. A Poll that yields no list within PollTimeout is repeated; after a
+// failure the next one follows with an exponential, jittered and bounded backoff. The time that a hung poll
+// took is subtracted from the backoff, because an instance must have the list within 6 s after discovery is
+// reachable again, however often polls have failed.
 type endpointPoller struct {
-	listsArrive bool // a list was received since the last failure, and others follow
+	listsArrive bool // a list was received after the last failure, and the gateway continues to receive them
 	pollAt      Time // when the next Poll action is due
-	failures    int  // since the last list
+	failures    int  // failed polls since the last list
 }
 
-// startPolling schedules the first Poll action, spread by rank so that a fleet that starts together does not
-// overload discovery.
+// startPolling schedules the first Poll action. The delay depends on the rank, so that a fleet that starts
+// all at once does not overload discovery.
 func (b *Balancer) startPolling() {
 	spread := b.settings.PollTimeout / pollStartSpreadDivisor
 	b.schedulePoll(spread * Time(b.settings.Rank) / Time(b.settings.Instances))
@@ -37,7 +37,8 @@
 	b.wake(b.poller.pollAt, tokenPoll<<tokenShift)
 }
 
-// pollDue decides on a Poll action if one is due and no lists arrive. Another follows if this one hangs.
+// pollDue emits a Poll action if one is due and no lists arrive, and schedules the next one in case this
+// poll hangs.
 func (b *Balancer) pollDue() {
 	if b.now < b.poller.pollAt || b.poller.listsArrive {
 		return
@@ -46,7 +47,8 @@
 	b.schedulePoll(b.settings.PollTimeout)
 }
 
-// pollFailed notes that no list was received, and schedules the next Poll action; the old list stays valid.
+// pollFailed handles a failure to receive a list: the previous list stays in use, and the next Poll action
+// is scheduled.
 func (b *Balancer) pollFailed() {
 	poller := &b.poller
 	if poller.listsArrive || poller.failures == 0 {
@@ -74,7 +76,7 @@
 	return delay
 }
 
-// pollSucceeded notes that a list was received.
+// pollSucceeded handles the receipt of a list.
 func (b *Balancer) pollSucceeded() {
 	if b.poller.failures > 0 {
 		b.log(logEndpointsRegained, "endpoint list available again")
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -3,41 +3,42 @@
 import "sort"
 
 const (
-	// duplicateWeight is the priority of a client's duplicate in the queues, as a share of its class's:
-	// it may come too late.
+	// duplicateWeight is the factor applied to the priority weight of a request that the client has sent
+	// before. Its response may come too late.
 	duplicateWeight = 0.5
-	// maxQueueTimeObjectives is how long after its arrival a request may still wait, in latency objectives of
-	// its class, divided by the instances that share a host.
+	// maxQueueTimeObjectives is the maximum time from its arrival that a request may wait, in latency
+	// objectives of its class, divided by the number of instances that share a host.
 	maxQueueTimeObjectives = 0.2
-	// sweepIntervalObjectives is the time between checks of the queues and of busy hosts, in shortest latency
+	// sweepIntervalObjectives is the interval of the checks of queues and busy hosts, in shortest latency
 	// objectives.
 	sweepIntervalObjectives = 1.0 / 16
 )
 
-// classPart is a part of a class that has a queue of its own. Its bits may both be set.
+// classPart is a part of a class that has its own queue. It is a bit set.
 type classPart int
 
-// Bits of a part.
+// Bits of a classPart.
 const (
-	partOverQuota classPart = 1 << iota // beyond the tenant's quota
+	partOverQuota classPart = 1 << iota // over the quota of the tenant
 	partDuplicate                       // the client has sent the request before
 
 	classParts = 4
 )
 
-// requestQueues decides in which order waiting requests are sent: by the priority weight of their class, and
-// lower for those beyond their tenant's quota and for duplicates. Within a queue the oldest is first, except
-// that a retry goes to the front. A request that has provably never run and finds no host holds up all behind
-// it, in its own queue and in all lower ones, also requests that could use other hosts (dispatchQueue).
+// requestQueues determines the order in which waiting requests are sent: by the priority weight of their
+// class, which is reduced for requests over their tenant's quota and for duplicates. Within a queue the
+// oldest request is first, except that a retry goes to the front. A request that has certainly never run
+// and finds no host blocks all requests behind it, in its own queue and in all queues of lower priority,
+// including requests that could use other hosts (dispatchQueue).
 type requestQueues struct {
-	byPriority   []linkedList[request] // the highest first
-	bandOf       [][classParts]int     // index of the queue by class and part
-	length       int                   // waiting requests
-	lastUnserved Time                  // when a request last found no host; 0: never
+	byPriority   []linkedList[request] // highest priority first
+	bandOf       [][classParts]int     // index in byPriority, by class and part
+	length       int                   // number of waiting requests
+	lastUnserved Time                  // when a request last found no host; 0 if none ever did
 }
 
-// classifyArrival returns the part of its class that a request belongs to. It takes a token from the tenant's
-// quota, and so is called once for a request: when it arrives.
+// classifyArrival returns the part of its class that a new request belongs to. It takes a token from the
+// quota of the tenant and therefore must be called only once per request, on arrival.
 func (b *Balancer) classifyArrival(arrived *request) classPart {
 	var part classPart
 	withinQuota := b.quotas.take(b.now, arrived.Tenant)
@@ -62,8 +63,8 @@
 	return weight
 }
 
-// orderQueues makes the queues, one for each part of each class, by weight. Of equal weights, the one
-// with the tighter latency objective is first.
+// orderQueues creates the queues, one for each part of each class, ordered by weight. Of queues with equal
+// weights, the one with the tighter latency objective comes first.
 func (b *Balancer) orderQueues() {
 	type queue struct {
 		class  int
@@ -91,13 +92,13 @@
 	}
 }
 
-// pushBack adds a request behind the others of its queue.
+// pushBack adds a request to the back of its queue.
 func (q *requestQueues) pushBack(request *request) {
 	q.countQueued(request)
 	q.byPriority[request.band].pushBack(&request.link)
 }
 
-// pushFront adds a request ahead of the others of its queue.
+// pushFront adds a request to the front of its queue.
 func (q *requestQueues) pushFront(request *request) {
 	q.countQueued(request)
 	q.byPriority[request.band].pushFront(&request.link)
@@ -109,7 +110,7 @@
 	q.length++
 }
 
-// remove removes a request from its queue, if it is in one.
+// remove removes a request from its queue, if it is queued.
 func (q *requestQueues) remove(request *request) {
 	if !request.queued {
 		return
@@ -119,16 +120,17 @@
 	q.length--
 }
 
-// maxQueueTime returns how long after its arrival a request may wait for a host. A retry has no time of its
-// own: one that finds no host later than that after the request's arrival is rejected at once. The time is a
-// small share of the latency objective, the smaller the more instances share a host, as capacity there then
-// becomes free by responses to others, which are not seen here. Rejected early, a client may still be served
-// in time elsewhere or later.
+// maxQueueTime returns how long after its arrival a request may wait for a host. Retries get no additional
+// time: a retry that finds no host later than that after the arrival of the request is rejected at once.
+// The time is a small share of the latency objective, and the smaller the more instances share a host,
+// because the capacity of the host is then mostly freed by responses to other instances, which this
+// instance does not see. After an early rejection the client can still be served in time elsewhere or
+// later.
 func (b *Balancer) maxQueueTime(class *Class) Time {
 	return Time(maxQueueTimeObjectives * float64(class.LatencyObjective) / b.sharingInstances())
 }
 
-// enqueue queues a request, a retry at the front.
+// enqueue adds a request to its queue, a retry at the front.
 func (b *Balancer) enqueue(request *request, isRetry bool) {
 	request.waitUntil = request.arrived + b.maxQueueTime(request.class)
 	b.queues.lastUnserved = b.now
@@ -140,8 +142,8 @@
 	b.scheduleSweep()
 }
 
-// dispatchWaiting rejects what has waited too long and sends what waits, by priority, as far as hosts are
-// ready.
+// dispatchWaiting rejects requests that have waited too long and sends waiting requests in order of
+// priority while hosts are ready.
 func (b *Balancer) dispatchWaiting() {
 	for band := range b.queues.byPriority {
 		b.rejectExpired(&b.queues.byPriority[band])
@@ -155,7 +157,7 @@
 	b.scheduleSweep()
 }
 
-// rejectExpired rejects the requests of a queue that have waited too long. The oldest is at the front.
+// rejectExpired rejects the requests of a queue that have waited too long. The oldest one is at the front.
 func (b *Balancer) rejectExpired(queue *linkedList[request]) {
 	for queue.head != nil && b.now >= queue.head.item.waitUntil {
 		b.log(logRejecting, "rejecting requests: hosts at their limits, %d queued", b.queues.length)
@@ -163,9 +165,10 @@
 	}
 }
 
-// dispatchQueue sends what waits in a queue. It stops at the first request that has provably never run and
-// finds no host, and reports that: the caller then sends nothing of the lower queues either. A request that
-// may have run, such as a retry that is bound to its scope, does not hold up those behind it.
+// dispatchQueue sends the waiting requests of a queue. It stops at the first request that has certainly
+// never run and finds no host, and returns true, so that the caller sends nothing from queues of lower
+// priority either. A request that may have run, such as a retry that is restricted to a deduplication
+// scope, does not block those behind it.
 func (b *Balancer) dispatchQueue(queue *linkedList[request]) (noneReady bool) {
 	node := queue.head
 	for node != nil {
@@ -184,13 +187,13 @@
 	return false
 }
 
-// sweep is the periodic check of queues and busy hosts, which runs while there are any.
+// sweep is the state of the periodic check of queues and busy hosts. The check runs while any exist.
 type sweep struct {
-	at       Time // when it is due; 0: none is scheduled
-	inFlight int  // attempts in flight at the last sweep, and sent since
+	at       Time // time of the next sweep; 0 if none is scheduled
+	inFlight int  // attempts in flight at the last sweep plus those sent since
 }
 
-// scheduleSweep makes sure that queues and busy hosts are checked again.
+// scheduleSweep schedules the next sweep if one is needed and none is scheduled.
 func (b *Balancer) scheduleSweep() {
 	needed := b.queues.length > 0 || b.sweep.inFlight > 0
 	if b.sweep.at != 0 || !needed {
@@ -201,7 +204,7 @@
 	b.wake(b.sweep.at, tokenSweep<<tokenShift)
 }
 
-// sweepDue checks queues and busy hosts if that is due.
+// sweepDue checks the queues and busy hosts if a sweep is due.
 func (b *Balancer) sweepDue() {
 	if b.now < b.sweep.at {
 		return
--- a/balancer/quota.go
+++ b/balancer/quota.go
@@ -1,13 +1,13 @@
 package balancer
 
-// quotaBurstSeconds is how many seconds of its quota a tenant may save up.
+// quotaBurstSeconds is the burst that a tenant may accumulate, in seconds of its quota.
 const quotaBurstSeconds = 1.0
 
-// tenantQuotas decides which requests are beyond their tenant's quota. They are not rejected for that, but
-// have a lower priority in the queues. The quota holds over all instances, and each instance grants an equal
-// part of it.
+// tenantQuotas decides which requests exceed the quota of their tenant. Such requests are not rejected for
+// that reason, but have a lower priority in the queues. The quota applies to all instances together; each
+// instance grants an equal share of it.
 type tenantQuotas struct {
-	buckets []tokenBucket // by tenant
+	buckets []tokenBucket // token bucket of each tenant
 }
 
 // configure sets the quotas. Tenants that were configured before keep their tokens.
@@ -25,20 +25,21 @@
 	}
 }
 
-// take counts a request, and reports whether it is within the tenant's quota. An unknown tenant has none.
+// take counts a request and reports whether it is within the quota of the tenant. An unknown tenant has no
+// quota.
 func (q *tenantQuotas) take(now Time, tenant int) bool {
 	known := tenant >= 0 && tenant < len(q.buckets)
 	return !known || q.buckets[tenant].take(now)
 }
 
-// tokenBucket limits a rate, with bursts of up to quotaBurstSeconds.
+// tokenBucket limits a rate and allows bursts of up to quotaBurstSeconds.
 type tokenBucket struct {
-	tokens     float64 // at the time refilledAt
-	rate       float64 // tokens a second; 0: no limit
+	tokens     float64 // tokens at the time refilledAt
+	rate       float64 // tokens per second; 0 for no limit
 	refilledAt Time
 }
 
-// take takes a token for one request. It reports false where there is none.
+// take takes a token for one request. It returns false if none is available.
 func (t *tokenBucket) take(now Time) bool {
 	if t.rate <= 0 {
 		return true
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -1,21 +1,21 @@
 package balancer
 
-// request is a client's request with its attempts. It is kept until it has its response and all its attempts
-// have ended.
+// request is the state of a client's request and its attempts. It is kept until the request has its final
+// response and all its attempts have ended.
 type request struct {
 	Request
 	class              *Class
 	arrived            Time
 	deadline           Time
-	waitUntil          Time // while it is queued: it is rejected from then on
-	band               int  // index of its queue
-	inFlight           int  // attempts
-	done               bool // it has its final response
-	answeredByBalancer bool // its response is the balancer's, for whatever Cause
-	streaming          bool // a response is being streamed: the request belongs to that attempt
+	waitUntil          Time // while it is queued: the time at which it is rejected
+	band               int  // index of its queue in requestQueues.byPriority
+	inFlight           int  // number of attempts in flight
+	done               bool // it has its final response, or needs none
+	answeredByBalancer bool // the final response is from the balancer, not from a host
+	streaming          bool // a response is being streamed to the client; no other attempt can serve it
 	queued             bool
-	link               listNode[request] // in its queue
-	attempts           []*attempt        // in the order sent
+	link               listNode[request] // node in its queue
+	attempts           []*attempt        // all attempts in the order they were sent
 }
 
 // attempt is one attempt of a request at a host.
@@ -24,15 +24,15 @@
 	host            *host
 	sentAt          Time
 	ended           bool
-	result          Result            // once it has ended
-	trial           bool              // its host was ejected when it was sent
-	overtakenBy     int               // responses of its host to attempts sent after it
-	countedSilent   bool              // it was counted as a sign of overload before it ended
+	result          Result            // valid once ended is set
+	trial           bool              // the host was ejected when the attempt was sent
+	overtakenBy     int               // responses of the host to attempts that were sent later
+	countedSilent   bool              // it was reported to the send rate controller as slow before it ended
 	canceledStalled bool              // it was canceled as stalled, so that its request can be retried
-	link            listNode[attempt] // at its host
+	link            listNode[attempt] // node in host.attempts
 }
 
-// tried reports whether a request has had an attempt at a host.
+// tried reports whether an attempt of the request was sent to the host.
 func (r *request) tried(host *host) bool {
 	for _, attempt := range r.attempts {
 		if attempt.host == host {
@@ -42,7 +42,7 @@
 	return false
 }
 
-// firstThatMayRun returns the earliest attempt that may have run or is in flight; nil: there is none.
+// firstThatMayRun returns the earliest attempt that is in flight or may have run, or nil if there is none.
 func (r *request) firstThatMayRun() *attempt {
 	for _, attempt := range r.attempts {
 		if !attempt.ended || attempt.result.MayHaveRun() {
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// attemptAt returns an attempt of a request by its number; nil: there is none.
+// attemptAt returns the attempt of a request with the given index, or nil if there is none.
 func (b *Balancer) attemptAt(id RequestID, number int) *attempt {
 	request := b.open[id]
 	if request == nil || number < 0 || number >= len(request.attempts) {
@@ -61,10 +61,10 @@
 	return request.attempts[number]
 }
 
-// freeList holds items that are no longer used, so that in steady state none is allocated.
+// freeList holds unused items for reuse, so that nothing is allocated in the steady state.
 type freeList[T any] struct{ items []*T }
 
-// take returns an item that is not used: one that was put back, or a new one.
+// take returns an unused item from the list, or a new one if the list is empty.
 func (l *freeList[T]) take() *T {
 	last := len(l.items) - 1
 	if last < 0 {
@@ -75,10 +75,10 @@
 	return item
 }
 
-// recycle takes back a request with its attempts, as empty ones.
+// recycle resets a request and its attempts and returns them to the free lists.
 func (b *Balancer) recycle(unused *request) {
 	for _, ended := range unused.attempts {
-		*ended = attempt{} // it must not keep a host that is gone
+		*ended = attempt{} // avoids retaining a removed host
 	}
 	b.freeAttempts.items = append(b.freeAttempts.items, unused.attempts...)
 	clear(unused.attempts)
@@ -86,7 +86,7 @@
 	b.freeRequests.items = append(b.freeRequests.items, unused)
 }
 
-// releaseRequest forgets a closed request once its last attempt has ended.
+// releaseRequest deletes a closed request once its last attempt has ended.
 func (b *Balancer) releaseRequest(request *request) {
 	if !request.done || request.inFlight > 0 {
 		return
--- a/balancer/response.go
+++ b/balancer/response.go
@@ -2,20 +2,20 @@
 
 import "slices"
 
-// retryAfterDivisor gives the Retry-After of a rejection: the shortest latency objective divided by it, and
-// MaxRetryAfter at most.
+// retryAfterDivisor determines the Retry-After of a rejection: the shortest latency objective divided by
+// it, but at most MaxRetryAfter.
 const retryAfterDivisor = 4
 
-// retryAfter returns the Retry-After of a rejection by the balancer; 0: none is sent. Responses that the
-// balancer does not give have their own: overload.RetryAfter where a request is rejected at admission,
-// frontend.FullRetryAfter where there is no memory for its body, and maxStreamedRetryAfter in internal/engine
-// where its body could be sent only once.
+// retryAfter returns the Retry-After of a rejection by the balancer, or 0 if none is sent. Rejections
+// elsewhere use their own values: overload.RetryAfter if a request is rejected at admission,
+// frontend.FullRetryAfter if there is no memory for its body, and maxStreamedRetryAfter in internal/engine
+// if its body was streamed and cannot be sent again.
 func (b *Balancer) retryAfter() Time {
 	return min(b.shortestObjective/retryAfterDivisor, b.settings.MaxRetryAfter)
 }
 
-// answer gives the final response to a request that will not be served: a rejection only where a retry by the
-// client is known to be harmless, and else a failure.
+// answer gives the final response to a request that will not be served: a rejection if it is known that a
+// retry by the client is safe, otherwise a failure.
 func (b *Balancer) answer(request *request, cause Cause) {
 	request.answeredByBalancer = true
 	if cause == CauseQueueTimeout {
@@ -29,8 +29,8 @@
 	b.closeRequest(request)
 }
 
-// clientMayRetry reports whether a client's retry, at any host, can't execute a request twice that must
-// not be.
+// clientMayRetry reports whether the client may safely retry a request at any host, that is, whether a
+// retry cannot lead to a second execution of a request that must run at most once.
 func (b *Balancer) clientMayRetry(request *request) bool {
 	if request.firstThatMayRun() == nil {
 		return true
@@ -44,7 +44,7 @@
 	return false
 }
 
-// closeRequest closes a request that has its response or needs none.
+// closeRequest closes a request that has its final response or needs none.
 func (b *Balancer) closeRequest(request *request) {
 	if request.done {
 		return
@@ -55,7 +55,7 @@
 	b.releaseRequest(request)
 }
 
-// cancelOthers cancels all attempts of a request that are in flight but one; nil: all.
+// cancelOthers cancels all attempts of a request that are in flight except kept, which may be nil.
 func (b *Balancer) cancelOthers(request *request, kept *attempt) {
 	if !b.settings.Cancel {
 		return
@@ -67,7 +67,7 @@
 	}
 }
 
-// cancel cancels an attempt in flight.
+// cancel emits the action that cancels an attempt in flight.
 func (b *Balancer) cancel(attempt *attempt) {
 	number := slices.Index(attempt.request.attempts, attempt)
 	b.act(Action{Kind: Cancel, Request: attempt.request.ID, Attempt: number})
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -1,13 +1,13 @@
 package balancer
 
-// Whether a request may have another attempt in this pool is decided here alone: by maySend and mayRetry. The
-// engine (internal/engine/retry.go) in addition bounds the attempts of a request over all pools of its
-// failover chain, and asks the route's retry budget (internal/route); an attempt that it denies comes back as
-// NotSent.
+// maySend and mayRetry are the only place that decides whether a request gets another attempt in this pool.
+// The engine (internal/engine/retry.go) additionally limits the attempts of a request over all pools of its
+// failover chain and applies the retry budget of the route (internal/route); an attempt that it denies is
+// reported as NotSent.
 
-// maySend reports whether a request may be sent (again) without being executed twice: a non-idempotent one
-// only if no attempt may have run, and one with an idempotency key also while duplicates are sure to be
-// dropped.
+// maySend reports whether a request may be sent (again) without the risk that it is executed twice. A
+// non-idempotent request may be sent if no earlier attempt may have run; a request with an idempotency key
+// may also be sent while duplicates are certain to be dropped.
 func (b *Balancer) maySend(request *request) bool {
 	first := request.firstThatMayRun()
 	if first == nil {
@@ -22,13 +22,14 @@
 	return false
 }
 
-// dedupSendBy returns by when the last byte of a retry has to be sent after a first attempt that may have
-// run: dedupMargin before its deduplication window ends.
+// dedupSendBy returns the time by which the last byte of a retry must be sent, given the first attempt that
+// may have run: dedupMargin before the end of its deduplication window.
 func (b *Balancer) dedupSendBy(first *attempt) Time {
 	return first.sentAt + first.request.class.DedupWindow - b.dedupMargin()
 }
 
-// sendBy returns the time after which nothing of a request's next attempt may be sent; 0: at any time.
+// sendBy returns the time after which nothing of the next attempt of a request may be sent, or 0 for no
+// limit.
 func (b *Balancer) sendBy(request *request) Time {
 	first := request.firstThatMayRun()
 	if first == nil || request.class.Idempotency != IdempotentWithKey {
@@ -37,8 +38,8 @@
 	return b.dedupSendBy(first)
 }
 
-// mayRetry reports whether a request gets another attempt: by the number of attempts, the time left and its
-// class. Concurrency limits keep retries from feeding an overload.
+// mayRetry reports whether a request gets another attempt, depending on the number of its attempts, the
+// time left and its class. The concurrency limits prevent retries from amplifying an overload.
 func (b *Balancer) mayRetry(request *request) bool {
 	outOfAttempts := len(request.attempts) >= b.settings.MaxAttempts
 	if request.streaming || outOfAttempts || b.tooLateToRetry(request) {
@@ -47,9 +48,9 @@
 	return b.maySend(request)
 }
 
-// afterAttempt decides what follows the end of an attempt: nothing while the request has another attempt in
-// flight or waits for one, a retry if it may have one, and else the final response. closed means that the
-// client has its response.
+// afterAttempt decides what follows the end of an attempt: nothing if the request is queued or has another
+// attempt in flight, else a retry if allowed, else the final response. closed means that the client has its
+// response.
 func (b *Balancer) afterAttempt(request *request, attempt *attempt, closed bool) {
 	streamed := request.streaming && attempt.result == OK
 	switch {
--- a/balancer/retune.go
+++ b/balancer/retune.go
@@ -5,11 +5,11 @@
 	"fmt"
 )
 
-// Retune takes over new settings while the Balancer serves. What was learnt of hosts stays, and so do
-// requests and attempts. Classes are identified by their index: a class with an open request must keep
-// its index and its rules, marked Retired if no more of it arrive. For each class, from is the index of
-// the previous class whose learnt state it continues; -1: none. Settings.Poll stays as it was at the
-// start. On an error nothing has changed. The actions decided before must have been taken; Retune decides
+// Retune applies new settings at runtime. The state of hosts, requests and attempts is kept. Classes are
+// identified by their index: a class with an open request must keep its index and its settings; it may be
+// marked Retired if it receives no new requests. For each class, from contains the index of the previous
+// class whose estimates it continues, or -1. Settings.Poll cannot be changed and keeps its value. If Retune
+// returns an error, nothing has changed. The caller must have taken all pending actions before; Retune adds
 // none.
 func (b *Balancer) Retune(now Time, settings Settings, from []int) error {
 	if err := check(&settings); err != nil {
@@ -31,33 +31,33 @@
 	return nil
 }
 
-// checkRetune returns an error for settings that don't fit the classes that there are.
+// checkRetune returns an error if the settings are not compatible with the current classes.
 func (b *Balancer) checkRetune(settings *Settings, from []int) error {
 	if len(from) != len(settings.Classes) {
-		return fmt.Errorf("retune: %d classes continue %d", len(settings.Classes), len(from))
+		return fmt.Errorf("retune: %d classes, but %d origins", len(settings.Classes), len(from))
 	}
 	for class, previous := range from {
 		if previous < -1 || previous >= len(b.settings.Classes) {
-			return fmt.Errorf("retune: class %d continues class %d, which does not exist", class, previous)
+			return fmt.Errorf("retune: class %d continues the unknown class %d", class, previous)
 		}
 	}
 	for _, request := range b.open {
 		removed := request.Class >= len(settings.Classes)
-		if removed || !sameRules(*request.class, settings.Classes[request.Class]) {
-			return errors.New("retune: a class with open requests has other rules")
+		if removed || !equalExceptRetired(*request.class, settings.Classes[request.Class]) {
+			return errors.New("retune: a class with open requests is removed or changed")
 		}
 	}
 	return nil
 }
 
-// sameRules reports whether two classes differ in Retired at most.
-func sameRules(x, y Class) bool {
+// equalExceptRetired reports whether two classes are equal except for Retired.
+func equalExceptRetired(x, y Class) bool {
 	x.Retired = false
 	y.Retired = false
 	return x == y
 }
 
-// continueClasses gives each class the learnt state of the one that it continues.
+// continueClasses copies to each class the estimates of the class that it continues.
 func (b *Balancer) continueClasses(from []int) {
 	b.typicalRTT.byClass = continued(b.typicalRTT.byClass, from)
 	b.starvation.unserved = continued(b.starvation.unserved, from)
@@ -70,7 +70,7 @@
 	}
 }
 
-// continued returns a state for each class: that of the class which it continues, or a new one.
+// continued returns the state of each class: that of the class it continues, or the zero value.
 func continued[T any](previous []T, from []int) []T {
 	next := make([]T, len(from))
 	for class, i := range from {
@@ -81,8 +81,8 @@
 	return next
 }
 
-// requeue orders the queues anew. Queued requests keep their order in each queue, and each request its
-// part of its class.
+// requeue rebuilds the queues. Queued requests keep their order within each queue, and each request keeps
+// the part of its class.
 func (b *Balancer) requeue() {
 	parts := make(map[RequestID]classPart, len(b.open))
 	for id, request := range b.open {
@@ -107,7 +107,7 @@
 	}
 }
 
-// partOfBand returns the part of its class whose queue a request is for.
+// partOfBand returns the part of its class that a request belongs to.
 func (q *requestQueues) partOfBand(request *request) classPart {
 	for part, band := range q.bandOf[request.Class] {
 		if band == request.band {
--- a/balancer/ring.go
+++ b/balancer/ring.go
@@ -5,37 +5,38 @@
 	"slices"
 )
 
-// hostRing is the order of the ready hosts that is the same at every instance. Each instance uses the hosts
-// from its own place on, so that the load is spread evenly without the instances talking to each other.
+// hostRing is the order of the ready hosts, which is the same in all instances. Each instance uses the
+// hosts that start at its own place on the ring, so that the load is spread evenly without communication
+// between instances.
 type hostRing struct {
-	byKind []kindList // all hosts, from which the ring is built
-	hosts  []*host    // ready hosts, as of the last build
+	byKind []kindList // all hosts by kind, from which the ring is built
+	hosts  []*host    // ready hosts in the order of the ring, as of the last build
 	built  bool       // the ring is up to date
-	place  int        // of this instance, counted in hosts that have a place of their own
-	start  int        // index in hosts of the first host at that place
+	place  int        // place of this instance; counts only hosts with a place of their own
+	start  int        // index in hosts of the first host at the place of this instance
 
-	warm    int // ready hosts that are warm
-	warming int // ready hosts that are warming
+	warm    int // number of ready hosts that are not in slow start
+	warming int // number of ready hosts in slow start
 }
 
-// ringPosition is what a host knows of its position on the ring.
+// ringPosition is the state of a host on the ring.
 type ringPosition struct {
-	hash    uint64     // orders the hosts of a kind
-	place   int        // counted as that of the instance is
-	counted ringStatus // as hostRing counts the host
+	hash    uint64     // determines the order of the hosts of a kind
+	place   int        // place on the ring, counted like hostRing.place
+	counted ringStatus // status with which hostRing counts the host
 }
 
-// ringStatus says how a host counts on the ring.
+// ringStatus is the status with which a host is counted on the ring.
 type ringStatus int
 
 // Values of ringStatus.
 const (
-	ringNotReady ringStatus = iota // it has no place
-	ringWarm                       // ready
-	ringWarming                    // ready, in slow start
+	ringNotReady ringStatus = iota // not on the ring
+	ringWarm                       // ready and not in slow start
+	ringWarming                    // ready and in slow start
 )
 
-// ringStatus returns how a host counts now.
+// ringStatus returns the current ring status of a host.
 func (h *host) ringStatus() ringStatus {
 	switch {
 	case h.State != Ready:
@@ -46,10 +47,10 @@
 	return ringWarm
 }
 
-// ready returns how many hosts are ready.
+// ready returns the number of ready hosts.
 func (r *hostRing) ready() int { return r.warm + r.warming }
 
-// count adds n hosts of a status.
+// count adds n hosts with the given status to the counts.
 func (r *hostRing) count(status ringStatus, n int) {
 	switch status {
 	case ringWarm:
@@ -59,8 +60,8 @@
 	}
 }
 
-// updateRingStatus counts a host as it is now, and ends its slow start where that is over. It is called where
-// either may have changed.
+// updateRingStatus ends the slow start of a host if it is over, and updates its status on the ring. It must
+// be called whenever either may have changed.
 func (b *Balancer) updateRingStatus(host *host) {
 	b.endSlowStart(host)
 	status := host.ringStatus()
@@ -74,13 +75,13 @@
 	b.subset.current = false
 }
 
-// buildRing orders the hosts that are ready in the same way at every instance, with the kinds spread evenly,
-// so that each part of the ring is a fair part of the fleet. Few places change when hosts come and go. A
-// warming host has the place of the warm one behind it, unless all count; this instance's own place is
-// counted in the same way.
+// buildRing orders the ready hosts. The order is the same in all instances, and the kinds of hosts are
+// spread evenly, so that every section of the ring is representative of the fleet. Few places change when
+// hosts are added or removed. A warming host shares the place of the warm host that follows it, unless
+// warming hosts count toward the ring size; the place of this instance is counted in the same way.
 func (b *Balancer) buildRing() {
 	ring := &b.ring
-	clear(ring.hosts) // the slice must not keep hosts that are gone beyond its end
+	clear(ring.hosts) // avoids retaining removed hosts beyond the new length
 	ring.hosts = ring.hosts[:0]
 	ring.built = true
 	places := b.ringSize()
@@ -108,8 +109,8 @@
 	}
 }
 
-// startAtLastWarming moves the start of place 0 back to the warming hosts at the end of the ring, which have
-// the place of the first warm one.
+// startAtLastWarming moves the start of place 0 back to the warming hosts at the end of the ring. They
+// share the place of the first warm host.
 func (r *hostRing) startAtLastWarming() {
 	for i := len(r.hosts) - 1; i > 0; i-- {
 		if r.hosts[i].ring.place != 0 {
@@ -119,7 +120,7 @@
 	}
 }
 
-// kindList is the hosts of a kind, ordered by hash.
+// kindList is the list of the hosts of one kind, ordered by hash.
 type kindList struct {
 	kind  int
 	hosts []*host
@@ -129,7 +130,7 @@
 	return cmp.Or(cmp.Compare(x.ring.hash, y.ring.hash), cmp.Compare(x.ID, y.ID))
 }
 
-// findKind returns the index of a kind's list, or where it would be.
+// findKind returns the index of the list of a kind, or the index at which to insert it.
 func (r *hostRing) findKind(kind int) (i int, ok bool) {
 	return slices.BinarySearchFunc(r.byKind, kind, func(list kindList, kind int) int {
 		return cmp.Compare(list.kind, kind)
@@ -163,14 +164,14 @@
 	}
 }
 
-// ringSegment is what is left to be placed of a kind.
+// ringSegment holds the hosts of a kind that are not placed on the ring yet.
 type ringSegment struct {
-	hosts  []*host // ordered by hash; the first is ready
-	ready  int     // hosts that are ready, placed or not
-	placed int
+	hosts  []*host // ordered by hash; the first one is ready
+	ready  int     // number of ready hosts of the kind, placed or not
+	placed int     // number of hosts already placed
 }
 
-// segments returns a segment for each kind.
+// segments returns one segment per kind.
 func (r *hostRing) segments() []ringSegment {
 	segments := make([]ringSegment, len(r.byKind))
 	for i, list := range r.byKind {
@@ -186,7 +187,8 @@
 	return segments
 }
 
-// nextOnRing takes the next host: of the kind of which the smallest share was placed.
+// nextOnRing removes and returns the next host for the ring. It is of the kind with the smallest placed
+// share.
 func nextOnRing(segments []ringSegment) *host {
 	var next *ringSegment
 	for i := range segments {
@@ -205,7 +207,7 @@
 	return host
 }
 
-// position returns where the next host of the kind belongs on the ring, between 0 and 1.
+// position returns the position on the ring, between 0 and 1, at which the next host of the kind belongs.
 func (s *ringSegment) position() float64 { return (float64(s.placed) + 0.5) / float64(s.ready) }
 
 func (s *ringSegment) skipNotReady() {
--- a/balancer/rtt.go
+++ b/balancer/rtt.go
@@ -3,43 +3,45 @@
 import "math"
 
 const (
-	// initialRTTObjectives is the RTT that a host counts with while nothing is known of any host, in shortest
-	// latency objectives.
+	// initialRTTObjectives is the RTT assumed for a host before any host has responded, in shortest latency
+	// objectives.
 	initialRTTObjectives = 0.25
-	// errorPenaltyObjectives is the RTT that an error counts as, in longest latency objectives: above
-	// ordinary responses.
+	// errorPenaltyObjectives is the RTT that an error counts as, in longest latency objectives. It is above
+	// the RTT of ordinary responses.
 	errorPenaltyObjectives = 1
-	// maxKind is the highest kind of hosts that has a typical RTT of its own.
+	// maxKind is the highest kind of host for which a typical RTT is kept.
 	maxKind = 255
-	// estimateDecayObjectives is the time in which an estimate fades by a factor of e, in shortest latency
+	// estimateDecayObjectives is the time constant of the decay of an estimate, in shortest latency
 	// objectives.
 	estimateDecayObjectives = 8
-	// estimateDecaySampleGaps is the same in gaps between two samples of a host, where that is longer.
+	// estimateDecaySampleGaps is the same in mean intervals between two samples of a host. The longer of
+	// the two applies.
 	estimateDecaySampleGaps = 4
-	// maxEstimateDecayFactor bounds how much longer that makes the decay.
+	// maxEstimateDecayFactor limits the factor by which the sample intervals may lengthen the time
+	// constant.
 	maxEstimateDecayFactor = 8
 
 	nanosecondsPerSecond = 1e9
 )
 
-// rttEstimate is the RTT by which a host is chosen: a peak EWMA. A sample above the estimate replaces it, and
-// one below is blended in.
+// rttEstimate is the RTT estimate by which a host is chosen. It is a peak EWMA: a sample above the estimate
+// replaces it, and a sample below is blended in.
 type rttEstimate struct {
-	seconds float64 // as of at
-	at      Time
-	sampled bool // else seconds is not set
+	seconds float64 // value at the time at
+	at      Time    // time of the last sample
+	sampled bool    // seconds is set
 }
 
-// typicalRTTs holds the mean RTTs of good responses, in seconds. They make samples of different classes
-// comparable, are the first estimate of new hosts, and the scale of what counts as slow.
+// typicalRTTs holds the mean RTTs of successful responses, in seconds. They normalize samples of different
+// classes, are the initial estimate of new hosts, and are the reference for RTTs that count as slow.
 type typicalRTTs struct {
 	byClass []movingAverage
-	byKind  []movingAverage // as of a typical class, by kind of host
-	any     movingAverage   // of any class
+	byKind  []movingAverage // by kind of host, normalized to an average class
+	any     movingAverage   // over all classes
 }
 
-// addNormalized adds a good response, and returns its RTT as one of a typical class: a host that last served
-// a slow class must not look slow for it.
+// addNormalized adds a successful response and returns its RTT normalized to an average class. Without
+// this, a host that has just served a slow class would look slow for all classes.
 func (t *typicalRTTs) addNormalized(class, kind int, rtt float64) float64 {
 	t.byClass[class].addLongTerm(rtt)
 	t.any.add(rtt)
@@ -53,8 +55,8 @@
 	return rtt
 }
 
-// ofKind returns the typical RTT of a kind of hosts, or else of any host. It reports false where no host has
-// responded yet.
+// ofKind returns the typical RTT of a kind of host, or that of all hosts if the kind has none. It returns
+// false if no host has responded yet.
 func (t *typicalRTTs) ofKind(kind int) (rtt float64, ok bool) {
 	if kind >= 0 && kind < len(t.byKind) && t.byKind[kind].seen {
 		return t.byKind[kind].mean, true
@@ -62,8 +64,8 @@
 	return t.any.mean, t.any.seen
 }
 
-// score returns the score of a host for a class: its RTT estimate now x (own attempts in flight + 1). An
-// error in the class is a penalty there alone: other classes may be served well.
+// score returns the score of a host for a class: its current RTT estimate x (own attempts in flight + 1).
+// An error raises the score for its class only, because the host may serve other classes well.
 func (b *Balancer) score(host *host, class int) float64 {
 	rtt := b.estimatedRTT(host)
 	errors := &host.errors[class]
@@ -74,8 +76,8 @@
 	return rtt * float64(host.inFlight+1)
 }
 
-// estimatedRTT returns the RTT estimate of a host in seconds. It decays toward zero, so that a host that was
-// slow and then left alone comes back into use.
+// estimatedRTT returns the RTT estimate of a host in seconds. It decays toward zero, so that a host that
+// was slow and has received no attempts since comes back into use.
 func (b *Balancer) estimatedRTT(host *host) float64 {
 	if !host.rtt.sampled {
 		return b.initialRTT(host) * b.estimateWeight(host)
@@ -83,8 +85,8 @@
 	return host.rtt.seconds * b.estimateWeight(host)
 }
 
-// initialRTT returns the RTT of a host without a sample, in seconds: that of others of its kind, or of any
-// others. It must not look idle.
+// initialRTT returns the RTT assumed for a host without samples, in seconds: that of hosts of the same
+// kind, or else of all hosts. It is not zero, because the host would then be preferred to all others.
 func (b *Balancer) initialRTT(host *host) float64 {
 	typical, ok := b.typicalRTT.ofKind(host.Kind)
 	if !ok {
@@ -93,14 +95,14 @@
 	return typical
 }
 
-// estimateWeight returns the weight that a host's estimate has kept since its last sample.
+// estimateWeight returns the factor by which the estimate of a host has decayed since its last sample.
 func (b *Balancer) estimateWeight(host *host) float64 {
 	age := (b.now - host.rtt.at).Seconds()
 	return math.Exp(-age / b.estimateDecay())
 }
 
-// estimateDecay returns the time in which an RTT estimate fades by a factor of e, in seconds. With little
-// traffic it follows the gap between two samples of a host: else each estimate would fade before the next
+// estimateDecay returns the time constant of RTT estimates in seconds. With little traffic it follows the
+// interval between two samples of a host, because each estimate would otherwise decay before the next
 // sample.
 func (b *Balancer) estimateDecay() float64 {
 	arrivals := b.arrivals.now(b.now, b.rateSpan())
@@ -111,7 +113,7 @@
 	return max(b.minEstimateDecay, min(gaps, maxEstimateDecayFactor*b.minEstimateDecay))
 }
 
-// addSample adds an RTT, in seconds, to a host's estimate.
+// addSample adds an RTT in seconds to the estimate of a host.
 func (b *Balancer) addSample(host *host, rtt float64) {
 	weight := b.estimateWeight(host)
 	decayed := host.rtt.seconds
--- a/balancer/scope.go
+++ b/balancer/scope.go
@@ -1,10 +1,10 @@
 package balancer
 
-// dedupScopes is the hosts of each zone and cell: those that drop duplicates of each other's requests with an
-// idempotency key. They are built when they are needed after the endpoint list has changed.
+// dedupScopes maps each zone and cell to its hosts, which drop duplicates of each other's requests with an
+// idempotency key. It is built when it is first used after a change of the endpoint list.
 type dedupScopes struct {
 	hosts map[scopeKey][]*host
-	built bool // they are up to date
+	built bool // hosts is up to date
 }
 
 // scopeKey identifies a zone or a cell.
@@ -13,7 +13,7 @@
 	number int
 }
 
-// hostsInScope returns the hosts that drop duplicates of a request that was first sent to a host.
+// hostsInScope returns the hosts that drop duplicates of a request that was first sent to the given host.
 func (b *Balancer) hostsInScope(scope DedupScope, first *host) []*host {
 	if scope == ScopeAll {
 		return b.hosts
@@ -27,8 +27,8 @@
 	return b.scopes.hosts[scopeKey{scope, first.Cell}]
 }
 
-// build sorts hosts into scopes. It reuses the memory of the last build, except of scopes that were empty
-// then.
+// build groups the hosts by scope. It reuses the slices of the previous build, except those of scopes that
+// had no hosts.
 func (s *dedupScopes) build(hosts []*host) {
 	s.built = true
 	for key, list := range s.hosts {
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -1,46 +1,48 @@
 package balancer
 
-// Failure-aware peak EWMA with two choices: of two random ready hosts, the one with the lower RTT estimate x
-// (own attempts in flight + 1) gets the request. Hosts come from the selection sets (hostset.go): the ready
-// ones, and where most hosts are ejected, those too.
+// Host selection is a failure-aware peak EWMA with two random choices: of two random ready hosts, the one
+// with the lower RTT estimate x (own attempts in flight + 1) gets the request. Hosts are drawn from the
+// selection sets (hostset.go): the ready hosts, and if most hosts are ejected, the ejected ones as well.
 
 const (
-	// maxDraws is how many times two hosts are drawn before the ready ones are gathered: of the hosts of
-	// a set most may not be ready any more.
+	// maxDraws is the number of times that two hosts are drawn before all ready hosts are gathered. Many of
+	// the hosts in a set may have become unready since its last update.
 	maxDraws = 32
-	// untriedDraws is for how many draws two hosts that have failed the request already are passed over.
+	// untriedDraws is the number of draws in which a pair of hosts that have both failed the request is
+	// skipped.
 	untriedDraws = maxDraws / 2
-	// largeScopeHosts is the size above which two hosts of a deduplication scope are drawn before it is
-	// gathered.
+	// largeScopeHosts is the size of a deduplication scope above which pairs are drawn before all its hosts
+	// are gathered.
 	largeScopeHosts = 64
 )
 
-// eligibleSets names the sets of hosts that a request may be sent to.
+// eligibleSets is a range of selection sets from which the host for a request may be chosen.
 type eligibleSets struct {
 	first           setKind
 	count           int
-	includeExcluded bool // also hosts that are excluded for the class
+	includeExcluded bool // hosts that are excluded for the class are eligible as well
 }
 
-// The choices of sets. Their order is that of the sets.
+// Ranges of selection sets. They rely on the order of the setKind values.
 var (
 	readyHosts     = eligibleSets{first: setReady, count: 1}
-	readyOrSilent  = eligibleSets{first: setReady, count: 2} // not those to which connections fail
+	readyOrSilent  = eligibleSets{first: setReady, count: 2} // excludes hosts to which connections fail
 	readyOrEjected = eligibleSets{first: setReady, count: 3}
-	// readyEjectedOrExcluded are for a class that every host answers with errors.
+	// readyEjectedOrExcluded is used for a class to which every host responds with errors.
 	readyEjectedOrExcluded = eligibleSets{first: setReady, count: 3, includeExcluded: true}
-	// suspectedHosts are those of which it is not known whether they are silent or have one costly request.
+	// suspectedHosts is used if no host is ready. It is not known whether these hosts are silent or are
+	// processing a single expensive request.
 	suspectedHosts = eligibleSets{first: setSuspected, count: 1}
 )
 
-// contains reports whether a set is among them.
+// contains reports whether the range contains the set.
 func (e eligibleSets) contains(set setKind) bool { return set >= e.first && set < e.end() }
 
-// end returns the set behind the last.
+// end returns the set after the last one of the range.
 func (e eligibleSets) end() setKind { return e.first + setKind(e.count) }
 
-// pick returns the host for a request; nil: none is ready. A request that may have run and must not run twice
-// gets no host, and one with an idempotency key a host of the scope that drops duplicates.
+// pick returns the host for a request, or nil if none is ready. A request that may have run and must not
+// run twice gets no host; one with an idempotency key gets a host of the scope that drops duplicates.
 func (b *Balancer) pick(request *request) *host {
 	if !b.withinSendRate(request) || !b.maySend(request) {
 		return nil
@@ -48,7 +50,7 @@
 	b.refreshSubset()
 	first := request.firstThatMayRun()
 	if request.class.Idempotency == IdempotentWithKey && first != nil {
-		scope := b.hostsInScope(request.class.DedupScope, first.host) // also outside the subset
+		scope := b.hostsInScope(request.class.DedupScope, first.host) // may include hosts outside the subset
 		return b.pickInScope(request, scope)
 	}
 	excluded := &b.excluded[request.Class]
@@ -61,16 +63,18 @@
 	if host != nil {
 		return host
 	}
-	// Before it waits, a request that can be retried goes to a suspected host: that shows whether it is
-	// silent. It guards against a fleet of hosts that are each idle but for one costly request.
+	// Before it is queued, a request that can be retried is sent to a suspected host; the result shows
+	// whether that host is silent. Otherwise hosts that are idle except for one expensive request each
+	// would be unavailable to the whole fleet.
 	if request.class.Idempotency == NonIdempotent {
 		return nil
 	}
 	return b.draw(request, suspectedHosts)
 }
 
-// draw chooses among the hosts of sets, as if the ready ones were gathered first: it draws, and passes over
-// hosts that are not ready any more. After maxDraws draws most are not, and they are gathered.
+// draw chooses among the hosts of the eligible sets. The result is distributed as if the ready ones had
+// been gathered first: it draws pairs and skips those with hosts that are no longer ready. After maxDraws
+// attempts, most hosts are not ready, and the ready ones are gathered.
 func (b *Balancer) draw(request *request, eligible eligibleSets) *host {
 	for try := range maxDraws {
 		total := b.sets.total(eligible)
@@ -95,8 +99,8 @@
 	return b.chooseCandidate(request)
 }
 
-// updateBusyPair updates two hosts as updateBusyHost does, the second only if the first has not moved, and
-// reports whether one has moved.
+// updateBusyPair calls updateBusyHost for two hosts, for the second one only if the first has not moved,
+// and reports whether one has moved.
 func (b *Balancer) updateBusyPair(x, y *host) (moved bool) {
 	if b.updateBusyHost(x) {
 		return true
@@ -104,18 +108,18 @@
 	return y != x && b.updateBusyHost(y)
 }
 
-// bothUsable reports whether neither of two hosts is excluded for a class, or that does not matter.
+// bothUsable reports whether two hosts are both usable for a class.
 func (b *Balancer) bothUsable(x, y *host, class int, eligible eligibleSets) bool {
 	return b.usable(x, class, eligible) && b.usable(y, class, eligible)
 }
 
-// usable reports whether a host is not excluded for a class, or that does not matter.
+// usable reports whether a host is not excluded for a class, or excluded hosts are eligible.
 func (b *Balancer) usable(host *host, class int, eligible eligibleSets) bool {
 	return eligible.includeExcluded || !b.excludedFor(host, class)
 }
 
-// gatherFromSets gathers the hosts of sets that are still ready as the candidates. It goes from the last to
-// the first, as a host that leaves its set is replaced by the last.
+// gatherFromSets sets b.candidates to the hosts of the eligible sets that are still ready. It iterates
+// backward, because a host that leaves its set is replaced by the last one.
 func (b *Balancer) gatherFromSets(request *request, eligible eligibleSets) {
 	b.candidates = b.candidates[:0]
 	for set := eligible.first; set < eligible.end(); set++ {
@@ -129,7 +133,7 @@
 	}
 }
 
-// chooseCandidate returns the less loaded of two random candidates; nil: there is none.
+// chooseCandidate returns the less loaded of two random candidates, or nil if there are none.
 func (b *Balancer) chooseCandidate(request *request) *host {
 	if len(b.candidates) == 0 {
 		return nil
@@ -138,8 +142,8 @@
 	return b.lessLoaded(request, b.candidates[i], b.candidates[j])
 }
 
-// lessLoaded returns the host with the lower score. One that has failed the request already comes after one
-// that has not: it guards against using up a request's attempts at failing hosts.
+// lessLoaded returns the host with the lower score. A host that has not been sent the request is preferred
+// to one that has, so that a request does not use up its attempts at failing hosts.
 func (b *Balancer) lessLoaded(request *request, x, y *host) *host {
 	triedX := request.tried(x)
 	triedY := request.tried(y)
@@ -154,13 +158,14 @@
 	return x
 }
 
-// eligibleSets returns the sets that a request may use, given the counts of hosts that are not excluded for
-// its class, and how many are. When most hosts are ejected it fails open: the fault is then more likely the
-// network or the load than each host, and the few that are left must not take everything. Hosts to which
-// connections fail are spared while any other is up: they would use up a request's attempts in no time.
+// eligibleSets returns the sets that a request may use. counts covers the hosts that are not excluded for
+// its class, and excluded is the number of those that are. If most hosts are ejected, selection fails open:
+// the cause is then more likely the network or the load than the individual hosts, and the few remaining
+// hosts must not receive all requests. Hosts to which connections fail are left out unless it is all of
+// them, because a request would quickly use up its attempts there.
 func (b *Balancer) eligibleSets(counts subsetCounts, excluded int) eligibleSets {
 	if counts.ready == 0 && excluded > 0 {
-		return readyEjectedOrExcluded // one host is as good as another
+		return readyEjectedOrExcluded // all hosts return errors, so none is preferable
 	}
 	mostEjected := 2*counts.ejected > counts.ready
 	if !mostEjected {
@@ -174,8 +179,8 @@
 	return readyOrSilent
 }
 
-// pickInScope chooses among the hosts of a scope, in the subset or not, as pick does. Of a large scope
-// two are drawn first; it is gathered where one of them is not ready.
+// pickInScope is pick for the hosts of a scope, which need not be in the subset. If the scope is large,
+// pairs are drawn first, and the hosts are gathered only if no drawn pair is ready.
 func (b *Balancer) pickInScope(request *request, scope []*host) *host {
 	if len(scope) > largeScopeHosts {
 		host := b.drawFromScope(request, scope)
@@ -187,14 +192,15 @@
 	eligible := b.eligibleSets(counts, excluded)
 	b.gatherFromScope(request, scope, eligible)
 	if len(b.candidates) == 0 {
-		suspected := suspectedHosts // unlike in pick, also those excluded for the class, where all are
+		suspected := suspectedHosts // unlike pick, includes excluded hosts if all are excluded for the class
 		suspected.includeExcluded = eligible.includeExcluded
 		b.gatherFromScope(request, scope, suspected)
 	}
 	return b.chooseCandidate(request)
 }
 
-// drawFromScope draws two hosts of a scope up to maxDraws times; nil: none of the pairs were both ready.
+// drawFromScope draws pairs of hosts from a scope up to maxDraws times, and returns nil if no pair is
+// ready.
 func (b *Balancer) drawFromScope(request *request, scope []*host) *host {
 	for range maxDraws {
 		x := scope[b.random.below(len(scope))]
@@ -207,7 +213,8 @@
 	return nil
 }
 
-// countScope counts the hosts of a scope that are not excluded for the request's class, and those that are.
+// countScope counts the hosts of a scope that are not excluded for the class of the request, and the
+// excluded ones.
 func (b *Balancer) countScope(request *request, scope []*host) (counts subsetCounts, excluded int) {
 	for _, host := range scope {
 		if host.State != Ready {
@@ -224,7 +231,7 @@
 	return counts, excluded
 }
 
-// gatherFromScope gathers the hosts of a scope that are in one of the sets as the candidates.
+// gatherFromScope sets b.candidates to the hosts of a scope that belong to the eligible sets.
 func (b *Balancer) gatherFromScope(request *request, scope []*host, eligible eligibleSets) {
 	b.candidates = b.candidates[:0]
 	for _, host := range scope {
--- a/balancer/sendrate.go
+++ b/balancer/sendrate.go
@@ -3,54 +3,56 @@
 import "math"
 
 const (
-	// sendRateTargetObjectives is the RTT that the send rate steers to, in latency objectives of the class.
+	// sendRateTargetObjectives is the target mean RTT of the send rate, in latency objectives of the class.
 	sendRateTargetObjectives = 0.45
-	// sendRateTargetTypicalRTTs is the same in typical RTTs of the class. The lower target holds.
+	// sendRateTargetTypicalRTTs is the target in typical RTTs of the class. The lower of the two targets
+	// applies.
 	sendRateTargetTypicalRTTs = 1.5
-	// sendRateMinInstances is how many instances must share a host for the send rate to be limited. Below
-	// it the concurrency limit of each host suffices.
+	// sendRateMinInstances is the number of instances that must share a host for the send rate to be
+	// limited. With fewer instances the concurrency limit of each host is sufficient.
 	sendRateMinInstances = 8
-	// sendRateBurstAttempts is how many attempts may be sent at once after a pause.
+	// sendRateBurstAttempts is the maximum burst after an idle period, in attempts.
 	sendRateBurstAttempts = 4
-	// sendRateGrowthDecays is the time in which the limit grows by a factor of e, in decays of RTT estimates.
+	// sendRateGrowthDecays is the time in which the limit grows by a factor of e, in time constants of RTT
+	// estimates.
 	sendRateGrowthDecays = 0.5
-	// sendRateEndArrivals is the limit above which the send rate is no longer limited, in arrival rates of
-	// requests.
+	// sendRateEndArrivals is the multiple of the arrival rate above which the limit is removed.
 	sendRateEndArrivals = 2
-	// sendRateMaxSampleTargets bounds the RTT that one response counts as, in targets.
+	// sendRateMaxSampleTargets is the maximum RTT that one response counts as, in targets.
 	sendRateMaxSampleTargets = 3
 	// sendRateSampleWeight is the weight of one response in the recent mean RTT.
 	sendRateSampleWeight = 1.0 / 8
-	// sendRateReductionDeviations is how far above its target the recent mean RTT must be for a reduction, in
-	// mean deviations, so that chance alone does not reduce the rate.
+	// sendRateReductionDeviations is how far the recent mean RTT must exceed its target for a reduction, in
+	// mean deviations, so that random variation alone does not reduce the rate.
 	sendRateReductionDeviations = 1.0
 )
 
-// sendRateController limits how many attempts a second this instance sends to all hosts together. It guards
-// against overload of the whole fleet where many instances share a host: each has only a part of an attempt
-// there, and a concurrency limit per host can't act. Inputs are the RTT of each response from any host and
-// the attempts sent; the limit is reduced once a round when the mean RTT is a mean deviation above its
-// target, and grows while it is below.
+// sendRateController limits the rate of attempts that this instance sends to all hosts together. It
+// prevents an overload of the whole fleet where many instances share a host: each instance then has less
+// than one attempt in flight at the host on average, so a concurrency limit per host has no effect. The
+// inputs are the RTT of each response from any host and the attempts sent. The limit is reduced at most
+// once per round trip, when the mean RTT exceeds its target by a mean deviation, and grows while the mean
+// is at or below the target.
 type sendRateController struct {
-	limit      float64       // attempts a second; 0: not limited
-	recentRTT  movingAverage // RTT of the last responses from any host, in targets of their classes
-	reducedAt  Time
-	grownAt    Time
-	tokens     float64 // attempts that may be sent at once, as of refilledAt
+	limit      float64       // attempts per second; 0 for no limit
+	recentRTT  movingAverage // RTT of recent responses from any host, in targets of their classes
+	reducedAt  Time          // time of the last reduction
+	grownAt    Time          // time of the last growth or reduction
+	tokens     float64       // attempts that may be sent at once, at the time refilledAt
 	refilledAt Time
-	sent       decayingRate // attempts a second
+	sent       decayingRate // attempts sent per second
 
 	// Derived from the settings.
-	rateSpan   float64 // span of the rates, in seconds
-	growthTime float64 // in which the limit grows by a factor of e, in seconds
+	rateSpan   float64 // time constant of the rates, in seconds
+	growthTime float64 // time in which the limit grows by a factor of e, in seconds
 }
 
-// observe updates the limit after a response to an attempt sent at sentAt. The sample is its RTT, in targets
-// of its class. arrivals is the rate of requests at this instance.
+// observe updates the limit after a response to an attempt that was sent at sentAt. sample is its RTT in
+// targets of its class, and arrivals is the rate of requests at this instance.
 func (c *sendRateController) observe(now, sentAt Time, sample float64, arrivals *decayingRate) {
 	c.recentRTT.blend(min(sample, sendRateMaxSampleTargets), sendRateSampleWeight)
 	overloaded := c.recentRTT.mean > 1+sendRateReductionDeviations*c.recentRTT.dev
-	// Only an attempt sent after the last reduction can tell whether that was enough.
+	// Attempts sent before the last reduction do not show its effect.
 	newRound := sentAt >= c.reducedAt
 	switch {
 	case overloaded && newRound:
@@ -60,8 +62,7 @@
 	}
 }
 
-// reduce reduces the limit, or the rate sent where that is lower, by the factor by which the mean RTT is over
-// its target.
+// reduce divides the limit, or the rate sent if that is lower, by the ratio of the mean RTT to its target.
 func (c *sendRateController) reduce(now Time) {
 	sent := c.sent.now(now, c.rateSpan)
 	if c.limit == 0 || sent < c.limit {
@@ -73,7 +74,7 @@
 	c.grownAt = now
 }
 
-// grow raises the limit, and ends it once it is well above what arrives.
+// grow increases the limit, and removes it once it is well above the arrival rate.
 func (c *sendRateController) grow(now Time, arrivals *decayingRate) {
 	c.limit *= math.Exp((now - c.grownAt).Seconds() / c.growthTime)
 	c.grownAt = now
@@ -82,7 +83,7 @@
 	}
 }
 
-// refill adds the tokens of the time since the last call.
+// refill adds the tokens for the time since the last call.
 func (c *sendRateController) refill(now Time) {
 	refilled := c.tokens + c.limit*(now-c.refilledAt).Seconds()
 	c.tokens = min(refilled, sendRateBurstAttempts)
@@ -95,7 +96,7 @@
 	c.tokens = max(c.tokens-1, 0)
 }
 
-// sendRateTarget returns the RTT that the send rate steers to for a class, in seconds.
+// sendRateTarget returns the target RTT of the send rate for a class, in seconds.
 func (b *Balancer) sendRateTarget(class int) float64 {
 	target := sendRateTargetObjectives * b.settings.Classes[class].LatencyObjective.Seconds()
 	typical := &b.typicalRTT.byClass[class]
@@ -111,8 +112,9 @@
 	b.sendRate.observe(b.now, attempt.sentAt, sample, &b.arrivals)
 }
 
-// withinSendRate reports whether the send rate lets a request be sent now. Requests of low priority leave
-// tokens for those of high priority, so that under overload the lowest queue is rejected first.
+// withinSendRate reports whether the send rate allows a request to be sent now. Some tokens are reserved
+// for requests of higher priority, so that under overload the requests of the lowest priority are rejected
+// first.
 func (b *Balancer) withinSendRate(request *request) bool {
 	if b.sendRate.limit == 0 || b.sharingInstances() < sendRateMinInstances {
 		return true
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// Limits of settings. What exceeds them is a mistake, and would overflow.
+// Upper bounds of settings. A larger value is a mistake, and could overflow.
 const (
 	maxTime  = 1000 * time.Hour
-	maxCount = 1 << 20 // of instances and attempts
-	maxFloat = 1e12    // of shares, factors, weights and quotas
-	// maxPollTimeout bounds PollTimeout, from which the backoff of polls follows: an instance has to know a
-	// change 6 s after it could be learnt, however long a poll the settings allow.
+	maxCount = 1 << 20 // instances and attempts
+	maxFloat = 1e12    // shares, factors, weights and quotas
+	// maxPollTimeout is the upper bound of PollTimeout, from which the backoff of polls derives: an
+	// instance must receive a change of the list within 6 s after it is available, whatever poll timeout is
+	// configured.
 	maxPollTimeout = 10 * time.Second
 )
 
-// Defaults of settings.
+// Default values of settings.
 const (
 	defaultMaxAttempts    = 3
 	defaultPollTimeout    = 10 * time.Second
-	defaultSlowStartShare = 1 // of its capacity: no slow start
+	defaultSlowStartShare = 1 // full capacity, that is, no slow start
 	defaultOverloadFactor = 2
 	defaultOverloadWindow = time.Second
 	defaultPriorityWeight = 1
 )
 
-// check returns an error that names the field for invalid settings, and sets defaults. Fields have the names
-// that they have in recordings.
+// check validates settings and sets defaults. An error names the field as recordings do.
 func check(settings *Settings) error {
 	if err := checkCounts(settings); err != nil {
 		return err
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// namedValue is a field of the settings with the name that it has in recordings.
+// namedValue is a setting with its name in recordings.
 type namedValue[T float64 | time.Duration] struct {
 	name  string
 	value T
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// checkClasses checks the classes, of which it makes a copy to set defaults in.
+// checkClasses validates the classes and sets defaults in a copy of them.
 func checkClasses(settings *Settings) error {
 	settings.Classes = append([]Class(nil), settings.Classes...)
 	allRetired := true
@@ -128,7 +128,7 @@
 		}
 	}
 	if allRetired {
-		return errors.New("settings: classes: all are retired")
+		return errors.New("settings: classes: all classes are retired")
 	}
 	return nil
 }
@@ -151,12 +151,12 @@
 	return nil
 }
 
-// isValidFloat reports whether a share, factor, weight or quota is in range, which NaN is not.
+// isValidFloat reports whether a share, factor, weight or quota is in range. NaN is not.
 func isValidFloat(value float64) bool { return value >= 0 && value <= maxFloat }
 
-// orDefault sets a value that is zero.
-func orDefault[T int | float64 | Time](value *T, byDefault T) {
+// orDefault sets a value to the default if it is zero.
+func orDefault[T int | float64 | Time](value *T, defaultValue T) {
 	if *value == 0 {
-		*value = byDefault
+		*value = defaultValue
 	}
 }
--- a/balancer/silence.go
+++ b/balancer/silence.go
@@ -1,15 +1,15 @@
 package balancer
 
 const (
-	// silenceTimeoutDeviations is how far above the mean RTT of its class an attempt's age must be for
-	// its host to count as silent, in mean deviations.
+	// silenceTimeoutDeviations is how far the age of an attempt must exceed the mean RTT of its class for
+	// its host to be considered silent, in mean deviations.
 	silenceTimeoutDeviations = 4
-	// silenceTimeoutDivisor gives the timeout of a class without a response yet: its latency objective
-	// divided by it.
+	// silenceTimeoutDivisor determines the timeout of a class without any response so far: its latency
+	// objective divided by it.
 	silenceTimeoutDivisor = 2
 )
 
-// silenceTimeout returns how long an attempt for a request may take before its host counts as silent.
+// silenceTimeout returns the age of an attempt of the request from which its host is considered silent.
 func (b *Balancer) silenceTimeout(request *request) Time {
 	typical := &b.typicalRTT.byClass[request.Class]
 	if !typical.seen {
@@ -18,20 +18,20 @@
 	return Time(nanosecondsPerSecond * (typical.mean + silenceTimeoutDeviations*typical.dev))
 }
 
-// unansweredTooLong reports whether an attempt in flight has taken longer than its silence timeout.
+// unansweredTooLong reports whether an attempt in flight has reached its silence timeout.
 func (b *Balancer) unansweredTooLong(attempt *attempt) bool {
 	return b.now-attempt.sentAt >= b.silenceTimeout(attempt.request)
 }
 
-// suspected reports whether a host has a single attempt in flight that takes longer than it should: either
-// the host is silent or the request is costly.
+// suspected reports whether a host has a single attempt in flight that was not overtaken, and that attempt
+// has reached its silence timeout. Either the host is silent or the request is expensive.
 func (b *Balancer) suspected(host *host) bool {
 	oldest, notOvertaken := host.oldestNotOvertaken()
 	return notOvertaken == 1 && !host.limiter.resting(b.now) && b.unansweredTooLong(oldest)
 }
 
-// checkBusyHosts looks at the hosts with attempts in flight, as time has passed: it cancels stalled attempts,
-// updates the standing of the hosts and ejects silent ones.
+// checkBusyHosts checks the hosts with attempts in flight, whose state changes with time alone: it cancels
+// stalled attempts, updates the standing of the hosts and ejects silent ones.
 func (b *Balancer) checkBusyHosts() {
 	b.sweep.inFlight = 0
 	for _, host := range b.sets[setBusy].list {
@@ -42,11 +42,11 @@
 	}
 }
 
-// checkSilence ejects a host that is silent: it has answered nothing since its oldest attempts were sent,
-// longer ago than their classes' RTTs explain. It guards against hosts that accept requests and answer
-// none; a host that is only slow answers others meanwhile. One attempt may be costly, so two must be
-// unanswered that long. Attempts at the host stay: most are answered later, and sending them again costs
-// more than it saves.
+// checkSilence ejects a host that is silent: it has not responded since its two oldest attempts were sent,
+// and both have reached their silence timeouts. This detects hosts that accept requests without responding;
+// a host that is only slow responds to other attempts meanwhile. Two attempts are required because a single
+// one may be expensive. The attempts at the host are not canceled: most get a response later, and sending
+// them again would cost more than it saves.
 func (b *Balancer) checkSilence(host *host) {
 	first := host.attempts.head
 	if first == nil {
@@ -58,7 +58,8 @@
 		return
 	}
 	if host.ejection.count == 0 && !oldest.countedSilent {
-		// Its RTT is that long at least: overload shows before the responses arrive.
+		// The RTT of the attempt is at least its age. Reporting it now shows an overload before the late
+		// responses arrive.
 		oldest.countedSilent = true
 		b.adjustSendRate(oldest, (b.now - oldest.sentAt).Seconds())
 	}
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -1,41 +1,43 @@
 package balancer
 
 const (
-	// slowStartBudgetShare is the share of a warming host's capacity that is used, as that is an estimate and
-	// the work of requests varies.
+	// slowStartBudgetShare is the share of the estimated capacity of a warming host that is used. It leaves
+	// a margin because the capacity is an estimate and the cost of requests varies.
 	slowStartBudgetShare = 0.5
-	// slowStartJitterMin is the least factor of chance in the time between two attempts at a warming host.
+	// slowStartJitterMin is the lower bound of the random factor applied to the interval between two
+	// attempts at a warming host.
 	slowStartJitterMin = 0.5
-	// rateSpanWindows is the span of the rates of requests, attempts and responses, in overload windows.
+	// rateSpanWindows is the time constant of the rates of requests, attempts and responses, in overload
+	// windows.
 	rateSpanWindows = 4
 )
 
-// slowStartPacer decides how often a warming host, one that has just started, is sent an attempt, so that
-// all instances together stay within the capacity that it has yet. Its input is the rate of good responses
-// that this instance gets from a warm host, in responses a second.
+// slowStartPacer determines how often a warming host, that is, a recently started one, is sent an attempt,
+// so that all instances together stay within its current capacity. Its input is the rate of successful
+// responses that this instance gets from a warm host, per second.
 type slowStartPacer struct {
-	successes    decayingRate  // good responses of warm hosts a second
-	warmHostRate movingAverage // the same of one warm host
+	successes    decayingRate  // successful responses of all warm hosts per second
+	warmHostRate movingAverage // successful responses of a single warm host per second
 }
 
-// slowStart is the state of one warming host.
+// slowStart is the slow-start state of a host.
 type slowStart struct {
-	warming   bool // it started less than SlowStartWindow ago
+	warming   bool // the host started less than SlowStartWindow ago
 	startedAt Time
-	nextSend  Time // earliest next attempt; 0: not set yet
+	nextSend  Time // earliest time of the next attempt; 0 until it is set
 }
 
-// paced reports whether a warming host gets nothing now.
+// paced reports whether a warming host must not be sent an attempt yet.
 func (s *slowStart) paced(now Time) bool { return s.warming && now < s.nextSend }
 
-// observe counts a good response of a warm host, of which this instance uses a number. The span of the rate
-// is in seconds.
+// observe counts a successful response of a warm host. hosts is the number of warm hosts that this instance
+// uses, and span the time constant of the rate in seconds.
 func (p *slowStartPacer) observe(now Time, span float64, hosts int) {
 	p.successes.add(now, span)
 	p.warmHostRate.add(p.successes.now(now, span) / float64(hosts))
 }
 
-// observeWarmHost counts a good response of a host, unless it is warming itself.
+// observeWarmHost counts a successful response of a host, unless the host is warming.
 func (b *Balancer) observeWarmHost(host *host) {
 	if host.slowStart.warming || b.counts.inUse == 0 {
 		return
@@ -43,12 +45,12 @@
 	b.pacer.observe(b.now, b.rateSpan(), b.counts.inUse)
 }
 
-// rateSpan returns the span of rates, in seconds.
+// rateSpan returns the time constant of rates in seconds.
 func (b *Balancer) rateSpan() float64 { return rateSpanWindows * b.settings.OverloadWindow.Seconds() }
 
-// startSlowStart marks a host as warming since its start. The first attempt waits its turn too, as a host
-// that leaves the list and returns may have been sent to just before; it is paced once the whole list is
-// known.
+// startSlowStart marks a host as warming since its start. Its first attempt is delayed as well, because a
+// host that left the list and returned may have been sent an attempt just before. The delay is set once the
+// whole list has been applied.
 func (b *Balancer) startSlowStart(host *host, since Time) {
 	if b.settings.SlowStartShare >= 1 || b.now-since >= b.settings.SlowStartWindow {
 		return
@@ -56,7 +58,7 @@
 	host.slowStart = slowStart{warming: true, startedAt: since}
 }
 
-// endSlowStart ends the slow start of a host once its window is over.
+// endSlowStart ends the slow start of a host if its window has passed.
 func (b *Balancer) endSlowStart(host *host) {
 	warmedUp := b.now-host.slowStart.startedAt >= b.settings.SlowStartWindow
 	if host.slowStart.warming && warmedUp {
@@ -72,12 +74,13 @@
 	return first + (1-first)*age/float64(b.settings.SlowStartWindow)
 }
 
-// paceSlowStart sets when a warming host may be sent the next attempt. What this instance gets from a warm
-// host, times the instances that share it, is within a warm host's capacity. The share of that which a
-// warming host has, times the overload factor, divided by the instances that share the host, is this
-// instance's part. It is spread by chance, so that instances that learn of the host at once do not send at
-// once. With nothing learnt yet, as after a restart, all instances together send one request in an overload
-// window.
+// paceSlowStart sets the earliest time of the next attempt at a warming host. The rate that this instance
+// gets from a warm host, times the number of instances that share it, is within the capacity of a warm
+// host. That capacity, times the current share of the warming host, times the overload factor and
+// slowStartBudgetShare, is the budget of the host; each of the instances that share it gets an equal part.
+// The interval is random, so that instances that receive the same endpoint list at the same time do not
+// send at the same time. If no rate is known, as after a restart, all instances together send one request
+// per overload window.
 func (b *Balancer) paceSlowStart(host *host) {
 	instances := b.sharingInstances()
 	capacity := b.pacer.warmHostRate.mean * instances * b.settings.OverloadFactor * b.warmingShare(host)
--- a/balancer/stalled.go
+++ b/balancer/stalled.go
@@ -1,32 +1,32 @@
 package balancer
 
 const (
-	// overtakenResponses is how many responses to later attempts a host must have given for an attempt to
-	// count as overtaken.
+	// overtakenResponses is the number of responses to later attempts at the same host after which an
+	// attempt counts as overtaken.
 	overtakenResponses = 3
-	// stalledObjectives is the least age of a stalled attempt, in latency objectives.
+	// stalledObjectives is the minimum age of a stalled attempt, in latency objectives.
 	stalledObjectives = 0.3
-	// unansweredSampleWeight is the weight of one stalled attempt in the share never answered.
+	// unansweredSampleWeight is the weight of one stalled attempt in the share of unanswered ones.
 	unansweredSampleWeight = 1.0 / 8
-	// maxUnansweredShare is the share above which stalled attempts are canceled. It is low, as a lost request
-	// costs more than a retry.
+	// maxUnansweredShare is the share of unanswered ones above which stalled attempts are canceled. It is
+	// low because a lost request costs more than a retry.
 	maxUnansweredShare = 0.2
 )
 
-// stalledAttempts decides whether stalled attempts are canceled, so that their requests can be retried. An
-// attempt is stalled when its host has answered later ones and it has taken long. It guards against
-// connections that have become silent. Its input is how stalled attempts end that are left alone, as those of
-// non-idempotent requests always are: where most get their response, they are requests that take long, and
-// canceling wastes their work.
+// stalledAttempts decides whether stalled attempts are canceled so that their requests can be retried. An
+// attempt is stalled if its host has responded to later attempts and it has been in flight for a long time.
+// The rule detects connections that have become silent. Its input is the result of stalled attempts that
+// are not canceled, which includes all those of non-idempotent requests: if most get a response, they are
+// merely expensive, and canceling them would waste the work done.
 type stalledAttempts struct {
-	unansweredShare float64 // of stalled attempts that are never answered
+	unansweredShare float64 // share of stalled attempts that never get a response
 }
 
-// areUnanswered reports whether so many stalled attempts are never answered that they are canceled, and do
-// not count against limits.
+// areUnanswered reports whether so many stalled attempts never get a response that they are canceled and do
+// not count against concurrency limits.
 func (s *stalledAttempts) areUnanswered() bool { return s.unansweredShare > maxUnansweredShare }
 
-// observe learns from the end of a stalled attempt that was left alone.
+// observe updates the share at the end of a stalled attempt that was not canceled as stalled.
 func (s *stalledAttempts) observe(attempt *attempt) {
 	switch attempt.result {
 	case OK, Failed, Full, InvalidResponse:
@@ -39,12 +39,12 @@
 	}
 }
 
-// overtaken reports whether the host has answered attempts sent after this one, and so is neither silent nor
-// slow: the fault is with the connection or the request itself.
+// overtaken reports whether the host has responded to several attempts that were sent after this one. The
+// host is then neither silent nor slow; the cause is the connection or the request itself.
 func (a *attempt) overtaken() bool { return a.overtakenBy >= overtakenResponses }
 
-// countOvertaken counts a response for the attempts at its host that were sent before it. It guards against
-// not using a host for as long as one connection to it is silent.
+// countOvertaken counts a response for those attempts in flight at the host that were sent before the
+// answered one. Without it, a single silent connection would keep the host out of use.
 func (b *Balancer) countOvertaken(answered *attempt) {
 	for node := answered.host.attempts.head; node != nil; node = node.next {
 		if node.item.sentAt >= answered.sentAt {
@@ -54,7 +54,7 @@
 	}
 }
 
-// isStalled reports whether an attempt was overtaken and has taken long.
+// isStalled reports whether an attempt was overtaken and has been in flight for a long time.
 func (b *Balancer) isStalled(attempt *attempt) bool {
 	minAge := Time(stalledObjectives * float64(attempt.request.class.LatencyObjective))
 	age := b.now - attempt.sentAt
@@ -79,9 +79,9 @@
 	}
 }
 
-// learnStalled learns from the end of an attempt if it was stalled. Where that changes whether stalled
-// attempts count against limits, hosts that have some are checked again.
-func (b *Balancer) learnStalled(attempt *attempt) {
+// observeStalled updates the share of unanswered attempts at the end of an attempt that was stalled. If
+// that changes whether stalled attempts count against limits, the standing of all busy hosts is updated.
+func (b *Balancer) observeStalled(attempt *attempt) {
 	if attempt.canceledStalled || !b.isStalled(attempt) {
 		return
 	}
--- a/balancer/standing.go
+++ b/balancer/standing.go
@@ -1,18 +1,19 @@
 package balancer
 
-// The states of a host, of which it may have several. An instant is on the Balancer's clock, an age
-// counts from the Send action, an objective is the latency objective of the attempt's class. Shown is the
-// letter in `dunemoorctl flight show` (HostView.Unavailable), a field of HostView, or Balancer.Usable.
+// The states of a host. A host can be in several of them. An instant is a time on the Balancer's clock, the
+// age of an attempt counts from its Send action, and an objective is the latency objective of its class.
+// The last column is the letter in `dunemoorctl flight show` (from HostView.Unavailable), a field of
+// HostView, or Balancer.Usable.
 //
 //	state        condition                             unit       ends when                      shown as
 //	draining     listed as Draining                               listed as Ready                d
 //	outside      not in this instance's subset                    the subset moves (subset.go)   -
 //	ejected      ejection.count > 0, and before until  instant    until; then one trial request, X or S
-//	             or with its trial request in flight              and any response is the end
+//	             or with its trial request in flight              and any response ends it
 //	 unreachable cause CauseConnectionsFailed                                                    X
 //	 silent      cause CauseSilent                                                               S
 //	unrecovered  ejection.count > 0                    ejections  the host responds              Usable
-//	warming      started within SlowStartWindow        duration   SlowStartWindow is over        Warming
+//	warming      started within SlowStartWindow        duration   SlowStartWindow has passed     Warming
 //	paced        warming, before slowStart.nextSend    instant    nextSend                       c
 //	resting      before limiter.restingUntil           instant    restingUntil                   r
 //	full         attempts in flight + 1 > limit        attempts   an attempt ends, limit grows   f
@@ -22,23 +23,23 @@
 //	             than silenceTimeout; not resting                 another is sent
 //	excluded     for a class, before excludedUntil     instant    excludedUntil, good responses  ExcludedFor
 //
-// The letters X and S end at until, though the host's trial request may still be in flight. An attempt is
-// overtaken once its host has given overtakenResponses responses to later ones (stalled.go), and stalled if
-// in addition it is older than silenceTimeout and stalledObjectives.
+// The letters X and S are shown up to until, even if the trial request is still in flight after that. An
+// attempt is overtaken once its host has given overtakenResponses responses to later attempts (stalled.go),
+// and stalled if it is also older than silenceTimeout and stalledObjectives.
 
-// standing is what a host counts as in the subset.
+// standing is the status with which a host is included in subsetCounts.
 type standing struct {
-	ready       bool // it is in the subset, and listed as ready
+	ready       bool // in the subset, and Ready in the endpoint list
 	inUse       bool // neither warming nor ejected
 	ejected     bool
-	unreachable bool // ejected, as connections to it fail
-	unrecovered bool // without a response since it was ejected
+	unreachable bool // ejected with CauseConnectionsFailed
+	unrecovered bool // no response since it was ejected
 }
 
-// subsetCounts counts the hosts of the subset by standing.
+// subsetCounts contains the number of hosts of the subset by standing.
 type subsetCounts struct{ ready, inUse, ejected, unreachable, unrecovered int }
 
-// add counts n hosts of a standing.
+// add adds n hosts with the given standing to the counts.
 func (c *subsetCounts) add(counted standing, n int) {
 	if counted.ready {
 		c.ready += n
@@ -57,8 +58,8 @@
 	}
 }
 
-// selectionSetOf decides which selection set a host belongs to, whether or not it is in the subset. Its
-// inputs are the host's listed state, slow start, concurrency limit and ejection, in this order.
+// selectionSetOf returns the selection set for a host, whether or not the host is in the subset. It depends
+// on the listed state, slow start, concurrency limit and ejection of the host, in this order.
 func (b *Balancer) selectionSetOf(host *host) setKind {
 	if host.State != Ready || host.slowStart.paced(b.now) {
 		return setNone
@@ -79,11 +80,11 @@
 	return setSilent
 }
 
-// isInUse reports whether a host of the subset counts toward its size: one that is warming or ejected does
+// isInUse reports whether a host of the subset counts toward the subset size. Warming and ejected hosts do
 // not.
 func (b *Balancer) isInUse(host *host) bool { return !host.slowStart.warming && !b.ejected(host) }
 
-// standingOf returns what a host counts as now.
+// standingOf returns the current standing of a host.
 func (b *Balancer) standingOf(host *host) standing {
 	ready := host.inSubset() && host.State == Ready
 	if !ready {
@@ -99,8 +100,8 @@
 	}
 }
 
-// updateStanding puts a host into the set that it belongs to and updates the counts. It is called after each
-// event that concerns the host, and at the times that nextStandingChange gives.
+// updateStanding moves a host to its selection set and updates the counts. It must be called after each
+// event that concerns the host, and at the times that nextStandingChange returns.
 func (b *Balancer) updateStanding(host *host) {
 	if host.slowStart.warming {
 		b.updateRingStatus(host)
@@ -122,7 +123,7 @@
 	b.dueStandings.schedule(host, b.nextStandingChange(host))
 }
 
-// countExclusions updates, for each class, whether a host counts as excluded, given its standing now.
+// countExclusions updates, for each class, the counts of excluded hosts for a host and its new standing.
 func (b *Balancer) countExclusions(host *host, counted standing) {
 	for class := range host.errors {
 		errors := &host.errors[class]
@@ -136,8 +137,8 @@
 	}
 }
 
-// nextStandingChange returns the next time at which a host's standing may change without an event; forever:
-// none.
+// nextStandingChange returns the next time at which the standing of a host may change without an event, or
+// forever.
 func (b *Balancer) nextStandingChange(host *host) Time {
 	next := forever
 	consider := func(at Time) {
@@ -155,7 +156,7 @@
 	consider(host.limiter.restingUntil)
 	oldest, notOvertaken := host.oldestNotOvertaken()
 	if notOvertaken == 1 {
-		consider(oldest.sentAt + b.silenceTimeout(oldest.request)) // the host may be suspected from then on
+		consider(oldest.sentAt + b.silenceTimeout(oldest.request)) // from then on the host may be suspected
 	}
 	if host.hasErrors {
 		for class := range host.errors {
@@ -165,8 +166,8 @@
 	return next
 }
 
-// updateBusyHost updates a host with attempts in flight, as time has passed, and reports whether it moved to
-// another set.
+// updateBusyHost updates the standing of a host with attempts in flight, which may change with time alone.
+// It reports whether the host moved to another set.
 func (b *Balancer) updateBusyHost(host *host) (moved bool) {
 	if host.inFlight == 0 {
 		return false
--- a/balancer/starvation.go
+++ b/balancer/starvation.go
@@ -1,25 +1,25 @@
 package balancer
 
 const (
-	// starvationSampleWeight is the weight of one request in its class's share.
+	// starvationSampleWeight is the weight of one request in the unserved share of its class.
 	starvationSampleWeight = 1.0 / 8
-	// minStarvationShare is the share above which classes of lower priority yield.
+	// minStarvationShare is the unserved share above which requests of lower priority may be rejected.
 	minStarvationShare = 0.1
-	// maxStarvationShare is the share from which they yield as often as they may.
+	// maxStarvationShare is the unserved share from which the rejection probability is at its maximum.
 	maxStarvationShare = 0.3
-	// starvationSpanWindows is the span of the share, in overload windows: it has to outlast gaps between the
-	// requests of a rare class.
+	// starvationSpanWindows is the time constant of the unserved share, in overload windows. It must exceed
+	// the intervals between requests of a rare class.
 	starvationSpanWindows = 16
 )
 
 // starvationTracker decides which requests are rejected on arrival to leave capacity to a class of higher
-// priority whose requests find no host. Its input is whether each request was served or timed out in a
-// queue, by class. It guards against a fleet that is full of requests of low priority: those of high priority
-// may wait the least where their objective is tight, so that where a host becomes free, a request of low
-// priority waits there.
+// priority whose requests find no host. Its input is, by class, whether each request was served or timed
+// out in a queue. Without this rule, requests of low priority could occupy the whole fleet: requests of
+// high priority with a tight latency objective may wait for the shortest time, so that usually only
+// requests of low priority are waiting when a host becomes available.
 type starvationTracker struct {
 	unserved []decayingShare // share of the requests that found no host, by class
-	span     float64         // of the decay, in seconds; derived from the settings
+	span     float64         // time constant of the decay in seconds; derived from the settings
 }
 
 // record records whether a request of a class found no host.
@@ -32,8 +32,9 @@
 	}
 }
 
-// yieldProbability returns how likely a request of a priority weight is rejected: the likelier the more of a
-// class of higher weight finds no host, and at most by the share by which its weight is lower.
+// yieldProbability returns the probability that a request with the given priority weight is rejected. It
+// grows with the unserved share of classes of higher weight, and is at most the fraction by which the
+// weight of the request is lower than theirs.
 func (t *starvationTracker) yieldProbability(now Time, classes []Class, weight float64) float64 {
 	probability := 0.0
 	for i := range t.unserved {
@@ -48,8 +49,8 @@
 	return probability
 }
 
-// recordStarvation records whether a request found no host. A request counts as unserved only where other
-// requests hold the hosts.
+// recordStarvation records whether a request found no host. It counts as unserved only if other requests
+// occupy hosts.
 func (b *Balancer) recordStarvation(request *request, unserved bool) {
 	allIdle := len(b.sets[setBusy].list) == 0
 	if unserved && allIdle {
@@ -58,7 +59,7 @@
 	b.starvation.record(b.now, request.Class, unserved)
 }
 
-// yieldsToStarving decides by chance whether a request is rejected to leave capacity to a class of higher
+// yieldsToStarving decides at random whether a request is rejected to leave capacity to a class of higher
 // priority.
 func (b *Balancer) yieldsToStarving(request *request) bool {
 	probability := b.starvation.yieldProbability(b.now, b.settings.Classes, request.class.PriorityWeight)
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -3,32 +3,35 @@
 import "math"
 
 const (
-	// samplesPerHost is how many samples an instance needs of each host within the decay of its estimate.
+	// samplesPerHost is the number of samples of each host that an instance needs within the time constant
+	// of its estimate.
 	samplesPerHost = 6
-	// minSharingInstances is how many instances use each host at least, so that no host depends on the
-	// view of one.
+	// minSharingInstances is the minimum number of instances that use each host, so that no host depends on
+	// the state of a single instance.
 	minSharingInstances = 4
-	// minSubsetHosts is how many hosts an instance uses at least: a choice of two, with one more ejected.
+	// minSubsetHosts is the minimum number of hosts that an instance uses: two to choose from, and one that
+	// may be ejected.
 	minSubsetHosts = 3
-	// subsetMoveWindows is the time between two moves on the ring, in slow-start windows, so that the
-	// load of new hosts grows slowly.
+	// subsetMoveWindows is the interval between two moves of the subset on the ring, in slow-start windows,
+	// so that the load of new hosts grows slowly.
 	subsetMoveWindows = 0.25
 )
 
-// subset decides which hosts of the ring this instance uses: subsetSize hosts in use from its own place
-// on, and the warming and ejected ones beside them. A host stays in the subset while it is in use and
-// near, as its samples are here. Of those that are far one at a time is given up, so that new hosts are
-// not overloaded, and warming ones at once.
+// subset determines which hosts of the ring this instance uses: subsetSize hosts in use, starting at its
+// own place, and any warming and ejected hosts between them. A host that is in use stays in the subset
+// while it is near, because this instance has samples of it. Of the hosts in use that are far away, only
+// one at a time leaves the subset, so that new hosts are not overloaded; warming hosts that are far away
+// leave at once.
 type subset struct {
-	current  bool // the pass over the ring is of the present ring
-	scanned  int  // hosts of the ring, from this instance's place on, that were visited in the pass
-	nextMove Time // when a host that is far may be given up
+	current  bool // the scan below is of the current ring
+	scanned  int  // hosts of the ring, from the place of this instance on, that the scan has visited
+	nextMove Time // when a host that is far away may leave the subset
 }
 
-// subsetSize returns how many of the warm hosts this instance uses: as many as its traffic gives
-// samplesPerHost each within the decay, but no fewer than minSubsetHosts, nor than give each host
-// minSharingInstances. It guards against scores and limits without samples, and against a connection from
-// each instance to each host, which fills their tables.
+// subsetSize returns how many warm hosts this instance uses: as many as its traffic provides samplesPerHost
+// for within the time constant, but at least minSubsetHosts, and enough for minSharingInstances per host. A
+// limited subset avoids scores and limits without samples, and a connection from each instance to each
+// host, which would fill the connection tables of the hosts.
 func (b *Balancer) subsetSize() int {
 	sampled := b.arrivals.now(b.now, b.rateSpan()) * b.minEstimateDecay / samplesPerHost
 	shared := float64(minSharingInstances*b.ringSize()) / float64(b.settings.Instances)
@@ -36,8 +39,8 @@
 	return min(b.ringSize(), max(minSubsetHosts, wanted))
 }
 
-// ringSize returns how many hosts the instances divide among them: the warm ones, as a warming one has
-// next to no capacity, and all that are ready where hardly any is warm.
+// ringSize returns the number of hosts that the instances divide among them: the warm hosts, because a
+// warming host has almost no capacity, or all ready hosts if hardly any is warm.
 func (b *Balancer) ringSize() int {
 	if b.ring.warm < minSubsetHosts {
 		return b.ring.ready()
@@ -45,14 +48,14 @@
 	return b.ring.warm
 }
 
-// sharingInstances returns how many instances use each host. Hosts that none may use do not count: where most
-// are draining or warming, all instances share the rest.
+// sharingInstances returns the number of instances that use each host. Hosts that no instance may use do
+// not count: if most hosts are draining or warming, all instances share the others.
 func (b *Balancer) sharingInstances() float64 {
 	used := float64(b.settings.Instances * b.subsetSize())
 	return max(1, used/max(float64(b.ringSize()), 1))
 }
 
-// refreshSubset brings the subset up to date with the ring, the standing of its hosts and the traffic.
+// refreshSubset updates the subset according to the ring, the standing of its hosts and the traffic.
 func (b *Balancer) refreshSubset() {
 	b.updateDueStandings()
 	size := b.subsetSize()
@@ -68,7 +71,7 @@
 	}
 }
 
-// startSubset begins a new pass over the ring, and gives up warming hosts that are far.
+// startSubset begins a new scan of the ring, and removes warming hosts that are far away from the subset.
 func (b *Balancer) startSubset(size int) {
 	if !b.ring.built {
 		b.buildRing()
@@ -84,8 +87,8 @@
 	}
 }
 
-// moveSubset gives up the host that is farthest, if it is outside this instance's part of the ring. The pass
-// begins again for its replacement.
+// moveSubset removes the farthest host from the subset if it is outside this instance's section of the
+// ring. The scan restarts to find its replacement.
 func (b *Balancer) moveSubset(size int) {
 	interval := Time(subsetMoveWindows * float64(b.settings.SlowStartWindow))
 	b.subset.nextMove = b.now + interval
@@ -97,8 +100,8 @@
 	b.subset.scanned = 0
 }
 
-// extendSubset goes on with the pass over the ring, until enough hosts are in use and the next one is outside
-// this instance's part of it.
+// extendSubset continues the scan of the ring until enough hosts are in use and the next one is outside
+// this instance's section.
 func (b *Balancer) extendSubset(size int) {
 	n := len(b.ring.hosts)
 	for b.subset.scanned < n {
@@ -115,7 +118,8 @@
 	}
 }
 
-// farthest returns the host in use that is farthest from this instance's place; nil: there is none.
+// farthest returns the host in use that is farthest from the place of this instance, or nil if there is
+// none.
 func (b *Balancer) farthest(size int) *host {
 	var farthest *host
 	for _, host := range b.sets[setSubset].list {
@@ -129,9 +133,9 @@
 	return farthest
 }
 
-// distance returns how many hosts lie between a host and this instance's part of the ring, which is size
-// hosts from its place on. It is counted in places of the ring: so each host has its share of the instances
-// also where most others are draining or warming.
+// distance returns the number of places between a host and this instance's section of the ring, which has
+// size places and starts at the place of the instance. Because it is counted in places, each host is used
+// by its share of the instances even if most other hosts are draining or warming.
 func (b *Balancer) distance(host *host, size int) int {
 	n := b.ringSize()
 	ahead := ((host.ring.place-b.ring.place)%n + n) % n
@@ -139,7 +143,8 @@
 	return min(max(ahead-size+1, 0), behind)
 }
 
-// removeFromSubset gives up a host and the connections to it, as its table may be short.
+// removeFromSubset removes a host from the subset and closes the idle connections to it, because the
+// connection table of the host may be small.
 func (b *Balancer) removeFromSubset(host *host) {
 	if !host.inSubset() {
 		return
--- a/balancer/view.go
+++ b/balancer/view.go
@@ -1,28 +1,28 @@
 package balancer
 
-// HostView is what a Balancer knows of one host at an instant, for observers.
+// HostView is a snapshot of the state of one host in a Balancer, for monitoring.
 type HostView struct {
 	Host              HostID
 	State             HostState
-	InSubset          bool    // it is in the subset of this instance
-	Warming           bool    // it started less than SlowStartWindow ago
-	Overdue           bool    // its oldest attempt has taken long, and it gets no other
+	InSubset          bool    // in the subset of this instance
+	Warming           bool    // started less than SlowStartWindow ago
+	Overdue           bool    // its oldest attempt is overdue, and it receives no further attempts
 	InFlight          int     // attempts in flight
 	ConcurrencyLimit  float64 // attempts that it may have in flight from this instance
-	RecentRTT         float64 // mean RTT of its last responses (relativeRTT); above 0.375 the limit falls
-	EstimatedRTT      float64 // RTT by which it is chosen, in seconds
-	Cause             Cause   // of its last ejection
-	Ejections         int     // since its last response; 0: it is not ejected
-	EjectedUntil      Time    // it gets nothing until then, and then one trial request
-	RestingUntil      Time    // it gets nothing before, as its limit is below one
-	NextSlowStartSend Time    // while it is warming: the earliest next attempt
-	ExcludedFor       uint64  // bit i: it is excluded for class i (of the first 64)
+	RecentRTT         float64 // mean RTT of recent responses (relativeRTT); the limit falls above 0.375
+	EstimatedRTT      float64 // RTT estimate by which it is chosen, in seconds
+	Cause             Cause   // cause of its last ejection
+	Ejections         int     // ejections since its last response; 0 if it is not ejected
+	EjectedUntil      Time    // end of the backoff; then it receives one trial request
+	RestingUntil      Time    // with a limit below one: it receives no attempts before this time
+	NextSlowStartSend Time    // while it is warming: earliest time of the next attempt
+	ExcludedFor       uint64  // bit i is set if it is excluded for class i, for the first 64 classes
 }
 
-// maxViewedClasses is how many classes ExcludedFor has bits for.
+// maxViewedClasses is the number of bits of ExcludedFor.
 const maxViewedClasses = 64
 
-// Views appends what the Balancer knows of each host, as of its last event.
+// Views appends a view of each host, as of the last event.
 func (b *Balancer) Views(dst []HostView) []HostView {
 	for _, host := range b.hosts {
 		dst = append(dst, b.view(host))
@@ -30,6 +30,7 @@
 	return dst
 }
 
+// view returns the view of a host.
 func (b *Balancer) view(host *host) HostView {
 	view := HostView{
 		Host:              host.ID,
@@ -55,9 +56,9 @@
 	return view
 }
 
-// Unavailable returns a code for what keeps a host from the next request; "": nothing that the view has.
-// Analyses of recordings print the code. It is an approximation of selectionSetOf: it does not know of a
-// trial request in flight, of a suspected host, of an exclusion for the request's class, or that overtaken
+// Unavailable returns a code for the reason why a host cannot receive the next request, or "" if the view
+// shows none. Analyses of recordings print the code. It approximates selectionSetOf: it does not cover a
+// trial request in flight, a suspected host, an exclusion for the class of the request, or that overtaken
 // attempts may not count against the limit.
 func (v *HostView) Unavailable(now Time) string {
 	inBackoff := v.Ejections > 0 && now < v.EjectedUntil
@@ -84,20 +85,20 @@
 	return ""
 }
 
-// Queued returns the number of requests that wait for a host, and the limit of attempts a second to all hosts
-// together; 0: not limited. The limit is as last computed: it is not in force while fewer than
-// sendRateMinInstances instances share a host.
+// Queued returns the number of requests that wait for a host, and the limit on the attempts per second to
+// all hosts together, or 0 if there is none. The limit is the one last computed; it does not apply while
+// fewer than sendRateMinInstances instances share a host.
 func (b *Balancer) Queued() (requests int, sendRate float64) {
 	return b.queues.length, b.sendRate.limit
 }
 
-// hostOverdue reports whether the oldest attempt at a host is overdue.
+// hostOverdue reports whether the oldest attempt at a host that was not overtaken is overdue.
 func (b *Balancer) hostOverdue(host *host) bool {
 	oldest, _ := host.oldestNotOvertaken()
 	return b.overdue(oldest)
 }
 
-// Endpoints appends the hosts as listed, with those that were removed and still have attempts in flight.
+// Endpoints appends the hosts as listed, and the removed hosts that still have attempts in flight.
 func (b *Balancer) Endpoints(dst []Host) []Host {
 	for _, host := range b.hosts {
 		dst = append(dst, host.Host)
@@ -105,9 +106,9 @@
 	return dst
 }
 
-// Usable returns how many hosts of the subset are ready and have responded since they were last ejected, and
-// how many are ready. Its cost does not grow with their number. It returns 0 and 0 before the first request
-// after a new list.
+// Usable returns the number of hosts in the subset that are ready and have responded since they were last
+// ejected, and the number that are ready. Its cost does not depend on the number of hosts. Selecting a host
+// for a request fills the subset; until the first request after the first list, both are 0.
 func (b *Balancer) Usable() (usable, ready int) {
 	return b.counts.ready - b.counts.unrecovered, b.counts.ready
 }
