--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -21,7 +21,7 @@
 		return fmt.Sprint(all)
 	}
 	if first, second := run(), run(); first != second {
-		t.Errorf("the second run decided %s, want what the first did: %s", second, first)
+		t.Errorf("actions of the second run: %s; want those of the first run: %s", second, first)
 	}
 }
 
@@ -47,7 +47,7 @@
 	g.b.ClientGone(g.now, id)
 	g.takeActions()
 	if len(g.actions) != 0 || len(g.b.open) != 0 || g.b.hosts[0].inFlight+g.b.hosts[1].inFlight != 0 {
-		t.Errorf("after the end: actions %v, %d requests, %d attempts, want none",
+		t.Errorf("after the end of the attempt: actions %v, %d requests, %d attempts, want none",
 			g.actions, len(g.b.open), g.b.hosts[0].inFlight+g.b.hosts[1].inFlight)
 	}
 }
@@ -69,7 +69,7 @@
 	}
 	g.takeActions()
 	if len(g.logs) != 1 || g.logs[0] != "host 1 ejected: silent" {
-		t.Fatalf("logs %q, want only that of the first ejection", g.logs)
+		t.Fatalf("logs %q, want only the line of the first ejection", g.logs)
 	}
 	g.b.now += logInterval
 	g.b.eject(g.b.hosts[20], CauseConnectionsFailed)
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// benchGateway feeds a Balancer with requests of which some stay in flight.
+// benchGateway sends requests through a Balancer and keeps some of their attempts in flight.
 type benchGateway struct {
 	b       *Balancer
 	now     Time
 	next    RequestID
 	actions []Action
-	out     []RequestID
+	pending []RequestID // requests with an attempt in flight, oldest first
 }
 
-// round starts a request and ends the oldest one if more than inFlight are out.
+// round starts a request, and ends the oldest attempt if more than inFlight are in flight.
 func (g *benchGateway) round(inFlight int) {
 	g.next++
 	g.now += 200 * time.Microsecond
@@ -24,13 +24,13 @@
 	g.actions = g.b.TakeActions(g.actions[:0])
 	for _, a := range g.actions {
 		if a.Kind == Send {
-			g.out = append(g.out, a.Request)
+			g.pending = append(g.pending, a.Request)
 		}
 	}
-	if len(g.out) > inFlight {
-		id := g.out[0]
-		copy(g.out, g.out[1:])
-		g.out = g.out[:len(g.out)-1]
+	if len(g.pending) > inFlight {
+		id := g.pending[0]
+		copy(g.pending, g.pending[1:])
+		g.pending = g.pending[:len(g.pending)-1]
 		g.b.AttemptEnded(g.now, Outcome{Request: id, Elapsed: 5 * ms, Closed: true})
 		g.actions = g.b.TakeActions(g.actions[:0])
 	}
@@ -40,7 +40,7 @@
 	}
 }
 
-// newBenchGateway returns a gateway of a large site with n hosts, and their list.
+// newBenchGateway returns a gateway with n hosts, and their list.
 func newBenchGateway(tb testing.TB, n int, settings Settings) (*benchGateway, []Host) {
 	b, err := New(settings, 1)
 	if err != nil {
@@ -57,7 +57,7 @@
 	return g, list
 }
 
-// newRunningBalancer returns a Balancer with twelve hosts, and its time.
+// newRunningBalancer returns a started Balancer with twelve hosts, and its current time.
 func newRunningBalancer(tb testing.TB) (*Balancer, Time) {
 	b, err := New(testSettings(), 1)
 	if err != nil {
@@ -102,10 +102,10 @@
 	}
 }
 
-// benchmarkHostCounts are the sizes of list that the benchmarks run with.
+// benchmarkHostCounts are the list sizes used by the benchmarks.
 var benchmarkHostCounts = []int{10, 100, 1000, 5000}
 
-// BenchmarkScale measures a request from its arrival to its end, with 16 in flight.
+// BenchmarkScale measures a request from its arrival to the end of its attempt, with 16 attempts in flight.
 func BenchmarkScale(b *testing.B) {
 	for _, n := range benchmarkHostCounts {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
@@ -121,7 +121,8 @@
 	}
 }
 
-// BenchmarkPick measures the choice of a host alone, by the host sets and by a scan.
+// BenchmarkPick measures the selection of a host alone, with the host sets ("sets") and with a scan of the
+// subset ("walk").
 func BenchmarkPick(b *testing.B) {
 	for _, n := range benchmarkHostCounts {
 		g, _ := newBenchGateway(b, n, testSettings())
@@ -145,9 +146,9 @@
 	}
 }
 
-// BenchmarkListChange measures a change of one host and the request that follows it.
+// BenchmarkListChange measures a change of one host in the list, including the next request.
 func BenchmarkListChange(b *testing.B) {
-	for _, instances := range []int{1, 100} { // all hosts drawn from, and a part of them
+	for _, instances := range []int{1, 100} { // all hosts in the subset, and some of them
 		for _, n := range benchmarkHostCounts {
 			b.Run(fmt.Sprintf("instances=%d/hosts=%d", instances, n), func(b *testing.B) {
 				settings := testSettings()
@@ -170,7 +171,7 @@
 	}
 }
 
-// BenchmarkMemory measures the heap that a list takes, in bytes a host.
+// BenchmarkMemory measures the heap size per host.
 func BenchmarkMemory(b *testing.B) {
 	for _, n := range benchmarkHostCounts {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
--- a/balancer/checkpoint_test.go
+++ b/balancer/checkpoint_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-// playHistory plays a random history and returns all actions as text. If every is above 0, the
-// Balancer is replaced after every such number of events by one restored from its checkpoint.
-func playHistory(t *testing.T, seed int64, every int) string {
+// runHistory runs a random history of events and returns all actions as text. If every is above 0, the
+// Balancer is replaced after each group of that many events by one restored from its checkpoint.
+func runHistory(t *testing.T, seed int64, every int) string {
 	r := rand.New(rand.NewSource(seed))
 	data := make([]byte, 3000)
 	r.Read(data)
@@ -31,20 +31,20 @@
 			t.Fatalf("seed %d, event %d: %v", seed, n, err)
 		}
 		if again := b.Checkpoint(nil); !bytes.Equal(saved, again) {
-			t.Fatalf("seed %d, event %d: the restored Balancer gives another checkpoint", seed, n)
+			t.Fatalf("seed %d, event %d: the restored Balancer writes a different checkpoint", seed, n)
 		}
 		h.b = b
 	}
-	h.play(data[8:])
+	h.run(data[8:])
 	return all.String()
 }
 
-// A Balancer restored from a checkpoint acts like the one that wrote it.
-func TestRestoredBalancerActsAlike(t *testing.T) {
+// A Balancer restored from a checkpoint produces the same actions as the one that wrote it.
+func TestRestoredBalancerProducesSameActions(t *testing.T) {
 	for seed := range int64(40) {
-		want := playHistory(t, seed, 0)
+		want := runHistory(t, seed, 0)
 		for _, every := range []int{1, 7} {
-			if playHistory(t, seed, every) != want {
+			if runHistory(t, seed, every) != want {
 				t.Errorf("seed %d: restored after every %d events, the actions differ from those without a restore",
 					seed, every)
 			}
@@ -52,7 +52,7 @@
 	}
 }
 
-// A truncated or altered checkpoint gives an error or another state, never a panic.
+// Restoring a truncated or modified checkpoint returns an error or a different state, but never panics.
 func TestRestoreRejectsDamagedCheckpoint(t *testing.T) {
 	g := newTestGateway(t, testSettings(), testHosts(5)...)
 	for i := range 30 {
@@ -66,22 +66,23 @@
 		for _, x := range []byte{1, 0x80, 0xff} {
 			bad := slices.Clone(saved)
 			bad[n] ^= x
-			Restore(testSettings(), bad) // any error will do
+			Restore(testSettings(), bad) // only a panic would be a failure
 		}
 	}
 	if _, err := Restore(testSettings(), append(saved, 0)); err == nil {
-		t.Error("Restore of a checkpoint with a byte too many: no error, want one")
+		t.Error("Restore of a checkpoint with an extra byte: no error, want one")
 	}
 	bad := slices.Clone(saved)
 	bad[0]++
 	if _, err := Restore(testSettings(), bad); err == nil || !strings.Contains(err.Error(), "version") {
-		t.Errorf("Restore of another version: error %v, want one that names the version", err)
+		t.Errorf("Restore of an unsupported version: error %v, want one that mentions the version", err)
 	}
 }
 
-// Whoever adds a field must say here whether it is saved: one that is forgotten shows
-// only where a replay goes wrong much later.
-func TestCheckpointNamesEveryField(t *testing.T) {
+// Guards against a new field that is missing from the checkpoint, which would show only much later as a
+// replay that diverges. Each field must be listed here: before "|" if it is part of the checkpoint, after
+// "|" if it is not.
+func TestCheckpointFieldListIsComplete(t *testing.T) {
 	known := map[reflect.Type]string{
 		reflect.TypeFor[Balancer](): "random now hosts sets dueStandings ring subset arrivals open queues sweep starvation typicalRTT " +
 			"quotas sendRate pacer stalled poller logs | settings scales actions byID counts excluded scopes touched candidates freeRequests freeAttempts",
@@ -124,7 +125,7 @@
 		names := strings.Fields(text)
 		for i := range typ.NumField() {
 			if name := typ.Field(i).Name; !slices.Contains(names, name) {
-				t.Errorf("%s.%s: is it part of a checkpoint?", typ.Name(), name)
+				t.Errorf("%s.%s is not listed as part of the checkpoint or as excluded from it", typ.Name(), name)
 			}
 		}
 		for _, name := range names {
--- a/balancer/compat_fields_test.go
+++ b/balancer/compat_fields_test.go
@@ -10,7 +10,7 @@
 	"dunemoor/internal/testutil/compat"
 )
 
-// compatSettings is the settings of checkpoint-fields.bin.
+// compatSettings returns the settings with which checkpoint-fields.bin was written.
 func compatSettings() Settings {
 	return Settings{
 		Instances: 3, Rank: 1, Step: time.Millisecond, MaxAttempts: 4, Cancel: true, Poll: true,
@@ -25,13 +25,13 @@
 	}
 }
 
-// fieldRow is a field of a checkpoint, as it is and as it should be.
+// fieldRow is the actual and the expected value of a field.
 type fieldRow struct {
 	name      string
 	got, want any
 }
 
-// checkFields compares each field, printed, with what it should be.
+// checkFields compares the printed actual and expected value of each field.
 func checkFields(t *testing.T, rows []fieldRow) {
 	t.Helper()
 	for _, row := range rows {
@@ -43,8 +43,8 @@
 	}
 }
 
-// checkpoint-fields.bin, which the build of 7aad590 wrote, has another value in each field: two fields that
-// change places, or one that is left out, show in the restored state.
+// checkpoint-fields.bin was written by the build of commit 7aad590 and has a different value in each field,
+// so that fields that are swapped or missing change the restored state.
 func TestCompatCheckpointFields(t *testing.T) {
 	saved := compat.Read(t, "checkpoint-fields.bin")
 	b, err := Restore(compatSettings(), saved)
@@ -62,7 +62,7 @@
 	checkFields(t, requestFields(b))
 	again := b.Checkpoint(nil)
 	if !bytes.Equal(again, saved) {
-		t.Errorf("the restored Balancer gives the checkpoint %x, want %x", again, saved)
+		t.Errorf("the restored Balancer writes the checkpoint %x, want %x", again, saved)
 	}
 }
 
@@ -187,7 +187,7 @@
 	return []bool{attempt.ended, attempt.trial, attempt.canceledStalled, attempt.countedSilent}
 }
 
-// Checkpoints and recordings store these numbers.
+// Checkpoints and recordings contain these numbers.
 func TestCompatNumbers(t *testing.T) {
 	checkFields(t, []fieldRow{
 		{"version", checkpointVersion, 4},
@@ -209,7 +209,8 @@
 	})
 }
 
-// Recordings store the numbers of results, actions and causes; logs, analyses and reports their texts.
+// Recordings contain the numbers of results, actions and causes; logs, analyses and reports contain their
+// texts.
 func TestCompatNumbersAndTexts(t *testing.T) {
 	checkFields(t, []fieldRow{
 		{"results", []Result{
@@ -227,7 +228,7 @@
 	})
 }
 
-// Recordings store settings as JSON.
+// Recordings contain the settings as JSON.
 func TestCompatSettings(t *testing.T) {
 	settings := Settings{
 		Instances: 1, Rank: 2,
@@ -246,7 +247,7 @@
 		t.Fatal(err)
 	}
 	if string(got) != want {
-		t.Errorf("the settings are stored as %s, want %s", got, want)
+		t.Errorf("the settings are encoded as %s, want %s", got, want)
 	}
 }
 
@@ -266,7 +267,7 @@
 	} {
 		got := view.Unavailable(now)
 		if got != want {
-			t.Errorf("%+v is unavailable as %q, want %q", view, got, want)
+			t.Errorf("%+v: Unavailable() = %q, want %q", view, got, want)
 		}
 	}
 }
--- a/balancer/compat_test.go
+++ b/balancer/compat_test.go
@@ -7,8 +7,8 @@
 	"dunemoor/internal/testutil/compat"
 )
 
-// Recordings hold checkpoints, which later builds restore: the bytes after a fixed history are
-// those that earlier builds wrote.
+// Recordings contain checkpoints, which later builds restore. The checkpoint after a fixed history must
+// have the same bytes as that of earlier builds.
 func TestCompatCheckpoint(t *testing.T) {
 	h := newHistory(t, []byte{2, 1, 2, 0, 9, 4, 3, 0})
 	events := make([]byte, 700)
@@ -23,14 +23,14 @@
 			saved = h.b.Checkpoint(nil)
 		}
 	}
-	h.play(events)
+	h.run(events)
 	compat.Bytes(t, "checkpoint.bin", saved)
 	b, err := Restore(h.settings, compat.Read(t, "checkpoint.bin"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if again := b.Checkpoint(nil); !bytes.Equal(again, saved) {
-		t.Errorf("the restored Balancer gives a checkpoint of %d bytes that differs from the %d bytes restored",
+		t.Errorf("the restored Balancer writes a checkpoint of %d bytes that differs from the %d bytes restored",
 			len(again), len(saved))
 	}
 }
--- a/balancer/concurrency_test.go
+++ b/balancer/concurrency_test.go
@@ -22,7 +22,7 @@
 		g.b.adjustLimit(h, limitSample{rtt: 0.01, objective: g.b.shortestObjective, sentAt: g.b.now})
 	}
 	if h.limiter.limit != minLimitAttempts {
-		t.Errorf("limit %v while nothing waits, want %v as before", h.limiter.limit, minLimitAttempts)
+		t.Errorf("limit %v while no request waits, want %v as before", h.limiter.limit, minLimitAttempts)
 	}
 	g.b.queues.length = 1
 	for range 60 {
@@ -35,7 +35,7 @@
 	}
 }
 
-// Usual responses of a class with a long latency objective must not rest hosts.
+// Guards against resting hosts because of ordinary responses of a class with a long latency objective.
 func TestLimitUsesLatencyObjectiveOfClass(t *testing.T) {
 	settings := testSettings()
 	settings.Instances = 100
@@ -49,14 +49,14 @@
 	}
 	for _, h := range g.b.hosts {
 		if h.limiter.restingUntil > 0 {
-			t.Errorf("host %d rests until %v after usual responses, want no rest", h.ID, h.limiter.restingUntil)
+			t.Errorf("host %d rests until %v after ordinary responses, want no rest", h.ID, h.limiter.restingUntil)
 		}
 	}
 }
 
-// A class with a generous latency objective reduces the limit too once responses take several times
-// their usual RTT.
-func TestLimitIsReducedAboveUsualRTT(t *testing.T) {
+// The limit is also reduced by a class with a long latency objective once responses take several times
+// their typical RTT.
+func TestLimitIsReducedAboveTypicalRTT(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[0] = Class{LatencyObjective: 5 * time.Second, Deadline: 20 * time.Second}
 	g := newTestGateway(t, settings, testHosts(1)...)
@@ -65,13 +65,13 @@
 	h.limiter.limit = 20
 	id := g.request(0, 20*time.Second)
 	g.advance(300 * ms)
-	g.attemptEnded(id, 0, OK, 300*ms) // far within its latency objective
+	g.attemptEnded(id, 0, OK, 300*ms) // well within its latency objective
 	if h.limiter.limit >= 20 {
-		t.Errorf("limit %v after a response of many times the usual RTT, want below 20", h.limiter.limit)
+		t.Errorf("limit %v after a response of many times the typical RTT, want below 20", h.limiter.limit)
 	}
 }
 
-// Several late responses of one round trip reduce the limit once.
+// Several late responses in the same round trip reduce the limit only once.
 func TestLimitIsReducedOncePerRoundTrip(t *testing.T) {
 	g := newTestGateway(t, testSettings(), testHosts(1)...)
 	h := g.b.hosts[0]
@@ -92,11 +92,11 @@
 	}
 }
 
-// A limit below one grows if another request found no host while the answered one was out, even if
-// that request was rejected long before the response; otherwise it stays, and it does not grow above
-// one this way. A busy gateway gets more than its even share of hosts with capacity.
+// A limit below one grows if another request found no host while the answered attempt was in flight, even
+// if that request was rejected long before the response. Otherwise it does not grow, and it does not grow
+// above one this way. This lets a busy gateway use more than an even share of hosts that have capacity.
 func TestLimitBelowOneGrowsOnUnmetDemand(t *testing.T) {
-	for _, wanted := range []bool{true, false} {
+	for _, unmetDemand := range []bool{true, false} {
 		settings := testSettings()
 		settings.Instances = 40
 		g := newTestGateway(t, settings, testHosts(1)...)
@@ -104,21 +104,21 @@
 		for range 200 {
 			id := g.request(0, time.Second)
 			g.onlyAction(Send)
-			if wanted {
-				g.request(0, time.Second) // there is no place for it
+			if unmetDemand {
+				g.request(0, time.Second) // this request finds no host
 			}
 			g.advance(40 * ms)
 			g.attemptEnded(id, 0, OK, 40*ms)
 		}
-		if grown := h.limiter.limit > 2*initialLimitAttempts/g.b.sharingInstances(); grown != wanted || h.limiter.limit > 1.01 {
-			t.Errorf("demand unmet %v: limit %.3f, initially %.3f; want growth only with unmet demand, and at most 1.01",
-				wanted, h.limiter.limit, initialLimitAttempts/g.b.sharingInstances())
+		if grown := h.limiter.limit > 2*initialLimitAttempts/g.b.sharingInstances(); grown != unmetDemand || h.limiter.limit > 1.01 {
+			t.Errorf("unmet demand %v: limit %.3f, initially %.3f; want growth only with unmet demand, and at most 1.01",
+				unmetDemand, h.limiter.limit, initialLimitAttempts/g.b.sharingInstances())
 		}
 	}
 }
 
-// Where many instances share a host, one attempt of each may be too many: a limit below one rests the
-// host between attempts.
+// Where many instances share a host, one attempt from each of them can be too many: a limit below one makes
+// the host rest between attempts.
 func TestLimitBelowOneRestsHost(t *testing.T) {
 	settings := testSettings()
 	settings.Instances = 16
@@ -128,7 +128,7 @@
 	g.advance(40 * ms)
 	g.attemptEnded(id, 0, OK, 40*ms)
 	id = g.request(0, time.Second)
-	g.onlyAction(Send) // quick answers: no rest
+	g.onlyAction(Send) // a fast response does not make the host rest
 	g.advance(350 * ms)
 	g.attemptEnded(id, 0, OK, 350*ms)
 	g.request(0, time.Second)
@@ -140,14 +140,14 @@
 	g.onlyAction(Send)
 }
 
-// A host that answers well after an outage is not rested again because of its old mean RTT; a late
-// response still rests it.
+// Guards against resting a host again that responds well after an outage, because its mean RTT still
+// includes the outage. A late response still makes it rest.
 func TestGoodResponseDoesNotExtendRest(t *testing.T) {
 	settings := testSettings()
 	settings.Instances = 8
 	g := newTestGateway(t, settings, testHosts(1)...)
 	h := g.b.hosts[0]
-	for range 20 { // none is answered in time
+	for range 20 { // no response in time
 		g.b.now += time.Second
 		g.b.adjustLimit(h, limitSample{rtt: 6, objective: g.b.shortestObjective, sentAt: g.b.now - time.Second})
 	}
@@ -171,8 +171,8 @@
 	}
 }
 
-// A host that rejects attempts at once is not sent all that waits while the others are at their
-// limits.
+// Guards against sending all waiting requests to a host that rejects attempts immediately while the other
+// hosts are at their limits.
 func TestFullResponseReducesLimitAndRestsHost(t *testing.T) {
 	settings := testSettings()
 	settings.Instances = 4
@@ -190,8 +190,8 @@
 	}
 }
 
-// An attempt canceled at its deadline counts against its host like one that timed out; one canceled
-// because the client has gone does not.
+// An attempt canceled at the deadline counts as a timeout of its host; one canceled because the client
+// disconnected does not.
 func TestCancelAtDeadlineCountsAsTimeout(t *testing.T) {
 	settings := testSettings()
 	settings.Instances = 100
@@ -208,7 +208,7 @@
 		}
 		g.attemptEnded(id, 0, Canceled, 600*ms)
 		if h.rtt.sampled == clientGone || (h.limiter.restingUntil > g.now) == clientGone || (g.b.sendRate.recentRTT.seen) == clientGone {
-			t.Errorf("client gone %v: sampled %v, rest until %v at %v, recent RTT in targets %v; want all three unless the client has gone",
+			t.Errorf("client gone %v: sampled %v, rest until %v at %v, recent RTT in targets %v; want all three set unless the client disconnected",
 				clientGone, h.rtt.sampled, h.limiter.restingUntil, g.now, g.b.sendRate.recentRTT)
 		}
 	}
--- a/balancer/deadline_test.go
+++ b/balancer/deadline_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A request without time left must not be taken for one without a deadline.
+// Guards against treating a request without time left as one without a deadline.
 func TestRequestWithoutTimeLeftIsRejectedAtOnce(t *testing.T) {
 	g := newTestGateway(t, testSettings(), testHosts(2)...)
 	for class := range g.b.settings.Classes {
@@ -14,8 +14,8 @@
 	}
 }
 
-// An attempt may still be connecting at the deadline and end only after it, so the request is answered
-// one step earlier.
+// An attempt may still be connecting at the deadline and end only after it. The request is therefore
+// answered one step before its deadline.
 func TestInFlightRequestIsAnsweredBeforeDeadline(t *testing.T) {
 	for class, want := range []ActionKind{Reject, Fail, Fail} {
 		g := newTestGateway(t, testSettings(), testHosts(2)...)
@@ -23,15 +23,14 @@
 		g.onlyAction(Send)
 		done := g.advance(500*ms - g.b.settings.Step)
 		if len(done) != 2 || done[0].Kind != want || done[1].Kind != Cancel {
-			t.Errorf("class %d: actions %v one step before the deadline, want kind %d and a cancel",
+			t.Errorf("class %d: actions %v one step before the deadline, want one of kind %d and a Cancel",
 				class, done, want)
 		}
 	}
 }
 
-// Requests that are open at a shutdown are answered by the time it gives, even if their deadlines are
-// later: by a rejection if they can not have run, by a failure otherwise. Requests with earlier
-// deadlines keep them.
+// Requests that are open at a shutdown are answered by the given time even if their deadlines are later: by
+// a rejection if they cannot have run, otherwise by a failure. Requests with earlier deadlines keep them.
 func TestShutdownAnswersOpenRequests(t *testing.T) {
 	g := newTestGateway(t, testSettings(), testHosts(4)...)
 	sent := map[RequestID]int{}
@@ -44,7 +43,7 @@
 	g.takeActions()
 	for _, a := range g.advance(300 * ms) {
 		if a.Kind == Reject && a.Request != soon || a.Kind == Fail {
-			t.Errorf("request %d answered 200 ms before the exit, want it at the exit: %+v", a.Request, a)
+			t.Errorf("request %d answered 200 ms before the end of the shutdown, want it at the end: %+v", a.Request, a)
 		}
 	}
 	answers := 0
@@ -59,6 +58,6 @@
 		}
 	}
 	if answers != len(sent) {
-		t.Errorf("%d answers by the exit, want %d", answers, len(sent))
+		t.Errorf("%d answers by the end of the shutdown, want %d", answers, len(sent))
 	}
 }
--- a/balancer/decisions_test.go
+++ b/balancer/decisions_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// decisionsPage returns docs/DECISIONS.md.
+// decisionsPage returns the contents of docs/DECISIONS.md.
 func decisionsPage(t *testing.T) string {
 	t.Helper()
 	page, err := os.ReadFile("../docs/DECISIONS.md")
@@ -17,7 +17,7 @@
 	return string(page)
 }
 
-// Whoever is on call looks a cause up on the page: it has each by the text that recordings and logs show.
+// Operators look up causes on the page: it must list each one with its text in recordings and logs.
 func TestDecisionsPageHasEachCause(t *testing.T) {
 	page := decisionsPage(t)
 	for i, name := range causeNames {
@@ -27,7 +27,8 @@
 	}
 }
 
-// The page has each log line of the balancer, with N, M and X for numbers and hosts.
+// The page must contain each log line of the balancer, with the placeholders N and M for numbers and X for
+// hosts.
 func TestDecisionsPageHasEachLogLine(t *testing.T) {
 	page := decisionsPage(t)
 	placeholders := strings.NewReplacer("%d of %d", "N of M", "%d", "N", "%x", "X")
@@ -46,7 +47,7 @@
 	}
 }
 
-// Each file that the policy lists has a rule on the page, or holds what several rules share.
+// Each policy file must have a rule on the page, unless it contains only code shared by several rules.
 func TestDecisionsPageHasEachPolicyFile(t *testing.T) {
 	page := decisionsPage(t)
 	shared := map[string]bool{"balancer.go": true, "averages.go": true, "attempt.go": true}
--- a/balancer/ejection_test.go
+++ b/balancer/ejection_test.go
@@ -28,19 +28,19 @@
 	for range 20 {
 		id := g.request(0, time.Second)
 		if g.onlyAction(Send).Host == 1 {
-			t.Fatal("a second request is sent to the host during its trial, want only the trial")
+			t.Fatal("a second request was sent to the host during its trial, want only the trial request")
 		}
 		g.attemptEnded(id, 0, OK, ms)
 	}
 	g.attemptEnded(trial, 0, OK, ms)
 	if h := g.b.hosts[0]; h.ejection.count != 0 {
-		t.Errorf("%d ejections after the response to the trial, want 0", h.ejection.count)
+		t.Errorf("%d ejections after the response to the trial request, want 0", h.ejection.count)
 	}
 }
 
-// A passed health check moves the trial to a random time within the duration given, but only once
-// until the host answers, so that a wrong check costs one trial.
-func TestHealthCheckPassedBringsTrialForward(t *testing.T) {
+// A passed health check moves the trial request to a random time within the given duration, but only once
+// until the host responds, so that a wrong health check costs a single trial.
+func TestHealthCheckPassedShortensBackoff(t *testing.T) {
 	var at []Time
 	for seed := range uint64(40) {
 		g := newTestGateway(t, testSettings(), testHosts(2)...)
@@ -49,7 +49,7 @@
 		g.b.HealthCheckPassed(g.now, 1, ms)
 		g.b.eject(h, CauseConnectionsFailed)
 		if h.ejection.until <= g.now+20*ms {
-			t.Fatalf("ejected for %v, want more than the 20 ms of a health check", h.ejection.until-g.now)
+			t.Fatalf("ejected for %v, want more than the 20 ms given to HealthCheckPassed", h.ejection.until-g.now)
 		}
 		g.b.HealthCheckPassed(g.now, 1, 20*ms)
 		g.b.HealthCheckPassed(g.now, 9, 20*ms) // an unknown host
@@ -62,14 +62,14 @@
 		until := h.ejection.until
 		g.b.HealthCheckPassed(g.now, 1, 20*ms)
 		if h.ejection.until != until {
-			t.Fatalf("ejected until %v after a second health check, want %v as before, since the first was wrong",
+			t.Fatalf("ejected until %v after a second health check, want %v as before, because the first one was wrong",
 				h.ejection.until, until)
 		}
 		g.b.readmit(h)
 		g.b.eject(h, CauseConnectionsFailed)
 		g.b.HealthCheckPassed(g.now, 1, 20*ms)
 		if h.ejection.until > g.now+20*ms {
-			t.Fatalf("ejected for %v after a health check, want at most 20 ms, since the host has answered",
+			t.Fatalf("ejected for %v after a health check, want at most 20 ms, because the host has responded since",
 				h.ejection.until-g.now)
 		}
 	}
@@ -79,33 +79,33 @@
 	}
 }
 
-// One broken connection does not eject a host, as any host can have one; a second without a complete
-// response between does.
+// A single broken connection does not eject a host, because it can happen to any host; a second one without
+// a complete response in between does.
 func TestSecondBrokenConnectionInARowEjectsHost(t *testing.T) {
 	g := newTestGateway(t, testSettings(), testHosts(1)...)
 	h := g.b.hosts[0]
 	for i, r := range []Result{Reset, OK, Reset, Reset} {
 		if g.b.ejected(h) {
-			t.Fatalf("ejected after %d results, want it in use", i)
+			t.Fatalf("host is ejected after %d results, want it in use", i)
 		}
 		g.attemptEnded(g.request(2, time.Second), 0, r, ms)
 	}
 	if !g.b.ejected(h) {
-		t.Error("in use after two broken connections in a row, want it ejected")
+		t.Error("host is in use after two broken connections in a row, want it ejected")
 	}
 }
 
-// An invalid response comes from a host that works: it adds a penalty only from the second in a row on,
-// and ejects nothing.
+// A host that sends a malformed response is still working: the error penalty applies only from the second
+// one in a row on, and the host is not ejected.
 func TestSecondInvalidResponseInARowAddsPenalty(t *testing.T) {
 	g := newTestGateway(t, testSettings(), testHosts(1)...)
 	h := g.b.hosts[0]
 	id := g.request(2, time.Second)
 	g.attemptEnded(id, 0, InvalidResponse, 5*ms)
-	if got := g.onlyAction(Fail).Request; got != id { // it may have run
+	if got := g.onlyAction(Fail).Request; got != id { // the request may have run
 		t.Errorf("request %d failed, want %d", got, id)
 	}
-	if got := g.b.estimatedRTT(h); got > 0.1 || g.b.ejected(h) { // the initial estimate
+	if got := g.b.estimatedRTT(h); got > 0.1 || g.b.ejected(h) { // 0.1 is the initial estimate
 		t.Errorf("estimate %v, ejected %v after one invalid response, want the initial estimate and no ejection",
 			got, g.b.ejected(h))
 	}
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -15,9 +15,9 @@
 		}
 	}
 	g := newTestGateway(t, testSettings(), testHosts(3)...)
-	g.updateEndpoints(ListFull, testHosts(2)...) // a host that a full list lacks is removed
+	g.updateEndpoints(ListFull, testHosts(2)...) // a host that is not in a full list is removed
 	if got := g.serve(50, 0, func(HostID) time.Duration { return ms }); got[3] != 0 {
-		t.Errorf("host that the full list lacks: %d requests sent, want 0", got[3])
+		t.Errorf("host that is not in the full list: %d requests sent, want 0", got[3])
 	}
 	g.updateEndpoints(ListFailed)
 	if len(g.b.hosts) != 2 {
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestRemovedHostIsForgottenOnceIdle(t *testing.T) {
+func TestRemovedHostIsDeletedOnceIdle(t *testing.T) {
 	g := newTestGateway(t, testSettings(), testHosts(1)...)
 	id := g.request(0, time.Second)
 	g.updateEndpoints(ListChanges, Host{ID: 1, State: Removed})
@@ -34,12 +34,12 @@
 	}
 	g.attemptEnded(id, 0, OK, ms)
 	if len(g.b.hosts) != 0 || len(g.b.byID) != 0 || len(g.b.open) != 0 {
-		t.Errorf("%d hosts, %d by id, %d requests after the attempt, want none",
+		t.Errorf("%d hosts, %d by ID, %d requests after the end of the attempt, want none",
 			len(g.b.hosts), len(g.b.byID), len(g.b.open))
 	}
 }
 
-// A host that a list contains twice is one host, in the state of the later entry.
+// A host that occurs twice in a list is one host, in the state of the last entry.
 func TestHostListedTwiceIsOneHost(t *testing.T) {
 	g := newTestGateway(t, testSettings(), testHosts(3)...)
 	for _, kind := range []ListKind{ListChanges, ListFull, ListSaved} {
@@ -56,7 +56,7 @@
 	}
 }
 
-// A host is replaced twice a second for ten minutes: no state of removed hosts is left.
+// Replaces a host twice per second for ten minutes: no state of removed hosts must remain.
 func TestReplacedHostsLeaveNoState(t *testing.T) {
 	settings := testSettings()
 	settings.Instances = 80
@@ -79,7 +79,7 @@
 	b := g.b
 	if len(b.byID) != 60 || len(b.hosts) != 60 || len(b.ring.hosts) > 60 || b.ring.ready() != 60 ||
 		len(b.sets[setSubset].list) > 60 || len(b.dueStandings.hosts) > 60 || cap(b.ring.hosts) > 256 {
-		t.Errorf("state after 1200 replacements: %d by id, %d hosts, %d on the ring (capacity %d), %v ready, %d in the subset, %d whose standing is due; want at most 60 each",
+		t.Errorf("state after 1200 replacements: %d by ID, %d hosts, %d on the ring (capacity %d), %v ready, %d in the subset, %d in the heap of due standings; want at most 60 each",
 			len(b.byID), len(b.hosts), len(b.ring.hosts), cap(b.ring.hosts), [2]int{b.ring.warm, b.ring.warming}, len(b.sets[setSubset].list), len(b.dueStandings.hosts))
 	}
 	for _, l := range b.ring.byKind {
@@ -89,14 +89,14 @@
 	}
 }
 
-// A host is replaced twice a second, always with a request in flight there: after 45 minutes the heap
-// is as large as after five.
+// Replaces a host twice per second, always with a request in flight at it: after 45 minutes the heap must
+// be about as large as after five.
 func TestReplacedHostsLeaveNoMemory(t *testing.T) {
 	b, err := New(testSettings(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	const each, minute = 500 * ms, 120 // hosts are replaced this often, and so many a minute
+	const interval, perMinute = 500 * ms, 120 // interval of the replacements, and their number per minute
 	live := testHosts(40)
 	b.Start(0)
 	b.UpdateEndpoints(0, ListFull, live)
@@ -108,8 +108,8 @@
 	}
 	var actions []Action
 	var early uint64
-	for n := 1; n <= 45*minute; n++ {
-		now := Time(n) * each
+	for n := 1; n <= 45*perMinute; n++ {
+		now := Time(n) * interval
 		old := &live[n%len(live)]
 		id := RequestID(n)
 		b.Request(now, Request{ID: id, Class: n % 3, Remaining: time.Second})
@@ -118,8 +118,8 @@
 		b.UpdateEndpoints(now, ListChanges, []Host{*old, next})
 		*old = next
 		b.AttemptEnded(now+ms, Outcome{Request: id, Result: OK, Elapsed: ms, Closed: true})
-		b.ClientGone(now+ms, id) // where no host was ready
-		if actions = b.TakeActions(actions[:0]); n == 5*minute {
+		b.ClientGone(now+ms, id) // ends the request if it found no host
+		if actions = b.TakeActions(actions[:0]); n == 5*perMinute {
 			early = heapBytes()
 		}
 	}
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -7,9 +7,9 @@
 	"dunemoor/balancer"
 )
 
-// A gateway's event loop: report each event with the time, then carry out the
-// actions. Here the network and the clock are scripted; a real gateway sends
-// the request on Send and reports the response with AttemptEnded when it arrives.
+// The event loop of a gateway: it reports each event with the current time and then carries out the
+// actions. In this example the network and the clock are scripted; a real gateway sends the request on Send
+// and reports the response with AttemptEnded when it arrives.
 func Example() {
 	settings := balancer.Settings{
 		Instances: 1,
@@ -23,7 +23,7 @@
 	}
 
 	timers := map[uint64]balancer.Time{} // a real gateway keeps a timer queue
-	var actions []balancer.Action        // ours; reused for every event
+	var actions []balancer.Action        // owned by the gateway and reused for every event
 	carryOut := func() {
 		actions = b.TakeActions(actions[:0])
 		for _, action := range actions {
@@ -37,25 +37,25 @@
 
 	now := time.Minute
 	b.Start(now)
-	// After a restart the list saved on disk comes first; it may be stale.
+	// After a restart, start with the list that was saved to disk; it may be stale.
 	b.UpdateEndpoints(now, balancer.ListSaved, []balancer.Host{{ID: 7}})
 	b.Request(now, balancer.Request{ID: 1, Remaining: time.Second})
 	carryOut()
 
-	// The host refuses connections; nothing ran, so another host gets it.
+	// The host refuses the connection. The request has not run, so it is sent to another host.
 	now += 5 * time.Millisecond
 	b.UpdateEndpoints(now, balancer.ListChanges, []balancer.Host{{ID: 8}})
 	b.AttemptEnded(now, balancer.Outcome{Request: 1, Attempt: 0,
 		Result: balancer.ConnectFailed, Elapsed: 5 * time.Millisecond})
 	carryOut()
 
-	// The response went to the client.
+	// The complete response was sent to the client.
 	now += 40 * time.Millisecond
 	b.AttemptEnded(now, balancer.Outcome{Request: 1, Attempt: 1,
 		Result: balancer.OK, Elapsed: 40 * time.Millisecond, Closed: true})
 	carryOut()
 
-	// Timers ring even when no longer wanted; the balancer ignores those.
+	// Timers fire even if they are no longer needed; the balancer ignores them.
 	for token, at := range timers {
 		b.Timer(max(now, at), token)
 		carryOut()
@@ -67,7 +67,7 @@
 	// send request 1 to host 8
 }
 
-// printAction is what the scripted network does.
+// printAction carries out an action of the example by printing it.
 func printAction(action balancer.Action) {
 	switch action.Kind {
 	case balancer.Send:
--- a/balancer/exclusion_test.go
+++ b/balancer/exclusion_test.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// A host is excluded for a class from its third error in a row on, and is then tried with one request
-// at a time; other classes are sent there as before. A host that fails fast must not attract
-// everything, nor be lost for the classes that it serves.
+// From its third error in a row on, a host is excluded for the class and then gets one trial request at a
+// time; other classes are still sent to it. Guards against a host that fails fast and therefore attracts
+// all requests, and against losing the host for the classes that it serves.
 func TestErrorsExcludeHostForTheirClass(t *testing.T) {
 	g := newTestGateway(t, testSettings(), testHosts(2)...)
 	h := g.b.hosts[0]
 	f := &h.errors[1]
-	fail := func() { // an attempt at h, whichever host pick would choose
+	fail := func() { // an error response by h, without calling pick
 		r := &request{Request: Request{ID: 1 << 40, Class: 1}, class: &g.b.settings.Classes[1]}
 		g.b.recordError(&attempt{request: r, host: h, sentAt: g.now})
 	}
 	for i := range 3 {
 		if g.b.excludedFor(h, 1) {
-			t.Fatalf("excluded after %d errors, want 3", i)
+			t.Fatalf("excluded after %d errors, want exclusion after 3", i)
 		}
 		fail()
 	}
@@ -28,7 +28,7 @@
 	}
 	sent := func(class int) bool { return g.serve(20, class, func(HostID) time.Duration { return ms })[h.ID] > 0 }
 	if toExcluded, toOther := sent(1), sent(0); toExcluded || !toOther {
-		t.Errorf("requests sent: of the excluded class %v, of another %v, want only the latter", toExcluded, toOther)
+		t.Errorf("requests sent to the host: of the excluded class %v, of another class %v, want only the latter", toExcluded, toOther)
 	}
 	for g.now < f.excludedUntil {
 		g.advance(f.excludedUntil - g.now)
@@ -37,32 +37,32 @@
 	r := &request{Request: Request{ID: 1 << 41, Class: 1}, class: &g.b.settings.Classes[1]}
 	g.b.send(r, h)
 	if !g.b.excludedFor(h, 1) {
-		t.Error("in use for the class during the trial, want it excluded")
+		t.Error("host is in use for the class during the trial, want it excluded")
 	}
 	exclusions := f.exclusions
 	g.now += ms
 	g.b.now = g.now
 	fail()
 	if f.exclusions != exclusions+1 || !g.b.excludedFor(h, 1) {
-		t.Errorf("after an error to the trial: %d exclusions, excluded %v, want %d and true",
+		t.Errorf("after an error response to the trial request: %d exclusions, excluded %v, want %d and true",
 			f.exclusions, g.b.excludedFor(h, 1), exclusions+1)
 	}
 	for range 4 {
 		f.addSuccess(g.b.maxErrorShareOf(1))
 	}
 	if f.exclusions != 0 || g.b.excludedFor(h, 1) {
-		t.Errorf("after good responses: %d exclusions, excluded %v, want 0 and false",
+		t.Errorf("after successful responses: %d exclusions, excluded %v, want 0 and false",
 			f.exclusions, g.b.excludedFor(h, 1))
 	}
 	g.b.hosts[1].errors[1] = classErrors{excludedUntil: g.now + time.Second, exclusions: 1}
 	h.errors[1] = classErrors{excludedUntil: g.now + time.Second, exclusions: 1}
 	g.takeActions()
 	g.request(1, time.Second)
-	g.onlyAction(Send) // with errors at all hosts the exclusions do not apply
+	g.onlyAction(Send) // exclusions do not apply if every host is excluded
 }
 
-// The second error in a row, of any class, excludes a host for non-idempotent classes, whose requests
-// an error loses; good responses to any class readmit it.
+// The second error in a row, of any class, excludes a host for non-idempotent classes, because an error
+// loses a request of such a class; successful responses of any class end the exclusion.
 func TestErrorsExcludeHostForNonIdempotentClasses(t *testing.T) {
 	for class, want := range []bool{false, false, true} {
 		g := newTestGateway(t, testSettings(), testHosts(2)...)
@@ -70,12 +70,12 @@
 		a := &attempt{request: &request{class: &g.b.settings.Classes[0]}, host: h, sentAt: g.now}
 		g.b.recordError(a)
 		if g.b.excludedFor(h, class) {
-			t.Errorf("class %d: excluded after one error, want two", class)
+			t.Errorf("class %d: excluded after one error, want exclusion after two", class)
 		}
 		g.b.recordError(a)
 		g.b.updateStanding(h)
 		if got := g.b.excludedFor(h, class); got != want {
-			t.Errorf("class %d: excluded %v after two errors to class 0, want %v", class, got, want)
+			t.Errorf("class %d: excluded %v after two errors of class 0, want %v", class, got, want)
 		}
 		if got := g.serve(20, class, func(HostID) time.Duration { return ms })[h.ID] == 0; want && !got {
 			t.Errorf("class %d: requests sent to the excluded host, want none", class)
@@ -84,7 +84,7 @@
 			g.b.recordSuccess(a)
 		}
 		if f := h.errors[class]; g.b.excludedFor(h, class) || f.exclusions != 0 {
-			t.Errorf("class %d: excluded after good responses to class 0, want it in use: %+v", class, f)
+			t.Errorf("class %d: excluded after successful responses of class 0, want it in use: %+v", class, f)
 		}
 	}
 }
--- a/balancer/fuzz_test.go
+++ b/balancer/fuzz_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// FuzzRules plays random legal histories of events and checks the rules of the service after each:
-// every request is answered exactly once and in time, no effect happens twice, draining and removed
-// hosts receive nothing, and no warming host is sent more than its slow-start budget.
+// FuzzRules runs random histories of valid events and checks these invariants after each event: every
+// request gets exactly one final response, in time; no request runs more often than its idempotency allows;
+// draining and removed hosts receive nothing; and no warming host is sent more than its slow-start budget.
 func FuzzRules(f *testing.F) {
 	for seed := range int64(24) {
 		r := rand.New(rand.NewSource(seed))
@@ -23,11 +23,11 @@
 		if len(data) < 8 {
 			return
 		}
-		newHistory(t, data[:8]).play(data[8:])
+		newHistory(t, data[:8]).run(data[8:])
 	})
 }
 
-// trackedAttempt is what a history knows of an attempt.
+// trackedAttempt is the state of an attempt as the history tracks it.
 type trackedAttempt struct {
 	host   Host
 	sent   Time
@@ -35,7 +35,7 @@
 	result Result
 }
 
-// trackedRequest is what a history knows of a request.
+// trackedRequest is the state of a request as the history tracks it.
 type trackedRequest struct {
 	class    *Class
 	deadline Time
@@ -43,29 +43,29 @@
 	attempts []trackedAttempt
 }
 
-// history plays events on a Balancer and checks its actions against the rules.
+// history applies events to a Balancer and checks its actions against the invariants.
 type history struct {
 	*testing.T
 	b        *Balancer
 	settings Settings
 	now      Time
-	timers   []Action // that have not fired
+	timers   []Action // pending timers
 	next     RequestID
 	requests map[RequestID]*trackedRequest
-	open     []RequestID // with attempts in flight or without an answer
+	open     []RequestID // requests with attempts in flight or without a final response
 	hosts    [6]Host
-	warming  [6][]Time // sends while warming
+	warming  [6][]Time // times of the attempts sent while the host is warming
 
-	// Rate of good responses, in responses a second, averaged over four overload windows.
+	// Rate of successful responses per second, averaged over four overload windows.
 	rate        float64
 	rateAt      Time
 	highestRate float64
 
-	onActions  func([]Action) // if set, called with what was decided
+	onActions  func([]Action) // if set, called with the actions decided
 	afterEvent func()         // if set, called after each event
 }
 
-// newHistory returns a history whose settings and hosts are chosen by the first bytes of the input.
+// newHistory returns a history. The first bytes of the input determine its settings and hosts.
 func newHistory(t *testing.T, input []byte) *history {
 	h := &history{T: t, now: 1 << 40, requests: map[RequestID]*trackedRequest{}}
 	h.settings = Settings{
@@ -103,43 +103,43 @@
 	for i := 3 + int(input[6]%4); i < len(h.hosts); i++ {
 		h.hosts[i].State = Removed
 	}
-	h.settle()
+	h.processActions()
 	return h
 }
 
-// play takes two bytes an event, its kind and its argument, and then lets all requests end.
-func (h *history) play(data []byte) {
+// run applies one event for every two bytes, its kind and its argument, and then lets all requests end.
+func (h *history) run(data []byte) {
 	for ; len(data) >= 2; data = data[2:] {
 		x := int(data[1])
 		switch data[0] % 10 {
 		case 0, 1, 2:
 			h.request(x)
 		case 3, 4, 5:
-			h.end(x, Result(data[0]/10%8))
+			h.endAny(x, Result(data[0]/10%8))
 		case 6:
 			h.updateList(x, data[0])
 		case 7:
-			h.leave(x)
+			h.clientGone(x)
 		case 8:
 			h.b.HealthCheckPassed(h.now, HostID(1+x%8), Time(x)*ms)
-			h.settle()
+			h.processActions()
 			fallthrough
 		default:
 			h.advance(Time(x) * ms / 4)
 		}
 	}
 	h.advance(2 * time.Second)
-	for _, id := range slices.Sorted(maps.Keys(h.requests)) { // in the same order every time
+	for _, id := range slices.Sorted(maps.Keys(h.requests)) { // sorted, so that the order is deterministic
 		r := h.requests[id]
 		if !r.answered {
-			h.Fatalf("request %d has no answer at the end, want one", id)
+			h.Fatalf("request %d has no final response at the end, want one", id)
 		}
 		for n := range r.attempts {
-			h.finish(id, n, Canceled)
+			h.endAttempt(id, n, Canceled)
 		}
 	}
 	if len(h.b.open) != 0 || h.b.queues.length != 0 {
-		h.Fatalf("%d requests and %d queued after all have ended, want none", len(h.b.open), h.b.queues.length)
+		h.Fatalf("%d requests open and %d queued after all have ended, want none", len(h.b.open), h.b.queues.length)
 	}
 	for _, x := range h.b.hosts {
 		if x.inFlight != 0 || x.attempts.head != nil {
@@ -148,7 +148,7 @@
 	}
 }
 
-// request starts a request whose class and remaining time x chooses.
+// request starts a request whose class and remaining time are determined by x.
 func (h *history) request(x int) {
 	h.next++
 	class := &h.settings.Classes[x%5]
@@ -156,24 +156,24 @@
 	h.requests[h.next] = &trackedRequest{class: class, deadline: h.now + left}
 	h.open = append(h.open, h.next)
 	h.b.Request(h.now, Request{ID: h.next, Class: x % 5, Tenant: x & 1, Remaining: left, Duplicate: x&2 != 0})
-	h.settle()
+	h.processActions()
 }
 
-// end finishes one attempt that is in flight.
-func (h *history) end(x int, result Result) {
+// endAny ends an attempt in flight, chosen by x.
+func (h *history) endAny(x int, result Result) {
 	for k := range h.open {
 		id := h.open[(k+x)%len(h.open)]
 		for n := range h.requests[id].attempts {
 			if !h.requests[id].attempts[n].ended {
-				h.finish(id, n, result)
+				h.endAttempt(id, n, result)
 				return
 			}
 		}
 	}
 }
 
-// finish ends an attempt, unless it has ended.
-func (h *history) finish(id RequestID, n int, result Result) {
+// endAttempt ends an attempt unless it has ended.
+func (h *history) endAttempt(id RequestID, n int, result Result) {
 	r := h.requests[id]
 	a := &r.attempts[n]
 	if a.ended {
@@ -183,8 +183,8 @@
 	a.result = result
 	if result == OK {
 		r.answered = true
-		// Responses a second, averaged over four overload windows: an instance can not
-		// have learnt a higher rate of a warm host.
+		// Responses per second, averaged over four overload windows: an instance cannot have measured a
+		// higher rate of a warm host.
 		span := 4 * h.settings.OverloadWindow.Seconds()
 		h.rate = h.rate*math.Exp(-(h.now-h.rateAt).Seconds()/span) + 1/span
 		h.rateAt = h.now
@@ -192,16 +192,16 @@
 	}
 	h.b.AttemptEnded(h.now, Outcome{Request: id, Attempt: n, Result: result,
 		Elapsed: h.now - a.sent, Closed: r.answered})
-	h.settle()
+	h.processActions()
 }
 
-// updateList changes a host on the list, or lets a poll fail.
+// updateList changes a host of the endpoint list, or reports a failed poll.
 func (h *history) updateList(x int, how byte) {
 	e := &h.hosts[x%6]
 	switch how / 10 % 5 {
 	case 0:
 		h.b.UpdateEndpoints(h.now, ListFailed, nil)
-		h.settle()
+		h.processActions()
 		return
 	case 1:
 		e.State = Draining
@@ -225,21 +225,21 @@
 		}
 		h.b.UpdateEndpoints(h.now, ListFull, list)
 	}
-	h.settle()
+	h.processActions()
 }
 
-// leave lets the client of an open request go.
-func (h *history) leave(x int) {
+// clientGone reports that the client of an open request has disconnected.
+func (h *history) clientGone(x int) {
 	if len(h.open) == 0 {
 		return
 	}
 	id := h.open[x%len(h.open)]
 	h.requests[id].answered = true
 	h.b.ClientGone(h.now, id)
-	h.settle()
+	h.processActions()
 }
 
-// advance moves the clock by steps and fires the timers that are due.
+// advance moves the clock in steps and fires the timers that are due.
 func (h *history) advance(d Time) {
 	for end := h.now + d; h.now < end; {
 		h.now += h.settings.Step
@@ -255,15 +255,15 @@
 		h.timers = keep
 		for _, w := range due {
 			h.b.Timer(h.now, w.Token)
-			h.settle()
+			h.processActions()
 		}
 		open := h.open[:0]
 		for _, id := range h.open {
 			r := h.requests[id]
 			if !r.answered && h.now > r.deadline {
-				h.Fatalf("request %d has no answer at its deadline, want one", id)
+				h.Fatalf("request %d has no final response at its deadline, want one", id)
 			}
-			if !r.answered || r.out() > 0 {
+			if !r.answered || r.inFlight() > 0 {
 				open = append(open, id)
 			}
 		}
@@ -271,8 +271,8 @@
 	}
 }
 
-// out returns the number of attempts in flight.
-func (r *trackedRequest) out() (n int) {
+// inFlight returns the number of attempts in flight.
+func (r *trackedRequest) inFlight() (n int) {
 	for _, a := range r.attempts {
 		if !a.ended {
 			n++
@@ -281,8 +281,8 @@
 	return n
 }
 
-// settle carries out the pending actions and checks them.
-func (h *history) settle() {
+// processActions carries out the pending actions and checks them.
+func (h *history) processActions() {
 	actions := h.b.TakeActions(nil)
 	if h.onActions != nil {
 		h.onActions(actions)
@@ -295,11 +295,11 @@
 			h.send(a)
 		case Cancel:
 			if r := h.requests[a.Request]; !h.settings.Cancel || a.Attempt >= len(r.attempts) || r.attempts[a.Attempt].ended {
-				h.Fatalf("cancel %+v of an attempt that is not in flight, want none", a)
+				h.Fatalf("canceled an attempt that is not in flight: %+v", a)
 			}
 		case Close:
 			if a.Host < 1 || int(a.Host) > len(h.hosts) {
-				h.Fatalf("connections of unknown host %d closed, want those of a listed one", a.Host)
+				h.Fatalf("closed connections to unknown host %d, want a listed host", a.Host)
 			}
 		case Reject, Fail:
 			h.answer(a)
@@ -310,20 +310,20 @@
 	}
 }
 
-// send checks an attempt against the rules and notes it.
+// send checks a new attempt against the invariants and records it.
 func (h *history) send(a Action) {
 	r := h.requests[a.Request]
 	host := h.hosts[a.Host-1]
 	if r == nil || r.answered {
-		h.Fatalf("request %d sent after its answer, want nothing more", a.Request)
+		h.Fatalf("request %d sent after its final response", a.Request)
 	}
 	if host.State != Ready {
-		h.Fatalf("sent to host %d in state %d, want a ready host", host.ID, host.State)
+		h.Fatalf("attempt sent to host %d in state %d, want a ready host", host.ID, host.State)
 	}
 	if len(r.attempts) >= h.settings.MaxAttempts {
-		h.Fatalf("request %d has another attempt, want %d at most", a.Request, h.settings.MaxAttempts)
+		h.Fatalf("request %d has too many attempts, want %d at most", a.Request, h.settings.MaxAttempts)
 	}
-	if r.out() > 0 {
+	if r.inFlight() > 0 {
 		h.Fatalf("request %d has two attempts in flight, want one", a.Request)
 	}
 	for _, p := range r.attempts {
@@ -332,7 +332,7 @@
 		}
 		switch c := r.class; {
 		case c.Idempotency == NonIdempotent:
-			h.Fatalf("non-idempotent request %d retried after it may have run, want no retry", a.Request)
+			h.Fatalf("non-idempotent request %d retried after an attempt that may have run, want no retry", a.Request)
 		case c.Idempotency == IdempotentWithKey && h.now-p.sent > c.DedupWindow:
 			h.Fatalf("request %d with a key retried after its dedup window, want no retry", a.Request)
 		case c.Idempotency == IdempotentWithKey && c.DedupScope == ScopeZone && p.host.Zone != host.Zone,
@@ -345,8 +345,8 @@
 	h.checkSlowStartBudget(int(a.Host-1), host)
 }
 
-// checkSlowStartBudget compares the sends of the last overload window with the highest budget that
-// this instance can have learnt.
+// checkSlowStartBudget compares the number of attempts sent within the last overload window with the
+// highest budget that this instance can have computed.
 func (h *history) checkSlowStartBudget(i int, host Host) {
 	age := h.now - host.Started
 	if host.Started == 0 || age >= h.settings.SlowStartWindow {
@@ -361,15 +361,15 @@
 	}
 	share := h.settings.SlowStartShare + (1-h.settings.SlowStartShare)*age.Seconds()/h.settings.SlowStartWindow.Seconds()
 	if most := 2 + h.highestRate*h.settings.OverloadFactor*share*h.settings.OverloadWindow.Seconds(); float64(n) > most {
-		h.Fatalf("%d sends within %v to warming host %d, want at most %.1f", n, h.settings.OverloadWindow, host.ID, most)
+		h.Fatalf("%d attempts sent within %v to warming host %d, want at most %.1f", n, h.settings.OverloadWindow, host.ID, most)
 	}
 }
 
-// answer checks a rejection or failure and notes it.
+// answer checks a rejection or failure by the balancer and records it.
 func (h *history) answer(a Action) {
 	r := h.requests[a.Request]
 	if r == nil || r.answered {
-		h.Fatalf("request %d answered again, want one answer", a.Request)
+		h.Fatalf("second final response to request %d, want one", a.Request)
 	}
 	r.answered = true
 	if a.Kind == Fail {
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// ms is the unit of most durations of these tests.
+// ms is the unit of most durations in these tests.
 const ms = time.Millisecond
 
-// testSettings returns the settings of a small site with one class of each idempotency.
+// testSettings returns settings of a small deployment with one class of each idempotency.
 func testSettings() Settings {
 	return Settings{
 		Instances: 1, Step: ms, MaxAttempts: 4, Cancel: true, MaxRetryAfter: time.Second,
@@ -21,8 +21,8 @@
 	}
 }
 
-// lookupAndBookingClasses returns a class of lookups, and one of bookings with five times the weight, a tight
-// latency objective and no retries after they may have run.
+// lookupAndBookingClasses returns a class of lookups and a class of bookings. Bookings have five times the
+// weight, a tight latency objective, and are not retried once they may have run.
 func lookupAndBookingClasses() []Class {
 	return []Class{
 		{LatencyObjective: 380 * ms, Deadline: 1340 * ms, PriorityWeight: 1},
@@ -39,17 +39,17 @@
 	return list
 }
 
-// testGateway is one gateway: it feeds events to a Balancer, keeps its clock and collects its actions.
+// testGateway is a gateway that passes events to a Balancer, with a clock, and collects the actions.
 type testGateway struct {
 	*testing.T
 	b       *Balancer
 	now     Time
 	next    RequestID
-	actions []Action // of the last event, apart from timers, logs and closed hosts
+	actions []Action // actions after the last event, except for timers, logs and closed connections
 	logs    []string
-	timers  []Action // timers that have not fired
+	timers  []Action // pending timers
 
-	closed []HostID // hosts whose connections were to be closed
+	closed []HostID // hosts whose idle connections were to be closed
 }
 
 // updateEndpoints reports an endpoint list.
@@ -58,7 +58,7 @@
 	g.takeActions()
 }
 
-// request reports a request of the class with this much time left, and returns its id.
+// request reports a request of the class with the given remaining time, and returns its ID.
 func (g *testGateway) request(class int, left time.Duration) RequestID {
 	g.next++
 	g.b.Request(g.now, Request{ID: g.next, Class: class, Remaining: left})
@@ -66,13 +66,13 @@
 	return g.next
 }
 
-// attemptEnded reports the end of attempt n of the request.
+// attemptEnded reports the end of attempt n of a request.
 func (g *testGateway) attemptEnded(id RequestID, n int, r Result, took time.Duration) {
 	g.b.AttemptEnded(g.now, Outcome{Request: id, Attempt: n, Result: r, Elapsed: took, Closed: r == OK})
 	g.takeActions()
 }
 
-// advance moves the clock by d, fires the timers that are due, earliest first, and returns the actions
+// advance moves the clock by d, fires the timers that are due in order of time, and returns the actions
 // that they caused.
 func (g *testGateway) advance(d time.Duration) []Action {
 	var done []Action
@@ -96,8 +96,8 @@
 	}
 }
 
-// onlyAction returns the only action of the last event and fails the test if there are others or its
-// kind differs.
+// onlyAction returns the only action after the last event. It fails the test if there is not exactly one,
+// or if it is of another kind.
 func (g *testGateway) onlyAction(kind ActionKind) Action {
 	g.Helper()
 	if len(g.actions) != 1 || g.actions[0].Kind != kind {
@@ -106,8 +106,8 @@
 	return g.actions[0]
 }
 
-// serve sends n requests one after another, each answered after took, and returns how many each host
-// received.
+// serve sends n requests one after another, each of which gets a response after took, and returns the
+// number of requests by host.
 func (g *testGateway) serve(n int, class int, took func(HostID) time.Duration) map[HostID]int {
 	g.Helper()
 	got := map[HostID]int{}
@@ -122,8 +122,8 @@
 	return got
 }
 
-// requestUntilSentTo sends requests until one goes to the host and returns that one, still in flight;
-// the others are answered after took.
+// requestUntilSentTo sends requests until one is sent to the host, and returns that one with its attempt in
+// flight. The other requests get a response after took.
 func (g *testGateway) requestUntilSentTo(host HostID, took time.Duration) RequestID {
 	g.Helper()
 	for {
@@ -135,7 +135,7 @@
 	}
 }
 
-// newTestGateway returns a gateway that has started with a saved list of the hosts.
+// newTestGateway returns a gateway that has started with a saved list of the given hosts.
 func newTestGateway(t *testing.T, settings Settings, hosts ...Host) *testGateway {
 	t.Helper()
 	return newSeededTestGateway(t, settings, 7, hosts...)
@@ -154,7 +154,7 @@
 	return g
 }
 
-// takeActions sorts the actions of the last event into g.
+// takeActions takes the actions decided since the last event and sorts them by kind into the fields of g.
 func (g *testGateway) takeActions() {
 	g.actions = g.actions[:0]
 	for _, a := range g.b.TakeActions(nil) {
@@ -171,13 +171,13 @@
 	}
 }
 
-// gatewayFleet is several gateways, each with a Balancer of its own, over the same hosts.
+// gatewayFleet is several gateways, each with its own Balancer, that use the same hosts.
 type gatewayFleet struct {
 	t        *testing.T
 	gateways []*testGateway
 }
 
-// updateEndpoints reports the changes to every gateway, and each refreshes its subset.
+// updateEndpoints reports the changes to every gateway and refreshes the subsets.
 func (f *gatewayFleet) updateEndpoints(changes ...Host) {
 	for _, g := range f.gateways {
 		g.updateEndpoints(ListChanges, changes...)
@@ -185,20 +185,20 @@
 	}
 }
 
-// advance moves the clock of every gateway by d; each refreshes its subset every 100 ms.
+// advance moves the clock of every gateway by d and refreshes the subsets every 100 ms.
 func (f *gatewayFleet) advance(d time.Duration) {
 	const step = 100 * time.Millisecond
 	for ; d > 0; d -= step {
 		for _, g := range f.gateways {
 			g.advance(min(d, step))
-			g.b.now = g.now // as with any event
+			g.b.now = g.now // as every event method does
 			g.b.refreshSubset()
 		}
 	}
 }
 
-// shared returns how many gateways have each host in their subset.
-func (f *gatewayFleet) shared() map[HostID]int {
+// gatewaysByHost returns how many gateways have each host in their subset.
+func (f *gatewayFleet) gatewaysByHost() map[HostID]int {
 	n := map[HostID]int{}
 	for _, g := range f.gateways {
 		for _, h := range g.b.sets[setSubset].list {
@@ -222,7 +222,7 @@
 	f := &gatewayFleet{t: t}
 	settings.Instances = n
 	for settings.Rank = range n {
-		seed := uint64(settings.Rank) + 1 // as in service each has a seed of its own
+		seed := uint64(settings.Rank) + 1 // each has its own seed, as in production
 		f.gateways = append(f.gateways, newSeededTestGateway(t, settings, seed, list...))
 	}
 	return f
--- a/balancer/hostset_test.go
+++ b/balancer/hostset_test.go
@@ -6,9 +6,8 @@
 	"time"
 )
 
-// scanCandidates returns the hosts that pick may choose for a class, found by a scan of the whole
-// subset: the ready hosts or, if there are none, the suspected ones. It is the reference for the host
-// sets.
+// scanCandidates is the reference for the host sets. It scans the whole subset for the hosts that pick may
+// choose for a class: the ready hosts or, if there are none, the suspected ones.
 func scanCandidates(b *Balancer, class int, candidates []*host) []*host {
 	inService, ejected, excluded, unreachable := 0, 0, 0, 0
 	hosts := b.sets[setSubset].list
@@ -43,7 +42,8 @@
 		return candidates
 	}
 	for _, h := range hosts {
-		// The silence timeout may have shrunk since the host's last update; the next sweep sees that.
+		// The silence timeout may have become shorter since the last update of the host. Such a host is
+		// moved to the set of suspected hosts by the next sweep.
 		suspicionKnown := h.sets.selectionSet == setSuspected || h.nextUpdate.at <= b.now
 		inUse := h.State == Ready && !b.excludedFor(h, class) && !b.ejected(h) && !h.slowStart.paced(b.now)
 		if suspicionKnown && inUse && b.suspected(h) {
@@ -53,20 +53,20 @@
 	return candidates
 }
 
-// pickByScan is pick with a scan in place of the host sets.
+// pickByScan is pick with scanCandidates instead of the host sets.
 func pickByScan(b *Balancer, r *request) *host {
 	b.candidates = scanCandidates(b, r.Class, b.candidates[:0])
 	return b.chooseCandidate(r)
 }
 
-// checkHostSets compares the host sets with a scan of all hosts.
+// checkHostSets compares the host sets and counts with a scan of all hosts.
 func checkHostSets(t *testing.T, b *Balancer) {
 	t.Helper()
 	b.refreshSubset()
 	used, listed := 0, 0
 	for _, h := range b.sets[setSubset].list {
 		if h.State != Ready {
-			t.Fatalf("host %d in state %d is in the subset, want ready ones only", h.ID, h.State)
+			t.Fatalf("host %d in state %d is in the subset, want only ready hosts", h.ID, h.State)
 		}
 		listed++
 		if b.isInUse(h) {
@@ -74,12 +74,12 @@
 		}
 	}
 	if used != b.counts.inUse || listed != b.counts.ready {
-		t.Fatalf("%d hosts in the subset, %d of them in use; want what is counted: %+v", listed, used, b.counts)
+		t.Fatalf("%d hosts in the subset, %d of them in use; want the counts %+v", listed, used, b.counts)
 	}
 	busy := 0
 	for _, h := range b.hosts {
 		if (h.inFlight > 0) != (h.sets.position[setBusy] > 0) {
-			t.Fatalf("host %d has %d attempts in flight and position %v among the busy ones, want a position exactly if it has any",
+			t.Fatalf("host %d has %d attempts in flight and position %v in the set of busy hosts, want a position if and only if it has attempts in flight",
 				h.ID, h.inFlight, h.sets.position[setBusy])
 		}
 		busy += h.inFlight
@@ -103,17 +103,17 @@
 		}
 		for h := range got {
 			if !want[h] {
-				t.Fatalf("class %d: host %d picked, want one that a scan finds", class, h.ID)
+				t.Fatalf("class %d: host %d picked, want a host found by the scan", class, h.ID)
 			}
 		}
 		if len(got) == 0 && len(want) > 0 {
-			t.Fatalf("class %d: no host picked, want one of the %d that a scan finds", class, len(want))
+			t.Fatalf("class %d: no host picked, want one of the %d found by the scan", class, len(want))
 		}
 		b.random.state = rng
 	}
 }
 
-// The host sets hold what a scan finds, after the events of random histories.
+// Checks the host sets against a full scan after the events of random histories.
 func TestHostSetsMatchFullScan(t *testing.T) {
 	for seed := range int64(12) {
 		r := rand.New(rand.NewSource(seed))
@@ -127,12 +127,12 @@
 				checkHostSets(t, h.b)
 			}
 		}
-		h.play(data[8:])
+		h.run(data[8:])
 	}
 }
 
-// newGatewayAfterReplacement returns a gateway of 5,000 hosts of which half have left, while 2,000 new ones have
-// started in the same event. It checks that those that have left receive nothing.
+// newGatewayAfterReplacement returns a gateway with 5,000 hosts, half of which are then removed while 2,000
+// new ones start in the same event. It checks that the removed hosts receive nothing.
 func newGatewayAfterReplacement(t *testing.T) *benchGateway {
 	t.Helper()
 	g, list := newBenchGateway(t, 5000, testSettings())
@@ -146,29 +146,30 @@
 	g.b.UpdateEndpoints(g.now, ListFull, now)
 	for _, a := range g.b.TakeActions(nil) {
 		if a.Kind == Send && a.Host <= 2500 {
-			t.Fatalf("sent to host %d, which has left", a.Host)
+			t.Fatalf("attempt sent to host %d, which was removed", a.Host)
 		}
 	}
 	for range 3000 {
 		g.round(64)
 		for _, a := range g.actions {
 			if a.Kind == Send && a.Host <= 2500 {
-				t.Fatalf("sent to host %d, which has left", a.Host)
+				t.Fatalf("attempt sent to host %d, which was removed", a.Host)
 			}
 		}
 	}
-	for len(g.out) > 0 {
-		g.b.AttemptEnded(g.now, Outcome{Request: g.out[0], Elapsed: ms, Closed: true})
-		g.out = g.out[1:]
+	for len(g.pending) > 0 {
+		g.b.AttemptEnded(g.now, Outcome{Request: g.pending[0], Elapsed: ms, Closed: true})
+		g.pending = g.pending[1:]
 	}
 	if n := len(g.b.hosts); n != 4500 || len(g.b.byID) != n {
-		t.Fatalf("%d hosts, %d by id, want 4500", n, len(g.b.byID))
+		t.Fatalf("%d hosts, %d by ID, want 4500", n, len(g.b.byID))
 	}
 	return g
 }
 
-// The host sets hold what a scan finds after a large replacement of hosts; then with all hosts ejected, then with
-// one ready, then with every class excluded at some hosts and one class at nearly all.
+// Checks the host sets against a full scan after a large replacement of hosts: first as they are, then with
+// all hosts ejected, then with only one ready, then with every class excluded at some hosts and one class
+// at nearly all.
 func TestHostSetsMatchFullScanOfLargeList(t *testing.T) {
 	g := newGatewayAfterReplacement(t)
 	checkHostSets(t, g.b)
@@ -177,7 +178,7 @@
 		g.b.eject(h, CauseSilent)
 		g.b.updateStanding(h)
 	}
-	checkHostSets(t, g.b) // all ejected: fail open
+	checkHostSets(t, g.b) // all hosts ejected: fails open
 	for _, h := range g.b.hosts {
 		h.ejection.cause = CauseConnectionsFailed
 		g.b.updateStanding(h)
@@ -190,7 +191,7 @@
 	}
 	g.b.hosts[0].ejection.count = 0
 	g.b.updateStanding(g.b.hosts[0])
-	checkHostSets(t, g.b) // one ready
+	checkHostSets(t, g.b) // one host ready
 	for i, h := range g.b.hosts {
 		h.limiter.restingUntil = 0
 		h.hasErrors = true
@@ -201,5 +202,5 @@
 		}
 		g.b.updateStanding(h)
 	}
-	checkHostSets(t, g.b) // every class excluded somewhere, one nearly everywhere
+	checkHostSets(t, g.b) // every class excluded at some hosts, one class at nearly all
 }
--- a/balancer/policy_test.go
+++ b/balancer/policy_test.go
@@ -9,18 +9,19 @@
 	"testing"
 )
 
-// Whoever is on call starts at the doc comment of Balancer: it names each file of the policy, and no other.
+// The doc comment of Balancer is the entry point for operators: it must name each file of the policy and no
+// other.
 func TestCommentOfBalancerNamesPolicyFiles(t *testing.T) {
 	policy := policyFiles(t)
-	guide := balancerGuide(t, policy["balancer.go"])
+	listed := filesInBalancerComment(t, policy["balancer.go"])
 	for name := range policy {
-		if name != "balancer.go" && !guide[name] {
+		if name != "balancer.go" && !listed[name] {
 			t.Errorf("the comment of Balancer does not name %s", name)
 		}
 	}
-	for name := range guide {
+	for name := range listed {
 		if policy[name] == "" {
-			t.Errorf("the comment of Balancer names %s, which is no file of the policy", name)
+			t.Errorf("the comment of Balancer names %s, which is not a file of the policy", name)
 		}
 	}
 	if !strings.Contains(policy["balancer.go"], "are in api.go") {
@@ -38,9 +39,8 @@
 	return slices.DeleteFunc(files, func(name string) bool { return strings.HasSuffix(name, "_test.go") })
 }
 
-// The files are read by whoever is on call: they are short, their lines fit a screen and their functions half of
-// one.
-func TestPolicyStaysReadable(t *testing.T) {
+// Operators read these files: limits the length of files, functions and lines.
+func TestSourceFilesAreWithinSizeLimits(t *testing.T) {
 	const (
 		maxFileLines     = 300
 		maxFunctionLines = 40
@@ -53,32 +53,32 @@
 		}
 		lines := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
 		if len(lines) > maxFileLines {
-			t.Errorf("%s has %d lines, %d at most", name, len(lines), maxFileLines)
+			t.Errorf("%s has %d lines, want at most %d", name, len(lines), maxFileLines)
 		}
 		function := 0
 		for i, line := range lines {
 			if n := len([]rune(strings.ReplaceAll(line, "\t", "    "))); n > maxLineLength {
-				t.Errorf("%s:%d has %d characters, %d at most", name, i+1, n, maxLineLength)
+				t.Errorf("%s:%d has %d characters, want at most %d", name, i+1, n, maxLineLength)
 			}
 			if strings.HasPrefix(line, "func ") {
 				function = i
 			}
 			if line == "}" && strings.HasPrefix(lines[function], "func ") && i-function+1 > maxFunctionLines {
-				t.Errorf("%s:%d: a function of %d lines, %d at most", name, function+1, i-function+1, maxFunctionLines)
+				t.Errorf("%s:%d: function has %d lines, want at most %d", name, function+1, i-function+1, maxFunctionLines)
 			}
 		}
 	}
 }
 
-// No file that may decide is left out of the policy.
-func TestFilesOutsidePolicyDecideNothing(t *testing.T) {
+// Every file that makes decisions must be part of the policy.
+func TestFilesOutsidePolicyMakeNoDecisions(t *testing.T) {
 	policy := policyFiles(t)
 	for _, name := range sourceFiles(t) {
 		if decides := policy[name] != ""; decides == slices.Contains(filesWithoutDecisions, name) {
-			t.Errorf("%s: is in the policy %v; it must be either there or in filesWithoutDecisions", name, decides)
+			t.Errorf("%s: in the policy: %v; it must be either in the policy or in filesWithoutDecisions", name, decides)
 		}
 	}
-	// A rule ends in a line to on-call, a random draw or an action.
+	// Code that makes a decision logs a line, draws a random number or emits an action.
 	decision := regexp.MustCompile(`b\.log\(|b\.random\.(unit|below|twoBelow)\(|b\.act\(Action\{Kind: (Send|Cancel|Reject|Fail|Close|Poll)\b`)
 	for _, name := range filesWithoutDecisions {
 		text, err := os.ReadFile(name)
@@ -87,24 +87,24 @@
 			continue
 		}
 		if found := decision.Find(text); found != nil {
-			t.Errorf("%s decides (%s), so it belongs to the policy", name, found)
+			t.Errorf("%s makes a decision (%s), so it must be part of the policy", name, found)
 		}
 	}
 }
 
-// filesWithoutDecisions are the files of the package that hold no rule: types, data structures and codecs.
+// filesWithoutDecisions are the files of the package without rules: types, data structures and codecs.
 var filesWithoutDecisions = []string{
 	"actions.go", "api.go", "checkpoint.go", "checkpoint_codec.go", "checkpoint_hosts.go", "checkpoint_requests.go",
 	"host.go", "hostset.go", "list.go", "random.go", "dueheap.go", "request.go", "retune.go", "settings.go", "view.go",
 }
 
-// balancerGuide returns the files that the doc comment of Balancer names, each with what it decides.
-func balancerGuide(t *testing.T, code string) map[string]bool {
+// filesInBalancerComment returns the files that the doc comment of Balancer lists with a description.
+func filesInBalancerComment(t *testing.T, code string) map[string]bool {
 	t.Helper()
 	end := strings.Index(code, "\ntype Balancer struct")
 	start := strings.LastIndex(code[:max(end, 0)], "\n\n")
 	if start < 0 {
-		t.Fatal("balancer.go has no comment of Balancer")
+		t.Fatal("balancer.go has no doc comment on Balancer")
 	}
 	files := map[string]bool{}
 	for _, m := range regexp.MustCompile(`(?m)^//\t(\w+\.go) +\S+ \S+`).FindAllStringSubmatch(code[start:end], -1) {
@@ -113,7 +113,7 @@
 	return files
 }
 
-// Whoever is on call looks lines up on the page; each must stand there as printed.
+// Operators look up log lines on the page: it must contain each one as it is printed.
 func TestLogLinesAreOnTheOnCallPage(t *testing.T) {
 	code := ""
 	for _, text := range policyFiles(t) {
@@ -130,12 +130,12 @@
 	for _, m := range regexp.MustCompile(`b\.eject\(host, (Cause\w+)`).FindAllStringSubmatch(code, -1) {
 		name, ok := map[string]Cause{"CauseConnectionsFailed": CauseConnectionsFailed, "CauseSilent": CauseSilent}[m[1]]
 		if !ok {
-			t.Errorf("%s: the page is not checked for it", m[1])
+			t.Errorf("%s: unknown cause, cannot check the page for it", m[1])
 		}
 		lines = append(lines, "ejected: "+name.String())
 	}
 	if len(lines) < int(logKinds)+1 {
-		t.Fatalf("found only %d lines: %q", len(lines), lines)
+		t.Fatalf("found only %d log lines: %q", len(lines), lines)
 	}
 	for _, l := range lines {
 		l = strings.NewReplacer("%d of %d", "N of M", "%d", "N", "%x", "X").Replace(l)
@@ -145,7 +145,7 @@
 	}
 }
 
-// policyFiles returns the names of the files that the deploy file names as the policy, and their contents.
+// policyFiles returns the names and contents of the files that deploy/balancer.toml lists as the policy.
 func policyFiles(t *testing.T) map[string]string {
 	t.Helper()
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
@@ -162,7 +162,7 @@
 		files[string(m[1])] = string(text)
 	}
 	if len(files) == 0 || files["balancer.go"] == "" {
-		t.Fatalf("the deploy file names %d files of the policy", len(files))
+		t.Fatalf("deploy/balancer.toml lists %d policy files, want balancer.go among them", len(files))
 	}
 	return files
 }
--- a/balancer/polling_test.go
+++ b/balancer/polling_test.go
@@ -14,10 +14,10 @@
 	g := newTestGateway(t, settings, testHosts(1)...)
 	polls := func(d time.Duration) int { return len(g.advance(d)) }
 	if n := polls(999 * ms); n != 0 {
-		t.Errorf("%d polls before the time that its rank gives, want 0", n)
+		t.Errorf("%d polls before the time determined by the rank, want 0", n)
 	}
 	if n := polls(2 * ms); n != 1 {
-		t.Fatalf("%d polls at the time that its rank gives, want 1", n)
+		t.Fatalf("%d polls at the time determined by the rank, want 1", n)
 	}
 	g.updateEndpoints(ListFailed)
 	if n := polls(time.Second); n != 1 {
@@ -25,7 +25,7 @@
 	}
 	g.updateEndpoints(ListChanges)
 	if n := polls(time.Minute); n != 0 {
-		t.Errorf("%d polls while a list is awaited, want 0", n)
+		t.Errorf("%d polls after a list was received, want 0", n)
 	}
 	g.updateEndpoints(ListFailed)
 	gaps := []int{}
@@ -41,12 +41,12 @@
 	}
 	settings.Poll = false
 	if g := newTestGateway(t, settings, testHosts(1)...); len(g.advance(time.Minute)) != 0 {
-		t.Error("polls though the list is pushed, want none")
+		t.Error("got polls though the list is pushed, want none")
 	}
 }
 
-// Discovery is out for ten seconds: the last list, with its draining hosts, stays in use, and the
-// gateways return spread over several seconds.
+// Discovery is unavailable for ten seconds: the last list, including its draining hosts, must stay in use,
+// and the polls after the outage must be spread over several seconds.
 func TestEndpointListStaysInUseWhilePollsFail(t *testing.T) {
 	settings := testSettings()
 	settings.Poll = true
@@ -55,7 +55,7 @@
 	f := newGatewayFleet(t, settings, gatewayCount, testHosts(hostCount))
 	drained := Host{ID: 7, Zone: 3, Cell: 3, State: Draining}
 	f.updateEndpoints(drained)
-	returns := map[int]int{} // answered polls, by second since discovery is back
+	recovered := map[int]int{} // successful polls by second after the end of the outage
 	for _, g := range f.gateways {
 		began := g.now
 		g.updateEndpoints(ListFailed) // all watches end at once
@@ -67,7 +67,7 @@
 				if since := g.now - began; since < 10*time.Second {
 					g.updateEndpoints(ListFailed)
 				} else {
-					returns[int((since-10*time.Second)/time.Second)]++
+					recovered[int((since-10*time.Second)/time.Second)]++
 					g.updateEndpoints(ListChanges)
 				}
 			}
@@ -86,12 +86,12 @@
 			t.Errorf("%d hosts known, want the %d of the last list", len(g.b.hosts), hostCount)
 		}
 	}
-	for second, c := range returns {
+	for second, c := range recovered {
 		if c > gatewayCount/2 {
-			t.Errorf("%d of %d gateways return in second %d, want at most half", c, gatewayCount, second)
+			t.Errorf("%d of %d gateways receive the list in second %d, want at most half", c, gatewayCount, second)
 		}
 	}
-	if len(returns) < 4 {
-		t.Errorf("the gateways return within %d seconds, want 4 or more", len(returns))
+	if len(recovered) < 4 {
+		t.Errorf("the gateways receive the list in %d different seconds, want 4 or more", len(recovered))
 	}
 }
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// Each host takes at most its limit of attempts, and the next free place goes to the queued request of
-// the highest priority weight.
+// Each host gets at most its limit of attempts. When an attempt ends, the queued request of the highest
+// priority weight is sent next.
 func TestQueueOrdersByPriorityWeight(t *testing.T) {
 	g := newTestGateway(t, testSettings(), testHosts(2)...)
 	inFlight := map[RequestID]bool{}
@@ -92,7 +92,7 @@
 			t.Fatalf("action %v, want only rejections", a)
 		}
 		if g.b.open[a.Request] != nil {
-			t.Errorf("request %d is open after its rejection, want it forgotten", a.Request)
+			t.Errorf("request %d is open after its rejection, want it deleted", a.Request)
 		}
 	}
 	if g.b.queues.length != 0 {
@@ -100,18 +100,19 @@
 	}
 }
 
-// Late requests are rejected in a queue of low weight too while the queue of higher weight is blocked.
+// Requests that have waited too long must also be rejected in a queue of low weight while the queue of
+// higher weight is blocked.
 func TestLateRequestsAreRejectedInEveryQueue(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[0].Deadline = 2 * time.Second
-	settings.Classes[1].Deadline = 2 * time.Second // of a higher weight
+	settings.Classes[1].Deadline = 2 * time.Second // has a higher weight
 	settings.Classes[1].LatencyObjective = 2 * time.Second
 	g := newTestGateway(t, settings)
 	low := g.request(0, 2*time.Second)
 	high := g.request(1, 2*time.Second)
 	for _, a := range g.advance(200 * ms) {
 		if a.Kind != Reject || a.Request != low {
-			t.Errorf("action %v, want only the late request of the lower queue rejected", a)
+			t.Errorf("action %v, want only a rejection of the late request in the lower queue", a)
 		}
 	}
 	if g.b.open[low] != nil || g.b.open[high] == nil {
@@ -120,8 +121,8 @@
 	}
 }
 
-// The more gateways share a host, the sooner a queued request is rejected, as places there come free
-// by the responses to others.
+// The more gateways share a host, the sooner a queued request is rejected, because capacity at the host is
+// then mostly freed by responses to other gateways.
 func TestQueueTimeoutShrinksWithSharingInstances(t *testing.T) {
 	for gateways, want := range map[int]time.Duration{1: 80 * ms, 4: 20 * ms, 20: 4 * ms} {
 		settings := testSettings()
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -47,7 +47,7 @@
 	g.onlyAction(Reject)
 }
 
-// A retry goes to a host that the request has not been sent to, while one is ready.
+// A retry is sent to a host that the request has not been sent to, as long as one is ready.
 func TestRetryPrefersUntriedHost(t *testing.T) {
 	for seed := range uint64(200) {
 		g := newSeededTestGateway(t, testSettings(), seed, testHosts(3)...)
@@ -58,13 +58,13 @@
 				t.Fatalf("seed %d: attempt %d: actions %v, want one Send", seed, n, g.actions)
 			}
 			if tried[g.actions[0].Host] {
-				t.Fatalf("seed %d: attempt %d goes to host %d again, want an untried one", seed, n, g.actions[0].Host)
+				t.Fatalf("seed %d: attempt %d sent to host %d again, want an untried host", seed, n, g.actions[0].Host)
 			}
 			tried[g.actions[0].Host] = true
 			g.attemptEnded(id, n, Failed, ms)
 		}
 		if len(g.actions) != 1 || g.actions[0].Kind != Send {
-			t.Fatalf("seed %d: with all hosts tried: actions %v, want one Send", seed, g.actions)
+			t.Fatalf("seed %d: after attempts at all hosts: actions %v, want one Send", seed, g.actions)
 		}
 	}
 }
@@ -77,34 +77,34 @@
 	g.onlyAction(Fail)
 }
 
-// The Send of a retry carries the time by which it has to be out, so that the time that a dial takes
-// counts too. The window starts with the first attempt that may have run; every other attempt may go
-// out at any time.
+// The Send of a retry contains the time by which the request must be sent, so that the time needed to
+// connect counts as well. The window starts with the first attempt that may have run; all other attempts
+// have no such limit.
 func TestRetryCarriesEndOfDedupWindow(t *testing.T) {
 	for class := range testSettings().Classes {
 		g := newTestGateway(t, testSettings(), testHosts(4)...)
 		id, began := g.request(class, time.Second), g.now
 		if at := g.onlyAction(Send).At; at != 0 {
-			t.Errorf("class %d: the first attempt has to be out by %v, want no bound", class, at-began)
+			t.Errorf("class %d: the first attempt must be sent by %v, want no limit", class, at-began)
 		}
 		g.advance(100 * ms)
 		g.attemptEnded(id, 0, ConnectFailed, ms)
 		if at := g.onlyAction(Send).At; at != 0 {
-			t.Errorf("class %d: the second attempt has to be out by %v, want no bound, as the first never ran",
+			t.Errorf("class %d: the second attempt must be sent by %v, want no limit, because the first one never ran",
 				class, at-began)
 		}
 		second := g.now
 		g.advance(100 * ms)
 		g.attemptEnded(id, 1, Reset, ms)
 		if class == 2 {
-			continue // it may not be retried
+			continue // a request of this class may not be retried
 		}
 		want := Time(0)
 		if class == 1 {
 			want = second + 600*ms - dedupMarginSteps*g.b.settings.Step
 		}
 		if at := g.onlyAction(Send).At; at != want {
-			t.Errorf("class %d: the retry has to be out by %v, want %v", class, at-began, want-began)
+			t.Errorf("class %d: the retry must be sent by %v, want %v", class, at-began, want-began)
 		}
 	}
 }
@@ -114,7 +114,7 @@
 	id := g.request(0, 500*ms)
 	g.b.AttemptStarted(g.now, id, 0)
 	if done := g.advance(2 * time.Second); len(done) != 0 {
-		t.Errorf("actions %v past the deadline of a stream that has begun, want none", done)
+		t.Errorf("actions %v past the deadline of a streamed request, want none", done)
 	}
 	g.b.AttemptEnded(g.now, Outcome{Request: id, Result: Reset, Closed: true})
 	g.takeActions()
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestClientGoneCancelsAndForgetsRequest(t *testing.T) {
+func TestClientGoneCancelsAndDeletesRequest(t *testing.T) {
 	g := newTestGateway(t, testSettings(), testHosts(1)...)
 	id := g.request(0, time.Second)
 	g.b.ClientGone(g.now, id)
@@ -131,6 +131,6 @@
 	g.onlyAction(Cancel)
 	g.attemptEnded(id, 0, Canceled, ms)
 	if len(g.b.open) != 0 {
-		t.Errorf("%d requests open after the client has gone, want none", len(g.b.open))
+		t.Errorf("%d requests open after the client disconnected, want none", len(g.b.open))
 	}
 }
--- a/balancer/retune_test.go
+++ b/balancer/retune_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// retunedSettings is testSettings with the first class retired and one class more.
+// retunedSettings returns testSettings with the first class retired and one class added.
 func retunedSettings() Settings {
 	settings := testSettings()
 	settings.Classes[0].Retired = true
@@ -14,9 +14,9 @@
 	return settings
 }
 
-// Requests under way keep the rules of their class, new ones get the new classes, and what was learnt
-// of the hosts stays.
-func TestRetuneKeepsRequestsAndLearntState(t *testing.T) {
+// Open requests keep the rules of their class, new requests use the new classes, and the estimates of hosts
+// and classes are kept.
+func TestRetuneKeepsRequestsAndEstimates(t *testing.T) {
 	g := newTestGateway(t, testSettings(), testHosts(3)...)
 	for range 50 {
 		id := g.request(0, time.Second)
@@ -33,11 +33,11 @@
 			before, got, g.b.typicalRTT.byClass[3])
 	}
 	if actions := g.b.TakeActions(nil); len(actions) > 0 {
-		t.Errorf("actions %v of a retune, want none", actions)
+		t.Errorf("actions %v after a retune, want none", actions)
 	}
-	g.attemptEnded(old, 0, Reset, 10*ms) // idempotent when it came, so it may be retried
+	g.attemptEnded(old, 0, Reset, 10*ms) // the request may be retried, because its class is idempotent
 	if len(g.actions) != 1 || g.actions[0].Kind != Send {
-		t.Errorf("actions %v after a reset of an idempotent request under way, want one Send", g.actions)
+		t.Errorf("actions %v after a reset of an open idempotent request, want one Send", g.actions)
 	}
 	strict := g.request(3, time.Second)
 	g.attemptEnded(strict, 0, Reset, 10*ms)
@@ -50,7 +50,7 @@
 	}
 }
 
-// Fewer attempts apply to requests under way too.
+// A lower MaxAttempts also applies to open requests.
 func TestRetuneLowersMaxAttempts(t *testing.T) {
 	g := newTestGateway(t, testSettings(), testHosts(3)...)
 	id := g.request(0, time.Second)
@@ -66,8 +66,8 @@
 	}
 }
 
-// Queued requests are served in the order of the new weights, in order of arrival within a queue, and
-// duplicates stay behind first attempts: none is lost between the old queues and the new ones.
+// Queued requests are sent in the order of the new weights, and in order of arrival within a queue, with
+// duplicates behind first attempts. No request must be lost between the old queues and the new ones.
 func TestRetuneKeepsQueuedRequests(t *testing.T) {
 	g := newTestGateway(t, testSettings())
 	var ids []RequestID
@@ -81,7 +81,7 @@
 	settings := retunedSettings()
 	settings.Classes[1].PriorityWeight = 9 // the class has open requests
 	if err := g.b.Retune(g.now, settings, []int{0, 1, 2, -1}); err == nil {
-		t.Fatal("Retune that changes the class of open requests: no error, want one")
+		t.Fatal("Retune that changes a class with open requests: no error, want one")
 	}
 	if err := g.b.Retune(g.now, retunedSettings(), []int{0, 1, 2, -1}); err != nil {
 		t.Fatal(err)
@@ -133,8 +133,8 @@
 	}
 }
 
-// Retuning to the same settings leaves the state the same byte for byte, except for the standing of
-// hosts, which is updated.
+// A retune to the same settings does not change the checkpoint, apart from the standing of hosts, which is
+// updated.
 func TestRetuneToSameSettingsChangesNothing(t *testing.T) {
 	g := newTestGateway(t, testSettings(), testHosts(5)...)
 	for i := range 200 {
@@ -163,6 +163,6 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(back.Checkpoint(nil), g.b.Checkpoint(nil)) {
-		t.Error("the restored Balancer gives another checkpoint, want the same")
+		t.Error("the restored Balancer writes a different checkpoint, want the same")
 	}
 }
--- a/balancer/rtt_test.go
+++ b/balancer/rtt_test.go
@@ -17,20 +17,20 @@
 		want  float64
 	}{
 		{"above the estimate replaces it", 0, 0.5, 0.5},
-		{"below is blended by the time since", 800 * ms, 0.1, 0.5*math.Exp(-0.8/tau) + 0.1*(1-math.Exp(-0.8/tau))},
-		{"at once leaves the estimate", 0, 0.01, 0.5*math.Exp(-0.8/tau) + 0.1*(1-math.Exp(-0.8/tau))},
-		{"below the old peak but above it decayed replaces it", 100 * time.Second, 0.02, 0.02},
+		{"below is blended according to the time since the last sample", 800 * ms, 0.1, 0.5*math.Exp(-0.8/tau) + 0.1*(1-math.Exp(-0.8/tau))},
+		{"immediately after another leaves the estimate", 0, 0.01, 0.5*math.Exp(-0.8/tau) + 0.1*(1-math.Exp(-0.8/tau))},
+		{"below the last estimate but above its decayed value replaces it", 100 * time.Second, 0.02, 0.02},
 	}
 	for _, s := range steps {
 		g.b.now += s.after
 		g.b.addSample(h, s.rtt)
 		if math.Abs(h.rtt.seconds-s.want) > 1e-12 {
-			t.Errorf("%s: estimate %v, want %v", s.name, h.rtt.seconds, s.want)
+			t.Errorf("sample %s: estimate %v, want %v", s.name, h.rtt.seconds, s.want)
 		}
 	}
 	g.b.now += Time(tau * 1e9)
 	if got, want := g.b.estimatedRTT(h), 0.02/math.E; math.Abs(got-want) > 1e-9 {
-		t.Errorf("estimate one decay later: %v, want %v", got, want)
+		t.Errorf("estimate after one time constant: %v, want %v", got, want)
 	}
 	if h.rtt.seconds != 0.02 {
 		t.Errorf("estimate %v after a read, want 0.02 as before", h.rtt.seconds)
@@ -44,7 +44,7 @@
 		want   float64 // -1: the initial estimate stays
 	}{
 		{OK, 300 * ms, 0.3},
-		{Failed, 2 * ms, 0.4}, // the base penalty: one latency objective
+		{Failed, 2 * ms, 0.4}, // the error penalty: one latency objective
 		{Full, 2 * ms, 0.4},
 		{Failed, 700 * ms, 0.7},
 		{TimedOut, 600 * ms, 0.6},
@@ -72,17 +72,16 @@
 	}
 }
 
-// A response that took no time must not leave NaN as the estimate, by which hosts can not be compared.
+// Guards against a response with an RTT of 0 that sets the estimate to NaN, which cannot be compared.
 func TestZeroRTTLeavesValidEstimate(t *testing.T) {
 	g := newTestGateway(t, testSettings(), testHosts(1)...)
 	g.attemptEnded(g.request(0, time.Second), 0, OK, 0)
 	if got := g.b.estimatedRTT(g.b.hosts[0]); !(got >= 0) {
-		t.Errorf("estimate %v after a response in no time, want a number of 0 or more", got)
+		t.Errorf("estimate %v after a response with an RTT of 0, want a number of 0 or more", got)
 	}
 }
 
-// The estimate of a host without samples rests on the RTT of hosts of its kind rather than on a fixed
-// value.
+// The estimate of a host without samples is the RTT of hosts of its kind rather than a fixed value.
 func TestEstimateOfNewHostStartsAtItsKind(t *testing.T) {
 	list := testHosts(4)
 	for i := range list {
@@ -103,7 +102,7 @@
 	}
 }
 
-// A host that last served a slow class must not look slow for that reason.
+// Guards against a host that looks slow only because it has just served a slow class.
 func TestEstimateIsIndependentOfClass(t *testing.T) {
 	g := newTestGateway(t, testSettings(), testHosts(2)...)
 	for range 60 {
--- a/balancer/scope_test.go
+++ b/balancer/scope_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// A retry with a key that may have run stays in the dedup scope and uses all hosts of it, however many
-// they are.
+// A retry with a key that may have run stays in the deduplication scope and uses all hosts of the scope,
+// even if they are many.
 func TestRetryWithKeyStaysInLargeDedupScope(t *testing.T) {
 	for _, scope := range []DedupScope{ScopeCell, ScopeZone} {
 		settings := testSettings()
@@ -68,7 +68,7 @@
 			return a.Host
 		}
 	}
-	t.Fatal("no attempt is sent, want one")
+	t.Fatal("no attempt sent, want one")
 	return 0
 }
 
--- a/balancer/selection_test.go
+++ b/balancer/selection_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// Only the two hosts drawn are compared: the second best is drawn without the best often enough to be
-// picked, and the worst never wins.
+// Only the two hosts drawn are compared: the second best host is picked whenever it is drawn without the
+// best one, and the worst one never.
 func TestPickComparesTwoRandomHosts(t *testing.T) {
 	g := newTestGateway(t, testSettings(), testHosts(4)...)
 	for i, h := range g.b.hosts {
@@ -66,8 +66,8 @@
 	}
 }
 
-// Fail-open skips hosts to which connections fail while any other host is up, as an attempt there
-// fails at once and uses up one of the attempts of its request.
+// Failing open skips hosts to which connections fail as long as any other host is usable, because an
+// attempt there fails immediately and uses up one of the attempts of its request.
 func TestFailOpenSkipsHostsWithFailingConnections(t *testing.T) {
 	g := newTestGateway(t, testSettings(), testHosts(6)...)
 	for id := HostID(1); id <= 4; id++ {
@@ -76,13 +76,13 @@
 	g.b.eject(g.b.byID[5], CauseSilent)
 	got := g.serve(40, 0, func(HostID) time.Duration { return ms })
 	if got[5] == 0 || got[6] == 0 || got[1]+got[2]+got[3]+got[4] != 0 {
-		t.Errorf("requests sent by host: %v, want some to 5 and 6 and none to others", got)
+		t.Errorf("requests sent by host: %v, want some to hosts 5 and 6 and none to others", got)
 	}
 	g.b.eject(g.b.byID[5], CauseConnectionsFailed)
 	g.b.byID[5].ejection.cause = CauseConnectionsFailed
 	g.b.eject(g.b.byID[6], CauseConnectionsFailed)
 	g.request(0, time.Second)
-	g.onlyAction(Send) // connections fail everywhere, so the fault may be the path
+	g.onlyAction(Send) // connections to all hosts fail, so the cause may be the network
 }
 
 func TestFailOpenUsesEjectedHostsWhenMostAreEjected(t *testing.T) {
@@ -92,6 +92,6 @@
 	}
 	got := g.serve(60, 0, func(HostID) time.Duration { return ms })
 	if len(got) < 2 {
-		t.Errorf("requests sent by host: %v, want the ejected hosts used too", got)
+		t.Errorf("requests sent by host: %v, want requests to ejected hosts as well", got)
 	}
 }
--- a/balancer/sendrate_test.go
+++ b/balancer/sendrate_test.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// Responses are compared with the usual RTT of their class too: a fleet can be overloaded while
-// responses are far within the latency objective.
-func TestSendRateIsReducedAboveUsualRTT(t *testing.T) {
+// Responses are also compared with the typical RTT of their class: a fleet can be overloaded while
+// responses are well within the latency objective.
+func TestSendRateIsReducedAboveTypicalRTT(t *testing.T) {
 	settings := testSettings()
 	settings.Instances = 100
 	g := newTestGateway(t, settings, testHosts(10)...)
 	quick := func(HostID) time.Duration { return 40 * ms }
 	g.serve(100, 0, quick)
 	if p := g.b.sendRate.recentRTT.mean; p > 1 || g.b.sendRate.limit != 0 {
-		t.Fatalf("at the usual RTT: recent RTT %v targets, send rate %v, want at most 1 target and no send rate",
+		t.Fatalf("at the typical RTT: recent RTT %v targets, send rate %v, want at most 1 target and no limit",
 			p, g.b.sendRate.limit)
 	}
 	g.serve(12, 0, func(HostID) time.Duration { return 100 * ms }) // a quarter of the latency objective
 	if g.b.sendRate.limit == 0 {
-		t.Errorf("at 2.5 times the usual RTT: no send rate at a recent RTT of %v targets, want one", g.b.sendRate.recentRTT.mean)
+		t.Errorf("at 2.5 times the typical RTT: no send rate limit at a recent RTT of %v targets, want one", g.b.sendRate.recentRTT.mean)
 	}
 	if l := g.b.typicalRTT.byClass[0].mean; l > 0.05 {
-		t.Errorf("usual RTT %v after a short overload, want at most 0.05", l)
+		t.Errorf("typical RTT %v after a short overload, want at most 0.05", l)
 	}
 }
 
-// An attempt that is out for unusually long raises the RTT that the send rate is reduced by before its
-// response arrives, as the hosts left after a crash are overloaded before the first late response.
+// An attempt that is in flight for unusually long raises the mean RTT of the send rate before its response
+// arrives. This detects that the hosts left after a crash are overloaded before the first late response.
 func TestUnansweredAttemptRaisesRTTOfSendRate(t *testing.T) {
 	settings := testSettings()
 	settings.Instances = 100
@@ -42,8 +42,8 @@
 	}
 }
 
-// In a fleet where each instance has less than one attempt at a host, limits per host cannot bound the
-// load, so the send rate has to.
+// If each instance of a fleet has less than one attempt in flight at a host, concurrency limits per host
+// cannot limit the load, so the send rate must.
 func TestOverloadReducesSendRateByPriorityWeight(t *testing.T) {
 	settings := testSettings()
 	settings.Instances = 200
@@ -60,7 +60,7 @@
 					}
 					g.attemptEnded(id, 0, OK, Time(objectives*400)*ms)
 				}
-				for _, h := range g.b.hosts { // the limits of the hosts must not bind
+				for _, h := range g.b.hosts { // the concurrency limits must not apply
 					h.limiter.limit = 10
 					h.limiter.restingUntil = 0
 				}
@@ -70,7 +70,7 @@
 		return low, high
 	}
 	if low, high := serve(0.1); low != 100 || high != 100 {
-		t.Fatalf("sent %d of low and %d of high weight while responses are quick, want 100 of each", low, high)
+		t.Fatalf("sent %d of low and %d of high weight while responses are fast, want 100 of each", low, high)
 	}
 	low, high := serve(0.9)
 	if low > 50 || high < 2*low {
--- a/balancer/silence_test.go
+++ b/balancer/silence_test.go
@@ -8,26 +8,26 @@
 	"time"
 )
 
-// A host with a single attempt unanswered is not ejected, and receives nothing more until it answers.
-func TestHostThatPausesReceivesNothingUntilItAnswers(t *testing.T) {
+// A host with a single unanswered attempt is not ejected, but receives nothing until it responds.
+func TestHostWithOneUnansweredAttemptReceivesNothing(t *testing.T) {
 	g := newTestGateway(t, testSettings(), testHosts(3)...)
 	g.serve(60, 0, func(HostID) time.Duration { return 10 * ms })
 	unanswered := g.requestUntilSentTo(1, 10*ms)
 	g.advance(200 * ms)
 	if got := g.serve(50, 0, func(HostID) time.Duration { return ms }); got[1] != 0 {
-		t.Fatalf("%d requests sent to the host that pauses, want 0", got[1])
+		t.Fatalf("%d requests sent to the host with an unanswered attempt, want 0", got[1])
 	}
-	g.attemptEnded(unanswered, 0, OK, 250*ms) // it only paused
+	g.attemptEnded(unanswered, 0, OK, 250*ms) // the host was only paused
 	if h := g.b.hosts[0]; h.ejection.count != 0 {
 		t.Errorf("%d ejections after its response, want 0", h.ejection.count)
 	}
-	g.advance(10 * time.Second) // its one long RTT decays
+	g.advance(10 * time.Second) // the estimate after one long RTT decays
 	if got := g.serve(300, 0, func(h HostID) time.Duration { return 10 * ms }); got[1] == 0 {
 		t.Error("no requests sent to the host after its response, want some")
 	}
 }
 
-// A host that takes long over one request and answers others meanwhile is not silent.
+// A host that takes long for one request but responds to others meanwhile is not silent.
 func TestHostAnsweringOtherAttemptsIsNotEjected(t *testing.T) {
 	g := newTestGateway(t, testSettings(), testHosts(1)...)
 	g.b.hosts[0].limiter.limit = 10
@@ -43,8 +43,9 @@
 	}
 }
 
-// One attempt that takes long makes its host suspected, not ejected. A suspected host receives nothing
-// while another is ready, and then a single idempotent request whose outcome decides.
+// A single attempt that takes long makes its host suspected, but does not eject it. A suspected host
+// receives nothing while another host is ready, and otherwise one idempotent request, whose outcome
+// determines whether it is ejected.
 func TestSuspectedHostIsTestedWithOneIdempotentRequest(t *testing.T) {
 	for _, answers := range []bool{true, false} {
 		g := newTestGateway(t, testSettings(), testHosts(2)...)
@@ -56,17 +57,17 @@
 			t.Fatalf("ejected %d times, suspected %v, want 0 and true", h.ejection.count, g.b.suspected(h))
 		}
 		if got := g.serve(30, 0, func(HostID) time.Duration { return ms }); got[1] != 0 {
-			t.Fatalf("%d requests sent to it while another host is ready, want 0", got[1])
+			t.Fatalf("%d requests sent to the suspected host while another host is ready, want 0", got[1])
 		}
-		g.b.byID[2].limiter.restingUntil = g.now + time.Minute // the other is not ready any more
+		g.b.byID[2].limiter.restingUntil = g.now + time.Minute // the other host is no longer ready
 		g.b.updateStanding(g.b.byID[2])
 		g.request(2, time.Second)
 		for _, a := range g.actions {
 			if a.Kind == Send {
-				t.Fatalf("non-idempotent request sent: %v, want it to wait", a)
+				t.Fatalf("non-idempotent request sent: %v, want it queued", a)
 			}
 		}
-		g.advance(300 * ms) // it is rejected
+		g.advance(300 * ms) // the queued request is rejected
 		id := g.request(0, time.Second)
 		if a := g.onlyAction(Send); a.Host != 1 {
 			t.Fatalf("sent to host %d, want 1", a.Host)
@@ -79,12 +80,12 @@
 			g.attemptEnded(id, 0, OK, 10*ms)
 			g.advance(100 * ms)
 			if h.ejection.count != 0 {
-				t.Errorf("%d ejections though it answers others, want 0", h.ejection.count)
+				t.Errorf("%d ejections though the host responds to other attempts, want 0", h.ejection.count)
 			}
 		} else {
 			g.advance(200 * ms)
 			if h.ejection.count == 0 || h.ejection.cause != CauseSilent {
-				t.Errorf("two attempts unanswered: ejected %d times, cause %v, want once or more as silent",
+				t.Errorf("two unanswered attempts: ejected %d times, cause %v, want at least once as silent",
 					h.ejection.count, h.ejection.cause)
 			}
 		}
@@ -95,13 +96,13 @@
 	}
 }
 
-// Two instances share ten hosts, each of which divides one core among its requests, and one attempt in
-// 25 is never answered because its connection is silent. Such attempts must not keep their hosts out
-// of use until the deadlines of their clients.
-func TestSilentConnectionsDoNotStarveFleet(t *testing.T) {
+// Two instances share ten hosts, each of which divides the capacity of one core among its requests, and one
+// attempt in 25 never gets a response because its connection is silent. Guards against such attempts
+// keeping their hosts out of use until the deadlines of the clients.
+func TestSilentConnectionsDoNotBlockHosts(t *testing.T) {
 	requested, rejected := 0, 0
-	for seed := range int64(10) { // a single run varies too much
-		seedRequested, seedRejected := playSilentConnections(t, seed+1)
+	for seed := range int64(10) { // the results of a single run vary too much
+		seedRequested, seedRejected := simulateSilentConnections(t, seed+1)
 		requested += seedRequested
 		rejected += seedRejected
 	}
@@ -111,10 +112,10 @@
 	t.Logf("%d of %d requests rejected or failed", rejected, requested)
 }
 
-// playSilentConnections plays eight seconds of that load with a random seed, and returns how many
-// requests came and how many of them were rejected or failed.
-func playSilentConnections(t *testing.T, seed int64) (requested, rejected int) {
-	p := newSilentConnectionsPlay(t, seed)
+// simulateSilentConnections simulates eight seconds of that load with a random seed, and returns the number
+// of requests and how many of them were rejected or failed.
+func simulateSilentConnections(t *testing.T, seed int64) (requested, rejected int) {
+	p := newSilentConnectionsSimulation(t, seed)
 	for range 8000 {
 		p.serveOneMillisecond()
 		p.sendRequests()
@@ -122,18 +123,18 @@
 	return p.requested, p.rejected
 }
 
-// silentConnectionsPlay is two gateways over ten hosts, some of whose connections are silent.
-type silentConnectionsPlay struct {
+// silentConnectionsSimulation is two gateways and ten hosts, some of whose connections are silent.
+type silentConnectionsSimulation struct {
 	random   *rand.Rand
 	gateways [2]*testGateway
 	jobs     []*silentConnectionsJob
-	work     map[RequestID]float64  // of a request, in ms of a core
-	attempts map[gatewayRequest]int // sent so far
+	work     map[RequestID]float64  // work of each request, in milliseconds of a core
+	attempts map[gatewayRequest]int // number of attempts sent
 
 	requested, rejected int
 }
 
-// gatewayRequest is a request of a gateway.
+// gatewayRequest identifies a request at a gateway.
 type gatewayRequest struct {
 	gateway int
 	id      RequestID
@@ -144,16 +145,16 @@
 	request gatewayRequest
 	attempt int
 	host    HostID
-	left    float64 // work in ms of a core; infinite on a silent connection
+	left    float64 // remaining work in milliseconds of a core; infinite on a silent connection
 	sent    Time
 }
 
-func newSilentConnectionsPlay(t *testing.T, seed int64) *silentConnectionsPlay {
+func newSilentConnectionsSimulation(t *testing.T, seed int64) *silentConnectionsSimulation {
 	settings := testSettings()
 	settings.Instances = 2
 	settings.Step = ms
 	settings.Classes = lookupAndBookingClasses()
-	p := &silentConnectionsPlay{
+	p := &silentConnectionsSimulation{
 		random: rand.New(rand.NewSource(seed)), work: map[RequestID]float64{}, attempts: map[gatewayRequest]int{},
 	}
 	for i := range p.gateways {
@@ -163,8 +164,8 @@
 	return p
 }
 
-// serveOneMillisecond lets each host work for a millisecond, divided among its jobs.
-func (p *silentConnectionsPlay) serveOneMillisecond() {
+// serveOneMillisecond advances the work of each host by a millisecond, divided equally among its jobs.
+func (p *silentConnectionsSimulation) serveOneMillisecond() {
 	speed := [...]float64{0.8, 1.2, 2}
 	busy := map[HostID]float64{}
 	for _, j := range p.jobs {
@@ -183,8 +184,8 @@
 	}
 }
 
-// sendRequests moves the clocks by a millisecond and sends 0.35 requests a millisecond and gateway.
-func (p *silentConnectionsPlay) sendRequests() {
+// sendRequests moves the clocks by a millisecond and sends 0.35 requests per millisecond and gateway.
+func (p *silentConnectionsSimulation) sendRequests() {
 	for i, g := range p.gateways {
 		p.carryOut(i, g.advance(ms))
 		if p.random.Float64() >= 0.35 {
@@ -199,7 +200,7 @@
 }
 
 // carryOut carries out the actions of a gateway.
-func (p *silentConnectionsPlay) carryOut(gateway int, actions []Action) {
+func (p *silentConnectionsSimulation) carryOut(gateway int, actions []Action) {
 	for _, a := range slices.Clone(actions) {
 		request := gatewayRequest{gateway, a.Request}
 		switch a.Kind {
@@ -218,8 +219,8 @@
 	}
 }
 
-// send starts a job. From the second second on, one connection in 25 is silent.
-func (p *silentConnectionsPlay) send(request gatewayRequest, host HostID) {
+// send starts a job. One connection in 25 is silent, beginning with the second second.
+func (p *silentConnectionsSimulation) send(request gatewayRequest, host HostID) {
 	now := p.gateways[request.gateway].now
 	j := &silentConnectionsJob{request: request, attempt: p.attempts[request], host: host, left: p.work[request.id], sent: now}
 	if now > time.Hour+time.Second && p.random.Float64() < 0.04 {
@@ -229,8 +230,8 @@
 	p.attempts[request]++
 }
 
-// end ends a job with the result and carries out what follows.
-func (p *silentConnectionsPlay) end(j *silentConnectionsJob, result Result) {
+// end ends a job with the given result and carries out the resulting actions.
+func (p *silentConnectionsSimulation) end(j *silentConnectionsJob, result Result) {
 	i := slices.Index(p.jobs, j)
 	p.jobs = slices.Delete(p.jobs, i, i+1)
 	g := p.gateways[j.request.gateway]
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -9,7 +9,7 @@
 func TestSlowStartPacesWarmingHost(t *testing.T) {
 	settings := testSettings()
 	g := newTestGateway(t, settings, testHosts(3)...)
-	// Two warm hosts at 50 responses a second each, then the third restarts.
+	// The hosts are warm and respond to 100 requests per second together; then the third one restarts.
 	serve := func(n int) map[HostID]int { return g.serve(n, 0, func(HostID) time.Duration { return 10 * ms }) }
 	serve(600)
 	rate := g.b.pacer.warmHostRate.mean
@@ -30,20 +30,20 @@
 // All instances together stay within the slow-start budget of a warming host, however many they are.
 func TestSlowStartBudgetHoldsAcrossInstances(t *testing.T) {
 	for _, instances := range []int{1, 30, 300, 1200} {
-		for _, learnt := range []bool{false, true} {
+		for _, rateKnown := range []bool{false, true} {
 			settings := testSettings()
 			settings.Instances = instances
 			list := testHosts(max(2, instances/6))
 			starting := list[0].ID
-			users, sends, capacity := 0, 0, 60.0 // responses a second of a warm host
+			users, sends, capacity := 0, 0, 60.0 // capacity is the responses per second of a warm host
 			for rank := range instances {
 				settings.Rank = rank
 				g := newTestGateway(t, settings, list...)
-				if learnt {
+				if rateKnown {
 					g.b.pacer.warmHostRate.add(capacity / g.b.sharingInstances())
 				}
 				g.updateEndpoints(ListChanges, Host{ID: starting, Cell: list[0].Cell, Zone: list[0].Zone, Started: g.now})
-				for range 40 { // an overload window, with more requests than the warming host can do
+				for range 40 { // one overload window, with more requests than the warming host can serve
 					id := g.request(0, time.Second)
 					if len(g.actions) == 1 && g.actions[0].Kind == Send {
 						if g.actions[0].Host == starting {
@@ -61,8 +61,8 @@
 				t.Errorf("%d instances: no subset contains the warming host, want one or more", instances)
 			}
 			if budget := capacity * settings.SlowStartShare * settings.OverloadFactor; float64(sends) > budget {
-				t.Errorf("%d instances, learnt %v: %d requests sent in an overload window, want at most %.0f",
-					instances, learnt, sends, budget)
+				t.Errorf("%d instances, rate known %v: %d requests sent in an overload window, want at most %.0f",
+					instances, rateKnown, sends, budget)
 			}
 		}
 	}
@@ -78,11 +78,12 @@
 	g.onlyAction(Send)
 	g.attemptEnded(id, 0, Full, ms)
 	if len(g.actions) != 0 {
-		t.Errorf("actions %v at once, want none while no rate of warm hosts is known", g.actions)
+		t.Errorf("actions %v at once, want none before a rate of warm hosts is known", g.actions)
 	}
 }
 
-// A learnt rate that has decayed to almost nothing still paces a warming host.
+// A measured rate that has decayed to almost nothing must still limit the interval between attempts at a
+// warming host.
 func TestSlowStartPacesHostAfterLongIdleTime(t *testing.T) {
 	g := newTestGateway(t, testSettings(), Host{ID: 1})
 	g.serve(20, 0, func(HostID) time.Duration { return 10 * ms })
@@ -91,16 +92,16 @@
 		g.updateEndpoints(ListFull, Host{ID: 1}, Host{ID: 2, Started: g.now})
 		h := g.b.byID[2]
 		if gap := h.slowStart.nextSend - g.now; gap <= 0 || gap > g.b.settings.OverloadWindow*3/2 {
-			t.Errorf("next send to the warming host %v from now after %v, want at most one and a half overload windows",
+			t.Errorf("next attempt at the warming host in %v after an idle time of %v, want at most one and a half overload windows",
 				gap, idle)
 		}
 		g.updateEndpoints(ListFull, Host{ID: 1})
 	}
 }
 
-// The only host of a site is paced by the rate learnt before it left, as there is no warm host to
-// learn from.
-func TestSlowStartOfOnlyHostUsesLearntRate(t *testing.T) {
+// If there is only one host, it is paced after a restart by the rate measured before it left the list,
+// because no warm host exists from which a rate could be measured.
+func TestSlowStartOfOnlyHostUsesPreviousRate(t *testing.T) {
 	g := newTestGateway(t, testSettings(), testHosts(1)...)
 	g.serve(300, 0, func(HostID) time.Duration { return 10 * ms })
 	h := testHosts(1)[0]
@@ -118,13 +119,13 @@
 			}
 		}
 	}
-	// A warm host took 100 a second; the budget is 2.5 x 0.3 of that, half used.
+	// The warm host served 100 requests per second; the budget is 2.5 x 0.3 of that, half of which is used.
 	if sends < 10 || sends > 50 {
 		t.Errorf("%d requests sent in the first second, want 10 to 50", sends)
 	}
 }
 
-// A warming host that leaves the list and returns keeps its pacing.
+// A warming host that leaves the list and returns is still paced.
 func TestSlowStartPacingSurvivesEndpointFlapping(t *testing.T) {
 	list := testHosts(1)
 	list[0].Started = time.Hour - time.Second
@@ -141,22 +142,23 @@
 	}
 }
 
-// A zone is lost and returns warming to 80 gateways: what all of them send to each of its hosts stays
-// within the slow-start budget in every overload window, and uses a good part of it.
+// The hosts of a zone leave the list and return warming to 80 gateways: what all gateways together send to
+// each of these hosts must stay within the slow-start budget in every overload window, and use a good part
+// of it.
 func TestSlowStartBudgetHoldsForReturningZone(t *testing.T) {
 	settings := testSettings()
 	const gatewayCount, hostCount, lostHosts = 80, 60, 20
-	const rate = 20 // requests a second of a gateway
+	const rate = 20 // requests per second and gateway
 	list := testHosts(hostCount)
 	for i := range list {
 		list[i].Zone = i % 3
 		list[i].Kind = 0
 	}
-	p := &fleetPlay{
+	p := &fleetSimulation{
 		random: rand.New(rand.NewSource(9)), fleet: newGatewayFleet(t, settings, gatewayCount, list),
 		rate: rate, rtt: 20 * ms, sends: map[HostID][]Time{},
 	}
-	p.play(5 * time.Second)
+	p.run(5 * time.Second)
 	var removed, returned []Host
 	for _, h := range list {
 		if h.Zone == 0 {
@@ -165,7 +167,7 @@
 		}
 	}
 	p.fleet.updateEndpoints(removed...)
-	p.play(3 * time.Second)
+	p.run(3 * time.Second)
 	started := p.fleet.gateways[0].now
 	for _, h := range removed {
 		h.State = Ready
@@ -174,14 +176,14 @@
 	}
 	p.fleet.updateEndpoints(returned...)
 	clear(p.sends)
-	p.play(settings.SlowStartWindow)
-	capacity := float64(gatewayCount*rate) / (hostCount - lostHosts) // least rate of a warm host meanwhile
+	p.run(settings.SlowStartWindow)
+	capacity := float64(gatewayCount*rate) / (hostCount - lostHosts) // lowest rate of a warm host during the slow start
 	used, budget := 0.0, 0.0
 	for _, h := range returned {
 		times := p.sends[h.ID]
 		checkSlowStartBudget(t, settings, h, times, capacity)
 		if len(times) == 0 {
-			t.Errorf("host %d received nothing while warming, want some requests", h.ID)
+			t.Errorf("host %d received no requests while warming, want some", h.ID)
 		}
 		used += float64(len(times))
 		budget += capacity * (1 + settings.SlowStartShare) / 2 * settings.OverloadFactor * settings.SlowStartWindow.Seconds()
@@ -192,8 +194,8 @@
 	}
 }
 
-// checkSlowStartBudget compares the requests sent to a warming host in each overload window with its
-// budget, for a capacity in requests a second.
+// checkSlowStartBudget compares the number of requests sent to a warming host in each overload window with
+// its budget. capacity is the capacity of a warm host in requests per second.
 func checkSlowStartBudget(t *testing.T, settings Settings, h Host, sends []Time, capacity float64) {
 	t.Helper()
 	for first, at := range sends {
@@ -211,12 +213,12 @@
 	}
 }
 
-// fleetPlay sends requests through a fleet, each answered after the same time, and notes when each
-// host was sent one.
-type fleetPlay struct {
+// fleetSimulation sends requests through a fleet, all with the same RTT, and records the times at which
+// each host was sent one.
+type fleetSimulation struct {
 	random   *rand.Rand
 	fleet    *gatewayFleet
-	rate     float64 // requests a second of a gateway
+	rate     float64 // requests per second and gateway
 	rtt      time.Duration
 	inFlight []fleetAttempt
 	sends    map[HostID][]Time
@@ -229,23 +231,23 @@
 	sent    Time
 }
 
-// play lets the time pass.
-func (p *fleetPlay) play(d time.Duration) {
+// run advances the simulation by d.
+func (p *fleetSimulation) run(d time.Duration) {
 	const step = 10 * ms
 	for ; d > 0; d -= step {
 		p.endAttempts()
 		for _, g := range p.fleet.gateways {
-			p.noteSends(g, g.advance(step))
+			p.recordSends(g, g.advance(step))
 			if p.random.Float64() < p.rate*step.Seconds() {
 				g.request(0, time.Second)
-				p.noteSends(g, g.actions)
+				p.recordSends(g, g.actions)
 			}
 		}
 	}
 }
 
-// endAttempts ends the attempts whose time has passed.
-func (p *fleetPlay) endAttempts() {
+// endAttempts ends the attempts that have been in flight for the RTT.
+func (p *fleetSimulation) endAttempts() {
 	var due, remaining []fleetAttempt
 	for _, a := range p.inFlight {
 		if a.gateway.now-a.sent < p.rtt {
@@ -257,11 +259,11 @@
 	p.inFlight = remaining
 	for _, a := range due {
 		a.gateway.attemptEnded(a.id, 0, OK, p.rtt)
-		p.noteSends(a.gateway, a.gateway.actions)
+		p.recordSends(a.gateway, a.gateway.actions)
 	}
 }
 
-func (p *fleetPlay) noteSends(g *testGateway, actions []Action) {
+func (p *fleetSimulation) recordSends(g *testGateway, actions []Action) {
 	for _, a := range actions {
 		if a.Kind == Send {
 			p.inFlight = append(p.inFlight, fleetAttempt{g, a.Request, g.now})
--- a/balancer/stalled_test.go
+++ b/balancer/stalled_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// An attempt overtaken by later responses of its host neither keeps others from the host nor stays: it
-// is canceled and, if its class allows it, sent again. One silent connection must not take a working
-// host out of use.
+// An attempt that was overtaken by later responses of its host does not prevent other attempts there, and
+// is canceled and retried if its class allows a retry. Guards against a single silent connection that keeps
+// a working host out of use.
 func TestOvertakenAttemptIsCanceledAndRetried(t *testing.T) {
 	for class, retried := range []bool{true, true, false} {
 		g := newTestGateway(t, testSettings(), testHosts(1)...)
 		h := g.b.hosts[0]
 		h.limiter.limit = 8
-		g.b.stalled.unansweredShare = 1 // as learnt from earlier attempts
+		g.b.stalled.unansweredShare = 1 // as after earlier unanswered attempts
 		id := g.request(class, time.Second)
 		g.advance(ms)
 		for range overtakenResponses {
@@ -27,7 +27,7 @@
 					canceled = append(canceled, a)
 				}
 			}
-			g.attemptEnded(g.request(0, time.Second), 0, OK, ms) // others are answered meanwhile
+			g.attemptEnded(g.request(0, time.Second), 0, OK, ms) // the host responds to other attempts meanwhile
 		}
 		if g.b.hostOverdue(h) {
 			t.Errorf("class %d: the host is overdue, want it in use", class)
@@ -39,19 +39,19 @@
 			continue
 		}
 		if len(canceled) != 1 || canceled[0].Request != id || canceled[0].Attempt != 0 {
-			t.Fatalf("class %d: canceled %v, want the overtaken attempt once", class, canceled)
+			t.Fatalf("class %d: canceled %v, want only the overtaken attempt", class, canceled)
 		}
 		g.attemptEnded(id, 0, Canceled, 300*ms)
 		if got := g.onlyAction(Send).Request; got != id {
-			t.Errorf("class %d: request %d sent, want the canceled %d again", class, got, id)
+			t.Errorf("class %d: request %d sent, want the canceled request %d again", class, got, id)
 		}
 	}
 }
 
-// Overtaken attempts are canceled only where most of them stay unanswered: slow requests are answered
+// Overtaken attempts are canceled only if most of them stay unanswered: expensive requests get a response
 // in the end, and canceling them doubles their work.
 func TestOvertakenAttemptIsKeptWhereOthersAreAnswered(t *testing.T) {
-	for class, result := range map[int]Result{0: OK, 2: TimedOut} { // an idempotent one, a non-idempotent one
+	for class, result := range map[int]Result{0: OK, 2: TimedOut} { // an idempotent and a non-idempotent class
 		g := newTestGateway(t, testSettings(), testHosts(1)...)
 		g.b.hosts[0].limiter.limit = 8
 		for range 8 {
@@ -73,15 +73,15 @@
 			g.advance(time.Second)
 		}
 		if cancels := g.b.stalled.unansweredShare > maxUnansweredShare; cancels != (result == TimedOut) {
-			t.Errorf("eight overtaken attempts ended with %d: canceling %v, unanswered share %v, want it only for timeouts",
+			t.Errorf("eight overtaken attempts ended with result %d: canceling %v, unanswered share %v, want canceling only after timeouts",
 				result, cancels, g.b.stalled.unansweredShare)
 		}
 	}
 }
 
-// An overtaken attempt does not count against the limit of its host while most such attempts stay
-// unanswered, as it occupies a silent connection rather than the host. While most are answered it
-// counts.
+// An overtaken attempt does not count against the concurrency limit of its host if most such attempts stay
+// unanswered, because it then occupies a silent connection rather than the host. If most get a response, it
+// does count.
 func TestOvertakenAttemptFreesLimitWhereOthersStayUnanswered(t *testing.T) {
 	g := newTestGateway(t, testSettings(), testHosts(1)...)
 	h := g.b.hosts[0]
@@ -96,7 +96,7 @@
 	for _, share := range []float64{0, 1} {
 		g.b.stalled.unansweredShare = share
 		if at, want := !g.b.acceptsAttempts(h), share == 0; at != want {
-			t.Errorf("with an unanswered share of %v: at its limit %v, want %v", share, at, want)
+			t.Errorf("with an unanswered share of %v: host at its limit %v, want %v", share, at, want)
 		}
 	}
 }
--- a/balancer/starvation_test.go
+++ b/balancer/starvation_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// playOverload plays twelve seconds of twice the load that the hosts can serve, a third of it bookings
-// with a tight latency objective and five times the weight. It returns by class how many requests came
-// and how many were served in time in the last ten seconds.
-func playOverload(t *testing.T, seed int64) (requested, served [2]int) {
-	p := newOverloadPlay(t, seed)
+// simulateOverload simulates twelve seconds of twice the load that the hosts can serve. A third of the
+// requests are bookings, which have a tight latency objective and five times the weight. It returns, by
+// class, the number of requests in the last ten seconds and how many of them were served in time.
+func simulateOverload(t *testing.T, seed int64) (requested, served [2]int) {
+	p := newOverloadSimulation(t, seed)
 	for step := range 12_000 {
 		p.counting = step > 2000
 		p.endJobs()
@@ -19,19 +19,19 @@
 	return p.requested, p.served
 }
 
-// overloadPlay is a fleet of gateways over hosts that each serve one request at a time.
-type overloadPlay struct {
+// overloadSimulation is a fleet of gateways and hosts that each serve one request at a time.
+type overloadSimulation struct {
 	random   *rand.Rand
 	settings Settings
 	fleet    *gatewayFleet
-	jobs     [][]overloadJob // by host, in order
+	jobs     [][]overloadJob // queue of each host
 	class    map[*testGateway]map[RequestID]int
 
 	counting          bool
-	requested, served [2]int // by class, while counting
+	requested, served [2]int // totals by class while counting is set
 }
 
-// overloadJob is an attempt at a host, with the time at which it ends there.
+// overloadJob is an attempt at a host and the time at which the host completes it.
 type overloadJob struct {
 	gateway   *testGateway
 	id        RequestID
@@ -39,13 +39,13 @@
 	sent, end Time
 }
 
-func newOverloadPlay(t *testing.T, seed int64) *overloadPlay {
+func newOverloadSimulation(t *testing.T, seed int64) *overloadSimulation {
 	const gatewayCount, hostCount = 20, 15
 	settings := testSettings()
 	settings.Step = ms
 	settings.Instances = gatewayCount
 	settings.Classes = lookupAndBookingClasses()
-	p := &overloadPlay{
+	p := &overloadSimulation{
 		random:   rand.New(rand.NewSource(seed)),
 		settings: settings,
 		fleet:    newGatewayFleet(t, settings, gatewayCount, testHosts(hostCount)),
@@ -58,8 +58,8 @@
 	return p
 }
 
-// startJobs queues the attempts among the actions at their hosts, with a mean of 30 ms of work.
-func (p *overloadPlay) startJobs(g *testGateway, actions []Action) {
+// startJobs appends the attempts among the actions to the queues of their hosts, with a mean work of 30 ms.
+func (p *overloadSimulation) startJobs(g *testGateway, actions []Action) {
 	for _, a := range actions {
 		if a.Kind != Send {
 			continue
@@ -74,8 +74,8 @@
 	}
 }
 
-// endJobs ends the jobs that are due.
-func (p *overloadPlay) endJobs() {
+// endJobs ends the jobs that are complete.
+func (p *overloadSimulation) endJobs() {
 	now := p.fleet.gateways[0].now
 	for host := range p.jobs {
 		for len(p.jobs[host]) > 0 && p.jobs[host][0].end <= now {
@@ -91,8 +91,8 @@
 	}
 }
 
-// sendRequests moves the clocks by a millisecond and sends 0.05 requests a millisecond and gateway.
-func (p *overloadPlay) sendRequests() {
+// sendRequests moves the clocks by a millisecond and sends 0.05 requests per millisecond and gateway.
+func (p *overloadSimulation) sendRequests() {
 	for _, g := range p.fleet.gateways {
 		p.startJobs(g, g.advance(ms))
 		if p.random.Float64() >= 0.05 {
@@ -111,12 +111,12 @@
 	}
 }
 
-// Requests of low weight leave capacity to those of high weight, which would otherwise be rejected
-// first because their tight latency objective lets them wait the least.
+// Under overload, requests of low weight are rejected in favor of those of high weight. These would
+// otherwise be rejected first, because their tight latency objective limits how long they may wait.
 func TestOverloadServesHighPriorityWeightFirst(t *testing.T) {
 	var requested, served [2]int
 	for seed := range int64(2) {
-		seedRequested, seedServed := playOverload(t, seed)
+		seedRequested, seedServed := simulateOverload(t, seed)
 		for class := range seedRequested {
 			requested[class] += seedRequested[class]
 			served[class] += seedServed[class]
@@ -130,7 +130,7 @@
 	}
 }
 
-// A class that finds hosts claims no capacity from others, and no class yields to itself.
+// No requests are rejected in favor of a class that finds hosts, or of the lowest class itself.
 func TestRequestsDoNotYieldWhileHostsAreAvailable(t *testing.T) {
 	g := newTestGateway(t, testSettings(), testHosts(3)...)
 	for range 200 {
@@ -140,7 +140,7 @@
 			g.attemptEnded(id, 0, OK, 10*ms)
 		}
 	}
-	g.b.starvation.unserved[0].share = 1 // the lowest weight can't claim capacity from others
+	g.b.starvation.unserved[0].share = 1 // the lowest class cannot displace others, nor itself
 	for range 50 {
 		id := g.request(0, time.Second)
 		g.onlyAction(Send)
@@ -149,9 +149,9 @@
 	}
 }
 
-// Requests that found no host claim capacity only if others held it, and the claim decays: a class
-// with few requests must not keep the others out.
-func TestStarvationGrowsOnlyWhileOthersHoldCapacity(t *testing.T) {
+// Requests that found no host count as starved only if others occupied the hosts, and the share decays: a
+// class with few requests must not displace the others permanently.
+func TestStarvationGrowsOnlyWhileOthersOccupyHosts(t *testing.T) {
 	g := newTestGateway(t, testSettings())
 	for range 50 {
 		g.request(2, time.Second)
@@ -161,9 +161,9 @@
 		t.Errorf("without hosts: starvation %.2f, want 0", x)
 	}
 	g.updateEndpoints(ListFull, testHosts(1)...)
-	for range 20 { // one request at a time occupies the only host, and the others wait in vain
+	for range 20 { // one request occupies the only host, and the others wait until they are rejected
 		var sent []RequestID
-		note := func(actions []Action) {
+		recordSent := func(actions []Action) {
 			for _, a := range actions {
 				if a.Kind == Send {
 					sent = append(sent, a.Request)
@@ -172,14 +172,14 @@
 		}
 		for k := range 9 {
 			g.request(min(k, 1)*2, time.Second)
-			note(g.actions)
+			recordSent(g.actions)
 		}
-		note(g.advance(200 * ms))
+		recordSent(g.advance(200 * ms))
 		for len(sent) > 0 {
 			id := sent[0]
 			sent = sent[1:]
 			g.attemptEnded(id, 0, OK, 200*ms)
-			note(g.actions)
+			recordSent(g.actions)
 		}
 	}
 	if x := g.b.starvation.unserved[2].share; x < maxStarvationShare {
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// Many instances with little traffic each must not open a connection to every host.
+// Guards against connections from every instance to every host if there are many instances with little
+// traffic each.
 func TestSubsetLimitsHostsOfInstanceWithLittleTraffic(t *testing.T) {
 	const instances, n = 60, 30
 	list := testHosts(n)
 	for i := range list {
 		list[i].Kind = i % 3
 	}
-	users := map[HostID]int{} // instances that use the host
+	users := map[HostID]int{} // number of instances that use each host
 	for rank := range instances {
 		settings := testSettings()
 		settings.Instances = instances
@@ -26,7 +27,7 @@
 			kinds[list[h-1].Kind] = true
 		}
 		if len(got) < minSubsetHosts || len(got) > n*2/3 {
-			t.Errorf("instance %d uses %d of %d hosts, want the subset size to two thirds", rank, len(got), n)
+			t.Errorf("instance %d uses %d of %d hosts, want at least the minimum subset size and at most two thirds", rank, len(got), n)
 		}
 		if len(kinds) != 3 {
 			t.Errorf("instance %d uses hosts of %d kinds, want 3", rank, len(kinds))
@@ -66,12 +67,12 @@
 		}
 	}
 	if moved > 1 {
-		t.Errorf("%d new hosts after a list change that removed none of the subset, want 1 at most", moved)
+		t.Errorf("%d new hosts after a list change that removed none of the subset, want at most 1", moved)
 	}
-	g.serve(100, 0, quick) // long enough for the subset to settle, one host at a time
+	g.serve(100, 0, quick) // long enough for the subset to converge, by one host at a time
 	for _, h := range g.closed {
 		if before[h] == 0 {
-			t.Errorf("closed connections of host %d, want only hosts of the subset", h)
+			t.Errorf("closed connections to host %d, want only hosts of the subset", h)
 		}
 	}
 	if n := len(g.b.sets[setSubset].list); n != g.b.subsetSize() {
@@ -95,8 +96,8 @@
 	}
 }
 
-// Six in ten hosts are replaced by starting ones while 80 gateways use them, as in a release: draining
-// hosts must not skew the shares of the hosts that follow them on the ring.
+// Six in ten hosts are replaced by newly started ones while 80 gateways use them, as in a rolling update.
+// Guards against draining hosts that skew the shares of the hosts that follow them on the ring.
 func TestSubsetsShareHostsEvenlyDuringRollingReplacement(t *testing.T) {
 	settings := testSettings()
 	settings.SlowStartWindow = 9 * time.Second
@@ -105,7 +106,7 @@
 	f := newGatewayFleet(t, settings, gatewayCount, list)
 	check := func(when string, ids []Host, even float64) {
 		t.Helper()
-		got := f.shared()
+		got := f.gatewaysByHost()
 		for _, h := range ids {
 			if x := float64(got[h.ID]); x < 1 || x > 2*even {
 				t.Errorf("%s: %v gateways use host %d, want 1 to twice the even share of %.1f", when, x, h.ID, even)
@@ -115,7 +116,7 @@
 	for _, g := range f.gateways {
 		g.b.refreshSubset()
 	}
-	check("at first", list, minSharingInstances)
+	check("initially", list, minSharingInstances)
 	var started []Host
 	for wave := range 2 {
 		old, left := list[wave*18:wave*18+18], list[wave*18+18:]
@@ -133,7 +134,7 @@
 				ID: 1000 + old[i].ID, Zone: old[i].Zone, Cell: old[i].Cell, Started: f.gateways[0].now,
 			})
 			started = append(started, changes[len(changes)-1])
-			if i%6 == 5 { // some at a time
+			if i%6 == 5 { // six hosts at a time
 				f.updateEndpoints(changes...)
 				changes = nil
 				f.advance(200 * time.Millisecond)
@@ -148,13 +149,13 @@
 	check("all warm", append(started, list[36:]...), minSharingInstances)
 }
 
-// Most of 80 gateways restart within a second during a release, each with its own outdated list: their
-// subsets stay spread over the hosts, and their first polls over the poll timeout.
+// Most of 80 gateways restart within a second, each with a different outdated list, as in a rolling update.
+// Their subsets must be spread over the hosts, and their first polls over the poll timeout.
 func TestRestartedGatewaysSpreadSubsetsAndPolls(t *testing.T) {
 	const gatewayCount, hostCount, restarted = 80, 60, 56
 	began := Time(time.Hour)
 	f := newRestartedFleet(t, began, gatewayCount, hostCount, restarted)
-	for h, x := range f.shared() {
+	for h, x := range f.gatewaysByHost() {
 		if x > 3*minSharingInstances {
 			t.Errorf("%d gateways use host %d, want at most %d", x, h, 3*minSharingInstances)
 		}
@@ -163,7 +164,7 @@
 	for at, c := range f.failPolls() {
 		most, second := gatewayCount, int(at-began/Time(time.Second))
 		if second >= 5 {
-			most = gatewayCount / 2 // backoff
+			most = gatewayCount / 2 // the gateways back off
 		}
 		if total += c; c > most {
 			t.Errorf("%d polls in second %d, want at most %d", c, second, most)
@@ -172,15 +173,16 @@
 	if total < gatewayCount || total > 10*gatewayCount {
 		t.Errorf("%d polls in 10 s, want %d to %d", total, gatewayCount, 10*gatewayCount)
 	}
-	for i := range f.gateways { // the old list stays in use
+	for i := range f.gateways { // the outdated list stays in use
 		if got := f.subset(i); len(got) < minSubsetHosts {
 			t.Errorf("gateway %d uses %d hosts, want %v or more", i, len(got), minSubsetHosts)
 		}
 	}
 }
 
-// newRestartedFleet returns gateways of which the first `restarted` have started within the second after began and the
-// others at began, each with an outdated list of its own: some hosts are draining, the first ones are missing.
+// newRestartedFleet returns gateways that start with different outdated lists, in which some hosts are
+// draining and the first ones are missing. The first `restarted` gateways start within the second after
+// began, the others at began.
 func newRestartedFleet(t *testing.T, began Time, gatewayCount, hostCount, restarted int) *gatewayFleet {
 	settings := testSettings()
 	settings.Poll = true
@@ -211,7 +213,8 @@
 	return f
 }
 
-// failPolls plays ten seconds in which each poll fails, and returns the number of polls by the second of the clock.
+// failPolls simulates ten seconds in which each poll fails, and returns the number of polls by second of
+// the clock.
 func (f *gatewayFleet) failPolls() map[Time]int {
 	polls := map[Time]int{}
 	for _, g := range f.gateways {
@@ -228,9 +231,9 @@
 	return polls
 }
 
-// When one host in ten is replaced, the subset of a gateway changes by that share and some more, as
-// places on the ring shift: up to half where 500 gateways share 120 hosts. Every host stays in use, by
-// a fleet of 1, of 80 and of 500.
+// When one host in ten is replaced, the subset of a gateway changes by about that share. It changes by more
+// because places on the ring shift: by up to half where 500 gateways share 120 hosts. Every host stays in
+// use, by fleets of 1, 80 and 500 gateways.
 func TestSubsetChangesAboutAsManyHostsAsAreReplaced(t *testing.T) {
 	for _, c := range []struct {
 		gateways, hosts int
@@ -246,7 +249,7 @@
 			before = append(before, f.subset(i))
 		}
 		var changes []Host
-		for i := range c.hosts / 10 { // one in ten, at once and warm
+		for i := range c.hosts / 10 { // one host in ten, all at once; the new ones are not in slow start
 			old := list[i*10]
 			old.State = Removed
 			changes = append(changes, old, Host{ID: 5000 + old.ID, Zone: old.Zone, Cell: old.Cell})
@@ -264,13 +267,13 @@
 			}
 		}
 		if share := float64(changed) / float64(total); share > c.most {
-			t.Errorf("%d gateways: %.2f of a subset has changed after 0.1 were replaced, want at most %.2f",
+			t.Errorf("%d gateways: %.2f of the subsets has changed after 0.1 of the hosts were replaced, want at most %.2f",
 				c.gateways, share, c.most)
 		}
-		got := f.shared()
+		got := f.gatewaysByHost()
 		for _, h := range f.gateways[0].b.hosts {
 			if x := got[h.ID]; x < 1 || x > max(c.gateways, 3*minSharingInstances) {
-				t.Errorf("%d gateways: %d use host %d, want 1 to %d",
+				t.Errorf("%d gateways: %d of them use host %d, want 1 to %d",
 					c.gateways, x, h.ID, max(c.gateways, 3*minSharingInstances))
 			}
 		}
