--- a/balancer/compat_test.go
+++ b/balancer/compat_test.go
@@ -7,8 +7,8 @@
 	"dunemoor/internal/testutil/compat"
 )
 
-// Recordings contain checkpoints, which later builds restore. The checkpoint after a fixed history must
-// have the same bytes as that of earlier builds.
+// Recordings hold checkpoints, which later builds restore: the bytes after a fixed history are
+// those that earlier builds wrote.
 func TestCompatCheckpoint(t *testing.T) {
 	h := newHistory(t, []byte{2, 1, 2, 0, 9, 4, 3, 0})
 	events := make([]byte, 700)
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	if again := b.Checkpoint(nil); !bytes.Equal(again, saved) {
-		t.Errorf("the restored Balancer writes a checkpoint of %d bytes that differs from the %d bytes restored",
+		t.Errorf("the restored Balancer gives a checkpoint of %d bytes that differs from the %d bytes restored",
 			len(again), len(saved))
 	}
 }
