--- a/balancer/compat_test.go
+++ b/balancer/compat_test.go
@@ -23,7 +23,7 @@
 			saved = h.b.Checkpoint(nil)
 		}
 	}
-	h.play(events)
+	h.run(events)
 	compat.Bytes(t, "checkpoint.bin", saved)
 	b, err := Restore(h.settings, compat.Read(t, "checkpoint.bin"))
 	if err != nil {
