--- a/internal/cluster/lease/command.go
+++ b/internal/cluster/lease/command.go
@@ -2,66 +2,66 @@
 
 import "fmt"
 
-// Op is a kind of command. Its values are part of the log's format.
+// Op is the type of a command. Its values are part of the log format.
 type Op string
 
-// Commands that a gateway proposes for its own session.
+// Commands that a gateway proposes within its own session.
 const (
 	OpOpenSession  Op = "open"
 	OpCloseSession Op = "close"
 	OpAcquire      Op = "claim"  // acquire a lease
 	OpRelease      Op = "resign" // release a lease
-	OpTransfer     Op = "move"   // ask the holder of a lease to release it to another member
+	OpTransfer     Op = "move"   // request that the holder of a lease releases it to another member
 	OpWrite        Op = "write"  // store a value under a lease
 )
 
 // Commands that only the leader proposes.
 const (
-	OpExpireSession  Op = "lapse"  // end a session that was not renewed
+	OpExpireSession  Op = "lapse"  // end a session that was not renewed in time
 	OpAssign         Op = "assign" // grant a free lease to a session
-	OpExpireOverride Op = "spend"  // record how long an override still lasts, or remove it
+	OpExpireOverride Op = "spend"  // record the remaining duration of an override, or remove the override
 )
 
-// Commands of operators and of housekeeping.
+// Commands that operators issue, and OpCollectGarbage, which the holder of the housekeeping lease issues.
 const (
-	OpAddReplica     Op = "keep"    // make a gateway a replica
-	OpRemoveReplica  Op = "leave"   // make it no replica
-	OpDrainHost      Op = "drain"   // override a host: it gets no new requests
-	OpUndrainHost    Op = "undrain" // remove the override
-	OpCollectGarbage Op = "forget"  // remove a member or lease that is long out of use
+	OpAddReplica     Op = "keep"    // add a gateway to the desired replicas
+	OpRemoveReplica  Op = "leave"   // remove a gateway from the desired replicas
+	OpDrainHost      Op = "drain"   // add an override that stops new requests to a host
+	OpUndrainHost    Op = "undrain" // remove the override of a host
+	OpCollectGarbage Op = "forget"  // remove a member or lease that has been unused for a long time
 )
 
-// Command is an entry of the log. Which fields are set depends on Op.
+// Command is a log entry. The fields that are set depend on Op.
 type Command struct {
 	Op       Op           `json:"op"`
-	Session  uint64       `json:"s,omitempty"` // of the proposer, or the session that the command is about
-	Request  uint64       `json:"r,omitempty"` // number within the session: a retried request has one effect
+	Session  uint64       `json:"s,omitempty"` // session of the proposer, or the session that the command acts on
+	Request  uint64       `json:"r,omitempty"` // request number within the session, which deduplicates retries
 	Open     *OpenRequest `json:"open,omitempty"`
 	Lease    string       `json:"duty,omitempty"`
-	Token    uint64       `json:"token,omitempty"` // as known to the proposer
-	Target   string       `json:"to,omitempty"`    // member that a lease is transferred to
+	Token    uint64       `json:"token,omitempty"` // fencing token of Lease as known to the proposer
+	Target   string       `json:"to,omitempty"`    // member to which the lease is transferred
 	Key      string       `json:"key,omitempty"`
 	Value    string       `json:"value,omitempty"`
-	Name     string       `json:"name,omitempty"` // member or lease to collect, or gateway to add or remove as replica
+	Name     string       `json:"name,omitempty"` // member or lease to remove, or gateway to add or remove as a replica
 	Override *Override    `json:"word,omitempty"`
 }
 
 // Code is the outcome of a command.
 type Code string
 
-// Outcomes.
+// Values of Code.
 const (
 	OK            Code = "ok"
 	LeaseHeld     Code = "held"       // another session holds the lease
-	StaleToken    Code = "stale"      // the token is not that of the current grant
+	StaleToken    Code = "stale"      // the token is not the token of the current grant
 	NoSession     Code = "no session" // the session has expired or never existed
-	NameTaken     Code = "taken"      // a live gateway with another disk has the name
-	Rejected      Code = "refused"    // the command can't be carried out, see Result.Reason
-	ResultExpired Code = "old"        // the result of so old a request is no longer known
-	Superseded    Code = "late"       // a later command of the session was applied first: nothing was done
+	NameTaken     Code = "taken"      // a live gateway with another disk uses the name
+	Rejected      Code = "refused"    // the command is invalid in the current state, see Result.Reason
+	ResultExpired Code = "old"        // the request is so old that its result is no longer stored
+	Superseded    Code = "late"       // a later command of the session was applied first; this one had no effect
 )
 
-// Result is the outcome of a command with what the proposer needs to know.
+// Result is the outcome of a command, as returned to the proposer.
 type Result struct {
 	Code    Code   `json:"code"`
 	Session uint64 `json:"session,omitempty"`
@@ -70,8 +70,8 @@
 	Reason  string `json:"why,omitempty"`
 }
 
-// Reasons of results that a session keeps. They are part of the replicated state, which has to be the
-// same at replicas of different builds: their texts change only with the format.
+// Reasons of results that a session stores. They are part of the replicated state, which must be
+// identical on replicas that run different builds, so the texts may change only with the log format.
 const (
 	reasonLeaseNotCreated  = "no such duty can be made"
 	reasonUnknownLease     = "there is no duty %s"
@@ -89,7 +89,7 @@
 	reasonUnknownOp        = "there is no command %q"
 )
 
-// rejectf returns a rejection with its reason.
+// rejectf returns a Rejected result with a formatted reason.
 func rejectf(format string, args ...any) Result {
 	return Result{Code: Rejected, Reason: fmt.Sprintf(format, args...)}
 }
--- a/internal/cluster/lease/delta_test.go
+++ b/internal/cluster/lease/delta_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// fullScan returns the changes since a revision by a pass over everything.
+// fullScan returns the changes since a revision by scanning all members and leases.
 func fullScan(s *State, revision uint64) (members []Member, leases []LeaseView) {
 	full := revision < s.CompactedRevision || revision == 0
 	for _, name := range slices.Sorted(maps.Keys(s.Members)) {
@@ -25,8 +25,9 @@
 	return members, leases
 }
 
-// Whatever has happened, also after a snapshot and beyond the change log: a delta has what a pass over
-// everything finds, and the index of candidates what the sessions say.
+// TestDeltaSince checks after random commands, also after a restore from a snapshot and with more changes
+// than the change log holds, that a delta equals the result of a full scan, and that the index of
+// candidates equals one that is rebuilt from the sessions.
 func TestDeltaSince(t *testing.T) {
 	for seed := range uint64(6) {
 		r := rand.New(rand.NewPCG(seed, 1))
@@ -37,7 +38,7 @@
 			if opening%1000 == 999 {
 				b := s.Encode()
 				if s = NewState(0); s.Decode(b) != nil {
-					t.Fatal("the state can't be decoded")
+					t.Fatal("Decode of the encoded state failed")
 				}
 			}
 			x := s.Members[fmt.Sprint("g", r.IntN(20))]
@@ -64,37 +65,38 @@
 				members, leases := fullScan(s, from)
 				v := s.DeltaSince(from)
 				if !reflect.DeepEqual(v.Members, members) || !reflect.DeepEqual(v.Leases, leases) {
-					t.Fatalf("seed %d: since %d of %d: %+v, and by a full scan %+v %+v", seed, from, index, v, members, leases)
+					t.Fatalf("seed %d: delta since revision %d of %d: got %+v, want as in a full scan %+v and %+v", seed, from, index, v, members, leases)
 				}
 				compact := s.CompactDeltaSince(from, "g1")
 				own := slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return m.Name != "g1" })
 				if !slices.Equal(compact.Members, own) || !reflect.DeepEqual(compact.Leases, leases) || len(members) > 0 && compact.SessionCount != len(s.Sessions) {
-					t.Fatalf("seed %d: compact since %d of %d: %+v", seed, from, index, compact)
+					t.Fatalf("seed %d: compact delta since revision %d of %d differs from a full scan: got %+v", seed, from, index, compact)
 				}
 			}
 			indexed := s.candidateSessions()
 			s.candidates = nil
 			for _, d := range candidates {
 				if !slices.Equal(indexed[d], s.candidateSessions()[d]) {
-					t.Fatalf("seed %d: the index of candidates for %s is wrong", seed, d)
+					t.Fatalf("seed %d: the index of candidates for lease %s differs from a rebuilt one", seed, d)
 				}
 			}
 		}
 	}
 }
 
-// Thousands of gateways that open sessions at once learn of one another by their number: a compact
-// delta neither collects nor sorts their names.
+// TestCompactDeltaAllocations guards against a compact delta that collects or sorts the names of all
+// members: thousands of gateways may open sessions at once, and each of them receives only their number.
 func TestCompactDeltaAllocations(t *testing.T) {
 	s := NewState(1)
 	for i := range uint64(4000) {
 		s.Apply(i+1, &Command{Op: OpOpenSession, Open: &OpenRequest{Name: fmt.Sprint("g", i), DiskID: i + 1, OpenSequence: 1, Role: RoleGateway}})
 	}
-	// The member itself, and what a full delta lists beside: nothing that grows.
+	// A compact delta allocates for the named member, and a full one for its other lists. The bounds do not
+	// depend on the number of members.
 	for index, most := range map[uint64]float64{0: 12, 1: 4, 2000: 4} {
 		var d StateDelta
 		if n := testing.AllocsPerRun(10, func() { d = s.CompactDeltaSince(index, "g7") }); n > most || d.SessionCount != 4000 {
-			t.Errorf("since %d: %v allocations, %d members", index, n, d.SessionCount)
+			t.Errorf("compact delta since revision %d: too many allocations (%v) or wrong number of sessions (got %d, want 4000)", index, n, d.SessionCount)
 		}
 	}
 }
--- a/internal/cluster/lease/expiry.go
+++ b/internal/cluster/lease/expiry.go
@@ -8,50 +8,53 @@
 	"dunemoor/internal/cluster/failpoint"
 )
 
-// Times of a session.
+// Durations of a session.
 const (
 	// TTL is how long a session lasts after a renewal.
 	TTL = 3 * time.Second
-	// RenewInterval lies between two renewals of a gateway: two may be lost.
+	// RenewInterval is the time between two renewals of a gateway. With a TTL of three intervals, two
+	// renewals may be lost.
 	RenewInterval = time.Second
-	// AckTimeout is how long a gateway may renew without having received a reply: it may have lost
-	// two. A gateway that receives nothing considers itself no holder, and must not keep its leases
-	// from others.
+	// AckTimeout is how long the renewals of a gateway are accepted without an acknowledgment of a newer
+	// reply; by then two replies may have been lost. A gateway that receives no replies no longer acts
+	// as the holder of its leases, and must not prevent others from holding them.
 	AckTimeout = RenewInterval
-	// ClockDriftDivisor is the reciprocal of how much faster one clock may run than another over a
-	// session: a holder's deadline is that much earlier. Crystals differ by 1 in 10,000, a clock that
-	// is slewed by 1 in 2,000; 1 in 50 leaves room for a timer that is read late.
+	// ClockDriftDivisor is the reciprocal of the relative difference allowed between the rates of two
+	// clocks; a holder's deadline is earlier by that fraction of TTL. Crystal oscillators differ by
+	// 1 in 10,000 and a slewed clock by 1 in 2,000; 1 in 50 also covers timers that are read late.
 	ClockDriftDivisor = 50
-	// expireRetryInterval lies between two proposals to end the same session.
+	// expireRetryInterval is the time between two proposals to end the same session.
 	expireRetryInterval = time.Second
 )
 
-// HolderDeadline returns until when a gateway may act as the holder of its leases, where its last
-// renewal that was confirmed was sent at sent: by the leader's clock the session lasts for TTL from a
-// later moment.
+// HolderDeadline returns the time until which a gateway may act as the holder of its leases, given the
+// time at which it sent its last confirmed renewal. The leader counts the TTL of the session from a
+// later time.
 func HolderDeadline(sent time.Duration) time.Duration { return sent + TTL - TTL/ClockDriftDivisor }
 
-// ExpiryTracker is a leader's knowledge of which sessions are alive. Each leader begins with a new
-// one: what its predecessor knew is lost, so that each session gets a full TTL.
+// ExpiryTracker records at the leader when each session expires. Each new leader starts with an empty
+// tracker, as the renewals at its predecessor are not replicated, and therefore grants every session a
+// full TTL.
 type ExpiryTracker struct {
 	startedAt      time.Duration
 	expiresAt      map[uint64]time.Duration // by session
-	expiring       map[uint64]time.Duration // when the end of a session was last proposed
+	expiring       map[uint64]time.Duration // by session: when its end was last proposed
 	acknowledged   map[uint64]ackProgress
 	overrideTimers map[string]overrideTimer
-	// No session expires before nextCheck as long as lastSessionID is the newest: until then Expired
-	// has nothing to do.
+	// No session expires before nextCheck unless a session newer than lastSessionID is opened, so Expired
+	// returns early until then.
 	nextCheck     time.Duration
 	lastSessionID uint64
 }
 
-// ackProgress is the last reply that a gateway has received, and since when that is the last.
+// ackProgress is the sequence number of the latest reply that a gateway has acknowledged, and when it
+// was first acknowledged.
 type ackProgress struct {
 	seq   uint64
 	since time.Duration
 }
 
-// NewExpiryTracker returns the tracker of a leader that is elected now.
+// NewExpiryTracker returns the tracker of a leader that was elected at now.
 func NewExpiryTracker(now time.Duration) *ExpiryTracker {
 	if failpoint.Enabled(failpoint.SkipGracePeriod) {
 		now -= TTL
@@ -62,16 +65,17 @@
 	}
 }
 
-// Reset gives each session a full TTL from now: for a leader that was paused and can't tell who has
-// renewed. Sessions whose end was proposed remain so, as the log may have the proposal already.
+// Reset extends every session to a full TTL from now. It is for a leader that was paused and therefore may
+// have missed renewals. Sessions whose end was proposed are not extended, as the log may already contain
+// the proposal.
 func (t *ExpiryTracker) Reset(now time.Duration) {
 	t.startedAt = now
 	clear(t.expiresAt)
 	clear(t.acknowledged)
 }
 
-// Acknowledge notes the last reply that a gateway has received and reports whether its renewals
-// count.
+// Acknowledge records the sequence number of the last reply that a gateway has received, and reports
+// whether its renewals are accepted: see AckTimeout.
 func (t *ExpiryTracker) Acknowledge(session, seq uint64, now time.Duration) bool {
 	p, ok := t.acknowledged[session]
 	if !ok || seq != p.seq {
@@ -81,8 +85,8 @@
 	return now < p.since+AckTimeout
 }
 
-// Renew extends a session by a renewal that was received at a time. It reports false for a session
-// whose end was proposed already.
+// Renew extends a session for a renewal that was received at receivedAt. It reports false if the end of
+// the session has already been proposed.
 func (t *ExpiryTracker) Renew(session uint64, receivedAt time.Duration) bool {
 	if _, ok := t.expiring[session]; ok {
 		return false
@@ -91,10 +95,10 @@
 	return true
 }
 
-// SessionOpened notes a session that was opened now.
+// SessionOpened records a session that was opened at now.
 func (t *ExpiryTracker) SessionOpened(now time.Duration, session uint64) { t.Renew(session, now) }
 
-// Remaining returns how long a session still lasts, by the leader's clock.
+// Remaining returns the time until a session expires, by the leader's clock.
 func (t *ExpiryTracker) Remaining(now time.Duration, session uint64) time.Duration {
 	return max(0, t.deadline(session)-now)
 }
@@ -106,8 +110,8 @@
 	return t.startedAt + TTL
 }
 
-// Expired returns the sessions that are over, in their order. The caller proposes their end; a
-// session that is still there is returned again after a while.
+// Expired returns the IDs of the expired sessions in ascending order. The caller proposes their end. A
+// session that still exists after expireRetryInterval is returned again.
 func (t *ExpiryTracker) Expired(now time.Duration, s *State) (list []uint64) {
 	if now < t.nextCheck && s.LastSessionID == t.lastSessionID {
 		return nil
@@ -132,7 +136,7 @@
 	return list
 }
 
-// dropEnded removes the entries of sessions that have ended.
+// dropEnded deletes the entries of sessions that have ended.
 func dropEnded[V any](bySession map[uint64]V, s *State) {
 	for id := range bySession {
 		if s.Sessions[id] == nil {
--- a/internal/cluster/lease/expiry_test.go
+++ b/internal/cluster/lease/expiry_test.go
@@ -9,8 +9,9 @@
 	"time"
 )
 
-// A session expires when its time is over and not before, whatever is renewed, opened and reset meanwhile,
-// although a leader checks only when one may be over.
+// TestExpired checks that Expired returns each session once its deadline has passed and never earlier, with
+// random renewals, new sessions and resets in between. It guards against a nextCheck that is too late and
+// makes Expired skip an expired session.
 func TestExpired(t *testing.T) {
 	for seed := range uint64(20) {
 		r := rand.New(rand.NewPCG(seed, 1))
@@ -23,7 +24,7 @@
 				tracker.Reset(now)
 			case 1, 2:
 				res := s.Apply(s.Revision+1, &Command{Op: OpOpenSession, Open: &OpenRequest{Name: fmt.Sprint("g", r.IntN(20)), DiskID: 1, OpenSequence: opening + 1}})
-				if r.IntN(2) == 0 { // else it was opened by a former leader
+				if r.IntN(2) == 0 { // otherwise a former leader opened it
 					tracker.SessionOpened(now, res.Session)
 				}
 			default:
@@ -39,7 +40,7 @@
 				}
 			}
 			if got := tracker.Expired(now, s); !slices.Equal(got, want) {
-				t.Fatalf("seed %d at %v: %v are over, want %v", seed, now, got, want)
+				t.Fatalf("seed %d at %v: expired sessions: got %v, want %v", seed, now, got, want)
 			}
 			for _, id := range want {
 				if r.IntN(2) == 0 {
--- a/internal/cluster/lease/lease.go
+++ b/internal/cluster/lease/lease.go
@@ -1,14 +1,14 @@
-// Package lease is the coordination state of a fleet: a replicated state machine that holds the
-// sessions of gateways, named leases with at most one holder each, the set of replicas, and
+// Package lease implements the coordination state of a fleet: a replicated state machine that contains
+// the sessions of gateways, named leases with at most one holder each, the set of replicas, and
 // operators' overrides of hosts.
 //
-// Commands come in the order of a replicated log and are applied by [State.Apply]; every replica
-// that applies the same commands has the same state. The package does no I/O and reads no clock.
-// Time belongs to the leader, which tracks it in an [ExpiryTracker] and proposes commands such as
-// OpExpireSession; time itself is never part of the state.
+// [State.Apply] applies commands in the order of a replicated log. All replicas that apply the same
+// commands have the same state. The package does no I/O and reads no clock. Only the leader measures
+// time, in an [ExpiryTracker], and proposes commands such as OpExpireSession; no timestamps are part of
+// the state.
 //
-// Each grant of a lease has a fencing token. Tokens only grow, over all leases, so that whoever
-// receives work under a lease can reject a holder that has been replaced.
+// Each grant of a lease has a fencing token. Tokens increase strictly across all leases, so a receiver
+// of requests that are made under a lease can reject those of a former holder.
 //
 // A revision is the log index of the command that made a change.
 package lease
@@ -22,38 +22,39 @@
 
 // Limits of the coordination state. A command that would exceed one is rejected with a reason.
 const (
-	// MaxMembers bounds the gateways of a fleet with relays: 4,700 are required, and a third more
-	// leaves room for those that are gone and not yet collected.
+	// MaxMembers bounds the members of a fleet with relays. 4,700 gateways are required; a third more
+	// allows for former members that have not been removed yet.
 	MaxMembers = 6144
-	// maxMeshMembers bounds a fleet without relays, where each gateway connects to each other one.
+	// maxMeshMembers bounds the members of a fleet without relays, in which every gateway connects to all
+	// others.
 	maxMeshMembers = 1024
-	// MaxLeases allows several leases for each of the pools that a configuration may have.
+	// MaxLeases is large enough for several leases per pool with the maximum number of pools.
 	MaxLeases = 4096
-	// maxValues and maxValueBytes bound what a lease stores in the coordination state.
+	// maxValues and maxValueBytes bound the number and the size of the values stored under a lease.
 	maxValues     = 16
 	maxValueBytes = 4 << 10
 	// MaxNameBytes bounds the name of a gateway or lease.
 	MaxNameBytes = 96
-	// maxCandidateLeases bounds the leases that one gateway is a candidate for.
+	// maxCandidateLeases bounds the leases for which one gateway is a candidate.
 	maxCandidateLeases = 1024
-	// maxSessionResults is how many results a session keeps for retried requests, and therefore how
-	// many commands of one session may be unanswered.
+	// maxSessionResults is the number of results that a session stores for retried requests, and
+	// therefore the number of commands of one session that may be without a reply.
 	maxSessionResults = 32
 	// maxTransfers bounds the history of lease transfers.
 	maxTransfers = 256
-	// MaxReplicas bounds the replicas: each one adds a message to every commit.
+	// MaxReplicas bounds the replicas, as each one adds a message to every commit.
 	MaxReplicas = 9
 )
 
 // Lease is a named resource with at most one holder.
 type Lease struct {
 	Name          string            `json:"name"`
-	HolderSession uint64            `json:"owner"` // 0: the lease is free
+	HolderSession uint64            `json:"owner"` // 0 if the lease is free
 	Holder        string            `json:"holder,omitempty"`
 	Token         uint64            `json:"token"` // fencing token of the current or last grant
-	SinceRevision uint64            `json:"since"` // when it was granted or freed
+	SinceRevision uint64            `json:"since"` // revision at which the lease was granted or freed
 	TransferTo    string            `json:"to,omitempty"`
-	ReleasedBy    string            `json:"avoid,omitempty"` // last in the order of candidates for the next grant
+	ReleasedBy    string            `json:"avoid,omitempty"` // member that released the lease: the least preferred candidate
 	ModRevision   uint64            `json:"mod"`
 	Values        map[string]string `json:"values,omitempty"`
 }
@@ -68,7 +69,7 @@
 	Cause    string `json:"cause"`
 }
 
-// Causes of a LeaseTransfer. They are part of the stored state and of log lines.
+// Values of LeaseTransfer.Cause. They are part of the stored state and of log lines.
 const (
 	causeExpired     = "lapsed"
 	causeClosed      = "closed"
@@ -77,13 +78,13 @@
 	causeAcquired    = "claimed"
 	causeReleased    = "resigned"
 	causeTransferred = "moved"
-	causeTakenAway   = "taken away" // by the failpoint AssignBeforeRelease only
+	causeTakenAway   = "taken away" // occurs only with the failpoint AssignBeforeRelease
 )
 
-// anyMember is the TransferTo of a transfer that names no target.
+// anyMember is the value of TransferTo for a transfer without a named target.
 const anyMember = "*"
 
-// freeLease takes a lease from its holder.
+// freeLease ends the current grant of a lease.
 func (s *State) freeLease(l *Lease, cause string) {
 	s.recordTransfer(LeaseTransfer{s.Revision, l.Name, l.Holder, "", l.Token, cause})
 	l.HolderSession, l.Holder = 0, ""
@@ -91,18 +92,18 @@
 	s.recordChange(l.Name, true)
 }
 
-// grantLease gives a free lease to a session, under a new token.
-func (s *State) grantLease(l *Lease, x *Session, cause string) Result {
+// grantLease grants a free lease to a session with a new token.
+func (s *State) grantLease(l *Lease, sess *Session, cause string) Result {
 	if !failpoint.Enabled(failpoint.ReuseToken) || l.Token == 0 {
 		s.LastToken++
 		l.Token = s.LastToken
 	}
-	l.HolderSession, l.Holder = x.ID, x.Name
+	l.HolderSession, l.Holder = sess.ID, sess.Name
 	l.SinceRevision, l.ModRevision = s.Revision, s.Revision
 	l.TransferTo, l.ReleasedBy = "", ""
 	s.recordChange(l.Name, true)
-	s.recordTransfer(LeaseTransfer{s.Revision, l.Name, "", x.Name, l.Token, cause})
-	return Result{Code: OK, Token: l.Token, Holder: x.Name}
+	s.recordTransfer(LeaseTransfer{s.Revision, l.Name, "", sess.Name, l.Token, cause})
+	return Result{Code: OK, Token: l.Token, Holder: sess.Name}
 }
 
 func (s *State) recordTransfer(t LeaseTransfer) {
@@ -110,7 +111,7 @@
 	s.pendingTransfers = appendBounded(s.pendingTransfers, t, maxTransfers)
 }
 
-// appendBounded appends to a list, dropping the oldest elements over a limit.
+// appendBounded appends to a list, and removes the oldest elements if the list exceeds limit.
 func appendBounded[T any](list []T, x T, limit int) []T {
 	list = append(list, x)
 	if over := len(list) - limit; over > 0 {
@@ -119,11 +120,11 @@
 	return list
 }
 
-// assign carries out a placement decision of the leader.
+// assign grants a lease as decided by the leader's placement.
 func (s *State) assign(c *Command) Result {
-	l, x := s.Leases[c.Lease], s.Sessions[c.Session]
+	l, sess := s.Leases[c.Lease], s.Sessions[c.Session]
 	switch {
-	case l == nil || x == nil:
+	case l == nil || sess == nil:
 		return Result{Code: NoSession}
 	case l.Token != c.Token:
 		return Result{Code: StaleToken, Token: l.Token}
@@ -132,11 +133,12 @@
 	case l.HolderSession != 0:
 		return Result{Code: LeaseHeld, Token: l.Token, Holder: l.Holder}
 	}
-	return s.grantLease(l, x, causeAssigned)
+	return s.grantLease(l, sess, causeAssigned)
 }
 
-// acquire gives a lease to the session that asks for it, if it is free.
-func (s *State) acquire(x *Session, c *Command) Result {
+// acquire grants a lease to the requesting session, if the lease is free. A lease that does not exist is
+// created.
+func (s *State) acquire(sess *Session, c *Command) Result {
 	l := s.Leases[c.Lease]
 	if l == nil {
 		if c.Lease == "" || len(c.Lease) > MaxNameBytes || len(s.Leases) >= MaxLeases {
@@ -146,31 +148,31 @@
 		s.Leases[c.Lease] = l
 	}
 	switch {
-	case l.HolderSession == x.ID:
-		return Result{Code: OK, Token: l.Token, Holder: x.Name}
+	case l.HolderSession == sess.ID:
+		return Result{Code: OK, Token: l.Token, Holder: sess.Name}
 	case l.HolderSession != 0:
 		return Result{Code: LeaseHeld, Token: l.Token, Holder: l.Holder}
 	}
-	return s.grantLease(l, x, causeAcquired)
+	return s.grantLease(l, sess, causeAcquired)
 }
 
 // release frees a lease on behalf of its holder.
-func (s *State) release(x *Session, c *Command) Result {
+func (s *State) release(sess *Session, c *Command) Result {
 	l := s.Leases[c.Lease]
-	if l == nil || l.HolderSession != x.ID || l.Token != c.Token {
+	if l == nil || l.HolderSession != sess.ID || l.Token != c.Token {
 		return Result{Code: StaleToken}
 	}
 	cause := causeReleased
 	if l.TransferTo != "" {
 		cause = causeTransferred
 	}
-	l.ReleasedBy = x.Name
+	l.ReleasedBy = sess.Name
 	s.freeLease(l, cause)
 	return Result{Code: OK}
 }
 
-// transfer asks the holder of a lease to release it to another member, or to any where the command
-// names no target.
+// transfer requests that the holder of a lease releases it to another member, or to any member if the
+// command has no target.
 func (s *State) transfer(c *Command) Result {
 	l, target := s.Leases[c.Lease], s.Members[c.Target]
 	switch {
@@ -198,14 +200,14 @@
 	return Result{Code: OK, Holder: l.Holder, Token: l.Token}
 }
 
-// writeValue stores a value under a lease. Only the holder may write, as proven by its token: this
-// is the fence of the coordination state itself.
-func (s *State) writeValue(x *Session, c *Command) Result {
+// writeValue stores a value under a lease. A write is rejected unless its session and token are those of
+// the current grant, which fences off former holders.
+func (s *State) writeValue(sess *Session, c *Command) Result {
 	l := s.Leases[c.Lease]
 	if l == nil {
 		return Result{Code: StaleToken}
 	}
-	if (l.HolderSession != x.ID || l.Token != c.Token) && !failpoint.Enabled(failpoint.SkipWriteFence) {
+	if (l.HolderSession != sess.ID || l.Token != c.Token) && !failpoint.Enabled(failpoint.SkipWriteFence) {
 		return Result{Code: StaleToken, Token: l.Token, Holder: l.Holder}
 	}
 	if len(c.Key) > MaxNameBytes || len(c.Value) > maxValueBytes {
@@ -222,8 +224,8 @@
 	return Result{Code: OK, Token: l.Token}
 }
 
-// collectGarbage removes a member without a session, or a free lease without a candidate. The
-// command is authorized by the lease that it names in Lease.
+// collectGarbage removes a member without a session, or a free lease without a candidate. The proposer
+// must be the holder of the lease named in Lease, which authorizes the command.
 func (s *State) collectGarbage(c *Command) Result {
 	authority := s.Leases[c.Lease]
 	if authority == nil || authority.Token != c.Token || authority.HolderSession != c.Session {
@@ -244,15 +246,15 @@
 }
 
 func (s *State) hasCandidate(lease string) bool {
-	for _, x := range s.Sessions {
-		if slices.Contains(x.CandidateLeases, lease) {
+	for _, sess := range s.Sessions {
+		if slices.Contains(sess.CandidateLeases, lease) {
 			return true
 		}
 	}
 	return false
 }
 
-// LeasesOf returns the leases that a session holds, ordered by name.
+// LeasesOf returns the leases that a session holds, sorted by name.
 func (s *State) LeasesOf(session uint64) (list []*Lease) {
 	for _, name := range slices.Sorted(maps.Keys(s.Leases)) {
 		if l := s.Leases[name]; l.HolderSession == session {
--- a/internal/cluster/lease/override.go
+++ b/internal/cluster/lease/override.go
@@ -8,46 +8,46 @@
 	"dunemoor/internal/cluster/failpoint"
 )
 
-// Limits of overrides. There are few, and each gateway keeps all of them in memory and in a file:
-// therefore they are part of the coordination state.
+// Limits of overrides. Overrides are part of the coordination state because they are few and every
+// gateway stores all of them in memory and in a file.
 const (
 	MaxOverrides   = 512
 	MaxReasonBytes = 200
-	// MaxOverrideDuration bounds an override that expires.
+	// MaxOverrideDuration bounds the duration of an override that expires.
 	MaxOverrideDuration = 30 * 24 * time.Hour
-	// overrideWriteInterval is how often a leader records how long an override still lasts. The next
-	// leader counts from there: an override never ends early, and at most this late for each change
-	// of the leader.
+	// overrideWriteInterval is the interval at which a leader records the remaining duration of an
+	// override. The next leader counts down from the recorded value, so an override never ends early, and
+	// each change of the leader delays its end by at most this interval.
 	overrideWriteInterval = time.Minute
 )
 
-// Override is an operator's instruction to drain a host, for the whole fleet.
+// Override is an operator's instruction to drain a host in the whole fleet.
 type Override struct {
 	Pool      string `json:"pool"`
-	Host      string `json:"host"` // its ID in the pool's endpoint list
+	Host      string `json:"host"` // ID of the host in the pool's endpoint list
 	Reason    string `json:"reason,omitempty"`
-	CreatedBy string `json:"by,omitempty"` // gateway that the operator called
-	// Remaining is how long it lasts, as last recorded; 0: until it is removed.
+	CreatedBy string `json:"by,omitempty"` // gateway that received the operator's request
+	// Remaining is the last recorded remaining duration, or 0 if the override does not expire.
 	Remaining       time.Duration `json:"left,omitempty"`
 	CreatedRevision uint64        `json:"since"`
 }
 
-// Key identifies the host over all pools.
+// Key returns the identifier of the host across all pools.
 func (o *Override) Key() string { return o.Pool + "/" + o.Host }
 
-// applyOverride adds or removes an override. A command that arrives behind a later one of the same
-// session is not carried out: the operator has given up on it and may have said otherwise since.
-func (s *State) applyOverride(x *Session, c *Command) Result {
+// applyOverride adds or removes an override. A command that is committed after a later one of the same
+// session has no effect: the operator no longer waits for it, and may have issued a contrary command since.
+func (s *State) applyOverride(sess *Session, c *Command) Result {
 	switch {
-	case c.Request < x.LastRequest && !failpoint.Enabled(failpoint.ApplySuperseded):
+	case c.Request < sess.LastRequest && !failpoint.Enabled(failpoint.ApplySuperseded):
 		return Result{Code: Superseded, Reason: reasonSuperseded}
 	case c.Op == OpDrainHost:
-		return s.drainHost(x, c)
+		return s.drainHost(sess, c)
 	}
 	return s.undrainHost(c)
 }
 
-func (s *State) drainHost(x *Session, c *Command) Result {
+func (s *State) drainHost(sess *Session, c *Command) Result {
 	o := c.Override
 	switch {
 	case o == nil || o.Pool == "" || o.Host == "" || len(o.Key()) > 2*MaxNameBytes:
@@ -62,7 +62,7 @@
 	if s.Overrides == nil {
 		s.Overrides = map[string]*Override{}
 	}
-	s.Overrides[o.Key()] = &Override{o.Pool, o.Host, o.Reason, x.Name, o.Remaining, s.Revision}
+	s.Overrides[o.Key()] = &Override{o.Pool, o.Host, o.Reason, sess.Name, o.Remaining, s.Revision}
 	s.OverridesModRevision = s.Revision
 	return Result{Code: OK}
 }
@@ -76,9 +76,9 @@
 	return Result{Code: OK}
 }
 
-// expireOverride records how long an override still lasts. The command may come from a former
-// leader: it applies only to the override that was created at the given revision, and only shortens
-// it.
+// expireOverride records the remaining duration of an override, or removes an override that has expired.
+// As a former leader may have proposed the command, it applies only to the override that was created at
+// the given revision, and never extends it.
 func (s *State) expireOverride(c *Command) Result {
 	if c.Override == nil {
 		return Result{Code: Rejected}
@@ -96,7 +96,7 @@
 	return Result{Code: OK}
 }
 
-// ListOverrides returns the overrides ordered by their keys.
+// ListOverrides returns the overrides, sorted by key.
 func (s *State) ListOverrides() (list []Override) {
 	for _, key := range slices.Sorted(maps.Keys(s.Overrides)) {
 		list = append(list, *s.Overrides[key])
@@ -104,14 +104,14 @@
 	return list
 }
 
-// overrideTimer is how a leader counts down an override that expires.
+// overrideTimer is a leader's countdown of an override that expires.
 type overrideTimer struct {
 	createdRevision      uint64
 	startedAt, writtenAt time.Duration
 	remaining            time.Duration // at startedAt
 }
 
-// OverrideUpdates returns the commands that record, as of now, how long overrides still last.
+// OverrideUpdates returns the commands that record the remaining durations of overrides as of now.
 func (t *ExpiryTracker) OverrideUpdates(now time.Duration, s *State) (list []Command) {
 	for key := range t.overrideTimers {
 		if s.Overrides[key] == nil {
--- a/internal/cluster/lease/placement.go
+++ b/internal/cluster/lease/placement.go
@@ -9,18 +9,18 @@
 	"dunemoor/internal/cluster/failpoint"
 )
 
-// maxImbalance is how many more leases one gateway may hold than another candidate before one is
-// moved: with 1 a lease would move back and forth.
+// maxImbalance is the difference between the numbers of leases of two candidates from which a lease is
+// transferred. With 1 a lease would be transferred back and forth.
 const maxImbalance = 2
 
-// maxRebalanceMoves bounds the leases that are moved at a time. Several, as in a fleet that has just
-// been bootstrapped the first gateways hold all; few, as each move leaves a lease without a holder
-// for a moment.
+// maxRebalanceMoves bounds the leases that are transferred in one round. It is more than one because the
+// first gateways of a newly bootstrapped fleet hold all leases, and small because a lease has no holder
+// for a short time during its transfer.
 const maxRebalanceMoves = 16
 
-// AssignFree returns commands that assign each free lease: to the target of a transfer, else to the
-// candidate that holds the fewest leases; ties are broken the same way at every leader. Leases that
-// are held stay where they are.
+// AssignFree returns commands that assign each free lease to the target of its transfer, or else to the
+// candidate that holds the fewest leases. Ties are broken the same way by every leader. Leases that have
+// a holder are not reassigned.
 func AssignFree(s *State) (list []Command) {
 	held := map[uint64]int{} // leases by session
 	candidates := s.candidateSessions()
@@ -34,52 +34,55 @@
 	}
 	slices.SortFunc(free, func(a, b *Lease) int { return cmp.Compare(a.Name, b.Name) })
 	for _, l := range free {
-		x := chooseHolder(l, candidates[l.Name], held)
-		if x == nil {
+		sess := chooseHolder(l, candidates[l.Name], held)
+		if sess == nil {
 			continue
 		}
-		held[x.ID]++
-		list = append(list, Command{Op: OpAssign, Lease: l.Name, Token: l.Token, Session: x.ID})
+		held[sess.ID]++
+		list = append(list, Command{Op: OpAssign, Lease: l.Name, Token: l.Token, Session: sess.ID})
 	}
 	return list
 }
 
-// chooseHolder returns the best candidate for a free lease.
+// chooseHolder returns the best candidate for a free lease. It prefers the target of a transfer, then any
+// candidate other than the member that released the lease, then the one with the fewest leases, and then the
+// one with the lowest rendezvous rank.
 func chooseHolder(l *Lease, candidates []*Session, held map[uint64]int) (best *Session) {
-	better := func(x, y *Session) bool {
-		if a, b := x.Name == l.TransferTo, y.Name == l.TransferTo; a != b {
+	better := func(sess, other *Session) bool {
+		if a, b := sess.Name == l.TransferTo, other.Name == l.TransferTo; a != b {
 			return a
 		}
-		if a, b := x.Name == l.ReleasedBy, y.Name == l.ReleasedBy; a != b {
+		if a, b := sess.Name == l.ReleasedBy, other.Name == l.ReleasedBy; a != b {
 			return b
 		}
-		if a, b := held[x.ID], held[y.ID]; a != b {
+		if a, b := held[sess.ID], held[other.ID]; a != b {
 			return a < b
 		}
-		return cmp.Or(cmp.Compare(rendezvousRank(l.Name, x.Name), rendezvousRank(l.Name, y.Name)), cmp.Compare(x.ID, y.ID)) < 0
+		return cmp.Or(cmp.Compare(rendezvousRank(l.Name, sess.Name), rendezvousRank(l.Name, other.Name)), cmp.Compare(sess.ID, other.ID)) < 0
 	}
-	for _, x := range candidates {
-		if best == nil || better(x, best) {
-			best = x
+	for _, sess := range candidates {
+		if best == nil || better(sess, best) {
+			best = sess
 		}
 	}
 	return best
 }
 
-// rendezvousRank orders gateways for a lease, for each lease in another order (rendezvous hashing).
+// rendezvousRank returns the rank of a gateway for a lease by rendezvous hashing: the order of the gateways
+// differs from lease to lease.
 func rendezvousRank(lease, gateway string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(gateway))
 	h.Write([]byte{0})
 	h.Write([]byte(lease))
 	z := h.Sum64()
-	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9 // FNV's last bytes hardly reach its high bits
+	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9 // FNV barely mixes the last input bytes into the high bits
 	z = (z ^ z>>27) * 0x94d049bb133111eb
 	return z ^ z>>31
 }
 
-// Rebalance returns transfers that reduce the difference between the gateways that hold the most and
-// the fewest leases. It returns none while a transfer is under way or a lease is free.
+// Rebalance returns transfers that reduce the difference between the gateways with the most and the
+// fewest leases. It returns none while a transfer is in progress or a lease with candidates is free.
 func Rebalance(s *State) (list []Command) {
 	held := map[uint64]int{} // leases by session
 	candidates := s.candidateSessions()
@@ -90,7 +93,7 @@
 		held[l.HolderSession]++
 	}
 	if s.imbalance(held) < maxImbalance {
-		return nil // the usual case; the rest visits all candidates
+		return nil // the common case; the loop below visits all candidates
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.Leases)) {
 		l := s.Leases[name]
@@ -120,11 +123,11 @@
 	return most - fewest
 }
 
-// leastLoaded returns the session that holds the fewest leases, the first of several.
+// leastLoaded returns the first of the sessions that hold the fewest leases.
 func leastLoaded(sessions []*Session, held map[uint64]int) (best *Session) {
-	for _, x := range sessions {
-		if best == nil || held[x.ID] < held[best.ID] {
-			best = x
+	for _, sess := range sessions {
+		if best == nil || held[sess.ID] < held[best.ID] {
+			best = sess
 		}
 	}
 	return best
--- a/internal/cluster/lease/replicas.go
+++ b/internal/cluster/lease/replicas.go
@@ -7,9 +7,9 @@
 
 // Replica is a gateway that holds a copy of the coordination state.
 type Replica struct {
-	ID      uint64 `json:"replica"` // identity of its disk
+	ID      uint64 `json:"replica"` // identity of the gateway's disk
 	Name    string `json:"name"`
-	Learner bool   `json:"learner,omitempty"` // it has no vote yet
+	Learner bool   `json:"learner,omitempty"` // the replica has no vote yet
 }
 
 // setDesiredReplica adds a gateway to the desired replicas or removes it.
@@ -39,8 +39,8 @@
 	return ok
 }
 
-// SetReplicas takes over a change of the group's configuration at a revision. Names are those of
-// replicas that the change has added, by ID.
+// SetReplicas replaces the replicas after a change of the Raft group's configuration at a revision. The
+// map names contains the gateway names of the replicas that the change added, by replica ID.
 func (s *State) SetReplicas(revision uint64, names map[uint64]string, voters, learners []uint64) {
 	s.Revision, s.ReplicasModRevision = revision, revision
 	previous := s.Replicas
@@ -60,16 +60,16 @@
 
 // ReplicaChange is one step from the current replicas to the desired ones.
 type ReplicaChange struct {
-	AddLearner uint64   // replica to add without a vote; 0: none
-	Promote    uint64   // learner to give a vote; 0: none
+	AddLearner uint64   // replica to add without a vote, or 0
+	Promote    uint64   // learner to promote to a voter, or 0
 	Remove     []uint64 // replicas to remove in the same step
-	Member     string   // gateway that the step is about
+	Member     string   // name of the gateway whose replicas change
 }
 
-// NextReplicaChange returns the next step, if one is needed. There is one step at a time. A gateway
-// that returns with a new disk is first added as a learner; the replica of its old disk is removed
-// in the step that gives the new one its vote. The function caughtUp reports whether a learner has
-// the log.
+// NextReplicaChange returns the next step, if one is needed. Steps are made one at a time. A gateway
+// that returns with a new disk is first added as a learner; the replica of its old disk is removed in
+// the step that promotes the learner. The function caughtUp reports whether a learner's log is close
+// enough to the leader's.
 func NextReplicaChange(s *State, caughtUp func(replica uint64) bool) (c ReplicaChange, ok bool) {
 	replicasOf := map[string][]uint64{} // by gateway
 	for _, id := range slices.Sorted(maps.Keys(s.Replicas)) {
--- a/internal/cluster/lease/session.go
+++ b/internal/cluster/lease/session.go
@@ -11,28 +11,28 @@
 // OpenRequest describes the gateway that opens a session.
 type OpenRequest struct {
 	Name   string `json:"name"`
-	DiskID uint64 `json:"disk"` // identity of its data directory
-	// OpenSequence grows with each session that is opened from the same disk. A repeated number is
-	// the same session.
+	DiskID uint64 `json:"disk"` // identity of the gateway's data directory
+	// OpenSequence increases with each session that is opened from the same disk. A request with the number
+	// of the current session is a retry and returns that session.
 	OpenSequence    uint64   `json:"no"`
 	Zone            string   `json:"zone,omitempty"`
 	Machine         string   `json:"machine,omitempty"`
 	Address         string   `json:"addr,omitempty"`
-	CandidateLeases []string `json:"offers,omitempty"` // leases that it can hold
+	CandidateLeases []string `json:"offers,omitempty"` // leases that the gateway can hold
 	Role            Role     `json:"part,omitempty"`
 }
 
-// Role is the role of a gateway in a fleet with relays; "" in a full mesh.
+// Role is the role of a gateway in a fleet with relays. It is empty in a full mesh.
 type Role string
 
-// Roles.
+// Values of Role.
 const (
-	RoleRelay   Role = "relay"   // accepts streams of gateways, and may be a replica
-	RoleGateway Role = "gateway" // has one stream to a relay
+	RoleRelay   Role = "relay"   // a relay accepts streams from gateways and may be a replica
+	RoleGateway Role = "gateway" // a gateway opens one stream to a relay
 )
 
-// Session is the time for which a gateway is a live member of the fleet. It lasts until it is closed
-// or was not renewed for TTL.
+// Session makes a gateway a live member of the fleet. It lasts until it is closed or has not been renewed
+// for TTL.
 type Session struct {
 	ID uint64 `json:"id"`
 	OpenRequest
@@ -41,24 +41,25 @@
 	LastRequest    uint64            `json:"last,omitempty"`
 }
 
-// keepResult keeps the outcome of a request for retries; 0 is a command without a request number.
-func (x *Session) keepResult(request uint64, r Result) {
+// keepResult stores the result of a request for retries. The number 0 stands for a command without a
+// request number, whose result is not stored.
+func (sess *Session) keepResult(request uint64, r Result) {
 	if request == 0 {
 		return
 	}
-	if x.Results == nil {
-		x.Results = map[uint64]Result{}
+	if sess.Results == nil {
+		sess.Results = map[uint64]Result{}
 	}
-	x.Results[request] = r
-	x.LastRequest = max(x.LastRequest, request)
-	for old := range x.Results {
-		if old+maxSessionResults <= x.LastRequest {
-			delete(x.Results, old)
+	sess.Results[request] = r
+	sess.LastRequest = max(sess.LastRequest, request)
+	for old := range sess.Results {
+		if old+maxSessionResults <= sess.LastRequest {
+			delete(sess.Results, old)
 		}
 	}
 }
 
-// openSession begins a session, and ends the one that the same disk had before.
+// openSession opens a session, and ends the previous session of the same disk.
 func (s *State) openSession(c *Command) Result {
 	if r := s.checkOpen(c.Open); r.Code != "" {
 		return r
@@ -70,24 +71,24 @@
 		if previous.DiskID != o.DiskID {
 			return Result{Code: NameTaken, Reason: "a live gateway with another disk has the name " + o.Name}
 		}
-		// A disk is used by one process at a time, so the previous one has ended.
+		// Only one process uses a disk at a time, so the process of the previous session has ended.
 		s.endSession(previous.ID, causeRestarted)
 	}
 	s.LastSessionID++
-	x := &Session{ID: s.LastSessionID, OpenRequest: *o, OpenedRevision: s.Revision}
-	s.shareCandidates(x)
-	s.Sessions[x.ID] = x
+	sess := &Session{ID: s.LastSessionID, OpenRequest: *o, OpenedRevision: s.Revision}
+	s.shareCandidates(sess)
+	s.Sessions[sess.ID] = sess
 	if m == nil {
 		s.memberNames = nil
 	}
-	s.Members[o.Name] = &Member{o.Name, x.ID, o.DiskID, o.Zone, o.Machine, o.Address, o.OpenSequence, s.Revision, o.Role}
+	s.Members[o.Name] = &Member{o.Name, sess.ID, o.DiskID, o.Zone, o.Machine, o.Address, o.OpenSequence, s.Revision, o.Role}
 	s.recordChange(o.Name, false)
-	s.addCandidate(x)
+	s.addCandidate(sess)
 	s.createLeases(o.CandidateLeases)
-	return Result{Code: OK, Session: x.ID}
+	return Result{Code: OK, Session: sess.ID}
 }
 
-// checkOpen validates an OpenRequest. The result has no code where a session is to be opened.
+// checkOpen validates an OpenRequest. The code of the result is empty if a session is to be opened.
 func (s *State) checkOpen(o *OpenRequest) Result {
 	switch {
 	case o == nil || o.Name == "" || len(o.Name) > MaxNameBytes:
@@ -127,25 +128,25 @@
 
 // endSession ends a session and frees the leases that it held.
 func (s *State) endSession(id uint64, cause string) Result {
-	x := s.Sessions[id]
-	if x == nil {
+	sess := s.Sessions[id]
+	if sess == nil {
 		return Result{Code: NoSession}
 	}
 	delete(s.Sessions, id)
-	if m := s.Members[x.Name]; m != nil && m.Session == id {
+	if m := s.Members[sess.Name]; m != nil && m.Session == id {
 		m.Session, m.ModRevision = 0, s.Revision
-		s.recordChange(x.Name, false)
+		s.recordChange(sess.Name, false)
 	}
-	s.removeCandidate(x)
+	s.removeCandidate(sess)
 	for _, l := range s.LeasesOf(id) {
 		s.freeLease(l, cause)
 	}
 	return Result{Code: OK}
 }
 
-// candidateSessions returns the sessions that are candidates for each lease. The index is kept as
-// sessions come and go: 4,700 sessions with 500 candidate leases each are 2.4 million entries, too
-// many to rebuild at each tick of a leader.
+// candidateSessions returns the sessions that are candidates for each lease. The index is updated
+// whenever a session is opened or ends: 4,700 sessions with 500 candidate leases each make 2.4 million
+// entries, too many to rebuild the index in each tick of a leader.
 func (s *State) candidateSessions() map[string][]*Session {
 	if s.candidates != nil {
 		return s.candidates
@@ -157,33 +158,34 @@
 	return s.candidates
 }
 
-// addCandidate adds a session, whose ID is the highest so far, to the index.
-func (s *State) addCandidate(x *Session) {
+// addCandidate adds a session to the index of candidates. Its ID must be the highest so far.
+func (s *State) addCandidate(sess *Session) {
 	if s.candidates == nil {
 		return
 	}
-	for _, lease := range x.CandidateLeases {
-		s.candidates[lease] = append(s.candidates[lease], x)
+	for _, lease := range sess.CandidateLeases {
+		s.candidates[lease] = append(s.candidates[lease], sess)
 	}
 }
 
-// removeCandidate removes a session from the index.
-func (s *State) removeCandidate(x *Session) {
+// removeCandidate removes a session from the index of candidates.
+func (s *State) removeCandidate(sess *Session) {
 	if s.candidates == nil {
 		return
 	}
 	byID := func(y *Session, id uint64) int { return cmp.Compare(y.ID, id) }
-	for _, lease := range x.CandidateLeases {
-		if i, ok := slices.BinarySearchFunc(s.candidates[lease], x.ID, byID); ok {
+	for _, lease := range sess.CandidateLeases {
+		if i, ok := slices.BinarySearchFunc(s.candidates[lease], sess.ID, byID); ok {
 			s.candidates[lease] = slices.Delete(s.candidates[lease], i, i+1)
 		}
 	}
 }
 
-// shareCandidates lets sessions with equal candidate leases, as most have, share one slice.
-func (s *State) shareCandidates(x *Session) {
-	if slices.Equal(x.CandidateLeases, s.lastCandidates) {
-		x.CandidateLeases = s.lastCandidates
+// shareCandidates makes sessions with equal candidate leases, which are most sessions, share one slice to
+// save memory.
+func (s *State) shareCandidates(sess *Session) {
+	if slices.Equal(sess.CandidateLeases, s.lastCandidates) {
+		sess.CandidateLeases = s.lastCandidates
 	}
-	s.lastCandidates = x.CandidateLeases
+	s.lastCandidates = sess.CandidateLeases
 }
--- a/internal/cluster/lease/session_test.go
+++ b/internal/cluster/lease/session_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Only relays can be replicas where there are any, and a fleet with relays may have more members than a
-// full mesh.
+// TestRoles checks that a gateway of a fleet with relays can't become a replica, and that a fleet with relays
+// may have more members than a full mesh.
 func TestRoles(t *testing.T) {
 	s := NewState(1)
 	open := func(i int, role Role) Result {
@@ -17,14 +17,14 @@
 	open(2, "")
 	for i, want := range []Code{OK, Rejected, OK} {
 		if r := s.Apply(s.Revision+1, &Command{Op: OpAddReplica, Name: fmt.Sprint("g", i)}); r.Code != want {
-			t.Errorf("g%d as a replica: %+v", i, r)
+			t.Errorf("adding g%d as a replica: got unexpected result %+v", i, r)
 		}
 	}
 	for i := 3; i < maxMeshMembers; i++ {
 		open(i, "")
 	}
 	if r := open(maxMeshMembers, ""); r.Code != Rejected {
-		t.Error("a mesh has too many members:", r)
+		t.Error("a full mesh accepted more than its maximum of members:", r)
 	}
 	for i := maxMeshMembers; i < MaxMembers; i++ {
 		if r := open(i, RoleGateway); r.Code != OK {
@@ -32,6 +32,6 @@
 		}
 	}
 	if r := open(MaxMembers, RoleGateway); r.Code != Rejected {
-		t.Error("a fleet has too many members:", r)
+		t.Error("a fleet with relays accepted more than its maximum of members:", r)
 	}
 }
--- a/internal/cluster/lease/state.go
+++ b/internal/cluster/lease/state.go
@@ -9,53 +9,54 @@
 	"dunemoor/internal/cluster/failpoint"
 )
 
-// Member is a gateway that has a session or had one.
+// Member is a gateway that has a session or had one before.
 type Member struct {
 	Name         string `json:"name"`
-	Session      uint64 `json:"session"` // 0: it has expired or was closed
+	Session      uint64 `json:"session"` // 0 if the session has expired or was closed
 	DiskID       uint64 `json:"disk"`
 	Zone         string `json:"zone,omitempty"`
 	Machine      string `json:"machine,omitempty"`
 	Address      string `json:"addr,omitempty"`
-	OpenSequence uint64 `json:"no"` // of the last session
+	OpenSequence uint64 `json:"no"` // OpenSequence of the last session
 	ModRevision  uint64 `json:"mod"`
 	Role         Role   `json:"part,omitempty"`
 }
 
 // State is the coordination state as of a revision. The exported fields are its stored form.
 type State struct {
-	Revision      uint64              `json:"index"` // of the last command applied
+	Revision      uint64              `json:"index"` // revision of the last applied command
 	LastToken     uint64              `json:"token"`
 	LastSessionID uint64              `json:"next"`
 	Sessions      map[uint64]*Session `json:"sessions"`
 	Members       map[string]*Member  `json:"members"`
 	Leases        map[string]*Lease   `json:"duties"`
-	Replicas      map[uint64]Replica  `json:"keepers"` // by ID
+	Replicas      map[uint64]Replica  `json:"keepers"` // by Replica.ID
 	Transfers     []LeaseTransfer     `json:"changes,omitempty"`
-	// ClusterID was drawn at bootstrap. A fleet of the same name that was bootstrapped another time
-	// has another one.
+	// ClusterID is chosen at random at bootstrap. It distinguishes fleets with the same name that were
+	// bootstrapped separately.
 	ClusterID uint64 `json:"birth"`
-	// DesiredReplicas are the names of the gateways that should be replicas.
+	// DesiredReplicas contains the names of the gateways that should be replicas.
 	DesiredReplicas map[string]bool `json:"want"`
-	// CompactedRevision is the revision of the last removal of a member or lease: a delta since an
-	// earlier revision has to be complete.
+	// CompactedRevision is the revision of the last removal of a member or lease. A delta since an
+	// earlier revision must be a full one, as deltas do not list removals.
 	CompactedRevision uint64 `json:"cut,omitempty"`
-	// ReplicasModRevision and OverridesModRevision are the revisions of the last change of each.
+	// ReplicasModRevision and OverridesModRevision are the revisions of the last changes of Replicas and
+	// Overrides.
 	ReplicasModRevision  uint64 `json:"keepers_mod,omitempty"`
 	OverridesModRevision uint64 `json:"words_mod,omitempty"`
 	// Overrides are keyed by Override.Key.
 	Overrides map[string]*Override `json:"words,omitempty"`
 
-	// The rest is derived and not stored.
+	// The fields below are derived and not stored.
 
-	pendingTransfers []LeaseTransfer // since TakeTransfers was last called
+	pendingTransfers []LeaseTransfer // transfers since the last call of TakeTransfers
 	changeLog        []change        // recent changes, oldest first
-	changeLogStart   uint64          // changeLog is complete after this revision
-	// candidates lists the sessions that are candidates for each lease, ordered by ID. It is nil
-	// until it is first needed.
+	changeLogStart   uint64          // changeLog contains all changes after this revision
+	// candidates lists the sessions that are candidates for each lease, sorted by ID. It is nil until it
+	// is first used.
 	candidates     map[string][]*Session
-	lastCandidates []string // candidate leases of the last session, shared by those with equal ones
-	memberNames    []string // sorted; nil after a change
+	lastCandidates []string // candidate leases of the last session, see shareCandidates
+	memberNames    []string // sorted names of all members; nil after a change
 }
 
 // NewState returns the initial state of a fleet with its bootstrap replicas.
@@ -75,12 +76,12 @@
 func (s *State) Encode() []byte {
 	b, err := json.Marshal(s)
 	if err != nil {
-		panic(err) // it consists of strings, numbers and maps of these
+		panic(err) // unreachable: the state consists of strings, numbers and maps of these
 	}
 	return b
 }
 
-// Decode replaces the state by one that Encode returned.
+// Decode replaces the state with one that Encode returned.
 func (s *State) Decode(b []byte) error {
 	decoded := NewState(0)
 	if err := json.Unmarshal(b, decoded); err != nil {
@@ -102,14 +103,14 @@
 	return s.memberNames
 }
 
-// TakeTransfers returns the lease transfers since it was last called.
+// TakeTransfers returns the lease transfers since the last call.
 func (s *State) TakeTransfers() []LeaseTransfer {
 	list := s.pendingTransfers
 	s.pendingTransfers = nil
 	return list
 }
 
-// Apply carries out the command at a revision and returns its outcome.
+// Apply applies the command at a revision and returns its result.
 func (s *State) Apply(revision uint64, c *Command) Result {
 	s.Revision = revision
 	switch c.Op {
@@ -126,22 +127,22 @@
 	case OpAddReplica, OpRemoveReplica:
 		return s.setDesiredReplica(c)
 	}
-	x := s.Sessions[c.Session]
-	if x == nil {
+	sess := s.Sessions[c.Session]
+	if sess == nil {
 		if c.Op == OpTransfer && c.Session == 0 {
-			return s.transfer(c) // by an operator
+			return s.transfer(c) // proposed by an operator
 		}
 		return Result{Code: NoSession}
 	}
-	return s.applyInSession(x, c)
+	return s.applyInSession(sess, c)
 }
 
-// applyInSession carries out a command of a session, once for each request number.
-func (s *State) applyInSession(x *Session, c *Command) Result {
-	if r, ok := x.Results[c.Request]; ok && c.Request > 0 && !failpoint.Enabled(failpoint.ReapplyDuplicates) {
+// applyInSession applies a command of a session. A command with a request number is applied only once.
+func (s *State) applyInSession(sess *Session, c *Command) Result {
+	if r, ok := sess.Results[c.Request]; ok && c.Request > 0 && !failpoint.Enabled(failpoint.ReapplyDuplicates) {
 		return r
 	}
-	if c.Request > 0 && c.Request+maxSessionResults <= x.LastRequest {
+	if c.Request > 0 && c.Request+maxSessionResults <= sess.LastRequest {
 		return Result{Code: ResultExpired}
 	}
 	var r Result
@@ -149,18 +150,18 @@
 	case OpCloseSession:
 		return s.endSession(c.Session, causeClosed)
 	case OpAcquire:
-		r = s.acquire(x, c)
+		r = s.acquire(sess, c)
 	case OpRelease:
-		r = s.release(x, c)
+		r = s.release(sess, c)
 	case OpTransfer:
 		r = s.transfer(c)
 	case OpWrite:
-		r = s.writeValue(x, c)
+		r = s.writeValue(sess, c)
 	case OpDrainHost, OpUndrainHost:
-		r = s.applyOverride(x, c)
+		r = s.applyOverride(sess, c)
 	default:
 		r = rejectf(reasonUnknownOp, c.Op)
 	}
-	x.keepResult(c.Request, r)
+	sess.keepResult(c.Request, r)
 	return r
 }
