--- a/internal/cluster/node/leader.go
+++ b/internal/cluster/node/leader.go
@@ -15,39 +15,41 @@
 )
 
 const (
-	// reproposeInterval is when the leader proposes a command of its own again that was not applied.
+	// reproposeInterval is the time after which the leader proposes one of its own commands again if the
+	// command has not been applied.
 	reproposeInterval = time.Second
-	// rebalanceInterval lies between two rounds of moving leases only for balance.
+	// rebalanceInterval is the time between two rounds of rebalancing leases.
 	rebalanceInterval = 2 * time.Second
-	// replicaCheckInterval lies between two checks of the set of replicas.
+	// replicaCheckInterval is the time between two checks of the set of replicas.
 	replicaCheckInterval = 500 * time.Millisecond
-	// maxLearnerLag is how many entries a learner may be behind when it gets a vote.
+	// maxLearnerLag is the number of entries that a learner may lag behind when it is promoted.
 	maxLearnerLag = 64
-	// maxQueuedRenewals bounds the renewals that wait for a read index, and the proposals of others that
-	// wait to be applied: 4,700 gateways renew within a second, and some retry.
+	// maxQueuedRenewals bounds both the renewals that wait for a read index and the proposals of other
+	// gateways that have not been applied yet. 4,700 gateways renew every second, and some requests are
+	// retries.
 	maxQueuedRenewals = 8192
 )
 
-// leader is the work of the gateway that leads the coordination group. A new one is made with each
-// election that this gateway wins, and dropped when it loses the lead.
+// leader is the state of this gateway while it leads the coordination group. It is created when the
+// gateway wins an election and discarded when the gateway loses leadership.
 type leader struct {
 	node              *Node
 	expiry            *lease.ExpiryTracker
-	proposers         map[uint64]proposer      // by number of the proposal
-	proposedAt        map[string]time.Duration // the leader's own commands, by key
+	proposers         map[uint64]proposer      // by proposal number
+	proposedAt        map[string]time.Duration // when the leader's own commands were last proposed, by key
 	rebalancedAt      time.Duration
 	replicasCheckedAt time.Duration
-	seenRevision      uint64 // of the state when runDuties was last run; 0: it was not yet
+	seenRevision      uint64 // revision of the state in the last call of runTasks, or 0 before the first
 
-	// Renewals are answered once a quorum has confirmed that this gateway leads (read index).
-	queued      []renewal // to be confirmed by the next read
-	readNumber  uint64    // of the read under way; 0: none
+	// Renewals are answered after a quorum has confirmed that this gateway leads, by a read index.
+	queued      []renewal // renewals to be confirmed by the next read
+	readNumber  uint64    // number of the pending read, or 0
 	readAt      time.Duration
-	unconfirmed []renewal // that the read under way confirms
+	unconfirmed []renewal // renewals to be confirmed by the pending read
 	confirmed   []confirmedRenewals
 }
 
-// proposer is the gateway that proposed a command, and its own ID for it.
+// proposer identifies the gateway that proposed a command, and the ID that it gave to the proposal.
 type proposer struct {
 	name string
 	id   uint64
@@ -60,13 +62,13 @@
 	receivedAt time.Duration
 }
 
-// confirmedRenewals are renewals that may be answered once the state has been applied up to an index.
+// confirmedRenewals are renewals that may be answered once the log has been applied up to an index.
 type confirmedRenewals struct {
 	index uint64
 	list  []renewal
 }
 
-// leaderChanged takes a change of the group's leader.
+// leaderChanged handles a change of the leader of a group.
 func (n *Node) leaderChanged(t multiraft.LeaderChange) {
 	if t.Group != CoordinationGroup {
 		return
@@ -83,11 +85,11 @@
 		n.logInfo("became leader", "term", t.Term)
 		return
 	}
-	n.leader = nil // others retry the commands that were under way
+	n.leader = nil // the proposers retry the pending commands
 	n.logInfo("lost leadership", "term", t.Term, "leader", n.replica.names[t.Leader])
 }
 
-// proposeOnce proposes a command of the leader's own, at most once in reproposeInterval for each key.
+// proposeOnce proposes one of the leader's own commands, at most once per reproposeInterval for each key.
 func (l *leader) proposeOnce(key string, c lease.Command) {
 	if at, ok := l.proposedAt[key]; ok && l.node.now < at+reproposeInterval {
 		return
@@ -96,11 +98,11 @@
 	l.propose(c, proposer{})
 }
 
-// propose appends a command to the log. It reports false where this gateway does not lead any more.
+// propose proposes a command to the Raft group. It reports false if this gateway no longer leads.
 func (l *leader) propose(c lease.Command, from proposer) bool {
 	b, err := json.Marshal(c)
 	if err != nil {
-		panic(err) // it consists of strings and numbers
+		panic(err) // unreachable: a command consists of strings and numbers
 	}
 	r := l.node.replica
 	r.proposalNumber++
@@ -113,9 +115,9 @@
 	return true
 }
 
-// runDuties does the leader's work: it ends sessions that were not renewed, assigns free leases,
-// balances them, and adjusts the set of replicas.
-func (l *leader) runDuties() {
+// runTasks runs the leader's periodic tasks: it ends expired sessions, assigns free leases, records the
+// remaining durations of overrides, rebalances leases, and adjusts the set of replicas.
+func (l *leader) runTasks() {
 	n, state := l.node, l.node.replica.state
 	l.publishChanges()
 	l.seenRevision = state.Revision
@@ -149,21 +151,21 @@
 	}
 }
 
-// publishChanges logs lease transfers, and sends changed leases to their holders and changed overrides
-// to all.
+// publishChanges logs lease transfers, and sends changed leases to their holders and changed overrides to
+// all gateways with a session.
 func (l *leader) publishChanges() {
 	n, state := l.node, l.node.replica.state
 	for _, t := range state.TakeTransfers() {
 		n.logInfo(LogLeaseTransferred, "lease", t.Lease, "from", t.From, "to", t.To, "token", t.Token, "cause", t.Cause, "index", t.Revision)
 	}
 	if l.seenRevision == 0 {
-		return // newly elected: gateways get the changes with their renewals
+		return // newly elected: gateways receive the changes in the replies to their renewals
 	}
 	delta := state.DeltaSince(l.seenRevision)
 	for _, v := range delta.Leases {
-		if x := state.Sessions[v.HolderSession]; x != nil {
+		if sess := state.Sessions[v.HolderSession]; sess != nil {
 			update := &lease.StateDelta{Leases: []lease.LeaseView{v}}
-			n.send(x.Name, &Message{RenewReply: &RenewReply{Session: x.ID, Delta: update}})
+			n.send(sess.Name, &Message{RenewReply: &RenewReply{Session: sess.ID, Delta: update}})
 		}
 	}
 	if state.OverridesModRevision <= l.seenRevision {
@@ -175,12 +177,12 @@
 	}
 }
 
-// changeReplicas takes the next step towards the desired replicas.
+// changeReplicas starts the next step towards the desired set of replicas.
 func (l *leader) changeReplicas() {
 	n, r := l.node, l.node.replica
 	s := r.status()
 	if len(s.Conf.GetVotersOutgoing()) > 0 {
-		return // a change is under way
+		return // a joint configuration change is in progress
 	}
 	caughtUp := func(id uint64) bool { return s.Match[id]+maxLearnerLag >= s.LastIndex && s.Match[id] > 0 }
 	c, ok := lease.NextReplicaChange(r.state, caughtUp)
@@ -196,7 +198,7 @@
 	}
 }
 
-// confChange returns a step as Raft takes it.
+// confChange returns a step as a configuration change of the Raft group.
 func confChange(c lease.ReplicaChange) *raftpb.ConfChangeV2 {
 	var cc raftpb.ConfChangeV2
 	names := replicaNames{map[uint64]string{}}
@@ -214,12 +216,12 @@
 	for _, id := range c.Remove {
 		add(raftpb.ConfChangeRemoveNode, id)
 	}
-	cc.Context, _ = json.Marshal(names) // numbers and strings
+	cc.Context, _ = json.Marshal(names) // can't fail: names consists of numbers and strings
 	return &cc
 }
 
-// yieldLeadership transfers the lead to any voter that is up to date, as this replica is to be
-// removed.
+// yieldLeadership transfers leadership to any voter that is up to date. It is called when this replica is
+// to be removed.
 func (l *leader) yieldLeadership(s multiraft.Status) {
 	r := l.node.replica
 	for id, match := range s.Match {
@@ -230,8 +232,8 @@
 	}
 }
 
-// TransferLeadership gives the lead to the voter with the longest log, where this gateway has it: for
-// a gateway that shuts down, so that nobody waits for an election.
+// TransferLeadership transfers leadership to the voter with the longest log, if this gateway leads. It is
+// for a gateway that shuts down, so that the fleet does not wait for an election timeout.
 func (n *Node) TransferLeadership(now time.Duration) {
 	n.now = now
 	s := n.replica.status()
@@ -249,7 +251,7 @@
 	}
 }
 
-// receiveProposal takes a command that a gateway proposes.
+// receiveProposal handles a command that a gateway has proposed.
 func (n *Node) receiveProposal(from string, p *Proposal) {
 	notLeader := &Message{ProposalReply: &ProposalReply{ID: p.ID, NotLeader: true, Leader: n.replica.leaderName()}}
 	if n.leader == nil {
@@ -258,17 +260,17 @@
 	}
 	switch p.Command.Op {
 	case lease.OpExpireSession, lease.OpAssign, lease.OpExpireOverride:
-		return // only the leader's own
+		return // only the leader may propose these
 	}
 	if len(n.leader.proposers) >= maxQueuedRenewals {
-		return // it is retried
+		return // the proposer retries it
 	}
 	if !n.leader.propose(p.Command, proposer{from, p.ID}) {
 		n.send(from, notLeader)
 	}
 }
 
-// commandApplied answers the gateway whose command was applied.
+// commandApplied sends the result of an applied command to the gateway that proposed it.
 func (n *Node) commandApplied(r *multiraft.Result) {
 	if n.leader == nil {
 		return
@@ -285,8 +287,9 @@
 	n.send(from.name, &Message{ProposalReply: &ProposalReply{ID: from.id, Result: &result}})
 }
 
-// receiveRenew takes a request to renew a session. It is answered once a quorum has confirmed that
-// this gateway leads: the next leader gives the session a full TTL from a later moment.
+// receiveRenew handles a request to renew a session. The reply is sent after a quorum has confirmed that
+// this gateway still leads. Any later leader is then elected after the request was received, and gives the
+// session a full TTL from its election, so the session can't expire before the holder's deadline.
 func (n *Node) receiveRenew(from string, r *RenewRequest) {
 	if n.leader == nil {
 		n.send(from, &Message{RenewReply: &RenewReply{Session: r.Session, Seq: r.Seq, Leader: n.replica.leaderName()}})
@@ -294,7 +297,7 @@
 	}
 	l, w := n.leader, renewal{from, *r, n.now}
 	if failpoint.Enabled(failpoint.SkipLeaderCheck) {
-		l.answerRenewal(&w)
+		l.replyToRenewal(&w)
 		return
 	}
 	if len(l.queued) < maxQueuedRenewals {
@@ -305,7 +308,7 @@
 	}
 }
 
-// requestReadIndex asks a quorum whether this gateway leads, for all queued renewals.
+// requestReadIndex requests confirmation from a quorum that this gateway leads, for all queued renewals.
 func (l *leader) requestReadIndex() {
 	r := l.node.replica
 	r.proposalNumber++
@@ -317,7 +320,7 @@
 	l.readNumber, l.readAt = r.proposalNumber, l.node.now
 }
 
-// readIndexConfirmed takes the confirmation of a quorum.
+// readIndexConfirmed handles the confirmation by a quorum.
 func (l *leader) readIndexConfirmed(r multiraft.ReadIndex) {
 	if r.ID != l.readNumber {
 		return
@@ -329,8 +332,8 @@
 	}
 }
 
-// answerConfirmed answers confirmed renewals, as soon as the state is applied up to the read index.
-func (l *leader) answerConfirmed() {
+// replyToConfirmed replies to confirmed renewals, once the log has been applied up to their read index.
+func (l *leader) replyToConfirmed() {
 	for len(l.confirmed) > 0 {
 		if l.node.replica.status().Applied < l.confirmed[0].index {
 			return
@@ -338,24 +341,24 @@
 		list := l.confirmed[0].list
 		l.confirmed = l.confirmed[1:]
 		for i := range list {
-			l.answerRenewal(&list[i])
+			l.replyToRenewal(&list[i])
 		}
 	}
 }
 
-func (l *leader) answerRenewal(w *renewal) {
+func (l *leader) replyToRenewal(w *renewal) {
 	n, state, request := l.node, l.node.replica.state, &w.request
 	reply := &RenewReply{Session: request.Session, Seq: request.Seq, Term: n.replica.status().Term}
-	x := state.Sessions[request.Session]
+	sess := state.Sessions[request.Session]
 	switch {
-	case x == nil:
+	case sess == nil:
 		reply.Expired = true
 	case !l.expiry.Acknowledge(request.Session, request.AckedSeq, w.receivedAt):
 		reply.Unconfirmed = true
 	case !l.expiry.Renew(request.Session, w.receivedAt):
 		reply.Expired = true
 	case request.Compact:
-		reply.Delta = new(state.CompactDeltaSince(request.KnownRevision, x.Name))
+		reply.Delta = new(state.CompactDeltaSince(request.KnownRevision, sess.Name))
 	default:
 		reply.Delta = new(state.DeltaSince(request.KnownRevision))
 	}
--- a/internal/cluster/node/log.go
+++ b/internal/cluster/node/log.go
@@ -1,7 +1,7 @@
 package node
 
-// Messages of log entries that other programs count.
+// Messages of log entries that other programs match.
 const (
-	// LogLeaseTransferred is logged by the leader when a lease was granted or freed.
+	// LogLeaseTransferred is the message that the leader logs when a lease has been granted or freed.
 	LogLeaseTransferred = "lease transferred"
 )
--- a/internal/cluster/node/messages.go
+++ b/internal/cluster/node/messages.go
@@ -13,19 +13,20 @@
 	"dunemoor/internal/cluster/multiraft"
 )
 
-// Kind is what a frame between two gateways carries.
+// Kind is the type of a frame between two gateways.
 type Kind byte
 
-// Kinds of frames. Package relay has further ones.
+// Values of Kind. Package relay defines further ones.
 const (
 	KindRaft    Kind = 1 // Raft messages: group and length, 4 bytes each little-endian, and the message
-	KindMessage Kind = 2 // JSON: a Message
+	KindMessage Kind = 2 // a Message as JSON
 )
 
-// FormatVersion is the version of frames and messages. Gateways with another one are not connected.
+// FormatVersion is the version of the frame and message formats. Gateways with different versions do not
+// connect to each other.
 const FormatVersion = 1
 
-// Message is what gateways send to one another beside Raft messages. One field is set.
+// Message is a message between gateways other than a Raft message. Exactly one field is set.
 type Message struct {
 	Hello         *Hello         `json:"hello,omitempty"`
 	HelloReply    *HelloReply    `json:"welcome,omitempty"`
@@ -37,7 +38,7 @@
 	ResyncRequest *ResyncRequest `json:"want,omitempty"`
 }
 
-// Hello is the first message between two gateways.
+// Hello is the first message that a gateway sends on a connection to another gateway.
 type Hello struct {
 	Fleet     string `json:"fleet"`
 	Format    int    `json:"format"`
@@ -45,53 +46,55 @@
 	ReplicaID uint64 `json:"replica"`
 	ClusterID uint64 `json:"birth"`
 	Boots     uint64 `json:"boots"`
-	Term      uint64 `json:"term"` // of the coordination group, as the disk has it
-	LastIndex uint64 `json:"last"` // of the group's log, as the disk has it
+	Term      uint64 `json:"term"` // persisted term of the coordination group
+	LastIndex uint64 `json:"last"` // last persisted index of the group's log
 	Address   string `json:"addr,omitempty"`
 }
 
-// HelloReply answers a Hello.
+// HelloReply is the reply to a Hello.
 type HelloReply struct {
-	ReplicaID uint64 `json:"replica"`       // of the Hello
-	Objection string `json:"why,omitempty"` // why its disk must be an older copy; "": there is no objection
+	ReplicaID uint64 `json:"replica"`       // ReplicaID of the Hello
+	Objection string `json:"why,omitempty"` // why the sender's disk must be an older copy; empty if there is no objection
 }
 
-// RenewRequest asks to renew a session.
+// RenewRequest is a request to renew a session.
 type RenewRequest struct {
 	Session       uint64 `json:"session"`
 	Seq           uint64 `json:"seq"`
-	AckedSeq      uint64 `json:"heard"`          // the last that was replied to: a gateway that receives nothing is not alive
-	KnownRevision uint64 `json:"known"`          // of the sender's view
-	Compact       bool   `json:"lean,omitempty"` // a compact delta is wanted
+	AckedSeq      uint64 `json:"heard"`          // last Seq with a reply; renewals of a gateway that receives no replies are not accepted
+	KnownRevision uint64 `json:"known"`          // revision of the sender's view
+	Compact       bool   `json:"lean,omitempty"` // requests a compact delta
 }
 
-// RenewReply is the leader's reply to a renewal, after a quorum has confirmed that it leads. Leaders
-// also send it by themselves, with Seq 0, when the state has changed.
+// RenewReply is the reply to a renewal. The leader sends it after a quorum has confirmed that it leads; a
+// gateway that does not lead replies with the name of the leader. Leaders also send it unsolicited, with
+// Seq 0, when the state has changed.
 type RenewReply struct {
 	Session     uint64            `json:"session"`
 	Seq         uint64            `json:"seq,omitempty"`
-	Expired     bool              `json:"gone,omitempty"`  // there is no such session
-	Unconfirmed bool              `json:"again,omitempty"` // not renewed: the gateway has to acknowledge this reply first
-	Leader      string            `json:"lead,omitempty"`  // who leads, where it is not the sender
+	Expired     bool              `json:"gone,omitempty"`  // the session does not exist
+	Unconfirmed bool              `json:"again,omitempty"` // the session was not renewed; the gateway must acknowledge this reply first
+	Leader      string            `json:"lead,omitempty"`  // name of the leader, if it is not the sender
 	Term        uint64            `json:"term,omitempty"`
 	Delta       *lease.StateDelta `json:"view,omitempty"`
 }
 
-// Proposal is a command to be carried out.
+// Proposal is a command that a gateway sends to the leader.
 type Proposal struct {
 	ID      uint64        `json:"id"`
 	Command lease.Command `json:"c"`
 }
 
-// ProposalReply is the result of a Proposal, or says who leads.
+// ProposalReply contains the result of a Proposal, or the name of the leader if the sender does not lead.
 type ProposalReply struct {
 	ID        uint64        `json:"id"`
-	NotLeader bool          `json:"not,omitempty"` // the sender does not lead: nothing was done
+	NotLeader bool          `json:"not,omitempty"` // the sender does not lead, and has not proposed the command
 	Leader    string        `json:"lead,omitempty"`
 	Result    *lease.Result `json:"r,omitempty"`
 }
 
-// Publication is what the holder of a lease sends to the other gateways. Seq grows under each token.
+// Publication is data that the holder of a lease sends to the other gateways. Seq increases with each
+// publication under the same token.
 type Publication struct {
 	Lease string `json:"duty"`
 	Token uint64 `json:"token"`
@@ -99,7 +102,7 @@
 	Body  []byte `json:"body"`
 }
 
-// ResyncRequest asks the holder of a lease for all that it has published.
+// ResyncRequest requests from the holder of a lease all data that it has published.
 type ResyncRequest struct {
 	Lease string `json:"duty"`
 	Body  []byte `json:"body,omitempty"`
@@ -111,7 +114,7 @@
 func encodeMessage(m *Message) []byte {
 	b, err := json.Marshal(m)
 	if err != nil {
-		panic(err) // it consists of strings, numbers and bytes
+		panic(err) // unreachable: a message consists of strings, numbers and bytes
 	}
 	return b
 }
@@ -125,31 +128,31 @@
 	return m, nil
 }
 
-// raftHeaderBytes is the size of the header of each message in a frame of KindRaft.
+// raftHeaderBytes is the size of the header before each message in a frame of KindRaft.
 const raftHeaderBytes = 8
 
-// appendRaftMessage appends a message to the body of a frame of KindRaft: the messages of all groups
-// for one gateway share a frame.
+// appendRaftMessage appends a message to the body of a frame of KindRaft. One frame contains the messages
+// of all groups for a gateway.
 func appendRaftMessage(dst []byte, e *multiraft.Envelope) []byte {
 	b, err := proto.Marshal(e.Message)
 	if err != nil {
-		panic(err) // no field of it can fail
+		panic(err) // unreachable: no field of the message can fail to encode
 	}
 	dst = binary.LittleEndian.AppendUint32(dst, uint32(e.Group))
 	dst = binary.LittleEndian.AppendUint32(dst, uint32(len(b)))
 	return append(dst, b...)
 }
 
-// DecodeRaftFrame calls each for the messages in the body of a frame of KindRaft, up to the first that
-// is malformed.
+// DecodeRaftFrame calls each for every message in the body of a frame of KindRaft, up to the first
+// malformed one.
 func DecodeRaftFrame(b []byte, each func(multiraft.Group, *raftpb.Message)) error {
 	for len(b) > 0 {
 		if len(b) < raftHeaderBytes {
-			return fmt.Errorf("%w: Raft header is cut off", ErrMalformedFrame)
+			return fmt.Errorf("%w: Raft header is truncated", ErrMalformedFrame)
 		}
 		group, length := multiraft.Group(binary.LittleEndian.Uint32(b)), binary.LittleEndian.Uint32(b[4:])
 		if b = b[raftHeaderBytes:]; uint64(length) > uint64(len(b)) {
-			return fmt.Errorf("%w: Raft message is cut off", ErrMalformedFrame)
+			return fmt.Errorf("%w: Raft message is truncated", ErrMalformedFrame)
 		}
 		m, err := decodeRaftMessage(b[:length])
 		if err != nil {
--- a/internal/cluster/node/node.go
+++ b/internal/cluster/node/node.go
@@ -1,11 +1,10 @@
-// Package node is one gateway's part in a fleet: its replica of the coordination state, its session
-// with the leases that it holds by that, and the leader's work where it is the leader.
+// Package node implements the participation of one gateway in a fleet: its replica of the coordination
+// state, its session and the leases that it holds, and the leader's tasks while it is the leader.
 //
-// A [Node] does no I/O and reads no clock. Events come in as method calls with the time; what has to
-// be written, sent and reported comes out of [Node.TakeOutput]. Its parts are types of their own:
-// the replica, the leader, which exists only while this gateway leads, the session, the proposals
-// that wait for a reply, the view of the state as the leader has sent it, and the publications of
-// lease holders.
+// A [Node] does no I/O and reads no clock. Events are passed in by method calls with the current time;
+// [Node.TakeOutput] returns the data to write and send and the events to report. A node consists of the
+// replica, the leader (only while this gateway leads), the session, the proposals without a reply, the
+// view of the state as received from the leader, and the publications of lease holders.
 package node
 
 import (
@@ -25,106 +24,108 @@
 const CoordinationGroup multiraft.Group = 0
 
 const (
-	// TickInterval is the time of one tick. Heartbeats are sent every 100 ms, and an election begins
-	// 0.5 to 1 s after the last one: a round trip in one data center takes a hundredth of that, and
-	// what has to be outlasted is a stalled disk or a busy core.
+	// TickInterval is the time between two ticks. Heartbeats are sent every 100 ms, and an election begins
+	// 0.5 to 1 s after the last one. A round trip within a data center takes a hundredth of that; the
+	// timeout has to outlast a stalled disk or a busy core.
 	TickInterval = 50 * time.Millisecond
-	// retryInterval is when a request without a reply is sent again, to another gateway; plus up to as
-	// much again by chance, so that 300 gateways do not retry together.
+	// retryInterval is the minimum time after which a request without a reply is sent again, to another
+	// gateway. A random delay of up to the same length is added, so that 300 gateways do not retry at the
+	// same time.
 	retryInterval = 300 * time.Millisecond
-	// pauseThreshold is a gap between two ticks after which the process must have been paused.
+	// pauseThreshold is the gap between two ticks from which the process is considered to have been paused.
 	pauseThreshold = 10 * TickInterval
 )
 
-// Broadcast addresses all other gateways, in a fleet with relays.
+// Broadcast is the receiver of a frame to all other gateways in a fleet with relays.
 const Broadcast = "*"
 
 // Config describes a gateway and its fleet.
 type Config struct {
 	Fleet, Name, Zone, Machine, Address string
 
-	BootstrapReplicas []string // the replicas at first; the first of them bootstraps the fleet
-	Peers             []string // the other gateways
-	CandidateLeases   []string // leases that it can hold
+	BootstrapReplicas []string // the initial replicas; the first of them bootstraps the fleet
+	Peers             []string // the other gateways to which this one connects
+	CandidateLeases   []string // leases that this gateway can hold
 	Seed              uint64
 	Disk              wal.Identity
 	Stored            map[multiraft.Group]multiraft.PersistedGroup
-	Overrides         OverrideSet // as last known here
+	Overrides         OverrideSet // the last set of overrides that this gateway stored
 
-	// UsesRelays is set in a fleet with relays. The relays are BootstrapReplicas and, at a relay, Peers;
-	// a frame for any other gateway goes by its name, and one for all is sent once to Broadcast.
+	// UsesRelays is set in a fleet with relays. The relays are BootstrapReplicas and, at a relay, Peers.
+	// A frame to any other gateway is addressed by its name, and a frame to all gateways is sent once to
+	// Broadcast.
 	UsesRelays bool
 }
 
-// Frame is to be sent to another gateway.
+// Frame is a frame to be sent to another gateway.
 type Frame struct {
 	To   string
 	Kind Kind
 	Body []byte
-	// SnapshotTo, where not 0, is the replica that the frame's snapshot is for. It is sent beside the
-	// other frames, and its outcome is reported by SnapshotSent.
+	// SnapshotTo is the replica for which the frame contains a snapshot, or 0 if it contains none. A
+	// snapshot is sent separately from the other frames, and its outcome is reported to SnapshotSent.
 	SnapshotTo uint64
 }
 
-// Grant is a lease that this gateway holds as far as it knows, until Deadline on its own clock.
+// Grant is a lease that this gateway holds according to its view, until Deadline on its own clock.
 type Grant struct {
 	Lease     string
 	Token     uint64
 	Deadline  time.Duration
-	Releasing bool // the work is to be stopped and the lease released
+	Releasing bool // the work under the lease must be stopped and the lease released
 }
 
-// Outcome is the outcome of a command that this gateway proposed. Known is false where it can't be
-// told whether the command was carried out.
+// Outcome is the outcome of a command that this gateway proposed. Known is false if it is unknown
+// whether the command was applied.
 type Outcome struct {
 	ID     uint64
 	Known  bool
 	Result lease.Result
 }
 
-// LogEntry is an entry for the log.
+// LogEntry is an entry to be written to the process log.
 type LogEntry struct {
 	Warn    bool
 	Message string
 	Args    []any // keys and values, as for slog
 }
 
-// Output is what a Node wants done, in this order.
+// Output is the set of actions that a Node requests from its caller, to be carried out in the order of the
+// fields.
 type Output struct {
 	Write          *multiraft.Batch
-	ClusterID      uint64 // to be stored on the disk; 0: nothing
+	ClusterID      uint64 // cluster ID to be stored on the disk, or 0
 	Frames         []Frame
 	Outcomes       []Outcome
-	Grants         []Grant // all that are held now, where GrantsChanged
+	Grants         []Grant // all current grants, if GrantsChanged is set
 	GrantsChanged  bool
 	Publications   []Publication
 	ResyncRequests []ResyncCall
-	Overrides      *OverrideSet // where they have changed
+	Overrides      *OverrideSet // nil if unchanged
 	// StalePublications counts the publications of former lease holders that were rejected.
 	StalePublications int
 	Log               []LogEntry
 	// RenewalSent reports that a renewal or a request to open a session was sent, LeaderResponded that
 	// a leader's reply was received.
 	RenewalSent, LeaderResponded bool
-	// Reconnected reports that what is known by version has to be requested again: see
-	// Node.Reconnected.
+	// Reconnected reports that versioned data must be requested again: see Node.Reconnected.
 	Reconnected bool
 }
 
-// OverrideSet is the operators' overrides as a gateway knows them. ModRevision grows with each change.
+// OverrideSet is the set of operators' overrides known to a gateway. ModRevision increases with each change.
 type OverrideSet struct {
 	ClusterID   uint64           `json:"birth"`
 	ModRevision uint64           `json:"mod"`
 	List        []lease.Override `json:"list"`
 }
 
-// ResyncCall is another gateway's request for all that the holder of a lease has published.
+// ResyncCall is a ResyncRequest that was received from another gateway.
 type ResyncCall struct {
 	From, Lease string
 	Body        []byte
 }
 
-// Node is one gateway's part in a fleet. It is used by one goroutine.
+// Node is one gateway's participation in a fleet. It is not safe for concurrent use.
 type Node struct {
 	cfg Config
 	rng *rand.Rand
@@ -140,7 +141,7 @@
 	publications *publications
 }
 
-// New returns the node of a gateway as its disk has it at now.
+// New returns a node that starts at now from the state that is stored on its disk.
 func New(now time.Duration, cfg Config) (*Node, error) {
 	n := &Node{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Disk.ReplicaID)), now: now, tickedAt: now}
 	n.replica = newReplica(n)
@@ -155,7 +156,8 @@
 	return n, nil
 }
 
-// isGateway reports whether this is a gateway of a fleet with relays, which has no peers.
+// isGateway reports whether this is a gateway of a fleet with relays, as opposed to a relay. Such a
+// gateway has no peers.
 func (n *Node) isGateway() bool {
 	return n.cfg.UsesRelays && len(n.cfg.Peers) == 0 && !slices.Contains(n.cfg.BootstrapReplicas, n.cfg.Name)
 }
@@ -171,8 +173,8 @@
 	return lease.RoleRelay
 }
 
-// Receive takes a frame of another gateway. A frame that can't be decoded is an error and has no
-// other effect.
+// Receive handles a frame from another gateway. A malformed frame returns an error and is dropped; of a
+// frame of KindRaft the messages before the malformed one are still handled.
 func (n *Node) Receive(now time.Duration, from string, kind Kind, body []byte) error {
 	n.now = now
 	switch kind {
@@ -189,11 +191,11 @@
 	return fmt.Errorf("%w: unknown kind %d", ErrMalformedFrame, kind)
 }
 
-// receiveMessage takes a message of another gateway, or of this one.
+// receiveMessage handles a message from another gateway, or from this one.
 func (n *Node) receiveMessage(from string, m *Message) {
 	switch {
 	case m.Hello != nil:
-		n.replica.receiveHelloAgain(from, m.Hello)
+		n.replica.receiveRepeatedHello(from, m.Hello)
 	case m.HelloReply != nil:
 		n.replica.receiveHelloReply(from, m.HelloReply)
 	case m.Renew != nil:
@@ -228,16 +230,16 @@
 	n.out.Log = append(n.out.Log, LogEntry{true, message, args})
 }
 
-// retryDelay returns a random delay before a request is sent again.
+// retryDelay returns a random delay after which a request without a reply is sent again.
 func (n *Node) retryDelay() time.Duration {
 	return retryInterval + time.Duration(n.rng.Int64N(int64(retryInterval)))
 }
 
-// Tick is to be called every TickInterval.
+// Tick advances the node's timers. It must be called every TickInterval.
 func (n *Node) Tick(now time.Duration) {
 	n.now = now
-	// After a pause the missed ticks are not made up for: the time was lost, and others had it. A
-	// leader can't tell who has renewed meanwhile.
+	// The ticks missed during a pause are not made up for. Other gateways went on during the pause, and
+	// their renewals may have been missed, so a leader resets the expiry of all sessions.
 	if n.leader != nil && now-n.tickedAt >= pauseThreshold {
 		n.leader.expiry.Reset(now)
 	}
@@ -248,14 +250,14 @@
 	n.replica.repeatHello()
 	n.replica.adoptClusterID()
 	if n.leader != nil {
-		n.leader.runDuties()
+		n.leader.runTasks()
 	} else {
-		n.replica.state.TakeTransfers() // they are the leader's to log
+		n.replica.state.TakeTransfers() // discarded, as only the leader logs transfers
 	}
 	n.runSession()
 }
 
-// runSession keeps the session alive and retries proposals.
+// runSession retries proposals, and opens or renews the session.
 func (n *Node) runSession() {
 	n.proposals.retry()
 	if n.session.id == 0 {
@@ -264,11 +266,11 @@
 	}
 	if n.now >= n.session.renewedAt+n.session.renewDelay {
 		n.session.renew()
-		n.view.remindReleasing()
+		n.view.repeatReleasing()
 	}
 }
 
-// TakeOutput returns what is to be done.
+// TakeOutput returns the pending output and clears it.
 func (n *Node) TakeOutput() Output {
 	for n.processRaft() {
 	}
@@ -285,7 +287,7 @@
 	return out
 }
 
-// processRaft takes what the Raft groups have to say, and reports whether there may be more.
+// processRaft processes the output of the Raft groups, and reports whether there may be more.
 func (n *Node) processRaft() (more bool) {
 	o := n.replica.raft.TakeOutput()
 	more = len(o.Results)+len(o.ReadIndexes)+len(o.LeaderChanges)+len(o.Messages) > 0 || o.Write != nil
@@ -307,18 +309,18 @@
 		}
 	}
 	if n.leader != nil {
-		n.leader.answerConfirmed()
+		n.leader.replyToConfirmed()
 		if n.replica.state.Revision != n.leader.seenRevision {
-			n.leader.runDuties()
+			n.leader.runTasks()
 			more = true
 		}
 	}
 	return more
 }
 
-// Reconnected reports that the connection to the fleet is a new one: what was sent on the previous
-// one may be lost. The session is renewed and pending proposals are sent again at once;
-// Output.Reconnected lets others do the same.
+// Reconnected reports that the gateway has a new connection to the fleet. Messages on the previous
+// connection may be lost, so the session is renewed and pending proposals are sent again immediately.
+// Output.Reconnected passes the event on to other components, which send their requests again.
 func (n *Node) Reconnected(now time.Duration) {
 	n.now = now
 	n.out.Reconnected = true
@@ -328,14 +330,14 @@
 	n.runSession()
 }
 
-// DiskOutdated reports that others know of later writes than this disk has: it is an older copy, and
-// the replica stops.
+// DiskOutdated reports that other gateways have seen later writes than this disk contains. The disk is an
+// older copy, and the replica stops.
 func (n *Node) DiskOutdated(now time.Duration, reason string) {
 	n.now = now
 	n.replica.markOutdated(fmt.Errorf("%w: %s", wal.ErrCopied, reason))
 }
 
-// WriteFailed reports that a write has failed: the replica stops.
+// WriteFailed reports that a write to the disk has failed. The replica stops.
 func (n *Node) WriteFailed(now time.Duration, err error) {
 	n.now = now
 	n.replica.halt(err)
--- a/internal/cluster/node/node_test.go
+++ b/internal/cluster/node/node_test.go
@@ -10,10 +10,10 @@
 	"dunemoor/internal/cluster/wal"
 )
 
-// testStart is the time at which nodes are made.
+// testStart is the time at which the tests create their nodes.
 const testStart = time.Hour
 
-// newTestNode returns a node of the fleet "f", whose only replica at the start is r1.
+// newTestNode returns a node of the fleet "f", whose only bootstrap replica is r1.
 func newTestNode(t *testing.T, cfg Config) *Node {
 	t.Helper()
 	cfg.Fleet, cfg.BootstrapReplicas, cfg.Disk = "f", []string{"r1"}, wal.Identity{ReplicaID: 7, Boots: 1}
@@ -24,7 +24,7 @@
 	return n
 }
 
-// sentMessages returns the messages of an output, and their receivers.
+// sentMessages returns the receivers and the messages of the frames in an output.
 func sentMessages(t *testing.T, output *Output) (receivers []string, messages []*Message) {
 	t.Helper()
 	for _, f := range output.Frames {
@@ -37,8 +37,9 @@
 	return receivers, messages
 }
 
-// In a fleet with relays a publication for all is one frame, and one for a gateway goes by its name; in a full mesh
-// publications go to the peers that are known.
+// TestPublishAddressesRelaysOrKnownPeers checks that in a fleet with relays a publication to all gateways is one frame to
+// Broadcast and one to a single gateway is addressed by its name, and that in a full mesh publications are sent only to
+// the peers that have sent a hello.
 func TestPublishAddressesRelaysOrKnownPeers(t *testing.T) {
 	takeReceivers := func(n *Node) []string {
 		output := n.TakeOutput()
@@ -64,8 +65,9 @@
 	}
 }
 
-// A node that was reconnected renews at once and retries its proposals, at the known leader first, and reports that. A
-// gateway asks for compact deltas, a relay does not.
+// TestReconnectedRenewsAndRetriesAtKnownLeader checks that a node renews its session and retries its proposals
+// immediately after Reconnected, sends both to the known leader, and sets RenewalSent and Reconnected in its output. A
+// gateway of a fleet with relays requests compact deltas, any other node does not.
 func TestReconnectedRenewsAndRetriesAtKnownLeader(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
@@ -80,7 +82,7 @@
 	} {
 		n := newTestNode(t, tt.cfg)
 		n.Tick(testStart)
-		n.session.target.name = "x" // not this gateway itself
+		n.session.target.name = "x" // any gateway other than this one
 		n.TakeOutput()
 		n.proposals.list = nil
 		s := n.session
@@ -120,7 +122,7 @@
 	}
 }
 
-// splitMessages returns the renewals among messages, and the proposals.
+// splitMessages returns the renewals and the proposals among the messages.
 func splitMessages(messages []*Message) (renewals, proposals []*Message) {
 	for _, m := range messages {
 		switch {
@@ -133,7 +135,8 @@
 	return renewals, proposals
 }
 
-// checkLeaderReplies checks that a leader's reply is reported and one of another gateway is not.
+// checkLeaderReplies checks that a reply from the leader sets LeaderResponded, and that one from any other gateway does
+// not.
 func checkLeaderReplies(t *testing.T, n *Node) {
 	t.Helper()
 	n.session.target.name = "r1"
@@ -152,7 +155,7 @@
 	}
 }
 
-// A replica whose disk is known to be an older copy stops.
+// TestDiskOutdatedHaltsNode checks that a replica stops when its disk is reported to be an older copy.
 func TestDiskOutdatedHaltsNode(t *testing.T) {
 	n := newTestNode(t, Config{Name: "g1", UsesRelays: true})
 	n.DiskOutdated(testStart, "a relay knows a later stream")
@@ -161,7 +164,7 @@
 	}
 }
 
-// The hello of a gateway that no connection is made with is rejected with a reason.
+// TestValidateHelloRejectsWithReason checks that each kind of invalid hello is rejected with a reason.
 func TestValidateHelloRejectsWithReason(t *testing.T) {
 	own := Hello{Fleet: "f", Format: FormatVersion, Name: "g1", ClusterID: 5}
 	valid := Hello{Fleet: "f", Format: FormatVersion, Name: "g2"}
--- a/internal/cluster/node/proposals.go
+++ b/internal/cluster/node/proposals.go
@@ -9,14 +9,15 @@
 )
 
 const (
-	// commandTimeout is when the outcome of a command is given up as unknown.
+	// commandTimeout is the time after which the outcome of a command without a reply is reported as
+	// unknown.
 	commandTimeout = 10 * time.Second
-	// maxPendingProposals bounds the commands of this gateway without a reply.
+	// maxPendingProposals bounds the proposals of this gateway that have no reply yet.
 	maxPendingProposals = 16
 )
 
-// proposals are the commands that this gateway has proposed and that have no reply yet. A retry has
-// the same ID and request number, and so one effect.
+// proposals are the commands that this gateway has proposed and that have no reply yet. A retry has the
+// same ID and request number as the first attempt, so the command is applied only once.
 type proposals struct {
 	node   *Node
 	list   []*pendingProposal
@@ -26,18 +27,18 @@
 type pendingProposal struct {
 	Proposal
 	proposedAt, retryAt time.Duration
-	reported            bool // the caller was told that the outcome is unknown
+	reported            bool // the outcome was reported to the caller as unknown
 }
 
 func newProposals(n *Node) *proposals {
-	// A reply to a proposal of the previous process may still arrive: it must not be taken for a reply
-	// to one of this process.
+	// A reply to a proposal of the previous process may still arrive and must not match a proposal of this
+	// process, so the IDs start from the number of boots.
 	disk := n.cfg.Disk
 	return &proposals{node: n, lastID: uint64(uint16(disk.ReplicaID))<<48 | disk.Boots<<32}
 }
 
-// Propose has a command carried out. Its Outcome has the ID that is returned, which is 0 where too
-// many commands are pending.
+// Propose proposes a command and returns the ID of its Outcome. It returns 0 and does nothing if too many
+// commands are pending.
 func (n *Node) Propose(now time.Duration, c lease.Command) uint64 {
 	n.now = now
 	p := n.proposals
@@ -54,15 +55,15 @@
 		c.Session, c.Request = n.session.id, n.session.lastRequest
 	}
 	if c.Op == lease.OpRelease {
-		// The grant ends before the command is sent: the next holder may act at once.
+		// The grant ends before the command is sent, as the next holder may act as soon as it is applied.
 		n.view.released[c.Lease] = c.Token
 		n.view.drop(c.Lease)
 	}
 	return p.add(c)
 }
 
-// ReleaseStopped reports that the work under a lease has stopped: the lease is released. It returns
-// the ID of the Outcome, 0 where there is none.
+// ReleaseStopped releases a lease after the work under it has stopped. It returns the ID of the Outcome, or
+// 0 if this gateway no longer holds the lease with that token or too many commands are pending.
 func (n *Node) ReleaseStopped(now time.Duration, name string, token uint64) uint64 {
 	n.now = now
 	g := n.view.grants[name]
@@ -72,7 +73,7 @@
 	return n.Propose(now, lease.Command{Op: lease.OpRelease, Lease: name, Token: token})
 }
 
-// add proposes a command now.
+// add proposes a command immediately.
 func (p *proposals) add(c lease.Command) uint64 {
 	id := p.addAt(0, c)
 	p.send(p.list[len(p.list)-1])
@@ -86,45 +87,44 @@
 	return p.lastID
 }
 
-func (p *proposals) send(x *pendingProposal) {
+func (p *proposals) send(pending *pendingProposal) {
 	n := p.node
-	x.retryAt = n.now + n.retryDelay()
-	n.out.RenewalSent = n.out.RenewalSent || x.Command.Op == lease.OpOpenSession
-	n.session.sendToTarget(&Message{Proposal: &x.Proposal})
+	pending.retryAt = n.now + n.retryDelay()
+	n.out.RenewalSent = n.out.RenewalSent || pending.Command.Op == lease.OpOpenSession
+	n.session.sendToTarget(&Message{Proposal: &pending.Proposal})
 }
 
-// retryNow lets all pending proposals be sent again by the next retry.
+// retryNow makes the next call of retry send all pending proposals again.
 func (p *proposals) retryNow() {
-	for _, x := range p.list {
-		x.retryAt = p.node.now
+	for _, pending := range p.list {
+		pending.retryAt = p.node.now
 	}
 }
 
-// retry sends proposals again that have had no reply for a while, and gives up those that are too
-// old.
+// retry sends proposals without a reply again after their retry delay, and gives up those that are older
+// than commandTimeout.
 func (p *proposals) retry() {
-	for _, x := range slices.Clone(p.list) {
-		old := p.node.now >= x.proposedAt+commandTimeout
+	for _, pending := range slices.Clone(p.list) {
+		old := p.node.now >= pending.proposedAt+commandTimeout
 		switch {
-		case old && x.mayGiveUp():
-			p.finish(x, Outcome{ID: x.ID})
-		case p.node.now >= x.retryAt:
-			if old && x.Command.Op == lease.OpRelease && !x.reported {
-				// The caller need not wait. But the command may still be carried out: the lease is
-				// not taken up again under that token, and the command is retried until its outcome
-				// is known.
-				x.reported = true
-				p.node.out.Outcomes = append(p.node.out.Outcomes, Outcome{ID: x.ID})
+		case old && pending.mayGiveUp():
+			p.finish(pending, Outcome{ID: pending.ID})
+		case p.node.now >= pending.retryAt:
+			if old && pending.Command.Op == lease.OpRelease && !pending.reported {
+				// The caller no longer waits, but the command may still be applied. Therefore the lease is
+				// not used again under this token, and the command is retried until its outcome is known.
+				pending.reported = true
+				p.node.out.Outcomes = append(p.node.out.Outcomes, Outcome{ID: pending.ID})
 			}
 			p.node.session.rotateTarget()
-			p.send(x)
+			p.send(pending)
 		}
 	}
 }
 
-// mayGiveUp reports whether the outcome of a proposal may remain unknown.
-func (x *pendingProposal) mayGiveUp() bool {
-	switch x.Command.Op {
+// mayGiveUp reports whether a proposal may be given up with an unknown outcome.
+func (pending *pendingProposal) mayGiveUp() bool {
+	switch pending.Command.Op {
 	case lease.OpOpenSession:
 		return false
 	case lease.OpRelease:
@@ -133,35 +133,35 @@
 	return true
 }
 
-// receiveReply takes the reply to a proposal.
+// receiveReply handles the reply to a proposal.
 func (p *proposals) receiveReply(from string, r *ProposalReply) {
 	n := p.node
-	n.session.target.noteReply(from, !r.NotLeader, r.Leader)
+	n.session.target.recordReply(from, !r.NotLeader, r.Leader)
 	n.out.LeaderResponded = n.out.LeaderResponded || !r.NotLeader && r.Result != nil
-	i := slices.IndexFunc(p.list, func(x *pendingProposal) bool { return x.ID == r.ID })
+	i := slices.IndexFunc(p.list, func(pending *pendingProposal) bool { return pending.ID == r.ID })
 	if i < 0 {
 		return
 	}
-	x := p.list[i]
+	pending := p.list[i]
 	switch {
 	case r.NotLeader || r.Result == nil:
 		if r.Leader != "" && r.Leader != from {
 			n.session.target.set(r.Leader)
-			x.retryAt = min(x.retryAt, n.now+TickInterval)
+			pending.retryAt = min(pending.retryAt, n.now+TickInterval)
 		}
-	case x.ID == n.session.openProposal:
-		n.session.opened(x, r.Result)
+	case pending.ID == n.session.openProposal:
+		n.session.opened(pending, r.Result)
 	default:
-		n.publications.raiseFence(x.Command.Lease, r.Result.Token)
-		p.finish(x, Outcome{ID: x.ID, Known: x.outcomeKnown(r.Result), Result: *r.Result})
+		n.publications.raiseFence(pending.Command.Lease, r.Result.Token)
+		p.finish(pending, Outcome{ID: pending.ID, Known: pending.outcomeKnown(r.Result), Result: *r.Result})
 	}
 }
 
-// outcomeKnown reports whether a result tells what became of a command. The effects of a session
-// outlive it: the command may have been carried out at the first attempt, and a retry be told that
-// there is no such session.
-func (x *pendingProposal) outcomeKnown(r *lease.Result) bool {
-	switch x.Command.Op {
+// outcomeKnown reports whether a result determines the outcome of a command. NoSession does not for
+// commands whose effects outlive the session: the first attempt may have been applied before the session
+// ended, and a retry after that.
+func (pending *pendingProposal) outcomeKnown(r *lease.Result) bool {
+	switch pending.Command.Op {
 	case lease.OpWrite, lease.OpTransfer, lease.OpDrainHost, lease.OpUndrainHost:
 		return r.Code != lease.NoSession
 	}
@@ -169,19 +169,19 @@
 }
 
 // finish removes a proposal and reports its outcome.
-func (p *proposals) finish(x *pendingProposal, o Outcome) {
+func (p *proposals) finish(pending *pendingProposal, o Outcome) {
 	n := p.node
-	p.list = slices.DeleteFunc(p.list, func(y *pendingProposal) bool { return y == x })
-	if x.ID == n.session.openProposal {
+	p.list = slices.DeleteFunc(p.list, func(y *pendingProposal) bool { return y == pending })
+	if pending.ID == n.session.openProposal {
 		n.session.openProposal = 0
 		return
 	}
-	c := &x.Command
+	c := &pending.Command
 	if c.Op == lease.OpRelease && n.view.released[c.Lease] == c.Token && o.Result.Code != lease.OK {
 		delete(n.view.released, c.Lease)
-		n.view.revision = 0 // a full delta says whether the lease is still held
+		n.view.revision = 0 // request a full delta, which shows whether the lease is still held
 	}
-	if !x.reported {
+	if !pending.reported {
 		n.out.Outcomes = append(n.out.Outcomes, o)
 	}
 }
--- a/internal/cluster/node/publications.go
+++ b/internal/cluster/node/publications.go
@@ -7,30 +7,31 @@
 	"dunemoor/internal/cluster/lease"
 )
 
-// publications are what holders of leases send to all gateways, such as endpoint lists. A fence for
-// each lease rejects those of former holders, and those that arrive twice or late.
+// publications receives the data that holders of leases send to all gateways, such as endpoint lists. A
+// fence for each lease rejects publications of former holders, duplicates and those that arrive out of
+// order.
 type publications struct {
 	node     *Node
 	fences   map[string]fence  // by lease
-	rejected map[string]uint64 // token of the former holder that was last logged, by lease
+	rejected map[string]uint64 // by lease: token of the last former holder that was logged
 }
 
-// fence is the highest token that is known of a lease, and the last sequence number under it.
+// fence is the highest known token of a lease, and the last sequence number received under it.
 type fence struct{ token, seq uint64 }
 
 func newPublications(n *Node) *publications {
 	return &publications{node: n, fences: map[string]fence{}, rejected: map[string]uint64{}}
 }
 
-// raiseFence notes that a lease has been granted under a token.
+// raiseFence records that a lease has been granted with a token.
 func (p *publications) raiseFence(name string, token uint64) {
 	if token > p.fences[name].token {
 		p.fences[name] = fence{token: token}
 	}
 }
 
-// Publish sends a body to all other gateways that are known, or to one, on behalf of the holder of a
-// lease. It is not told who receives it.
+// Publish sends a body on behalf of the holder of a lease: to the gateway to, or to all other gateways if
+// to is empty. In a full mesh only peers that have sent a hello are reached. Delivery is not acknowledged.
 func (n *Node) Publish(now time.Duration, to, name string, token, seq uint64, body []byte) {
 	n.now = now
 	encoded := encodeMessage(&Message{Publication: &Publication{name, token, seq, body}})
@@ -50,8 +51,8 @@
 	}
 }
 
-// RequestResync asks the holder of a lease, where another gateway is known to be it, for all that it
-// has published.
+// RequestResync requests all data that the holder of a lease has published. It does nothing if no other
+// gateway is known to hold the lease.
 func (n *Node) RequestResync(now time.Duration, name string, body []byte) {
 	n.now = now
 	if l := n.view.leases[name]; l.Holder != "" && l.Holder != n.cfg.Name {
@@ -59,18 +60,18 @@
 	}
 }
 
-// receiveResyncRequest takes the request of a gateway for what this one has published.
+// receiveResyncRequest handles another gateway's request for the data that this gateway has published.
 func (p *publications) receiveResyncRequest(from string, r *ResyncRequest) {
 	if p.node.view.grants[r.Lease] != nil {
 		p.node.out.ResyncRequests = append(p.node.out.ResyncRequests, ResyncCall{from, r.Lease, r.Body})
 	}
 }
 
-// receive takes a publication, unless a later one or a later token is known.
+// receive accepts a publication, unless it is stale or a duplicate.
 func (p *publications) receive(from string, pub *Publication) {
 	unfenced := failpoint.Enabled(failpoint.SkipPublicationFence)
 	if p.node.view.confirmedAt == 0 && !unfenced {
-		return // it is not known yet who holds the lease
+		return // the current tokens are not known yet
 	}
 	f := p.fences[pub.Lease]
 	if pub.Token < f.token && !unfenced {
@@ -87,7 +88,7 @@
 	p.node.out.Publications = append(p.node.out.Publications, *pub)
 }
 
-// reject counts the publication of a former holder, and logs it once.
+// reject counts a publication of a former holder, and logs it once for each token.
 func (p *publications) reject(from string, pub *Publication, f fence) {
 	p.node.out.StalePublications++
 	if p.rejected[pub.Lease] != pub.Token {
--- a/internal/cluster/node/replica.go
+++ b/internal/cluster/node/replica.go
@@ -15,37 +15,39 @@
 	"dunemoor/internal/cluster/wal"
 )
 
-// helloInterval lies between two hellos of a replica that waits to be cleared.
+// helloInterval is the time between two hellos of a replica that waits to be cleared.
 const helloInterval = time.Second
 
-// replica is this gateway's copy of the coordination state, with what it knows of the disks of the
-// other replicas. Raft relies on each disk keeping what was written: a disk that was restored from an
-// older copy must not take part, and is recognized by what the others have seen of it.
+// replica is this gateway's replica of the coordination state, and its record of the states of the other
+// replicas' disks. Raft requires that a disk never loses what it has reported as written. A disk that was
+// restored from an older copy must therefore not take part; the other replicas detect it, as they have
+// recorded a later state of the disk.
 type replica struct {
 	node      *Node
 	raft      *multiraft.Node
 	state     *lease.State
 	clusterID uint64
-	hello     Hello  // without what changes, see Node.Hello
-	leaderID  uint64 // replica that leads, as far as is known; 0: none
-	// proposalNumber numbers proposals and reads over all times that this gateway leads.
+	hello     Hello  // fields that do not change; Node.Hello adds the others
+	leaderID  uint64 // replica ID of the known leader, or 0
+	// proposalNumber is the number of the last proposal or read. It never decreases, so that the numbers
+	// of different terms in which this gateway leads do not overlap.
 	proposalNumber uint64
 	helloSentAt    time.Duration
-	frames         map[string][]byte // Raft messages that are being collected, by gateway
+	frames         map[string][]byte // bodies of the frames of Raft messages to be sent, by gateway
 
-	// Of the other gateways.
-	hellos  map[string]Hello      // the last of each
-	names   map[uint64]string     // of gateways, by replica
-	seen    map[uint64]*diskState // by replica
-	replies map[string]*HelloReply
+	// State of the other gateways.
+	hellos     map[string]Hello      // by gateway: the last hello
+	names      map[uint64]string     // by replica: the name of its gateway
+	diskStates map[uint64]*diskState // by replica
+	replies    map[string]*HelloReply
 
-	// Of this disk.
-	vouched  map[uint64]bool // replicas that have nothing against it
-	cleared  bool            // the replica may take part
-	outdated error           // another replica knows of later writes
+	// State of this gateway's disk.
+	approvals map[uint64]bool // replicas that have no objection to the disk
+	cleared   bool            // the replica may take part in the Raft group
+	outdated  error           // why the disk must be an older copy, or nil
 }
 
-// diskState is the latest that is known of a replica's disk.
+// diskState is the latest known state of a replica's disk.
 type diskState struct{ boots, term, lastIndex, lastIndexTerm uint64 }
 
 func newReplica(n *Node) *replica {
@@ -56,15 +58,15 @@
 			Fleet: n.cfg.Fleet, Format: FormatVersion, Name: n.cfg.Name, ReplicaID: identity.ReplicaID, Boots: identity.Boots,
 			Address: n.cfg.Address,
 		},
-		// A proposal of the previous process may still be committed: it must not be taken for one of
+		// A proposal of the previous process may still be committed and must not be mistaken for one of
 		// this process.
 		proposalNumber: identity.Boots << 32,
 		frames:         map[string][]byte{}, hellos: map[string]Hello{}, names: map[uint64]string{identity.ReplicaID: n.cfg.Name},
-		seen: map[uint64]*diskState{}, replies: map[string]*HelloReply{}, vouched: map[uint64]bool{},
+		diskStates: map[uint64]*diskState{}, replies: map[string]*HelloReply{}, approvals: map[uint64]bool{},
 	}
 }
 
-// load starts the coordination group from what the disk holds.
+// load starts the coordination group from the state stored on the disk.
 func (r *replica) load() error {
 	return r.raft.Add(CoordinationGroup, r.node.cfg.Stored[CoordinationGroup], (*stateMachine)(r))
 }
@@ -75,7 +77,7 @@
 	return s
 }
 
-// stateMachine is the replica as the state machine of its Raft group.
+// stateMachine implements multiraft.StateMachine for the coordination group.
 type stateMachine replica
 
 // Apply implements multiraft.StateMachine.
@@ -87,7 +89,7 @@
 	return m.state.Apply(index, &c)
 }
 
-// replicaNames is the context of a change of the group's members.
+// replicaNames is the context of a configuration change: the gateway names of the added replicas.
 type replicaNames struct {
 	Names map[uint64]string `json:"names"`
 }
@@ -96,7 +98,7 @@
 func (m *stateMachine) MembersChanged(index uint64, context []byte, conf *raftpb.ConfState) {
 	var names replicaNames
 	if len(context) > 0 {
-		json.Unmarshal(context, &names) // names are for display: without them they are empty
+		json.Unmarshal(context, &names) // an error is ignored, as names are only displayed and may be empty
 	}
 	voters := slices.Clone(conf.GetVoters())
 	for _, id := range conf.GetVotersOutgoing() {
@@ -113,9 +115,9 @@
 // Restore implements multiraft.StateMachine.
 func (m *stateMachine) Restore(b []byte) error { return m.state.Decode(b) }
 
-// Hello returns the first message to another gateway, as of now. It is to be sent before anything
-// that the node sends later: others hold it against the disk, should that come back as an older copy,
-// and so it has only what the disk keeps.
+// Hello returns the current first message to another gateway. It must be sent before any later output of
+// the node. It contains only persisted data, as the receivers use it to detect whether the disk is later
+// replaced by an older copy.
 func (n *Node) Hello() Hello {
 	h := n.replica.hello
 	h.ClusterID = n.replica.clusterID
@@ -124,7 +126,7 @@
 	return h
 }
 
-// HelloError is why a gateway's hello is rejected.
+// HelloError is returned if a gateway's hello is rejected.
 type HelloError struct{ Reason string }
 
 func (e *HelloError) Error() string { return e.Reason }
@@ -133,8 +135,8 @@
 	return &HelloError{fmt.Sprintf(format, args...)}
 }
 
-// CheckFleet rejects the hello of a gateway that is of another fleet, uses another format or has the
-// name of this gateway, whose hello is own.
+// CheckFleet returns an error if the hello is from a gateway that belongs to another fleet, uses another
+// format version, or has the same name as this gateway, whose hello is own.
 func (own *Hello) CheckFleet(h *Hello) error {
 	switch {
 	case h.Fleet != own.Fleet:
@@ -147,8 +149,8 @@
 	return nil
 }
 
-// CheckClusterID rejects the hello of a gateway whose fleet has the same name and was bootstrapped
-// another time.
+// CheckClusterID returns an error if the hello is from a gateway of a fleet with the same name that was
+// bootstrapped separately.
 func (own *Hello) CheckClusterID(h *Hello) error {
 	if h.ClusterID != 0 && own.ClusterID != 0 && h.ClusterID != own.ClusterID {
 		return helloErrorf("its fleet has the same id but was bootstrapped another time")
@@ -156,8 +158,8 @@
 	return nil
 }
 
-// ValidateHello returns an error of type *HelloError for a gateway that a gateway with the hello own and
-// these peers makes no connection with.
+// ValidateHello checks whether a gateway with the hello own and the given peers accepts a connection from
+// the sender of h. If not, it returns an error of type *HelloError.
 func ValidateHello(own, h *Hello, peers []string) error {
 	if err := own.CheckFleet(h); err != nil {
 		return err
@@ -168,15 +170,15 @@
 	return own.CheckClusterID(h)
 }
 
-// ValidateHello is the function of that name for this gateway.
+// ValidateHello calls the function ValidateHello with the hello and the peers of this gateway.
 func (n *Node) ValidateHello(h *Hello) error {
 	own := n.replica.hello
 	own.ClusterID = n.replica.clusterID
 	return ValidateHello(&own, h, n.cfg.Peers)
 }
 
-// ReceiveHello takes the hello of another gateway that has connected, before anything else that
-// arrives on that connection.
+// ReceiveHello handles the hello of another gateway that has connected. It must be called before any
+// other frame of that connection is passed to Receive.
 func (n *Node) ReceiveHello(now time.Duration, h Hello) {
 	n.now = now
 	if n.ValidateHello(&h) != nil {
@@ -204,9 +206,10 @@
 	r.bootstrap()
 }
 
-// objectionTo returns why the disk of a replica must be an older copy; "" where it need not be.
+// objectionTo returns the reason why the disk of the sender must be an older copy, or "" if there is no
+// evidence that it is one.
 func (r *replica) objectionTo(h *Hello) string {
-	s := r.seen[h.ReplicaID]
+	s := r.diskStates[h.ReplicaID]
 	if s == nil || failpoint.Enabled(failpoint.AcceptOldDisk) {
 		return ""
 	}
@@ -221,27 +224,28 @@
 	return ""
 }
 
-// receiveHelloAgain takes the repeated hello of a gateway that waits for a reply to the one that came
-// with its connection. The repeated one is not checked: it may be late, and what was written since
-// would be held against it.
-func (r *replica) receiveHelloAgain(from string, h *Hello) {
+// receiveRepeatedHello handles a repeated hello of a gateway that waits for the reply to the hello of its
+// connection. The repeated hello is not checked: it may be delayed, and later writes of the same disk would
+// then make the disk look like an older copy.
+func (r *replica) receiveRepeatedHello(from string, h *Hello) {
 	if reply := r.replies[from]; reply != nil && reply.ReplicaID == h.ReplicaID {
 		r.node.send(from, &Message{HelloReply: reply})
 	}
 }
 
-// receiveHelloReply takes what another gateway says of this disk.
+// receiveHelloReply handles another gateway's assessment of this gateway's disk.
 func (r *replica) receiveHelloReply(from string, reply *HelloReply) {
 	if reply.ReplicaID != r.node.cfg.Disk.ReplicaID {
 		return
 	}
 	if reply.Objection == "" {
-		r.vouched[r.hellos[from].ReplicaID] = true
+		r.approvals[r.hellos[from].ReplicaID] = true
 		r.checkCleared()
 		return
 	}
-	// This counts also where the log was found to contradict itself just before: a leader's messages
-	// may arrive before its objection, and only the objection says what to do.
+	// The disk is marked as outdated even if the replica has already halted because of an inconsistent log:
+	// a leader's messages may arrive before its objection, and only the objection identifies the disk as an
+	// older copy that has to be replaced.
 	outdated := fmt.Errorf("%w: %s reports that %s", wal.ErrCopied, from, reply.Objection)
 	if failpoint.Enabled(failpoint.IgnoreLateObjection) {
 		r.halt(outdated)
@@ -256,7 +260,7 @@
 	r.halt(err)
 }
 
-// halted returns why the replica has stopped; nil while it runs.
+// halted returns the reason why the replica has stopped, or nil while it runs.
 func (r *replica) halted() error {
 	if r.outdated != nil {
 		return r.outdated
@@ -264,7 +268,7 @@
 	return r.raft.Halted()
 }
 
-// repeatHello repeats the hello while the replica is not cleared.
+// repeatHello sends the hello again while the replica is not cleared.
 func (r *replica) repeatHello() {
 	if r.cleared || r.node.now < r.helloSentAt+helloInterval {
 		return
@@ -276,29 +280,30 @@
 	}
 }
 
-// checkCleared lets the replica take part once enough voters have nothing against its disk that they
-// are a quorum with it: fewer can't elect a leader anyway. The disk itself recognizes most copies;
-// this finds those of which the others have seen a later state.
+// checkCleared clears the replica to take part in the Raft group once this replica and the voters without
+// an objection to its disk form a quorum; fewer voters can't elect a leader anyway. Most copies of a disk
+// are already detected when the disk is opened; this check detects copies whose later state other replicas
+// have recorded.
 func (r *replica) checkCleared() {
 	if r.cleared {
 		return
 	}
 	voters := r.status().Conf.GetVoters()
 	if !slices.Contains(voters, r.node.cfg.Disk.ReplicaID) {
-		r.cleared = true // it has never voted
+		r.cleared = true // a replica that is not a voter has cast no votes that could be lost
 		return
 	}
 	votes := 1
 	for _, id := range voters {
-		if r.vouched[id] {
+		if r.approvals[id] {
 			votes++
 		}
 	}
 	r.cleared = 2*votes > len(voters)
 }
 
-// bootstrap creates the fleet where that is up to this gateway: once, when all bootstrap replicas are
-// connected and none of them is in a fleet yet.
+// bootstrap creates the fleet if this gateway is the first bootstrap replica. This happens once, when all
+// bootstrap replicas are connected and none of them belongs to a fleet yet.
 func (r *replica) bootstrap() {
 	cfg := &r.node.cfg
 	if r.clusterID != 0 || cfg.BootstrapReplicas[0] != cfg.Name || len(r.status().Conf.GetVoters()) > 0 || r.raft.Halted() != nil {
@@ -309,14 +314,14 @@
 	for _, name := range cfg.BootstrapReplicas[1:] {
 		h, ok := r.hellos[name]
 		if !ok || h.ClusterID != 0 {
-			return // not connected yet; or the fleet exists, and this gateway has lost its disk
+			return // it is not connected yet, or the fleet already exists and this gateway has lost its disk
 		}
 		replicas = append(replicas, lease.Replica{ID: h.ReplicaID, Name: name})
 		voters = append(voters, h.ReplicaID)
 	}
 	r.clusterID = r.node.rng.Uint64() | 1
 	state := lease.NewState(r.clusterID, replicas...).Encode()
-	// A new Raft node, as the present one was started without the group's members.
+	// A new Raft node is needed, as the current one was started without the members of the group.
 	raft := multiraft.New(cfg.Disk.ReplicaID, cfg.Seed)
 	if err := raft.Add(CoordinationGroup, multiraft.BootstrapState(voters, state), (*stateMachine)(r)); err != nil {
 		r.halt(err)
@@ -329,20 +334,20 @@
 	r.node.logInfo("fleet bootstrapped", "fleet", cfg.Fleet, "replicas", cfg.BootstrapReplicas)
 }
 
-// adoptClusterID notes the cluster ID that came with the state.
+// adoptClusterID adopts the cluster ID of the replicated state.
 func (r *replica) adoptClusterID() {
 	id := r.state.ClusterID
 	if id == 0 || id == r.clusterID {
 		return
 	}
 	if r.clusterID != 0 {
-		r.halt(fmt.Errorf("the state is of a fleet with the same id that was bootstrapped another time"))
+		r.halt(fmt.Errorf("the replicated state belongs to a fleet with the same id that was bootstrapped separately"))
 		return
 	}
 	r.clusterID, r.node.out.ClusterID = id, id
 }
 
-// halt stops the replica for good.
+// halt stops the replica permanently.
 func (r *replica) halt(err error) {
 	if r.raft.Halted() != nil {
 		return
@@ -352,28 +357,29 @@
 	r.node.leaderChanged(multiraft.LeaderChange{Group: CoordinationGroup})
 }
 
-// tick advances the time of the Raft groups.
+// tick advances the timers of the Raft groups, once the replica is cleared.
 func (r *replica) tick() {
 	if r.cleared {
 		r.raft.Tick()
 	}
 }
 
-// receive takes a Raft message of another replica.
+// receive handles a Raft message from another replica.
 func (r *replica) receive(from string, g multiraft.Group, m *raftpb.Message) {
 	if r.names[m.GetFrom()] != from || !r.cleared {
-		return // from a former disk of that gateway, or this replica may not take part
+		return // the sender is a former disk of that gateway, or this replica is not cleared
 	}
 	if g == CoordinationGroup {
-		r.noteDiskState(m)
+		r.recordDiskState(m)
 	}
 	r.raft.Step(g, m)
 }
 
-// noteDiskState notes what a message says of its sender's disk, by which an older copy of that disk is
-// recognized. Only what was on the disk before the message was sent counts, which is not so for the
-// reply to a heartbeat. A leader's heartbeats say what its own disk keeps.
-func (r *replica) noteDiskState(m *raftpb.Message) {
+// recordDiskState records the state of the sender's disk from a message, so that an older copy of that disk
+// can be detected. Only messages whose contents were persisted before they were sent are used, which does
+// not hold for replies to heartbeats. A leader's heartbeats contain the last index persisted on its disk,
+// see multiraft.
+func (r *replica) recordDiskState(m *raftpb.Message) {
 	lastIndex := uint64(0)
 	switch m.GetType() {
 	case raftpb.MsgAppResp:
@@ -400,15 +406,15 @@
 }
 
 func (r *replica) diskStateOf(replica uint64) *diskState {
-	s := r.seen[replica]
+	s := r.diskStates[replica]
 	if s == nil {
 		s = &diskState{}
-		r.seen[replica] = s
+		r.diskStates[replica] = s
 	}
 	return s
 }
 
-// queueMessage adds a Raft message to the frame for its gateway. A snapshot is a frame of its own.
+// queueMessage adds a Raft message to the frame for its gateway. A snapshot is sent in a separate frame.
 func (r *replica) queueMessage(e *multiraft.Envelope) {
 	to, known := r.names[e.To]
 	isSnapshot := e.Message.GetType() == raftpb.MsgSnap
@@ -416,7 +422,7 @@
 		if isSnapshot {
 			r.raft.SnapshotSent(e.To, false)
 		}
-		return // its gateway has another disk now, or has not connected yet
+		return // the gateway has a different disk now, or has not connected yet
 	}
 	if isSnapshot {
 		r.node.out.Frames = append(r.node.out.Frames, Frame{To: to, Kind: KindRaft, Body: appendRaftMessage(nil, e), SnapshotTo: e.To})
@@ -425,7 +431,7 @@
 	r.frames[to] = appendRaftMessage(r.frames[to], e)
 }
 
-// flushFrames puts the collected frames into the output.
+// flushFrames moves the collected frames to the output.
 func (r *replica) flushFrames() {
 	for _, to := range slices.Sorted(maps.Keys(r.frames)) {
 		r.node.out.Frames = append(r.node.out.Frames, Frame{To: to, Kind: KindRaft, Body: r.frames[to]})
@@ -433,17 +439,17 @@
 	clear(r.frames)
 }
 
-// unreachable reports to Raft that messages to a gateway are lost.
+// unreachable reports to the Raft library that messages to a gateway are lost.
 func (r *replica) unreachable(name string) {
 	if h, ok := r.hellos[name]; ok {
 		r.raft.Unreachable(h.ReplicaID)
 	}
 }
 
-// leaderName returns the name of the leader as this replica knows it; "" where it does not.
+// leaderName returns the name of the leader, or "" if this replica does not know it.
 func (r *replica) leaderName() string {
 	if _, member := r.state.Replicas[r.node.cfg.Disk.ReplicaID]; r.raft.Halted() != nil || r.leaderID == 0 || !member {
-		return "" // a replica that was removed is not told of leaders any more
+		return "" // a replica that was removed no longer learns of new leaders
 	}
 	return r.names[r.leaderID]
 }
--- a/internal/cluster/node/session.go
+++ b/internal/cluster/node/session.go
@@ -7,25 +7,25 @@
 	"dunemoor/internal/cluster/lease"
 )
 
-// maxSentRenewals bounds the renewals whose times are kept until a reply arrives.
+// maxSentRenewals bounds the renewals whose send times are stored until a reply arrives.
 const maxSentRenewals = 16
 
-// session is this gateway's session with its fleet: it is opened, renewed until it is found to have
-// expired, and then opened anew.
+// session is this gateway's session with its fleet. It is opened, renewed until the leader reports that it
+// has expired, and then opened again.
 type session struct {
 	node         *Node
-	id           uint64 // 0: there is none
-	openProposal uint64 // ID of the proposal that opens it; 0: none is pending
-	opens        uint64 // how often this process has tried to open one
+	id           uint64 // session ID, or 0 if no session is open
+	openProposal uint64 // ID of the pending proposal that opens a session, or 0
+	opens        uint64 // number of attempts of this process to open a session
 	target       leaderTarget
 
-	lastSeq     uint64                   // of the last renewal sent
-	ackedSeq    uint64                   // of the last renewal that was replied to
-	sentAt      map[uint64]time.Duration // of renewals without a reply
-	renewedAt   time.Duration            // when the last renewal was sent
-	renewDelay  time.Duration            // from there to the next
-	deadline    time.Duration            // until which the leases may be held
-	lastRequest uint64                   // number of the last command within the session
+	lastSeq     uint64                   // sequence number of the last renewal sent
+	ackedSeq    uint64                   // sequence number of the last renewal with a reply from the leader
+	sentAt      map[uint64]time.Duration // send times of renewals without a reply, by sequence number
+	renewedAt   time.Duration            // time at which the last renewal was sent
+	renewDelay  time.Duration            // delay from renewedAt to the next renewal
+	deadline    time.Duration            // time until which this gateway may act as the holder of its leases
+	lastRequest uint64                   // request number of the last command of the session
 }
 
 func newSession(n *Node) *session {
@@ -36,15 +36,15 @@
 	}
 }
 
-// requestOpen proposes to open a session, unless that is pending.
+// requestOpen proposes to open a session, unless such a proposal is pending.
 func (s *session) requestOpen() {
 	if s.openProposal == 0 {
 		s.openProposal = s.node.proposals.add(s.openCommand())
 	}
 }
 
-// openCommand returns the command that opens the next session. Its sequence is above that of any
-// earlier one from this disk, so that a command that arrives late ends nothing.
+// openCommand returns the command that opens the next session. Its OpenSequence is higher than that of all
+// earlier ones from this disk, so that a delayed earlier command can't end the session.
 func (s *session) openCommand() lease.Command {
 	s.opens++
 	cfg := &s.node.cfg
@@ -54,7 +54,7 @@
 	}}
 }
 
-// opened takes the result of the command that opens the session.
+// opened handles the result of the command that opens the session.
 func (s *session) opened(p *pendingProposal, r *lease.Result) {
 	n := s.node
 	n.proposals.finish(p, Outcome{})
@@ -75,7 +75,7 @@
 	s.rotateTarget()
 	s.lastSeq++
 	s.renewedAt = n.now
-	s.renewDelay = n.retryDelay() // unless a reply arrives
+	s.renewDelay = n.retryDelay() // renewed changes it when a reply arrives
 	s.sentAt[s.lastSeq] = n.now
 	for seq := range s.sentAt {
 		if seq+maxSentRenewals <= s.lastSeq {
@@ -86,7 +86,7 @@
 	s.sendToTarget(&Message{Renew: &RenewRequest{s.id, s.lastSeq, s.ackedSeq, n.view.revision, n.isGateway()}})
 }
 
-// receiveReply takes the reply to a renewal, or changes that a leader sends by itself.
+// receiveReply handles the reply to a renewal, or changes that a leader has sent unsolicited.
 func (s *session) receiveReply(from string, r *RenewReply) {
 	n := s.node
 	if r.Session != s.id || s.id == 0 {
@@ -100,20 +100,20 @@
 		return
 	}
 	fromLeader := r.Delta != nil || r.Unconfirmed || r.Expired
-	s.target.noteReply(from, fromLeader, r.Leader)
+	s.target.recordReply(from, fromLeader, r.Leader)
 	sentAt, ok := s.sentAt[r.Seq]
 	if !ok {
 		return
 	}
-	if r.Delta != nil || r.Unconfirmed { // replies of others do not show that the leader is heard
+	if r.Delta != nil || r.Unconfirmed { // other replies are no proof that the leader's messages arrive
 		s.ackedSeq = max(s.ackedSeq, r.Seq)
 	}
 	n.out.LeaderResponded = n.out.LeaderResponded || fromLeader
 	switch {
 	case r.Unconfirmed:
-		s.renewDelay = 0 // renewed once the leader knows that its replies arrive
+		s.renewDelay = 0 // renew immediately to acknowledge this reply
 	case r.Expired:
-		s.expired("the leader does not know it")
+		s.expired("the leader has no such session")
 	case r.Delta == nil:
 		s.redirected(r)
 	default:
@@ -121,7 +121,7 @@
 	}
 }
 
-// redirected takes the reply of a gateway that does not lead.
+// redirected handles the reply of a gateway that does not lead.
 func (s *session) redirected(r *RenewReply) {
 	delete(s.sentAt, r.Seq)
 	if r.Leader != "" && r.Leader != s.target.name {
@@ -130,7 +130,7 @@
 	}
 }
 
-// renewed takes a leader's confirmation of the renewal that was sent at sentAt.
+// renewed handles a leader's confirmation of the renewal that was sent at sentAt.
 func (s *session) renewed(from string, sentAt time.Duration, r *RenewReply) {
 	if failpoint.Enabled(failpoint.DeadlineFromReply) {
 		sentAt = s.node.now
@@ -143,7 +143,7 @@
 	s.node.view.extendGrants(s.deadline)
 }
 
-// expired ends the session as this gateway knows it.
+// expired clears the local state of a session that has expired.
 func (s *session) expired(reason string) {
 	s.node.logWarn("session expired", "session", s.id, "why", reason)
 	s.id, s.deadline, s.openProposal = 0, 0, 0
@@ -151,15 +151,16 @@
 	s.node.view.dropAll()
 }
 
-// leaderTarget is the gateway that is taken for the leader.
+// leaderTarget is the gateway that is assumed to be the leader, and receives requests for the leader.
 type leaderTarget struct {
 	name string
-	// unansweredSince is when the first request was sent that it has not replied to; 0: none.
+	// unansweredSince is the time at which the first request without a reply was sent, or 0 if there is
+	// none.
 	unansweredSince time.Duration
 }
 
-// abandoned is an unansweredSince so long ago that another gateway is asked next.
-const abandoned time.Duration = 1
+// unansweredLongAgo is a value of unansweredSince after which the next request goes to another gateway.
+const unansweredLongAgo time.Duration = 1
 
 func (t *leaderTarget) set(name string) {
 	if name != t.name {
@@ -167,20 +168,20 @@
 	}
 }
 
-// noteReply notes a reply of a gateway, which leads or names the leader; leader is "" where it knows
-// none.
-func (t *leaderTarget) noteReply(from string, leads bool, leader string) {
+// recordReply records a reply of the gateway from, which leads or names the leader. The name leader is empty
+// if the gateway does not know it.
+func (t *leaderTarget) recordReply(from string, leads bool, leader string) {
 	switch {
 	case from != t.name:
 	case leads || leader != "" && leader != from:
 		t.unansweredSince = 0
 	default:
-		t.unansweredSince = abandoned
+		t.unansweredSince = unansweredLongAgo
 	}
 }
 
-// reconnected notes a new connection: that there was no reply by the previous one says nothing of the
-// leader, "" where it is not known.
+// reconnected records a new connection. A missing reply on the previous connection does not indicate that
+// the leader has failed. The name leader is empty if it is not known.
 func (t *leaderTarget) reconnected(leader string) {
 	t.unansweredSince = 0
 	if leader != "" {
@@ -188,7 +189,7 @@
 	}
 }
 
-// sendToTarget sends a message to the gateway that is taken for the leader.
+// sendToTarget sends a message to the gateway that is assumed to be the leader.
 func (s *session) sendToTarget(m *Message) {
 	if s.target.unansweredSince == 0 {
 		s.target.unansweredSince = s.node.now
@@ -196,7 +197,7 @@
 	s.node.send(s.target.name, m)
 }
 
-// rotateTarget chooses another gateway that may lead where the present one does not reply.
+// rotateTarget chooses another gateway that may be the leader, if the current target does not reply.
 func (s *session) rotateTarget() {
 	n, t := s.node, &s.target
 	if t.unansweredSince == 0 || n.now < t.unansweredSince+retryInterval {
--- a/internal/cluster/node/status.go
+++ b/internal/cluster/node/status.go
@@ -8,12 +8,12 @@
 	"dunemoor/internal/cluster/lease"
 )
 
-// Status describes a gateway in its fleet, as far as the gateway knows.
+// Status describes a gateway and its view of the fleet.
 type Status struct {
 	Fleet       string                `json:"id"`
 	Name        string                `json:"name"`
 	ReplicaID   uint64                `json:"disk"`
-	Role        string                `json:"role"` // one of the roles below
+	Role        string                `json:"role"` // one of the values below
 	Reason      string                `json:"why,omitempty"`
 	Leader      string                `json:"leader"`
 	Term        uint64                `json:"term"`
@@ -21,14 +21,14 @@
 	Applied     uint64                `json:"applied"`
 	ClusterID   uint64                `json:"birth"`
 	Session     uint64                `json:"session"`
-	ExpiresInMS int64                 `json:"expires_in_ms"` // of the session, by this gateway's deadline
-	FreshMS     int64                 `json:"fresh_ms"`      // since the leader last confirmed the view; -1: never
+	ExpiresInMS int64                 `json:"expires_in_ms"` // time until this gateway's holder deadline
+	FreshMS     int64                 `json:"fresh_ms"`      // time since a leader last confirmed the view, or -1 if never
 	Members     []MemberStatus        `json:"members"`
 	Leases      []LeaseStatus         `json:"duties"`
 	Replicas    []lease.Replica       `json:"keepers"`
-	Transfers   []lease.LeaseTransfer `json:"changes,omitempty"` // the last ones, at a replica
+	Transfers   []lease.LeaseTransfer `json:"changes,omitempty"` // last transfers; set only at a replica
 	Sessions    int                   `json:"sessions"`
-	Overrides   []OverrideStatus      `json:"words"` // that this gateway applies
+	Overrides   []OverrideStatus      `json:"words"` // overrides that this gateway applies
 }
 
 // Values of Status.Role.
@@ -36,8 +36,8 @@
 	statusLeader  = "leader"
 	statusReplica = "keeper"
 	statusLearner = "learner"
-	statusMember  = "member"  // it has no replica
-	statusStopped = "stopped" // its replica has stopped, see Status.Reason
+	statusMember  = "member"  // the gateway has no replica
+	statusStopped = "stopped" // the replica has stopped, see Status.Reason
 )
 
 // OverrideStatus is an operator's override of a host.
@@ -45,23 +45,23 @@
 	Pool            string `json:"pool"`
 	Host            string `json:"host"`
 	Reason          string `json:"reason,omitempty"`
-	CreatedBy       string `json:"by"` // gateway that the operator called
+	CreatedBy       string `json:"by"` // gateway that received the operator's request
 	CreatedRevision uint64 `json:"since"`
-	RemainingMS     int64  `json:"left_ms"` // as last recorded, by the minute; 0: until it is removed
+	RemainingMS     int64  `json:"left_ms"` // last recorded remaining duration, updated every minute; 0 if it does not expire
 }
 
-// MemberStatus is one gateway of the fleet.
+// MemberStatus is the status of one gateway of the fleet.
 type MemberStatus struct {
 	Name      string `json:"name"`
 	Session   uint64 `json:"session"`
 	ReplicaID uint64 `json:"disk"`
 	Zone      string `json:"zone,omitempty"`
 	Machine   string `json:"machine,omitempty"`
-	// ExpiresInMS is by the leader's clock, and known there only.
+	// ExpiresInMS is the time until the session expires by the leader's clock. It is set only at the leader.
 	ExpiresInMS *int64 `json:"expires_in_ms,omitempty"`
 }
 
-// LeaseStatus is one lease.
+// LeaseStatus is the status of one lease.
 type LeaseStatus struct {
 	Name          string `json:"name"`
 	Holder        string `json:"owner"`
@@ -102,13 +102,13 @@
 	return s
 }
 
-// setRole sets the role, and reports whether this gateway has a replica that takes part.
+// setRole sets the role, and reports whether this gateway has an active replica.
 func (n *Node) setRole(s *Status) (isReplica bool) {
 	id := n.cfg.Disk.ReplicaID
 	own, isReplica := n.replica.state.Replicas[id]
 	if n.view.revision >= n.replica.state.Revision && len(n.view.replicas) > 0 &&
 		!slices.ContainsFunc(n.view.replicas, func(r lease.Replica) bool { return r.ID == id }) {
-		isReplica = false // it was removed, and its copy of the state has not changed since
+		isReplica = false // it was removed, but its copy of the state does not contain the removal
 	}
 	switch err := n.Halted(); {
 	case err != nil:
@@ -124,7 +124,7 @@
 	return isReplica
 }
 
-// addReplicaStatus adds what this gateway's replica of the state has.
+// addReplicaStatus adds the data of this gateway's replica of the coordination state.
 func (n *Node) addReplicaStatus(s *Status, now time.Duration) {
 	state := n.replica.state
 	for _, name := range state.MemberNames() {
@@ -146,7 +146,7 @@
 	s.Sessions = len(state.Sessions)
 }
 
-// addViewStatus adds what leaders have sent.
+// addViewStatus adds the data that leaders have sent to this gateway.
 func (n *Node) addViewStatus(s *Status) {
 	for _, name := range slices.Sorted(maps.Keys(n.view.members)) {
 		m := n.view.members[name]
@@ -168,14 +168,14 @@
 // IsLeader reports whether this gateway leads the coordination group.
 func (n *Node) IsLeader() bool { return n.leader != nil }
 
-// Halted returns why the replica has stopped; nil while it runs.
+// Halted returns the reason why the replica has stopped, or nil while it runs.
 func (n *Node) Halted() error { return n.replica.halted() }
 
-// Session returns the ID of this gateway's session; 0: it has none.
+// Session returns the ID of this gateway's session, or 0 if it has none.
 func (n *Node) Session() uint64 { return n.session.id }
 
-// State returns the replica's copy of the coordination state, for checks. It must not be changed.
+// State returns the replica's copy of the coordination state, for tests. It must not be modified.
 func (n *Node) State() *lease.State { return n.replica.state }
 
-// Cleared reports whether the replica takes part: see HelloReply.
+// Cleared reports whether the replica may take part in the Raft group, see HelloReply.
 func (n *Node) Cleared() bool { return n.replica.cleared }
--- a/internal/cluster/node/view.go
+++ b/internal/cluster/node/view.go
@@ -9,22 +9,22 @@
 	"dunemoor/internal/cluster/lease"
 )
 
-// view is the coordination state as leaders have sent it to this gateway, and the leases that it holds
-// according to that.
+// view is the coordination state as received from leaders, and the leases that this gateway holds according
+// to it.
 type view struct {
 	node         *Node
-	revision     uint64 // that is known; 0: the next delta has to be full
+	revision     uint64 // last known revision, or 0 if the next delta must be full
 	members      map[string]lease.Member
 	leases       map[string]lease.LeaseView
 	replicas     []lease.Replica
 	leader       string
 	term         uint64
-	confirmedAt  time.Duration // when a leader last confirmed it; 0: never
-	sessionCount int           // where members are not sent
+	confirmedAt  time.Duration // time at which a leader last confirmed the view, or 0 if never
+	sessionCount int           // number of sessions, from compact deltas
 	overrides    OverrideSet
 
 	grants   map[string]*Grant // by lease
-	released map[string]uint64 // token of the grant that is being released, by lease
+	released map[string]uint64 // by lease: token of the grant that is being released
 }
 
 func newView(n *Node) *view {
@@ -38,7 +38,7 @@
 	return v
 }
 
-// apply takes over the delta of a leader's reply.
+// apply applies the delta of a leader's reply.
 func (v *view) apply(leader string, r *RenewReply) {
 	d := r.Delta
 	if d.Full {
@@ -51,7 +51,7 @@
 	if d.Replicas != nil {
 		v.replicas = d.Replicas
 	}
-	if d.Full || v.revision > 0 { // else it answers a request from before a full delta was needed
+	if d.Full || v.revision > 0 { // otherwise it replies to a request from before a full delta was needed
 		v.revision = max(v.revision, d.Revision)
 	}
 	if d.SessionCount > 0 {
@@ -67,8 +67,8 @@
 	}
 }
 
-// applyLeases takes over who holds leases. What is older than known changes nothing: tokens only
-// grow.
+// applyLeases updates the holders of leases. As tokens never decrease, a lease with a lower token than the
+// known one is stale and is skipped.
 func (v *view) applyLeases(list []lease.LeaseView) {
 	for _, l := range list {
 		if l.Token < v.node.publications.fences[l.Name].token {
@@ -80,7 +80,8 @@
 	}
 }
 
-// updateGrant takes up a lease that this gateway holds now, or drops one that it holds no more.
+// updateGrant adds or updates the grant of a lease that this gateway holds, and drops the grant of a lease
+// that it no longer holds.
 func (v *view) updateGrant(l *lease.LeaseView) {
 	g, mine := v.grants[l.Name], l.HolderSession == v.node.session.id
 	if !mine {
@@ -90,7 +91,7 @@
 		return
 	}
 	if v.released[l.Name] >= l.Token && l.Token > 0 && !failpoint.Enabled(failpoint.ReuseToken) {
-		return // it is being released
+		return // the lease is being released
 	}
 	if g == nil || g.Token != l.Token {
 		g = &Grant{Lease: l.Name, Token: l.Token, Deadline: v.node.session.deadline}
@@ -104,8 +105,8 @@
 	}
 }
 
-// applyOverrides takes over the operators' overrides where they are newer than those known, or of
-// another fleet: a former leader can't undo a change.
+// applyOverrides replaces the operators' overrides with newer ones, or with those of another fleet. Older
+// ones are ignored, so that a former leader can't undo a change.
 func (v *view) applyOverrides(d *lease.StateDelta) {
 	if d.ClusterID == 0 || d.ClusterID == v.overrides.ClusterID && d.OverridesModRevision <= v.overrides.ModRevision {
 		return
@@ -122,8 +123,8 @@
 	}
 }
 
-// remindReleasing reports the grants again while one of them is to be released.
-func (v *view) remindReleasing() {
+// repeatReleasing reports the grants again while one of them has to be released.
+func (v *view) repeatReleasing() {
 	for _, g := range v.grants {
 		v.node.out.GrantsChanged = v.node.out.GrantsChanged || g.Releasing
 	}
@@ -138,7 +139,7 @@
 	}
 }
 
-// dropAll ends all grants, as the session has expired.
+// dropAll ends all grants. It is called when the session has expired.
 func (v *view) dropAll() {
 	for name := range v.grants {
 		v.drop(name)
@@ -146,9 +147,8 @@
 	clear(v.released)
 }
 
-// dropExpired ends grants that are past their deadline. Work under a lease checks the deadline itself;
-// this is for those who observe. The lease may still be this gateway's, and is then taken up again
-// with the next renewal.
+// dropExpired ends grants that are past their deadline. Work under a lease checks the deadline itself, so
+// this only updates the reported grants. If the session still exists, the next renewal restores the grant.
 func (v *view) dropExpired() {
 	now, deadline := v.node.now, v.node.session.deadline
 	if deadline <= 0 || now < deadline || failpoint.Enabled(failpoint.IgnoreDeadline) {
@@ -163,10 +163,10 @@
 	}
 }
 
-// Overrides returns the operators' overrides as known here.
+// Overrides returns the operators' overrides that are known to this gateway.
 func (n *Node) Overrides() OverrideSet { return n.view.overrides }
 
-// Grants returns the leases that are held now, ordered by name.
+// Grants returns the current grants, sorted by lease name.
 func (n *Node) Grants() (list []Grant) {
 	for _, name := range slices.Sorted(maps.Keys(n.view.grants)) {
 		list = append(list, *n.view.grants[name])
@@ -174,7 +174,7 @@
 	return list
 }
 
-// Grant returns the grant of one lease.
+// Grant returns the current grant of a lease. It reports false if the lease is not held.
 func (n *Node) Grant(name string) (g Grant, ok bool) {
 	if held := n.view.grants[name]; held != nil {
 		return *held, true
