--- a/internal/cluster/multiraft/command.go
+++ b/internal/cluster/multiraft/command.go
@@ -2,12 +2,12 @@
 
 import "encoding/binary"
 
-// commandHeaderBytes is the size of the header before each command in the log: the proposer's replica
-// and its number for the command, 8 bytes each little-endian. By it a proposer recognizes its own
-// commands.
+// commandHeaderBytes is the size of the header before each command in the log: the replica ID of the
+// proposer and the proposer's ID of the command, 8 bytes each, little-endian. A proposer uses the header to
+// recognize its own commands.
 const commandHeaderBytes = 16
 
-// maxSmallCommand is the capacity that is allocated for a command with its header.
+// maxSmallCommand is the capacity in bytes that is initially allocated for a command with its header.
 const maxSmallCommand = 256
 
 func commandHeader(replica, id uint64) []byte {
@@ -16,8 +16,8 @@
 	return binary.LittleEndian.AppendUint64(b, id)
 }
 
-// splitCommand splits the data of an entry. It reports false for an entry without a command, such as a
-// leader's first.
+// splitCommand splits the data of a log entry into the header and the command. It reports false for an
+// entry without a command, such as the first entry of a new leader.
 func splitCommand(b []byte) (replica, id uint64, command []byte, ok bool) {
 	if len(b) < commandHeaderBytes {
 		return 0, 0, nil, false
--- a/internal/cluster/multiraft/group.go
+++ b/internal/cluster/multiraft/group.go
@@ -18,23 +18,23 @@
 	machine StateMachine
 	conf    *raftpb.ConfState
 	applied uint64
-	// uncompacted counts the bytes that were applied since the log was last compacted.
-	uncompacted int
+	// uncompactedBytes is the size of the entries applied since the log was last compacted.
+	uncompactedBytes int
 
-	// Of the election timer.
+	// State of the election timer.
 	ticksSinceLeader int
-	electionTimeout  int // ticks
+	electionTimeout  int // in ticks
 
-	// As last reported.
+	// Status of the group as last read by reportChanges.
 	leader uint64
 	state  raft.StateType
 	term   uint64
 
-	proposed map[uint64]struct{} // IDs of commands that this node proposed as the leader
+	proposed map[uint64]struct{} // IDs of pending commands that this node proposed as the leader
 }
 
-// storage is the log as it was persisted. A snapshot for a replica is made when it is to be sent: an
-// older one may not have the replica among its members, and would be ignored by it.
+// storage is the persisted part of the log. A snapshot for another replica is created when it is sent: an
+// older one may not list that replica as a member, and the replica would ignore it.
 type storage struct {
 	*raft.MemoryStorage
 	g *group
@@ -53,7 +53,7 @@
 	}, nil
 }
 
-// newGroup starts a group from what the disk holds of it.
+// newGroup starts a group from its persisted state.
 func newGroup(id Group, replica uint64, from PersistedGroup, m StateMachine) (*group, error) {
 	g := &group{id: id, machine: m, conf: &raftpb.ConfState{}, proposed: map[uint64]struct{}{}}
 	g.storage = storage{raft.NewMemoryStorage(), g}
@@ -69,7 +69,7 @@
 		return nil, err
 	}
 	if from.HardState != nil {
-		// Everything up to the snapshot is committed.
+		// All entries up to the snapshot are committed.
 		if from.HardState.GetCommit() < g.applied {
 			from.HardState.Commit = new(g.applied)
 		}
@@ -81,12 +81,12 @@
 		AsyncStorageWrites: true, MaxSizePerMsg: maxMessageBytes, MaxUncommittedEntriesSize: maxUncommittedBytes,
 		MaxInflightMsgs: maxInflightMessages, MaxInflightBytes: maxInflightBytes,
 		CheckQuorum: !failpoint.Enabled(failpoint.SkipCheckQuorum), PreVote: !failpoint.Enabled(failpoint.SkipPreVote),
-		StepDownOnRemoval: true, DisableProposalForwarding: true, Logger: libraryLog,
+		StepDownOnRemoval: true, DisableProposalForwarding: true, Logger: raftLogger,
 	})
 	return g, err
 }
 
-// restore replaces the state by that of a snapshot.
+// restore replaces the state with that of a snapshot.
 func (g *group) restore(s *raftpb.Snapshot) error {
 	if err := g.machine.Restore(s.GetData()); err != nil {
 		return fmt.Errorf("group %d: restore snapshot: %w", g.id, err)
@@ -112,16 +112,16 @@
 	g.machine.MembersChanged(e.GetIndex(), cc.GetContext(), g.conf)
 }
 
-// mustUnmarshal panics for a committed entry that can't be decoded: the log contradicts itself.
+// mustUnmarshal decodes a committed entry. It panics if that fails, as the log is then corrupt.
 func mustUnmarshal(b []byte, m proto.Message) {
 	if err := proto.Unmarshal(b, m); err != nil {
 		panic(err)
 	}
 }
 
-// compact makes a snapshot and compacts the log. It reports false where there is a newer snapshot.
+// compact creates a snapshot and compacts the log. It reports false if a newer snapshot exists.
 func (g *group) compact() (s *raftpb.Snapshot, ok bool) {
-	g.uncompacted = 0
+	g.uncompactedBytes = 0
 	s, err := g.storage.CreateSnapshot(g.applied, g.conf, g.machine.Snapshot())
 	if err != nil {
 		return nil, false
@@ -132,9 +132,9 @@
 	return s, true
 }
 
-// addPersistedState adds to a leader's heartbeat what its own disk holds, in the field Index that the
-// library leaves unused there: the others hold it against that disk, should it come back as an older
-// copy.
+// addPersistedState sets the last persisted index of the leader's own disk in its heartbeat. It uses the
+// field Index, which the Raft library leaves unused in heartbeats. The other replicas record the index, and
+// use it to detect whether the leader's disk is later replaced by an older copy.
 func (g *group) addPersistedState(heartbeat *raftpb.Message) {
 	hard, _, _ := g.storage.InitialState()
 	if last, err := g.storage.LastIndex(); err == nil && hard.GetTerm() == heartbeat.GetTerm() {
--- a/internal/cluster/multiraft/node.go
+++ b/internal/cluster/multiraft/node.go
@@ -11,38 +11,38 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Node is one process's replicas of all groups. It is used by one goroutine.
+// Node contains the replicas of all groups in one process. It is not safe for concurrent use.
 type Node struct {
 	id      uint64
 	rng     *rand.Rand
 	groups  map[Group]*group
-	order   []Group // of groups
+	order   []Group // sorted keys of groups
 	out     Output
-	pending []pendingWrite // for the next batch
+	pending []pendingWrite // writes for the next batch
 	// pendingBytes is the size of the entries in pending.
 	pendingBytes int
-	writing      *Batch // under way; nil: none
-	lastBatch    uint64
+	writing      *Batch // batch being written, or nil
+	lastBatch    uint64 // ID of the last batch
 	halted       error
 }
 
-// pendingWrite is a record with the messages that may be delivered once it is durable.
+// pendingWrite is a record, and the messages that may be delivered once the record is durable.
 type pendingWrite struct {
-	group  *group
-	after  []*raftpb.Message
-	record LogRecord
+	group     *group
+	responses []*raftpb.Message
+	record    LogRecord
 }
 
-// New returns a Node without groups for a replica; its ID is not 0.
+// New returns a Node without groups for the replica with the given ID, which must not be 0.
 func New(id, seed uint64) *Node {
 	return &Node{id: id, rng: rand.New(rand.NewPCG(seed, id)), groups: map[Group]*group{}}
 }
 
-// Add starts a group from what the disk holds of it: nothing for a replica that waits for a leader to
-// add it.
+// Add starts a group from its persisted state. For a replica that waits to be added by a leader, that is
+// the zero value.
 func (n *Node) Add(id Group, from PersistedGroup, m StateMachine) error {
 	if n.groups[id] != nil {
-		return fmt.Errorf("group %d exists", id)
+		return fmt.Errorf("group %d already exists", id)
 	}
 	g, err := newGroup(id, n.id, from, m)
 	if err != nil {
@@ -55,22 +55,21 @@
 	return nil
 }
 
-// Bootstrap has what a group was started with by Add written to the disk: it came from
-// BootstrapState.
+// Bootstrap persists the initial state of a group that was added with the result of BootstrapState.
 func (n *Node) Bootstrap(id Group) {
 	g := n.groups[id]
 	s, _ := g.storage.MemoryStorage.Snapshot()
 	hard, _, _ := g.storage.InitialState()
 	n.pending = append(n.pending, pendingWrite{group: g, record: LogRecord{Group: id, Snapshot: s, LocalSnapshot: true, HardState: hard}})
 	n.resetElectionTimer(g)
-	g.electionTimeout = 1 // no other replica can campaign
+	g.electionTimeout = 1 // no other replica can start an election yet
 }
 
 func (n *Node) resetElectionTimer(g *group) {
 	g.ticksSinceLeader, g.electionTimeout = 0, ElectionTicks+n.rng.IntN(ElectionTicks)
 }
 
-// Halt stops all groups for good: nothing is sent, accepted or written from now on.
+// Halt stops all groups permanently. Nothing is sent, accepted or written afterwards.
 func (n *Node) Halt(reason error) {
 	if n.halted == nil {
 		n.halted, n.out = reason, Output{}
@@ -78,18 +77,18 @@
 	}
 }
 
-// Halted returns why the node has stopped; nil while it runs.
+// Halted returns the reason why the node has stopped, or nil while it runs.
 func (n *Node) Halted() error { return n.halted }
 
-// haltOnPanic stops the node where the library panics, as it does when a log contradicts itself: the
-// process goes on without it.
+// haltOnPanic recovers from a panic and stops the node. The Raft library panics if it finds an inconsistent
+// log; the process must continue without the node.
 func (n *Node) haltOnPanic() {
 	if x := recover(); x != nil {
 		n.Halt(fmt.Errorf("%w: %v", ErrLogContradiction, x))
 	}
 }
 
-// Tick advances the time by one tick.
+// Tick advances the timers of all groups by one tick.
 func (n *Node) Tick() {
 	defer n.haltOnPanic()
 	for _, id := range n.order {
@@ -105,7 +104,7 @@
 		g.raw.Tick()
 		return
 	}
-	g.raw.TickQuiesced() // no election by the library's own timeout
+	g.raw.TickQuiesced() // does not start an election by the library's own timeout
 	g.ticksSinceLeader++
 	if g.ticksSinceLeader >= g.electionTimeout {
 		n.resetElectionTimer(g)
@@ -116,12 +115,12 @@
 	n.reportChanges(g)
 }
 
-// Step takes a message of another replica.
+// Step handles a message from another replica.
 func (n *Node) Step(id Group, m *raftpb.Message) {
 	defer n.haltOnPanic()
 	g := n.groups[id]
 	if n.halted != nil || g == nil || m.GetTo() != n.id || raft.IsLocalMsg(m.GetType()) || raft.IsLocalMsgTarget(m.GetFrom()) {
-		return // for a former disk of this gateway, or a group that it has not
+		return // addressed to a former disk of this gateway, or to a group that does not exist here
 	}
 	switch m.GetType() {
 	case raftpb.MsgApp, raftpb.MsgSnap:
@@ -134,9 +133,9 @@
 			n.resetElectionTimer(g)
 		}
 	case raftpb.MsgProp, raftpb.MsgReadIndex, raftpb.MsgReadIndexResp:
-		return // not sent between replicas here
+		return // never sent between replicas, as proposals and reads are not forwarded
 	}
-	g.raw.Step(m) // a message that it can't use is dropped
+	g.raw.Step(m) // an error is ignored: a message that can't be processed is dropped
 	n.reportChanges(g)
 }
 
@@ -153,13 +152,13 @@
 		return
 	}
 	if !g.isLeader() {
-		clear(g.proposed) // their results will not be known here
+		clear(g.proposed) // the results of these commands will not be known to this node
 	}
 	n.out.LeaderChanges = append(n.out.LeaderChanges, LeaderChange{g.id, g.leader, g.term, g.isLeader()})
 }
 
-// led returns a group that this node leads.
-func (n *Node) led(id Group) (*group, error) {
+// ledGroup returns a group, or an error if this node does not lead it.
+func (n *Node) ledGroup(id Group) (*group, error) {
 	g := n.groups[id]
 	switch {
 	case n.halted != nil || g == nil:
@@ -170,12 +169,12 @@
 	return g, nil
 }
 
-// Propose appends a command to the log of a group that this node leads. Its Result has the ID, which
-// must not be used twice. There is no Result where the lead is lost meanwhile: whether the command was
-// carried out is unknown.
+// Propose proposes a command to a group that this node leads. The command ID is returned in the Result and
+// must be unique. If this node loses leadership before the command is applied, there is no Result, and it
+// is unknown whether the command will be applied.
 func (n *Node) Propose(id Group, commandID uint64, command []byte) (err error) {
 	defer n.haltOnPanic()
-	g, err := n.led(id)
+	g, err := n.ledGroup(id)
 	if err != nil {
 		return err
 	}
@@ -186,10 +185,10 @@
 	return nil
 }
 
-// RequestReadIndex asks a quorum to confirm that this node leads, see ReadIndex.
+// RequestReadIndex requests confirmation from a quorum that this node leads, see ReadIndex.
 func (n *Node) RequestReadIndex(id Group, readID uint64) error {
 	defer n.haltOnPanic()
-	g, err := n.led(id)
+	g, err := n.ledGroup(id)
 	if err != nil {
 		return err
 	}
@@ -197,22 +196,22 @@
 	return nil
 }
 
-// ChangeMembers proposes a change of a group's members, by joint consensus where more than one
-// changes. The change's context goes to the state machines. A change while another is under way is
-// rejected.
+// ChangeMembers proposes a change of a group's members, which uses joint consensus if more than one member
+// changes. The context of the change is passed to the state machines. A change is rejected while another
+// one is in progress.
 func (n *Node) ChangeMembers(id Group, cc *raftpb.ConfChangeV2) error {
 	defer n.haltOnPanic()
-	g, err := n.led(id)
+	g, err := n.ledGroup(id)
 	if err != nil {
 		return err
 	}
 	return g.raw.ProposeConfChange(cc)
 }
 
-// TransferLeadership transfers the lead of a group to another replica, if that is up to date.
+// TransferLeadership transfers leadership of a group to another replica, if the replica is up to date.
 func (n *Node) TransferLeadership(id Group, to uint64) {
 	defer n.haltOnPanic()
-	if g, err := n.led(id); err == nil {
+	if g, err := n.ledGroup(id); err == nil {
 		g.raw.TransferLeader(to)
 		n.reportChanges(g)
 	}
@@ -220,7 +219,7 @@
 
 // Unreachable reports that messages to a replica can't be delivered.
 func (n *Node) Unreachable(to uint64) {
-	n.eachLed(func(g *group) { g.raw.ReportUnreachable(to) })
+	n.eachLedGroup(func(g *group) { g.raw.ReportUnreachable(to) })
 }
 
 // SnapshotSent reports whether a snapshot has reached a replica.
@@ -229,14 +228,14 @@
 	if ok {
 		status = raft.SnapshotFinish
 	}
-	n.eachLed(func(g *group) { g.raw.ReportSnapshot(to, status) })
+	n.eachLedGroup(func(g *group) { g.raw.ReportSnapshot(to, status) })
 }
 
-// eachLed calls do for the groups that this node leads.
-func (n *Node) eachLed(do func(*group)) {
+// eachLedGroup calls do for every group that this node leads.
+func (n *Node) eachLedGroup(do func(*group)) {
 	defer n.haltOnPanic()
 	for _, id := range n.order {
-		if g, err := n.led(id); err == nil {
+		if g, err := n.ledGroup(id); err == nil {
 			do(g)
 		}
 	}
@@ -256,20 +255,20 @@
 			n.Halt(err)
 			return
 		}
-		for _, m := range w.after {
+		for _, m := range w.responses {
 			n.deliver(w.group, m)
 		}
 		n.reportChanges(w.group)
 	}
 }
 
-// persisted takes over a record that is durable.
+// persisted updates the group's storage with a record that is now durable.
 func (g *group) persisted(r *LogRecord) error {
 	if s := r.Snapshot; s != nil && !r.LocalSnapshot && g.storage.ApplySnapshot(s) == nil {
 		if err := g.restore(s); err != nil {
 			return err
 		}
-		g.uncompacted = 0
+		g.uncompactedBytes = 0
 	}
 	if len(r.Entries) > 0 {
 		g.storage.Append(r.Entries)
@@ -280,7 +279,8 @@
 	return nil
 }
 
-// deliver delivers a message that had to wait, to another replica or to this one.
+// deliver delivers a message that had to wait for a write or for applied entries, to another replica or to
+// this one.
 func (n *Node) deliver(g *group, m *raftpb.Message) {
 	if m.GetTo() == n.id {
 		g.raw.Step(m)
@@ -289,7 +289,7 @@
 	n.out.Messages = append(n.out.Messages, Envelope{g.id, m.GetTo(), m})
 }
 
-// TakeOutput returns what is to be done.
+// TakeOutput returns the pending output and clears it.
 func (n *Node) TakeOutput() Output {
 	n.collect()
 	out := n.out
@@ -297,7 +297,7 @@
 	return out
 }
 
-// collect takes what all groups have ready, and starts the next batch where none is under way.
+// collect processes the Ready structs of all groups, and starts the next batch if none is in progress.
 func (n *Node) collect() {
 	defer n.haltOnPanic()
 	for again := true; again && n.halted == nil; {
@@ -322,7 +322,7 @@
 	n.writing, n.out.Write = b, b
 }
 
-// processReady takes what a group has ready.
+// processReady processes the next Ready struct of a group.
 func (n *Node) processReady(g *group) {
 	rd := g.raw.Ready()
 	for _, s := range rd.ReadStates {
@@ -349,9 +349,9 @@
 	n.reportChanges(g)
 }
 
-// addWrite adds what the library wants written to the next batch.
+// addWrite adds a storage write that the Raft library requests to the next batch.
 func (n *Node) addWrite(g *group, m *raftpb.Message) {
-	w := pendingWrite{group: g, after: m.GetResponses(), record: LogRecord{Group: g.id, Entries: m.GetEntries()}}
+	w := pendingWrite{group: g, responses: m.GetResponses(), record: LogRecord{Group: g.id, Entries: m.GetEntries()}}
 	if m.Term != nil && m.Commit != nil {
 		w.record.HardState = &raftpb.HardState{Term: new(m.GetTerm()), Vote: new(m.GetVote()), Commit: new(m.GetCommit())}
 	}
@@ -369,7 +369,7 @@
 			continue
 		}
 		g.applied = e.GetIndex()
-		g.uncompacted += len(e.GetData()) + commandHeaderBytes
+		g.uncompactedBytes += len(e.GetData()) + commandHeaderBytes
 		switch e.GetType() {
 		case raftpb.EntryConfChange, raftpb.EntryConfChangeV2:
 			g.applyConfChange(e)
@@ -377,7 +377,7 @@
 			n.applyCommand(g, e)
 		}
 	}
-	if g.uncompacted < compactThreshold {
+	if g.uncompactedBytes < compactThreshold {
 		return
 	}
 	if s, ok := g.compact(); ok {
@@ -397,17 +397,17 @@
 	}
 }
 
-// Status is the status of a group at this node.
+// Status is the status of a group on this node.
 type Status struct {
 	Leader, Term, Commit, Applied uint64
-	// PersistedTerm and LastIndex are what is on the disk.
+	// PersistedTerm and LastIndex are the term and the last log index that are persisted.
 	PersistedTerm, LastIndex uint64
 	IsLeader                 bool
 	Conf                     *raftpb.ConfState
-	Match                    map[uint64]uint64 // at the leader: the last index that each replica is known to have
+	Match                    map[uint64]uint64 // highest log index known to be stored by each replica; set only at the leader
 }
 
-// Status returns the status of a group. It reports false for a group that is not here.
+// Status returns the status of a group. It reports false if the group does not exist on this node.
 func (n *Node) Status(id Group) (s Status, ok bool) {
 	g := n.groups[id]
 	if g == nil {
