--- a/internal/cluster/leaseholder/lease.go
+++ b/internal/cluster/leaseholder/lease.go
@@ -1,5 +1,5 @@
-// Package leaseholder runs a gateway's work under leases: it starts the work of a lease when the lease
-// is granted, stops it when the grant ends, and lets the work check its lease before each act.
+// Package leaseholder runs a gateway's work under leases. It starts the work of a lease when the lease is
+// granted and stops it when the grant ends. The work checks its lease before each action.
 package leaseholder
 
 import (
@@ -11,21 +11,21 @@
 	"dunemoor/internal/cluster/failpoint"
 )
 
-// Now returns the time on a clock that nobody sets and that runs on while the process or the machine
-// sleeps (CLOCK_BOOTTIME). The runtime's monotonic clock stops with the machine: a lease holder that
-// slept would still consider itself one on waking.
+// Now returns the time of CLOCK_BOOTTIME, which can't be set and continues while the process or the machine
+// is suspended. The monotonic clock of the Go runtime stops while the machine is suspended, so after
+// resuming a former holder would still treat its expired lease as valid.
 func Now() time.Duration {
 	if failpoint.Enabled(failpoint.UseWallClock) {
 		return failpoint.WallTime()
 	}
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic(err) // Linux has this clock since 2.6.39
+		panic(err) // unreachable: Linux has supported this clock since 2.6.39
 	}
 	return time.Duration(t.Nano())
 }
 
-// Lease is a lease that work runs under.
+// Lease is a lease under which work runs.
 type Lease struct {
 	Name  string
 	Token uint64 // fencing token of the grant
@@ -34,8 +34,8 @@
 	ended    atomic.Bool
 }
 
-// Valid reports whether the holder may act now. It is to be called directly before each act. What
-// happens between this check and the act is left to the fences of those who receive the act.
+// Valid reports whether the holder may act now. It must be called immediately before each action. If the
+// lease ends between this check and the action, the receiver of the action rejects it by its fencing token.
 func (l *Lease) Valid() bool {
 	valid := !l.ended.Load() && (int64(Now()) < l.deadline.Load() || failpoint.Enabled(failpoint.IgnoreDeadline))
 	if valid {
--- a/internal/cluster/leaseholder/runner.go
+++ b/internal/cluster/leaseholder/runner.go
@@ -10,33 +10,32 @@
 	"dunemoor/internal/cluster/node"
 )
 
-// WorkFunc is what the holder of a lease does. It returns soon after ctx is done, and not before: work
-// that returns by itself is started again while the lease is held.
+// WorkFunc is the work that the holder of a lease runs. It must return soon after ctx is done. If it returns
+// earlier, it is restarted while the lease is held.
 type WorkFunc func(ctx context.Context, l *Lease)
 
-// restartDelay is when work that returned by itself is started again.
+// restartDelay is the delay after which work that has returned before ctx is done is restarted.
 const restartDelay = time.Second
 
-// Runner runs the work of the leases that this gateway holds. Its methods may be called by several
-// goroutines.
+// Runner runs the work of the leases that this gateway holds. It is safe for concurrent use.
 type Runner struct {
 	released func(lease string, token uint64)
 
 	mu      sync.Mutex
 	work    map[string]WorkFunc // by lease
-	tasks   map[string]*task    // by lease: the last that was started
+	tasks   map[string]*task    // by lease: the last started task
 	closed  bool
 	running sync.WaitGroup
 }
 
-// task is work under one grant of a lease.
+// task is the work under one grant of a lease.
 type task struct {
 	lease  *Lease
 	cancel context.CancelFunc
 	done   chan struct{} // closed when the work has returned
 }
 
-// end tells the work to stop. It reports false where that was done before.
+// end cancels the work. It reports false if the work was already canceled.
 func (t *task) end() bool {
 	if t.lease.ended.Swap(true) {
 		return false
@@ -45,20 +44,20 @@
 	return true
 }
 
-// NewRunner returns a Runner without work. It calls released, on a goroutine of its own, when the work
-// of a lease that is to be released has stopped.
+// NewRunner returns a Runner without registered work. When the work of a lease that is to be released has
+// stopped, the Runner calls released in a separate goroutine.
 func NewRunner(released func(lease string, token uint64)) *Runner {
 	return &Runner{released: released, work: map[string]WorkFunc{}, tasks: map[string]*task{}}
 }
 
-// Register sets the work of a lease. It is to be called before the first Update.
+// Register sets the work of a lease. It must be called before the first call of Update.
 func (r *Runner) Register(lease string, w WorkFunc) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.work[lease] = w
 }
 
-// Names returns the leases that have work, sorted.
+// Names returns the sorted names of the leases with registered work.
 func (r *Runner) Names() (list []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -69,8 +68,8 @@
 	return list
 }
 
-// Update takes over the grants that are held now: work is started, stopped and extended accordingly.
-// It does not wait.
+// Update sets the current grants. Work is started and stopped, and deadlines are extended, accordingly. It
+// does not wait for work to stop.
 func (r *Runner) Update(grants []node.Grant) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -94,8 +93,8 @@
 	}
 }
 
-// release stops the task of a lease and then reports it as released. A grant may be released
-// repeatedly: the report is repeated once the work has stopped.
+// release stops the task of a lease and then calls released. It may be called repeatedly for the same grant;
+// released is then called again if the work has already stopped.
 func (r *Runner) release(g node.Grant, t *task) {
 	switch {
 	case t == nil:
@@ -114,7 +113,8 @@
 	}
 }
 
-// start starts the work under a grant once that of the previous grant has stopped. The lock is held.
+// start starts the work under a grant after the work under the previous grant has stopped. The caller must
+// hold r.mu.
 func (r *Runner) start(g node.Grant, previous *task) {
 	work := r.work[g.Lease]
 	if work == nil || r.closed {
@@ -140,11 +140,11 @@
 			case <-time.After(restartDelay):
 			}
 		}
-		slog.Debug("the work under a lease has stopped", "lease", g.Lease, "token", g.Token)
+		slog.Debug("work under lease stopped", "lease", g.Lease, "token", g.Token)
 	})
 }
 
-// Close stops all work and waits for it.
+// Close stops all work and waits until it has returned.
 func (r *Runner) Close() {
 	r.mu.Lock()
 	r.closed = true
--- a/internal/cluster/leaseholder/runner_test.go
+++ b/internal/cluster/leaseholder/runner_test.go
@@ -12,7 +12,7 @@
 	"dunemoor/internal/testutil"
 )
 
-// eventLog records events in their order.
+// eventLog records events in the order in which they occur.
 type eventLog struct {
 	mu     sync.Mutex
 	events []string
@@ -24,10 +24,10 @@
 	l.events = append(l.events, fmt.Sprintf(format, args...))
 }
 
-// expect waits for events, fails where there are others, and removes them.
+// expect waits until as many events are recorded as wanted, fails the test if they differ, and clears the log.
 func (l *eventLog) expect(t *testing.T, want ...string) {
 	t.Helper()
-	testutil.WaitUntil(t, fmt.Sprintf("the events %q are recorded", want), func() bool {
+	testutil.WaitUntil(t, fmt.Sprintf("events %q are recorded", want), func() bool {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		return len(l.events) >= len(want)
@@ -40,9 +40,9 @@
 	l.events = nil
 }
 
-// The work of a grant runs while the grant lasts, and the work of the next grant starts only after it has returned. A
-// lease that is to be released is reported when its work has stopped, and again whenever the release is requested
-// again.
+// TestRunnerRunsWorkOfOneGrantAtATime checks that the work of a grant runs until the grant ends, and that the work of the
+// next grant starts only after it has returned. A lease to be released is reported when its work has stopped, and again
+// each time the release is requested again. It guards against two grants of a lease whose work overlaps.
 func TestRunnerRunsWorkOfOneGrantAtATime(t *testing.T) {
 	var log eventLog
 	runner := NewRunner(func(lease string, token uint64) { log.add("released %s %d", lease, token) })
@@ -55,7 +55,7 @@
 		log.add("start %d", l.Token)
 		<-ctx.Done()
 		if l.Valid() {
-			log.add("valid after its end")
+			log.add("lease valid after the end of its grant")
 		}
 		log.add("end %d", l.Token)
 	})
