--- a/internal/cluster/idempotency/command.go
+++ b/internal/cluster/idempotency/command.go
@@ -2,30 +2,31 @@
 
 import "time"
 
-// Op is a kind of command. Its values are part of the log's format.
+// Op is the type of a command. Its values are part of the log format.
 type Op string
 
-// Commands. Those about a request with a Fence apply only for the gateway that was given it, as of now.
+// Values of Op. A command with a Fence is applied only if the Fence is the request's current one, that is,
+// if the proposer is still the gateway that was last given the request.
 const (
-	OpAdvanceClock Op = "clock"  // the leader advances the partition's clock
-	OpEndSession   Op = "gone"   // the leader reports that a gateway's session has ended
-	OpBegin        Op = "begin"  // a request with a key has arrived at a gateway
-	OpSend         Op = "send"   // it is about to be sent into a scope: before the first byte
-	OpComplete     Op = "end"    // it has its response
-	OpAbandon      Op = "drop"   // no attempt of it has run: it is as if it had not arrived
-	OpDefer        Op = "put"    // a request is to be delivered later
-	OpTakeUp       Op = "take"   // the holder of the partition's lease delivers a deferred request
-	OpCancel       Op = "cancel" // the client cancels a deferred request
+	OpAdvanceClock Op = "clock"  // advances the partition's clock; proposed by the leader
+	OpEndSession   Op = "gone"   // frees the requests of an ended session; proposed by the leader
+	OpBegin        Op = "begin"  // starts a request with a key that has arrived at a gateway
+	OpSend         Op = "send"   // records an attempt in a scope, before its first byte is sent
+	OpComplete     Op = "end"    // records the response of a request
+	OpAbandon      Op = "drop"   // removes a request of which no attempt has run, or defers it again
+	OpDefer        Op = "put"    // stores a request for later delivery
+	OpClaim        Op = "take"   // claims a deferred request for delivery by the holder of the partition's lease
+	OpCancel       Op = "cancel" // cancels a deferred request on behalf of the client
 )
 
-// Command is an entry of a partition's log. Which fields are set depends on Op.
+// Command is an entry of a partition's log. The fields that are set depend on Op.
 type Command struct {
 	Op          Op          `json:"op"`
-	Session     uint64      `json:"s,omitempty"` // of the gateway that proposes it; for OpEndSession the one that has ended
-	Token       uint64      `json:"t,omitempty"` // of the partition's lease, for OpTakeUp
+	Session     uint64      `json:"s,omitempty"` // session of the proposer, or the ended session for OpEndSession
+	Token       uint64      `json:"t,omitempty"` // fencing token of the partition's lease, for OpClaim
 	Tenant      string      `json:"tenant,omitempty"`
 	Key         string      `json:"key,omitempty"`
-	Digest      string      `json:"digest,omitempty"` // of the request's contents
+	Digest      string      `json:"digest,omitempty"` // digest of the request's contents
 	Idempotency Idempotency `json:"effect,omitempty"`
 	Fence       uint64      `json:"fence,omitempty"`
 	Scope       string      `json:"group,omitempty"`
@@ -34,14 +35,15 @@
 	// Retention is how long the response is kept, DeliverWithin how long a deferred request may wait.
 	Retention     time.Duration `json:"keep,omitempty"`
 	DeliverWithin time.Duration `json:"last,omitempty"`
-	Elapsed       time.Duration `json:"by,omitempty"` // for OpAdvanceClock
-	// WindowLeft is set by the leader as it proposes: how long the deduplication window that began with
-	// the request's first attempt is still open, by the leader's own clock; 0: it is over, or not known.
+	Elapsed       time.Duration `json:"by,omitempty"` // time by which OpAdvanceClock advances the clock
+	// WindowLeft is the remaining time of the deduplication window that began with the request's first
+	// attempt. The leader sets it by its own clock when it proposes the command. It is 0 if the window has
+	// ended or its start is not known.
 	WindowLeft     time.Duration `json:"left,omitempty"`
 	PriorityWeight float64       `json:"worth,omitempty"`
 }
 
-// Response is what a client was answered.
+// Response is the response that the client received.
 type Response struct {
 	Status int    `json:"status"`
 	Header []byte `json:"head,omitempty"`
@@ -51,29 +53,29 @@
 // Code is the outcome of a command.
 type Code string
 
-// Outcomes.
+// Values of Code.
 const (
 	OK             Code = "ok"
-	Execute        Code = "run"      // the proposer is to send the request, under Fence
-	Retry          Code = "again"    // it is to send it again, in Scope and within the window only, under Fence
-	InProgress     Code = "running"  // another gateway has it
-	Completed      Code = "done"     // it has ended, with Response
-	Indeterminate  Code = "in doubt" // it may have run, and is never sent again
-	KeyMismatch    Code = "mismatch" // the key was used for another request
-	Full           Code = "full"     // there is no capacity, for RetryAfter at least
-	Stale          Code = "stale"    // the fence or token is not the current one
-	UnknownRequest Code = "unknown"
-	Rejected       Code = "refused" // see Reason
+	Execute        Code = "run"      // the proposer must send the request, using Fence
+	Retry          Code = "again"    // the proposer must send the request again, using Fence; if Scope is set, only into Scope and within WindowLeft
+	InProgress     Code = "running"  // a gateway is executing the request, or the request is deferred
+	Completed      Code = "done"     // the request is final, with Response if it has one
+	Indeterminate  Code = "in doubt" // the request may have been executed, and is never sent again
+	KeyMismatch    Code = "mismatch" // the key was used for a different request
+	Full           Code = "full"     // the partition or the tenant's share is full, for at least RetryAfter
+	Stale          Code = "stale"    // the fence or token is not the current one, or the request is final
+	UnknownRequest Code = "unknown"  // no request with this key is stored
+	Rejected       Code = "refused"  // the command is invalid, see Reason
 )
 
-// Result is the outcome of a command with what the proposer needs to know.
+// Result is the outcome of a command, as returned to the proposer.
 type Result struct {
 	Code       Code          `json:"code"`
 	Fence      uint64        `json:"fence,omitempty"`
 	Scope      string        `json:"group,omitempty"`
 	Response   *Response     `json:"answer,omitempty"`
 	RetryAfter time.Duration `json:"wait,omitempty"`
-	// WindowLeft is how long Retry is valid, counted from before the command was proposed.
+	// WindowLeft is how long the result Retry is valid, counted from a time before the command was proposed.
 	WindowLeft time.Duration `json:"left,omitempty"`
 	Reason     string        `json:"why,omitempty"`
 }
--- a/internal/cluster/idempotency/deferred.go
+++ b/internal/cluster/idempotency/deferred.go
@@ -7,7 +7,7 @@
 	"dunemoor/internal/cluster/failpoint"
 )
 
-// deferRequest accepts a request for later delivery: from now on it gets one final phase.
+// deferRequest accepts a request for later delivery. Every accepted request reaches exactly one final phase.
 func (p *Partition) deferRequest(r *Request, c *Command) Result {
 	switch {
 	case c.DeliverWithin <= 0 || c.DeliverWithin > MaxDeferral || c.Retention <= 0 || c.Retention > MaxRetention ||
@@ -30,9 +30,9 @@
 	return Result{Code: OK, Fence: r.Fence}
 }
 
-// takeUp gives a deferred request to the holder of the partition's lease. A former holder is rejected,
-// and a request that it may have sent is retried only as its idempotency allows.
-func (p *Partition) takeUp(r *Request, c *Command) Result {
+// claim gives a deferred request to the holder of the partition's lease. Claims of a former holder are
+// rejected. A request that a former holder may have sent is retried only if its idempotency allows that.
+func (p *Partition) claim(r *Request, c *Command) Result {
 	switch {
 	case c.Token < p.Token && !failpoint.Enabled(failpoint.SkipPartitionFence):
 		return Result{Code: Stale}
@@ -47,12 +47,12 @@
 		return Result{Code: Execute, Fence: r.Fence}
 	}
 	if r.Token == c.Token && r.Session == c.Session {
-		return Result{Code: InProgress} // the proposer has it
+		return Result{Code: InProgress} // the proposer has already claimed and sent it
 	}
 	return p.retryOrEnd(r, c)
 }
 
-// cancel cancels a deferred request that was not taken up.
+// cancel cancels a deferred request that has not been claimed.
 func (p *Partition) cancel(r *Request) Result {
 	switch {
 	case !r.Deferred:
@@ -68,8 +68,9 @@
 	return Result{Code: OK}
 }
 
-// NextDeferred returns the request that the holder of the partition's lease is to take up next: the one
-// with the highest priority, and of those the one that was accepted first; nil: none waits.
+// NextDeferred returns the request that the holder of the partition's lease should claim next: the waiting
+// request with the highest priority weight, and among equal ones the one with the lowest Fence. It returns
+// nil if no request is waiting.
 func (p *Partition) NextDeferred() (next *Request) {
 	for _, id := range slices.Sorted(maps.Keys(p.Requests)) {
 		r := p.Requests[id]
@@ -80,7 +81,7 @@
 	return next
 }
 
-// before reports whether a waiting request is taken up before another one.
+// before reports whether a waiting request is to be claimed before another one.
 func (r *Request) before(other *Request) bool {
 	if r.PriorityWeight != other.PriorityWeight {
 		return r.PriorityWeight > other.PriorityWeight
--- a/internal/cluster/idempotency/failpoints_test.go
+++ b/internal/cluster/idempotency/failpoints_test.go
@@ -9,10 +9,10 @@
 	"dunemoor/internal/testutil"
 )
 
-// Each failpoint is enabled in turn, and the histories find it.
+// TestEachFailpoint enables each failpoint in turn and checks that the simulation detects it.
 func TestEachFailpoint(t *testing.T) {
 	testutil.EachFailpoint(t, failpoint.Idempotency, failpoint.Enable, 400, func(seed uint64) error {
-		_, err := play(seed)
+		_, err := simulate(seed)
 		return err
 	})
 }
--- a/internal/cluster/idempotency/idempotency_test.go
+++ b/internal/cluster/idempotency/idempotency_test.go
@@ -16,31 +16,32 @@
 
 // Times of the simulation below.
 const (
-	window   = 2 * time.Second // in which a scope drops duplicates
-	lasts    = 3 * time.Second // how long a session outlives its gateway
-	answerIn = 300 * time.Millisecond
-	worldFor = 90 * time.Second
+	dedupWindow      = 2 * time.Second // time within which a scope drops duplicates
+	sessionTTL       = 3 * time.Second // time for which a session outlives its gateway
+	maxResponseDelay = 300 * time.Millisecond
+	simulatedTime    = 90 * time.Second
 )
 
-// world is a partition with gateways that use it, pause anywhere for any time, and go. Its hosts are in scopes
-// that drop duplicates of a key within a window, and keep the highest fence that they have seen of it.
-type world struct {
-	r        *rand.Rand
-	now      time.Duration
-	events   events
-	st       *Partition
-	index    uint64
-	sent     map[string]time.Duration // by this leader: when the first send was proposed
-	sessions uint64
-	token    uint64
-	highest  uint64 // token under which a deferred request was taken up
-	live     map[uint64]bool
-	ran      map[string]map[string][]time.Duration // by key and scope: executions that were no duplicates
-	fences   map[string]uint64
-	kind     map[string]Idempotency
-	final    map[string]string // by request: its final phase as first seen
-	bad      error
-	seen     map[Code]int
+// simulation is a partition with gateways that use it, may pause at any step for any time, and end. Its hosts
+// belong to scopes that drop duplicates of a key within dedupWindow, and reject fences lower than the highest
+// one received for the key.
+type simulation struct {
+	rng          *rand.Rand
+	now          time.Duration
+	events       events
+	partition    *Partition
+	index        uint64
+	firstSent    map[string]time.Duration // by request: when the current leader proposed its first OpSend
+	lastSession  uint64
+	lastToken    uint64
+	highestClaim uint64                                // highest token with which a deferred request was claimed
+	live         map[uint64]bool                       // sessions whose gateway is running
+	executions   map[string]map[string][]time.Duration // by key and scope: times of executions, without dropped duplicates
+	fences       map[string]uint64                     // by key: highest fence received by a host
+	idempotency  map[string]Idempotency                // by key
+	finalStates  map[string]string                     // by request: final phase and response
+	violation    error                                 // first violated invariant
+	codeCounts   map[Code]int                          // number of results with each code
 }
 
 type event struct {
@@ -60,245 +61,252 @@
 	return x
 }
 
-func (w *world) after(most time.Duration, do func()) {
-	heap.Push(&w.events, event{w.now + time.Duration(w.r.Int64N(int64(most))) + 1, do})
+// schedule schedules an event after a random delay of at most maxDelay.
+func (sim *simulation) schedule(maxDelay time.Duration, do func()) {
+	heap.Push(&sim.events, event{sim.now + time.Duration(sim.rng.Int64N(int64(maxDelay))) + 1, do})
 }
 
-// pauses is like after, but sometimes takes so long that all sessions and windows are over.
-func (w *world) pauses(do func()) {
-	if w.r.IntN(6) == 0 {
-		w.after(4*lasts, do)
+// scheduleOrPause schedules an event after a short delay, or with a probability of 1 in 6 after a delay of up to
+// 4*sessionTTL, in which sessions and deduplication windows may end.
+func (sim *simulation) scheduleOrPause(do func()) {
+	if sim.rng.IntN(6) == 0 {
+		sim.schedule(4*sessionTTL, do)
 		return
 	}
-	w.after(20*time.Millisecond, do)
+	sim.schedule(20*time.Millisecond, do)
 }
 
-// apply proposes a command now. Its result arrives later, at a gateway that may be gone.
-func (w *world) apply(c Command, then func(Result)) {
+// apply applies a command immediately and delivers its result later, when the gateway may have ended.
+func (sim *simulation) apply(c Command, then func(Result)) {
 	id := RequestID(c.Tenant, c.Key)
-	if at, ok := w.sent[id]; ok && w.now < at+window {
-		c.WindowLeft = at + window - w.now
+	if at, ok := sim.firstSent[id]; ok && sim.now < at+dedupWindow {
+		c.WindowLeft = at + dedupWindow - sim.now
 	}
-	w.index++
-	res := w.st.Apply(w.index, &c)
-	w.seen[res.Code]++
-	if _, ok := w.sent[id]; c.Op == OpSend && res.Code == OK && !ok {
-		w.sent[id] = w.now
+	sim.index++
+	res := sim.partition.Apply(sim.index, &c)
+	sim.codeCounts[res.Code]++
+	if _, ok := sim.firstSent[id]; c.Op == OpSend && res.Code == OK && !ok {
+		sim.firstSent[id] = sim.now
 	}
-	w.check(id)
-	if e := w.st.Requests[id]; c.Op == OpBegin && (res.Code == Execute || res.Code == Retry || res.Code == Completed) && e.Digest != c.Digest && w.bad == nil {
-		w.bad = fmt.Errorf("%s: another request was taken for it", c.Key)
+	sim.check(id)
+	if e := sim.partition.Requests[id]; c.Op == OpBegin && (res.Code == Execute || res.Code == Retry || res.Code == Completed) && e.Digest != c.Digest && sim.violation == nil {
+		sim.violation = fmt.Errorf("%s: a request with a different digest was treated as a duplicate", c.Key)
 	}
-	if c.Op == OpTakeUp && (res.Code == Execute || res.Code == Retry) {
-		if c.Token < w.highest && w.bad == nil {
-			w.bad = fmt.Errorf("%s was taken up under token %d after one under %d", c.Key, c.Token, w.highest)
+	if c.Op == OpClaim && (res.Code == Execute || res.Code == Retry) {
+		if c.Token < sim.highestClaim && sim.violation == nil {
+			sim.violation = fmt.Errorf("%s was claimed with token %d after a claim with token %d", c.Key, c.Token, sim.highestClaim)
 		}
-		w.highest = max(w.highest, c.Token)
+		sim.highestClaim = max(sim.highestClaim, c.Token)
 	}
-	w.after(30*time.Millisecond, func() { then(res) })
+	sim.schedule(30*time.Millisecond, func() { then(res) })
 }
 
-// check checks the invariants of a request, and the size that the partition counts.
-func (w *world) check(id string) {
-	if e := w.st.Requests[id]; e != nil && e.Phase.Final() {
+// check checks that a final request does not change, that no non-idempotent request stays in PhaseSending without
+// a session, and that the partition counts its size correctly.
+func (sim *simulation) check(id string) {
+	if e := sim.partition.Requests[id]; e != nil && e.Phase.Final() {
 		now := fmt.Sprint(e.Phase, e.Response)
-		if was := w.final[id]; was != "" && was != now && w.bad == nil {
-			w.bad = fmt.Errorf("%s was final as %s and is %s", id, was, now)
+		if was := sim.finalStates[id]; was != "" && was != now && sim.violation == nil {
+			sim.violation = fmt.Errorf("the final state of %s changed from %s to %s", id, was, now)
 		}
-		w.final[id] = now
+		sim.finalStates[id] = now
 	}
 	requests, size := 0, 0
-	for _, e := range w.st.Requests {
+	for _, e := range sim.partition.Requests {
 		requests, size = requests+1, size+e.size()
-		if e.Idempotency == NonIdempotent && e.Phase == PhaseSending && e.Session == 0 && w.bad == nil {
-			w.bad = fmt.Errorf("%s is non-idempotent, may have run, no session has it, and it has no final phase", e.Key)
+		if e.Idempotency == NonIdempotent && e.Phase == PhaseSending && e.Session == 0 && sim.violation == nil {
+			sim.violation = fmt.Errorf("%s is non-idempotent, may have been executed and is assigned to no session, but is not final", e.Key)
 		}
 	}
-	if size != w.st.Bytes && w.bad == nil {
-		w.bad = fmt.Errorf("%d requests have %d bytes, the partition counts %d", requests, size, w.st.Bytes)
+	if size != sim.partition.Bytes && sim.violation == nil {
+		sim.violation = fmt.Errorf("%d requests have a size of %d bytes, but the partition counts %d", requests, size, sim.partition.Bytes)
 	}
 }
 
-// run has a gateway send a request that it was given, and complete it.
-func (w *world) run(session uint64, c Command, res Result, until time.Duration) {
+// execute simulates a gateway that sends a request assigned to it and completes it. If until is not 0, the gateway
+// must send the request before that time.
+func (sim *simulation) execute(session uint64, c Command, res Result, until time.Duration) {
 	scope := res.Scope
-	if scope == "" || w.r.IntN(4) == 0 { // some gateways choose another scope
-		scope = fmt.Sprint("cell", w.r.IntN(2))
+	if scope == "" || sim.rng.IntN(4) == 0 { // some gateways choose another scope
+		scope = fmt.Sprint("cell", sim.rng.IntN(2))
 	}
-	w.apply(Command{Op: OpSend, Tenant: c.Tenant, Key: c.Key, Session: session, Fence: res.Fence, Scope: scope}, func(r Result) {
-		if r.Code != OK || !w.live[session] || until > 0 && w.now+20*time.Millisecond >= until {
+	sim.apply(Command{Op: OpSend, Tenant: c.Tenant, Key: c.Key, Session: session, Fence: res.Fence, Scope: scope}, func(r Result) {
+		if r.Code != OK || !sim.live[session] || until > 0 && sim.now+20*time.Millisecond >= until {
 			return
 		}
-		// Between its check and the first byte it may be paused. A gateway that sends a request with a key
-		// again may not: that is the one step that no fence and no host stops, see docs/design/copies.md.
-		step := w.pauses
+		// The gateway may be paused between this check and the first byte, except when it retries a request
+		// within the deduplication window: neither a fence nor a host would stop a delayed retry, see
+		// docs/design/copies.md.
+		step := sim.scheduleOrPause
 		if until > 0 {
-			step = func(do func()) { w.after(20*time.Millisecond, do) }
+			step = func(do func()) { sim.schedule(20*time.Millisecond, do) }
 		}
 		step(func() {
-			status, ok := w.host(c, scope, res.Fence)
-			if !ok || !w.live[session] || w.r.IntN(4) == 0 { // the response is lost
+			status, ok := sim.receive(c, scope, res.Fence)
+			if !ok || !sim.live[session] || sim.rng.IntN(4) == 0 { // the response is lost
 				return
 			}
-			w.after(answerIn, func() {
-				w.apply(Command{Op: OpComplete, Tenant: c.Tenant, Key: c.Key, Fence: res.Fence, Response: &Response{Status: status}}, func(Result) {})
+			sim.schedule(maxResponseDelay, func() {
+				sim.apply(Command{Op: OpComplete, Tenant: c.Tenant, Key: c.Key, Fence: res.Fence, Response: &Response{Status: status}}, func(Result) {})
 			})
 		})
 	})
 }
 
-// host is a request's arrival at a host of a scope.
-func (w *world) host(c Command, scope string, fence uint64) (status int, ok bool) {
-	if fence < w.fences[c.Key] {
+// receive simulates the arrival of a request at a host of a scope.
+func (sim *simulation) receive(c Command, scope string, fence uint64) (status int, ok bool) {
+	if fence < sim.fences[c.Key] {
 		return 0, false
 	}
-	w.fences[c.Key] = fence
-	if w.ran[c.Key] == nil {
-		w.ran[c.Key] = map[string][]time.Duration{}
+	sim.fences[c.Key] = fence
+	if sim.executions[c.Key] == nil {
+		sim.executions[c.Key] = map[string][]time.Duration{}
 	}
-	if l := w.ran[c.Key][scope]; len(l) > 0 && w.now < l[len(l)-1]+window {
+	if l := sim.executions[c.Key][scope]; len(l) > 0 && sim.now < l[len(l)-1]+dedupWindow {
 		return 200 + len(l), true // dropped as a duplicate
 	}
-	w.ran[c.Key][scope] = append(w.ran[c.Key][scope], w.now)
-	return 200 + len(w.ran[c.Key][scope]), true
+	sim.executions[c.Key][scope] = append(sim.executions[c.Key][scope], sim.now)
+	return 200 + len(sim.executions[c.Key][scope]), true
 }
 
-// client sends a request with one key at any gateway, again and again.
-func (w *world) client(key string, kind Idempotency, deferred bool) {
-	w.kind[key] = kind
-	if len(w.live) > 0 {
-		list := slices.Sorted(maps.Keys(w.live))
-		session := list[w.r.IntN(len(list))]
-		c := Command{Op: OpBegin, Session: session, Tenant: "t", Key: key, Digest: "d" + key, Idempotency: kind, Retention: time.Hour}
-		if w.r.IntN(20) == 0 {
+// client repeatedly sends requests with the same key to random gateways.
+func (sim *simulation) client(key string, idempotency Idempotency, deferred bool) {
+	sim.idempotency[key] = idempotency
+	if len(sim.live) > 0 {
+		list := slices.Sorted(maps.Keys(sim.live))
+		session := list[sim.rng.IntN(len(list))]
+		c := Command{Op: OpBegin, Session: session, Tenant: "t", Key: key, Digest: "d" + key, Idempotency: idempotency, Retention: time.Hour}
+		if sim.rng.IntN(20) == 0 {
 			c.Digest = "another"
 		}
-		proposed := w.now
+		proposed := sim.now
 		switch {
 		case deferred:
 			c.Op, c.DeliverWithin = OpDefer, 20*time.Second
-			if w.r.IntN(8) == 0 {
+			if sim.rng.IntN(8) == 0 {
 				c.Op = OpCancel
 			}
-			w.apply(c, func(Result) {})
+			sim.apply(c, func(Result) {})
 		default:
-			w.apply(c, func(r Result) {
+			sim.apply(c, func(r Result) {
 				switch r.Code {
 				case Execute, Retry:
 					until := time.Duration(0)
 					if r.WindowLeft > 0 {
 						until = proposed + r.WindowLeft
 					}
-					w.run(session, c, r, until)
+					sim.execute(session, c, r, until)
 				}
 			})
 		}
 	}
-	w.after(2*time.Second, func() { w.client(key, kind, deferred) })
+	sim.schedule(2*time.Second, func() { sim.client(key, idempotency, deferred) })
 }
 
-// deliver is a holder of the partition's lease that takes up deferred requests. It may be paused, and go on with
-// its old token.
-func (w *world) deliver(session, token uint64) {
-	if !w.live[session] {
+// deliver simulates a holder of the partition's lease that claims deferred requests. It may be paused and then
+// continue with an old token.
+func (sim *simulation) deliver(session, token uint64) {
+	if !sim.live[session] {
 		return
 	}
-	for _, id := range slices.Sorted(maps.Keys(w.st.Requests)) {
-		if e := w.st.Requests[id]; e.Deferred && !e.Phase.Final() {
-			c := Command{Op: OpTakeUp, Session: session, Token: token, Tenant: e.Tenant, Key: e.Key, Idempotency: e.Idempotency}
-			proposed := w.now
-			w.apply(c, func(r Result) {
+	for _, id := range slices.Sorted(maps.Keys(sim.partition.Requests)) {
+		if e := sim.partition.Requests[id]; e.Deferred && !e.Phase.Final() {
+			c := Command{Op: OpClaim, Session: session, Token: token, Tenant: e.Tenant, Key: e.Key, Idempotency: e.Idempotency}
+			proposed := sim.now
+			sim.apply(c, func(r Result) {
 				if r.Code == Execute || r.Code == Retry {
 					until := time.Duration(0)
 					if r.WindowLeft > 0 {
 						until = proposed + r.WindowLeft
 					}
-					w.run(session, c, r, until)
+					sim.execute(session, c, r, until)
 				}
 			})
 			break
 		}
 	}
-	w.pauses(func() { w.deliver(session, token) })
+	sim.scheduleOrPause(func() { sim.deliver(session, token) })
 }
 
-// gateway is a session; when it ends another begins.
-func (w *world) gateway() {
-	w.sessions++
-	s := w.sessions
-	w.live[s] = true
-	w.after(10*time.Second, func() {
-		w.apply(Command{Op: OpEndSession, Session: s}, func(Result) {})
-		// The gateway may go on without knowing; nobody else has its session.
-		w.after(2*lasts, func() { delete(w.live, s) })
-		w.gateway()
+// gateway simulates the session of a gateway. When the session ends, the next one begins.
+func (sim *simulation) gateway() {
+	sim.lastSession++
+	s := sim.lastSession
+	sim.live[s] = true
+	sim.schedule(10*time.Second, func() {
+		sim.apply(Command{Op: OpEndSession, Session: s}, func(Result) {})
+		// The gateway may continue for a while before it detects the end of its session. The session ID is not
+		// reused.
+		sim.schedule(2*sessionTTL, func() { delete(sim.live, s) })
+		sim.gateway()
 	})
-	w.after(4*time.Second, func() { w.token++; w.deliver(s, w.token) })
+	sim.schedule(4*time.Second, func() { sim.lastToken++; sim.deliver(s, sim.lastToken) })
 }
 
-// play plays a simulation by a seed.
-func play(seed uint64) (*world, error) {
-	w := &world{
-		r: rand.New(rand.NewPCG(seed, 7)), st: NewPartition(), sent: map[string]time.Duration{}, live: map[uint64]bool{}, ran: map[string]map[string][]time.Duration{},
-		fences: map[string]uint64{}, kind: map[string]Idempotency{}, final: map[string]string{}, seen: map[Code]int{},
+// simulate runs the simulation with a seed. It returns an error if an invariant was violated.
+func simulate(seed uint64) (*simulation, error) {
+	sim := &simulation{
+		rng: rand.New(rand.NewPCG(seed, 7)), partition: NewPartition(), firstSent: map[string]time.Duration{}, live: map[uint64]bool{}, executions: map[string]map[string][]time.Duration{},
+		fences: map[string]uint64{}, idempotency: map[string]Idempotency{}, finalStates: map[string]string{}, codeCounts: map[Code]int{},
 	}
 	for range 4 {
-		w.gateway()
+		sim.gateway()
 	}
 	for i := range 12 {
-		w.client(fmt.Sprint("k", i), []Idempotency{Idempotent, IdempotentWithKey, NonIdempotent}[i%3], i >= 6)
+		sim.client(fmt.Sprint("k", i), []Idempotency{Idempotent, IdempotentWithKey, NonIdempotent}[i%3], i >= 6)
 	}
 	var changeLeader func()
-	changeLeader = func() { // the new leader does not know when requests were sent
-		clear(w.sent)
-		w.st.Apply(w.index, &Command{Op: OpAdvanceClock, Elapsed: time.Second})
-		if back := NewPartition(); back.Decode(w.st.Encode()) != nil || !bytes.Equal(back.Encode(), w.st.Encode()) {
-			w.bad = fmt.Errorf("the partition is not restored from its snapshot")
+	changeLeader = func() { // the new leader has no record of when requests were first sent
+		clear(sim.firstSent)
+		sim.partition.Apply(sim.index, &Command{Op: OpAdvanceClock, Elapsed: time.Second})
+		if restored := NewPartition(); restored.Decode(sim.partition.Encode()) != nil || !bytes.Equal(restored.Encode(), sim.partition.Encode()) {
+			sim.violation = fmt.Errorf("the partition differs after encoding and decoding")
 		} else {
-			w.st = back
+			sim.partition = restored
 		}
-		w.after(10*time.Second, changeLeader)
+		sim.schedule(10*time.Second, changeLeader)
 	}
 	changeLeader()
-	for w.bad == nil && w.now < worldFor {
-		e := heap.Pop(&w.events).(event)
-		w.now = e.at
+	for sim.violation == nil && sim.now < simulatedTime {
+		e := heap.Pop(&sim.events).(event)
+		sim.now = e.at
 		e.do()
 	}
-	for key, scopes := range w.ran {
+	for key, scopes := range sim.executions {
 		runs := 0
 		for _, l := range scopes {
 			runs += len(l)
 		}
-		if w.kind[key] != Idempotent && runs > 1 && w.bad == nil {
-			w.bad = fmt.Errorf("%s, which is %s, ran %d times: %v", key, w.kind[key], runs, scopes)
+		if sim.idempotency[key] != Idempotent && runs > 1 && sim.violation == nil {
+			sim.violation = fmt.Errorf("%s, which is %s, was executed %d times: %v", key, sim.idempotency[key], runs, scopes)
 		}
 	}
-	if w.bad != nil {
-		return w, fmt.Errorf("seed %d at %v: %w", seed, w.now, w.bad)
+	if sim.violation != nil {
+		return sim, fmt.Errorf("seed %d at %v: %w", seed, sim.now, sim.violation)
 	}
-	return w, nil
+	return sim, nil
 }
 
-// Each failpoint is enabled in turn, in a build of its own, and the fault is found: see TestEachFailpoint.
+// TestFailpoints runs TestEachFailpoint in a build with failpoints.
 func TestFailpoints(t *testing.T) { testutil.FailpointBuild(t, failpoint.Available) }
 
-// No non-idempotent request and none with a key runs twice, whatever is paused where; a final phase stays; the
-// bytes are as counted. All results occur.
+// TestHistories runs random simulations and checks that no non-idempotent request and no request with a key is
+// executed twice, wherever gateways are paused, that final states do not change, and that the partition counts
+// its size correctly. It also checks that every result code except Full occurs.
 func TestHistories(t *testing.T) {
 	seen := map[Code]int{}
 	for seed := range uint64(150) {
-		w, err := play(seed)
+		sim, err := simulate(seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for c, n := range w.seen {
+		for c, n := range sim.codeCounts {
 			seen[c] += n
 		}
 	}
 	for _, c := range []Code{OK, Execute, Retry, InProgress, Completed, Indeterminate, KeyMismatch, Stale, UnknownRequest, Rejected} {
 		if seen[c] == 0 {
-			t.Errorf("%q never occurred", c)
+			t.Errorf("result code %q never occurred", c)
 		}
 	}
 	t.Log(seen)
--- a/internal/cluster/idempotency/keyed.go
+++ b/internal/cluster/idempotency/keyed.go
@@ -2,7 +2,8 @@
 
 import "dunemoor/internal/cluster/failpoint"
 
-// begin takes a request with a key that has arrived at a gateway; r is nil for the first with that key.
+// begin handles a request with a key that has arrived at a gateway. The stored request r is nil if this is
+// the first request with the key.
 func (p *Partition) begin(r *Request, c *Command) Result {
 	if c.Retention <= 0 || c.Retention > MaxRetention || !c.Idempotency.valid() {
 		return rejectf("a response is retained for at most %v, and a request is %s, %s or %s", MaxRetention, Idempotent, IdempotentWithKey, NonIdempotent)
@@ -32,8 +33,9 @@
 	return p.retryOrEnd(r, c)
 }
 
-// retryOrEnd gives a request that may have run, and that no gateway has, to the proposer, if its
-// idempotency allows another attempt. Else the request becomes indeterminate.
+// retryOrEnd handles a request that a former gateway, or a former holder of the partition's lease, may have
+// sent. It gives the request to the proposer if the idempotency of the request allows another attempt.
+// Otherwise the request becomes indeterminate.
 func (p *Partition) retryOrEnd(r *Request, c *Command) Result {
 	anywhere := r.Idempotency == Idempotent
 	inScope := r.Idempotency == IdempotentWithKey && (c.WindowLeft > 0 || failpoint.Enabled(failpoint.SendAfterWindow))
@@ -48,7 +50,7 @@
 	return Result{Code: Retry, Fence: r.Fence, Scope: r.Scope, WindowLeft: c.WindowLeft}
 }
 
-// send records an attempt before its first byte is sent.
+// send records an attempt, before the gateway sends its first byte.
 func (p *Partition) send(r *Request, c *Command) Result {
 	otherScope := r.Scope != "" && r.Scope != c.Scope
 	switch {
@@ -66,8 +68,8 @@
 	return Result{Code: OK, Fence: r.Fence}
 }
 
-// complete records a response. One that arrives after the request is final is noted, and changes
-// nothing.
+// complete records a response. If the request is already final or the fence is stale, it only records that a
+// late response has arrived.
 func (p *Partition) complete(r *Request, c *Command) Result {
 	switch {
 	case c.Response == nil || len(c.Response.Header)+len(c.Response.Body) > MaxResponseBytes:
@@ -82,7 +84,7 @@
 	return Result{Code: OK}
 }
 
-// completeAgain takes a response to a request that is final.
+// completeAgain handles a response to a request that is already final.
 func (p *Partition) completeAgain(r *Request, c *Command) Result {
 	if r.Phase == PhaseCompleted && r.Fence == c.Fence {
 		return Result{Code: OK} // a retry of the command
@@ -94,7 +96,7 @@
 	return Result{Code: Stale}
 }
 
-// abandon takes a gateway's report that no attempt of a request has run.
+// abandon handles a gateway's report that no attempt of a request has been executed.
 func (p *Partition) abandon(r *Request, c *Command) Result {
 	switch {
 	case r.Fence != c.Fence || r.Phase.Final():
--- a/internal/cluster/idempotency/partition.go
+++ b/internal/cluster/idempotency/partition.go
@@ -1,15 +1,15 @@
-// Package idempotency is the state machine of one partition of the requests that gateways keep for one
-// another: responses to requests with an idempotency key, so that a duplicate at any gateway has one
-// effect, and deferred requests, which were accepted for later delivery.
+// Package idempotency implements the state machine of one partition of the requests that are shared by all
+// gateways: requests with an idempotency key and their responses, so that duplicates at any gateway are
+// executed only once, and deferred requests, which were accepted for later delivery.
 //
-// It does no I/O and reads no clock. Commands come in the order of a replicated log, and the result of
-// each goes back to its proposer.
+// The package does no I/O and reads no clock. Commands are applied in the order of a replicated log, and
+// the result of each command is returned to its proposer.
 //
-// There are two times, as an error is harmless in one direction only. How long a request is retained is
-// counted by the partition's own clock, which leaders advance by what they have measured: it never runs
-// ahead, so that nothing is removed early. How long a duplicate may still be sent into the scope that
-// drops duplicates is counted by the leader that let the request begin: only that one knows when, and
-// for any other leader the window counts as over.
+// Time is measured in two ways, each of which can err only in the safe direction. The retention of requests
+// is measured by the partition's own clock, which leaders advance by the time that they have measured. This
+// clock may be slow but is never fast, so no request is removed early. The deduplication window, within
+// which a duplicate may be sent into a scope that drops duplicates, is measured by the leader that recorded
+// the first attempt. No other leader knows when the window began, so any other leader treats it as ended.
 package idempotency
 
 import (
@@ -22,21 +22,22 @@
 	"dunemoor/internal/cluster/failpoint"
 )
 
-// Limits of a partition. What exceeds them is rejected; nothing that was accepted is removed for it.
+// Limits of a partition. New requests that exceed them are rejected; accepted requests are never evicted.
 const (
-	MaxRequests = 16384    // 256 partitions have four million, of 200 bytes each in memory
-	MaxBytes    = 64 << 20 // that a replica may hold of one partition
-	// TenantShareDivisor is the reciprocal of the share of either that one tenant may use: a quarter.
+	MaxRequests = 16384    // 256 partitions store 4 million requests, with 200 bytes of memory overhead each
+	MaxBytes    = 64 << 20 // size of one partition on a replica
+	// TenantShareDivisor is the reciprocal of the share of MaxRequests and of MaxBytes that one tenant may
+	// use, which is a quarter.
 	TenantShareDivisor = 4
 	MaxKeyBytes        = 255
-	MaxResponseBytes   = 64 << 10 // as much as the gateway buffers of a response
+	MaxResponseBytes   = 64 << 10 // equals the response size that the gateway buffers
 	MaxBodyBytes       = 64 << 10
 	// MaxRetention bounds how long a response is kept, MaxDeferral how long a deferred request waits.
 	MaxRetention = 7 * 24 * time.Hour
 	MaxDeferral  = 24 * time.Hour
-	// requestOverhead is what a request uses beside its texts.
+	// requestOverhead is the memory in bytes that a request uses in addition to its variable-length fields.
 	requestOverhead = 200
-	// fullRetryAfter is the RetryAfter of a partition that is full.
+	// fullRetryAfter is the value of RetryAfter in results with the code Full.
 	fullRetryAfter = 5 * time.Second
 )
 
@@ -44,13 +45,13 @@
 type Partition struct {
 	Index    uint64                 `json:"index"`
 	Now      time.Duration          `json:"now"`             // the partition's clock
-	Token    uint64                 `json:"token,omitempty"` // the highest under which a request was taken up
+	Token    uint64                 `json:"token,omitempty"` // highest token with which a request was claimed
 	Requests map[string]*Request    `json:"entries"`         // by RequestID
 	Usage    map[string]TenantUsage `json:"held"`            // by tenant
 	Bytes    int                    `json:"bytes"`
 }
 
-// TenantUsage is what the requests of a tenant use.
+// TenantUsage is the number and the total size of the requests of a tenant.
 type TenantUsage struct {
 	Requests int `json:"n"`
 	Bytes    int `json:"b"`
@@ -65,12 +66,12 @@
 func (p *Partition) Encode() []byte {
 	b, err := json.Marshal(p)
 	if err != nil {
-		panic(err) // it consists of strings, numbers and bytes
+		panic(err) // unreachable: a partition consists of strings, numbers and bytes
 	}
 	return b
 }
 
-// Decode replaces the partition by one that Encode returned.
+// Decode replaces the partition with one that Encode returned.
 func (p *Partition) Decode(b []byte) error {
 	decoded := NewPartition()
 	if err := json.Unmarshal(b, decoded); err != nil {
@@ -80,14 +81,14 @@
 	return nil
 }
 
-// RequestID identifies the request of a tenant with a key.
+// RequestID returns the identifier of the request of a tenant with a key.
 func RequestID(tenant, key string) string { return fmt.Sprintf("%d %s %s", len(tenant), tenant, key) }
 
 func rejectf(format string, args ...any) Result {
 	return Result{Code: Rejected, Reason: fmt.Sprintf(format, args...)}
 }
 
-// Apply carries out the command at a log index and returns its outcome.
+// Apply applies the command at a log index and returns its result.
 func (p *Partition) Apply(index uint64, c *Command) Result {
 	p.Index = index
 	switch c.Op {
@@ -116,15 +117,16 @@
 		return p.complete(r, c)
 	case OpAbandon:
 		return p.abandon(r, c)
-	case OpTakeUp:
-		return p.takeUp(r, c)
+	case OpClaim:
+		return p.claim(r, c)
 	case OpCancel:
 		return p.cancel(r)
 	}
 	return rejectf("unknown command %q", c.Op)
 }
 
-// advanceClock advances the partition's clock, and removes what was retained for long enough.
+// advanceClock advances the partition's clock, removes final requests whose retention has ended, and expires
+// deferred requests that were not claimed in time.
 func (p *Partition) advanceClock(c *Command) Result {
 	if c.Elapsed > 0 {
 		p.Now += c.Elapsed
@@ -142,9 +144,9 @@
 	return Result{Code: OK}
 }
 
-// endSession frees the requests of a gateway whose session has ended. A request that was not sent is as
-// if it had not arrived; one that may have run is given to the next gateway that asks, or becomes
-// indeterminate, as its idempotency allows.
+// endSession frees the requests of a gateway whose session has ended. A request that was not sent is
+// removed, or waits again if it is deferred. A request that may have been executed becomes indeterminate if
+// it is non-idempotent; otherwise it is given to the next gateway that requests it, see retryOrEnd.
 func (p *Partition) endSession(c *Command) Result {
 	for _, id := range slices.Sorted(maps.Keys(p.Requests)) {
 		r := p.Requests[id]
@@ -164,7 +166,7 @@
 	return Result{Code: OK}
 }
 
-// add adds a request, where there is capacity for it.
+// add adds a request if there is capacity for it. Otherwise it returns a result with the code Full and false.
 func (p *Partition) add(r *Request) (Result, bool) {
 	used, size := p.Usage[r.Tenant], r.size()
 	full := len(p.Requests) >= MaxRequests || p.Bytes+size > MaxBytes
@@ -182,7 +184,7 @@
 	delete(p.Requests, id)
 }
 
-// count adds to what a tenant uses.
+// count adds to the usage of a tenant and to the size of the partition.
 func (p *Partition) count(tenant string, requests, bytes int) {
 	p.Bytes += bytes
 	used := p.Usage[tenant]
@@ -194,7 +196,7 @@
 	p.Usage[tenant] = used
 }
 
-// finish gives a request its final phase, in which it is retained from now on.
+// finish sets the final phase of a request and starts its retention.
 func (p *Partition) finish(r *Request, phase Phase, response *Response) {
 	before := r.size()
 	r.Phase, r.Response, r.Session, r.Body, r.ExpiresAt = phase, response, 0, nil, p.Now+r.Retention
