--- a/internal/cluster/placement/failpoints_test.go
+++ b/internal/cluster/placement/failpoints_test.go
@@ -10,10 +10,10 @@
 	"dunemoor/internal/testutil"
 )
 
-// Each failpoint is enabled in turn, and the plays find it.
+// TestEachFailpoint enables each failpoint in turn and checks that the simulations detect it.
 func TestEachFailpoint(t *testing.T) {
 	testutil.EachFailpoint(t, failpoint.Placement, failpoint.Enable, 60, func(seed uint64) error {
-		_, _, err := play(seed)
-		return errors.Join(err, playFew(seed))
+		_, _, err := simulate(seed)
+		return errors.Join(err, simulateFewMachines(seed))
 	})
 }
--- a/internal/cluster/placement/placement.go
+++ b/internal/cluster/placement/placement.go
@@ -1,11 +1,11 @@
-// Package placement decides which gateways hold the replicas of each partition, and by which steps the
-// replicas get there. It does no I/O and reads no clock: the holder of its lease describes the fleet in
-// a [Plan] and carries out the steps.
+// Package placement decides which gateways hold the replicas of each partition, and computes the steps that
+// move replicas there. It does no I/O and reads no clock: the holder of the placement lease describes the
+// fleet in a [Plan] and carries out the steps.
 //
-// Two replicas of a partition are never on one machine, nor in one zone while there are others. A
-// replica stays where it is unless its gateway is gone or holds far too much. A new one is placed by
-// rendezvous hashing among the gateways with capacity, so that a machine that comes or goes moves
-// little else.
+// Two replicas of a partition are never placed on the same machine, nor in the same zone while another zone
+// is available. A replica is not moved unless its gateway is down or heavily overloaded, or the move
+// separates zones or relieves an imbalance. A new replica is placed by rendezvous hashing among the gateways
+// with capacity, so that adding or removing a machine moves few other replicas.
 package placement
 
 import (
@@ -19,52 +19,54 @@
 )
 
 const (
-	// maxAssignedLoad is how much of its share a gateway may be assigned: with less more is moved than
-	// was lost, with more the loads differ more (docs/design/copies.md).
+	// maxAssignedLoad is the multiple of its share up to which a gateway is assigned new replicas. A lower
+	// value moves more replicas than were lost; a higher one makes the loads more uneven
+	// (docs/design/copies.md).
 	maxAssignedLoad = 1.25
-	// maxRetainedLoad is how much of its share a gateway may hold before a replica is moved from it only
-	// for balance. It is above what others hold for a machine that is away, so that one that comes back
-	// takes nothing from them. A gateway with up to underloadedShare of its share is given some.
+	// maxRetainedLoad is the multiple of its share above which replicas are moved from a gateway only for
+	// balance. It exceeds the load of gateways that have taken over replicas of a failed machine, so a
+	// machine that returns does not take replicas back from them. A gateway at or below underloadedShare of
+	// its share receives replicas.
 	maxRetainedLoad  = 1.5
 	underloadedShare = 0.5
-	// maxIncomingReplicas is how many replicas a gateway is brought up to at once: each uses the disk
-	// and the network that requests need.
+	// maxIncomingReplicas is the maximum number of learners that a gateway brings up at the same time, as
+	// each uses disk and network capacity that requests need.
 	maxIncomingReplicas = 2
-	// maxConcurrentSteps is how many partitions change at once in all.
+	// maxConcurrentSteps is the maximum number of partitions with a learner at the same time.
 	maxConcurrentSteps = 16
 )
 
 // Gateway is a gateway that can hold replicas.
 type Gateway struct {
 	Name, Machine, Zone string
-	Weight              float64 // share beside the others'; 0: it holds none
-	Up                  bool    // or silent for less than the time after which it is replaced
+	Weight              float64 // weight relative to other gateways; a gateway with weight 0 holds no replicas
+	Up                  bool    // true if the gateway is live, or has been silent for less than its replacement delay
 }
 
-// Partition is where the replicas of a partition are.
+// Partition describes the replicas of a partition.
 type Partition struct {
 	ID              int
-	Replicas        []string // gateways with a vote
-	Learner         string   // gateway that is being brought up; "": none
-	LearnerCaughtUp bool     // the learner has the log
+	Replicas        []string // gateways with a voting replica
+	Learner         string   // gateway with a learner that is being brought up, or empty
+	LearnerCaughtUp bool     // true if the learner has the log
 }
 
 // Plan describes the fleet.
 type Plan struct {
-	ReplicationFactor int // replicas of each partition
+	ReplicationFactor int // number of replicas of each partition
 	Partitions        []Partition
 	Gateways          []Gateway
 
-	// The rest is computed by Targets, by gateway.
+	// The fields below are computed by Targets. Their keys are gateway names.
 
 	byName map[string]*Gateway
-	load   map[string]int     // replicas that it is to hold
-	limit  map[string]int     // replicas that it may be assigned
-	share  map[string]float64 // replicas that it would hold if all were balanced
+	load   map[string]int     // number of replicas that the gateway should hold
+	limit  map[string]int     // number of replicas up to which the gateway is assigned new ones
+	share  map[string]float64 // number of replicas proportional to the gateway's weight
 }
 
-// rendezvousScore is a gateway's score for a partition: the highest wins, each gateway with a
-// probability proportional to its weight.
+// rendezvousScore returns the score of a gateway for a partition by weighted rendezvous hashing. The gateway
+// with the highest score is chosen; the probability of a gateway is proportional to its weight.
 func rendezvousScore(partition int, g *Gateway) float64 {
 	h := xxhash.New()
 	var b [8]byte
@@ -75,7 +77,7 @@
 	return -g.Weight / math.Log(uniform)
 }
 
-// prepare computes shares and limits.
+// prepare computes the shares and limits of all gateways.
 func (p *Plan) prepare() {
 	p.byName, p.load, p.limit, p.share = map[string]*Gateway{}, map[string]int{}, map[string]int{}, map[string]float64{}
 	total := 0.0
@@ -101,23 +103,23 @@
 	return g != nil && g.Up && g.Weight > 0
 }
 
-// Targets returns the gateways that should hold replicas, by partition: as many as ReplicationFactor
-// says, or as there are machines.
+// Targets returns the gateways that should hold replicas of each partition: ReplicationFactor gateways, or
+// one per machine if there are fewer machines.
 func (p *Plan) Targets() map[int][]string {
 	p.prepare()
 	targets := map[int][]string{}
 	missing := 0
-	for _, x := range p.Partitions {
-		targets[x.ID] = p.retained(x)
-		missing += p.ReplicationFactor - len(targets[x.ID])
+	for _, part := range p.Partitions {
+		targets[part.ID] = p.retained(part)
+		missing += p.ReplicationFactor - len(targets[part.ID])
 	}
-	for _, x := range p.Partitions {
-		for len(targets[x.ID]) < p.ReplicationFactor {
-			name := p.choose(x.ID, targets[x.ID])
+	for _, part := range p.Partitions {
+		for len(targets[part.ID]) < p.ReplicationFactor {
+			name := p.choose(part.ID, targets[part.ID])
 			if name == "" {
 				break // there are fewer machines than replicas
 			}
-			targets[x.ID] = append(targets[x.ID], name)
+			targets[part.ID] = append(targets[part.ID], name)
 			p.load[name]++
 		}
 	}
@@ -127,10 +129,10 @@
 	return targets
 }
 
-// retained returns the gateways of a partition that keep their replicas. A learner that is being
-// brought up is one of them.
-func (p *Plan) retained(x Partition) (names []string) {
-	for _, name := range append(slices.Clone(x.Replicas), x.Learner) {
+// retained returns the gateways of a partition that keep their replicas, including a learner that is being
+// brought up.
+func (p *Plan) retained(part Partition) (names []string) {
+	for _, name := range append(slices.Clone(part.Replicas), part.Learner) {
 		if p.usable(name) && len(names) < p.ReplicationFactor && p.separated(names, name, false) {
 			names = append(names, name)
 			p.load[name]++
@@ -139,8 +141,8 @@
 	return names
 }
 
-// separated reports whether a gateway is on another machine than those with replicas, and with zones in
-// another zone too.
+// separated reports whether a gateway is on a different machine than all holders, and if zones is set, also
+// in a different zone.
 func (p *Plan) separated(holders []string, name string, zones bool) bool {
 	g := p.byName[name]
 	for _, holder := range holders {
@@ -154,9 +156,10 @@
 	return true
 }
 
-// choose returns the gateway for one more replica: one in a zone of its own and under its limit, else
-// one in a zone of its own, else one under its limit, else any; "" where there is none. Over their
-// limits the one with the least load for its weight is chosen.
+// choose returns the gateway for an additional replica, or "" if there is none. It prefers, in this order,
+// gateways in a separate zone and under their limit, gateways in a separate zone, gateways under their
+// limit, and any other gateways. If limits are ignored, it chooses the gateway with the lowest load relative
+// to its weight.
 func (p *Plan) choose(partition int, holders []string) string {
 	for _, strict := range []struct{ zones, limit bool }{{true, true}, {true, false}, {false, true}, {false, false}} {
 		best, bestScore := "", 0.0
@@ -180,20 +183,19 @@
 	return ""
 }
 
-// rebalance moves one replica where that helps: from a gateway that shares a zone with another replica
-// while there is a zone without one; from a gateway that holds far too much; to one that holds far too
-// little.
+// rebalance moves at most one replica: from a gateway that shares a zone with another replica although there
+// is a zone without one, from an overloaded gateway, or to an underloaded one.
 func (p *Plan) rebalance(targets map[int][]string) {
 	underloaded := p.underloaded()
-	for _, x := range p.Partitions {
-		holders := targets[x.ID]
+	for _, part := range p.Partitions {
+		holders := targets[part.ID]
 		for i, from := range holders {
 			others := slices.Delete(slices.Clone(holders), i, i+1)
-			to := p.moveTarget(x.ID, others, from, underloaded)
+			to := p.moveTarget(part.ID, others, from, underloaded)
 			if to == "" {
 				continue
 			}
-			targets[x.ID] = append(others, to)
+			targets[part.ID] = append(others, to)
 			p.load[from]--
 			p.load[to]++
 			return
@@ -201,7 +203,7 @@
 	}
 }
 
-// underloaded returns the gateway with the least load of those with far too little; "": there is none.
+// underloaded returns the underloaded gateway with the lowest load, or "" if there is none.
 func (p *Plan) underloaded() (best string) {
 	for i := range p.Gateways {
 		name := p.Gateways[i].Name
@@ -212,7 +214,7 @@
 	return best
 }
 
-// moveTarget returns the gateway that a replica is moved to; "": it stays.
+// moveTarget returns the gateway to which a replica should be moved, or "" if it should not be moved.
 func (p *Plan) moveTarget(partition int, others []string, from, underloaded string) string {
 	ownZone := p.separated(others, from, true)
 	to, load := p.choose(partition, others), float64(p.load[from])
--- a/internal/cluster/placement/placement_test.go
+++ b/internal/cluster/placement/placement_test.go
@@ -10,35 +10,35 @@
 	"dunemoor/internal/testutil"
 )
 
-// fleet carries out the steps of a plan while machines come and go.
+// fleet simulates a fleet that carries out the steps of a plan while machines fail and return.
 type fleet struct {
 	Plan
-	r     *rand.Rand
-	seed  uint64
-	moved int // learners that were added
-	bad   error
+	rng       *rand.Rand
+	seed      uint64
+	moved     int   // number of learners that were added
+	violation error // first violated invariant
 }
 
 func (f *fleet) fail(format string, args ...any) {
-	if f.bad == nil {
-		f.bad = fmt.Errorf("seed %d: %s", f.seed, fmt.Sprintf(format, args...))
+	if f.violation == nil {
+		f.violation = fmt.Errorf("seed %d: %s", f.seed, fmt.Sprintf(format, args...))
 	}
 }
 
 func newFleet(seed uint64, partitions, machines int) *fleet {
-	f := &fleet{r: rand.New(rand.NewPCG(seed, 1)), seed: seed}
+	f := &fleet{rng: rand.New(rand.NewPCG(seed, 1)), seed: seed}
 	f.ReplicationFactor = 3
 	for i := range partitions {
 		f.Partitions = append(f.Partitions, Partition{ID: i})
 	}
 	for i := range machines {
-		for k := range 1 + f.r.IntN(2) { // one or two gateways a machine
+		for k := range 1 + f.rng.IntN(2) { // one or two gateways a machine
 			f.Gateways = append(f.Gateways, Gateway{
-				Name: fmt.Sprintf("g%d-%d", i, k), Machine: fmt.Sprint("m", i), Zone: fmt.Sprint("z", i%4), Weight: []float64{1, 1, 2}[f.r.IntN(3)], Up: true,
+				Name: fmt.Sprintf("g%d-%d", i, k), Machine: fmt.Sprint("m", i), Zone: fmt.Sprint("z", i%4), Weight: []float64{1, 1, 2}[f.rng.IntN(3)], Up: true,
 			})
 		}
 	}
-	// A partition begins with its target replicas.
+	// Each partition starts with its target replicas.
 	targets := f.Targets()
 	for i := range f.Partitions {
 		f.Partitions[i].Replicas = targets[i]
@@ -46,13 +46,13 @@
 	return f
 }
 
-// check checks the invariants of all partitions.
+// check checks that no two replicas of a partition are on the same machine.
 func (f *fleet) check() {
-	for _, s := range f.Partitions {
+	for _, part := range f.Partitions {
 		machines := map[string]bool{}
-		for _, c := range s.Replicas {
-			if m := f.byName[c].Machine; machines[m] {
-				f.fail("partition %d has two replicas on a machine: %v", s.ID, s.Replicas)
+		for _, gateway := range part.Replicas {
+			if m := f.byName[gateway].Machine; machines[m] {
+				f.fail("partition %d has two replicas on the same machine: %v", part.ID, part.Replicas)
 			} else {
 				machines[m] = true
 			}
@@ -60,168 +60,171 @@
 	}
 }
 
-// step carries out some of the next steps, and reports whether there are any.
+// step carries out a random selection of the next steps, and checks that each is allowed. It reports whether
+// further steps may follow.
 func (f *fleet) step() bool {
 	steps := f.NextSteps()
 	seen := map[int]bool{}
-	for _, st := range steps {
-		s := &f.Partitions[st.Partition]
-		if seen[st.Partition] {
-			f.fail("two changes of partition %d at once: %+v", st.Partition, steps)
+	for _, s := range steps {
+		part := &f.Partitions[s.Partition]
+		if seen[s.Partition] {
+			f.fail("two steps for partition %d at the same time: %+v", s.Partition, steps)
 		}
-		seen[st.Partition] = true
-		if f.r.IntN(4) == 0 {
-			continue // it failed
+		seen[s.Partition] = true
+		if f.rng.IntN(4) == 0 {
+			continue // the step fails
 		}
-		before := f.countUp(s.Replicas)
-		if 2*before <= len(s.Replicas) && st.Remove != s.Learner {
-			f.fail("%+v of partition %d, of whose %d replicas %d are up: it can't be committed", st, st.Partition, len(s.Replicas), before)
+		before := f.countUp(part.Replicas)
+		if 2*before <= len(part.Replicas) && s.Remove != part.Learner {
+			f.fail("step %+v of partition %d can't be committed: of its %d replicas only %d are up", s, s.Partition, len(part.Replicas), before)
 		}
 		switch {
-		case st.AddLearner != "":
-			s.Learner, s.LearnerCaughtUp = st.AddLearner, false
+		case s.AddLearner != "":
+			part.Learner, part.LearnerCaughtUp = s.AddLearner, false
 			f.moved++
 			continue
-		case st.Promote != "":
-			if !s.LearnerCaughtUp {
-				f.fail("%s is promoted before it has caught up", st.Promote)
+		case s.Promote != "":
+			if !part.LearnerCaughtUp {
+				f.fail("learner %s is promoted before it has caught up", s.Promote)
 			}
-			s.Replicas, s.Learner, s.LearnerCaughtUp = append(s.Replicas, st.Promote), "", false
-		case st.Remove == s.Learner:
-			s.Learner, s.LearnerCaughtUp = "", false
+			part.Replicas, part.Learner, part.LearnerCaughtUp = append(part.Replicas, s.Promote), "", false
+		case s.Remove == part.Learner:
+			part.Learner, part.LearnerCaughtUp = "", false
 			continue
 		}
-		s.Replicas = slices.DeleteFunc(s.Replicas, func(c string) bool { return c == st.Remove })
-		if now := f.countUp(s.Replicas); 2*now <= len(s.Replicas) || now < min(before, f.ReplicationFactor) {
-			f.fail("partition %d has %d of %d replicas up after %+v, %d before", s.ID, now, len(s.Replicas), st, before)
+		part.Replicas = slices.DeleteFunc(part.Replicas, func(gateway string) bool { return gateway == s.Remove })
+		if now := f.countUp(part.Replicas); 2*now <= len(part.Replicas) || now < min(before, f.ReplicationFactor) {
+			f.fail("partition %d has %d of %d replicas up after step %+v, and %d before", part.ID, now, len(part.Replicas), s, before)
 		}
 	}
-	open := len(steps) > 0
+	more := len(steps) > 0
 	for i := range f.Partitions {
-		if s := &f.Partitions[i]; s.Learner != "" && f.usable(s.Learner) && !s.LearnerCaughtUp && f.r.IntN(3) > 0 {
-			s.LearnerCaughtUp, open = true, true
+		if part := &f.Partitions[i]; part.Learner != "" && f.usable(part.Learner) && !part.LearnerCaughtUp && f.rng.IntN(3) > 0 {
+			part.LearnerCaughtUp, more = true, true
 		}
 	}
 	f.check()
-	for _, s := range f.Partitions {
-		open = open || s.Learner != "" && !s.LearnerCaughtUp // a learner that has caught up may wait for a majority
+	for _, part := range f.Partitions {
+		more = more || part.Learner != "" && !part.LearnerCaughtUp // a learner that has caught up may wait for a majority
 	}
-	return open
+	return more
 }
 
-// settle carries out steps until none is left.
+// settle carries out steps until none are left.
 func (f *fleet) settle() {
 	for range 20_000 {
-		if f.bad != nil || !f.step() {
+		if f.violation != nil || !f.step() {
 			return
 		}
 	}
-	f.fail("the steps do not end")
+	f.fail("the steps did not terminate")
 }
 
-// machine sets all gateways of a machine up or down, and returns how many replicas they have.
-func (f *fleet) machine(name string, up bool) (held int) {
+// setMachineUp marks all gateways of a machine as up or down, and returns the number of their replicas.
+func (f *fleet) setMachineUp(name string, up bool) (replicaCount int) {
 	for i := range f.Gateways {
 		if g := &f.Gateways[i]; g.Machine == name {
 			g.Up = up
-			for _, s := range f.Partitions {
-				if slices.Contains(s.Replicas, g.Name) {
-					held++
+			for _, part := range f.Partitions {
+				if slices.Contains(part.Replicas, g.Name) {
+					replicaCount++
 				}
 			}
 		}
 	}
-	return held
+	return replicaCount
 }
 
-// play loses machines, one or two at once, and has them return. It returns how many replicas were moved for each
-// that was lost: for the losses alone, and with those that returned machines were given.
-func play(seed uint64) (worst, total float64, err error) {
+// simulate lets one or two machines at a time fail and return. It returns the number of moved replicas per lost
+// replica: without the replicas that were moved after the machines had returned, and with them.
+func simulate(seed uint64) (afterLoss, total float64, err error) {
 	f := newFleet(seed, 64, 8+int(seed%5))
 	f.settle()
-	lost, back := 0, 0
+	lost, movedBack := 0, 0
 	f.moved = 0
 	for range 3 {
-		names := []string{fmt.Sprint("m", f.r.IntN(8))}
+		names := []string{fmt.Sprint("m", f.rng.IntN(8))}
 		if seed%4 == 3 {
-			names = append(names, fmt.Sprint("m", f.r.IntN(8)))
+			names = append(names, fmt.Sprint("m", f.rng.IntN(8)))
 		}
 		for _, name := range names {
-			lost += f.machine(name, false)
-			for range f.r.IntN(12) {
+			lost += f.setMachineUp(name, false)
+			for range f.rng.IntN(12) {
 				f.step()
 			}
 		}
 		f.settle()
 		moved := f.moved
 		for _, name := range names {
-			f.machine(name, true)
+			f.setMachineUp(name, true)
 		}
 		f.settle()
-		back += f.moved - moved
+		movedBack += f.moved - moved
 	}
 	f.prepare()
-	held := map[string]int{}
-	for _, s := range f.Partitions {
-		if f.countUp(s.Replicas) != f.ReplicationFactor || len(s.Replicas) != f.ReplicationFactor {
-			f.fail("partition %d has %v", s.ID, s.Replicas)
-		}
-		for i, c := range s.Replicas {
-			held[c]++
-			if !f.separated(s.Replicas[:i], c, true) {
-				f.fail("partition %d has two replicas in a zone: %v", s.ID, s.Replicas)
+	replicaCount := map[string]int{}
+	for _, part := range f.Partitions {
+		if f.countUp(part.Replicas) != f.ReplicationFactor || len(part.Replicas) != f.ReplicationFactor {
+			f.fail("partition %d has missing or unavailable replicas, or too many: %v", part.ID, part.Replicas)
+		}
+		for i, gateway := range part.Replicas {
+			replicaCount[gateway]++
+			if !f.separated(part.Replicas[:i], gateway, true) {
+				f.fail("partition %d has two replicas in the same zone: %v", part.ID, part.Replicas)
 			}
 		}
 	}
-	for name, n := range held {
+	for name, n := range replicaCount {
 		if float64(n) > maxRetainedLoad*f.share[name]+1 {
-			f.fail("%s has %d replicas, its share is %.1f", name, n, f.share[name])
+			f.fail("gateway %s is overloaded: it has %d replicas, and its share is %.1f", name, n, f.share[name])
 		}
 	}
-	return float64(f.moved-back) / float64(lost), float64(f.moved) / float64(lost), f.bad
+	return float64(f.moved-movedBack) / float64(lost), float64(f.moved) / float64(lost), f.violation
 }
 
-// Machines are lost with their disks and return, at any moment: replicas are never on one machine, a partition
-// never loses its majority by a step, all have their replicas in the end, in zones of their own, and at most 1.5
-// times as many are moved as were lost.
+// TestMachinesComeAndGo lets machines fail with their disks and return at random times. It checks that two replicas
+// of a partition are never on the same machine, that no step costs a partition its majority, that in the end all
+// partitions have all replicas in separate zones, and that at most 1.5 times as many replicas are moved as were lost.
 func TestMachinesComeAndGo(t *testing.T) {
 	most, all := 0.0, 0.0
 	for seed := range uint64(60) {
-		worst, total, err := play(seed)
+		afterLoss, total, err := simulate(seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		most, all = max(most, worst), max(all, total)
+		most, all = max(most, afterLoss), max(all, total)
 	}
-	t.Logf("moved at most %.2f times what was lost, and %.2f with what returned machines were given", most, all)
+	t.Logf("replicas moved per lost replica: at most %.2f, or %.2f with those moved after machines had returned", most, all)
 	if most > 1.5 {
-		t.Errorf("moved %.2f times what was lost", most)
+		t.Errorf("replicas moved per lost replica: got %.2f, want at most 1.5", most)
 	}
 }
 
-// Each failpoint is enabled in turn, in a build of its own, and the fault is found: see TestEachFailpoint.
+// TestFailpoints runs TestEachFailpoint in a build with failpoints.
 func TestFailpoints(t *testing.T) { testutil.FailpointBuild(t, failpoint.Available) }
 
-// playFew has fewer machines than replicas: each has one, and nothing is moved; a gateway without weight has none.
-func playFew(seed uint64) error {
+// simulateFewMachines checks a fleet with fewer machines than replicas per partition: each machine holds one replica
+// of every partition, and a gateway with weight 0 receives none.
+func simulateFewMachines(seed uint64) error {
 	f := newFleet(seed, 16, 2)
 	f.settle()
 	f.check()
-	for _, s := range f.Partitions {
-		if len(s.Replicas) != 2 {
-			f.fail("partition %d has %v", s.ID, s.Replicas)
+	for _, part := range f.Partitions {
+		if len(part.Replicas) != 2 {
+			f.fail("partition %d has other than 2 replicas: %v", part.ID, part.Replicas)
 		}
 	}
 	f.Gateways = append(f.Gateways, Gateway{Name: "none", Machine: "m9", Zone: "z9", Up: true})
 	if f.step() {
-		f.fail("a gateway without weight is given replicas")
+		f.fail("a gateway with weight 0 was assigned replicas")
 	}
-	return f.bad
+	return f.violation
 }
 
+// TestFewMachines runs simulateFewMachines with several seeds.
 func TestFewMachines(t *testing.T) {
 	for seed := range uint64(20) {
-		if err := playFew(seed); err != nil {
+		if err := simulateFewMachines(seed); err != nil {
 			t.Error(err)
 		}
 	}
--- a/internal/cluster/placement/steps.go
+++ b/internal/cluster/placement/steps.go
@@ -7,45 +7,45 @@
 	"dunemoor/internal/cluster/failpoint"
 )
 
-// Step is one change of one partition.
+// Step is one configuration change of one partition.
 type Step struct {
 	Partition  int
-	AddLearner string // gateway to bring up
-	Promote    string // learner to give a vote
-	Remove     string // replica to remove, in the same joint change
+	AddLearner string // gateway on which a learner is added
+	Promote    string // learner to promote to a voter
+	Remove     string // replica to remove, in the same joint configuration change
 }
 
-// NextSteps returns the steps that can be taken now towards the targets: one for each partition, none
-// that leaves it without a majority of live replicas, and none that removes a replica before its
-// successor has a vote.
+// NextSteps returns the steps towards the targets that can be taken now, at most one for each partition. No
+// step leaves a partition without a majority of live replicas, or removes a replica before its successor has
+// a vote.
 func (p *Plan) NextSteps() (steps []Step) {
 	targets := p.Targets()
 	incoming, changing := map[string]int{}, 0
-	for _, x := range p.Partitions {
-		if x.Learner != "" {
-			incoming[x.Learner]++
+	for _, part := range p.Partitions {
+		if part.Learner != "" {
+			incoming[part.Learner]++
 			changing++
 		}
 	}
 	partitions := slices.Clone(p.Partitions)
-	slices.SortStableFunc(partitions, func(a, b Partition) int { // those with the fewest live replicas first
+	slices.SortStableFunc(partitions, func(a, b Partition) int { // partitions with the fewest live replicas first
 		return cmp.Compare(p.countUp(a.Replicas), p.countUp(b.Replicas))
 	})
-	for _, x := range partitions {
-		surplus := p.surplus(x, targets[x.ID])
+	for _, part := range partitions {
+		surplus := p.surplus(part, targets[part.ID])
 		switch {
-		case x.Learner != "":
-			steps = append(steps, p.learnerStep(x, surplus)...)
-		case (len(x.Replicas) > p.ReplicationFactor || failpoint.Enabled(failpoint.RemoveBeforePromote)) && surplus != "":
-			if s := (Step{Partition: x.ID, Remove: surplus}); p.keepsMajority(x, s) {
+		case part.Learner != "":
+			steps = append(steps, p.learnerStep(part, surplus)...)
+		case (len(part.Replicas) > p.ReplicationFactor || failpoint.Enabled(failpoint.RemoveBeforePromote)) && surplus != "":
+			if s := (Step{Partition: part.ID, Remove: surplus}); p.keepsMajority(part, s) {
 				steps = append(steps, s)
 			}
 		default:
-			for _, name := range targets[x.ID] {
-				if !slices.Contains(x.Replicas, name) && incoming[name] < maxIncomingReplicas && changing < maxConcurrentSteps && p.keepsMajority(x, Step{}) {
+			for _, name := range targets[part.ID] {
+				if !slices.Contains(part.Replicas, name) && incoming[name] < maxIncomingReplicas && changing < maxConcurrentSteps && p.keepsMajority(part, Step{}) {
 					incoming[name]++
 					changing++
-					steps = append(steps, Step{Partition: x.ID, AddLearner: name})
+					steps = append(steps, Step{Partition: part.ID, AddLearner: name})
 					break
 				}
 			}
@@ -54,28 +54,28 @@
 	return steps
 }
 
-// learnerStep returns the step for a partition with a learner, if there is one.
-func (p *Plan) learnerStep(x Partition, surplus string) []Step {
-	if !p.usable(x.Learner) {
-		return []Step{{Partition: x.ID, Remove: x.Learner}}
+// learnerStep returns the next step for a partition with a learner, if one can be taken.
+func (p *Plan) learnerStep(part Partition, surplus string) []Step {
+	if !p.usable(part.Learner) {
+		return []Step{{Partition: part.ID, Remove: part.Learner}}
 	}
-	if !x.LearnerCaughtUp {
+	if !part.LearnerCaughtUp {
 		return nil
 	}
-	s := Step{Partition: x.ID, Promote: x.Learner, Remove: surplus}
-	if len(x.Replicas) < p.ReplicationFactor && surplus != "" && p.countUp(x.Replicas) == len(x.Replicas) {
-		s.Remove = "" // all replicas are live, and one is missing
+	s := Step{Partition: part.ID, Promote: part.Learner, Remove: surplus}
+	if len(part.Replicas) < p.ReplicationFactor && surplus != "" && p.countUp(part.Replicas) == len(part.Replicas) {
+		s.Remove = "" // all replicas are live and one is missing, so none has to be replaced
 	}
-	if !p.keepsMajority(x, s) {
+	if !p.keepsMajority(part, s) {
 		return nil
 	}
 	return []Step{s}
 }
 
-// surplus returns a replica that is not among the targets, one that is down before one that is up; "":
-// there is none.
-func (p *Plan) surplus(x Partition, targets []string) (surplus string) {
-	for _, name := range x.Replicas {
+// surplus returns a replica that is not among the targets, or "" if there is none. It prefers a replica that
+// is down to one that is up.
+func (p *Plan) surplus(part Partition, targets []string) (surplus string) {
+	for _, name := range part.Replicas {
 		if !slices.Contains(targets, name) && (surplus == "" || p.isUp(surplus) && !p.isUp(name)) {
 			surplus = name
 		}
@@ -97,12 +97,12 @@
 	return n
 }
 
-// keepsMajority reports whether most replicas are up before a step and after it.
-func (p *Plan) keepsMajority(x Partition, s Step) bool {
-	after := slices.DeleteFunc(slices.Clone(x.Replicas), func(name string) bool { return name == s.Remove })
+// keepsMajority reports whether a majority of the replicas is up before a step and after it.
+func (p *Plan) keepsMajority(part Partition, s Step) bool {
+	after := slices.DeleteFunc(slices.Clone(part.Replicas), func(name string) bool { return name == s.Remove })
 	if s.Promote != "" {
 		after = append(after, s.Promote)
 	}
 	majority := func(replicas []string) bool { return 2*p.countUp(replicas) > len(replicas) }
-	return majority(x.Replicas) && majority(after) || failpoint.Enabled(failpoint.SkipMajorityCheck)
+	return majority(part.Replicas) && majority(after) || failpoint.Enabled(failpoint.SkipMajorityCheck)
 }
