--- a/internal/cluster/idempotency/idempotency_test.go
+++ b/internal/cluster/idempotency/idempotency_test.go
@@ -89,7 +89,7 @@
 		sim.firstSent[id] = sim.now
 	}
 	sim.check(id)
-	if e := sim.partition.Requests[id]; c.Op == OpBegin && (res.Code == Execute || res.Code == Retry || res.Code == Completed) && e.Digest != c.Digest && sim.violation == nil {
+	if request := sim.partition.Requests[id]; c.Op == OpBegin && (res.Code == Execute || res.Code == Retry || res.Code == Completed) && request.Digest != c.Digest && sim.violation == nil {
 		sim.violation = fmt.Errorf("%s: a request with a different digest was treated as a duplicate", c.Key)
 	}
 	if c.Op == OpClaim && (res.Code == Execute || res.Code == Retry) {
@@ -104,18 +104,18 @@
 // check checks that a final request does not change, that no non-idempotent request stays in PhaseSending without
 // a session, and that the partition counts its size correctly.
 func (sim *simulation) check(id string) {
-	if e := sim.partition.Requests[id]; e != nil && e.Phase.Final() {
-		now := fmt.Sprint(e.Phase, e.Response)
+	if request := sim.partition.Requests[id]; request != nil && request.Phase.Final() {
+		now := fmt.Sprint(request.Phase, request.Response)
 		if was := sim.finalStates[id]; was != "" && was != now && sim.violation == nil {
 			sim.violation = fmt.Errorf("the final state of %s changed from %s to %s", id, was, now)
 		}
 		sim.finalStates[id] = now
 	}
 	requests, size := 0, 0
-	for _, e := range sim.partition.Requests {
-		requests, size = requests+1, size+e.size()
-		if e.Idempotency == NonIdempotent && e.Phase == PhaseSending && e.Session == 0 && sim.violation == nil {
-			sim.violation = fmt.Errorf("%s is non-idempotent, may have been executed and is assigned to no session, but is not final", e.Key)
+	for _, request := range sim.partition.Requests {
+		requests, size = requests+1, size+request.size()
+		if request.Idempotency == NonIdempotent && request.Phase == PhaseSending && request.Session == 0 && sim.violation == nil {
+			sim.violation = fmt.Errorf("%s is non-idempotent, may have been executed and is assigned to no session, but is not final", request.Key)
 		}
 	}
 	if size != sim.partition.Bytes && sim.violation == nil {
@@ -210,8 +210,8 @@
 		return
 	}
 	for _, id := range slices.Sorted(maps.Keys(sim.partition.Requests)) {
-		if e := sim.partition.Requests[id]; e.Deferred && !e.Phase.Final() {
-			c := Command{Op: OpClaim, Session: session, Token: token, Tenant: e.Tenant, Key: e.Key, Idempotency: e.Idempotency}
+		if request := sim.partition.Requests[id]; request.Deferred && !request.Phase.Final() {
+			c := Command{Op: OpClaim, Session: session, Token: token, Tenant: request.Tenant, Key: request.Key, Idempotency: request.Idempotency}
 			proposed := sim.now
 			sim.apply(c, func(r Result) {
 				if r.Code == Execute || r.Code == Retry {
@@ -231,16 +231,16 @@
 // gateway simulates the session of a gateway. When the session ends, the next one begins.
 func (sim *simulation) gateway() {
 	sim.lastSession++
-	s := sim.lastSession
-	sim.live[s] = true
+	session := sim.lastSession
+	sim.live[session] = true
 	sim.schedule(10*time.Second, func() {
-		sim.apply(Command{Op: OpEndSession, Session: s}, func(Result) {})
+		sim.apply(Command{Op: OpEndSession, Session: session}, func(Result) {})
 		// The gateway may continue for a while before it detects the end of its session. The session ID is not
 		// reused.
-		sim.schedule(2*sessionTTL, func() { delete(sim.live, s) })
+		sim.schedule(2*sessionTTL, func() { delete(sim.live, session) })
 		sim.gateway()
 	})
-	sim.schedule(4*time.Second, func() { sim.lastToken++; sim.deliver(s, sim.lastToken) })
+	sim.schedule(4*time.Second, func() { sim.lastToken++; sim.deliver(session, sim.lastToken) })
 }
 
 // simulate runs the simulation with a seed. It returns an error if an invariant was violated.
--- a/internal/cluster/idempotency/partition.go
+++ b/internal/cluster/idempotency/partition.go
@@ -1,6 +1,6 @@
 // Package idempotency implements the state machine of one partition of the requests that are shared by all
-// gateways: requests with an idempotency key and their responses, so that duplicates at any gateway are
-// executed only once, and deferred requests, which were accepted for later delivery.
+// gateways: requests with an idempotency key and their responses, so that duplicates at any gateway have a
+// single effect, and deferred requests, which were accepted for later delivery.
 //
 // The package does no I/O and reads no clock. Commands are applied in the order of a replicated log, and
 // the result of each command is returned to its proposer.
@@ -9,7 +9,8 @@
 // is measured by the partition's own clock, which leaders advance by the time that they have measured. This
 // clock may be slow but is never fast, so no request is removed early. The deduplication window, within
 // which a duplicate may be sent into a scope that drops duplicates, is measured by the leader that recorded
-// the first attempt. No other leader knows when the window began, so any other leader treats it as ended.
+// the first attempt. The beginning of the window is not replicated, so any other leader treats the window as
+// ended.
 package idempotency
 
 import (
@@ -24,7 +25,7 @@
 
 // Limits of a partition. New requests that exceed them are rejected; accepted requests are never evicted.
 const (
-	MaxRequests = 16384    // 256 partitions store 4 million requests, with 200 bytes of memory overhead each
+	MaxRequests = 16384    // 256 partitions store 4 million requests, of 200 bytes of memory each
 	MaxBytes    = 64 << 20 // size of one partition on a replica
 	// TenantShareDivisor is the reciprocal of the share of MaxRequests and of MaxBytes that one tenant may
 	// use, which is a quarter.
