--- a/internal/cluster/idempotency/command.go
+++ b/internal/cluster/idempotency/command.go
@@ -55,9 +55,11 @@
 
 // Values of Code.
 const (
-	OK             Code = "ok"
-	Execute        Code = "run"      // the proposer must send the request, using Fence
-	Retry          Code = "again"    // the proposer must send the request again, using Fence; if Scope is set, only into Scope and within WindowLeft
+	OK      Code = "ok"
+	Execute Code = "run" // the proposer must send the request, using Fence
+	// Retry tells the proposer to send the request again, using Fence. If Scope is set, it must be sent into
+	// Scope and within WindowLeft.
+	Retry          Code = "again"
 	InProgress     Code = "running"  // a gateway is executing the request, or the request is deferred
 	Completed      Code = "done"     // the request is final, with Response if it has one
 	Indeterminate  Code = "in doubt" // the request may have been executed, and is never sent again
--- a/internal/cluster/idempotency/request.go
+++ b/internal/cluster/idempotency/request.go
@@ -44,8 +44,8 @@
 	Phase       Phase       `json:"phase"`
 	Session     uint64      `json:"session,omitempty"` // session of the gateway to which the request is assigned
 	Token       uint64      `json:"token,omitempty"`   // token with which a deferred request was claimed
-	Fence       uint64      `json:"fence"`             // log index of the command that last assigned or freed the request
-	Scope       string      `json:"group,omitempty"`   // scope into which the request was sent; empty before the first attempt
+	Fence       uint64      `json:"fence"`             // log index at which the request was last assigned or freed
+	Scope       string      `json:"group,omitempty"`   // scope of the attempts; empty before the first one
 	Sends       int         `json:"sends,omitempty"`   // number of attempts of all gateways
 	Response    *Response   `json:"answer,omitempty"`
 	Body        []byte      `json:"body,omitempty"` // body of a deferred request; removed when it is final
--- a/internal/cluster/lease/lease.go
+++ b/internal/cluster/lease/lease.go
@@ -54,7 +54,7 @@
 	Token         uint64            `json:"token"` // fencing token of the current or last grant
 	SinceRevision uint64            `json:"since"` // revision at which the lease was granted or freed
 	TransferTo    string            `json:"to,omitempty"`
-	ReleasedBy    string            `json:"avoid,omitempty"` // member that released the lease: the least preferred candidate
+	ReleasedBy    string            `json:"avoid,omitempty"` // member that released it: the least preferred candidate
 	ModRevision   uint64            `json:"mod"`
 	Values        map[string]string `json:"values,omitempty"`
 }
--- a/internal/cluster/multiraft/node.go
+++ b/internal/cluster/multiraft/node.go
@@ -404,7 +404,8 @@
 	PersistedTerm, LastIndex uint64
 	IsLeader                 bool
 	Conf                     *raftpb.ConfState
-	Match                    map[uint64]uint64 // highest log index known to be stored by each replica; set only at the leader
+	// Match is the highest log index that each replica is known to have stored. It is set only at the leader.
+	Match map[uint64]uint64
 }
 
 // Status returns the status of a group. It reports false if the group does not exist on this node.
--- a/internal/cluster/node/messages.go
+++ b/internal/cluster/node/messages.go
@@ -54,14 +54,15 @@
 // HelloReply is the reply to a Hello.
 type HelloReply struct {
 	ReplicaID uint64 `json:"replica"`       // ReplicaID of the Hello
-	Objection string `json:"why,omitempty"` // why the sender's disk must be an older copy; empty if there is no objection
+	Objection string `json:"why,omitempty"` // why the disk must be an older copy; empty if there is no objection
 }
 
 // RenewRequest is a request to renew a session.
 type RenewRequest struct {
-	Session       uint64 `json:"session"`
-	Seq           uint64 `json:"seq"`
-	AckedSeq      uint64 `json:"heard"`          // last Seq with a reply; renewals of a gateway that receives no replies are not accepted
+	Session uint64 `json:"session"`
+	Seq     uint64 `json:"seq"`
+	// AckedSeq is the last Seq with a reply. Renewals of a gateway that receives no replies are not accepted.
+	AckedSeq      uint64 `json:"heard"`
 	KnownRevision uint64 `json:"known"`          // revision of the sender's view
 	Compact       bool   `json:"lean,omitempty"` // requests a compact delta
 }
@@ -73,7 +74,7 @@
 	Session     uint64            `json:"session"`
 	Seq         uint64            `json:"seq,omitempty"`
 	Expired     bool              `json:"gone,omitempty"`  // the session does not exist
-	Unconfirmed bool              `json:"again,omitempty"` // the session was not renewed; the gateway must acknowledge this reply first
+	Unconfirmed bool              `json:"again,omitempty"` // not renewed: the gateway must first acknowledge this reply
 	Leader      string            `json:"lead,omitempty"`  // name of the leader, if it is not the sender
 	Term        uint64            `json:"term,omitempty"`
 	Delta       *lease.StateDelta `json:"view,omitempty"`
--- a/internal/cluster/node/status.go
+++ b/internal/cluster/node/status.go
@@ -47,7 +47,9 @@
 	Reason          string `json:"reason,omitempty"`
 	CreatedBy       string `json:"by"` // gateway that received the operator's request
 	CreatedRevision uint64 `json:"since"`
-	RemainingMS     int64  `json:"left_ms"` // last recorded remaining duration, updated every minute; 0 if it does not expire
+	// RemainingMS is Override.Remaining as last received. The leader records that value every minute. It is 0
+	// if the override does not expire.
+	RemainingMS int64 `json:"left_ms"`
 }
 
 // MemberStatus is the status of one gateway of the fleet.
