--- a/internal/cluster/transport/accept.go
+++ b/internal/cluster/transport/accept.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// acceptRetryDelay is the pause after a connection could not be accepted.
+	// acceptRetryDelay is the delay after a connection could not be accepted.
 	acceptRetryDelay = 50 * time.Millisecond
-	// frameReadBuffer is the size of the buffer of a connection for frames.
+	// frameReadBuffer is the size of the read buffer of a connection for frames.
 	frameReadBuffer = 64 << 10
 )
 
 // remotePeer is the gateway at the other end of an incoming connection for frames.
 type remotePeer struct {
-	name      string
-	replicaID uint64
-	heardAt   atomic.Int64 // when its last frame arrived, in nanoseconds since the Transport was made
+	name       string
+	replicaID  uint64
+	receivedAt atomic.Int64 // when its last frame arrived, in nanoseconds since Transport.startedAt
 }
 
 // acceptLoop accepts connections and serves each on a goroutine of its own.
@@ -46,19 +46,19 @@
 			conn.Close()
 			continue
 		}
-		serving := t.run(func() {
+		started := t.run(func() {
 			t.serve(conn)
 			conn.Close()
 			t.removeConn(conn)
 		})
-		if !serving {
+		if !started {
 			conn.Close()
 			return
 		}
 	}
 }
 
-// addConn notes an incoming connection. It reports false where there are too many.
+// addConn registers an incoming connection. It returns false if there are too many.
 func (t *Transport) addConn(conn net.Conn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -75,8 +75,9 @@
 	delete(t.conns, conn)
 }
 
-// validate returns why a connection for a purpose is rejected. Beside what Config says, a name belongs
-// to one gateway: while one with another disk is connected under it, a second is rejected.
+// validate returns why a connection for a purpose is rejected, or nil. In addition to the checks of Config, a
+// name belongs to one gateway: while a gateway with another disk is connected under the name, a second one is
+// rejected.
 func (t *Transport) validate(purpose byte, h *node.Hello) error {
 	if purpose == purposeStream {
 		if !t.cfg.AcceptStreams {
@@ -93,7 +94,7 @@
 		if r == nil || r.name != h.Name || r.replicaID == h.ReplicaID {
 			continue
 		}
-		if t.sinceStart()-time.Duration(r.heardAt.Load()) < silenceTimeout {
+		if t.sinceStart()-time.Duration(r.receivedAt.Load()) < silenceTimeout {
 			return fmt.Errorf("another gateway with the name %s is connected", h.Name)
 		}
 	}
@@ -117,7 +118,7 @@
 	}
 }
 
-// logRejected logs a connection that was rejected. Other failures of a handshake are not logged.
+// logRejected counts and logs a connection that was rejected. Other failures of a handshake are not logged.
 func (t *Transport) logRejected(conn net.Conn, purpose byte, err error) {
 	if !isRejection(err) {
 		return
@@ -145,7 +146,7 @@
 			t.countMalformed(h.Name, err)
 			return
 		}
-		remote.heardAt.Store(int64(t.sinceStart()))
+		remote.receivedAt.Store(int64(t.sinceStart()))
 		if kind == kindKeepalive {
 			continue
 		}
@@ -154,11 +155,11 @@
 	}
 }
 
-// replaceConn makes a connection the only one from its gateway: an earlier one may be of a process that
-// has ended.
+// replaceConn makes a connection the only one from its gateway. It closes an earlier one, which may be from a
+// process that has ended.
 func (t *Transport) replaceConn(conn net.Conn, h *node.Hello) *remotePeer {
 	remote := &remotePeer{name: h.Name, replicaID: h.ReplicaID}
-	remote.heardAt.Store(int64(t.sinceStart()))
+	remote.receivedAt.Store(int64(t.sinceStart()))
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for previous, r := range t.conns {
@@ -170,7 +171,7 @@
 	return remote
 }
 
-// countMalformed counts and logs a frame that is malformed.
+// countMalformed counts and logs an error that a malformed frame has caused.
 func (t *Transport) countMalformed(gateway string, err error) {
 	if errors.Is(err, ErrFrameChecksum) || errors.Is(err, ErrFrameTooLarge) {
 		t.Counters.FramesMalformed.Add(1)
--- a/internal/cluster/transport/close_test.go
+++ b/internal/cluster/transport/close_test.go
@@ -6,8 +6,8 @@
 	"dunemoor/internal/cluster/relay"
 )
 
-// The loop that owns a Transport may dial while another goroutine closes it: Close waits for what was started
-// before, and nothing is started after.
+// Dial may be called while another goroutine calls Close. Close waits for the goroutines
+// of earlier dials, and later dials start none.
 func TestCloseWaitsForDialsInProgress(t *testing.T) {
 	for range 200 {
 		gateway := newGateway(t, "g1", "key")
--- a/internal/cluster/transport/frame.go
+++ b/internal/cluster/transport/frame.go
@@ -9,23 +9,23 @@
 	"io"
 )
 
-// A frame is, in bytes: 4 of body length, 1 of kind, 4 of a CRC-32C of kind and body, and the body.
-// Numbers are little-endian.
+// A frame consists of the length of the body (4 bytes), the kind (1 byte), a CRC-32C of kind and body (4
+// bytes), and the body. Numbers are little-endian.
 const (
 	frameKindOffset  = 4
 	frameSumOffset   = 5
 	frameHeaderBytes = 9
-	// maxFrameBytes bounds the body of a frame: the messages of one turn to one gateway. Snapshots are
-	// longer and are sent in chunks.
+	// maxFrameBytes is the maximum size of the body of a frame, which has the messages of one turn of the loop
+	// to one gateway. Snapshots may be larger and are sent in chunks.
 	maxFrameBytes = 8 << 20
-	// kindKeepalive is a frame that only shows that the sender is alive.
+	// kindKeepalive is the kind of a frame without content, which shows that the sender is alive.
 	kindKeepalive = 0
 )
 
-// Errors of ReadFrame. What follows on the connection can't be trusted to be a frame.
+// Errors of ReadFrame. After one of them, the rest of the connection can't be parsed as frames.
 var (
-	ErrFrameTooLarge = errors.New("frame is larger than any that is sent")
-	ErrFrameChecksum = errors.New("frame has a wrong checksum")
+	ErrFrameTooLarge = errors.New("frame exceeds the maximum size")
+	ErrFrameChecksum = errors.New("frame checksum mismatch")
 )
 
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
@@ -68,7 +68,7 @@
 	return kind, body, nil
 }
 
-// readExactly reads n bytes. It allocates memory only as they arrive: a length is only a claim.
+// readExactly reads n bytes. It allocates memory only as data arrives, because the sender may claim any length.
 func readExactly(r io.Reader, n int) ([]byte, error) {
 	const step = 64 << 10
 	b := make([]byte, 0, min(n, step))
@@ -85,7 +85,7 @@
 	return b, nil
 }
 
-// readPrefixed reads bytes after their length, which has 2 bytes, little-endian.
+// readPrefixed reads bytes after their length, which has 2 bytes, little-endian, and must not exceed limit.
 func readPrefixed(r io.Reader, limit int) ([]byte, error) {
 	var prefix [2]byte
 	if _, err := io.ReadFull(r, prefix[:]); err != nil {
@@ -93,7 +93,7 @@
 	}
 	n := int(binary.LittleEndian.Uint16(prefix[:]))
 	if n > limit {
-		return nil, fmt.Errorf("a handshake has %d bytes, %d at most", n, limit)
+		return nil, fmt.Errorf("handshake text has %d bytes, the limit is %d", n, limit)
 	}
 	return readExactly(r, n)
 }
--- a/internal/cluster/transport/frame_test.go
+++ b/internal/cluster/transport/frame_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// A frame is read as it was written, and one with any bit changed is not read as another: kind and body are under
-// the checksum, and a wrong length breaks it.
+// A frame is read as it was written, and a frame with any bit changed is rejected: the checksum covers kind and
+// body, and does not match if the length is wrong.
 func TestReadFrameReturnsWrittenAndRejectsChangedFrames(t *testing.T) {
 	const wantKind = 7
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -29,7 +29,7 @@
 	}
 }
 
-// Whatever arrives, reading ends and takes no more memory than has arrived.
+// Reading arbitrary bytes ends, and returns no body that is larger than the input.
 func FuzzReadFrame(f *testing.F) {
 	f.Add(AppendFrame(nil, 1, []byte("body")))
 	f.Add([]byte{255, 255, 127, 0, 1, 0, 0, 0, 0})
--- a/internal/cluster/transport/handshake.go
+++ b/internal/cluster/transport/handshake.go
@@ -14,16 +14,16 @@
 	"dunemoor/internal/cluster/node"
 )
 
-// In the handshake a dialler D and an acceptor A prove to one another that they know the fleet's key,
-// by HMAC-SHA-256 over a letter for the step, both nonces and the text that is sent:
+// In the handshake a dialler D and an acceptor A prove to each other that they have the fleet's key, by an
+// HMAC-SHA-256 over a letter for the step, both nonces and the text of the step:
 //
 //	D: "dunemoor" version purpose nonceD[16]
 //	A: "dunemoor" version nonceA[16] mac("A", nonceD, nonceA)[32]
 //	D: mac("D", nonceD, nonceA, helloD)[32] length[2] helloD
 //	A: mac("B", nonceD, nonceA, result)[32] length[2] result
 //
-// The result is A's hello, or says why D is rejected. Letters and nonces keep any part from being
-// replayed, to the other side or at another time. What follows the handshake is not signed.
+// The result is A's hello, or the reason why D is rejected. Letters and nonces prevent any part from being
+// replayed, to the other side or in another handshake. Data after the handshake is not authenticated.
 const (
 	magic            = "dunemoor"
 	protocolVersion  = 1
@@ -50,13 +50,13 @@
 	Rejection string      `json:"refused,omitempty"`
 }
 
-// ErrWrongKey is returned where the other side does not know the fleet's key.
+// ErrWrongKey is returned if the other side does not have the fleet's key.
 var ErrWrongKey = errors.New("the other side does not know the fleet's key")
 
-// errVersion is returned for another protocol or version.
+// errVersion is returned if the other side uses another protocol or version.
 var errVersion = fmt.Errorf("the other side does not use version %d of the protocol", protocolVersion)
 
-// RejectedError is returned where one side rejects the other.
+// RejectedError is returned if one side rejects the other.
 type RejectedError struct {
 	ByPeer bool // the other side has rejected this one
 	Reason string
@@ -69,7 +69,7 @@
 	return "refused: " + e.Reason
 }
 
-// isRejection reports whether an error means that one of the two sides does not want the other.
+// isRejection reports whether an error means that one of the two sides has rejected the other.
 func isRejection(err error) bool {
 	var r *RejectedError
 	return errors.As(err, &r) || errors.Is(err, ErrWrongKey)
@@ -87,14 +87,14 @@
 
 func newNonce() []byte {
 	b := make([]byte, nonceSize)
-	rand.Read(b) // it never fails
+	rand.Read(b) // rand.Read never returns an error
 	return b
 }
 
-// prologue returns the first bytes of each side.
+// prologue returns the bytes that each side sends first.
 func prologue() []byte { return append([]byte(magic), protocolVersion) }
 
-// readPrologue reads the first bytes of the other side and n bytes that follow.
+// readPrologue reads the prologue of the other side, and returns the n bytes that follow it.
 func readPrologue(c net.Conn, n int) ([]byte, error) {
 	start := len(magic) + 1
 	b := make([]byte, start+n)
@@ -113,7 +113,7 @@
 	return err
 }
 
-// readSigned reads a text and checks its authentication code.
+// readSigned reads a text and verifies its authentication code.
 func readSigned(c net.Conn, key []byte, step byte, nonceD, nonceA []byte) ([]byte, error) {
 	code := make([]byte, macSize)
 	if _, err := io.ReadFull(c, code); err != nil {
@@ -129,8 +129,8 @@
 	return text, nil
 }
 
-// handshakeDial makes the handshake on a connection that this side has dialled, and returns the other
-// side's hello.
+// handshakeDial performs the handshake on a connection that this side has dialled, and returns the other side's
+// hello.
 func handshakeDial(c net.Conn, key []byte, purpose byte, deadline time.Time, hello func() node.Hello, validate func(*node.Hello) error) (*node.Hello, error) {
 	c.SetDeadline(deadline)
 	defer c.SetDeadline(time.Time{})
@@ -169,8 +169,8 @@
 	return result.Hello, nil
 }
 
-// handshakeAccept makes the handshake on a connection that was accepted, and returns the other side's
-// hello. The purpose is returned with an error too, once it was read.
+// handshakeAccept performs the handshake on an accepted connection, and returns the other side's hello. Once
+// the purpose was read, it is returned with errors too.
 func handshakeAccept(c net.Conn, key []byte, hello func() node.Hello, validate func(purpose byte, h *node.Hello) error) (purpose byte, _ *node.Hello, _ error) {
 	c.SetDeadline(time.Now().Add(handshakeTimeout))
 	defer c.SetDeadline(time.Time{})
--- a/internal/cluster/transport/peer.go
+++ b/internal/cluster/transport/peer.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// peerConn is the outgoing connection to one peer, with the frames that wait for it.
+// peerConn is the outgoing connection to one peer, with the queue of frames for it.
 type peerConn struct {
 	name, addr string
-	wake       chan struct{} // a frame was added to the queue
+	wake       chan struct{} // signals that a frame was added to the queue
 
 	mu         sync.Mutex
 	queue      [][]byte
@@ -24,7 +24,7 @@
 	logged string // last logged state; used by maintain only
 }
 
-// enqueue adds a frame to the queue. It reports false where there is no room.
+// enqueue adds a frame to the queue. It returns false if there is no room for it.
 func (p *peerConn) enqueue(kind byte, body []byte) bool {
 	f := AppendFrame(nil, kind, body)
 	p.mu.Lock()
@@ -39,12 +39,12 @@
 	}
 	select {
 	case p.wake <- struct{}{}:
-	default: // it was woken already
+	default: // a signal is pending already
 	}
 	return true
 }
 
-// takeQueue empties the queue.
+// takeQueue empties the queue and returns its frames.
 func (p *peerConn) takeQueue() (frames net.Buffers, bytes int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -59,7 +59,7 @@
 	p.conn = conn
 }
 
-// close closes the present connection.
+// close closes the current connection.
 func (p *peerConn) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -68,11 +68,11 @@
 	}
 }
 
-// maintain keeps a connection to a peer, dialling again with a growing delay.
+// maintain keeps a connection to a peer, and dials again with an increasing delay after a failure.
 func (t *Transport) maintain(p *peerConn) {
 	delay := minRedialDelay
 	for t.ctx.Err() == nil {
-		dialled := time.Now()
+		dialledAt := time.Now()
 		err := t.runConn(p)
 		if t.ctx.Err() != nil {
 			return
@@ -81,7 +81,7 @@
 		lost, _ := p.takeQueue() // of no use to the next process at that address
 		t.Counters.FramesLost.Add(uint64(len(lost)))
 		t.logState(p, err)
-		if time.Since(dialled) > maxRedialDelay {
+		if time.Since(dialledAt) > maxRedialDelay {
 			delay = minRedialDelay
 		}
 		select {
@@ -92,8 +92,8 @@
 	}
 }
 
-// stateDown is the logged state of a peer that can't be reached: the errors of the system differ each
-// time, in a port number.
+// stateDown is the logged state of a peer that can't be reached. It replaces the error of the operating system,
+// which contains a port number and so differs each time.
 const stateDown = "down"
 
 // connState returns the state to log for an error, and whether the connection was rejected.
@@ -104,7 +104,7 @@
 	return stateDown, false
 }
 
-// logState logs that there is no connection to a peer, when the state changes.
+// logState logs that a connection to a peer has failed, if the state has changed.
 func (t *Transport) logState(p *peerConn, err error) {
 	state, rejected := connState(err)
 	if rejected {
@@ -138,10 +138,10 @@
 	return conn, nil
 }
 
-// errConnEnded is the end of a connection by its peer.
-var errConnEnded = errors.New("the peer has closed the connection")
+// errConnEnded is the error of a connection that its peer has closed.
+var errConnEnded = errors.New("connection closed by the peer")
 
-// runConn connects to a peer and sends the frames that are queued for it, until that fails.
+// runConn connects to a peer and sends the frames that are queued for it until the connection fails.
 func (t *Transport) runConn(p *peerConn) error {
 	conn, err := t.dialPeer(p, purposeFrames)
 	if err != nil {
@@ -159,7 +159,7 @@
 	go func() {
 		defer close(ended)
 		var b [1]byte
-		conn.Read(b[:]) // the peer sends nothing on this connection: this returns at its end
+		conn.Read(b[:]) // the peer sends nothing on this connection: Read returns when it ends
 	}()
 	keepalive := time.NewTicker(keepaliveInterval)
 	defer keepalive.Stop()
@@ -185,7 +185,7 @@
 	}
 }
 
-// writeFrames writes frames of so many bytes together.
+// writeFrames writes frames with a total size of bytes in one call.
 func (t *Transport) writeFrames(conn net.Conn, frames net.Buffers, bytes int) error {
 	n := len(frames)
 	conn.SetWriteDeadline(time.Now().Add(writeTimeout))
--- a/internal/cluster/transport/peer_test.go
+++ b/internal/cluster/transport/peer_test.go
@@ -21,7 +21,7 @@
 	mu        sync.Mutex
 	hellos    []string // names of the senders
 	frames    []string // as describeFrame returns them
-	snapshots []bool   // results of snapshots sent
+	snapshots []bool   // results of the snapshots that the gateway has sent
 }
 
 func (p *testPeer) ReceiveHello(h node.Hello) {
@@ -61,8 +61,8 @@
 	return len(p.frames)
 }
 
-// newPeers returns two gateways that are peers, each with a key. proxy returns the address at which a gateway reaches
-// the other, given that at which the other listens.
+// newPeers returns the gateways a and b, which are peers, each with its key of keys. proxy returns the address
+// at which a gateway reaches the other, given the address at which the other listens.
 func newPeers(t *testing.T, keys [2]string, proxy func(address string) string) (peers [2]*testPeer) {
 	t.Helper()
 	var listeners [2]net.Listener
@@ -93,7 +93,8 @@
 	testutil.WaitUntil(t, "both have connected", func() bool { return peers[0].helloCount() > 0 && peers[1].helloCount() > 0 })
 }
 
-// Frames arrive in the order in which they were sent, after the hello, and a snapshot beside them.
+// Frames arrive in the order in which they were sent, after the hello. A snapshot arrives too, and its sender
+// is notified.
 func TestPeerReceivesFramesInOrderAndSnapshot(t *testing.T) {
 	peers := newPeers(t, [2]string{"key", "key"}, noProxy)
 	sender, receiver := peers[0], peers[1]
@@ -120,7 +121,7 @@
 	}
 }
 
-// Keepalive frames count as sent, and are not delivered.
+// Keepalive frames are counted as sent, but are not delivered.
 func TestKeepaliveFramesAreCountedAndNotDelivered(t *testing.T) {
 	peers := newPeers(t, [2]string{"key", "key"}, noProxy)
 	for i := range peers {
@@ -134,7 +135,7 @@
 	}
 }
 
-// A peer with another key is rejected, on either side.
+// A peer with another key is rejected on both sides.
 func TestPeerWithOtherKeyIsRejected(t *testing.T) {
 	peers := newPeers(t, [2]string{"key", "other"}, noProxy)
 	testutil.WaitUntil(t, "both are rejected", func() bool {
@@ -145,8 +146,8 @@
 	}
 }
 
-// newInterruptingProxy returns a proxy that ends the first connection after a number of bytes; it forwards the next
-// ones to their end.
+// newInterruptingProxy returns a function that starts a proxy for an address. The proxy closes the first
+// connection on which it has forwarded afterBytes bytes, and does not interrupt the others.
 func newInterruptingProxy(t *testing.T, afterBytes int64) func(address string) string {
 	return func(address string) string {
 		listener := testutil.Listen(t, "127.0.0.1:0", nil)
@@ -185,7 +186,7 @@
 	}
 }
 
-// A snapshot that is interrupted resumes where it was.
+// A snapshot whose transfer is interrupted is resumed and arrives complete.
 func TestSnapshotResumesAfterInterruption(t *testing.T) {
 	peers := newPeers(t, [2]string{"key", "key"}, newInterruptingProxy(t, 1<<20))
 	waitUntilConnected(t, peers)
--- a/internal/cluster/transport/snapshot.go
+++ b/internal/cluster/transport/snapshot.go
@@ -13,14 +13,15 @@
 	"dunemoor/internal/cluster/node"
 )
 
-// A snapshot has a connection of its own, so that it does not delay frames. The sender's first frame
-// is a header, which the receiver answers with 8 bytes: the offset to continue from. Chunks follow as
-// frames, and the receiver confirms the whole with a byte of 1. A snapshot that was cut off continues
-// from there.
+// A snapshot has a connection of its own, so that it does not delay frames. The sender's first frame is a
+// header, to which the receiver replies with 8 bytes: the offset to start from. The rest follows in chunks, one
+// per frame, and the receiver confirms the whole snapshot with a byte of 1. If the transfer is interrupted, the
+// next attempt starts from what has arrived.
 const (
 	chunkBytes       = 256 << 10
 	maxSnapshotBytes = 256 << 20
-	// maxPartialSnapshots and partialSnapshotTTL bound what is kept of snapshots that were cut off.
+	// maxPartialSnapshots and partialSnapshotTTL limit the number and age of interrupted snapshots that are
+	// kept.
 	maxPartialSnapshots = 4
 	partialSnapshotTTL  = 2 * time.Minute
 	snapshotAttempts    = 5
@@ -35,13 +36,14 @@
 	SHA256 []byte `json:"sum"`
 }
 
-// partialSnapshot is what has arrived of a snapshot that was cut off.
+// partialSnapshot is what has arrived of an interrupted snapshot.
 type partialSnapshot struct {
 	data []byte
 	at   time.Time
 }
 
-// sendSnapshot sends a snapshot, in several attempts if needed, and reports whether it was confirmed.
+// sendSnapshot sends a snapshot, in several attempts if needed, and reports whether the receiver has confirmed
+// it.
 func (t *Transport) sendSnapshot(p *peerConn, f *node.Frame) bool {
 	for i := range snapshotAttempts {
 		err := t.sendSnapshotOnce(p, f)
@@ -136,7 +138,7 @@
 	return h, h.Size >= 0 && h.Size <= maxSnapshotBytes
 }
 
-// takePartial returns what was kept of a snapshot.
+// takePartial removes and returns what was kept of a snapshot.
 func (t *Transport) takePartial(id string) []byte {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -148,7 +150,7 @@
 	return p.data
 }
 
-// keepPartial keeps what has arrived of a snapshot for a while.
+// keepPartial keeps what has arrived of a snapshot for the next attempt, and removes old ones.
 func (t *Transport) keepPartial(id string, data []byte) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/cluster/transport/stream.go
+++ b/internal/cluster/transport/stream.go
@@ -15,60 +15,60 @@
 )
 
 const (
-	// maxWriteStall is how long a write of a stream may take while more than relay.MaxQueueBytes wait
-	// behind it. An endpoint list may be larger than that, and is sent at once if its receiver reads.
+	// maxWriteStall is how long a write on a stream may take while more than relay.MaxQueueBytes are queued. An
+	// endpoint list may be larger than that, and is sent at once if its receiver reads.
 	maxWriteStall = 100 * time.Millisecond
-	// streamReadBuffer is the size of a stream's buffer, and streamSendBuffer what the operating system
-	// keeps of what is sent: a relay has 1,200 streams.
+	// streamReadBuffer is the size of a stream's read buffer, and streamSendBuffer that of its send buffer in
+	// the operating system. They are small because a relay has 1,200 streams.
 	streamReadBuffer = 4 << 10
 	streamSendBuffer = 64 << 10
-	// minSharedBody is from which size on a body is not copied: a body that is sent to all streams is
-	// shared by them.
+	// minSharedBody is the size from which on a body is queued without a copy: a body that is sent on all
+	// streams is shared by them.
 	minSharedBody = 4 << 10
-	// maxLoggedRejections bounds what is remembered of logged rejections.
+	// maxLoggedRejections is the maximum number of logged rejections that are remembered.
 	maxLoggedRejections = 64
 )
 
-// StreamHandler takes what arrives by streams. It is called by many goroutines, for one stream in
-// order.
+// StreamHandler handles the frames and the end of streams. It is called by several goroutines, but in order for
+// each stream.
 type StreamHandler interface {
-	// StreamFrame brings a frame. The first of a stream that was accepted is a join request, the first
-	// of one that was dialled the reply to it.
+	// StreamFrame is called with each frame. The first frame of an accepted stream is a join request, and the
+	// first of a dialled stream is the reply to it.
 	StreamFrame(s *Stream, kind node.Kind, body []byte)
-	// StreamEnded is called last, once.
+	// StreamEnded is the last call for a stream. It is called once.
 	StreamEnded(s *Stream, err error)
 }
 
-// Stream is a connection between a gateway and its relay, for both directions.
+// Stream is a bidirectional connection between a gateway and its relay.
 type Stream struct {
-	Name string // of the other side
-	// ReplicaID is that of the other side's hello. It is set at the relay, which accepted the stream.
+	Name string // name of the other side
+	// ReplicaID is that of the other side's hello. It is set on the relay, which has accepted the stream.
 	ReplicaID uint64
 
 	transport *Transport
-	cancel    context.CancelFunc // of the dial; nil for an accepted stream
+	cancel    context.CancelFunc // cancels the dial; nil for an accepted stream
 
 	mu          sync.Mutex
 	conn        net.Conn // nil until the dial has succeeded
 	queue       net.Buffers
 	queueFrames int
 	queueBytes  int
-	writing     bool      // a goroutine writes the queue
-	writeBegan  time.Time // of the present write
-	finishing   bool      // it ends behind the queue
-	err         error     // why it has ended; nil while it is open
+	writing     bool      // a goroutine is writing the queue
+	writeBegan  time.Time // start of the current write
+	finishing   bool      // the stream ends once the queue is empty
+	err         error     // why the stream has ended; nil while it is open
 }
 
-// Errors of a stream that was ended by this side.
+// Errors of a stream that this side has ended.
 var (
-	// ErrStreamOverrun is of a stream whose other side is too far behind.
-	ErrStreamOverrun = errors.New("too much waits for the other side")
-	// ErrStreamClosed is of a stream that was closed.
+	// ErrStreamOverrun is the error of a stream whose other side reads too slowly.
+	ErrStreamOverrun = errors.New("too many bytes are queued for the other side")
+	// ErrStreamClosed is the error of a stream that this side has closed.
 	ErrStreamClosed = errors.New("the stream was closed")
 )
 
-// Send sends a frame. It does not wait; the stream is ended where too much waits already. The body
-// must not be changed any more.
+// Send queues a frame. It does not block: if too much is queued, it ends the stream. The body must not be
+// changed afterwards.
 func (s *Stream) Send(kind node.Kind, body []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,14 +94,14 @@
 	}
 }
 
-// overrun reports whether so many more bytes are too much. The lock is held.
+// overrun reports whether size more bytes exceed the limits of the queue. The caller must hold mu.
 func (s *Stream) overrun(size int) bool {
 	waiting := s.queueBytes + size
 	stalled := s.writing && time.Since(s.writeBegan) > maxWriteStall
 	return s.queueBytes > 0 && waiting > maxQueueBytes || waiting > relay.MaxQueueBytes && stalled
 }
 
-// writeQueue writes the queue until it is empty.
+// writeQueue writes the queued frames until there are none.
 func (s *Stream) writeQueue() {
 	for {
 		s.mu.Lock()
@@ -129,7 +129,7 @@
 // Close ends the stream.
 func (s *Stream) Close() { s.endWith(ErrStreamClosed) }
 
-// Finish ends the stream once everything that waits was sent.
+// Finish ends the stream once all queued frames are sent.
 func (s *Stream) Finish() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -139,7 +139,7 @@
 	}
 }
 
-// end ends the stream, unless it has ended. The lock is held.
+// end ends the stream, unless it has ended already. The caller must hold mu.
 func (s *Stream) end(err error) {
 	if s.err != nil {
 		return
@@ -153,7 +153,7 @@
 	}
 }
 
-// endWith ends the stream and returns why it has ended, which is err if it was open.
+// endWith ends the stream and returns why it has ended: err, or an earlier error.
 func (s *Stream) endWith(err error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -161,7 +161,7 @@
 	return s.err
 }
 
-// readLoop receives frames until the stream ends. The first has to arrive before a deadline.
+// readLoop receives frames until the stream ends. The first frame must arrive before the deadline.
 func (s *Stream) readLoop(deadline time.Time) {
 	t := s.transport
 	in := bufio.NewReaderSize(s.conn, streamReadBuffer)
@@ -180,7 +180,7 @@
 	}
 }
 
-// serveStream serves a stream that was accepted.
+// serveStream serves an accepted stream.
 func (t *Transport) serveStream(conn net.Conn, h *node.Hello) {
 	t.Counters.StreamsAccepted.Add(1)
 	if tcp, ok := conn.(*net.TCPConn); ok {
@@ -190,7 +190,7 @@
 	s.readLoop(time.Now().Add(handshakeTimeout))
 }
 
-// Dial opens a stream to a relay and sends its first frame. The stream ends unless a frame arrives
+// Dial opens a stream to a relay and sends its first frame. The stream ends unless the relay sends a frame
 // within relay.DialTimeout.
 func (t *Transport) Dial(name, addr string, kind node.Kind, first []byte) *Stream {
 	ctx, cancel := context.WithCancel(t.ctx)
@@ -214,7 +214,7 @@
 	return s
 }
 
-// connectStream makes the connection of a stream.
+// connectStream opens the connection of a stream and performs the handshake.
 func (t *Transport) connectStream(ctx context.Context, s *Stream, addr string, deadline time.Time) (net.Conn, error) {
 	conn, err := (&net.Dialer{Deadline: deadline}).DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -235,7 +235,7 @@
 	return conn, nil
 }
 
-// setConn sets the connection, unless the stream has ended.
+// setConn sets the connection. It returns an error if the stream has ended.
 func (s *Stream) setConn(conn net.Conn) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -245,8 +245,8 @@
 	return s.err
 }
 
-// logStreamState logs that there is no stream to a relay, when the state changes; err is nil for a
-// stream that was opened.
+// logStreamState logs that a stream to a relay has failed, if the state has changed. err is nil if the stream
+// was opened.
 func (t *Transport) logStreamState(name, addr string, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -269,8 +269,8 @@
 	slog.Log(t.ctx, level, "stream to relay failed, retrying", "relay", name, "address", addr, "why", err.Error())
 }
 
-// logRejectedStream logs a stream that was rejected, once for each address and reason: a gateway that
-// is rejected dials again and again.
+// logRejectedStream counts a rejected stream, and logs one for each address and reason: a rejected gateway
+// keeps dialling.
 func (t *Transport) logRejectedStream(from net.Addr, err error) {
 	t.Counters.ConnsRejected.Add(1)
 	host, _, _ := net.SplitHostPort(from.String())
--- a/internal/cluster/transport/stream_test.go
+++ b/internal/cluster/transport/stream_test.go
@@ -15,8 +15,8 @@
 	"dunemoor/internal/testutil"
 )
 
-// A stream carries frames in both directions and in order, large ones too, and ends on both sides when one of them
-// ends it.
+// A stream delivers frames in both directions and in order, large ones too, and ends on both sides when one
+// side ends it.
 func TestStreamCarriesFramesInOrderAndEndsOnBothSides(t *testing.T) {
 	server, address := newRelay(t, "relay", "key")
 	gateway := newGateway(t, "g1", "key")
@@ -31,7 +31,7 @@
 		stream.Send(relay.KindRecord, body)
 		want = append(want, describeFrame("relay", relay.KindRecord, body))
 	}
-	testutil.WaitUntil(t, "all have returned", func() bool { return gateway.frameCount() == len(want) })
+	testutil.WaitUntil(t, "all frames have been echoed", func() bool { return gateway.frameCount() == len(want) })
 	if got, _ := gateway.received(); !slices.Equal(got, want) {
 		t.Errorf("frames of the gateway: got %q, want %q", got, want)
 	}
@@ -43,8 +43,8 @@
 	testutil.WaitUntil(t, "both are notified of its end", func() bool { return gateway.endCount() == 1 && server.endCount() == 1 })
 }
 
-// A stream that ends, hangs or is corrupted at any byte of what its relay sends first ends for the gateway, once, and
-// nothing is accepted that the relay did not send.
+// If the connection is closed, hangs or is corrupted at any byte up to the relay's reply to the join, the
+// stream ends once on the gateway, and no frame is accepted that the relay did not send.
 func TestStreamEndsWhenDisturbedBeforeJoinReply(t *testing.T) {
 	_, address := newRelay(t, "relay", "key")
 	gateway := newGateway(t, "g1", "key")
@@ -67,8 +67,8 @@
 		}
 	}
 
-	// After the handshake: a frame with a wrong byte ends the stream and is not accepted. The length of the hello is
-	// not known here, so the loop ends where the corrupted byte is after all that is sent.
+	// After the handshake a frame with a corrupted byte ends the stream and is not accepted. The length of the
+	// hello is not known here, so the loop ends when the corrupted byte is after everything that is sent.
 	for at := handshakeBytes; ; at++ {
 		gateway := newGateway(t, "g2", "key")
 		gateway.Dial("relay", newFaultyProxy(t, address, int64(at), faultCorrupt), relay.KindJoin, []byte("join"))
@@ -88,7 +88,7 @@
 	}
 }
 
-// A gateway that sends nothing after the handshake is not waited for longer than for the handshake.
+// A relay ends the stream of a gateway that sends nothing within handshakeTimeout after the handshake.
 func TestStreamEndsWhenGatewayIsSilentAfterHandshake(t *testing.T) {
 	server, address := newRelay(t, "relay", "key")
 	conn, err := net.Dial("tcp", address)
@@ -104,7 +104,8 @@
 	testutil.WaitUntil(t, "the relay ends it", func() bool { return server.endCount() == 1 })
 }
 
-// A gateway that reads nothing is closed once too much waits for it, and the relay's memory for it stays bounded.
+// A relay closes the stream of a gateway that reads nothing once too much is queued for it, so that the relay's
+// memory is bounded.
 func TestStreamOverrunClosesStalledGateway(t *testing.T) {
 	server, address := newRelay(t, "relay", "key")
 	stalled := newStallingProxy(t, address)
@@ -120,7 +121,7 @@
 		if stream.queueBytes < relay.MaxQueueBytes {
 			return stream.err != nil
 		}
-		stream.writeBegan = stream.writeBegan.Add(-maxWriteStall) // as if the write had stalled for so long
+		stream.writeBegan = stream.writeBegan.Add(-maxWriteStall) // as if the write had stalled for that time
 		return true
 	})
 	stream.Send(relay.KindRecord, body)
@@ -131,8 +132,9 @@
 	}
 }
 
-// Rejected are an endpoint with another key, one that is no relay or not the one that was dialed, and a gateway that
-// the relay does not accept. Each is logged once, however often it retries.
+// Streams are rejected if one side has another key, if the dialled gateway is not a relay or has another name,
+// and if the relay does not accept the gateway. Each rejection is logged once, however often the gateway
+// retries.
 func TestStreamRejectsUnknownEndpointsAndLogsEachOnce(t *testing.T) {
 	var logged logBuffer
 	previous := slog.Default()
@@ -160,7 +162,8 @@
 		testutil.WaitUntil(t, tt.wantLog+" is logged for "+tt.name, func() bool { return logged.count(tt.wantLog) > 0 })
 		gateway.Close()
 	}
-	// In the first and third case it is the gateway that closes: one line each. In the others both sides log.
+	// In the first and third case the gateway closes the connection and logs one line. In the other cases both
+	// sides log one.
 	const wantLines = 6
 	testutil.WaitUntil(t, "all is logged", func() bool { return logged.count("") >= wantLines })
 	if got := logged.count(""); got > wantLines {
--- a/internal/cluster/transport/streamharness_test.go
+++ b/internal/cluster/transport/streamharness_test.go
@@ -57,7 +57,7 @@
 	e.ends = append(e.ends, reason)
 }
 
-// received returns the frames, and the reasons for which streams have ended.
+// received returns the frames that have arrived, and the errors of the streams that have ended.
 func (e *streamEndpoint) received() (frames []string, ends []error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -80,7 +80,7 @@
 	return len(e.streams)
 }
 
-// newRelay returns a relay, which rejects the gateway "stranger", and its address.
+// newRelay returns a relay, which rejects a gateway named stranger, and its address.
 func newRelay(t *testing.T, name, key string) (e *streamEndpoint, address string) {
 	t.Helper()
 	listener := testutil.Listen(t, "127.0.0.1:0", nil)
@@ -93,7 +93,7 @@
 	return startStreamEndpoint(t, name, key, nil, false)
 }
 
-// newListeningGateway returns a gateway that listens and accepts no streams, and its address.
+// newListeningGateway returns a gateway that listens but accepts no streams, and its address.
 func newListeningGateway(t *testing.T, name, key string) (e *streamEndpoint, address string) {
 	t.Helper()
 	listener := testutil.Listen(t, "127.0.0.1:0", nil)
@@ -118,7 +118,7 @@
 	return e
 }
 
-// proxyFault is what a faulty proxy does to a connection.
+// proxyFault is a fault that a proxy causes on a connection.
 type proxyFault string
 
 const (
@@ -127,7 +127,8 @@
 	faultCorrupt proxyFault = "corrupt" // changes one bit, and forwards the rest
 )
 
-// newFaultyProxy returns the address of a proxy to a relay, with a fault at one byte of what the relay sends.
+// newFaultyProxy returns the address of a proxy to a relay, which causes a fault at one byte of the relay's
+// data.
 func newFaultyProxy(t *testing.T, relayAddress string, at int64, fault proxyFault) string {
 	listener := testutil.Listen(t, "127.0.0.1:0", nil)
 	testEnd := make(chan struct{})
@@ -159,8 +160,8 @@
 	return listener.Addr().String()
 }
 
-// forwardWithFault forwards what a relay sends, with a fault at one byte. A connection that hangs does so until
-// testEnd is closed.
+// forwardWithFault forwards a relay's data and causes a fault at one byte. A connection that hangs does so
+// until testEnd is closed.
 func forwardWithFault(gatewayConn, relayConn net.Conn, at int64, fault proxyFault, testEnd <-chan struct{}) {
 	if _, err := io.CopyN(gatewayConn, relayConn, at); err != nil {
 		return
@@ -181,8 +182,8 @@
 	}
 }
 
-// newStallingProxy returns the address of a proxy for one connection to a relay, which forwards the reply to the join
-// and then reads nothing more until the test ends.
+// newStallingProxy returns the address of a proxy for one connection to a relay. It forwards data up to the
+// reply to the join, and reads nothing more until the test ends.
 func newStallingProxy(t *testing.T, relayAddress string) string {
 	listener := testutil.Listen(t, "127.0.0.1:0", nil)
 	testEnd := make(chan struct{})
