--- a/internal/cluster/wal/compare/compare_test.go
+++ b/internal/cluster/wal/compare/compare_test.go
@@ -19,34 +19,33 @@
 	"dunemoor/internal/cluster/wal"
 )
 
-// store takes a commit: entries of a replicated log behind one another, and its hard state, so
-// that they last.
+// store makes commits durable. A commit has consecutive entries of a replicated log and its hard state.
 type store interface {
 	commit(index uint64, entries [][]byte) error
 	close() error
 }
 
-// keepEntries is how many entries stay in a store; a commit cuts off what is older, as the log's
-// snapshot does.
+// keepEntries is the number of entries that a store keeps. A commit removes older ones, like a snapshot of the
+// log.
 const keepEntries = 4096
 
 func key(index uint64) []byte { return binary.BigEndian.AppendUint64([]byte("e"), index) }
 
-type segments struct {
+type walStore struct {
 	d   *wal.Log
 	dir *wal.Dir
 }
 
-func openSegments(path string) (store, error) {
+func openWAL(path string) (store, error) {
 	dir, err := wal.OpenDir(path)
 	if err != nil {
 		return nil, err
 	}
 	d, _, err := wal.Open(dir, "f", "g", func() uint64 { return 7 })
-	return &segments{d, dir}, err
+	return &walStore{d, dir}, err
 }
 
-func (s *segments) commit(index uint64, entries [][]byte) error {
+func (s *walStore) commit(index uint64, entries [][]byte) error {
 	r := multiraft.LogRecord{Group: multiraft.Group(1), HardState: &pb.HardState{Term: new(uint64(1)), Vote: new(uint64(1)), Commit: new(index)}}
 	for i, data := range entries {
 		r.Entries = append(r.Entries, &pb.Entry{Term: new(uint64(1)), Index: new(index + uint64(i)), Data: data})
@@ -58,28 +57,28 @@
 	return s.d.Write(b)
 }
 
-func (s *segments) close() error {
+func (s *walStore) close() error {
 	s.d.Close()
 	return s.dir.Close()
 }
 
-type bolt struct{ db *bbolt.DB }
+type boltStore struct{ db *bbolt.DB }
 
 func openBolt(path string) (store, error) {
 	db, err := bbolt.Open(filepath.Join(path, "db"), 0o600, nil)
 	if err != nil {
 		return nil, err
 	}
-	return &bolt{db}, db.Update(func(tx *bbolt.Tx) error {
+	return &boltStore{db}, db.Update(func(tx *bbolt.Tx) error {
 		_, err := tx.CreateBucketIfNotExists([]byte("log"))
 		return err
 	})
 }
 
-func (s *bolt) commit(index uint64, entries [][]byte) error {
+func (s *boltStore) commit(index uint64, entries [][]byte) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		b := tx.Bucket([]byte("log"))
-		b.FillPercent = 0.9 // what comes is in order
+		b.FillPercent = 0.9 // keys are inserted in ascending order
 		for i, data := range entries {
 			at := index + uint64(i)
 			if err := b.Put(key(at), data); err != nil {
@@ -95,22 +94,22 @@
 	})
 }
 
-func (s *bolt) close() error { return s.db.Close() }
+func (s *boltStore) close() error { return s.db.Close() }
 
-type peb struct{ db *pebble.DB }
+type pebbleStore struct{ db *pebble.DB }
 
 func openPebble(path string) (store, error) {
-	db, err := pebble.Open(path, &pebble.Options{Logger: quiet{}})
-	return &peb{db}, err
+	db, err := pebble.Open(path, &pebble.Options{Logger: quietLogger{}})
+	return &pebbleStore{db}, err
 }
 
-type quiet struct{}
+type quietLogger struct{}
 
-func (quiet) Infof(string, ...any)              {}
-func (quiet) Errorf(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }
-func (quiet) Fatalf(format string, args ...any) { panic(fmt.Sprintf(format, args...)) }
+func (quietLogger) Infof(string, ...any)              {}
+func (quietLogger) Errorf(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }
+func (quietLogger) Fatalf(format string, args ...any) { panic(fmt.Sprintf(format, args...)) }
 
-func (s *peb) commit(index uint64, entries [][]byte) error {
+func (s *pebbleStore) commit(index uint64, entries [][]byte) error {
 	b := s.db.NewBatch()
 	defer b.Close()
 	for i, data := range entries {
@@ -124,15 +123,15 @@
 	return b.Commit(pebble.Sync)
 }
 
-func (s *peb) close() error { return s.db.Close() }
+func (s *pebbleStore) close() error { return s.db.Close() }
 
-// written is how many bytes this process has had written to disks, by the kernel's account.
-func written(b *testing.B) uint64 { return field(b, "/proc/self/io", "write_bytes: ", 1) }
+// diskWrites returns how many bytes the process has written to disks, as the kernel counts them.
+func diskWrites(b *testing.B) uint64 { return procField(b, "/proc/self/io", "write_bytes: ", 1) }
 
-// memory is the process's own, in bytes.
-func memory(b *testing.B) uint64 { return field(b, "/proc/self/status", "RssAnon:", 1<<10) }
+// anonMemory returns the process's anonymous resident memory, in bytes.
+func anonMemory(b *testing.B) uint64 { return procField(b, "/proc/self/status", "RssAnon:", 1<<10) }
 
-func field(b *testing.B, path, name string, unit uint64) uint64 {
+func procField(b *testing.B, path, name string, unit uint64) uint64 {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		b.Fatal(err)
@@ -150,13 +149,13 @@
 	return 0
 }
 
-// BenchmarkCommit commits entries of 512 bytes, one or sixteen at a time, each commit on the disk
-// before the next.
+// BenchmarkCommit commits entries of 512 bytes, one or sixteen per commit. Each commit is durable before the
+// next one.
 func BenchmarkCommit(b *testing.B) {
 	for _, s := range []struct {
 		name string
 		open func(path string) (store, error)
-	}{{"own", openSegments}, {"bbolt", openBolt}, {"pebble", openPebble}} {
+	}{{"own", openWAL}, {"bbolt", openBolt}, {"pebble", openPebble}} {
 		for _, n := range []int{1, 16} {
 			b.Run(fmt.Sprintf("%s/entries=%d", s.name, n), func(b *testing.B) {
 				st, err := s.open(b.TempDir())
@@ -168,21 +167,21 @@
 				for i := range entries {
 					entries[i] = make([]byte, 512)
 				}
-				var took []time.Duration
-				next, before, held := uint64(1), written(b), memory(b)
+				var latencies []time.Duration
+				next, writtenBefore, memoryBefore := uint64(1), diskWrites(b), anonMemory(b)
 				for b.Loop() {
 					began := time.Now()
 					if err := st.commit(next, entries); err != nil {
 						b.Fatal(err)
 					}
-					took = append(took, time.Since(began))
+					latencies = append(latencies, time.Since(began))
 					next += uint64(n)
 				}
-				slices.Sort(took)
-				b.ReportMetric(float64(took[len(took)/2].Microseconds()), "p50-us")
-				b.ReportMetric(float64(took[len(took)*99/100].Microseconds()), "p99-us")
-				b.ReportMetric(float64(written(b)-before)/float64(next-1)/512, "bytes/byte")
-				b.ReportMetric(float64(int64(memory(b))-int64(held))/(1<<20), "MB")
+				slices.Sort(latencies)
+				b.ReportMetric(float64(latencies[len(latencies)/2].Microseconds()), "p50-us")
+				b.ReportMetric(float64(latencies[len(latencies)*99/100].Microseconds()), "p99-us")
+				b.ReportMetric(float64(diskWrites(b)-writtenBefore)/float64(next-1)/512, "bytes/byte")
+				b.ReportMetric(float64(int64(anonMemory(b))-int64(memoryBefore))/(1<<20), "MB")
 			})
 		}
 	}
--- a/internal/cluster/wal/dir.go
+++ b/internal/cluster/wal/dir.go
@@ -12,7 +12,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// FS is what a Log needs of a file system. Whatever is not synced may be lost, or be there in part.
+// FS is the file system of a Log. Data that was not synced may be lost, or be there only in part, after a
+// crash.
 type FS interface {
 	// Create creates a file, which must not exist.
 	Create(name string) (File, error)
@@ -23,13 +24,13 @@
 	Rename(from, to string) error
 	// Remove removes a file, if it exists.
 	Remove(name string) error
-	// Sync makes durable which files exist.
+	// Sync makes durable which files exist, and under which names.
 	Sync() error
-	// Stamp returns a text that differs between a file and any copy of it.
+	// Stamp returns a text that identifies a file. It differs between a file and any copy of it.
 	Stamp(name string) (string, error)
 }
 
-// File is a file that is written.
+// File is a file that is open for writing.
 type File interface {
 	// Write appends to the file.
 	Write(b []byte) (int, error)
@@ -47,10 +48,10 @@
 // lockFile is locked while the directory is in use.
 const lockFile = "lock"
 
-// ErrInUse is returned for a directory that another process uses.
+// ErrInUse is returned if another process uses the directory.
 var ErrInUse = errors.New("another process uses the directory")
 
-// OpenDir locks a directory for this process. It is created where it does not exist.
+// OpenDir locks a directory for this process. It creates the directory if that does not exist.
 func OpenDir(path string) (*Dir, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, err
@@ -119,8 +120,8 @@
 	return f.Sync()
 }
 
-// Stamp returns the file's inode and its time of creation. A copy differs in one or both, however it
-// was made. On a file system without times of creation it is the inode alone.
+// Stamp returns the file's inode and creation time. A copy differs in at least one of them, however it was
+// made. On a file system without creation times, Stamp returns only the inode.
 func (d *Dir) Stamp(name string) (string, error) {
 	var st unix.Statx_t
 	if err := unix.Statx(unix.AT_FDCWD, d.join(name), 0, unix.STATX_INO|unix.STATX_BTIME, &st); err != nil {
--- a/internal/cluster/wal/identity.go
+++ b/internal/cluster/wal/identity.go
@@ -6,7 +6,7 @@
 	"fmt"
 )
 
-// Files of the identity: it is written to a new file, which then replaces the old one.
+// Names of the file with the identity, and of its replacement while that is written.
 const (
 	identityFile    = "identity.json"
 	newIdentityFile = "identity.new"
@@ -16,13 +16,14 @@
 type Identity struct {
 	Format    int    `json:"format"`
 	Fleet     string `json:"fleet"`
-	Name      string `json:"name"`    // of the gateway
-	ReplicaID uint64 `json:"replica"` // drawn when the disk was created
-	ClusterID uint64 `json:"birth"`   // drawn when the fleet was bootstrapped; 0: not known yet
-	Boots     uint64 `json:"boots"`   // how often it was opened
+	Name      string `json:"name"`    // name of the gateway
+	ReplicaID uint64 `json:"replica"` // random; chosen when the disk was created
+	ClusterID uint64 `json:"birth"`   // random; chosen when the fleet was bootstrapped; 0 if not known yet
+	Boots     uint64 `json:"boots"`   // number of times that the disk was opened
 }
 
-// newIdentity draws the identity of a new disk. The upper half of the IDs is used by the Raft library.
+// newIdentity returns the identity of a new disk, with an ID from draw. The Raft library reserves the upper
+// half of the IDs.
 func newIdentity(fleet, name string, draw func() uint64) Identity {
 	id := Identity{Format: FormatVersion, Fleet: fleet, Name: name}
 	for id.ReplicaID == 0 {
@@ -31,7 +32,7 @@
 	return id
 }
 
-// readIdentity reads the identity and checks whose disk it is.
+// readIdentity reads the identity, and checks that the disk belongs to this gateway.
 func readIdentity(fs FS, fleet, name string) (id Identity, err error) {
 	b, err := fs.Read(identityFile)
 	if err != nil {
@@ -64,7 +65,7 @@
 	return l.fs.Sync()
 }
 
-// WriteFile writes a file and syncs its contents, replacing one that is there.
+// WriteFile writes a file and syncs its contents. It replaces an existing file.
 func WriteFile(fs FS, name string, b []byte) error {
 	if err := fs.Remove(name); err != nil {
 		return err
--- a/internal/cluster/wal/log.go
+++ b/internal/cluster/wal/log.go
@@ -1,8 +1,8 @@
-// Package wal is the write-ahead log of a gateway's replicas: one log for all Raft groups, in one
-// segment at a time, with one write and one fsync for a batch.
+// Package wal is the write-ahead log of a gateway's replicas: one log for all Raft groups, in one segment at a
+// time, with one write and one fsync per batch.
 //
-// A data directory has an identity, so that one that was emptied, or restored from a copy, is known to
-// be another disk: Raft relies on a disk never forgetting what was written.
+// A data directory has an identity, so that a directory that was emptied, or restored from a copy, is
+// recognized as another disk: Raft relies on a disk never losing data that was written.
 package wal
 
 import (
@@ -22,26 +22,26 @@
 )
 
 const (
-	// FormatVersion is the version of all files. Other versions are not read.
+	// FormatVersion is the version of all files. Files of other versions are not read.
 	FormatVersion = 1
-	// minRotateBytes is how long a segment becomes before what is in use is copied to a new one. A
-	// segment is then at least twice as long as what is in use, so that each byte is written twice at
-	// most.
+	// minRotateBytes is the minimum length at which a segment is replaced by a new one that starts with a copy
+	// of the data in use. A segment is also at least twice as long as its data in use by then, so that each
+	// byte is written at most twice.
 	minRotateBytes = 4 << 20
 )
 
 // Errors of a disk that must not be used. The directory is left as it is.
 var (
-	// ErrCopied is a copy of a disk: the original may have been written to since.
+	// ErrCopied means that the disk is a copy: the original may have been written to since it was copied.
 	ErrCopied = errors.New("the disk is a copy: writes of the original may be missing")
-	// ErrCorrupt is a disk with bytes that are not as they were written.
+	// ErrCorrupt means that data on the disk differs from what was written.
 	ErrCorrupt = errors.New("the log is corrupt")
-	// ErrForeign is the disk of another gateway or fleet.
+	// ErrForeign means that the disk belongs to another gateway or fleet.
 	ErrForeign = errors.New("the disk belongs to another gateway")
 	errClosed  = errors.New("the log is closed")
 )
 
-// FormatError is returned for a disk of another format.
+// FormatError is returned for a disk with another format version.
 type FormatError struct{ Found int }
 
 func (e *FormatError) Error() string {
@@ -52,19 +52,19 @@
 type Log struct {
 	fs      FS
 	id      Identity
-	file    File   // the current segment
-	seq     uint64 // of the current segment
-	length  int64  // of the current segment
+	file    File   // current segment
+	seq     uint64 // sequence number of the current segment
+	length  int64  // length of the current segment
 	groups  map[multiraft.Group]*multiraft.PersistedGroup
-	failure error // of a write: nothing is written any more
+	failure error // error of a write, after which nothing more is written
 	buf     []byte
 
 	// BytesWritten and Syncs are counted since the log was opened.
 	BytesWritten, Syncs uint64
 }
 
-// Open opens the disk of a gateway of a fleet, or creates it in an empty directory, with draw as the
-// source of its identity. It returns what the disk holds of each group.
+// Open opens the disk of a gateway of a fleet, or creates it in an empty directory. draw returns random IDs.
+// Open returns the data of each group on the disk.
 func Open(fs FS, fleet, name string, draw func() uint64) (*Log, map[multiraft.Group]multiraft.PersistedGroup, error) {
 	names, err := fs.Names()
 	if err != nil {
@@ -84,8 +84,8 @@
 	if err := l.loadNewest(segments); err != nil {
 		return nil, nil, err
 	}
-	// The segment is created first: its count of boots is that of the identity, or one ahead where the
-	// process ends in between.
+	// The segment is created before the identity is saved. Its boot count is that of the identity, or one ahead
+	// of it if the process ends in between.
 	l.id.Boots++
 	if err := l.rotate(); err != nil {
 		return nil, nil, err
@@ -109,8 +109,8 @@
 	return l.saveIdentity()
 }
 
-// loadNewest loads the newest segment whose first batch is complete: it has all that is in use. A later
-// one is left of a rotation that was cut off.
+// loadNewest loads the newest segment whose first batch is complete, which has all data in use. A newer segment
+// is left over from an interrupted rotation.
 func (l *Log) loadNewest(segments []uint64) error {
 	if len(segments) == 0 {
 		return nil
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// load loads a segment. It reports false where not even its first batch is complete.
+// load loads a segment. It returns false if not even the first batch is complete.
 func (l *Log) load(name string) (loaded bool, err error) {
 	b, err := l.fs.Read(name)
 	if err != nil {
@@ -158,7 +158,7 @@
 	return true, nil
 }
 
-// clone returns what the log holds, for a caller that may change it.
+// clone returns a copy of the groups that the caller may modify.
 func (l *Log) clone() map[multiraft.Group]multiraft.PersistedGroup {
 	groups := map[multiraft.Group]multiraft.PersistedGroup{}
 	for id, g := range l.groups {
@@ -175,7 +175,7 @@
 // Identity returns the identity of the disk.
 func (l *Log) Identity() Identity { return l.id }
 
-// SetClusterID stores which bootstrap of the fleet the disk belongs to.
+// SetClusterID stores the ID of the fleet's bootstrap to which the disk belongs.
 func (l *Log) SetClusterID(id uint64) error {
 	if l.id.ClusterID == id {
 		return nil
@@ -184,8 +184,8 @@
 	return l.saveIdentity()
 }
 
-// Write makes a batch durable. After an error nothing is written any more, as what the segment holds
-// is not known.
+// Write makes a batch durable. After an error nothing more is written, because the contents of the segment are
+// unknown.
 func (l *Log) Write(b *multiraft.Batch) error {
 	if l.failure != nil {
 		return l.failure
@@ -234,7 +234,7 @@
 	return l.file.Sync()
 }
 
-// bytesInUse returns about how long a segment would be with only what is in use.
+// bytesInUse returns the approximate length of a segment with only the data in use.
 func (l *Log) bytesInUse() (n int64) {
 	for _, g := range l.groups {
 		if g.Snapshot != nil {
@@ -247,7 +247,7 @@
 	return n
 }
 
-// rotate continues in a new segment that starts with all that is in use, and removes the older ones.
+// rotate starts a new segment with all data in use, and removes the older ones.
 func (l *Log) rotate() error {
 	previous := l.file
 	l.seq++
@@ -290,7 +290,7 @@
 	return f, header, nil
 }
 
-// removeBefore removes the segments before one.
+// removeBefore removes the segments before the one with the given name.
 func (l *Log) removeBefore(name string) error {
 	names, err := l.fs.Names()
 	if err != nil {
@@ -306,7 +306,7 @@
 	return nil
 }
 
-// Close closes the current segment. Nothing that was written is lost.
+// Close closes the current segment. Batches that were written are durable.
 func (l *Log) Close() error {
 	l.failure = errors.Join(l.failure, errClosed)
 	return l.file.Close()
--- a/internal/cluster/wal/record.go
+++ b/internal/cluster/wal/record.go
@@ -15,23 +15,24 @@
 
 // Kinds of records.
 const (
-	kindHeader        = 1 // of a segment: JSON, a segmentHeader
+	kindHeader        = 1 // header of a segment: a segmentHeader in JSON
 	kindEntry         = 2
 	kindHardState     = 3
-	kindSnapshot      = 4 // received from a leader: it replaces the log
-	kindLocalSnapshot = 5 // made here: entries after it stay
-	kindCommit        = 6 // end of a batch: its number
+	kindSnapshot      = 4 // snapshot from a leader: it replaces the log
+	kindLocalSnapshot = 5 // snapshot of this replica: entries after it are kept
+	kindCommit        = 6 // end of a batch, with its number
 )
 
-// A record is, in bytes: 4 of payload length, 4 of group, 1 of kind, 4 of a checksum of these, 4 of a
-// checksum of the payload, and the payload. Numbers are little-endian, checksums CRC-32C.
+// A record consists of the length of the payload (4 bytes), the group (4 bytes), the kind (1 byte), a checksum
+// of these fields (4 bytes), a checksum of the payload (4 bytes), and the payload. Numbers are little-endian,
+// checksums are CRC-32C.
 const (
 	groupOffset       = 4
 	kindOffset        = 8
 	headerSumOffset   = 9
 	payloadSumOffset  = 13
 	recordHeaderBytes = 17
-	maxRecordBytes    = 1 << 30 // a snapshot is the largest record
+	maxRecordBytes    = 1 << 30 // snapshots are the largest records
 )
 
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
@@ -48,31 +49,31 @@
 	return append(b, payload...)
 }
 
-// record is one record as it was read.
+// record is a record that was read.
 type record struct {
 	group   multiraft.Group
 	kind    byte
 	payload []byte
 }
 
-// errTorn is the end of a segment whose last write was cut off.
-var errTorn = errors.New("the last write was cut off")
+// errTorn is returned at the end of a segment whose last write is incomplete.
+var errTorn = errors.New("the last write is incomplete")
 
-// readRecord reads the record at the start of b. It tells apart a record that is torn, as a write that
-// was cut off leaves it, and one that is corrupt.
+// readRecord reads the record at the start of b. It distinguishes a record that is torn, as an interrupted
+// write leaves it, from one that is corrupt.
 func readRecord(b []byte) (r record, rest []byte, err error) {
 	if len(b) < recordHeaderBytes {
 		return r, nil, errTorn
 	}
 	if binary.LittleEndian.Uint32(b[headerSumOffset:]) != checksum(b[:headerSumOffset]) {
 		if allZero(b) {
-			return r, nil, errTorn // the file has grown before its bytes were written
+			return r, nil, errTorn // the file was extended before its data was written
 		}
-		return r, nil, fmt.Errorf("%w: checksum of a record's header", ErrCorrupt)
+		return r, nil, fmt.Errorf("%w: record header checksum mismatch", ErrCorrupt)
 	}
 	length := int64(binary.LittleEndian.Uint32(b))
 	if length > maxRecordBytes {
-		return r, nil, fmt.Errorf("%w: a record of %d bytes", ErrCorrupt, length)
+		return r, nil, fmt.Errorf("%w: record length of %d bytes exceeds the limit", ErrCorrupt, length)
 	}
 	if int64(len(b)) < recordHeaderBytes+length {
 		return r, nil, errTorn
@@ -83,7 +84,7 @@
 		if len(rest) == 0 || allZero(payload) && allZero(rest) {
 			return r, nil, errTorn
 		}
-		return r, nil, fmt.Errorf("%w: checksum of a record's payload", ErrCorrupt)
+		return r, nil, fmt.Errorf("%w: record payload checksum mismatch", ErrCorrupt)
 	}
 	return record{multiraft.Group(binary.LittleEndian.Uint32(b[groupOffset:])), b[kindOffset], payload}, rest, nil
 }
@@ -92,7 +93,7 @@
 	return !slices.ContainsFunc(b, func(x byte) bool { return x != 0 })
 }
 
-// decode returns the change that a record stands for.
+// decode returns the change that a record describes.
 func (r *record) decode() (*multiraft.LogRecord, error) {
 	change := &multiraft.LogRecord{Group: r.group}
 	var m proto.Message
@@ -107,15 +108,15 @@
 		change.Snapshot, change.LocalSnapshot = &raftpb.Snapshot{}, r.kind == kindLocalSnapshot
 		m = change.Snapshot
 	default:
-		return nil, fmt.Errorf("%w: a record of unknown kind %d", ErrCorrupt, r.kind)
+		return nil, fmt.Errorf("%w: unknown record kind %d", ErrCorrupt, r.kind)
 	}
 	if err := proto.Unmarshal(r.payload, m); err != nil {
-		return nil, fmt.Errorf("%w: decode a record of kind %d: %w", ErrCorrupt, r.kind, err)
+		return nil, fmt.Errorf("%w: decode record of kind %d: %w", ErrCorrupt, r.kind, err)
 	}
 	return change, nil
 }
 
-// appendGroup appends the records of a group. The snapshot is a local one where local is set.
+// appendGroup appends the records of a group. The snapshot is marked as a local one if local is set.
 func appendGroup(b []byte, g multiraft.Group, s *multiraft.PersistedGroup, local bool) []byte {
 	if s.Snapshot != nil {
 		kind := byte(kindSnapshot)
@@ -136,12 +137,12 @@
 func appendMessage(b []byte, g multiraft.Group, kind byte, m proto.Message) []byte {
 	payload, err := proto.Marshal(m)
 	if err != nil {
-		panic(err) // no field of it can fail
+		panic(err) // these messages can always be encoded
 	}
 	return appendRecord(b, g, kind, payload)
 }
 
-// applyRecord applies a change to what a group has in use.
+// applyRecord applies a change to the data of a group.
 func applyRecord(s *multiraft.PersistedGroup, r *multiraft.LogRecord) error {
 	if r.Snapshot != nil {
 		s.Snapshot = r.Snapshot
@@ -165,7 +166,7 @@
 	return nil
 }
 
-// applyEntry appends an entry, in place of those from its index on.
+// applyEntry appends an entry. It replaces existing entries from the index of that entry on.
 func applyEntry(s *multiraft.PersistedGroup, e *raftpb.Entry) error {
 	next := uint64(len(s.Entries)) + 1
 	if s.Snapshot != nil {
@@ -177,11 +178,11 @@
 	}
 	replaced := next - index
 	if replaced > uint64(len(s.Entries)) {
-		return nil // the snapshot has it
+		return nil // the snapshot includes the entry
 	}
 	kept := uint64(len(s.Entries)) - replaced
 	if replaced > 0 {
-		s.Entries = slices.Clip(s.Entries[:kept]) // others may hold the replaced ones
+		s.Entries = slices.Clip(s.Entries[:kept]) // clipped because others may still use the replaced entries
 	}
 	s.Entries = append(s.Entries, e)
 	return nil
--- a/internal/cluster/wal/segment.go
+++ b/internal/cluster/wal/segment.go
@@ -9,12 +9,12 @@
 	"dunemoor/internal/cluster/multiraft"
 )
 
-// segmentPrefix begins the names of segments; the sequence number follows, in hexadecimal.
+// segmentPrefix is the prefix of the names of segments. The sequence number follows, in hexadecimal.
 const segmentPrefix = "log-"
 
 func segmentName(seq uint64) string { return fmt.Sprintf("%s%016x", segmentPrefix, seq) }
 
-// parseSegmentName returns the sequence number of a segment.
+// parseSegmentName returns the sequence number of a segment. ok is false if the name is not that of a segment.
 func parseSegmentName(name string) (seq uint64, ok bool) {
 	digits, ok := strings.CutPrefix(name, segmentPrefix)
 	if !ok {
@@ -28,18 +28,18 @@
 type segmentHeader struct {
 	Format    int    `json:"format"`
 	ReplicaID uint64 `json:"replica"`
-	Stamp     string `json:"stamp"` // of the file, see FS.Stamp
-	Boots     uint64 `json:"boots"` // of the disk when the segment was created
+	Stamp     string `json:"stamp"` // stamp of the file, see FS.Stamp
+	Boots     uint64 `json:"boots"` // boot count of the disk when the segment was created
 }
 
-// Segment is what was read from a segment.
+// Segment is the content of a segment.
 type Segment struct {
 	header  segmentHeader
-	Groups  map[multiraft.Group]*multiraft.PersistedGroup // in use at the end of the last complete batch
-	Batches int                                           // that are complete
+	Groups  map[multiraft.Group]*multiraft.PersistedGroup // data at the end of the last complete batch
+	Batches int                                           // number of complete batches
 }
 
-// ReadSegment decodes the bytes of a segment. A torn end is left out. An error wraps ErrCorrupt.
+// ReadSegment decodes a segment. It ignores a torn end. Its errors wrap ErrCorrupt.
 func ReadSegment(b []byte) (*Segment, error) {
 	s := &Segment{Groups: map[multiraft.Group]*multiraft.PersistedGroup{}}
 	var batch []record
@@ -55,7 +55,7 @@
 		switch {
 		case first:
 			if r.kind != kindHeader || json.Unmarshal(r.payload, &s.header) != nil || s.header.Format != FormatVersion {
-				return nil, fmt.Errorf("%w: a segment does not start with a header of format %d", ErrCorrupt, FormatVersion)
+				return nil, fmt.Errorf("%w: segment does not start with a header of format %d", ErrCorrupt, FormatVersion)
 			}
 		case r.kind == kindCommit:
 			if err := s.commit(batch); err != nil {
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// groupOf returns a group, which is added where it is missing.
+// groupOf returns a group, and adds it if it is missing.
 func groupOf(groups map[multiraft.Group]*multiraft.PersistedGroup, id multiraft.Group) *multiraft.PersistedGroup {
 	g := groups[id]
 	if g == nil {
--- a/internal/cluster/wal/wal_test.go
+++ b/internal/cluster/wal/wal_test.go
@@ -29,7 +29,7 @@
 	return l, dir, stored, err
 }
 
-// batch returns n entries of a group from an index on.
+// batch returns a batch with n entries of a group that start at an index.
 func batch(id uint64, g multiraft.Group, from uint64, n int) *multiraft.Batch {
 	r := multiraft.LogRecord{Group: g, HardState: &raftpb.HardState{Term: new(uint64(1)), Vote: new(uint64(2)), Commit: new(from - 1)}}
 	for i := range n {
@@ -39,7 +39,7 @@
 	return &multiraft.Batch{ID: id, Records: []multiraft.LogRecord{r}}
 }
 
-// writeSegment writes a log of several batches and returns the bytes of its segment.
+// writeSegment writes a log of several batches, and returns the bytes of its segment.
 func writeSegment(t testing.TB, path string, batches int) []byte {
 	t.Helper()
 	l, dir, _, err := open(t, path)
@@ -60,7 +60,7 @@
 	return b
 }
 
-// contents returns what groups hold as text.
+// contents returns the commit indexes and entries of groups as text.
 func contents(groups map[multiraft.Group]*multiraft.PersistedGroup) (text string) {
 	for _, g := range slices.Sorted(maps.Keys(groups)) {
 		text += fmt.Sprint(g, groups[g].HardState.GetCommit(), ":")
@@ -71,22 +71,22 @@
 	return text
 }
 
-// A segment that ends anywhere is read up to its last complete batch. One with a bit flipped anywhere is
-// corrupt, or loses its last batch at most, as a write that was cut off does. It never has other contents
-// than were written.
-func TestTornAndFlipped(t *testing.T) {
+// A segment that is truncated anywhere is read up to its last complete batch. A segment with any bit flipped is
+// reported as corrupt, or loses at most its last batch, as after an interrupted write. Neither is ever read
+// with contents that were not written.
+func TestReadSegmentDetectsTruncationAndFlippedBits(t *testing.T) {
 	b := writeSegment(t, t.TempDir(), 8)
-	states := map[string]int{} // batches by contents, at some time
+	states := map[string]int{} // number of batches by contents, after each batch
 	last := 0
 	for n := range len(b) + 1 {
 		s, err := ReadSegment(b[:n])
 		if err != nil || s.Batches < last {
-			t.Fatalf("cut at %d: after %d batches %+v, %v", n, last, s, err)
+			t.Fatalf("truncated at %d, want at least %d batches and no error: got %+v, error %v", n, last, s, err)
 		}
 		states[contents(s.Groups)], last = s.Batches, s.Batches
 	}
 	if last != 9 {
-		t.Fatalf("%d complete batches, want 8 and the first", last)
+		t.Fatalf("complete batches: got %d, want 9, as the first one has the header", last)
 	}
 	corrupt := 0
 	for i := range b {
@@ -98,20 +98,20 @@
 			continue
 		}
 		if err != nil {
-			t.Fatalf("byte %d flipped: %v", i, err)
+			t.Fatalf("bit of byte %d flipped: got error %v, want ErrCorrupt or none", i, err)
 		}
 		if batches, ok := states[contents(s.Groups)]; !ok || batches != s.Batches || s.Batches < last-1 {
-			t.Fatalf("byte %d flipped: %d of %d batches", i, s.Batches, last)
+			t.Fatalf("bit of byte %d flipped: got %d of %d batches, want all or all but the last, as they were written", i, s.Batches, last)
 		}
 	}
 	if corrupt < len(b)/2 {
-		t.Errorf("%d of %d flips are noticed", corrupt, len(b))
+		t.Errorf("flipped bits that are detected: got %d of %d, want at least half", corrupt, len(b))
 	}
 }
 
-// A disk returns what was written, counts its boots, and is told apart from a copy, of the whole directory
-// or of a segment alone.
-func TestIdentity(t *testing.T) {
+// A disk returns what was written and counts its boots. Opening it fails while it is open, as another gateway, as
+// a copy of the directory, and after its segment was replaced by an older one.
+func TestOpenChecksIdentity(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "d")
 	writeSegment(t, path, 4)
 	if err := os.CopyFS(path+".copy", os.DirFS(path)); err != nil {
@@ -122,52 +122,52 @@
 		t.Fatal(err)
 	}
 	if id := l.Identity(); id.Boots != 2 || len(stored[0].Entries) != 6 || stored[1].HardState.GetVote() != 2 {
-		t.Errorf("%+v, %d entries", id, len(stored[0].Entries))
+		t.Errorf("got identity %+v and %d entries of group 0, want 2 boots, 6 entries and vote 2 of group 1", id, len(stored[0].Entries))
 	}
 	if _, err := OpenDir(path); !errors.Is(err, ErrInUse) {
-		t.Errorf("a directory that is open: %v", err)
+		t.Errorf("OpenDir of a directory that is open: got %v, want ErrInUse", err)
 	}
 	l.Close()
 	dir.Close()
 	if _, _, _, err := open(t, path+".copy"); !errors.Is(err, ErrCopied) {
-		t.Errorf("a copy: %v", err)
+		t.Errorf("Open of a copy: got %v, want ErrCopied", err)
 	}
 	if dir, err = OpenDir(path); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := Open(dir, "f", "g2", rand.Uint64); !errors.Is(err, ErrForeign) {
-		t.Errorf("the disk of another gateway: %v", err)
+		t.Errorf("Open of the disk of another gateway: got %v, want ErrForeign", err)
 	}
 	dir.Close()
-	// An older segment with the current identity.
+	// Replace the segment by an older one, and keep the identity.
 	segments, _ := filepath.Glob(filepath.Join(path, segmentPrefix+"*"))
 	older, _ := filepath.Glob(filepath.Join(path+".copy", segmentPrefix+"*"))
 	b, err := os.ReadFile(older[0])
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(segments[0], b, 0o600); err != nil { // in place: the same inode
+	if err := os.WriteFile(segments[0], b, 0o600); err != nil { // in place, so that the inode is the same
 		t.Fatal(err)
 	}
 	if _, _, _, err := open(t, path); !errors.Is(err, ErrCopied) {
-		t.Errorf("an older segment in place: %v", err)
+		t.Errorf("Open with an older segment: got %v, want ErrCopied", err)
 	}
 }
 
-// A disk of another format is refused with both formats.
-func TestFormat(t *testing.T) {
+// A disk with another format version is rejected, and the error has that version.
+func TestOpenRejectsOtherFormat(t *testing.T) {
 	path := t.TempDir()
 	if err := os.WriteFile(filepath.Join(path, identityFile), []byte(`{"format":2,"fleet":"f","name":"g1","replica":5}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	var format *FormatError
 	if _, _, _, err := open(t, path); !errors.As(err, &format) || format.Found != 2 {
-		t.Errorf("a disk of format 2: %v", err)
+		t.Errorf("Open of a disk with format 2: got %v, want a FormatError with it", err)
 	}
 }
 
-// The log continues in a new segment once the old one is long, with all that is in use and nothing else.
-func TestRotate(t *testing.T) {
+// When a segment is long, the log continues in a new one that has all data in use and nothing else.
+func TestWriteRotatesLongSegment(t *testing.T) {
 	path := t.TempDir()
 	l, dir, _, err := open(t, path)
 	if err != nil {
@@ -192,7 +192,7 @@
 	names, _ := filepath.Glob(filepath.Join(path, segmentPrefix+"*"))
 	info, err := os.Stat(names[0])
 	if err != nil || len(names) != 1 || info.Size() > 3*minRotateBytes {
-		t.Errorf("%d segments, the first has %d bytes", len(names), info.Size())
+		t.Errorf("got %d segments, the first with %d bytes, want 1 segment with 3*minRotateBytes at most", len(names), info.Size())
 	}
 	l, dir, stored, err := open(t, path)
 	if err != nil {
@@ -202,11 +202,11 @@
 	defer l.Close()
 	s := stored[0]
 	if s.Snapshot.GetMetadata().GetIndex() != 38 || len(s.Entries) != 2 || s.Entries[1].GetIndex() != 40 {
-		t.Errorf("snapshot at %d, %d entries", s.Snapshot.GetMetadata().GetIndex(), len(s.Entries))
+		t.Errorf("got snapshot at index %d and %d entries, want index 38 and the entries 39 and 40", s.Snapshot.GetMetadata().GetIndex(), len(s.Entries))
 	}
 }
 
-// Reading any bytes ends, and yields no more than there is.
+// Reading arbitrary bytes ends, and returns no more batches and groups than the input can contain.
 func FuzzReadSegment(f *testing.F) {
 	f.Add(writeSegment(f, f.TempDir(), 3))
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -218,12 +218,12 @@
 			t.Fatal(err)
 		}
 		if s.Batches*recordHeaderBytes > len(b) || len(s.Groups) > len(b) {
-			t.Fatalf("%d batches and %d groups in %d bytes", s.Batches, len(s.Groups), len(b))
+			t.Fatalf("got %d batches and %d groups from %d bytes, which is more than they can contain", s.Batches, len(s.Groups), len(b))
 		}
 	})
 }
 
-// The time of a write with its fsync, by the number of entries.
+// BenchmarkWrite measures a write with its fsync, by the number of entries.
 func BenchmarkWrite(b *testing.B) {
 	for _, n := range []int{1, 16} {
 		b.Run(fmt.Sprintf("entries=%d", n), func(b *testing.B) {
