--- a/internal/fleet/calls.go
+++ b/internal/fleet/calls.go
@@ -15,7 +15,7 @@
 	"dunemoor/internal/cluster/lease"
 )
 
-// Paths of the operators' calls, with their parameters.
+// Paths of the operators' calls. The comments list the parameters.
 const (
 	PathFleet         = "/admin/fleet"
 	PathMetrics       = "/admin/metrics"
@@ -26,26 +26,26 @@
 )
 
 const (
-	// transferTimeout is how long a transfer is waited for: a holder that is gone has expired by then. It is
-	// polled for every transferPollInterval.
+	// transferTimeout is how long a call waits for a transfer. The lease of a holder that has failed expires
+	// within that time. The status is polled every transferPollInterval.
 	transferTimeout      = 3 * time.Second
 	transferPollInterval = 20 * time.Millisecond
 )
 
-// response is the response to a call, as plain text.
+// response is the plain-text response to a call.
 type response struct {
 	status int
 	text   string
 }
 
-// errMissing is the error of a call without a parameter.
+// errMissing is the error of a call that lacks a parameter, whose name is the value.
 type errMissing string
 
 func (e errMissing) Error() string { return string(e) + " is missing" }
 
 func badRequest(err error) response { return response{http.StatusBadRequest, err.Error() + "\n"} }
 
-// postCall returns a call by POST, which changes something.
+// postCall returns a call by POST, for calls that change something.
 func postCall(do func(context.Context, url.Values) response) admin.Call {
 	return admin.Call{Method: http.MethodPost, Do: func(ctx context.Context, v url.Values) (int, string, string) {
 		r := do(ctx, v)
@@ -53,7 +53,7 @@
 	}}
 }
 
-// require returns an error for the first parameter that is missing.
+// require returns an error for the first parameter that is missing, or nil.
 func require(v url.Values, names ...string) error {
 	for _, name := range names {
 		if v.Get(name) == "" {
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// Calls returns the operators' calls about the fleet, by path.
+// Calls returns the operators' calls that concern the fleet, by path.
 func (f *Fleet) Calls() map[string]admin.Call {
 	calls := map[string]admin.Call{
 		PathFleet:   {Method: http.MethodGet, Do: f.statusCall},
@@ -87,7 +87,7 @@
 	return calls
 }
 
-// statusCall returns the status as JSON.
+// statusCall returns the status of the fleet as JSON.
 func (f *Fleet) statusCall(context.Context, url.Values) (int, string, string) {
 	text, err := json.MarshalIndent(f.cluster.Status(), "", "  ")
 	if err != nil {
@@ -106,8 +106,8 @@
 	})
 }
 
-// transfer transfers a lease to another gateway, or to any where the target is empty, and waits until that
-// has happened as far as is known here.
+// transfer transfers a lease to another gateway, or to any gateway if target is empty, and waits until the
+// status of this gateway shows the new holder.
 func (f *Fleet) transfer(ctx context.Context, name, target string) response {
 	oldHolder, oldToken := f.holder(name)
 	r := resultResponse(f.cluster.Propose(ctx, lease.Command{Op: lease.OpTransfer, Lease: name, Target: target}))
@@ -135,7 +135,7 @@
 	}
 }
 
-// holder returns the holder of a lease and its token, as known here.
+// holder returns the holder of a lease and its token, as known to this gateway.
 func (f *Fleet) holder(name string) (holder string, token uint64) {
 	for _, l := range f.cluster.Status().Leases {
 		if l.Name == name {
--- a/internal/fleet/endpoints.go
+++ b/internal/fleet/endpoints.go
@@ -19,13 +19,15 @@
 )
 
 const (
-	// listLeasePrefix begins the names of the leases to watch discovery for the fleet; the pool follows.
+	// listLeasePrefix is the prefix of the names of list leases, followed by the pool. The holder watches
+	// discovery for the fleet.
 	listLeasePrefix = "list/"
-	// maxListEvents bounds what waits for a pool's list; events over it are lost, and asked for again.
+	// maxListEvents is the capacity of a list's event queue. Events that do not fit are lost, and requested
+	// again.
 	maxListEvents = 64
-	// watchCheckInterval is how often it is checked whether discovery has to be watched.
+	// watchCheckInterval is how often a list checks whether discovery must be watched.
 	watchCheckInterval = 250 * time.Millisecond
-	// minResyncInterval is the least time between two requests for the full list.
+	// minResyncInterval is the minimum time between two requests for the full list.
 	minResyncInterval = watchCheckInterval
 )
 
@@ -35,34 +37,34 @@
 	Hosts []discovery.Member `json:"hosts,omitempty"`
 }
 
-// endpointList is the endpoint list of a pool by way of the fleet. It is a gateway.Source.
+// endpointList provides the endpoint list of a pool through the fleet. It is a gateway.Source.
 type endpointList struct {
 	fleet      *Fleet
 	pool, addr string
 	leaseName  string
 	events     chan func(*listFollower)
-	watches    atomic.Uint64 // of discovery, begun since the start
+	watches    atomic.Uint64 // number of watches of discovery since the start
 }
 
 func newEndpointList(f *Fleet, pool, addr string) *endpointList {
 	return &endpointList{fleet: f, pool: pool, addr: addr, leaseName: listLeasePrefix + pool, events: make(chan func(*listFollower), maxListEvents)}
 }
 
-// listFollower is an endpointList while it runs. It belongs to one goroutine.
+// listFollower is the state of a running endpointList. It is owned by one goroutine.
 type listFollower struct {
 	*endpointList
 	sink           discovery.Sink
 	state          *endpoints.Follower
-	hosts          map[string]discovery.Member // the full list
-	lease          *leaseholder.Lease          // nil: this gateway is not the holder
-	publicationSeq uint64                      // of the last publication under lease
+	hosts          map[string]discovery.Member // hosts of the full list, by ID
+	lease          *leaseholder.Lease          // nil if this gateway is not the holder
+	publicationSeq uint64                      // sequence number of the last publication under lease
 	resyncAt       time.Duration               // when the full list was last requested
-	publishedAt    time.Duration               // when the last publication was sent to all
-	cancelWatch    context.CancelFunc          // nil: discovery is not watched
-	watchSeq       uint64                      // of the last watch
+	publishedAt    time.Duration               // when the last publication to all gateways was sent
+	cancelWatch    context.CancelFunc          // nil if discovery is not watched
+	watchSeq       uint64                      // number of the last watch
 }
 
-// enqueue has the list's goroutine call do. It returns false if maxListEvents wait.
+// enqueue queues a function for the list's goroutine. It returns false if the queue is full.
 func (l *endpointList) enqueue(do func(*listFollower)) bool {
 	select {
 	case l.events <- do:
@@ -72,10 +74,10 @@
 	}
 }
 
-// runAsHolder is the work under the list lease: discovery is watched while it runs.
+// runAsHolder is the work under the list lease. Discovery is watched while it runs.
 func (l *endpointList) runAsHolder(ctx context.Context, lease *leaseholder.Lease) {
 	if !l.enqueue(func(x *listFollower) { x.setLease(lease) }) {
-		return // it is started again
+		return // the runner starts the work again
 	}
 	<-ctx.Done()
 	stopped := make(chan struct{})
@@ -105,7 +107,7 @@
 	l.enqueue(func(x *listFollower) { x.receive(p.Token, &update) })
 }
 
-// Resync implements cluster.Subscriber: another gateway asks for the full list.
+// Resync implements cluster.Subscriber. It sends the full list to the gateway that requests it.
 func (l *endpointList) Resync(from string, _ []byte) {
 	l.enqueue(func(x *listFollower) {
 		if x.lease == nil || x.state.Version() == 0 {
@@ -117,7 +119,7 @@
 	})
 }
 
-// Run passes the list to a sink until ctx ends.
+// Run passes the list to a sink until ctx is done.
 func (l *endpointList) Run(ctx context.Context, sink discovery.Sink) {
 	x := &listFollower{
 		endpointList: l, sink: sink, state: endpoints.NewFollower(leaseholder.Now()), hosts: map[string]discovery.Member{},
@@ -143,12 +145,12 @@
 	}
 }
 
-// check starts or ends the watch of discovery, and publishes a heartbeat if one is due.
+// check starts or stops the watch of discovery, and publishes a heartbeat if one is due.
 func (x *listFollower) check(ctx context.Context, watches *sync.WaitGroup) {
 	now := leaseholder.Now()
-	wasUnassisted := x.state.Unassisted()
+	wasInFallback := x.state.InFallback()
 	watch := x.state.ShouldWatch(now)
-	if x.state.Unassisted() && !wasUnassisted {
+	if x.state.InFallback() && !wasInFallback {
 		slog.Info("no endpoint updates from the fleet, watching discovery directly", "pool", x.pool)
 	}
 	switch {
@@ -196,7 +198,7 @@
 	}
 }
 
-// receiveDirect takes a list of discovery itself, and publishes it if this gateway is the holder.
+// receiveDirect handles a list from discovery itself, and publishes it if this gateway is the holder.
 func (x *listFollower) receiveDirect(kind balancer.ListKind, list discovery.MemberList) {
 	from := x.state.Version()
 	full := kind != balancer.ListChanges
@@ -215,7 +217,7 @@
 	x.publish("", u, list.Servers)
 }
 
-// store keeps the full list, for gateways that ask for it.
+// store updates the hosts of the full list, which is sent to gateways that request it.
 func (x *listFollower) store(full bool, hosts []discovery.Member) {
 	if full {
 		clear(x.hosts)
@@ -229,14 +231,14 @@
 	}
 }
 
-// setLease notes the lease that this gateway holds, nil for none.
+// setLease sets the lease that this gateway holds, nil for none.
 func (x *listFollower) setLease(lease *leaseholder.Lease) {
 	x.lease = lease
 	x.publicationSeq = 0
 	x.publishedAt = 0
 	x.state.SetHolder(leaseholder.Now(), lease != nil)
 	if lease != nil && x.state.Version() > 0 {
-		x.publishHeartbeat() // others may know less
+		x.publishHeartbeat() // other gateways may have an older list
 	}
 }
 
@@ -260,10 +262,10 @@
 	}
 }
 
-// receive takes the update of a holder.
+// receive handles an update of a holder.
 func (x *listFollower) receive(token uint64, p *endpointPublication) {
 	now := leaseholder.Now()
-	wasUnassisted := x.state.Unassisted()
+	wasInFallback := x.state.InFallback()
 	switch x.state.Receive(now, token, p.Update) {
 	case endpoints.Apply:
 		full := p.Kind == endpoints.KindFull
@@ -276,12 +278,12 @@
 	case endpoints.Outdated:
 		x.requestResync(now)
 	}
-	if wasUnassisted && !x.state.Unassisted() {
+	if wasInFallback && !x.state.InFallback() {
 		slog.Info("endpoint updates from the fleet resumed", "pool", x.pool, "version", x.state.Version())
 	}
 }
 
-// requestResync asks the holder for the full list, but not too often.
+// requestResync requests the full list from the holder, at most once per minResyncInterval.
 func (x *listFollower) requestResync(now time.Duration) {
 	if x.lease == nil && now >= x.resyncAt+minResyncInterval {
 		x.resyncAt = now
--- a/internal/fleet/endpoints/endpoints.go
+++ b/internal/fleet/endpoints/endpoints.go
@@ -2,23 +2,24 @@
 // the pool's list lease, which watches discovery for the fleet, or those of discovery itself. It does no I/O
 // and reads no clock.
 //
-// An older list must never replace a newer one, as it would make a host ready again that is draining or gone.
-// A holder is identified by its token, and one with a lower token than is known is ignored (the node's
-// fence). A new holder may know less than the one before, as discovery is slow to tell it: its lists count
-// only from the version that is known here. Updates of one holder count in the order in which they were sent,
-// whatever their versions: discovery itself may begin to count anew.
+// An older list must never replace a newer one, because it would make hosts available again that are draining
+// or gone. A holder is identified by its token, and updates with a lower token than the highest known one are
+// ignored (the node's fence). A new holder may have an older list than the previous one, if discovery is slow
+// to send it the latest: its updates are ignored until they reach the version that is known here. Updates of
+// the same holder are applied in the order in which they were sent, whatever their versions, because discovery
+// itself may restart its versions.
 package endpoints
 
 import "time"
 
 const (
-	// HeartbeatInterval lies between two updates of a holder whose list has not changed.
+	// HeartbeatInterval is the time between two updates of a holder whose list does not change.
 	HeartbeatInterval = 2 * time.Second
-	// PublicationTimeout is how long a gateway goes by the holder's last update: three heartbeats are lost by
+	// PublicationTimeout is how long a gateway relies on the holder's last update. Three heartbeats are lost by
 	// then. It is as long as a watch of discovery may be silent.
 	PublicationTimeout = 6 * time.Second
 	// StartupTimeout is how long a gateway that has just started waits for an update before it watches
-	// discovery itself: the other parts of a start take as long.
+	// discovery directly. The other parts of a start take as long.
 	StartupTimeout = time.Second
 )
 
@@ -27,37 +28,37 @@
 
 // Kinds of updates.
 const (
-	KindHeartbeat Kind = "beat"    // the list of Version is still valid
-	KindFull      Kind = "whole"   // all hosts, as of Version
-	KindChanges   Kind = "changes" // what changed from From to Version
+	KindHeartbeat Kind = "beat"    // the list of Version is still current
+	KindFull      Kind = "whole"   // all hosts of Version
+	KindChanges   Kind = "changes" // the changes from version From to Version
 )
 
-// Update is what a holder publishes of a list.
+// Update describes a publication of a list by its holder.
 type Update struct {
 	Kind    Kind   `json:"kind"`
 	From    uint64 `json:"from,omitempty"`
 	Version uint64 `json:"version"`
 }
 
-// Verdict is what to do with an update.
+// Verdict is how a gateway handles an update.
 type Verdict int
 
 // Verdicts.
 const (
 	Ignore   Verdict = iota
 	Apply            // pass it to the pool
-	Current          // it says nothing new
-	Outdated         // an update was missed: ask the holder for the full list
+	Current          // the update has nothing new
+	Outdated         // an update was missed: request the full list from the holder
 )
 
-// Follower is one gateway's view of one pool's list.
+// Follower is the state of one pool's list on one gateway.
 type Follower struct {
-	version    uint64 // of the list, if there is one
-	hasList    bool
-	token      uint64        // of the holder whose update was last accepted
-	updatedAt  time.Duration // when that was, or when the wait for a holder's update began
-	isHolder   bool
-	unassisted bool // no update has arrived for too long
+	version   uint64 // version of the list, if hasList is set
+	hasList   bool
+	token     uint64        // token of the holder whose update was last accepted
+	updatedAt time.Duration // when that update arrived, or when the wait for an update began
+	isHolder  bool
+	fallback  bool // no update has arrived for too long: discovery is watched directly
 }
 
 // NewFollower returns a Follower without a list.
@@ -65,15 +66,15 @@
 	return &Follower{updatedAt: now - PublicationTimeout + StartupTimeout}
 }
 
-// SetHolder sets whether this gateway is the holder.
+// SetHolder sets whether this gateway is the holder of the list lease.
 func (f *Follower) SetHolder(now time.Duration, isHolder bool) {
 	if f.isHolder && !isHolder {
-		f.updatedAt = now // the next holder gets its time
+		f.updatedAt = now // gives the next holder time to publish
 	}
 	f.isHolder = isHolder
 }
 
-// Receive takes the update of a holder.
+// Receive handles an update of a holder.
 func (f *Follower) Receive(now time.Duration, token uint64, u Update) Verdict {
 	v := f.classify(token, u)
 	if v == Apply {
@@ -83,7 +84,7 @@
 	if v == Apply || v == Current {
 		f.token = token
 		f.updatedAt = now
-		f.unassisted = false
+		f.fallback = false
 	}
 	return v
 }
@@ -91,9 +92,9 @@
 func (f *Follower) classify(token uint64, u Update) Verdict {
 	switch {
 	case f.isHolder || token < f.token:
-		return Ignore // this gateway publishes the list, or the update is of a former holder
+		return Ignore // this gateway publishes the list, or a former holder has sent the update
 	case token != f.token && f.hasList && u.Version < f.version:
-		return Ignore // a new holder that knows less than this gateway
+		return Ignore // the list of a new holder is older than the one here
 	}
 	switch u.Kind {
 	case KindFull:
@@ -114,15 +115,15 @@
 	case !f.hasList || u.From > f.version:
 		return Outdated
 	case u.Version <= f.version && u.From < f.version:
-		return Current // they came with the full list
+		return Current // the full list had these changes already
 	case u.From == f.version:
 		return Apply
 	}
 	return Outdated
 }
 
-// ReceiveDirect takes a list of discovery itself, and reports whether it counts: changes that are no newer
-// than what a holder has published meanwhile do not.
+// ReceiveDirect handles a list from discovery itself, and reports whether it is applied. Changes are not
+// applied if a holder has published the same or a later version in the meantime.
 func (f *Follower) ReceiveDirect(version uint64, full bool) bool {
 	if !full && f.hasList && version <= f.version {
 		return false
@@ -132,17 +133,17 @@
 	return true
 }
 
-// ShouldWatch reports whether this gateway has to watch discovery now: as the holder, or as it has had no
-// valid update for too long.
+// ShouldWatch reports whether this gateway must watch discovery now: because it is the holder, or because it
+// has received no valid update for too long.
 func (f *Follower) ShouldWatch(now time.Duration) bool {
 	if !f.isHolder && now-f.updatedAt >= PublicationTimeout {
-		f.unassisted = true
+		f.fallback = true
 	}
-	return f.isHolder || f.unassisted
+	return f.isHolder || f.fallback
 }
 
-// Unassisted reports whether this gateway watches discovery for want of a holder's updates.
-func (f *Follower) Unassisted() bool { return f.unassisted && !f.isHolder }
+// InFallback reports whether this gateway watches discovery directly because it receives no updates of a holder.
+func (f *Follower) InFallback() bool { return f.fallback && !f.isHolder }
 
-// Version returns the version of the list that is known.
+// Version returns the version of the list, or 0 if there is none.
 func (f *Follower) Version() uint64 { return f.version }
--- a/internal/fleet/endpoints/endpoints_test.go
+++ b/internal/fleet/endpoints/endpoints_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// publisher is the holder of a list lease. What it knows may be older than what discovery has.
+// publisher is the holder of a list lease. Its version may be older than that of discovery.
 type publisher struct {
 	token, version uint64
 }
@@ -17,10 +17,10 @@
 	update Update
 }
 
-// Whatever is lost, and whenever holders change, also to one that knows less: no update of a new holder takes a gateway
-// back to an older version, changes are applied only to the version that they are based on, and once updates arrive
-// again the gateway is at the holder's version.
-func TestFollower(t *testing.T) {
+// Updates are lost at random, and the holder changes, also to one with an older list. No update of a new holder
+// may take a gateway back to an older version, changes may be applied only to the version that they are based
+// on, and once updates arrive again the gateway must have the holder's version.
+func TestFollowerKeepsNewerListAndReachesHolder(t *testing.T) {
 	for seed := range uint64(3000) {
 		r := rand.New(rand.NewPCG(seed, 1))
 		now, truth := time.Hour, uint64(10)
@@ -30,10 +30,10 @@
 			was, from := f.Version(), f.token
 			v := f.Receive(now, p.token, p.update)
 			if v == Apply && p.token != from && f.Version() < was {
-				t.Fatalf("seed %d: holder %d took the list from %d back to %d", seed, p.token, was, f.Version())
+				t.Fatalf("seed %d: update with token %d took the list from version %d back to %d", seed, p.token, was, f.Version())
 			}
 			if v == Apply && p.update.Kind == KindChanges && p.update.From != was {
-				t.Fatalf("seed %d: changes from %d were applied at %d", seed, p.update.From, was)
+				t.Fatalf("seed %d: changes from version %d were applied to version %d", seed, p.update.From, was)
 			}
 			return v
 		}
@@ -52,7 +52,7 @@
 				if !lost && receive(publication{o.token, Update{KindHeartbeat, 0, o.version}}) == Outdated && r.IntN(2) == 0 {
 					receive(publication{o.token, Update{KindFull, 0, o.version}})
 				}
-			case 3: // another holder, with an older list perhaps; the former one still publishes
+			case 3: // a new holder, possibly with an older list; the former one still publishes
 				old := o
 				o = publisher{o.token + 1, truth - uint64(r.IntN(3))}
 				receive(publication{o.token, Update{KindHeartbeat, 0, o.version}})
@@ -64,7 +64,7 @@
 				}
 			case 4:
 				if f.ShouldWatch(now) && !f.ReceiveDirect(truth, r.IntN(2) == 0) && f.Version() < truth {
-					t.Fatalf("seed %d: discovery's own version %d was ignored at %d", seed, truth, f.Version())
+					t.Fatalf("seed %d: version %d from discovery was ignored at version %d", seed, truth, f.Version())
 				}
 			}
 		}
@@ -75,34 +75,35 @@
 			}
 		}
 		if f.Version() != truth {
-			t.Fatalf("seed %d: at %d, the holder at %d", seed, f.Version(), truth)
+			t.Fatalf("seed %d: got version %d, want the holder's version %d", seed, f.Version(), truth)
 		}
 	}
 }
 
-// Without an update for PublicationTimeout a gateway watches discovery itself, until it receives one again; a holder
-// always watches. Updates of the same holder count though discovery counts its versions anew.
-func TestUnassisted(t *testing.T) {
+// A gateway that receives no update for PublicationTimeout watches discovery directly until it receives one. A
+// holder always watches discovery. Updates of the same holder are applied even if discovery restarts its
+// versions.
+func TestFollowerFallsBackToDiscovery(t *testing.T) {
 	f := NewFollower(0)
 	if f.ShouldWatch(StartupTimeout - 1) {
-		t.Error("it watches before a holder could have published")
+		t.Error("discovery is watched before a holder could have published")
 	}
-	if !f.ShouldWatch(StartupTimeout) || !f.Unassisted() || !f.ReceiveDirect(7, true) {
-		t.Error("it does not watch itself")
+	if !f.ShouldWatch(StartupTimeout) || !f.InFallback() || !f.ReceiveDirect(7, true) {
+		t.Error("discovery is not watched directly after StartupTimeout")
 	}
-	if f.Receive(StartupTimeout, 3, Update{KindHeartbeat, 0, 6}) != Ignore || !f.Unassisted() {
-		t.Error("a holder with an older list is not ignored")
+	if f.Receive(StartupTimeout, 3, Update{KindHeartbeat, 0, 6}) != Ignore || !f.InFallback() {
+		t.Error("update of a holder with an older list is not ignored")
 	}
 	if f.Receive(StartupTimeout, 3, Update{KindFull, 0, 8}) != Apply || f.ShouldWatch(StartupTimeout+PublicationTimeout-1) {
-		t.Error("it goes on watching though there are updates")
+		t.Error("discovery is still watched directly although there are updates")
 	}
 	if f.Receive(StartupTimeout, 3, Update{KindFull, 0, 2}) != Apply || f.Version() != 2 {
-		t.Error("discovery counts anew, and the holder is ignored")
+		t.Error("update of the same holder with a lower version is not applied")
 	}
-	if f.SetHolder(StartupTimeout, true); !f.ShouldWatch(StartupTimeout) || f.Unassisted() || f.Receive(StartupTimeout, 9, Update{KindFull, 0, 20}) != Ignore {
-		t.Error("a holder does not watch, or accepts another's updates")
+	if f.SetHolder(StartupTimeout, true); !f.ShouldWatch(StartupTimeout) || f.InFallback() || f.Receive(StartupTimeout, 9, Update{KindFull, 0, 20}) != Ignore {
+		t.Error("holder does not watch discovery, or applies an update of another one")
 	}
 	if f.SetHolder(time.Minute, false); f.ShouldWatch(time.Minute + PublicationTimeout - 1) {
-		t.Error("a former holder leaves the next no time")
+		t.Error("former holder gives the next one no time to publish")
 	}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,7 @@
-// Package fleet is what a gateway uses its cluster for: the endpoint lists and health checks of its pools,
-// operators' overrides, housekeeping, and the operators' calls and metrics. The coordination state and its
-// replication are in internal/cluster.
+// Package fleet contains what a gateway does as a member of its fleet: it shares the endpoint lists and health
+// checks of its pools, applies operators' overrides, removes unused members and leases from the state, and
+// provides the operators' calls and metrics. The coordination state and its replication are in
+// internal/cluster.
 package fleet
 
 import (
@@ -15,23 +16,25 @@
 	"dunemoor/internal/gateway"
 )
 
-// Fleet is a gateway's part in its fleet. Its methods may be called by several goroutines.
+// Fleet is a gateway's membership in its fleet. Its methods may be called concurrently.
 type Fleet struct {
 	cluster       *cluster.Cluster
 	endpointLists map[string]*endpointList // by pool
 	healthChecks  []*healthCheck
-	pools         atomic.Pointer[func(name string) (Pool, bool)] // nil: the gateway does not serve yet
+	pools         atomic.Pointer[func(name string) (Pool, bool)] // nil until the gateway serves
 	ctx           context.Context
 	cancel        context.CancelFunc
 
-	overridesMu sync.Mutex                            // held while overrides are applied, one set after the other
-	drain       func(hostsByPool map[string][]string) // nil: the gateway does not serve yet; guarded by overridesMu
+	overridesMu sync.Mutex                            // held while a set of overrides is applied
+	drain       func(hostsByPool map[string][]string) // nil until the gateway serves; guarded by overridesMu
 }
 
-// leaveTimeout is how long a shutdown waits for the fleet to know of it; without, the session expires.
+// leaveTimeout is how long a shutdown waits for the gateway to leave the fleet. If it fails to, its session
+// expires.
 const leaveTimeout = time.Second
 
-// Join opens a gateway's part from its configuration, with the leases of its pools. It runs from Start on.
+// Join opens a gateway's membership in the fleet of its configuration, and registers the leases of its pools.
+// It starts nothing; Start does.
 func Join(a *config.Appliance) (*Fleet, error) {
 	cfg, err := clusterConfig(a)
 	if err != nil {
@@ -44,7 +47,7 @@
 	f := &Fleet{cluster: c, endpointLists: map[string]*endpointList{}}
 	f.ctx, f.cancel = context.WithCancel(context.Background())
 	c.OnOverrides = f.overridesChanged
-	if len(a.Fleet.Relays) == 0 || a.Fleet.IsRelay(a.Name) { // a gateway with a relay knows no other members
+	if len(a.Fleet.Relays) == 0 || a.Fleet.IsRelay(a.Name) { // a gateway with a relay does not know the other members
 		c.Register(housekeepingLease, f.collectGarbage, nil)
 	}
 	for _, p := range a.Pools {
@@ -62,7 +65,7 @@
 	return f, nil
 }
 
-// clusterConfig returns the cluster's part of a gateway's configuration.
+// clusterConfig returns the configuration of the cluster from that of a gateway.
 func clusterConfig(a *config.Appliance) (cluster.Config, error) {
 	key, err := config.ReadKey(a.Fleet.KeyFile)
 	if err != nil {
@@ -87,20 +90,21 @@
 // Start joins the fleet.
 func (f *Fleet) Start() error { return f.cluster.Start() }
 
-// SetPools is called once the gateway serves, with its pools, and with a function that drains hosts in
-// accordance with operators' overrides.
+// SetPools must be called once the gateway serves. pools returns a pool of the gateway by name; drain drains
+// hosts according to operators' overrides.
 func (f *Fleet) SetPools(pools func(name string) (Pool, bool), drain func(hostsByPool map[string][]string)) {
 	f.pools.Store(&pools)
 	f.overridesMu.Lock()
 	f.drain = drain
 	f.overridesMu.Unlock()
-	f.applyOverrides() // those that have arrived meanwhile
+	f.applyOverrides() // overrides that arrived before this call
 	for _, h := range f.healthChecks {
 		go h.reportEjected(f.ctx)
 	}
 }
 
-// pool returns a pool of the gateway. It reports false for one that does not exist, or not yet.
+// pool returns a pool of the gateway. It returns false if the pool does not exist, or the gateway does not
+// serve yet.
 func (f *Fleet) pool(name string) (Pool, bool) {
 	if pools := f.pools.Load(); pools != nil {
 		return (*pools)(name)
@@ -108,8 +112,8 @@
 	return nil, false
 }
 
-// Source returns the source of a pool's endpoint list. Discovery is watched directly for a pool that was
-// added since the start, or whose address has changed.
+// Source returns the source of a pool's endpoint list. A pool that was added after the start, or whose address
+// has changed since, watches discovery directly.
 func (f *Fleet) Source(pool, addr string) gateway.Source {
 	if l := f.endpointLists[pool]; l != nil && l.addr == addr {
 		return l
@@ -117,7 +121,7 @@
 	return discovery.NewWatcher(addr, false, 0)
 }
 
-// Leave ends the gateway's part in order.
+// Leave leaves the fleet gracefully.
 func (f *Fleet) Leave() {
 	f.cancel()
 	f.cluster.Leave(leaveTimeout)
--- a/internal/fleet/healthcheck.go
+++ b/internal/fleet/healthcheck.go
@@ -18,29 +18,30 @@
 )
 
 const (
-	// checkLeasePrefix begins the names of the leases to check hosts for the fleet; the pool follows.
+	// checkLeasePrefix is the prefix of the names of health check leases, followed by the pool. The holder
+	// checks hosts for the fleet.
 	checkLeasePrefix = "check/"
-	// maxCheckResponse is what is read of a response.
+	// maxCheckResponse is the maximum number of bytes that are read of a response.
 	maxCheckResponse = 4 << 10
-	// checksPerInterval is how often due hosts are looked for in an interval.
+	// checksPerInterval is how often per healthcheck.Interval the holder looks for due hosts.
 	checksPerInterval = 4
 )
 
-// Headers of a health check. A host that keeps the highest token that it was shown of a lease, and answers
-// 412 to a lower one, is safe from a former holder that was paused.
+// Headers of a health check. A host that stores the highest token that it has received for a lease, and
+// responds to a lower one with 412, is protected from a former holder that was paused.
 const (
 	HeaderLease = "X-Fleet-Duty"
 	HeaderToken = "X-Fleet-Token"
 )
 
-// Pool is a pool of the gateway as health checks see it.
+// Pool is a pool of the gateway, as health checks use it.
 type Pool interface {
-	// EjectedHosts returns the hosts that are ejected and have not responded since, up to a limit.
+	// EjectedHosts returns at most limit hosts that are ejected and have not responded since.
 	EjectedHosts(limit int) []string
-	// Address returns where a host takes requests; "" where it gets none.
+	// Address returns the address of a host, or "" if no requests are sent to it.
 	Address(name string) string
-	// HealthCheckPassed reports that a host may be back. It gets a trial request at a random moment within a
-	// time.
+	// HealthCheckPassed reports that a host may be available again. It is sent a trial request at a random time
+	// within the given duration.
 	HealthCheckPassed(name string, within time.Duration)
 }
 
@@ -49,31 +50,31 @@
 	Hosts []string `json:"hosts"`
 }
 
-// healthCheck checks the ejected hosts of a pool, by one gateway for all.
+// healthCheck checks the ejected hosts of a pool. One gateway does so for the whole fleet.
 type healthCheck struct {
 	fleet     *Fleet
 	pool      string
-	path      string // that hosts are asked for
+	path      string // request path of a check
 	leaseName string
 	client    http.Client
 
-	mu       sync.Mutex           // guards the two fields below
-	checker  *healthcheck.Checker // nil: this gateway is not the holder
-	checkSeq uint64               // of the last check as this holder; a publication has that of its check
+	mu       sync.Mutex           // guards checker and checkSeq
+	checker  *healthcheck.Checker // nil if this gateway is not the holder
+	checkSeq uint64               // number of the last check as this holder, which is the sequence number of its publication
 
 	// Counters of metrics.
 
 	passed   atomic.Uint64 // checks that a host has passed
 	failed   atomic.Uint64 // checks without a response, or with a bad status
-	fenced   atomic.Uint64 // checks that a host rejected, as it knows a later holder
-	received atomic.Uint64 // hosts that have passed, of publications and of checks of this gateway
+	fenced   atomic.Uint64 // checks that a host rejected, because it has received a later token
+	received atomic.Uint64 // hosts that have passed, by publications and by checks of this gateway
 }
 
 func newHealthCheck(f *Fleet, pool, path string) *healthCheck {
 	return &healthCheck{fleet: f, pool: pool, path: path, leaseName: checkLeasePrefix + pool, client: http.Client{
 		Timeout:       healthcheck.Timeout,
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
-		// No proxy, and no connection is kept: the question is whether a new client is served.
+		// Without a proxy and without keepalive, since a check must show whether a new client is served.
 		Transport: &http.Transport{
 			DialContext: (&net.Dialer{Timeout: healthcheck.Timeout}).DialContext, DisableKeepAlives: true,
 			MaxResponseHeaderBytes: maxCheckResponse,
@@ -81,7 +82,7 @@
 	}}
 }
 
-// reportEjected reports the hosts that this gateway has ejected to the holder, repeatedly.
+// reportEjected periodically reports the hosts that this gateway has ejected to the holder.
 func (c *healthCheck) reportEjected(ctx context.Context) {
 	tick := time.NewTicker(healthcheck.Interval)
 	defer tick.Stop()
@@ -105,7 +106,7 @@
 	}
 }
 
-// report takes a report. It reports false where this gateway is not the holder.
+// report handles a report of ejected hosts. It returns false if this gateway is not the holder.
 func (c *healthCheck) report(names []string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -116,7 +117,7 @@
 	return true
 }
 
-// Resync implements cluster.Subscriber: another gateway reports the hosts that it has ejected.
+// Resync implements cluster.Subscriber. Another gateway reports the hosts that it has ejected.
 func (c *healthCheck) Resync(_ string, body []byte) {
 	var r hostReport
 	if err := json.Unmarshal(body, &r); err != nil {
@@ -125,32 +126,32 @@
 	c.report(r.Hosts)
 }
 
-// ReceivePublication implements cluster.Subscriber: hosts have passed a check.
+// ReceivePublication implements cluster.Subscriber. The publication lists hosts that have passed a check.
 func (c *healthCheck) ReceivePublication(p node.Publication) {
 	var r hostReport
 	if err := json.Unmarshal(p.Body, &r); err != nil {
 		slog.Warn("malformed health check publication", "pool", c.pool, "err", err)
 		return
 	}
-	// Not on the caller's goroutine, which is the cluster's loop: the pool may be busy.
+	// Not on the caller's goroutine, which is the cluster's loop, because the pool may be busy.
 	go c.notifyPool(r.Hosts)
 }
 
-// notifyPool tells this gateway's pool of hosts that have passed a check.
+// notifyPool notifies this gateway's pool of hosts that have passed a check.
 func (c *healthCheck) notifyPool(names []string) {
 	p, ok := c.fleet.pool(c.pool)
 	if !ok {
 		return
 	}
 	s := c.fleet.cluster.Status()
-	within := healthcheck.TrialSpread(max(len(s.Members), s.Sessions)) // with relays only the number is known here
+	within := healthcheck.TrialSpread(max(len(s.Members), s.Sessions)) // in a fleet with relays only the number is known here
 	for _, name := range names[:min(len(names), healthcheck.MaxHosts)] {
 		c.received.Add(1)
 		p.HealthCheckPassed(name, within)
 	}
 }
 
-// runAsHolder is the work under the check lease: hosts are checked while it runs.
+// runAsHolder is the work under the check lease. Hosts are checked while it runs.
 func (c *healthCheck) runAsHolder(ctx context.Context, l *leaseholder.Lease) {
 	c.setChecker(healthcheck.NewChecker())
 	defer c.setChecker(nil)
@@ -183,7 +184,7 @@
 	return c.checker.Due(leaseholder.Now())
 }
 
-// checked notes the end of a check, and returns the sequence number of a publication of its result.
+// checked records the end of a check, and returns the sequence number for the publication of its result.
 func (c *healthCheck) checked(name string) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -194,7 +195,7 @@
 	return c.checkSeq
 }
 
-// check checks a host, and publishes that it has passed.
+// check checks a host, and publishes the host if it passes.
 func (c *healthCheck) check(l *leaseholder.Lease, name string) {
 	passed := c.request(l, name)
 	seq := c.checked(name)
@@ -210,9 +211,9 @@
 	c.notifyPool(names)
 }
 
-// request sends one request to a host, and reports whether it passes. The lease is checked last before the
-// request is sent; what happens in between is for the host's fence, and a check changes nothing at a host
-// without one.
+// request sends one request to a host, and reports whether the host passes. The lease is validated last before
+// the request is sent. If it is lost in between, the host's fence rejects the check; a check changes nothing on
+// a host without a fence.
 func (c *healthCheck) request(l *leaseholder.Lease, name string) (passed bool) {
 	p, ok := c.fleet.pool(c.pool)
 	if !ok {
@@ -220,7 +221,7 @@
 	}
 	addr := p.Address(name)
 	if addr == "" {
-		return false // it is draining or gone
+		return false // the host is draining or gone
 	}
 	r, err := http.NewRequest(http.MethodGet, "http://"+addr+c.path, nil)
 	if err != nil {
--- a/internal/fleet/healthcheck/healthcheck.go
+++ b/internal/fleet/healthcheck/healthcheck.go
@@ -1,9 +1,9 @@
-// Package healthcheck decides which of the hosts that gateways have ejected are checked next, by the gateway
-// that does so for its fleet. It does no I/O and reads no clock.
+// Package healthcheck decides which of the hosts that gateways have ejected are checked next, on the gateway
+// that checks them for its fleet. It does no I/O and reads no clock.
 //
-// A host is checked while some gateway reports it as ejected. What a passed check means is up to each
-// gateway: it advances the host's next trial request, and nothing else. So a checker that is wrong, or cut
-// off, takes no host from anyone.
+// A host is checked while at least one gateway reports it as ejected. A passed check only brings forward the
+// host's next trial request on each gateway. So a checker with wrong results, or without connections, makes no
+// host unavailable.
 package healthcheck
 
 import (
@@ -13,42 +13,43 @@
 )
 
 const (
-	// Interval is the least time between two checks of a host, and between two reports of a gateway.
+	// Interval is the minimum time between two checks of a host, and between two reports of a gateway.
 	Interval = time.Second
-	// Timeout bounds a check. A check under way when a host begins to drain ends before the 500 ms are over
-	// after which nothing new may reach the host.
+	// Timeout is the maximum duration of a check. A check that runs when its host begins to drain ends within
+	// the 500 ms after which nothing new may reach the host.
 	Timeout = 400 * time.Millisecond
-	// ReportTTL is how long a report counts: two may be lost.
+	// ReportTTL is how long a report is valid. Two reports may be lost.
 	ReportTTL = 3 * Interval
-	// MaxHosts bounds the hosts that are checked, and those in one report. Where more are down there is a
-	// common cause to be mended first.
+	// MaxHosts is the maximum number of hosts that are checked, and of those in one report. If more hosts are
+	// down, there is a common cause that must be fixed first.
 	MaxHosts = 256
-	// MaxConcurrent bounds the checks under way: hosts that do not answer cost 40 checks a second.
+	// MaxConcurrent is the maximum number of checks that run at once: hosts that do not respond cost 40 checks
+	// per second.
 	MaxConcurrent = 16
-	// TrialGap is the time that each gateway adds to TrialSpread: a host that returns gets fifty trial
-	// requests a second, as it may be in slow start.
+	// TrialGap is the time that each gateway adds to TrialSpread. A host that returns gets 50 trial requests
+	// per second, as it may be in slow start.
 	TrialGap = 20 * time.Millisecond
 )
 
-// TrialSpread returns the time over which so many gateways spread their trial requests to a host.
+// TrialSpread returns the time over which the given number of gateways spread their trial requests to a host.
 func TrialSpread(gateways int) time.Duration { return time.Duration(max(1, gateways)) * TrialGap }
 
-// Checker is the work of the holder of one pool's health check lease.
+// Checker schedules the checks of one pool's hosts on the holder of the pool's health check lease.
 type Checker struct {
 	hosts    map[string]*host // by name
-	inFlight int              // checks under way
+	inFlight int              // number of checks that are running
 }
 
 type host struct {
 	reportedAt time.Duration // when a gateway last reported it as ejected
 	dueAt      time.Duration // when it may be checked next
-	inFlight   bool          // a check of it is under way
+	inFlight   bool          // a check of the host is running
 }
 
 // NewChecker returns a Checker without hosts.
 func NewChecker() *Checker { return &Checker{hosts: map[string]*host{}} }
 
-// Report takes a gateway's report of the hosts that it has ejected.
+// Report handles a gateway's report of the hosts that it has ejected.
 func (c *Checker) Report(now time.Duration, names []string) {
 	for _, name := range names[:min(len(names), MaxHosts)] {
 		h := c.hosts[name]
@@ -63,8 +64,8 @@
 	}
 }
 
-// Due returns the hosts to check now, those that have waited longest first. The end of each check is to be
-// reported by Checked.
+// Due returns the hosts to check now, those that are due longest first. Checked must be called at the end of
+// each check.
 func (c *Checker) Due(now time.Duration) (names []string) {
 	for name, h := range c.hosts {
 		switch {
--- a/internal/fleet/healthcheck/healthcheck_test.go
+++ b/internal/fleet/healthcheck/healthcheck_test.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// Whatever gateways report and however long checks take: no host is checked that was not reported lately, none twice at
-// once or sooner than Interval, no more than MaxConcurrent checks run, and a host that is reported all the time is checked.
-func TestChecker(t *testing.T) {
+// Whatever gateways report and however long checks take, a host is checked only if it was reported within
+// ReportTTL, not twice at once and not within Interval of its last check, at most MaxConcurrent checks run, and
+// a host that is always reported is checked.
+func TestCheckerLimitsChecksOfReportedHosts(t *testing.T) {
 	for seed := range uint64(40) {
 		r := rand.New(rand.NewPCG(seed, 2))
 		c := NewChecker()
@@ -37,17 +38,17 @@
 			for _, name := range c.Due(now) {
 				_, twice := running[name]
 				if twice || reported[name] == 0 || now > reported[name]+ReportTTL || last[name] > 0 && now < last[name]+Interval {
-					t.Fatalf("seed %d: %s is checked at %v: running %v, reported at %v, last checked at %v", seed, name, now, twice, reported[name], last[name])
+					t.Fatalf("seed %d: %s must not be checked at %v: running %v, reported at %v, last checked at %v", seed, name, now, twice, reported[name], last[name])
 				}
 				running[name] = check{now + time.Duration(r.Int64N(int64(Timeout)))}
 				checks[name]++
 			}
 			if len(running) > MaxConcurrent || len(c.hosts) > MaxHosts {
-				t.Fatalf("seed %d: %d checks running, %d hosts kept", seed, len(running), len(c.hosts))
+				t.Fatalf("seed %d: got %d checks running and %d hosts kept, want at most MaxConcurrent and MaxHosts", seed, len(running), len(c.hosts))
 			}
 		}
 		if checks[steady] < 10 {
-			t.Errorf("seed %d: of %d hosts one that was always reported was checked %d times in two minutes", seed, most, checks[steady])
+			t.Errorf("seed %d: with %d hosts, one that was always reported was checked %d times in two minutes, want at least 10", seed, most, checks[steady])
 		}
 	}
 }
--- a/internal/fleet/housekeeping.go
+++ b/internal/fleet/housekeeping.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	// housekeepingLease is the lease to collect members and leases that are out of use.
+	// housekeepingLease is the lease to remove unused members and leases.
 	housekeepingLease = "housekeeping"
-	// housekeepingInterval lies between two checks; retentionTime is how long a gateway without a session, or
-	// a lease without a holder, is still shown.
+	// housekeepingInterval is the time between two checks. retentionTime is how long a gateway without a
+	// session, or a lease without a holder, is kept in the state.
 	housekeepingInterval = 10 * time.Second
 	retentionTime        = 15 * time.Minute
 )
 
-// collectGarbage is the work under the housekeeping lease.
+// collectGarbage is the work under the housekeeping lease. It removes members and leases that are unused for
+// retentionTime.
 func (f *Fleet) collectGarbage(ctx context.Context, l *leaseholder.Lease) {
 	unusedSince := map[string]time.Duration{}
 	tick := time.NewTicker(housekeepingInterval)
@@ -44,7 +45,7 @@
 	}
 }
 
-// trackUnused updates since when members and leases are unused.
+// trackUnused updates the times since which members and leases are unused.
 func (f *Fleet) trackUnused(unusedSince map[string]time.Duration, now time.Duration) {
 	status := f.cluster.Status()
 	unused := map[string]bool{}
--- a/internal/fleet/metrics.go
+++ b/internal/fleet/metrics.go
@@ -14,7 +14,7 @@
 
 const checksHelp = "Health checks on behalf of the fleet: good, bad, or fenced by a host that knows a later holder of the lease."
 
-// registry returns all metrics of the gateway's part.
+// registry returns a registry with all metrics of the gateway's membership.
 func (f *Fleet) registry() *prometheus.Registry {
 	r := prometheus.NewRegistry()
 	r.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
@@ -23,7 +23,7 @@
 	return r
 }
 
-// registerPoolMetrics registers the counters that exist for each pool.
+// registerPoolMetrics registers the counters of each pool.
 func (f *Fleet) registerPoolMetrics(r *prometheus.Registry) {
 	for pool, l := range f.endpointLists {
 		registerCounter(r, "dunemoor_discovery_watches_total", "Watches of discovery begun by this gateway, of a pool whose list the fleet publishes.",
@@ -43,7 +43,7 @@
 	r.MustRegister(prometheus.NewCounterFunc(opts, func() float64 { return float64(value.Load()) }))
 }
 
-// metricsCall returns the call of a scraper, in the text format of Prometheus.
+// metricsCall returns the call that Prometheus scrapes, in its text format.
 func (f *Fleet) metricsCall() func(context.Context, url.Values) (int, string, string) {
 	r := f.registry()
 	return func(context.Context, url.Values) (int, string, string) {
--- a/internal/fleet/overrides.go
+++ b/internal/fleet/overrides.go
@@ -13,17 +13,17 @@
 	"dunemoor/internal/cluster/node"
 )
 
-// Paths of operators' calls about hosts, with their parameters.
+// Paths of the operators' calls that concern hosts. The comments list the parameters.
 const (
 	PathDrain   = "/admin/fleet/drain"   // pool, host, until, reason
 	PathUndrain = "/admin/fleet/undrain" // pool, host
 )
 
-// maxSupersededRetries is how often an override is proposed that another command of this gateway has
-// overtaken.
+// maxSupersededRetries is how often an override is proposed in total if later commands of this gateway overtake
+// it.
 const maxSupersededRetries = 8
 
-// Drained returns the hosts that operators want drained, by pool, as known here.
+// Drained returns the hosts that operators have drained, by pool, as known to this gateway.
 func (f *Fleet) Drained() map[string][]string {
 	hosts := map[string][]string{}
 	for _, o := range f.cluster.Overrides().List {
@@ -32,13 +32,13 @@
 	return hosts
 }
 
-// overridesChanged is called by the cluster's loop.
+// overridesChanged is called by the cluster's loop when the overrides have changed.
 func (f *Fleet) overridesChanged(set *node.OverrideSet) {
 	slog.Info("operator overrides changed", "hosts", len(set.List), "index", set.ModRevision)
 	f.applyOverrides()
 }
 
-// applyOverrides applies the present overrides in the gateway, if that serves.
+// applyOverrides applies the current overrides to the gateway, once that serves.
 func (f *Fleet) applyOverrides() {
 	f.overridesMu.Lock()
 	defer f.overridesMu.Unlock()
@@ -47,7 +47,7 @@
 	}
 }
 
-// proposeOverride proposes to add or remove an override, again if it was superseded.
+// proposeOverride proposes to add or remove an override, and retries if the command was superseded.
 func (f *Fleet) proposeOverride(ctx context.Context, op lease.Op, o *lease.Override) (r lease.Result, err error) {
 	for range maxSupersededRetries {
 		r, err = f.cluster.Propose(ctx, lease.Command{Op: op, Override: o})
@@ -58,7 +58,7 @@
 	return r, err
 }
 
-// parseOverride reads the parameters of a call. The error is for the caller.
+// parseOverride parses the parameters of a call. The text of its error is sent to the caller.
 func parseOverride(v url.Values) (*lease.Override, error) {
 	o := &lease.Override{Pool: v.Get("pool"), Host: v.Get("host"), Reason: v.Get("reason")}
 	if o.Pool == "" || o.Host == "" {
@@ -74,7 +74,7 @@
 	return o, nil
 }
 
-// overrideCalls returns the operators' calls about hosts.
+// overrideCalls returns the operators' calls that concern hosts, by path.
 func (f *Fleet) overrideCalls() map[string]admin.Call {
 	return map[string]admin.Call{
 		PathDrain: postCall(func(ctx context.Context, v url.Values) response {
