--- a/internal/cluster/relay/client.go
+++ b/internal/cluster/relay/client.go
@@ -143,7 +143,7 @@
 	s := c.attempt
 	if s == nil || s.epoch != epoch {
 		if r.Accepted && (c.current == nil || c.current.epoch != epoch) {
-			c.out.Close = append(c.out.Close, epoch) // too late: the client no longer wants the stream
+			c.out.Close = append(c.out.Close, epoch) // too late: the client has abandoned the attempt
 		}
 		return
 	}
--- a/internal/cluster/transport/stream_test.go
+++ b/internal/cluster/transport/stream_test.go
@@ -40,7 +40,7 @@
 		t.Errorf("first frame of the relay: got %q, want %q", got[0], want)
 	}
 	stream.Finish()
-	testutil.WaitUntil(t, "both are notified of its end", func() bool { return gateway.endCount() == 1 && server.endCount() == 1 })
+	testutil.WaitUntil(t, "both sides are notified of the end", func() bool { return gateway.endCount() == 1 && server.endCount() == 1 })
 }
 
 // If the connection is closed, hangs or is corrupted at any byte up to the relay's reply to the join, the
@@ -51,7 +51,7 @@
 	stream := gateway.Dial("relay", address, relay.KindJoin, []byte("join"))
 	testutil.WaitUntil(t, "the relay replies", func() bool { return gateway.frameCount() == 1 })
 	stream.Close()
-	testutil.WaitUntil(t, "it ends", func() bool { return gateway.endCount() == 1 })
+	testutil.WaitUntil(t, "the stream ends", func() bool { return gateway.endCount() == 1 })
 
 	const handshakeBytes = len(magic) + 1 + nonceSize + 2*macSize + 2 // without the hello
 	const replyEnd = handshakeBytes + len(`{"hello":`) + frameHeaderBytes + len(joinReplyBody)
@@ -101,7 +101,7 @@
 	if err != nil {
 		t.Fatalf("handshakeDial: got %v, want no error", err)
 	}
-	testutil.WaitUntil(t, "the relay ends it", func() bool { return server.endCount() == 1 })
+	testutil.WaitUntil(t, "the relay ends the stream", func() bool { return server.endCount() == 1 })
 }
 
 // A relay closes the stream of a gateway that reads nothing once too much is queued for it, so that the relay's
@@ -125,7 +125,7 @@
 		return true
 	})
 	stream.Send(relay.KindRecord, body)
-	testutil.WaitUntil(t, "it is closed", func() bool { return server.endCount() == 1 })
+	testutil.WaitUntil(t, "the stream is closed", func() bool { return server.endCount() == 1 })
 	_, ends := server.received()
 	if overrun := server.Counters.StreamsOverrun.Load(); !errors.Is(ends[0], ErrStreamOverrun) || overrun != 1 {
 		t.Errorf("got end %v and %d streams counted as overrun, want %v and 1", ends[0], overrun, ErrStreamOverrun)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -29,8 +29,8 @@
 	drain       func(hostsByPool map[string][]string) // nil until the gateway serves; guarded by overridesMu
 }
 
-// leaveTimeout is how long a shutdown waits for the gateway to leave the fleet. If it fails to, its session
-// expires.
+// leaveTimeout is how long a shutdown waits for the gateway to leave the fleet. Otherwise the gateway's
+// session expires.
 const leaveTimeout = time.Second
 
 // Join opens a gateway's membership in the fleet of its configuration, and registers the leases of its pools.
@@ -47,7 +47,7 @@
 	f := &Fleet{cluster: c, endpointLists: map[string]*endpointList{}}
 	f.ctx, f.cancel = context.WithCancel(context.Background())
 	c.OnOverrides = f.overridesChanged
-	if len(a.Fleet.Relays) == 0 || a.Fleet.IsRelay(a.Name) { // a gateway with a relay does not know the other members
+	if len(a.Fleet.Relays) == 0 || a.Fleet.IsRelay(a.Name) { // a gateway with a relay has no list of the other members
 		c.Register(housekeepingLease, f.collectGarbage, nil)
 	}
 	for _, p := range a.Pools {
--- a/internal/fleet/healthcheck/healthcheck.go
+++ b/internal/fleet/healthcheck/healthcheck.go
@@ -2,8 +2,8 @@
 // that checks them for its fleet. It does no I/O and reads no clock.
 //
 // A host is checked while at least one gateway reports it as ejected. A passed check only brings forward the
-// host's next trial request on each gateway. So a checker with wrong results, or without connections, makes no
-// host unavailable.
+// host's next trial request on each gateway. So a checker with wrong results, or behind a network
+// partition, makes no host unavailable.
 package healthcheck
 
 import (
