--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,6 +1,6 @@
-// Package admin is the gateway's second address, where operators ask for its state and have it drain. It speaks HTTP/1.1
-// with one call for each connection and has a server of its own: clients neither fill its queues nor use up its
-// connections.
+// Package admin provides the admin API of a gateway, with which operators query its state and drain it. The API is served
+// over HTTP/1.1 on a separate address, with one call per connection. It has its own server, so that clients can neither
+// fill its queues nor use up its connections.
 package admin
 
 import (
@@ -28,55 +28,56 @@
 )
 
 const (
-	// MaxConns is how many connections may be open. Beyond it the one that has been without a call for longest is closed.
-	// Callers come a few at a time, and some stay without a call.
+	// MaxConns is the maximum number of open connections. When it is exceeded, the oldest connection without a call is
+	// closed. A few calls at a time are expected, and some connections stay open without a call.
 	MaxConns = 16
-	// readTimeout is how long a call may take to arrive. Some callers stay for 4 s with half a call, which costs only a
-	// descriptor.
+	// readTimeout limits the time to receive a call. Some callers send half a call and stay connected for 4 s, which costs
+	// only a descriptor.
 	readTimeout = 5 * time.Second
-	// callTimeout is how long a Call may take. It is shorter than readTimeout, so that its caller still gets a response.
+	// callTimeout limits the time that a Call may take. It is shorter than readTimeout, so that the caller still gets a
+	// response.
 	callTimeout = 4 * time.Second
-	// writeTimeout is when after the call's header section its response has to be written.
+	// writeTimeout limits the time from the end of the header section of a call to the end of its response.
 	writeTimeout = readTimeout + time.Second
-	// maxHeaderBytes is the longest header section of a call.
+	// maxHeaderBytes is the maximum size of the header section of a call.
 	maxHeaderBytes = 4 << 10
 
 	typeText = "text/plain; charset=utf-8"
 	typeJSON = "application/json"
 )
 
-// Target is what the calls act on. None of its methods may wait.
+// Target is the gateway that the calls act on. Its methods must not block.
 type Target interface {
-	// Ready reports whether the process is ready to serve, with a line of text.
+	// Ready reports whether the gateway is ready to serve, with a line of text for the response.
 	Ready() (ok bool, text string)
-	// Quiesce starts a drain. If one is in progress it does nothing.
+	// Quiesce starts a drain. If a drain is already in progress, it has no effect.
 	Quiesce()
-	// Resume ends a drain in any state.
+	// Resume cancels a drain in any phase.
 	Resume()
-	// Status returns what is counted, to be written as JSON.
+	// Status returns the state and counters of the gateway, which are encoded as JSON.
 	Status() any
 }
 
-// Call is an operators' call.
+// Call is a call of the admin API.
 type Call struct {
-	Method string // HTTP method; calls by another get status 405
-	// Do carries out the call with the parameters of its query. It may wait until ctx ends, after callTimeout. An empty
-	// contentType stands for plain text.
-	Do func(ctx context.Context, with url.Values) (status int, text, contentType string)
+	Method string // required HTTP method; requests with another method get status 405
+	// Do executes the call with the parameters of the request's query. It may block until ctx is done, which is after
+	// callTimeout. An empty contentType stands for plain text.
+	Do func(ctx context.Context, params url.Values) (status int, text, contentType string)
 }
 
-// Server serves calls.
+// Server serves the admin API.
 type Server struct {
 	http  http.Server
-	calls map[string]Call // by path
+	calls map[string]Call // keyed by path
 
-	mu       sync.Mutex                 // guards all below
-	silent   list.List                  // connections without a call so far, oldest first
-	elements map[net.Conn]*list.Element // of silent
-	open     int                        // connections
+	mu       sync.Mutex                 // guards the fields below
+	idle     list.List                  // connections that have not sent a call yet, oldest first
+	elements map[net.Conn]*list.Element // elements of idle, keyed by connection
+	open     int                        // number of open connections
 }
 
-// New returns a Server for the calls on a Target, and others by their paths.
+// New returns a Server for the calls on a Target. others has further calls, keyed by path.
 func New(to Target, others map[string]Call) *Server {
 	s := &Server{elements: map[net.Conn]*list.Element{}, calls: targetCalls(to)}
 	for path, c := range others {
@@ -89,14 +90,14 @@
 		ReadTimeout:                  readTimeout,
 		WriteTimeout:                 writeTimeout,
 		MaxHeaderBytes:               maxHeaderBytes,
-		ErrorLog:                     log.New(io.Discard, "", 0), // it would have a line for each bad caller
+		ErrorLog:                     log.New(io.Discard, "", 0), // net/http would log a line for each invalid request
 		DisableGeneralOptionsHandler: true,
 	}
 	s.http.SetKeepAlivesEnabled(false)
 	return s
 }
 
-// Serve serves calls on ln until ctx ends.
+// Serve serves calls on ln until ctx is done.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
 	defer context.AfterFunc(ctx, func() { s.http.Close() })()
 	if err := s.http.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
@@ -105,10 +106,10 @@
 	return nil
 }
 
-// connKey is the key of the connection among the values of a call's context.
+// connKey is the context key of the connection of a call.
 type connKey struct{}
 
-// withConn returns the context of the calls of a connection.
+// withConn returns a context that carries the connection.
 func withConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
@@ -150,7 +151,7 @@
 // serveCall serves one call.
 func (s *Server) serveCall(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	s.removeSilent(r.Context().Value(connKey{}).(net.Conn))
+	s.removeIdle(r.Context().Value(connKey{}).(net.Conn))
 	s.mu.Unlock()
 	var status int
 	var text, contentType string
@@ -170,35 +171,35 @@
 	w.Header().Set("Content-Type", cmp.Or(contentType, typeText))
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 	w.WriteHeader(status)
-	io.WriteString(w, text) // if it fails the caller has gone
+	io.WriteString(w, text) // an error means that the caller has disconnected
 }
 
-// track bounds the number of connections by MaxConns. It guards against callers that stay without a call, and would in
-// time use up all descriptors.
+// track limits the number of connections to MaxConns. Otherwise callers that stay connected without a call could use up
+// all descriptors.
 func (s *Server) track(c net.Conn, state http.ConnState) {
-	var victim net.Conn
+	var evicted net.Conn
 	s.mu.Lock()
 	switch state {
 	case http.StateNew:
 		s.open++
-		s.elements[c] = s.silent.PushBack(c)
+		s.elements[c] = s.idle.PushBack(c)
 		if s.open > MaxConns {
-			victim = s.silent.Front().Value.(net.Conn)
+			evicted = s.idle.Front().Value.(net.Conn)
 		}
 	case http.StateClosed, http.StateHijacked:
-		s.removeSilent(c)
+		s.removeIdle(c)
 		s.open--
 	}
 	s.mu.Unlock()
-	if victim != nil {
-		victim.Close()
+	if evicted != nil {
+		evicted.Close()
 	}
 }
 
-// removeSilent removes a connection that has had a call, or is closed, from the silent ones; mu is held.
-func (s *Server) removeSilent(c net.Conn) {
+// removeIdle removes a connection from the idle list after its call has arrived or it was closed. mu must be held.
+func (s *Server) removeIdle(c net.Conn) {
 	if e := s.elements[c]; e != nil {
-		s.silent.Remove(e)
+		s.idle.Remove(e)
 		delete(s.elements, c)
 	}
 }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -14,7 +14,7 @@
 	"dunemoor/internal/testutil"
 )
 
-// countingTarget counts the calls.
+// countingTarget is a Target that counts the calls of Quiesce and Resume.
 type countingTarget struct {
 	ready             atomic.Bool
 	quiesced, resumed atomic.Int64
@@ -60,7 +60,7 @@
 	}
 	resp.Body.Close()
 	if !resp.Close {
-		t.Errorf("%s %s: the connection stays open", method, path)
+		t.Errorf("%s %s: response without Connection: close, want it", method, path)
 	}
 	return resp.StatusCode
 }
@@ -94,12 +94,12 @@
 	}
 }
 
-// Callers without a call, or with half of one, keep nobody from a response, and have no more than their share of
-// connections.
-func TestSilentCallersKeepNobodyOut(t *testing.T) {
+// Connections without a call, or with an incomplete call, do not prevent other callers from being served. The oldest of
+// them is closed when there are too many.
+func TestIdleConnectionsDoNotBlockCalls(t *testing.T) {
 	to, addr := startServer(t)
 	to.ready.Store(true)
-	var silent []net.Conn
+	var idle []net.Conn
 	for i := range 3 * MaxConns {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -109,19 +109,19 @@
 		if i%2 == 0 {
 			c.Write([]byte("POST /admin/qui"))
 		}
-		silent = append(silent, c)
+		idle = append(idle, c)
 	}
 	for range 20 {
 		if got := call(t, addr, "GET", PathHealth); got != 200 {
 			t.Errorf("health: got status %d, want 200", got)
 		}
 	}
-	// The first connection was closed in favor of others.
-	silent[0].SetReadDeadline(time.Now().Add(testutil.WaitTimeout))
-	if _, err := silent[0].Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the oldest silent caller: got %v, want the end of its connection", err)
+	// The oldest connection was closed to make room for later ones.
+	idle[0].SetReadDeadline(time.Now().Add(testutil.WaitTimeout))
+	if _, err := idle[0].Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("oldest idle connection: got error %v, want it closed", err)
 	}
 	if to.quiesced.Load() != 0 {
-		t.Error("half a call was served")
+		t.Error("incomplete call was served")
 	}
 }
--- a/internal/discovery/export_test.go
+++ b/internal/discovery/export_test.go
@@ -6,13 +6,13 @@
 	"net/http"
 )
 
-// Intervals of the package for tests outside it.
+// Durations exported for tests in package discovery_test.
 const (
 	HeartbeatInterval = heartbeatInterval
 	DialTimeout       = dialTimeout
 )
 
-// SetDial lets the calls use the connections of dial. It is called before Run.
+// SetDial makes the calls use connections opened by dial. It must be called before Run.
 func (d *Watcher) SetDial(dial func(ctx context.Context, network, addr string) (net.Conn, error)) {
 	d.client.Transport.(*http.Transport).DialContext = dial
 }
--- a/internal/discovery/fakeservice_test.go
+++ b/internal/discovery/fakeservice_test.go
@@ -15,7 +15,7 @@
 	"dunemoor/internal/discovery"
 )
 
-// Lists and the header section of a response, as the service sends them.
+// Lists and the header section of a response, as the discovery service sends them.
 const (
 	fullList                = `{"version":1,"full":true,"servers":[{"id":"s-1","addr":"127.0.0.1:1","state":"ready"},{"id":"s-2","addr":"127.0.0.1:2","state":"ready"}]}`
 	changes                 = `{"version":2,"full":false,"servers":[{"id":"s-1","addr":"127.0.0.1:1","state":"draining"}]}`
@@ -23,34 +23,34 @@
 	responseHeader          = "HTTP/1.1 200 OK\r\n\r\n"
 )
 
-// callDuration is how long a service shared by all gateways works on a call.
+// callDuration is the time that a service shared by all gateways takes to process a call.
 const callDuration = 2 * time.Millisecond
 
-// fakeService is a scripted discovery service in memory and virtual time. Its calls fail from downAt
-// on; at upAt it is reachable again and has a change.
+// fakeService is a scripted discovery service in memory and virtual time. Calls between downAt and upAt
+// fail. From upAt on the service is reachable again and has a change of the list.
 type fakeService struct {
 	startedAt     time.Time
-	downAt, upAt  time.Duration
+	downAt, upAt  time.Duration // since startedAt
 	failure       callFailure
 	silentWatches bool          // open watches fall silent at downAt instead of ending
-	omitsDraining bool          // the first response is the full list without draining hosts
-	serial        chan struct{} // if set, holds an item while a call is worked on, for callDuration
+	omitsDraining bool          // the response after upAt is the full list without draining hosts
+	serial        chan struct{} // if set, serializes calls: holds an item for callDuration while a call is processed
 	served        sync.WaitGroup
 
 	mu               sync.Mutex
-	calls            []time.Duration // since startedAt
-	failFirstCall    bool            // the first call fails, and no other
+	calls            []time.Duration // times of the calls since startedAt
+	failFirstCall    bool            // only the first call fails
 	unreachableUntil time.Duration   // since startedAt; all calls before it fail
 }
 
-// callTimes returns when each call came, since startedAt.
+// callTimes returns the time of each call since startedAt.
 func (s *fakeService) callTimes() []time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.calls)
 }
 
-// call notes a call and reports whether it fails.
+// call records a call and reports whether it fails.
 func (s *fakeService) call() (fails bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,7 +79,7 @@
 	return ours, nil
 }
 
-// watch serves a watch that works until the service is down.
+// watch serves a watch until the service goes down.
 func (s *fakeService) watch(c net.Conn, index string) {
 	io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 	out := httputil.NewChunkedWriter(c)
@@ -123,15 +123,15 @@
 	}
 }
 
-// callFailure is how calls fail: while they connect, or once the request has arrived.
+// callFailure is a way in which calls fail: while connecting, or after the request has arrived.
 type callFailure struct {
 	dial         func(ctx context.Context) error
 	call         func(c net.Conn)
-	hangs        bool // the failure is noticed only by a timeout
-	olderVersion bool // it sends a list of an older version
+	hangs        bool // the failure is detected only by a timeout
+	olderVersion bool // the service sends a list of an older version
 }
 
-// hangsAfter sends the text and then nothing more.
+// hangsAfter returns a failure that sends the text and then nothing more.
 func hangsAfter(text string) callFailure {
 	return callFailure{hangs: true, call: func(c net.Conn) {
 		io.WriteString(c, text)
@@ -139,12 +139,12 @@
 	}}
 }
 
-// closesAfter sends the text and closes the connection.
+// closesAfter returns a failure that sends the text and closes the connection.
 func closesAfter(text string) callFailure {
 	return callFailure{call: func(c net.Conn) { io.WriteString(c, text) }}
 }
 
-// callFailures has every way in which a call can fail.
+// callFailures has all kinds of failures of a call that are tested.
 var callFailures = []struct {
 	name string
 	callFailure
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -16,28 +16,29 @@
 )
 
 const (
-	// fileInterval is how often a file is read: a change is noticed within it. Polling needs no privileges, and works with
-	// renames, links and network disks.
+	// fileInterval is the interval at which a file is read, and thus the maximum delay until a change is noticed. Polling
+	// needs no privileges, and works with renames, links and network file systems.
 	fileInterval = time.Second
-	// maxFileBytes bounds a file: 5,000 hosts are under 1 MB.
+	// maxFileBytes is the maximum size of a file. A list of 5,000 hosts takes less than 1 MB.
 	maxFileBytes = 16 << 20
 )
 
-// File sends the endpoint list of a file, in the form of discovery's full list, and again when it changes. A file that
-// can't be read or is malformed changes nothing: the last good list stays in use.
+// File is a source of an endpoint list that is read from a file, in the format of a full list of the discovery service. It
+// sends the list to a Sink at the start and after each change. If the file can't be read or is malformed, the last valid
+// list stays in use.
 type File struct {
 	path     string
-	Interval time.Duration // between two reads; set before Run
+	Interval time.Duration // interval between two reads; must be set before Run
 
-	lastText   []byte // that was read, valid or not; nil if the last read failed
-	lastLogged string // text of the last error, so that it is logged once; "" after a valid list
-	received   bool   // a valid list was read
+	lastText   []byte // content at the last read, valid or not; nil if the last read failed
+	lastLogged string // text of the last logged error, to log it only once; "" after a valid list
+	received   bool   // a valid list has been read
 }
 
-// NewFile returns a File.
+// NewFile returns a File that reads the file at path.
 func NewFile(path string) *File { return &File{path: path, Interval: fileInterval} }
 
-// Run reads the file until ctx ends, for the first time at once.
+// Run reads the file immediately and then at every Interval, until ctx is done.
 func (f *File) Run(ctx context.Context, to Sink) {
 	tick := time.NewTicker(f.Interval)
 	defer tick.Stop()
@@ -51,11 +52,11 @@
 	}
 }
 
-// read reads the file and sends the list if it has changed.
+// read reads the file and sends its list if it has changed.
 func (f *File) read(to Sink) {
 	text, err := readBounded(f.path, maxFileBytes)
 	if err != nil {
-		f.lastText = nil // a file that is back is sent again, also if it is the same
+		f.lastText = nil // the list is sent again when the file is readable again, even if it is the same
 		f.logError(err)
 		return
 	}
@@ -77,7 +78,7 @@
 	to.UpdateEndpoints(balancer.ListFull, list)
 }
 
-// logError logs an error of a read, unless the read before had the same.
+// logError logs an error of a read, unless it is the same as that of the previous read.
 func (f *File) logError(err error) {
 	if err.Error() == f.lastLogged {
 		return
@@ -86,7 +87,7 @@
 	slog.Error("read endpoint file failed, keeping the last list", "err", err)
 }
 
-// ReadFile reads the endpoint list of a file.
+// ReadFile reads an endpoint list from a file.
 func ReadFile(path string) (MemberList, error) {
 	text, err := readBounded(path, maxFileBytes)
 	if err != nil {
@@ -109,7 +110,8 @@
 	return text, err
 }
 
-// fileForm is the form of a file. It has all keys of discovery, as unknown ones are errors; weights are not used.
+// fileForm is the structure of a file. It has all keys of the discovery service's lists, as unknown keys are errors.
+// Weights are accepted but not used.
 type fileForm struct {
 	Version uint64 `json:"version"`
 	Full    bool   `json:"full"`
@@ -125,29 +127,29 @@
 	} `json:"servers"`
 }
 
-// ParseError is an error in a file of hosts, at a line counted from 1.
+// ParseError is an error in a file of hosts.
 type ParseError struct {
 	Path string
-	Line int
+	Line int // counted from 1
 	Text string
 }
 
 func (e *ParseError) Error() string { return fmt.Sprintf("%s:%d: %s", e.Path, e.Line, e.Text) }
 
-// fileParser reads a file of hosts.
+// fileParser parses a file of hosts.
 type fileParser struct {
 	path string
 	text []byte
 }
 
-// errorAt returns a ParseError at an offset of the text.
+// errorAt returns a ParseError for the line at a byte offset of the text.
 func (p *fileParser) errorAt(offset int64, format string, args ...any) error {
 	before := p.text[:min(max(offset, 0), int64(len(p.text)))]
 	return &ParseError{p.path, 1 + bytes.Count(before, []byte("\n")), fmt.Sprintf(format, args...)}
 }
 
-// ParseFile reads the text of a file of hosts. It is strict, as files are written by people: an unknown field, a duplicate ID
-// or a malformed address is a ParseError. So is an empty list: a file that was cut short must not remove all hosts.
+// ParseFile parses the text of a file of hosts. As files are written by people, parsing is strict: an unknown field, a
+// duplicate ID or a malformed address is a ParseError. So is an empty list, as a truncated file must not remove all hosts.
 func ParseFile(path string, text []byte) (MemberList, error) {
 	p := &fileParser{path, text}
 	form, err := p.decode()
@@ -156,10 +158,10 @@
 	}
 	list := MemberList{Version: form.Version, Full: true}
 	if len(form.Servers) == 0 {
-		return MemberList{}, p.errorAt(0, "servers: there is none")
+		return MemberList{}, p.errorAt(0, "servers: the list is empty or missing")
 	}
 	ids := map[string]bool{}
-	at := int64(0) // each host is looked for after the one before
+	at := int64(0) // offset of the current host, which is searched for after the previous one
 	for i := range form.Servers {
 		m := &form.Servers[i]
 		if k := bytes.Index(text[at:], []byte(`"`+m.ID+`"`)); k >= 0 {
@@ -167,14 +169,14 @@
 		}
 		switch {
 		case m.ID == "":
-			return MemberList{}, p.errorAt(at, "host %d: it has no id", i+1)
+			return MemberList{}, p.errorAt(at, "host %d: id is missing", i+1)
 		case ids[m.ID]:
-			return MemberList{}, p.errorAt(at, "id: %q is there twice", m.ID)
+			return MemberList{}, p.errorAt(at, "id: %q is listed twice", m.ID)
 		case m.State != StateReady && m.State != StateDraining:
 			return MemberList{}, p.errorAt(at, "host %s: state: %q is neither ready nor draining", m.ID, m.State)
 		}
 		if _, port, err := net.SplitHostPort(m.Addr); err != nil || port == "" {
-			return MemberList{}, p.errorAt(at, "host %s: addr: %q is no host:port", m.ID, m.Addr)
+			return MemberList{}, p.errorAt(at, "host %s: addr: %q is not a host:port address", m.ID, m.Addr)
 		}
 		ids[m.ID] = true
 		list.Servers = append(list.Servers, Member{
@@ -193,16 +195,16 @@
 		var typeError *json.UnmarshalTypeError
 		switch {
 		case errors.Is(err, io.ErrUnexpectedEOF):
-			return form, p.errorAt(int64(len(p.text)), "it is cut short")
+			return form, p.errorAt(int64(len(p.text)), "the file is truncated")
 		case errors.As(err, &syntaxError):
 			return form, p.errorAt(syntaxError.Offset, "%v", err)
 		case errors.As(err, &typeError):
-			return form, p.errorAt(typeError.Offset, "%s: is a %s, wants a %s", typeError.Field, typeError.Value, typeError.Type)
+			return form, p.errorAt(typeError.Offset, "%s: is a %s, must be of type %s", typeError.Field, typeError.Value, typeError.Type)
 		}
 		return form, p.errorAt(d.InputOffset(), "%v", err)
 	}
 	if d.More() {
-		return form, p.errorAt(d.InputOffset(), "something follows the list")
+		return form, p.errorAt(d.InputOffset(), "unexpected data after the list")
 	}
 	return form, nil
 }
--- a/internal/discovery/file_test.go
+++ b/internal/discovery/file_test.go
@@ -18,23 +18,23 @@
 
 func (c listSink) UpdateEndpoints(kind balancer.ListKind, list MemberList) {
 	if kind != balancer.ListFull {
-		panic("a file has only full lists")
+		panic("a file source sends full lists only")
 	}
 	c <- list
 }
 
-// oneHost is a file with the ready host a.
+// oneHost is a file with one ready host, a.
 const oneHost = `{"version":1,"servers":[
  {"id":"a","addr":"127.0.0.1:1","zone":"z","kind":"k","cell":2,"state":"ready","weight":1.0,"started_ms":5}
 ]}`
 
-// Each change of the file is reported once. A malformed or missing file changes nothing, and is
-// reported when it is valid again.
+// Each change of the file is reported once. While the file is malformed or missing, nothing is
+// reported; its list is reported again when it is valid.
 func TestFileReportsEachChangeOnce(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "hosts.json")
 	write := func(text string) {
 		t.Helper()
-		// Written under another name first, as replacements of such a file should be.
+		// The file is written under another name and renamed, as operators should replace it too.
 		if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -47,7 +47,7 @@
 	for _, step := range []struct {
 		name string
 		do   func()
-		want string // the reported ids; "": nothing
+		want string // the reported IDs; "" if no list is reported
 	}{
 		{"no file yet", func() {}, ""},
 		{"created", func() { write(oneHost) }, "a"},
@@ -72,7 +72,7 @@
 			t.Errorf("%s: reported %q, want %q", step.name, got, step.want)
 		}
 	}
-	// Run reads the file by itself until its context ends.
+	// Run reads the file periodically until its context is done.
 	f.Interval = time.Millisecond
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -90,18 +90,18 @@
 	<-done
 }
 
-// An error is one line that names the line of the file.
-func TestParseFileErrorNamesTheLine(t *testing.T) {
+// Each error is one line with the line number in the file.
+func TestParseFileErrorNamesLine(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`"cell":2`, `"cel":2`, `unknown field "cel"`},
-		{`"cell":2`, `"cell":"2"`, "f:2: servers.cell: is a string, wants a int"},
-		{`"addr":"127.0.0.1:1"`, `"addr":"127.0.0.1"`, `f:2: host a: addr: "127.0.0.1" is no host:port`},
+		{`"cell":2`, `"cell":"2"`, "f:2: servers.cell: is a string, must be of type int"},
+		{`"addr":"127.0.0.1:1"`, `"addr":"127.0.0.1"`, `f:2: host a: addr: "127.0.0.1" is not a host:port address`},
 		{`"ready"`, `"redy"`, `f:2: host a: state: "redy" is neither`},
 		{`"ready"`, `"gone"`, `f:2: host a: state: "gone" is neither`},
-		{"\n]}", ",\n {\"id\":\"a\",\"addr\":\"h:1\",\"state\":\"ready\"}\n]}", `f:3: id: "a" is there twice`},
-		{`"id":"a"`, `"id":""`, "host 1: it has no id"},
-		{"\n]}", "\n]}\n{}", "f:4: something follows"},
-		{"\n]}", "\n]", "f:3: it is cut short"},
+		{"\n]}", ",\n {\"id\":\"a\",\"addr\":\"h:1\",\"state\":\"ready\"}\n]}", `f:3: id: "a" is listed twice`},
+		{`"id":"a"`, `"id":""`, "host 1: id is missing"},
+		{"\n]}", "\n]}\n{}", "f:4: unexpected data after the list"},
+		{"\n]}", "\n]", "f:3: the file is truncated"},
 	} {
 		_, err := ParseFile("f", []byte(strings.Replace(oneHost, c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
@@ -113,7 +113,7 @@
 	}
 }
 
-// A change is reported within a second, in virtual time.
+// A change is reported within a second. The test runs in virtual time.
 func TestFileReportsChangeWithinASecond(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "hosts.json")
 	write := func(text string) {
--- a/internal/discovery/members.go
+++ b/internal/discovery/members.go
@@ -2,19 +2,19 @@
 
 import "dunemoor/balancer"
 
-// Sink receives the endpoint list. Calls come one at a time.
+// Sink receives an endpoint list and its updates. It is not called concurrently.
 type Sink interface {
 	UpdateEndpoints(kind balancer.ListKind, list MemberList)
 }
 
-// MemberList is the endpoint list, or changes of it, in discovery's form.
+// MemberList is an endpoint list, or an update of it, in the format of the discovery service.
 type MemberList struct {
-	Version uint64   // of the list, with these changes
-	Full    bool     // Servers is the whole list, and not changes of it
-	Servers []Member // in changes, those that are new or that changed
+	Version uint64   // version of the list; in an update, the version after it
+	Full    bool     // Servers is the complete list, not an update
+	Servers []Member // all hosts, or in an update those that are new or have changed
 }
 
-// Member is a host of the list.
+// Member is a host in an endpoint list.
 type Member struct {
 	ID        string
 	Addr      string
@@ -22,17 +22,18 @@
 	Kind      string
 	Cell      int
 	State     string
-	StartedMS int64 `json:"started_ms"` // when its process started, in milliseconds; 0: long ago
+	StartedMS int64 `json:"started_ms"` // start time of its process in milliseconds; 0 if it started long ago
 }
 
 // States of members.
 const (
 	StateReady    = "ready"
-	StateDraining = "draining" // it gets nothing new
-	StateGone     = "gone"     // it has left the list
+	StateDraining = "draining" // the host gets no new requests
+	StateGone     = "gone"     // the host was removed from the list
 )
 
-// HostState returns the state of a member. A host with an unknown state gets no new requests.
+// HostState returns the state of a member for the balancer. An unknown state counts as draining, so that the host gets no
+// new requests.
 func (m *Member) HostState() balancer.HostState {
 	switch m.State {
 	case StateReady:
--- a/internal/discovery/propagation_test.go
+++ b/internal/discovery/propagation_test.go
@@ -18,23 +18,23 @@
 	"dunemoor/internal/testutil"
 )
 
-// maxChangeDelay is how long after discovery has a change and is reachable a gateway may take to apply
-// it, whatever calls failed before. Of the 6 s that count, the rest is for the work of the gateway and
-// of discovery.
+// maxChangeDelay is the maximum time until a gateway applies a change, counted from when discovery is
+// reachable and has the change, whatever calls failed before. The requirement is 6 s; the rest is left
+// for the processing time of the gateway and of discovery.
 const maxChangeDelay = 4500 * time.Millisecond
 
-// minDrainGrace is the least time that settings give for drains. Where lists are pushed a change
-// counts as known without a watch, so a watch must be there within it.
+// minDrainGrace is the minimum grace period for drains in the settings. If lists are pushed, a change
+// counts as known even if there is no watch, so a lost watch must be replaced within this time.
 const minDrainGrace = 500 * time.Millisecond
 
-// maxMoveDelay is how long after a change of the address a gateway may take to apply what the new
-// service has. Of the 4 s that count, the rest is for its own work.
-const maxMoveDelay = 3500 * time.Millisecond
+// maxAddrChangeDelay is the maximum time from a change of the address until a gateway applies the list
+// of the new service. The requirement is 4 s; the rest is left for the gateway's processing time.
+const maxAddrChangeDelay = 3500 * time.Millisecond
 
 // gateway is the part of a gateway that follows the endpoint list: watcher, engine and balancer.
 type gateway struct {
 	watcher   *discovery.Watcher
-	drainedAt chan time.Time // when s-1 was taken out of use
+	drainedAt chan time.Time // receives the time when s-1 is taken out of use
 }
 
 func (g *gateway) Run(context.Context) {}
@@ -50,7 +50,7 @@
 	if h.id == "s-1" && !usable {
 		select {
 		case h.gateway.drainedAt <- time.Now():
-		default: // only the first time counts
+		default: // only the first time is recorded
 		}
 	}
 }
@@ -59,7 +59,7 @@
 
 func (h *endpoint) Attempt(context.Context, *engine.Request) engine.Result { return engine.Result{} }
 
-// mode is how lists arrive.
+// mode is the way in which gateways get lists.
 type mode struct {
 	name        string
 	polled      bool
@@ -71,18 +71,19 @@
 // dialFunc opens a connection to a discovery service.
 type dialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// discardLogs drops the log lines of hundreds of gateways.
+// discardLogs discards log output until the end of the test, as hundreds of gateways would log.
 func discardLogs(t *testing.T) {
-	was := slog.Default()
+	previous := slog.Default()
 	slog.SetDefault(slog.New(slog.DiscardHandler))
-	t.Cleanup(func() { slog.SetDefault(was) })
+	t.Cleanup(func() { slog.SetDefault(previous) })
 }
 
-// startGateway starts a gateway of a fleet of that many instances, which knows two hosts.
+// startGateway starts a gateway with the given rank in a fleet of the given size. Its saved list has two
+// hosts.
 func startGateway(ctx context.Context, t *testing.T, m mode, rank, instances int, dialService dialFunc, running *sync.WaitGroup) *gateway {
 	g := &gateway{drainedAt: make(chan time.Time, 1), watcher: discovery.NewWatcher("discovery:1", m.polled, 1)}
 	g.watcher.SetDial(dialService)
-	seed := uint64(rank) // the same every time
+	seed := uint64(rank) // the same in every run
 	e := engine.New(seed)
 	p, err := e.NewPool(engine.PoolConfig{
 		Settings: balancer.Settings{
@@ -102,9 +103,9 @@
 	return g
 }
 
-// However calls fail, at the start or later and for however long, every gateway of a fleet applies a
-// change in time once discovery is reachable. Where lists are polled, the backoff of the balancer is
-// part of that time.
+// Calls fail in various ways, at the start or later, for up to 12 s. Every gateway of a fleet applies a
+// change within maxChangeDelay after discovery is reachable again. If lists are polled, this includes
+// the backoff of the balancer.
 func TestChangeIsAppliedInTimeAfterFailedCalls(t *testing.T) {
 	discardLogs(t)
 	for _, m := range modes {
@@ -116,7 +117,7 @@
 	}
 }
 
-// testChangeAfterFailedCalls runs some gateways of a fleet, the first and the last among them.
+// testChangeAfterFailedCalls runs gatewayCount gateways of a fleet, including the first and the last.
 func testChangeAfterFailedCalls(t *testing.T, m mode, f callFailure) {
 	const fleetSize, gatewayCount = 300, 12
 	ctx, cancel := context.WithCancel(t.Context())
@@ -135,7 +136,7 @@
 		took := (<-g.drainedAt).Sub(services[i].startedAt) - services[i].upAt
 		worst = max(worst, took)
 		if took >= maxChangeDelay {
-			t.Errorf("gateway %d: discovery down at %v for %v, change applied %v after that, want less than %v",
+			t.Errorf("gateway %d: discovery down at %v for %v, change applied %v after it was reachable again, want less than %v",
 				i, services[i].downAt, services[i].upAt-services[i].downAt, took, maxChangeDelay)
 			break
 		}
@@ -152,14 +153,14 @@
 	}
 }
 
-// The address of discovery changes at any moment, while the watch of the old one works or is silent:
-// what the new service has is applied in time, though the first call there fails.
+// The address of discovery changes while the watch at the old address works or is silent. The list of
+// the new service is applied within maxAddrChangeDelay, although the first call there fails.
 func TestChangeIsAppliedInTimeAfterAddressChange(t *testing.T) {
 	discardLogs(t)
 	for _, m := range modes {
 		for _, f := range callFailures {
 			if f.olderVersion {
-				continue // no list is older than the full list requested here
+				continue // no list can be older, as the first call at a new address requests the full list
 			}
 			t.Run(m.name+"/"+f.name, func(t *testing.T) {
 				testutil.VirtualTime(t, func(t *testing.T) { testChangeAfterAddressChange(t, m, f.callFailure) })
@@ -168,11 +169,11 @@
 	}
 }
 
-// testChangeAfterAddressChange changes the address of 24 gateways, each at a moment of its own.
+// testChangeAfterAddressChange changes the address of 24 gateways, each at a different time.
 func testChangeAfterAddressChange(t *testing.T, m mode, f callFailure) {
 	const gatewayCount = 24
 	ctx, cancel := context.WithCancel(t.Context())
-	var running, moves sync.WaitGroup
+	var running, addrChanges sync.WaitGroup
 	services := make([]*fakeService, 0, 2*gatewayCount)
 	took := make([]time.Duration, gatewayCount)
 	for i := range gatewayCount {
@@ -189,18 +190,18 @@
 			return before.dial(ctx, network, addr)
 		}, &running)
 		services = append(services, before, after)
-		moves.Go(func() {
+		addrChanges.Go(func() {
 			time.Sleep(20*time.Second + time.Duration(i)*110*time.Millisecond)
 			at := time.Now()
 			g.watcher.SetAddress("discovery:2")
 			took[i] = (<-g.drainedAt).Sub(at)
 		})
 	}
-	moves.Wait()
+	addrChanges.Wait()
 	worst := slices.Max(took)
 	t.Logf("change applied after %v at most", worst)
-	if worst >= maxMoveDelay {
-		t.Errorf("change applied %v after the new address, want less than %v", worst, maxMoveDelay)
+	if worst >= maxAddrChangeDelay {
+		t.Errorf("change applied %v after the change of the address, want less than %v", worst, maxAddrChangeDelay)
 	}
 	cancel()
 	running.Wait()
@@ -209,9 +210,9 @@
 	}
 }
 
-// Discovery starts late. After two minutes all watches of a fleet fall silent or end at once and a
-// host starts to drain: all gateways apply that in time, even if one service handles their calls one
-// after another, and they do not call it all at once.
+// Discovery starts late. After two minutes, all watches of a fleet fall silent or end at the same time,
+// and a host starts to drain. All gateways apply the drain within maxChangeDelay, even if a shared
+// service processes their calls one after another, and their calls are spread over time.
 func TestWatchesLostTogetherReconnectInTime(t *testing.T) {
 	discardLogs(t)
 	for _, m := range modes {
@@ -240,7 +241,7 @@
 	services, gateways := []*fakeService{shared}, make([]*gateway, fleetSize)
 	for i := range gateways {
 		s := shared
-		if !m.polled { // each gateway has a service of its own
+		if !m.polled { // each gateway watches a separate service
 			s = &fakeService{
 				startedAt: shared.startedAt, unreachableUntil: shared.unreachableUntil,
 				downAt: shared.downAt, upAt: shared.upAt, silentWatches: silent, failure: shared.failure,
@@ -259,7 +260,7 @@
 	}
 	calls := slices.DeleteFunc(shared.callTimes(), func(at time.Duration) bool { return at < lossTime })
 	if m.polled && len(calls) != fleetSize {
-		t.Errorf("%d calls of %d gateways, want one each", len(calls), fleetSize)
+		t.Errorf("%d calls by %d gateways, want one each", len(calls), fleetSize)
 	}
 	for i, at := range calls {
 		n := 0
@@ -286,8 +287,8 @@
 	}
 }
 
-// Where lists are polled, the watcher makes a call for each poll while none is under way, and for a
-// new address; not for a poll that a running call has answered, nor twice for an address.
+// A polled watcher makes a call for each poll that arrives while no call is running, and one call for a
+// new address. A poll during a running call causes no further call.
 func TestPolledWatcherCallsOnlyForPollsAndMoves(t *testing.T) {
 	testutil.VirtualTime(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -7,22 +7,22 @@
 	"io"
 )
 
-// maxListBytes bounds a list, without white space.
+// maxListBytes is the maximum size of a list, not counting white space.
 const maxListBytes = 16 << 20
 
-// errLongList reports a list over maxListBytes.
-var errLongList = fmt.Errorf("discovery's list is longer than %d bytes", maxListBytes)
+// errLongList is the error for a list longer than maxListBytes.
+var errLongList = fmt.Errorf("list from discovery is longer than %d bytes", maxListBytes)
 
-// stream reads a watch: lists in JSON, indented or not, and empty lines between them as heartbeats. The bytes of a list are no
-// sign of life before it is complete.
+// stream reads the response body of a watch. The body has lists in JSON, which may be indented, and empty lines between
+// them as heartbeats. The bytes of an incomplete list do not count as a heartbeat.
 type stream struct {
 	from        io.Reader
 	onHeartbeat func()
-	inLine      bool // the line has something in it
-	listBytes   int  // received since the last list, without white space
+	inLine      bool // the current line has non-space characters
+	listBytes   int  // bytes received since the last complete list, not counting white space
 }
 
-// listDecoded notes that the bytes received so far were a complete list.
+// listDecoded records that the bytes received so far are a complete list.
 func (s *stream) listDecoded() { s.listBytes = 0 }
 
 // Read implements io.Reader.
@@ -45,7 +45,7 @@
 	return n, err
 }
 
-// isMalformed reports whether an error is of the list itself; otherwise the connection has failed.
+// isMalformed reports whether an error was caused by a malformed list. Other errors are failures of the connection.
 func isMalformed(err error) bool {
 	var syntaxError *json.SyntaxError
 	var typeError *json.UnmarshalTypeError
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -19,14 +19,14 @@
 	"dunemoor/internal/testutil"
 )
 
-// malformedLine is a line that is no list.
+// malformedLine is a line that is not a list.
 const malformedLine = "no list"
 
-// olderLine has changes of an earlier version than the other lists.
+// olderLine has changes of an older version than that of the preceding lists.
 const olderLine = `{"version":43,"full":false,"servers":[{"id":"s-1","state":"gone"}]}`
 
-// watchServer is a discovery service on a loopback socket. What is sent to lines goes to the open
-// watch; an empty string ends it.
+// watchServer is a discovery service on a loopback socket. Strings sent to lines are written to the open
+// watch; an empty string ends the watch.
 type watchServer struct {
 	*httptest.Server
 	lines   chan string
@@ -70,7 +70,7 @@
 	return append([]string(nil), s.queries...)
 }
 
-// eventSink collects the events of a watcher as text.
+// eventSink receives the updates of a watcher as text.
 type eventSink chan string
 
 func (c eventSink) UpdateEndpoints(kind balancer.ListKind, list MemberList) {
@@ -93,9 +93,9 @@
 	return sink
 }
 
-// A watch that ends is started again from the last version reported, also after a malformed line, so
-// that what that line said arrives again. Changes of an earlier version are dropped, and only after
-// those the full list is requested.
+// A watch that ends is restarted from the last reported version, also after a malformed line, so that
+// the lost changes are sent again. Changes of an older version are dropped, and only after them the full
+// list is requested.
 func TestLostWatchResumesFromLastVersion(t *testing.T) {
 	server := newWatchServer(t)
 	sink := startWatch(t, NewWatcher(server.addr(), false, 41))
@@ -122,7 +122,7 @@
 	}
 }
 
-// A watch on which nothing arrives, not even an empty line, is replaced, as discovery may have gone
+// A watch that receives no data, not even an empty line, is replaced, as the service may have failed
 // without closing the connection.
 func TestSilentWatchIsReplaced(t *testing.T) {
 	server := newWatchServer(t)
@@ -132,8 +132,8 @@
 	testutil.WaitUntil(t, "a second watch", func() bool { return len(server.requests()) > 1 })
 }
 
-// Lists may be indented, several to a line, or in pieces that end anywhere. A list that is cut short
-// is not waited for.
+// Lists may be indented, several to a line, or split into pieces at any byte. After a truncated list the
+// watch is replaced.
 func TestWatchReadsListsInAnyWhiteSpace(t *testing.T) {
 	server := newWatchServer(t)
 	sink := startWatch(t, NewWatcher(server.addr(), false, 1))
@@ -165,12 +165,12 @@
 		t.Errorf("%d watches, want 1", got)
 	}
 	server.lines <- list[:6]
-	server.lines <- list // inside the truncated one it is no list
+	server.lines <- list // malformed, as it continues the truncated list
 	testutil.WaitUntil(t, "a new watch after a truncated list", func() bool { return len(server.requests()) == 2 })
 }
 
-// startVirtualWatch runs a watcher on connections in memory, in virtual time; serve is called with the
-// number of each watch.
+// startVirtualWatch runs a watcher with connections in memory, for tests in virtual time. serve is called
+// for each watch with its number, counted from 1.
 func startVirtualWatch(t *testing.T, serve func(number int, c net.Conn)) (sink eventSink, end func()) {
 	d := NewWatcher("discovery:1", false, 1)
 	watches, served := 0, sync.WaitGroup{}
@@ -197,11 +197,12 @@
 	drainingLine = `{"version":2,"full":false,"servers":[{"id":"s-1","state":"draining"}]}`
 )
 
-// maxMissedChangeDelay is how long a change that a silent watch misses may take to be reported.
+// maxMissedChangeDelay is the maximum time until a change that a silent watch has missed is reported.
 const maxMissedChangeDelay = 6 * time.Second
 
-// A watch that falls silent after a heartbeat, within a list, while a list trickles in, or before it
-// has sent anything is replaced in time for the changes that it misses.
+// A watch that falls silent after a heartbeat, within a list, while a list arrives byte by byte, or
+// before the response is replaced, and the changes that it missed are reported within
+// maxMissedChangeDelay.
 func TestWatchThatFallsSilentIsReplacedInTime(t *testing.T) {
 	for name, silent := range map[string]func(c net.Conn, fallsSilent func()){
 		"after a heartbeat": func(c net.Conn, fallsSilent func()) {
@@ -252,7 +253,7 @@
 	}
 }
 
-// Where the list is polled, the balancer decides when a watch starts, and is notified when it fails.
+// If the list is polled, the balancer decides when a watch starts, and is notified when it fails.
 func TestPolledWatchStartsOnlyWhenPolled(t *testing.T) {
 	server := newWatchServer(t)
 	d := NewWatcher(server.addr(), true, 0)
--- a/internal/instancelock/instancelock.go
+++ b/internal/instancelock/instancelock.go
@@ -1,5 +1,5 @@
-// Package instancelock tells a process whether it is the only one of its kind in a directory, as where one takes over
-// from another and the two share what a machine has.
+// Package instancelock provides a lock file that shows whether another instance of the process is running. During a
+// takeover two instances run at the same time and have to share the resources of the machine.
 package instancelock
 
 import (
@@ -14,15 +14,16 @@
 
 const (
 	fileName = "dunemoor.lock"
-	// pollInterval is how often a lock that another process holds is tried again: what the two share is free within it.
+	// pollInterval is the interval at which WaitLock retries to lock, and thus the maximum delay until the resources of
+	// the other process are used.
 	pollInterval = 100 * time.Millisecond
 )
 
-// Lock is held by the only process. The kernel releases it however its holder ends, so that nobody waits for a process
-// that was killed.
+// Lock is an exclusive lock on a file in a directory. The kernel releases it when its process ends, even if the process is
+// killed.
 type Lock struct{ file *os.File }
 
-// TryLock tries to become the only process in the directory; ok is false where another holds the lock.
+// TryLock tries to acquire the lock of a directory. ok is false if another process holds it.
 func TryLock(dir string) (l *Lock, ok bool, err error) {
 	f, err := os.OpenFile(filepath.Join(dir, fileName), os.O_CREATE|os.O_RDWR|syscall.O_CLOEXEC, 0o600)
 	if err != nil {
@@ -47,7 +48,7 @@
 // Release releases the lock.
 func (l *Lock) Release() { l.file.Close() }
 
-// WaitLock waits until the process is the only one, or ctx ends.
+// WaitLock waits until it has acquired the lock of a directory, or ctx is done.
 func WaitLock(ctx context.Context, dir string) (*Lock, error) {
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
--- a/internal/instancelock/instancelock_test.go
+++ b/internal/instancelock/instancelock_test.go
@@ -8,26 +8,28 @@
 	"time"
 )
 
-// lockVariable has the test binary take the lock of a directory, write lockedText, and hold the lock until it is killed.
 const (
+	// lockVariable is the environment variable that makes the test binary acquire the lock of the directory that it names,
+	// write lockedText, and hold the lock until it is killed.
 	lockVariable = "DUNEMOOR_TEST_LOCK_DIR"
 	lockedText   = "locked"
 )
 
-// TestMain lets the test binary be the other process.
+// TestMain runs the tests, or acts as the process that holds the lock if lockVariable is set.
 func TestMain(m *testing.M) {
 	if dir := os.Getenv(lockVariable); dir != "" {
 		if _, ok, err := TryLock(dir); !ok || err != nil {
 			os.Exit(1)
 		}
 		os.Stdout.WriteString(lockedText)
-		time.Sleep(time.Minute) // it is killed
+		time.Sleep(time.Minute) // until the test kills the process
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// startHolder starts a process that holds the lock of a directory. It is killed by kill, or at the end of the test.
+// startHolder starts a process that holds the lock of a directory. The process is killed by kill, or at the end of the
+// test.
 func startHolder(t *testing.T, dir string) (kill func()) {
 	t.Helper()
 	holder := exec.Command(os.Args[0])
@@ -49,13 +51,13 @@
 	return func() { holder.Process.Kill() }
 }
 
-// A process that waits gets the lock when its holder is killed: it guards against a gateway that keeps to half of a
-// machine for good.
-func TestWaitLockGetsTheLockOfAKilledProcess(t *testing.T) {
+// A waiting process acquires the lock when its holder is killed. Otherwise a gateway would be limited to half of the
+// machine forever.
+func TestWaitLockAcquiresLockOfKilledProcess(t *testing.T) {
 	dir := t.TempDir()
 	kill := startHolder(t, dir)
 	if _, ok, err := TryLock(dir); ok || err != nil {
-		t.Fatalf("while another process holds the lock: got it %t, error %v, want neither", ok, err)
+		t.Fatalf("lock held by another process: acquired %t, error %v, want neither", ok, err)
 	}
 	got := make(chan error, 1)
 	go func() {
@@ -72,12 +74,12 @@
 	mustLock(t, dir)
 }
 
-// mustLock takes the lock of a directory, which must be free, until the end of the test.
+// mustLock acquires the lock of a directory, which must be free, and holds it until the end of the test.
 func mustLock(t *testing.T, dir string) {
 	t.Helper()
 	lock, ok, err := TryLock(dir)
 	if !ok || err != nil {
-		t.Fatalf("free lock: got it %t, error %v, want it and no error", ok, err)
+		t.Fatalf("free lock: acquired %t, error %v, want it acquired without error", ok, err)
 	}
 	t.Cleanup(lock.Release)
 }
@@ -92,8 +94,8 @@
 	}
 }
 
-func TestTryLockReportsAMissingDirectory(t *testing.T) {
+func TestTryLockReportsMissingDirectory(t *testing.T) {
 	if _, _, err := TryLock(t.TempDir() + "/none"); err == nil {
-		t.Error("missing directory: got no error")
+		t.Error("missing directory: got no error, want one")
 	}
 }
