--- a/internal/config/appliance_test.go
+++ b/internal/config/appliance_test.go
@@ -10,7 +10,7 @@
 	"dunemoor/internal/route"
 )
 
-// applianceExample is the example of a gateway with several pools.
+// applianceExample is the example file of an appliance with several pools.
 const applianceExample = "../../deploy/appliance.toml"
 
 func TestLoadApplianceReadsExample(t *testing.T) {
@@ -29,35 +29,35 @@
 	}
 }
 
-// invalidExamples are changes of the example that make it invalid, each with its error.
+// invalidExamples are changes that make the example invalid, with the expected errors.
 var invalidExamples = []struct {
 	old, new string // text of the example, and its replacement
-	want     string // how the error begins, after file and line
-	at       string // text of the example that begins on the line that the error names
+	want     string // beginning of the error after file and line
+	at       string // text of the example that begins on the expected line of the error
 }{
-	{`effect = "safe"`, `effect = "save"`, `class.effect: "save" is none of safe, keyed, unsafe`, `effect = "safe"`},
+	{`effect = "safe"`, `effect = "save"`, `class.effect: "save" is not one of safe, keyed, unsafe`, `effect = "safe"`},
 	{`deadline = "4s"`, `deadline = 4`, "class.deadline: ", `deadline = "4s"`},
 	{`aim = "500ms"`, `aim = "5s"`, "class.aim: 5s is not between 0 and the deadline", `aim = "500ms"`},
 	{`window = "2500ms"`, ``, "class.window: is missing", "[[class]]\nname = \"report\""},
 	{`sockets = 1024`, `sockets = 5`, "limits.sockets: 5 is not between 64 and", `sockets = 1024`},
-	{`address = "127.0.0.1:8080"`, `address = "8080"`, `listener.address: "8080" is no address`, `address = "127.0.0.1:8080"`},
+	{`address = "127.0.0.1:8080"`, `address = "8080"`, `listener.address: "8080" is not an address`, `address = "127.0.0.1:8080"`},
 	{`fallback = ["calendar-old"]`, `fallback = ["calender-old"]`, `pool.fallback: "calender-old": there is no pool`, `fallback =`},
 	{`fallback = ["calendar-old"]`, ``, `pool.name: no route uses "calendar-old"`, `name = "calendar-old"`},
 	{`pool = "address"` + "\n", `pool = "adress"` + "\n", `route "address": pool "adress": there is none of that name`, "[[route]]\nname = \"address\""},
 	{`class = "lookup"`, `class = "look"`, `route.class: "look": there is no class`, `class = "lookup"`},
 	{`retry_share = 0.1`, `retry_share = 7.0`, "route.retry_share: 7 is not between 0 and 3", `retry_share`},
 	{`timeout = "2s"`, `timeuot = "2s"`, "route.timeuot: there is no such setting", `timeout = "2s"`},
-	{`split_by = "X-Household"`, `pool = "calendar"`, "route.pool: it has both pool and split", `split_by`},
-	{`{ id = "cal-2", address = "127.0.0.1:9102", cell = 1 }`, `{ id = "cal-1", address = "127.0.0.1:9102" }`, `pool.members: "cal-1" is there twice`, "members = ["},
+	{`split_by = "X-Household"`, `pool = "calendar"`, "route.pool: can't be combined with split", `split_by`},
+	{`{ id = "cal-2", address = "127.0.0.1:9102", cell = 1 }`, `{ id = "cal-1", address = "127.0.0.1:9102" }`, `pool.members: "cal-1" is listed twice`, "members = ["},
 	{`name = "calendar-next"`, `name = "calendar"`, `pool.name: "calendar" is taken (line `, `name = "calendar-next"`},
 }
 
-// lineOf returns the line of a text on which the first occurrence of part begins, counted from 1.
+// lineOf returns the line on which the first occurrence of part begins, counted from 1.
 func lineOf(t *testing.T, text, part string) int {
 	t.Helper()
 	before, _, found := strings.Cut(text, part)
 	if !found {
-		t.Fatalf("the text lacks %q", part)
+		t.Fatalf("text does not contain %q", part)
 	}
 	return 1 + strings.Count(before, "\n")
 }
@@ -107,8 +107,8 @@
 	}
 }
 
-// One error does not hide the others: a value of a wrong type, one out of range and an unknown key are
-// all reported, each once, and nothing that follows from them.
+// One error does not hide the others: a value of a wrong type, a value out of range and an unknown key
+// are all reported, each exactly once, and no consequential errors.
 func TestParseApplianceReportsAllErrorsAtOnce(t *testing.T) {
 	invalid := readExample(t, applianceExample)
 	for _, c := range [][2]string{
@@ -126,7 +126,7 @@
 	}
 	for _, want := range []string{
 		"class.deadline: ", "limits.memory_mb: ", "limits.sockets: 5 is", "route.timeuot: there is no", `class.effect: "unsave"`,
-		"class.wort: there is no", `listener.address: "127.0.0.1:99999"`, `pool.members: "127.0.0.1:0"`, `name: "depot\x1b[31m" has '\x1b' in it`, `admin: "10.0.0.1:8090" is no loopback`,
+		"class.wort: there is no", `listener.address: "127.0.0.1:99999"`, `pool.members: "127.0.0.1:0"`, `name: "depot\x1b[31m" contains '\x1b'`, `admin: "10.0.0.1:8090" is not a loopback`,
 	} {
 		n := 0
 		for _, s := range messages {
@@ -143,13 +143,14 @@
 	}
 }
 
-// A limit that leaves pools without descriptors is an error of the file, not of the running gateway.
+// A socket limit that leaves pools without descriptors is reported when the file is parsed, before the
+// gateway runs.
 func TestParseApplianceRejectsPoolsWithoutSockets(t *testing.T) {
 	valid := readExample(t, applianceExample)
 	for _, c := range []struct{ old, new, want string }{
 		{`sockets = 1024`, `sockets = 64`, ""},
 		{`fallback = ["calendar-old"]`, "fallback = [\"calendar-old\"]\nsockets = 0.6", ""},
-		{`fallback = ["calendar-old"]`, "fallback = [\"calendar-old\"]\nsockets = 1.0", "limits.sockets: 1024 are too few: 4 pools would have 0.0 each"},
+		{`fallback = ["calendar-old"]`, "fallback = [\"calendar-old\"]\nsockets = 1.0", "limits.sockets: 1024 is too low: 4 pools would have 0.0 descriptors each"},
 	} {
 		_, errs := ParseAppliance("f", replaceFirst(t, valid, c.old, c.new))
 		if c.want == "" && len(errs) > 0 || c.want != "" && (len(errs) != 1 || !strings.Contains(errs[0].Error(), c.want)) {
--- a/internal/config/checker.go
+++ b/internal/config/checker.go
@@ -6,41 +6,42 @@
 	"strings"
 )
 
-// checker reads a file and collects its errors. Methods that read set a part of the Appliance and check it; methods that
-// check add errors, and what they find taken to the sets of names that they are given.
+// checker converts and validates the settings of a file, and collects the errors. Its read methods validate a section and
+// store it in the Appliance. Its check methods only add errors; some of them also record names and addresses in maps to
+// find duplicates.
 type checker struct {
 	*Text
 	errors []error
 }
 
-// addErrorf adds an error at a key of the n-th table of a name.
+// addErrorf adds an error at a key of the n-th TOML table with the given name, counted from 0.
 func (c *checker) addErrorf(table string, n int, key, format string, args ...any) {
 	line := c.Line(table, n, key)
-	if c.LeftOut(line) {
-		return // it was reported when the line was read
+	if c.Skipped(line) {
+		return // the line has already been reported as undecodable
 	}
 	field := strings.TrimPrefix(table+"."+key, ".")
 	c.errors = append(c.errors, c.Errorf(line, strings.TrimSuffix(field, "."), format, args...))
 }
 
-// checkRange adds an error where a value is out of bounds, or no number.
+// checkRange adds an error if a value is not between low and high, or is NaN.
 func (c *checker) checkRange(table string, n int, key string, value, low, high float64) {
 	if !isBetween(value, low, high) {
-		c.addErrorf(table, n, key, notBetween, value, low, high)
+		c.addErrorf(table, n, key, outOfRangeFormat, value, low, high)
 	}
 }
 
-// notBetween is the text of the error for a value that is not between two bounds.
-const notBetween = "%v is not between %v and %v"
+// outOfRangeFormat is the format of the error for a value out of range.
+const outOfRangeFormat = "%v is not between %v and %v"
 
-// isBetween reports whether a value is within bounds, which count as within. NaN is not.
+// isBetween reports whether a value is between low and high, inclusively. NaN is not.
 func isBetween(value, low, high float64) bool { return value >= low && value <= high }
 
-// maxNameBytes is how long a name may be: names are in logs, file names and status lines.
+// maxNameBytes is the maximum length of a name. Names appear in logs, file names and status lines.
 const maxNameBytes = 64
 
-// checkName adds an error where a name could not be in a log, a file name or a terminal as it is. The caller reports an
-// empty one.
+// checkName adds an error if a name has characters that are not safe in logs, file names and terminals. An empty name is
+// accepted; callers check for it.
 func (c *checker) checkName(table string, n int, name string) { c.checkNameAt(table, n, "name", name) }
 
 // checkNameAt is checkName for a name at another key.
@@ -51,13 +52,13 @@
 	}
 	for _, r := range name {
 		if !isAlphanumeric(r) && !strings.ContainsRune("-_.:[]", r) {
-			c.addErrorf(table, n, key, "%q has %q in it: letters, digits, '-', '_', '.' and ':' only", name, r)
+			c.addErrorf(table, n, key, "%q contains %q: use only letters, digits, '-', '_', '.' and ':'", name, r)
 			return
 		}
 	}
 }
 
-// checkUniqueName adds an error where a name is missing or taken. taken has the index of each name so far.
+// checkUniqueName adds an error if a name is missing or taken. taken maps each name found so far to its table index.
 func (c *checker) checkUniqueName(table string, n int, name string, taken map[string]int) {
 	first, isTaken := taken[name]
 	switch {
@@ -69,13 +70,13 @@
 	taken[name] = n
 }
 
-// checkUniqueAddress adds an error where an address is no host:port or that of another. taken has the name at each address
-// so far.
+// checkUniqueAddress adds an error if an address is not a host:port address or is taken. taken maps each address found so
+// far to the name of its entry.
 func (c *checker) checkUniqueAddress(table string, n int, name, address string, taken map[string]string) {
 	if !isHostPort(address, 1) {
-		c.addErrorf(table, n, "address", "%q is no host:port", address)
+		c.addErrorf(table, n, "address", "%q is not a host:port address", address)
 	} else if other := taken[address]; other != "" {
-		c.addErrorf(table, n, "address", "%q is that of %s", address, other)
+		c.addErrorf(table, n, "address", "%q is already the address of %s", address, other)
 	}
 	taken[address] = name
 }
@@ -84,16 +85,17 @@
 	return r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9'
 }
 
-// maxUnixPath is the longest path of a socket, with the byte that ends it (unix(7)).
+// maxUnixPath is the maximum length of a Unix socket path including the terminating NUL byte (unix(7)).
 const maxUnixPath = 108
 
-// isUnixPath reports whether an address names a socket of the file system.
+// isUnixPath reports whether an address is "unix:" and the absolute path of a Unix domain socket.
 func isUnixPath(addr string) bool {
 	path, ok := strings.CutPrefix(addr, "unix:")
 	return ok && strings.HasPrefix(path, "/") && len(path) < maxUnixPath
 }
 
-// isHostPort reports whether an address is host:port; port 0 is for listeners only.
+// isHostPort reports whether an address has the form host:port with a port of at least minPort. Only listeners may have
+// port 0.
 func isHostPort(addr string, minPort uint64) bool {
 	_, port, err := net.SplitHostPort(addr)
 	if err != nil {
--- a/internal/config/classes.go
+++ b/internal/config/classes.go
@@ -9,22 +9,22 @@
 
 const (
 	maxClasses = 64
-	// maxTimeout bounds all deadlines and windows.
+	// maxTimeout is the maximum of all deadlines and windows.
 	maxTimeout = time.Hour
 )
 
-// idempotencies are the values of a class's effect.
+// idempotencies are the values of the key "effect" of a class.
 var idempotencies = map[string]balancer.Idempotency{"safe": balancer.Idempotent, "keyed": balancer.IdempotentWithKey, "unsafe": balancer.NonIdempotent}
 
-// dedupScopes are the values of a class's group.
+// dedupScopes are the values of the key "group" of a class.
 var dedupScopes = map[string]balancer.DedupScope{
 	"": balancer.ScopeAll, "all": balancer.ScopeAll, "zone": balancer.ScopeZone, "cell": balancer.ScopeCell,
 }
 
-// readClasses reads the kinds of requests.
+// readClasses reads the request classes.
 func (c *checker) readClasses(a *Appliance, f *applianceFile) {
 	if len(f.Class) == 0 {
-		c.addErrorf("", 0, "class", "there is none: a route needs one")
+		c.addErrorf("", 0, "class", "is missing: at least one [[class]] is required")
 	}
 	if len(f.Class) > maxClasses {
 		c.addErrorf("class", maxClasses, "", "more than %d classes", maxClasses)
@@ -48,11 +48,11 @@
 func (c *checker) readClass(i int, x *classFile) Class {
 	idempotency, ok := idempotencies[x.Effect]
 	if !ok {
-		c.addErrorf("class", i, "effect", "%q is none of safe, keyed, unsafe", x.Effect)
+		c.addErrorf("class", i, "effect", "%q is not one of safe, keyed, unsafe", x.Effect)
 	}
 	dedupScope, ok := dedupScopes[x.Group]
 	if !ok {
-		c.addErrorf("class", i, "group", "%q is none of all, zone, cell", x.Group)
+		c.addErrorf("class", i, "group", "%q is not one of all, zone, cell", x.Group)
 	}
 	return Class{Name: x.Name, Class: balancer.Class{
 		LatencyObjective: time.Duration(x.Aim),
@@ -64,10 +64,10 @@
 	}}
 }
 
-// checkClassTimes checks the times of a class.
+// checkClassTimes checks the deadline, the latency objective and the deduplication window of a class.
 func (c *checker) checkClassTimes(i int, k *Class) {
 	if k.Deadline <= 0 || k.Deadline > maxTimeout {
-		c.addErrorf("class", i, "deadline", "%v is not above 0 and up to %v", k.Deadline, maxTimeout)
+		c.addErrorf("class", i, "deadline", "%v is not greater than 0 and at most %v", k.Deadline, maxTimeout)
 	}
 	if k.LatencyObjective < 0 || k.Deadline > 0 && k.LatencyObjective > k.Deadline {
 		c.addErrorf("class", i, "aim", "%v is not between 0 and the deadline", k.LatencyObjective)
@@ -76,6 +76,6 @@
 		c.addErrorf("class", i, "window", "%v is not between 0 and %v", k.DedupWindow, maxTimeout)
 	}
 	if k.Idempotency == balancer.IdempotentWithKey && k.DedupWindow == 0 {
-		c.addErrorf("class", i, "window", "is missing: for how long do hosts drop the repeats of a key")
+		c.addErrorf("class", i, "window", "is missing: set how long hosts deduplicate requests with the same idempotency key")
 	}
 }
--- a/internal/config/compat_test.go
+++ b/internal/config/compat_test.go
@@ -11,5 +11,5 @@
 	compat.Keys(t, "appliance-keys.txt", "toml", &applianceFile{})
 	compat.Keys(t, "recording-keys.txt", "toml", &recordingFile{})
 	compat.Keys(t, "platform-keys.txt", "json", &platformFile{})
-	compat.Keys(t, "platform-settings-keys.txt", "json", &names{})
+	compat.Keys(t, "platform-settings-keys.txt", "json", &settingsFile{})
 }
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// applianceFile is the form of an appliance's file.
+// applianceFile is the structure of the configuration file of an appliance.
 type applianceFile struct {
 	Name   string
 	Admin  string
@@ -97,13 +97,13 @@
 	RetryFloor *float64 `toml:"retry_floor"`
 }
 
-// headersFile are the rules for the headers in one direction.
+// headersFile has the rules for the headers of requests or responses.
 type headersFile struct {
 	Set, Add map[string]string
 	Remove   []string
 }
 
-// fleetFile is the form of the part for a fleet.
+// fleetFile is the structure of the fleet section.
 type fleetFile struct {
 	ID      string
 	Listen  string
@@ -120,7 +120,7 @@
 
 type relayFile struct{ Name, Address, Zone, Region string }
 
-// isRelayOnly reports whether a file is of a relay that serves no requests.
+// isRelayOnly reports whether a file configures a relay that serves no client requests.
 func (f *applianceFile) isRelayOnly() bool {
 	return f.Fleet != nil && len(f.Listener)+len(f.Class)+len(f.Pool)+len(f.Route) == 0 &&
 		slices.ContainsFunc(f.Fleet.Relay, func(r relayFile) bool { return r.Name == f.Name })
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// fleetExample is the example of a gateway in a fleet of peers.
+// fleetExample is the example file of a gateway in a full mesh.
 const fleetExample = "../../deploy/fleet.toml"
 
 // The example is valid, and each error in the fleet section is one line with file, line and field.
@@ -16,34 +16,35 @@
 		t.Fatalf("appliance %+v, errors %v, want the values of the example", a, errs)
 	}
 	for _, c := range []struct{ old, new, want string }{
-		{`id = "glasgow"`, `id = "glas gow"`, `fleet.id: "glas gow" has ' ' in it`},
+		{`id = "glasgow"`, `id = "glas gow"`, `fleet.id: "glas gow" contains ' '`},
 		{`id = "glasgow"`, ``, "fleet.id: is missing"},
-		{`listen = "127.0.0.1:7401"`, `listen = "7401"`, `fleet.listen: "7401" is no address`},
-		{`check = "/alive"`, `check = "alive"`, `pool.check: "alive" is no path like "/alive"`},
+		{`listen = "127.0.0.1:7401"`, `listen = "7401"`, `fleet.listen: "7401" is not an address`},
+		{`check = "/alive"`, `check = "alive"`, `pool.check: "alive" is not a path like "/alive"`},
 		{`check = "/alive"`, "check = \"/alive\"\nprotocol = \"fastcgi\"", `pool.check: is for pools with protocol = "http1"`},
-		{`"/var/lib/dunemoor/depot-1"`, `"depot-1"`, `fleet.data_dir: "depot-1" is no path from the root`},
+		{`"/var/lib/dunemoor/depot-1"`, `"depot-1"`, `fleet.data_dir: "depot-1" is not an absolute path`},
 		{`key_file = "/etc/dunemoor/fleet.key"`, ``, "fleet.key_file: is missing"},
 		{`first = [`, `first = ["x", `, `fleet.first: "x" is neither a peer nor this gateway`},
-		{`first = [`, `first = ["depot-2", `, `fleet.first: "depot-2" is there twice`},
+		{`first = [`, `first = ["depot-2", `, `fleet.first: "depot-2" is listed twice`},
 		{`first = ["depot-1", "depot-2", "depot-3"]`, ``, "fleet.first: is missing"},
-		{`127.0.0.1:7403`, `127.0.0.1:7402`, `fleet.peer.address: "127.0.0.1:7402" is that of depot-2`},
-		{`address = "127.0.0.1:7402"`, ``, `fleet.peer.address: "" is no host:port`},
+		{`127.0.0.1:7403`, `127.0.0.1:7402`, `fleet.peer.address: "127.0.0.1:7402" is already the address of depot-2`},
+		{`address = "127.0.0.1:7402"`, ``, `fleet.peer.address: "" is not a host:port address`},
 		{`name = "depot-3"`, `name = "depot-2"`, `fleet.peer.name: "depot-2" is taken`},
 		{`machine = "m3"`, `machin = "m3"`, "there is no such setting"},
 	} {
 		checkRejected(t, c.new+" for "+c.old, replaceFirst(t, valid, c.old, c.new), c.want)
 	}
 	alone, _, _ := strings.Cut(valid, "[fleet]")
-	checkRejected(t, "health check without a fleet", alone, "pool.check: needs [fleet]: it is one gateway that tries hosts for all")
+	checkRejected(t, "health check without a fleet", alone, "pool.check: needs [fleet]: one gateway of a fleet checks the hosts for all its gateways")
 }
 
-// relaysExample is the example of a gateway in a fleet with relays.
+// relaysExample is the example file of a gateway in a fleet with relays.
 const relaysExample = "../../deploy/fleet-relays.toml"
 
-// relayListen gives a relay its address: the example is the file of a gateway, which has none.
+// relayListen replaces "data_dir =" to add the listen address of a relay. The example has none, as it is the file of a
+// gateway that is not a relay.
 const relayListen = "listen = \"127.0.0.1:7403\"\ndata_dir ="
 
-// relayExample makes the example with relays the file of one of them, which serves no requests.
+// relayExample returns the example with relays, changed to the file of a relay that serves no requests.
 func relayExample(t *testing.T) string {
 	t.Helper()
 	beforeListeners, rest, _ := strings.Cut(readExample(t, relaysExample), "[[listener]]")
@@ -63,7 +64,7 @@
 	}
 }
 
-// The file of a relay needs nothing for requests.
+// The file of a relay needs no listeners, classes, pools and routes.
 func TestParseApplianceReadsFileOfRelay(t *testing.T) {
 	text := relayExample(t)
 	r, errs := ParseAppliance("f", text)
@@ -72,27 +73,27 @@
 	}
 }
 
-// Each error in a fleet with relays is one line with file, line and field.
+// Each error in the fleet section of a fleet with relays is one line with file, line and field.
 func TestParseApplianceChecksRelaySettings(t *testing.T) {
 	gateway, relay := readExample(t, relaysExample), relayExample(t)
 	for _, c := range []struct{ from, old, new, want string }{
 		{gateway, `zone = "hall-b"`, `rack = "hall-b"`, "fleet.relay.rack: there is no such setting"},
 		{gateway, `zone = "hall-a"  `, `role = "relay"`, "fleet.role: there is no such setting"},
-		{gateway, `"relay-3"]`, `"depot-1"]`, `fleet.first: "depot-1" is no relay`},
-		{gateway, `region = "west"`, `region = "north"`, `fleet.region: no relay is in region "north", they are in ["west" "east"]`},
+		{gateway, `"relay-3"]`, `"depot-1"]`, `fleet.first: "depot-1" is not a relay`},
+		{gateway, `region = "west"`, `region = "north"`, `fleet.region: no relay is in region "north", the relays are in ["west" "east"]`},
 		{gateway, `region = "west"`, ``, `fleet.region: no relay is in region ""`},
-		{gateway, `zone = "hall-a"`, `zone = "hall a"`, `fleet.zone: "hall a" has ' ' in it`},
-		{gateway, `"hall-b"`, `"hall b"`, `fleet.relay.zone: "hall b" has ' ' in it`},
-		{gateway, `127.0.0.1:7403`, `127.0.0.1:7402`, `fleet.relay.address: "127.0.0.1:7402" is that of relay-2`},
-		{gateway, `address = "127.0.0.1:7402"`, ``, `fleet.relay.address: "" is no host:port`},
+		{gateway, `zone = "hall-a"`, `zone = "hall a"`, `fleet.zone: "hall a" contains ' '`},
+		{gateway, `"hall-b"`, `"hall b"`, `fleet.relay.zone: "hall b" contains ' '`},
+		{gateway, `127.0.0.1:7403`, `127.0.0.1:7402`, `fleet.relay.address: "127.0.0.1:7402" is already the address of relay-2`},
+		{gateway, `address = "127.0.0.1:7402"`, ``, `fleet.relay.address: "" is not a host:port address`},
 		{gateway, `name = "relay-3"`, `name = "relay-2"`, `fleet.relay.name: "relay-2" is taken (line `},
 		{gateway, `name = "relay-2"`, ``, "fleet.relay.name: is missing"},
 		{gateway, "data_dir =", relayListen, "fleet.listen: is for relays"},
-		{gateway, "[[fleet.relay]]", "[[fleet.peer]]\nname = \"depot-2\"\naddress = \"127.0.0.1:7412\"\n[[fleet.relay]]", "fleet.peer: there are relays too"},
-		{relay, relayListen, "data_dir =", `fleet.listen: "" is no address`},
-		{relay, "[fleet]", "[[listener]]\naddress = \"127.0.0.1:8080\"\n[fleet]", "pool: there is none"},
-		{relay, "[fleet]", "[fleet]\nzone = \"hall-a\"", `fleet.zone: "hall-a", and as a relay it is in "quay-a" (line `},
-		{relay, `"relay-3"`, `"depot-4"`, "listener: there is none"},
+		{gateway, "[[fleet.relay]]", "[[fleet.peer]]\nname = \"depot-2\"\naddress = \"127.0.0.1:7412\"\n[[fleet.relay]]", "fleet.peer: can't be combined with [[fleet.relay]]"},
+		{relay, relayListen, "data_dir =", `fleet.listen: "" is not an address`},
+		{relay, "[fleet]", "[[listener]]\naddress = \"127.0.0.1:8080\"\n[fleet]", "pool: is missing"},
+		{relay, "[fleet]", "[fleet]\nzone = \"hall-a\"", `fleet.zone: "hall-a" differs from "quay-a" in the entry of this relay (line `},
+		{relay, `"relay-3"`, `"depot-4"`, "listener: is missing"},
 	} {
 		checkRejected(t, c.new+" for "+c.old, replaceFirst(t, c.from, c.old, c.new), c.want)
 	}
--- a/internal/config/helpers_test.go
+++ b/internal/config/helpers_test.go
@@ -17,17 +17,17 @@
 	return string(text)
 }
 
-// replaceFirst replaces the first old in a text. It ends the test if that changes nothing.
+// replaceFirst replaces the first occurrence of old in a text. It fails the test if that changes nothing.
 func replaceFirst(t *testing.T, text, old, new string) string {
 	t.Helper()
 	replaced := strings.Replace(text, old, new, 1)
 	if replaced == text {
-		t.Fatalf("the text lacks %q, or %q replaces it by itself", old, new)
+		t.Fatalf("text does not contain %q, or the replacement %q is the same", old, new)
 	}
 	return replaced
 }
 
-// writeTempFile writes a text to a file of a new folder and returns its path.
+// writeTempFile writes a text to a file in a new temporary directory and returns its path.
 func writeTempFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -37,8 +37,8 @@
 	return path
 }
 
-// checkRejected checks that an appliance's text is rejected, by an error with want among others, and that each error is
-// one line that begins with the file. change says in the message how the text differs from a valid one.
+// checkRejected checks that the text of an appliance file is rejected, that one of the errors contains want, and that each
+// error is one line that begins with the file. change describes in failure messages how the text differs from a valid one.
 func checkRejected(t *testing.T, change, text, want string) {
 	t.Helper()
 	_, errs := ParseAppliance("f.toml", text)
--- a/internal/config/key_test.go
+++ b/internal/config/key_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// A key that others than the owner can read, or that is too short or too long, is rejected.
+// A key file that is accessible by others than its owner, or whose key is too short or too long, is rejected.
 func TestReadKeyRejectsReadableOrShortKeys(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "key")
 	for _, c := range []struct {
@@ -16,9 +16,9 @@
 		want string
 	}{
 		{strings.Repeat("k", minKeyBytes) + "\n", 0o600, ""},
-		{strings.Repeat("k", minKeyBytes), 0o640, "others than its owner"},
-		{strings.Repeat("k", minKeyBytes-1) + "\n", 0o600, "31 bytes, 32 at least"},
-		{strings.Repeat("k", maxKeyBytes+1), 0o600, "4096 at most"},
+		{strings.Repeat("k", minKeyBytes), 0o640, "accessible by others than its owner"},
+		{strings.Repeat("k", minKeyBytes-1) + "\n", 0o600, "31 bytes, the minimum is 32"},
+		{strings.Repeat("k", maxKeyBytes+1), 0o600, "the maximum is 4096"},
 	} {
 		os.Remove(path)
 		if err := os.WriteFile(path, []byte(c.text), c.mode); err != nil {
--- a/internal/config/keyset.go
+++ b/internal/config/keyset.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// keySet is the set of keys of a JSON value, without what they hold.
+// keySet is the set of keys in a JSON value, including those of nested objects.
 type keySet struct {
-	keys   map[string]*keySet // of an object
-	common *keySet            // keys that all objects of a list have; nil: it has none
+	keys   map[string]*keySet // keys of an object
+	common *keySet            // keys that all objects of a list have; nil if the list has no objects
 	isList bool
 }
 
-// newKeySet returns the keys of a decoded value; null is no value.
+// newKeySet returns the keys of a decoded JSON value. A key whose value is null counts as absent.
 func newKeySet(v any) *keySet {
 	switch v := v.(type) {
 	case map[string]any:
@@ -42,7 +42,7 @@
 	return &keySet{}
 }
 
-// intersect returns the keys that two objects both have.
+// intersect returns the keys that both objects have.
 func (s *keySet) intersect(o *keySet) *keySet {
 	both := &keySet{keys: map[string]*keySet{}}
 	for key, x := range s.keys {
@@ -55,7 +55,7 @@
 	return both
 }
 
-// missing returns a dotted key of s that o lacks, "" if there is none.
+// missing returns the dotted path of a key of s that o lacks, or "" if there is none. at is the path of s.
 func (s *keySet) missing(o *keySet, at string) string {
 	if s.isList && !o.isList {
 		return at
--- a/internal/config/keyset_test.go
+++ b/internal/config/keyset_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Each single key of the file is reported as missing, wherever it stands.
+// Every key of the file is reported if it is missing, at any level.
 func TestKeySetReportsEachMissingKey(t *testing.T) {
 	var document any
 	if err := json.Unmarshal([]byte(reloadedConfig), &document); err != nil {
@@ -19,7 +19,7 @@
 		case map[string]any:
 			for key, x := range v {
 				if key == "window" {
-					continue // one class has none
+					continue // not all classes have it
 				}
 				keys++
 				delete(v, key)
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -13,35 +13,35 @@
 	DefaultMemoryMB      = 64
 	defaultSockets       = 1024
 	minSockets           = 64
-	defaultHeadKB        = 12  // a head of the platform's protocol several times over, and most browsers' cookies
-	defaultHeaders       = 100 // browsers send some twenty
-	defaultClientTableKB = 512 // 16,384 clients
+	defaultHeadKB        = 12  // several header sections of the platform's protocol, or most browsers' cookies
+	defaultHeaders       = 100 // browsers send about 20
+	defaultClientTableKB = 512 // enough for 16,384 clients
 	maxTenants           = 1024
 	defaultTenantHeader  = "X-Tenant-Id"
-	// burstFactor is how many seconds of its rate a client may save up by default.
+	// burstFactor is the default burst of a client, in seconds of its rate.
 	burstFactor = 2
 )
 
 const (
-	// ownSockets is how many descriptors the process itself needs at least: the three that it is started with, the
-	// runtime's two, a listener and its epoll set, the operators' address and a call there, a watch of discovery and the
-	// one that replaces it, files that are read, and a connection that is just accepted or closed.
+	// ownSockets is the minimum number of descriptors for the process itself: standard input, output and error, two of
+	// the Go runtime, a listener and its epoll set, the admin listener and one admin connection, a discovery watch and the
+	// one that replaces it, files being read, and connections that are just being accepted or closed.
 	ownSockets = 19
-	// sharedPercent is the share of SharedSockets, in percent, that connections use: those of clients 50 (package
-	// gateway), those to hosts 42 (hostShare). The rest is for the process itself.
+	// sharedPercent is the percentage of SharedSockets that connections may use: 50 for clients (see package gateway) and
+	// 42 for hosts (hostShare). The rest is for the process itself.
 	sharedPercent = 92
 	// hostShare is the share of SharedSockets that connections to hosts may use.
 	hostShare = 0.42
 )
 
-// SharedSockets returns the number of descriptors that the shares of clients and hosts are computed from: all, or as many
-// fewer as leave ownSockets when both use their shares up.
+// SharedSockets returns the number of descriptors from which the shares of clients and hosts are computed. This is all of
+// them, or fewer if that is needed to leave ownSockets descriptors when clients and hosts use up their shares.
 func SharedSockets(all int) int { return max(min(all, (all-ownSockets)*100/sharedPercent), 0) }
 
-// HostSockets returns how many descriptors connections to hosts may use.
+// HostSockets returns the number of descriptors that connections to hosts may use.
 func HostSockets(all int) float64 { return hostShare * float64(SharedSockets(all)) }
 
-// readProcessLimits reads what the process may use.
+// readProcessLimits reads the resource limits of the process.
 func (c *checker) readProcessLimits(a *Appliance, f *applianceFile) {
 	a.Limits = Limits{
 		Cores: f.Limits.Cores, MemoryMB: cmp.Or(f.Limits.MemoryMB, DefaultMemoryMB), Sockets: cmp.Or(f.Limits.Sockets, defaultSockets),
@@ -55,7 +55,7 @@
 	c.checkRange("limits", 0, "cores", a.Limits.Cores, 0, 1024)
 }
 
-// readClientLimits reads what one client may use.
+// readClientLimits reads the limits of each client.
 func (c *checker) readClientLimits(a *Appliance, f *applianceFile) {
 	l, x := &a.Limits, &f.Limits.Client
 	l.Clients = ratelimit.ClientLimits{Rate: x.Rate, Burst: cmp.Or(x.Burst, burstFactor*x.Rate), Concurrent: x.Concurrent}
@@ -66,7 +66,7 @@
 	c.checkRange("limits.client", 0, "table_kb", float64(l.ClientTableKB), 16, 1<<20)
 }
 
-// readTenantLimits reads what tenants may use.
+// readTenantLimits reads the tenants and the limits that they share.
 func (c *checker) readTenantLimits(a *Appliance, f *applianceFile) {
 	l, x := &a.Limits, &f.Limits.Tenants
 	l.Tenants = ratelimit.TenantLimits{Rate: x.Rate, Concurrent: x.Concurrent}
@@ -89,6 +89,6 @@
 		a.Tenants = append(a.Tenants, ratelimit.Tenant{Name: t.Name, Weight: weight})
 	}
 	if len(f.Tenant) > 0 && l.Tenants == (ratelimit.TenantLimits{}) {
-		c.addErrorf("tenant", 0, "name", "limits.tenants sets neither rate nor concurrent: what would they share")
+		c.addErrorf("tenant", 0, "name", "limits.tenants sets neither rate nor concurrent, so that tenants have nothing to share")
 	}
 }
--- a/internal/config/listeners.go
+++ b/internal/config/listeners.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// readAdmin reads the address of the operators' calls. Whoever reaches it can drain the gateway, and nobody is
-// authenticated: so it is a loopback address.
+// readAdmin reads the address of the admin API. It must be a loopback address, as callers are not authenticated and can
+// drain the gateway.
 func (c *checker) readAdmin(a *Appliance, addr string) {
 	a.Admin = addr
 	if addr == "" {
@@ -19,14 +19,14 @@
 	ip, err := netip.ParseAddr(host)
 	isLoopback := err == nil && ip.IsLoopback()
 	if !isLoopback || !isHostPort(addr, 0) {
-		c.addErrorf("", 0, "admin", "%q is no loopback address like \"127.0.0.1:8090\"", addr)
+		c.addErrorf("", 0, "admin", "%q is not a loopback address like \"127.0.0.1:8090\"", addr)
 	}
 }
 
-// readListeners reads where clients connect.
+// readListeners reads the listeners for clients.
 func (c *checker) readListeners(a *Appliance, f *applianceFile) {
 	if len(f.Listener) == 0 {
-		c.addErrorf("", 0, "listener", "there is none: clients could not connect")
+		c.addErrorf("", 0, "listener", "is missing: at least one [[listener]] is required")
 	}
 	for i, l := range f.Listener {
 		l.Protocol = cmp.Or(l.Protocol, HTTP1)
@@ -34,7 +34,7 @@
 		l.Name = cmp.Or(l.Name, l.Address)
 		for k, o := range a.Listeners {
 			if o.Address == l.Address {
-				c.addErrorf("listener", i, "address", "%q is listened on already (line %d)", l.Address, c.Line("listener", k, "address"))
+				c.addErrorf("listener", i, "address", "%q is the address of another listener (line %d)", l.Address, c.Line("listener", k, "address"))
 			} else if o.Name == l.Name {
 				c.addErrorf("listener", i, "name", "%q is taken (line %d)", l.Name, c.Line("listener", k, "name"))
 			}
@@ -45,33 +45,34 @@
 	}
 }
 
-// checkListener checks a listener by itself.
+// checkListener checks the settings of one listener.
 func (c *checker) checkListener(i int, l *listenerFile) {
 	if !slices.Contains(protocols, l.Protocol) {
-		c.addErrorf("listener", i, "protocol", "%q is none of %s", l.Protocol, strings.Join(protocols, ", "))
+		c.addErrorf("listener", i, "protocol", "%q is not one of %s", l.Protocol, strings.Join(protocols, ", "))
 	}
 	if !isHostPort(l.Address, 0) && !(l.Protocol == FastCGI && isUnixPath(l.Address)) {
-		c.addErrorf("listener", i, "address", "%q is no address like \"127.0.0.1:8080\"", l.Address)
+		c.addErrorf("listener", i, "address", "%q is not an address like \"127.0.0.1:8080\"", l.Address)
 	}
 	if l.Protocol == FastCGI && l.ProxyProtocol {
-		c.addErrorf("listener", i, "proxy_protocol", "is for http1 listeners: a web server names its client by REMOTE_ADDR")
+		c.addErrorf("listener", i, "proxy_protocol", "is for http1 listeners: web servers pass the client's address in REMOTE_ADDR")
 	}
 	c.checkName("listener", i, l.Name)
 }
 
-// readTrustedProxies reads addresses and networks.
+// readTrustedProxies reads the addresses and networks of trusted proxies.
 func (c *checker) readTrustedProxies(i int, list []string) (prefixes []netip.Prefix) {
 	for _, text := range list {
 		prefix, ok := parseNetwork(text)
 		if !ok {
-			c.addErrorf("listener", i, "trusted", "%q is no address or network like \"10.0.0.0/8\"", text)
+			c.addErrorf("listener", i, "trusted", "%q is not an address or network like \"10.0.0.0/8\"", text)
 		}
 		prefixes = append(prefixes, prefix)
 	}
 	return prefixes
 }
 
-// parseNetwork parses an address, as a network of that address alone, or a network without bits behind its mask.
+// parseNetwork parses a network in CIDR notation whose host bits are zero, or a single address, which is returned as a
+// network with only that address.
 func parseNetwork(text string) (prefix netip.Prefix, ok bool) {
 	if addr, err := netip.ParseAddr(text); err == nil {
 		return netip.PrefixFrom(addr, addr.BitLen()), true
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -17,47 +17,47 @@
 	"dunemoor/internal/protocol"
 )
 
-// Platform is the configuration of a gateway of the platform.
+// Platform is the configuration of a platform gateway.
 type Platform struct {
 	Name   string
-	Listen string // where clients connect
-	Admin  string // address of the operators' calls; "": none
-	// ClientsFD is the descriptor of a socket that listens for clients, held by the platform and shared with other
-	// processes; 0: there is none, and the gateway opens Listen.
+	Listen string // address on which clients connect
+	Admin  string // address of the admin API; "" disables it
+	// ClientsFD is the descriptor of a listening socket for clients that is held by the platform and shared with other
+	// processes. If it is 0, there is none, and the gateway listens on Listen itself.
 	ClientsFD int
-	Discovery string // address of the service that has the endpoint list
+	Discovery string // address of the discovery service
 	Seed      uint64
 
-	Cores    float64 // 0: all
-	MemoryMB int     // MiB; 0: DefaultMemoryMB
-	Sockets  int     // file descriptors that the process may have
+	Cores    float64 // 0 for all cores
+	MemoryMB int     // MiB; 0 for DefaultMemoryMB
+	Sockets  int     // limit of file descriptors of the process
 
-	Known    discovery.MemberList // the endpoint list that this gateway had last
+	Known    discovery.MemberList // the last endpoint list that this gateway had, used until discovery sends one
 	Settings balancer.Settings
 
-	// Names in requests and lists, with their numbers in the balancer.
+	// Indexes in the balancer of the names that are used in requests and endpoint lists.
 	Classes map[string]int
 	Tenants map[string]int
 	Zones   map[string]int
 	Kinds   map[string]int
 
-	ConnIdle    time.Duration // a host closes a connection that was idle this long
-	DialTimeout time.Duration // for a connection to a host to be established
+	ConnIdle    time.Duration // idle time after which hosts close a connection
+	DialTimeout time.Duration // timeout for establishing a connection to a host
 
-	keys *keySet // of the file: a later one must have them too
+	keys *keySet // keys of the file, which a reloaded file must have too
 }
 
-// Defaults and bounds of the platform's configuration.
+// Defaults and bounds of the platform configuration.
 const (
 	defaultConnIdle    = time.Minute
 	defaultDialTimeout = 250 * time.Millisecond
-	// maxSpan bounds the times of the settings object.
-	maxSpan = time.Hour
-	// firstFreeDescriptor is the first that is not standard input, output or error.
+	// maxCapDuration is the maximum of the durations in the settings object.
+	maxCapDuration = time.Hour
+	// firstFreeDescriptor is the first descriptor after standard input, output and error.
 	firstFreeDescriptor = 3
 )
 
-// Variables of the environment.
+// Names of environment variables.
 const (
 	envConfig    = "GW_CONFIG"
 	envName      = "GW_NAME"
@@ -67,10 +67,10 @@
 	envFD        = "GW_FD"
 )
 
-// Memory returns how much memory the process may use, in bytes.
+// Memory returns the memory limit of the process in bytes.
 func (c *Platform) Memory() int64 { return int64(cmp.Or(c.MemoryMB, DefaultMemoryMB)) << 20 }
 
-// platformFile is the form of the file that GW_CONFIG names.
+// platformFile is the structure of the file named by GW_CONFIG.
 type platformFile struct {
 	Name      string
 	Listen    string
@@ -85,13 +85,13 @@
 	Known    discovery.MemberList
 	Settings json.RawMessage
 
-	fd int // GW_FD
+	fd int // value of GW_FD; 0 if it is not set
 }
 
-// names is what the settings object has beside the balancer's part.
-type names struct {
-	Classes []named
-	Tenants []named
+// settingsFile has the keys of the settings object that are not read by protocol.ParseSettings.
+type settingsFile struct {
+	Classes []namedEntry
+	Tenants []namedEntry
 	Zones   []string `json:"azs"`
 	Kinds   []string
 	Caps    struct {
@@ -101,10 +101,10 @@
 	}
 }
 
-type named struct{ Name string }
+type namedEntry struct{ Name string }
 
-// LoadPlatform reads the file that GW_CONFIG names; the other GW_ variables take precedence over it. An error is one line
-// that names the field at fault.
+// LoadPlatform reads and validates the file named by GW_CONFIG. The other GW_ variables take precedence over the values
+// of the file. An error is one line that names the invalid field.
 func LoadPlatform(getenv func(string) string) (*Platform, error) {
 	path := getenv(envConfig)
 	if path == "" {
@@ -133,7 +133,7 @@
 	return c, nil
 }
 
-// applyEnvironment replaces values by those of the environment.
+// applyEnvironment replaces values of the file by those of environment variables.
 func (f *platformFile) applyEnvironment(getenv func(string) string) error {
 	for _, v := range []struct {
 		name string
@@ -149,13 +149,13 @@
 	}
 	fd, err := strconv.Atoi(s)
 	if err != nil || fd < firstFreeDescriptor {
-		return fmt.Errorf("%s: %q is no number of a descriptor from %d on", envFD, s, firstFreeDescriptor)
+		return fmt.Errorf("%s: %q is not a descriptor number of %d or above", envFD, s, firstFreeDescriptor)
 	}
 	f.fd = fd
 	return nil
 }
 
-// limitSockets limits Sockets to what the system allows the process: more can't be divided among clients and hosts.
+// limitSockets lowers Sockets to RLIMIT_NOFILE, as descriptors beyond it can't be divided among clients and hosts.
 func (c *Platform) limitSockets() {
 	var files syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files) == nil && files.Cur < uint64(c.Sockets) {
@@ -164,9 +164,9 @@
 	}
 }
 
-// ReloadPlatform reads the file again. Here its discovery takes precedence over GW_DISCOVERY, which the process was started
-// with and can't have changed since. The file must have all keys that the first one had: it guards against applying what was
-// left out by mistake.
+// ReloadPlatform reads the file again. On a reload, the discovery address of the file takes precedence over GW_DISCOVERY,
+// which cannot change after the start of the process. The file must have all keys of the first one, so that a key left
+// out by mistake is not applied as its default.
 func ReloadPlatform(getenv func(string) string, first *Platform) (*Platform, error) {
 	c, err := LoadPlatform(func(name string) string {
 		if name == envDiscovery {
@@ -183,7 +183,7 @@
 	return c, nil
 }
 
-// config checks the file and returns its configuration.
+// config validates the file and converts it to a Platform.
 func (f *platformFile) config() (*Platform, error) {
 	c := &Platform{
 		ClientsFD: f.fd, Name: f.Name, Listen: f.Listen, Admin: f.Admin, Discovery: f.Discovery,
@@ -194,7 +194,7 @@
 	}
 	var err error
 	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-		return nil, fmt.Errorf("seed: %q is no hexadecimal number of 64 bits", f.Seed)
+		return nil, fmt.Errorf("seed: %q is not a hexadecimal number of at most 64 bits", f.Seed)
 	}
 	if err := c.checkLimits(); err != nil {
 		return nil, err
@@ -206,14 +206,14 @@
 		return nil, err
 	}
 	if _, err := balancer.New(c.Settings, c.Seed); err != nil {
-		return nil, err // it names the field
+		return nil, err // the error names the field
 	}
-	var n names
+	var n settingsFile
 	if err := json.Unmarshal(f.Settings, &n); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	if m := n.Caps.MaxAttempts; m != nil && !(*m > 0) {
-		return nil, fmt.Errorf("settings: caps.max_attempts: %v is not above 0", *m)
+		return nil, fmt.Errorf("settings: caps.max_attempts: %v is not greater than 0", *m)
 	}
 	if err := c.setNames(&n); err != nil {
 		return nil, err
@@ -232,7 +232,7 @@
 	}
 	for _, a := range addresses {
 		if _, _, err := net.SplitHostPort(a.address); err != nil {
-			return fmt.Errorf("%s: %q is no host:port", a.field, a.address)
+			return fmt.Errorf("%s: %q is not a host:port address", a.field, a.address)
 		}
 	}
 	return nil
@@ -246,15 +246,15 @@
 	case c.MemoryMB < 0:
 		return fmt.Errorf("limits.memory_mb: %d is below 0", c.MemoryMB)
 	case c.Sockets < 0 || c.Sockets > 0 && c.Sockets < minSockets:
-		return fmt.Errorf("limits.sockets: %d is too few, %d at least", c.Sockets, minSockets)
+		return fmt.Errorf("limits.sockets: %d is too low, the minimum is %d", c.Sockets, minSockets)
 	}
 	c.Sockets = cmp.Or(c.Sockets, defaultSockets)
 	return nil
 }
 
-// setNames numbers classes, tenants, zones and kinds.
-func (c *Platform) setNames(n *names) (err error) {
-	namesOf := func(list []named) (names []string) {
+// setNames sets the indexes of classes, tenants, zones and kinds.
+func (c *Platform) setNames(n *settingsFile) (err error) {
+	namesOf := func(list []namedEntry) (names []string) {
 		for _, x := range list {
 			names = append(names, x.Name)
 		}
@@ -265,34 +265,34 @@
 		list  []string
 		to    *map[string]int
 	}{{"classes", namesOf(n.Classes), &c.Classes}, {"tenants", namesOf(n.Tenants), &c.Tenants}, {"azs", n.Zones, &c.Zones}, {"kinds", n.Kinds, &c.Kinds}} {
-		if *x.to, err = numberNames(x.field, x.list); err != nil {
+		if *x.to, err = indexNames(x.field, x.list); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// numberNames numbers names in the order of the settings, as the balancer does.
-func numberNames(field string, list []string) (map[string]int, error) {
+// indexNames maps each name to its index in the list. The balancer uses the same indexes.
+func indexNames(field string, list []string) (map[string]int, error) {
 	m := make(map[string]int, len(list))
 	for i, name := range list {
 		if name == "" {
 			return nil, fmt.Errorf("settings: %s: entry %d has no name", field, i)
 		}
 		if _, exists := m[name]; exists {
-			return nil, fmt.Errorf("settings: %s: %q is there twice", field, name)
+			return nil, fmt.Errorf("settings: %s: %q is listed twice", field, name)
 		}
 		m[name] = i
 	}
 	return m, nil
 }
 
-// microseconds converts a number of microseconds; 0 stands for the default.
-func microseconds(field string, us float64, byDefault time.Duration) (time.Duration, error) {
+// microseconds converts a number of microseconds to a duration; 0 stands for the default.
+func microseconds(field string, us float64, defaultValue time.Duration) (time.Duration, error) {
 	if us == 0 {
-		return byDefault, nil
+		return defaultValue, nil
 	}
-	if !(us > 0 && us < float64(maxSpan/time.Microsecond)) {
+	if !(us > 0 && us < float64(maxCapDuration/time.Microsecond)) {
 		return 0, fmt.Errorf("settings: %s: %v is not between 0 and an hour", field, us)
 	}
 	return time.Duration(us * float64(time.Microsecond)), nil
--- a/internal/config/platform_reload_test.go
+++ b/internal/config/platform_reload_test.go
@@ -6,21 +6,21 @@
 	"testing"
 )
 
-// reloadedConfig is a valid file of the platform whose values all have an effect on a reload.
+// reloadedConfig is a valid file of a platform gateway, in which all values have an effect on a reload.
 const reloadedConfig = `{"admin":"127.0.0.1:2","discovery":"127.0.0.1:1","listen":"127.0.0.1:0","name":"n","seed":"1f",
  "limits":{"cores":1,"memory_mb":64,"sockets":384},"known":{"version":1,"full":true,"servers":[]},
  "settings":{"balancers":2,"rank":0,"caps":{"cancel":true,"max_attempts":4},"classes":[
   {"name":"look","effect":"idempotent","hard_limit":1000000,"promise":400000},
   {"name":"book","effect":"at_most_once","hard_limit":400000,"promise":130000,"window":1}]}}`
 
-// reloadedWith is reloadedConfig with another text in place of old.
+// reloadedWith returns reloadedConfig with old replaced by new.
 func reloadedWith(old, new string) string { return strings.ReplaceAll(reloadedConfig, old, new) }
 
-// reloads are files that replace reloadedConfig, with what comes of them.
+// reloads are files that replace reloadedConfig, with the expected results.
 var reloads = []struct {
 	name string
 	text string
-	want string // in the error; "": no error
+	want string // text in the error; "" for no error
 }{
 	{"the same", reloadedConfig, ""},
 	{"another discovery", reloadedWith("127.0.0.1:1", "127.0.0.1:7"), ""},
@@ -30,10 +30,10 @@
 	{"blank", " \n", "unexpected end"},
 	{"truncated", reloadedConfig[:len(reloadedConfig)/2], "unexpected end"},
 	{"truncated by a byte", reloadedConfig[:len(reloadedConfig)-1], "unexpected end"},
-	{"null", "null", "no host:port"},
+	{"null", "null", "not a host:port address"},
 	{"no attempts", reloadedWith(`,"max_attempts":4`, ``), "settings.caps.max_attempts: missing"},
 	{"null attempts", reloadedWith(`"max_attempts":4`, `"max_attempts":null`), "settings.caps.max_attempts: missing"},
-	{"0 attempts", reloadedWith(`"max_attempts":4`, `"max_attempts":0`), "caps.max_attempts: 0 is not above 0"},
+	{"0 attempts", reloadedWith(`"max_attempts":4`, `"max_attempts":0`), "caps.max_attempts: 0 is not greater than 0"},
 	{"negative attempts", reloadedWith(`"max_attempts":4`, `"max_attempts":-1`), "max attempts: -1"},
 	{"attempts as text", reloadedWith(`"max_attempts":4`, `"max_attempts":"4"`), "max_attempts"},
 	{"half an attempt", reloadedWith(`"max_attempts":4`, `"max_attempts":1.5`), "max_attempts"},
@@ -52,8 +52,8 @@
 	{"two values", reloadedConfig + reloadedConfig, "after top-level value"},
 }
 
-// platformFileInUse writes reloadedConfig to a file and loads it. It returns the environment that names the file, and the
-// file's path.
+// platformFileInUse writes reloadedConfig to a file and loads it. It returns the environment that names the file, the path
+// of the file, and its configuration.
 func platformFileInUse(t *testing.T) (env func(name string) string, path string, first *Platform) {
 	t.Helper()
 	path = writeTempFile(t, "config.json", reloadedConfig)
@@ -70,8 +70,8 @@
 	return env, path, first
 }
 
-// A file is rejected as a whole on a reload if it is empty or truncated, lacks what the first one had
-// or has invalid values; one with other values is applied.
+// A reload rejects a file that is empty or truncated, lacks keys of the first file or has invalid
+// values. A complete file with other valid values is applied.
 func TestReloadPlatformRejectsIncompleteFiles(t *testing.T) {
 	env, path, first := platformFileInUse(t)
 	for _, c := range reloads {
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -8,7 +8,7 @@
 	"dunemoor/balancer"
 )
 
-// platformConfig is a valid file of the platform.
+// platformConfig is a valid file of a platform gateway.
 const platformConfig = `{"name":"n3","listen":"127.0.0.1:9000","discovery":"127.0.0.2:8500","seed":"8c1f30d27a5be964",
 	"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
 	"known":{"version":41,"full":true,"servers":[{"id":"s-1","addr":"127.0.0.3:9000","zone":"a","kind":"m2","cell":3,
@@ -54,7 +54,7 @@
 	}
 }
 
-// An error is one line that names the field.
+// Each error is one line that names the field.
 func TestLoadPlatformErrorNamesField(t *testing.T) {
 	for _, tt := range []struct{ from, to, want string }{
 		{`"listen":"127.0.0.1:9000"`, `"listen":"127.0.0.1"`, "listen"},
--- a/internal/config/pools.go
+++ b/internal/config/pools.go
@@ -12,23 +12,23 @@
 
 // Bounds of pools.
 const (
-	maxPools       = 256 // each has a balancer and its share of memory
+	maxPools       = 256 // every pool has a balancer and a share of the memory
 	maxMembers     = 5000
-	maxFallback    = 7 // more would never be reached by a request: it has four attempts
-	minPoolSockets = 4 // a request in flight has one, and hosts change
+	maxFallback    = 7 // a request has four attempts, so that it would never reach more pools
+	minPoolSockets = 4 // every request in flight needs one, and hosts change
 	maxParams      = 100
-	maxParamName   = 127 // bytes: a longer name takes four bytes for its length in FastCGI
-	// shareTolerance is for the rounding of a sum of shares.
+	maxParamName   = 127 // bytes; FastCGI encodes the length of a longer name in four bytes
+	// shareTolerance allows for rounding errors in a sum of shares.
 	shareTolerance = 1e-9
 )
 
-// fixedParams are the FastCGI parameters that a file can't set.
+// fixedParams are the FastCGI parameters that can't be set by a file.
 var fixedParams = []string{"CONTENT_LENGTH", "REQUEST_METHOD", "HTTP_PROXY"}
 
 // readPools reads the pools.
 func (c *checker) readPools(a *Appliance, f *applianceFile) {
 	if len(f.Pool) == 0 {
-		c.addErrorf("", 0, "pool", "there is none: requests have nowhere to go")
+		c.addErrorf("", 0, "pool", "is missing: at least one [[pool]] is required")
 	}
 	if len(f.Pool) > maxPools {
 		c.addErrorf("pool", maxPools, "", "more than %d pools", maxPools)
@@ -68,7 +68,7 @@
 	}
 }
 
-// checkSource checks that a pool has one source of its members.
+// checkSource checks that a pool has exactly one source of members.
 func (c *checker) checkSource(i int, x *poolFile) {
 	sources := 0
 	for _, has := range []bool{len(x.Members) > 0, x.MembersFile != "", x.Discovery != ""} {
@@ -77,26 +77,26 @@
 		}
 	}
 	if sources != 1 {
-		c.addErrorf("pool", i, "name", "it needs one of members, members_file and discovery, it has %d", sources)
+		c.addErrorf("pool", i, "name", "exactly one of members, members_file and discovery is required, it has %d", sources)
 	}
 	if x.Discovery != "" && !isHostPort(x.Discovery, 1) {
-		c.addErrorf("pool", i, "discovery", "%q is no host:port", x.Discovery)
+		c.addErrorf("pool", i, "discovery", "%q is not a host:port address", x.Discovery)
 	}
 }
 
-// readMembers reads a static list.
+// readMembers reads the static list of members of a pool.
 func (c *checker) readMembers(i int, x *poolFile, protocol string) (list []Member) {
 	if len(x.Members) > maxMembers {
-		c.addErrorf("pool", i, "members", "more than %d", maxMembers)
+		c.addErrorf("pool", i, "members", "more than %d members", maxMembers)
 	}
 	ids := map[string]bool{}
 	for _, m := range x.Members {
 		m.ID = cmp.Or(m.ID, m.Address)
 		if !isHostPort(m.Address, 1) && !(protocol == FastCGI && isUnixPath(m.Address)) {
-			c.addErrorf("pool", i, "members", "%q is no host:port", m.Address)
+			c.addErrorf("pool", i, "members", "%q is not a host:port address", m.Address)
 		}
 		if ids[m.ID] {
-			c.addErrorf("pool", i, "members", "%q is there twice", m.ID)
+			c.addErrorf("pool", i, "members", "%q is listed twice", m.ID)
 		}
 		ids[m.ID] = true
 		list = append(list, Member(m))
@@ -104,27 +104,27 @@
 	return list
 }
 
-// checkFallback checks the pools that stand in for a pool.
+// checkFallback checks the fallback pools of a pool.
 func (c *checker) checkFallback(i int, p *Pool, index map[string]int) {
 	if len(p.Fallback) > maxFallback {
-		c.addErrorf("pool", i, "fallback", "%d pools, %d at most", len(p.Fallback), maxFallback)
+		c.addErrorf("pool", i, "fallback", "has %d pools, the maximum is %d", len(p.Fallback), maxFallback)
 	}
 	for k, name := range p.Fallback {
 		switch _, exists := index[name]; {
 		case !exists:
-			c.addErrorf("pool", i, "fallback", "%q: there is no pool of that name", name)
+			c.addErrorf("pool", i, "fallback", "%q: there is no pool with this name", name)
 		case name == p.Name:
 			c.addErrorf("pool", i, "fallback", "%q is the pool itself", name)
 		case slices.Contains(p.Fallback[:k], name):
-			c.addErrorf("pool", i, "fallback", "%q is there twice", name)
+			c.addErrorf("pool", i, "fallback", "%q is listed twice", name)
 		}
 	}
 }
 
-// checkPoolProtocol checks the protocol of a pool, and the settings that depend on it.
+// checkPoolProtocol checks the protocol of a pool and the settings that depend on it.
 func (c *checker) checkPoolProtocol(i int, p *Pool) {
 	if !slices.Contains(protocols, p.Protocol) {
-		c.addErrorf("pool", i, "protocol", "%q is none of %s", p.Protocol, strings.Join(protocols, ", "))
+		c.addErrorf("pool", i, "protocol", "%q is not one of %s", p.Protocol, strings.Join(protocols, ", "))
 	}
 	if p.Protocol == FastCGI {
 		c.checkFastCGIPool(i, p)
@@ -140,19 +140,19 @@
 
 func (c *checker) checkFastCGIPool(i int, p *Pool) {
 	if p.ScriptRoot != "" && !strings.HasPrefix(p.ScriptRoot, "/") {
-		c.addErrorf("pool", i, "script_root", "%q is no path from the root", p.ScriptRoot)
+		c.addErrorf("pool", i, "script_root", "%q is not an absolute path", p.ScriptRoot)
 	}
 	if len(p.Params) > maxParams {
-		c.addErrorf("pool", i, "params", "%d, %d at most", len(p.Params), maxParams)
+		c.addErrorf("pool", i, "params", "has %d parameters, the maximum is %d", len(p.Params), maxParams)
 	}
 	for name, value := range p.Params {
 		switch {
 		case !isParamName(name):
-			c.addErrorf("pool", i, "params", "%q is no name of a parameter: capitals, digits and '_'", name)
+			c.addErrorf("pool", i, "params", "%q is not a parameter name: use capital letters, digits and '_'", name)
 		case slices.Contains(fixedParams, name):
-			c.addErrorf("pool", i, "params", "%q is not to be changed: messages are read by it, or programs are led astray", name)
+			c.addErrorf("pool", i, "params", "%q can't be changed: it determines how a message is parsed, or can mislead programs", name)
 		case strings.ContainsRune(value, 0):
-			c.addErrorf("pool", i, "params", "%s: %q can't be sent", name, value)
+			c.addErrorf("pool", i, "params", "%s: %q contains a NUL byte", name, value)
 		}
 	}
 }
@@ -163,7 +163,7 @@
 	})
 }
 
-// checkSocketShares checks that the descriptors for hosts suffice for all pools.
+// checkSocketShares checks that the descriptors for hosts are sufficient for all pools.
 func (c *checker) checkSocketShares(a *Appliance) {
 	sum := 0.0
 	unset := 0
@@ -173,7 +173,7 @@
 			unset++
 		}
 		if sum > 1+shareTolerance {
-			c.addErrorf("pool", i, "sockets", "with this the pools have %.3g times the descriptors for hosts", sum)
+			c.addErrorf("pool", i, "sockets", "the shares of this and the preceding pools add up to %.3g, which is more than 1", sum)
 			return
 		}
 	}
@@ -182,20 +182,20 @@
 	}
 	each := (1 - sum) / float64(unset) * HostSockets(a.Limits.Sockets)
 	if each < minPoolSockets {
-		c.addErrorf("limits", 0, "sockets", "%d are too few: %d pools would have %.1f each for their hosts, %d at least", a.Limits.Sockets, unset, each, minPoolSockets)
+		c.addErrorf("limits", 0, "sockets", "%d is too low: %d pools would have %.1f descriptors each for their hosts, the minimum is %d", a.Limits.Sockets, unset, each, minPoolSockets)
 	}
 }
 
-// checkHealthCheckPath checks the path of health checks.
+// checkHealthCheckPath checks the health check path of a pool.
 func (c *checker) checkHealthCheckPath(i int, p *Pool, inFleet bool) {
 	switch {
 	case p.HealthCheckPath == "":
 	case !inFleet:
-		c.addErrorf("pool", i, "check", "needs [fleet]: it is one gateway that tries hosts for all")
+		c.addErrorf("pool", i, "check", "needs [fleet]: one gateway of a fleet checks the hosts for all its gateways")
 	case p.Protocol == FastCGI:
 		c.addErrorf("pool", i, "check", "is for pools with protocol = %q", HTTP1)
 	case !isRequestPath(p.HealthCheckPath):
-		c.addErrorf("pool", i, "check", "%q is no path like \"/alive\"", p.HealthCheckPath)
+		c.addErrorf("pool", i, "check", "%q is not a path like \"/alive\"", p.HealthCheckPath)
 	}
 }
 
--- a/internal/config/recording.go
+++ b/internal/config/recording.go
@@ -11,8 +11,8 @@
 	"dunemoor/internal/flightrecorder"
 )
 
-// Defaults and bounds of recordings. A smaller ring holds too little between two checkpoints; a larger one would take
-// memory from requests.
+// Defaults and bounds of recordings. A ring smaller than minRingBytes holds too little between two checkpoints. A ring
+// larger than maxRingBytes would take memory from requests.
 const (
 	defaultRingBytes     = 1 << 20
 	minRingBytes         = 128 << 10
@@ -25,7 +25,7 @@
 	defaultTriggerLeast  = 50
 )
 
-// recordingFile is the form of the flight recorder's file.
+// recordingFile is the structure of the flight recorder's configuration file.
 type recordingFile struct {
 	RingKB    int      `toml:"ring_kb"`
 	ViewEvery Duration `toml:"view_every"`
@@ -40,7 +40,7 @@
 	} `toml:"trigger"`
 }
 
-// LoadRecording reads the flight recorder's file. It returns the first of its errors.
+// LoadRecording reads and validates the flight recorder's configuration file. It returns the first error of the file.
 func LoadRecording(path string) (*engine.RecordingConfig, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -70,7 +70,7 @@
 	}, nil
 }
 
-// dottedLine returns the line of a key of the top, or of a table ("table.key").
+// dottedLine returns the line of a top-level key, or of a key in a table ("table.key").
 func (t *Text) dottedLine(key string) int {
 	if table, last, ok := strings.Cut(key, "."); ok {
 		return t.Line(table, 0, last)
@@ -92,7 +92,7 @@
 		{"trigger.pause", time.Duration(f.Trigger.Pause).Seconds(), 1, math.MaxInt32},
 	} {
 		if !isBetween(x.value, x.low, x.high) {
-			return file.Errorf(file.dottedLine(x.key), x.key, notBetween, x.value, x.low, x.high)
+			return file.Errorf(file.dottedLine(x.key), x.key, outOfRangeFormat, x.value, x.low, x.high)
 		}
 	}
 	return nil
@@ -100,13 +100,13 @@
 
 func checkRecordingPaths(file *Text, f *recordingFile) error {
 	if f.Dir == "" && f.Trigger.Refused > 0 {
-		return file.Errorf(file.dottedLine("trigger.refused"), "trigger.refused", "dir is not set, where would the recording go")
+		return file.Errorf(file.dottedLine("trigger.refused"), "trigger.refused", "dir is not set, so that there is no directory for the recordings")
 	}
 	if f.Dir != "" && !isDir(f.Dir) {
-		return file.Errorf(file.dottedLine("dir"), "dir", "%s is no folder", f.Dir)
+		return file.Errorf(file.dottedLine("dir"), "dir", "%s is not a directory", f.Dir)
 	}
 	if f.File != "" && !isDir(filepath.Dir(f.File)) {
-		return file.Errorf(file.dottedLine("file"), "file", "%s is in no folder", f.File)
+		return file.Errorf(file.dottedLine("file"), "file", "%s is not in an existing directory", f.File)
 	}
 	return nil
 }
--- a/internal/config/recording_test.go
+++ b/internal/config/recording_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// An error is one line that names file, line and field.
+// Each error is one line with file, line and field.
 func TestLoadRecordingErrorNamesLineAndField(t *testing.T) {
 	for text, want := range map[string]string{
 		"ring_kb = 1":                                ":1: ring_kb: 1 is not between 128 and",
@@ -31,8 +31,8 @@
 		"view_every = \"5 parsecs\"":                 ":1: view_every: ",
 		"[trigger]\nrefused = 20":                    ":2: trigger.refused: 20 is not between 0 and 1",
 		"[trigger]\n\nrefused = 0.2":                 ":3: trigger.refused: dir is not set",
-		"dir = \"/none/such\"":                       ":1: dir: /none/such is no folder",
-		"file = \"/none/such/x.dmf\"":                ":1: file: /none/such/x.dmf is in no folder",
+		"dir = \"/none/such\"":                       ":1: dir: /none/such is not a directory",
+		"file = \"/none/such/x.dmf\"":                ":1: file: /none/such/x.dmf is not in an existing directory",
 		"ring_kb = 256\nfile_mb = ":                  ":2: ",
 		"dir = \"/tmp\"\n[trigger]\nwithin = \"0s\"": ":3: trigger.within: 0 is not between 0.1 and",
 	} {
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -19,24 +19,24 @@
 	defaultTimeout     = 10 * time.Second
 	defaultRetryShare  = 0.2
 	defaultRetryFloor  = 1
-	defaultBufferBytes = 64 << 10 // what the platform's protocol buffers of every body
-	maxBufferBytes     = 1 << 20  // beyond it a few requests fill the memory for bodies
+	defaultBufferBytes = 64 << 10 // the same as in the platform's protocol
+	maxBufferBytes     = 1 << 20  // with more, a few requests would fill the memory for bodies
 	defaultIdleTimeout = 30 * time.Second
 	maxIdleTimeout     = 24 * time.Hour
-	defaultMinRate     = 256 // bytes a second
+	defaultMinRate     = 256 // bytes per second
 	maxTunnels         = 1 << 16
 	maxRetryShare      = 3
 )
 
-// fixedHeaders are headers that messages are read by, or that the gateway makes itself.
+// fixedHeaders are headers that determine how a message is parsed, or that are set by the gateway itself.
 var fixedHeaders = []string{
 	"Connection", "Content-Length", "Expect", "Host", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "X-Timeout",
 }
 
-// readRoutes reads the routes and compiles their table.
+// readRoutes reads the routes and compiles their rules to the routing table.
 func (c *checker) readRoutes(a *Appliance, f *applianceFile) {
 	if len(f.Route) == 0 {
-		c.addErrorf("", 0, "route", "there is none: no request would be served")
+		c.addErrorf("", 0, "route", "is missing: at least one [[route]] is required")
 	}
 	var rules []route.Rule
 	for i := range f.Route {
@@ -61,7 +61,7 @@
 	c.checkPoolsUsed(a, rules)
 }
 
-// readRoute reads what a route assigns to its requests.
+// readRoute reads the settings that a route applies to its requests.
 func (c *checker) readRoute(i int, x *routeFile, classes []Class) Route {
 	r := Route{
 		Class: x.Class, Timeout: cmp.Or(time.Duration(x.Timeout), defaultTimeout), RetryableMethods: x.Repeatable,
@@ -81,7 +81,7 @@
 	}
 	for _, status := range x.Failures {
 		if status < 400 || status > 599 {
-			c.addErrorf("route", i, "failures", "%d is not from 400 to 599", status)
+			c.addErrorf("route", i, "failures", "%d is not between 400 and 599", status)
 		}
 	}
 	c.checkRange("route", i, "timeout", r.Timeout.Seconds(), 0.001, maxTimeout.Seconds())
@@ -94,25 +94,26 @@
 	c.checkRange("route", i, "retry_share", r.RetryShare, 0, maxRetryShare)
 	c.checkRange("route", i, "retry_floor", r.RetryFloor, 0, math.MaxInt32)
 	if x.Class != "" && !slices.ContainsFunc(classes, func(k Class) bool { return k.Name == x.Class }) {
-		c.addErrorf("route", i, "class", "%q: there is no class of that name", x.Class)
+		c.addErrorf("route", i, "class", "%q: there is no class with this name", x.Class)
 	}
 	for _, m := range x.Repeatable {
 		if m != "PUT" && m != "DELETE" {
-			c.addErrorf("route", i, "repeatable", "%q: only PUT and DELETE can be said to be, GET, HEAD and OPTIONS are, POST is not", m)
+			c.addErrorf("route", i, "repeatable", "%q: only PUT and DELETE can be made repeatable; GET, HEAD and OPTIONS always are, POST never is", m)
 		}
 	}
 	return r
 }
 
-// orDefault returns a size of the file, or a default where it has none.
-func orDefault(s *Size, byDefault int64) int64 {
+// orDefault returns a size from the file, or the default if the file does not set it.
+func orDefault(s *Size, defaultValue int64) int64 {
 	if s == nil {
-		return byDefault
+		return defaultValue
 	}
 	return int64(*s)
 }
 
-// checkPlatformRoute checks that a route without a class has no settings for plain requests.
+// checkPlatformRoute checks that a route without a class, whose requests use the platform's protocol, has no settings for
+// plain requests.
 func (c *checker) checkPlatformRoute(i int, x *routeFile, r *Route) {
 	if x.Class != "" {
 		return
@@ -122,14 +123,14 @@
 		"idle": x.Idle != 0, "least_rate": x.LeastRate != nil, "upgrades": x.Upgrades != 0, "failures": x.Failures != nil,
 	} {
 		if set {
-			c.addErrorf("route", i, key, "is for routes that give a class")
+			c.addErrorf("route", i, key, "is for routes with a class")
 		}
 	}
 }
 
 func isEmpty(r *engine.HeaderRules) bool { return len(r.Set)+len(r.Add)+len(r.Remove) == 0 }
 
-// readRule reads which requests a route is for, and which pools they go to.
+// readRule reads the matching rule of a route and the pools to which its requests are split.
 func (c *checker) readRule(i int, x *routeFile) route.Rule {
 	rule := route.Rule{
 		Name: x.Name, Line: c.Line("route", i, ""), Hosts: x.Hosts, Path: x.Path, Methods: x.Methods, SplitBy: x.SplitBy,
@@ -140,7 +141,7 @@
 	slices.SortFunc(rule.Headers, func(p, q route.Header) int { return strings.Compare(p.Name, q.Name) })
 	switch {
 	case x.Pool != "" && len(x.Split) > 0:
-		c.addErrorf("route", i, "pool", "it has both pool and split")
+		c.addErrorf("route", i, "pool", "can't be combined with split")
 	case x.Pool != "":
 		rule.Split = []route.Share{{Pool: x.Pool, Weight: 1}}
 	}
@@ -151,7 +152,7 @@
 	return rule
 }
 
-// checkPoolsUsed checks that each pool is used by a route, or stands in for one that is.
+// checkPoolsUsed checks that each pool is used by a route, or is a fallback of a pool that is used.
 func (c *checker) checkPoolsUsed(a *Appliance, rules []route.Rule) {
 	used := map[string]bool{}
 	for _, rule := range rules {
@@ -168,12 +169,12 @@
 	}
 	for i, p := range a.Pools {
 		if !used[p.Name] && p.Name != "" {
-			c.addErrorf("pool", i, "name", "no route uses %q, nor does it stand in for one that is used", p.Name)
+			c.addErrorf("pool", i, "name", "no route uses %q, and it is not a fallback of a pool that is used", p.Name)
 		}
 	}
 }
 
-// readHeaderRules reads the rules for the headers of a route.
+// readHeaderRules reads the header rules of a route for requests or responses.
 func (c *checker) readHeaderRules(n int, key string, f headersFile) (r engine.HeaderRules) {
 	r.Set = c.readHeaderValues(n, key, f.Set)
 	r.Add = c.readHeaderValues(n, key, f.Add)
@@ -185,11 +186,11 @@
 
 func (c *checker) readHeaderName(n int, key, s string) string {
 	if !httpwire.IsToken(s) {
-		c.addErrorf("route", n, key, "%q is no name of a header", s)
+		c.addErrorf("route", n, key, "%q is not a header name", s)
 	}
 	canonical := textproto.CanonicalMIMEHeaderKey(s)
 	if slices.Contains(fixedHeaders, canonical) {
-		c.addErrorf("route", n, key, "%q is not to be changed: messages are read by it, or the gateway makes it", s)
+		c.addErrorf("route", n, key, "%q can't be changed: it determines how a message is parsed, or is set by the gateway", s)
 	}
 	return canonical
 }
@@ -198,7 +199,7 @@
 	to := map[string]string{}
 	for s, v := range from {
 		if strings.ContainsFunc(v, func(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }) {
-			c.addErrorf("route", n, key, "%s: %q can't be sent in a header", s, v)
+			c.addErrorf("route", n, key, "%s: %q contains a control character", s, v)
 		}
 		to[c.readHeaderName(n, key, s)] = v
 	}
--- a/internal/config/text.go
+++ b/internal/config/text.go
@@ -10,11 +10,11 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Error is an error in a file, at a line and field.
+// Error is an error in a configuration file.
 type Error struct {
 	Path  string
-	Line  int    // 0: not known
-	Field string // dotted; "": none
+	Line  int    // counted from 1; 0 if it is not known
+	Field string // dotted key; "" if the error concerns no particular field
 	Text  string
 }
 
@@ -29,26 +29,26 @@
 	return fmt.Sprintf("%s:%d: %s", e.Path, e.Line, text)
 }
 
-// Text is a TOML text that knows the lines of its tables and keys, which the library does not report. It finds plain keys
-// and headers; what is written otherwise has no line.
+// Text is a TOML text with the line numbers of its tables and keys, which the TOML library does not report. It finds bare
+// and quoted keys and table headers that begin a line. Keys in other places, such as inline tables, have no line number.
 type Text struct {
 	path    string
 	data    string
 	tables  []table
-	leftOut map[int]bool // lines that DecodeAll has left out
+	skipped map[int]bool // numbers of the lines that DecodeAll has skipped
 }
 
-// table is a header with the keys below it. The first is the top of the file.
+// table is a table header with the keys below it. The first table of a Text has the top-level keys.
 type table struct {
-	name string // "route", "class.extra"
+	name string // such as "route" or "class.extra"
 	line int
-	keys map[string]int // by name: the line
+	keys map[string]int // line of the first occurrence, by key
 }
 
-// NewText finds the tables and keys of a text.
+// NewText returns the Text of a file, with the line numbers of its tables and keys. path is used in errors.
 func NewText(path, data string) *Text {
 	t := &Text{path: path, data: data, tables: []table{{keys: map[string]int{}}}}
-	quote := "" // that ends the multi-line string that is open
+	quote := "" // closing quote of the current multi-line string; "" outside of such strings
 	for i, l := range strings.Split(data, "\n") {
 		line := strings.TrimSpace(l)
 		if quote != "" {
@@ -62,7 +62,8 @@
 	return t
 }
 
-// addLine adds the table or key of a line. It returns the quote of a multi-line string that begins there.
+// addLine records the table header or key of a line. If a multi-line string begins on the line, it returns the closing
+// quote of that string.
 func (t *Text) addLine(n int, line string) (quote string) {
 	if strings.HasPrefix(line, "[") && !strings.Contains(line, "=") {
 		name, _, _ := strings.Cut(strings.TrimLeft(line, "[ "), "]")
@@ -86,8 +87,9 @@
 	return quote
 }
 
-// Line returns the line of a key of the n-th table of a name, counted from 0; of the table where it has no such key, and 0
-// where there is no such table. "" is the top of the file.
+// Line returns the line of a key in the n-th table with the given name, counted from 0. If the table has no such key, it
+// returns the line of the table header; if there is no such table, it returns 0. The name "" stands for the top-level
+// keys.
 func (t *Text) Line(name string, n int, key string) int {
 	for i := range t.tables {
 		x := &t.tables[i]
@@ -106,8 +108,8 @@
 	return 0
 }
 
-// firstLine returns the first line of a dotted key, in any table. Of "a.b.c" it looks for a table of that name, then for
-// the key "c" in a table "a.b", then for "b.c" in "a", and at last for the whole key at the top of the file.
+// firstLine returns the first line of a dotted key in any table. For "a.b.c" it looks for a table with that name, then for
+// the key "c" in a table "a.b", then for "b.c" in a table "a", and finally for the top-level key "a.b.c".
 func (t *Text) firstLine(dotted string) int {
 	name := dotted
 	key := ""
@@ -124,7 +126,8 @@
 	}
 }
 
-// lineIn returns the line of a key in the first table of a name that has it, or of the table where the key is "".
+// lineIn returns the line of a key in the first table with the given name that has the key. If the key is "", it returns
+// the line of the first such table.
 func (t *Text) lineIn(name, key string) int {
 	for i := range t.tables {
 		x := &t.tables[i]
@@ -146,10 +149,10 @@
 	return &Error{t.path, line, field, fmt.Sprintf(format, args...)}
 }
 
-// decodeError matches how the library reports a value of the wrong type, for which it has no error type.
-var decodeError = regexp.MustCompile(`^toml: line (\d+) \(last key "([^"]*)"\): (.*)$`)
+// typeErrorPattern matches the library's message for a value of a wrong type, for which it has no error type.
+var typeErrorPattern = regexp.MustCompile(`^toml: line (\d+) \(last key "([^"]*)"\): (.*)$`)
 
-// Decode reads the text into v. A key that v has no field for is an error.
+// Decode decodes the text into v and returns the first error. A key without a field in v is an error.
 func (t *Text) Decode(v any) error {
 	if errs := t.DecodeAll(v); len(errs) > 0 {
 		return errs[0]
@@ -157,23 +160,23 @@
 	return nil
 }
 
-// maxTypeErrors is how many values of a wrong type are reported.
+// maxTypeErrors is the maximum number of values of a wrong type that are reported.
 const maxTypeErrors = 20
 
-// DecodeAll reads the text into v and returns all errors: after a value of a wrong type it goes on without that line, so
-// that one error does not hide the others. LeftOut reports such lines.
+// DecodeAll decodes the text into v and returns all errors. After a value of a wrong type it decodes the text again
+// without that line, so that one error does not hide the others. Skipped reports such lines.
 func (t *Text) DecodeAll(v any) (errs []error) {
 	data := t.data
 	defer func() { t.data = data }()
-	form := reflect.TypeOf(v).Elem()
+	targetType := reflect.TypeOf(v).Elem()
 	for range maxTypeErrors {
-		into := reflect.New(form)
-		into.Elem().Set(reflect.ValueOf(v).Elem()) // its defaults
+		into := reflect.New(targetType)
+		into.Elem().Set(reflect.ValueOf(v).Elem()) // v has the defaults
 		meta, err := toml.Decode(t.data, into.Interface())
 		if err != nil {
-			line, located := t.locate(err, form)
+			line, located := t.locate(err, targetType)
 			errs = append(errs, located)
-			if !t.leaveOut(line) {
+			if !t.skipLine(line) {
 				return errs
 			}
 			continue
@@ -188,8 +191,8 @@
 	return errs
 }
 
-// leaveOut removes a line that is a setting by itself, and reports whether it did.
-func (t *Text) leaveOut(line int) bool {
+// skipLine blanks a line that is a complete setting by itself, and reports whether it did.
+func (t *Text) skipLine(line int) bool {
 	lines := strings.SplitAfter(t.data, "\n")
 	if line < 1 || line > len(lines) {
 		return false
@@ -200,35 +203,35 @@
 	}
 	lines[line-1] = "\n"
 	t.data = strings.Join(lines, "")
-	if t.leftOut == nil {
-		t.leftOut = map[int]bool{}
+	if t.skipped == nil {
+		t.skipped = map[int]bool{}
 	}
-	t.leftOut[line] = true
+	t.skipped[line] = true
 	return true
 }
 
-// LeftOut reports whether DecodeAll has left a line out.
-func (t *Text) LeftOut(line int) bool { return t.leftOut[line] }
+// Skipped reports whether DecodeAll has skipped a line because of a value of a wrong type.
+func (t *Text) Skipped(line int) bool { return t.skipped[line] }
 
-// locate converts an error of the library to an Error at its line. line is 0 if the library names none.
-func (t *Text) locate(err error, form reflect.Type) (line int, located error) {
+// locate converts an error of the TOML library to an Error with its line. line is 0 if the library does not report it.
+func (t *Text) locate(err error, targetType reflect.Type) (line int, located error) {
 	line, key, text, ok := parseLibraryError(err)
 	if !ok {
 		return 0, fmt.Errorf("%s: %w", t.path, err)
 	}
-	if invalid := t.firstInvalidLine(key, form); invalid > 0 {
+	if invalid := t.firstInvalidLine(key, targetType); invalid > 0 {
 		line = invalid
 	}
 	return line, t.Errorf(line, key, "%s", text)
 }
 
-// parseLibraryError returns the line, the dotted key and the text of an error of the library.
+// parseLibraryError returns the line, the dotted key and the text of an error of the TOML library.
 func parseLibraryError(err error) (line int, key, text string, ok bool) {
 	var parseError toml.ParseError
 	if errors.As(err, &parseError) {
 		return parseError.Position.Line, parseError.LastKey, parseError.Message, true
 	}
-	m := decodeError.FindStringSubmatch(err.Error())
+	m := typeErrorPattern.FindStringSubmatch(err.Error())
 	if m == nil {
 		return 0, "", "", false
 	}
@@ -236,10 +239,10 @@
 	return line, m[2], m[3], true
 }
 
-// firstInvalidLine returns the line of the first invalid value of a dotted key that several tables of one name may have,
-// and 0 if there is one such table, or if no value is invalid by itself. The library reports the line of the last of the
-// tables; so each of them is read by itself, with that key alone.
-func (t *Text) firstInvalidLine(dotted string, form reflect.Type) int {
+// firstInvalidLine returns the line of the first invalid value of a dotted key in an array of tables. The library reports
+// the line of the last table of the array, so firstInvalidLine decodes the key of each table separately. It returns 0 if
+// there are fewer than two tables with the name, or if each value is valid by itself.
+func (t *Text) firstInvalidLine(dotted string, targetType reflect.Type) int {
 	lastDot := strings.LastIndexByte(dotted, '.')
 	if lastDot < 0 {
 		return 0
@@ -256,14 +259,14 @@
 			continue
 		}
 		alone := lines[table.line-1] + "\n" + lines[keyLine-1]
-		if _, err := toml.Decode(alone, reflect.New(form).Interface()); err != nil {
+		if _, err := toml.Decode(alone, reflect.New(targetType).Interface()); err != nil {
 			return keyLine
 		}
 	}
 	return 0
 }
 
-// count returns the number of tables of a name.
+// count returns the number of tables with the given name.
 func (t *Text) count(name string) (n int) {
 	for i := range t.tables {
 		if t.tables[i].name == name {
--- a/internal/config/units.go
+++ b/internal/config/units.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Duration is a duration as files have it, like "250ms".
+// Duration is a duration in a configuration file, such as "250ms".
 type Duration time.Duration
 
 // MarshalText implements encoding.TextMarshaler.
@@ -17,16 +17,16 @@
 func (d *Duration) UnmarshalText(text []byte) error {
 	parsed, err := time.ParseDuration(string(text))
 	if err != nil {
-		return fmt.Errorf("%q is no time like \"250ms\"", text)
+		return fmt.Errorf("%q is not a duration like \"250ms\"", text)
 	}
 	*d = Duration(parsed)
 	return nil
 }
 
-// Size is a number of bytes as files have it: 500, "64KiB", "50MiB" or "1GiB".
+// Size is a number of bytes in a configuration file, such as 500, "64KiB", "50MiB" or "1GiB".
 type Size int64
 
-// sizeUnits are the units of sizes, as powers of two.
+// sizeUnits has the binary logarithm of each unit.
 var sizeUnits = map[string]int{"KiB": 10, "MiB": 20, "GiB": 30}
 
 // UnmarshalTOML implements toml.Unmarshaler.
@@ -50,5 +50,5 @@
 			}
 		}
 	}
-	return fmt.Errorf("%v is no size like 500, \"64KiB\" or \"50MiB\"", v)
+	return fmt.Errorf("%v is not a size like 500, \"64KiB\" or \"50MiB\"", v)
 }
--- a/internal/gateway/forward_test.go
+++ b/internal/gateway/forward_test.go
@@ -18,8 +18,8 @@
 	"dunemoor/internal/testutil"
 )
 
-// startForwardingAppliance starts a gateway with the settings of its listener and its route, in front
-// of one host.
+// startForwardingAppliance starts a gateway in front of one host, with further settings of its listener and
+// its route.
 func startForwardingAppliance(t *testing.T, listener, route string) (*testAppliance, *testutil.Host) {
 	t.Helper()
 	host := testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
@@ -42,8 +42,8 @@
 	return list
 }
 
-// Forwarding headers of a client are passed on only if it is trusted, so that hosts cannot be deceived
-// about the client.
+// Forwarding headers of a client are passed on only if the client is a trusted proxy. Otherwise clients
+// could forge the client address that hosts receive.
 func TestForwardedHeadersOfUntrustedClientsAreReplaced(t *testing.T) {
 	forged := []string{"X-Forwarded-For", "9.9.9.9", "X-Forwarded-Proto", "https", "X-Forwarded-Host", "bank.example",
 		"Forwarded", "for=9.9.9.9;proto=https", "Host", "h.org"}
@@ -74,8 +74,9 @@
 	}
 }
 
-// A PROXY header names the client where the listener requires one: it must come, in either version and
-// from a trusted peer. Where none is required it is an invalid request.
+// If the listener requires a PROXY header, the header sets the client address. It may have either version,
+// must be present, and must come from a trusted peer. If the listener does not require one, a PROXY header
+// is an invalid request.
 func TestProxyProtocolNamesClient(t *testing.T) {
 	request := "GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
 	v2, err := (&proxyproto.Header{
@@ -112,7 +113,7 @@
 		nc.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 		io.WriteString(nc, c.text)
 		if c.from == "" {
-			nc.(*net.TCPConn).CloseWrite() // the header is never completed
+			nc.(*net.TCPConn).CloseWrite() // so that an incomplete header ends
 		}
 		resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
 		got := 0
@@ -134,8 +135,8 @@
 	}
 }
 
-// The header rules of a route apply to requests and responses; cookies and repeated headers keep their
-// order, and hop-by-hop headers are removed.
+// The header rules of a route are applied to requests and responses. Cookies and repeated headers keep
+// their order, and hop-by-hop headers are removed.
 func TestRouteHeaderRulesApplyBothWays(t *testing.T) {
 	g, host := startForwardingAppliance(t, "", `
 [route.request]
@@ -171,7 +172,7 @@
 	}
 }
 
-// Header sections are limited in bytes and in number of headers.
+// Header sections are limited in size and in the number of header fields.
 func TestHeaderSectionsAreLimited(t *testing.T) {
 	g, host := startForwardingAppliance(t, "", "")
 	var many []string
@@ -192,7 +193,7 @@
 	}
 }
 
-// Chunks after a header section that arrives in pieces are parsed like any others.
+// The chunks of a body are parsed correctly after a header section that arrives in pieces.
 func TestHeaderSectionInPiecesIsFollowedByChunks(t *testing.T) {
 	g, host := startForwardingAppliance(t, "", "")
 	nc := dialURL(t, g.urls[0])
@@ -200,7 +201,7 @@
 	for round := range 3 {
 		for _, part := range []string{"POST / HTTP/1.1\r\nHost: a\r", "\nX-Long: " + strings.Repeat("x", 5<<10) + "\r\nTransfer-", "Encoding: chunked\r", "\n\r", "\n1\r\na\r\n0\r\n\r\n"} {
 			io.WriteString(nc, part)
-			time.Sleep(2 * time.Millisecond) // so that they mostly arrive separately
+			time.Sleep(2 * time.Millisecond) // so that the pieces mostly arrive separately
 		}
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil || resp.StatusCode != 200 {
@@ -217,12 +218,12 @@
 
 func TestInvalidRouteSettingsAreReported(t *testing.T) {
 	for text, want := range map[string]string{
-		"[route.request]\nset = { \"Content-Length\" = \"5\" }": "route.request: \"Content-Length\" is not to be changed",
-		"[route.request]\nadd = { \"X A\" = \"5\" }":            "route.request: \"X A\" is no name of a header",
-		"[route.answer]\nset = { \"X-A\" = \"a\\r\\nX-B: b\" }": "can't be sent in a header",
-		"[route.answer]\nremove = [\"transfer-encoding\"]":      "route.answer: \"transfer-encoding\" is not to be changed",
+		"[route.request]\nset = { \"Content-Length\" = \"5\" }": "route.request: \"Content-Length\" can't be changed",
+		"[route.request]\nadd = { \"X A\" = \"5\" }":            "route.request: \"X A\" is not a header name",
+		"[route.answer]\nset = { \"X-A\" = \"a\\r\\nX-B: b\" }": "contains a control character",
+		"[route.answer]\nremove = [\"transfer-encoding\"]":      "route.answer: \"transfer-encoding\" can't be changed",
 		"hold = \"5MiB\"":       "route.hold: ",
-		"max_body = \"5 megs\"": "route.max_body: 5 megs is no size",
+		"max_body = \"5 megs\"": "route.max_body: 5 megs is not a size",
 	} {
 		_, errs := config.ParseAppliance("f", baseConfig+poolConfig("p", "", "127.0.0.1:1")+routeConfig("r", "pool = \"p\"\nclass = \"lookup\"\n"+text))
 		if len(errs) != 1 || !strings.Contains(errs[0].Error(), want) {
