--- a/internal/gateway/appliance.go
+++ b/internal/gateway/appliance.go
@@ -18,27 +18,28 @@
 	"dunemoor/internal/frontend/http1"
 )
 
-// appliance is the state of a gateway with a configuration file of its own.
+// appliance is the state of a gateway that is configured by its own TOML file.
 type appliance struct {
-	file      *config.Appliance
+	file      *config.Appliance // the configuration in use
 	recording *engine.RecordingConfig
 	newSource SourceFunc
-	pools     map[string]*appliancePool
-	published atomic.Pointer[map[string]*appliancePool] // pools, for other goroutines
-	listeners map[string]net.Listener                   // by listenerKey
-	drained   atomic.Pointer[map[string][]string]       // by pool: hosts that operators drain
+	pools     map[string]*appliancePool                 // keyed by pool name
+	published atomic.Pointer[map[string]*appliancePool] // pools, for readers on other goroutines
+	listeners map[string]net.Listener                   // keyed by listenerKey
+	drained   atomic.Pointer[map[string][]string]       // hosts drained by operators, keyed by pool name
 }
 
-// Source sends a pool's endpoint list until ctx ends.
+// Source delivers the endpoint list of a pool to a Sink until ctx is done.
 type Source interface {
 	Run(ctx context.Context, to discovery.Sink)
 }
 
-// SourceFunc returns the Source of a pool whose endpoint list comes from the discovery service at an address.
+// SourceFunc returns the Source of a pool whose endpoint list is served by the discovery service at the given address.
 type SourceFunc func(pool, discovery string) Source
 
-// StartAppliance starts a gateway by its configuration file. Nothing is left behind where it fails. newSource may be nil;
-// drained is as for SetDrained.
+// StartAppliance starts a gateway from its parsed configuration file. If it fails, it releases everything it has
+// started. If newSource is nil, each pool watches its discovery service directly. drained has the same meaning as in
+// SetDrained.
 func StartAppliance(a *config.Appliance, rc *engine.RecordingConfig, newSource SourceFunc, drained map[string][]string) (*Gateway, error) {
 	g := newGateway(rand.Uint64(), a.Limits.Sockets, memoryBytes(a.Limits.MemoryMB), http1.Options{
 		LongestDeadline: longestDeadline(a),
@@ -68,7 +69,8 @@
 	return g, nil
 }
 
-// Reload serves by another file, all at once. On an error nothing has changed. Requests under way end as they began.
+// Reload switches to another configuration in one step. If it returns an error, the previous configuration stays in use.
+// Requests in flight finish under the configuration that they started with.
 func (g *Gateway) Reload(a *config.Appliance) error {
 	restart := g.needRestart(a)
 	if err := g.apply(a, true); err != nil {
@@ -80,7 +82,7 @@
 	return nil
 }
 
-// needRestart returns the settings of a file that differ from those in use and take effect at the next start.
+// needRestart returns the names of the settings that differ from those in use and take effect only after a restart.
 func (g *Gateway) needRestart(a *config.Appliance) (names []string) {
 	file := g.appliance.file
 	old := file.Limits
@@ -96,7 +98,7 @@
 		{"limits.head_kb", old.HeadKB != limits.HeadKB},
 		{"limits.headers", old.Headers != limits.Headers},
 		{"limits.overload", old.NoLoadShedding != limits.NoLoadShedding},
-		// The limits of clients take effect at once, where there is a table to keep them in.
+		// Client limits take effect immediately, but only if the table of clients was created at startup.
 		{"limits.client", g.admission.Limits.Clients == nil && old.Clients != limits.Clients},
 		{"limits.client.table_kb", old.ClientTableKB != limits.ClientTableKB},
 		{"limits.tenants", old.Tenants != limits.Tenants || old.TenantHeader != limits.TenantHeader},
@@ -110,7 +112,7 @@
 	return names
 }
 
-// equalChecks reports whether the same pools have health checks, by the same paths.
+// equalChecks reports whether both lists configure health checks for the same pools with the same paths.
 func equalChecks(a, b []config.Pool) bool {
 	paths := func(pools []config.Pool) map[string]string {
 		m := map[string]string{}
@@ -124,7 +126,7 @@
 	return maps.Equal(paths(a), paths(b))
 }
 
-// longestDeadline returns the longest deadline of all classes of a file.
+// longestDeadline returns the longest deadline of all classes in a configuration.
 func longestDeadline(a *config.Appliance) (longest time.Duration) {
 	for _, c := range a.Classes {
 		longest = max(longest, c.Deadline)
@@ -132,8 +134,8 @@
 	return longest
 }
 
-// SetDrained sets the hosts that operators drain, by pool: they get no new requests, whatever their lists say. It is for
-// an appliance, and may be called by any goroutine.
+// SetDrained replaces the set of hosts drained by operators, keyed by pool name. Drained hosts get no new requests,
+// regardless of their state in the endpoint list. It may be called on an appliance only, and is safe for concurrent use.
 func (g *Gateway) SetDrained(hosts map[string][]string) {
 	g.appliance.drained.Store(&hosts)
 	if pools := g.appliance.published.Load(); pools != nil {
@@ -143,7 +145,7 @@
 	}
 }
 
-// drainedHosts returns the hosts of a pool that operators drain.
+// drainedHosts returns the hosts of a pool that are drained by operators.
 func (s *appliance) drainedHosts(pool string) []string {
 	if drained := s.drained.Load(); drained != nil {
 		return (*drained)[pool]
@@ -151,7 +153,7 @@
 	return nil
 }
 
-// Pool returns the pool of an appliance with a name, or nil. It may be called by any goroutine.
+// Pool returns the named pool of an appliance, or nil if there is none. It is safe for concurrent use.
 func (g *Gateway) Pool(name string) *engine.Pool {
 	pools := g.appliance.published.Load()
 	if pools == nil {
--- a/internal/gateway/appliance_test.go
+++ b/internal/gateway/appliance_test.go
@@ -15,8 +15,8 @@
 	"dunemoor/internal/testutil"
 )
 
-// startStatusAppliance returns a gateway with a plain route for /address, and its host. The host answers with the status that
-// the path names, or else with 200, and a text that names the path where the status and the method allow one.
+// startStatusAppliance starts a gateway with a plain route for /address, and its host. The host responds with the status in
+// the path, or 200 if there is none. The body contains the path, unless the status or the method does not allow a body.
 func startStatusAppliance(t *testing.T) (*testAppliance, *testutil.Host) {
 	t.Helper()
 	host := testutil.NewHost(t, func(c net.Conn, r *http.Request, _ int) bool {
@@ -41,14 +41,14 @@
 	return g, host
 }
 
-// Plain clients send none of our headers: their requests reach the pool that the route names, and any status is returned as
-// it is.
+// Requests of plain clients, which send none of the platform's headers, reach the pool of their route, and any status of a
+// host is returned unchanged.
 func TestPlainClientReachesRoutedPool(t *testing.T) {
 	g, _ := startStatusAppliance(t)
 	for _, status := range []int{200, 201, 204, 205, 301, 304, 404, 418, 501, 599} {
 		resp, text := fetch(t, "GET", fmt.Sprintf("%s/address/%d", g.urls[0], status), "")
 		if resp.StatusCode != status || resp.Header.Get("Location") != "/elsewhere" || len(resp.Header["X-A"]) != 2 {
-			t.Errorf("host status %d: got %d with headers %v, want it with Location and two X-A",
+			t.Errorf("host status %d: got %d with headers %v, want the same status with Location and two X-A",
 				status, resp.StatusCode, resp.Header)
 		}
 		if want := fmt.Sprintf("text of /address/%d", status); status != 204 && status != 304 && status != 205 && text != want {
@@ -63,8 +63,8 @@
 	}
 }
 
-// Hosts receive the target, id and timeout of a plain client, or an id and a timeout of the gateway's if it sends none, and no
-// header that concerns its connection only.
+// Hosts receive the target, ID and timeout of a plain client. If the client sends no ID or timeout, the gateway adds them.
+// Hop-by-hop headers are not forwarded.
 func TestPlainRequestReachesHostWithIDAndTimeout(t *testing.T) {
 	g, host := startStatusAppliance(t)
 	lastRequest := func() *http.Request {
@@ -96,7 +96,7 @@
 		t.Errorf("X-Timeout %q at the host, want 5 to the 10 s of the route", got.Header.Get("X-Timeout"))
 	}
 
-	// Plain routes allow repeated ids, as tracing clients send them.
+	// Plain routes allow repeated IDs, as clients may use them for tracing.
 	for range 2 {
 		if resp, _ := fetch(t, "GET", g.urls[0]+"/address/x", "", "X-Request-Id", "trace-7"); resp.StatusCode != 200 {
 			t.Errorf("repeated id: status %d, want 200", resp.StatusCode)
@@ -109,11 +109,11 @@
 	for _, c := range []struct {
 		method, class string
 		headers       []string
-		want          int // requests at the hosts, all of which answer 500
+		want          int // requests at the hosts, which all respond with 500
 	}{
 		{"GET", "lookup", nil, 4}, {"HEAD", "lookup", nil, 4}, {"OPTIONS", "lookup", nil, 4},
 		{"POST", "lookup", nil, 1}, {"PATCH", "lookup", nil, 1}, {"DELETE", "lookup", nil, 1},
-		{"PUT", "lookup", nil, 4}, // the route says so
+		{"PUT", "lookup", nil, 4}, // repeatable on this route
 		{"GET", "book", nil, 1}, {"PUT", "book", nil, 1},
 		{"POST", "report", nil, 1}, {"POST", "report", []string{"Idempotency-Key", "k"}, 2},
 	} {
@@ -148,7 +148,7 @@
 	}
 }
 
-// An ambiguous target gives a 400, whatever the routes; others reach the host byte for byte.
+// An ambiguous target is rejected with 400 on any route. Other targets reach the host unchanged.
 func TestAmbiguousTargetsAreRejected(t *testing.T) {
 	host := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	secret := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
@@ -190,13 +190,13 @@
 	host.Mu.Lock()
 	defer host.Mu.Unlock()
 	if got := host.Requests[3].RequestURI; got != "/%61?x=/../" {
-		t.Errorf("the host got %q, want the target unchanged", got)
+		t.Errorf("target %q at the host, want it unchanged", got)
 	}
 }
 
-// Three services with two pools each under load, while the nodes of one pool crash, those of another
-// reset connections, and the file is reloaded several times: nothing non-idempotent runs twice, every
-// request is answered, and most are served.
+// Three services with two pools each are under load while the nodes of one pool crash, those of another
+// reset connections, and the file is reloaded several times. No non-idempotent request runs twice, every
+// request gets a response, and most are served.
 func TestServicesUnderFaultsAndReloads(t *testing.T) {
 	text, changedText := baseConfig, baseConfig
 	var services []*testService
@@ -244,10 +244,10 @@
 	}
 }
 
-// healthyHost is how hosts of a testService behave at first.
+// healthyHost is the initial behaviour of the hosts of a testService.
 var healthyHost = fakes.Behaviour{Work: 2 * time.Millisecond, Cores: 8}
 
-// testService is a service with a pool and another one that it falls back to.
+// testService is a service with a primary pool and a fallback pool.
 type testService struct {
 	name              string
 	ledger            *fakes.Ledger
@@ -267,7 +267,7 @@
 	return s
 }
 
-// config returns the pools and the route of the service.
+// config returns the configuration of the pools and the route of the service.
 func (s *testService) config() string {
 	return poolConfig(s.name, "fallback = [\""+s.name+"-old\"]", s.primary.Addrs()...) +
 		poolConfig(s.name+"-old", "", s.fallback.Addrs()...) +
@@ -306,8 +306,8 @@
 	t.Logf("%s: outcomes of %d requests %v", s.name, c.Requests, c.Outcomes)
 }
 
-// While discovery is down at the start the pool rejects at once and health names it; it serves as soon
-// as discovery has sent a list.
+// While discovery is down at the start, requests to the pool are rejected immediately, and the health
+// check names the pool. The pool serves requests as soon as discovery has sent a list.
 func TestPoolServesOnceDiscoveryIsReachable(t *testing.T) {
 	fleet, err := fakes.StartService("s", 3, 3, fakes.Behaviour{}, fakes.NewLedger())
 	if err != nil {
--- a/internal/gateway/bench_body_test.go
+++ b/internal/gateway/bench_body_test.go
@@ -15,12 +15,12 @@
 	"time"
 )
 
-// proxyKinds are the proxies that BenchmarkBeside compares, in the order of its figures.
+// proxyKinds are the proxies that BenchmarkBeside compares, in the order of its ratios.
 var proxyKinds = []string{"dunemoor", "ReverseProxy"}
 
-// BenchmarkBeside sends bodies up and down through the gateway and through httputil.ReverseProxy, each
-// a process on one core, in turn. It measures CPU time a request, the ratio of throughputs and peak
-// memory.
+// BenchmarkBeside compares the gateway with httputil.ReverseProxy. It sends request and response bodies
+// of several sizes through each of them in turn; each is a process on one core. It measures CPU time per
+// request, the ratio of throughputs and peak memory.
 //
 //	go test -run xxx -bench Beside -benchtime 1x ./internal/gateway
 func BenchmarkBeside(b *testing.B) {
@@ -53,14 +53,15 @@
 	})
 }
 
-// proxyLoad is what one of proxyKinds has cost.
+// proxyLoad is the load of one of proxyKinds and the resources that it used.
 type proxyLoad struct {
-	requests     int // served
+	requests     int // number of requests served
 	elapsed, cpu time.Duration
-	peakKB       int
+	peakKB       int // peak memory
 }
 
-// compareProxies loads each of proxyKinds with bodies of a size in bytes, and reports what they cost.
+// compareProxies loads each of proxyKinds with bodies of the given size in bytes, and reports their
+// resource usage. way is "up" for request bodies and "down" for response bodies.
 func compareProxies(b *testing.B, hostAddr, way string, size int64) {
 	b.Helper()
 	var proxies []*proxyProcess
@@ -68,7 +69,7 @@
 		proxies = append(proxies, startProxyProcess(b, kind, hostAddr))
 	}
 	loads := make([]proxyLoad, len(proxies))
-	for range 6 { // in turn, so that other load of the machine affects both
+	for range 6 { // in alternation, so that other load on the machine affects both proxies
 		for i, proxy := range proxies {
 			load := &loads[i]
 			cpuBefore, _ := proxy.usage(b)
@@ -90,13 +91,13 @@
 	b.ReportMetric(cpuPerRequest(loads[0])/cpuPerRequest(loads[1]), "cpu-ratio")
 }
 
-// downloadAtOnce downloads bodies of a size in bytes with a number of clients at once.
+// downloadAtOnce downloads a body of the given size in bytes with several concurrent clients.
 func downloadAtOnce(b *testing.B, url string, clients int, size int64) {
 	var all sync.WaitGroup
 	for range clients {
 		all.Go(func() {
 			var resp *http.Response
-			for { // a new host is not sent all requests at once
+			for { // retries, as the gateway limits the concurrent requests to a new host
 				var err error
 				if resp, err = http.Get(url + fmt.Sprintf("/?n=%d", size)); err != nil {
 					b.Error(err)
@@ -105,7 +106,7 @@
 				if resp.StatusCode == http.StatusOK {
 					break
 				}
-				resp.Body.Close() // frees the connection before the next request
+				resp.Body.Close() // releases the connection before the next request
 				time.Sleep(50 * time.Millisecond)
 			}
 			defer resp.Body.Close()
@@ -117,7 +118,7 @@
 	all.Wait()
 }
 
-// runLoad sends requests with 8 clients for a span, and returns how many were served.
+// runLoad sends requests with 8 clients for the given time, and returns the number of requests served.
 func runLoad(b *testing.B, url, way string, size int64, span time.Duration) int {
 	var n atomic.Int64
 	var all sync.WaitGroup
@@ -154,9 +155,10 @@
 	return int(n.Load())
 }
 
-// BenchmarkSlowClients runs 500 clients that read a byte a second and 500 that send a byte a second
-// beside 100 normal ones, with a process of 64 MB. It measures the p99 of the normal ones with and
-// without the others, and the peak memory of the process.
+// BenchmarkSlowClients runs 500 clients that read one byte per second and 500 that send one byte per
+// second together with 100 normal clients, against a process with a memory limit of 64 MB. It measures
+// the p99 latency of the normal clients with and without the slow ones, and the peak memory of the
+// process.
 func BenchmarkSlowClients(b *testing.B) {
 	host := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
@@ -202,12 +204,12 @@
 						_, err = nc.Write(one)
 					}
 					if err != nil {
-						return // closed by the gateway, as it should be in time
+						return // the gateway is expected to close slow connections after some time
 					}
 				}
 			})
 		}
-		time.Sleep(3 * time.Second) // until the kernel's buffers are full
+		time.Sleep(3 * time.Second) // lets the socket buffers of the kernel fill up
 		beside := measureP99(b, c.url)
 		_, peak := c.usage(b)
 		close(stop)
@@ -218,7 +220,8 @@
 	}
 }
 
-// measureP99 sends ten requests of a kilobyte a second with each of 100 clients, for 12 s.
+// measureP99 runs 100 clients that send 10 requests per second each for 12 s, with responses of 1 KiB,
+// and returns the p99 latency.
 func measureP99(b *testing.B, url string) time.Duration {
 	var mu sync.Mutex
 	var took []time.Duration
--- a/internal/gateway/bench_overload_test.go
+++ b/internal/gateway/bench_overload_test.go
@@ -15,10 +15,10 @@
 	"time"
 )
 
-// BenchmarkOverload sends far more than one core can serve: thousands of clients that send lookups
-// without a pause, with as many headers as a browser behind some proxies, and again at once when
-// rejected, beside 100 that book ten times a second each. It measures the share of bookings answered
-// within 500 ms, with overload control and without, and their p99.
+// BenchmarkOverload sends far more requests than one core can serve. Thousands of clients send lookups
+// without a pause, also after a rejection, with as many headers as a browser behind several proxies. 100
+// other clients send 10 bookings per second each. It measures the share of bookings served within 500 ms
+// and their p99 latency, with and without overload control.
 func BenchmarkOverload(b *testing.B) {
 	var nodes []string
 	for range 8 {
@@ -31,7 +31,7 @@
 	}
 }
 
-// startMinimalHost starts a host that spends little on each request, so that the gateway is the
+// startMinimalHost starts a host that uses little CPU time per request, so that the gateway is the
 // bottleneck.
 func startMinimalHost(b *testing.B) string {
 	return startRawHost(b, func(c net.Conn) {
@@ -46,10 +46,10 @@
 	})
 }
 
-// browserHeaders is the rest of the header section of a flooding request.
+// browserHeaders is the rest of the header section of a lookup.
 var browserHeaders = strings.Repeat("X-Some-Header-Of-A-Proxy: with a value of the usual length\r\n", 16) + "\r\n"
 
-// flood is the load beside the bookings.
+// flood is the load of lookups that competes with the bookings.
 type flood struct {
 	clients          sync.WaitGroup
 	served, rejected atomic.Int64
@@ -72,7 +72,7 @@
 	return !resp.Close
 }
 
-// startClients starts clients that send a request as soon as the last one is answered.
+// startClients starts clients that send a lookup as soon as the previous one has its response.
 func (f *flood) startClients(addr string, clients int, stop chan struct{}) {
 	for i := range clients {
 		f.clients.Go(func() {
@@ -96,7 +96,7 @@
 	}
 }
 
-// dialFromClient opens a connection of client i, which has an address of its own.
+// dialFromClient opens a connection of client i from a loopback address that no other client uses.
 func dialFromClient(i int, addr string) (net.Conn, error) {
 	from := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 1, byte(i>>8), byte(i))}}
 	return from.Dial("tcp", addr)
@@ -155,9 +155,9 @@
 	}
 }
 
-// BenchmarkRefusal measures the CPU time of a request that the frontend rejects, as its client is
-// above its rate, of one that is served, and of a server that answers without reading: three processes
-// on a core each, in turn.
+// BenchmarkRefusal measures the CPU time of a request that is served, of a request that the frontend
+// rejects because its client exceeds the rate limit, and of a response by a server that does not parse
+// requests. It uses three processes on one core each, in turn.
 //
 //	go test -run xxx -bench Refusal -benchtime 1x ./internal/gateway
 func BenchmarkRefusal(b *testing.B) {
--- a/internal/gateway/bench_process_test.go
+++ b/internal/gateway/bench_process_test.go
@@ -24,8 +24,8 @@
 	"dunemoor/internal/overload"
 )
 
-// TestMain lets the test binary serve as a proxy process of the benchmarks, with CPU time and memory
-// of its own.
+// TestMain runs the tests, or acts as a proxy process of the benchmarks, so that its CPU time and memory
+// can be measured separately.
 func TestMain(m *testing.M) {
 	if kind := os.Getenv("DUNEMOOR_BENCH_PROXY"); kind != "" {
 		runBenchProxy(kind, os.Getenv("DUNEMOOR_BENCH_HOST"))
@@ -34,38 +34,39 @@
 	os.Exit(m.Run())
 }
 
-// runBenchProxy serves in front of a host until its standard input ends.
+// runBenchProxy runs a proxy in front of the hosts until its standard input ends.
 func runBenchProxy(kind, host string) {
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(45 << 20)
 	if strings.Contains(host, ",") {
-		debug.SetMemoryLimit(720 << 20) // for thousands of clients
+		debug.SetMemoryLimit(720 << 20) // enough for thousands of clients
 	}
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	addr, delays := startBenchProxy(kind, host)
-	if file := os.Getenv("DUNEMOOR_BENCH_PROFILE"); file != "" { // prefix of the file for a profile of this kind
+	if file := os.Getenv("DUNEMOOR_BENCH_PROFILE"); file != "" { // path of the profile, without the kind
 		if f, err := os.Create(file + "." + kind); err == nil && pprof.StartCPUProfile(f) == nil {
 			defer pprof.StopCPUProfile()
 		}
 	}
 	fmt.Println(addr)
-	for in := bufio.NewScanner(os.Stdin); in.Scan(); { // each line asks for the counters
+	for in := bufio.NewScanner(os.Stdin); in.Scan(); { // each line requests the counters
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
 		fmt.Println(m.Mallocs, delays.Quantile(0.99).Microseconds())
 	}
 }
 
-// startBenchProxy starts a proxy of the kind and returns its address and the delays of its event loop.
+// startBenchProxy starts a proxy of the given kind and returns its address and the delays of its event
+// loop. The kind "dunemoor-cgi" has two addresses, for HTTP and FastCGI, separated by a semicolon.
 func startBenchProxy(kind, host string) (addr string, delays *overload.Delays) {
 	switch kind {
 	case "dunemoor-cgi":
 		g := mustStartBenchGateway(mixedBenchConfig(host))
 		http := g.appliance.listeners["127.0.0.1:0"].Addr().String()
-		cgi := g.appliance.listeners[fastCGIKey+"127.0.0.2:0"].Addr().String()
+		cgi := g.appliance.listeners[fastCGIKeyPrefix+"127.0.0.2:0"].Addr().String()
 		return http + ";" + cgi, &overload.Delays{}
 	case "minimal":
-		// The least that a server can do: a read and a write, without parsing.
+		// The lower bound for the cost of a server: one read and one write per request, without parsing.
 		ln := mustListen()
 		go serveConns(ln, rejectWithoutParsing)
 		return ln.Addr().String(), &overload.Delays{}
@@ -81,7 +82,8 @@
 	}
 }
 
-// benchConfig is the file of a gateway in front of hosts separated by commas.
+// benchConfig returns the configuration of a gateway of the given kind in front of hosts, whose addresses
+// are separated by commas.
 func benchConfig(kind, hosts string) string {
 	limits := "memory_mb = 1024\nsockets = 40000"
 	client := ""
@@ -103,8 +105,8 @@
 		routeConfig("r", "pool = \"p\"\nclass = \"lookup\"\ntimeout = \"20s\"\nstream = true\nleast_rate = 0")
 }
 
-// mixedBenchConfig is the file of a gateway in front of an HTTP host and a FastCGI responder, separated
-// by a semicolon, with a listener for each protocol.
+// mixedBenchConfig returns the configuration of a gateway with a listener for each protocol, in front of
+// an HTTP host and a FastCGI responder, whose addresses are separated by a semicolon.
 func mixedBenchConfig(hosts string) string {
 	web, cgi, _ := strings.Cut(hosts, ";")
 	text := strings.Replace(overloadConfig, "sockets = 1024", "memory_mb = 64\nsockets = 1024", 1) +
@@ -137,7 +139,7 @@
 	return ln
 }
 
-// rejectWithoutParsing answers whatever it reads with a rejection.
+// rejectWithoutParsing responds to each read with a rejection.
 func rejectWithoutParsing(c net.Conn) {
 	b := make([]byte, 4<<10)
 	for {
@@ -148,7 +150,7 @@
 	}
 }
 
-// proxyProcess is a proxy in a process of its own.
+// proxyProcess is a proxy in a separate process.
 type proxyProcess struct {
 	*exec.Cmd
 	url string
@@ -156,8 +158,8 @@
 	out io.Reader
 }
 
-// counters returns how many objects the process has allocated so far, and the 99th percentile of the
-// delays of its event loop, in microseconds.
+// counters returns the number of objects that the process has allocated, and the 99th percentile of the
+// delays of its event loop in microseconds.
 func (c *proxyProcess) counters(b *testing.B) (mallocs uint64, loop float64) {
 	io.WriteString(c.in, "\n")
 	if _, err := fmt.Fscan(c.out, &mallocs, &loop); err != nil {
@@ -166,7 +168,7 @@
 	return mallocs, loop
 }
 
-// usage returns the CPU time of the process so far, and its peak memory in kB.
+// usage returns the CPU time that the process has used, and its peak memory in KiB.
 func (c *proxyProcess) usage(b *testing.B) (cpu time.Duration, peak int) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", c.Process.Pid))
 	if err != nil {
@@ -184,7 +186,7 @@
 	return cpu, peak
 }
 
-// startProxyProcess starts a proxy of the kind in front of the host.
+// startProxyProcess starts a proxy of the given kind in front of a host.
 func startProxyProcess(b *testing.B, kind, host string) *proxyProcess {
 	c := &proxyProcess{Cmd: exec.Command(os.Args[0])}
 	c.Env = append(os.Environ(), "DUNEMOOR_BENCH_PROXY="+kind, "DUNEMOOR_BENCH_HOST="+host)
@@ -211,7 +213,7 @@
 	return c
 }
 
-// zeroBlock is written by writeZeros.
+// zeroBlock is the block of zeros that writeZeros writes repeatedly.
 var zeroBlock = make([]byte, 64<<10)
 
 // writeZeros writes n zero bytes.
@@ -225,7 +227,7 @@
 	}
 }
 
-// zeroReader is an endless reader.
+// zeroReader is a reader without end. It leaves the buffer unchanged.
 type zeroReader struct{}
 
 func (zeroReader) Read(p []byte) (int, error) { return len(p), nil }
--- a/internal/gateway/bench_protocol_test.go
+++ b/internal/gateway/bench_protocol_test.go
@@ -21,9 +21,9 @@
 	"dunemoor/internal/fastcgi"
 )
 
-// BenchmarkProtocols sends requests of 16 clients over HTTP and FastCGI to hosts of either kind,
-// through one process on one core, in turn. It measures requests a second, p99, CPU time and
-// allocations a request of each combination.
+// BenchmarkProtocols sends requests of 16 clients over HTTP and FastCGI to HTTP and FastCGI hosts, through
+// one process on one core. For each combination it measures requests per second, p99 latency, and CPU time
+// and allocations per request.
 //
 //	go test -run xxx -bench Protocols -benchtime 1x ./internal/gateway
 func BenchmarkProtocols(b *testing.B) {
@@ -45,17 +45,17 @@
 	}
 }
 
-// protocolPair is a protocol of clients and one of hosts, with what was measured.
+// protocolPair is a combination of client and host protocols, with the results of its measurement.
 type protocolPair struct {
 	name, path string
 	client     http.RoundTripper
-	took       []time.Duration // by request
+	took       []time.Duration // latency of each request
 	span, cpu  time.Duration
 	mallocs    uint64
 }
 
-// benchmarkProtocolPairs measures the pairs in turn, seven rounds of which the first does not count, as
-// the gateway learns the rates of the hosts in it.
+// benchmarkProtocolPairs measures the pairs in turn, in seven rounds. The results of the first round are
+// discarded, as the balancer is still estimating the rates of the hosts.
 func benchmarkProtocolPairs(b *testing.B, c *proxyProcess) {
 	byHTTP, byCGI, _ := strings.Cut(strings.TrimPrefix(c.url, "http://"), ";")
 	server := &fakes.WebServer{Addr: byCGI}
@@ -94,7 +94,8 @@
 	}
 }
 
-// sendFor sends requests with 16 clients for a span, and returns what each served one took.
+// sendFor sends requests with 16 clients for the given time, and returns the latency of each request that
+// was served.
 func sendFor(b *testing.B, client http.RoundTripper, url string, span time.Duration) (took []time.Duration) {
 	var mu sync.Mutex // guards took
 	var clients sync.WaitGroup
@@ -125,8 +126,8 @@
 	return took
 }
 
-// BenchmarkMultiplexed sends 10,000 requests of 8 KiB on 4 connections of a web server, 64 at once,
-// and measures failures and the peak memory of the process, whose limit is 64 MB.
+// BenchmarkMultiplexed sends 10,000 requests of 8 KiB on 4 connections of a FastCGI web server, 64 at a
+// time. It measures failures and the peak memory of the process, whose memory limit is 64 MB.
 //
 //	go test -run xxx -bench Multiplexed -benchtime 1x ./internal/gateway
 func BenchmarkMultiplexed(b *testing.B) {
@@ -143,7 +144,7 @@
 		var remaining, failed, rejected atomic.Int64
 		remaining.Store(count)
 		var all sync.WaitGroup
-		for range 4 * fastcgi.MaxRequestsPerConn / 2 { // connections are used in turn, not quite evenly
+		for range 4 * fastcgi.MaxRequestsPerConn / 2 { // half of the capacity, as the connections are not used quite evenly
 			all.Go(func() {
 				for remaining.Add(-1) >= 0 {
 					r, _ := http.NewRequest("POST", "http://a/http", io.LimitReader(zeroReader{}, size))
@@ -172,8 +173,8 @@
 	}
 }
 
-// BenchmarkIdlePool measures the memory of a pool with four members and no requests, goroutines
-// included.
+// BenchmarkIdlePool measures the memory of a pool with four members and no requests, including goroutine
+// stacks.
 func BenchmarkIdlePool(b *testing.B) {
 	const pools = 200
 	var text strings.Builder
@@ -200,7 +201,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		snapshot := g.engine.Snapshot() // waits until all of it is in use
+		snapshot := g.engine.Snapshot() // waits until the configuration is in use
 		snapshot.Release()
 		b.ReportMetric(float64(usedBytes()-before)/pools, "bytes/pool")
 		g.Close()
--- a/internal/gateway/body_helpers_test.go
+++ b/internal/gateway/body_helpers_test.go
@@ -10,7 +10,7 @@
 	"dunemoor/internal/body"
 )
 
-// randomBytes returns a reader of n bytes that depend on the seed.
+// randomBytes returns a reader of n pseudorandom bytes that are determined by the seed.
 func randomBytes(seed uint64, n int64) io.Reader {
 	var key [32]byte
 	key[0] = byte(seed)
@@ -18,23 +18,23 @@
 	return io.LimitReader(rand.NewChaCha8(key), n)
 }
 
-// randomBody returns n random bytes.
+// randomBody returns n pseudorandom bytes.
 func randomBody(n int) []byte {
 	b, _ := io.ReadAll(randomBytes(uint64(n), int64(n)))
 	return b
 }
 
-// checksum reads r to its end and returns a hash and the length.
+// checksum reads r to the end and returns the hash and the length of the data.
 func checksum(r io.Reader) (string, int64, error) {
 	h := sha256.New()
 	n, err := io.Copy(h, r)
 	return fmt.Sprintf("%x", h.Sum(nil)), n, err
 }
 
-// randomChecksum is the checksum of randomBytes.
+// randomChecksum returns the checksum of randomBytes.
 func randomChecksum(seed uint64, n int64) string { s, _, _ := checksum(randomBytes(seed, n)); return s }
 
-// chunkedBody encodes the body in chunks of a size, with extensions, and the trailer.
+// chunkedBody encodes a body in chunks of the given size, with chunk extensions and a trailer.
 func chunkedBody(body []byte, size int, trailer string) []byte {
 	var b bytes.Buffer
 	for rest := body; len(rest) > 0; rest = rest[min(size, len(rest)):] {
@@ -60,7 +60,7 @@
 
 func (f readerFunc) Read(p []byte) (int, error) { return f(p) }
 
-// maxBufferedBytes returns the most bytes that the gateway buffers for one purpose.
+// maxBufferedBytes returns the largest number of body bytes that the gateway buffers for one purpose.
 func (g *Gateway) maxBufferedBytes() int64 {
 	most := int64(0)
 	for _, purpose := range body.Purposes() {
--- a/internal/gateway/churn_test.go
+++ b/internal/gateway/churn_test.go
@@ -16,8 +16,8 @@
 	"dunemoor/internal/testutil"
 )
 
-// Hosts are replaced by new ids at the same address, in new zones and of new kinds: a new host gets no
-// connection of the old one, and no memory is kept of removed hosts or of request ids.
+// Hosts are replaced many times by hosts with a new ID, zone and kind at the same address. A new host does
+// not get a connection of the old one, and no memory is retained for removed hosts or request IDs.
 func TestReplacedHostsLeaveNoMemory(t *testing.T) {
 	var connections atomic.Int64
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -57,7 +57,7 @@
 	}
 	heap := func() uint64 {
 		runtime.GC()
-		runtime.GC() // frees what the first one moved out of the pools
+		runtime.GC() // frees the items of each sync.Pool, which the first collection moved to its victim cache
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
 		return m.HeapAlloc
@@ -65,9 +65,9 @@
 	replace(1000)
 	before := heap()
 	replace(3000)
-	// A host takes more than 200 bytes in the balancer, and as much in the transport.
+	// A host takes more than 200 bytes in the balancer, and as many in the transport.
 	if after := heap(); after > before+3000*100 {
-		t.Errorf("heap of %d bytes before 3000 hosts, %d after, want at most 100 bytes a host", before, after)
+		t.Errorf("heap of %d bytes before 3000 hosts, %d after, want at most 100 bytes per host", before, after)
 	}
 	if n := g.pool.OpenRequests(); n > 1 {
 		t.Errorf("%d requests open, want at most 1", n)
--- a/internal/gateway/classes.go
+++ b/internal/gateway/classes.go
@@ -9,16 +9,17 @@
 	"dunemoor/internal/route"
 )
 
-// classes are those of an appliance as its balancers number them: the file's in their order, and after them, for each
-// that may be retried, one that may not.
+// classes holds the classes of an appliance in the order of their indexes in the balancers. The configured classes come
+// first, in the order of the file. They are followed by a non-idempotent copy of each configured class that allows
+// retries, for requests that must not be retried because of their method.
 type classes struct {
 	list          []balancer.Class
-	names         []string       // names in recordings, by the number of a class
-	index         map[string]int // number of a class of the file by its name
-	nonIdempotent []int          // by the number of a class of the file: the number of the one that may not be retried
+	names         []string       // names in recordings, by class index
+	index         map[string]int // index of each configured class, by name
+	nonIdempotent []int          // index of the non-idempotent variant, by index of the configured class
 }
 
-// newClasses returns the classes of a file.
+// newClasses returns the classes of a configuration file.
 func newClasses(a *config.Appliance) *classes {
 	c := &classes{index: map[string]int{}, nonIdempotent: make([]int, len(a.Classes))}
 	for i, class := range a.Classes {
@@ -38,13 +39,13 @@
 	return c
 }
 
-// add adds a class with the next number.
+// add appends a class, which gets the next index.
 func (c *classes) add(name string, class balancer.Class) {
 	c.list = append(c.list, class)
 	c.names = append(c.names, name)
 }
 
-// newRoute returns a route of the file for the engine.
+// newRoute converts a configured route to a route of the engine.
 func newRoute(name string, r config.Route, c *classes, shedsLoad bool) *engine.Route {
 	out := &engine.Route{Name: name, Classes: c.list, ClassNames: c.index, Streams: protocolStreams(), Classify: classifyProtocol}
 	if shedsLoad {
--- a/internal/gateway/clients_test.go
+++ b/internal/gateway/clients_test.go
@@ -15,8 +15,8 @@
 	"dunemoor/internal/testutil"
 )
 
-// A client that sends nothing for the idle timeout gets a response, one that does not read loses its
-// connection, and a host that goes silent gives an incomplete response.
+// A client that stops sending its body for the idle timeout gets a 408. If a host goes silent within a
+// response, the client gets an incomplete response.
 func TestIdlePeersAreCutOff(t *testing.T) {
 	addr, _ := startHTTPHost(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == "POST" {
@@ -52,7 +52,7 @@
 	resp.Body.Close()
 }
 
-// Clients that disconnect within a request, within a response or at once leave no state.
+// Clients that disconnect within a request, within a response or right after a request leave no state.
 func TestDisconnectedClientsLeaveNoState(t *testing.T) {
 	addr, _ := startHTTPHost(t, func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
@@ -87,7 +87,7 @@
 	testutil.WaitUntil(t, "no buffered body", func() bool { return g.maxBufferedBytes() == 0 })
 	testutil.WaitUntil(t, "no goroutine left", func() bool {
 		http.DefaultClient.CloseIdleConnections()
-		return runtime.NumGoroutine() <= before+8 // idle connections to the host
+		return runtime.NumGoroutine() <= before+8 // some for idle connections to the host
 	})
 	if resp, err := http.Post(g.urls[0]+"/", "", strings.NewReader("x")); err != nil || resp.StatusCode != 200 {
 		t.Errorf("response %v, error %v, want status 200", resp, err)
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -14,8 +14,8 @@
 	"dunemoor/internal/testutil"
 )
 
-// scriptedDiscovery is a discovery service on a loopback socket. Each call is passed to the test,
-// which writes to it and ends it.
+// scriptedDiscovery is a discovery service on a loopback socket. Each call is passed to the test, which
+// writes the response and ends the call.
 type scriptedDiscovery struct {
 	addr  string
 	calls chan *discoveryCall
@@ -54,7 +54,7 @@
 	case c := <-s.calls:
 		return c
 	case <-time.After(testutil.WaitTimeout):
-		t.Fatal("no call of discovery, want one")
+		t.Fatal("no call to discovery, want one")
 		return nil
 	}
 }
@@ -72,7 +72,7 @@
 	return fmt.Sprintf(`{"version":%d,"full":true,"servers":[%s]}`, version, strings.Join(entries, ","))
 }
 
-// bodyOf returns a body for a request of the class: lookups have none.
+// bodyOf returns a body for a request of the class. Lookups have none.
 func bodyOf(class string) string {
 	if class == "look" {
 		return ""
@@ -80,11 +80,11 @@
 	return "b"
 }
 
-// listed reports whether the applied list has the host.
+// listed reports whether the host is in the list that the pool uses.
 func (g *testGateway) listed(id string) bool { return g.pool.Address(id) != "" }
 
-// startSlowRequests sends a request of each class that its host answers late, and returns a channel that gets an error for each,
-// nil where it is served.
+// startSlowRequests sends a request of each class to which the host responds only when it is released. It returns a channel
+// that receives the result of each request, nil if it was served.
 func (g *testGateway) startSlowRequests(classes []string) <-chan error {
 	responses := make(chan error, len(classes))
 	for _, class := range classes {
@@ -100,7 +100,7 @@
 	return responses
 }
 
-// expectServed sends a request of each class that its host answers at once.
+// expectServed sends a request of each class to which the host responds immediately, and expects status 200.
 func (g *testGateway) expectServed(classes []string) {
 	g.Helper()
 	for _, class := range classes {
@@ -111,9 +111,9 @@
 	}
 }
 
-// A watch ends without reporting that a host drains, and the next full list omits that host: it gets
-// nothing new, even on kept connections, its requests in flight end as usual, and it is used again
-// once it is listed.
+// A watch ends without reporting that a host drains, and the next full list omits that host. The host gets
+// no new requests, even on open connections, and its requests in flight complete. It is used again when it
+// is listed again.
 func TestFullListWithoutDrainingHostRemovesIt(t *testing.T) {
 	release := make(chan struct{})
 	releaseSlow := sync.OnceFunc(func() { close(release) })
@@ -172,8 +172,8 @@
 	}
 }
 
-// A silent watch is replaced during a shutdown too, and its list is applied while clients use their
-// connections.
+// A silent watch is replaced even during a shutdown, and the new list is applied while clients still use
+// their connections.
 func TestEndpointListIsAppliedDuringShutdown(t *testing.T) {
 	draining, other := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse)), testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	list := newScriptedDiscovery(t)
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -13,7 +13,7 @@
 	"dunemoor/internal/testutil"
 )
 
-// dialClient returns a client with a connection of its own, and the connection.
+// dialClient opens a connection to the gateway and returns a function that sends a request on it.
 func dialClient(t *testing.T, g *testGateway) (send func() (*http.Response, error), c net.Conn) {
 	t.Helper()
 	c = dialURL(t, g.url)
@@ -28,11 +28,11 @@
 	}, c
 }
 
-// During a drain health fails at once, connections stay usable for a while and then close after a
-// response, idle ones are closed, and a cancel restores everything.
+// During a drain the health check fails immediately, connections stay usable for a while and are then
+// closed after a response, and idle connections are closed. Canceling the drain restores normal operation.
 func TestDrainClosesConnectionsAndCanBeCanceled(t *testing.T) {
 	g := startGateway(t, testConfig(testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))))
-	g.Resume() // without a drain it changes nothing
+	g.Resume() // has no effect without a drain
 	if got := g.health(); got != 200 {
 		t.Fatalf("health %d before the drain, want 200", got)
 	}
@@ -53,9 +53,9 @@
 	if resp, err := send(); err != nil || resp.StatusCode != 200 {
 		t.Errorf("open connection at the start of the drain: response %v, error %v, want 200", resp, err)
 	}
-	testutil.WaitUntil(t, "connections to leave", func() bool { s, _ := g.admission.Draining(); return s >= drain.Leaving })
+	testutil.WaitUntil(t, "the drain to close connections after a response", func() bool { s, _ := g.admission.Draining(); return s >= drain.Leaving })
 	if resp, err := send(); err != nil || resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("once connections leave: response %v, error %v, want 200 with Connection: close", resp, err)
+		t.Errorf("while the drain closes connections: response %v, error %v, want 200 with Connection: close", resp, err)
 	}
 	idle.SetReadDeadline(time.Now().Add(testutil.WaitTimeout))
 	if _, err := idle.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "timeout") {
@@ -71,14 +71,14 @@
 			t.Errorf("after the drain: response %v, error %v, want 200 on an open connection", resp, err)
 		}
 	}
-	// It stays open, though the drain would have closed it by now.
+	// The connection stays open, although the drain would have closed it by now.
 	kept.SetReadDeadline(time.Now().Add(250 * time.Millisecond)) // more than ten times drainCloseInterval of http1
 	if _, err := kept.Read(make([]byte, 1)); err == nil || !strings.Contains(err.Error(), "timeout") {
 		t.Errorf("open connection after the drain: error %v, want a timeout", err)
 	}
 }
 
-// A request in flight when a drain closes connections is answered.
+// A request that is in flight when a drain closes connections gets its response.
 func TestDrainWaitsForRequestsInFlight(t *testing.T) {
 	release := make(chan struct{})
 	host := testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -10,14 +10,14 @@
 	"dunemoor/internal/override"
 )
 
-// overrideFilter passes a pool its endpoint list with operators' overrides applied.
+// overrideFilter applies operators' overrides to the endpoint list of a pool before it reaches the pool.
 type overrideFilter struct {
 	mu     sync.Mutex
 	filter *override.Filter
 	pool   *engine.Pool
 }
 
-// update applies an update of the list.
+// update passes an update of the endpoint list to the pool, with the overrides applied.
 func (f *overrideFilter) update(kind balancer.ListKind, list discovery.MemberList) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -27,7 +27,7 @@
 	f.pool.UpdateEndpoints(kind, list)
 }
 
-// setDrained replaces the overrides.
+// setDrained replaces the overrides and updates the hosts whose state changes.
 func (f *overrideFilter) setDrained(drained []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -36,18 +36,18 @@
 	}
 }
 
-// endpointSink receives the list of a source until another source has replaced it.
+// endpointSink receives the endpoint list of a source until another source replaces it.
 type endpointSink struct {
 	target    *overrideFilter
-	current   *atomic.Pointer[endpointSink]
-	firstList chan struct{} // closed by the first list
-	received  atomic.Bool
+	current   *atomic.Pointer[endpointSink] // sink of the pool's current source
+	firstList chan struct{}                 // closed when the first list arrives
+	received  atomic.Bool                   // a list has arrived
 }
 
 // UpdateEndpoints implements discovery.Sink.
 func (s *endpointSink) UpdateEndpoints(kind balancer.ListKind, list discovery.MemberList) {
 	if s.current.Load() != s {
-		return // a late update of the old source must not undo the new one's
+		return // a late update of a replaced source must not overwrite the list of the current one
 	}
 	s.target.update(kind, list)
 	if kind != balancer.ListFailed && s.received.CompareAndSwap(false, true) {
--- a/internal/gateway/exchange_test.go
+++ b/internal/gateway/exchange_test.go
@@ -17,33 +17,33 @@
 	"dunemoor/internal/testutil"
 )
 
-// exchangePlan is one request of the random test: its bodies and what goes wrong.
+// exchangePlan is one request of the random test, with its bodies and faults.
 type exchangePlan struct {
 	id              string
 	method          string
-	requestBytes    int64 // of the body
+	requestBytes    int64 // size of the request body
 	requestChunked  bool
-	responseBytes   int64         // of the body
-	responseFraming string        // length, chunked or close
-	hostCutRead     int64         // bytes after which the host closes while reading; -1: never
-	hostCutWrite    int64         // bytes after which the host closes while writing; -1: never
-	clientCut       int64         // bytes after which the client closes while writing; -1: never
-	hostPause       time.Duration // before the response
-	clientPause     time.Duration // within the request body
+	responseBytes   int64         // size of the response body
+	responseFraming string        // "length", "chunked" or "close"
+	hostCutRead     int64         // number of bytes after which the host closes while reading; -1 for never
+	hostCutWrite    int64         // number of bytes after which the host closes while writing; -1 for never
+	clientCut       int64         // number of bytes after which the client closes while writing; -1 for never
+	hostPause       time.Duration // pause before the response
+	clientPause     time.Duration // pause within the request body
 }
 
-// exchangeLedger records what hosts saw of each request.
+// exchangeLedger records the requests received by hosts.
 type exchangeLedger struct {
 	mu         sync.Mutex
-	started    map[string]int
-	complete   map[string]string // checksums of bodies that arrived complete
+	started    map[string]int    // number of attempts received, by request ID
+	complete   map[string]string // checksums of the bodies that arrived complete, by request ID
 	plans      map[string]*exchangePlan
 	violations []string
 }
 
-// Whatever is cut and slowed on both sides: a response that a client takes for complete is complete
-// and of one host, a request that a host takes for complete is what the client sent, no POST starts
-// twice, and each request ends.
+// Connections are closed and delayed at random points by clients and hosts. A response that a client takes
+// for complete is complete and from a single host, a request that a host takes for complete is equal to
+// what the client sent, no POST is started twice, and each request ends.
 func TestRandomExchangesStayIntact(t *testing.T) {
 	const seed, requests = 20261201, 240
 	t.Logf("seed %d", seed)
@@ -107,13 +107,14 @@
 	}
 }
 
-// exchangeBody is the body of a request, or of the response of a host to it.
+// exchangeBody returns the body of a request (direction "up"), or of a host's response to it ("down" and
+// the name of the host).
 func exchangeBody(id, direction string, n int64) io.Reader {
 	sum := sha256.Sum256([]byte(id + direction))
 	return io.LimitReader(rand.NewChaCha8(sum), n)
 }
 
-// serve is a host that follows the plan of each request.
+// serve serves a connection to a host and follows the plan of each request.
 func (l *exchangeLedger) serve(c net.Conn, name string) {
 	in := bufio.NewReader(c)
 	for {
@@ -143,13 +144,13 @@
 	}
 }
 
-// recordComplete records a request whose body a host takes for complete.
+// recordComplete records a request that a host has received completely, and checks its body.
 func (l *exchangeLedger) recordComplete(p *exchangePlan, host, sum string, n int64) {
 	want, _, _ := checksum(exchangeBody(p.id, "up", p.requestBytes))
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if sum != want || n != p.requestBytes {
-		l.violations = append(l.violations, fmt.Sprintf("%+v: %s took %d other bytes for the request", *p, host, n))
+		l.violations = append(l.violations, fmt.Sprintf("%+v: %s received a complete body of %d bytes that is not the one sent", *p, host, n))
 	}
 	l.complete[p.id] = sum
 }
@@ -183,7 +184,7 @@
 	return p.responseFraming != "close"
 }
 
-// send is the client of a plan.
+// send sends the request of a plan as its client, and checks the response.
 func (l *exchangeLedger) send(addr string, p *exchangePlan) error {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -229,15 +230,15 @@
 	}
 	got, n, err := checksum(resp.Body)
 	if err != nil || resp.StatusCode != 200 {
-		return nil // the client sees that the response is not complete
+		return nil // the client notices that the response is incomplete
 	}
 	if p.responseFraming == "close" && p.hostCutWrite >= 0 {
-		// The reset of the host has to reach the client as a reset.
+		// The reset by the host must reach the client as a reset.
 		return fmt.Errorf("complete response of %d bytes, want an error as the host closed at %d", n, p.hostCutWrite)
 	}
 	want, _, _ := checksum(exchangeBody(p.id, "down"+resp.Header.Get("X-Host"), p.responseBytes))
 	if got != want || n != p.responseBytes {
-		return fmt.Errorf("complete response of %d bytes, want those of host %s, %d",
+		return fmt.Errorf("complete response of %d bytes, want the body of host %s with %d bytes",
 			n, resp.Header.Get("X-Host"), p.responseBytes)
 	}
 	return nil
--- a/internal/gateway/fastcgi_frontend_test.go
+++ b/internal/gateway/fastcgi_frontend_test.go
@@ -18,8 +18,7 @@
 	"dunemoor/internal/testutil"
 )
 
-// FastCGI requests pass the same checks as HTTP requests and get the same texts; valid ones take the
-// same way.
+// FastCGI requests are validated like HTTP requests, and valid ones are forwarded to hosts in the same way.
 func TestFastCGIRequestsAreCheckedLikeHTTP(t *testing.T) {
 	var got atomic.Pointer[http.Request]
 	addr, hits := startHTTPHost(t, func(w http.ResponseWriter, r *http.Request) {
@@ -62,7 +61,7 @@
 	w.Write(fastcgi.AppendRecord(nil, fastcgi.GetValues, 0, fastcgi.AppendPair(nil, fastcgi.MpxsConns, "")))
 	w.send(5, fastCGIParams("GET", "/"), "")
 	if string(w.reply) != string(fastcgi.AppendPair(nil, fastcgi.MpxsConns, "1")) {
-		t.Errorf("values %q, want that requests are multiplexed", w.reply)
+		t.Errorf("GET_VALUES result %q, want that requests are multiplexed", w.reply)
 	}
 	for id, e := range w.ended {
 		if len(e) == 0 {
@@ -71,7 +70,7 @@
 	}
 }
 
-// checkInvalidFastCGIRequests sends requests that are rejected without a request to the host.
+// checkInvalidFastCGIRequests sends invalid requests and checks that they are rejected and reach no host.
 func checkInvalidFastCGIRequests(t *testing.T, w *fastCGIClient, hits *atomic.Int64) {
 	t.Helper()
 	before := hits.Load()
@@ -105,8 +104,8 @@
 	}
 }
 
-// An abort at any moment cancels the attempt and gives one END_REQUEST with nothing after it, and the
-// other requests of the connection are answered.
+// An abort at any time cancels the attempt and leads to exactly one END_REQUEST, with no later records of
+// the request. Other requests on the connection get their responses.
 func TestFastCGIAbortEndsOnlyItsRequest(t *testing.T) {
 	var held, left atomic.Int64
 	addr, _ := startHTTPHost(t, func(w http.ResponseWriter, r *http.Request) {
@@ -121,7 +120,7 @@
 	})
 	g := startAppliance(t, singleRouteConfig("", addr, addr)+fastCGIListener)
 	w := dialFastCGI(t, g.fastCGIAddr())
-	w.SetDeadline(time.Now().Add(10 * time.Second)) // shorter than the timeout of the route, for which an abort must not wait
+	w.SetDeadline(time.Now().Add(10 * time.Second)) // shorter than the route's timeout, as an abort must not wait for it
 	abort := func(id uint16) { w.Write(fastcgi.AppendStreamEnd(nil, fastcgi.AbortRequest, id)) }
 	check := func(what string, id uint16) {
 		t.Helper()
@@ -148,7 +147,7 @@
 	w.Write(append(fastcgi.AppendBeginRequest(nil, 3, fastcgi.BeginRequestBody{Role: fastcgi.Responder, Flags: 1}), fastcgi.AppendStream(nil, fastcgi.Params, 3, fastCGIParams("POST", "/"))...))
 	abort(3)
 	check("within the parameters", 3)
-	for id := uint16(10); id < 60; id++ { // at about the time of the response
+	for id := uint16(10); id < 60; id++ { // aborts at about the time of the response
 		w.Write(fastCGIRequest(id, fastcgi.KeepConn, fastCGIParams("GET", "/"), "", true))
 		time.Sleep(time.Duration(id) * 10 * time.Microsecond)
 		abort(id)
@@ -164,11 +163,11 @@
 	testutil.WaitUntil(t, "no buffered body", func() bool { return g.maxBufferedBytes() == 0 })
 }
 
-// newHostLimit is how many attempts a new host gets at once.
+// newHostLimit is the number of concurrent attempts that the balancer allows for a new host.
 const newHostLimit = 4
 
-// fillHost sends requests until the only host is at its limit, where they stay in flight; inFlight counts
-// them there.
+// fillHost sends requests until the only host is at its limit. The requests stay in flight at the host,
+// which counts them in inFlight.
 func (w *fastCGIClient) fillHost(inFlight *atomic.Int64) {
 	w.Helper()
 	for id := range uint16(newHostLimit) {
@@ -177,7 +176,7 @@
 	testutil.WaitUntil(w, "the host at its limit", func() bool { return inFlight.Load() == newHostLimit })
 }
 
-// openRequests returns the number of requests in all pools.
+// openRequests returns the number of open requests in all pools.
 func (a *testAppliance) openRequests() (n int64) {
 	snapshot := a.engine.Snapshot()
 	defer snapshot.Release()
@@ -185,7 +184,7 @@
 	return n
 }
 
-// A request aborted while it waits for a host reaches none.
+// A request that is aborted while it is queued reaches no host.
 func TestFastCGIAbortOfQueuedRequestReachesNoHost(t *testing.T) {
 	var inFlight, queued atomic.Int64
 	addr, _ := startHTTPHost(t, func(w http.ResponseWriter, r *http.Request) {
@@ -205,14 +204,14 @@
 	if text, ok := w.readUntilEnd(50); !ok || text != "" {
 		t.Errorf("output %q, ended %t, want an end without output", text, ok)
 	}
-	testutil.WaitUntil(t, "the request forgotten", func() bool { return g.openRequests() == newHostLimit })
+	testutil.WaitUntil(t, "the request removed from the pool", func() bool { return g.openRequests() == newHostLimit })
 	if n := queued.Load(); n != 0 {
 		t.Errorf("%d requests at the host, want 0", n)
 	}
 }
 
-// A web server closes its connection while a request waits for a host, and the close stands behind
-// body bytes that are not read yet: the request reaches no host.
+// A web server closes its connection while a request is queued. The close arrives after body bytes that the
+// gateway has not read yet. The request must not reach a host.
 func TestFastCGICloseDuringQueuedBodyReachesNoHost(t *testing.T) {
 	var inFlight, queued atomic.Int64
 	hold := make(chan struct{})
@@ -245,7 +244,7 @@
 	}
 }
 
-// Records out of order end the connection, after complete requests have been answered.
+// Records out of order end the connection, but only after complete requests have got their responses.
 func TestFastCGIRecordsOutOfOrderEndConnection(t *testing.T) {
 	release := make(chan struct{})
 	addr, hits := startHTTPHost(t, func(w http.ResponseWriter, r *http.Request) {
@@ -273,8 +272,8 @@
 	}
 }
 
-// Without KEEP_CONN the connection closes after its response. A truncated response closes it without
-// an END_REQUEST, so that it is not taken for complete.
+// Without KEEP_CONN the connection is closed after the response. After a truncated response it is closed
+// without END_REQUEST, so that the response is not taken for complete.
 func TestFastCGIConnectionClosesAfterResponse(t *testing.T) {
 	addr, _ := startHTTPHost(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/cut" {
@@ -302,13 +301,13 @@
 	}
 }
 
-// A slow request, or one whose host does not read, does not delay the others on its connection, and
-// hundreds of incomplete ones delay none.
+// A slow request, or one whose host does not read its body, does not delay other requests on the
+// connection, and neither do hundreds of incomplete requests on other connections.
 func TestFastCGISlowRequestsDoNotDelayOthers(t *testing.T) {
 	release := make(chan struct{})
 	addr, _ := startHTTPHost(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/slow" {
-			<-release // without reading the body
+			<-release // the body is not read
 		}
 		io.Copy(io.Discard, r.Body)
 		io.WriteString(w, "good")
@@ -323,7 +322,7 @@
 	}
 	for i := range 20 {
 		if status, _ := w.send(uint16(2+i), fastCGIParams("GET", "/"), ""); status != 200 {
-			t.Errorf("beside a slow request: status %d, want 200", status)
+			t.Errorf("during a slow request: status %d, want 200", status)
 		}
 	}
 	for i := range 500 { // a flood of BEGIN records on connections that go silent
@@ -337,9 +336,9 @@
 	}
 	for i := range 20 {
 		if status, _ := w.send(500, fastCGIParams("GET", "/"), ""); status != 200 {
-			t.Errorf("beside incomplete requests: status %d, want 200", status)
+			t.Errorf("during incomplete requests: status %d, want 200", status)
 		}
-		fresh := dialFastCGI(t, g.fastCGIAddr()) // a new web server is served too
+		fresh := dialFastCGI(t, g.fastCGIAddr()) // new connections are served too
 		if status, text := fresh.send(1, fastCGIParams("GET", "/"), ""); status != 200 {
 			t.Errorf("new connection %d: status %d, body %q, want 200", i, status, text)
 		}
@@ -351,7 +350,8 @@
 	}
 }
 
-// closeWait reports whether the peer of a TCP connection on this machine has seen it close.
+// closeWait reports whether the peer of a TCP connection on this machine is in state CLOSE_WAIT, which means
+// that it has received the close.
 func closeWait(t *testing.T, c net.Conn) bool {
 	table, err := os.ReadFile("/proc/net/tcp")
 	if err != nil {
--- a/internal/gateway/fastcgi_helpers_test.go
+++ b/internal/gateway/fastcgi_helpers_test.go
@@ -12,30 +12,30 @@
 	"dunemoor/internal/testutil"
 )
 
-// fastCGIListener is a FastCGI listener for web servers.
+// fastCGIListener is the configuration of a FastCGI listener for web servers.
 const fastCGIListener = "\n[[listener]]\nname = \"cgi\"\naddress = \"127.0.0.2:0\"\nprotocol = \"fastcgi\"\ntrusted = [\"127.0.0.0/8\"]\n"
 
 // fastCGIAddr returns the address of the FastCGI listener.
 func (a *testAppliance) fastCGIAddr() string {
-	return a.appliance.listeners[fastCGIKey+"127.0.0.2:0"].Addr().String()
+	return a.appliance.listeners[fastCGIKeyPrefix+"127.0.0.2:0"].Addr().String()
 }
 
-// endedOutput stands for the output of a request that has ended, so that later records of it are noticed.
+// endedOutput replaces the output of a request that has ended, so that later records of it are detected.
 const endedOutput = "ended"
 
-// fastCGIClient is a web server whose records a test writes by hand.
+// fastCGIClient is the connection of a web server. Tests write the records themselves.
 type fastCGIClient struct {
 	*testing.T
 	net.Conn
 	scan  fastcgi.Scanner
-	rest  []byte            // received and not scanned
-	out   map[uint16]string // STDOUT by request
+	rest  []byte            // bytes received but not scanned yet
+	out   map[uint16]string // STDOUT by request ID
 	ended map[uint16][]fastcgi.EndRequestBody
 	reply []byte // content of management records
 }
 
-// readUntilEnd reads records until an END_REQUEST of the request or the end of the connection, and
-// returns its output and whether it has ended.
+// readUntilEnd reads records until an END_REQUEST of the request or the end of the connection. It returns
+// the output of the request, and whether it has got an END_REQUEST.
 func (w *fastCGIClient) readUntilEnd(id uint16) (string, bool) {
 	w.Helper()
 	endsBefore := len(w.ended[id])
@@ -109,7 +109,7 @@
 	return &fastCGIClient{T: t, Conn: c, out: map[uint16]string{}, ended: map[uint16][]fastcgi.EndRequestBody{}}
 }
 
-// fastCGIParams encodes the parameters of a request, with more names and values.
+// fastCGIParams encodes the parameters of a request. more has names and values of further parameters.
 func fastCGIParams(method, target string, more ...string) []byte {
 	b := fastcgi.AppendPair(nil, "REQUEST_METHOD", method)
 	b = fastcgi.AppendPair(b, "REQUEST_URI", target)
@@ -122,7 +122,7 @@
 	return b
 }
 
-// fastCGIRequest encodes the records of a request; without end its STDIN stays open.
+// fastCGIRequest encodes the records of a request. If end is not set, its STDIN stays open.
 func fastCGIRequest(id uint16, flags uint8, params []byte, stdin string, end bool) []byte {
 	b := fastcgi.AppendBeginRequest(nil, id, fastcgi.BeginRequestBody{Role: fastcgi.Responder, Flags: flags})
 	b = fastcgi.AppendStreamEnd(fastcgi.AppendStream(b, fastcgi.Params, id, params), fastcgi.Params, id)
@@ -141,7 +141,7 @@
 	return list
 }
 
-// fastCGIPoolConfig is a pool of FastCGI responders.
+// fastCGIPoolConfig returns the configuration of a pool of FastCGI responders.
 func fastCGIPoolConfig(name, options string, nodes ...string) string {
 	return strings.Replace(poolConfig(name, "", nodes...), "[[pool]]\n", "[[pool]]\nprotocol = \"fastcgi\"\n"+options, 1)
 }
--- a/internal/gateway/fastcgi_pool_test.go
+++ b/internal/gateway/fastcgi_pool_test.go
@@ -17,8 +17,8 @@
 	"dunemoor/internal/testutil"
 )
 
-// HTTP and FastCGI clients over HTTP and FastCGI pools with crashing hosts: each combination is served
-// alike, no booking runs twice, and every request is answered.
+// HTTP and FastCGI clients send requests to HTTP and FastCGI pools with crashing hosts. Each combination of
+// protocols is served equally well, no booking runs twice, and every request gets a response.
 func TestMixedProtocolsUnderFaults(t *testing.T) {
 	ledger := fakes.NewLedger()
 	work := 2 * time.Millisecond
@@ -43,11 +43,11 @@
 		text += routeConfig(pool, "path = \"/"+pool+"\"\npool = \""+pool+"\"\nretry_share = 1.0")
 	}
 	g := startAppliance(t, text+fastCGIListener)
-	// Enough connections for what piles up on a slow machine.
+	// Enough connections for the requests that queue up on a slow machine.
 	web := &fakes.WebServer{Addr: g.fastCGIAddr(), MaxConnections: 10}
 	defer web.Close()
 	var loads sync.WaitGroup
-	const rate, count = 60, 240 // of each combination; low enough for a slow machine
+	const rate, count = 60, 240 // per combination; the rate is low enough for a slow machine
 	for i, by := range []http.RoundTripper{nil, web} {
 		for k, pool := range []string{"http", "cgi"} {
 			classes := fakes.DefaultClasses()
@@ -90,8 +90,8 @@
 	}
 }
 
-// crashFor stops a node and a responder for a while and starts them on their addresses again. A
-// connection of another process may have taken a port meanwhile: the host stays down until it is free.
+// crashFor stops a node and a responder for the given time and restarts them on their addresses. If a
+// connection of another process has taken a port in the meantime, the host stays down until it is free.
 func crashFor(t *testing.T, d time.Duration, node *fakes.Node, responder *fakes.Responder) {
 	t.Helper()
 	node.Crash()
@@ -101,8 +101,8 @@
 	testutil.WaitUntil(t, "the responder on its address again", func() bool { return responder.Start() == nil })
 }
 
-// checkMixedLedger compares the ledger with the rules of the service and with the least share served of
-// each combination.
+// checkMixedLedger checks that the ledger has no violations, and that at least 80% of the requests of each
+// combination were served.
 func checkMixedLedger(t *testing.T, ledger *fakes.Ledger) {
 	t.Helper()
 	c := ledger.Count()
@@ -124,7 +124,7 @@
 	t.Logf("%d requests, outcomes %v, served in percent %v", c.Requests, c.Outcomes, shares)
 }
 
-// Listeners on Unix sockets: a stale socket file is replaced, and one in use is not taken.
+// A listener on a Unix socket replaces a stale socket file, but not one that is in use.
 func TestFastCGIOverUnixSockets(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "cgi.sock")
@@ -166,8 +166,8 @@
 	}
 }
 
-// A responder closes within a record of a booking: it may have run, so it is not retried and its
-// client gets one failure. A lookup is retried at the other responder.
+// A responder closes the connection within a record of its response to a booking. As the booking may have
+// run, it is not retried, and the client gets a 502. A lookup is retried at the other responder.
 func TestFastCGITruncatedResponseIsRetriedOnlyIfIdempotent(t *testing.T) {
 	var runs atomic.Int64
 	serve := func(c net.Conn) {
@@ -177,7 +177,7 @@
 		for !strings.HasSuffix(string(got), string(end)) { // each request is the first on its connection
 			n, err := c.Read(b)
 			if got = append(got, b[:n]...); err != nil {
-				return // a connection that asks only for values, or nothing
+				return // a connection with only GET_VALUES, or without any request
 			}
 		}
 		n := runs.Add(1)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,6 +1,6 @@
-// Package gateway assembles a gateway from frontends, engine, pools with their transports, and the sources of
-// endpoint lists. There are two kinds: a gateway of the platform, and an appliance with a configuration file of
-// its own.
+// Package gateway assembles a gateway from frontends, the engine, pools with their transports, and the sources of
+// endpoint lists. There are two kinds of gateways: a platform gateway, which is started and configured by the platform
+// and has one pool, and an appliance, which has its own configuration file with listeners, routes and pools.
 package gateway
 
 import (
@@ -21,39 +21,39 @@
 	"dunemoor/internal/frontend/http1"
 )
 
-// Shares of the file descriptors, in percent. Clients have a third of all at most for their requests; each request
-// in flight has one to a host, and the more of those stay idle, the fewer handshakes there are. What is left, 19 at
-// least, is for the listener, two watches of discovery and the runtime: nobody else may use it
-// (config.SharedSockets).
+// Shares of the file descriptors in percent. Clients use at most a third of all descriptors for their requests. Each
+// request in flight needs a descriptor for a connection to a host; keeping more of those connections idle saves
+// handshakes. The rest, at least 19 descriptors, is reserved for the listener, two discovery watches and the runtime
+// (see config.SharedSockets).
 const (
 	clientPercent = 48
-	sparePercent  = 2
+	sparePercent  = 2 // connections beyond the limit, accepted before new ones are closed immediately
 )
 
-// largeResponseShare is the share of the memory limit that large responses may fill, all together, until their
-// clients have them.
+// largeResponseShare is the share of the memory limit that all large responses together may occupy until they are
+// delivered to their clients.
 const largeResponseShare = 1.0 / 4
 
-// Gateway is a running gateway. Its methods are called from one goroutine, unless they say otherwise.
+// Gateway is a running gateway. Unless stated otherwise, its methods must be called from one goroutine.
 type Gateway struct {
 	engine         *engine.Engine
 	admission      *frontend.Admission
 	server         *http1.Server
-	fastCGI        *fcgi.Server // nil: no listener speaks FastCGI
+	fastCGI        *fcgi.Server // nil if no listener uses FastCGI
 	listenerErrors chan error
 
-	ctx    context.Context // of all that runs
+	ctx    context.Context // canceled when the gateway stops
 	cancel context.CancelFunc
 
-	maxSockets  int   // file descriptors of the process
+	maxSockets  int   // limit of file descriptors of the process
 	memoryLimit int64 // bytes
 
-	// One of these is set, by the kind of the gateway.
+	// Exactly one of these is set, depending on the kind of gateway.
 	appliance *appliance
 	platform  *platform
 }
 
-// newGateway returns a Gateway without pools.
+// newGateway returns a Gateway without pools and listeners.
 func newGateway(seed uint64, maxSockets int, memoryLimit int64, o http1.Options) *Gateway {
 	g := &Gateway{
 		engine:         engine.New(seed),
@@ -69,18 +69,18 @@
 	return g
 }
 
-// clientSocketLimits returns how many of the descriptors are for clients, and how many more there may be before a new
-// connection is closed at once.
+// clientSocketLimits returns the number of descriptors for client connections, and the number of spare connections that
+// are accepted beyond it before new connections are closed immediately.
 func clientSocketLimits(maxSockets int) (limit, spare int) {
 	shared := config.SharedSockets(maxSockets)
 	limit = shared * clientPercent / 100
 	return limit, shared*(clientPercent+sparePercent)/100 - limit
 }
 
-// serve accepts requests by HTTP/1.1 from ln.
+// serve accepts HTTP/1.1 connections from ln.
 func (g *Gateway) serve(ln net.Listener) { g.serveWith(g.server.Serve, ln) }
 
-// serveWith has a frontend accept requests from ln.
+// serveWith accepts connections from ln with the Serve method of a frontend.
 func (g *Gateway) serveWith(serve func(net.Listener) error, ln net.Listener) {
 	go func() {
 		if err := serve(ln); err != nil {
@@ -89,7 +89,7 @@
 	}()
 }
 
-// reportListenerError reports that a listener has ended by itself. Only the first is kept.
+// reportListenerError reports a listener that has failed. Only the first error is kept.
 func (g *Gateway) reportListenerError(err error) {
 	select {
 	case g.listenerErrors <- err:
@@ -97,17 +97,17 @@
 	}
 }
 
-// ListenerErrors receives the error of a listener that has ended by itself.
+// ListenerErrors returns the channel on which the error of a failed listener is sent.
 func (g *Gateway) ListenerErrors() <-chan error { return g.listenerErrors }
 
 // Dump writes the contents of the flight recorder to files.
 func (g *Gateway) Dump() { g.engine.Dump() }
 
-// Stop shuts the gateway down gracefully: all requests get their response. It waits for recordings to be written, at
-// most for the timeout.
+// Stop shuts the gateway down gracefully, after all open requests have got their responses. Then it waits for recordings
+// to be written, but not longer than the timeout.
 func (g *Gateway) Stop(timeout time.Duration) {
-	if g.platform != nil && g.platform.useHalf != nil {
-		g.platform.useHalf()
+	if g.platform != nil && g.platform.halveLimits != nil {
+		g.platform.halveLimits()
 	}
 	var frontends sync.WaitGroup
 	if g.fastCGI != nil {
@@ -119,10 +119,10 @@
 	g.engine.Wait(timeout)
 }
 
-// closeTimeout is how long Close waits for recordings to be written.
+// closeTimeout is the maximum time that Close waits for recordings to be written.
 const closeTimeout = time.Minute
 
-// Close ends the gateway at once.
+// Close stops the gateway immediately.
 func (g *Gateway) Close() {
 	g.server.Close()
 	if g.fastCGI != nil {
@@ -132,7 +132,7 @@
 	g.engine.Wait(closeTimeout)
 }
 
-// Admin serves the operators' calls on ln, with the calls of other parts by their paths.
+// Admin serves the admin API on ln. others has the calls of other components, keyed by path.
 func (g *Gateway) Admin(ln net.Listener, others map[string]admin.Call) {
 	go func() {
 		if err := admin.New(g, others).Serve(g.ctx, ln); err != nil {
@@ -141,21 +141,21 @@
 	}()
 }
 
-// Ready reports whether requests can be served, and if not why.
+// Ready reports whether requests can be served, and the reason if they cannot.
 func (g *Gateway) Ready() (bool, string) { return g.admission.Health() }
 
-// Quiesce begins a drain: the health check fails, and connections end once their clients have their responses. A
-// second call changes nothing.
+// Quiesce starts a drain: the health check fails, and client connections are closed after their responses. If a drain is
+// already in progress, it has no effect.
 func (g *Gateway) Quiesce() {
 	g.admission.StartDrain()
 	slog.Info("draining")
 }
 
-// Resume ends a drain.
+// Resume cancels a drain.
 func (g *Gateway) Resume() {
 	g.admission.CancelDrain()
 	slog.Info("drain canceled, serving")
 }
 
-// memoryBytes returns the memory limit in bytes.
+// memoryBytes converts a memory limit from MiB to bytes; 0 stands for the default.
 func memoryBytes(mb int) int64 { return int64(cmp.Or(mb, config.DefaultMemoryMB)) << 20 }
--- a/internal/gateway/helpers_test.go
+++ b/internal/gateway/helpers_test.go
@@ -20,7 +20,7 @@
 	"dunemoor/internal/testutil"
 )
 
-// testGateway is a gateway with a file of the platform, in this process, on loopback.
+// testGateway is a platform gateway that runs in the test process on a loopback address.
 type testGateway struct {
 	*testing.T
 	*Gateway
@@ -29,7 +29,7 @@
 	url  string
 }
 
-// send sends a request of the platform and returns its response and body.
+// send sends a request in the platform's protocol and returns its response and body.
 func (g *testGateway) send(class, path, body string, headers ...string) (*http.Response, string) {
 	g.Helper()
 	return testutil.SendRequest(g, g.url, class, path, body, headers...)
@@ -49,8 +49,9 @@
 
 func (g *testGateway) ready() bool { ok, _ := g.Ready(); return ok }
 
-// sendRaw writes a request of a class, header section and body, in pieces of a size, and reads its
-// final response. One reader takes both, as a 100 before it may arrive in the same read.
+// sendRaw writes a request with the given framing headers and body in pieces of a size, and reads the final
+// response. All responses are read with the same reader, as a 100 and the final response may arrive in the
+// same read.
 func (g *testGateway) sendRaw(class, framing string, body []byte, piece int) (*http.Response, net.Conn, error) {
 	g.Helper()
 	c := dialURL(g, g.url)
@@ -71,7 +72,7 @@
 	return resp, c, err
 }
 
-// testConfig has the hosts and one class of each idempotency.
+// testConfig returns a platform configuration with the hosts and one class of each idempotency.
 func testConfig(hosts ...*testutil.Host) *config.Platform {
 	var addrs []string
 	for _, h := range hosts {
@@ -80,7 +81,7 @@
 	return testConfigAt(addrs...)
 }
 
-// testConfigAt is testConfig with hosts by their addresses.
+// testConfigAt is testConfig with the addresses of the hosts.
 func testConfigAt(addrs ...string) *config.Platform {
 	second := time.Second
 	cfg := &config.Platform{
@@ -102,8 +103,8 @@
 	return cfg
 }
 
-// startGateway starts a gateway as the platform does. Unless cfg names one, the address of its
-// discovery refuses connections.
+// startGateway starts a platform gateway. Unless cfg sets the address of the discovery service, connections
+// to it are refused.
 func startGateway(t *testing.T, cfg *config.Platform, recording ...*engine.RecordingConfig) *testGateway {
 	t.Helper()
 	if cfg.Discovery == "" {
@@ -126,7 +127,7 @@
 	return g
 }
 
-// mustParse returns the gateway of a valid file.
+// mustParse parses the text of a valid appliance file.
 func mustParse(t *testing.T, text string) *config.Appliance {
 	t.Helper()
 	a, errs := config.ParseAppliance("test.toml", text)
@@ -136,13 +137,13 @@
 	return a
 }
 
-// testAppliance is a gateway with a file of its own, in this process; urls has one for each listener.
+// testAppliance is an appliance that runs in the test process.
 type testAppliance struct {
 	*Gateway
-	urls []string
+	urls []string // URLs of the listeners
 }
 
-// startAppliance starts a gateway with the file and closes it at the end of the test.
+// startAppliance starts an appliance with the given file, and closes it at the end of the test.
 func startAppliance(t *testing.T, text string) *testAppliance {
 	t.Helper()
 	file := mustParse(t, text)
@@ -158,8 +159,8 @@
 	return a
 }
 
-// baseConfig is the part of the file that most tests share. Overload control is off: on a machine with
-// little time for them it would reject what they wait for.
+// baseConfig is the part of the configuration that most tests share. Overload control is off, as on a busy
+// machine it would reject requests that the tests expect to be served.
 const baseConfig = configStart + "overload = false\n" + configRest
 
 // overloadConfig is baseConfig with overload control.
@@ -195,7 +196,7 @@
 worth = 2
 `
 
-// poolConfig is a pool with static members; options are further lines.
+// poolConfig returns the configuration of a pool with static members. options has further lines.
 func poolConfig(name, options string, nodes ...string) string {
 	var list []string
 	for i, addr := range nodes {
@@ -204,17 +205,17 @@
 	return fmt.Sprintf("[[pool]]\nname = %q\nmembers = [%s]\n%s\n", name, strings.Join(list, ", "), options)
 }
 
-// routeConfig is a route; options are its further lines.
+// routeConfig returns the configuration of a route. options has further lines.
 func routeConfig(name, options string) string {
 	return fmt.Sprintf("[[route]]\nname = %q\n%s\n", name, options)
 }
 
-// singleRouteConfig is a file with one plain route to the hosts.
+// singleRouteConfig returns a configuration with one plain route to the hosts.
 func singleRouteConfig(options string, nodes ...string) string {
 	return baseConfig + poolConfig("p", "", nodes...) + routeConfig("r", "pool = \"p\"\nclass = \"lookup\"\ntimeout = \"15s\"\nrepeatable = [\"PUT\"]\n"+options)
 }
 
-// fetch sends a request like an ordinary client, on a connection of its own.
+// fetch sends a request like an ordinary client, on a new connection.
 func fetch(t *testing.T, method, url, body string, headers ...string) (*http.Response, string) {
 	t.Helper()
 	r, err := http.NewRequest(method, url, strings.NewReader(body))
@@ -244,8 +245,8 @@
 	return resp, string(text)
 }
 
-// startRawHost starts a host that passes each connection to serve and closes it after that, and returns
-// its address.
+// startRawHost starts a host and returns its address. Each connection is passed to serve, and closed when
+// serve returns.
 func startRawHost(t testing.TB, serve func(net.Conn)) string {
 	t.Helper()
 	ln := testutil.Listen(t, "127.0.0.1:0", nil)
@@ -254,7 +255,7 @@
 	return ln.Addr().String()
 }
 
-// serveConns serves each connection in a goroutine of its own, until the listener is closed.
+// serveConns serves each connection in a separate goroutine until the listener is closed.
 func serveConns(ln net.Listener, serve func(net.Conn)) {
 	for {
 		c, err := ln.Accept()
@@ -279,8 +280,8 @@
 	return c
 }
 
-// startHTTPHost starts a host with the server of net/http, which shares no code with the gateway, and
-// counts its requests.
+// startHTTPHost starts a host with the server of net/http, which shares no code with the gateway. It returns
+// the address of the host and the counter of its requests.
 func startHTTPHost(t *testing.T, handle http.HandlerFunc) (addr string, requests *atomic.Int64) {
 	t.Helper()
 	requests = new(atomic.Int64)
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// minRetryAfter is the Retry-After of a rejection without pressure. Ordinary clients wait whole seconds: so that
-	// they come back spread, it is several.
+	// minRetryAfter is the Retry-After of a rejection while there is no overload pressure. Ordinary clients wait for
+	// whole seconds, so it has to be several seconds for their retries to spread out.
 	minRetryAfter = 4 * time.Second
 	// maxAdmissionRetryAfter is the longest Retry-After of a rejection at admission.
 	maxAdmissionRetryAfter = 30 * time.Second
 )
 
-// setLimits sets up load shedding and the limits of clients and tenants.
+// setLimits sets up load shedding and the client and tenant limits.
 func (g *Gateway) setLimits(a *config.Appliance) {
 	l := &frontend.Limits{
 		MinRetryAfter: minRetryAfter,
@@ -44,7 +44,7 @@
 	g.admission.Limits = l
 }
 
-// classRanks returns what the ranks of the classes depend on when load is shed.
+// classRanks returns the weight and latency objective of each class, which determine its rank in load shedding.
 func classRanks(c *classes) []overload.Rank {
 	ranks := make([]overload.Rank, len(c.list))
 	for i, k := range c.list {
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -22,8 +22,8 @@
 	"dunemoor/internal/testutil"
 )
 
-// startLimitedAppliance starts a gateway with limits in front of one host, with a route for lookups
-// and one for bookings.
+// startLimitedAppliance starts a gateway with the given limits in front of one host. It has a route for
+// lookups and one for bookings.
 func startLimitedAppliance(t *testing.T, limits string, host *testutil.Host) *testAppliance {
 	t.Helper()
 	text := strings.Replace(overloadConfig, "[[listener]]", limits+"\n[[listener]]", 1)
@@ -31,11 +31,11 @@
 		routeConfig("look", "pool = \"p\"\nclass = \"lookup\"")+routeConfig("book", "path = \"/book\"\npool = \"p\"\nclass = \"book\""))
 }
 
-// manyClients is an HTTP client that counts as many clients behind a trusted proxy: each request is of another one.
+// manyClients is an HTTP client that acts as a trusted proxy for many clients. Each request comes from another client.
 type manyClients struct {
 	*http.Client
-	dials   atomic.Int64 // its connections
-	clients int
+	dials   atomic.Int64 // number of connections
+	clients int          // number of clients so far
 }
 
 func newManyClients(t *testing.T) *manyClients {
@@ -49,7 +49,7 @@
 	return m
 }
 
-// send sends the request of another client, and returns its response without the body.
+// send sends a request of a new client, and returns its response without the body.
 func (m *manyClients) send(t *testing.T, method, url, body string) *http.Response {
 	t.Helper()
 	r, _ := http.NewRequest(method, url, strings.NewReader(body))
@@ -64,8 +64,8 @@
 	return resp
 }
 
-// Under pressure requests of the lowest weight are rejected first, with a Retry-After; bookings are
-// served, and the connection of a rejected request stays open.
+// Under overload pressure, requests with the lowest priority weight are rejected first, with a Retry-After.
+// Bookings are served, and the connection of a rejected request stays open.
 func TestOverloadShedsByPriorityWeight(t *testing.T) {
 	host := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	g := startLimitedAppliance(t, "", host)
@@ -112,8 +112,8 @@
 	}
 }
 
-// startOverloadedAppliance returns a host, a gateway that sheds requests of low weight, and the
-// connection of a client.
+// startOverloadedAppliance returns a host, a gateway that sheds requests of low priority weight, and a
+// connection of a client to the gateway.
 func startOverloadedAppliance(t *testing.T) (*testutil.Host, *testAppliance, net.Conn, *bufio.Reader) {
 	host := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	g := startLimitedAppliance(t, "", host)
@@ -124,8 +124,8 @@
 	return host, g, c, bufio.NewReader(c)
 }
 
-// A client that returns before its Retry-After is answered at once, and its next request is read
-// later; requests of the highest weight are exempt.
+// A client that retries before its Retry-After gets an immediate rejection, and the gateway delays reading
+// its next request. Requests with the highest priority weight cause no such delay.
 func TestEarlyReturnDelaysNextRequest(t *testing.T) {
 	_, g, c, in := startOverloadedAppliance(t)
 	send := func(text string) (int, time.Duration) {
@@ -155,8 +155,8 @@
 	}
 }
 
-// The time of a request that waits on an unread connection counts: it reaches no host after its
-// timeout, and the next request has all of its own time.
+// The timeout of a request also covers the time that it waits on a connection whose reading is delayed. If
+// it expires in that time, the request reaches no host. The next request has its full timeout.
 func TestTimeoutCountsWhileConnectionIsUnread(t *testing.T) {
 	host, g, c, in := startOverloadedAppliance(t)
 	for i, tt := range []struct {
@@ -182,8 +182,8 @@
 	}
 }
 
-// A client above its rate or its concurrent requests gets a 429. Other addresses are not affected, a
-// reload changes the limits, and ended requests free their places.
+// A client that exceeds its rate or its number of concurrent requests gets a 429. Other addresses are not
+// affected, a reload changes the limits, and requests that have ended no longer count.
 func TestClientLimitsRejectPerAddress(t *testing.T) {
 	release := make(chan struct{})
 	var held atomic.Int64
@@ -231,7 +231,7 @@
 	for i := range 3 {
 		all.Go(func() {
 			for from("127.0.0.3", fmt.Sprint("/hold", i)) == 503 {
-				// On a slow machine the only host may look silent, and a queued request is rejected.
+				// On a slow machine the balancer may take the only host for unresponsive and reject a queued request.
 			}
 		})
 	}
@@ -244,7 +244,7 @@
 	testutil.WaitUntil(t, "a request admitted again", func() bool { return from("127.0.0.3", "/") == 200 })
 }
 
-// A tenant above its share is rejected, and the others are not.
+// A tenant that exceeds its share is rejected, and others are not.
 func TestTenantRateLimitRejectsOnlyItsTenant(t *testing.T) {
 	host := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	g := startLimitedAppliance(t, "[limits.tenants]\nrate = 0.002\nheader = \"X-Council\"\n[[tenant]]\nname = \"glasgow\"\n[[tenant]]\nname = \"perth\"", host)
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// fastCGIKey begins the keys of listeners that speak FastCGI: a reload that changes the protocol of an address
-	// opens it anew.
-	fastCGIKey = "fastcgi "
-	// unixPrefix begins addresses of Unix domain sockets.
+	// fastCGIKeyPrefix is the prefix of the keys of FastCGI listeners. As the key depends on the protocol, a reload that
+	// changes the protocol of an address reopens the listener.
+	fastCGIKeyPrefix = "fastcgi "
+	// unixPrefix is the prefix of Unix domain socket addresses.
 	unixPrefix = "unix:"
-	// fastCGIShareDivisor is the part of the connections of clients that web servers by FastCGI may have: each carries
-	// many requests.
+	// fastCGIShareDivisor is the divisor that gives the share of client connections for FastCGI web servers. A quarter
+	// is enough, as each of their connections multiplexes many requests.
 	fastCGIShareDivisor = 4
 )
 
 // listenerKey identifies a listener by protocol and address.
 func listenerKey(l config.Listener) string {
 	if l.Protocol == config.FastCGI {
-		return fastCGIKey + l.Address
+		return fastCGIKeyPrefix + l.Address
 	}
 	return l.Address
 }
 
-// listen opens a listener. It replaces the socket file of a process that has ended.
+// listen opens a listener. A stale Unix socket file, on which no process listens any more, is replaced.
 func listen(l config.Listener) (net.Listener, error) {
 	path, isUnix := strings.CutPrefix(l.Address, unixPrefix)
 	if !isUnix {
@@ -42,7 +42,7 @@
 	}
 	if c, dialErr := net.Dial("unix", path); dialErr == nil {
 		c.Close()
-		return nil, err // another process listens
+		return nil, err // another process is listening
 	}
 	if info, statErr := os.Lstat(path); statErr != nil || info.Mode().Type() != os.ModeSocket {
 		return nil, err
@@ -53,7 +53,7 @@
 	return net.Listen("unix", path)
 }
 
-// startFastCGI starts the frontend for FastCGI.
+// startFastCGI creates the FastCGI frontend and assigns it a share of the client connections.
 func (g *Gateway) startFastCGI() {
 	limit, spare := clientSocketLimits(g.maxSockets)
 	g.fastCGI = fcgi.New(g.admission, fcgi.Options{MaxConns: limit / fastCGIShareDivisor})
--- a/internal/gateway/meter.go
+++ b/internal/gateway/meter.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	// samplesPerDescriptorCount is how many samples there are for each count of the descriptors, whose cost grows with
-	// their number.
+	// samplesPerDescriptorCount is the number of samples for which one count of the open descriptors is used. The cost of
+	// counting grows with their number.
 	samplesPerDescriptorCount = 10
-	// pingInterval is how often a byte is sent through a pipe. A runtime that has more to do than it can polls the
-	// network seldom, and handles what has arrived in order: a request that waits in its socket waits as long as the
-	// byte does, and neither the loop nor the run queue show it.
+	// pingInterval is the interval at which a byte is sent through a pipe to measure the delay of the network poller. An
+	// overloaded Go runtime polls the network rarely and handles ready descriptors in order, so a request waits in its
+	// socket for as long as the byte waits in the pipe. Neither the event loop nor the run queue shows this delay.
 	pingInterval = 10 * time.Millisecond
 )
 
-// sampleProcess samples the process for the overload controller, until ctx ends.
+// sampleProcess passes samples of the process state to the overload controller until ctx is done.
 func (g *Gateway) sampleProcess(ctx context.Context) {
 	tick := time.NewTicker(overload.Interval)
 	defer tick.Stop()
@@ -42,21 +42,21 @@
 	}
 }
 
-// processMeter measures the state of the process.
+// processMeter measures the load of the process: CPU, memory, descriptors and scheduling delays.
 type processMeter struct {
 	memoryLimit float64 // bytes
-	maxSockets  float64 // file descriptors
+	maxSockets  float64 // limit of file descriptors
 	metrics     []metrics.Sample
-	runQueue    []uint64      // the last counts of the run-queue histogram
-	gcSeconds   float64       // at the last sample
-	cpuSeconds  float64       // at the last sample
-	samples     int           // so far
-	descriptors float64       // in use at the last count, as a share of maxSockets
-	usedCPU     time.Duration // by usedAt
-	usedAt      time.Time     // of the last sample
-
-	fastestPing atomic.Int64 // since the last sample, ns; 0: none has arrived
-	pingSent    atomic.Int64 // when the byte under way was sent, ns; 0: none is under way
+	runQueue    []uint64      // counts of the run-queue histogram at the last sample
+	gcSeconds   float64       // CPU seconds of the garbage collector at the last sample
+	cpuSeconds  float64       // CPU seconds of the process at the last sample
+	samples     int           // number of samples taken
+	descriptors float64       // open descriptors at the last count, as a share of maxSockets
+	usedCPU     time.Duration // CPU time of the process at usedAt
+	usedAt      time.Time     // time of the last sample
+
+	fastestPing atomic.Int64 // shortest pipe delay since the last sample in ns; 0 if no byte has arrived
+	pingSent    atomic.Int64 // Unix time in ns at which the byte in the pipe was sent; 0 if the pipe is empty
 }
 
 // Indices of processMeter.metrics.
@@ -68,7 +68,7 @@
 	metricCPUSeconds
 )
 
-// newProcessMeter returns a meter of a process with a memory limit in bytes and a limit of file descriptors.
+// newProcessMeter returns a processMeter for a memory limit in bytes and a limit of file descriptors.
 func newProcessMeter(memoryLimit int64, maxSockets int) *processMeter {
 	m := &processMeter{memoryLimit: float64(memoryLimit), maxSockets: float64(maxSockets)}
 	for _, name := range []string{
@@ -80,7 +80,7 @@
 	return m
 }
 
-// startPing sends bytes through a pipe, until ctx ends.
+// startPing starts measuring the poll delay with a pipe, until ctx is done.
 func (m *processMeter) startPing(ctx context.Context) error {
 	r, w, err := os.Pipe()
 	if err != nil {
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// sendPings sends a byte at each pingInterval, unless one is under way.
+// sendPings sends a byte every pingInterval, unless the previous one has not been received yet.
 func (m *processMeter) sendPings(ctx context.Context, w *os.File) {
 	tick := time.NewTicker(pingInterval)
 	defer tick.Stop()
@@ -101,7 +101,7 @@
 			if ctx.Err() != nil {
 				return
 			}
-			continue // one at a time
+			continue // at most one byte is in the pipe
 		}
 		m.pingSent.Store(time.Now().UnixNano())
 		if _, err := w.Write([]byte{1}); err != nil {
@@ -110,7 +110,7 @@
 	}
 }
 
-// receivePings receives the bytes and keeps the shortest time that one took.
+// receivePings receives the bytes and records the shortest delay.
 func (m *processMeter) receivePings(r *os.File) {
 	var b [1]byte
 	for {
@@ -124,7 +124,8 @@
 	}
 }
 
-// pollDelay returns the shortest time that a byte took since the last sample, or the age of the one under way.
+// pollDelay returns the shortest delay of a byte since the last sample. If none has arrived, it returns the age of the
+// byte in the pipe.
 func (m *processMeter) pollDelay() time.Duration {
 	fastest := m.fastestPing.Swap(0)
 	if sent := m.pingSent.Load(); fastest == 0 && sent != 0 {
@@ -133,7 +134,7 @@
 	return time.Duration(max(fastest, 0))
 }
 
-// sample returns the state of the process since the last sample.
+// sample measures the process. Rates and delays cover the time since the last sample.
 func (m *processMeter) sample() (s overload.Sample) {
 	metrics.Read(m.metrics)
 	if h := m.metrics[metricRunQueue].Value; h.Kind() == metrics.KindFloat64Histogram {
@@ -159,7 +160,7 @@
 	return s
 }
 
-// gcShare returns the share of the CPU time that the garbage collector has used since the last sample.
+// gcShare returns the share of CPU time used by the garbage collector since the last sample.
 func (m *processMeter) gcShare() (share float64) {
 	gc, cpu := m.metrics[metricGCSeconds].Value, m.metrics[metricCPUSeconds].Value
 	if gc.Kind() != metrics.KindFloat64 || cpu.Kind() != metrics.KindFloat64 {
@@ -173,8 +174,8 @@
 	return share
 }
 
-// cpuShare returns the share of the cores that the process has used since the last sample. The runtime's own count is
-// updated only by the garbage collector.
+// cpuShare returns the share of GOMAXPROCS cores that the process has used since the last sample. It uses getrusage, as
+// the CPU metrics of runtime/metrics are updated only by garbage collections.
 func (m *processMeter) cpuShare() (share float64) {
 	var r syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &r) != nil {
@@ -190,9 +191,9 @@
 	return share
 }
 
-// medianRunQueue returns what half of the goroutines that became ready since the last sample waited less than, by the
-// lower bounds of the buckets: not the mean, which a few long waits move, and not the minimum, as the runtime runs some
-// that were just woken before all others.
+// medianRunQueue returns the median time that goroutines which became runnable since the last sample waited in the run
+// queue, as the lower bound of its histogram bucket. The mean would be distorted by a few long waits. The minimum would
+// be too low, as the runtime runs some goroutines that were just woken before all others.
 func (m *processMeter) medianRunQueue(h *metrics.Float64Histogram) time.Duration {
 	total := uint64(0)
 	if len(m.runQueue) != len(h.Counts) {
--- a/internal/gateway/meter_test.go
+++ b/internal/gateway/meter_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Samples of the process are in range.
+// All values of a sample are in their valid range.
 func TestProcessMeterSamplesAreInRange(t *testing.T) {
 	m := newProcessMeter(64<<20, 1024)
 	m.sample()
--- a/internal/gateway/platform.go
+++ b/internal/gateway/platform.go
@@ -19,21 +19,21 @@
 	hosts "dunemoor/internal/upstream/http1"
 )
 
-// firstListTimeout is how long a gateway that takes over from another waits for discovery before it serves by the list
-// that it was given: it has to be ready within 6 s.
+// firstListTimeout limits how long a gateway that takes over from another process waits for a list from discovery before
+// it serves with the list from its configuration. It must be ready within 6 s.
 const firstListTimeout = 2 * time.Second
 
-// platform is the state of a gateway of the platform, which has one pool.
+// platform is the state of a platform gateway, which has one pool.
 type platform struct {
-	pool         *engine.Pool
-	transport    *hosts.Transport
-	watcher      *discovery.Watcher // of the pool's endpoint list
-	numbered     []classid.Class    // the classes by their number
-	sharesSocket bool               // the platform holds the socket for clients
-	useHalf      func()             // leaves half of the machine to another process; nil: there is none
+	pool           *engine.Pool
+	transport      *hosts.Transport
+	watcher        *discovery.Watcher // delivers the endpoint list of the pool
+	indexedClasses []classid.Class    // classes by their index in the balancer
+	sharesSocket   bool               // the listening socket for clients is held by the platform
+	halveLimits    func()             // leaves half of the machine to another process; nil unless sharesSocket
 }
 
-// StartPlatform starts a gateway of the platform that serves on ln.
+// StartPlatform starts a platform gateway that serves clients on ln.
 func StartPlatform(cfg *config.Platform, rc *engine.RecordingConfig, ln net.Listener) (*Gateway, error) {
 	shared := cfg.ClientsFD > 0
 	g := newGateway(cfg.Seed, cfg.Sockets, cfg.Memory(), http1.Options{
@@ -59,7 +59,7 @@
 	go p.transport.Run(g.ctx)
 	go g.engine.Run(g.ctx)
 	p.pool.UpdateEndpoints(balancer.ListSaved, cfg.Known)
-	p.numbered = classesByNumber(cfg)
+	p.indexedClasses = classesByIndex(cfg)
 	g.engine.Use(g.platformSnapshot(cfg))
 	if !shared {
 		go p.watcher.Run(g.ctx, p.pool)
@@ -70,7 +70,8 @@
 	return g, nil
 }
 
-// serveAfterFirstList serves once discovery has sent a list: another process serves meanwhile.
+// serveAfterFirstList starts to serve when discovery has sent a list, or after firstListTimeout. Until then another
+// process serves the clients of the shared socket.
 func (g *Gateway) serveAfterFirstList(ln net.Listener) {
 	g.admission.SetNotReady()
 	sink := firstListSink{Sink: g.platform.pool, first: make(chan struct{})}
@@ -87,11 +88,11 @@
 	}()
 }
 
-// firstListSink reports when the first list has arrived.
+// firstListSink is a Sink that signals the arrival of the first list.
 type firstListSink struct {
 	discovery.Sink
 	once  sync.Once
-	first chan struct{}
+	first chan struct{} // closed when the first list arrives
 }
 
 // UpdateEndpoints implements discovery.Sink.
@@ -102,7 +103,7 @@
 	}
 }
 
-// poolConfig returns the configuration of the only pool.
+// poolConfig returns the configuration of the gateway's only pool.
 func (p *platform) poolConfig(cfg *config.Platform, rc *engine.RecordingConfig) engine.PoolConfig {
 	pc := engine.PoolConfig{
 		Settings:  cfg.Settings,
@@ -122,10 +123,10 @@
 	return pc
 }
 
-// protocolStreams is how bodies flow in the platform's protocol. Up to 64 KiB are buffered, so that a request can be
-// sent again; the deadline of a longer response is for its first bytes. Clients may send 64 kB a second, in pieces: an
-// eighth of that is slow, and after 2 s without a byte nothing more will come, as whoever sends a bad request is owed
-// an error within 3 s. Receivers of responses, and hosts, may pause for longer.
+// protocolStreams returns how bodies are buffered and timed in the platform's protocol. Up to 64 KiB of a body are
+// buffered, so that a request can be retried. The deadline of a longer response applies to its first bytes only. Clients
+// may send 64 kB/s in pieces; a client is too slow below an eighth of that. An upload without a byte for 2 s is taken to
+// be dead, as a bad request must get an error response within 3 s. Receivers of responses, and hosts, may pause longer.
 func protocolStreams() *engine.Streams {
 	return &engine.Streams{
 		BufferBytes:      frontend.MaxBufferedBytes,
@@ -136,12 +137,12 @@
 	}
 }
 
-// platformSnapshot returns the Snapshot with one route to the only pool, for the classes by their numbers.
+// platformSnapshot returns a Snapshot with one route to the gateway's only pool, for the classes in indexedClasses.
 func (g *Gateway) platformSnapshot(cfg *config.Platform) *engine.Snapshot {
-	numbered := g.platform.numbered
+	indexed := g.platform.indexedClasses
 	names := make(map[string]int, len(cfg.Classes))
-	rules := make([]balancer.Class, len(numbered))
-	for i, c := range numbered {
+	rules := make([]balancer.Class, len(indexed))
+	for i, c := range indexed {
 		rules[i] = c.Rules
 		if !c.Rules.Retired {
 			names[c.Name] = i
@@ -161,11 +162,11 @@
 	return route.ClassifyProtocol(r.Status, notProcessed(r))
 }
 
-// notProcessed reports whether a host proves that it has not processed a request.
+// notProcessed reports whether the response proves that the host has not processed the request.
 func notProcessed(r *engine.Response) bool { return r.Header.Get("X-Not-Processed") == "1" }
 
-// classesByNumber returns the classes of a configuration in the order of their numbers.
-func classesByNumber(cfg *config.Platform) []classid.Class {
+// classesByIndex returns the classes of a configuration, with their names, in the order of their indexes.
+func classesByIndex(cfg *config.Platform) []classid.Class {
 	list := make([]classid.Class, len(cfg.Settings.Classes))
 	for i, c := range cfg.Settings.Classes {
 		list[i].Rules = c
@@ -176,7 +177,7 @@
 	return list
 }
 
-// longestPlatformDeadline returns the longest deadline of all classes.
+// longestPlatformDeadline returns the longest deadline of all classes in a platform configuration.
 func longestPlatformDeadline(cfg *config.Platform) (longest time.Duration) {
 	for _, c := range cfg.Settings.Classes {
 		longest = max(longest, c.Deadline)
@@ -184,13 +185,13 @@
 	return longest
 }
 
-// Retune puts new settings into effect for new requests; requests under way keep theirs. On an error nothing has
-// changed. It is for a gateway of the platform.
+// Retune applies new settings to new requests; requests in flight keep the settings that they started with. If it
+// returns an error, the previous settings stay in use. It may be called on a platform gateway only.
 func (g *Gateway) Retune(cfg *config.Platform) error {
 	p := g.platform
-	old := p.numbered
+	old := p.indexedClasses
 	err := g.engine.Retune(p.pool, func(inUse func(int) bool) (balancer.Settings, []int, []string, *engine.Snapshot) {
-		list, from := classid.Assign(old, classesByNumber(cfg), inUse)
+		list, from := classid.Assign(old, classesByIndex(cfg), inUse)
 		settings := cfg.Settings
 		settings.Classes = make([]balancer.Class, len(list))
 		names := make([]string, len(list))
@@ -198,47 +199,47 @@
 			settings.Classes[i] = c.Rules
 			names[i] = c.Name
 		}
-		p.numbered = list
+		p.indexedClasses = list
 		return settings, from, names, g.platformSnapshot(cfg)
 	})
 	if err != nil {
-		p.numbered = old
+		p.indexedClasses = old
 		return err
 	}
 	g.server.SetLongestDeadline(longestPlatformDeadline(cfg))
 	return nil
 }
 
-// SetDiscovery has the endpoint list come from another address. It is for a gateway of the platform.
+// SetDiscovery changes the address of the discovery service. It may be called on a platform gateway only.
 func (g *Gateway) SetDiscovery(addr string) { g.platform.watcher.SetAddress(addr) }
 
-// ShareMachine limits the gateway to half of the machine while another process that has the lock in the same directory
-// runs, as where one takes over from the other. setMemory is called with the gateway's share of the memory. ShareMachine
-// is called before Stop, and does nothing where the platform holds no socket.
+// ShareMachine limits the gateway to half of the machine while another process holds the instance lock in dir, which is
+// the case while one process takes over from the other. setMemory is called with the gateway's share of the memory, 0.5
+// or 1. ShareMachine must be called before Stop. It has no effect unless the listening socket is held by the platform.
 func (g *Gateway) ShareMachine(dir string, setMemory func(share float64)) {
 	p := g.platform
 	if p == nil || !p.sharesSocket {
 		return
 	}
-	use := func(halves int) {
+	setHalves := func(halves int) {
 		setMemory(float64(halves) / 2)
 		sockets := g.maxSockets * halves / 2
 		g.server.SetConnLimits(clientSocketLimits(sockets))
 		p.transport.SetLimits(int(config.HostSockets(sockets)), int64(largeResponseShare*float64(g.memoryLimit)*float64(halves)/2))
 	}
-	p.useHalf = func() { use(1) }
+	p.halveLimits = func() { setHalves(1) }
 	_, alone, err := instancelock.TryLock(dir)
 	if err != nil {
 		slog.Warn("instance lock unavailable, using half of the limits", "err", err)
 	}
 	if alone {
-		return // the lock is kept until the process ends
+		return // the lock is held until the process ends
 	}
-	use(1)
+	setHalves(1)
 	if err == nil {
 		go func() {
 			if _, err := instancelock.WaitLock(g.ctx, dir); err == nil {
-				use(2)
+				setHalves(2)
 			}
 		}()
 	}
--- a/internal/gateway/platform_body_test.go
+++ b/internal/gateway/platform_body_test.go
@@ -17,8 +17,8 @@
 	"dunemoor/internal/testutil"
 )
 
-// Requests of the platform reach a host complete and once, in any framing and up to the maximum
-// length.
+// Requests in the platform's protocol reach a host completely and exactly once, with any framing and up to
+// the maximum body size.
 func TestLongRequestsArriveUnchanged(t *testing.T) {
 	var sums atomic.Value
 	var ran atomic.Int64
@@ -64,7 +64,7 @@
 	}
 }
 
-// A request with conflicting framing may hide another: neither reaches a host.
+// A request with conflicting framing may hide a second request. Neither may reach a host.
 func TestConflictingFramingReachesNoHost(t *testing.T) {
 	host := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	g := startGateway(t, testConfig(host))
@@ -83,9 +83,9 @@
 	}
 }
 
-// The timeout of a request starts with the last byte of its body.
+// The timeout of a request starts when the last byte of its body has arrived.
 func TestTimeoutStartsAfterUpload(t *testing.T) {
-	const timeout = 500 * time.Millisecond // long enough for the response of a busy machine
+	const timeout = 500 * time.Millisecond // long enough for a response on a busy machine
 	host := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	cfg := testConfig(host)
 	for i := range cfg.Settings.Classes {
@@ -100,7 +100,7 @@
 	const parts = 8
 	for i := range parts {
 		c.Write(body[i*n/parts : (i+1)*n/parts])
-		time.Sleep(4 * timeout / parts) // four times the timeout in all: nothing can be waited for instead
+		time.Sleep(4 * timeout / parts) // four times the timeout in total; there is no event to wait for instead
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || resp.StatusCode != 200 {
@@ -108,8 +108,8 @@
 	}
 }
 
-// A host that breaks off within a body has not run the request, as its last byte was not sent: the
-// client is told that a retry is harmless, and nothing is sent to another host.
+// A host that closes the connection within the request body has not run the request, as the last byte was
+// not sent. The client gets a 503, which means that a retry is harmless, and the gateway does not retry.
 func TestUploadCutByHostIsNotRetried(t *testing.T) {
 	var conns atomic.Int64
 	addr := startRawHost(t, func(c net.Conn) {
@@ -118,21 +118,21 @@
 		c.(*net.TCPConn).SetLinger(0)
 	})
 	g := startGateway(t, testConfigAt(addr))
-	const n = 24 << 20 // more than all buffers on the way hold
+	const n = 24 << 20 // more than the buffers between client and host can hold
 	resp, _, err := g.sendRaw("book", fmt.Sprintf("Content-Length: %d\r\n", n), randomBody(n), 1<<20)
 	if err == nil && resp.StatusCode != 503 {
 		t.Errorf("response %v, want 503", resp)
 	}
-	// A client that is still writing may see the reset before the response. Another response or a second
-	// attempt would be wrong.
+	// A client that is still writing may receive the reset before the response, so that err is set. Another
+	// response or a second attempt would be wrong.
 	testutil.WaitUntil(t, "the request ended", func() bool { return g.openRequests() == 0 })
 	if got := conns.Load(); got != 1 {
 		t.Errorf("%d attempts, want 1", got)
 	}
 }
 
-// Long responses arrive complete in any framing, at the pace of the client and without being buffered
-// whole.
+// Long responses arrive completely with any framing, at the pace of the client, and without being buffered
+// as a whole.
 func TestLongResponsesArriveUnchanged(t *testing.T) {
 	const n = 3 << 20
 	body := randomBody(n)
@@ -169,7 +169,7 @@
 	}
 }
 
-// What a host has sent of a response reaches the client even if the host pauses within a chunk.
+// The received part of a response is forwarded to the client even if the host pauses within a chunk.
 func TestPartialResponseIsForwardedAtOnce(t *testing.T) {
 	const n = 300_000
 	body := randomBody(n)
@@ -201,8 +201,8 @@
 	}
 }
 
-// The client sees that a response is incomplete if the host breaks off, in any framing, and nothing is
-// appended to it.
+// If the host closes the connection within a response, the client can detect with any framing that the
+// response is incomplete, and nothing is appended to it.
 func TestTruncatedLongResponseIsSeenByClient(t *testing.T) {
 	for _, header := range []string{"Content-Length: 4000000\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n3d0900\r\n"} {
 		host := testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
@@ -227,7 +227,7 @@
 	}
 }
 
-// lookupRequest returns an idempotent request of the platform.
+// lookupRequest returns an idempotent request in the platform's protocol.
 func lookupRequest(url string) *http.Request {
 	r, _ := http.NewRequest("GET", url+"/api/1", nil)
 	r.Header.Set("X-Priority-Class", "look")
@@ -236,14 +236,14 @@
 	return r
 }
 
-// A truncated short response is a failed attempt that another host makes up for; one that arrives in
-// pieces is complete.
+// A short response that is truncated counts as a failed attempt, and the request is retried at another
+// host. A response that arrives in pieces is complete.
 func TestShortResponseInPiecesIsForwarded(t *testing.T) {
 	var first atomic.Bool
 	host := func() *testutil.Host {
 		return testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
 			if first.CompareAndSwap(false, true) {
-				io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ngo") // and nothing more
+				io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ngo") // 2 of 9 bytes
 				return true
 			}
 			for _, b := range []byte(testutil.OKResponse) {
--- a/internal/gateway/platform_test.go
+++ b/internal/gateway/platform_test.go
@@ -16,7 +16,7 @@
 	"dunemoor/internal/testutil"
 )
 
-// A host receives the request as the client sent it, with the remaining time.
+// A host receives the request as the client sent it, except that X-Timeout has the remaining time.
 func TestRequestIsForwardedUnchanged(t *testing.T) {
 	server := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	g := startGateway(t, testConfig(server))
@@ -68,8 +68,8 @@
 			t.Errorf("%s: status %d, want %d", tt.name, resp.StatusCode, tt.want)
 		}
 	}
-	// Only the start of a too long body is sent, as a client that continues may find the connection
-	// closed before it sees the response.
+	// Only the beginning of a too long body is sent, as a client that continues to send may get a connection
+	// error before it reads the response.
 	resp, _, err := g.sendRaw("book", fmt.Sprintf("Content-Length: %d\r\n", len(long)), []byte(long[:1000]), 1000)
 	if err != nil || resp.StatusCode != 413 {
 		t.Errorf("too long body: response %v, error %v, want 413", resp, err)
@@ -82,7 +82,7 @@
 	}
 }
 
-// A non-idempotent request is retried only after proof that it did not run.
+// A non-idempotent request is retried only if it is proven that it did not run.
 func TestNonIdempotentRequestRunsOnce(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
@@ -122,7 +122,7 @@
 	}
 }
 
-// When the client has gone, the attempt is canceled and the request forgotten.
+// When the client disconnects, the attempt is canceled and the request removed from the pool.
 func TestClientGoneCancelsAttempt(t *testing.T) {
 	server := testutil.NewHost(t, testutil.NeverRespond)
 	g := startGateway(t, testConfig(server))
@@ -142,14 +142,14 @@
 			_, accepted, ended := server.Counts()
 			return accepted == ended
 		})
-		testutil.WaitUntil(t, "the request forgotten", func() bool { return g.openRequests() == 0 })
+		testutil.WaitUntil(t, "the request removed from the pool", func() bool { return g.openRequests() == 0 })
 		if requests, _, _ := server.Counts(); requests != before+1 {
 			t.Errorf("%d requests at the host, want %d: no retry without a client", requests, before+1)
 		}
 	}
 }
 
-// X-Timeout, and not the deadline of the class of a minute, gives the time to answer.
+// X-Timeout sets the deadline of a request, not the class deadline, which is a minute here.
 func TestDeadlineComesFromTimeoutHeader(t *testing.T) {
 	server := testutil.NewHost(t, testutil.NeverRespond)
 	g := startGateway(t, testConfig(server))
@@ -161,10 +161,10 @@
 		_, accepted, ended := server.Counts()
 		return accepted == ended
 	})
-	testutil.WaitUntil(t, "the request forgotten", func() bool { return g.openRequests() == 0 })
+	testutil.WaitUntil(t, "the request removed from the pool", func() bool { return g.openRequests() == 0 })
 }
 
-// Health is good only while there are hosts, and not during a shutdown.
+// The health check succeeds only while there are hosts, and fails during a shutdown.
 func TestHealthReflectsHostsAndShutdown(t *testing.T) {
 	g := startGateway(t, testConfig())
 	get := func() int { resp, _ := g.send("look", "/_health", ""); return resp.StatusCode }
@@ -172,9 +172,9 @@
 		t.Errorf("health without hosts: status %d, want 503", status)
 	}
 	g.pool.UpdateEndpoints(balancer.ListChanges, discovery.MemberList{Servers: []discovery.Member{{ID: "s-1", Addr: "127.0.0.1:1", State: "ready"}}})
-	testutil.WaitUntil(t, "good health with a host", func() bool { return get() == 200 })
+	testutil.WaitUntil(t, "the health check to succeed with a host", func() bool { return get() == 200 })
 	g.pool.UpdateEndpoints(balancer.ListChanges, discovery.MemberList{Servers: []discovery.Member{{ID: "s-1", Addr: "127.0.0.1:1", State: "draining"}}})
-	testutil.WaitUntil(t, "bad health with the last host draining", func() bool { return get() == 503 })
+	testutil.WaitUntil(t, "the health check to fail with the last host draining", func() bool { return get() == 503 })
 	g.admission.Stop(time.Now().Add(time.Minute))
 	g.pool.UpdateEndpoints(balancer.ListChanges, discovery.MemberList{Servers: []discovery.Member{{ID: "s-1", Addr: "127.0.0.1:1", State: "ready"}}})
 	if status := get(); status != 503 {
@@ -182,8 +182,8 @@
 	}
 }
 
-// Nothing is sent to a host that the list gives as draining or gone, nor to the previous address of a
-// host.
+// No request is sent to a host that is draining or gone in the endpoint list, nor to the previous address of
+// a host.
 func TestEndpointListChangesAreApplied(t *testing.T) {
 	first, second := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse)), testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	g := startGateway(t, testConfig(first, second))
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -20,41 +20,42 @@
 )
 
 const (
-	// maxBalancerRetryAfter is the longest Retry-After of a request that a balancer rejects.
+	// maxBalancerRetryAfter is the longest Retry-After of a request that is rejected by a balancer.
 	maxBalancerRetryAfter = 5 * time.Second
-	// A host that has just started is taken to be overloaded by overloadFactor times what it can do, kept up for
-	// overloadWindow. They matter only where the file says how hosts start.
+	// overloadFactor and overloadWindow define when a host in slow start is overloaded: if its load stays at
+	// overloadFactor times its present capacity for overloadWindow. This matters only if the file configures slow start
+	// for the pool. The balancer also derives the time spans of its rate estimates from overloadWindow.
 	overloadFactor = 2.5
 	overloadWindow = 1500 * time.Millisecond
-	// reloadListTimeout is how long a reload waits for the discovery of a new pool to name a host, so that requests do
-	// not find the pool empty.
+	// reloadListTimeout limits how long a reload waits for the first endpoint list of a new pool from discovery. The wait
+	// avoids rejecting requests because the pool is still empty.
 	reloadListTimeout = 2 * time.Second
-	// memberReady is the state of hosts that the file lists.
+	// memberReady is the state of hosts that are listed in the configuration file.
 	memberReady = "ready"
 )
 
-// transport makes the attempts of a pool, by any protocol.
+// transport sends the attempts of a pool to its hosts, over HTTP/1.1 or FastCGI.
 type transport interface {
 	engine.Transport
 	SetLimits(sockets int, memory int64)
 }
 
-// appliancePool is a pool with the source of its endpoint list.
+// appliancePool is a pool of an appliance with the source of its endpoint list.
 type appliancePool struct {
 	*engine.Pool
 	cfg       config.Pool
-	settings  balancer.Settings // a reload that changes them makes a new pool
+	settings  balancer.Settings // a reload that changes them replaces the pool
 	transport transport
 	ctx       context.Context // canceled when the engine stops the pool
 	cancel    context.CancelFunc
 
 	newSource   SourceFunc
-	stopSource  context.CancelFunc            // of the current source
-	currentSink *atomic.Pointer[endpointSink] // of the current source
+	stopSource  context.CancelFunc            // stops the current source
+	currentSink *atomic.Pointer[endpointSink] // sink of the current source
 	overrides   *overrideFilter
 }
 
-// balancerSettings returns the settings of a pool's balancer.
+// balancerSettings returns the balancer settings of a pool.
 func balancerSettings(p config.Pool, classes []balancer.Class) balancer.Settings {
 	return balancer.Settings{
 		Instances:       1,
@@ -90,7 +91,7 @@
 		Settings:  settings,
 		Seed:      rand.Uint64(),
 		Transport: p.transport,
-		Stop:      p.cancel, // the source ends with it
+		Stop:      p.cancel, // stops the source too
 		Recording: poolRecording(g.appliance.recording, a.Name, cfg.Name, classNames),
 	})
 	if err != nil {
@@ -102,7 +103,8 @@
 	return p, nil
 }
 
-// poolRecording returns the recording of a pool, with a file of its own.
+// poolRecording returns the recording configuration of a pool. Each pool is recorded to its own file, whose name is the
+// configured one with the pool name before the extension.
 func poolRecording(rc *engine.RecordingConfig, gateway, pool string, classNames []string) *engine.Recording {
 	if rc == nil {
 		return nil
@@ -115,18 +117,19 @@
 	return &engine.Recording{RecordingConfig: &own, Name: gateway + "-" + pool, Classes: classNames}
 }
 
-// equalProtocols reports whether two pools use the same protocol, with the same parameters.
+// equalProtocols reports whether two pools use the same protocol with the same FastCGI settings.
 func equalProtocols(p, q config.Pool) bool {
 	return p.Protocol == q.Protocol && p.ScriptRoot == q.ScriptRoot && reflect.DeepEqual(p.Params, q.Params)
 }
 
-// equalSources reports whether two pools have their endpoint lists from the same place.
+// equalSources reports whether two pools get their endpoint lists from the same source.
 func equalSources(p, q config.Pool) bool {
 	return p.File == q.File && p.Discovery == q.Discovery && reflect.DeepEqual(p.Members, q.Members)
 }
 
-// setSource has the pool's endpoint list come from where cfg says, and from nowhere else any more. With required set
-// there has to be a list; otherwise the pool may begin without one.
+// setSource makes the source configured in cfg the only source of the pool's endpoint list. If required is set, an
+// unreadable members file is an error, and setSource waits up to reloadListTimeout for the first list from discovery.
+// Otherwise the pool may start without a list.
 func (p *appliancePool) setSource(cfg config.Pool, required bool) error {
 	ctx, cancel := context.WithCancel(p.ctx)
 	sink := &endpointSink{target: p.overrides, current: p.currentSink, firstList: make(chan struct{})}
@@ -157,7 +160,7 @@
 	return nil
 }
 
-// memberList returns the endpoint list of hosts that the file lists.
+// memberList converts the static members of the configuration file to an endpoint list.
 func memberList(members []config.Member) discovery.MemberList {
 	list := discovery.MemberList{Full: true}
 	for _, m := range members {
@@ -168,12 +171,12 @@
 	return list
 }
 
-// poolShares returns the share of descriptors and memory for hosts that each pool has: its own, where the file sets one,
-// and an equal part of the rest otherwise.
+// poolShares returns for each pool its share of the descriptors and memory for hosts: the configured share, or an equal
+// part of the rest if the file sets none.
 func poolShares(a *config.Appliance) []float64 {
 	shares := make([]float64, len(a.Pools))
 	left := 1.0
-	unset := 0 // pools without a share of their own
+	unset := 0 // number of pools without a configured share
 	for i, p := range a.Pools {
 		shares[i] = p.SocketShare
 		left -= p.SocketShare
--- a/internal/gateway/recording_test.go
+++ b/internal/gateway/recording_test.go
@@ -14,8 +14,8 @@
 	"dunemoor/internal/testutil"
 )
 
-// A recording of a whole gateway replays without divergence, names its hosts and contains neither
-// bodies nor paths.
+// The recording of a gateway replays without divergence, contains the names of its hosts, and contains
+// neither bodies nor paths.
 func TestPlatformRecordingReplays(t *testing.T) {
 	h := testutil.NewHost(t, testutil.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecret"))
 	cfg := testConfig(h)
@@ -31,7 +31,7 @@
 		},
 		Trigger: flightrecorder.Trigger{RejectedShare: 0.5, Window: time.Hour, MinResponses: 20, MinInterval: time.Hour},
 	}
-	cfg.Settings.Classes[0].LatencyObjective = 200 * time.Millisecond // a request waits a fifth of it for a host
+	cfg.Settings.Classes[0].LatencyObjective = 200 * time.Millisecond // requests are queued for a fifth of it
 	g := startGateway(t, cfg, rc)
 	for range 30 {
 		if resp, body := g.send("look", "/hidden-path", ""); resp.StatusCode != 200 || body != "secret" {
@@ -63,9 +63,9 @@
 	}
 	check(<-dumps, 60)
 
-	// Without hosts requests are rejected, and the trigger writes the ring once.
+	// Without hosts, requests are rejected, and the trigger dumps the ring exactly once.
 	h.Close()
-	g.pool.UpdateEndpoints(balancer.ListFull, discovery.MemberList{}) // no host is listed any more
+	g.pool.UpdateEndpoints(balancer.ListFull, discovery.MemberList{}) // removes the host
 	for range 50 {
 		g.send("look", "/", "")
 	}
@@ -77,8 +77,8 @@
 	}
 }
 
-// Each pool is recorded separately: every recording replays without divergence and names its own hosts
-// only.
+// Each pool is recorded separately. Every recording replays without divergence and contains only the names
+// of its own hosts.
 func TestApplianceRecordingReplaysPerPool(t *testing.T) {
 	a, b := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse)), testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	dumps := make(chan string, 8)
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -16,21 +16,22 @@
 	"dunemoor/internal/overload"
 )
 
-// change is a configuration that is about to be used. All that can fail is done before anything changes.
-type change struct {
-	file      *config.Appliance
-	classes   *classes
-	listeners map[string]net.Listener
-	opened    []net.Listener // by this change
-	pools     map[string]*appliancePool
-	made      []*appliancePool // by this change
-	snapshot  *engine.Snapshot
+// configChange is a configuration that is being applied. All steps that can fail are done in prepare, before the running
+// configuration is changed by commit.
+type configChange struct {
+	file            *config.Appliance
+	classes         *classes
+	listeners       map[string]net.Listener // keyed by listenerKey
+	openedListeners []net.Listener          // listeners that this change has opened
+	pools           map[string]*appliancePool
+	createdPools    []*appliancePool // pools that this change has created
+	snapshot        *engine.Snapshot
 }
 
-// apply puts a file into use, all at once. On an error nothing has changed. While the gateway is running, a new pool has to
-// have an endpoint list; at the start it may be without one.
+// apply puts a configuration into use in one step. If it returns an error, the previous configuration stays in use. If
+// running is set, new pools must get an endpoint list first (see setSource); at startup they may be without one.
 func (g *Gateway) apply(a *config.Appliance, running bool) error {
-	c := &change{file: a, classes: newClasses(a), listeners: map[string]net.Listener{}, pools: map[string]*appliancePool{}}
+	c := &configChange{file: a, classes: newClasses(a), listeners: map[string]net.Listener{}, pools: map[string]*appliancePool{}}
 	if err := g.prepare(c, running); err != nil {
 		g.revert(c)
 		return err
@@ -39,8 +40,8 @@
 	return nil
 }
 
-// prepare does all of a change that can fail.
-func (g *Gateway) prepare(c *change, running bool) error {
+// prepare does all steps of a change that can fail. The running configuration is not modified.
+func (g *Gateway) prepare(c *configChange, running bool) error {
 	if err := g.openListeners(c); err != nil {
 		return err
 	}
@@ -63,8 +64,8 @@
 	return nil
 }
 
-// openListeners opens the listeners that are new.
-func (g *Gateway) openListeners(c *change) error {
+// openListeners opens the listeners that are not open yet.
+func (g *Gateway) openListeners(c *configChange) error {
 	for _, l := range c.file.Listeners {
 		ln := g.appliance.listeners[listenerKey(l)]
 		if ln == nil {
@@ -72,15 +73,15 @@
 			if ln, err = listen(l); err != nil {
 				return fmt.Errorf("listener %s: %w", l.Name, err)
 			}
-			c.opened = append(c.opened, ln)
+			c.openedListeners = append(c.openedListeners, ln)
 		}
 		c.listeners[listenerKey(l)] = ln
 	}
 	return nil
 }
 
-// preparePool returns the pool that is in use, or a new one where settings or protocol have changed.
-func (g *Gateway) preparePool(c *change, cfg config.Pool, running bool) (*appliancePool, error) {
+// preparePool returns the existing pool, or a new one if there is none or its settings or protocol have changed.
+func (g *Gateway) preparePool(c *configChange, cfg config.Pool, running bool) (*appliancePool, error) {
 	settings := balancerSettings(cfg, c.classes.list)
 	p := g.appliance.pools[cfg.Name]
 	if p == nil || !reflect.DeepEqual(p.settings, settings) || !equalProtocols(p.cfg, cfg) {
@@ -88,7 +89,7 @@
 		if err != nil {
 			return nil, err
 		}
-		c.made = append(c.made, p)
+		c.createdPools = append(c.createdPools, p)
 		return p, p.setSource(cfg, running)
 	}
 	if cfg.File != "" && cfg.File != p.cfg.File {
@@ -99,20 +100,20 @@
 	return p, nil
 }
 
-// revert undoes prepare.
-func (g *Gateway) revert(c *change) {
-	for _, ln := range c.opened {
+// revert releases what prepare has opened and created.
+func (g *Gateway) revert(c *configChange) {
+	for _, ln := range c.openedListeners {
 		ln.Close()
 	}
-	for _, p := range c.made {
+	for _, p := range c.createdPools {
 		p.stopSource()
 		p.cancel()
 	}
 	g.engine.DropUnused()
 }
 
-// commit puts a prepared change into use. Nothing in it fails.
-func (g *Gateway) commit(c *change) {
+// commit puts a prepared change into use. It cannot fail.
+func (g *Gateway) commit(c *configChange) {
 	g.commitPools(c)
 	g.server.SetLongestDeadline(longestDeadline(c.file))
 	if l := g.admission.Limits; l.Clients != nil {
@@ -128,13 +129,13 @@
 	state.file = c.file
 	state.published.Store(&c.pools)
 	for name, p := range c.pools {
-		p.overrides.setDrained(state.drainedHosts(name)) // what changed while it was made
+		p.overrides.setDrained(state.drainedHosts(name)) // SetDrained may have run while the pool was being created
 	}
 	g.commitListeners(c)
 }
 
-// commitPools sets the limits and sources of pools.
-func (g *Gateway) commitPools(c *change) {
+// commitPools sets the resource limits of all pools, and replaces the sources that have changed.
+func (g *Gateway) commitPools(c *configChange) {
 	shares := poolShares(c.file)
 	for i, cfg := range c.file.Pools {
 		p := c.pools[cfg.Name]
@@ -149,14 +150,14 @@
 	}
 }
 
-// commitListeners closes the listeners that are gone, and serves the new ones.
-func (g *Gateway) commitListeners(c *change) {
+// commitListeners closes the listeners that were removed, and starts to serve the new ones.
+func (g *Gateway) commitListeners(c *configChange) {
 	a := g.appliance
 	for key, ln := range a.listeners {
 		if c.listeners[key] != nil {
 			continue
 		}
-		if strings.HasPrefix(key, fastCGIKey) {
+		if strings.HasPrefix(key, fastCGIKeyPrefix) {
 			g.fastCGI.CloseListener(ln)
 		} else {
 			g.server.CloseListener(ln)
@@ -175,7 +176,7 @@
 		} else {
 			g.server.SetListenOptions(ln, http1.ListenOptions{TrustedProxies: l.TrustedProxies, ProxyProtocol: l.ProxyProtocol})
 		}
-		if slices.Contains(c.opened, ln) {
+		if slices.Contains(c.openedListeners, ln) {
 			g.serveWith(serve, ln)
 		}
 	}
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -14,8 +14,8 @@
 	"dunemoor/internal/testutil"
 )
 
-// A reload opens and closes listeners, keeps unchanged pools and ends removed ones with their
-// connections and goroutines; a reload that fails changes nothing.
+// A reload opens and closes listeners, keeps unchanged pools, and stops removed pools with their
+// connections and goroutines. A reload that fails changes nothing.
 func TestReloadReleasesRemovedPoolsAndListeners(t *testing.T) {
 	host := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	other := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
@@ -27,7 +27,7 @@
 	extended := strings.Replace(base, "[[class]]", "[[listener]]\nname = \"more\"\naddress = \""+free+"\"\n[[class]]", 1) +
 		poolConfig("q", "", other.Addr()) + routeConfig("s", "path = \"/q\"\npool = \"q\"\nclass = \"lookup\"")
 	pool := g.appliance.pools["p"].Pool
-	expectOK(t, g.urls[0]+"/q")
+	expectOK(t, g.urls[0]+"/q") // served by p
 	var goroutines int
 	for round := range 5 {
 		if err := g.Reload(mustParse(t, extended)); err != nil {
@@ -63,7 +63,7 @@
 			goroutines = runtime.NumGoroutine()
 		}
 	}
-	testutil.WaitUntil(t, "no goroutine of the removed parts", func() bool { return runtime.NumGoroutine() <= goroutines })
+	testutil.WaitUntil(t, "no goroutines left of removed pools and listeners", func() bool { return runtime.NumGoroutine() <= goroutines })
 }
 
 // expectOK requests a URL and expects status 200.
@@ -84,8 +84,8 @@
 	return true
 }
 
-// The members file of a pool is followed, also after a change to another file, and a reload to a file
-// that cannot be read changes nothing.
+// Changes of the members file of a pool are applied, also after a reload that sets another file. A reload
+// that sets an unreadable file changes nothing.
 func TestMembersFileIsFollowed(t *testing.T) {
 	first, second := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse)), testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	dir := t.TempDir()
@@ -123,12 +123,12 @@
 	}
 	waitForRequestAt("the other file followed", first)
 	write("one.json", second)
-	time.Sleep(1200 * time.Millisecond) // longer than the interval at which the file is read
+	time.Sleep(1200 * time.Millisecond) // longer than the interval at which a file is read
 	waitForRequestAt("the old file not followed", first)
 }
 
-// A reload reports exactly the settings that apply only after a restart, so that operators do not take
-// them for applied.
+// A reload reports exactly the changed settings that take effect only after a restart, so that operators do
+// not assume that they are in effect.
 func TestReloadReportsSettingsThatNeedRestart(t *testing.T) {
 	host := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	file := func(limits string) *config.Appliance {
@@ -138,8 +138,8 @@
 	const tenants = "[limits.tenants]\nrate = 5.0\n[[tenant]]\nname = \"a\""
 	for _, c := range []struct{ before, after, want string }{
 		{"", "", "[]"},
-		{"", "[limits.client]\nrate = 5.0", "[]"},                                                // applies at once
-		{"overload = false", "overload = false\n[limits.client]\nrate = 5.0", "[limits.client]"}, // there is no table of clients
+		{"", "[limits.client]\nrate = 5.0", "[]"},                                                // takes effect immediately
+		{"overload = false", "overload = false\n[limits.client]\nrate = 5.0", "[limits.client]"}, // no table of clients exists
 		{"", "overload = false", "[limits.overload]"},
 		{"", "memory_mb = 128\nheaders = 50", "[limits.memory_mb limits.headers]"},
 		{"", tenants, "[limits.tenants tenant]"},
--- a/internal/gateway/response_test.go
+++ b/internal/gateway/response_test.go
@@ -16,8 +16,8 @@
 	"dunemoor/internal/testutil"
 )
 
-// If the host of an idempotent request dies within a response, the client sees that it is incomplete
-// in any framing, and no other response is appended.
+// If the host of an idempotent request fails within a response, the client can detect with any framing that
+// the response is incomplete, and no other response is appended.
 func TestTruncatedResponseIsSeenByClient(t *testing.T) {
 	const chunkedHeader = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	chunks := strings.Repeat("4\r\nxxxx\r\n", 50_000)
@@ -57,14 +57,14 @@
 	}
 }
 
-// A response that the end of the connection ends is complete after a regular close, and not after a
-// reset.
+// A response that is delimited by the end of the connection is complete after a regular close, but not after
+// a reset.
 func TestResponseEndedByConnectionIsCompleteUnlessReset(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		host := testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
 			io.WriteString(c, "HTTP/1.0 200 OK\r\n\r\n"+strings.Repeat("x", 100_000))
 			if reset {
-				time.Sleep(100 * time.Millisecond) // otherwise the reset drops the bytes
+				time.Sleep(100 * time.Millisecond) // otherwise the reset discards bytes that were not read yet
 				c.(*net.TCPConn).SetLinger(0)
 			}
 			return false
@@ -83,8 +83,8 @@
 	}
 }
 
-// A response with ambiguous framing gives a failure of the gateway, or an incomplete response, and
-// never the bytes of another.
+// A malformed response, such as one with ambiguous framing, results in a 502 and never in bytes of another
+// response. The request is not retried.
 func TestMalformedResponseIsBadGateway(t *testing.T) {
 	for name, text := range map[string]string{
 		"two lengths":         "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\ngood",
@@ -107,7 +107,7 @@
 	}
 }
 
-// Informational responses are forwarded, and their headers are not those of the final response.
+// Informational responses are forwarded, and their headers are not added to the final response.
 func TestInformationalResponsesAreForwarded(t *testing.T) {
 	addr, _ := startHTTPHost(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Link", "</a>; rel=preload")
@@ -136,8 +136,8 @@
 	}
 }
 
-// An HTTP/1.0 client, for which the end of the connection ends the response, gets a reset where the
-// host breaks off.
+// An HTTP/1.0 client, whose response is delimited by the end of the connection, gets a reset if the host
+// closes the connection within the response.
 func TestHTTP10TruncatedResponseIsReset(t *testing.T) {
 	host := testutil.NewHost(t, func(c net.Conn, r *http.Request, _ int) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n")
@@ -160,8 +160,8 @@
 	}
 }
 
-// Two of three hosts answer 503: a GET is served by the third, a POST is not retried and its client
-// gets the response of its host.
+// Two of three hosts respond with 503. A GET is served by the third host. A POST is not retried, and its
+// client gets the response of the first host tried.
 func TestOnlyIdempotentRequestsAvoidFailingHosts(t *testing.T) {
 	var posts, gets atomic.Int64
 	var nodes []string
--- a/internal/gateway/retune_test.go
+++ b/internal/gateway/retune_test.go
@@ -17,7 +17,7 @@
 	"dunemoor/internal/testutil"
 )
 
-// withClasses is the configuration with other classes, in the order given.
+// withClasses returns the configuration with other classes, in the given order.
 func withClasses(cfg config.Platform, names ...string) *config.Platform {
 	idempotency := map[string]balancer.Idempotency{"look": balancer.Idempotent, "book": balancer.NonIdempotent, "next": balancer.NonIdempotent}
 	cfg.Classes = map[string]int{}
@@ -31,14 +31,14 @@
 	return &cfg
 }
 
-// heldRequest is a request to /api/held whose first attempt is reset once it is released. Other requests are answered at
-// once.
+// heldRequest is a request to /api/held whose first attempt is held by the host until it is released, and then reset.
+// Other requests get an immediate response.
 type heldRequest struct {
 	attempts atomic.Int64
 	released chan struct{}
 }
 
-// newHost returns a host that holds the request.
+// newHost starts a host that holds the first attempt of the request.
 func (h *heldRequest) newHost(t *testing.T) *testutil.Host {
 	t.Helper()
 	return testutil.NewHost(t, func(c net.Conn, r *http.Request, _ int) bool {
@@ -52,7 +52,7 @@
 	})
 }
 
-// expectStatus sends a request of a class and expects the status.
+// expectStatus sends a request of a class and checks the status of the response.
 func (g *testGateway) expectStatus(when, class, body string, want int) {
 	g.Helper()
 	if resp, text := g.send(class, "/api/1", body); resp.StatusCode != want {
@@ -60,8 +60,8 @@
 	}
 }
 
-// Classes are added and removed under load: requests in flight keep the rules that they came with, and
-// nothing is left of removed classes.
+// Classes are added and removed while a request is in flight. The request keeps the rules of its class,
+// and the indexes of removed classes are reused.
 func TestRetuneChangesClassesUnderLoad(t *testing.T) {
 	held := &heldRequest{released: make(chan struct{})}
 	cfg := withClasses(*testConfig(held.newHost(t), held.newHost(t)), "look", "book")
@@ -83,7 +83,7 @@
 		t.Errorf("idempotent request of a removed class after a reset: %s, want 200good", got)
 	}
 	if n := held.attempts.Load(); n != 2 {
-		t.Errorf("sent %d times, want 2", n)
+		t.Errorf("%d attempts, want 2", n)
 	}
 	for i := range 50 { // indexes of removed classes are reused
 		names := []string{"look", "book"}
@@ -97,8 +97,8 @@
 			t.Fatalf("change %d: status %d, want 200", i, resp.StatusCode)
 		}
 	}
-	if len(g.platform.numbered) > 4 {
-		t.Errorf("%d classes, want at most 4", len(g.platform.numbered))
+	if len(g.platform.indexedClasses) > 4 {
+		t.Errorf("%d classes, want at most 4", len(g.platform.indexedClasses))
 	}
 	invalid := withClasses(*cfg, "book")
 	invalid.Settings.Instances = 0
@@ -108,7 +108,7 @@
 	g.expectStatus("after rejected settings", "look", "", 200)
 }
 
-// A recording continues across new settings, and all of it replays.
+// A recording continues across a change of the settings, and all of it replays without divergence.
 func TestRetuneIsRecordedAndReplays(t *testing.T) {
 	rc := &engine.RecordingConfig{RingBytes: 1 << 20, Dir: t.TempDir(), File: t.TempDir() + "/all.dmf", MaxFileBytes: 8 << 20}
 	cfg := withClasses(*testConfig(testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))), "look", "book")
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -7,21 +7,21 @@
 	"dunemoor/internal/overload"
 )
 
-// Status is what a gateway counts, for operators. All of it is read beside the loop, which is never waited for.
+// Status holds the state and counters of a gateway for operators. They are read without waiting for the event loop.
 type Status struct {
-	State    string           `json:"state"`    // serving, or how far a drain has gone
-	Ready    bool             `json:"ready"`    // as the health check reports
+	State    string           `json:"state"`    // "serving", or the phase of a drain
+	Ready    bool             `json:"ready"`    // result of the health check
 	Detail   string           `json:"detail"`   // text of the health check
-	IDs      int              `json:"ids"`      // of the platform's protocol, in use by open requests
-	Pressure float64          `json:"pressure"` // ranks of classes that are shed; 0: none
-	Shed     float64          `json:"shed"`     // share of requests that is to be rejected, those of the highest rank left out
+	IDs      int              `json:"ids"`      // request IDs of the platform's protocol in use by open requests
+	Pressure float64          `json:"pressure"` // number of class ranks being shed, the last of them in part; 0 if none
+	Shed     float64          `json:"shed"`     // target share of requests to reject, not counting those of the highest rank
 	Clients  http1.ConnCounts `json:"clients"`
-	Bodies   map[string]Bytes `json:"bodies"`  // memory by its use
+	Bodies   map[string]Bytes `json:"bodies"`  // memory for bodies, by purpose
 	Refused  map[string]int64 `json:"refused"` // rejections at admission since the start, by reason
-	Loop     Delay            `json:"loop"`    // how long requests waited for the loop since the start
+	Loop     Delay            `json:"loop"`    // time that requests waited for the event loop, since the start
 }
 
-// Delay is how long something took, in microseconds, to within an eighth.
+// Delay has quantiles and the maximum of a delay in microseconds. The quantiles have an error of at most an eighth.
 type Delay struct {
 	P50 int64 `json:"p50_us"`
 	P99 int64 `json:"p99_us"`
@@ -32,13 +32,13 @@
 	return Delay{h.Quantile(0.5).Microseconds(), h.Quantile(0.99).Microseconds(), h.Max().Microseconds()}
 }
 
-// Bytes are how many are in use, and how many may be.
+// Bytes is the memory in use for a purpose, and its limit.
 type Bytes struct {
 	Used int64 `json:"used"`
 	Max  int64 `json:"most"`
 }
 
-// Status returns what the gateway counts now. It may be called by any goroutine.
+// Status returns the current Status of the gateway. It is safe for concurrent use.
 func (g *Gateway) Status() any {
 	state, _ := g.admission.Draining()
 	s := Status{
--- a/internal/gateway/status_test.go
+++ b/internal/gateway/status_test.go
@@ -45,8 +45,8 @@
 	if s := status(); s.Refused["client rate"] != 2 || s.Refused["overload"] != 0 || len(s.Bodies) != 3 || s.Bodies["flows"].Max == 0 {
 		t.Errorf("status %+v after two rejections, want them by client rate", s)
 	}
-	// A rejected client that waits for a 100 is closed after the response, as what it sends next may be
-	// the body or another request.
+	// The connection of a rejected client that waits for a 100 is closed after the response, as the bytes
+	// that follow could be the body or another request.
 	fmt.Fprintf(c, "POST / HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n")
 	in := bufio.NewReader(c)
 	for _, want := range []int{200, 429} { // the first response is to the body above
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -12,7 +12,7 @@
 	"dunemoor/internal/testutil"
 )
 
-// Ten streams that are open during a reload continue to their ends.
+// Streams that are open during a reload continue until their regular end.
 func TestStreamsContinueAcrossReload(t *testing.T) {
 	next := make(chan struct{})
 	addr, requests := startHTTPHost(t, func(w http.ResponseWriter, r *http.Request) {
@@ -55,7 +55,7 @@
 	if resp, text := fetch(t, "GET", g.urls[0]+"/", ""); resp.StatusCode != 200 || text != "good" {
 		t.Errorf("after the reload: status %d, body %q, want 200 with good", resp.StatusCode, text)
 	}
-	time.Sleep(1200 * time.Millisecond) // longer than the timeout of the route, which covers the header section
+	time.Sleep(1200 * time.Millisecond) // longer than the timeout of the route, which covers only the header section
 	for range 10 {
 		next <- struct{}{}
 	}
@@ -71,14 +71,14 @@
 	}
 }
 
-// sendFirstEvent sends one event and then nothing until the client leaves.
+// sendFirstEvent sends one event and then nothing until the client disconnects.
 func sendFirstEvent(w http.ResponseWriter, r *http.Request) {
 	io.WriteString(w, "data: 1\n\n")
 	w.(http.Flusher).Flush()
 	<-r.Context().Done()
 }
 
-// Streams that are open at the end of a shutdown are cut so that their clients notice.
+// Streams that are still open at the end of a shutdown are terminated in a way that their clients detect.
 func TestStreamsAreCutAtExit(t *testing.T) {
 	addr, _ := startHTTPHost(t, sendFirstEvent)
 	g := startAppliance(t, singleRouteConfig("stream = true", addr))
@@ -96,7 +96,7 @@
 	done := make(chan struct{})
 	go func() {
 		g.Stop(time.Second)
-		g.Gateway.Close() // as the end of the process does
+		g.Gateway.Close() // closes the connections like the exit of the process
 		close(done)
 	}()
 	for i, s := range streams {
@@ -108,8 +108,8 @@
 	<-done
 }
 
-// A stream to an HTTP/1.0 client, for which the end of the connection ends the response, is reset at
-// the end of a shutdown.
+// A stream to an HTTP/1.0 client, whose response is delimited by the end of the connection, is reset at the
+// end of a shutdown.
 func TestHTTP10StreamIsResetAtExit(t *testing.T) {
 	addr, _ := startHTTPHost(t, sendFirstEvent)
 	g := startAppliance(t, singleRouteConfig("stream = true", addr))
@@ -126,7 +126,7 @@
 	done := make(chan struct{})
 	go func() {
 		g.Stop(time.Second)
-		g.Gateway.Close() // as the end of the process does
+		g.Gateway.Close() // closes the connections like the exit of the process
 		close(done)
 	}()
 	if _, err := io.Copy(io.Discard, in); err == nil {
--- a/internal/gateway/upgrade_test.go
+++ b/internal/gateway/upgrade_test.go
@@ -15,8 +15,8 @@
 	"dunemoor/internal/testutil"
 )
 
-// startUpgradeAppliance returns a gateway with a route for two upgrades under /ws and one without any. Its host greets on
-// an upgraded connection, and then echoes.
+// startUpgradeAppliance starts a gateway with a route under /ws that allows two upgrades, and a route that allows none. On
+// an upgraded connection, the host sends "hi" and then echoes what it receives.
 func startUpgradeAppliance(t *testing.T) *testAppliance {
 	t.Helper()
 	echo := startRawHost(t, func(c net.Conn) {
@@ -38,8 +38,8 @@
 		routeConfig("plain", "pool = \"p\"\nclass = \"lookup\""))
 }
 
-// A connection is upgraded where the route allows it, bytes pass both ways, the number of upgrades is
-// limited, and WebSocket clients get a close frame at a drain.
+// A connection is upgraded if the route allows it. Bytes are forwarded in both directions, the number of
+// upgrades is limited, and WebSocket clients get a close frame during a shutdown.
 func TestUpgradeForwardsBytesBothWays(t *testing.T) {
 	g := startUpgradeAppliance(t)
 	plain := openUpgrade(t, g.urls[0]+"/")
@@ -83,13 +83,13 @@
 	}()
 	rest, err := io.ReadAll(first.in)
 	if !bytes.HasPrefix(rest, []byte{0x88, 0x02, 0x03, 0xe9}) {
-		t.Errorf("during a drain: %x, error %v, want a close frame", rest, err)
+		t.Errorf("during a shutdown: %x, error %v, want a close frame", rest, err)
 	}
 	first.Close()
 	<-done
 }
 
-// upgradedConn is a connection on which a client has requested an upgrade.
+// upgradedConn is a connection on which an upgrade was requested.
 type upgradedConn struct {
 	net.Conn
 	in       *bufio.Reader
@@ -114,7 +114,7 @@
 	return c
 }
 
-// expectGreeting reads what the host sends right after its header section.
+// expectGreeting reads the bytes that the host sends right after the header section of its response.
 func (c *upgradedConn) expectGreeting(t *testing.T) {
 	t.Helper()
 	got := make([]byte, 2)
@@ -123,7 +123,7 @@
 	}
 }
 
-// expectEcho sends the text and reads it back.
+// expectEcho sends the text and expects the host to send it back.
 func (c *upgradedConn) expectEcho(t *testing.T, text string) {
 	t.Helper()
 	io.WriteString(c, text)
--- a/internal/gateway/upload_test.go
+++ b/internal/gateway/upload_test.go
@@ -18,8 +18,9 @@
 	"dunemoor/internal/testutil"
 )
 
-// startChecksumHost starts a host that tells the checksum and the trailer of each body, and answers with as many bytes as the
-// parameter back says, in chunks with a trailer if there is a parameter chunked.
+// startChecksumHost starts a host that returns the checksum and the trailer of each request body in headers. The query
+// parameter back sets the size of the response body. If there is a parameter chunked, the response is chunked and has a
+// trailer.
 func startChecksumHost(t *testing.T) (addr string) {
 	t.Helper()
 	addr, _ = startHTTPHost(t, func(w http.ResponseWriter, r *http.Request) {
@@ -44,8 +45,8 @@
 	return addr
 }
 
-// newUpload returns a request to a startChecksumHost with a body of n bytes, which asks for as many back. If it is chunked, it
-// has a trailer.
+// newUpload returns a request to a startChecksumHost with a body of n bytes, which requests a response body of the same
+// size. If it is chunked, it has a trailer.
 func newUpload(t *testing.T, url string, n int64, chunked bool) *http.Request {
 	t.Helper()
 	query := fmt.Sprintf("/?back=%d", n)
@@ -70,7 +71,7 @@
 	return r
 }
 
-// Bodies arrive byte for byte in both directions, whatever their size and framing.
+// Bodies arrive unchanged in both directions, with any size and framing.
 func TestBodiesOfAnySizeArriveUnchanged(t *testing.T) {
 	g := startAppliance(t, singleRouteConfig("max_body = \"64MiB\"", startChecksumHost(t)))
 	client := &http.Client{Timeout: testutil.WaitTimeout}
@@ -95,7 +96,7 @@
 				t.Errorf("%d bytes: trailer %q at the host, want kept", n, resp.Header.Get("X-Trailer-Was"))
 			}
 			if chunked && (resp.Trailer.Get("X-Tail") != "the end" || resp.Trailer.Get("Content-Length") != "") {
-				t.Errorf("%d bytes: trailers %v of the response, want only X-Tail", n, resp.Trailer)
+				t.Errorf("%d bytes: trailer %v of the response, want only X-Tail", n, resp.Trailer)
 			}
 			if !chunked && resp.ContentLength != n {
 				t.Errorf("%d bytes: Content-Length %d, want it equal", n, resp.ContentLength)
@@ -108,7 +109,7 @@
 	}
 }
 
-// setTrailerAtEOF sets the trailer of a request once its body has been read.
+// setTrailerAtEOF returns an empty reader that sets the trailer of the request when it is read.
 func setTrailerAtEOF(r *http.Request) io.Reader {
 	return readerFunc(func([]byte) (int, error) {
 		r.Trailer.Set("X-After", "kept")
@@ -116,8 +117,8 @@
 	})
 }
 
-// The host of a non-idempotent upload of 50 MiB closes at 20 MiB: the request fails once and is not
-// retried, and the client gets the response and the end of the connection while it sends.
+// The host of a non-idempotent upload of 50 MiB closes the connection after 20 MiB. The request is not
+// retried, and the client gets a 502 and the end of the connection while it is still sending.
 func TestNonIdempotentUploadCutByHostFailsOnce(t *testing.T) {
 	const uploadBytes, readBytes = 50 << 20, 20 << 20
 	var attempts atomic.Int64
@@ -136,7 +137,7 @@
 	fmt.Fprintf(c, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n", uploadBytes)
 	sent := make(chan int64, 1)
 	go func() {
-		n, _ := io.Copy(c, io.LimitReader(randomBytes(1, uploadBytes), uploadBytes-1<<20)) // never complete
+		n, _ := io.Copy(c, io.LimitReader(randomBytes(1, uploadBytes), uploadBytes-1<<20)) // 1 MiB less, never complete
 		sent <- n
 	}()
 	in := bufio.NewReader(c)
@@ -157,8 +158,8 @@
 	}
 }
 
-// A body of the size of the buffer can be sent again. A longer one cannot once a byte has left the
-// buffer, even if the route calls the method repeatable.
+// A request whose body fits into the buffer can be retried. A request with a longer body cannot once a byte
+// has been dropped from the buffer, even if its method is repeatable on the route.
 func TestRetryNeedsBufferedBody(t *testing.T) {
 	const bufferBytes = 8 << 10
 	for _, c := range []struct {
@@ -193,7 +194,7 @@
 	}
 }
 
-// A refused connection proves that nothing ran, so the request is retried even while its body is still
+// A refused connection proves that the request did not run, so it is retried even while its body is still
 // arriving.
 func TestRefusedConnectionIsRetriedDuringUpload(t *testing.T) {
 	const bufferBytes = 8 << 10
@@ -234,8 +235,8 @@
 	}
 }
 
-// A response that comes before the end of the body reaches the client while it sends, and the
-// connection closes in order.
+// A response that arrives before the end of the request body is forwarded while the client is still sending,
+// and the connection is closed gracefully.
 func TestEarlyResponseReachesClientDuringUpload(t *testing.T) {
 	for _, reads := range []bool{false, true} {
 		var requests atomic.Int64
@@ -276,8 +277,8 @@
 	}
 }
 
-// A client that waits for a 100 is answered by the host: with that, or with the final response before
-// any byte of the body.
+// A client that waits for a 100 gets the response of the host: either the 100, or the final response before
+// it has sent a byte of the body.
 func TestExpectContinueIsAnsweredByHost(t *testing.T) {
 	addr, _ := startHTTPHost(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("X-Want") == "no" {
@@ -319,8 +320,8 @@
 	}
 }
 
-// Buffers stay bounded between a fast host and a client that does not read, and between a fast client
-// and a host that does not read.
+// Buffers are bounded between a fast host and a client that does not read, and between a fast client and a
+// host that does not read.
 func TestBackPressureBoundsBuffers(t *testing.T) {
 	var wrote, read atomic.Int64
 	stop := make(chan struct{})
@@ -368,7 +369,7 @@
 		time.Sleep(100 * time.Millisecond)
 		return a > 0 && b > 0 && a == wrote.Load() && b == read.Load()
 	})
-	// The buffers of the kernel hold some MB at either end; the rest must not have been sent.
+	// The socket buffers of the kernel hold a few MB at either end. The rest must not have been sent.
 	if a, b := wrote.Load(), read.Load(); a > 64<<20 || b > 64<<20 {
 		t.Errorf("%d MB sent by the host, %d MB by the client, want at most 64 of each while the other side does not read",
 			a>>20, b>>20)
@@ -381,8 +382,8 @@
 	}
 }
 
-// Requests on whose framing parsers disagree reach no host: each case hides a second request, or
-// might.
+// Requests whose framing is interpreted differently by different parsers reach no host. Each case may hide a
+// second request.
 func TestRequestSmugglingReachesNoHost(t *testing.T) {
 	host := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	g := startAppliance(t, singleRouteConfig("max_body = \"1MiB\"", host.Addr()))
