--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -18,8 +18,8 @@
 		"classes":[{"name":"look","effect":"idempotent","hard_limit":1000000},
 			{"name":"book","effect":"at_most_once","hard_limit":1000000}]}}`
 
-// loadPlatformText writes the text to a file and loads it, with the environment variables given as
-// name and value.
+// loadPlatformText writes the text to a file and loads it. vars has names and values of environment
+// variables.
 func loadPlatformText(t *testing.T, text string, vars ...string) (*Platform, error) {
 	t.Helper()
 	env := map[string]string{"GW_CONFIG": writeTempFile(t, "config.json", text)}
--- a/internal/config/recording.go
+++ b/internal/config/recording.go
@@ -14,15 +14,15 @@
 // Defaults and bounds of recordings. A ring smaller than minRingBytes holds too little between two checkpoints. A ring
 // larger than maxRingBytes would take memory from requests.
 const (
-	defaultRingBytes     = 1 << 20
-	minRingBytes         = 128 << 10
-	maxRingBytes         = 256 << 20
-	defaultViewInterval  = 250 * time.Millisecond
-	defaultFileBytes     = 64 << 20
-	minFileBytes         = 1 << 20
-	defaultTriggerWithin = 5 * time.Second
-	defaultTriggerPause  = time.Minute
-	defaultTriggerLeast  = 50
+	defaultRingBytes           = 1 << 20
+	minRingBytes               = 128 << 10
+	maxRingBytes               = 256 << 20
+	defaultViewInterval        = 250 * time.Millisecond
+	defaultFileBytes           = 64 << 20
+	minFileBytes               = 1 << 20
+	defaultTriggerWindow       = 5 * time.Second
+	defaultTriggerMinInterval  = time.Minute
+	defaultTriggerMinResponses = 50
 )
 
 // recordingFile is the structure of the flight recorder's configuration file.
@@ -47,9 +47,9 @@
 		return nil, err
 	}
 	f := recordingFile{RingKB: defaultRingBytes >> 10, ViewEvery: Duration(defaultViewInterval), FileMB: defaultFileBytes >> 20}
-	f.Trigger.Within = Duration(defaultTriggerWithin)
-	f.Trigger.Pause = Duration(defaultTriggerPause)
-	f.Trigger.Least = defaultTriggerLeast
+	f.Trigger.Within = Duration(defaultTriggerWindow)
+	f.Trigger.Pause = Duration(defaultTriggerMinInterval)
+	f.Trigger.Least = defaultTriggerMinResponses
 	file := NewText(path, string(text))
 	if err := file.Decode(&f); err != nil {
 		return nil, err
--- a/internal/config/recording_test.go
+++ b/internal/config/recording_test.go
@@ -13,7 +13,7 @@
 		t.Fatal(err)
 	}
 	if c.RingBytes != 256<<10 || c.ViewInterval != 100*time.Millisecond || c.Dir != dir || c.MaxFileBytes != defaultFileBytes ||
-		c.Trigger.RejectedShare != 0.25 || c.Trigger.Window != 2*time.Second || c.Trigger.MinInterval != defaultTriggerPause || c.Trigger.MinResponses != defaultTriggerLeast {
+		c.Trigger.RejectedShare != 0.25 || c.Trigger.Window != 2*time.Second || c.Trigger.MinInterval != defaultTriggerMinInterval || c.Trigger.MinResponses != defaultTriggerMinResponses {
 		t.Errorf("recording %+v, want the values of the file and defaults", c)
 	}
 	if c, err = LoadRecording(writeTempFile(t, "flight.toml", "")); err != nil || c.RingBytes != defaultRingBytes || c.Trigger.RejectedShare != 0 {
--- a/internal/discovery/propagation_test.go
+++ b/internal/discovery/propagation_test.go
@@ -319,7 +319,7 @@
 		w.Poll()
 		w.SetAddress("discovery:2")
 		expect("new address", 1, 1, 0)
-		time.Sleep(3 * time.Minute) // the watch there ends
+		time.Sleep(3 * time.Minute) // the watch at the new address ends
 		expect("watch lost", 1, 1, 1)
 		w.Poll()
 		expect("polled again", 1, 2, 2)
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -273,7 +273,7 @@
 	c.received = true
 }
 
-// heartbeat handles an empty line.
+// heartbeat handles an empty line. If it is the first data of a polled call, it also reports that the list is unchanged.
 func (c *call) heartbeat() {
 	d := c.watcher
 	answersPoll := d.polled && !c.received && c.version > 0
--- a/internal/gateway/appliance_test.go
+++ b/internal/gateway/appliance_test.go
@@ -292,7 +292,7 @@
 	})
 }
 
-// check compares the ledger with the rules of the service.
+// check checks that the ledger has no violations, and that at least 85% of the requests were served.
 func (s *testService) check(t *testing.T) {
 	t.Helper()
 	c := s.ledger.Count()
--- a/internal/gateway/body_helpers_test.go
+++ b/internal/gateway/body_helpers_test.go
@@ -46,7 +46,7 @@
 	return b.Bytes()
 }
 
-// chunkWriter writes each block as a chunk.
+// chunkWriter writes each block that it is given as a chunk.
 type chunkWriter struct{ w io.Writer }
 
 func (c chunkWriter) Write(p []byte) (int, error) {
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -91,7 +91,7 @@
 		go func() {
 			resp, text := g.send(class, "/api/slow", bodyOf(class), "Idempotency-Key", "k-"+class)
 			if resp.StatusCode != 200 || text != "good" {
-				responses <- fmt.Errorf("%s: status %d, body %q, want 200 with good", class, resp.StatusCode, text)
+				responses <- fmt.Errorf("%s: status %d, body %q, want 200 and body good", class, resp.StatusCode, text)
 				return
 			}
 			responses <- nil
--- a/internal/gateway/fastcgi_frontend_test.go
+++ b/internal/gateway/fastcgi_frontend_test.go
@@ -130,7 +130,7 @@
 		}
 		w.out[id] = endedOutput
 		if status, text := w.send(id+100, fastCGIParams("GET", "/"), ""); status != 200 || text != "good" {
-			t.Errorf("%s: next request: status %d, body %q, want 200 with good", what, status, text)
+			t.Errorf("%s: next request: status %d, body %q, want 200 and body good", what, status, text)
 		}
 		if n := len(w.ended[id]); n != 1 {
 			t.Errorf("%s: %d ends, want 1", what, n)
@@ -315,7 +315,7 @@
 	g := startAppliance(t, singleRouteConfig("least_rate = 0\nidle = \"60s\"", addr, addr, addr)+fastCGIListener)
 	w := dialFastCGI(t, g.fastCGIAddr())
 	w.Write(fastCGIRequest(1, fastcgi.KeepConn, fastCGIParams("GET", "/slow"), "", true))
-	const long = 16 << 20 // more than all buffers on the way hold
+	const long = 16 << 20 // more than the buffers between client and host can hold
 	w.Write(fastCGIRequest(600, fastcgi.KeepConn, fastCGIParams("POST", "/slow", "CONTENT_LENGTH", fmt.Sprint(long)), strings.Repeat("x", long), true))
 	if text, ok := w.readUntilEnd(600); !ok || !strings.HasPrefix(text, "Status: 502") {
 		t.Errorf("body that its host does not read: %.100q, want status 502", text)
@@ -336,7 +336,7 @@
 	}
 	for i := range 20 {
 		if status, _ := w.send(500, fastCGIParams("GET", "/"), ""); status != 200 {
-			t.Errorf("during incomplete requests: status %d, want 200", status)
+			t.Errorf("with incomplete requests on other connections: status %d, want 200", status)
 		}
 		fresh := dialFastCGI(t, g.fastCGIAddr()) // new connections are served too
 		if status, text := fresh.send(1, fastCGIParams("GET", "/"), ""); status != 200 {
--- a/internal/gateway/fastcgi_pool_test.go
+++ b/internal/gateway/fastcgi_pool_test.go
@@ -201,7 +201,7 @@
 		t.Errorf("booking sent %d times, want once", n)
 	}
 	if resp, text := fetch(t, "GET", g.urls[0]+"/", ""); resp.StatusCode != 200 || text != "good" {
-		t.Errorf("lookup: status %d, body %q, want 200 with good", resp.StatusCode, text)
+		t.Errorf("lookup: status %d, body %q, want 200 and body good", resp.StatusCode, text)
 	}
 	if n := runs.Load(); n != 3 {
 		t.Errorf("lookup sent %d times, want twice", n-1)
--- a/internal/gateway/platform_body_test.go
+++ b/internal/gateway/platform_body_test.go
@@ -255,6 +255,6 @@
 	}
 	g := startGateway(t, testConfig(host(), host()))
 	if resp, text := g.send("look", "/api/1", ""); resp.StatusCode != 200 || text != "good" {
-		t.Errorf("status %d, body %q, want 200 with good", resp.StatusCode, text)
+		t.Errorf("status %d, body %q, want 200 and body good", resp.StatusCode, text)
 	}
 }
--- a/internal/gateway/platform_test.go
+++ b/internal/gateway/platform_test.go
@@ -30,7 +30,7 @@
 			t.Fatal(err)
 		}
 		if text, _ := io.ReadAll(resp.Body); resp.StatusCode != 200 || string(text) != "good" {
-			t.Errorf("%s: status %d, body %q, want 200 with good", path, resp.StatusCode, text)
+			t.Errorf("%s: status %d, body %q, want 200 and body good", path, resp.StatusCode, text)
 		}
 		c.Close()
 	}
--- a/internal/gateway/recording_test.go
+++ b/internal/gateway/recording_test.go
@@ -35,7 +35,7 @@
 	g := startGateway(t, cfg, rc)
 	for range 30 {
 		if resp, body := g.send("look", "/hidden-path", ""); resp.StatusCode != 200 || body != "secret" {
-			t.Fatalf("status %s, body %q, want 200 with secret", resp.Status, body)
+			t.Fatalf("status %s, body %q, want 200 and body secret", resp.Status, body)
 		}
 	}
 	g.Dump()
--- a/internal/gateway/response_test.go
+++ b/internal/gateway/response_test.go
@@ -191,7 +191,7 @@
 			t.Errorf("POST %d: status %d, body %q, want the response of its host", i, resp.StatusCode, text)
 		}
 		if resp, text := fetch(t, "GET", g.urls[0]+"/", ""); resp.StatusCode != 200 || text != "yes" {
-			t.Errorf("GET %d: status %d, body %q, want 200 with yes", i, resp.StatusCode, text)
+			t.Errorf("GET %d: status %d, body %q, want 200 and body yes", i, resp.StatusCode, text)
 		}
 	}
 }
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -53,7 +53,7 @@
 		t.Fatal(err)
 	}
 	if resp, text := fetch(t, "GET", g.urls[0]+"/", ""); resp.StatusCode != 200 || text != "good" {
-		t.Errorf("after the reload: status %d, body %q, want 200 with good", resp.StatusCode, text)
+		t.Errorf("after the reload: status %d, body %q, want 200 and body good", resp.StatusCode, text)
 	}
 	time.Sleep(1200 * time.Millisecond) // longer than the timeout of the route, which covers only the header section
 	for range 10 {
--- a/internal/gateway/upload_test.go
+++ b/internal/gateway/upload_test.go
@@ -212,7 +212,7 @@
 		in, out := io.Pipe()
 		go func() {
 			io.CopyN(out, randomBytes(6, 1<<20), bufferBytes)
-			time.Sleep(30 * time.Millisecond) // meanwhile an attempt fails
+			time.Sleep(30 * time.Millisecond) // lets an attempt at the dead host fail
 			rest := randomBytes(6, 1<<20)
 			io.CopyN(io.Discard, rest, bufferBytes)
 			io.Copy(out, rest)
@@ -227,7 +227,7 @@
 		text, _ := io.ReadAll(resp.Body)
 		resp.Body.Close()
 		if resp.StatusCode != 200 || string(text) != randomChecksum(6, 1<<20) {
-			t.Errorf("upload %d: status %d, body %q, want 200 with the checksum", i, resp.StatusCode, text)
+			t.Errorf("upload %d: status %d, body %q, want 200 and the checksum as body", i, resp.StatusCode, text)
 		}
 	}
 	if requests.Load() != 6 {
@@ -310,7 +310,7 @@
 		text, _ := io.ReadAll(resp.Body)
 		resp.Body.Close()
 		if want == "yes" && (resp.StatusCode != 200 || string(text) != randomChecksum(3, 1<<20) || continues.Load() != 1) {
-			t.Errorf("status %d, body %q, %d times 100, want 200 with the checksum after one 100",
+			t.Errorf("status %d, body %q, %d times 100, want 200 and the checksum as body after one 100",
 				resp.StatusCode, text, continues.Load())
 		}
 		if want == "no" && (resp.StatusCode != http.StatusExpectationFailed || read.Load() != 0 || continues.Load() != 0) {
