--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -1,7 +1,7 @@
-// Package body holds the bodies of requests and responses. A body is buffered, which means all of it is in
-// memory, or streamed, which means that only its first part is in memory and the rest is read once, as fast as
-// the receiver takes it. The package also bounds the memory that bodies use and the time that a peer may take
-// to send or receive one. It reads no clock, except to wait in Pipe, and performs no I/O of its own.
+// Package body represents the bodies of requests and responses. A body is either buffered, which means that all of it
+// is in memory, or streamed, which means that only its first part is in memory and the rest is read once, as fast as
+// the receiver takes it. The package also bounds the memory that bodies use, and the time that a peer may take to
+// send or receive one. It reads no clock, except to wait in Pipe, and performs no I/O of its own.
 package body
 
 // Body is the body of a request or a response. The zero Body is empty.
@@ -10,10 +10,10 @@
 	stream   *Stream
 }
 
-// NewBuffered returns a Body that is in memory as a whole. It keeps the slice.
+// NewBuffered returns a Body that is in memory as a whole. It retains the slice.
 func NewBuffered(b []byte) Body { return Body{buffered: b} }
 
-// NewStreamed returns a Body of which only the first part is in memory. The stream has what follows it.
+// NewStreamed returns a Body of which only the first part is in memory. The stream is the rest.
 func NewStreamed(buffered []byte, stream *Stream) Body { return Body{buffered, stream} }
 
 // Buffered reports whether the whole body is in memory.
@@ -22,7 +22,7 @@
 // Bytes returns the part that is in memory. It must not be changed.
 func (b Body) Bytes() []byte { return b.buffered }
 
-// Stream returns what follows the part in memory, or nil if nothing does.
+// Stream returns the part that follows the one in memory, or nil if there is none.
 func (b Body) Stream() *Stream { return b.stream }
 
 // Len returns the length of the whole body in bytes, or -1 if it is unknown.
--- a/internal/body/budget.go
+++ b/internal/body/budget.go
@@ -49,7 +49,7 @@
 	return b
 }
 
-// Reserve reserves n bytes and reports whether they were available. If not it reserves nothing.
+// Reserve reserves n bytes and reports whether they were available. If they were not it reserves nothing.
 func (b *Budget) Reserve(p Purpose, n int64) bool {
 	if b.used[p].Add(n) > b.limit[p].Load() {
 		b.used[p].Add(-n)
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// ReleaseBuffer returns a buffer of AcquireBuffer.
+// ReleaseBuffer releases a buffer that AcquireBuffer has returned.
 func (b *Budget) ReleaseBuffer(buf *[]byte) {
 	b.Release(StreamBuffers, int64(len(*buf)))
 	if len(*buf) == largeBufferSize {
--- a/internal/body/pace.go
+++ b/internal/body/pace.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// Pace is how slowly a peer may send or receive a body. Only the time that is spent waiting for this peer counts.
+// Pace is the slowest rate at which a peer may send or receive a body. Only the time spent waiting for this peer
+// counts.
 type Pace struct {
-	IdleTimeout time.Duration // without a byte
-	MinRate     int64         // bytes a second, over paceWindow; 0: any rate will do
+	IdleTimeout time.Duration // longest wait without a byte
+	MinRate     int64         // minimum of bytes a second, measured over paceWindow; 0: none
 }
 
-// paceWindow is how much waiting a peer's rate is measured over. It is long enough for a few retransmissions.
+// paceWindow is the waiting time over which a peer's rate is measured. It is long enough for a few retransmissions.
 const paceWindow = 10 * time.Second
 
 // minTimeout is the shortest timeout of an operation.
@@ -23,8 +24,8 @@
 // Meter checks that a peer keeps its pace. It reads no clock.
 type Meter struct {
 	Pace
-	waited time.Duration // in this window
-	bytes  int64         // in this window
+	waited time.Duration // waiting time in this window
+	bytes  int64         // bytes transferred in this window
 }
 
 // Timeout returns how long the next read or write may take.
@@ -35,8 +36,8 @@
 	return min(m.IdleTimeout, max(paceWindow-m.waited, minTimeout))
 }
 
-// Record counts n bytes that took a time to read or write. It returns ErrTooSlow if the peer was too slow in the
-// window that ends with them.
+// Record counts n bytes whose read or write took the given time. It returns ErrTooSlow if the peer was too slow in
+// the window that ends with them.
 func (m *Meter) Record(n int, took time.Duration) error {
 	m.waited += took
 	m.bytes += int64(n)
@@ -53,15 +54,15 @@
 }
 
 // LazyDeadline sets the deadline of a connection for many short operations in turn. It sets a deadline that is up to
-// a quarter later than asked for and keeps it while it is right within that, since a call to set one costs about as
-// much as a kilobyte of data.
+// a quarter later than requested, and keeps it while it is within that tolerance, since setting a deadline costs
+// about as much as transferring a kilobyte of data.
 type LazyDeadline struct {
 	SetDeadline func(t time.Time) error
 	deadline    time.Time
 }
 
-// Reset makes the deadline pass between timeout and 5/4 of timeout from now. An error of SetDeadline is left to the
-// next operation, since it means that the connection is closed.
+// Reset ensures that the deadline is between timeout and 5/4 of timeout from now. An error of SetDeadline is ignored:
+// it means that the connection is closed, and the next operation returns it.
 func (d *LazyDeadline) Reset(now time.Time, timeout time.Duration) {
 	slack := timeout / 4
 	left := d.deadline.Sub(now)
--- a/internal/body/pace_test.go
+++ b/internal/body/pace_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A peer's rate is measured over the time that it was waited for: one byte at a time is too slow, and a pause of the
-// other side doesn't count.
+// A peer's rate is measured over the time that is spent waiting for it: one byte at a time is too slow, and a pause
+// of the other side doesn't count.
 func TestMeterMeasuresRateOverTimeWaited(t *testing.T) {
 	m := Meter{Pace: Pace{IdleTimeout: 30 * time.Second, MinRate: 100}}
 	for i := range 9 {
@@ -42,7 +42,7 @@
 	}
 }
 
-// A deadline is set again only after a quarter of its time, and is never sooner than asked for.
+// A deadline is set again only after a quarter of its time, and is never earlier than requested.
 func TestLazyDeadlineIsSetAgainAfterAQuarter(t *testing.T) {
 	calls := 0
 	var deadline time.Time
--- a/internal/body/pipe.go
+++ b/internal/body/pipe.go
@@ -18,11 +18,11 @@
 	mu         sync.Mutex // guards all to readClosed
 	buf        []byte
 	consumed   int   // bytes at the start of buf that have been read
-	err        error // what follows the last byte; nil: there may be more
+	err        error // what Read returns after the last byte; nil: the stream has not ended
 	readClosed bool
 
-	readable chan struct{} // has an item when data or an end has come since the last wait
-	writable chan struct{} // has an item when there is room since the last wait, or no reader any more
+	readable chan struct{} // has an item when data or the end of the stream has arrived since the last wait
+	writable chan struct{} // has an item when there is room, or the reader has closed the pipe, since the last wait
 }
 
 // NewPipe returns a Pipe that holds at most capacity bytes.
@@ -66,7 +66,7 @@
 	}
 }
 
-// append appends as much of b as there is room for and returns how much that is, or that the pipe is closed.
+// append appends as much of b as there is room for and returns how many bytes that is, or that the pipe is closed.
 func (p *Pipe) append(b []byte) (n int, closed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,8 +83,8 @@
 	return n, false
 }
 
-// CloseWrite ends the stream after the bytes in the pipe, with io.EOF if it is complete and else with the reason why
-// not. Only the first call counts.
+// CloseWrite ends the stream after the bytes in the pipe. err is io.EOF if the stream is complete, and otherwise the
+// reason why it is not. Further calls have no effect.
 func (p *Pipe) CloseWrite(err error) {
 	p.mu.Lock()
 	if p.err == nil {
@@ -143,8 +143,7 @@
 	}
 }
 
-// CloseRead is called by the reader when it needs no more. A Read in progress ends, and further writes are
-// discarded.
+// CloseRead closes the pipe for the reader. A Read in progress ends, and further writes are discarded.
 func (p *Pipe) CloseRead() {
 	p.mu.Lock()
 	p.readClosed = true
--- a/internal/body/pipe_test.go
+++ b/internal/body/pipe_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// A reader that reads nothing blocks its writer until the timeout, and no writer after CloseRead.
+// A reader that reads nothing blocks its writer until the timeout. After CloseRead no writer is blocked.
 func TestPipeBlocksUntilTimeout(t *testing.T) {
 	testutil.VirtualTime(t, func(t *testing.T) {
 		p := NewPipe(10)
--- a/internal/body/pool.go
+++ b/internal/body/pool.go
@@ -39,8 +39,8 @@
 	return max(0, bits.Len64(uint64(n-1))-bits.Len64(minPooledPage-1))
 }
 
-// AllocPage returns n bytes of memory for a buffered body, from a pool if n is large enough for that to pay. The
-// bytes are not zeroed. The caller accounts for them in a Budget.
+// AllocPage returns n bytes of memory for a buffered body. They come from a pool if n is large enough to make that
+// worthwhile. The bytes are not zeroed. The caller accounts for them in a Budget.
 func AllocPage(n int64) []byte {
 	if n <= minPooledPage/2 || n > MaxPooledPage {
 		return make([]byte, n)
@@ -52,8 +52,8 @@
 	return make([]byte, minPooledPage<<class)[:n]
 }
 
-// FreePage returns memory of AllocPage, which must not be used any more. Memory of other sizes than those of the
-// pools is left to the garbage collector.
+// FreePage releases memory that AllocPage has returned; it must not be used any more. Memory of a size that no pool
+// has is left to the garbage collector.
 func FreePage(b []byte) {
 	n := int64(cap(b))
 	isPowerOfTwo := n&(n-1) == 0
--- a/internal/body/stream.go
+++ b/internal/body/stream.go
@@ -17,7 +17,7 @@
 	Read(p []byte) (int, error)
 	// Trailer returns the trailer section, once Read has returned io.EOF.
 	Trailer() http.Header
-	// Close releases what the source holds. complete reports whether Read has returned io.EOF.
+	// Close releases the resources of the source. complete reports whether Read has returned io.EOF.
 	Close(complete bool)
 }
 
@@ -30,7 +30,7 @@
 	mu       sync.Mutex // guards all below
 	consumed bool
 	closed   bool
-	err      error // what reading ended with, io.EOF included
+	err      error // error that reading has ended with, io.EOF included
 }
 
 // NewStream returns the stream of a body that is length bytes long as a whole, or of unknown length if length is -1.
@@ -73,7 +73,7 @@
 	return n, err
 }
 
-// Err returns the error that reading ended with: nil while it goes on, io.EOF if the body is complete.
+// Err returns the error that reading ended with: nil while reading is in progress, io.EOF if the body is complete.
 func (s *Stream) Err() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -1,18 +1,18 @@
-// Package drain tracks how far a gateway is on its way out of service, and back. It does no I/O, reads no clock and
-// starts no goroutine: the state follows from when the drain began and the current time, so nothing has to happen for it
-// to advance, and a resumed gateway has nothing to undo.
+// Package drain computes the state of a gateway that is being taken out of service. It does no I/O, reads no clock
+// and starts no goroutine: the state depends only on the time at which the drain began and the current time. So a
+// drain advances without any event, and resuming a gateway leaves nothing to undo.
 package drain
 
 import "time"
 
-// State is how far a drain has gone.
+// State is the stage of a drain.
 type State uint8
 
-// States. Each does what the one before does.
+// States in order. Each has the effects of those before it as well.
 const (
 	Serving State = iota // there is no drain
 	Noticed              // the health check fails: load balancers send no new clients
-	Leaving              // connections end with their responses
+	Leaving              // connections end after the response to their current request
 	Closing              // connections without a request are closed
 )
 
@@ -21,22 +21,22 @@
 // String returns the name that the state has in the health check and in the admin status.
 func (s State) String() string { return stateNames[s] }
 
-// Times are how long after its begin a drain enters its states.
+// Times are the times from the begin of a drain to its states.
 type Times struct {
-	Leave time.Duration // clients use the connections that they have until then
-	Close time.Duration // most connections in use have had a response since Leave
+	Leave time.Duration // to Leaving; clients may go on using their connections until then
+	Close time.Duration // to Closing; by then most connections in use have had a response since Leave, and have ended
 }
 
-// Drain is a drain, or none. The zero value is Serving. It is immutable: each call returns another. Times are given on
-// any one clock.
+// Drain is a drain, or the absence of one, which is the zero value. It is immutable: each method returns a new value.
+// All times must be given on the same clock.
 type Drain struct {
 	inProgress bool
 	began      time.Duration
 	times      Times
 }
 
-// Quiesce begins a drain. One in progress goes on as it was: a caller that repeats the call, not knowing whether the first
-// came through, must not gain time by it.
+// Quiesce begins a drain. A drain in progress is not changed: a caller that repeats the call, not knowing whether the
+// first one succeeded, must not extend the drain by it.
 func (d Drain) Quiesce(now time.Duration, t Times) Drain {
 	if d.inProgress {
 		return d
@@ -49,7 +49,8 @@
 // Resume ends a drain in any state.
 func (d Drain) Resume() Drain { return Drain{} }
 
-// State returns the state at a time. A clock that goes backward leaves it at Noticed at least.
+// State returns the state at a time. A drain in progress is at least Noticed, even if the clock was set back to
+// before its begin.
 func (d Drain) State(now time.Duration) State {
 	age := now - d.began
 	switch {
@@ -64,7 +65,7 @@
 	}
 }
 
-// Next returns when the state changes next by itself; never is true if it does not.
+// Next returns when the state changes next without a call; never is true if it does not.
 func (d Drain) Next(now time.Duration) (at time.Duration, never bool) {
 	switch d.State(now) {
 	case Noticed:
--- a/internal/engine/attempts.go
+++ b/internal/engine/attempts.go
@@ -7,7 +7,7 @@
 	"dunemoor/balancer"
 )
 
-// admit gives a request to the pool's balancer.
+// admit registers a request with the pool and passes it to the pool's balancer.
 func (p *Pool) admit(now balancer.Time, x *Request) {
 	e := p.engine
 	e.lastID++
@@ -21,12 +21,13 @@
 	p.perform(now)
 }
 
-// send starts an attempt. Its end comes back as one event, whatever happens.
+// send starts the attempt of a Send action in a goroutine of its own. However the attempt ends, its end is posted to
+// the loop as exactly one event.
 func (p *Pool) send(now balancer.Time, a *balancer.Action) {
 	e := p.engine
 	x, h := e.requests[a.Request], p.hosts[a.Host]
 	if x == nil || h == nil {
-		// The balancer names only hosts that it was given, and keeps no request longer than the engine.
+		// The balancer refers only to hosts that it was given, and drops a request no later than the engine does.
 		panic("engine: attempt of an unknown request or host")
 	}
 	n := len(x.attempts)
@@ -44,8 +45,8 @@
 	x.inFlight++
 	x.attemptsSent++
 	go func() {
-		// Measured here and not by the loop: time that an event waits for the loop, or for a core, is no
-		// latency of the host.
+		// The elapsed time is measured here and not in the loop: the time that the event waits for the loop, or for a
+		// CPU core, is not part of the host's latency.
 		sent := time.Now()
 		result := h.Attempt(ctx, x)
 		elapsed := time.Since(sent)
@@ -54,7 +55,8 @@
 	}()
 }
 
-// attemptContext returns the context of an attempt. While the body is arriving Do ends it instead of a deadline.
+// attemptContext returns the context of an attempt. For a streamed body the context has no deadline, as the body may
+// still be arriving; Engine.Do ends the attempt instead.
 func (e *Engine) attemptContext(x *Request) (context.Context, context.CancelFunc) {
 	if x.Body.Buffered() {
 		return context.WithDeadline(e.ctx, e.beforeShutdown(x.Deadline))
@@ -68,7 +70,7 @@
 	x.inFlight--
 	outcome := r.Outcome
 	if r.PartlySent && x.Route.Plain != nil && outcome == balancer.ConnectFailed {
-		outcome = balancer.Reset // a server of plain HTTP may act on a part
+		outcome = balancer.Reset // a plain HTTP server may process an incomplete request
 	}
 	if r.HasResponse {
 		outcome = p.useResponse(x, &r.Response)
@@ -79,8 +81,8 @@
 	}
 	x.neverRan = x.neverRan && !outcome.MayHaveRun()
 	x.neverConnected = x.neverConnected && (outcome == balancer.ConnectFailed || outcome == balancer.NotSent)
-	// Read once: whoever finishes the request between this event and its release reports that by an event of its
-	// own, and until then the balancer may send another attempt.
+	// x.Finished is read only once. A goroutine that finishes the request between this event and its release posts an
+	// event of its own, and until that is handled the balancer may send another attempt.
 	closed := x.Finished()
 	p.balancer.AttemptEnded(now, balancer.Outcome{
 		Request: x.id, Attempt: n, Result: outcome,
@@ -92,8 +94,8 @@
 	p.perform(now)
 }
 
-// useResponse classifies a response of a host. A success becomes the final response; another is kept where the
-// client may get it.
+// useResponse classifies a response of a host. A success becomes the final response. An unsuccessful one is kept if
+// the route forwards failures to the client, and discarded otherwise.
 func (p *Pool) useResponse(x *Request, r *Response) balancer.Result {
 	outcome := x.Route.Classify(r)
 	switch {
@@ -108,8 +110,8 @@
 	return outcome
 }
 
-// finishStreamed handles the end of the only attempt of a request whose body was passed on: the client gets what
-// the host responded, a rejection where the request provably never ran, or a failure.
+// finishStreamed handles the end of the only attempt of a request whose streamed body was sent in part: the client
+// gets the host's response, a rejection if the request provably never ran, or a failure.
 func (p *Pool) finishStreamed(x *Request, outcome balancer.Result) {
 	if !x.Finished() {
 		final := Response{Kind: Failed}
@@ -127,7 +129,8 @@
 	p.engine.release(x)
 }
 
-// finalResponse gives the balancer's final response, unless another pool of the chain may still serve the request.
+// finalResponse delivers the final response that the balancer has decided on, unless another pool of the chain may
+// still serve the request.
 func (p *Pool) finalResponse(now balancer.Time, a *balancer.Action) {
 	e := p.engine
 	x := e.requests[a.Request]
@@ -141,7 +144,7 @@
 	final := Response{Kind: Failed}
 	switch {
 	case a.Cause == balancer.CauseNoMoreAttempts && x.lastResponse.Kind == Served:
-		// All its attempts have ended, and this is what a host responded.
+		// All attempts have ended without success, and a host's response was kept for the client.
 		final, x.lastResponse = x.lastResponse, Response{}
 	case a.Kind == balancer.Reject:
 		final = Response{Kind: Rejected, RetryAfter: a.RetryAfter}
--- a/internal/engine/clock.go
+++ b/internal/engine/clock.go
@@ -6,26 +6,26 @@
 	"dunemoor/balancer"
 )
 
-// clock is the balancers' clock: Unix time as it was at the start, monotonic from then on. So started_ms of a
-// host converts without reference to the present, the same each time, and a step of the wall clock moves
-// nothing.
+// clock is the balancers' clock. It starts at the Unix time at which the engine was created, and then advances with
+// the monotonic clock. So started_ms of a host always converts to the same time, whenever it is converted, and a step
+// of the wall clock has no effect.
 type clock struct {
 	start time.Time
 }
 
 func (c clock) now() balancer.Time { return c.at(time.Now()) }
 
-// at converts an instant to the balancers' time.
+// at converts an instant to a time on the balancers' clock.
 func (c clock) at(t time.Time) balancer.Time {
 	return balancer.Time(c.start.UnixNano()) + t.Sub(c.start)
 }
 
-// time converts a balancer's time to an instant, with a monotonic reading.
+// time converts a time on the balancers' clock to an instant with a monotonic reading.
 func (c clock) time(t balancer.Time) time.Time {
 	return c.start.Add(t - balancer.Time(c.start.UnixNano()))
 }
 
-// timer is a timer of a Balancer.
+// timer is a timer that the balancer of a pool has requested by the action Wake.
 type timer struct {
 	at    balancer.Time
 	token uint64
--- a/internal/engine/clock_test.go
+++ b/internal/engine/clock_test.go
@@ -7,7 +7,7 @@
 	"dunemoor/balancer"
 )
 
-// started_ms is Unix time, and the balancers' clock agrees with it.
+// A host's started_ms is Unix time, and converts to the balancers' clock to within a millisecond.
 func TestClockAgreesWithUnixTime(t *testing.T) {
 	c := clock{time.Now()}
 	at := time.Now().Add(-3 * time.Second)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,9 +1,9 @@
-// Package engine is the middle of the gateway: the sole owner of the balancers, one for each pool. It
-// knows requests, attempts and final responses, but no protocol. Frontends hand it requests; transports
+// Package engine is the only owner of the balancers, one for each pool, and carries out their decisions. It handles
+// requests, attempts and final responses independently of protocols: frontends submit requests to it, and transports
 // make the attempts.
 //
-// All decisions are made in one event loop, Engine.Run. Nothing in the loop waits: what takes time runs
-// in a goroutine of its own and comes back as an event.
+// All decisions are made in one event loop, Engine.Run. Event handlers must not block: an operation that takes time
+// runs in a goroutine of its own, which posts the result to the loop as an event.
 package engine
 
 import (
@@ -17,8 +17,8 @@
 	"dunemoor/internal/overload"
 )
 
-// maxEvents is how many events may wait for the loop before their senders wait too: a moment's worth of
-// them at a few thousand requests a second.
+// maxEvents is how many events may be queued for the loop before post blocks. At a few thousand requests a second
+// that is a fraction of a second's events.
 const maxEvents = 1024
 
 // Engine runs the event loop.
@@ -29,16 +29,16 @@
 	shutdown shutdown
 	clock    clock
 
-	// Overload, if set before Run, receives how long requests wait for the loop.
+	// Overload, if set before Run, receives the time that each request waits for the loop.
 	Overload *overload.Controller
-	// LoopDelays counts how long requests waited for the loop.
+	// LoopDelays counts the times that requests have waited for the loop.
 	LoopDelays overload.Delays
 
-	// The following belongs to the goroutine of Run.
-	ctx        context.Context // of all attempts
+	// The fields below are used only by the goroutine of Run.
+	ctx        context.Context // parent of the contexts of all attempts
 	timers     timerQueue
 	pools      map[*Pool]struct{}
-	superseded []*Snapshot // replaced, but requests may still be on them
+	superseded []*Snapshot // replaced Snapshots that requests may still hold
 	requests   map[balancer.RequestID]*Request
 	lastID     balancer.RequestID
 	rng        *rand.Rand
@@ -53,7 +53,7 @@
 	}
 }
 
-// Run handles events until ctx ends; then it ends all attempts.
+// Run handles events until ctx ends, which also ends all attempts. Then it closes the pools.
 func (e *Engine) Run(ctx context.Context) {
 	defer close(e.done)
 	e.ctx = ctx
@@ -77,7 +77,7 @@
 	}
 }
 
-// Wait waits until Run has returned and recordings are written, at most for the timeout.
+// Wait waits until Run has returned and recordings are written, but no longer than the timeout.
 func (e *Engine) Wait(timeout time.Duration) {
 	select {
 	case <-e.done:
@@ -85,7 +85,7 @@
 	}
 }
 
-// post hands an event to the loop. It reports false where the loop has ended.
+// post queues an event for the loop. It returns false if the loop has ended.
 func (e *Engine) post(handle func(now balancer.Time)) bool {
 	select {
 	case e.events <- handle:
@@ -103,8 +103,8 @@
 	e.post(func(now balancer.Time) { e.Overload.Sample(now, s) })
 }
 
-// runTimers handles the timers that are due. A timer that is set meanwhile waits for the next round, so
-// that timers can't keep events out.
+// runTimers handles the timers that are due, but no more than were set when it was called. A timer that is set
+// meanwhile may wait for the next call, so that timers can't starve events.
 func (e *Engine) runTimers() {
 	now := e.clock.now()
 	for n := len(e.timers); n > 0 && len(e.timers) > 0 && e.timers[0].at <= now; n-- {
--- a/internal/engine/failover_test.go
+++ b/internal/engine/failover_test.go
@@ -8,8 +8,8 @@
 	"dunemoor/balancer"
 )
 
-// A request that may have run in one pool never goes to a fallback: hosts there do not know it, and would run it
-// again.
+// A request that may have run in one pool is never sent to a fallback pool: the hosts there can't recognize it as a
+// duplicate and would run it again.
 func TestFailoverSkipsRequestsThatMayHaveRun(t *testing.T) {
 	for _, outcome := range []balancer.Result{balancer.Reset, balancer.TimedOut, balancer.InvalidResponse, balancer.Canceled} {
 		for _, class := range []int{classNonIdempotent, classWithKey} {
@@ -31,8 +31,8 @@
 	}
 }
 
-// Where all hosts of a pool refuse connections nothing has run, so each request fails over to the next pool, once,
-// with MaxAttempts in all at most.
+// If all hosts of a pool refuse connections no request has run there, so each request fails over to the next pool,
+// once at most, with MaxAttempts attempts in total at most.
 func TestFailoverOnRefusedConnections(t *testing.T) {
 	runInVirtualTime(t, func(t *testing.T, h *harness) {
 		primary := newScriptedTransport("a", endWith(balancer.ConnectFailed))
@@ -73,8 +73,8 @@
 	})
 }
 
-// Rejections by a pool without capacity are final. The test guards against overloading the fallback with what the
-// primary pool could not take.
+// Rejections by a pool whose hosts are full are final. The test guards against overloading the fallback pool with the
+// requests that the primary pool could not serve.
 func TestFailoverSkipsRequestsRejectedByFullPool(t *testing.T) {
 	runInVirtualTime(t, func(t *testing.T, h *harness) {
 		primary := newScriptedTransport("a", func(context.Context, string, *Request) Result { return Ended(balancer.Full) })
@@ -91,9 +91,9 @@
 	})
 }
 
-// The primary pool fails under load and recovers; the hosts of its fallback are warming up. No non-idempotent request
-// runs twice, rejections come at once with Retry-After, the warming hosts are not overloaded, and traffic returns to
-// the primary pool once.
+// The primary pool fails under load and recovers; the hosts of its fallback pool are warming up. No non-idempotent
+// request runs twice, rejections come at once with Retry-After, the warming hosts are not overloaded, and traffic
+// returns to the primary pool without moving back and forth.
 func TestFailoverAndRecoveryOfWholePool(t *testing.T) {
 	runInVirtualTime(t, func(t *testing.T, h *harness) {
 		const rate = 100
@@ -127,13 +127,14 @@
 	})
 }
 
-// checkWarmingHostsNotOverloaded checks that no host has more attempts within the overload window than overload a
-// warming host. A host carries an eighth of the load of 100 a second and the reserve of a pool. A warming one starts
-// with 0.4 of that, and is overloaded by 2.5 times its capacity, kept up for 1.5 s.
+// checkWarmingHostsNotOverloaded checks that no host gets more attempts within the overload window than it takes to
+// overload a warming host. The full capacity of a host is an eighth of the load of 100 requests a second times 1.4,
+// the reserve of a pool. A warming host starts with 0.4 of that, and is overloaded by 2.5 times its present capacity,
+// kept up for 1.5 s.
 func checkWarmingHostsNotOverloaded(t *testing.T, transport *scriptedTransport) {
 	t.Helper()
 	const window = 1500 * time.Millisecond
-	const maxAttempts = 26 // of 25.2: 100 / 8 x 1.4 x 0.4 x 2.5 x 1.5
+	const maxAttempts = 26 // 100 / 8 x 1.4 x 0.4 x 2.5 x 1.5 = 26.25, rounded down
 	for host, times := range transport.attemptTimes {
 		for i := range times {
 			attempts := 0
@@ -149,8 +150,8 @@
 	}
 }
 
-// checkTrafficReturnsOnce plays a load for 40 s, and checks second by second that traffic leaves the fallback pool
-// in steps and does not return to it.
+// checkTrafficReturnsOnce runs a load for 40 s, and checks second by second that traffic leaves the fallback pool in
+// steps and does not return to it.
 func checkTrafficReturnsOnce(t *testing.T, h *harness, fallback *scriptedTransport, rate int) {
 	t.Helper()
 	before, reversals, last := fallback.attemptCount(), 0, -1
--- a/internal/engine/recording.go
+++ b/internal/engine/recording.go
@@ -11,31 +11,31 @@
 	"dunemoor/internal/flightrecorder"
 )
 
-// RecordingConfig is what the flight recorder keeps, and where it writes.
+// RecordingConfig defines what the flight recorders keep, and where they write it.
 type RecordingConfig struct {
-	RingBytes    int           // kept in memory, of each pool
-	ViewInterval time.Duration // between two views of the hosts
-	Dir          string        // of dumps
-	File         string        // if set, everything is written to it
-	MaxFileBytes int64         // of one file; there are two at most
+	RingBytes    int           // size of the ring in memory, for each pool
+	ViewInterval time.Duration // time between two recorded views of the hosts
+	Dir          string        // directory of dumps
+	File         string        // if not "", the file to which the whole recording is written
+	MaxFileBytes int64         // maximum size of one file; there are two at most
 	Trigger      flightrecorder.Trigger
-	OnDump       func(path string, err error) // called when a dump was written; nil: it is logged
+	OnDump       func(path string, err error) // called when the writing of a dump has ended; nil: the result is logged
 }
 
 // Recording is the configuration of a pool's recorder.
 type Recording struct {
 	*RecordingConfig
-	Name    string   // of the gateway, or of gateway and pool
-	Classes []string // in the order of the settings
+	Name    string   // name of the gateway, or of gateway and pool
+	Classes []string // class names in the order of the settings
 }
 
-// recording is the flight recorder of a Pool. rec and trigger belong to the loop.
+// recording is the flight recorder of a Pool. rec and trigger are used only by the loop.
 type recording struct {
 	cfg      *Recording
 	rec      *flightrecorder.Recorder
 	trigger  flightrecorder.Trigger
 	file     *flightrecorder.File
-	dumping  atomic.Bool // one at a time: a dump holds the ring once more
+	dumping  atomic.Bool // a dump is being written; one at a time, as each holds a copy of the ring
 	stopFile func()      // writes the rest and closes the file
 }
 
@@ -72,7 +72,8 @@
 	return nil
 }
 
-// endRecording writes the rest of the recording; only at the exit may it wait for that.
+// endRecording writes the rest of the recording. wait is set only when the gateway exits: the loop then waits until
+// the file is written.
 func (p *Pool) endRecording(wait bool) {
 	if r := p.record; r != nil {
 		r.rec.Flush()
@@ -84,7 +85,8 @@
 	}
 }
 
-// buildRevision returns the revision that the program was built from, where that is known.
+// buildRevision returns the revision that the program was built from, the version of its module if the revision is
+// unknown, or "" without any build information.
 func buildRevision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -106,7 +108,7 @@
 	slog.Info("flight recording written", "path", path)
 }
 
-// Dump writes the rings to the folder of dumps. It does not wait for that.
+// Dump writes the rings of all pools to the directory of dumps. It does not wait until they are written.
 func (e *Engine) Dump() {
 	e.post(func(balancer.Time) {
 		for p := range e.pools {
@@ -115,7 +117,7 @@
 	})
 }
 
-// dump copies the ring, which takes some 50 us, and writes it in a goroutine.
+// dump copies the ring, which takes about 50 us, and writes the copy in a goroutine.
 func (p *Pool) dump() {
 	r := p.record
 	if r == nil || r.cfg.Dir == "" || !r.dumping.CompareAndSwap(false, true) {
@@ -134,7 +136,7 @@
 	}()
 }
 
-// countResponse reports a final response to the trigger.
+// countResponse reports a final response to the trigger, which may cause a dump.
 func (p *Pool) countResponse(rejected bool) {
 	if r := p.record; r != nil && r.trigger.ObserveResponse(time.Since(p.engine.clock.start), rejected) {
 		p.dump()
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -10,8 +10,8 @@
 	"dunemoor/internal/body"
 )
 
-// Request is a client's request with its one final response. A frontend fills in the first part and hands it
-// over with Engine.Do; transports read it.
+// Request is a client's request, which gets exactly one final response. A frontend sets the exported fields except
+// WriteBy, and submits it with Engine.Do; transports read it.
 type Request struct {
 	Method string
 	Target string // path and query, byte for byte as received
@@ -19,77 +19,79 @@
 	Header http.Header // as forwarded
 	Body   body.Body
 
-	// Upgrade is the protocol that the client asks to switch to, "" for none. The route has to allow it.
+	// Upgrade is the protocol that the client requests to switch to, "" for none. The route has to allow it.
 	Upgrade string
-	// Inform, if set, passes on an informational response (1xx). It is called while the request is open, and
-	// must not wait long.
+	// Inform, if set, forwards an informational response (1xx) to the client. It is called while the request is open,
+	// and must not block for long.
 	Inform func(status int, header http.Header)
-	// Client, if set, is the client.
+	// Client, if set, reports whether the client is still connected.
 	Client Client
 	// Done, if set, is called once the request is finished and no attempt uses its body any more.
 	Done func()
-	// WriteBy is when the current attempt has to be written to its last byte; zero: at any time. The loop
+	// WriteBy is the time by which the last byte of the current attempt must be written; zero: any time. The loop
 	// sets it before each attempt.
 	WriteBy time.Time
 
 	Route     *Route
-	Class     int // as the pools of the route number them
-	Tenant    int
-	Duplicate bool      // the client says that it has sent the request before
+	Class     int       // number of the class in the pools of the route
+	Tenant    int       // number of the tenant in the pools of the route
+	Duplicate bool      // the client marks the request as one that it has sent before
 	Deadline  time.Time // when the response is due
-	Key       string    // a split keeps requests with the same key together; "": random
+	Key       string    // requests with the same key go to the same pool of a split; "": a random pool
 
-	bodyArrived  chan struct{} // receives once the last byte of a streamed body has arrived
-	dueAfterBody atomic.Int64  // when the response is due after that, since processStart; 0: not known yet
-	finished     atomic.Bool   // it has its response, or nobody waits: set once, by Close
-	shutdown     *shutdown     // nil: it is at no engine
-	response     chan Response // of whoever closed it
+	bodyArrived  chan struct{} // receives an item once the last byte of a streamed body has arrived
+	dueAfterBody atomic.Int64  // due time after a streamed body has arrived, as the time since processStart; 0: unknown
+	finished     atomic.Bool   // it has its response, or its client no longer waits; set once, by Close
+	shutdown     *shutdown     // the shutdown of the engine; nil: it was not submitted yet
+	response     chan Response // receives the response from the goroutine that closed the request
 
-	// The following belongs to the loop.
+	// The fields below are used only by the loop.
 	id             balancer.RequestID
 	pool           *Pool
-	attempts       []context.CancelFunc // in the current pool
-	inFlight       int
-	attemptsSent   int  // in all pools
-	neverRan       bool // all attempts that have ended provably never ran
-	neverConnected bool // ... as no connection was established
-	streaming      bool // part of its body was passed on and is not kept: it can't be sent again
-	chain          *failoverChain
-	position       int      // in the chain
-	trial          bool     // sent to find out whether a pool is back
-	lastResponse   Response // the last unsuccessful response of a host, forwarded if nothing better comes
+	attempts       []context.CancelFunc // cancel functions of the attempts in the current pool
+	inFlight       int                  // attempts in flight
+	attemptsSent   int                  // attempts sent in all pools
+	neverRan       bool                 // all attempts that have ended provably never ran
+	neverConnected bool                 // all attempts that have ended did so with ConnectFailed or NotSent
+	streaming      bool                 // a part of its body that is not buffered was sent: the request can't be sent again
+	chain          *failoverChain       // the pool that the request was routed to, with its fallbacks
+	position       int                  // index of the current pool in the chain
+	trial          bool                 // it is a trial request, which detects whether a pool has recovered
+	lastResponse   Response             // the last unsuccessful response of a host, forwarded if no attempt succeeds
 }
 
-// Client is whoever waits for a response.
+// Client is the client that waits for a response.
 type Client interface {
-	// Gone reports whether the client has left. It looks at the connection itself and does not wait: on a busy
-	// machine the event of a client that has left may still be under way.
+	// Gone reports whether the client has disconnected. It checks the connection itself and does not block, as on a
+	// busy machine the event of a disconnect may be delayed.
 	Gone() bool
 }
 
-// processStart is what instants that are stored as numbers count from.
+// processStart is the origin of instants that are stored as numbers.
 var processStart = time.Now()
 
-// Finished reports whether the request has its response or nobody waits for one: nothing may be sent for it.
+// Finished reports whether the request has its response, or its client no longer waits for one. Nothing may be sent
+// for a finished request.
 func (x *Request) Finished() bool { return x.finished.Load() }
 
-// MayWrite reports whether an attempt may be written now: the request is not finished, there is time left, and
-// its client is still there.
+// MayWrite reports whether an attempt may be written now: the request is not finished, WriteBy has not passed, and
+// the client is still connected.
 func (x *Request) MayWrite() bool {
 	return !x.Finished() && (x.WriteBy.IsZero() || time.Now().Before(x.WriteBy)) && (x.Client == nil || !x.Client.Gone())
 }
 
-// BodyArrived reports that the last byte of a streamed body has arrived, and when the response is due.
+// BodyArrived records that the last byte of a streamed body has arrived, and when the response is due.
 func (x *Request) BodyArrived(due time.Time) {
 	x.dueAfterBody.Store(int64(due.Sub(processStart)))
 	select {
 	case x.bodyArrived <- struct{}{}:
-	default: // it is finished, or was reported before
+	default: // the request is finished, or BodyArrived was called before
 	}
 }
 
-// Due returns when the response is due: the Deadline, or later where a body has arrived since, and the shutdown
-// at the latest. known is false while the body is arriving and there is no shutdown: then nothing is due yet.
+// Due returns when the response is due: at the Deadline, or for a streamed body at the time that BodyArrived has set,
+// but no later than the deadline of a shutdown. known is false while a streamed body is arriving and no shutdown has
+// begun, as no time is set yet.
 func (x *Request) Due() (at time.Time, known bool) {
 	at, known = x.Deadline, x.Body.Buffered()
 	if d := x.dueAfterBody.Load(); !known && d != 0 {
@@ -107,11 +109,11 @@
 	return max(0, time.Until(at))
 }
 
-// Close finishes a request, and reports whether it was open: whoever closes it gives the response, so that
-// there is one.
+// Close finishes a request, and reports whether it was open. The caller that finishes it delivers the response, so
+// that there is exactly one.
 func (x *Request) Close() bool { return x.finished.CompareAndSwap(false, true) }
 
-// respond gives the response if there is none yet, and reports whether it did.
+// respond delivers the response if the request has none yet, and reports whether it did.
 func (x *Request) respond(r Response) bool {
 	closed := x.Close()
 	if closed {
--- a/internal/engine/response.go
+++ b/internal/engine/response.go
@@ -13,7 +13,7 @@
 
 // Kinds of responses.
 const (
-	Failed   Kind = iota // whether the request has had an effect is unknown
+	Failed   Kind = iota // it is unknown whether the request has had an effect
 	Served               // a host's response
 	Rejected             // no attempt has run: the client may retry
 )
@@ -24,9 +24,9 @@
 	Status     int         // Served
 	Header     http.Header // Served
 	Body       body.Body   // Served
-	Tunnel     Tunnel      // Served with 101: the connection after the switch of protocols
+	Tunnel     Tunnel      // Served with status 101: the connection after the switch of protocols
 	RetryAfter time.Duration
-	Free       func() // returns the memory of the body to a budget; nil: none
+	Free       func() // returns the memory of the body to its budget; nil: no memory is reserved
 }
 
 // Tunnel is a connection to a host that has switched to another protocol.
@@ -38,7 +38,7 @@
 	Close() error
 }
 
-// FreeHeld returns the memory of the buffered part of the body to its budget. Nobody reads it any more.
+// FreeHeld returns the memory of the buffered part of the body to its budget. That part must not be read any more.
 func (r *Response) FreeHeld() {
 	if r.Free != nil {
 		r.Free()
@@ -46,7 +46,7 @@
 	}
 }
 
-// Release is called by the last owner of a Response; a second time it does nothing.
+// Release releases what a Response holds. Its last owner calls it; further calls do nothing.
 func (r *Response) Release() {
 	if f := r.Body.Stream(); f != nil {
 		f.Close()
@@ -57,7 +57,7 @@
 	r.FreeHeld()
 }
 
-// discard releases a response from the loop, which must not wait for a streamed body to end.
+// discard releases a response from the loop, which must not wait until a streamed body or a tunnel is closed.
 func (r *Response) discard() {
 	if r.Body.Buffered() && r.Tunnel == nil {
 		r.Release()
@@ -66,18 +66,19 @@
 	go func(r Response) { r.Release() }(*r)
 }
 
-// Result is the end of one attempt.
+// Result is the result of one attempt.
 type Result struct {
 	// HasResponse reports that a whole response arrived; the route classifies it. Otherwise Outcome is how the
-	// attempt ended. An Outcome which says that nothing ran is used only with the proof that the protocol's
-	// specification names.
+	// attempt ended. An Outcome that means that the request never ran is used only with a proof that the protocol's
+	// specification defines.
 	HasResponse bool
 	Response    Response
 	Outcome     balancer.Result
 	// PartlySent reports that some bytes of the request were sent, but not the last. It comes with the Outcome
-	// balancer.ConnectFailed, although a connection was established: by the platform's protocol a host that lacks
-	// the last byte has run nothing, as if there had been no connection. On a plain route it may have:
-	// Pool.attemptEnded makes the Outcome balancer.Reset there, and upstream.Attempt does not send the request again.
+	// balancer.ConnectFailed, although a connection was established: by the platform's protocol a host runs nothing
+	// without the last byte, so that the effect is the same as without a connection. On a plain route a host may have
+	// run it: Pool.attemptEnded changes the Outcome to balancer.Reset there, and upstream.Attempt does not send the
+	// request again.
 	PartlySent bool
 }
 
--- a/internal/engine/retry.go
+++ b/internal/engine/retry.go
@@ -12,11 +12,11 @@
 //     and Settings.MaxAttempts. It decides first.
 //   - Pool.takeRetry below: over all pools of the failover chain, by MaxAttempts and by whether the last attempt is
 //     better kept for the next pool.
-//   - route.Budget, which takeRetry asks last: over all requests of a route, by the share of retries among its attempts.
+//   - route.Budget, which takeRetry consults last: over all requests of a route, by the share of retries among its attempts.
 //
 // A retry that the second or the third denies ends as balancer.NotSent, and the balancer decides again.
 //
-// None of them is asked when package upstream (shouldResend) sends a request again within one attempt: an open
+// None of them is consulted when package upstream (shouldResend) sends a request again within one attempt: an open
 // connection was closed by its host before the request had been written, so it never ran.
 //
 // failOver then decides whether a request that its pool rejects goes on to the next pool.
@@ -31,8 +31,8 @@
 	maxStreamedRetryAfter = 50 * time.Millisecond
 )
 
-// takeRetry reports whether a request may have a further attempt that the balancer wants. If so it takes a retry from the
-// route's budget, so it is called once for each attempt.
+// takeRetry reports whether a request may have a further attempt that the balancer has requested. If so it takes a
+// retry from the route's budget, so it must be called once for each attempt.
 func (p *Pool) takeRetry(now balancer.Time, x *Request) bool {
 	if p.keepsLastAttempt(now, x) {
 		return false
@@ -44,8 +44,8 @@
 	return budget == nil || budget.Retry(now)
 }
 
-// keepsLastAttempt reports whether a request's last attempt is kept for the next pool of its chain, which may still
-// serve it. A trial request has one attempt in the pool that it tries.
+// keepsLastAttempt reports whether a request's last attempt is reserved for the next pool of its chain, which may
+// still serve it. A trial request has one attempt in the pool that it tries.
 func (p *Pool) keepsLastAttempt(now balancer.Time, x *Request) bool {
 	attemptedHere := len(x.attempts) > 0
 	hasOtherPools := len(x.chain.pools) > 1
@@ -63,9 +63,9 @@
 	return x.neverRan || x.Route.idempotent(x.Class)
 }
 
-// failOver has a request that its pool rejects go on to the next pool of its chain: only where connections to this
-// one failed or the request was a trial, and where it may run elsewhere. Rejections of a pool that is full stand, as the
-// requests would overload the next one.
+// failOver moves a request that its pool rejects to the next pool of its chain, and reports whether it did. It does
+// so only if connections to this pool failed or the request was a trial, and if the request may run in another pool.
+// Rejections by a full pool are final, as the requests would overload the next one.
 func (p *Pool) failOver(now balancer.Time, x *Request) bool {
 	if !p.mayFailOver(now, x) {
 		return false
@@ -93,9 +93,9 @@
 	return x.mayRunElsewhere() && (x.trial || unreachable)
 }
 
-// streamedRetryAfter returns when a client may retry a streamed request whose only attempt never ran: the gateway has not
-// kept enough of its body to retry itself. Other values of Retry-After come from the balancer (a request that its pool
-// rejects), from package overload (load shedding) and from the frontends (no memory for bodies).
+// streamedRetryAfter returns the Retry-After of a streamed request whose only attempt never ran: the gateway has not
+// buffered enough of its body to retry it. Other values of Retry-After come from the balancer (a request that its
+// pool rejects), from package overload (load shedding) and from the frontends (no memory for bodies).
 func (p *Pool) streamedRetryAfter() time.Duration {
 	return min(maxStreamedRetryAfter, p.cfg.Settings.MaxRetryAfter)
 }
--- a/internal/engine/retry_test.go
+++ b/internal/engine/retry_test.go
@@ -8,7 +8,7 @@
 	"dunemoor/balancer"
 )
 
-// Retries stay within the route's budget however many attempts fail, and each request has its response.
+// Retries stay within the route's budget however many attempts fail, and each request gets its response.
 func TestRetryBudgetBoundsRetries(t *testing.T) {
 	for _, budget := range []Retries{{0, 0}, {0.2, 1}, {3, 0}} {
 		runInVirtualTime(t, func(t *testing.T, h *harness) {
--- a/internal/engine/route.go
+++ b/internal/engine/route.go
@@ -10,60 +10,63 @@
 	"dunemoor/internal/route"
 )
 
-// Route is what is done with the requests of a route. It does not change once it is in a Snapshot.
+// Route defines how the requests of a route are handled. It does not change once it is in a Snapshot.
 type Route struct {
 	Name string
-	// Classes are those of its pools, by their number there. ClassNames are the names that requests may ask for,
-	// with their numbers.
+	// Classes are the classes of the route's pools, indexed by number. ClassNames has the names that requests may use
+	// for a class, with the numbers.
 	Classes    []balancer.Class
 	ClassNames map[string]int
-	Tenants    map[string]int // nil: requests name no tenant
-	// FirstRanks and DuplicateRanks are the ranks of first requests and duplicates of each class when load is
-	// shed; nil where none is.
+	Tenants    map[string]int // numbers of the tenants by name; nil: requests name no tenant
+	// FirstRanks and DuplicateRanks are the ranks in load shedding of the first requests and of the duplicates of
+	// each class; nil if no load is shed.
 	FirstRanks, DuplicateRanks []int
-	// Classify returns what a host's response means to the balancer; balancer.OK ends the request with it.
+	// Classify returns the result that a host's response counts as; with balancer.OK it becomes the final response.
 	Classify func(r *Response) balancer.Result
-	// ForwardsFailures has the client get the last response of a host even if it is no success, once the request
-	// may have no other attempt.
+	// ForwardsFailures means that the client gets the last response of a host, even if it is not a success, when the
+	// request may have no other attempt.
 	ForwardsFailures bool
 	// Plain is set for clients that send none of the platform's headers.
 	Plain *Plain
-	// Streams is how bodies are streamed that are not buffered whole. The gateway sets it on all its routes. Nil: all bodies of
-	// requests are buffered whole, up to frontend.MaxBufferedBytes, as on the routes of tests.
+	// Streams configures the streaming of bodies that are not buffered as a whole. The gateway sets it on all its
+	// routes. Nil, as on the routes of tests: request bodies are buffered as a whole, up to
+	// frontend.MaxBufferedBytes.
 	Streams *Streams
 
 	rule    *route.Route     // nil: the only pool gets all requests
 	chains  []*failoverChain // in the order of the rule's split
 	budget  *route.Budget    // owned by the loop; nil: retries are bounded by the balancer alone
-	retries Retries          // that the budget was made of
+	retries Retries          // parameters of the budget
 }
 
 // Plain is what a route assigns to requests that have none of the platform's headers.
 type Plain struct {
 	Class              int           // number of the class
-	NonIdempotentClass int           // number of the same class where nothing may be sent again
+	NonIdempotentClass int           // number of the non-idempotent variant of the class
 	Timeout            time.Duration // from the request's last byte to its response
-	RetryableMethods   []string      // methods that may be retried though they are not safe
+	RetryableMethods   []string      // methods that may be retried although they are not safe
 
-	MaxTunnels int // connections that may switch to another protocol at once; 0: none
-	Tunnels    atomic.Int64
+	MaxTunnels int          // maximum number of connections that are switched to another protocol at once; 0: none
+	Tunnels    atomic.Int64 // connections that are switched to another protocol now
 
 	RequestHeaders, ResponseHeaders HeaderRules
 }
 
-// Streams is how bodies are streamed on a route.
+// Streams configures the streaming of bodies on a route.
 type Streams struct {
-	BufferBytes      int64     // of a request's body that are kept, so that it can be sent again
-	MaxBodyBytes     int64     // of a request's body; 0: any
-	HeadDeadlineOnly bool      // the deadline is for the response's first bytes; only the pace bounds the rest
-	Pace             body.Pace // of hosts, and of clients that receive a response
-	Upload           body.Pace // of clients that send
+	BufferBytes      int64     // bytes of a request's body that are buffered, so that it can be sent again
+	MaxBodyBytes     int64     // maximum size of a request's body; 0: unlimited
+	HeadDeadlineOnly bool      // the deadline applies to the response's header section; only the pace bounds the rest
+	Pace             body.Pace // pace required of hosts, and of clients that receive a response
+	Upload           body.Pace // pace required of clients that send a body
 }
 
-// Retries bounds the retries of a route: a share of its first attempts, and a floor a second.
+// Retries bounds the retries of a route: Share is in retries for each first attempt, and Floor in additional retries
+// a second.
 type Retries struct{ Share, Floor float64 }
 
-// SplitBy returns the header that keeps a client at one pool; "": random.
+// SplitBy returns the name of the header whose value assigns a client to a pool of the split, or "" if pools are
+// chosen at random.
 func (r *Route) SplitBy() string {
 	if r.rule == nil {
 		return ""
@@ -76,10 +79,10 @@
 	return r.Classes[class].Idempotency == balancer.Idempotent
 }
 
-// failoverChain is a pool with those that stand in for it.
+// failoverChain is a pool with its fallback pools.
 type failoverChain struct {
 	pools     []*Pool
-	minShares []float64    // of usable hosts that each pool needs
+	minShares []float64    // minimum share of usable hosts, for each pool
 	state     *route.Chain // owned by the loop
 }
 
--- a/internal/engine/route_test.go
+++ b/internal/engine/route_test.go
@@ -10,7 +10,7 @@
 	"dunemoor/internal/route"
 )
 
-// The shares of a split hold in the engine, and requests with one key go to one pool.
+// The engine splits requests by the configured weights, and sends requests with the same key to the same pool.
 func TestSplitKeepsSharesAndKeys(t *testing.T) {
 	runInVirtualTime(t, func(t *testing.T, h *harness) {
 		large, small := newScriptedTransport("a", respondWith(200, 0)), newScriptedTransport("b", respondWith(200, 0))
--- a/internal/engine/shutdown.go
+++ b/internal/engine/shutdown.go
@@ -7,13 +7,13 @@
 	"dunemoor/balancer"
 )
 
-// shutdown is the time by which all responses are due, once the gateway ends.
+// shutdown is the time by which all responses are due when the gateway shuts down.
 type shutdown struct {
 	deadline atomic.Pointer[time.Time]
 	begun    chan struct{} // closed once the deadline is set
 }
 
-// time returns the deadline, or nil where none is set.
+// time returns the deadline, or nil if none is set.
 func (s *shutdown) time() *time.Time {
 	if s == nil {
 		return nil
@@ -21,8 +21,8 @@
 	return s.deadline.Load()
 }
 
-// Stop makes all responses due by a time: of open requests, also where the body is still on its way, and
-// of those that are yet to come. A second call changes nothing.
+// Stop sets the time by which all responses are due: those of open requests, also while the body is still arriving,
+// and those of later requests. Further calls have no effect.
 func (e *Engine) Stop(by time.Time) {
 	if !e.shutdown.deadline.CompareAndSwap(nil, &by) {
 		return
@@ -36,7 +36,7 @@
 	})
 }
 
-// beforeShutdown returns a time, or the deadline of the shutdown where that is earlier.
+// beforeShutdown returns the given time, or the deadline of the shutdown if that is earlier.
 func (e *Engine) beforeShutdown(at time.Time) time.Time {
 	if by := e.shutdown.time(); by != nil && at.After(*by) {
 		return *by
--- a/internal/engine/shutdown_test.go
+++ b/internal/engine/shutdown_test.go
@@ -11,7 +11,7 @@
 	"dunemoor/internal/body"
 )
 
-// blockedSource is the source of a body that stays incomplete: Read waits until it is closed.
+// blockedSource is the source of a body that stays incomplete: Read blocks until the source is closed.
 type blockedSource struct{ closed chan struct{} }
 
 func (s *blockedSource) Read([]byte) (int, error) { <-s.closed; return 0, body.ErrConsumed }
@@ -19,7 +19,8 @@
 func (s *blockedSource) Close(bool)               { close(s.closed) }
 
 // After Stop all responses are due by its deadline: of attempts at hosts that do not respond, of requests whose body
-// is incomplete, and of later requests. The balancer is notified, and rejects what can be sent elsewhere.
+// is incomplete, and of later requests. The balancer is notified, and rejects the requests that can be sent
+// elsewhere.
 func TestShutdownDeadlineBoundsAllResponses(t *testing.T) {
 	runInVirtualTime(t, func(t *testing.T, h *harness) {
 		pool := h.newPool(newScriptedTransport("a", respondWith(200, time.Hour)), 3)
--- a/internal/engine/snapshot.go
+++ b/internal/engine/snapshot.go
@@ -8,8 +8,8 @@
 	"dunemoor/internal/route"
 )
 
-// Snapshot is an immutable set of routes and pools. Requests end on the Snapshot that they began on; frontends
-// hold one from Engine.Snapshot to Release.
+// Snapshot is an immutable set of routes and pools. A request uses the same Snapshot from its start to its end: a
+// frontend holds the Snapshot from the call of Engine.Snapshot to that of Release.
 type Snapshot struct {
 	Table  *route.Table     // nil: every request takes the only route
 	routes []*Route         // by the index of their rules
@@ -20,16 +20,16 @@
 	replaced   atomic.Bool
 }
 
-// PoolUse is a pool in a Snapshot, the names of the pools that stand in for it, in order, and the share of its
-// hosts that has to be usable for it to carry all requests.
+// PoolUse is a pool in a Snapshot, with the share of its hosts that must be usable for it to carry all its requests,
+// and the names of its fallback pools in order.
 type PoolUse struct {
 	Pool     *Pool
 	MinShare float64
 	Fallback []string
 }
 
-// NewSnapshot returns a Snapshot. routes are in the order of the table's rules; retries has one entry for each, or
-// none. Without a table there is one route and one pool.
+// NewSnapshot returns a Snapshot. routes are in the order of the table's rules; retries has one entry for each route,
+// or is empty. Without a table there is one route and one pool.
 func (e *Engine) NewSnapshot(table *route.Table, routes []*Route, retries []Retries, pools ...PoolUse) *Snapshot {
 	s := &Snapshot{Table: table, routes: routes, engine: e}
 	byName := map[string]int{}
@@ -62,7 +62,7 @@
 	return s
 }
 
-// Route returns the route of a request, nil if there is none. q is nil where there is no table.
+// Route returns the route of a request, or nil if there is none. q may be nil if the Snapshot has no table.
 func (s *Snapshot) Route(q *route.Request) *Route {
 	if s.Table == nil {
 		return s.routes[0]
@@ -96,7 +96,7 @@
 		if e.snapshot.Load() == s {
 			return s
 		}
-		s.Release() // it has just been replaced, and may be swept already
+		s.Release() // it was replaced meanwhile, and sweep may have dropped it
 	}
 }
 
@@ -107,9 +107,9 @@
 	}
 }
 
-// Use puts a Snapshot into use, all at once, and returns when that is done. It takes over from the previous one
-// what both have: pools, the state of failover chains, and retry budgets. Pools that it lacks end when their last
-// request has.
+// Use puts a Snapshot into use in one event of the loop, and returns when that is done. Pools, the state of failover
+// chains and retry budgets that both the previous Snapshot and this one have are kept. Pools that only the previous
+// one has are closed when their last request has ended.
 func (e *Engine) Use(s *Snapshot) {
 	done := make(chan struct{})
 	if !e.post(func(now balancer.Time) {
@@ -137,7 +137,7 @@
 	for _, c := range s.chains {
 		c.pools[0].used = true
 		if len(c.pools) < 2 {
-			continue // there is no choice to make
+			continue // without a fallback there is no pool to choose
 		}
 		for i, pool := range c.pools {
 			pool.chains = append(pool.chains, chainEntry{c, i})
@@ -152,7 +152,7 @@
 	e.sweep()
 }
 
-// DropUnused ends the pools that were made and never used, as where a reload has failed.
+// DropUnused closes the pools that were created and never used, for example by a reload that failed.
 func (e *Engine) DropUnused() {
 	e.post(func(balancer.Time) {
 		for p := range e.pools {
@@ -162,7 +162,7 @@
 	})
 }
 
-// adopt takes over the state of what has not changed.
+// adopt takes over the state of unchanged failover chains, and the retry budgets with unchanged parameters.
 func (s *Snapshot) adopt(old *Snapshot) {
 	for _, c := range s.chains {
 		if i := slices.IndexFunc(old.chains, c.equal); i >= 0 {
@@ -177,12 +177,13 @@
 	}
 }
 
-// sweep forgets the Snapshots without requests, and ends the pools that are in no Snapshot.
+// sweep drops the replaced Snapshots that are no longer held, and closes the pools that are in no Snapshot and have
+// no requests.
 func (e *Engine) sweep() {
 	e.superseded = slices.DeleteFunc(e.superseded, func(s *Snapshot) bool { return s.references.Load() == 0 })
 	current := e.snapshot.Load()
 	for pool := range e.pools {
-		// A pool that was just made is on its way into the next Snapshot.
+		// A pool that has not been in a Snapshot yet is kept, as the next Snapshot will have it.
 		pool.unused = pool.used && current != nil && !current.has(pool) &&
 			!slices.ContainsFunc(e.superseded, func(s *Snapshot) bool { return s.has(pool) })
 		e.closeIfUnused(pool)
--- a/internal/engine/transport.go
+++ b/internal/engine/transport.go
@@ -11,13 +11,14 @@
 	Run(ctx context.Context)
 }
 
-// Endpoint is a host of a Transport. Update and CloseIdle are called by the loop and must not wait; Attempt is
+// Endpoint is a host of a Transport. Update and CloseIdle are called by the loop and must not block; Attempt is
 // called by goroutines of its own.
 type Endpoint interface {
-	// Update applies what the endpoint list says. Where usable is false no new request may be sent.
+	// Update applies the host's entry in the endpoint list; started is Unix time in milliseconds. If usable is false
+	// no new request may be sent.
 	Update(addr string, started int64, usable bool)
 	CloseIdle()
-	// Attempt sends a request at most once, and returns how that ended. ctx ends when the attempt is to be given
-	// up. Attempt checks MayWrite and usable again before the first byte is sent, and WriteBy while it writes.
+	// Attempt sends a request at most once, and returns the result. ctx ends when the attempt must be abandoned.
+	// Attempt checks MayWrite and usable again before the first byte is sent, and WriteBy while it writes.
 	Attempt(ctx context.Context, x *Request) Result
 }
--- a/internal/overload/delays.go
+++ b/internal/overload/delays.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// Delays counts durations in buckets, for quantiles to within an eighth. Add allocates
-// nothing and never waits. Its methods may be called by any goroutine. The zero value is ready to use.
+// Delays is a histogram of durations, whose quantiles are exact to within an eighth. Add does not allocate and never
+// blocks. Its methods may be called by any goroutine. The zero value is ready to use.
 type Delays struct {
 	counts [delayBuckets]atomic.Uint64
 	max    atomic.Int64
 }
 
 const (
-	// stepBits gives each power of two 8 buckets: a quantile is the upper end of one.
+	// stepBits divides each power of two into 8 buckets. A quantile is the upper end of a bucket.
 	stepBits = 3
-	// delayBits gives the longest duration with a bucket, 2^40 ns or 18 minutes: no request waits so long. Longer ones
-	// count as that.
+	// delayBits bounds the durations with a bucket of their own at 2^40 ns, or 18 minutes; no request waits that
+	// long. Longer durations are counted in the last bucket.
 	delayBits    = 40
 	delayBuckets = (delayBits - stepBits + 1) << stepBits
 )
 
-// Add counts a duration. A negative one, of a clock that was set back, counts as 0.
+// Add counts a duration. A negative one, caused by a clock that was set back, counts as 0.
 func (h *Delays) Add(d time.Duration) {
 	d = max(d, 0)
 	h.counts[bucketOf(d)].Add(1)
@@ -35,8 +35,8 @@
 	}
 }
 
-// bucketOf returns the index of the bucket of a duration: each nanosecond below 2^stepBits has one, and above that each
-// power of two has 2^stepBits.
+// bucketOf returns the index of the bucket of a duration. Each nanosecond below 2^stepBits has its own bucket, and
+// above that each power of two has 2^stepBits buckets.
 func bucketOf(d time.Duration) int {
 	n := uint64(min(d, 1<<delayBits-1))
 	if n < 1<<stepBits {
@@ -55,8 +55,8 @@
 	return time.Duration((uint64(bucket&(1<<stepBits-1)|1<<stepBits)+1)<<shift - 1)
 }
 
-// Quantile returns what the share q of the durations stayed within, at most the longest of all.
-// It returns 0 when there is none.
+// Quantile returns an upper bound of the q-quantile of the durations, at most the longest of them. It returns 0 if
+// there are none.
 func (h *Delays) Quantile(q float64) time.Duration {
 	var counts [delayBuckets]uint64
 	total := uint64(0)
--- a/internal/overload/delays_test.go
+++ b/internal/overload/delays_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A quantile is at most an eighth above that of the list of values: no bucket takes a value of its
-// neighbour.
+// A quantile is at least that of the sorted values and at most an eighth above it: each value is counted in its own
+// bucket and not in a neighbouring one.
 func TestDelaysQuantileIsAtMostAnEighthAbove(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for _, limit := range []int64{6, 100, 1e6, 1e12} {
--- a/internal/overload/mix_test.go
+++ b/internal/overload/mix_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// The shed share is a share of the requests that arrive, whichever ranks they have: the pressure
-// passes over ranks without requests instead of climbing through them and then shedding far too much.
+// The shed share applies to the requests that arrive, whatever ranks they have. The test guards against a pressure
+// that rises slowly through ranks without requests, and then sheds far too much.
 func TestShedShareAppliesToRanksThatArrive(t *testing.T) {
 	c, now := New(6), Time(time.Hour)
 	arrive := func(rank, n int) (admitted int) {
@@ -18,7 +18,7 @@
 		}
 		return admitted
 	}
-	for range 50 { // all of rank 3 and of the highest
+	for range 50 { // only requests of rank 3 and of the highest rank arrive
 		arrive(3, 200)
 		arrive(5, 100)
 		now += Interval
@@ -51,7 +51,7 @@
 		t.Errorf("after a change of ranks: %d of 1000 admitted at a pressure of %v, want 500 within 60 below 1",
 			got, c.Pressure())
 	}
-	c.SetRanks(2) // the mix is learnt anew
+	c.SetRanks(2) // the mix is measured anew
 	now += Interval
 	c.Sample(now, Sample{})
 	if p := c.Pressure(); p >= 1 || p <= 0 {
@@ -59,10 +59,10 @@
 	}
 }
 
-// Clients that stay away for a while when they are rejected let the share settle where as many return
-// as are shed, instead of swinging between all and nothing.
+// Rejected clients return only after some time. The test guards against a shed share that oscillates between
+// everything and nothing: it must settle where as many clients return as are shed.
 func TestShedShareSettlesWhileClientsReturn(t *testing.T) {
-	const clients, capacity, away = 3000, 1000, 10 // served in an interval; intervals
+	const clients, capacity, away = 3000, 1000, 10 // capacity in requests per interval, away in intervals
 	c, now := New(2), Time(time.Hour)
 	var back [away + 1]float64
 	waiting, served, rounds := float64(clients), 0.0, 300
--- a/internal/overload/ranks.go
+++ b/internal/overload/ranks.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// Rank is what the rank of a class depends on when load is shed: the lowest rank goes first.
+// Rank has the properties of a class that determine its rank in load shedding. The lowest rank is shed first.
 type Rank struct {
 	Weight           float64
 	LatencyObjective time.Duration
 }
 
-// duplicateWeight is the weight of a client's duplicate relative to its first request: it may come late, and retry storms
-// are made of them.
+// duplicateWeight is the weight of a client's duplicate relative to its first request. It is lower as a duplicate may
+// be served late, and as retry storms consist of duplicates.
 const duplicateWeight = 0.25
 
-// Ranks returns the ranks of first requests and of duplicates of each class: a lower weight has a lower rank, and of equal
-// weights the class that can wait longer. Equal kinds share a rank. count is the number of ranks.
+// Ranks returns the ranks of first requests and of duplicates of each class. A lower weight has a lower rank, and
+// with equal weights a longer latency objective has a lower rank. Requests with the same weight and objective share a
+// rank. count is the number of ranks.
 func Ranks(classes []Rank) (first, duplicate []int, count int) {
 	type kind struct {
 		weight    float64
--- a/internal/protocol/doc.go
+++ b/internal/protocol/doc.go
@@ -1,5 +1,5 @@
-// Package protocol reads the settings object that the platform gives to each gateway. It is the one place
-// that maps the field names of the platform's protocol to the terms that the rest of the code uses:
+// Package protocol parses the settings object that the platform gives to each gateway. It is the only package that
+// maps the field names of the platform's protocol to the terms that the rest of the code uses:
 //
 //	platform's key               value                      field of balancer.Settings                in recordings   appliance file
 //	balancers                    number of gateways         Instances
@@ -26,9 +26,9 @@
 //	obligations.overload_factor  factor                     OverloadFactor
 //	obligations.fall             microseconds               OverloadWindow                            Fall
 //
-// Recordings have the settings by the JSON tags of package balancer, which differ from the fields' names where the column
-// says so. The last column has the keys of the appliance's configuration file, package config, which has none for the
-// others; its durations have a unit.
+// Recordings store the settings under the JSON tags of package balancer. The column of recordings lists the tags that
+// differ from the field names. The last column lists the keys of the appliance's configuration file (package config),
+// which has no keys for the other fields; its durations have a unit.
 //
 // The names of the platform's events and actions in the simulator's frames are mapped by package simwire.
 package protocol
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -9,8 +9,9 @@
 	"dunemoor/balancer"
 )
 
-// settings is the part of the settings object that the balancer acts on. Unknown keys are ignored and
-// absent ones are zero. Each field is named by the field's term; its tag is the platform's word.
+// settings is the part of the settings object that the balancer uses. Unknown keys are ignored, and absent ones are
+// zero. The fields have the names that the rest of the code uses, and their tags the names of the platform's
+// protocol.
 type settings struct {
 	Instances       int          `json:"balancers"`
 	Rank            int          `json:"rank"`
@@ -23,7 +24,7 @@
 	Obligations     obligations  `json:"obligations"`
 }
 
-// class is a class of requests.
+// class is a class of requests, as the platform describes it.
 type class struct {
 	LatencyObjective microseconds `json:"promise"`
 	Deadline         microseconds `json:"hard_limit"`
@@ -38,7 +39,7 @@
 	Quota float64 `json:"quota_per_s"` // requests per second
 }
 
-// capabilities are what a gateway may do.
+// capabilities are the features that a gateway may use.
 type capabilities struct {
 	Cancel        bool         `json:"cancel"`
 	MaxAttempts   int          `json:"max_attempts"`
@@ -46,7 +47,7 @@
 	RetryAfter    bool         `json:"retry_after"`
 }
 
-// obligations are the rules of the platform that a gateway keeps to.
+// obligations are the rules of the platform that a gateway has to follow.
 type obligations struct {
 	PollTimeout     microseconds `json:"ask_within"`
 	SlowStartShare  float64      `json:"cold_from"`
@@ -55,9 +56,9 @@
 	OverloadWindow  microseconds `json:"fall"`
 }
 
-// discoveryByPolling is the value of the key "discovery" with which the balancer requests the endpoint list. With
-// "subscribe" changes come only once the gateway has asked for them, by the action Poll; with "automatic" they come by
-// themselves.
+// discoveryByPolling is the value of the key "discovery" with which the balancer polls the endpoint list. With
+// "subscribe" changes arrive only after the gateway has requested them, by the action Poll; with "automatic" they are
+// pushed.
 const discoveryByPolling = "subscribe"
 
 // timeUnit is the unit of all times in the settings object.
@@ -91,8 +92,8 @@
 	"cell": balancer.ScopeCell,
 }
 
-// ParseSettings decodes the settings object, which is in JSON. It rejects malformed JSON and unknown
-// values of "effect" and "group"; ranges are checked by balancer.New.
+// ParseSettings decodes the settings object, which is in JSON. It rejects malformed JSON and unknown values of
+// "effect" and "group"; balancer.New checks the ranges of values.
 func ParseSettings(text []byte) (balancer.Settings, error) {
 	var in settings
 	if err := json.Unmarshal(text, &in); err != nil {
--- a/internal/ratelimit/clients.go
+++ b/internal/ratelimit/clients.go
@@ -6,44 +6,45 @@
 	"time"
 )
 
-// ClientLimits are what one client may do. A limit of 0 is none.
+// ClientLimits are the limits of one client. A limit of 0 means that there is none.
 type ClientLimits struct {
 	Rate       float64 // requests a second
-	Burst      float64 // requests that may be saved up
+	Burst      float64 // unused requests that a client may accumulate
 	Concurrent int     // requests in flight
 }
 
 const (
-	entriesPerSet      = 8 // a client's entry is looked for among these
+	entriesPerSet      = 8 // number of entries in which a client may be stored
 	shardCount         = 64
 	entryBytes         = 32  // size of a clientEntry, as the tests check
 	duplicatesPerFirst = 0.5 // duplicates that a client may send for each first request
-	maxSavedDuplicates = 5   // duplicates that it may save up
-	// shardBits is how many low bits of a hash do not choose the set: the lowest ones choose the shard.
+	maxSavedDuplicates = 5   // unused duplicates that a client may accumulate
+	// shardBits is how many low bits of a hash are not used to choose the set, as the lowest bits choose the shard.
 	shardBits = 8
 
 	nanosPerMilli  = int64(time.Millisecond)
 	nanosPerSecond = 1e9
 )
 
-// clientEntry is the state of a client. Its units are small ones, as the table has many entries.
+// clientEntry is the state of a client. Its fields have small types, as the table has many entries.
 type clientEntry struct {
 	hash             uint64  // of the client's key; 0: the entry is free
-	tokens           float32 // requests that it may send, as of lastNanos
-	duplicates       float32 // duplicates that it may send
-	lastNanos        int64   // time of the last request, or of the last Retry-After
-	retryAfterMillis int32   // after lastNanos; 0: none
-	inFlight         int32   // requests
+	tokens           float32 // requests that the client may send, as of lastNanos
+	duplicates       float32 // duplicates that the client may send
+	lastNanos        int64   // time of the last request, or of the last call of SetRetryAfter
+	retryAfterMillis int32   // time from lastNanos to the end of the Retry-After; 0: none
+	inFlight         int32   // requests in flight
 }
 
-// Clients is a table of fixed size. A client that is not in it replaces the one of its set that sent a request longest ago
-// and has none in flight: a million new addresses replace one another and clients that are idle, and the table never
-// grows. A client that was replaced begins anew with a full burst: limits hold for clients that send requests often.
+// Clients is a table of fixed size. A client that is not in it replaces the client of its set whose last request is
+// the oldest and that has no request in flight. So a million new addresses replace only one another and idle clients,
+// and the table never grows. A client that was replaced starts again with a full burst, so the limits are effective
+// for clients that send requests often.
 type Clients struct {
-	limits ClientLimits // read with the lock of any shard, written with those of all
+	limits ClientLimits // read with the lock of any shard held, written with all of them held
 	seed   uint64
 	shards [shardCount]shard
-	mask   uint64 // sets of a shard, less one: they are a power of two
+	mask   uint64 // number of sets in a shard, which is a power of two, minus one
 }
 
 // shard is a part of the table with its lock.
@@ -52,8 +53,8 @@
 	entries []clientEntry
 }
 
-// NewClients returns a table of at most so many bytes, 16 KiB at least. The seed has to be unknown to clients: they could
-// choose keys of one set otherwise.
+// NewClients returns a table whose entries take at most the given number of bytes, but at least 16 KiB. The seed must
+// be unknown to clients, which could otherwise choose keys that belong to one set.
 func NewClients(limits ClientLimits, bytes int, seed uint64) *Clients {
 	perShard := entriesPerSet
 	for perShard*2*shardCount*entryBytes <= bytes {
@@ -69,8 +70,8 @@
 // TableBytes returns the size of the entries.
 func (c *Clients) TableBytes() int { return shardCount * len(c.shards[0].entries) * entryBytes }
 
-// SetLimits changes the limits. Requests in flight stay; a client that has more in flight than it may is admitted again
-// once it has less.
+// SetLimits changes the limits. It does not affect requests in flight; a client with more requests in flight than the
+// new limit is admitted again once it is below the limit.
 func (c *Clients) SetLimits(limits ClientLimits) {
 	for i := range c.shards {
 		c.shards[i].mu.Lock()
@@ -90,13 +91,13 @@
 	return s, hash
 }
 
-// set returns the entries that a client may have; its shard is locked.
+// set returns the entries in which a client may be stored. The caller holds the lock of its shard.
 func (c *Clients) set(s *shard, hash uint64) []clientEntry {
 	return s.entries[(hash>>shardBits&c.mask)*entriesPerSet:][:entriesPerSet]
 }
 
-// find returns the entry of a client, or nil where all of its set have requests in flight: the client is not limited then.
-// Its shard is locked.
+// find returns the entry of a client, which it creates if there is none. It returns nil if all clients of the set
+// have requests in flight; the client is then not limited. The caller holds the lock of its shard.
 func (c *Clients) find(s *shard, hash uint64, now Time) *clientEntry {
 	set := c.set(s, hash)
 	var oldest *clientEntry
@@ -119,10 +120,10 @@
 	return oldest
 }
 
-// Begin decides on a request of a client; if it is admitted, End is called once when it is over. duplicate says that the
-// client marks it as one. A request before the client's Retry-After counts as a duplicate too, and early reports that;
-// where exempt is set, as for requests of the highest weight, this is not checked: a household that requests much else may
-// still book.
+// Begin decides whether a request of a client is admitted. If it is, the caller calls End once when the request has
+// ended. duplicate means that the client marks the request as a duplicate. A request before the end of the client's
+// Retry-After counts as a duplicate too, and early reports that. This is not checked if exempt is set, as for
+// requests of the highest weight: a household that sends many other requests may still book.
 func (c *Clients) Begin(now Time, key uint64, duplicate, exempt bool) (d Decision, early bool) {
 	s, hash := c.lock(key)
 	defer s.mu.Unlock()
@@ -130,7 +131,7 @@
 	if entry == nil {
 		return Admitted, false
 	}
-	elapsedNanos := max(int64(now)-entry.lastNanos, 0) // a clock that went back gives nothing
+	elapsedNanos := max(int64(now)-entry.lastNanos, 0) // a clock that was set back adds no tokens
 	if elapsedNanos < int64(entry.retryAfterMillis)*nanosPerMilli {
 		early = !exempt
 		duplicate = duplicate || early
@@ -142,7 +143,8 @@
 	return c.decide(entry, elapsedNanos, duplicate), early
 }
 
-// decide admits a request of a client or not. elapsedNanos is the time since its last request.
+// decide checks a request of a client against the limits, and counts it if it is admitted. elapsedNanos is the time
+// since the client's last request.
 func (c *Clients) decide(entry *clientEntry, elapsedNanos int64, duplicate bool) Decision {
 	rateLimited := c.limits.Rate > 0
 	if rateLimited {
@@ -168,7 +170,7 @@
 	return Admitted
 }
 
-// End reports the end of a request that was admitted.
+// End records the end of a request that was admitted.
 func (c *Clients) End(key uint64) {
 	s, hash := c.lock(key)
 	defer s.mu.Unlock()
@@ -182,7 +184,7 @@
 	}
 }
 
-// SetRetryAfter records the Retry-After that a client was given.
+// SetRetryAfter records the Retry-After that was sent to a client.
 func (c *Clients) SetRetryAfter(now Time, key uint64, after time.Duration) {
 	s, hash := c.lock(key)
 	defer s.mu.Unlock()
--- a/internal/ratelimit/tenants.go
+++ b/internal/ratelimit/tenants.go
@@ -5,49 +5,50 @@
 	"time"
 )
 
-// Tenant is one of those who share a gateway.
+// Tenant is one of the tenants that share a gateway.
 type Tenant struct {
 	Name   string
 	Weight float64 // above 0
 }
 
-// TenantLimits are what all tenants share. A limit of 0 is none.
+// TenantLimits are the limits of all tenants together. A limit of 0 means that there is none.
 type TenantLimits struct {
 	Rate       float64 // requests a second
 	Concurrent int     // requests in flight
 }
 
 const (
-	// burstSpan is how long a tenant may save up its share of the rate, and over how long what it leaves is saved up for
-	// others: a tenant that returns has its share again within it.
+	// burstSpan is the time for which a tenant's bucket accumulates its share of the rate, and the common bucket what
+	// tenants do not use. A tenant that sends requests again has its full share within this time.
 	burstSpan = time.Second
-	// maxElapsed bounds the time that is made up for at once.
+	// maxElapsed bounds the time for which the buckets are filled at once.
 	maxElapsed = 10 * burstSpan
-	// reservedShare is the share of TenantLimits.Concurrent that is not lent, so that a tenant which returns to its share
-	// finds some free at once; the others become free as lent ones end.
+	// reservedShare is the share of TenantLimits.Concurrent that is not lent, so that a tenant that sends requests
+	// again may start some at once. The rest of its share becomes available as lent ones end.
 	reservedShare = 0.2
 )
 
-// Tenants shares a rate and the requests in flight by weight. Each tenant has a bucket that fills at its share of the
-// rate; what overflows goes into a common bucket that any tenant may use.
+// Tenants divides a rate and a number of requests in flight among tenants by weight. Each tenant has a token bucket
+// that is filled at its share of the rate. Tokens above the capacity of that bucket go to a common bucket that any
+// tenant may use.
 type Tenants struct {
 	mu       sync.Mutex // guards all below
 	limits   TenantLimits
 	tenants  []tenant
 	common   float64 // tokens that any tenant may use, as of filledAt
-	inFlight int     // requests of all tenants
+	inFlight int     // requests in flight of all tenants
 	filledAt Time
 	began    bool // filledAt is set
 }
 
 // tenant is the state of a Tenant.
 type tenant struct {
-	share    float64 // of the weights of all, and so of the limits
-	tokens   float64 // requests that it may send, as of filledAt
-	inFlight int     // requests
+	share    float64 // share of the sum of the weights, and so of the limits
+	tokens   float64 // requests that the tenant may send, as of filledAt
+	inFlight int     // requests in flight
 }
 
-// NewTenants returns the shares of tenants, which are known by their index in the list.
+// NewTenants returns Tenants for a list of tenants, which are identified by their index in the list.
 func NewTenants(list []Tenant, limits TenantLimits) *Tenants {
 	t := &Tenants{limits: limits}
 	sum := 0.0
@@ -86,7 +87,8 @@
 	t.common = min(t.common, t.limits.Rate*span)
 }
 
-// Begin decides on a request of a tenant; if it is admitted, End is called once when it is over.
+// Begin decides whether a request of a tenant is admitted. If it is, the caller calls End once when the request has
+// ended.
 func (t *Tenants) Begin(now Time, i int) Decision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -110,7 +112,7 @@
 	return Admitted
 }
 
-// mayBegin reports whether a tenant may have another request in flight: one of its own share, or one that is lent.
+// mayBegin reports whether a tenant may have another request in flight, either of its own share or lent by others.
 func (t *Tenants) mayBegin(x *tenant) bool {
 	limit := float64(t.limits.Concurrent)
 	own := max(x.share*limit, 1)
@@ -118,7 +120,7 @@
 	return float64(x.inFlight) < own || float64(t.inFlight) < lendable
 }
 
-// End reports the end of a request that was admitted.
+// End records the end of a request that was admitted.
 func (t *Tenants) End(i int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/route/classify.go
+++ b/internal/route/classify.go
@@ -7,14 +7,14 @@
 	"dunemoor/balancer"
 )
 
-// DefaultFailureStatuses are the statuses of a host that count as failures, where a route sets no others: those by which a
-// server says that it, or a server behind it, is not able to respond.
+// DefaultFailureStatuses are the response statuses that count as failures if a route does not set others: those by
+// which a server reports that it, or a server behind it, is not able to serve the request.
 var DefaultFailureStatuses = []int{
 	http.StatusTooManyRequests, http.StatusInternalServerError, http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout,
 }
 
-// ClassifyProtocol returns what a response means to the balancer, of a host that keeps to the platform's protocol.
-// notProcessed says that the host proves that it has not processed the request (X-Not-Processed: 1).
+// ClassifyProtocol returns the result that a response of a host counts as, if the host implements the platform's
+// protocol. notProcessed means that the host guarantees that it has not processed the request (X-Not-Processed: 1).
 func ClassifyProtocol(status int, notProcessed bool) balancer.Result {
 	switch {
 	case status == http.StatusOK:
@@ -25,8 +25,8 @@
 	return balancer.Failed
 }
 
-// ClassifyPlain returns what a response of any HTTP server means to the balancer: all but the failures is for the client,
-// whatever its status.
+// ClassifyPlain returns the result that a response of any HTTP server counts as. All responses but the failures are
+// for the client, whatever their status.
 func ClassifyPlain(status int, notProcessed bool, failures []int) balancer.Result {
 	switch {
 	case notProcessed && isOverload(status):
@@ -37,7 +37,7 @@
 	return balancer.OK
 }
 
-// isOverload reports whether a status may be of a host that is full.
+// isOverload reports whether a status is one that a full host may respond with.
 func isOverload(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout
 }
--- a/internal/route/helpers_test.go
+++ b/internal/route/helpers_test.go
@@ -26,7 +26,7 @@
 
 func withSplit(split ...Share) func(*Rule) { return func(r *Rule) { r.Split = split } }
 
-// joinProblems returns one problem a line.
+// joinProblems returns the texts of problems, one a line.
 func joinProblems(list []*Problem) (s string) {
 	for _, p := range list {
 		s += p.Error() + "\n"
--- a/internal/route/normalize.go
+++ b/internal/route/normalize.go
@@ -1,6 +1,6 @@
-// Package route decides which route a request takes, which pool serves it, and how much of a pool's traffic fails over when
-// its hosts fail. It does no I/O, starts no goroutine and reads no clock. It decides on the pool; the host of the pool,
-// retries and rejections are the balancer's.
+// Package route decides which route a request takes, which pool serves it, and how much of a pool's traffic fails
+// over when its hosts fail. It does no I/O, starts no goroutine and reads no clock. It selects only the pool; the
+// balancer of the pool selects the host, and decides on retries and rejections.
 package route
 
 import (
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// Errors of requests whose route is ambiguous. The response is 400: a path that the gateway reads in one way and a host in
-// another would bypass the routes.
+// Errors of requests whose route is ambiguous. The response is 400: a path that the gateway interprets in one way and
+// a host in another would bypass the routes.
 var (
 	ErrAmbiguousPath    = errors.New("the path can't be matched without doubt")
 	ErrMalformedHost    = errors.New("the host can't be read")
@@ -17,14 +17,16 @@
 	ErrTooManySegments  = errors.New("the path has too many segments")
 )
 
-// maxSegments bounds the segments of a path, so that a match needs a fixed stack. Usual requests have fewer than ten.
+// maxSegments bounds the segments of a path, so that a match needs only an array of fixed size. Usual requests have
+// fewer than ten.
 const maxSegments = 64
 
-// NormalizePath returns the normal form of a path, in which paths are matched. It takes the path of an origin-form target,
-// without its query. Escapes of unreserved characters are decoded (RFC 3986, 6.2.2.2). What could be read in two ways is
-// ErrAmbiguousPath: segments of one or two dots, with or without a path parameter; empty segments except a last one; escaped
-// slashes and backslashes; backslashes; malformed escapes; control characters; and unescaped bytes that are not ASCII. A
-// path in normal form is returned as it is, without allocating.
+// NormalizePath returns the normal form of a path, in which paths are matched. It takes the path of an origin-form
+// target, without its query. Escapes of unreserved characters are decoded (RFC 3986, 6.2.2.2). A path that could be
+// interpreted in two ways is rejected with ErrAmbiguousPath: segments of one or two dots, with or without a path
+// parameter; empty segments except a last one; escaped slashes and backslashes; backslashes; malformed escapes;
+// control characters; and unescaped bytes that are not ASCII. A path in normal form is returned as it is, without
+// allocating.
 func NormalizePath(path string) (string, error) {
 	if path == "" || path[0] != '/' {
 		return "", ErrAmbiguousPath
@@ -61,18 +63,19 @@
 	}
 }
 
-// isDots reports whether a segment is one or two dots, to any server: some take what follows a semicolon for a parameter
-// (RFC 3986, 3.3), and would read "..;x" as the parent.
+// isDots reports whether any server may interpret a segment as one or two dots. Some treat what follows a semicolon
+// as a parameter (RFC 3986, 3.3), and would interpret "..;x" as the parent.
 func isDots(segment string) bool {
 	if len(segment) < 1 || segment[0] != '.' {
 		return false
 	}
 	name, _, _ := strings.Cut(segment, ";")
-	name, _, _ = strings.Cut(name, "%3B") // a semicolon to servers that decode escapes first
+	name, _, _ = strings.Cut(name, "%3B") // servers that decode escapes first interpret it as a semicolon
 	return name == "." || name == ".."
 }
 
-// decodeEscape returns the byte of the escape that a text begins with, as in "%2F"; false: it begins with none.
+// decodeEscape returns the byte of the escape at the beginning of a text, such as "%2F". ok is false if there is
+// none.
 func decodeEscape(s string) (decoded byte, ok bool) {
 	if len(s) < 3 || s[0] != '%' {
 		return 0, false
@@ -85,8 +88,8 @@
 	return byte(high<<4 | low), true
 }
 
-// unescape decodes the escapes of unreserved characters, and writes the others in capitals. All escapes of the path are
-// whole.
+// unescape decodes the escapes of unreserved characters, and converts the others to upper case. The path must have no
+// malformed escapes.
 func unescape(path string) string {
 	var b strings.Builder
 	b.Grow(len(path))
@@ -183,9 +186,10 @@
 	return true
 }
 
-// ParseTarget returns the host and path of a request target and a Host header, both in normal form. An absolute-form target
-// has to name the same host as the header (by RFC 9112, 3.2.2, the target wins; where they differ, other servers may disagree).
-// The asterisk-form and that of CONNECT are ErrAmbiguousPath.
+// ParseTarget returns the host and path of a request target and a Host header, both in normal form. An absolute-form
+// target must have the same host as the header (by RFC 9112, 3.2.2, the target takes precedence; but other servers
+// may use the header). The asterisk-form and the authority-form, which CONNECT has, are rejected with
+// ErrAmbiguousPath.
 func ParseTarget(target, header string) (host, path string, err error) {
 	authority := ""
 	if !strings.HasPrefix(target, "/") {
--- a/internal/route/normalize_test.go
+++ b/internal/route/normalize_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Paths that another reader may take for something else are rejected.
+// Paths that another server may interpret differently are rejected.
 func TestNormalizePathRejectsAmbiguousPaths(t *testing.T) {
 	for path, want := range map[string]string{
 		"/":                                 "/",
@@ -68,7 +68,7 @@
 	}
 }
 
-// Targets whose host or path differs between readers are rejected.
+// Targets whose host or path different servers may interpret differently are rejected.
 func TestParseTargetRejectsAmbiguousTargets(t *testing.T) {
 	for _, c := range []struct {
 		target, header, host, path string
--- a/internal/route/split_test.go
+++ b/internal/route/split_test.go
@@ -10,7 +10,7 @@
 // knownSplit has the pools of the keys k0 to k23 with two equal weights.
 const knownSplit = "000111011011000011011001"
 
-// The pool of a key stays, and a change of the weights moves only the keys of the changed part.
+// The pool of a key is stable, and a change of the weights moves only as many keys as the shares change by.
 func TestPoolOfKeyIsStable(t *testing.T) {
 	split := func(old, new int) *Route {
 		return mustCompile(t, newRule("r", "/", withSplit(Share{"p", old}, Share{"q", new}))).Routes()[0]
@@ -36,7 +36,7 @@
 	if p := float64(moved) / n; math.Abs(p-0.04) > 0.002 || movedBack > 0 {
 		t.Errorf("%.4f of the keys moved when 1%% became 5%%, %d of them back, want 0.04 and none", p, movedBack)
 	}
-	// Known results, so that a change of the hash is noticed: keys must not move with a build.
+	// Known results detect a change of the hash: keys must not move between builds.
 	got := ""
 	for i := range 24 {
 		got += fmt.Sprint(split(50, 50).Pool(fmt.Sprintf("k%d", i), 0))
@@ -44,7 +44,7 @@
 	if got != knownSplit {
 		t.Errorf("pools of the keys %s, want %s", got, knownSplit)
 	}
-	// The order of the pools does not matter, and a third pool takes from both alike.
+	// The order of the pools does not matter, and a third pool takes keys from both others.
 	reversed := mustCompile(t, newRule("r", "/", withSplit(Share{"q", 5}, Share{"p", 95}))).Routes()[0]
 	three := mustCompile(t, newRule("r", "/", withSplit(Share{"p", 95}, Share{"q", 5}, Share{"r", 100}))).Routes()[0]
 	for i := range 2000 {
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -6,16 +6,16 @@
 	"strings"
 )
 
-// Rule is a route as files have it.
+// Rule is a route as configured.
 type Rule struct {
 	Name    string
-	Line    int      // in the file, for errors
-	Hosts   []string // exact, or "*.example.org" for all below; none: any host
+	Line    int      // line in the configuration file, for error messages
+	Hosts   []string // exact, or "*.example.org" for all names below; none: any host
 	Path    string   // prefix of whole segments; "" is "/"
 	Methods []string // none: any
-	Headers []Header // all of them
-	Split   []Share  // the pools that it goes to
-	SplitBy string   // header whose value keeps a client at one pool; "": random
+	Headers []Header // all of them must match
+	Split   []Share  // the pools that the requests go to
+	SplitBy string   // header whose value selects the pool of a client; "": random
 }
 
 // Header is a condition on a header.
@@ -24,20 +24,20 @@
 	Value string // exact; "": any
 }
 
-// Share is a pool's share of a route.
+// Share is a pool's share of the requests of a route.
 type Share struct {
 	Pool   string
 	Weight int // 0 to maxWeight; 0: nothing
 }
 
 const (
-	maxWeight  = 1_000_000 // so that sums and quotients stay exact
-	maxHeaders = 16        // of a rule
-	// suffixPrefix begins hosts that stand for all names below.
+	maxWeight  = 1_000_000 // limited so that sums and quotients stay exact
+	maxHeaders = 16        // conditions on headers in a rule
+	// suffixPrefix is the prefix of hosts that match all names below a name.
 	suffixPrefix = "*."
 )
 
-// Request is what a route is chosen by.
+// Request has the properties of a request that select its route.
 type Request struct {
 	Host   string // in normal form
 	Path   string // in normal form
@@ -48,12 +48,12 @@
 // Route is a compiled rule.
 type Route struct {
 	Rule
-	Index   int // among the rules
+	Index   int // index of the rule
 	methods []string
-	pools   []weightedPool // of Split, those with a weight
+	pools   []weightedPool // the pools of Split with a weight above 0
 }
 
-// Table finds the routes of requests. It is immutable.
+// Table maps requests to routes. It is immutable.
 type Table struct {
 	exact  map[string]*node // by host
 	suffix map[string]*node // "*.example.org" by "example.org"
@@ -61,13 +61,14 @@
 	routes []*Route
 }
 
-// node is a segment of paths.
+// node is a node in a tree of path segments.
 type node struct {
-	next   map[string]*node
-	routes []*Route // that end here; the first that matches is taken
+	next   map[string]*node // children by segment
+	routes []*Route         // routes whose path ends here, the most specific first; the first that matches is used
 }
 
-// Problem is a rule that can't be used, with the line of another that it conflicts with if there is one.
+// Problem describes why a rule can't be used. Line is the line of the rule, and Other that of another rule that it
+// conflicts with, or 0.
 type Problem struct {
 	Line, Other int
 	Rule        string
@@ -81,7 +82,7 @@
 	return fmt.Sprintf("line %d: route %q: %s", p.Line, p.Rule, p.Text)
 }
 
-// roots returns the trees of the hosts of a rule.
+// roots returns the root nodes of the hosts of a rule, and creates those that are missing.
 func (t *Table) roots(hosts []string) []*node {
 	if len(hosts) == 0 {
 		return []*node{t.any}
@@ -100,8 +101,8 @@
 	return roots
 }
 
-// specificity orders routes of the same host and path, the highest first: one with a named method before one with any
-// number of headers.
+// specificity returns a number by which routes of the same host and path are ordered, the highest first: a route with
+// methods comes before one with any number of headers.
 func (r *Route) specificity() int {
 	specificity := len(r.Headers)
 	if len(r.methods) > 0 {
@@ -126,8 +127,8 @@
 	return true
 }
 
-// segments yields the segments of a path in normal form. A last empty one does not count: the prefix "/a/" is the prefix
-// "/a".
+// segments yields the segments of a path in normal form. An empty last segment is omitted: the prefix "/a/" is the
+// same as "/a".
 func segments(path string) func(yield func(string) bool) {
 	return func(yield func(string) bool) {
 		for rest := path[1:]; rest != ""; {
@@ -177,7 +178,7 @@
 	}
 }
 
-// match returns the matching route with the longest path of a host.
+// match returns the route that matches a request and has the longest path, of the routes below a root node.
 func (n *node) match(q *Request) *Route {
 	var visited [maxSegments + 1]*node
 	visited[0] = n
@@ -203,7 +204,7 @@
 	return nil
 }
 
-// matches reports whether method and headers match.
+// matches reports whether the method and the headers of a request match the route.
 func (r *Route) matches(q *Request) bool {
 	if len(r.methods) > 0 && !slices.Contains(r.methods, q.Method) {
 		return false
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -27,18 +27,18 @@
 		headers       []string
 	}{
 		{"GET x.org/", "all", nil},
-		{"GET x.org/apis", "all", nil}, // whole segments
+		{"GET x.org/apis", "all", nil}, // a prefix matches only whole segments
 		{"GET x.org/api", "api", nil},
 		{"GET x.org/api/", "api", nil},
 		{"GET x.org/api/v2/x", "api-v2", nil},
-		{"POST x.org/api/v2/x", "api-v2", nil}, // a longer path goes before a method
+		{"POST x.org/api/v2/x", "api-v2", nil}, // a longer path comes before a method
 		{"POST x.org/api/x", "api-post", nil},
-		{"POST x.org/api/x", "api-post", []string{"X-Beta=1"}}, // a method goes before headers
+		{"POST x.org/api/x", "api-post", []string{"X-Beta=1"}}, // a method comes before headers
 		{"GET x.org/api/x", "api-beta", []string{"x-beta=1"}},
 		{"GET x.org/api/x", "api", []string{"X-Beta=2"}},
 		{"GET x.org/api/x", "api-beta-any", []string{"X-Beta=1", "X-Team=any"}},
 		{"GET a.example.org/only", "exact", nil},
-		{"GET a.example.org/api", "sub", nil}, // a host goes before a path
+		{"GET a.example.org/api", "sub", nil}, // a host comes before a path
 		{"GET b.example.org/x", "sub", nil},
 		{"GET a.b.example.org/x", "subsub", nil},
 		{"GET example.org/x", "all", nil}, // a wildcard matches only names below it
@@ -109,7 +109,7 @@
 	})
 }
 
-// generator draws rules and requests that often match.
+// generator generates random rules and requests that often match.
 type generator struct{ random *rand.Rand }
 
 func (g *generator) pick(values ...string) string { return values[g.random.IntN(len(values))] }
@@ -122,7 +122,7 @@
 	return path + g.pick("", "/")
 }
 
-// rules returns up to n rules, without those that are ambiguous beside earlier ones.
+// rules returns up to n rules. It leaves out those that are ambiguous together with earlier ones.
 func (g *generator) rules(n int) (rules []Rule) {
 	for i := range n {
 		rule := g.rule(fmt.Sprint(i))
@@ -169,7 +169,7 @@
 	}}, values
 }
 
-// requestFor returns a request that the route matches, and others only by wildcards or prefixes.
+// requestFor returns a request that the route matches, and that other routes match only by wildcards or prefixes.
 func requestFor(route *Route) *Request {
 	q := &Request{Host: "fresh", Path: route.Path, Method: "PROPFIND", Header: func(name string) (string, bool) {
 		for _, h := range route.Headers {
