--- a/internal/engine/do.go
+++ b/internal/engine/do.go
@@ -8,15 +8,16 @@
 	"dunemoor/internal/route"
 )
 
-// maxUploadTime is how long a body may be on its way in all: a gigabyte at the pace of a modem.
+// maxUploadTime is the longest time that a streamed request body may take to arrive in total, enough for a gigabyte
+// at the speed of a modem.
 const maxUploadTime = 24 * time.Hour
 
-// Do hands over a request and waits for its response. waiting is false if ctx has ended before: nobody
-// waits for the response, and nothing more goes out for the request. The caller releases the response, and
-// closes the stream of the request's body, if it has one.
+// Do submits a request to the engine and waits for its response. waiting is false if ctx ended first: the response is
+// dropped, and nothing more is sent for the request. The caller releases the response, and closes the stream of the
+// request's body if it has one.
 func (e *Engine) Do(ctx context.Context, x *Request) (resp Response, waiting bool) {
 	if ctx.Err() != nil && x.Close() {
-		// The client had gone when the request was read, maybe long ago.
+		// The client disconnected before the request was submitted, possibly long before.
 		if x.Done != nil {
 			x.Done()
 		}
@@ -44,20 +45,20 @@
 	})
 }
 
-// await waits for the response to a request, for its client to leave, or until the response is due.
+// await waits until there is a response to a request, its client disconnects, or the response is due.
 func (e *Engine) await(ctx context.Context, x *Request) (resp Response, waiting bool) {
 	shutdown := e.shutdown.begun
-	late := time.NewTimer(x.waitTime())
-	defer late.Stop()
+	dueTimer := time.NewTimer(x.waitTime())
+	defer dueTimer.Stop()
 	for {
 		select {
 		case resp = <-x.response:
 			return resp, true
 		case <-x.bodyArrived:
-			late.Reset(x.waitTime())
+			dueTimer.Reset(x.waitTime())
 		case <-shutdown:
 			shutdown = nil
-			late.Reset(x.waitTime())
+			dueTimer.Reset(x.waitTime())
 		case <-ctx.Done():
 			if x.Close() {
 				e.finishWithoutBalancer(x)
@@ -66,9 +67,10 @@
 				resp.Release()
 			}
 			return Response{}, false
-		case <-late.C:
-			// The balancer should have responded; the client is not kept waiting for it. To the balancer, and in its
-			// recording, it has left. Nothing logs or counts this response.
+		case <-dueTimer.C:
+			// The balancer should have decided on a response by now. The client gets a failure without waiting any
+			// longer. For the balancer, and in its recording, the client has disconnected. This response is neither
+			// logged nor counted.
 			if x.Close() {
 				e.finishWithoutBalancer(x)
 				return Response{Kind: Failed}, true
@@ -78,17 +80,18 @@
 	}
 }
 
-// waitTime returns how long the response may be waited for.
+// waitTime returns how long to wait for the response.
 func (x *Request) waitTime() time.Duration {
 	if due, known := x.Due(); known {
 		return time.Until(due)
 	}
-	return maxUploadTime // the body's own pace ends the request sooner
+	return maxUploadTime // the pace that is required of the upload ends the request sooner
 }
 
-// beginStreaming handles that a byte of a request's body is about to be passed on that is not kept. From
-// here on the request has only the attempt that is in flight, and to the balancer the request is over. The
-// balancer learns nothing of the host, as the pace is the client's.
+// beginStreaming handles the event that an attempt is about to send a part of the request's body that is not
+// buffered. From then on the request can't be sent again: it has only the attempt that is in flight, and the balancer
+// treats it as finished. The attempt is reported as Canceled, so that the balancer derives nothing about the host
+// from its duration, which depends on the client's upload rate.
 func (e *Engine) beginStreaming(now balancer.Time, x *Request) {
 	if x.streaming || x.Finished() || x.inFlight == 0 {
 		return
@@ -99,8 +102,8 @@
 	p.perform(now)
 }
 
-// finishWithoutBalancer handles that a request was finished by whoever waited for it, and not by a response that came
-// through the loop: its client has left, or its response was due.
+// finishWithoutBalancer handles the event that Do has finished a request itself, and not by a response from the loop:
+// the client has disconnected, or the response was due.
 func (e *Engine) finishWithoutBalancer(x *Request) {
 	e.post(func(now balancer.Time) {
 		p := x.pool
@@ -114,7 +117,7 @@
 	})
 }
 
-// submit gives a request to a pool: the one that its route's split names, or one that stands in for it.
+// submit passes a request to the pool that its route's split selects, or to one of that pool's fallbacks.
 func (e *Engine) submit(now balancer.Time, x *Request) {
 	r := x.Route
 	x.chain, x.neverRan, x.neverConnected = r.chains[0], true, true
@@ -137,7 +140,7 @@
 	x.chain.pools[x.position].admit(now, x)
 }
 
-// release forgets a finished request once its last attempt has ended.
+// release removes a finished request from the engine once its last attempt has ended.
 func (e *Engine) release(x *Request) {
 	if !x.finished.Load() || x.inFlight > 0 || e.requests[x.id] != x {
 		return
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -9,7 +9,7 @@
 	"dunemoor/internal/discovery"
 )
 
-// host is a host as the loop knows it.
+// host is a host of a pool, as listed last. It is used only by the loop.
 type host struct {
 	Endpoint
 	id, addr   string
@@ -17,7 +17,7 @@
 	ready      bool
 }
 
-// hostID is the same for an ID at every gateway and after every restart.
+// hostID returns the HostID of a host's ID. It is a hash, and so the same at every gateway and after every restart.
 func hostID(id string) balancer.HostID {
 	h := fnv.New64a()
 	h.Write([]byte(id))
@@ -63,14 +63,15 @@
 	}
 	p.balancer.UpdateEndpoints(now, kind, entries)
 	for _, id := range removed {
-		delete(p.hosts, id) // attempts in flight keep it
+		delete(p.hosts, id) // attempts in flight still refer to the host
 	}
-	p.zones.forget(p.hosts, func(h *host) string { return h.zone })
-	p.kinds.forget(p.hosts, func(h *host) string { return h.kind })
+	p.zones.prune(p.hosts, func(h *host) string { return h.zone })
+	p.kinds.prune(p.hosts, func(h *host) string { return h.kind })
 	p.countReadyHosts()
 }
 
-// updateHost applies an entry of the list, and returns it for the balancer. ok is false where it is left out.
+// updateHost applies an entry of the endpoint list, and returns the balancer's entry for the host. ok is false if the
+// entry is to be left out.
 func (p *Pool) updateHost(now balancer.Time, m *discovery.Member) (entry balancer.Host, ok bool) {
 	entry = balancer.Host{
 		ID: hostID(m.ID), Zone: p.zones.number(m.Zone), Cell: m.Cell, Kind: p.kinds.number(m.Kind),
@@ -79,7 +80,7 @@
 	h := p.hosts[entry.ID]
 	switch {
 	case h == nil && entry.State == balancer.Removed:
-		return entry, false // it was removed before it was known
+		return entry, false // the host was removed before it was first listed
 	case h == nil:
 		h = &host{Endpoint: p.cfg.Transport.Host(m.ID), id: m.ID}
 		p.hosts[entry.ID] = h
@@ -87,7 +88,7 @@
 			p.record.rec.NameHost(now, entry.ID, m.ID)
 		}
 	case h.id != m.ID:
-		// Two names with one HostID would be taken for one host.
+		// Two IDs with the same HostID would be treated as one host.
 		slog.Error("endpoint ignored: its ID collides with that of another", "host", m.ID, "other", h.id)
 		return entry, false
 	}
--- a/internal/engine/endpoints_test.go
+++ b/internal/engine/endpoints_test.go
@@ -18,11 +18,11 @@
 			t.Fatalf("hostID(%q): got %x, then %x, want the same", id, got, again)
 		}
 		if seen[got] != "" {
-			t.Fatalf("hostID(%q): got %x, want another number than that of %q", id, got, seen[got])
+			t.Fatalf("hostID(%q): got %x, want a number other than that of %q", id, got, seen[got])
 		}
 		seen[got] = id
 	}
-	// FNV-1a of "a" as its authors publish it: other builds must agree.
+	// The published FNV-1a hash of "a". Builds must not differ in the mapping.
 	const want = 0xaf63dc4c8601ec8c
 	if got := hostID("a"); got != want {
 		t.Errorf("hostID(%q): got %x, want %x", "a", got, uint64(want))
--- a/internal/engine/harness_test.go
+++ b/internal/engine/harness_test.go
@@ -16,7 +16,7 @@
 
 // The tests of this package run in virtual time, on transports without sockets.
 
-// script produces the result of an attempt at a host.
+// script returns the result of an attempt at a host.
 type script func(ctx context.Context, host string, request *Request) Result
 
 // scriptedTransport is a Transport whose hosts follow a script. It records the attempts.
@@ -134,7 +134,7 @@
 	}[i%10]
 }
 
-// onlyClass returns a function that gives all requests of a load one class.
+// onlyClass returns a function for load that gives all requests the same class.
 func onlyClass(class int) func(i int) int {
 	return func(int) int { return class }
 }
@@ -156,7 +156,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		h := &harness{Engine: New(5), t: t, poolStop: map[string]int{}}
 		go h.Run(ctx)
-		defer h.Wait(time.Minute) // also where a failed check ends the test
+		defer h.Wait(time.Minute) // also if a failed check ends the test
 		defer cancel()
 		test(t, h)
 	})
@@ -192,14 +192,14 @@
 	return pool
 }
 
-// protocolRoute returns a route of the platform's protocol.
+// protocolRoute returns a route to hosts that implement the platform's protocol.
 func protocolRoute() *Route {
 	return &Route{Name: "r", Classes: testClasses, Classify: func(response *Response) balancer.Result {
 		return route.ClassifyProtocol(response.Status, response.Header.Get("X-Not-Processed") == "1")
 	}}
 }
 
-// plainRoute returns a route to hosts that do not know the platform's protocol.
+// plainRoute returns a route to hosts that do not implement the platform's protocol.
 func plainRoute() *Route {
 	return &Route{
 		Name: "r", Classes: testClasses, ForwardsFailures: true,
@@ -210,7 +210,8 @@
 	}
 }
 
-// useRoute puts a Snapshot of one route into use: the first pool, with the others as its fallback.
+// useRoute puts a Snapshot of one route into use. The route goes to the first pool, with the other pools as its
+// fallbacks.
 func (h *harness) useRoute(r *Route, retries *Retries, pools ...*Pool) *Snapshot {
 	h.t.Helper()
 	uses := []PoolUse{{Pool: pools[0], MinShare: route.DefaultMinShare}}
@@ -239,7 +240,7 @@
 	request := &Request{Method: "GET", Target: "/", Route: snapshot.routes[0], Class: class, Deadline: time.Now().Add(testClasses[class].Deadline)}
 	response, waiting := h.Do(context.Background(), request)
 	if !waiting {
-		h.t.Error("Do: got no response, want one for a client that waits")
+		h.t.Error("Do: got no response, want one, as the client is still waiting")
 	}
 	return request, response
 }
--- a/internal/engine/nameindex.go
+++ b/internal/engine/nameindex.go
@@ -2,23 +2,24 @@
 
 import "dunemoor/balancer"
 
-// nameIndex numbers zones or kinds: those of the settings as the settings do, and each other one by a number
-// of its own, so that two unknown zones are not taken for one. No number is given twice.
+// nameIndex assigns numbers to the names of zones or kinds. A name in the settings has its number from the settings;
+// any other name gets a new number of its own, so that two unknown zones are not treated as the same zone. No number
+// is used for two names.
 type nameIndex struct {
-	known map[string]int // of the settings
-	other map[string]int
-	next  int
+	known map[string]int // numbers of the names in the settings
+	other map[string]int // numbers of all other names
+	next  int            // the next number to assign
 }
 
-// maxSpareNames is how many names without a host are kept before they are looked for and forgotten: seldom,
-// and of a size that does not matter.
-const maxSpareNames = 64
+// maxUnusedNames is how many names beyond the number of hosts are kept before those without a host are dropped. With
+// this value that is seldom, and their memory is negligible.
+const maxUnusedNames = 64
 
 func newNameIndex(known map[string]int) nameIndex {
 	return nameIndex{known: known, other: map[string]int{}, next: len(known)}
 }
 
-// number returns the number of a name.
+// number returns the number of a name, and assigns one to a new name.
 func (n *nameIndex) number(name string) int {
 	i, ok := n.known[name]
 	if !ok {
@@ -32,9 +33,9 @@
 	return i
 }
 
-// forget drops the names without a host, once there are many.
-func (n *nameIndex) forget(hosts map[balancer.HostID]*host, name func(*host) string) {
-	if len(n.other) <= len(hosts)+maxSpareNames {
+// prune drops the names that no host has, once there are more than maxUnusedNames names beyond the number of hosts.
+func (n *nameIndex) prune(hosts map[balancer.HostID]*host, name func(*host) string) {
+	if len(n.other) <= len(hosts)+maxUnusedNames {
 		return
 	}
 	used := make(map[string]int, len(hosts))
--- a/internal/engine/nameindex_test.go
+++ b/internal/engine/nameindex_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// A name that was forgotten gets a new number, never that of another: attempts at hosts in the old zone may still be in
-// flight, and a request with an idempotency key must not leave its scope.
+// A name that was dropped gets a new number when it is listed again, never a number that another name has had. The
+// test guards against a retry with an idempotency key that leaves its deduplication scope: while attempts at hosts in
+// the old zone are in flight, another zone with the same number would be treated as the same scope.
 func TestNameIndexNeverReusesNumbers(t *testing.T) {
 	index := newNameIndex(map[string]int{"a": 0})
 	seen := map[int]string{0: "a"}
@@ -14,7 +15,7 @@
 		name := fmt.Sprint("zone-", i)
 		number := index.number(name)
 		if other, used := seen[number]; used {
-			t.Fatalf("number of %s: got %d, want another than that of %s", name, number, other)
+			t.Fatalf("number of %s: got %d, want a number other than that of %s", name, number, other)
 		}
 		seen[number] = name
 		if got := index.number(name); got != number {
@@ -23,9 +24,9 @@
 		if got := index.number("a"); got != 0 {
 			t.Fatalf("number of a: got %d, want 0", got)
 		}
-		index.forget(nil, nil)
+		index.prune(nil, nil)
 	}
-	if got := len(index.other); got > maxSpareNames {
-		t.Errorf("names kept: got %d, want %d at most", got, maxSpareNames)
+	if got := len(index.other); got > maxUnusedNames {
+		t.Errorf("names kept: got %d, want %d at most", got, maxUnusedNames)
 	}
 }
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -15,52 +15,54 @@
 	Name      string
 	Settings  balancer.Settings
 	Seed      uint64
-	Zones     map[string]int // as the settings number them
-	Kinds     map[string]int
+	Zones     map[string]int // numbers of the zones in the settings
+	Kinds     map[string]int // numbers of the kinds in the settings
 	Transport Transport
-	Poll      func() // polls the endpoint list, where the balancer has to ask for it; must not wait
-	// Stop is called once the pool has left the Snapshot and its last request has ended; it must not wait. Nil:
-	// there is nothing to stop.
+	Poll      func() // polls the endpoint list, if the balancer has to poll it; must not block; nil: no operation
+	// Stop is called once no Snapshot has the pool any more and its last request has ended, and for all pools when
+	// Engine.Run ends. It must not block. It may be nil.
 	Stop      func()
 	Recording *Recording // nil: nothing is recorded
 }
 
-// Pool is the hosts of a service with the balancer that decides among them.
+// Pool is a set of hosts of one service, with the balancer that distributes requests among them.
 type Pool struct {
 	Name   string
 	engine *Engine
 	cfg    PoolConfig
 
-	ready        atomic.Bool  // a host is known that accepts requests
-	openRequests atomic.Int64 // until they are finished and no attempt is in flight
+	ready        atomic.Bool  // the endpoint list has a host that accepts requests
+	openRequests atomic.Int64 // requests that are not finished, or have an attempt in flight
 
-	// The following belongs to the loop.
-	// balancer gets all events: a recording lacks those that do not pass through it, and a replay then differs.
-	// unrecorded is for reading alone. They are the same if nothing is recorded, and else balancer is the recorder
-	// in front of unrecorded.
+	// The fields below are used only by the loop.
+
+	// balancer receives all events: an event that bypasses it is missing from the recording, and a replay then
+	// diverges. unrecorded is used only for reading. Without a recording both are the same balancer; with one, balancer
+	// is the recorder in front of unrecorded.
 	balancer   flightrecorder.Balancer
 	unrecorded *balancer.Balancer
 
 	record      *recording // nil: nothing is recorded
 	actions     []balancer.Action
-	denied      []balancer.Outcome // retries that takeRetry denied; not sent
-	failingOver []*Request
+	denied      []balancer.Outcome // outcomes of retries that takeRetry denied, which were not sent
+	failingOver []*Request         // requests that are to be admitted to their next pool
 	hosts       map[balancer.HostID]*host
-	readyHosts  int // that the list calls ready
+	readyHosts  int // hosts that the endpoint list marks as ready
 	zones       nameIndex
 	kinds       nameIndex
-	chains      []chainEntry // of the Snapshot in use
-	published   capacity     // as the chains know it
-	used        bool         // it has been in a Snapshot, or never will be
+	chains      []chainEntry // the pool's positions in the chains of the Snapshot in use
+	published   capacity     // the capacity that the chains were last notified of
+	used        bool         // it has been in a Snapshot, or DropUnused was called
 	unused      bool         // it is in no Snapshot any more
 	ended       bool
 }
 
-// capacity is how many hosts of a pool can be used, of how many.
+// capacity is how many hosts of a pool are usable, and how many it has.
 type capacity struct{ usable, hosts int }
 
-// noCapacity differs from every capacity.
-var noCapacity = capacity{-1, -1}
+// unpublishedCapacity is the published capacity of a pool before the chains are notified. It differs from every real
+// capacity.
+var unpublishedCapacity = capacity{-1, -1}
 
 // NewPool returns a pool that is in no Snapshot yet. The caller starts its Transport's Run.
 func (e *Engine) NewPool(cfg PoolConfig) (*Pool, error) {
@@ -88,7 +90,8 @@
 	return p, nil
 }
 
-// close stops what belongs to a pool.
+// close ends a pool: its recording, its hosts and what PoolConfig.Stop stops. If wait is set it waits until the
+// recording is written.
 func (p *Pool) close(wait bool) {
 	p.ended = true
 	p.endRecording(wait)
@@ -101,14 +104,14 @@
 	}
 }
 
-// Ready reports whether a host is known that accepts requests.
+// Ready reports whether the endpoint list has a host that accepts requests.
 func (p *Pool) Ready() bool { return p.ready.Load() }
 
-// OpenRequests returns the number of requests in the pool, with those that have their response while an attempt
+// OpenRequests returns the number of requests in the pool, including those that have their response while an attempt
 // is still in flight.
 func (p *Pool) OpenRequests() int64 { return p.openRequests.Load() }
 
-// EjectedHosts returns the names of hosts that are ejected and have not answered since, limit at most.
+// EjectedHosts returns the names of at most limit ready hosts that are ejected and have not responded since.
 func (p *Pool) EjectedHosts(limit int) (names []string) {
 	p.do(func(balancer.Time) {
 		if usable, ready := p.unrecorded.Usable(); usable == ready {
@@ -123,7 +126,7 @@
 	return names
 }
 
-// Address returns the address of a host of the pool; "" where the list does not call it ready.
+// Address returns the address of a host of the pool, or "" if the endpoint list does not mark the host as ready.
 func (p *Pool) Address(name string) (addr string) {
 	p.do(func(balancer.Time) {
 		if h := p.hosts[hostID(name)]; h != nil && h.id == name && h.ready {
@@ -133,8 +136,8 @@
 	return addr
 }
 
-// HealthCheckPassed reports that an ejected host has passed a health check. Its next trial request is sent some
-// time within a duration.
+// HealthCheckPassed notifies the balancer that an ejected host has passed a health check. The host's next trial
+// request is sent at some time within the given duration.
 func (p *Pool) HealthCheckPassed(name string, within time.Duration) {
 	p.engine.post(func(now balancer.Time) {
 		if h := p.hosts[hostID(name)]; h != nil && h.id == name && !p.ended {
@@ -144,7 +147,7 @@
 	})
 }
 
-// do runs a function in the loop, and waits for it.
+// do runs a function in the loop and waits until it has returned, or until the loop has ended.
 func (p *Pool) do(f func(now balancer.Time)) {
 	done := make(chan struct{})
 	if !p.engine.post(func(now balancer.Time) { f(now); close(done) }) {
@@ -164,8 +167,8 @@
 			p.performOne(now, &p.actions[i])
 		}
 		// A retry that takeRetry denied was never sent. The balancer is notified and decides what follows. It may
-		// want another, which takeRetry denies as well, until its own MaxAttempts are over. The cause of the final
-		// response is then CauseNoMoreAttempts: it does not tell that the retry budget was used up.
+		// request another retry, which takeRetry denies as well, until its own MaxAttempts are used up. The cause of
+		// the final response is then CauseNoMoreAttempts, which does not show that the retry budget was exhausted.
 		again = len(p.denied) > 0
 		for _, o := range p.denied {
 			p.balancer.AttemptEnded(now, o)
@@ -219,13 +222,13 @@
 	slog.Info(a.Text, args...)
 }
 
-// publishCapacity tells the failover chains how many hosts can be used, where that has changed.
+// publishCapacity notifies the failover chains of the number of usable hosts if it has changed.
 func (p *Pool) publishCapacity(now balancer.Time) {
 	usable, inSubset := p.unrecorded.Usable()
 	if inSubset > 0 {
-		usable = usable * p.readyHosts / inSubset // the subset stands for all
+		usable = usable * p.readyHosts / inSubset // the share of the subset, applied to all ready hosts
 	} else {
-		usable = p.readyHosts // the balancer has yet to look at the list
+		usable = p.readyHosts // the balancer has not processed the new list yet
 	}
 	current := capacity{usable, len(p.hosts)}
 	if p.published == current {
--- a/internal/engine/reload_test.go
+++ b/internal/engine/reload_test.go
@@ -10,8 +10,8 @@
 	"dunemoor/balancer"
 )
 
-// 200 requests are in flight at a reload that removes their pool: each ends there, the pool is stopped with the last
-// of them, once, and new requests go to the new pool.
+// 200 requests are in flight at a reload that removes their pool. Each ends in that pool, which is stopped exactly
+// once, after the last of them, and new requests go to the new pool.
 func TestReloadKeepsRequestsInFlight(t *testing.T) {
 	runInVirtualTime(t, func(t *testing.T, h *harness) {
 		release := make(chan struct{})
@@ -44,7 +44,7 @@
 			t.Fatalf("before the reload: got %d open requests, want 200", got)
 		}
 
-		held := h.Snapshot() // of a client whose body is still arriving
+		held := h.Snapshot() // held by a client whose body is still arriving
 		h.useRoute(protocolRoute(), nil, h.newPool(next, 6))
 		for range 50 {
 			start(&servedAfter)
@@ -88,15 +88,15 @@
 	done := make(chan struct{})
 	h.post(func(balancer.Time) {
 		if len(h.pools) != 1 || len(h.superseded) != 0 || len(h.requests) != 0 {
-			t.Errorf("engine keeps %d pools, %d old Snapshots, %d requests, want 1, 0 and 0", len(h.pools), len(h.superseded), len(h.requests))
+			t.Errorf("the engine keeps %d pools, %d old Snapshots, %d requests, want 1, 0 and 0", len(h.pools), len(h.superseded), len(h.requests))
 		}
 		close(done)
 	})
 	<-done
 }
 
-// A pool that is made while the last request leaves the old Snapshot is kept for the next one. The test guards
-// against its being stopped together with the unused pools.
+// A pool that is created while the last request releases the old Snapshot is kept for the next Snapshot. The test
+// guards against stopping it together with the unused pools.
 func TestReloadKeepsPoolMadeBeforeUse(t *testing.T) {
 	runInVirtualTime(t, func(t *testing.T, h *harness) {
 		newPool := func(name string) *Pool { return h.newPool(newScriptedTransport(name, respondWith(200, 0)), 3) }
@@ -110,7 +110,7 @@
 		if _, response := h.do(classIdempotent); response.Kind != Served {
 			t.Errorf("request to the new pool: got %+v, want it served", response)
 		}
-		unused := newPool("d") // of a reload that fails, which drops what it has made
+		unused := newPool("d") // created by a reload that fails and drops its pools
 		h.DropUnused()
 		synctest.Wait()
 		if h.poolStop["a"] != 1 || h.poolStop["b"] != 1 || h.poolStop["c"] != 0 || h.poolStop["d"] != 1 {
@@ -122,8 +122,8 @@
 	})
 }
 
-// A Snapshot that changes nothing keeps the state. The test guards against a reload that sends a dead pool its
-// traffic again, or refills a spent retry budget.
+// A Snapshot without changes keeps the state of failover chains and retry budgets. The test guards against a reload
+// that sends traffic to a failed pool again, or refills an exhausted retry budget.
 func TestReloadKeepsBudgetAndFailoverState(t *testing.T) {
 	runInVirtualTime(t, func(t *testing.T, h *harness) {
 		primary := newScriptedTransport("a", endWith(balancer.ConnectFailed))
@@ -135,7 +135,7 @@
 		same := h.useRoute(protocolRoute(), &Retries{Share: 0.2, Floor: 1}, primaryPool, fallbackPool)
 		h.load(100, time.Second, mixedClass)
 		if got := primary.attemptCount() - before; got > 8 {
-			t.Errorf("attempts in the dead pool in the second after the reload: got %d, want 8 at most", got)
+			t.Errorf("attempts in the failed pool in the second after the reload: got %d, want 8 at most", got)
 		}
 		if same.routes[0].budget != first.routes[0].budget {
 			t.Error("reload without a change: got a new retry budget, want the old one")
--- a/internal/engine/response_test.go
+++ b/internal/engine/response_test.go
@@ -12,8 +12,8 @@
 	"dunemoor/internal/flightrecorder"
 )
 
-// On a plain route the client gets a host's response: one that is no failure at once, and the last failure when no
-// other attempt follows.
+// On a plain route the client gets the response of a host: one that is not a failure at once, and otherwise the last
+// failure when no other attempt follows.
 func TestPlainRouteForwardsHostResponses(t *testing.T) {
 	for _, tt := range []struct {
 		status, class, attempts int
@@ -62,7 +62,8 @@
 	}
 }
 
-// A response that nobody waits for is released. The test guards the memory that large responses hold.
+// A response that arrives after its client has disconnected is released. The test guards against leaking the memory
+// that large responses hold.
 func TestResponseIsReleasedAfterClientHasGone(t *testing.T) {
 	runInVirtualTime(t, func(t *testing.T, h *harness) {
 		var freed atomic.Int64
@@ -77,7 +78,7 @@
 		snapshot := h.Snapshot()
 		request := &Request{Route: snapshot.routes[0], Class: classIdempotent, Deadline: time.Now().Add(4 * time.Second)}
 		if _, waiting := h.Do(ctx, request); waiting {
-			t.Error("Do: got a response, want none after the client has gone")
+			t.Error("Do: got a response, want none after the client has disconnected")
 		}
 		snapshot.Release()
 		time.Sleep(2 * time.Second)
@@ -87,7 +88,7 @@
 	})
 }
 
-// A request whose client had gone when it was read is not begun, and its memory is returned.
+// A request whose client disconnected before it was submitted is not sent, and its memory is released.
 func TestDoSkipsRequestOfGoneClient(t *testing.T) {
 	runInVirtualTime(t, func(t *testing.T, h *harness) {
 		transport := newScriptedTransport("a", respondWith(200, time.Second))
@@ -98,7 +99,7 @@
 		done := 0
 		request := &Request{Method: "GET", Target: "/", Route: snapshot.routes[0], Deadline: time.Now().Add(time.Second), Done: func() { done++ }}
 		if _, waiting := h.Do(ctx, request); waiting {
-			t.Error("Do: got a response, want none for a client that has gone")
+			t.Error("Do: got a response, want none for a client that has disconnected")
 		}
 		synctest.Wait()
 		if transport.attemptCount() != 0 || done != 1 || pool.OpenRequests() != 0 {
@@ -107,7 +108,8 @@
 	})
 }
 
-// leavingClientBalancer is a Balancer whose client leaves right after the end of an attempt.
+// leavingClientBalancer is a balancer that has the client disconnect right after it has handled the end of an
+// attempt.
 type leavingClientBalancer struct {
 	flightrecorder.Balancer
 	leave func()
@@ -118,9 +120,9 @@
 	b.leave()
 }
 
-// A client leaves while the end of an attempt is handled, which calls for a retry: the request is kept until the event
-// that the client has gone is handled too. The test guards against an attempt of a request that was released, which
-// ends the process.
+// A client disconnects while the end of an attempt is handled, which is followed by a retry. The request is kept
+// until the event of the disconnect is handled too. The test guards against an attempt of a request that was already
+// released, which panics and so ends the process.
 func TestClientGoneDuringAttemptEnd(t *testing.T) {
 	runInVirtualTime(t, func(t *testing.T, h *harness) {
 		transport := newScriptedTransport("a", endWith(balancer.Full))
@@ -137,7 +139,7 @@
 			}}
 		})
 		if _, waiting := h.Do(ctx, request); waiting {
-			t.Error("Do: got a response, want none after the client has gone")
+			t.Error("Do: got a response, want none after the client has disconnected")
 		}
 		time.Sleep(time.Second) // until the retry ends, which the scripted host does not cancel
 		synctest.Wait()
@@ -147,7 +149,8 @@
 	})
 }
 
-// The client has its one response in time even if the loop is blocked, and nothing is sent after it.
+// The client gets its one response in time even if the loop is blocked, and nothing is sent for the request after
+// that.
 func TestDoRespondsInTimeWhenLoopIsBlocked(t *testing.T) {
 	runInVirtualTime(t, func(t *testing.T, h *harness) {
 		late := 0 // attempts after the response; written by attempts, read when all have ended
--- a/internal/engine/retune.go
+++ b/internal/engine/retune.go
@@ -6,16 +6,16 @@
 	"dunemoor/balancer"
 )
 
-// RetuneFunc returns the new settings of a pool, the former number of each class, the names of the classes, and a
-// Snapshot that goes with the settings and has the pool in it. It is called in the loop; inUse reports whether a
-// request may still use the number of a class.
-type RetuneFunc func(inUse func(class int) bool) (set balancer.Settings, from []int, names []string, s *Snapshot)
+// RetuneFunc returns the new settings of a pool, for each class number the previous one whose state it continues or
+// -1, the names of the classes, and a Snapshot that has the pool and matches the settings. It is called in the loop;
+// inUse reports whether a request may still use the number of a class.
+type RetuneFunc func(inUse func(class int) bool) (settings balancer.Settings, from []int, names []string, s *Snapshot)
 
-// Retune gives a pool's balancer new settings, and puts a Snapshot into use that goes with them, in one step. It
-// returns once that is done.
-func (e *Engine) Retune(p *Pool, settle RetuneFunc) error {
+// Retune applies new settings to a pool's balancer, and puts the matching Snapshot into use, both in one event of the
+// loop. It returns once that is done, or with context.Canceled if the loop has ended.
+func (e *Engine) Retune(p *Pool, newSettings RetuneFunc) error {
 	done := make(chan error, 1)
-	if !e.post(func(now balancer.Time) { done <- e.retune(now, p, settle) }) {
+	if !e.post(func(now balancer.Time) { done <- e.retune(now, p, newSettings) }) {
 		return context.Canceled
 	}
 	select {
@@ -26,14 +26,14 @@
 	}
 }
 
-func (e *Engine) retune(now balancer.Time, p *Pool, settle RetuneFunc) error {
+func (e *Engine) retune(now balancer.Time, p *Pool, newSettings RetuneFunc) error {
 	e.sweep()
 	used := e.classesInUse(p)
-	set, from, names, s := settle(func(class int) bool { return used[class] })
+	settings, from, names, s := newSettings(func(class int) bool { return used[class] })
 	if p.record != nil {
 		p.record.rec.SetClassNames(names)
 	}
-	if err := p.balancer.Retune(now, set, from); err != nil {
+	if err := p.balancer.Retune(now, settings, from); err != nil {
 		return err
 	}
 	if p.record != nil {
@@ -47,7 +47,7 @@
 }
 
 // classesInUse returns the numbers of classes that a request may still use: those of open requests in the pool, and
-// all of a Snapshot that is held, as its holder may yet submit a request of any class.
+// all classes of the Snapshots that are in use or still held, as a holder may submit another request of any class.
 func (e *Engine) classesInUse(p *Pool) map[int]bool {
 	used := map[int]bool{}
 	for _, x := range e.requests {
--- a/internal/engine/snapshot.go
+++ b/internal/engine/snapshot.go
@@ -132,7 +132,7 @@
 		e.superseded = append(e.superseded, old)
 	}
 	for pool := range e.pools {
-		pool.chains, pool.published = pool.chains[:0], noCapacity
+		pool.chains, pool.published = pool.chains[:0], unpublishedCapacity
 	}
 	for _, c := range s.chains {
 		c.pools[0].used = true
