--- a/internal/overload/mix.go
+++ b/internal/overload/mix.go
@@ -3,25 +3,27 @@
 import "sync/atomic"
 
 const (
-	// mixWeight is the weight of an interval in the known mix of ranks: half a second of it counts.
+	// mixWeight is the weight of the latest interval in the moving average of the mix of ranks, which covers about
+	// half a second.
 	mixWeight = 0.2
-	// evenWeight is the part of the mix that counts as even: ranks that nobody requests are passed over at once, and yet
-	// have a place.
-	evenWeight = 0.02
+	// uniformWeight is the part of the mix that is distributed uniformly over the ranks. It gives ranks without
+	// requests a small share, so that the pressure rises past them at once, but each rank still has a range of its
+	// own.
+	uniformWeight = 0.02
 )
 
-// rankMix is the ranks with what is known of their requests, the lowest first. The last rank, which is never shed, does
-// not count in the mix.
+// rankMix is the recent mix of requests by rank, the lowest rank first. The last rank, which is never shed, is not
+// part of the mix.
 type rankMix []rankRequests
 
 // rankRequests counts the requests of a rank.
 type rankRequests struct {
 	requests atomic.Uint64
-	counted  uint64  // requests at the last interval
-	share    float64 // of the requests of all ranks but the last, lately
+	counted  uint64  // value of requests at the end of the last interval
+	share    float64 // moving average of the share of the requests of all ranks but the last
 }
 
-// update updates the shares of the ranks by the requests since the last time.
+// update updates the shares of the ranks with the requests since the last call.
 func (m rankMix) update() {
 	total := 0.0
 	for i := range m[:len(m)-1] {
@@ -48,7 +50,7 @@
 	for i := range m[:len(m)-1] {
 		share := 1 / ranks
 		if sum > 0 {
-			share = evenWeight/ranks + (1-evenWeight)*m[i].share/sum
+			share = uniformWeight/ranks + (1-uniformWeight)*m[i].share/sum
 		}
 		if !yield(i, share) {
 			return
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -1,5 +1,5 @@
-// Package overload decides how much load a gateway sheds because it falls behind itself, whatever its hosts do. It takes
-// samples and gives a pressure; it does no I/O, starts no goroutine and reads no clock.
+// Package overload decides how much load a gateway sheds because the gateway itself is overloaded, independently of
+// its hosts. It computes a pressure from samples; it does no I/O, starts no goroutine and reads no clock.
 package overload
 
 import (
@@ -11,79 +11,83 @@
 // Time is an instant on the gateway's own clock.
 type Time = time.Duration
 
-// The constants of the controller, each with its reason.
+// Parameters of the controller.
 const (
-	// Interval is over which the minimum delay counts, as in CoDel (RFC 8289, 4.2: 100 ms covers the bursts of usual
-	// round trips). A single late event in it says nothing.
+	// Interval is the time over which the minimum delay is taken, as in CoDel (RFC 8289, 4.2: 100 ms covers the
+	// bursts of usual round trips). A single late event in it has no effect.
 	Interval = 100 * time.Millisecond
-	// Target is the minimum delay that is tolerated: a twentieth of the 500 ms that bookings have is 25 ms, and a request
-	// waits for the loop some five times.
+	// Target is the minimum delay that is tolerated. A twentieth of the 500 ms that bookings have is 25 ms, and a
+	// request waits for the loop about five times.
 	Target = 5 * time.Millisecond
-	// alpha and beta control the share that is shed, as in PIE (RFC 8033, 4.2): by how far the delay is above the target,
-	// and by how much it has changed. A rejected request keeps its client away for a while, so the delay falls by about a
-	// second a second for a share of 1: with a proportional gain of 5 it settles within 0.2 s, and an alpha of 1 (10 a
-	// second) lets it do so without oscillation (a damping of 0.8). Both are in shares a second of delay.
+	// alpha and beta control the share that is shed, as in PIE (RFC 8033, 4.2): alpha by how far the delay is above
+	// the target, and beta by how much the delay has changed. Both are in shares per second of delay. The client of a
+	// rejected request does not return for a while, so that shedding everything reduces the delay by about a second
+	// per second. With a beta of 5 the delay settles within 0.2 s, and with an alpha of 1 per interval (10 a second)
+	// it does so without oscillation (a damping of 0.8).
 	alpha = 1
 	beta  = 5
-	// maxDelay is the most of a delay that counts: half of all is shed for it at once, and the rest within a second. It
-	// guards against shedding everything for a burst, and against admitting everything as it ends.
+	// maxDelay limits the delay that is taken into account. A delay of maxDelay sheds half of the requests at once,
+	// and the rest within a second. The limit guards against shedding everything because of a burst, and against
+	// admitting everything when the burst ends.
 	maxDelay = 100 * time.Millisecond
-	// fallStep is how much the share falls in a good interval, once calmIntervals in a row were good: slower than it rises,
-	// so that it does not oscillate. Where the minimum delay is under a quarter of the target there is capacity, and it
-	// falls four times as fast.
-	fallStep      = 0.005
-	fastFallStep  = 4 * fallStep
-	calmIntervals = 3
-	// maxFallIntervals bounds how many intervals a fall makes up for at once.
+	// fallStep is how much the shed share falls in a good interval, which is one without a delay above the target,
+	// once more than minGoodIntervals in a row were good. It is less than the share rises, to avoid oscillation. A
+	// minimum delay below a quarter of the target shows spare capacity, and the share falls four times as fast.
+	fallStep         = 0.005
+	fastFallStep     = 4 * fallStep
+	minGoodIntervals = 3
+	// maxFallIntervals bounds the number of intervals that one fall accounts for, if the last one was ended long ago.
 	maxFallIntervals = 50
-	// Where the cores are not used up, what is shed could be admitted: the share falls by idleFallShare of itself for an idle
-	// core, in proportion below fullyBusy. It guards against rejecting far more than necessary, as where rejected clients
-	// stay away.
+	// If the cores are not fully used, shed requests could be admitted. The share falls by idleFallShare of itself in
+	// a good interval with all cores idle, and proportionally less up to a use of fullyBusy. This guards against
+	// rejecting far more than necessary, for example when rejected clients do not return for a while.
 	idleFallShare = 0.25
 	fullyBusy     = 0.9
-	// minShare is the smallest share that is shed: less is none.
+	// minShare is the smallest share that is shed. A smaller one counts as 0.
 	minShare = 0.001
-	// From these shares on a resource alone sheds load, up to all but the last rank at its end: a process without memory
-	// ends, and one without descriptors serves nobody. Idle connections fill 92 in 100 regularly.
+	// A resource whose share in use is above these thresholds sheds load regardless of delays, up to all but the last
+	// rank when it is used up: a process that runs out of memory is terminated, and one that runs out of descriptors
+	// can't serve anybody. Idle connections regularly use 92 in 100 descriptors.
 	heapThreshold       = 0.85
 	descriptorThreshold = 0.97
-	// gcThreshold is the share of the CPU that the garbage collector may use before it counts as a delay, of maxDelay where
-	// it uses all.
+	// gcThreshold is the share of the CPU time that the garbage collector may use. A greater share counts as a delay,
+	// which reaches maxDelay if the garbage collector uses all CPU time.
 	gcThreshold = 0.4
-	// idleWeight is the weight of an interval in the known share of idle cores.
+	// idleWeight is the weight of the latest interval in the moving average of the share of idle cores.
 	idleWeight = 0.2
 )
 
 // Sample is the state of the process over the last interval.
 type Sample struct {
-	RunQueue time.Duration // half of the goroutines that became ready waited less
-	Poll     time.Duration // the least that a byte waited to be read after it had arrived
-	Heap     float64       // share of the memory limit
-	Files    float64       // share of the descriptors
-	GC       float64       // share of the CPU that the garbage collector used
-	Busy     float64       // share of the cores that the process used; 0: not known
+	RunQueue time.Duration // median time that goroutines waited to run after they became ready
+	Poll     time.Duration // minimum time from the arrival of a byte until it was read
+	Heap     float64       // share of the memory limit in use
+	Files    float64       // share of the descriptors in use
+	GC       float64       // share of the CPU time that the garbage collector used
+	Busy     float64       // share of the cores that the process used; 0: unknown
 }
 
-// Controller turns delays into the share of the requests that is to be shed, and that, by the mix of ranks, into a pressure
-// between 0 and the number of ranks less one: rank r is shed by the part by which the pressure is above r. The last rank is
-// never shed by it, and does not count in the mix. Delay and Sample belong to one goroutine; all else may be called by any.
+// Controller computes from the delays the share of the requests that is to be shed, and from that share and the mix
+// of ranks a pressure between 0 and the number of ranks minus one. The pressure minus r is the share of the requests
+// of rank r that is shed, limited to 0 to 1. The last rank is never shed, and is not part of the mix. Delay and
+// Sample must be called by a single goroutine; the other methods may be called by any.
 type Controller struct {
-	// What other goroutines read; floats as bits.
+	// Fields that other goroutines read. Floats are stored as bits.
 	mix       atomic.Pointer[rankMix]
 	pressure  atomic.Uint64 // in ranks
 	shed      atomic.Uint64 // share of the requests
 	idleCores atomic.Uint64 // share of the cores
 
-	// What the goroutine of Delay and Sample alone uses.
-	began         Time          // of this interval
-	minDelay      time.Duration // least delay of an event in it
-	hasDelay      bool          // there was one
-	previousDelay time.Duration // measured in the interval before
-	appliedDelay  time.Duration // that the share stands for
-	calm          int           // good intervals in a row
-	share         float64       // of the requests that is shed
-	idle          float64       // share of the cores, lately
-	sample        Sample        // the last
+	// Fields that only the goroutine of Delay and Sample uses.
+	began         Time          // start of the current interval
+	minDelay      time.Duration // minimum delay of the events in the interval
+	hasDelay      bool          // there was an event in the interval
+	previousDelay time.Duration // delay measured in the previous interval
+	appliedDelay  time.Duration // delay that the last update of share was computed for
+	goodIntervals int           // good intervals in a row
+	share         float64       // share of the requests that is shed
+	idle          float64       // moving average of the share of idle cores
+	sample        Sample        // the latest sample
 }
 
 // New returns a Controller for a number of ranks.
@@ -93,20 +97,21 @@
 	return c
 }
 
-// SetRanks sets the number of ranks. What is known of their mix is forgotten.
+// SetRanks sets the number of ranks. The mix of ranks is measured anew.
 func (c *Controller) SetRanks(ranks int) {
 	mix := make(rankMix, max(ranks, 1))
 	c.mix.Store(&mix)
 }
 
-// Pressure returns what is shed now: the ranks below it wholly, the one that it falls into in part.
+// Pressure returns the present pressure: the ranks below its integer part are shed entirely, and the next one in
+// part.
 func (c *Controller) Pressure() float64 { return math.Float64frombits(c.pressure.Load()) }
 
-// Shed returns the share of the requests that is to be shed now, the last rank left out.
+// Shed returns the share of the requests that is to be shed now, not counting those of the last rank.
 func (c *Controller) Shed() float64 { return math.Float64frombits(c.shed.Load()) }
 
-// IdleShare returns the share of the cores that was idle lately while nothing waited, or 1 where nothing is shed: that
-// share of the requests that would be rejected as early can be admitted.
+// IdleShare returns the moving average of the share of cores that are idle while nothing waits, or 1 if nothing is
+// shed. That share of the requests that would be rejected because they come before their Retry-After can be admitted.
 func (c *Controller) IdleShare() float64 {
 	if c.pressure.Load() == 0 {
 		return 1
@@ -125,7 +130,7 @@
 	return pressure == 0 || u >= pressure-float64(rank)
 }
 
-// Delay reports how long an event has waited for the loop.
+// Delay records how long an event has waited for the loop.
 func (c *Controller) Delay(now Time, d time.Duration) {
 	if now-c.began >= Interval {
 		c.endInterval(now)
@@ -136,7 +141,7 @@
 	}
 }
 
-// Sample reports the state of the process. It is called about once an interval, also when there are no events.
+// Sample records the state of the process. It is called about once an interval, even without events.
 func (c *Controller) Sample(now Time, s Sample) {
 	c.sample = s
 	if now-c.began >= Interval {
@@ -144,8 +149,8 @@
 	}
 }
 
-// endInterval ends an interval. Only a delay in two intervals in a row counts: events that waited while the process was
-// paused arrive all at once, and say nothing of what follows.
+// endInterval ends an interval and computes the new pressure. A delay counts only if it lasts for two intervals in a
+// row: events that waited while the process was paused are handled all at once, and do not indicate overload.
 func (c *Controller) endInterval(now Time) {
 	measured := c.measuredDelay()
 	delay := max(min(measured, c.previousDelay, maxDelay), 0)
@@ -169,7 +174,8 @@
 	c.hasDelay = false
 }
 
-// idleNow returns the share of the cores that was idle in this interval while nothing waited; 0 where that is not known.
+// idleNow returns the share of the cores that was idle in this interval, or 0 if something waited or the use of the
+// cores is unknown.
 func (c *Controller) idleNow(measured time.Duration) float64 {
 	busy := c.sample.Busy
 	if measured > Target || busy <= 0 {
@@ -178,7 +184,8 @@
 	return max(fullyBusy-busy, 0) / fullyBusy
 }
 
-// measuredDelay returns the delay of this interval.
+// measuredDelay returns the delay of this interval: the longest of the delays of events, of the run queue and of
+// reads, and of that which the garbage collector's use of the CPU counts as.
 func (c *Controller) measuredDelay() time.Duration {
 	delay := time.Duration(0)
 	if c.hasDelay {
@@ -192,17 +199,18 @@
 	return delay
 }
 
-// nextShare returns the share that is to be shed, by the delay.
+// nextShare returns the new share to be shed. measured is the delay of this interval alone, and delay the one that
+// counts.
 func (c *Controller) nextShare(now Time, measured, delay time.Duration, idle float64) float64 {
 	share := c.share + beta*(max(delay, Target)-max(c.appliedDelay, Target)).Seconds()
 	c.appliedDelay = delay
 	switch {
 	case delay > Target:
-		c.calm = 0
+		c.goodIntervals = 0
 		share += alpha * (delay - Target).Seconds()
 	case measured <= Target:
-		c.calm++
-		if c.calm > calmIntervals {
+		c.goodIntervals++
+		if c.goodIntervals > minGoodIntervals {
 			share -= c.fall(now, measured, share, idle)
 		}
 	}
@@ -213,7 +221,7 @@
 	return share
 }
 
-// fall returns by how much a share falls in a good interval.
+// fall returns how much a share falls after a good interval.
 func (c *Controller) fall(now Time, measured time.Duration, share, idle float64) float64 {
 	step := fallStep
 	if measured < Target/4 {
@@ -228,7 +236,7 @@
 	return mix.maxPressure() * max(progress(c.sample.Heap, heapThreshold), progress(c.sample.Files, descriptorThreshold))
 }
 
-// progress returns how far x is on the way from a threshold to 1.
+// progress returns the position of x between a threshold and 1, as a number from 0 to 1.
 func progress(x, threshold float64) float64 {
 	return min(max((x-threshold)/(1-threshold), 0), 1)
 }
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -28,8 +28,8 @@
 	return func(int) time.Duration { return d }
 }
 
-// Nothing is shed while the least delay is short, all but the highest rank when it stays long. The
-// pressure falls again, slower than it rose, and settles under a constant load.
+// Nothing is shed while the minimum delay is short, and all but the highest rank when it stays long. The pressure
+// falls more slowly than it rises, and settles under a constant load.
 func TestPressureFollowsLoad(t *testing.T) {
 	c, now := New(6), Time(time.Hour)
 	if high, _ := feedDelays(c, &now, 20*time.Second, 200, constantDelay(Target)); high != 0 {
@@ -73,8 +73,8 @@
 	}
 }
 
-// With half of the cores idle the pressure falls to a tenth within 2 s, and with all in use slowly:
-// requests that could be served are not rejected for seconds.
+// With half of the cores idle the pressure falls from 5 to at most 0.7 within 2 s, and with all cores in use it falls
+// slowly. The test guards against rejecting requests for seconds that could be served.
 func TestPressureFallsFasterWithIdleCores(t *testing.T) {
 	pressureAfter := func(busy float64) float64 {
 		c, now := New(6), Time(time.Hour)
@@ -93,8 +93,8 @@
 	}
 }
 
-// Where the cores are idle and nothing waits, early clients may be admitted, and none while the cores
-// are in use: a limit on them ends with its reason.
+// Requests that come before their Retry-After may be admitted while cores are idle and nothing waits, and must not be
+// while the cores are in use. The test guards against a limit that outlasts its reason.
 func TestIdleShareFollowsUseOfCores(t *testing.T) {
 	c, now := New(6), Time(time.Hour)
 	if c.IdleShare() != 1 {
@@ -118,8 +118,8 @@
 	}
 }
 
-// A few requests of a hundred times the usual cost delay those behind them. As the least delay of an
-// interval counts, they neither hide a rising load nor raise the pressure by themselves.
+// A few requests that cost a hundred times as much as usual delay the requests behind them. As the minimum delay of
+// an interval counts, they neither hide a rising load nor raise the pressure by themselves.
 func TestPressureIgnoresFewCostlyRequests(t *testing.T) {
 	c, now := New(6), Time(time.Hour)
 	costly := func(d time.Duration) func(int) time.Duration {
@@ -138,7 +138,7 @@
 	}
 }
 
-// A process that was stopped for 300 ms finds its events waiting and sheds nothing because of that.
+// A process that was paused for 300 ms has queued events when it continues, and sheds nothing because of them.
 func TestPressureIgnoresPauseOfProcess(t *testing.T) {
 	c, now := New(6), Time(time.Hour)
 	feedDelays(c, &now, 5*time.Second, 200, constantDelay(0))
@@ -150,7 +150,7 @@
 	if high, _ := feedDelays(c, &now, 5*time.Second, 200, constantDelay(0)); high != 0 {
 		t.Errorf("pressure %v after a pause of 300 ms, want 0", high)
 	}
-	// A backlog of one age that takes a whole interval.
+	// A backlog of events that have all waited equally long, which takes a whole interval to handle.
 	now += time.Second
 	for range 100 {
 		c.Delay(now, time.Second)
@@ -159,15 +159,15 @@
 	if high, _ := feedDelays(c, &now, 5*time.Second, 200, constantDelay(0)); high != 0 {
 		t.Errorf("pressure %v after a pause of a second, want 0", high)
 	}
-	// A clock that goes back is no delay.
+	// A clock that is set back does not count as a delay.
 	c.Delay(now-time.Hour, -time.Hour)
 	if high, _ := feedDelays(c, &now, time.Second, 200, constantDelay(0)); high != 0 {
 		t.Errorf("pressure %v after the clock went back, want 0", high)
 	}
 }
 
-// Memory, descriptors and the garbage collector raise the pressure as they run out, and it falls with
-// them.
+// The pressure rises as memory, descriptors or CPU time run out, the last by the use of the garbage collector, and
+// falls when they are free again.
 func TestPressureRisesAsResourcesRunOut(t *testing.T) {
 	c, now := New(11), Time(time.Hour)
 	pressureWith := func(s Sample) float64 {
@@ -179,7 +179,7 @@
 		t.Errorf("pressure %v below the thresholds, want 0", p)
 	}
 	if p := pressureWith(Sample{Heap: 0.925}); math.Abs(p-5) > 1e-9 {
-		t.Errorf("pressure %v half way to the end of memory, want 5", p)
+		t.Errorf("pressure %v half way from the threshold to the memory limit, want 5", p)
 	}
 	if p := pressureWith(Sample{Heap: 2}); p != 10 {
 		t.Errorf("pressure %v with no memory left, want 10", p)
@@ -200,11 +200,11 @@
 	}
 	pressureWith(Sample{GC: 0.9})
 	if p := pressureWith(Sample{GC: 0.9}); p == 0 {
-		t.Errorf("pressure %v with a garbage collector that takes 0.9 of the cores, want above 0", p)
+		t.Errorf("pressure %v while the garbage collector uses 0.9 of the CPU time, want above 0", p)
 	}
 }
 
-// After a reload with fewer ranks the highest is still never shed.
+// After a reload with fewer ranks the highest rank is still never shed.
 func TestHighestRankIsNeverShedAfterSetRanks(t *testing.T) {
 	c, now := New(10), Time(time.Hour)
 	feedDelays(c, &now, 10*time.Second, 200, constantDelay(10*Target))
--- a/internal/overload/retryafter_test.go
+++ b/internal/overload/retryafter_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// 10,000 clients are rejected within 100 ms. Each returns when its Retry-After ends, and is rejected
-// again, with twice the time, while more arrive than can be served. The most arrivals in 100 ms fall
-// from all at once to near the mean with the spread of RetryAfter, and not without it.
+// 10,000 clients are rejected within 100 ms. Each returns when its Retry-After ends, and is rejected again, with a
+// longer one, while more clients arrive than can be served. With the spread of RetryAfter the peak of arrivals in 100
+// ms falls from all clients to near the mean; without it, it does not.
 func TestRetryAfterSpreadsReturningClients(t *testing.T) {
 	const clients, capacity = 10_000, 100 // served in 100 ms
 	peak := func(retryAfter func(level float64, client uint64) time.Duration) (highest int, servedAll time.Duration) {
@@ -42,9 +42,9 @@
 		return highest, time.Hour
 	}
 	spread, took := peak(func(p float64, id uint64) time.Duration { return RetryAfter(p, time.Second, 30*time.Second, id) })
-	inStep, tookInStep := peak(func(p float64, _ uint64) time.Duration { return 2 * time.Second })
-	// Retry-After in a header has whole seconds, and clients return as far into a second as they came, so
-	// the base is longer and spreads them over several.
+	unspread, tookUnspread := peak(func(p float64, _ uint64) time.Duration { return 2 * time.Second })
+	// The Retry-After header has whole seconds, and clients return at the same fraction of a second at which they
+	// came, so a longer base is needed to spread them over several seconds.
 	whole, _ := peak(func(p float64, id uint64) time.Duration {
 		return (RetryAfter(p, 4*time.Second, 30*time.Second, id) + time.Second - 1).Truncate(time.Second)
 	})
@@ -52,11 +52,11 @@
 		t.Errorf("most in 100 ms with whole seconds: %d, want at most %d", whole, 20*capacity)
 	}
 	t.Logf("most in 100 ms with whole seconds: %d", whole)
-	t.Logf("most in 100 ms from 10 s on: %d spread, %d in step; all served after %v and %v",
-		spread, inStep, took, tookInStep)
-	if spread > 4*capacity || inStep < 20*capacity {
+	t.Logf("most in 100 ms from 10 s on: %d with the spread, %d without; all served after %v and %v",
+		spread, unspread, took, tookUnspread)
+	if spread > 4*capacity || unspread < 20*capacity {
 		t.Errorf("most in 100 ms: %d with the spread, %d without, want at most %d and at least %d",
-			spread, inStep, 4*capacity, 20*capacity)
+			spread, unspread, 4*capacity, 20*capacity)
 	}
 	if a, b := RetryAfter(2, time.Second, 30*time.Second, 7), RetryAfter(2, time.Second, 30*time.Second, 7); a != b {
 		t.Errorf("Retry-After of one client is %v, then %v, want the same", a, b)
