--- a/internal/ratelimit/clients_test.go
+++ b/internal/ratelimit/clients_test.go
@@ -30,7 +30,7 @@
 	if n := admitted(10*time.Second, 5); n != 50 {
 		t.Errorf("%d admitted below the rate, want 50", n)
 	}
-	// A clock that goes back adds nothing, and takes nothing for good.
+	// A clock that is set back adds no tokens, and removes none for good.
 	now -= time.Hour
 	if n := admitted(time.Second, 1000); n > 21 {
 		t.Errorf("%d admitted in the second after the clock went back, want at most 21", n)
@@ -60,7 +60,7 @@
 	if decision, _ := c.Begin(now, 8, false, false); decision != Admitted {
 		t.Errorf("another client: decision %v, want admitted", decision)
 	}
-	c.SetLimits(ClientLimits{Concurrent: 1}) // a limit below what is in flight
+	c.SetLimits(ClientLimits{Concurrent: 1}) // a limit below the number of requests in flight
 	c.End(7)
 	c.End(7)
 	if decision, _ := c.Begin(now, 7, false, false); decision != Concurrent {
@@ -71,14 +71,14 @@
 		t.Errorf("none in flight: decision %v, want admitted", decision)
 	}
 	c.End(7)
-	c.End(7) // an End too many changes nothing
+	c.End(7) // an extra call of End has no effect
 	if decision, _ := c.Begin(now, 7, false, false); decision != Admitted {
-		t.Errorf("after an End too many: decision %v, want admitted", decision)
+		t.Errorf("after an extra call of End: decision %v, want admitted", decision)
 	}
 }
 
-// First requests allow duplicates. A request before the Retry-After of its client counts as a
-// duplicate, whatever it says.
+// First requests allow duplicates. A request before the Retry-After of its client counts as a duplicate, even if it
+// is not marked as one.
 func TestClientsAllowDuplicatesPerFirstRequest(t *testing.T) {
 	c := NewClients(ClientLimits{}, 64<<10, 1)
 	now := Time(time.Hour)
@@ -120,7 +120,7 @@
 	}
 }
 
-// A million clients in a minute: the table keeps its size, and a client that sends requests all the
+// A million clients send requests in a minute: the table keeps its size, and a client that sends requests all the
 // time keeps its entry.
 func TestClientsTableKeepsItsSize(t *testing.T) {
 	if n := unsafe.Sizeof(clientEntry{}); n != entryBytes {
