--- a/internal/route/budget_test.go
+++ b/internal/route/budget_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A budget allows a share of the first attempts, and a floor beside.
+// A budget allows a share of the first attempts, plus a floor.
 func TestBudgetAllowsShareOfAttemptsAndFloor(t *testing.T) {
 	b := NewBudget(0.2, 1)
 	now := Time(time.Hour)
@@ -37,8 +37,8 @@
 	}
 }
 
-// The saved attempts are bounded however many first attempts come, and an earlier time neither adds
-// nor takes any.
+// The accumulated retries are bounded however many first attempts there are, and a call with an earlier time neither
+// adds nor removes any.
 func TestBudgetIsBoundedAndIgnoresEarlierTimes(t *testing.T) {
 	b := NewBudget(0.5, 0)
 	now := Time(time.Hour)
@@ -50,16 +50,16 @@
 		n++
 	}
 	if n != 0.5*maxSavedAttempts {
-		t.Errorf("%d retries saved, want %v", n, 0.5*maxSavedAttempts)
+		t.Errorf("%d retries accumulated, want %v", n, 0.5*maxSavedAttempts)
 	}
 	f := NewBudget(0, 1)
 	f.Retry(now)
 	f.Retry(now - time.Minute)
 	if f.Retry(now) {
-		t.Error("an earlier time has added an attempt, want none")
+		t.Error("a call with an earlier time has added a retry, want none")
 	}
 	if f.filledAt != now {
-		t.Errorf("the time went back by %v, want it unchanged", now-f.filledAt)
+		t.Errorf("filledAt went back by %v, want it unchanged", now-f.filledAt)
 	}
 	if !f.Retry(now + time.Second) {
 		t.Error("no retry a second later, want one")
--- a/internal/route/chain.go
+++ b/internal/route/chain.go
@@ -10,50 +10,52 @@
 	// DefaultMinShare is the share of its hosts that a pool needs to carry all its traffic: 1 in 1.4, the
 	// overprovisioning factor of Envoy's priority levels.
 	DefaultMinShare = 1 / 1.4
-	// settleTime is how long a pool must have had more usable hosts before it is given more again: a host that comes and
-	// goes moves nothing.
+	// settleTime is how long a pool must have had more usable hosts before its share of the traffic rises again, so
+	// that a flapping host moves no traffic.
 	settleTime = 2 * time.Second
-	// returnTime is the time in which a pool that had nothing is given all of its traffic again. Hosts that return are
-	// warming up.
+	// returnTime is the time in which the traffic of a pool rises from none to all of it again, as hosts that return
+	// are warming up.
 	returnTime = 10 * time.Second
-	// trialInterval is how often a pool that gets nothing, as none of its hosts can be used, is sent one request: without
-	// any nobody would notice that they are back.
+	// trialInterval is the time between trial requests to a pool that gets no traffic as none of its hosts is usable.
+	// Without trial requests its recovery would not be detected.
 	trialInterval = 250 * time.Millisecond
-	// idempotentTrialTime is how long such a request has to be an idempotent one; then any will do, as there may be no
-	// other.
+	// idempotentTrialTime is how long after a trial is due only an idempotent request may be used for it. After that
+	// any request may, as there may be no idempotent ones.
 	idempotentTrialTime = 5 * time.Second
-	// maxPools is the size of a chain that is handled without allocating.
+	// maxPools is the length of a chain up to which Choose does not allocate.
 	maxPools = 8
 )
 
-// Chain is a pool with the pools that stand in for it, in order. It decides how much of the traffic goes to each: pool i
-// has a capacity of
+// Chain is a pool with its fallback pools, in order. It decides how much of the traffic goes to each: pool i has a
+// capacity of
 //
 //	c_i = min(1, usable_i / (hosts_i x minShare_i))
 //
-// and gets what those before it leave, at most c_i. Where all of them together can carry less than everything, each gets
-// its part of what they can: no pool is spared by rejecting what another could not do either. With nothing usable anywhere
-// all goes to the first, whose Balancer rejects it at once.
+// and gets the traffic that the pools before it leave, at most c_i. If the capacities of all pools sum up to less
+// than 1, the shares are in proportion to the capacities: rejecting requests to relieve one pool would not help, as
+// the others have no capacity for them either. If no pool has a usable host, all traffic goes to the first pool,
+// whose balancer rejects it at once.
 //
-// A fall of c counts at once. A rise counts after settleTime without a fall below it, and then by 1 in returnTime: it
-// guards against flapping and against overloading hosts that are warming up.
+// A decrease of c takes effect at once. An increase takes effect after settleTime without another decrease, and then
+// at a rate of 1 per returnTime. This guards against flapping and against overloading hosts that are warming up.
 type Chain struct {
 	pools []chainPool
 }
 
 // chainPool is the state of a pool in a Chain.
 type chainPool struct {
-	minShare  float64
-	capacity  float64 // c as it counts
-	target    float64 // c by the hosts that are usable now
-	risesAt   Time    // capacity may rise from then on
-	updatedAt Time    // when capacity was last raised to what the time allows
-	known     bool    // there was a report of its hosts
-	hosts     int
-	trialAt   Time // the next trial
+	minShare    float64
+	capacity    float64 // c that is in effect
+	target      float64 // c by the hosts that are usable now
+	risesAt     Time    // time from which capacity may rise
+	updatedAt   Time    // time of the last call of advance
+	initialized bool    // SetUsable was called
+	hosts       int     // hosts of the pool, usable or not
+	trialAt     Time    // time of the next trial
 }
 
-// NewChain returns a Chain of pools with these shares of hosts that each needs, above 0 and up to 1.
+// NewChain returns a Chain. minShares has for each pool the share of its hosts that must be usable for it to carry
+// all its traffic, above 0 and at most 1.
 func NewChain(minShares ...float64) *Chain {
 	c := &Chain{pools: make([]chainPool, len(minShares))}
 	for i, share := range minShares {
@@ -62,7 +64,8 @@
 	return c
 }
 
-// SetUsable reports how many hosts a pool has, and how many of them can be used. The first report of a pool counts at once.
+// SetUsable sets how many hosts a pool has, and how many of them are usable. The first call for a pool takes effect
+// at once.
 func (c *Chain) SetUsable(now Time, pool, usable, hosts int) {
 	p := &c.pools[pool]
 	p.advance(now)
@@ -70,10 +73,10 @@
 	if hosts > 0 {
 		target = min(1, float64(usable)/(float64(hosts)*p.minShare))
 	}
-	if !p.known || target < p.capacity {
+	if !p.initialized || target < p.capacity {
 		p.capacity = target
 	}
-	p.known = true
+	p.initialized = true
 	riseBegins := target > p.target && p.target <= p.capacity
 	if target < p.target || riseBegins {
 		p.risesAt = now + settleTime
@@ -87,8 +90,8 @@
 	p.hosts = hosts
 }
 
-// Trial reports whether a request is to go to a pool that has no share of the traffic, to find out whether its hosts are
-// back. idempotent says that the request may be sent again, whatever becomes of it.
+// Trial reports whether a request is to be sent to a pool that gets no traffic, and to which, to detect whether the
+// pool's hosts have recovered. idempotent means that the request may be sent again whatever its result is.
 func (c *Chain) Trial(now Time, idempotent bool) (pool int, ok bool) {
 	left := 1.0
 	for i := range c.pools {
@@ -106,7 +109,7 @@
 	return 0, false
 }
 
-// trialDue reports whether a pool without a usable host is to get a trial.
+// trialDue reports whether a trial request is due for a pool without a usable host.
 func (p *chainPool) trialDue(now Time, idempotent bool) bool {
 	noneUsable := p.target <= 0 && p.hosts > 0
 	if !noneUsable || now < p.trialAt {
@@ -115,8 +118,8 @@
 	return idempotent || now-p.trialAt >= idempotentTrialTime
 }
 
-// Next returns the pool that a request may go to after one that rejected it: the next with a capacity, or any other such
-// pool where the request was a trial.
+// Next returns the pool to which a request goes after a pool has rejected it: the next pool in order with a capacity
+// above 0 or, if the request was a trial, the first such pool other than the one that rejected it.
 func (c *Chain) Next(now Time, from int, trial bool) (pool int, ok bool) {
 	for i := range c.pools {
 		p := &c.pools[i]
@@ -129,7 +132,7 @@
 	return 0, false
 }
 
-// advance lets the capacity of a pool rise up to now.
+// advance raises the capacity of a pool as far as it may have risen by now.
 func (p *chainPool) advance(now Time) {
 	risingSince := max(p.updatedAt, p.risesAt)
 	if p.capacity < p.target && now > risingSince {
@@ -138,7 +141,7 @@
 	p.updatedAt = now
 }
 
-// Shares appends the share of the traffic that each pool gets; they sum up to 1.
+// Shares appends the share of the traffic that each pool gets. The shares sum up to 1.
 func (c *Chain) Shares(now Time, dst []float64) []float64 {
 	first := len(dst) // index of the first pool's share
 	left := 1.0
@@ -161,8 +164,8 @@
 	return dst
 }
 
-// Choose returns the pool of a request. u is from 0 to below 1; the pool of the same u changes only as shares do, so that a
-// key that gives u stays at its pool as long as it can.
+// Choose returns the pool of a request. u is at least 0 and below 1. The pool for the same u changes only as the
+// shares do, so that requests with the same key, from which u is derived, stay at their pool as long as possible.
 func (c *Chain) Choose(now Time, u float64) int {
 	var space [maxPools]float64
 	shares := c.Shares(now, space[:0])
@@ -172,7 +175,7 @@
 			return i
 		}
 	}
-	for i := len(shares) - 1; i > 0; i-- { // the sum was a little under 1
+	for i := len(shares) - 1; i > 0; i-- { // rounding made the sum slightly less than 1
 		if shares[i] > 0 {
 			return i
 		}
@@ -180,5 +183,5 @@
 	return 0
 }
 
-// Unit returns a u for Choose from a key.
+// Unit derives the u of Choose from a key.
 func Unit(key string) float64 { return float64(hash(key)>>11) / (1 << 53) }
--- a/internal/route/chain_test.go
+++ b/internal/route/chain_test.go
@@ -24,8 +24,7 @@
 	return c
 }
 
-// Traffic leaves a pool at once as its usable hosts fall below its minimum share, and returns late and
-// slowly.
+// Traffic leaves a pool at once when its usable hosts fall below its minimum share, and returns late and slowly.
 func TestSharesMoveAtOnceAndReturnSlowly(t *testing.T) {
 	now := Time(time.Hour)
 	c := newChainOfTwo(now)
@@ -69,8 +68,9 @@
 	}
 }
 
-// If both pools are weak, each gets its part of what they can serve; if both have none, the first rejects.
-func TestWeakPoolsShareByWhatTheyCanServe(t *testing.T) {
+// If neither pool can carry all traffic, their shares are in proportion to their capacities. If neither has a usable
+// host, all traffic goes to the first, which rejects it.
+func TestSharesAreProportionalToInsufficientCapacities(t *testing.T) {
 	now := Time(time.Hour)
 	c := newChainOfTwo(now)
 	c.SetUsable(now, 0, 0, 10)
@@ -122,7 +122,7 @@
 	}
 }
 
-// A chain of which no pool has usable hosts has shares that are numbers.
+// The shares of a chain without usable hosts are valid numbers. The test guards against a division by a sum of 0.
 func TestSharesWithoutUsableHostsGoToFirstPool(t *testing.T) {
 	c := NewChain(1, 1)
 	c.SetUsable(0, 0, 0, 4)
@@ -132,8 +132,8 @@
 	}
 }
 
-// A pool without a share is tried now and then with an idempotent request, or with any request if no
-// idempotent one comes: its return must be noticed without risking more than that.
+// A pool without traffic regularly gets an idempotent request as a trial, or any request if there is no idempotent
+// one. Its recovery must be detected without risking more requests than that.
 func TestTrialOfUnusedPoolPrefersIdempotentRequests(t *testing.T) {
 	now := Time(time.Hour)
 	c := NewChain(1, 1)
@@ -179,8 +179,8 @@
 	}
 }
 
-// A request that a pool rejected goes on to a later pool with a share, a trial also to an earlier one,
-// so that none goes round in a circle.
+// A request that a pool rejected goes to a later pool with a share, and a trial request also to an earlier one. The
+// test guards against requests that circulate among the pools.
 func TestNextGoesForwardAlongChain(t *testing.T) {
 	now := Time(time.Hour)
 	for _, x := range []struct {
--- a/internal/route/compile.go
+++ b/internal/route/compile.go
@@ -7,11 +7,12 @@
 	"strings"
 )
 
-// Compile returns a table, and all problems. pools are the names of the pools that exist.
+// Compile returns the table of the rules, and all their problems. pools are the names of the pools that exist.
 //
-// Of the routes that match a request the most specific is taken, in the order of the Gateway API's HTTPRoute: an exact host
-// before a longer suffix before any host, then the longer path, then a named method, then more headers. Two routes that this
-// does not order, and that one request can match, are ambiguous: a problem.
+// Of the routes that match a request the most specific one is used, in the order of the Gateway API's HTTPRoute: a
+// route with an exact host comes before one with a longer suffix, and that before one for any host; then one with a
+// longer path, then one with methods, then one with more headers. Two routes that this does not order and that can
+// match the same request are ambiguous, which is a problem.
 func Compile(rules []Rule, pools []string) (*Table, []*Problem) {
 	c := &compiler{
 		table: &Table{exact: map[string]*node{}, suffix: map[string]*node{}, any: &node{}},
@@ -23,7 +24,7 @@
 	return c.table, c.problems
 }
 
-// compiler is the work of Compile.
+// compiler is the state of Compile.
 type compiler struct {
 	table    *Table
 	pools    []string
@@ -31,7 +32,7 @@
 	problems []*Problem
 }
 
-// report records a problem of a rule, with another rule that it conflicts with or nil.
+// report records a problem of a rule. other is another rule that it conflicts with, or nil.
 func (c *compiler) report(r, other *Rule, format string, args ...any) {
 	p := &Problem{Line: r.Line, Rule: r.Name, Text: fmt.Sprintf(format, args...)}
 	if other != nil {
@@ -44,7 +45,7 @@
 func (c *compiler) add(index int, rule *Rule) {
 	r := &Route{Rule: *rule, Index: index}
 	if first := c.named[r.Name]; first != nil {
-		c.report(&r.Rule, first, "the name is taken")
+		c.report(&r.Rule, first, "duplicate route name")
 		return
 	}
 	c.named[r.Name] = rule
@@ -66,7 +67,7 @@
 	}
 }
 
-// descend returns the node of a path, which it makes where there is none.
+// descend returns the node of a path, which it creates if there is none.
 func (n *node) descend(path string) *node {
 	for s := range segments(path) {
 		if n.next == nil {
@@ -80,10 +81,10 @@
 	return n
 }
 
-// normalize checks a route by itself, and brings it into normal form.
+// normalize checks a route independently of other routes, and converts it to normal form.
 func (r *Route) normalize(pools []string) error {
 	if r.Name == "" {
-		return errors.New("it has no name")
+		return errors.New("the route has no name")
 	}
 	if r.Path == "" {
 		r.Path = "/"
@@ -108,13 +109,13 @@
 		name, isSuffix := strings.CutPrefix(h, suffixPrefix)
 		host, err := NormalizeHost(name)
 		if err != nil || strings.Contains(name, ":") {
-			return fmt.Errorf("host %q: is no name, nor \"*.\" and a name", h)
+			return fmt.Errorf("host %q: is not a host name, nor \"*.\" followed by one", h)
 		}
 		if isSuffix {
 			host = suffixPrefix + host
 		}
 		if slices.Contains(hosts, host) {
-			return fmt.Errorf("host %q: is there twice", h)
+			return fmt.Errorf("host %q: is listed twice", h)
 		}
 		hosts = append(hosts, host)
 	}
@@ -125,10 +126,10 @@
 func (r *Route) checkMethods() error {
 	for _, m := range r.Methods {
 		if m == "" || strings.ToUpper(m) != m || strings.Trim(m, "ABCDEFGHIJKLMNOPQRSTUVWXYZ-") != "" {
-			return fmt.Errorf("method %q: is no method, as in \"GET\"", m)
+			return fmt.Errorf("method %q: is not an upper-case method name such as \"GET\"", m)
 		}
 		if slices.Contains(r.methods, m) {
-			return fmt.Errorf("method %q: is there twice", m)
+			return fmt.Errorf("method %q: is listed twice", m)
 		}
 		r.methods = append(r.methods, m)
 	}
@@ -137,14 +138,14 @@
 
 func (r *Route) checkHeaders() error {
 	if len(r.Headers) > maxHeaders {
-		return fmt.Errorf("%d headers, %d at most", len(r.Headers), maxHeaders)
+		return fmt.Errorf("%d headers are listed, %d are allowed", len(r.Headers), maxHeaders)
 	}
 	for i, h := range r.Headers {
 		if h.Name == "" {
 			return errors.New("a header has no name")
 		}
 		if slices.ContainsFunc(r.Headers[:i], func(o Header) bool { return strings.EqualFold(o.Name, h.Name) }) {
-			return fmt.Errorf("header %q: is there twice", h.Name)
+			return fmt.Errorf("header %q: is listed twice", h.Name)
 		}
 	}
 	return nil
@@ -152,7 +153,7 @@
 
 func (r *Route) checkSplit(pools []string) error {
 	if len(r.Split) == 0 {
-		return errors.New("it goes to no pool")
+		return errors.New("the route has no pool")
 	}
 	sum := 0
 	for i, s := range r.Split {
@@ -162,12 +163,12 @@
 		case s.Weight < 0 || s.Weight > maxWeight:
 			return fmt.Errorf("pool %q: weight %d is not between 0 and %d", s.Pool, s.Weight, maxWeight)
 		case slices.ContainsFunc(r.Split[:i], func(o Share) bool { return o.Pool == s.Pool }):
-			return fmt.Errorf("pool %q: is there twice", s.Pool)
+			return fmt.Errorf("pool %q: is listed twice", s.Pool)
 		}
 		sum += s.Weight
 	}
 	if sum == 0 {
-		return errors.New("all its weights are 0")
+		return errors.New("all weights are 0")
 	}
 	return nil
 }
