--- a/internal/body/budget_test.go
+++ b/internal/body/budget_test.go
@@ -10,16 +10,16 @@
 		t.Errorf("limit of requests: got %d bytes, want %d", limit, 1<<17)
 	}
 	if !b.Reserve(RequestBodies, limit) {
-		t.Error("the whole limit can't be reserved")
+		t.Error("Reserve of the whole limit: got false, want true")
 	}
 	if b.Reserve(RequestBodies, 1) {
-		t.Error("a byte beyond the limit is reserved")
+		t.Error("Reserve of a byte beyond the limit: got true, want false")
 	}
 	if !b.Reserve(ResponseBodies, 1<<18) {
-		t.Error("the limit of responses can't be reserved while that of requests is used up")
+		t.Error("Reserve of the whole limit of responses while that of requests is used up: got false, want true")
 	}
 	if b.Reserve(ResponseBodies, 1) {
-		t.Error("a byte beyond the limit of responses is reserved")
+		t.Error("Reserve of a byte beyond the limit of responses: got true, want false")
 	}
 	b.Release(RequestBodies, limit)
 	if b.NearLimit(RequestBodies) || !b.NearLimit(ResponseBodies) {
--- a/internal/body/stream_test.go
+++ b/internal/body/stream_test.go
@@ -25,8 +25,8 @@
 
 func (s *fakeSource) Close(complete bool) { s.closed = append(s.closed, complete) }
 
-// A stream has one reader, which is reported before its first byte, and is closed once: a second attempt would send
-// what the first has read already.
+// A stream has one reader, which is reported before the first byte is read, and is closed once. The test guards
+// against a second attempt that sends a body of which the first has already read a part.
 func TestStreamIsConsumedOnce(t *testing.T) {
 	source := &fakeSource{left: 10}
 	stream := NewStream(source, 10)
@@ -38,7 +38,7 @@
 		}
 	})
 	if stream.Consumed() {
-		t.Error("consumed before Consume")
+		t.Error("Consumed before Consume: got true, want false")
 	}
 	if err := stream.Consume(); err != nil {
 		t.Errorf("first Consume: got %v, want nil", err)
--- a/internal/classid/classid.go
+++ b/internal/classid/classid.go
@@ -1,6 +1,6 @@
-// Package classid gives request classes stable numbers over changes of the settings. A number keeps its rules for as long
-// as any request may use it: a request under way keeps the rules that it came under, whatever the new settings say of its
-// class. The package does no I/O.
+// Package classid assigns numbers to request classes that are stable across changes of the settings. A number keeps
+// its rules for as long as any request may use it: a request in flight keeps the rules that it was admitted with,
+// whatever the new settings have for its class. The package does no I/O.
 package classid
 
 import (
@@ -15,12 +15,13 @@
 	Rules balancer.Class
 }
 
-// noNumber stands for a class that has no number yet.
+// noNumber means that a class has no previous number.
 const noNumber = -1
 
-// Assign numbers the classes of new settings, given the current ones by their number. inUse reports whether a request may
-// still use a number; it is asked of retired ones only. list has every wanted class at its number, the others are marked
-// as retired. from has for each number the one whose state it continues, or -1.
+// Assign assigns numbers to the classes of new settings. current has the classes so far, indexed by number. inUse
+// reports whether a request may still use a number; it is called only for numbers of retired classes. list has each
+// wanted class at its number, and the other classes marked as retired. from has for each number the previous number
+// whose state it continues, or -1.
 func Assign(current, wanted []Class, inUse func(number int) bool) (list []Class, from []int) {
 	a := &assignment{current: current, inUse: inUse, taken: make([]bool, len(current))}
 	a.list = append(a.list, current...)
@@ -41,17 +42,17 @@
 	return a.list, a.from
 }
 
-// assignment is the work of Assign.
+// assignment is the state of Assign.
 type assignment struct {
-	current []Class
-	inUse   func(number int) bool
-	taken   []bool // by number: a wanted class has it
-	free    int    // no number below it is free
-	list    []Class
-	from    []int
+	current  []Class
+	inUse    func(number int) bool
+	taken    []bool // by number: it is assigned to a wanted class
+	nextFree int    // search position in add: no number below it is free
+	list     []Class
+	from     []int
 }
 
-// keep gives a class the number that it has or had, where its rules are the same. It reports whether there is one.
+// keep assigns a class the number that it has or had, if its rules are unchanged, and reports whether it did.
 func (a *assignment) keep(w Class) bool {
 	for i, c := range a.current {
 		rules := c.Rules
@@ -65,28 +66,28 @@
 	return false
 }
 
-// add gives a class a number that no request uses any more, or a new one.
+// add assigns a class a number that no request uses any more, or a new one.
 func (a *assignment) add(w Class) {
-	for a.free < len(a.current) && !a.isFree(a.free) {
-		a.free++
+	for a.nextFree < len(a.current) && !a.isFree(a.nextFree) {
+		a.nextFree++
 	}
 	from := a.predecessor(w)
-	if a.free < len(a.current) {
-		a.taken[a.free] = true
-		a.list[a.free] = w
-		a.from[a.free] = from
+	if a.nextFree < len(a.current) {
+		a.taken[a.nextFree] = true
+		a.list[a.nextFree] = w
+		a.from[a.nextFree] = from
 		return
 	}
 	a.list = append(a.list, w)
 	a.from = append(a.from, from)
 }
 
-// isFree reports whether a current number can be given to another class.
+// isFree reports whether a current number may be assigned to another class.
 func (a *assignment) isFree(number int) bool {
 	return !a.taken[number] && a.current[number].Rules.Retired && !a.inUse(number)
 }
 
-// predecessor returns the number of the class of the same name with other rules.
+// predecessor returns the number of the current class of the same name, which has other rules, or noNumber.
 func (a *assignment) predecessor(w Class) int {
 	for i, c := range slices.Backward(a.current) {
 		if c.Name == w.Name && !c.Rules.Retired {
@@ -96,7 +97,7 @@
 	return noNumber
 }
 
-// trim drops the last numbers while they are free.
+// trim removes the last numbers while they are free.
 func (a *assignment) trim() {
 	for n := len(a.list); n > 0 && n <= len(a.current) && a.isFree(n-1); n-- {
 		a.list = a.list[:n-1]
--- a/internal/classid/classid_test.go
+++ b/internal/classid/classid_test.go
@@ -10,12 +10,12 @@
 	"dunemoor/balancer"
 )
 
-func class(name string, effect balancer.Idempotency) Class {
-	return Class{name, balancer.Class{LatencyObjective: time.Second, Deadline: time.Second, Idempotency: effect}}
+func class(name string, idempotency balancer.Idempotency) Class {
+	return Class{name, balancer.Class{LatencyObjective: time.Second, Deadline: time.Second, Idempotency: idempotency}}
 }
 
-// show returns the names of a list, retired ones in brackets.
-func show(list []Class) string {
+// formatClasses returns the names of a list of classes, with retired ones in parentheses.
+func formatClasses(list []Class) string {
 	var s []string
 	for _, c := range list {
 		if c.Rules.Retired {
@@ -43,27 +43,27 @@
 		wantList        string
 		wantFrom        []int
 	}{
-		{"nothing new", []Class{look, book}, []Class{look, book}, all, "look book", []int{0, 1}},
-		{"in another order", []Class{look, book}, []Class{book, look}, all, "look book", []int{0, 1}},
-		{"one appears", []Class{look}, []Class{look, book}, all, "look book", []int{0, -1}},
-		{"one vanishes", []Class{look, book}, []Class{book}, none, "(look) book", []int{0, 1}},
-		{"the last vanishes", []Class{book, look}, []Class{book}, none, "book (look)", []int{0, 1}},
-		{"it is forgotten once no request uses it", []Class{book, retiredLook}, []Class{book}, none, "book", []int{0}},
-		{"but not before", []Class{book, retiredLook}, []Class{book}, all, "book (look)", []int{0, 1}},
-		{"it comes again", []Class{retiredLook, book}, []Class{look, book}, all, "look book", []int{0, 1}},
-		{"with stricter rules", []Class{look, book}, []Class{strictLook, book}, none, "(look) book look", []int{0, 1, 0}},
-		{"a free number is used", []Class{retiredLook, book}, []Class{book, more}, none, "more book", []int{-1, 1}},
-		{"one that is in use is not", []Class{retiredLook, book}, []Class{book, more}, all, "(look) book more", []int{0, 1, -1}},
+		{"no change", []Class{look, book}, []Class{look, book}, all, "look book", []int{0, 1}},
+		{"other order", []Class{look, book}, []Class{book, look}, all, "look book", []int{0, 1}},
+		{"class added", []Class{look}, []Class{look, book}, all, "look book", []int{0, -1}},
+		{"class removed", []Class{look, book}, []Class{book}, none, "(look) book", []int{0, 1}},
+		{"last class removed", []Class{book, look}, []Class{book}, none, "book (look)", []int{0, 1}},
+		{"retired class not in use is dropped", []Class{book, retiredLook}, []Class{book}, none, "book", []int{0}},
+		{"retired class in use is kept", []Class{book, retiredLook}, []Class{book}, all, "book (look)", []int{0, 1}},
+		{"retired class returns", []Class{retiredLook, book}, []Class{look, book}, all, "look book", []int{0, 1}},
+		{"class with changed rules gets a new number", []Class{look, book}, []Class{strictLook, book}, none, "(look) book look", []int{0, 1, 0}},
+		{"free number is reused", []Class{retiredLook, book}, []Class{book, more}, none, "more book", []int{-1, 1}},
+		{"number in use is not reused", []Class{retiredLook, book}, []Class{book, more}, all, "(look) book more", []int{0, 1, -1}},
 	} {
 		list, from := Assign(c.current, c.wanted, c.inUse)
-		if got := show(list); got != c.wantList || !slices.Equal(from, c.wantFrom) {
+		if got := formatClasses(list); got != c.wantList || !slices.Equal(from, c.wantFrom) {
 			t.Errorf("%s: got %s from %v, want %s from %v", c.name, got, from, c.wantList, c.wantFrom)
 		}
 	}
 }
 
-// Whatever changes come: a number that requests use keeps its rules, each wanted class has one number, and no more
-// numbers are kept than are needed.
+// Random changes of the settings: a number that requests use keeps its rules, each wanted class has one number, and
+// no more numbers are kept than are needed.
 func TestNumbersKeepTheirRulesOverRandomChanges(t *testing.T) {
 	for seed := range uint64(500) {
 		rng := rand.New(rand.NewPCG(seed, 0))
@@ -76,7 +76,7 @@
 			}
 			list, from := Assign(current, wanted, func(i int) bool { _, used := inUse[i]; return used })
 			if len(from) != len(list) {
-				t.Fatalf("seed %d: got %d numbers from %d", seed, len(list), len(from))
+				t.Fatalf("seed %d: got a list of %d numbers and %d entries in from, want as many", seed, len(list), len(from))
 			}
 			checkNumbers(t, seed, list, current, wanted, inUse)
 			for i, c := range list {
@@ -92,7 +92,7 @@
 	}
 }
 
-// drawClasses draws some classes, each with any idempotency.
+// drawClasses returns some classes at random, each with a random idempotency.
 func drawClasses(rng *rand.Rand) (classes []Class) {
 	for _, name := range []string{"a", "b", "c", "d", "e"} {
 		if rng.IntN(2) == 0 {
@@ -102,7 +102,7 @@
 	return classes
 }
 
-// checkNumbers checks the list that Assign has made of current and wanted.
+// checkNumbers checks the list that Assign has returned for current and wanted.
 func checkNumbers(t *testing.T, seed uint64, list, current, wanted []Class, inUse map[int]balancer.Class) {
 	t.Helper()
 	needed := len(current)
@@ -110,11 +110,11 @@
 		needed = max(needed, number+1)
 	}
 	if len(list) > needed+len(wanted) {
-		t.Fatalf("seed %d: got %d numbers, %d before", seed, len(list), len(current))
+		t.Fatalf("seed %d: got %d numbers, with %d before, want no more than needed", seed, len(list), len(current))
 	}
 	for number, rules := range inUse {
 		if got := list[number].Rules; got.Idempotency != rules.Idempotency {
-			t.Fatalf("seed %d: rules under number %d have changed", seed, number)
+			t.Fatalf("seed %d: the rules of number %d have changed, want them kept while requests use it", seed, number)
 		}
 	}
 	for _, w := range wanted {
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// testTimes are the times of the drains of all tests.
+// testTimes are the times of the drains in all tests.
 var testTimes = Times{Leave: 1600 * time.Millisecond, Close: 1900 * time.Millisecond}
 
 func TestDrainAdvancesWithTime(t *testing.T) {
@@ -44,17 +44,17 @@
 	}
 }
 
-// A repeated call changes nothing: it guards against a drain that never ends as its caller repeats a call whose response
-// was lost.
-func TestRepeatedQuiesceGainsNoTime(t *testing.T) {
+// A repeated call has no effect. The test guards against a drain that never ends because its caller repeats a call
+// whose response was lost.
+func TestRepeatedQuiesceDoesNotExtendDrain(t *testing.T) {
 	d := Drain{}.Quiesce(0, testTimes).Quiesce(1800*time.Millisecond, testTimes)
 	if got := d.State(1900 * time.Millisecond); got != Closing {
 		t.Errorf("after a second call: got state %v, want %v", got, Closing)
 	}
 }
 
-// Any order of calls, at any times: a drain only advances until Resume, Resume serves at once, and the next drain begins
-// from its start.
+// Random calls at random times: a drain only advances until Resume, Resume returns to Serving at once, and the next
+// drain starts with its first state.
 func TestDrainOnlyAdvancesUntilResume(t *testing.T) {
 	for seed := range uint64(2000) {
 		rng := rand.New(rand.NewPCG(seed, 0))
@@ -86,7 +86,7 @@
 	}
 }
 
-// wantState is the state of a drain of an age.
+// wantState returns the state of a drain that began the given time ago.
 func wantState(draining bool, age time.Duration) State {
 	switch {
 	case !draining:
--- a/internal/override/override.go
+++ b/internal/override/override.go
@@ -1,9 +1,9 @@
 // Package override applies operators' overrides of hosts to the endpoint list of a pool. It does no I/O.
 //
-// A host with an override drains, whatever its list says, but one that is gone is gone. Without an override,
-// or when it is removed, the host is what its list said last. An override of a host that no list has waits
-// for it. Hosts are identified by the pool and their ID in the pool's list: a host that returns with another
-// ID is another host.
+// A host with an override is draining, whatever state its list has for it, unless the list has removed it. Without an
+// override, or once the override is removed, the host has the state of the latest list. An override of a host that is
+// not listed takes effect when the host is listed. Hosts are identified by the pool and their ID in the pool's list:
+// a host that returns with another ID is a different host.
 package override
 
 import (
@@ -16,15 +16,15 @@
 // Filter applies overrides to the endpoint list of one pool.
 type Filter struct {
 	drained map[string]bool             // hosts with an override
-	listed  map[string]discovery.Member // as the list says
+	listed  map[string]discovery.Member // entries of the list, without overrides
 }
 
-// NewFilter returns the filter of a pool without a list.
+// NewFilter returns a Filter with an empty endpoint list. drained has the IDs of the hosts with an override.
 func NewFilter(drained []string) *Filter {
-	return &Filter{drained: set(drained), listed: map[string]discovery.Member{}}
+	return &Filter{drained: toSet(drained), listed: map[string]discovery.Member{}}
 }
 
-func set(ids []string) map[string]bool {
+func toSet(ids []string) map[string]bool {
 	s := map[string]bool{}
 	for _, id := range ids {
 		s[id] = true
@@ -32,8 +32,8 @@
 	return s
 }
 
-// ApplyList takes the entries of a list, which is the full one or has changes, and returns them with the
-// overrides applied.
+// ApplyList updates the endpoint list, which hosts replaces if full is true and changes otherwise, and returns hosts
+// with the overrides applied.
 func (f *Filter) ApplyList(full bool, hosts []discovery.Member) []discovery.Member {
 	if full {
 		clear(f.listed)
@@ -50,10 +50,10 @@
 	return out
 }
 
-// SetDrained sets the hosts with an override, and returns the entries that change thereby.
+// SetDrained sets the IDs of the hosts with an override, and returns the entries whose state changes.
 func (f *Filter) SetDrained(drained []string) (changed []discovery.Member) {
 	previous := f.drained
-	f.drained = set(drained)
+	f.drained = toSet(drained)
 	for _, id := range slices.Sorted(maps.Keys(f.listed)) {
 		if h := f.listed[id]; previous[id] != f.drained[id] && h.State != discovery.StateDraining {
 			changed = append(changed, f.withOverride(h))
--- a/internal/override/override_test.go
+++ b/internal/override/override_test.go
@@ -8,9 +8,9 @@
 	"dunemoor/internal/discovery"
 )
 
-// Whatever lists and overrides arrive in whatever order: the last state of each host that was passed on is what the rule
-// makes of the last list and the last overrides.
-func TestRule(t *testing.T) {
+// Random lists and overrides arrive in random order. The last state that the filter has returned for each host must
+// follow from the last list and the last overrides.
+func TestFilterAppliesLastOverridesToLastList(t *testing.T) {
 	ids := []string{"a", "b", "c", "d"}
 	states := []string{"ready", "draining", "gone"}
 	for seed := range uint64(300) {
@@ -24,12 +24,12 @@
 			return list
 		}
 		drained := draw()
-		p := NewFilter(drained)
+		filter := NewFilter(drained)
 		listed, applied := map[string]string{}, map[string]string{}
 		for range 40 {
 			if r.IntN(2) == 0 {
 				drained = draw()
-				for _, h := range p.SetDrained(drained) {
+				for _, h := range filter.SetDrained(drained) {
 					applied[h.ID] = h.State
 				}
 			} else {
@@ -45,7 +45,7 @@
 						listed[id] = list[len(list)-1].State
 					}
 				}
-				for _, h := range p.ApplyList(full, list) {
+				for _, h := range filter.ApplyList(full, list) {
 					applied[h.ID] = h.State
 				}
 			}
@@ -54,7 +54,7 @@
 					want = "draining"
 				}
 				if applied[id] != want {
-					t.Fatalf("seed %d: %s is passed on as %q, not %q, with overrides of %v", seed, id, applied[id], want, drained)
+					t.Fatalf("seed %d: state of %s: got %q, want %q, with overrides of %v", seed, id, applied[id], want, drained)
 				}
 			}
 		}
