--- a/internal/engine/retry.go
+++ b/internal/engine/retry.go
@@ -11,7 +11,7 @@
 //   - balancer (Balancer.mayRetry): in one pool, by the class's idempotency, its deduplication window, the time left
 //     and Settings.MaxAttempts. It decides first.
 //   - Pool.takeRetry below: over all pools of the failover chain, by MaxAttempts and by whether the last attempt is
-//     better kept for the next pool.
+//     better reserved for the next pool.
 //   - route.Budget, which takeRetry consults last: over all requests of a route, by the share of retries among its attempts.
 //
 // A retry that the second or the third denies ends as balancer.NotSent, and the balancer decides again.
--- a/internal/override/override_test.go
+++ b/internal/override/override_test.go
@@ -36,7 +36,7 @@
 				full := r.IntN(3) == 0
 				if full {
 					clear(listed)
-					clear(applied) // hosts that a full list does not name are gone
+					clear(applied) // hosts that are not in a full list are gone
 				}
 				var list []discovery.Member
 				for _, id := range ids {
--- a/internal/ratelimit/clients_test.go
+++ b/internal/ratelimit/clients_test.go
@@ -30,7 +30,7 @@
 	if n := admitted(10*time.Second, 5); n != 50 {
 		t.Errorf("%d admitted below the rate, want 50", n)
 	}
-	// A clock that is set back adds no tokens, and removes none for good.
+	// A clock that is set back adds no tokens, and removes none permanently.
 	now -= time.Hour
 	if n := admitted(time.Second, 1000); n > 21 {
 		t.Errorf("%d admitted in the second after the clock went back, want at most 21", n)
--- a/internal/route/chain_test.go
+++ b/internal/route/chain_test.go
@@ -49,7 +49,7 @@
 	expectFirstShare(t, c, now, "long after", 1)
 }
 
-// A host that is usable for less than settleTime brings no traffic back.
+// A host that is usable for less than settleTime at a time does not bring traffic back to its pool.
 func TestFlappingHostsBringNoTrafficBack(t *testing.T) {
 	now := Time(time.Hour)
 	c := newChainOfTwo(now)
--- a/internal/route/compile.go
+++ b/internal/route/compile.go
@@ -168,7 +168,7 @@
 		sum += s.Weight
 	}
 	if sum == 0 {
-		return errors.New("all weights are 0")
+		return errors.New("all weights of the split are 0")
 	}
 	return nil
 }
--- a/internal/route/compile_test.go
+++ b/internal/route/compile_test.go
@@ -25,7 +25,7 @@
 		{"method", []Rule{newRule("a", "/", withMethods("get"), atLine(2))}, `method "get": is not an upper-case method name`},
 		{"pool", []Rule{newRule("a", "/", withSplit(Share{"none", 1}), atLine(2))}, `pool "none": there is none of that name`},
 		{"no pool", []Rule{newRule("a", "/", withSplit(), atLine(2))}, "the route has no pool"},
-		{"weights", []Rule{newRule("a", "/", withSplit(Share{"p", 0}, Share{"q", 0}), atLine(2))}, "all weights are 0"},
+		{"weights", []Rule{newRule("a", "/", withSplit(Share{"p", 0}, Share{"q", 0}), atLine(2))}, "all weights of the split are 0"},
 		{"weight", []Rule{newRule("a", "/", withSplit(Share{"p", -1}), atLine(2))}, "weight -1 is not between 0 and"},
 		{"header twice", []Rule{newRule("a", "/", withHeader("A", "1"), withHeader("a", "2"), atLine(2))}, `header "a": is listed twice`},
 	} {
