--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,6 +1,6 @@
 // Command simhost runs many balancers for the simulator. It reads batches of events on standard input and
-// replies to each on standard output with the balancers' actions; nothing else is written there. It exits
-// with status 1 and one line on standard error where the input is malformed.
+// replies to each on standard output with the balancers' actions; nothing else is written there. If the input
+// is malformed, it exits with status 1 and one line on standard error.
 package main
 
 import (
@@ -14,7 +14,7 @@
 	"dunemoor/internal/simwire"
 )
 
-// gcPercent makes garbage collection rare: the heap is small.
+// gcPercent makes garbage collection rare, which costs little memory because the heap is small.
 const gcPercent = 800
 
 func main() {
@@ -40,14 +40,14 @@
 	}
 }
 
-// server holds the balancers by instance number. They share nothing.
+// server runs the balancers, which share no state.
 type server struct {
-	balancers map[uint32]*balancer.Balancer
+	balancers map[uint32]*balancer.Balancer // by instance number
 	out       *simwire.Writer
-	actions   []balancer.Action
+	actions   []balancer.Action // reused
 }
 
-// serveBatch reads a batch and replies to it. It returns io.EOF where there is no further batch.
+// serveBatch reads a batch and replies to it. It returns io.EOF if there is no further batch.
 func (s *server) serveBatch(r *simwire.Reader) error {
 	now, err := r.Batch()
 	if err != nil {
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// handle passes one event to its balancer and collects the actions. An instance that panics is reported as
-// crashed and removed; the others go on.
+// handle passes one event to its balancer and adds the actions to the reply. An instance that panics is reported as
+// crashed and removed; the other instances continue.
 func (s *server) handle(now balancer.Time, e *simwire.Event) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -96,7 +96,7 @@
 	}
 }
 
-// dispatch passes an event to a balancer. Events that a balancer has no use for are ignored.
+// dispatch passes an event to a balancer. Events that package balancer doesn't use are ignored.
 func dispatch(b *balancer.Balancer, now balancer.Time, e *simwire.Event) {
 	switch e.Code {
 	case simwire.EndpointList:
@@ -114,7 +114,7 @@
 	}
 }
 
-// start creates the balancer of an instance, in the place of an earlier one.
+// start creates the balancer of an instance and replaces an earlier one. Invalid settings are reported as a crash.
 func (s *server) start(now balancer.Time, e *simwire.Event) {
 	delete(s.balancers, e.Instance)
 	settings, err := protocol.ParseSettings(e.Settings)
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -14,7 +14,7 @@
 const settings = `{"balancers": 1, "caps": {"cancel": true}, "step": 1000,
 	"classes": [{"effect": "idempotent", "promise": 300000, "hard_limit": 1200000}]}`
 
-// Codes of records, as the wire has them.
+// Codes of records in frames.
 const (
 	codeStart      = 0
 	codeList       = 1
@@ -65,7 +65,7 @@
 	t.Helper()
 	var head [8]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
-		t.Fatalf("no reply: %v", err)
+		t.Fatalf("read reply: %v", err)
 	}
 	data := make([]byte, binary.LittleEndian.Uint32(head[:])-4)
 	if _, err := io.ReadFull(r, data); err != nil {
@@ -78,12 +78,12 @@
 		data = data[5+n:]
 	}
 	if len(data) != 0 {
-		t.Fatalf("%d bytes behind the reply's records", len(data))
+		t.Fatalf("got %d bytes after the records of the reply, want none", len(data))
 	}
 	return codes, bodies
 }
 
-// startRun calls run on pipes.
+// startRun calls run in a goroutine, with pipes as its input and output.
 func startRun(t *testing.T) (in *io.PipeWriter, out *io.PipeReader, done chan error) {
 	inR, inW := io.Pipe()
 	outR, outW := io.Pipe()
@@ -107,12 +107,12 @@
 	codes, bodies := reply(t, out)
 	i := bytes.IndexByte(codes, codeSend)
 	if i < 0 || !bytes.Equal(bodies[i][:14], append(le32(3, 77), address...)) {
-		t.Fatalf("got actions %v %x, want one that sends request 77", codes, bodies)
+		t.Fatalf("got actions %v %x, want a Send of request 77", codes, bodies)
 	}
 	ended := record(codeAttemptEnd, le32(3, 77), []byte{0, 0}, address, []byte{100, 0}, le32(500), []byte{1, 0})
-	in.Write(batch(3000, ended, request(9, 78))) // 9 was never started
+	in.Write(batch(3000, ended, request(9, 78))) // instance 9 was never started
 	if codes, _ := reply(t, out); len(codes) != 0 {
-		t.Errorf("after the attempt's end: got actions %v, want none", codes)
+		t.Errorf("after the end of the attempt: got actions %v, want none", codes)
 	}
 	in.Write(batch(4000, record(codeStop, le32(3)), request(3, 79)))
 	if codes, _ := reply(t, out); len(codes) != 0 {
@@ -138,7 +138,7 @@
 		sent = sent || c == codeSend && bodies[i][0] == 3
 	}
 	if len(crashed) != 2 || !strings.Contains(crashed[0], "there are none") || !sent {
-		t.Errorf("got crashes %q, instance 3 sent: %v; want two crashes, and a send of instance 3", crashed, sent)
+		t.Errorf("got crashes %q, instance 3 sent: %v; want two crashes, the first for a missing list of classes, and a Send of instance 3", crashed, sent)
 	}
 	in.Close()
 	if err := <-done; err != nil {
@@ -146,7 +146,7 @@
 	}
 }
 
-func TestInstancesActAsEachWouldAlone(t *testing.T) {
+func TestInstancesDoNotAffectEachOther(t *testing.T) {
 	actionsOf := func(instances ...uint32) map[uint32]string {
 		in, out, done := startRun(t)
 		got := map[uint32]string{}
@@ -172,7 +172,7 @@
 	both := actionsOf(1, 2)
 	for _, i := range []uint32{1, 2} {
 		if alone := actionsOf(i)[i]; alone != both[i] || alone == "" {
-			t.Errorf("instance %d beside another: got %x, want %x as alone", i, both[i], alone)
+			t.Errorf("instance %d with another instance: got actions %x, want %x as without it", i, both[i], alone)
 		}
 	}
 }
@@ -189,7 +189,7 @@
 		status int
 		want   string
 	}{
-		{"clean end", good, 0, ""},
+		{"complete", good, 0, ""},
 		{"truncated", good[:len(good)-2], 1, "batch 1: at byte 173: input ends"},
 		{"oversized", append(bytes.Clone(good), 255, 255, 255, 255), 1, "batch 2: at byte 175: frame length"},
 		{"inconsistent", batch(1, record(codeTimer, le32(3))), 1, "at byte 16: record"},
--- a/internal/flightrecorder/analysis.go
+++ b/internal/flightrecorder/analysis.go
@@ -10,32 +10,34 @@
 )
 
 // Analysis summarizes a part of a recording: the outcome of the requests, why some were rejected, and the state
-// of each host. It is made by a replay, so that the balancer's state is known at each event.
+// of each host. It is computed by replaying the recording, so that the balancer's state is known at each event.
 type Analysis struct {
 	Report
 	Gateway    string
 	Build      string
 	ClassNames []string
-	From       balancer.Time   // of the first event in the window
-	To         balancer.Time   // of the last event in the window
-	Wall       time.Time       // of From, by the wall clock as it was at the start of the session
-	BucketSize time.Duration   // of Rates and of the hosts' buckets
-	Hosts      []*HostTimeline // in the order of their names, or IDs where they have none
+	From       balancer.Time   // time of the first event in the window
+	To         balancer.Time   // time of the last event in the window
+	Wall       time.Time       // From on the wall clock, which is read once, at the start of the session
+	BucketSize time.Duration   // duration of a bucket in Rates and in the timelines of Hosts
+	Hosts      []*HostTimeline // sorted by name, or by ID if the recording has no name
 	Classes    []ClassCounts
 	Rates      []RateBucket
-	// TimedOutWaiting is the number of requests that waited for a host in vain. WaitReasons distributes it by
-	// the state of the hosts meanwhile: each request counts 1, in equal parts for each host of the subset.
+	// TimedOutWaiting is the number of requests that timed out while they waited for a host. WaitReasons
+	// distributes it over the states that the hosts had at that time: each request counts 1, divided equally among
+	// the ready hosts of the subset.
 	TimedOutWaiting int
 	WaitReasons     map[string]float64
 	Ejections       []Ejection // the first maxEjections
-	EjectionCount   int
-	FromViews       bool // hosts are as the recorded views have them, as this build decides otherwise
+	EjectionCount   int        // all ejections
+	FromViews       bool       // Hosts come from the recorded views, because this build decides differently
 }
 
-// RateBucket counts the requests that came, and the responses, in a bucket.
+// RateBucket counts the requests that arrived in a bucket, and those that were served, rejected or failed in it.
 type RateBucket struct{ Requests, Served, Rejected, Failed int }
 
-// rateSeries are the rates that time lines and plots show; the headings are words of earlier builds, see Analysis.Text.
+// rateSeries are the rates that timelines and plots show. The headings are the terms of earlier builds, see
+// Analysis.Text.
 var rateSeries = []struct {
 	heading string
 	color   string
@@ -51,39 +53,39 @@
 type ClassCounts struct {
 	Requests  int
 	Served    int
-	InTime    int // of Served, within the latency objective
+	InTime    int // served within the latency objective; included in Served
 	Rejected  int
 	Failed    int
-	Abandoned int                    // the client left
-	Causes    map[balancer.Cause]int // of Rejected and Failed
-	latencies []time.Duration        // of Served
+	Abandoned int                    // the client disconnected before the response
+	Causes    map[balancer.Cause]int // number of Rejected and Failed requests by cause
+	latencies []time.Duration        // of the Served requests
 }
 
-// Ejection is a host that was ejected.
+// Ejection describes the ejection of a host.
 type Ejection struct {
 	At       balancer.Time
 	Host     balancer.HostID
 	Cause    balancer.Cause
-	Request  balancer.RequestID // whose end was the cause, or the oldest in flight at the host
-	Class    int                // of Request; -1: there was none
-	Age      time.Duration      // of Request's attempt
+	Request  balancer.RequestID // request whose attempt caused the ejection, or that of the oldest attempt in flight
+	Class    int                // class of Request; -1: no request is known
+	Age      time.Duration      // time since Request's attempt was sent
 	InFlight int                // attempts in flight at the host
 }
 
-// maxEjections is the number of ejections that an Analysis describes.
+// maxEjections is the maximum number of ejections that an Analysis describes.
 const maxEjections = 200
 
-// defaultBucketSize is the size of a bucket where a Window doesn't set it.
+// defaultBucketSize is the duration of a bucket if a Window doesn't set it.
 const defaultBucketSize = 500 * time.Millisecond
 
-// Window is the part of a recording that is analyzed. Times count from the first event.
+// Window is the part of a recording that is analyzed. From and To are relative to the first event.
 type Window struct {
 	From   time.Duration
-	To     time.Duration // 0: the end
-	Bucket time.Duration // 0: 500 ms
+	To     time.Duration // 0: the end of the recording
+	Bucket time.Duration // duration of a bucket; 0: defaultBucketSize
 }
 
-// Analyse replays a recording and summarizes a part of it. The errors are those of Replay.
+// Analyse replays a recording and summarizes a part of it. It returns the errors of Replay.
 func Analyse(in io.Reader, window Window) (*Analysis, error) {
 	if window.Bucket <= 0 {
 		window.Bucket = defaultBucketSize
--- a/internal/flightrecorder/analysis_test.go
+++ b/internal/flightrecorder/analysis_test.go
@@ -11,7 +11,7 @@
 	"dunemoor/balancer"
 )
 
-// The analysis has the outcome of the requests, and the ejections of the faulty hosts.
+// The analysis counts the outcomes of the requests and contains the ejections of the faulty hosts.
 func TestAnalysisShowsOutcomesAndEjections(t *testing.T) {
 	s := faultyTraffic()
 	var out bufferSink
@@ -32,7 +32,7 @@
 	causes := map[balancer.Cause]int{}
 	for _, e := range a.Ejections {
 		if e.Host == 1 && e.Cause == balancer.CauseConnectionsFailed && e.Class < 0 {
-			t.Errorf("ejection at %v: got no request, want one", e.At)
+			t.Errorf("ejection at %v: got none as its request, want one", e.At)
 		}
 		causes[e.Cause]++
 	}
@@ -42,7 +42,7 @@
 	checkAnalysisText(t, a)
 }
 
-// checkRefusingHost checks the time line of host 1, which refuses connections from 0.2 to 0.35 of the time.
+// checkRefusingHost checks the timeline of host 1, which refuses connections from 20 % to 35 % of the time.
 func checkRefusingHost(t *testing.T, h *HostTimeline) {
 	t.Helper()
 	if h.Name != "s-1" {
@@ -54,7 +54,7 @@
 	}
 	n := len(letters)
 	if !strings.Contains(string(letters[n*20/100:n*36/100]), "XX") || strings.Contains(string(letters[n*60/100:]), "X") {
-		t.Errorf("host 1: got time line %q, want it ejected for a fifth of it, and not at the end", letters)
+		t.Errorf("host 1: got timeline %q, want \"XX\" between 20 %% and 36 %% of it and no X after 60 %%", letters)
 	}
 }
 
@@ -75,8 +75,8 @@
 	}
 }
 
-// Only requests within the window count.
-func TestAnalysisOfAWindow(t *testing.T) {
+// An analysis counts only the requests within its window.
+func TestAnalysisCountsOnlyItsWindow(t *testing.T) {
 	var out bufferSink
 	record(t, randomTraffic(6, 3000), 6, Options{Sink: &out})
 	all := analyzed(t, out.Bytes(), Window{})
@@ -92,18 +92,18 @@
 		inBuckets += r.Requests
 	}
 	if requests(part) != inBuckets || requests(part) == 0 || requests(all) != 3000 {
-		t.Errorf("got %d requests in the window, want %d as in its buckets; got %d in all, want 3000", requests(part), inBuckets, requests(all))
+		t.Errorf("got %d requests in the window, want %d, the sum of its buckets, and not 0; got %d in total, want 3000", requests(part), inBuckets, requests(all))
 	}
 	if part.To-part.From > 2*time.Second {
 		t.Errorf("got the window from %v to %v, want at most 2s", part.From, part.To)
 	}
 }
 
-// Requests that waited in vain are explained by the states of the hosts.
+// The analysis attributes requests that timed out waiting for a host to the states of the hosts.
 func TestAnalysisExplainsTimedOutWaiting(t *testing.T) {
 	s := randomTraffic(8, 4000)
 	for _, h := range s.Hosts {
-		h.Speed = 0.3 // far too slow for the traffic
+		h.Speed = 0.3 // the hosts are overloaded
 	}
 	var out bufferSink
 	record(t, s, 8, Options{Sink: &out})
@@ -113,22 +113,23 @@
 		sum += x
 	}
 	if a.TimedOutWaiting == 0 || math.Abs(sum-float64(a.TimedOutWaiting)) > 0.01*sum || a.WaitReasons["ready now"] > 0.1*sum {
-		t.Errorf("got %d requests that waited in vain, by reason %v; want reasons that sum up to as many", a.TimedOutWaiting, a.WaitReasons)
+		t.Errorf("got %d requests that timed out waiting, reasons %v; want some, reasons that add up to them, and few \"ready now\"", a.TimedOutWaiting, a.WaitReasons)
 	}
 }
 
-// Where this build decides otherwise than recorded, hosts are as the recorded views have them, and the text says so.
+// If this build decides differently than recorded, the analysis takes the states of the hosts from the recorded views,
+// and its text reports that.
 func TestAnalysisOfAnotherBuildUsesItsViews(t *testing.T) {
 	s := randomTraffic(6, 3000)
 	var same bufferSink
 	record(t, s, 6, Options{Sink: &same, ViewInterval: 50 * ms})
 	want := analyzed(t, same.Bytes(), Window{})
 	if want.FromViews {
-		t.Fatal("same build: got the hosts from views, want them from the replay")
+		t.Fatal("same build: got the states of the hosts from views, want them from the replay")
 	}
 	a := analyzed(t, withOtherSeed(t, same.Bytes(), s, 5, 1006), Window{})
 	if !a.FromViews || a.EjectionCount > 0 {
-		t.Fatalf("other build: got from views %v, %d ejections, want views alone", a.FromViews, a.EjectionCount)
+		t.Fatalf("other build: got FromViews %v and %d ejections, want true and 0", a.FromViews, a.EjectionCount)
 	}
 	inFlight := func(a *Analysis) (sum float64) {
 		for _, h := range a.Hosts {
@@ -141,16 +142,16 @@
 		return sum
 	}
 	if x, y := inFlight(a), inFlight(want); math.Abs(x-y) > 0.3*y || y == 0 {
-		t.Errorf("got %.1f attempts in flight by the views, want about %.1f as by the replay", x, y)
+		t.Errorf("got a sum of %.1f attempts in flight from the views, want about %.1f as from the replay, and not 0", x, y)
 	}
 	var text strings.Builder
 	a.Text(&text, 0)
 	if !strings.Contains(text.String(), "this build decides otherwise") {
-		t.Errorf("got text without the divergence:\n%s", text.String())
+		t.Errorf("got a text that doesn't report the divergence:\n%s", text.String())
 	}
 }
 
-// The text and the plot of a recording by an earlier build stay as they are.
+// The text and the plot of a recording of an earlier build don't change.
 func TestAnalysisOutputOfARecording(t *testing.T) {
 	recording, err := os.ReadFile("testdata/compat/recording.dmf")
 	if err != nil {
--- a/internal/flightrecorder/analysis_text.go
+++ b/internal/flightrecorder/analysis_text.go
@@ -9,16 +9,17 @@
 	"time"
 )
 
-// wallTimeFormat is how times of the wall clock are written, in UTC.
+// wallTimeFormat is the format of wall-clock times, in UTC.
 const wallTimeFormat = "2006-01-02T15:04:05.000Z"
 
-// maxMagnitude is the highest digit of a rate.
+// maxMagnitude is the highest digit that stands for a rate.
 const maxMagnitude = 9
 
-// Text writes the analysis for a terminal, with at most that number of its ejections.
+// Text writes the analysis for a terminal. It lists at most the given number of ejections.
 //
-// Headings keep the words of earlier builds, as scripts read them: "asked" are Requests, "refused" Rejected, "left"
-// Abandoned, "good" Succeeded, "out" attempts in flight (InFlight), and the hosts "drawn from" are those of the subset.
+// Headings keep the terms of earlier builds, because scripts parse them: "asked" is Requests, "refused" Rejected,
+// "left" Abandoned, "good" Succeeded, "out" attempts in flight (InFlight), and the hosts "drawn from" are those of the
+// subset.
 func (a *Analysis) Text(w io.Writer, ejections int) {
 	a.writeReplay(w)
 	a.writeClasses(w)
@@ -27,7 +28,7 @@
 	a.writeEjections(w, ejections)
 }
 
-// writeReplay writes what was replayed and what is missing.
+// writeReplay writes the result of the replay and what is missing from the recording.
 func (a *Analysis) writeReplay(w io.Writer) {
 	fmt.Fprintf(w, "gateway %s, build %s, %d session(s): %d events, %d actions replayed alike, %d checkpoints agree\n",
 		a.Gateway, a.Build, a.Sessions, a.Events, a.MatchingActions, a.MatchingStates)
@@ -62,7 +63,7 @@
 	}
 }
 
-// className is the name of a class, or its number.
+// className returns the name of a class, or its index if it has no name.
 func className(names []string, class int) string {
 	if class < len(names) {
 		return names[class]
@@ -70,7 +71,8 @@
 	return fmt.Sprint(class)
 }
 
-// writeWaitReasons writes the states of the hosts while requests waited in vain, by their shares of the subset.
+// writeWaitReasons writes the states that the hosts of the subset had when requests timed out waiting for a host, as
+// shares.
 func (a *Analysis) writeWaitReasons(w io.Writer) {
 	if a.TimedOutWaiting == 0 {
 		return
@@ -86,7 +88,7 @@
 	}
 }
 
-// writeTimelines writes a row for each rate and each host, with a column a bucket.
+// writeTimelines writes a row for each rate and each host, with a column for each bucket.
 func (a *Analysis) writeTimelines(w io.Writer) {
 	fmt.Fprintf(w, "\n%-18s %v a column, from %s on\n", "", a.BucketSize, a.Wall.UTC().Format(wallTimeFormat))
 	for _, series := range rateSeries {
@@ -115,7 +117,8 @@
 	fmt.Fprintln(w)
 }
 
-// magnitude is the digit of a rate: the number of times that it can be halved down to 1, and '.' for none.
+// magnitude returns the digit that stands for a rate per second: the binary logarithm, rounded down to an integer from
+// 0 to maxMagnitude. A rate of 0 is '.'.
 func magnitude(rate float64) byte {
 	if rate <= 0 {
 		return '.'
@@ -149,7 +152,7 @@
 	}
 }
 
-// hostLabel is the label of an ejected host.
+// hostLabel returns the label of an ejected host.
 func (a *Analysis) hostLabel(e *Ejection) string {
 	for _, h := range a.Hosts {
 		if h.ID == e.Host {
@@ -159,9 +162,9 @@
 	return formatHostID(e.Host)
 }
 
-// HostText writes the figures of one host, a line a bucket: the means of the attempts in flight ("out"), of the
+// HostText writes the figures of one host, a line for each bucket: the means of the attempts in flight ("out"), of the
 // concurrency limit and of the RTT in latency objectives ("mean aims"), and the reasons why the host was unavailable,
-// with their shares of the samples ("looks"). It returns an error where the recording has no host of that name.
+// with their shares of the samples ("looks"). It returns an error if the recording has no host with that name.
 func (a *Analysis) HostText(w io.Writer, name string) error {
 	for _, h := range a.Hosts {
 		if h.label() == name {
--- a/internal/flightrecorder/analyzer.go
+++ b/internal/flightrecorder/analyzer.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// samplesPerBucket is the number of times that the state of hosts is sampled within a bucket.
+	// samplesPerBucket is the number of times that the state of the hosts is sampled in a bucket.
 	samplesPerBucket = 8
-	// maxHostsPerEvent is the number of hosts up to which they are inspected after each event, so that no
-	// ejection is missed. Of more hosts an ejection that ends between two samples is missed.
+	// maxHostsPerEvent is the maximum number of hosts that are inspected after each event, so that no ejection is
+	// missed. With more hosts, an ejection that ends between two samples is missed.
 	maxHostsPerEvent = 64
-	// outsideWindow is the bucket of times outside the window.
+	// outsideWindow is the bucket number of times outside the window.
 	outsideWindow = -1
-	// readyReason is the wait reason of a host without any of the reasons that stateLetters has.
+	// readyReason is the wait reason of a host for which balancer.HostView.Unavailable returns no reason.
 	readyReason = "ready now"
 )
 
@@ -31,18 +31,18 @@
 	class  int
 }
 
-// openRequest is a request without a response.
+// openRequest is a request without a final response.
 type openRequest struct {
 	at       balancer.Time
 	class    int
 	attempts int
 }
 
-// analyzer observes a replay.
+// analyzer observes a replay and builds an Analysis.
 type analyzer struct {
 	*Analysis
 	window       Window
-	firstEventAt balancer.Time // of the first event; 0: there was none
+	firstEventAt balancer.Time // 0: no event yet
 	sessionStart balancer.Time
 	settings     *balancer.Settings
 
@@ -50,8 +50,8 @@
 	hostNames     map[balancer.HostID]string
 	openRequests  map[balancer.RequestID]*openRequest
 	openAttempts  map[attemptKey]openAttempt
-	ejectionsSeen map[balancer.HostID]int          // when the hosts were last inspected
-	viewed        map[balancer.HostID][]HostBucket // from recorded views
+	ejectionsSeen map[balancer.HostID]int          // balancer.HostView.Ejections at the last inspection
+	viewBuckets   map[balancer.HostID][]HostBucket // samples of the recorded views
 	nextSampleAt  balancer.Time
 	views         []balancer.HostView
 }
@@ -65,7 +65,7 @@
 		openRequests:  map[balancer.RequestID]*openRequest{},
 		openAttempts:  map[attemptKey]openAttempt{},
 		ejectionsSeen: map[balancer.HostID]int{},
-		viewed:        map[balancer.HostID][]HostBucket{},
+		viewBuckets:   map[balancer.HostID][]HostBucket{},
 	}
 }
 
@@ -79,7 +79,7 @@
 	case ItemName:
 		a.hostNames[it.Host] = it.Text
 	case ItemLoss:
-		a.forgetOpen()
+		a.discardOpen()
 	}
 }
 
@@ -95,11 +95,11 @@
 		a.Wall = start.Wall
 		a.sessionStart = start.At
 	}
-	a.forgetOpen()
+	a.discardOpen()
 }
 
-// forgetOpen forgets requests and attempts whose end is not in the recording.
-func (a *analyzer) forgetOpen() {
+// discardOpen discards the open requests and attempts, because the recording doesn't contain their ends.
+func (a *analyzer) discardOpen() {
 	clear(a.openRequests)
 	clear(a.openAttempts)
 }
@@ -111,11 +111,11 @@
 	}
 	for i := range it.Views {
 		v := &it.Views[i]
-		a.viewed[v.Host] = addSample(a.viewed[v.Host], bucket, v, v.Unavailable(it.At))
+		a.viewBuckets[v.Host] = addSample(a.viewBuckets[v.Host], bucket, v, v.Unavailable(it.At))
 	}
 }
 
-// bucketAt returns the number of the bucket of a time.
+// bucketAt returns the number of the bucket that contains a time, or outsideWindow.
 func (a *analyzer) bucketAt(now balancer.Time) int {
 	at := now - a.firstEventAt
 	if at < a.window.From || (a.window.To > 0 && at >= a.window.To) {
@@ -124,7 +124,7 @@
 	return int((at - a.window.From) / a.window.Bucket)
 }
 
-// observe processes an event and the actions that were recorded.
+// observe processes an event and the recorded actions that it resulted in.
 func (a *analyzer) observe(b *balancer.Balancer, e *Event, actions []balancer.Action) {
 	if a.firstEventAt == 0 {
 		a.firstEventAt = e.At
@@ -145,7 +145,7 @@
 	}
 }
 
-// extendTo extends the analyzed part to a time.
+// extendTo extends the analyzed part of the recording to a time.
 func (a *analyzer) extendTo(now balancer.Time, bucket int) {
 	if a.From == 0 {
 		a.From = now
@@ -157,7 +157,7 @@
 	}
 }
 
-// processEvent counts an event. It returns the attempt that it ends, or nil.
+// processEvent counts an event. It returns the attempt that the event ends, or nil.
 func (a *analyzer) processEvent(e *Event, bucket int) *openAttempt {
 	switch e.Kind {
 	case EventRequest:
@@ -176,8 +176,8 @@
 	return nil
 }
 
-// closeRequest ends an open request. It returns the counts of its class, or nil where it isn't open or the end
-// is outside the window.
+// closeRequest removes an open request. It returns the counts of its class, or nil if the request isn't open or its
+// end is outside the window.
 func (a *analyzer) closeRequest(id balancer.RequestID, bucket int) *ClassCounts {
 	r := a.openRequests[id]
 	if r == nil {
@@ -222,7 +222,7 @@
 	a.Rates[bucket].Served++
 }
 
-// processAction counts an action. It returns true for a request that waited for a host in vain.
+// processAction counts an action. It reports whether the action ends a request that timed out waiting for a host.
 func (a *analyzer) processAction(action *balancer.Action, now balancer.Time, bucket int) (timedOutWaiting bool) {
 	switch action.Kind {
 	case balancer.Send:
@@ -260,7 +260,7 @@
 	}
 }
 
-// timeline returns the timeline of a host, and adds it where there is none.
+// timeline returns the timeline of a host, and adds it if there is none.
 func (a *analyzer) timeline(id balancer.HostID) *HostTimeline {
 	h := a.timelines[id]
 	if h == nil {
@@ -271,8 +271,8 @@
 	return h
 }
 
-// inspectHosts samples the state of the hosts after an event, finds ejections, and explains why requests waited
-// in vain. ended is the attempt that the event ends, or nil.
+// inspectHosts samples the state of the hosts after an event, detects ejections, and adds the wait reasons of requests
+// that timed out waiting for a host. ended is the attempt that the event ends, or nil.
 func (a *analyzer) inspectHosts(b *balancer.Balancer, e *Event, bucket, timedOutWaiting int, ended *openAttempt) {
 	sampleDue := e.At >= a.nextSampleAt
 	if !sampleDue && timedOutWaiting == 0 && len(a.timelines) > maxHostsPerEvent {
@@ -315,8 +315,8 @@
 	}
 }
 
-// addEjection records an ejection with the request that explains it: the one whose attempt has just ended at
-// the host, or else the oldest in flight there.
+// addEjection records an ejection with the request that explains it: the one whose attempt at the host has just ended,
+// or otherwise the one with the oldest attempt in flight at the host.
 func (a *analyzer) addEjection(v *balancer.HostView, e *Event, ended *openAttempt) {
 	a.EjectionCount++
 	if len(a.Ejections) >= maxEjections {
@@ -346,25 +346,25 @@
 	}
 }
 
-// useViews replaces what the replay showed of the hosts by the recorded views. It is for recordings of a build
-// that decided otherwise: the replayed state is not what the gateway had.
+// useViews replaces the host states of the replay by those of the recorded views. It is used for recordings of a build
+// that decided differently, for which the replayed state is not the state that the gateway had.
 func (a *analyzer) useViews() {
 	a.FromViews = true
 	a.WaitReasons = map[string]float64{}
 	a.TimedOutWaiting = 0
 	a.Ejections = nil
 	a.EjectionCount = 0
-	for id, buckets := range a.viewed {
+	for id, buckets := range a.viewBuckets {
 		a.timeline(id).Buckets = buckets
 	}
 	for _, h := range a.Hosts {
-		if a.viewed[h.ID] == nil {
+		if a.viewBuckets[h.ID] == nil {
 			h.Buckets = nil
 		}
 	}
 }
 
-// quantile returns a quantile of sorted times.
+// quantile returns a quantile of sorted durations, rounded to 10 µs; 0 if there are none.
 func quantile(sorted []time.Duration, q float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/flightrecorder/bench_test.go
+++ b/internal/flightrecorder/bench_test.go
@@ -7,7 +7,7 @@
 	"dunemoor/balancer"
 )
 
-// benchRecorder returns a Recorder with a list of hosts, and its time.
+// benchRecorder returns a Recorder that has received a list of hosts, and the time of the list.
 func benchRecorder(b *testing.B) (*Recorder, balancer.Time) {
 	s := randomTraffic(1, 1)
 	at := s.Endpoints[0].At
@@ -18,8 +18,8 @@
 	return rec, at
 }
 
-// BenchmarkRequest measures a request with its events and actions (request, end of an attempt, one timer), with and
-// without a Recorder. A third of the difference is the cost of an event with its actions.
+// BenchmarkRequest measures the events and actions of a request (arrival, end of an attempt, one timer), with and
+// without a Recorder. A third of the difference is the cost of recording an event with its actions.
 func BenchmarkRequest(b *testing.B) {
 	for _, recorded := range []bool{false, true} {
 		name := "plain"
@@ -49,7 +49,7 @@
 	}
 }
 
-// BenchmarkEvent measures the record of one event and one action, without a balancer.
+// BenchmarkEvent measures the recording of one event and one action, without a balancer.
 func BenchmarkEvent(b *testing.B) {
 	rec, now := benchRecorder(b)
 	o := balancer.Outcome{Request: 1 << 20, Elapsed: 4 * ms, Closed: true}
--- a/internal/flightrecorder/block.go
+++ b/internal/flightrecorder/block.go
@@ -11,18 +11,19 @@
 const Version = 1
 
 const (
-	magic = "\xd1FLY" // its first byte isn't ASCII, so no log line is mistaken for a block
+	// magic begins each block. Its first byte isn't ASCII, so that no log line is mistaken for a block.
+	magic = "\xd1FLY"
 	// headerSize is the size of a block's header, in bytes.
 	headerSize = 40
 	// summedHeaderSize is the part of the header that its own checksum covers, in bytes.
 	summedHeaderSize = 36
 	// maxPayload is the largest payload that a Reader accepts, in bytes. A checkpoint with 5,000 hosts and
-	// 10,000 requests has less than 2 MB.
+	// 10,000 requests takes less than 2 MB.
 	maxPayload = 16 << 20
-	// blockSize is the payload at which a block of records is closed, in bytes. A crash loses at most one
-	// block, of some 700 events.
+	// blockSize is the payload size at which a block of records is closed, in bytes. A crash loses at most one
+	// block, which has about 700 events.
 	blockSize = 16 << 10
-	// maxRecord is the size of any record but a list or a view, in bytes.
+	// maxRecord is the maximum size of a record other than a list or a view, in bytes.
 	maxRecord = 128
 )
 
@@ -44,7 +45,7 @@
 //	8  session     8  the same in all blocks of a session
 //	16 number      4  of the block in its session, from 0
 //	20 length      4  of the payload
-//	24 time        8  from which the block's records count, on the balancer's clock, in ns
+//	24 time        8  base of the times of the block's records, on the balancer's clock, in ns
 //	32 sum         4  CRC-32C of the payload
 //	36 header sum  4  CRC-32C of bytes 0 to 35
 //
@@ -59,7 +60,7 @@
 	sum     uint32
 }
 
-// encode writes the header of a block with that payload to b.
+// encode writes the header of a block with the given payload to b.
 func (h *header) encode(b, payload []byte) {
 	copy(b, magic)
 	b[4] = Version
@@ -74,7 +75,7 @@
 	binary.LittleEndian.PutUint32(b[36:], crc32.Checksum(b[:summedHeaderSize], castagnoli))
 }
 
-// decode reads the header at the start of b. It returns false where there is none.
+// decode reads the header at the start of b. It returns false if there is no valid header.
 func (h *header) decode(b []byte) bool {
 	if string(b[:len(magic)]) != magic {
 		return false
--- a/internal/flightrecorder/decoder.go
+++ b/internal/flightrecorder/decoder.go
@@ -9,11 +9,11 @@
 	"dunemoor/balancer"
 )
 
-// errTruncatedRecord is the error of a record that is shorter than its fields.
+// errTruncatedRecord is the error for a record that is shorter than its fields.
 var errTruncatedRecord = errors.New("truncated record")
 
-// decoder reads what the append functions wrote. Once something is missing, err is set and all further figures
-// are zero.
+// decoder decodes records that the append functions encoded. If data is missing, err is set, and the missing field and
+// all further fields are zero.
 type decoder struct {
 	data []byte
 	err  error
@@ -79,7 +79,8 @@
 	return text
 }
 
-// count reads the length of a list of what. Each element has at least one byte.
+// count reads the length of a list. It returns an error if the list can't fit into the remaining data, as each element
+// takes at least one byte. The error calls the elements what.
 func (d *decoder) count(what string) (uint64, error) {
 	n := d.uvarint()
 	if n > uint64(len(d.data)) {
@@ -165,8 +166,8 @@
 	v.EstimatedRTT = float64(d.varint()) / viewEstimatedRTTScale
 	v.Ejections = d.int()
 	for _, at := range []*balancer.Time{&v.EjectedUntil, &v.RestingUntil, &v.NextSlowStartSend} {
-		if left := d.duration(); left > 0 {
-			*at = now + left
+		if remaining := d.duration(); remaining > 0 {
+			*at = now + remaining
 		}
 	}
 	v.ExcludedFor = d.uvarint()
--- a/internal/flightrecorder/dump.go
+++ b/internal/flightrecorder/dump.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	dumpNameFormat = "flight-%s-%s.dmf"     // name of the gateway, time
+	dumpNameFormat = "flight-%s-%s.dmf"     // arguments: name of the gateway, time
 	dumpTimeFormat = "20060102T150405.000Z" // in UTC
 )
 
-// WriteDump writes a dump to a file in dir that is named by the gateway and the time, and returns its path. The
-// file is renamed when it is complete, so that other programs never see a part of it.
+// WriteDump writes a dump to a file in dir that is named after the gateway and the time, and returns its path. The
+// file gets its name when it is complete, so that other programs never read a partial dump.
 func WriteDump(dir, gateway string, at time.Time, dump []byte) (string, error) {
 	path := filepath.Join(dir, fmt.Sprintf(dumpNameFormat, gateway, at.UTC().Format(dumpTimeFormat)))
 	temporary, err := os.CreateTemp(dir, ".flight-*")
--- a/internal/flightrecorder/file.go
+++ b/internal/flightrecorder/file.go
@@ -9,48 +9,49 @@
 )
 
 const (
-	// maxQueuedBlocks is the number of blocks that wait for the disk: some 500 KB, a second of a busy gateway.
-	// Further ones are lost and counted.
+	// maxQueuedBlocks is the maximum number of blocks queued for the disk: about 500 KB, which a busy gateway
+	// records in a second. Further blocks are dropped and counted.
 	maxQueuedBlocks = 32
-	// reopenInterval is the time after a failure in which a file isn't opened again.
+	// reopenInterval is the time for which a file isn't reopened after a failure.
 	reopenInterval = time.Second
 	// rotatedSuffix is appended to the name of a full file.
 	rotatedSuffix = ".1"
 )
 
-// errReopenLater is the error of blocks within reopenInterval after a failure.
-var errReopenLater = errors.New("recording file failed a moment ago")
+// errReopenLater is the error for blocks that are dropped during reopenInterval after a failure.
+var errReopenLater = errors.New("recording file is not reopened yet after a failure")
 
-// File is a Sink that writes to a file in a goroutine of its own. A file that has reached its size is renamed
-// to NAME.1, in place of an earlier one, and a new one begins: both together have at most twice the size.
+// File is a Sink that writes to a file in its own goroutine, which calls Run. A file that has reached its maximum
+// size is renamed to NAME.1, replacing an earlier one, and a new file is started: both together take at most twice
+// the maximum size.
 type File struct {
 	path     string
 	maxBytes int64
 
 	queue          chan []byte
-	free           chan []byte // blocks for reuse
-	wantCheckpoint atomic.Bool
+	free           chan []byte // buffers for reuse
+	needCheckpoint atomic.Bool // to be returned by the next Put
 	lostBlocks     atomic.Uint64
 	writtenBlocks  atomic.Uint64
 	lastError      atomic.Pointer[string]
 
-	// The fields below belong to Run.
+	// Only Run uses the fields below.
 	open     func(path string) (outputFile, error)
-	start    []byte // the last block of kind blockStart: each file begins with it
-	file     outputFile
-	size     int64
-	reopenAt time.Time
+	start    []byte     // the last block of kind blockStart: each file begins with it
+	file     outputFile // nil: not open
+	size     int64      // of file, in bytes
+	reopenAt time.Time  // file isn't opened before
 
-	reopenAtOnce atomic.Bool // tests: reopenAt doesn't count
+	reopenAtOnce atomic.Bool // set by tests: reopenAt is ignored
 }
 
-// outputFile is what File uses of an *os.File.
+// outputFile is the part of *os.File that File uses.
 type outputFile interface {
 	Write([]byte) (int, error)
 	Close() error
 }
 
-// NewFile returns a File of at most maxBytes. An existing file is appended to. Its owner must call Run.
+// NewFile returns a File with a maximum size of maxBytes. An existing file is appended to. The caller must call Run.
 func NewFile(path string, maxBytes int64) *File {
 	return &File{
 		path:     path,
@@ -65,8 +66,8 @@
 	return os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 }
 
-// Put implements Sink: it queues a copy of the block, or drops it where the queue is full.
-func (f *File) Put(block []byte) (accepted, wantCheckpoint bool) {
+// Put implements Sink: it queues a copy of the block, or drops the block if the queue is full.
+func (f *File) Put(block []byte) (accepted, needCheckpoint bool) {
 	var b []byte
 	select {
 	case b = <-f.free:
@@ -80,10 +81,10 @@
 		f.lostBlocks.Add(1)
 		f.recycle(b)
 	}
-	return accepted, f.wantCheckpoint.Swap(false)
+	return accepted, f.needCheckpoint.Swap(false)
 }
 
-// recycle keeps a block for reuse.
+// recycle keeps the buffer of a block for reuse.
 func (f *File) recycle(b []byte) {
 	select {
 	case f.free <- b:
@@ -91,7 +92,8 @@
 	}
 }
 
-// Stats returns the number of blocks written and lost, and the text of the last error; "": there was none.
+// Stats returns the number of blocks written and lost, and the text of the last error, which is empty if there was
+// none.
 func (f *File) Stats() (written, lost uint64, lastError string) {
 	if p := f.lastError.Load(); p != nil {
 		lastError = *p
@@ -99,7 +101,7 @@
 	return f.writtenBlocks.Load(), f.lostBlocks.Load(), lastError
 }
 
-// Run writes blocks until ctx ends, and then those that are queued. It closes the file.
+// Run writes blocks until ctx is done, and then those still queued. It closes the file.
 func (f *File) Run(ctx context.Context) {
 	for {
 		select {
@@ -132,7 +134,7 @@
 	}
 }
 
-// write writes one block. A failure may leave a part of it in the file; readers skip that.
+// write writes one block. A failure may leave a partial block in the file, which readers skip.
 func (f *File) write(b []byte) {
 	defer f.recycle(b)
 	var h header
@@ -158,10 +160,10 @@
 	return err
 }
 
-// fail accounts for a block that is lost.
+// fail counts a lost block, and closes the file unless the block was dropped for errReopenLater.
 func (f *File) fail(err error) {
 	f.lostBlocks.Add(1)
-	f.wantCheckpoint.Store(true)
+	f.needCheckpoint.Store(true)
 	if errors.Is(err, errReopenLater) {
 		return
 	}
@@ -171,8 +173,8 @@
 	f.reopenAt = time.Now().Add(reopenInterval)
 }
 
-// prepare makes sure that a file is open and has room for size bytes. A new file begins with the start of the
-// session, unless that is what is to be written.
+// prepare ensures that a file is open and has space for size bytes. A file that it opens continues with the start
+// block of the session, unless that is the block to be written.
 func (f *File) prepare(size int, isStart bool) error {
 	if err := f.rotate(size); err != nil {
 		return err
@@ -198,7 +200,7 @@
 	return f.append(f.start)
 }
 
-// rotate renames the open file where it has no room for size bytes. An empty file has room for any block.
+// rotate renames the open file if it has no space for size bytes. An empty file accepts a block of any size.
 func (f *File) rotate(size int) error {
 	if f.file == nil || f.size == 0 || f.size+int64(size) <= f.maxBytes {
 		return nil
@@ -207,6 +209,6 @@
 	if err := os.Rename(f.path, f.path+rotatedSuffix); err != nil {
 		return err
 	}
-	f.wantCheckpoint.Store(true)
+	f.needCheckpoint.Store(true)
 	return nil
 }
--- a/internal/flightrecorder/file_test.go
+++ b/internal/flightrecorder/file_test.go
@@ -22,15 +22,15 @@
 	return stop
 }
 
-// waitingSink waits until each block is written.
+// waitingSink is a File whose Put waits until Run has received the block.
 type waitingSink struct{ *File }
 
 func (s waitingSink) Put(b []byte) (bool, bool) {
-	accepted, wantCheckpoint := s.File.Put(b)
+	accepted, needCheckpoint := s.File.Put(b)
 	for len(s.queue) > 0 {
 		time.Sleep(time.Microsecond)
 	}
-	return accepted, wantCheckpoint
+	return accepted, needCheckpoint
 }
 
 // A full file is rotated, and both files can be replayed.
@@ -53,23 +53,24 @@
 			t.Errorf("%s: got %d bytes, want at most 200 KB", name, len(data))
 		}
 		if rep := replayed(t, data); rep.Divergence != nil || rep.Events == 0 || rep.Events < rep.SkippedEvents {
-			t.Errorf("%s: got %d events, %d skipped, divergence %v", filepath.Base(name), rep.Events, rep.SkippedEvents, rep.Divergence)
+			t.Errorf("%s: got %d events replayed, %d skipped, divergence %v; want some replayed, at most as many skipped, and no divergence",
+				filepath.Base(name), rep.Events, rep.SkippedEvents, rep.Divergence)
 		}
 	}
 }
 
-// limitedDisk is a file on a disk with limited room.
+// limitedDisk is a file on a disk with limited space.
 type limitedDisk struct {
 	mu      sync.Mutex
-	room    int // bytes
+	free    int // in bytes
 	written bytes.Buffer
 }
 
 func (d *limitedDisk) Write(b []byte) (int, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	n := min(len(b), d.room)
-	d.room -= n
+	n := min(len(b), d.free)
+	d.free -= n
 	d.written.Write(b[:n])
 	if n < len(b) {
 		return n, errors.New("no space left on device")
@@ -79,9 +80,10 @@
 
 func (d *limitedDisk) Close() error { return nil }
 
-// Blocks for a full disk are lost and counted. The file is read up to the torn block, and from the next checkpoint on.
-func TestFullDiskLosesBlocks(t *testing.T) {
-	disk := &limitedDisk{room: 50 << 10}
+// Blocks that a full disk doesn't accept are dropped and counted. The file can be replayed up to the torn block, and
+// from the next checkpoint on.
+func TestFullDiskDropsBlocks(t *testing.T) {
+	disk := &limitedDisk{free: 50 << 10}
 	w := NewFile("unused", 1<<30)
 	w.open = func(string) (outputFile, error) { return disk, nil }
 	stop := runFile(t, w)
@@ -90,7 +92,7 @@
 	_, sum := record(t, s, 2, Options{RingBytes: 1 << 20, Sink: sinkFunc(func(b []byte) (bool, bool) {
 		if blocks++; blocks == 20 {
 			disk.mu.Lock()
-			disk.room = 1 << 30
+			disk.free = 1 << 30
 			disk.mu.Unlock()
 			w.reopenAtOnce.Store(true)
 		}
@@ -102,20 +104,20 @@
 	stop()
 	written, lost, lastError := w.Stats()
 	if lost == 0 || written == 0 || !strings.Contains(lastError, "no space") {
-		t.Errorf("got %d blocks written, %d lost, error %q; want some, some, and no space", written, lost, lastError)
+		t.Errorf("got %d blocks written, %d lost, error %q; want some written, some lost, and an error with \"no space\"", written, lost, lastError)
 	}
 	rep := replayed(t, disk.written.Bytes())
 	if rep.Divergence != nil || rep.Events == 0 || len(rep.Losses) == 0 || rep.MatchingStates+rep.Sessions < 2 {
-		t.Errorf("got %+v, want events, losses, a matching state and no divergence", rep)
+		t.Errorf("got %+v, want events, losses, matching states and sessions of at least 2, and no divergence", rep)
 	}
 }
 
-// sinkFunc is a Sink by a function.
+// sinkFunc is a Sink whose Put is the function.
 type sinkFunc func([]byte) (bool, bool)
 
 func (f sinkFunc) Put(b []byte) (bool, bool) { return f(b) }
 
-// A disk that hangs doesn't block Put: blocks beyond the queue are lost.
+// Put doesn't block if the disk hangs: it drops blocks when the queue is full.
 func TestHangingDiskDoesNotBlock(t *testing.T) {
 	release := make(chan struct{})
 	w := NewFile("unused", 1<<30)
@@ -123,7 +125,7 @@
 	stop := runFile(t, w)
 	record(t, randomTraffic(2, 9000), 2, Options{Sink: w})
 	_, lost, _ := w.Stats()
-	if lost == 0 || len(w.queue) < maxQueuedBlocks-1 { // Run may have taken one
+	if lost == 0 || len(w.queue) < maxQueuedBlocks-1 { // Run may have received one
 		t.Errorf("got %d blocks lost and %d queued, want some lost and a full queue", lost, len(w.queue))
 	}
 	close(release)
--- a/internal/flightrecorder/fit.go
+++ b/internal/flightrecorder/fit.go
@@ -12,30 +12,31 @@
 	"dunemoor/balancer"
 )
 
-// Fitted is a simulation made from a recording: the same requests and endpoint lists, and hosts modelled on
-// their responses.
+// Fitted is a simulation made from a recording: the recorded requests and endpoint lists, and hosts modelled on the
+// recorded responses.
 type Fitted struct {
 	Simulation *Simulation
-	Start      balancer.Time
-	Seed       uint64 // of the balancer
+	Start      balancer.Time // time of the first event
+	Seed       uint64        // seed of the balancer
 	ClassNames []string
-	Recorded   Summary // the outcome as recorded
-	Unserved   int     // requests that were never served: their work is drawn from that of others
-	Report     *Report
+	Recorded   Summary // the recorded outcome
+	Unserved   int     // requests that were never served: their work is drawn from that of other requests
+	Report     *Report // result of the replay of the recording
 }
 
-// Random streams of a Fitted, by the second seed of a PCG.
+// Random streams of a Fitted: each is the second seed of a PCG.
 const (
 	workStream  = 3 // work of requests that were never served
 	errorStream = 5 // errors of simulated hosts
 )
 
 // errNoRequests is the error of Fit for a recording without any request that can be simulated.
-var errNoRequests = errors.New("no request is in the recording, or none whose state is known")
+var errNoRequests = errors.New("recording has no requests, or none after a known state of the balancer")
 
-// Fit makes a simulation from a recording with one session. The model is simple: a host serves one request
-// after the other, each in the time since it was sent or since the response before it; load of other gateways
-// counts as slowness of the host; clients send the recorded requests, retries included.
+// Fit makes a simulation from a recording with one session. The model is simple: a host serves one request at a
+// time, and the service time is the time since the request was sent or since the host's previous response, whichever
+// is later; load from other gateways appears as slowness of the host; clients send the recorded requests, including
+// their retries.
 func Fit(in io.Reader) (*Fitted, error) {
 	f := newFitter()
 	sessions := 0
@@ -52,7 +53,7 @@
 		return nil, err
 	}
 	if sessions != 1 {
-		return nil, fmt.Errorf("fit needs a recording of one session, this one has %d", sessions)
+		return nil, fmt.Errorf("recording must have exactly one session to be simulated, got %d", sessions)
 	}
 	if len(f.Simulation.Arrivals) == 0 {
 		return nil, errNoRequests
@@ -63,7 +64,7 @@
 	return f.Fitted, nil
 }
 
-// fitter collects what a recording tells of hosts and requests.
+// fitter collects the requests, attempts and hosts of a recording.
 type fitter struct {
 	*Fitted
 	settings     *balancer.Settings
@@ -75,9 +76,9 @@
 // fittedRequest is a request of the recording.
 type fittedRequest struct {
 	arrival  int            // index in Simulation.Arrivals
-	done     bool           // it has a final response, or its client has left
-	attempts int            // sent
-	servedBy *fittedAttempt // the last successful one; nil: none
+	done     bool           // it has a final response, or its client has disconnected
+	attempts int            // number of attempts sent
+	servedBy *fittedAttempt // the last successful attempt; nil: none
 }
 
 // fittedAttempt is an attempt of the recording.
@@ -86,11 +87,11 @@
 	class       int
 	sentAt      balancer.Time
 	result      balancer.Result
-	serviceTime time.Duration // since it was sent, or since the host's last response where that is later
-	atDeadline  bool          // it ended about when its request's time was up
+	serviceTime time.Duration // from its sending or the host's previous response, whichever is later, to its end
+	atDeadline  bool          // it ended at about the request's deadline, see deadlineTolerance
 }
 
-// unanswered reports whether the host sent no response in the request's time.
+// unanswered reports whether the host sent no response before the request's deadline.
 func (a *fittedAttempt) unanswered() bool {
 	canceledAtDeadline := a.result == balancer.Canceled && a.atDeadline
 	return a.result == balancer.TimedOut || canceledAtDeadline
@@ -98,7 +99,7 @@
 
 // fittedHost is a host of the recording.
 type fittedHost struct {
-	attempts     []*fittedAttempt // in the order of their ends
+	attempts     []*fittedAttempt // in the order in which they ended
 	lastResponse balancer.Time
 }
 
@@ -119,7 +120,7 @@
 	f.Recorded.Classes = make([]ClassSummary, len(start.Settings.Classes))
 }
 
-// observe processes an event and the actions that were recorded.
+// observe processes an event and the recorded actions that it resulted in.
 func (f *fitter) observe(b *balancer.Balancer, e *Event, actions []balancer.Action) {
 	if f.Start == 0 {
 		f.begin(b, e)
@@ -139,12 +140,13 @@
 	}
 }
 
-// begin starts at the first event. A recording that begins in mid-flight has its hosts from the checkpoint.
+// begin sets the start time to that of the first event. If the recording begins in mid-session, the simulation starts
+// with the endpoints of the checkpoint.
 func (f *fitter) begin(b *balancer.Balancer, e *Event) {
 	f.Start = e.At
-	known := b.Endpoints(nil)
-	if e.Kind != EventUpdateEndpoints && len(known) > 0 {
-		f.addEndpoints(e.At, balancer.ListSaved, known)
+	endpoints := b.Endpoints(nil)
+	if e.Kind != EventUpdateEndpoints && len(endpoints) > 0 {
+		f.addEndpoints(e.At, balancer.ListSaved, endpoints)
 	}
 }
 
@@ -220,7 +222,7 @@
 	}
 }
 
-// Try runs the simulation with this build's balancer.
+// Try runs the simulation with the balancer of this build.
 func (f *Fitted) Try() (*Summary, error) {
 	b, err := balancer.New(f.Simulation.Settings, f.Seed)
 	if err != nil {
@@ -230,7 +232,7 @@
 	return f.Simulation.Run(b, f.Start), nil
 }
 
-// Compare writes the recorded outcome beside that of Try, with the headings of Analysis.Text.
+// Compare writes the recorded outcome and that of Try as a table, with the headings of Analysis.Text.
 func (f *Fitted) Compare(w io.Writer, tried *Summary) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "class\t\tasked\tin time\tlate\trefused\tfailed\tleft\tp50\tp99\t")
@@ -262,7 +264,7 @@
 	c.Latencies = append(c.Latencies, other.Latencies...)
 }
 
-// writeClassSummary writes a row of Compare.
+// writeClassSummary writes a row of the table that Compare writes.
 func writeClassSummary(w io.Writer, name, source string, c *ClassSummary) {
 	share := func(n int) string { return fmt.Sprintf("%.1f%%", 100*float64(n)/float64(max(c.Requests, 1))) }
 	slices.Sort(c.Latencies)
--- a/internal/flightrecorder/fit_model.go
+++ b/internal/flightrecorder/fit_model.go
@@ -11,19 +11,21 @@
 )
 
 const (
-	// minSpeedResponses is the number of responses from which a host's speed is known; it is 1 with fewer.
+	// minSpeedResponses is the minimum number of responses to estimate a host's speed. With fewer, its speed is 1.
 	minSpeedResponses = 20
-	// minDownAttempts and minSilentAttempts are the numbers of attempts in a row that must fail to connect, or
-	// remain unanswered, for the host to count as down or silent meanwhile.
+	// minDownAttempts and minSilentAttempts are the numbers of consecutive attempts that must fail to connect, or
+	// remain unanswered, for the host to count as down or silent during them.
 	minDownAttempts   = 2
 	minSilentAttempts = 3
-	// deadlineTolerance: an attempt that ends in the last part of its request's time ended at its deadline.
+	// deadlineTolerance: an attempt that ends in the last 1/deadlineTolerance of its request's time counts as ended
+	// at the deadline.
 	deadlineTolerance = 16
-	// defaultServiceTime is the service time of a class without any response.
+	// defaultServiceTime is the service time of a class without any successful response.
 	defaultServiceTime = time.Millisecond
 )
 
-// fitHosts models the hosts.
+// fitHosts sets the models of the hosts. The shares of errors and unanswered attempts are those of all hosts together,
+// outside the spans in which a host was down or silent.
 func (f *fitter) fitHosts() {
 	classes := len(f.settings.Classes)
 	expected := f.meanServiceTimes()
@@ -83,7 +85,7 @@
 	return sums
 }
 
-// speed is the speed of a host against the expected service times of the classes.
+// speed returns the speed of a host relative to the expected service times of the classes, in nanoseconds.
 func (h *fittedHost) speed(expected []float64) float64 {
 	actualSum := 0.0
 	expectedSum := 0.0
@@ -108,7 +110,7 @@
 	return a.result == balancer.Failed || a.result == balancer.InvalidResponse || a.result == balancer.Reset
 }
 
-// spansOf returns the spans in which at least minCount attempts in a row, in the order of their sending, match.
+// spansOf returns the spans in which at least minCount consecutive attempts, in the order of sending, match.
 func spansOf(attempts []*fittedAttempt, minCount int, match func(*fittedAttempt) bool) []Span {
 	attempts = slices.Clone(attempts)
 	slices.SortStableFunc(attempts, func(x, y *fittedAttempt) int { return cmp.Compare(x.sentAt, y.sentAt) })
@@ -127,16 +129,16 @@
 	return spans
 }
 
-// fitWork sets the work of each request: what its host needed, or for a request that was never served what
-// another one of its class needed.
+// fitWork sets the work of each request: its service time multiplied by the speed of its host. The work of a request
+// that was never served is drawn from the served requests of its class.
 func (f *fitter) fitWork() {
-	known := make([][]time.Duration, len(f.settings.Classes))
+	workByClass := make([][]time.Duration, len(f.settings.Classes))
 	for i := range f.Simulation.Arrivals {
 		a := &f.Simulation.Arrivals[i]
 		if served := f.requests[a.Request.ID].servedBy; served != nil {
 			speed := f.Simulation.Hosts[served.host].Speed
 			a.Work = max(time.Duration(float64(served.serviceTime)*speed), 1)
-			known[a.Request.Class] = append(known[a.Request.Class], a.Work)
+			workByClass[a.Request.Class] = append(workByClass[a.Request.Class], a.Work)
 		}
 	}
 	random := rand.New(rand.NewPCG(f.Seed, workStream))
@@ -146,8 +148,8 @@
 			continue
 		}
 		f.Unserved++
-		if works := known[a.Request.Class]; len(works) > 0 {
-			a.Work = works[random.IntN(len(works))]
+		if samples := workByClass[a.Request.Class]; len(samples) > 0 {
+			a.Work = samples[random.IntN(len(samples))]
 		} else {
 			a.Work = defaultServiceTime
 		}
--- a/internal/flightrecorder/fit_test.go
+++ b/internal/flightrecorder/fit_test.go
@@ -10,8 +10,8 @@
 	"dunemoor/balancer"
 )
 
-// A simulation made from a recording has the recorded hosts, and its outcome with the same balancer is near the
-// recorded one.
+// A simulation made from a recording has models of the recorded hosts, and its outcome with the same balancer is close
+// to the recorded one.
 func TestFitModelsTheRecordedHosts(t *testing.T) {
 	s := faultyTraffic()
 	var out bufferSink
@@ -50,25 +50,25 @@
 	var text strings.Builder
 	f.Compare(&text, tried)
 	if !strings.Contains(text.String(), "this build") || strings.Contains(text.String(), "BROKEN") {
-		t.Errorf("got %s, want both outcomes and no broken rule", text.String())
+		t.Errorf("got %s, want the outcome of this build and no broken rule", text.String())
 	}
 }
 
-// checkFittedHosts checks the models of two hosts of faultyTraffic, of which host 5 has half the speed.
+// checkFittedHosts checks the models of hosts 3 and 5 of faultyTraffic. Host 5 has half the speed of the others.
 func checkFittedHosts(t *testing.T, hosts map[balancer.HostID]*SimulatedHost) {
 	t.Helper()
 	if x := hosts[5].Speed / hosts[3].Speed; x < 0.35 || x > 0.7 {
-		t.Errorf("got %.2f of the speed of host 3 for host 5, want about 0.5", x)
+		t.Errorf("got host 5 at %.2f of the speed of host 3, want about 0.5", x)
 	}
 	if x := hosts[3].UnansweredShare; x < 0.004 || x > 0.03 {
-		t.Errorf("got %.4f of the attempts unanswered, want about 0.01", x)
+		t.Errorf("host 3: got a share of %.4f of attempts unanswered, want about 0.01", x)
 	}
 	if x := hosts[3].ErrorShares[0]; x < 0.03 || x > 0.07 {
-		t.Errorf("got %.4f errors in class 0, want about 0.05", x)
+		t.Errorf("host 3: got a share of %.4f of errors in class 0, want about 0.05", x)
 	}
 }
 
-// checkFittedSpan checks that spans together are about the one of the simulation that was recorded.
+// checkFittedSpan checks that the spans of a model together cover about the span in the recorded simulation.
 func checkFittedSpan(t *testing.T, name string, got []Span, want Span) {
 	t.Helper()
 	if len(got) == 0 {
@@ -81,8 +81,8 @@
 	}
 }
 
-// A recording that begins in mid-flight has its hosts from the checkpoint.
-func TestFitOfARecordingInMidFlight(t *testing.T) {
+// If a recording begins in mid-session, the simulation starts with the hosts of the checkpoint.
+func TestFitOfARecordingThatBeginsInMidSession(t *testing.T) {
 	rec, _ := record(t, randomTraffic(5, 12000), 5, Options{RingBytes: minRingBytes})
 	f, err := Fit(bytes.NewReader(rec.Dump(nil)))
 	if err != nil {
@@ -97,7 +97,7 @@
 		inTime += c.InTime
 	}
 	if n := len(f.Simulation.Arrivals); n < 300 || n > 6000 || inTime < n/2 {
-		t.Errorf("got %d arrivals and %d in time, want hundreds and at least half of them", n, inTime)
+		t.Errorf("got %d arrivals and %d served in time, want 300 to 6000 arrivals and at least half of them in time", n, inTime)
 	}
 	if _, err := Fit(bytes.NewReader(nil)); err == nil {
 		t.Error("empty recording: got no error")
--- a/internal/flightrecorder/fleet.go
+++ b/internal/flightrecorder/fleet.go
@@ -11,55 +11,56 @@
 	"dunemoor/balancer"
 )
 
-// Fleet counts over the recordings of many gateways, by second of the wall clock: what is harmless in one gateway
-// and harmful in all shows in no recording alone. Add adds each recording, then Finish completes the counts, and
-// then Text and ClassText write them.
+// Fleet aggregates the recordings of many gateways by second of the wall clock. It shows behavior that is harmless in
+// one gateway and harmful in all of them together, which a single recording can't show. Add is called for each
+// recording, then Finish completes the counts, and then Text and ClassText write them.
 type Fleet struct {
 	seconds map[int64]*FleetSecond // by Unix time
-	changes []hostChange           // not counted yet, see Finish
+	changes []hostChange           // to be counted by Finish
 }
 
 // NewFleet returns a Fleet without any recording.
 func NewFleet() *Fleet { return &Fleet{seconds: map[int64]*FleetSecond{}} }
 
-// FleetSecond is what all gateways together did in a second.
+// FleetSecond counts the events and actions of all gateways in one second. Results counts attempts by balancer.Result;
+// Canceled includes attempts whose client disconnected.
 type FleetSecond struct {
-	Starts          int // of gateways
+	Starts          int // sessions that started
 	Requests        int
-	Duplicates      int // of Requests: sent again by clients
+	Duplicates      int // requests sent again by clients; included in Requests
 	Attempts        int
-	Retries         int                               // of Attempts: not the first one of a request
-	WarmingAttempts int                               // of Attempts: at hosts that were warming up
-	Results         [balancer.InvalidResponse + 1]int // of attempts, by balancer.Result; Canceled has those of clients that left too
-	Rejected        [causeCount]int                   // by balancer.Cause
-	Failed          int                               // requests
-	Polls           int                               // of endpoint lists
-	Lists           [balancer.ListFailed + 1]int      // by balancer.ListKind
-	ListEntries     int
-	Closes          int // hosts that were given up, with the connections to them
+	Retries         int // attempts after the first one of a request; included in Attempts
+	WarmingAttempts int // attempts at hosts in slow start; included in Attempts
+	Results         [balancer.InvalidResponse + 1]int
+	Rejected        [causeCount]int              // rejected requests by balancer.Cause
+	Failed          int                          // failed requests
+	Polls           int                          // polls of endpoint lists
+	Lists           [balancer.ListFailed + 1]int // endpoint lists by balancer.ListKind
+	ListEntries     int                          // entries in Lists
+	Closes          int                          // hosts to which the idle connections were closed
 
-	Warm    AttemptCounts // attempts that ended, at warm hosts
-	Warming AttemptCounts // attempts that ended, at hosts that were warming up
+	Warm    AttemptCounts // attempts that ended, at hosts not in slow start
+	Warming AttemptCounts // attempts that ended, at hosts in slow start
 
-	Classes []FleetClass // of the requests that came in it
+	Classes []FleetClass // of the requests that arrived in this second
 
 	// Set by Fleet.Finish.
 	Ready    float64 // ready hosts, in host-seconds
-	Idle     float64 // of Ready: without an attempt of any gateway in flight
+	Idle     float64 // ready hosts without an attempt in flight from any gateway, in host-seconds
 	InFlight float64 // attempts in flight at ready hosts, in attempt-seconds
 
 	attemptsByHost map[balancer.HostID]int
-	sessionsByHost map[balancer.HostID]map[uint64]struct{} // that sent to it
+	sessionsByHost map[balancer.HostID]map[uint64]struct{} // sessions that sent attempts to the host
 }
 
 // AttemptCounts counts attempts that ended.
 type AttemptCounts struct {
 	Ended     int
-	Succeeded int           // of Ended
-	Elapsed   time.Duration // of Succeeded, together
+	Succeeded int           // included in Ended
+	Elapsed   time.Duration // sum over the successful attempts
 }
 
-// meanElapsedMS is the mean time of successful attempts, in milliseconds.
+// meanElapsedMS returns the mean duration of successful attempts in milliseconds, or 0 if there are none.
 func (c *AttemptCounts) meanElapsedMS() int {
 	if c.Succeeded == 0 {
 		return 0
@@ -67,18 +68,18 @@
 	return int(c.Elapsed.Milliseconds()) / c.Succeeded
 }
 
-// FleetClass is the outcome of the requests of a class that came in a second, as their gateways saw it: a retry
-// of a client at another gateway is a request of its own.
+// FleetClass is the outcome of the requests of a class that arrived in a second. Requests are counted per gateway: if
+// a client retries at another gateway, this is another request.
 type FleetClass struct {
 	Requests   int
-	Duplicates int // of Requests: sent again by clients
+	Duplicates int // requests sent again by clients; included in Requests
 	InTime     int // served within the latency objective
-	Late       int // served after it
+	Late       int // served after the latency objective
 	Rejected   [causeCount]int
 	Failed     int
-	Sent       int           // requests with an attempt
-	Waited     time.Duration // of Sent: until the first attempt, together
-	Latency    time.Duration // of InTime and Late, together
+	Sent       int           // requests with at least one attempt
+	Waited     time.Duration // sum over Sent of the time until the first attempt
+	Latency    time.Duration // sum over InTime and Late
 }
 
 // add adds the counts of another class.
@@ -96,8 +97,8 @@
 	c.Latency += other.Latency
 }
 
-// HostUse returns the number of hosts with an attempt, the most attempts at one host, and the most gateways that
-// sent to one host.
+// HostUse returns the number of hosts with an attempt, the maximum number of attempts at one host, and the maximum
+// number of gateways that sent attempts to one host.
 func (s *FleetSecond) HostUse() (hosts, maxAttempts, maxGateways int) {
 	for id, attempts := range s.attemptsByHost {
 		maxAttempts = max(maxAttempts, attempts)
@@ -106,13 +107,13 @@
 	return len(s.attemptsByHost), maxAttempts, maxGateways
 }
 
-// Second returns the counts of the second that begins at a Unix time, or nil.
+// Second returns the counts of the second that begins at a Unix time, or nil if there are none.
 func (f *Fleet) Second(unix int64) *FleetSecond { return f.seconds[unix] }
 
-// Add adds a recording. The errors are those of Reader.Next; what was read before one counts.
+// Add adds a recording. It returns the errors of Reader.Next; what was read before the error is counted.
 func (f *Fleet) Add(in io.Reader) error {
 	r := NewReader(in)
-	var session *fleetSession // nil before the first start: the recording begins in mid-session, and its clock is unknown
+	var session *fleetSession // nil before the first session start: the wall-clock time of earlier items is unknown
 	var it Item
 	for {
 		err := r.Next(&it)
@@ -135,7 +136,7 @@
 	}
 }
 
-// secondAt returns the counts of a second, and adds them where there are none.
+// secondAt returns the counts of the second that begins at a Unix time, and adds them if there are none.
 func (f *Fleet) secondAt(unix int64) *FleetSecond {
 	s := f.seconds[unix]
 	if s == nil {
@@ -151,28 +152,28 @@
 // sortedSeconds returns the Unix times of all seconds with counts.
 func (f *Fleet) sortedSeconds() []int64 { return slices.Sorted(maps.Keys(f.seconds)) }
 
-// hostChange is a change of a host's state by the wall clock.
+// hostChange is a change of a host's state, with its wall-clock time.
 type hostChange struct {
 	at   int64 // Unix time in nanoseconds
 	host balancer.HostID
 	kind hostChangeKind
 }
 
-// hostChangeKind is what changes of a host.
+// hostChangeKind is the kind of a hostChange.
 type hostChangeKind uint8
 
 const (
 	hostAttemptSent hostChangeKind = iota
 	hostAttemptEnded
-	hostReady    // an endpoint list has it as ready
-	hostNotReady // an endpoint list has it otherwise, or no longer
+	hostReady    // an endpoint list has the host as ready
+	hostNotReady // an endpoint list has the host in another state, or a full list lacks it
 )
 
-// hostUse is the state of a host while its changes are summed up.
+// hostUse is the state of a host while Finish counts its changes.
 type hostUse struct {
 	inFlight int
 	ready    bool
-	at       int64 // up to which it is counted, Unix time in nanoseconds
+	at       int64 // Unix time in nanoseconds up to which the host is counted
 }
 
 // apply applies a change.
@@ -189,8 +190,9 @@
 	}
 }
 
-// Finish sets Ready, Idle and InFlight of each second: the use of hosts as all gateways together saw it. It is
-// called once, after the last Add. A host is ready from the time at which the first gateway learns so.
+// Finish sets Ready, Idle and InFlight of each second, from the attempts and endpoint lists of all gateways. It must be
+// called once, after the last Add. A host is ready from the time at which the first gateway receives a list with it as
+// ready.
 func (f *Fleet) Finish() {
 	slices.SortStableFunc(f.changes, func(a, b hostChange) int { return cmp.Compare(a.at, b.at) })
 	hosts := map[balancer.HostID]*hostUse{}
@@ -211,7 +213,7 @@
 	f.changes = nil
 }
 
-// addHostUse counts a host up to a time, a second at a time.
+// addHostUse counts the use of a host up to a Unix time in nanoseconds, second by second.
 func (f *Fleet) addHostUse(use *hostUse, until int64) {
 	const second = int64(time.Second)
 	for use.at < until {
--- a/internal/flightrecorder/fleet_session.go
+++ b/internal/flightrecorder/fleet_session.go
@@ -7,26 +7,26 @@
 	"dunemoor/balancer"
 )
 
-// fleetSession is a session of a gateway whose recording is added to a Fleet.
+// fleetSession is a session of a gateway whose recording is being added to a Fleet.
 type fleetSession struct {
 	fleet      *Fleet
 	wallStart  time.Time
 	startedAt  balancer.Time
 	lastEvent  balancer.Time
 	warmup     time.Duration
-	objectives []time.Duration // latency objectives by class
-	startTimes map[balancer.HostID]balancer.Time
+	objectives []time.Duration                   // latency objectives by class
+	startTimes map[balancer.HostID]balancer.Time // of the listed hosts
 	requests   map[balancer.RequestID]*fleetRequest
 }
 
-// fleetRequest is a request, and the second that it is counted in.
+// fleetRequest is a request and the second in which it is counted.
 type fleetRequest struct {
 	at      balancer.Time
 	class   int
 	second  *FleetSecond
-	hosts   []balancer.HostID // of its attempts
+	hosts   []balancer.HostID // by attempt
 	ended   uint64            // bit i: attempt i has ended
-	settled bool              // its outcome is counted
+	settled bool              // its outcome has been counted
 }
 
 func (r *fleetRequest) counts() *FleetClass { return &r.second.Classes[r.class] }
@@ -46,10 +46,10 @@
 	return s
 }
 
-// wall converts a time of the session's clock.
+// wall converts a time on the session's clock to wall-clock time.
 func (s *fleetSession) wall(at balancer.Time) time.Time { return s.wallStart.Add(at - s.startedAt) }
 
-// second returns the counts of the second of a time.
+// second returns the counts of the second that contains a time.
 func (s *fleetSession) second(at balancer.Time) *FleetSecond {
 	return s.fleet.secondAt(s.wall(at).Unix())
 }
@@ -58,8 +58,8 @@
 	s.fleet.changes = append(s.fleet.changes, hostChange{at: s.wall(at).UnixNano(), host: host, kind: kind})
 }
 
-// end ends the attempts in flight where the session ends: the gateway was killed, or the recording stops. s may
-// be nil.
+// end ends the attempts that are in flight at the end of the session, because the gateway was killed or the recording
+// ends there. s may be nil.
 func (s *fleetSession) end() {
 	if s == nil {
 		return
@@ -139,13 +139,13 @@
 	s.addChange(e.At, host, hostAttemptEnded)
 }
 
-// isWarming reports whether a host has started less than the slow start window ago.
+// isWarming reports whether a host is in slow start: it started less than the slow start window before a time.
 func (s *fleetSession) isWarming(host balancer.HostID, at balancer.Time) bool {
 	started := s.startTimes[host]
 	return started > 0 && at-started < s.warmup
 }
 
-// served counts a successful response to a request.
+// served counts a successful response to a request, unless the outcome of the request has been counted.
 func (s *fleetSession) served(r *fleetRequest, at balancer.Time) {
 	if r.settled {
 		return
@@ -174,7 +174,7 @@
 		if h.State == balancer.Ready {
 			change = hostReady
 		}
-		if e.List != balancer.ListSaved { // a saved list may be out of date
+		if e.List != balancer.ListSaved { // a saved list may be stale
 			s.addChange(e.At, h.ID, change)
 		}
 		if h.State == balancer.Removed {
@@ -185,7 +185,7 @@
 	}
 }
 
-// removeUnlisted marks the hosts that a full list doesn't have as not ready.
+// removeUnlisted marks the hosts that are missing from a full list as not ready.
 func (s *fleetSession) removeUnlisted(e *Event) {
 	for id := range s.startTimes {
 		listed := slices.ContainsFunc(e.Hosts, func(h balancer.Host) bool { return h.ID == id })
@@ -219,8 +219,8 @@
 	}
 }
 
-// settle marks a request as settled, so that its outcome is counted once. It returns nil where the request was settled
-// before or is unknown.
+// settle marks a request as settled, so that its outcome is counted only once. It returns nil if the request is unknown
+// or already settled.
 func (s *fleetSession) settle(id balancer.RequestID) *fleetRequest {
 	r := s.requests[id]
 	if r == nil || r.settled {
--- a/internal/flightrecorder/fleet_test.go
+++ b/internal/flightrecorder/fleet_test.go
@@ -10,8 +10,8 @@
 	"dunemoor/balancer"
 )
 
-// Events of three gateways, one of which has two sessions in its file, are counted once, in their second of the wall
-// clock.
+// The events of three gateways, one of which has two sessions in its file, are counted once each, in the second of
+// their wall-clock time.
 func TestFleetCountsAllRecordings(t *testing.T) {
 	fleet := NewFleet()
 	want := addRecordings(t, fleet)
@@ -33,7 +33,7 @@
 		t.Errorf("got %+v, %d served; want %+v, some served", got, served, want)
 	}
 	if ended == 0 || warming == 0 || warming >= want.attempts || fullLists != want.starts {
-		t.Errorf("got %d attempts ended, %d of %d at warming hosts, %d full lists; want some, some, and %d lists", ended, warming, want.attempts, fullLists, want.starts)
+		t.Errorf("got %d attempts ended, %d of %d at warming hosts, %d full lists; want some ended, some but not all at warming hosts, %d full lists", ended, warming, want.attempts, fullLists, want.starts)
 	}
 	fleet.Finish()
 	var text bytes.Buffer
@@ -42,11 +42,11 @@
 	}
 	lines := strings.Split(strings.TrimRight(text.String(), "\n"), "\n")
 	if len(lines) != 1+len(fleet.seconds) || !strings.Contains(lines[0], "most gw.") {
-		t.Errorf("got %d lines for %d seconds, head %q", len(lines), len(fleet.seconds), lines[0])
+		t.Errorf("got %d lines for %d seconds with heading %q, want one line per second after a heading with \"most gw.\"", len(lines), len(fleet.seconds), lines[0])
 	}
 }
 
-// fleetCounts is what the recordings of a fleet and the Fleet of them have in common.
+// fleetCounts are the counts in which the recordings of a fleet and their Fleet must agree.
 type fleetCounts struct {
 	starts          int
 	requests        int
@@ -56,7 +56,7 @@
 	attempts        int
 }
 
-// addRecordings adds the recordings of three gateways, one with two sessions, and returns what they have together.
+// addRecordings adds the recordings of three gateways, one with two sessions, and returns their total counts.
 func addRecordings(t *testing.T, fleet *Fleet) (counts fleetCounts) {
 	t.Helper()
 	for file := range uint64(3) {
@@ -79,7 +79,7 @@
 	return counts
 }
 
-// addSecond adds what a Fleet has for one second.
+// addSecond adds the counts of one second of a Fleet.
 func (c *fleetCounts) addSecond(s *FleetSecond) {
 	c.starts += s.Starts
 	c.requests += s.Requests
@@ -105,27 +105,28 @@
 			outcomes += n
 		}
 		if outcomes > c.Requests || c.Sent > c.Requests {
-			t.Errorf("second %d: got %+v, want at most as many outcomes as requests", unix, c)
+			t.Errorf("second %d: got %+v, want at most as many outcomes, and requests sent, as requests", unix, c)
 		}
 	}
 	hosts, maxAttempts, maxGateways := s.HostUse()
 	if s.Attempts > 0 && (hosts < 1 || hosts > 7 || maxAttempts > s.Attempts || maxGateways > gateways) {
-		t.Errorf("second %d: got %d hosts, at most %d attempts at one, at most %d gateways of %d", unix, hosts, maxAttempts, maxGateways, gateways)
+		t.Errorf("second %d: got %d hosts, up to %d attempts at one host, up to %d gateways at one host; want 1 to 7 hosts, at most all attempts, at most %d gateways",
+			unix, hosts, maxAttempts, maxGateways, gateways)
 	}
 	if n := s.Warm.Ended + s.Warming.Ended; n < s.Warm.Succeeded+s.Warming.Succeeded {
 		t.Errorf("second %d: got %d attempts ended, warm %+v, warming %+v; want at most as many successes", unix, n, s.Warm, s.Warming)
 	}
 }
 
-// A file that is no recording is an error.
+// Fleet.Add returns an error for a file that is not a recording.
 func TestFleetRejectsOtherFiles(t *testing.T) {
 	if err := NewFleet().Add(strings.NewReader("no recording")); err == nil {
 		t.Error("got no error")
 	}
 }
 
-// A host is idle while no gateway has an attempt in flight there, also after the gateway that had one was killed. It
-// is counted while it is listed as ready.
+// A host is idle while no gateway has an attempt in flight to it; the attempts of a gateway that was killed have ended.
+// A host is counted only while it is listed as ready.
 func TestFleetCountsIdleHosts(t *testing.T) {
 	f := NewFleet()
 	start := SessionStart{Wall: time.Unix(100, 0), Settings: balancer.Settings{Classes: []balancer.Class{{LatencyObjective: time.Second}}}}
--- a/internal/flightrecorder/fleet_text.go
+++ b/internal/flightrecorder/fleet_text.go
@@ -11,18 +11,18 @@
 	"dunemoor/balancer"
 )
 
-// classColumns and secondColumns are the heads of the tables. They are the words of earlier builds, as scripts
-// read them; writeClassRow and writeSecondRow have the field of each column. Among them:
+// classColumns and secondColumns are the headings of the tables. They keep the terms of earlier builds, because
+// scripts parse them; writeClassRow and writeSecondRow show the field of each column. Some of the terms are:
 //
-//   - "repeats" are requests that clients sent again (Duplicates), "again" attempts after a request's first one
-//     (Retries), "sends" all attempts (Attempts)
-//   - "wait", "deadline", "spent", "worth less", "came late" are rejections by balancer.Cause: QueueTimeout,
+//   - "repeats": requests that clients sent again (Duplicates); "again": attempts after the first one of a request
+//     (Retries); "sends": all attempts (Attempts)
+//   - "wait", "deadline", "spent", "worth less", "came late": rejections by balancer.Cause, which are QueueTimeout,
 //     DeadlineExceeded, NoMoreAttempts, LowerPriority, ArrivedLate
-//   - "called off" are attempts that ended as Canceled, for whatever reason
-//   - "cold" is warming up, "out/host" attempts in flight at a ready host, "gw." gateways
+//   - "called off": attempts that ended as Canceled, for any reason
+//   - "cold": in slow start; "out/host": attempts in flight per ready host; "gw.": gateways
 //
-// The results InvalidResponse and NotSent have no column, and neither have attempts that did not end: the columns
-// of results don't add up to "sends". The table by second has none for ArrivedLate.
+// The results InvalidResponse and NotSent and attempts that did not end have no column, so the columns of results
+// don't add up to "sends". The table by second has no column for ArrivedLate.
 var (
 	classColumns = []string{
 		"second", "class", "requests", "repeats", "in time", "late", "wait", "deadline", "spent", "worth less",
@@ -36,7 +36,7 @@
 	}
 )
 
-// newTable returns a table with a head; each cell of a row ends with a tab.
+// newTable returns a table with a heading row; each cell of a row ends with a tab.
 func newTable(w io.Writer, columns []string) *tabwriter.Writer {
 	table := tabwriter.NewWriter(w, 0, 0, 1, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, strings.Join(columns, "\t")+"\t")
@@ -50,7 +50,7 @@
 	fmt.Fprintln(table)
 }
 
-// ClassText writes a line for each class and span, in seconds. The error is that of w.
+// ClassText writes a table with a row for each class in each span of that many seconds. It returns the error of w.
 func (f *Fleet) ClassText(w io.Writer, span int) error {
 	table := newTable(w, classColumns)
 	seconds := f.sortedSeconds()
@@ -68,7 +68,7 @@
 	return table.Flush()
 }
 
-// addClasses adds the counts of a second to sums by class.
+// addClasses adds the counts of a second to the sums by class.
 func addClasses(sums, second []FleetClass) []FleetClass {
 	for len(sums) < len(second) {
 		sums = append(sums, FleetClass{})
@@ -93,7 +93,7 @@
 		c.Failed, unanswered, meanWait, meanLatency)
 }
 
-// Text writes a line a second. Finish must have been called. The error is that of w.
+// Text writes a table with a row for each second. Finish must have been called. It returns the error of w.
 func (f *Fleet) Text(w io.Writer) error {
 	buffered := bufio.NewWriter(w)
 	table := newTable(buffered, secondColumns)
--- a/internal/flightrecorder/helpers_test.go
+++ b/internal/flightrecorder/helpers_test.go
@@ -12,8 +12,9 @@
 
 const ms = time.Millisecond
 
-// randomTraffic returns random requests to some hosts: one crashes, one is silent for a while, endpoint lists
-// change, hosts drain and start, and clients leave. The draws are part of testdata/compat.
+// randomTraffic returns a simulation of random requests: one host crashes, one is silent for a while, endpoint lists
+// change, hosts drain and start, and clients disconnect. The files in testdata/compat depend on the sequence of random
+// numbers.
 func randomTraffic(seed uint64, requests int) *Simulation {
 	r := rand.New(rand.NewPCG(seed, 99))
 	s := &Simulation{
@@ -51,9 +52,9 @@
 	for i := range requests {
 		at += time.Duration(r.ExpFloat64() * float64(6*ms))
 		class := r.IntN(3)
-		left := s.Settings.Classes[class].Deadline
+		deadline := s.Settings.Classes[class].Deadline
 		a := Arrival{
-			Request: balancer.Request{ID: balancer.RequestID(i + 1), Class: class, Remaining: left, Duplicate: r.IntN(9) == 0},
+			Request: balancer.Request{ID: balancer.RequestID(i + 1), Class: class, Remaining: deadline, Duplicate: r.IntN(9) == 0},
 			At:      at,
 			Work:    time.Duration(r.ExpFloat64() * float64(15*ms)),
 		}
@@ -65,7 +66,7 @@
 	return at
 }
 
-// addFaults adds the endpoint lists, faults of two hosts, one that drains and one that starts.
+// addFaults adds faults of two hosts, and endpoint lists in which one host drains and one starts.
 func (s *Simulation) addFaults(list []balancer.Host, start, end balancer.Time) {
 	part := func(x float64) balancer.Time { return start + balancer.Time(x*float64(end-start)) }
 	update := func(at balancer.Time, kind balancer.ListKind, hosts ...balancer.Host) {
@@ -74,29 +75,29 @@
 	s.Hosts[1].Down = []Span{{part(0.2), part(0.35)}}
 	s.Hosts[2].Silent = []Span{{part(0.4), part(0.5)}}
 	update(start, balancer.ListSaved, list...)
-	gone := list[3]
-	gone.State = balancer.Draining
-	update(part(0.55), balancer.ListChanges, gone)
-	gone.State = balancer.Removed
-	update(part(0.6), balancer.ListChanges, gone)
+	drained := list[3]
+	drained.State = balancer.Draining
+	update(part(0.55), balancer.ListChanges, drained)
+	drained.State = balancer.Removed
+	update(part(0.6), balancer.ListChanges, drained)
 	update(part(0.62), balancer.ListFailed)
 	started := balancer.Host{ID: 77, Zone: 1, Cell: 1, Started: part(0.65)}
 	s.Hosts[77] = &SimulatedHost{Speed: 1}
 	update(part(0.7), balancer.ListChanges, started)
-	// Discovery restarts: the full list, with one host gone and one in another cell.
+	// Discovery restarts: a full list that lacks one host and has one in another cell.
 	full := slices.Clone(list[1:])
 	full[0].Cell = 2
 	update(part(0.85), balancer.ListFull, append(full, started)...)
 }
 
-// bufferSink keeps the blocks that it accepts; reject, if set, reports whether the n-th one is rejected.
+// bufferSink stores the blocks that it accepts; reject, if set, reports whether the n-th block is rejected.
 type bufferSink struct {
 	bytes.Buffer
 	reject func(n int) bool
 	n      int
 }
 
-func (s *bufferSink) Put(b []byte) (accepted, wantCheckpoint bool) {
+func (s *bufferSink) Put(b []byte) (accepted, needCheckpoint bool) {
 	s.n++
 	if s.reject != nil && s.reject(s.n) {
 		return false, false
@@ -151,8 +152,8 @@
 	return a
 }
 
-// withOtherSeed returns a recording of a simulation with the start block of another seed, as if another build had made
-// it: a replay decides otherwise than was recorded.
+// withOtherSeed replaces the start block of a recording by that of another seed, so that a replay decides differently
+// than recorded, as if another build had made the recording.
 func withOtherSeed(t testing.TB, data []byte, s *Simulation, seed, session uint64) []byte {
 	t.Helper()
 	var other bufferSink
@@ -160,7 +161,7 @@
 	return append(other.Bytes(), data[firstBlockSize(t, data):]...)
 }
 
-// firstBlockSize is the size of the first block, in bytes.
+// firstBlockSize returns the size of the first block, in bytes.
 func firstBlockSize(t testing.TB, data []byte) int {
 	t.Helper()
 	var h header
@@ -170,7 +171,7 @@
 	return headerSize + int(h.length)
 }
 
-// blockOffsets returns where each block begins.
+// blockOffsets returns the offset of each block.
 func blockOffsets(t testing.TB, data []byte) (at []int) {
 	t.Helper()
 	for n := 0; n < len(data); {
@@ -180,7 +181,8 @@
 	return at
 }
 
-// faultyTraffic is traffic with one fault of each kind that a recording shows.
+// faultyTraffic returns random traffic with each kind of fault that Fit models: a host that is down, one that is
+// silent, a slow one, errors and unanswered attempts.
 func faultyTraffic() *Simulation {
 	s := randomTraffic(6, 6000)
 	s.Settings.Instances = 1
--- a/internal/flightrecorder/item.go
+++ b/internal/flightrecorder/item.go
@@ -2,27 +2,27 @@
 
 import "dunemoor/balancer"
 
-// ItemKind is a kind of Item; it says which fields are set.
+// ItemKind is the kind of an Item; it determines which fields are set.
 type ItemKind uint8
 
 // Kinds of item.
 const (
-	ItemSession    ItemKind = iota // a session starts: Start
-	ItemCheckpoint                 // Checkpoint
-	ItemEvent                      // Event
-	ItemAction                     // Action, decided at the event before it
-	ItemView                       // Views
-	ItemName                       // Host and Text, its name
-	ItemLoss                       // Text describes what is missing here
-	ItemUnrelated                  // Text describes bytes here that are no part of the recording; nothing is missing
+	ItemSession    ItemKind = iota // start of a session; sets Start
+	ItemCheckpoint                 // sets Checkpoint
+	ItemEvent                      // sets Event
+	ItemAction                     // sets Action, which the balancer decided on at the preceding event
+	ItemView                       // sets Views
+	ItemName                       // sets Host, and Text to its name
+	ItemLoss                       // sets Text to a description of what is missing at this point
+	ItemUnrelated                  // sets Text to a description of bytes outside the recording; nothing is missing
 )
 
-// Item is one thing read from a recording.
+// Item is a piece of a recording, such as an event or a checkpoint.
 type Item struct {
 	Kind       ItemKind
 	At         balancer.Time
 	Session    uint64
-	Offset     int64 // of its block in the stream, in bytes
+	Offset     int64 // offset of its block in the stream, in bytes
 	Start      *SessionStart
 	Checkpoint []byte // valid until the next item
 	Event      Event
@@ -32,7 +32,7 @@
 	Text       string
 }
 
-// EventKind is a kind of event, named as the method of Balancer.
+// EventKind is the kind of an Event. Its constants are named after the methods of Balancer.
 type EventKind uint8
 
 // Kinds of event.
@@ -59,13 +59,13 @@
 	Outcome     balancer.Outcome
 	Token       uint64
 	HealthCheck HealthCheck
-	ShutdownBy  balancer.Time
+	ShutdownBy  balancer.Time // time by which the open requests are due
 }
 
 // HealthCheck is a successful health check of an ejected host.
 type HealthCheck struct {
 	Host   balancer.HostID
-	Within balancer.Time
+	Within balancer.Time // the backoff of the ejection ends at a random time within this duration
 }
 
 // Deliver passes the event to a balancer.
--- a/internal/flightrecorder/logtext.go
+++ b/internal/flightrecorder/logtext.go
@@ -2,14 +2,15 @@
 
 import "regexp"
 
-// storedLogTexts gives the text under which a recording stores a log line of the balancer. The text is part of
-// the format: recordings of earlier builds have it, and replays compare it with that of the build that replays.
+// storedLogTexts maps log lines of the balancer to the texts as which recordings store them. The stored texts are
+// part of the format: recordings of earlier builds contain them, and a replay compares them with the lines of the
+// replaying build.
 //
-// Whoever changes the text of a log line in package balancer changes this table too, so that the line is stored
-// as before. A line that no pattern matches is stored as it is.
+// A change of the text of a log line in package balancer requires a change of this table, so that the line is stored
+// as before. A line that no pattern matches is stored unchanged.
 var storedLogTexts = []struct {
-	line   *regexp.Regexp
-	stored string
+	pattern *regexp.Regexp
+	stored  string
 }{
 	{regexp.MustCompile(`^host ([0-9a-f]+) excluded for class (\d+): errors`), "host $1 gets no more of class $2 for now: errors"},
 	{regexp.MustCompile(`^host ([0-9a-f]+) readmitted`), "host $1 is back"},
@@ -20,10 +21,10 @@
 	{regexp.MustCompile(` \((\d+) similar lines suppressed\)$`), " ($1 more such lines held back)"},
 }
 
-// storedLogText returns the text under which a recording stores a log line of the balancer.
+// storedLogText returns the text as which a recording stores a log line of the balancer.
 func storedLogText(line string) string {
 	for _, text := range storedLogTexts {
-		line = text.line.ReplaceAllString(line, text.stored)
+		line = text.pattern.ReplaceAllString(line, text.stored)
 	}
 	return line
 }
--- a/internal/flightrecorder/logtext_test.go
+++ b/internal/flightrecorder/logtext_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Recordings store the log lines of the balancer with the texts that they had at first, and a stored text is
-// stored again as it is.
+// Recordings store the log lines of the balancer with the texts of the first build, and storing a stored text again
+// doesn't change it.
 func TestLogTextsAreStoredAsBefore(t *testing.T) {
 	for line, want := range map[string]string{
 		"host 1f ejected: connections fail":                              "host 1f ejected: connections fail",
@@ -22,7 +22,7 @@
 			t.Errorf("%q is stored as %q, want %q", line, got, want)
 		}
 		if got := storedLogText(want); got != want {
-			t.Errorf("the stored text %q is stored again as %q", want, got)
+			t.Errorf("stored text %q is stored again as %q, want it unchanged", want, got)
 		}
 	}
 }
--- a/internal/flightrecorder/plot.go
+++ b/internal/flightrecorder/plot.go
@@ -19,7 +19,7 @@
 	plotBottom  = 60
 	laneHeight  = 46
 	laneGap     = 10
-	legendWidth = 105 // of an entry
+	legendWidth = 105 // of each entry
 )
 
 // Colors of the lines.
@@ -32,18 +32,18 @@
 	inFlightColor         = "#26c"
 )
 
-// stateColors are the backgrounds of a host's buckets, by the letter of stateLetters.
+// stateColors are the background colors of a host's buckets, by letter of stateLetters.
 var stateColors = map[byte]string{
 	'd': "#d9d9d9", 'X': "#f4a6a6", 'S': "#f6c89f", 'c': "#a9d4f5", 'r': "#e3c7f0",
 	'o': "#f7e08f", 'f': "#fdf3c4", '-': "#eeeeee",
 }
 
-// errNothingToPlot is the error of an analysis without events.
+// errNothingToPlot is the error for an analysis without events.
 var errNothingToPlot = errors.New("there is nothing to draw: no event in this stretch")
 
-// SVG draws the time lines: the rates of requests and responses, and for each host its concurrency limit (dark),
-// its attempts in flight (blue), and why it was unavailable (background). It returns an error where the
-// analysis has no event, or that of w.
+// SVG draws the timelines: the rates of requests and responses, and for each host its concurrency limit (dark),
+// its attempts in flight (blue), and why it was unavailable (background). It returns an error if the analysis has
+// no event, or the error of w.
 func (a *Analysis) SVG(w io.Writer) error {
 	buckets := len(a.Rates)
 	for _, h := range a.Hosts {
@@ -89,7 +89,7 @@
 	}
 }
 
-// lane draws the frame and the name of the i-th lane, and returns its upper edge.
+// lane draws the frame and the name of the i-th lane, and returns the y coordinate of its upper edge.
 func (p *plot) lane(i int, name string) float64 {
 	top := float64(plotTop + i*(laneHeight+laneGap))
 	p.printf(`<text x="%d" y="%.0f" text-anchor="end">%s</text>`, plotLeft-8, top+laneHeight/2, escapeXML(name))
@@ -97,7 +97,8 @@
 	return top
 }
 
-// line draws a line through the values of buckets in a lane whose upper edge is the value highest.
+// line draws a line through the values of the buckets in a lane. top is the y coordinate of the lane's upper edge,
+// which stands for the value highest.
 func (p *plot) line(top, highest float64, color string, buckets int, value func(int) (y float64, ok bool)) {
 	p.printf(`<polyline fill="none" stroke="%s" stroke-width="1.3" points="`, color)
 	for i := range buckets {
@@ -152,7 +153,7 @@
 	p.scale(top, "%.1f", highest)
 }
 
-// legend draws what lines and backgrounds mean, and ends the SVG.
+// legend draws the legend of the lines and backgrounds, and ends the SVG.
 func (p *plot) legend() {
 	y := float64(p.height - plotBottom + 20)
 	p.printf(`<text x="%d" y="%.0f">requests: asked (dark), served (green), refused (red), failed (violet); hosts: limit (dark), attempts out (blue)</text>`+"\n", plotLeft, y)
--- a/internal/flightrecorder/plot_test.go
+++ b/internal/flightrecorder/plot_test.go
@@ -9,7 +9,7 @@
 	"dunemoor/balancer"
 )
 
-// The plot is well-formed XML, with a line for each rate, and two for each host.
+// The plot is well-formed XML with a line for each rate and two lines for each host.
 func TestSVGIsWellFormed(t *testing.T) {
 	var out bufferSink
 	rec, _ := record(t, faultyTraffic(), 6, Options{})
--- a/internal/flightrecorder/reader.go
+++ b/internal/flightrecorder/reader.go
@@ -12,10 +12,10 @@
 	"dunemoor/balancer"
 )
 
-// ErrNoRecording is the error of a stream without any block.
+// ErrNoRecording is the error for a stream without any block.
 var ErrNoRecording = errors.New("this is no recording: no block in it")
 
-// VersionError is the error of a recording with another version of the format.
+// VersionError is the error for a recording with another version of the format.
 type VersionError struct{ Found byte }
 
 func (e *VersionError) Error() string {
@@ -25,7 +25,7 @@
 // ioBufferSize is the size of the input buffer, and of the steps in which a payload is read, in bytes.
 const ioBufferSize = 1 << 16
 
-// Reader reads a recording as a stream, a block at a time: its memory doesn't grow with the recording. What
+// Reader reads a recording as a stream, block by block: its memory use doesn't grow with the recording. What
 // can't be read is skipped and reported as an item of kind ItemLoss.
 type Reader struct {
 	in          *bufio.Reader
@@ -34,17 +34,17 @@
 	blockOffset int64
 	payload     []byte              // of block
 	records     decoder             // of payload
-	now         balancer.Time       // of the last record that has a time
+	now         balancer.Time       // time of the last record that has one
 	hosts       []balancer.Host     // of the last endpoint list, reused
 	views       []balancer.HostView // of the last view, reused
-	pending     []Item              // to be returned before anything else
+	pending     []Item              // Next returns these before it reads on
 
-	foundAny     bool   // a header was found
-	inSession    bool   // a block was read
-	session      uint64 // of the last block read
-	nextNumber   uint32 // that the next block of the session should have
-	skippedBytes int64  // that belong to no block, since the last block read
-	tornBlocks   int    // whose payload is damaged or truncated, since the last block read
+	foundAny     bool   // a valid header was found
+	inSession    bool   // an intact block was read
+	session      uint64 // session of the last intact block
+	nextNumber   uint32 // expected number of the session's next block
+	skippedBytes int64  // bytes outside of blocks since the last intact block
+	tornBlocks   int    // blocks with a damaged or truncated payload since the last intact block
 }
 
 // NewReader returns a Reader of a recording.
@@ -52,8 +52,8 @@
 	return &Reader{in: bufio.NewReaderSize(in, ioBufferSize)}
 }
 
-// Next reads the next item. It returns io.EOF at the end of the stream, ErrNoRecording where no block was in
-// it, a *VersionError, or the error of the stream.
+// Next reads the next item. It returns io.EOF at the end of the stream, ErrNoRecording if the stream has no block,
+// a *VersionError, or the error of the stream.
 func (r *Reader) Next(it *Item) error {
 	for {
 		if len(r.pending) > 0 {
@@ -74,7 +74,7 @@
 		if err == nil {
 			return nil
 		}
-		// The block's checksum is right: another build wrote a record that this one doesn't know.
+		// The block's checksum is correct, so another build wrote a record that this build can't decode.
 		r.records.data = nil
 		r.reportLoss("%v at byte %d, the rest of the block is passed over", err, r.blockOffset)
 	}
@@ -82,14 +82,14 @@
 
 func (r *Reader) reportLoss(format string, args ...any) { r.report(ItemLoss, format, args...) }
 
-// report adds an item with a text.
+// report adds an item with a text to the pending items.
 func (r *Reader) report(kind ItemKind, format string, args ...any) {
 	r.pending = append(r.pending, Item{
 		Kind: kind, At: r.now, Session: r.block.session, Offset: r.blockOffset, Text: fmt.Sprintf(format, args...),
 	})
 }
 
-// nextBlock finds the next intact block and makes it the current one, or adds the items that it consists of.
+// nextBlock finds the next intact block and makes it the current one; see readBlockItems.
 func (r *Reader) nextBlock() error {
 	for {
 		b, err := r.in.Peek(headerSize)
@@ -121,7 +121,7 @@
 	}
 }
 
-// skipToMagic skips what was peeked, up to what may be the next block.
+// skipToMagic skips the peeked bytes, up to the next one that may be the start of a block.
 func (r *Reader) skipToMagic(peeked []byte) {
 	next := bytes.IndexByte(peeked[1:], magic[0]) + 1
 	if next == 0 {
@@ -136,8 +136,8 @@
 	r.skippedBytes += int64(n)
 }
 
-// readBlock reads the block whose header is next in the stream, and makes it the current one unless it is torn.
-// After a torn payload the next block is searched for behind it, as the header has a checksum of its own.
+// readBlock reads the block whose header is next in the stream, and makes it the current one unless its payload is
+// torn. As the header has its own checksum, its length is correct, and the next block is searched for after the payload.
 func (r *Reader) readBlock(h *header) (intact bool, err error) {
 	offset := r.offset
 	r.in.Discard(headerSize)
@@ -159,7 +159,7 @@
 	return true, nil
 }
 
-// readPayload reads a payload. Memory grows by the bytes received, not by the length that the header declares.
+// readPayload reads a payload. Memory grows with the bytes received, not with the length that the header declares.
 func (r *Reader) readPayload(length int) error {
 	r.payload = r.payload[:0]
 	for len(r.payload) < length {
@@ -178,9 +178,9 @@
 	return nil
 }
 
-// end ends the stream; left is the number of bytes at its end that are too few for a header.
-func (r *Reader) end(left int) error {
-	r.skip(left)
+// end handles the end of the stream; trailing is the number of bytes at its end that are too few for a header.
+func (r *Reader) end(trailing int) error {
+	r.skip(trailing)
 	if !r.foundAny {
 		return ErrNoRecording
 	}
@@ -188,8 +188,8 @@
 	return io.EOF
 }
 
-// reportSkipped reports what was skipped since the last block. Where the next block of the session follows,
-// the skipped bytes were no part of the recording.
+// reportSkipped reports what was skipped since the last intact block. nextFollows is set if the session continues with
+// its next block, so that nothing is lost: the skipped bytes were not part of the recording.
 func (r *Reader) reportSkipped(nextFollows bool) {
 	if r.tornBlocks > 0 {
 		r.reportLoss("%d torn block(s) before byte %d", r.tornBlocks, r.offset)
@@ -227,7 +227,8 @@
 	r.readBlockItems()
 }
 
-// readBlockItems adds the items that the current block consists of, or prepares to read its records.
+// readBlockItems adds the item that the current block consists of to the pending items, or prepares to read the
+// block's records.
 func (r *Reader) readBlockItems() {
 	it := Item{At: r.block.base, Session: r.block.session, Offset: r.blockOffset}
 	switch r.block.kind {
@@ -284,7 +285,7 @@
 	return d.err
 }
 
-// readEvent reads the fields of an event's kind.
+// readEvent reads the fields of an event of kind e.Kind.
 func (r *Reader) readEvent(e *Event) error {
 	d := &r.records
 	switch e.Kind {
--- a/internal/flightrecorder/reader_test.go
+++ b/internal/flightrecorder/reader_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// A recording that ends at any byte of its last block loses that block alone.
+// If a recording is truncated at any byte of its last block, only that block is lost.
 func TestTruncatedRecordingLosesItsLastBlock(t *testing.T) {
 	s := randomTraffic(1, 1200)
 	var out bufferSink
@@ -25,19 +25,20 @@
 	for cut := starts[len(starts)-1] + 1; cut < len(data); cut += 1 + (len(data)-cut)/50 {
 		rep := replayed(t, data[:cut])
 		if rep.Divergence != nil || rep.Events != complete.Events || len(rep.Losses) != 1 {
-			t.Fatalf("truncated at %d of %d: got %d events, want %d; losses %q, divergence %v", cut, len(data), rep.Events, complete.Events, rep.Losses, rep.Divergence)
+			t.Fatalf("truncated at %d of %d: got %d events, want %d; got losses %q, divergence %v, want one loss and no divergence",
+				cut, len(data), rep.Events, complete.Events, rep.Losses, rep.Divergence)
 		}
 	}
 }
 
-// Damage loses the blocks that it touches, and is reported; the replay goes on from the next checkpoint.
-func TestReplayGoesOnAfterDamage(t *testing.T) {
+// Damage to a recording is reported and affects only the damaged blocks; the replay continues from the next checkpoint.
+func TestReplayContinuesAfterDamage(t *testing.T) {
 	s := randomTraffic(2, 9000)
 	var out bufferSink
 	record(t, s, 2, Options{RingBytes: 3 * minRingBytes, Sink: &out})
 	data := out.Bytes()
 	starts := blockOffsets(t, data)
-	// In the middle, with no checkpoint near that would hide the loss.
+	// The damaged block is one without a checkpoint in the next two, which would hide the loss.
 	hasRecords := func(block int) bool { return data[starts[block]+5] == blockRecords }
 	k := len(starts) / 3
 	for !(hasRecords(k) && hasRecords(k+1) && hasRecords(k+2)) {
@@ -61,10 +62,10 @@
 			t.Errorf("%s: got losses %q, want one with %q", c.name, rep.Losses, c.loss)
 		}
 		if rep.SkippedEvents == 0 || rep.SkippedEvents > rep.Events {
-			t.Errorf("%s: got %d events replayed and %d skipped, want some skipped, and not most", c.name, rep.Events, rep.SkippedEvents)
+			t.Errorf("%s: got %d events replayed and %d skipped, want some skipped, at most as many as replayed", c.name, rep.Events, rep.SkippedEvents)
 		}
 	}
-	// Log lines between the blocks, as where both go to one stream, lose nothing.
+	// Nothing is lost if there are log lines between the blocks, for example because both are written to one stream.
 	var mixed []byte
 	for i, at := range starts {
 		end := len(data)
@@ -80,21 +81,21 @@
 	}
 }
 
-// flipped returns a copy with one bit flipped.
+// flipped returns a copy of data with one bit of the byte at an offset flipped.
 func flipped(data []byte, at int) []byte {
 	data = bytes.Clone(data)
 	data[at] ^= 4
 	return data
 }
 
-// zeroed returns a copy with some bytes set to zero.
+// zeroed returns a copy of data with some bytes set to zero.
 func zeroed(data []byte, from, to int) []byte {
 	data = bytes.Clone(data)
 	clear(data[from:to])
 	return data
 }
 
-// Other versions and streams without a block are errors.
+// Replay returns an error for a recording of another version and for a stream without a block.
 func TestReaderRejectsOtherVersionsAndOtherFiles(t *testing.T) {
 	var out bufferSink
 	record(t, randomTraffic(1, 100), 1, Options{Sink: &out})
@@ -117,25 +118,25 @@
 	}
 }
 
-// repeatingReader is a stream that repeats data up to a size.
+// repeatingReader is a stream that repeats data up to a total size.
 type repeatingReader struct {
-	data     []byte
-	left     int64 // bytes
-	position int   // in data
+	data      []byte
+	remaining int64 // bytes
+	position  int   // in data
 }
 
 func (r *repeatingReader) Read(b []byte) (int, error) {
-	if r.left <= 0 {
+	if r.remaining <= 0 {
 		return 0, io.EOF
 	}
 	n := copy(b, r.data[r.position:])
 	r.position = (r.position + n) % len(r.data)
-	r.left -= int64(n)
+	r.remaining -= int64(n)
 	return n, nil
 }
 
-// A recording of 1 GB is read with the memory of a small one. The test reads its blocks alone, as all its events would
-// take a minute.
+// Reading a recording of 1 GB takes no more memory than a small one. The test reads only the blocks, because reading
+// all events would take a minute.
 func TestReaderMemoryDoesNotGrowWithTheRecording(t *testing.T) {
 	if testing.Short() {
 		t.Skip("reads 1 GB")
@@ -143,7 +144,7 @@
 	var out bufferSink
 	record(t, randomTraffic(1, 1200), 1, Options{Sink: &out})
 	data := out.Bytes()
-	r := NewReader(&repeatingReader{data: data, left: 1 << 30})
+	r := NewReader(&repeatingReader{data: data, remaining: 1 << 30})
 	n := 0
 	for {
 		if err := r.nextBlock(); err == io.EOF {
@@ -163,19 +164,19 @@
 	}
 }
 
-// fixHeaderSum sets the header's checksum of itself.
+// fixHeaderSum sets the checksum of the header.
 func fixHeaderSum(b []byte) {
 	binary.LittleEndian.PutUint32(b[36:], crc32.Checksum(b[:summedHeaderSize], castagnoli))
 }
 
-// FuzzReader checks that a Reader ends for any bytes, with items or an error.
+// FuzzReader checks that a replay of any bytes ends without a panic.
 func FuzzReader(f *testing.F) {
 	var out bufferSink
 	record(f, randomTraffic(1, 40), 1, Options{Sink: &out, ViewInterval: 10 * ms})
 	f.Add(out.Bytes())
 	f.Add([]byte(magic))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		// Checksums are corrected, so that the code after them is reached.
+		// The checksums are corrected, so that the code behind their checks is reached.
 		fixed := bytes.Clone(data)
 		for n := 0; n+headerSize <= len(fixed); n++ {
 			if string(fixed[n:n+4]) != magic {
--- a/internal/flightrecorder/record.go
+++ b/internal/flightrecorder/record.go
@@ -7,9 +7,9 @@
 	"dunemoor/balancer"
 )
 
-// Kinds of record. Events come from the event loop; actions are what the balancer decided at the event before
-// them. A record is its kind, for events, views and names the time since the record before as a varint in ns,
-// and its fields.
+// Kinds of record. Events come from the event loop; actions are the decisions of the balancer on the preceding event.
+// A record consists of its kind, the time since the preceding record as a varint in ns (only in events, views and
+// names), and its fields.
 const (
 	recordStart          = 1
 	recordEndpoints      = 2
@@ -20,22 +20,22 @@
 	recordTimer          = 7
 	recordHealthCheck    = 8
 	recordShutdown       = 9
-	recordAction         = 16 // and the balancer.ActionKind
+	recordAction         = 16 // plus the balancer.ActionKind
 	recordView           = 32
 	recordName           = 33
 )
 
-// Units of the figures in a view, per unit of a balancer.HostView.
+// Scales of the values in a view: units of the record per unit of balancer.HostView.
 const (
-	viewConcurrencyLimitScale = 1e3 // thousandths of an attempt
-	viewRecentRTTScale        = 1e3 // thousandths of what balancer.HostView.RecentRTT counts in
-	viewEstimatedRTTScale     = 1e6 // microseconds
+	viewConcurrencyLimitScale = 1e3 // stored in thousandths of an attempt
+	viewRecentRTTScale        = 1e3 // stored in thousandths of the unit of balancer.HostView.RecentRTT
+	viewEstimatedRTTScale     = 1e6 // stored in microseconds
 )
 
-// causeCount is the number of causes that balancer.Cause has. Counts by cause are arrays of this length.
+// causeCount is the number of values of balancer.Cause, and the length of the arrays of counts by cause.
 const causeCount = int(balancer.CauseLowerPriority) + 1
 
-// The flags of a view, a byte: two bits for the state, one for each flag, and the rest for the cause.
+// Layout of the flags byte of a view: two bits for the state, one for each flag, and the rest for the cause.
 const (
 	viewStateMask   = 3
 	viewInSubsetBit = 2
@@ -45,10 +45,10 @@
 	viewCauseBits   = 3
 )
 
-// A view has room for every cause: this does not compile with more causes than the bits can tell apart.
+// This doesn't compile if balancer.Cause has more values than viewCauseBits can represent.
 const _ = uint(1<<viewCauseBits - causeCount)
 
-// SessionStart is the payload of the first block of a session, in JSON. The field names are the keys.
+// SessionStart is the payload of the first block of a session, in JSON. The field names are the JSON keys.
 type SessionStart struct {
 	Name     string // of the gateway
 	Build    string // revision of the program
@@ -59,7 +59,7 @@
 	Settings balancer.Settings
 }
 
-// The append functions append the fields of a record. They are on the path of each request.
+// The append functions append the fields of a record. They are on the hot path: they run for every request.
 
 func appendRequest(b []byte, q *balancer.Request) []byte {
 	b = binary.AppendUvarint(b, uint64(q.ID))
@@ -90,8 +90,8 @@
 	return binary.AppendVarint(b, int64(h.Started))
 }
 
-// appendAction appends a record of an action, with the fields that its kind has. Two actions are equal if
-// these bytes are.
+// appendAction appends the record of an action, with the fields of its kind. Two actions are equal if their records
+// are equal.
 func appendAction(b []byte, a *balancer.Action) []byte {
 	b = append(b, recordAction+byte(a.Kind))
 	switch a.Kind {
@@ -128,7 +128,7 @@
 	return append(b, text...)
 }
 
-// appendView appends a host of a view. Times are relative to now; 0 stands for any that has passed.
+// appendView appends a host of a view. Times are relative to now; times in the past are stored as 0.
 func appendView(b []byte, v *balancer.HostView, now balancer.Time) []byte {
 	b = appendHostID(b, v.Host)
 	flags := byte(v.State)
--- a/internal/flightrecorder/record_test.go
+++ b/internal/flightrecorder/record_test.go
@@ -7,7 +7,7 @@
 	"dunemoor/balancer"
 )
 
-// causeCount covers all causes of the balancer: each has a name, and the number behind the last one has none.
+// causeCount covers all causes of the balancer: each has a name, and the next higher number has none.
 func TestCauseCountCoversAllCauses(t *testing.T) {
 	for number := range causeCount {
 		if name := balancer.Cause(number).String(); name == strconv.Itoa(number) {
@@ -19,7 +19,7 @@
 	}
 }
 
-// A recorded view tells all causes apart.
+// The cause of a host in a view is read as it was recorded.
 func TestViewKeepsCause(t *testing.T) {
 	for number := range causeCount {
 		want := balancer.HostView{Host: 1, State: balancer.Draining, Warming: true, Cause: balancer.Cause(number)}
--- a/internal/flightrecorder/recorder.go
+++ b/internal/flightrecorder/recorder.go
@@ -9,7 +9,8 @@
 	"dunemoor/balancer"
 )
 
-// Balancer is a *balancer.Balancer as an event loop uses it. A Recorder takes its place.
+// Balancer is the set of methods of *balancer.Balancer that an event loop calls. Recorder implements it too, to take
+// the balancer's place.
 type Balancer interface {
 	Start(now balancer.Time)
 	UpdateEndpoints(now balancer.Time, kind balancer.ListKind, list []balancer.Host)
@@ -24,48 +25,48 @@
 	TakeActions(dst []balancer.Action) []balancer.Action
 }
 
-// Options is what a Recorder keeps, and where it writes.
+// Options configures a Recorder.
 type Options struct {
 	RingBytes    int           // size of the ring in memory; at least minRingBytes is used
-	ViewInterval time.Duration // between two views of the hosts; 0: no views
+	ViewInterval time.Duration // time between two views of the hosts; 0: no views
 	Sink         Sink          // receives each block when it is closed; nil: none
 }
 
 // Sink receives blocks.
 type Sink interface {
-	// Put takes a block. It must not keep the slice, and must not block. It returns whether the block was
-	// accepted, and whether a checkpoint should follow, as where a new file begins.
-	Put(block []byte) (accepted, wantCheckpoint bool)
+	// Put receives a block. It must not keep the slice, and must not block. It returns whether the block was
+	// accepted, and whether a checkpoint should follow, for example because a new file begins.
+	Put(block []byte) (accepted, needCheckpoint bool)
 }
 
 const (
-	// ringSegments is the number of parts of the ring. Each begins with a checkpoint, from which a replay can
-	// start; the oldest is overwritten.
+	// ringSegments is the number of segments of the ring. Each begins with a checkpoint, from which a replay can
+	// start; the oldest segment is overwritten.
 	ringSegments = 4
-	// minRingBytes has room for two blocks a segment.
+	// minRingBytes has space for two blocks per segment.
 	minRingBytes = ringSegments * 2 * (blockSize + headerSize)
-	// maxViewedHosts is the number of hosts in a view. Of more hosts each view has the next ones in turn, so
-	// that views don't fill the ring.
+	// maxViewedHosts is the maximum number of hosts in a view. If there are more, consecutive views contain them
+	// in turn, so that views don't fill the ring.
 	maxViewedHosts = 64
-	// checkpointInterval is the least time between two checkpoints for a sink that lost blocks: while a disk
+	// checkpointInterval is the minimum time between two checkpoints for a sink that lost blocks: while a disk
 	// is full, checkpoints must not fill the ring.
 	checkpointInterval = time.Second
-	// maxHostRecord is the size of a host in a list, in bytes.
+	// maxHostRecord is the maximum size of a host in a list, in bytes.
 	maxHostRecord = 32
 )
 
-// Recorder records what passes between an event loop and its balancer. It belongs to the goroutine of the
-// loop, starts none and does no I/O.
+// Recorder records the events and actions that an event loop and its balancer exchange. Only the goroutine of the
+// loop may use it. It starts no goroutine and does no I/O.
 type Recorder struct {
 	balancer    *balancer.Balancer
 	options     Options
 	start       SessionStart
-	startJSON   []byte // of start: each dump begins with it
+	startJSON   []byte // start, encoded: each dump begins with it
 	session     uint64
-	sessionBase balancer.Time
-	nextNumber  uint32 // of the session's blocks
+	sessionBase balancer.Time // start of the session
+	nextNumber  uint32        // number of the session's next block
 
-	ring    [ringSegments][]byte // each a checkpoint and the blocks after it
+	ring    [ringSegments][]byte // each segment is a checkpoint and the blocks after it
 	current int                  // index in ring
 
 	block      []byte // payload of the block being filled
@@ -73,17 +74,17 @@
 	blockBase  balancer.Time
 	lastRecord balancer.Time
 	nextViewAt balancer.Time
-	nextInView int // index of the first host of the next view
+	nextInView int // index in views of the next view's first host
 	views      []balancer.HostView
 	checkpoint []byte
 	// Checkpoints for the sink.
-	rejectedBlocks   uint64        // that the sink didn't accept
-	wantsCheckpoint  bool          // the sink asked for one, or didn't accept a block since the last one
-	nextCheckpointAt balancer.Time // the sink gets none before
+	rejectedBlocks    uint64        // blocks that the sink didn't accept
+	checkpointPending bool          // the sink requested a checkpoint, or rejected a block since the last one
+	nextCheckpointAt  balancer.Time // earliest time of the next checkpoint for the sink
 }
 
 // New returns a Recorder in front of bal, which must have the settings and the seed of start and must not have
-// had any event. session tells the sessions of a file apart. The error is that of encoding start.
+// received any event. session identifies the session among those in a file. The error is that of encoding start.
 func New(bal *balancer.Balancer, start SessionStart, session uint64, options Options) (*Recorder, error) {
 	startJSON, err := json.Marshal(start)
 	if err != nil {
@@ -111,13 +112,13 @@
 // RejectedBlocks returns the number of blocks that the sink did not accept.
 func (r *Recorder) RejectedBlocks() uint64 { return r.rejectedBlocks }
 
-// SetClassNames sets the names of the classes of the next Retune. They are for readers of the recording.
+// SetClassNames sets the class names that the next Retune records, for readers of the recording.
 func (r *Recorder) SetClassNames(names []string) { r.start.Classes = names }
 
-// Flush closes the block being filled, so that the sink has all records.
+// Flush closes the block being filled, so that the sink has received all records.
 func (r *Recorder) Flush() { r.flush() }
 
-// Dump appends the ring to dst, the oldest block first, in the format of a file.
+// Dump appends the contents of the ring to dst, the oldest block first, in the format of a recording file.
 func (r *Recorder) Dump(dst []byte) []byte {
 	r.flush()
 	h := header{kind: blockStart, session: r.session, base: r.sessionBase}
@@ -140,7 +141,7 @@
 	segment := &r.ring[r.current]
 	start := len(*segment)
 	if !fits(*segment, len(payload)) {
-		inRing = false // a checkpoint larger than its segment: replays start at the next one that fits
+		inRing = false // a checkpoint that is larger than the segment; replays start at the next one that fits
 	}
 	if inRing {
 		*segment = append(append(*segment, encoded[:]...), payload...)
@@ -157,17 +158,17 @@
 	r.putBlock(kind, block)
 }
 
-// putBlock hands a block to the sink. After a block that was not accepted a replay needs a checkpoint.
+// putBlock passes a block to the sink. After a block that was not accepted, a replay needs a checkpoint.
 func (r *Recorder) putBlock(kind byte, block []byte) {
-	accepted, wantCheckpoint := r.options.Sink.Put(block)
+	accepted, needCheckpoint := r.options.Sink.Put(block)
 	if !accepted {
 		r.rejectedBlocks++
 	}
-	stillWanted := r.wantsCheckpoint && kind != blockCheckpoint
-	r.wantsCheckpoint = wantCheckpoint || !accepted || stillWanted
+	stillPending := r.checkpointPending && kind != blockCheckpoint
+	r.checkpointPending = needCheckpoint || !accepted || stillPending
 }
 
-// fits reports whether a segment has room for a block with that payload, in bytes.
+// fits reports whether a segment has space for a block with a payload of that many bytes.
 func fits(segment []byte, payload int) bool {
 	return len(segment)+headerSize+payload <= cap(segment)
 }
@@ -179,29 +180,29 @@
 	}
 	r.blockOpen = false
 	if !fits(r.ring[r.current], len(r.block)) {
-		r.nextSegment() // one event had more actions than there was room for
+		r.nextSegment() // the actions of one event exceeded the space that reserve ensured
 	}
 	r.writeBlock(blockRecords, r.blockBase, r.block, true)
 	r.block = r.block[:0]
 }
 
-// nextSegment overwrites the oldest segment.
+// nextSegment makes the oldest segment the current one and discards its contents.
 func (r *Recorder) nextSegment() {
 	r.current = (r.current + 1) % ringSegments
 	r.ring[r.current] = r.ring[r.current][:0]
 }
 
-// reserve makes sure that a block with room for a record of size bytes is open. It is called between an
-// event's actions and the next event only, so that no checkpoint separates the two.
+// reserve ensures that a block with space for a record of size bytes is open. It is called only between the actions
+// of an event and the next event, so that no checkpoint separates an event from its actions.
 func (r *Recorder) reserve(now balancer.Time, size int) {
 	if r.blockOpen && len(r.block)+size > blockSize {
 		r.flush()
-		// Room for a checkpoint's header, a full block, and the actions of its last event.
+		// Space for a checkpoint's header, a full block, and the actions of its last event.
 		segmentFull := !fits(r.ring[r.current], headerSize+blockSize+maxRecord+size)
 		if segmentFull {
 			r.nextSegment()
 		}
-		if segmentFull || (r.wantsCheckpoint && now >= r.nextCheckpointAt) {
+		if segmentFull || (r.checkpointPending && now >= r.nextCheckpointAt) {
 			r.writeCheckpoint(now)
 		}
 	}
@@ -218,7 +219,7 @@
 	r.writeBlock(blockCheckpoint, r.lastRecord, r.checkpoint, true)
 }
 
-// beginEvent begins the record of an event; size is the most bytes that it takes.
+// beginEvent begins the record of an event; size is its maximum size in bytes.
 func (r *Recorder) beginEvent(now balancer.Time, kind byte, size int) {
 	if r.options.ViewInterval > 0 && now >= r.nextViewAt {
 		r.recordView(now)
@@ -227,13 +228,13 @@
 	r.appendKind(now, kind)
 }
 
-// appendKind appends the kind of a record and the time since the one before.
+// appendKind appends the kind of a record and the time since the preceding record.
 func (r *Recorder) appendKind(now balancer.Time, kind byte) {
 	r.block = binary.AppendVarint(append(r.block, kind), int64(now-r.lastRecord))
 	r.lastRecord = now
 }
 
-// recordView records the state of the hosts as the balancer has it.
+// recordView records a view: the state that the balancer keeps of the hosts.
 func (r *Recorder) recordView(now balancer.Time) {
 	r.nextViewAt = now + r.options.ViewInterval
 	r.views = r.balancer.Views(r.views[:0])
--- a/internal/flightrecorder/recorder_events.go
+++ b/internal/flightrecorder/recorder_events.go
@@ -13,7 +13,7 @@
 	r.balancer.Start(now)
 }
 
-// UpdateEndpoints records the event and passes it on. A list that is larger than a block makes a larger block.
+// UpdateEndpoints records the event and passes it on. A list that exceeds the block size is recorded in a larger block.
 func (r *Recorder) UpdateEndpoints(now balancer.Time, kind balancer.ListKind, list []balancer.Host) {
 	r.beginEvent(now, recordEndpoints, maxRecord+len(list)*maxHostRecord)
 	r.block = binary.AppendUvarint(append(r.block, byte(kind)), uint64(len(list)))
@@ -73,19 +73,19 @@
 	r.balancer.Shutdown(now, by)
 }
 
-// Retune passes the call on and begins a new session, which replays from a checkpoint. Hosts must be named
-// again. It returns the balancer's error, and records nothing then.
+// Retune passes the call on and begins a new session, whose replay starts at a checkpoint. Hosts must be named
+// again. If the balancer returns an error, Retune returns it and records nothing.
 func (r *Recorder) Retune(now balancer.Time, settings balancer.Settings, from []int) error {
 	if err := r.balancer.Retune(now, settings, from); err != nil {
 		return err
 	}
 	r.flush()
-	for i := range r.ring { // a dump has the start of one session, and can't explain blocks of another
+	for i := range r.ring { // a dump has the start block of one session, so blocks of another could not be replayed
 		r.ring[i] = r.ring[i][:0]
 	}
 	r.start.Settings = settings
 	r.start.At = now
-	if startJSON, err := json.Marshal(r.start); err == nil { // it can be encoded, as in New
+	if startJSON, err := json.Marshal(r.start); err == nil { // no error is expected, as New encoded start before
 		r.startJSON = startJSON
 	}
 	r.session++
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// TakeActions passes the call on and records the actions.
+// TakeActions appends the balancer's actions to dst and records them.
 func (r *Recorder) TakeActions(dst []balancer.Action) []balancer.Action {
 	taken := len(dst)
 	dst = r.balancer.TakeActions(dst)
--- a/internal/flightrecorder/recorder_test.go
+++ b/internal/flightrecorder/recorder_test.go
@@ -11,7 +11,7 @@
 	"dunemoor/balancer"
 )
 
-// A shutdown and a health check are read as they were recorded.
+// The events of a shutdown and a health check are read as they were recorded.
 func TestShutdownAndHealthCheckAreRecorded(t *testing.T) {
 	s := randomTraffic(1, 1)
 	now := balancer.Time(time.Hour)
@@ -37,31 +37,32 @@
 	}
 }
 
-// A ring that has wrapped holds the last part of the recording, and can be replayed from its first checkpoint.
+// A ring that has wrapped around contains the last part of the recording, and can be replayed from its first checkpoint.
 func TestWrappedRingReplaysFromItsFirstCheckpoint(t *testing.T) {
 	s := randomTraffic(5, 12000)
 	var out bufferSink
 	rec, _ := record(t, s, 5, Options{RingBytes: minRingBytes, Sink: &out})
 	dump := rec.Dump(nil)
 	if len(dump) > minRingBytes+4096 || len(dump) < minRingBytes/3 || len(out.Bytes()) < 3*minRingBytes {
-		t.Fatalf("ring of %d bytes: got a dump of %d bytes of %d recorded", minRingBytes, len(dump), out.Len())
+		t.Fatalf("ring of %d bytes: got a dump of %d bytes, %d bytes recorded; want a dump of a third to all of the ring, at least 3 times the ring recorded",
+			minRingBytes, len(dump), out.Len())
 	}
 	rep := replayed(t, dump)
 	if rep.Divergence != nil {
 		t.Error(rep.Divergence)
 	}
 	all := replayed(t, out.Bytes())
-	share := all.Events * len(dump) / len(out.Bytes()) // by their bytes; a ring has more checkpoints
+	share := all.Events * len(dump) / len(out.Bytes()) // in proportion to the bytes; the dump has more checkpoints
 	if rep.SkippedEvents > 0 || rep.Events < share*4/5 || rep.Events >= all.Events/2 {
-		t.Errorf("ring of %d events: got %d replayed, %d skipped", all.Events, rep.Events, rep.SkippedEvents)
+		t.Errorf("%d events recorded: got %d replayed, %d skipped; want replayed about the share of the dump's bytes, and none skipped", all.Events, rep.Events, rep.SkippedEvents)
 	}
 	if len(rep.Losses) != 1 || !strings.Contains(rep.Losses[0], "overwritten") {
 		t.Errorf("got losses %q, want one of overwritten blocks", rep.Losses)
 	}
 }
 
-// Blocks that a sink rejects for a while, as with a full disk, are lost. A checkpoint follows, and the replay
-// goes on from there. The balancer decides as without a sink.
+// Blocks are lost while the sink rejects them, for example because a disk is full. A checkpoint follows, from which
+// the replay continues. The sink doesn't change the decisions of the balancer.
 func TestCheckpointFollowsRejectedBlocks(t *testing.T) {
 	_, want := record(t, randomTraffic(4, 9000), 4, Options{})
 	full := bufferSink{reject: func(n int) bool { return n >= 8 && n < 20 }}
@@ -74,15 +75,16 @@
 	}
 	rep := replayed(t, full.Bytes())
 	if rep.Divergence != nil || len(rep.Losses) == 0 || rep.SkippedEvents > rep.Events {
-		t.Errorf("got %d events, %d skipped, losses %q, divergence %v", rep.Events, rep.SkippedEvents, rep.Losses, rep.Divergence)
+		t.Errorf("got %d events replayed, %d skipped, losses %q, divergence %v; want losses, at most as many skipped as replayed, and no divergence",
+			rep.Events, rep.SkippedEvents, rep.Losses, rep.Divergence)
 	}
 	if ring := replayed(t, rec.Dump(nil)); ring.Divergence != nil || ring.Events <= rep.Events {
-		t.Errorf("ring: got %d events, want more than the %d of the sink, and no divergence: %v", ring.Events, rep.Events, ring.Divergence)
+		t.Errorf("ring: got %d events, want more than the %d of the sink; got divergence %v, want none", ring.Events, rep.Events, ring.Divergence)
 	}
 }
 
-// Times are recorded as the balancer had them, by its own clock, also where one is before the last; the wall clock
-// is a label of the session.
+// Events are recorded with their times on the balancer's clock, even if a time is before the previous one. The
+// wall-clock time of the session doesn't affect them.
 func TestTimesAreRecordedByTheBalancersClock(t *testing.T) {
 	s := randomTraffic(1, 10)
 	var out bufferSink
--- a/internal/flightrecorder/replay.go
+++ b/internal/flightrecorder/replay.go
@@ -12,43 +12,43 @@
 // Report is the result of a replay.
 type Report struct {
 	Sessions           int
-	Events             int         // delivered
-	MatchingActions    int         // equal to the recorded ones
-	SkippedEvents      int         // not delivered, as the state before them is lost
-	MatchingStates     int         // checkpoints equal to the replayed state
-	ForeignCheckpoints int         // that this build can't read: a replay can't start there
-	ForeignReason      string      // why the last of them can't be read
+	Events             int         // events delivered to the balancer
+	MatchingActions    int         // replayed actions that are equal to the recorded ones
+	SkippedEvents      int         // events not delivered, because the state before them is unknown
+	MatchingStates     int         // checkpoints that are equal to the replayed state
+	ForeignCheckpoints int         // checkpoints that this build can't restore, so that no replay can start there
+	ForeignReason      string      // why the last of them can't be restored
 	Losses             []string    // at most maxLosses
 	Divergence         *Difference // nil: all decisions were equal
 }
 
-// Difference is the first point at which a replay decides otherwise than recorded.
+// Difference is the first point at which a replay differs from the recording.
 type Difference struct {
 	At       balancer.Time
-	Event    int // its number among those delivered
-	What     string
+	Event    int    // number of the event among those delivered
+	Subject  string // what differs: an action or the state
 	Recorded string
 	Replayed string
 }
 
 func (d *Difference) String() string {
-	return fmt.Sprintf("event %d at %v: %s: recorded %s, replayed %s", d.Event, d.At, d.What, d.Recorded, d.Replayed)
+	return fmt.Sprintf("event %d at %v: %s: recorded %s, replayed %s", d.Event, d.At, d.Subject, d.Recorded, d.Replayed)
 }
 
-// Observer is called after each event that was delivered to the balancer, with the actions that were recorded.
-// It must not change the balancer.
+// Observer is called after each event that was delivered to the balancer, with the recorded actions. It must not
+// change the balancer.
 type Observer func(b *balancer.Balancer, e *Event, recorded []balancer.Action)
 
-// maxLosses is the number of losses that a Report describes; the last one counts the others.
+// maxLosses is the maximum number of entries in Report.Losses; if there are more losses, the last entry counts the rest.
 const maxLosses = 20
 
-// errUnknownSettings is the error of a checkpoint without the start of its session.
+// errUnknownSettings is the error for a checkpoint without a preceding session start, which has the settings.
 var errUnknownSettings = errors.New("the settings it belongs to are not known")
 
 // Replay delivers the events of a recording to a balancer and compares its actions with the recorded ones, byte
 // for byte. It starts where the balancer's state is known: at the start of a session or at a checkpoint.
-// observe may be nil. other is called for each item but events and actions, and may be nil. The error is that
-// of the Reader, or of settings that this build rejects.
+// observe may be nil. other is called for each item other than events and actions, and may be nil. Replay returns the
+// error of the Reader, or an error for settings that this build rejects.
 func Replay(r *Reader, observe Observer, other func(*Item)) (*Report, error) {
 	p := &replay{observe: observe}
 	var it Item
@@ -79,15 +79,15 @@
 	balancer     *balancer.Balancer
 	newSession   bool // no event was delivered since the session started
 	event        Event
-	eventPending bool // event was delivered and its actions are being read
-	hosts        []balancer.Host
-	recorded     []balancer.Action
-	replayed     []balancer.Action
-	buffers      [2][]byte // reused: what is compared, as bytes
+	eventPending bool              // event was delivered and its recorded actions are being read
+	hosts        []balancer.Host   // copy of the hosts of event, reused
+	recorded     []balancer.Action // at event
+	replayed     []balancer.Action // at event
+	buffers      [2][]byte         // encoded actions or states to compare, reused
 	lossCount    int
 }
 
-// process processes an item. An item other than an action ends the event before it.
+// process processes an item. An item other than an action completes the preceding event.
 func (p *replay) process(it *Item) error {
 	if it.Kind == ItemAction {
 		if p.eventPending {
@@ -101,14 +101,14 @@
 		return p.startSession(it.Start)
 	case ItemCheckpoint:
 		if err := p.restore(it.Checkpoint); err != nil {
-			// Another build wrote it. Where the state is known all the same, the replay goes on.
+			// Another build wrote the checkpoint. The replay continues if the state is known anyway.
 			p.ForeignCheckpoints++
 			p.ForeignReason = err.Error()
 		}
 	case ItemEvent:
 		p.deliver(&it.Event)
 	case ItemLoss:
-		p.loseState(it.Text)
+		p.handleLoss(it.Text)
 	}
 	return nil
 }
@@ -119,13 +119,13 @@
 	p.newSession = true
 	b, err := balancer.New(start.Settings, start.Seed)
 	if err != nil {
-		return fmt.Errorf("start of a session: %w", err)
+		return fmt.Errorf("create balancer for recorded session: %w", err)
 	}
 	p.balancer = b
 	return nil
 }
 
-// restore compares a checkpoint with the replayed state, where that is known, and goes on from the checkpoint.
+// restore compares a checkpoint with the replayed state, if that is known, and continues from the checkpoint.
 func (p *replay) restore(checkpoint []byte) error {
 	if p.start == nil {
 		return errUnknownSettings
@@ -134,7 +134,7 @@
 	if err != nil {
 		return err
 	}
-	// A new session may continue the one before, so that its first checkpoint is its state.
+	// A new session may continue the preceding one after a Retune. Its initial state is then its first checkpoint.
 	stateKnown := !p.newSession && p.balancer != nil && p.Divergence == nil
 	if stateKnown {
 		p.compareState(checkpoint)
@@ -151,7 +151,7 @@
 		p.MatchingStates++
 		return
 	}
-	p.diverge("state", fmt.Sprintf("a checkpoint of %d bytes", len(checkpoint)), fmt.Sprintf("another of %d bytes", len(state)))
+	p.recordDivergence("state", fmt.Sprintf("a checkpoint of %d bytes", len(checkpoint)), fmt.Sprintf("another of %d bytes", len(state)))
 }
 
 // deliver delivers an event to the balancer.
@@ -163,15 +163,15 @@
 	p.Events++
 	p.newSession = false
 	p.event = *e
-	p.hosts = append(p.hosts[:0], e.Hosts...) // those of e are valid until the next item
+	p.hosts = append(p.hosts[:0], e.Hosts...) // e.Hosts is valid only until the next item
 	p.event.Hosts = p.hosts
 	p.eventPending = true
 	e.Deliver(p.balancer)
 	p.replayed = p.balancer.TakeActions(p.replayed[:0])
 }
 
-// loseState accounts for a loss: the state is unknown until the next checkpoint.
-func (p *replay) loseState(text string) {
+// handleLoss reports a loss. The state is unknown until the next checkpoint.
+func (p *replay) handleLoss(text string) {
 	p.balancer = nil
 	p.lossCount++
 	if p.lossCount <= maxLosses {
@@ -181,7 +181,7 @@
 	}
 }
 
-// finishEvent compares the actions of the last event.
+// finishEvent compares the actions of the pending event and calls the observer.
 func (p *replay) finishEvent() {
 	if !p.eventPending {
 		return
@@ -194,20 +194,20 @@
 	p.recorded = p.recorded[:0]
 }
 
-// compareActions counts equal actions up to the first difference.
+// compareActions counts the replayed actions that are equal to the recorded ones, up to the first difference.
 func (p *replay) compareActions() {
 	for i := range max(len(p.recorded), len(p.replayed)) {
 		p.buffers[0] = appendActionAt(p.buffers[0][:0], p.recorded, i)
 		p.buffers[1] = appendActionAt(p.buffers[1][:0], p.replayed, i)
 		if !bytes.Equal(p.buffers[0], p.buffers[1]) {
-			p.diverge(fmt.Sprintf("action %d", i+1), describeAction(p.recorded, i), describeAction(p.replayed, i))
+			p.recordDivergence(fmt.Sprintf("action %d", i+1), describeAction(p.recorded, i), describeAction(p.replayed, i))
 			return
 		}
 		p.MatchingActions++
 	}
 }
 
-// appendActionAt appends the i-th action, or nothing where there is none.
+// appendActionAt appends the record of the i-th action, or nothing if there is none.
 func appendActionAt(b []byte, actions []balancer.Action, i int) []byte {
 	if i >= len(actions) {
 		return b
@@ -215,10 +215,10 @@
 	return appendAction(b, &actions[i])
 }
 
-// diverge records the first difference.
-func (p *replay) diverge(what, recorded, replayed string) {
+// recordDivergence sets Report.Divergence to the first difference.
+func (p *replay) recordDivergence(subject, recorded, replayed string) {
 	if p.Divergence == nil {
-		p.Divergence = &Difference{p.event.At, p.Events, what, recorded, replayed}
+		p.Divergence = &Difference{p.event.At, p.Events, subject, recorded, replayed}
 	}
 }
 
--- a/internal/flightrecorder/replay_test.go
+++ b/internal/flightrecorder/replay_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// A replay makes the recorded decisions, with hosts that crash, are silent, drain and warm up, and lists that fail.
+// A replay makes the recorded decisions, with hosts that crash, are silent, drain and warm up, and with failed polls of
+// the endpoint list.
 func TestReplayMatchesTheRecording(t *testing.T) {
 	for seed := range uint64(30) {
 		var out bufferSink
@@ -23,13 +24,13 @@
 	}
 }
 
-// A balancer that decides otherwise is reported with its first action that differs.
+// If the balancer decides differently than recorded, the report has the first action that differs.
 func TestReplayReportsTheFirstDivergence(t *testing.T) {
 	s := randomTraffic(3, 500)
 	var out bufferSink
 	record(t, s, 3, Options{Sink: &out})
 	rep := replayed(t, withOtherSeed(t, out.Bytes(), s, 4, 1003))
-	if rep.Divergence == nil || !strings.Contains(rep.Divergence.What, "action") || rep.Divergence.Event == 0 {
+	if rep.Divergence == nil || !strings.Contains(rep.Divergence.Subject, "action") || rep.Divergence.Event == 0 {
 		t.Fatalf("other seed: got divergence %v, want one of an action", rep.Divergence)
 	}
 	if text := rep.Divergence.String(); !strings.Contains(text, "recorded Send") || !strings.Contains(text, "replayed Send") {
@@ -37,7 +38,7 @@
 	}
 }
 
-// Two runs of a gateway in one file are two sessions, each with its own seed.
+// Two runs of a gateway recorded in one file are two sessions, each with its own seed.
 func TestReplayOfTwoSessions(t *testing.T) {
 	var out bufferSink
 	record(t, randomTraffic(1, 300), 1, Options{Sink: &out})
--- a/internal/flightrecorder/simulation.go
+++ b/internal/flightrecorder/simulation.go
@@ -9,15 +9,15 @@
 	"dunemoor/balancer"
 )
 
-// Simulation plays requests against modelled hosts in virtual time, with a balancer that decides. Each host
-// serves one request after the other, in the order of their arrival: enough to compare two builds of the
-// balancer on the same traffic.
+// Simulation simulates in virtual time how a balancer distributes requests among modelled hosts. Each host serves one
+// request at a time, in the order of arrival. This is sufficient to compare two builds of the balancer on the same
+// traffic.
 type Simulation struct {
 	Settings  balancer.Settings
-	Arrivals  []Arrival        // in the order of time
-	Endpoints []EndpointUpdate // in the order of time
+	Arrivals  []Arrival        // ordered by time
+	Endpoints []EndpointUpdate // ordered by time
 	Hosts     map[balancer.HostID]*SimulatedHost
-	Random    *rand.Rand // of errors; the same seed and balancer give the same result
+	Random    *rand.Rand // source of the hosts' errors; the same seed and balancer give the same result
 
 	balancer Balancer
 	now      balancer.Time
@@ -32,8 +32,8 @@
 type Arrival struct {
 	Request balancer.Request
 	At      balancer.Time
-	GoneAt  balancer.Time // the client leaves then if it has no response; 0: it waits
-	Work    time.Duration // what a host of speed 1 needs
+	GoneAt  balancer.Time // time at which the client disconnects if it has no response; 0: it doesn't disconnect
+	Work    time.Duration // service time at a host of speed 1
 }
 
 // EndpointUpdate is an update of the endpoint list.
@@ -45,16 +45,16 @@
 
 // SimulatedHost is a modelled host.
 type SimulatedHost struct {
-	Speed           float64   // work done per unit of time; 0: 1
+	Speed           float64   // work done per unit of time; 0 means 1
 	ErrorShares     []float64 // share of responses that are errors, by class
 	Down            []Span    // connections are refused
 	Silent          []Span    // requests are received and never answered
-	UnansweredShare float64   // share of attempts that get no response at any time
+	UnansweredShare float64   // share of attempts that are never answered, also outside of Silent
 
-	jobs []*simulatedAttempt // the first is in service
+	jobs []*simulatedAttempt // the first one is being served
 }
 
-// Span is a span of time; To is not part of it.
+// Span is a span of time that includes From and excludes To.
 type Span struct{ From, To balancer.Time }
 
 func inAnySpan(spans []Span, t balancer.Time) bool {
@@ -73,18 +73,18 @@
 type ClassSummary struct {
 	Requests  int
 	InTime    int // served within the latency objective
-	Late      int // served after it
+	Late      int // served after the latency objective
 	Rejected  int
 	Failed    int
-	Abandoned int             // the client left
-	Causes    [causeCount]int // of Rejected and Failed, by balancer.Cause
-	Latencies []time.Duration // of InTime and Late
+	Abandoned int             // the client disconnected before the response
+	Causes    [causeCount]int // number of Rejected and Failed requests by balancer.Cause
+	Latencies []time.Duration // of the InTime and Late requests
 }
 
 const (
-	// runOutTime is how long a simulation goes on after the last deadline.
-	runOutTime = time.Second
-	// connectFailureTime is when a gateway learns of a refused connection.
+	// gracePeriod is the time for which a simulation continues after the last deadline.
+	gracePeriod = time.Second
+	// connectFailureTime is the time after which an attempt at a host that is down fails.
 	connectFailureTime = time.Millisecond
 )
 
@@ -98,8 +98,8 @@
 	}
 }
 
-// countNotServed counts a request that the action rejects or fails. A recording may have a cause that this build
-// doesn't know, or a damaged one; the remainder keeps it within the array.
+// countNotServed counts a request that the action rejects or fails. The cause in a recording may be unknown to this
+// build or damaged; the remainder keeps the index within the array.
 func (c *ClassSummary) countNotServed(a *balancer.Action) {
 	c.Causes[int(a.Cause)%causeCount]++
 	if a.Kind == balancer.Reject {
@@ -113,7 +113,7 @@
 type simulatedRequest struct {
 	Arrival
 	deadline   balancer.Time
-	done       bool // it has a final response, or its client has left
+	done       bool // it has a final response, or its client has disconnected
 	executions int
 	attempts   []*simulatedAttempt
 }
@@ -128,14 +128,14 @@
 	ended    bool
 }
 
-// simulationEvent is something that happens at a time.
+// simulationEvent is a function that is scheduled for a time.
 type simulationEvent struct {
 	at       balancer.Time
 	sequence int
 	run      func()
 }
 
-// simulationQueue is a heap of events; of those at the same time the first scheduled comes first.
+// simulationQueue is a heap of events by time. Events for the same time run in the order in which they were scheduled.
 type simulationQueue []simulationEvent
 
 func (q simulationQueue) Len() int { return len(q) }
@@ -160,7 +160,7 @@
 	return e
 }
 
-// Run plays the traffic from start with a balancer that has had no event yet.
+// Run simulates the traffic from start on, with a balancer that has not received any event.
 func (s *Simulation) Run(b Balancer, start balancer.Time) *Summary {
 	s.reset(b, start)
 	end := s.scheduleTraffic(start)
@@ -206,12 +206,12 @@
 		s.schedule(arrival.At, func() { s.arrive(arrival) })
 	}
 	for _, class := range s.Settings.Classes {
-		end = max(end, lastArrival+class.Deadline+runOutTime)
+		end = max(end, lastArrival+class.Deadline+gracePeriod)
 	}
 	return end
 }
 
-// countFaults counts what a balancer must never do.
+// countFaults counts the faults of the balancer: unanswered requests and repeated executions.
 func (s *Simulation) countFaults() {
 	for _, r := range s.requests {
 		if !r.done {
@@ -314,7 +314,7 @@
 	s.schedule(attempt.deadline, func() { s.endAttempt(attempt, balancer.TimedOut) })
 }
 
-// beginService has a host serve the first of its jobs. It is called once for each job, when that becomes the first.
+// beginService starts the service of a host's first job. It is called once for each job, when the job becomes the first.
 func (s *Simulation) beginService(h *SimulatedHost) {
 	if len(h.jobs) == 0 {
 		return
@@ -332,7 +332,7 @@
 	})
 }
 
-// drawResult draws whether the response to an attempt is an error.
+// drawResult decides at random whether the response to an attempt is an error.
 func (s *Simulation) drawResult(attempt *simulatedAttempt) balancer.Result {
 	class := attempt.request.Request.Class
 	shares := attempt.host.ErrorShares
@@ -342,7 +342,7 @@
 	return balancer.OK
 }
 
-// endAttempt ends an attempt, once.
+// endAttempt ends an attempt, unless it has ended already.
 func (s *Simulation) endAttempt(attempt *simulatedAttempt, result balancer.Result) {
 	if attempt.ended {
 		return
@@ -366,7 +366,7 @@
 	})
 }
 
-// removeJob takes an attempt from its host, which goes on with the next one.
+// removeJob removes an attempt from the jobs of its host. If it was being served, the host continues with the next one.
 func (s *Simulation) removeJob(attempt *simulatedAttempt) {
 	h := attempt.host
 	i := slices.Index(h.jobs, attempt)
@@ -379,7 +379,7 @@
 	}
 }
 
-// latencyObjective is the latency objective of a class, or its deadline where that is shorter or there is no
+// latencyObjective returns the latency objective of a class, or its deadline if that is shorter or there is no
 // objective.
 func latencyObjective(settings *balancer.Settings, class int) time.Duration {
 	c := &settings.Classes[class]
--- a/internal/flightrecorder/timeline.go
+++ b/internal/flightrecorder/timeline.go
@@ -6,39 +6,40 @@
 	"dunemoor/balancer"
 )
 
-// HostTimeline is the state of a host, bucket by bucket.
+// HostTimeline is the state of a host over time, in buckets.
 type HostTimeline struct {
 	ID        balancer.HostID
-	Name      string // "": it is not recorded
-	Sent      int    // attempts
-	Succeeded int    // of Sent
+	Name      string // empty if the recording has no name
+	Sent      int    // attempts sent to the host
+	Succeeded int    // attempts that succeeded
 	Buckets   []HostBucket
 }
 
-// HostBucket sums up the samples of a host within a bucket.
+// HostBucket is the sum of the samples of a host in a bucket.
 type HostBucket struct {
-	Samples             int
-	InFlightSum         float64        // of the attempts in flight
-	ConcurrencyLimitSum float64        // of the concurrency limits
-	RecentRTTSum        float64        // of balancer.HostView.RecentRTT
-	Reasons             map[string]int // samples by balancer.HostView.Unavailable; "": no reason that a view has
+	Samples             int            // number of samples
+	InFlightSum         float64        // sum of the attempts in flight
+	ConcurrencyLimitSum float64        // sum of the concurrency limits
+	RecentRTTSum        float64        // sum of balancer.HostView.RecentRTT
+	Reasons             map[string]int // samples by balancer.HostView.Unavailable, "" if that has no reason
 }
 
-// The means over the samples; 0 without any.
+// The mean methods return means over the samples, or 0 if there are none.
+
 func (b *HostBucket) meanInFlight() float64 { return b.InFlightSum / float64(max(b.Samples, 1)) }
 func (b *HostBucket) meanConcurrencyLimit() float64 {
 	return b.ConcurrencyLimitSum / float64(max(b.Samples, 1))
 }
 func (b *HostBucket) meanRecentRTT() float64 { return b.RecentRTTSum / float64(max(b.Samples, 1)) }
 
-// ejectedReason is balancer.HostView.Unavailable of an ejected host, silentReason what it counts as where the
+// ejectedReason is the result of balancer.HostView.Unavailable for an ejected host. silentReason replaces it if the
 // host was ejected for silence.
 const (
 	ejectedReason = "ejected"
 	silentReason  = "silent"
 )
 
-// addSample adds a sample to its bucket.
+// addSample adds a sample to a bucket and returns the buckets, which it extends if needed.
 func addSample(buckets []HostBucket, bucket int, v *balancer.HostView, reason string) []HostBucket {
 	for len(buckets) <= bucket {
 		buckets = append(buckets, HostBucket{})
@@ -58,7 +59,7 @@
 	return buckets
 }
 
-// label is the name of a host, or its id.
+// label returns the name of a host, or its ID if the name is unknown.
 func (h *HostTimeline) label() string {
 	if h.Name != "" {
 		return h.Name
@@ -68,17 +69,17 @@
 
 func formatHostID(id balancer.HostID) string { return fmt.Sprintf("%x", uint64(id)) }
 
-// stateLetter is the letter of a reason in time lines.
+// stateLetter is the letter that stands for a reason in timelines.
 type stateLetter struct {
 	reason  string
 	letter  byte
 	meaning string
 }
 
-// stateLetters are the letters of time lines. A bucket shows the first one that holds for a third of its
-// samples. The reasons are those of balancer.HostView.Unavailable, which does not know everything that keeps the
-// balancer from a host: one whose trial request is in flight, one that is suspected to be silent, and one that is
-// excluded for a class have no letter here and count as available.
+// stateLetters are the letters of timelines. A bucket shows the first one that applies to a third of its samples.
+// The reasons are those of balancer.HostView.Unavailable, which doesn't cover all reasons for which the balancer
+// doesn't choose a host: a host with a trial request in flight, a host suspected to be silent, and a host excluded
+// for a class have no letter and count as available.
 var stateLetters = []stateLetter{
 	{"gone", ' ', "gone"},
 	{"draining", 'd', "draining"},
@@ -94,11 +95,11 @@
 const (
 	noSamplesLetter = ' '
 	availableLetter = '.'
-	// letterDivisor: a letter is shown from this part of the samples on.
+	// letterDivisor: a letter is shown if it applies to at least 1/letterDivisor of the samples.
 	letterDivisor = 3
 )
 
-// letter is the letter of a bucket.
+// letter returns the letter that stands for a bucket.
 func (b *HostBucket) letter() byte {
 	if b.Samples == 0 {
 		return noSamplesLetter
--- a/internal/flightrecorder/trigger.go
+++ b/internal/flightrecorder/trigger.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Trigger decides when too many requests are rejected, so that a dump is due.
+// Trigger fires when a dump is due because too many requests are rejected.
 type Trigger struct {
-	RejectedShare float64       // of the responses in a window, from which it fires; 0: never
-	Window        time.Duration // windows follow each other without a gap in traffic
-	MinResponses  int           // of a window, below which it doesn't fire
-	MinInterval   time.Duration // between two times that it fires
+	RejectedShare float64       // minimum share of rejections among the responses in a window; 0: it never fires
+	Window        time.Duration // length of a window; the next one begins with the first response after its end
+	MinResponses  int           // minimum number of responses in a window
+	MinInterval   time.Duration // minimum time between two firings
 
-	windowStart time.Duration
-	responses   int // in the window
-	rejected    int // of responses
-	quietUntil  time.Duration
+	windowStart     time.Duration
+	responses       int           // in the window
+	rejected        int           // rejections among responses
+	suppressedUntil time.Duration // it doesn't fire before
 }
 
-// ObserveResponse counts a response at a time that never goes back. It returns whether the trigger fires.
+// ObserveResponse counts a response; now must not decrease between calls. It reports whether the trigger fires.
 func (t *Trigger) ObserveResponse(now time.Duration, rejected bool) bool {
 	if t.RejectedShare <= 0 {
 		return false
@@ -30,9 +30,9 @@
 		t.rejected++
 	}
 	tooMany := float64(t.rejected) >= t.RejectedShare*float64(t.responses)
-	if t.responses < t.MinResponses || !tooMany || now < t.quietUntil {
+	if t.responses < t.MinResponses || !tooMany || now < t.suppressedUntil {
 		return false
 	}
-	t.quietUntil = now + t.MinInterval
+	t.suppressedUntil = now + t.MinInterval
 	return true
 }
--- a/internal/flightrecorder/trigger_test.go
+++ b/internal/flightrecorder/trigger_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The trigger fires from its share of rejected responses on, and not again within its interval.
+// The trigger fires if the share of rejected responses reaches RejectedShare, and not again within MinInterval.
 func TestTriggerFiresOnTheRejectedShare(t *testing.T) {
 	trigger := Trigger{RejectedShare: 0.2, Window: 5 * time.Second, MinResponses: 50, MinInterval: time.Minute}
 	fire := func(at time.Duration, responses, rejected int) (fired int) {
@@ -30,11 +30,11 @@
 		{"half, a minute later", time.Hour + 81*time.Second, 500, 250, 1},
 	} {
 		if got := fire(c.at, c.responses, c.rejected); got != c.want {
-			t.Errorf("%s: got it fired %d times, want %d", c.name, got, c.want)
+			t.Errorf("%s: got %d firings, want %d", c.name, got, c.want)
 		}
 	}
 	trigger = Trigger{}
 	if trigger.ObserveResponse(time.Hour, true) {
-		t.Error("zero Trigger: got it fired")
+		t.Error("zero Trigger: got a firing, want none")
 	}
 }
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -7,7 +7,8 @@
 	"dunemoor/balancer"
 )
 
-// fieldReader reads little-endian fields. Once one is missing, truncated is set and all further ones are zero.
+// fieldReader reads little-endian fields. If data is missing, truncated is set, and the missing field and all further
+// fields are zero.
 type fieldReader struct {
 	data      []byte
 	truncated bool
@@ -57,7 +58,7 @@
 // skipFloats skips a list of 32-bit floats: its length in one byte, then the numbers.
 func (f *fieldReader) skipFloats() { f.bytes(4 * uint64(f.uint8())) }
 
-// host reads an address of four bytes and a port; a HostID is both in one number.
+// host reads an address of four bytes and a port of two, which a HostID combines in one number.
 func (f *fieldReader) host() balancer.HostID {
 	address := f.uint32()
 	return balancer.HostID(address) | balancer.HostID(f.uint16())<<32
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -11,15 +11,14 @@
 	"dunemoor/balancer"
 )
 
-// Reader reads batches and the events in them: Batch begins a batch, and Next reads its events until it returns
-// false.
+// Reader reads batches and their events: Batch reads a batch, and Next decodes its events until it returns false.
 type Reader struct {
 	in        *bufio.Reader
 	frame     bytes.Buffer
 	data      []byte // the frame after its length
-	position  int    // in data, of the next record
-	offset    int64  // in the input, of the frame
-	next      int64  // in the input, of the frame after it
+	position  int    // position of the next record in data
+	offset    int64  // offset of the frame in the input, in bytes
+	next      int64  // offset of the next frame in the input, in bytes
 	remaining uint32 // records of the batch that have not been read
 	hosts     []balancer.Host
 }
@@ -29,8 +28,8 @@
 	return &Reader{in: bufio.NewReaderSize(in, ioBufferSize)}
 }
 
-// Batch reads the next batch and returns its clock. It returns io.EOF where the input ends between two
-// batches; other errors name the byte offset of the malformed part.
+// Batch reads the next batch and returns its clock. It returns io.EOF if the input ends between two batches;
+// other errors contain the byte offset of the malformed part.
 func (r *Reader) Batch() (balancer.Time, error) {
 	r.offset = r.next
 	var length [lengthSize]byte
@@ -44,7 +43,7 @@
 		return 0, r.errorf(-lengthSize, "frame length %d is not between %d and %d", size, batchHeaderSize, maxFrameSize)
 	}
 	r.next = r.offset + lengthSize + int64(size)
-	r.frame.Reset() // io.CopyN grows it by the bytes received, not by the length that the frame declares
+	r.frame.Reset() // io.CopyN grows it with the bytes received, not with the length that the frame declares
 	if n, err := io.CopyN(&r.frame, r.in, int64(size)); err != nil {
 		return 0, r.errorf(int(n), "input ends inside a frame of %d bytes", size)
 	}
@@ -62,18 +61,18 @@
 func (r *Reader) Next(e *Event) (bool, error) {
 	if r.remaining == 0 {
 		if r.position != len(r.data) {
-			return false, r.errorf(r.position, "%d bytes behind the last record", len(r.data)-r.position)
+			return false, r.errorf(r.position, "%d bytes after the last record", len(r.data)-r.position)
 		}
 		return false, nil
 	}
 	start := r.position
 	available := len(r.data) - start - recordHeaderSize
 	if available < 0 {
-		return false, r.errorf(start, "record header is cut off")
+		return false, r.errorf(start, "record header is truncated")
 	}
 	size := binary.LittleEndian.Uint32(r.data[start+1:])
 	if uint64(size) > uint64(available) {
-		return false, r.errorf(start, "record of %d bytes reaches past the frame", size)
+		return false, r.errorf(start, "record of %d bytes exceeds the frame", size)
 	}
 	fieldsStart := start + recordHeaderSize
 	r.position = fieldsStart + int(size)
@@ -87,17 +86,17 @@
 		return false, r.errorf(start, "record of code %d is too short", e.Code)
 	}
 	if len(f.data) > 0 {
-		return false, r.errorf(start, "record of code %d has %d bytes too many", e.Code, len(f.data))
+		return false, r.errorf(start, "record of code %d has %d trailing bytes", e.Code, len(f.data))
 	}
 	return true, nil
 }
 
-// errorf returns an error with the byte offset in the input; position counts from the end of the frame's length.
+// errorf returns an error with a byte offset in the input; position is relative to the end of the frame's length.
 func (r *Reader) errorf(position int, format string, args ...any) error {
 	return fmt.Errorf("at byte %d: %s", r.offset+lengthSize+int64(position), fmt.Sprintf(format, args...))
 }
 
-// decode decodes the fields of e.Code. Fields that the balancer has no use for are skipped.
+// decode decodes the fields of a record with the code e.Code. Fields that package balancer doesn't use are skipped.
 func (r *Reader) decode(e *Event, f *fieldReader) error {
 	switch e.Code {
 	case Start:
@@ -111,7 +110,7 @@
 		e.Request.ID = balancer.RequestID(f.uint32())
 		e.Attempt = int(f.uint16())
 		f.host()
-		f.duration() // since the attempt was sent
+		f.duration() // time since the attempt was sent
 	case AttemptEnd:
 		return decodeOutcome(&e.Outcome, f)
 	case ClientGone:
@@ -120,7 +119,7 @@
 		e.Token = f.uint64()
 	case HealthCheckEnd:
 		f.uint16()   // result
-		f.duration() // since the health check was sent
+		f.duration() // time since the health check was sent
 		f.host()
 		f.skipFloats() // load report
 	case PeerMessage:
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,14 +1,14 @@
 // Package simwire translates between the simulator's binary frames and the events and actions of package
-// balancer. It decides nothing.
+// balancer. It makes no decisions of its own.
 //
-// The simulator sends batches of events and expects one reply, a batch of actions, to each. A frame is its
-// length (4 bytes, itself not counted) and that many bytes; all numbers are little-endian:
+// The simulator sends batches of events and expects one reply, a batch of actions, to each. A frame consists of
+// its length (4 bytes, which the length doesn't include) and that many bytes; all numbers are little-endian:
 //
 //	batch   clock (8, microseconds)  number of records (4)  records
 //	reply   number of records (4)  records
 //	record  code (1)  length of the fields (4)  instance (4)  other fields
 //
-// The platform's names of the records and their names here:
+// Records have these names on the platform (left) and in this package (right):
 //
 //	hello              Start             call out           balancer.Send
 //	peers known        EndpointList      busy               balancer.Reject
@@ -58,7 +58,7 @@
 	actionPoll   = 74
 )
 
-// pollOn has an instance notified of changes of the endpoint list.
+// pollOn is the field of a Poll action. It subscribes an instance to changes of the endpoint list.
 const pollOn = 1
 
 // Kinds of endpoint list.
@@ -78,30 +78,30 @@
 
 // Sizes in bytes.
 const (
-	lengthSize       = 4 // of a frame's length
+	lengthSize       = 4 // length of a frame
 	clockSize        = 8
-	batchHeaderSize  = clockSize + 4 // and the number of records
+	batchHeaderSize  = clockSize + 4 // clock and number of records
 	recordHeaderSize = 5             // code and length
 	listEntrySize    = 24
 	requestIDSize    = 4
 	attemptSize      = 2
 	hostSize         = 6 // address and port
 	durationSize     = 4
-	timeSize         = 8 // of a point in time
+	timeSize         = 8 // point in time
 	tokenSize        = 8
 	textLengthSize   = 2
 	maxFrameSize     = 1 << 30
-	maxTextSize      = 1 << 10 // of a log line or a crash report
+	maxTextSize      = 1 << 10 // text of a log line or a crash report
 	ioBufferSize     = 1 << 16
 )
 
-// timeUnit is the unit of all times in frames.
+// timeUnit is the unit of all times and durations in frames.
 const timeUnit = time.Microsecond
 
-// flagDuplicate is the bit of a request's flags that marks a request that the client sends again.
+// flagDuplicate is the bit in a request's flags that marks a request that the client sends again.
 const flagDuplicate = 2
 
-// resultsByCode maps the codes of attempt outcomes.
+// resultsByCode maps the codes of attempt outcomes to results.
 var resultsByCode = map[uint16]balancer.Result{
 	100: balancer.OK,
 	301: balancer.Failed,
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -15,7 +15,7 @@
 	"dunemoor/balancer"
 )
 
-// frame builds a batch of records, each a code and its fields.
+// frame returns the frame of a batch of records, each of which is a code and its fields.
 func frame(clock uint64, records ...[]byte) []byte {
 	b := binary.LittleEndian.AppendUint64(nil, clock)
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(records)))
@@ -111,18 +111,18 @@
 		data []byte
 		want string
 	}{
-		{"cut in the length", complete[:3], "at byte 3: input ends inside the length"},
-		{"cut in the header", complete[:9], "at byte 9: input ends inside"},
-		{"cut in a record", complete[:20], "at byte 20: input ends inside"},
+		{"truncated in the length", complete[:3], "at byte 3: input ends inside the length"},
+		{"truncated in the header", complete[:9], "at byte 9: input ends inside"},
+		{"truncated in a record", complete[:20], "at byte 20: input ends inside"},
 		{"length too small", []byte{1, 0, 0, 0, 0}, "at byte 0: frame length 1"},
 		{"length too large", []byte{255, 255, 255, 255}, "frame length"},
 		{"length beyond the input", []byte{0, 0, 0, 48, 1, 2}, "at byte 6: input ends inside"},
 		{"clock out of range", frame(math.MaxUint64), "clock"},
-		{"more records than bytes", count(2), "record header is cut off"},
-		{"fewer records than bytes", count(0), "behind the last record"},
-		{"record past the frame", size(1 << 31), "reaches past the frame"},
-		{"record short", frame(1, timer[:9]), "too short"},
-		{"record long", frame(1, append(bytes.Clone(timer), 0)), "1 bytes too many"},
+		{"record count too large", count(2), "record header is truncated"},
+		{"record count too small", count(0), "after the last record"},
+		{"record exceeds the frame", size(1 << 31), "exceeds the frame"},
+		{"record too short", frame(1, timer[:9]), "too short"},
+		{"record too long", frame(1, append(bytes.Clone(timer), 0)), "1 trailing bytes"},
 		{"unknown event", frame(1, []byte{99, 0, 0, 0, 0}), "unknown event code 99"},
 		{"unknown outcome", frame(1, unhex(t, "04 03000000 c4913a5d 0100 0a124a07 2b23 0900 44480000 01 00")),
 			"unknown outcome 9"},
@@ -146,11 +146,11 @@
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	if _, _, err := readAll([]byte{0, 0, 0, 60, 1, 2, 3}); err == nil {
-		t.Fatal("got no error for a frame that ends early")
+		t.Fatal("truncated frame: got no error")
 	}
 	runtime.ReadMemStats(&after)
 	if n := after.TotalAlloc - before.TotalAlloc; n > 1<<20 {
-		t.Errorf("got %d bytes allocated for a frame of three bytes, want at most %d", n, 1<<20)
+		t.Errorf("got %d bytes allocated for three received bytes of a frame, want at most %d", n, 1<<20)
 	}
 }
 
@@ -160,7 +160,8 @@
 		act  balancer.Action
 		want string
 	}{
-		// Action.At is the latest time to send; the frame's field is when it is given up, which is not used.
+		// Action.At is the latest time to send the attempt. The field in the frame is the time at which the attempt is
+		// abandoned, which is not used.
 		{balancer.Action{Kind: balancer.Send, Request: 0x5d3a91c4, Host: host, At: 8492506 * time.Microsecond},
 			"40 16000000 03000000 c4913a5d 0a124a07 2b23 0000000000000000"},
 		{balancer.Action{Kind: balancer.Reject, Request: 0x5d3a91c4, RetryAfter: 250 * time.Millisecond},
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -14,8 +14,8 @@
 // Writer collects the actions of one batch and writes them as one reply.
 type Writer struct {
 	out   *bufio.Writer
-	reply []byte // begins with room for the header
-	count uint32 // records in reply
+	reply []byte // begins with space for the header, which Flush sets
+	count uint32 // number of records in reply
 }
 
 // NewWriter returns a Writer to out.
@@ -44,7 +44,7 @@
 		w.record(actionSend, instance, requestIDSize+hostSize+timeSize)
 		w.uint32(uint32(a.Request))
 		w.host(a.Host)
-		w.uint64(0) // the time at which the attempt is given up; 0: at the client's deadline
+		w.uint64(0) // the time at which the attempt is abandoned; 0: at the client's deadline
 	case balancer.Cancel:
 		w.record(actionCancel, instance, requestIDSize+attemptSize)
 		w.uint32(uint32(a.Request))
@@ -71,7 +71,7 @@
 	}
 }
 
-// Crash reports that an instance can't go on; text, of which at most 1,024 bytes are sent, is the reason.
+// Crash reports that an instance can't continue; text is the reason, of which the first 1,024 bytes are sent.
 func (w *Writer) Crash(instance uint32, text string) { w.text(actionCrash, instance, text) }
 
 func (w *Writer) text(code byte, instance uint32, text string) {
@@ -81,7 +81,7 @@
 	w.reply = append(w.reply, text...)
 }
 
-// record begins a record; size is that of the fields after the instance, in bytes.
+// record begins a record; size is the size of the fields after the instance, in bytes.
 func (w *Writer) record(code byte, instance uint32, size int) {
 	const instanceSize = 4
 	w.count++
