--- a/internal/flightrecorder/block.go
+++ b/internal/flightrecorder/block.go
@@ -43,8 +43,8 @@
 //	5  kind        1
 //	6  0           2
 //	8  session     8  the same in all blocks of a session
-//	16 number      4  of the block in its session, from 0
-//	20 length      4  of the payload
+//	16 number      4  index of the block in its session, from 0
+//	20 length      4  size of the payload, in bytes
 //	24 time        8  base of the times of the block's records, on the balancer's clock, in ns
 //	32 sum         4  CRC-32C of the payload
 //	36 header sum  4  CRC-32C of bytes 0 to 35
--- a/internal/flightrecorder/item.go
+++ b/internal/flightrecorder/item.go
@@ -12,7 +12,7 @@
 	ItemEvent                      // sets Event
 	ItemAction                     // sets Action, which the balancer decided on at the preceding event
 	ItemView                       // sets Views
-	ItemName                       // sets Host, and Text to its name
+	ItemName                       // sets Host, and Text to the host's name
 	ItemLoss                       // sets Text to a description of what is missing at this point
 	ItemUnrelated                  // sets Text to a description of bytes outside the recording; nothing is missing
 )
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -8,7 +8,7 @@
 //	reply   number of records (4)  records
 //	record  code (1)  length of the fields (4)  instance (4)  other fields
 //
-// Records have these names on the platform (left) and in this package (right):
+// The table pairs the platform's name of each record with the name in this package:
 //
 //	hello              Start             call out           balancer.Send
 //	peers known        EndpointList      busy               balancer.Reject
@@ -58,7 +58,7 @@
 	actionPoll   = 74
 )
 
-// pollOn is the field of a Poll action. It subscribes an instance to changes of the endpoint list.
+// pollOn is the value in a Poll action that subscribes an instance to changes of the endpoint list.
 const pollOn = 1
 
 // Kinds of endpoint list.
@@ -113,7 +113,7 @@
 	307: balancer.NotSent,
 }
 
-// Event is one decoded record. Only the fields of its code are set.
+// Event is one decoded record. Only the fields of its code are set; the comment of a field names the codes that set it.
 type Event struct {
 	Code     Code
 	Instance uint32
