--- a/internal/frontend/admission.go
+++ b/internal/frontend/admission.go
@@ -1,7 +1,7 @@
-// Package frontend has what the frontends of all protocols share. An Admission checks each request, finds its route,
-// applies the limits and the memory budget, and returns a Ticket, which the frontend hands to the engine and ends once
-// the client has its response. The package also has the health check, the state of a drain, and the listeners. It
-// decides nothing about hosts.
+// Package frontend contains the code that the frontends of all protocols share. An Admission validates each request,
+// selects its route, applies the limits and the memory budget, and returns a Ticket. The frontend passes the Ticket to
+// the engine and ends it once the response has been sent to the client. The package also contains the health check, the
+// drain state and the listeners. Host selection is left to the engine.
 package frontend
 
 import (
@@ -14,41 +14,41 @@
 	"dunemoor/internal/engine"
 )
 
-// Message is a client's request without its body, as received.
+// Message is a client's request without its body, as the frontend received it.
 type Message struct {
 	Method     string
-	Target     string // request target, byte for byte
-	Host       string // of the target, or else of the Host header
-	HostHeader string
+	Target     string // the request target, unmodified
+	Host       string // the host in the target if it has one, otherwise the value of the Host header
+	HostHeader string // the value of the Host header
 	Header     http.Header
-	Length     int64 // of the body in bytes; -1: unknown
+	Length     int64 // length of the body in bytes; -1 if unknown
 	Client     ClientAddress
-	HTTP10     bool // received in HTTP/1.0, which the platform's protocol excludes
+	HTTP10     bool // the request is HTTP/1.0, which the platform's protocol does not allow
 }
 
-// Admission admits requests from all frontends of a gateway. It owns the ids of open requests. Its methods may be
-// called by any goroutine. Its fields are set before the first request.
+// Admission admits requests from all frontends of a gateway and tracks the ids of open requests. Its methods are safe
+// for concurrent use. Its exported fields must be set before the first request.
 type Admission struct {
 	Engine     *engine.Engine
-	Bodies     *body.Budget // memory for the bodies of requests and responses
-	MaxHeaders int          // header fields of a request on a plain route; 0: any number
-	Limits     *Limits      // nil: none
+	Bodies     *body.Budget // memory budget for the bodies of requests and responses
+	MaxHeaders int          // maximum number of header fields of a request on a plain route; 0 means unlimited
+	Limits     *Limits      // nil means that no limits apply
 
-	notReady     atomic.Bool // no endpoint list has been received yet
-	stopping     atomic.Bool
-	drain        atomic.Pointer[drain.Drain] // nil: none is in progress
-	drainStarted chan struct{}               // has an item when a drain has started since the last receive
+	notReady     atomic.Bool                 // no endpoint list has been received yet
+	stopping     atomic.Bool                 // Stop has been called
+	drain        atomic.Pointer[drain.Drain] // the drain in progress, nil if there is none
+	drainStarted chan struct{}               // buffered; holds an item if a drain has started since the last receive
 	ids          requestIDs
 }
 
-// NewAdmission returns an Admission that is ready.
+// NewAdmission returns an Admission without limits.
 func NewAdmission(e *engine.Engine, bodies *body.Budget) *Admission {
 	return &Admission{Engine: e, Bodies: bodies, drainStarted: make(chan struct{}, 1)}
 }
 
-// Admit checks a request that was received at a time, finds its route and applies the limits. It rejects what hosts
-// can't read. The error is a *RequestError or a *RejectedError. Without an error the caller calls Ticket.End once the
-// client has its response, or Ticket.Discard if the request is not handed to the engine.
+// Admit validates a request that was received at the given time, selects its route and applies the limits. Requests that
+// hosts could not parse are invalid. The error is a *RequestError or a *RejectedError. On success the caller must call
+// Ticket.End once the response has been sent, or Ticket.Discard if the request is not passed to the engine.
 func (a *Admission) Admit(m *Message, received time.Time) (*Ticket, error) {
 	snapshot := a.Engine.Snapshot()
 	if snapshot == nil {
@@ -66,8 +66,8 @@
 // OpenIDs returns the number of ids in use by open requests.
 func (a *Admission) OpenIDs() int { return a.ids.numOpen() }
 
-// Stop makes the responses to all requests, also to those that are open, due at a time. The health check fails from
-// now on.
+// Stop makes the responses to all requests, including those that are open, due no later than the given time. The health
+// check fails from then on.
 func (a *Admission) Stop(due time.Time) {
 	a.stopping.Store(true)
 	a.Engine.Stop(due)
--- a/internal/frontend/applylimits.go
+++ b/internal/frontend/applylimits.go
@@ -10,15 +10,15 @@
 	"dunemoor/internal/ratelimit"
 )
 
-// clientKeySeed makes the keys of clients unpredictable for them.
+// clientKeySeed is a random hash seed, so that clients cannot choose addresses whose keys collide.
 var clientKeySeed = maphash.MakeSeed()
 
-// clientSubnetBits is the length of the IPv6 prefix that counts as one client: a household has a /64, and its
-// addresses in it change at will (RFC 8981).
+// clientSubnetBits is the length in bits of the IPv6 prefix that the limits treat as one client. A household usually has
+// a /64 and can change its addresses within that prefix at any time (RFC 8981).
 const clientSubnetBits = 64
 
-// rateLimitAddr returns the address that a request counts for in the limits of clients: the last one that a trusted proxy
-// names in X-Forwarded-For, or else ClientAddress.Addr.
+// rateLimitAddr returns the address to which the client limits attribute a request. It is the last address in the
+// X-Forwarded-For header if the peer is a trusted proxy and the address is valid, and ClientAddress.Addr otherwise.
 func rateLimitAddr(m *Message) netip.Addr {
 	values := m.Header[headerForwardedFor]
 	if !m.Client.Trusted || len(values) == 0 {
@@ -34,7 +34,7 @@
 	return m.Client.Addr
 }
 
-// clientKeyOf returns the key of a client's address in the table of clients.
+// clientKeyOf returns the key under which ratelimit.Clients counts the requests of an address.
 func clientKeyOf(addr netip.Addr) uint64 {
 	if addr.Is6() && !addr.Is4In6() {
 		subnet, _ := addr.WithZone("").Prefix(clientSubnetBits)
@@ -43,8 +43,8 @@
 	return maphash.Comparable(clientKeySeed, addr.Unmap())
 }
 
-// applyLimits applies the limits to a request whose route, class and Duplicate are set. Its error is a *RejectedError.
-// Without an error the request counts until releaseLimits.
+// applyLimits applies the limits to a request whose Route, Class and Duplicate are set. The error is a *RejectedError.
+// On success the request is counted as in flight until releaseLimits is called.
 func (t *Ticket) applyLimits(m *Message) error {
 	limits := t.admission.Limits
 	if limits == nil {
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// clientRejectReason returns the reason of a rejection by the limits of clients.
+// clientRejectReason returns the RejectReason for a decision of the client limits.
 func clientRejectReason(d ratelimit.Decision) RejectReason {
 	switch d {
 	case ratelimit.Rate:
@@ -85,8 +85,9 @@
 	}
 }
 
-// exemptFromRetryAfter reports whether a client may come back before its Retry-After: always for a class of the highest
-// rank, and for others at random, the more often the less loaded the gateway is.
+// exemptFromRetryAfter reports whether a client may retry before its Retry-After has elapsed. Requests of a class with
+// the highest rank are always exempt. Other requests are exempt at random, with a probability equal to the idle share of
+// the gateway.
 func (t *Ticket) exemptFromRetryAfter() bool {
 	overload := t.admission.Limits.Overload
 	if overload == nil || rand.Float64() < overload.IdleShare() {
@@ -96,8 +97,8 @@
 	return ranks != nil && ranks[t.Class] == slices.Max(ranks)
 }
 
-// overloaded reports whether a request is rejected because the gateway is overloaded, which is drawn at random for the
-// rank at which load is shed in part. A request that was sent before its Retry-After has the rank of a duplicate.
+// overloaded reports whether to reject a request because the gateway is overloaded. At the rank that is shed only in
+// part the decision is random. A request that was sent before its Retry-After had elapsed has the rank of a duplicate.
 func (t *Ticket) overloaded(tooEarly bool) bool {
 	overload := t.admission.Limits.Overload
 	if overload == nil || t.Route.FirstRanks == nil {
@@ -110,8 +111,8 @@
 	return !overload.Admit(rank, rand.Float64())
 }
 
-// beginTenant counts a request for its tenant and reports whether it is within the tenant's quota. A request of no known
-// tenant is not limited.
+// beginTenant counts a request for its tenant and reports whether it is within the tenant's quota. A request without a
+// configured tenant is not limited.
 func (t *Ticket) beginTenant() bool {
 	limits := t.admission.Limits
 	if limits.Tenants == nil {
@@ -130,7 +131,7 @@
 	return true
 }
 
-// reject counts a rejection and returns its error.
+// reject counts a rejection by its reason and returns the *RejectedError.
 func (t *Ticket) reject(reason RejectReason, tooEarly bool) error {
 	limits := t.admission.Limits
 	limits.rejected[reason].Add(1)
@@ -142,7 +143,7 @@
 	return &RejectedError{Reason: reason, RetryAfter: after, TooEarly: tooEarly}
 }
 
-// releaseLimits ends what applyLimits counts.
+// releaseLimits removes a request from the in-flight counts of its client and its tenant.
 func (t *Ticket) releaseLimits() {
 	t.releaseClient()
 	if t.tenantCounted {
@@ -151,7 +152,7 @@
 	}
 }
 
-// releaseClient ends the count of a request for its client.
+// releaseClient removes a request from the in-flight count of its client.
 func (t *Ticket) releaseClient() {
 	if t.clientCounted {
 		t.admission.Limits.Clients.End(t.clientKey)
--- a/internal/frontend/fill.go
+++ b/internal/frontend/fill.go
@@ -2,8 +2,8 @@
 
 import "io"
 
-// Fill reads from r until buf is full. Unlike io.ReadFull it returns io.EOF whenever r has ended, so that its caller can
-// tell a complete body from one whose end was not expected.
+// Fill reads from r until buf is full or an error occurs. Unlike io.ReadFull it returns r's own error, even if some bytes
+// were read: io.EOF if the body is complete, and a different error, such as io.ErrUnexpectedEOF, if it is truncated.
 func Fill(r io.Reader, buf []byte) (n int, err error) {
 	for n < len(buf) && err == nil {
 		var k int
--- a/internal/frontend/forward.go
+++ b/internal/frontend/forward.go
@@ -7,7 +7,7 @@
 	"unicode/utf8"
 )
 
-// Headers that tell a host about its client: RFC 7239, and those in use before it.
+// Headers that carry information about the client to a host: Forwarded (RFC 7239) and its de facto predecessors.
 const (
 	headerForwarded      = "Forwarded"
 	headerForwardedFor   = "X-Forwarded-For"
@@ -15,18 +15,18 @@
 	headerForwardedHost  = "X-Forwarded-Host"
 )
 
-// ClientAddress is where a request came from.
+// ClientAddress describes the origin of a request.
 type ClientAddress struct {
-	// Addr is the address of the connection's peer or, if that is a trusted proxy, the one that it names in a PROXY
-	// header (package http1) or in REMOTE_ADDR (package fastcgi). X-Forwarded-For is not considered here but in
+	// Addr is the address of the connection's peer. If the peer is a trusted proxy, it is the address in the PROXY
+	// header (package http1) or in REMOTE_ADDR (package fastcgi). X-Forwarded-For is not evaluated here but in
 	// rateLimitAddr.
 	Addr    netip.Addr
-	Trusted bool   // a trusted proxy: its headers about its own client are forwarded
+	Trusted bool   // the peer is a trusted proxy, whose headers about its own client are forwarded
 	Proto   string // "http" or "https"
 }
 
-// SetForwardedHeaders adds the client's address to the headers that tell a host about it. Values of these headers
-// from a client that is not trusted are removed first, as it could name any address.
+// SetForwardedHeaders adds the client's address, host and protocol to the forwarding headers. If the client is not
+// trusted, existing values of these headers are removed first, because they could be forged.
 func SetForwardedHeaders(h http.Header, client ClientAddress, host string) {
 	if !client.Trusted {
 		for _, name := range []string{headerForwarded, headerForwardedFor, headerForwardedProto, headerForwardedHost} {
@@ -43,12 +43,12 @@
 	}
 	node := addr
 	if client.Addr.Unmap().Is6() {
-		node = `"[` + addr + `]"` // RFC 7239, 6: quoted, as it has colons
+		node = `"[` + addr + `]"` // quoted because of the colons (RFC 7239, 6)
 	}
 	appendToList(h, headerForwarded, "for="+node+";host="+quoteHost(host)+";proto="+client.Proto)
 }
 
-// appendToList appends a value to a header that is a list, and joins its lines to one.
+// appendToList appends a value to a list-valued header and joins its field lines into one.
 func appendToList(h http.Header, name, value string) {
 	if old := h[name]; len(old) > 0 {
 		value = strings.Join(old, ", ") + ", " + value
@@ -56,7 +56,7 @@
 	h[name] = []string{value}
 }
 
-// quoteHost returns a host as a value of the Forwarded header, quoted unless it is a token (RFC 7239, 4).
+// quoteHost returns a host in the syntax of the Forwarded header, as a quoted string unless it is a token (RFC 7239, 4).
 func quoteHost(host string) string {
 	if !strings.ContainsFunc(host, needsQuotes) {
 		return host
@@ -64,7 +64,7 @@
 	return `"` + strings.NewReplacer(`\`, `\\`, `"`, `\"`).Replace(host) + `"`
 }
 
-// needsQuotes reports whether a character of a host can't stand in a token.
+// needsQuotes reports whether a character of a host requires quoting, as it may not be allowed in a token.
 func needsQuotes(r rune) bool {
 	switch {
 	case r == '.', r == '-', r == '_':
--- a/internal/frontend/headers.go
+++ b/internal/frontend/headers.go
@@ -6,30 +6,30 @@
 	"strings"
 )
 
-// Headers of the platform's protocol, in canonical form.
+// Headers of the platform's protocol, as canonical header keys.
 const (
 	headerRequestID      = "X-Request-Id"
 	headerClass          = "X-Priority-Class"
 	headerTenant         = "X-Tenant-Id"
 	headerTimeout        = "X-Timeout"
-	headerRetried        = "X-Retried" // "1": the client says that it has sent the request before
+	headerRetried        = "X-Retried" // "1" marks a request that the client has sent before
 	headerIdempotencyKey = "Idempotency-Key"
 )
 
-// hopByHopHeaders concern one connection only (RFC 9110, 7.6.1).
+// hopByHopHeaders are the headers that apply to a single connection (RFC 9110, 7.6.1) and are not forwarded.
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
 }
 
-// headersNotInTrailers frame, route or authenticate a message, or say how to read its content (RFC 9110, 6.5.1). They and
-// the hopByHopHeaders are dropped from a trailer section before it is forwarded. A client's trailer section that has one of
-// the few that httpwire forbids (forbiddenInTrailer) is answered with 400 instead.
+// headersNotInTrailers are used for framing, routing, authentication or content processing (RFC 9110, 6.5.1). They and
+// hopByHopHeaders are removed from a trailer section before it is forwarded. If a client's trailer section contains one
+// of the few fields that httpwire forbids (forbiddenInTrailer), the response is 400 instead.
 var headersNotInTrailers = []string{
 	"Host", "Content-Type", "Content-Encoding", "Authorization", "Set-Cookie", "Content-Range",
 }
 
-// RemoveHopByHopHeaders removes the headers that are not forwarded, and returns h.
+// RemoveHopByHopHeaders removes hop-by-hop headers from h, including those listed in Connection, and returns h.
 func RemoveHopByHopHeaders(h http.Header) http.Header {
 	for _, value := range h["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
@@ -42,7 +42,7 @@
 	return h
 }
 
-// ForwardedTrailer returns the fields of a trailer section that are forwarded.
+// ForwardedTrailer returns the fields of a trailer section that may be forwarded, nil if the section is empty.
 func ForwardedTrailer(trailer http.Header) http.Header {
 	if len(trailer) == 0 {
 		return nil
@@ -56,7 +56,7 @@
 	return forwarded
 }
 
-// countFields returns the number of header fields, lines that is.
+// countFields returns the number of field lines in a header.
 func countFields(h http.Header) (n int) {
 	for _, values := range h {
 		n += len(values)
--- a/internal/frontend/health.go
+++ b/internal/frontend/health.go
@@ -8,19 +8,20 @@
 	"dunemoor/internal/engine"
 )
 
-// drainTimes are the times of a drain. Load balancers are expected to poll the health check every 0.1 s and to send
-// clients for 0.2 s after it has failed. After 4 s only connections with a request of the first 2 s may be open.
-// Clients may have no other gateway, so their connections are kept for most of these 2 s. A request that is received
-// in the rest ends its connection with its response.
+// drainTimes are the times, after the start of a drain, at which it enters its later states. Load balancers are expected
+// to poll the health check every 0.1 s and to send new clients for up to 0.2 s after it has failed. After 4 s, only
+// connections with a request that was received in the first 2 s may still be open. Connections are kept for most of
+// these 2 s, because clients may have no other gateway to connect to. In the remaining time each connection is closed
+// after its next response.
 var drainTimes = drain.Times{Leave: 1500 * time.Millisecond, Close: 1900 * time.Millisecond}
 
 // SetNotReady makes the health check fail until SetReady.
 func (a *Admission) SetNotReady() { a.notReady.Store(true) }
 
-// SetReady undoes SetNotReady.
+// SetReady reverts SetNotReady.
 func (a *Admission) SetReady() { a.notReady.Store(false) }
 
-// StartDrain starts a drain. If one is in progress it does nothing.
+// StartDrain starts a drain. It does nothing if a drain is in progress.
 func (a *Admission) StartDrain() {
 	d := drain.Drain{}.Quiesce(wallClock(), drainTimes)
 	if !a.drain.CompareAndSwap(nil, &d) {
@@ -28,17 +29,17 @@
 	}
 	select {
 	case a.drainStarted <- struct{}{}:
-	default: // the last start has not been received yet
+	default: // the channel still holds the notification of an earlier start
 	}
 }
 
-// DrainStarted receives when a drain has started. It is for one receiver.
+// DrainStarted returns a channel that receives an item when a drain has started. It supports a single receiver.
 func (a *Admission) DrainStarted() <-chan struct{} { return a.drainStarted }
 
-// CancelDrain ends the drain in progress, if any.
+// CancelDrain cancels the drain in progress, if there is one.
 func (a *Admission) CancelDrain() { a.drain.Store(nil) }
 
-// Draining returns the state of the drain and how long it lasts; 0: until CancelDrain.
+// Draining returns the state of the drain and the time until the next state, 0 if this state lasts until CancelDrain.
 func (a *Admission) Draining() (drain.State, time.Duration) {
 	d := a.drain.Load()
 	if d == nil {
@@ -53,17 +54,18 @@
 	return state, max(next-now, 1)
 }
 
-// DrainEndsConnections reports whether a drain has reached the state in which connections end with their responses.
+// DrainEndsConnections reports whether a drain has reached the state in which connections are closed after their
+// current response.
 func (a *Admission) DrainEndsConnections() bool {
 	state, _ := a.Draining()
 	return state >= drain.Leaving
 }
 
-// wallClock returns the time since 1970.
+// wallClock returns the time since the Unix epoch.
 func wallClock() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
-// Health reports whether requests can be served, with the text of the health check: why not, or which pools can't
-// serve theirs.
+// Health reports whether requests can be served. The text is the body of the health check's response: the reason why
+// requests cannot be served, or the list of pools without an available host.
 func (a *Admission) Health() (healthy bool, text string) {
 	if a.stopping.Load() {
 		return false, "stopping\n"
@@ -82,7 +84,7 @@
 	return poolHealth(snapshot)
 }
 
-// poolHealth reports whether any pool has hosts that take requests, and names the pools that have none.
+// poolHealth reports whether any pool is ready. The text lists the named pools that are not.
 func poolHealth(snapshot *engine.Snapshot) (healthy bool, text string) {
 	var unavailable strings.Builder
 	snapshot.Pools(func(p *engine.Pool) {
--- a/internal/frontend/http1/conn.go
+++ b/internal/frontend/http1/conn.go
@@ -20,61 +20,63 @@
 )
 
 const (
-	// requestTimeout is how long a client may take to send a header section, from the connect for the first request of
-	// a connection and from the first byte for each later one: it is to get an error or a close within 3 s of
-	// connecting. A body has to keep to Streams.Upload of its route instead; on a route without Streams, it has
-	// requestTimeout from the end of the header section, and so has the rest of a body that is discarded.
+	// requestTimeout is the maximum time for receiving a header section. It starts when the connection is accepted for the
+	// first request, and at the first byte for each later request. It is below 3 s because a client that sends no valid
+	// request must get an error or a close within 3 s of connecting. A body is subject to Streams.Upload of its route
+	// instead. On a route without Streams the body must arrive within requestTimeout from the end of the header section.
+	// The same timeout applies to the rest of a body that is discarded.
 	requestTimeout = 2500 * time.Millisecond
-	// idleTimeout is how long a connection is kept without a request, at least. A quarter more is possible.
+	// idleTimeout is the minimum time for which an idle connection is kept open. The actual time may be up to a quarter
+	// longer.
 	idleTimeout = 15 * time.Second
-	// writeTimeout is how long a client may take to receive a response that is not streamed.
+	// writeTimeout is the maximum time for writing a response that is not streamed.
 	writeTimeout = 10 * time.Second
 
-	// lingerTimeout and maxLingerBytes bound what is read and discarded after the last response. That is enough for a
-	// client whose request was a little too long to read the error.
+	// lingerTimeout and maxLingerBytes bound the input that is read and discarded after the last response. They allow a
+	// client whose request was slightly too long to finish sending it and read the error response.
 	lingerTimeout  = 500 * time.Millisecond
 	maxLingerBytes = 4 * frontend.MaxBufferedBytes
 )
 
-// clientConn is a connection of a client. It belongs to the goroutine that runs Server.serveConn, apart from what is
-// noted below. It serves one request at a time.
+// clientConn is a connection from a client. It serves one request at a time. Its fields are owned by the goroutine that
+// runs Server.serveConn, unless noted otherwise.
 type clientConn struct {
 	*net.TCPConn
 	raw     syscall.RawConn
 	watcher *disconnectWatcher
-	watchID uint64 // in the watcher
+	watchID uint64 // id of the connection in the watcher
 	options *ListenOptions
 	client  frontend.ClientAddress
 
-	ctx    context.Context // canceled when the client leaves
+	ctx    context.Context // canceled when the client disconnects
 	cancel context.CancelFunc
 
 	in            connReader
-	idleDeadline  time.Time // the read deadline, if it is that of a wait for a request; else zero
+	idleDeadline  time.Time // the read deadline, if it was set while waiting for a request; zero otherwise
 	writeDeadline body.LazyDeadline
 
-	servesLast         bool        // the table had woken the connection to be closed, but a request had arrived: it is the last
-	delayedSince       time.Time   // since when the next request may have been left unread; zero: it has just arrived
-	responseUntilClose atomic.Bool // the streamed response ends with the connection; read by any goroutine
+	lastRequest    bool        // the table has requested a close, but a request had already arrived: it is the last one
+	unreadSince    time.Time   // when reading of the next request was suspended; zero if it was not
+	closeDelimited atomic.Bool // the end of the streamed response is marked by closing; safe for concurrent use
 
 	exchange
 
-	// connTable.mu guards these.
+	// The following fields are guarded by connTable.mu.
 	state    connState
-	queue    *list.List // of the table; nil: none
-	element  *list.Element
-	queuedAt time.Time
+	queue    *list.List    // queue of the table that contains the connection, nil if there is none
+	element  *list.Element // element of the connection in queue
+	queuedAt time.Time     // when the connection was last added to a queue or removed from one
 }
 
-// exchange is the current request of a connection and its response.
+// exchange is the current request of a connection and the state of its response.
 type exchange struct {
 	request    httpwire.Request
-	body       *bodyReader // nil: the request has none
-	upload     *upload     // nil: the body is not streamed
-	closeAfter bool        // the connection ends with the response
+	body       *bodyReader // nil if the request has no body
+	upload     *upload     // nil if the body is not streamed
+	closeAfter bool        // the connection is closed after the response
 
-	mu              sync.Mutex // guards responseStarted, and serializes writes of informational responses with it
-	responseStarted bool       // no informational response may be written any more
+	mu              sync.Mutex // guards responseStarted, and is held while an informational response is written
+	responseStarted bool       // the final response has been started: no informational response may follow
 }
 
 // newClientConn returns a clientConn for an accepted connection.
@@ -90,7 +92,7 @@
 	return c, nil
 }
 
-// Gone reports whether the client has left, as far as the kernel knows by now.
+// Gone reports whether the client has disconnected. It polls the kernel for pending events first.
 func (c *clientConn) Gone() bool {
 	c.watcher.poll()
 	return c.ctx.Err() != nil
@@ -104,8 +106,8 @@
 	return netip.Addr{}
 }
 
-// identifyClient sets the address of the client, by a PROXY header if the listener has these. Its error means that the
-// connection is to be closed without a response.
+// identifyClient sets the address of the client, from the PROXY header if the listener expects one. If it returns an
+// error, the connection must be closed without a response.
 func (c *clientConn) identifyClient() error {
 	addr := c.remoteAddr()
 	if c.options.ProxyProtocol {
@@ -124,11 +126,11 @@
 	return nil
 }
 
-// serveConn serves a connection until it ends.
+// serveConn serves the requests of a connection until it is closed.
 func (s *Server) serveConn(c *clientConn) {
 	defer s.closeConn(c)
 	defer func() {
-		if p := recover(); p != nil { // other connections must not be affected
+		if p := recover(); p != nil { // a panic must not affect other connections
 			slog.Error("request handler panicked", "cause", p, "stack", string(debug.Stack()))
 		}
 	}()
@@ -141,7 +143,7 @@
 	}
 }
 
-// serveNext serves the next request of a connection, and reports whether there may be another.
+// serveNext serves the next request of a connection, and reports whether another request may follow.
 func (s *Server) serveNext(c *clientConn, first bool) (keepAlive bool) {
 	if !first && c.in.buffered() == 0 && !s.awaitRequest(c) {
 		s.lingeringClose(c, lingerTimeout, maxLingerBytes)
@@ -160,9 +162,9 @@
 		return false
 	}
 	received := time.Now()
-	if !c.delayedSince.IsZero() {
-		received = c.delayedSince
-		c.delayedSince = time.Time{}
+	if !c.unreadSince.IsZero() {
+		received = c.unreadSince
+		c.unreadSince = time.Time{}
 	}
 	if !s.serve(c, received) {
 		return false
@@ -175,15 +177,15 @@
 	return c.ctx.Err() == nil
 }
 
-// awaitRequest waits for the next request, and reports whether its first bytes have arrived.
+// awaitRequest waits for the next request, and reports whether its first bytes have been read.
 func (s *Server) awaitRequest(c *clientConn) bool {
-	// One deadline serves many requests: it is set again when less than idleTimeout is left of it.
+	// The same deadline is used for many requests: it is only extended when less than idleTimeout remains.
 	now := time.Now()
 	if c.idleDeadline.Sub(now) < idleTimeout {
 		c.idleDeadline = now.Add(idleTimeout + idleTimeout/4)
 		c.SetReadDeadline(c.idleDeadline)
 	}
-	// After the deadline is set, as the table may wake the connection by another from here on.
+	// setIdle must follow SetReadDeadline: from then on the table may set a deadline in the past to close the connection.
 	s.conns.setIdle(c)
 	if !c.in.readMore() {
 		return false
@@ -192,12 +194,13 @@
 	return true
 }
 
-// lingeringClose closes a connection for writing, and then reads and discards what its client still sends, for a time and
-// up to a number of bytes. To close a connection with unread bytes resets it, and the client may see the reset before the
-// last response (RFC 9112, 9.6). Nothing that is read here is served. Its errors mean that the client has left.
+// lingeringClose closes a connection for writing, and then reads and discards input until timeout, maxBytes, or the end
+// of the connection. Closing a connection that has unread bytes resets it, and the client may see the reset before it has
+// read the last response (RFC 9112, 9.6). Requests in the discarded input are not served. Errors are ignored, as they mean
+// that the client has disconnected.
 func (s *Server) lingeringClose(c *clientConn, timeout time.Duration, maxBytes int64) {
 	c.CloseWrite()
-	// Before setLingering, as the table may wake the connection by another deadline from there on.
+	// setLingering must follow SetReadDeadline: from then on the table may set a deadline in the past.
 	c.SetReadDeadline(time.Now().Add(timeout))
 	if s.conns.setLingering(c) {
 		c.in.releaseBuffer()
@@ -205,7 +208,7 @@
 	}
 }
 
-// closeConn closes a connection and forgets it.
+// closeConn closes a connection and removes it from the table and the watcher.
 func (s *Server) closeConn(c *clientConn) {
 	s.conns.remove(c)
 	s.watcher.remove(c)
@@ -213,5 +216,6 @@
 	c.cancel()
 }
 
-// errUntrustedProxy is the error of a connection with a PROXY header from a peer that may not send one.
+// errUntrustedProxy is the error of a connection from a peer that is not among the listener's TrustedProxies, if the
+// listener uses the PROXY protocol.
 var errUntrustedProxy = errors.New("read PROXY header: peer is not a trusted proxy")
--- a/internal/frontend/http1/conntable.go
+++ b/internal/frontend/http1/conntable.go
@@ -9,59 +9,60 @@
 )
 
 const (
-	// crowdedPercent is the share of the limit of connections, in percent, from which there is a crowd: connections that
-	// have been without a request for long are closed, and the others end with their responses. In a crowd a connection
-	// serves one request, and could not be closed for minIdleTime if it stayed open.
-	crowdedPercent = 65
+	// nearLimitPercent is the share of the connection limit, in percent, above which the table is near its limit. Then
+	// connections that have been without a request for long are closed, and all others are closed after their next
+	// response. If they stayed open after that response, they could not be evicted for minIdleTime.
+	nearLimitPercent = 65
 
-	// minIdleTime is how long a connection may be idle before it is evicted. A close sooner may cross a request that the
-	// client has begun to send.
+	// minIdleTime is the minimum time for which a connection must be idle before it is evicted. If it is closed earlier,
+	// the client may already have started to send its next request.
 	minIdleTime = 2 * time.Second
-	// minSilentTime is how long a new connection may be without a request before it is evicted while others can be: in a
-	// crowd many have just been accepted and are yet to be read.
+	// minSilentTime is the minimum time for which a new connection must be without a request before it is evicted, unless
+	// no other connection can be evicted. When many connections have just been accepted, their first requests may not have
+	// been read yet.
 	minSilentTime = 100 * time.Millisecond
-	// maxSilentTimeCrowded is how long a new connection may be without a request in a crowd. Clients open a connection
-	// when they have a request.
-	maxSilentTimeCrowded = time.Second
+	// maxSilentTimeNearLimit is the maximum time for which a new connection may be without a request while the table is
+	// near its limit. It can be short because clients normally open a connection when they have a request.
+	maxSilentTimeNearLimit = time.Second
 )
 
-// connTable keeps the connections of clients within the limits of descriptors. Beyond the limit it evicts the connection
-// of least use: first those with a last response that their clients are still reading, then those without a request yet,
-// oldest first, then those idle for minIdleTime. It begins with those of no use for long before the limit is reached. So
-// there are descriptors for the requests in the listener's backlog. Each call costs the same however many connections
-// there are.
+// connTable keeps the number of client connections within the limits of file descriptors, so that descriptors remain for
+// the connections in the listener's backlog. Beyond the limit it evicts the least useful connection: first those that
+// are lingering after their last response, then those without a request yet, oldest first, then those that have been
+// idle for minIdleTime. Connections that have been unused for long are evicted before the limit is reached. The cost of
+// each call is independent of the number of connections.
 //
-// Only the goroutine of a connection closes it. The table wakes it by a read deadline in the past, and the goroutine then
-// looks for bytes once more: what has arrived by then is served as any request.
+// A connection is closed by its own goroutine only. The table wakes this goroutine by setting a read deadline in the past.
+// The goroutine then reads once more without blocking, and a request that has arrived by then is served.
 type connTable struct {
-	mu        sync.Mutex // guards all below
-	limit     int        // connections; beyond it one is evicted
-	hardLimit int        // connections; beyond it a new one is closed at once if none can be evicted
-	open      int        // connections without those being evicted
-	evicting  int        // connections whose goroutines are about to close them to make room
-	evicted   *sync.Cond // is signaled when evicting falls
-	lingering list.List  // have had their last response, and what their clients still send is discarded
-	silent    list.List  // have had no request yet
-	idle      list.List  // are between two requests
+	mu           sync.Mutex // guards the fields below
+	limit        int        // number of connections above which one is evicted
+	hardLimit    int        // number of connections above which a new one is closed at once if none can be evicted
+	open         int        // number of connections, except those that are being evicted
+	evicting     int        // number of connections that are being evicted and not closed yet
+	evictionDone *sync.Cond // signaled when evicting decreases
+	lingering    list.List  // connections in lingeringClose, after their last response
+	silent       list.List  // connections that have not received a request yet
+	idle         list.List  // connections between two requests
 
 	clock func() time.Time // replaces time.Now in tests
 }
 
-// connState is what a connection is doing.
+// connState is the state of a connection.
 type connState int
 
 const (
-	connWaiting connState = iota // for a request, or lingering
-	connActive                   // has a request, or a part of one
+	connWaiting connState = iota // waiting for a request, or lingering
+	connActive                   // a request, or a part of one, has been received
 	connClosing                  // its goroutine has been woken to close it
-	connEvicted                  // its goroutine has been woken to close it at once, to make room
-	connClosed                   // is closed, or a tunnel, and counts no more
+	connEvicted                  // its goroutine has been woken to close it at once, to free a descriptor
+	connClosed                   // closed or a tunnel, and no longer counted
 )
 
-// deadlinePassed is a deadline that wakes a goroutine that reads.
+// deadlinePassed is a read deadline in the past, which interrupts a blocked read.
 var deadlinePassed = time.Unix(1, 0)
 
-// now returns the time that the ages of connections are computed with; mu is held.
+// now returns the current time, from which the ages of connections are computed. The caller holds mu.
 func (t *connTable) now() time.Time {
 	if t.clock != nil {
 		return t.clock()
@@ -69,8 +70,8 @@
 	return time.Now()
 }
 
-// add adds a new connection, and evicts another if there are too many. It returns false if the connection has to be
-// closed at once, as none can be evicted.
+// add adds a new connection, and evicts another one if there are too many. It returns false if the new connection must be
+// closed because no other can be evicted.
 func (t *connTable) add(c *clientConn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -88,13 +89,13 @@
 	return true
 }
 
-// awaitEvictions waits while more connections are being evicted than there are spare descriptors. Their goroutines have
-// been woken and wait for no one.
+// awaitEvictions waits while more connections are being evicted than there are spare descriptors. It cannot deadlock, as
+// the goroutines of these connections have been woken and close them without waiting for others.
 func (t *connTable) awaitEvictions() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for t.evicting > max(t.hardLimit-t.limit, 1) {
-		t.evicted.Wait()
+		t.evictionDone.Wait()
 	}
 }
 
@@ -106,8 +107,8 @@
 	c.state = connWaiting
 }
 
-// setActive marks a connection as having a request, whose first bytes have arrived. If it was to be closed meanwhile, the
-// request is served and is its last.
+// setActive marks a connection as active because the first bytes of a request have arrived. If the table has meanwhile
+// woken the connection to be closed, the request is still served, as the last one of the connection.
 func (t *connTable) setActive(c *clientConn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -115,17 +116,17 @@
 	case connEvicted:
 		t.evicting--
 		t.open++
-		t.evicted.Broadcast()
-		c.servesLast = true
+		t.evictionDone.Broadcast()
+		c.lastRequest = true
 	case connClosing:
-		c.servesLast = true
+		c.lastRequest = true
 	}
 	c.state = connActive
 	t.enqueue(c, nil)
 }
 
-// setLingering marks a connection as having had its last response, and reports whether what its client still sends may be
-// read for a while. If so the connection can be evicted.
+// setLingering marks a connection as lingering after its last response. It returns false if the connection must be closed
+// at once instead. While it lingers, the connection can be evicted.
 func (t *connTable) setLingering(c *clientConn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -137,7 +138,7 @@
 	return true
 }
 
-// remove removes a connection that is closed, or has become a tunnel.
+// remove removes a connection that is about to be closed or has become a tunnel.
 func (t *connTable) remove(c *clientConn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -146,14 +147,14 @@
 	case connClosed:
 	case connEvicted:
 		t.evicting--
-		t.evicted.Broadcast()
+		t.evictionDone.Broadcast()
 	default:
 		t.open--
 	}
 	c.state = connClosed
 }
 
-// enqueue moves a connection to the end of a queue, or to none if queue is nil; mu is held.
+// enqueue moves a connection to the end of a queue, or removes it from its queue if queue is nil. The caller holds mu.
 func (t *connTable) enqueue(c *clientConn, queue *list.List) {
 	if c.queue != nil {
 		c.queue.Remove(c.element)
@@ -166,7 +167,7 @@
 	}
 }
 
-// setLimits sets the limit of connections, and how many more there may be before a new one is closed at once.
+// setLimits sets the limit of connections, and the number of spare connections beyond it.
 func (t *connTable) setLimits(limit, spare int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -174,14 +175,14 @@
 	t.hardLimit = limit + spare
 }
 
-// candidates are a queue of connections to close, and how long one must have been in it.
+// candidates selects the connections of a queue that have been in it for at least minAge.
 type candidates struct {
 	queue  *list.List
 	minAge time.Duration
 }
 
-// evict removes the connection to close if there are too many, and returns it to be woken; mu is held. It returns nil if
-// there is none.
+// evict selects the next connection to evict if there are too many, and removes it from its queue. The caller holds mu
+// and must wake the connection that is returned. It returns nil if no connection is to be evicted.
 func (t *connTable) evict() *clientConn {
 	for _, from := range t.evictionOrder() {
 		for c := from.next(t.now()); c != nil; c = from.next(t.now()) {
@@ -197,20 +198,21 @@
 	return nil
 }
 
-// evictionOrder returns where a connection to evict is looked for, in order; mu is held. In a crowd, connections that are
-// not used any more are evicted before the limit is reached, as all other clients pay a handshake for each request.
+// evictionOrder returns the candidates for eviction, in order of preference. The caller holds mu. While the table is near
+// its limit, unused connections are evicted even before the limit is reached, because all other clients then need a new
+// connection, with a handshake, for each request.
 func (t *connTable) evictionOrder() []candidates {
 	switch {
 	case t.open > t.limit:
 		return []candidates{{&t.lingering, 0}, {&t.silent, minSilentTime}, {&t.idle, minIdleTime}, {&t.silent, 0}}
-	case t.isCrowded():
-		return []candidates{{&t.silent, maxSilentTimeCrowded}, {&t.idle, minIdleTime}}
+	case t.nearLimitLocked():
+		return []candidates{{&t.silent, maxSilentTimeNearLimit}, {&t.idle, minIdleTime}}
 	default:
 		return nil
 	}
 }
 
-// next returns the oldest connection in the queue if it has been there for long enough by now, and else nil.
+// next returns the oldest connection in the queue, or nil if there is none that has been queued for at least minAge.
 func (from candidates) next(now time.Time) *clientConn {
 	front := from.queue.Front()
 	if front == nil {
@@ -223,14 +225,14 @@
 	return c
 }
 
-// closeWaiting makes the connections without a request end, other than those that were accepted a moment ago.
+// closeWaiting makes all connections without a request close, except those accepted less than frontend.BacklogGrace ago.
 func (t *connTable) closeWaiting() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.closeWaitingLocked()
 }
 
-// closeWaitingLocked is closeWaiting; mu is held.
+// closeWaitingLocked implements closeWaiting. The caller holds mu.
 func (t *connTable) closeWaitingLocked() {
 	for _, from := range []candidates{{&t.silent, frontend.BacklogGrace}, {&t.idle, 0}} {
 		for c := from.next(t.now()); c != nil; c = from.next(t.now()) {
@@ -243,20 +245,20 @@
 	}
 }
 
-// crowded reports whether the limit is nearly reached. Connections then end with their responses, so that the table
-// doesn't fill with those that have just been used.
-func (t *connTable) crowded() bool {
+// nearLimit reports whether more than nearLimitPercent of the limit is in use. Connections are then closed after their
+// response, because recently used connections cannot be evicted and would fill the table.
+func (t *connTable) nearLimit() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.isCrowded()
+	return t.nearLimitLocked()
 }
 
-// isCrowded is crowded; mu is held.
-func (t *connTable) isCrowded() bool {
-	return (t.open-t.lingering.Len())*100 > t.limit*crowdedPercent
+// nearLimitLocked implements nearLimit. The caller holds mu.
+func (t *connTable) nearLimitLocked() bool {
+	return (t.open-t.lingering.Len())*100 > t.limit*nearLimitPercent
 }
 
-// inUse reports whether a client has a connection for its next request, or may be about to send its first.
+// inUse reports whether any connection is idle between two requests or busy.
 func (t *connTable) inUse() bool {
 	if t.busy() {
 		return true
@@ -266,7 +268,8 @@
 	return t.idle.Len() > 0
 }
 
-// busy reports whether a connection has a request, is being closed, or may be about to receive its first request.
+// busy reports whether any connection has a request, is being closed, or was accepted less than frontend.BacklogGrace
+// ago, so that its first request may still arrive.
 func (t *connTable) busy() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -278,13 +281,13 @@
 	return t.evicting > 0 || t.open > t.silent.Len()+t.idle.Len()
 }
 
-// ConnCounts are numbers of client connections. The keys "spent" and "budget" are those of the admin status.
+// ConnCounts are numbers of client connections. The JSON keys "spent" and "budget" are part of the admin status.
 type ConnCounts struct {
-	Open      int `json:"open"`   // all but tunnels
-	Silent    int `json:"silent"` // without a request yet
-	Idle      int `json:"idle"`   // between two requests
-	Lingering int `json:"spent"`  // after their last response, in lingeringClose
-	Limit     int `json:"budget"` // number beyond which connections are evicted
+	Open      int `json:"open"`   // open connections, except tunnels
+	Silent    int `json:"silent"` // connections that have not received a request yet
+	Idle      int `json:"idle"`   // connections between two requests
+	Lingering int `json:"spent"`  // connections in lingeringClose, after their last response
+	Limit     int `json:"budget"` // number of connections above which one is evicted
 }
 
 // ConnCounts returns the current numbers of client connections.
--- a/internal/frontend/http1/conntable_test.go
+++ b/internal/frontend/http1/conntable_test.go
@@ -16,7 +16,7 @@
 
 // In a crowd of clients that send one request and keep their connections each one is served: room is made also while all
 // connections have just been used.
-func TestCrowdOfClientsIsServed(t *testing.T) {
+func TestMoreKeepAliveClientsThanLimitAreServed(t *testing.T) {
 	cfg := withHealthyHost(t)
 	cfg.sockets = 64
 	g := startGateway(t, cfg)
@@ -61,19 +61,19 @@
 
 // Connections that have not been used for long, or ever, are closed in a crowd, and the crowd ends with that. Otherwise all
 // other clients would need a connection for each request.
-func TestCrowdEndsWithUnusedConnections(t *testing.T) {
+func TestUnusedConnectionsAreClosedNearLimit(t *testing.T) {
 	cfg := withHealthyHost(t)
 	cfg.sockets = 128
 	g := startGateway(t, cfg)
 	table := &g.server.conns
-	stopClock(table, maxSilentTimeCrowded/2)
-	for i := 0; !table.crowded(); i++ {
+	freezeClock(table, maxSilentTimeNearLimit/2)
+	for i := 0; !table.nearLimit(); i++ {
 		if i > table.limit {
 			t.Fatalf("no crowd after %d connections", i)
 		}
 		table.mu.Lock()
 		for _, queue := range []*list.List{&table.idle, &table.silent} {
-			setAge(table, queue, maxSilentTimeCrowded/4)
+			setAge(table, queue, maxSilentTimeNearLimit/4)
 		}
 		disableTimeouts(&table.silent)
 		table.mu.Unlock()
@@ -90,7 +90,7 @@
 		setAge(table, queue, minIdleTime)
 	}
 	table.mu.Unlock()
-	for i := 0; table.crowded(); i++ {
+	for i := 0; table.nearLimit(); i++ {
 		if i > 2*table.limit {
 			t.Fatalf("still a crowd after %d more connections", i)
 		}
@@ -112,8 +112,8 @@
 	}
 }
 
-// makeAllOld makes all connections without a request old enough to be closed; the table's mu is held.
-func makeAllOld(table *connTable) {
+// makeAllExpired makes all connections without a request old enough to be closed; the table's mu is held.
+func makeAllExpired(table *connTable) {
 	for _, queue := range []*list.List{&table.silent, &table.idle} {
 		for e := queue.Front(); e != nil; e = e.Next() {
 			e.Value.(*clientConn).queuedAt = time.Time{}
@@ -121,8 +121,8 @@
 	}
 }
 
-// stopClock stops the clock of a table after some time, so that no pause of the machine makes a connection older.
-func stopClock(table *connTable, after time.Duration) {
+// freezeClock stops the clock of a table after some time, so that no pause of the machine makes a connection older.
+func freezeClock(table *connTable, after time.Duration) {
 	start := time.Now()
 	table.mu.Lock()
 	defer table.mu.Unlock()
@@ -136,9 +136,9 @@
 	cfg.sockets = 256
 	g := startGateway(t, cfg)
 	table := &g.server.conns
-	stopClock(table, minIdleTime/2)
+	freezeClock(table, minIdleTime/2)
 	used := 0
-	for range table.limit * crowdedPercent / 100 {
+	for range table.limit * nearLimitPercent / 100 {
 		if err := testutil.RoundTrip(g.dial()); err != nil {
 			t.Fatal(err)
 		}
@@ -207,8 +207,8 @@
 	testutil.WaitUntil(t, "all are idle without a buffer", func() bool { return idleWithoutBuffer() == conns })
 }
 
-// closings are the ways in which connections without a request are closed; the table's mu is held.
-var closings = map[string]func(table *connTable){
+// closeMethods are the ways in which connections without a request are closed; the table's mu is held.
+var closeMethods = map[string]func(table *connTable){
 	"evicted": func(table *connTable) {
 		limit := table.limit
 		table.limit = 0
@@ -223,9 +223,9 @@
 // A request that has arrived but is not read when its connection is to be closed is answered, and ends its connection. So
 // is one that arrives as its connection times out.
 func TestUnreadRequestIsServedWhenConnectionCloses(t *testing.T) {
-	closings := maps.Clone(closings)
-	closings["timed out"] = func(table *connTable) { table.silent.Front().Value.(*clientConn).SetReadDeadline(deadlinePassed) }
-	for name, closeConns := range closings {
+	closeMethods := maps.Clone(closeMethods)
+	closeMethods["timed out"] = func(table *connTable) { table.silent.Front().Value.(*clientConn).SetReadDeadline(deadlinePassed) }
+	for name, closeConns := range closeMethods {
 		g := startGateway(t, withHealthyHost(t))
 		s := g.server
 		testutil.RoundTrip(g.dial()) // Serve runs after that, and has made its watcher
@@ -239,7 +239,7 @@
 		io.WriteString(client, closingRequest())
 		testutil.WaitUntil(t, "the request has arrived", func() bool { return queuedBytes(t, c.TCPConn, unix.TIOCINQ) > 0 })
 		s.conns.mu.Lock()
-		makeAllOld(&s.conns)
+		makeAllExpired(&s.conns)
 		closeConns(&s.conns)
 		s.conns.mu.Unlock()
 		go s.serveConn(c)
@@ -257,7 +257,7 @@
 
 // A request that has been read when its connection is to be closed is answered.
 func TestReadRequestIsServedWhenConnectionCloses(t *testing.T) {
-	for name, closeConns := range closings {
+	for name, closeConns := range closeMethods {
 		g := startGateway(t, withHealthyHost(t))
 		table := &g.server.conns
 		client := g.dialWithTimeout()
@@ -271,7 +271,7 @@
 		testutil.WaitUntil(t, "the request is read", func() bool {
 			return queuedBytes(t, client.(*net.TCPConn), unix.TIOCOUTQ) == 0 && queuedBytes(t, c.TCPConn, unix.TIOCINQ) == 0
 		})
-		makeAllOld(table)
+		makeAllExpired(table)
 		closeConns(table)
 		table.mu.Unlock()
 		if err := readLastResponse(client); err != nil {
@@ -292,7 +292,7 @@
 	host := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	g := startGateway(t, withHosts(host))
 	table := &g.server.conns
-	for name, closeConns := range closings {
+	for name, closeConns := range closeMethods {
 		for _, first := range []bool{true, false} {
 			client := g.dialWithTimeout()
 			if !first {
@@ -306,7 +306,7 @@
 			})
 			before, _, _ := host.Counts()
 			table.mu.Lock()
-			makeAllOld(table)
+			makeAllExpired(table)
 			closeConns(table)
 			table.mu.Unlock()
 			if _, err := client.Read(make([]byte, 1)); err != io.EOF {
@@ -324,8 +324,8 @@
 
 // A client that has sent more before it reads its last response sees that response: the connection ends regularly, and not
 // by a reset because of unread bytes.
-func TestLastResponseIsReadBehindUnreadBytes(t *testing.T) {
-	host, release := newHoldingHost(t)
+func TestLastResponseIsReadDespiteUnreadBytes(t *testing.T) {
+	host, release := newBlockingHost(t)
 	g := startGateway(t, withHosts(host))
 	client := g.dialWithTimeout()
 	io.WriteString(client, closingRequest())
--- a/internal/frontend/http1/disconnect.go
+++ b/internal/frontend/http1/disconnect.go
@@ -6,15 +6,16 @@
 	"syscall"
 )
 
-// disconnectWatcher notices when clients close their connections, also while nothing is read from these, and cancels
-// their contexts. One epoll set has all connections, edge-triggered and only for the events of their end, and is polled
-// by the runtime. It costs a system call for each connection, and one for each attempt that checks its client.
+// disconnectWatcher detects when clients close their connections, even while nothing is being read from them, and cancels
+// the contexts of these connections. A single epoll set contains all connections, edge-triggered and registered for
+// hang-up and error events only. The Go runtime polls the descriptor of this set. The cost is one system call for each
+// connection, and one for each attempt that checks whether its client is still connected.
 type disconnectWatcher struct {
-	file *os.File // of the epoll set
+	file *os.File // the epoll set
 	raw  syscall.RawConn
 	fd   int
 
-	mu     sync.Mutex // guards all below
+	mu     sync.Mutex // guards the fields below
 	conns  map[uint64]*clientConn
 	lastID uint64
 	events [maxEventsPerWait]syscall.EpollEvent
@@ -23,21 +24,22 @@
 }
 
 const (
-	// disconnectEvents are the events of a connection that its peer has closed, wholly or for writing, or that is broken.
+	// disconnectEvents are the events that report that the peer has closed a connection, fully or for writing, or that the
+	// connection has failed.
 	disconnectEvents = syscall.EPOLLRDHUP | syscall.EPOLLHUP | syscall.EPOLLERR
-	// edgeTriggered is EPOLLET, which package syscall has as a negative number.
+	// edgeTriggered is EPOLLET, which package syscall declares as a negative number.
 	edgeTriggered = 1 << 31
-	// maxEventsPerWait is how many events one system call returns.
+	// maxEventsPerWait is the maximum number of events that one epoll_wait returns.
 	maxEventsPerWait = 64
 )
 
-// newDisconnectWatcher returns a running watcher. It has to be closed.
+// newDisconnectWatcher starts a watcher. The caller must close it.
 func newDisconnectWatcher() (*disconnectWatcher, error) {
 	fd, err := syscall.EpollCreate1(syscall.EPOLL_CLOEXEC)
 	if err != nil {
 		return nil, os.NewSyscallError("epoll_create1", err)
 	}
-	// Only a non-blocking descriptor is polled by the runtime.
+	// The runtime only polls non-blocking descriptors.
 	if err := syscall.SetNonblock(fd, true); err != nil {
 		syscall.Close(fd)
 		return nil, os.NewSyscallError("fcntl", err)
@@ -56,7 +58,7 @@
 	return w, nil
 }
 
-// add watches a connection. remove has to follow, also after an error.
+// add starts watching a connection. The caller must call remove later, even if add returns an error.
 func (w *disconnectWatcher) add(c *clientConn) error {
 	w.mu.Lock()
 	w.lastID++
@@ -66,7 +68,8 @@
 	w.mu.Unlock()
 	var epollErr error
 	err := c.raw.Control(func(fd uintptr) {
-		// Events carry the id, as the descriptor may be another connection's by the time an event is read.
+		// Events carry the watch id instead of the descriptor, which may have been reused for another connection by the
+		// time an event is read.
 		event := syscall.EpollEvent{
 			Events: disconnectEvents | edgeTriggered,
 			Fd:     int32(c.watchID),
@@ -80,19 +83,19 @@
 	return err
 }
 
-// watchIDOf returns the id of the connection that an event is of.
+// watchIDOf returns the watch id of the connection that an event refers to.
 func watchIDOf(event syscall.EpollEvent) uint64 {
 	return uint64(uint32(event.Fd)) | uint64(uint32(event.Pad))<<32
 }
 
-// remove forgets a connection. Closing its descriptor removes it from the epoll set.
+// remove stops watching a connection. Closing its descriptor removes it from the epoll set.
 func (w *disconnectWatcher) remove(c *clientConn) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.conns, c.watchID)
 }
 
-// open returns the connections that are open.
+// open returns all watched connections.
 func (w *disconnectWatcher) open() []*clientConn {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -103,7 +106,7 @@
 	return open
 }
 
-// run handles events until close.
+// run handles events until the watcher is closed.
 func (w *disconnectWatcher) run() {
 	defer close(w.done)
 	w.raw.Read(func(fd uintptr) bool {
@@ -112,13 +115,13 @@
 	})
 }
 
-// poll handles the events that there are, without waiting.
+// poll handles pending events without blocking.
 func (w *disconnectWatcher) poll() {
-	w.raw.Control(w.handleEvents) // fails if the watcher is closed
+	w.raw.Control(w.handleEvents) // the only error is that the watcher is closed
 }
 
-// handleEvents cancels the contexts of the connections that there are events of. mu is held from before the events are
-// taken: otherwise another caller would find none while a context is yet to be canceled.
+// handleEvents cancels the contexts of all connections that have pending events. It locks mu before it takes the events:
+// otherwise a concurrent call could find no events and return before the contexts have been canceled.
 func (w *disconnectWatcher) handleEvents(fd uintptr) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -135,8 +138,8 @@
 	}
 }
 
-// retryInterrupted returns the number of events that wait returns, 0 after an error. It calls wait again if a signal has
-// interrupted it: the set is edge-triggered for the runtime too, which would not report the same events again.
+// retryInterrupted calls wait and returns the number of events, or 0 if it fails. If wait was interrupted by a signal
+// (EINTR), it is repeated: the runtime also polls the set edge-triggered and would not report the same events again.
 func retryInterrupted(wait func() (int, error)) int {
 	for {
 		n, err := wait()
@@ -147,5 +150,5 @@
 	}
 }
 
-// close ends the watcher.
+// close stops the watcher.
 func (w *disconnectWatcher) close() { w.file.Close() }
--- a/internal/frontend/http1/disconnect_test.go
+++ b/internal/frontend/http1/disconnect_test.go
@@ -154,7 +154,7 @@
 	for how, disconnect := range disconnects {
 		for _, unnoticed := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, unnoticed %t", how, unnoticed), func(t *testing.T) {
-				host, release := newHoldingHost(t)
+				host, release := newBlockingHost(t)
 				cfg := withHosts(host)
 				pace := body.Pace{IdleTimeout: testutil.WaitTimeout}
 				cfg.streams = &engine.Streams{BufferBytes: 64 << 10, Pace: pace, Upload: pace}
@@ -225,7 +225,7 @@
 // Clients that leave in a burst, in any way, while their requests wait for a host have left, and nothing is sent for them:
 // neither then nor when the host has capacity again.
 func TestBurstOfDisconnectsWhileRequestsAreQueued(t *testing.T) {
-	host, release := newHoldingHost(t)
+	host, release := newBlockingHost(t)
 	g := startGateway(t, withHosts(host))
 	const clients = 200
 	conns := map[string]*net.TCPConn{} // by request id
@@ -274,7 +274,7 @@
 
 // The disconnect of a client that waits is noticed also behind bytes that nobody has read: otherwise attempts would go on
 // until its deadline, a minute later.
-func TestDisconnectIsNoticedBehindUnreadBytes(t *testing.T) {
+func TestDisconnectIsDetectedDespiteUnreadBytes(t *testing.T) {
 	host := testutil.NewHost(t, testutil.NeverRespond)
 	g := startGateway(t, withHosts(host))
 	for i, more := range []string{"", "GET ", strings.Repeat("x", 64<<10)} {
--- a/internal/frontend/http1/gateway_test.go
+++ b/internal/frontend/http1/gateway_test.go
@@ -49,8 +49,8 @@
 	return withHosts(testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse)))
 }
 
-// newHoldingHost returns a host that answers its requests once release is closed.
-func newHoldingHost(t *testing.T) (host *testutil.Host, release chan struct{}) {
+// newBlockingHost returns a host that answers its requests once release is closed.
+func newBlockingHost(t *testing.T) (host *testutil.Host, release chan struct{}) {
 	t.Helper()
 	release = make(chan struct{})
 	host = testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
--- a/internal/frontend/http1/reader.go
+++ b/internal/frontend/http1/reader.go
@@ -14,29 +14,29 @@
 	"github.com/pires/go-proxyproto"
 )
 
-// bufferSize is the size of pooled buffers in bytes. It holds most header sections, and most requests.
+// bufferSize is the size of pooled buffers in bytes. It is sufficient for most header sections and most requests.
 const bufferSize = 4 << 10
 
-// inputBuffers are buffers of connReaders.
+// inputBuffers is the pool of connReader buffers.
 var inputBuffers = sync.Pool{New: func() any {
 	b := make([]byte, bufferSize)
 	return &b
 }}
 
-// connReader reads from a connection. It has a buffer only while there are unread bytes in it, so that a connection that
-// waits costs no memory for one.
+// connReader is a buffered reader of a connection. It only has a buffer while that contains unread bytes, so that an idle
+// connection uses no memory for a buffer.
 type connReader struct {
 	conn *net.TCPConn
 	raw  syscall.RawConn
 
-	buf     []byte // nil: there are no unread bytes
+	buf     []byte // nil if there are no unread bytes
 	r, w    int    // buf[r:w] is unread
-	readErr error  // of readIntoNewBuffer
+	readErr error  // error of readIntoNewBuffer
 
-	readFunc func(fd uintptr) (done bool) // readIntoNewBuffer, as a value that is allocated once
+	readFunc func(fd uintptr) (done bool) // method value of readIntoNewBuffer, to allocate it only once
 }
 
-// init sets up a connReader of a connection.
+// init initializes a connReader for a connection.
 func (in *connReader) init(conn *net.TCPConn, raw syscall.RawConn) {
 	in.conn = conn
 	in.raw = raw
@@ -46,10 +46,10 @@
 // buffered returns the number of unread bytes in the buffer.
 func (in *connReader) buffered() int { return in.w - in.r }
 
-// unread returns the unread bytes in the buffer, valid until the next call.
+// unread returns the unread bytes in the buffer. They are valid until the next call of another method.
 func (in *connReader) unread() []byte { return in.buf[in.r:in.w] }
 
-// consume removes n bytes from the buffer, and releases the buffer if it is empty then.
+// consume removes n bytes from the buffer, and releases the buffer if it becomes empty.
 func (in *connReader) consume(n int) {
 	in.r += n
 	if in.r == in.w {
@@ -57,7 +57,7 @@
 	}
 }
 
-// releaseBuffer releases the buffer, with what is in it.
+// releaseBuffer releases the buffer and discards its unread bytes.
 func (in *connReader) releaseBuffer() {
 	if cap(in.buf) == bufferSize {
 		b := in.buf[:bufferSize]
@@ -68,7 +68,7 @@
 	in.w = 0
 }
 
-// makeRoom makes room after the unread bytes.
+// makeRoom ensures that there is free space after the unread bytes, by moving them to the front or growing the buffer.
 func (in *connReader) makeRoom() {
 	if in.r > 0 {
 		in.w = copy(in.buf, in.unread())
@@ -84,8 +84,9 @@
 	in.w = n
 }
 
-// readIntoNewBuffer reads without waiting into a new buffer, and returns false if there is nothing to read. After an error
-// or the end of the connection there is no buffer, and readErr is set. It is for syscall.RawConn.
+// readIntoNewBuffer reads into a new buffer without blocking, and returns false if there is nothing to read. After an
+// error or at the end of the connection it leaves the buffer unset and sets readErr. It is passed to
+// syscall.RawConn.Read.
 func (in *connReader) readIntoNewBuffer(fd uintptr) (done bool) {
 	b := inputBuffers.Get().(*[]byte)
 	n, err := readRetryInterrupted(fd, *b)
@@ -106,7 +107,7 @@
 	return true
 }
 
-// readRetryInterrupted is read(2), repeated if a signal has interrupted it.
+// readRetryInterrupted calls read(2), and repeats it if it was interrupted by a signal.
 func readRetryInterrupted(fd uintptr, b []byte) (int, error) {
 	for {
 		n, err := syscall.Read(int(fd), b)
@@ -116,7 +117,7 @@
 	}
 }
 
-// fill waits for bytes, until the read deadline, and reads them into the buffer after the unread ones.
+// fill blocks until bytes arrive or the read deadline passes, and reads them into the buffer after the unread bytes.
 func (in *connReader) fill() error {
 	if in.buf == nil {
 		in.readErr = nil
@@ -131,11 +132,11 @@
 	return err
 }
 
-// readAvailable reads what has arrived into the buffer, without waiting and whatever the read deadline, and reports whether
-// that was anything.
+// readAvailable reads the bytes that have already arrived into the buffer, without blocking and regardless of the read
+// deadline. It reports whether there were any.
 func (in *connReader) readAvailable() bool {
 	before := in.buffered()
-	in.raw.Control(func(fd uintptr) { // fails if the connection is closed
+	in.raw.Control(func(fd uintptr) { // the only error is that the connection is closed
 		if in.buf == nil {
 			in.readIntoNewBuffer(fd)
 			return
@@ -147,8 +148,8 @@
 	return in.buffered() > before
 }
 
-// readMore waits for bytes and reports whether any have arrived. Those that arrive as the wait ends, by its own deadline or
-// because the connection is to be closed, count.
+// readMore blocks until bytes arrive or the read deadline passes, and reports whether any bytes were read. After the
+// deadline, or if the table has set one in the past to close the connection, it reads the bytes that have already arrived.
 func (in *connReader) readMore() bool {
 	err := in.fill()
 	if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -157,7 +158,7 @@
 	return err == nil
 }
 
-// Read reads from the buffer if it has unread bytes, and else from the connection.
+// Read reads from the buffer if it has unread bytes, and from the connection otherwise.
 func (in *connReader) Read(p []byte) (int, error) {
 	if in.buffered() > 0 {
 		n := copy(p, in.unread())
@@ -167,12 +168,12 @@
 	return in.conn.Read(p)
 }
 
-// proxyHeaderBufferSize is how much is read with a PROXY header, in bytes. It holds the longest in use, with the addresses
-// of version 2, and some of what follows.
+// proxyHeaderBufferSize is the size in bytes of the buffer from which a PROXY header is read. It is sufficient for the
+// longest header in use, a version 2 header with addresses, and some of the bytes after it.
 const proxyHeaderBufferSize = 512
 
-// readProxyHeader reads a PROXY header of version 1 or 2 and returns the address of the client. The address is invalid if
-// the header has none, as for health checks of the proxy itself.
+// readProxyHeader reads a PROXY header of version 1 or 2 and returns the address of the client. It returns the zero Addr
+// if the header contains no address, as in health checks that the proxy sends itself.
 func (in *connReader) readProxyHeader() (netip.Addr, error) {
 	r := bufio.NewReaderSize(in.conn, proxyHeaderBufferSize)
 	header, err := proxyproto.Read(r)
@@ -180,7 +181,7 @@
 		return netip.Addr{}, fmt.Errorf("read PROXY header: %w", err)
 	}
 	if n := r.Buffered(); n > 0 {
-		rest, _ := r.Peek(n) // no error, as they are buffered
+		rest, _ := r.Peek(n) // can't fail, as n bytes are buffered
 		b := inputBuffers.Get().(*[]byte)
 		in.buf = *b
 		in.r = 0
--- a/internal/frontend/http1/request.go
+++ b/internal/frontend/http1/request.go
@@ -12,13 +12,14 @@
 )
 
 var (
-	// errNoRequest is returned by readRequest if no further request will be received. There is no response to it.
+	// errNoRequest is returned by readRequest if no further request arrives. No response is sent for it.
 	errNoRequest = errors.New("read request: connection has ended")
 	// errHeaderTooLong is the error of a request whose header section is longer than Options.MaxHeaderBytes.
 	errHeaderTooLong = frontend.NewRequestError(http.StatusRequestHeaderFieldsTooLarge, "the head is too long")
 )
 
-// readRequest reads the header section of the next request. Its error is errNoRequest, or one that the client gets.
+// readRequest reads and parses the header section of the next request. The error is errNoRequest, or an error whose text
+// is sent to the client.
 func (s *Server) readRequest(c *clientConn, first bool) error {
 	c.body = nil
 	c.upload = nil
@@ -42,8 +43,8 @@
 	return nil
 }
 
-// readHeaderSection reads a whole header section into the buffer and returns its size in bytes. The deadline of the first
-// request of a connection is set already.
+// readHeaderSection reads a complete header section into the buffer and returns its size in bytes. It sets the read
+// deadline unless deadlineSet is true, as it is for the first request of a connection.
 func (s *Server) readHeaderSection(c *clientConn, deadlineSet bool) (size int, err error) {
 	scanned := 0
 	for {
@@ -70,20 +71,20 @@
 	}
 }
 
-// setRequestDeadline sets the deadline for a request to be received.
+// setRequestDeadline sets the read deadline for the current header section or body to requestTimeout from now.
 func (c *clientConn) setRequestDeadline() {
 	c.idleDeadline = time.Time{}
 	c.SetReadDeadline(time.Now().Add(requestTimeout))
 }
 
-// finishBody reads what is left of the body of a request after its response, and reports whether the next request can be
-// read.
+// finishBody reads and discards the unread rest of a request's body after the response, and reports whether the next
+// request can be read from the connection.
 func (c *clientConn) finishBody() bool {
 	b := c.body
 	if b == nil {
 		return true
 	}
-	c.idleDeadline = time.Time{} // readers of the body have set others
+	c.idleDeadline = time.Time{} // reading the body has set other read deadlines
 	if b.err == nil {
 		if b.decoder != nil || b.remaining > frontend.MaxBufferedBytes {
 			return false
@@ -99,13 +100,13 @@
 // bodyReader reads the body of a request from its connection.
 type bodyReader struct {
 	c              *clientConn
-	remaining      int64                    // bytes, of a body with a length
-	decoder        *httpwire.ChunkedDecoder // nil: the body has a length
-	expectContinue bool                     // the client waits for 100 Continue
-	err            error                    // what follows the last byte, once that is read
+	remaining      int64                    // unread bytes of a body with a Content-Length
+	decoder        *httpwire.ChunkedDecoder // nil if the body has a Content-Length
+	expectContinue bool                     // the client waits for 100 Continue before it sends the body
+	err            error                    // final error: io.EOF once the whole body has been read
 }
 
-// newBodyReader returns a reader of the body of a connection's current request.
+// newBodyReader returns a reader for the body of a connection's current request.
 func newBodyReader(c *clientConn) *bodyReader {
 	b := &bodyReader{c: c, remaining: c.request.ContentLength, expectContinue: c.request.ExpectContinue}
 	if c.request.ContentLength < 0 {
@@ -114,11 +115,11 @@
 	return b
 }
 
-// continueResponse asks the client for the body (RFC 9110, 15.2.1).
+// continueResponse is the interim response that makes the client send the body (RFC 9110, 15.2.1).
 var continueResponse = []byte("HTTP/1.1 100 Continue\r\n\r\n")
 
-// Read is as in io.Reader. It returns io.EOF with the last byte or after it, and only if the body is complete. Every error
-// but that of a deadline is final.
+// Read implements io.Reader. It returns io.EOF with or after the last byte, and only if the body is complete. All errors
+// except exceeded deadlines are final.
 func (b *bodyReader) Read(p []byte) (n int, err error) {
 	if b.err != nil {
 		return 0, b.err
@@ -147,7 +148,7 @@
 	return n, err
 }
 
-// readUpTo reads at most limit bytes, directly from the connection if the buffer is empty and p is large.
+// readUpTo reads at most limit bytes. If the buffer is empty and p is large, it reads directly from the connection.
 func (b *bodyReader) readUpTo(p []byte, limit int64) (int, error) {
 	in := &b.c.in
 	p = p[:min(int64(len(p)), limit)]
@@ -160,7 +161,7 @@
 	return n, unexpectedEOF(err)
 }
 
-// readChunked reads content of a body in chunks.
+// readChunked reads content of a chunked body.
 func (b *bodyReader) readChunked(p []byte) (int, error) {
 	in := &b.c.in
 	for !b.decoder.Done() {
@@ -185,7 +186,7 @@
 	return 0, io.EOF
 }
 
-// unexpectedEOF returns the error of a body whose connection ends within it.
+// unexpectedEOF converts io.EOF, which means that the connection ended within the body, to io.ErrUnexpectedEOF.
 func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
@@ -193,7 +194,7 @@
 	return err
 }
 
-// Trailer returns the trailer section, once Read has returned io.EOF.
+// Trailer returns the trailer section. It must not be called before Read has returned io.EOF.
 func (b *bodyReader) Trailer() http.Header {
 	if b.decoder == nil {
 		return nil
--- a/internal/frontend/http1/request_test.go
+++ b/internal/frontend/http1/request_test.go
@@ -15,9 +15,9 @@
 	"dunemoor/internal/testutil"
 )
 
-// maxBadClientTime is how long a bad client may be left without an error or a close: 3 s, and some more for a busy
+// maxInvalidRequestTime is how long a bad client may be left without an error or a close: 3 s, and some more for a busy
 // machine. The limits that would otherwise end its connection are far longer.
-const maxBadClientTime = 3*time.Second + 2*time.Second
+const maxInvalidRequestTime = 3*time.Second + 2*time.Second
 
 // isTimeout reports whether an error is that of a deadline.
 func isTimeout(err error) bool {
@@ -81,7 +81,7 @@
 				t.Fatal(err)
 			}
 			defer c.Close()
-			c.SetDeadline(time.Now().Add(maxBadClientTime))
+			c.SetDeadline(time.Now().Add(maxInvalidRequestTime))
 			go io.WriteString(c, tt.request) // fails if the response is sent before all is written
 			got, err := io.ReadAll(c)
 			if isTimeout(err) {
@@ -108,10 +108,10 @@
 
 // A client that sends 60 MB gets a response or a close soon, though it reads only after it has written: the gateway doesn't
 // read a body that it doesn't accept.
-func TestHugeBodyEndsSoon(t *testing.T) {
+func TestConnectionWithHugeBodyIsClosedSoon(t *testing.T) {
 	g := startGateway(t, withHosts())
 	c := g.dial()
-	c.SetDeadline(time.Now().Add(2 * maxBadClientTime))
+	c.SetDeadline(time.Now().Add(2 * maxInvalidRequestTime))
 	io.WriteString(c, "POST /api/1 HTTP/1.1\r\nHost: a\r\nContent-Length: 62914560\r\n\r\n")
 	part := make([]byte, 1<<16)
 	var err error
@@ -271,7 +271,7 @@
 
 // A connection of HTTP/1.0 ends with the response, unless the client asks to keep it. The platform's protocol needs
 // HTTP/1.1, so the health check is requested.
-func TestHTTP10ConnectionIsKeptOnlyIfAsked(t *testing.T) {
+func TestHTTP10ConnectionIsKeptOnlyWithKeepAlive(t *testing.T) {
 	g := startGateway(t, withHealthyHost(t))
 	for line, keepAlive := range map[string]bool{"": false, "Connection: keep-alive\r\n": true} {
 		c := g.dialWithTimeout()
@@ -295,7 +295,7 @@
 
 // The connection of a client that waits for 100 Continue ends with an error: what the client sends then may be the body or
 // the next request.
-func TestErrorBeforeContinueEndsConnection(t *testing.T) {
+func TestErrorBeforeContinueClosesConnection(t *testing.T) {
 	host := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	g := startGateway(t, withHosts(host))
 	c := g.dialWithTimeout()
@@ -332,14 +332,14 @@
 
 // A connection that has had a request and then brings half a header section is closed as soon as a new one would be, and is
 // not kept as long as an idle one.
-func TestHalfHeaderSectionAfterRequestTimesOut(t *testing.T) {
+func TestPartialHeaderSectionAfterRequestTimesOut(t *testing.T) {
 	g := startGateway(t, withHealthyHost(t))
 	c := g.dial()
 	if err := testutil.RoundTrip(c); err != nil {
 		t.Fatal(err)
 	}
 	io.WriteString(c, "GET /api/1 HTTP/1.1\r\nHost: a\r\nX-Pri")
-	c.SetDeadline(time.Now().Add(maxBadClientTime))
+	c.SetDeadline(time.Now().Add(maxInvalidRequestTime))
 	if got, err := io.ReadAll(c); err != nil || len(got) > 0 {
 		t.Errorf("got %q, %v, want a close", got, err)
 	}
--- a/internal/frontend/http1/response.go
+++ b/internal/frontend/http1/response.go
@@ -11,17 +11,17 @@
 	"dunemoor/internal/httpwire"
 )
 
-// Lengths of response bodies that are not known, or are none.
+// Special values for the length of a response body.
 const (
-	lengthUnknown = -1 // the body is in chunks, or ends with the connection
+	lengthUnknown = -1 // the body is chunked, or is ended by closing the connection
 	noLength      = -2 // the response has no body and no Content-Length
 )
 
-// maxCopiedBody is the longest body that is copied after the header section to be written with it. For longer ones a
-// vectored write costs less.
+// maxCopiedBody is the maximum length of a body that is copied into the buffer of the header section, to write both at
+// once. For longer bodies a vectored write is cheaper.
 const maxCopiedBody = 16 << 10
 
-// outputBuffers are buffers for header sections and short responses.
+// outputBuffers is a pool of buffers for header sections and short responses.
 var outputBuffers = sync.Pool{New: func() any {
 	b := make([]byte, 0, bufferSize)
 	return &b
@@ -32,7 +32,7 @@
 	plainTextHeader = http.Header{"Content-Type": {"text/plain; charset=utf-8"}}
 )
 
-// writeBeforeResponse writes an informational response, unless the final response has been started.
+// writeBeforeResponse writes an informational (1xx) response, unless the final response has been started.
 func (c *clientConn) writeBeforeResponse(response []byte) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -44,8 +44,8 @@
 	return err
 }
 
-// forwardInformational forwards an informational response of a host. There are none in HTTP/1.0 (RFC 9110, 15.2). An
-// error means that the client has left, which is noticed otherwise.
+// forwardInformational forwards an informational response from a host, except to HTTP/1.0 clients, for which they are not
+// defined (RFC 9110, 15.2). Write errors are ignored: the disconnectWatcher detects that the client has disconnected.
 func (c *clientConn) forwardInformational(status int, header http.Header) {
 	if c.request.HTTP10 {
 		return
@@ -55,7 +55,7 @@
 	c.writeBeforeResponse(append(b, crlf...))
 }
 
-// startResponse notes that the final response is started, and appends its status line.
+// startResponse marks the final response as started, and appends its status line to b.
 func (c *clientConn) startResponse(b []byte, status int) []byte {
 	c.mu.Lock()
 	c.responseStarted = true
@@ -63,8 +63,8 @@
 	return httpwire.AppendStatusLine(b, c.request.HTTP10, status)
 }
 
-// appendFraming appends the headers of the body's framing and of the connection, and ends the header section. An HTTP/1.0
-// client sees the end of a body of unknown length by the end of the connection.
+// appendFraming appends the headers for the framing of the body and for the connection, and ends the header section. A
+// body of unknown length is ended by closing the connection if the client uses HTTP/1.0.
 func (c *clientConn) appendFraming(b []byte, length int64) []byte {
 	switch {
 	case length >= 0:
@@ -85,7 +85,7 @@
 	return append(b, crlf...)
 }
 
-// appendResponseHeader starts the final response and appends its header section, with a Date if it has none.
+// appendResponseHeader starts the final response and appends its header section. It adds a Date header if h has none.
 func (c *clientConn) appendResponseHeader(b []byte, now time.Time, status int, h http.Header, length int64) []byte {
 	b = c.startResponse(b, status)
 	b = httpwire.AppendHeader(b, h)
@@ -95,7 +95,7 @@
 	return c.appendFraming(b, length)
 }
 
-// writeResponse writes a whole response.
+// writeResponse writes a response whose body is completely available. length is as in appendFraming.
 func (c *clientConn) writeResponse(status int, h http.Header, length int64, content []byte) error {
 	buf := outputBuffers.Get().(*[]byte)
 	now := time.Now()
@@ -103,8 +103,8 @@
 	return c.flush(buf, header, content, now)
 }
 
-// writeError writes a response of the gateway's own, with a line of text. retryAfter is the value of its Retry-After
-// header; "": none.
+// writeError writes a response that the gateway itself generates, with a line of text. retryAfter is the value of its
+// Retry-After header, "" for no such header.
 func (c *clientConn) writeError(status int, text, retryAfter string) error {
 	buf := outputBuffers.Get().(*[]byte)
 	b := c.startResponse((*buf)[:0], status)
@@ -124,7 +124,8 @@
 	return c.flush(buf, b, nil, now)
 }
 
-// flush writes a header section and content. The header section is in buf, a buffer of outputBuffers, or has outgrown it.
+// flush writes a header section and the content, and returns buf to outputBuffers. The header section was appended to buf
+// and may have outgrown it.
 func (c *clientConn) flush(buf *[]byte, header, content []byte, now time.Time) error {
 	c.writeDeadline.Reset(now, writeTimeout)
 	var err error
@@ -142,7 +143,7 @@
 	return err
 }
 
-// appendLastChunk appends the end of a body in chunks, with its trailer section, whose fields are in any order.
+// appendLastChunk appends the last chunk of a chunked body and its trailer section, with the fields in any order.
 func appendLastChunk(b []byte, trailer http.Header) []byte {
 	b = append(b, "0\r\n"...)
 	b = httpwire.AppendHeader(b, trailer)
--- a/internal/frontend/http1/serve.go
+++ b/internal/frontend/http1/serve.go
@@ -18,16 +18,17 @@
 // healthPath is the path of the health check.
 const healthPath = "/_health"
 
-// maxRejectDelay is how long a connection is left unread at most whose client came back before its Retry-After. Otherwise
-// clients could retry as fast as they are rejected, and each response costs the gateway as much as them.
+// maxRejectDelay is the maximum time for which a connection is not read after its client has sent a request before its
+// Retry-After had elapsed. Without the delay such clients could retry as fast as they are rejected, and each rejection
+// costs the gateway as much as the client.
 const maxRejectDelay = time.Second
 
-// serve answers the request whose header section has been read, and reports whether the connection stays open. The
-// response is due by when the request was received.
+// serve processes the request whose header section has been read, and reports whether the connection stays open. The
+// time at which the response is due is computed from received.
 func (s *Server) serve(c *clientConn, received time.Time) (keepAlive bool) {
-	if c.servesLast || s.endsAfterResponse() {
+	if c.lastRequest || s.endsAfterResponse() {
 		c.closeAfter = true
-	} else if !s.shuttingDown.Load() && s.conns.crowded() {
+	} else if !s.shuttingDown.Load() && s.conns.nearLimit() {
 		c.closeAfter = true
 	}
 	if c.request.Method == http.MethodGet && isHealthCheck(c.request.Target) {
@@ -38,7 +39,7 @@
 		return s.answerError(c, err)
 	}
 	defer t.End()
-	if t.Route.Streams != nil { // as on all routes of the gateway
+	if t.Route.Streams != nil { // true for all routes of the gateway
 		return s.serveStreaming(c, t)
 	}
 	resp, waiting := s.admission.Engine.Do(c.ctx, &t.Request)
@@ -46,19 +47,19 @@
 		return false
 	}
 	defer resp.Release()
-	if s.endsAfterResponse() { // since the request was read
+	if s.endsAfterResponse() { // may have changed since the request was read
 		c.closeAfter = true
 	}
 	return c.writeBuffered(t, &resp) == nil
 }
 
-// isHealthCheck reports whether a request target is that of the health check.
+// isHealthCheck reports whether a request target is the path of the health check, with or without a query.
 func isHealthCheck(target string) bool {
 	path, _, _ := strings.Cut(target, "?")
 	return path == healthPath
 }
 
-// writeHealth answers a health check.
+// writeHealth writes the response to a health check.
 func (s *Server) writeHealth(c *clientConn) error {
 	status := http.StatusOK
 	healthy, text := s.admission.Health()
@@ -68,8 +69,8 @@
 	return c.writeResponse(status, plainTextHeader, int64(len(text)), []byte(text))
 }
 
-// admitAndReadBody admits the request whose header section has been read, and reads its body, or the part of it that is buffered.
-// Without an error the caller ends the ticket.
+// admitAndReadBody admits the request whose header section has been read, and reads its body, or the buffered part of a
+// streamed body. On success the caller must end the ticket.
 func (s *Server) admitAndReadBody(c *clientConn, received time.Time) (*frontend.Ticket, error) {
 	r := &c.request
 	t, err := s.admission.Admit(&frontend.Message{
@@ -95,7 +96,8 @@
 			t.Discard()
 			return nil, err
 		}
-		// The timeout counts from the last byte, which may be long after the first; a streamed body's is yet to come.
+		// The timeout starts at the last byte of the body, which may arrive long after the first. The last byte of a
+		// streamed body has not arrived yet; SetBodyReceived follows.
 		received = time.Now()
 	}
 	if plain := t.Route.Plain; plain != nil && plain.MaxTunnels > 0 && c.body == nil {
@@ -106,7 +108,7 @@
 	return t, nil
 }
 
-// clientAddress returns where the request came from, if there may be routes that need it.
+// clientAddress returns the address of the client, or the zero value if no route can use it.
 func (s *Server) clientAddress(c *clientConn) frontend.ClientAddress {
 	if !s.plainRoutes {
 		return frontend.ClientAddress{}
@@ -114,7 +116,7 @@
 	return c.client
 }
 
-// readBody reads a body with a length as a whole, on a route without Streams. Other routes have startUpload.
+// readBody reads a complete body with a Content-Length, on a route without Streams. Other routes use startUpload.
 func (c *clientConn) readBody(t *frontend.Ticket) error {
 	length := c.request.ContentLength
 	if err := t.ReserveBody(length); err != nil {
@@ -131,11 +133,12 @@
 	return nil
 }
 
-// answerError answers a request that is not forwarded, because it is invalid or was rejected, and reports whether the
-// connection stays open: it does after a RejectedError, as a new connection would cost more than this response.
+// answerError writes the response to a request that is not forwarded because it is invalid or was rejected, and reports
+// whether the connection stays open. It stays open after a RejectedError if the body can be skipped, as a new connection
+// would cost more than the response.
 func (s *Server) answerError(c *clientConn, err error) (keepAlive bool) {
 	var rejected *frontend.RejectedError
-	if !errors.As(err, &rejected) || !c.canSkipBody() {
+	if !errors.As(err, &rejected) || !c.canDiscardBody() {
 		s.failAndClose(c, err)
 		return false
 	}
@@ -149,8 +152,9 @@
 	return true
 }
 
-// canSkipBody reports whether the unread body of a request is so short that reading it costs less than a new connection.
-func (c *clientConn) canSkipBody() bool {
+// canDiscardBody reports whether the unread body of a request is short enough that reading and discarding it costs less than
+// a new connection.
+func (c *clientConn) canDiscardBody() bool {
 	b := c.body
 	if b == nil {
 		return true
@@ -159,8 +163,8 @@
 	return b.err == nil && !b.expectContinue && hasLength && b.remaining <= frontend.MaxBufferedBytes
 }
 
-// delayNextRequest leaves a connection unread for a time, at random from half of maxRejectDelay to all of it, so that
-// clients that were rejected together don't come back together.
+// delayNextRequest suspends reading from a connection for a random time between half of maxRejectDelay and all of it, or
+// for retryAfter if that is shorter. The delay is random so that clients that were rejected together don't retry together.
 func (s *Server) delayNextRequest(c *clientConn, retryAfter time.Duration) {
 	start := time.Now()
 	timer := time.NewTimer(min(retryAfter, maxRejectDelay/2+rand.N(maxRejectDelay/2)))
@@ -171,12 +175,12 @@
 	case <-s.endTunnels:
 	}
 	if c.in.buffered() > 0 || c.in.readAvailable() {
-		c.delayedSince = start // it may have arrived as soon as that, and its timeout counts from then
+		c.unreadSince = start // the next request may have arrived right after start, so its timeout starts there
 	}
 }
 
-// failAndClose answers a request that is not forwarded, and closes the connection: after an invalid request nothing that
-// follows can be trusted, and an unread body would be taken for the next request.
+// failAndClose writes an error response to a request that is not forwarded, and closes the connection: after an invalid
+// request the start of the next one is unknown, and an unread body would be parsed as the next request.
 func (s *Server) failAndClose(c *clientConn, err error) {
 	status := frontend.StatusCode(err)
 	retryAfter := ""
@@ -207,7 +211,7 @@
 	}
 }
 
-// forwardedHeader returns the headers of a host's response as the client gets them.
+// forwardedHeader returns the headers of a host's response as they are forwarded to the client.
 func forwardedHeader(t *frontend.Ticket, resp *engine.Response) http.Header {
 	h := frontend.RemoveHopByHopHeaders(resp.Header)
 	if t.Route.Plain != nil {
@@ -216,8 +220,9 @@
 	return h
 }
 
-// responseLength returns the Content-Length of a response whose body is buffered, or noLength. A response to HEAD, and
-// one with status 304, has the length that it would have to GET, if the host says it (RFC 9110, 8.6).
+// responseLength returns the Content-Length of a response whose body is buffered, or noLength. For a response to HEAD or
+// with status 304 it is the Content-Length in the host's response, if any, which is that of the response to a GET
+// (RFC 9110, 8.6).
 func responseLength(method string, resp *engine.Response) int64 {
 	length := resp.Body.Len()
 	if length > 0 || !httpwire.ResponseHasNoBody(method, resp.Status) {
--- a/internal/frontend/http1/server.go
+++ b/internal/frontend/http1/server.go
@@ -1,6 +1,6 @@
-// Package http1 is the frontend for clients of HTTP/1.1 and HTTP/1.0 (RFC 9112). Each connection has a goroutine that
-// reads a request, hands it to the engine and writes the response before it reads the next. A connTable keeps the number
-// of connections within their limits, and a disconnectWatcher notices when a client leaves.
+// Package http1 implements the frontend for HTTP/1.1 and HTTP/1.0 clients (RFC 9112). Each connection has a goroutine that
+// reads a request, passes it to the engine and writes the response before it reads the next request. A connTable keeps the
+// number of connections within limits, and a disconnectWatcher detects when a client disconnects.
 package http1
 
 import (
@@ -18,33 +18,33 @@
 
 // Options are the options of a Server.
 type Options struct {
-	MaxConns        int           // connections of clients; beyond it connections without a request are closed
-	SpareConns      int           // beyond MaxConns, before a new connection is closed at once
-	LongestDeadline time.Duration // of all classes
-	PlainRoutes     bool          // there may be plain routes, for clients that don't know the platform's protocol
-	MaxHeaderBytes  int           // of a request's header section; 0: defaultMaxHeaderBytes
-	SharedListeners bool          // another process accepts from the same sockets, and takes over at Shutdown
+	MaxConns        int           // number of client connections above which one without a request is closed
+	SpareConns      int           // number of connections beyond MaxConns before a new connection is closed at once
+	LongestDeadline time.Duration // longest deadline of all classes
+	PlainRoutes     bool          // there may be plain routes, for clients that don't use the platform's protocol
+	MaxHeaderBytes  int           // maximum size of a request's header section; 0 means defaultMaxHeaderBytes
+	SharedListeners bool          // another process accepts from the same sockets and takes over at Shutdown
 }
 
-// defaultMaxHeaderBytes holds any header section in the platform's protocol several times over. Hundreds of clients may
-// send that much at once.
+// defaultMaxHeaderBytes is several times the size of any header section in the platform's protocol. It is limited because
+// hundreds of clients may send that much at the same time.
 const defaultMaxHeaderBytes = 12 << 10
 
 // ListenOptions are the options of a listener.
 type ListenOptions struct {
-	// TrustedProxies are peers whose headers about their own clients are forwarded.
+	// TrustedProxies are the peers whose headers about their own clients are forwarded.
 	TrustedProxies []netip.Prefix
-	// ProxyProtocol makes each connection begin with a PROXY header of version 1 or 2. If there are TrustedProxies,
-	// connections of others are closed.
+	// ProxyProtocol requires each connection to start with a PROXY header of version 1 or 2. If TrustedProxies is not
+	// empty, connections from other peers are closed.
 	ProxyProtocol bool
 }
 
-// trusts reports whether an address is of a trusted proxy.
+// trusts reports whether an address belongs to a trusted proxy.
 func (o *ListenOptions) trusts(addr netip.Addr) bool {
 	return slices.ContainsFunc(o.TrustedProxies, func(p netip.Prefix) bool { return p.Contains(addr) })
 }
 
-// Server serves clients on any number of listeners. Its methods may be called by any goroutine.
+// Server serves clients on any number of listeners. Its methods are safe for concurrent use.
 type Server struct {
 	admission       *frontend.Admission
 	plainRoutes     bool
@@ -54,17 +54,17 @@
 	listeners       frontend.Listeners[ListenOptions]
 	conns           connTable
 
-	mu      sync.Mutex         // guards watcher and closed, and orders Serve and Close
-	watcher *disconnectWatcher // nil before the first Serve
+	mu      sync.Mutex         // guards watcher and closed, and serializes Serve, Shutdown and Close
+	watcher *disconnectWatcher // nil before the first call of Serve
 	closed  bool
 
 	shuttingDown      atomic.Bool   // Shutdown has been called
-	shutdownEndsConns atomic.Bool   // Shutdown has reached the step in which connections end with their responses
-	endTunnels        chan struct{} // closed when tunnels, and delays of rejected clients, have to end
-	connsEndBeforeDue time.Duration // lastRequestsTime; tests set it before Shutdown
+	shutdownEndsConns atomic.Bool   // Shutdown has reached the step in which connections are closed after their response
+	endTunnels        chan struct{} // closed when tunnels, and the delays of rejected clients, must end
+	connsEndBeforeDue time.Duration // lastRequestsTime, unless a test has changed it before Shutdown
 }
 
-// New returns a Server that brings its requests through admission.
+// New returns a Server that submits its requests to admission.
 func New(admission *frontend.Admission, o Options) *Server {
 	s := &Server{
 		admission:         admission,
@@ -74,7 +74,7 @@
 		endTunnels:        make(chan struct{}),
 		connsEndBeforeDue: lastRequestsTime,
 	}
-	s.conns.evicted = sync.NewCond(&s.conns.mu)
+	s.conns.evictionDone = sync.NewCond(&s.conns.mu)
 	s.SetLongestDeadline(o.LongestDeadline)
 	s.SetConnLimits(o.MaxConns, o.SpareConns)
 	return s
@@ -83,18 +83,18 @@
 // SetLongestDeadline sets the longest deadline of all classes.
 func (s *Server) SetLongestDeadline(d time.Duration) { s.longestDeadline.Store(int64(d)) }
 
-// SetConnLimits sets how many connections of clients may be open, and how many more there may be before a new one is
-// closed at once.
+// SetConnLimits sets the limit of client connections, and the number of spare connections beyond it before a new
+// connection is closed at once.
 func (s *Server) SetConnLimits(limit, spare int) { s.conns.setLimits(limit, spare) }
 
-// SetListenOptions sets the options of a listener, for connections that are yet to be accepted.
+// SetListenOptions sets the options of a listener. They apply to connections that are accepted afterwards.
 func (s *Server) SetListenOptions(ln net.Listener, o ListenOptions) { s.listeners.SetOptions(ln, o) }
 
-// acceptBackoff is how long nothing is accepted after a failure.
+// acceptBackoff bounds the delay after a failure of Accept.
 var acceptBackoff = frontend.AcceptBackoff{Min: 5 * time.Millisecond, Max: time.Second}
 
-// Serve serves the connections that ln accepts. It returns nil once Shutdown, CloseListener or Close has closed ln, also
-// before the call.
+// Serve serves the connections that ln accepts. It returns nil once Shutdown, CloseListener or Close has closed ln. If
+// Shutdown or Close was called before, Serve closes ln and returns nil.
 func (s *Server) Serve(ln net.Listener) error {
 	serving, err := s.startServing(ln)
 	if !serving || err != nil {
@@ -102,14 +102,14 @@
 	}
 	return s.listeners.Serve(ln, acceptBackoff, func(nc net.Conn, o *ListenOptions) {
 		s.accept(nc, o)
-		// In a burst of connections, those accepted before read their requests first, so that they are not closed as
-		// connections without one.
+		// In a burst of connections, let the goroutines of those accepted earlier read their requests first. Otherwise
+		// these connections would be evicted as connections without a request.
 		runtime.Gosched()
 	})
 }
 
-// startServing adds a listener, unless the server ends. A process that is stopped while it waits to take over from
-// another accepts nothing.
+// startServing adds a listener, or closes it if the server has been closed or is shutting down. This is the case if a
+// process is stopped while it waits to take over from another process.
 func (s *Server) startServing(ln net.Listener) (serving bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,7 +125,7 @@
 	return err == nil, err
 }
 
-// accept serves a new connection, or closes it if there are too many.
+// accept starts serving a new connection, or closes it if there are too many.
 func (s *Server) accept(nc net.Conn, o *ListenOptions) {
 	c, err := newClientConn(nc.(*net.TCPConn), o)
 	if err != nil {
@@ -137,7 +137,7 @@
 		nc.Close()
 		return
 	}
-	// The deadline is set before the connection is in the table, where it may be evicted by another deadline.
+	// Set the deadline before the connection is added to the table, which evicts connections by setting another deadline.
 	c.SetReadDeadline(time.Now().Add(requestTimeout))
 	if !s.conns.add(c) {
 		s.watcher.remove(c)
@@ -148,15 +148,15 @@
 	s.conns.awaitEvictions()
 }
 
-// endsAfterResponse reports whether connections end with their responses, because of Shutdown or of a drain.
+// endsAfterResponse reports whether connections are closed after their current response because of Shutdown or a drain.
 func (s *Server) endsAfterResponse() bool {
 	return s.shutdownEndsConns.Load() || s.admission.DrainEndsConnections()
 }
 
-// CloseListener closes a listener. Its connections are served on.
+// CloseListener closes a listener. Its connections continue to be served.
 func (s *Server) CloseListener(ln net.Listener) { s.listeners.Close(ln) }
 
-// Close closes all listeners and connections at once.
+// Close closes all listeners and connections immediately.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
--- a/internal/frontend/http1/server_test.go
+++ b/internal/frontend/http1/server_test.go
@@ -70,7 +70,7 @@
 
 // A listener that comes after Shutdown is called is closed, as its clients would not be served to the end.
 func TestServeAfterShutdownClosesListener(t *testing.T) {
-	host, release := newHoldingHost(t)
+	host, release := newBlockingHost(t)
 	g := startGateway(t, withHosts(host))
 	// While it has a request, Shutdown lasts for seconds: a Serve that returns before has not waited for its end.
 	io.WriteString(g.dial(), testutil.LookRequest(testutil.NewID()))
@@ -114,13 +114,13 @@
 	return l.Listener.Accept()
 }
 
-// shortListener fails a number of times as if there were no descriptors left.
-type shortListener struct {
+// emfileListener fails a number of times as if there were no descriptors left.
+type emfileListener struct {
 	net.Listener
 	failures atomic.Int32
 }
 
-func (l *shortListener) Accept() (net.Conn, error) {
+func (l *emfileListener) Accept() (net.Conn, error) {
 	if l.failures.Add(-1) >= 0 {
 		return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
 	}
@@ -129,9 +129,9 @@
 
 // A listener that fails for want of descriptors goes on when there are some again, and its connections are served on after
 // CloseListener.
-func TestServeGoesOnAfterShortageOfDescriptors(t *testing.T) {
+func TestServeContinuesAfterAcceptFailures(t *testing.T) {
 	g := startGateway(t, withHealthyHost(t))
-	ln := &shortListener{Listener: testutil.Listen(t, "127.0.0.1:0", nil)}
+	ln := &emfileListener{Listener: testutil.Listen(t, "127.0.0.1:0", nil)}
 	ln.failures.Store(3)
 	served := make(chan error, 1)
 	go func() { served <- g.server.Serve(ln) }()
--- a/internal/frontend/http1/shutdown.go
+++ b/internal/frontend/http1/shutdown.go
@@ -8,46 +8,49 @@
 	"dunemoor/internal/frontend"
 )
 
-// The times of a Shutdown. The steps after the listeners are closed come sooner if no connection is in use any more. With
-// SharedListeners the listeners are closed, and connections begin to end with their responses, at SIGTERM.
+// Schedule of Shutdown. "Kill" is the time at which the process is expected to be killed. The steps after the listeners
+// are closed happen earlier if no connection is in use any more. With SharedListeners, the listeners are closed at SIGTERM,
+// and from then on connections are closed after their current response.
 //
 //	SIGTERM                         all responses are due at kill - 0.2 s, the health check fails
 //	SIGTERM + 0.6 s                 listeners are closed                      frontend.BacklogGrace
-//	kill - 0.5 s                    connections end with their responses,     responseMargin + lastRequestsTime
-//	                                tunnels end
+//	kill - 0.5 s                    connections are closed after their        responseMargin + lastRequestsTime
+//	                                current response, tunnels are closed
 //	kill - 0.3 s                    connections without a request are closed  responseMargin + closeIdleTime
 //	kill - 0.2 s                    all responses are due                     responseMargin
 //	kill - 0.05 s                   Shutdown returns                          exitMargin
 //	kill: SIGTERM + 0.7 s + the longest deadline, 3 s at most                 killGrace, maxKillDeadline
 //
-// The FastCGI server has another rule: shutdownTimeout there.
+// The FastCGI server uses a fixed time instead, shutdownTimeout in package fastcgi.
 const (
-	// The process is killed killGrace and the longest deadline, but at most maxKillDeadline, after SIGTERM.
+	// The process is killed after SIGTERM plus killGrace plus the longest deadline, which counts as maxKillDeadline at
+	// most.
 	killGrace       = 700 * time.Millisecond
 	maxKillDeadline = 3 * time.Second
-	// responseMargin is how long before the kill all responses are due, so that they can be written on a shared core.
+	// responseMargin is the time before the kill at which all responses are due. It leaves time to write them even if the
+	// process shares a core.
 	responseMargin = 200 * time.Millisecond
-	// exitMargin is how long before the kill the process exits, whatever clients have still to receive.
+	// exitMargin is the time before the kill at which the process exits, even if some responses are incomplete.
 	exitMargin = 50 * time.Millisecond
 
-	// Clients use their connections for as long as they are open, and may have no other gateway. So connections end
-	// with their responses only for lastRequestsTime before all responses are due, in which most of those in use carry
-	// a request.
+	// lastRequestsTime is the time before all responses are due from which connections are closed after their current
+	// response. It is short because clients use their connections for as long as they are open, and may have no other
+	// gateway. It is long enough that most connections in use carry a request in this time.
 	lastRequestsTime = 300 * time.Millisecond
-	// closeIdleTime is how long before all responses are due connections without a request are closed. Most requests in
-	// flight then are still answered.
+	// closeIdleTime is the time before all responses are due at which connections without a request are closed. Most of
+	// the requests that are in flight at that time can still be answered.
 	closeIdleTime = 100 * time.Millisecond
 
-	// shutdownPollInterval is how often Shutdown looks whether it can go on.
+	// shutdownPollInterval is the interval at which Shutdown checks whether it can proceed to the next step.
 	shutdownPollInterval = 10 * time.Millisecond
-	// drainCloseInterval is how often a drain closes connections without a request.
+	// drainCloseInterval is the interval at which a drain closes connections without a request.
 	drainCloseInterval = 20 * time.Millisecond
 )
 
-// Shutdown ends the service gracefully. It accepts connections until no new client comes, serves those that are open
-// until shortly before the kill, then lets each end with its response, closes those without a request, and waits for the
-// rest. With SharedListeners it accepts nothing from the start, and connections end with their next response: a client
-// that comes back meets the process that takes over.
+// Shutdown stops the server gracefully. It accepts connections for frontend.BacklogGrace, in which new clients may still
+// connect, and serves all open connections until shortly before the kill. Then it closes each connection after its current
+// response, closes those without a request, and waits for the rest. With SharedListeners it stops accepting immediately
+// and closes each connection after its next response; clients that reconnect are accepted by the process that takes over.
 func (s *Server) Shutdown() {
 	longestDeadline := time.Duration(s.longestDeadline.Load())
 	kill := time.Now().Add(killGrace + min(longestDeadline, maxKillDeadline))
@@ -74,15 +77,16 @@
 	s.resetUnfinishedResponses()
 }
 
-// closeListeners closes all listeners, in order with Serve.
+// closeListeners closes all listeners. It holds mu, so that a concurrent Serve either has added its listener before or
+// closes it.
 func (s *Server) closeListeners() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.listeners.CloseAll()
 }
 
-// resetUnfinishedResponses makes the connections of responses that end with their connection end with a reset when the
-// process exits, so that clients see that these responses are incomplete.
+// resetUnfinishedResponses makes the kernel reset all connections with an unfinished close-delimited response when the
+// process exits. With a regular close, clients could not detect that the response is truncated.
 func (s *Server) resetUnfinishedResponses() {
 	s.mu.Lock()
 	watcher := s.watcher
@@ -91,13 +95,13 @@
 		return
 	}
 	for _, c := range watcher.open() {
-		if c.responseUntilClose.Load() {
+		if c.closeDelimited.Load() {
 			c.SetLinger(0)
 		}
 	}
 }
 
-// waitWhile waits until a condition no longer holds, or for a time.
+// waitWhile waits until a condition no longer holds, or until the given time.
 func waitWhile(holds func() bool, until time.Time) {
 	ticker := time.NewTicker(shutdownPollInterval)
 	defer ticker.Stop()
@@ -106,8 +110,8 @@
 	}
 }
 
-// RunDrain closes connections without a request while a drain is in that state, until ctx is canceled. The rest of a
-// drain follows from its state at each request.
+// RunDrain closes connections without a request whenever a drain is in the state drain.Closing. It returns when ctx is
+// canceled. The other effects of a drain are evaluated at each request.
 func (s *Server) RunDrain(ctx context.Context) {
 	for {
 		state, remaining := s.admission.Draining()
--- a/internal/frontend/http1/streaming.go
+++ b/internal/frontend/http1/streaming.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// uploadLingerTimeout is how long the body of a client is read and discarded that is still sending it when it has its
-	// response. There is no limit of bytes, as what it has sent may fill all buffers on the way.
+	// uploadLingerTimeout is how long a request body is read and discarded if the client is still sending it after the
+	// response. The number of bytes is not limited, because the data in transit may fill all buffers along the path.
 	uploadLingerTimeout = 2 * time.Second
 	noByteLimit         = 1<<63 - 1
 )
 
-// serveStreaming answers a request on a route that streams, and reports whether the connection stays open.
+// serveStreaming processes a request on a route with Streams, and reports whether the connection stays open.
 func (s *Server) serveStreaming(c *clientConn, t *frontend.Ticket) (keepAlive bool) {
 	plain := t.Route.Plain
 	if t.Upgrade != "" {
@@ -48,8 +48,8 @@
 	return s.writeStreaming(ctx, c, t, &resp)
 }
 
-// writeStreaming writes a response on a route that streams, and reports whether the connection stays open. It does not if
-// the client is still sending its body.
+// writeStreaming writes a response on a route with Streams, and reports whether the connection stays open. The connection
+// is closed if the client is still sending its body.
 func (s *Server) writeStreaming(ctx context.Context, c *clientConn, t *frontend.Ticket, resp *engine.Response) (keepAlive bool) {
 	requestStream := t.Body.Stream()
 	uploading := requestStream != nil && requestStream.Err() != io.EOF
@@ -72,7 +72,7 @@
 			return false
 		}
 	} else if err := s.forwardStream(ctx, c, t, resp); err != nil {
-		// The connection is reset, so that the client sees that the response is incomplete.
+		// Reset the connection, so that the client can detect that the response is incomplete.
 		if requestStream != nil {
 			requestStream.Close()
 		}
@@ -85,7 +85,7 @@
 	return !uploading
 }
 
-// failUpload answers a request that has failed because its streamed body can't be read, and closes the connection.
+// failUpload writes an error response to a request whose streamed body cannot be read, and closes the connection.
 func (s *Server) failUpload(c *clientConn, stream *body.Stream, err error) {
 	err = c.upload.requestError(err)
 	if c.writeError(frontend.StatusCode(err), err.Error(), "") == nil {
@@ -99,12 +99,12 @@
 	s.lingeringClose(c, uploadLingerTimeout, noByteLimit)
 }
 
-// forwardStream writes a response with a streamed body. An error means that the client has not got all of it.
+// forwardStream writes a response with a streamed body. An error means that the client has not received all of it.
 func (s *Server) forwardStream(ctx context.Context, c *clientConn, t *frontend.Ticket, resp *engine.Response) error {
 	buf := s.admission.Bodies.AcquireBuffer()
 	if buf == nil {
 		resp.Release()
-		// A host has run the request, so it can't be rejected.
+		// A host has processed the request, so the response must not invite a retry.
 		return c.writeError(http.StatusBadGateway, "too much is being held, it may have been done", "")
 	}
 	defer s.admission.Bodies.ReleaseBuffer(buf)
@@ -117,12 +117,12 @@
 		meter:    body.Meter{Pace: t.Route.Streams.Pace},
 		deadline: body.LazyDeadline{SetDeadline: c.SetWriteDeadline},
 	}
-	// The connection's own deadline doesn't stand any more afterwards.
+	// The streamWriter has replaced the write deadline, so the state of c.writeDeadline is reset afterwards.
 	defer func() { c.writeDeadline = body.LazyDeadline{SetDeadline: c.writeDeadline.SetDeadline} }()
 	if resp.Body.Len() < 0 {
 		w.chunked = !c.request.HTTP10
-		c.responseUntilClose.Store(!w.chunked)
-		defer c.responseUntilClose.Store(false)
+		c.closeDelimited.Store(!w.chunked)
+		defer c.closeDelimited.Store(false)
 	}
 	if err := w.writeStart(resp, header); err != nil {
 		return err
@@ -131,15 +131,15 @@
 	return w.copy(ctx, resp.Body.Stream(), *buf)
 }
 
-// streamWriter writes a response with a streamed body to a client, within the pace that the route allows.
+// streamWriter writes a response with a streamed body to a client. It enforces the minimum pace of the route.
 type streamWriter struct {
 	c        *clientConn
 	meter    body.Meter
 	deadline body.LazyDeadline
-	chunked  bool // else the body has a length, or ends with the connection
+	chunked  bool // if false, the body has a Content-Length or is ended by closing the connection
 }
 
-// writeStart writes the header section and the part of the body that is buffered.
+// writeStart writes the header section and the buffered part of the body.
 func (w *streamWriter) writeStart(resp *engine.Response, header http.Header) error {
 	length := max(resp.Body.Len(), lengthUnknown)
 	buffered := resp.Body.Bytes()
@@ -154,7 +154,7 @@
 	return err
 }
 
-// copy copies a stream through buf, with the end of the body after its last byte.
+// copy copies a stream to the client through buf, and then writes the end of the body.
 func (w *streamWriter) copy(ctx context.Context, stream *body.Stream, buf []byte) error {
 	for {
 		n, err := stream.Read(buf[httpwire.ChunkPrefixBytes : len(buf)-httpwire.ChunkSuffixBytes])
@@ -175,7 +175,7 @@
 	}
 }
 
-// writeContent writes n bytes of content that are in buf from httpwire.ChunkPrefixBytes on.
+// writeContent writes the n bytes of content that start at index httpwire.ChunkPrefixBytes of buf.
 func (w *streamWriter) writeContent(buf []byte, n int) error {
 	out := buf[httpwire.ChunkPrefixBytes:][:n]
 	if w.chunked {
@@ -189,7 +189,7 @@
 	return w.meter.Record(n, time.Since(start))
 }
 
-// writeEnd writes the last chunk of a body in chunks, with the trailer section.
+// writeEnd writes the last chunk and the trailer section of a chunked body.
 func (w *streamWriter) writeEnd(stream *body.Stream) error {
 	if !w.chunked {
 		return nil
--- a/internal/frontend/http1/tunnel.go
+++ b/internal/frontend/http1/tunnel.go
@@ -13,22 +13,22 @@
 	"dunemoor/internal/httpwire"
 )
 
-// webSocketGoingAway is a WebSocket close frame with status 1001, going away (RFC 6455, 7.4.1).
+// webSocketGoingAway is a WebSocket close frame with status 1001, "going away" (RFC 6455, 7.4.1).
 var webSocketGoingAway = []byte{0x88, 0x02, 0x03, 0xe9}
 
-// tunnel copies bytes both ways between a client and a host that have switched to another protocol.
+// tunnel copies bytes in both directions between a client and a host that have switched to another protocol.
 type tunnel struct {
 	client      *clientConn
 	host        engine.Tunnel
 	protocol    string
-	idleTimeout time.Duration // without a byte from either side
+	idleTimeout time.Duration // maximum time without a byte from either side
 	bodies      *body.Budget
 }
 
-// runTunnel writes the response that switches protocols, and copies until both sides have ended, one breaks, or the server
-// shuts down.
+// runTunnel writes the response that switches protocols, and copies until both sides have been closed, either of them
+// fails, or the server shuts down.
 func (s *Server) runTunnel(c *clientConn, t *frontend.Ticket, resp *engine.Response) {
-	s.conns.remove(c) // a tunnel counts by itself
+	s.conns.remove(c) // tunnels have a separate limit
 	tunnel := &tunnel{
 		client:      c,
 		host:        resp.Tunnel,
@@ -55,7 +55,7 @@
 	copies.Wait()
 }
 
-// writeSwitch writes the response that switches protocols (RFC 9110, 15.2.2).
+// writeSwitch writes the 101 response that switches protocols (RFC 9110, 15.2.2).
 func (t *tunnel) writeSwitch(header http.Header) error {
 	frontend.RemoveHopByHopHeaders(header)
 	header.Set("Upgrade", t.protocol)
@@ -68,15 +68,16 @@
 	return err
 }
 
-// resetDeadlines sets the deadlines of both sides. A byte from either keeps both open.
+// resetDeadlines sets the deadlines of both sides to idleTimeout from now. It is called when a byte arrives from either
+// side.
 func (t *tunnel) resetDeadlines() {
 	deadline := time.Now().Add(t.idleTimeout)
 	t.client.SetDeadline(deadline)
 	t.host.SetDeadline(deadline)
 }
 
-// copy copies from one side to the other. At the end of one it calls closeWrite, which closes the other for writing; after
-// an error it closes both.
+// copy copies from one side to the other. At the end of the input it calls closeWrite, which closes the other side for
+// writing. After an error it closes both sides.
 func (t *tunnel) copy(to io.Writer, from io.Reader, closeWrite func() error) {
 	buf := t.bodies.AcquireBuffer()
 	if buf == nil {
@@ -103,7 +104,7 @@
 	}
 }
 
-// goAway closes the tunnel because the server shuts down. A WebSocket client is told so.
+// goAway closes the tunnel because the server shuts down. A WebSocket client is first sent a close frame.
 func (t *tunnel) goAway() {
 	if strings.EqualFold(t.protocol, "websocket") {
 		t.client.SetWriteDeadline(time.Now().Add(closeIdleTime))
@@ -112,7 +113,7 @@
 	t.close()
 }
 
-// close closes both sides.
+// close closes both sides immediately.
 func (t *tunnel) close() {
 	t.client.TCPConn.Close()
 	t.host.Close()
--- a/internal/frontend/http1/upload.go
+++ b/internal/frontend/http1/upload.go
@@ -17,26 +17,26 @@
 // errBodyTooLong is the error of a streamed body that is longer than its route allows.
 var errBodyTooLong = errors.New("read request body: longer than the route allows")
 
-// upload reads the streamed body of a request. It is the body.Source of its stream.
+// upload reads the streamed body of a request. It implements body.Source.
 type upload struct {
 	c        *clientConn
 	body     *bodyReader
 	ticket   *frontend.Ticket
 	meter    body.Meter
 	deadline body.LazyDeadline
-	maxBytes int64 // 0: any length
+	maxBytes int64 // maximum length of the body; 0 means unlimited
 
 	reading sync.Mutex // held during Read
-	bytes   int64      // read so far; guarded by reading
+	bytes   int64      // number of bytes read so far; guarded by reading
 
-	mu     sync.Mutex // guards closed, and the connection's read deadline with it
+	mu     sync.Mutex // guards closed, and is held while the connection's read deadline is set
 	closed bool
 
 	complete      atomic.Bool        // the last byte has arrived
-	cancelRequest context.CancelFunc // set by requestContext
+	cancelRequest context.CancelFunc // cancels the context that requestContext returned; nil before
 }
 
-// startUpload reads the part of the body of a request that is buffered. If there is more the rest is streamed.
+// startUpload reads the part of a request body that is buffered. The rest of the body, if any, is streamed.
 func (c *clientConn) startUpload(t *frontend.Ticket) error {
 	streams := t.Route.Streams
 	u := &upload{
@@ -49,10 +49,10 @@
 	}
 	length := c.request.ContentLength
 	limit := t.MaxBuffered()
-	// On a plain route the host decides whether to ask for the body. Hosts that speak the platform's protocol don't: for
-	// them reading the body asks for it.
-	hostAsks := c.request.ExpectContinue && t.Route.Plain != nil
-	if hostAsks {
+	// On a plain route the host decides whether to send 100 Continue. Hosts that use the platform's protocol never send
+	// it; for them, 100 Continue is sent when the body is first read.
+	hostSendsContinue := c.request.ExpectContinue && t.Route.Plain != nil
+	if hostSendsContinue {
 		u.stream(nil, length)
 		return nil
 	}
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// bufferWhole reads a body of a length as a whole.
+// bufferWhole reads the complete body, of the given length, into memory.
 func (u *upload) bufferWhole(length int64) error {
 	buf, err := u.ticket.AllocBody(length)
 	if err != nil {
@@ -88,13 +88,13 @@
 	return nil
 }
 
-// stream makes the rest of the body a stream.
+// stream sets the body of the ticket to the buffered part followed by a stream of the rest.
 func (u *upload) stream(buffered []byte, length int64) {
 	u.c.upload = u
 	u.ticket.Body = body.NewStreamed(buffered, body.NewStream(u, length))
 }
 
-// Read is as in io.Reader, within the pace and the length that the route allows.
+// Read implements io.Reader. It returns an error if the body is slower or longer than the route allows.
 func (u *upload) Read(p []byte) (int, error) {
 	u.reading.Lock()
 	defer u.reading.Unlock()
@@ -117,12 +117,12 @@
 		return n, err
 	}
 	if err != nil && u.isClosed() {
-		err = body.ErrConsumed // Close has ended the read: this is no fault of the client's
+		err = body.ErrConsumed // Close has interrupted the read; the client is not at fault
 	}
 	return n, err
 }
 
-// setDeadline sets the deadline of the next read, unless the upload is closed.
+// setDeadline sets the deadline of the next read. It returns false if the upload has been closed.
 func (u *upload) setDeadline(now time.Time) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -133,8 +133,8 @@
 	return true
 }
 
-// setComplete notes that the last byte has arrived. If the body is streamed the timeout counts from now. If the client has
-// closed its side of the connection meanwhile it has left, which was not certain before.
+// setComplete marks a streamed body as complete and starts the timeout of the request. If the client has closed its side
+// of the connection in the meantime, the request is canceled: as the body is complete, this now counts as a disconnect.
 func (u *upload) setComplete() {
 	if u.ticket.Body.Buffered() {
 		return
@@ -153,10 +153,11 @@
 	return u.closed
 }
 
-// Trailer returns the fields of the trailer section that are forwarded.
+// Trailer returns the fields of the trailer section that may be forwarded.
 func (u *upload) Trailer() http.Header { return frontend.ForwardedTrailer(u.body.Trailer()) }
 
-// Close ends a Read in progress, and returns once there is none: the connection belongs to its goroutine again.
+// Close interrupts a Read in progress, unless complete is set, and waits until it has returned. After that only the
+// connection's own goroutine uses the connection.
 func (u *upload) Close(complete bool) {
 	u.mu.Lock()
 	u.closed = true
@@ -168,9 +169,10 @@
 	defer u.reading.Unlock()
 }
 
-// requestContext returns the context of a request with a streamed body, and a function that releases it. A client that
-// closes its side of the connection before the end of the body has not left if the body is on its way to a host: it gets
-// the response to the incomplete body. If no host has any of the body, nothing is sent and the context is canceled.
+// requestContext returns the context of a request with a streamed body, and a function that releases it. If the client
+// closes its side of the connection before the end of the body, but an attempt has already started to send the stream to
+// a host, the context is not canceled, and the client receives the response to the incomplete body. If no attempt has
+// started to read the stream, the context is canceled, so that nothing is sent to a host.
 func (u *upload) requestContext() (context.Context, func()) {
 	ctx, cancel := context.WithCancel(context.WithoutCancel(u.c.ctx))
 	u.cancelRequest = cancel
@@ -186,7 +188,7 @@
 	}
 }
 
-// requestError returns the error that the client gets if its body can't be read.
+// requestError returns the error that is sent to the client if reading its body has failed with err.
 func (u *upload) requestError(err error) error {
 	switch {
 	case err == errBodyTooLong:
--- a/internal/frontend/ids.go
+++ b/internal/frontend/ids.go
@@ -7,27 +7,28 @@
 )
 
 const (
-	// idMemory is how long an id is remembered after its request has ended, at least. A duplicate may have been on its
-	// way until then. An id is remembered for twice that at most.
-	idMemory = 2 * time.Second
-	// maxIDLength is the longest id of a request, in bytes.
+	// idRetention is the minimum time for which an id is kept after its request has ended, because a duplicate may still
+	// be in transit. An id is kept for at most twice this time.
+	idRetention = 2 * time.Second
+	// maxIDLength is the maximum length of a request id in bytes.
 	maxIDLength = 64
 )
 
-// requestIDs holds the ids of requests that are open or ended a moment ago. Hosts can't tell two requests with one id
-// apart. Its size is bounded by the connections of clients and the requests within twice idMemory.
+// requestIDs holds the ids of requests that are open or have recently ended, so that no id is used twice: hosts cannot
+// distinguish two requests with the same id. Its size is bounded by the number of client connections plus the number of
+// requests within twice idRetention.
 type requestIDs struct {
-	mu        sync.Mutex // guards all below
-	open      map[uint64]struct{}
-	recent    map[uint64]struct{} // ended since rotatedAt
-	older     map[uint64]struct{} // ended in the period before
+	mu        sync.Mutex          // guards the fields below
+	open      map[uint64]struct{} // hashes of the ids of open requests
+	recent    map[uint64]struct{} // hashes of the ids of requests that ended since rotatedAt
+	older     map[uint64]struct{} // hashes of the ids of requests that ended in the period before rotatedAt
 	rotatedAt time.Time
 }
 
-// idSeed makes the hashes of ids unpredictable for clients.
+// idSeed is a random hash seed, so that clients cannot choose ids whose hashes collide.
 var idSeed = maphash.MakeSeed()
 
-// start opens an id and reports whether it was free.
+// start marks an id as open and reports whether it was unused.
 func (s *requestIDs) start(id string, now time.Time) bool {
 	hash := maphash.String(idSeed, id)
 	s.mu.Lock()
@@ -42,7 +43,7 @@
 	return true
 }
 
-// rotate forgets the ids that ended two periods ago; mu is held.
+// rotate drops the ids of requests that ended before the previous period. The caller holds mu.
 func (s *requestIDs) rotate(now time.Time) {
 	if s.open == nil {
 		s.open = map[uint64]struct{}{}
@@ -51,18 +52,18 @@
 		return
 	}
 	age := now.Sub(s.rotatedAt)
-	if age <= idMemory {
+	if age <= idRetention {
 		return
 	}
 	s.older = s.recent
-	if age > 2*idMemory {
+	if age > 2*idRetention {
 		s.older = nil
 	}
 	s.recent = map[uint64]struct{}{}
 	s.rotatedAt = now
 }
 
-// end closes an open id.
+// end marks the id of an open request as recently ended.
 func (s *requestIDs) end(id string) {
 	hash := maphash.String(idSeed, id)
 	s.mu.Lock()
@@ -78,7 +79,7 @@
 	return len(s.open)
 }
 
-// isValidID reports whether an id has only characters without a meaning in header sections and logs.
+// isValidID reports whether an id has a valid length and only characters that need no escaping in headers and logs.
 func isValidID(id string) bool {
 	if id == "" || len(id) > maxIDLength {
 		return false
--- a/internal/frontend/ids_test.go
+++ b/internal/frontend/ids_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// An id can't be used again while its request is open and a moment after, and is forgotten later: its memory must not
-// grow with the number of requests.
-func TestRequestIDsAreForgotten(t *testing.T) {
+// An id is rejected while its request is open and for idRetention afterwards, and is then dropped. The test guards against
+// a table of ids that grows with the number of requests.
+func TestRequestIDsAreDropped(t *testing.T) {
 	ids := &requestIDs{}
 	now := time.Now()
 	const id = "an id"
@@ -30,12 +30,12 @@
 		}
 		ids.end(other)
 	}
-	remembered := len(ids.recent) + len(ids.older)
-	limit := 2*int(idMemory/time.Millisecond) + 2
-	if open := ids.numOpen(); open != 0 || remembered > limit {
-		t.Errorf("%d ids open and %d remembered, want 0 and at most %d", open, remembered, limit)
+	retained := len(ids.recent) + len(ids.older)
+	limit := 2*int(idRetention/time.Millisecond) + 2
+	if open := ids.numOpen(); open != 0 || retained > limit {
+		t.Errorf("got %d open and %d retained ids, want 0 and at most %d", open, retained, limit)
 	}
 	if !ids.start(id, now) {
-		t.Error("an id that has ended long ago: got in use, want free")
+		t.Error("an id whose retention has passed: got in use, want free")
 	}
 }
--- a/internal/frontend/listeners.go
+++ b/internal/frontend/listeners.go
@@ -8,20 +8,21 @@
 	"time"
 )
 
-// Listeners are the listeners of a frontend, each with its options. The zero value has none. Its methods may be called
-// by any goroutine.
+// Listeners is the set of listeners of a frontend, each with its options. The zero value is an empty set. Its methods are
+// safe for concurrent use.
 type Listeners[Options any] struct {
 	mu      sync.Mutex // guards options
 	options map[net.Listener]*atomic.Pointer[Options]
 }
 
-// AcceptBackoff bounds how long nothing is accepted after Accept has failed. It doubles with each failure in a row.
+// AcceptBackoff bounds the delay before Accept is retried after a failure. The delay doubles with each consecutive
+// failure.
 type AcceptBackoff struct{ Min, Max time.Duration }
 
-// SetOptions sets the options of a listener, for connections that are yet to be accepted.
+// SetOptions sets the options of a listener. They apply to connections that are accepted afterwards.
 func (l *Listeners[Options]) SetOptions(ln net.Listener, o Options) { l.Add(ln).Store(&o) }
 
-// Add adds a listener, unless it is there, and returns its options, which are zero unless set.
+// Add adds a listener if it is not in the set yet, and returns its options, which are zero until SetOptions is called.
 func (l *Listeners[Options]) Add(ln net.Listener) *atomic.Pointer[Options] {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -38,9 +39,9 @@
 	return options
 }
 
-// Serve calls handle with each connection that a listener accepts, which Add has added. It returns nil once Close or
-// CloseAll has closed the listener, and an error if the listener was closed otherwise. After any other failure of
-// Accept, as descriptors may be short or the client has left already, it waits for backoff and goes on.
+// Serve calls handle with each connection that ln accepts. The caller must have added ln to the set. Serve returns nil
+// once Close or CloseAll has closed ln, and an error if ln was closed by other means. After any other failure of Accept,
+// such as a lack of file descriptors or a connection that the client has already aborted, it retries with a backoff.
 func (l *Listeners[Options]) Serve(ln net.Listener, backoff AcceptBackoff, handle func(net.Conn, *Options)) error {
 	options, found := l.get(ln)
 	if !found {
@@ -65,7 +66,7 @@
 	}
 }
 
-// get returns the options of a listener, and whether it is there.
+// get returns the options of a listener, and whether it is in the set.
 func (l *Listeners[Options]) get(ln net.Listener) (options *atomic.Pointer[Options], found bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -73,20 +74,20 @@
 	return options, found
 }
 
-// Close closes and removes a listener. Its connections stay open.
+// Close closes a listener and removes it from the set. Its connections stay open.
 func (l *Listeners[Options]) Close(ln net.Listener) {
 	l.mu.Lock()
 	delete(l.options, ln)
 	l.mu.Unlock()
-	ln.Close() // fails only if it is closed
+	ln.Close() // the only error is that it is already closed
 }
 
-// CloseAll closes and removes all listeners.
+// CloseAll closes all listeners and removes them from the set.
 func (l *Listeners[Options]) CloseAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for ln := range l.options {
 		delete(l.options, ln)
-		ln.Close() // fails only if it is closed
+		ln.Close() // the only error is that it is already closed
 	}
 }
--- a/internal/frontend/listeners_test.go
+++ b/internal/frontend/listeners_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// failingListener fails each Accept with the next of its errors.
+// failingListener is a listener whose Accept returns the given errors in order.
 type failingListener struct {
 	net.Listener
 	failures []error
@@ -22,8 +22,10 @@
 
 func (l *failingListener) Close() error { return nil }
 
-func TestListenersServeReportsOnlyForeignClose(t *testing.T) {
-	shortage := errors.New("too many open files")
+// Serve retries after other errors of Accept, and returns an error only if the listener was closed by other means than
+// Close or CloseAll.
+func TestListenersServeReturnsErrorIfClosedByOthers(t *testing.T) {
+	errTooManyFiles := errors.New("too many open files")
 	backoff := AcceptBackoff{Min: time.Millisecond, Max: time.Millisecond}
 	for _, tt := range []struct {
 		name    string
@@ -31,11 +33,11 @@
 		want    error
 		accepts int
 	}{
-		{"closed by another", false, net.ErrClosed, 3},
-		{"removed before", true, nil, 0},
+		{"closed by other means", false, net.ErrClosed, 3},
+		{"closed and removed before Serve", true, nil, 0},
 	} {
 		var listeners Listeners[struct{}]
-		ln := &failingListener{failures: []error{shortage, shortage, net.ErrClosed}}
+		ln := &failingListener{failures: []error{errTooManyFiles, errTooManyFiles, net.ErrClosed}}
 		listeners.Add(ln)
 		if tt.removed {
 			listeners.Close(ln)
@@ -68,10 +70,10 @@
 	}
 	defer c.Close()
 	if got := <-options; got != 7 {
-		t.Errorf("options of the connection: got %d, want 7", got)
+		t.Errorf("listener options passed to the handler: got %d, want 7", got)
 	}
 	listeners.CloseAll()
 	if err := <-served; err != nil {
-		t.Errorf("after CloseAll: got %v, want nil", err)
+		t.Errorf("Serve after CloseAll: got %v, want nil", err)
 	}
 }
--- a/internal/frontend/plain.go
+++ b/internal/frontend/plain.go
@@ -10,9 +10,9 @@
 	"dunemoor/balancer"
 )
 
-// preparePlain is prepare for a request on a plain route, which needs none of the platform's headers: its class and
-// timeout are the route's, and it gets an id if it has none. An id of the client's own is forwarded, and need not be
-// unique.
+// preparePlain implements prepare for a request on a plain route, where the headers of the platform's protocol are
+// optional. The route determines the class and the timeout. A request without a valid id is assigned one; an id that the
+// client has set is forwarded and does not have to be unique.
 func (t *Ticket) preparePlain(m *Message) error {
 	limit := t.admission.MaxHeaders
 	if limit > 0 && countFields(m.Header) > limit {
@@ -31,7 +31,7 @@
 	}
 	t.timeout = t.plainTimeout(m.Header[headerTimeout])
 	RemoveHopByHopHeaders(t.Header)
-	delete(t.Header, headerTimeout) // hosts get a timeout of their own
+	delete(t.Header, headerTimeout) // the gateway sets a separate timeout for each attempt
 	if m.Client.Addr.IsValid() {
 		SetForwardedHeaders(t.Header, m.Client, m.Host)
 	}
@@ -42,8 +42,9 @@
 	return nil
 }
 
-// mayBeRetried reports whether the method allows a request to be sent again: a safe method does (RFC 9110, 9.2.1), and
-// else, for a class that is idempotent with a key, the key, and for other classes the route.
+// mayBeRetried reports whether a request may be sent again after a failure. Requests with a safe method (RFC 9110, 9.2.1)
+// may. Otherwise, in a class that is idempotent with a key, those with a key may; in other classes, those with a method
+// that the route lists as retryable.
 func (t *Ticket) mayBeRetried(m *Message) bool {
 	switch m.Method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodTrace:
@@ -57,8 +58,8 @@
 	return slices.Contains(plain.RetryableMethods, m.Method)
 }
 
-// plainTimeout returns the timeout of a request on a plain route: the route's or the deadline of its class, or what
-// the client asks for if that is shorter.
+// plainTimeout returns the timeout of a request on a plain route: the minimum of the route's timeout, the deadline of the
+// class, and the timeout in the client's header, if that is valid.
 func (t *Ticket) plainTimeout(header []string) time.Duration {
 	timeout := min(t.Route.Plain.Timeout, t.Route.Classes[t.Class].Deadline)
 	if len(header) != 1 {
--- a/internal/frontend/platform.go
+++ b/internal/frontend/platform.go
@@ -9,7 +9,7 @@
 	"dunemoor/balancer"
 )
 
-// platformHeaders are the headers of a request in the platform's protocol; "" for one that is missing.
+// platformHeaders are the headers of a request in the platform's protocol. A missing header is "".
 type platformHeaders struct {
 	id             string
 	class          string
@@ -19,7 +19,7 @@
 	idempotencyKey string
 }
 
-// readPlatformHeaders returns the headers of the platform's protocol. Each may be there once at most.
+// readPlatformHeaders returns the headers of the platform's protocol. It is an error if one of them is repeated.
 func readPlatformHeaders(header http.Header) (platformHeaders, error) {
 	var h platformHeaders
 	for _, field := range [...]struct {
@@ -44,7 +44,8 @@
 	return h, nil
 }
 
-// preparePlatform is prepare for a request in the platform's protocol. It checks its headers and applies the limits. Without an error its id is open.
+// preparePlatform implements prepare for a request in the platform's protocol. It validates the headers and applies the
+// limits. On success the request's id is marked as open.
 func (t *Ticket) preparePlatform(m *Message, received time.Time) error {
 	if m.HTTP10 {
 		return NewRequestError(http.StatusBadRequest, "requests come in HTTP/1.1")
@@ -66,14 +67,14 @@
 	if err := t.applyLimits(m); err != nil {
 		return err
 	}
-	// Hosts get a timeout of their own.
+	// The gateway sets a separate timeout for each attempt.
 	RemoveHopByHopHeaders(t.Header)
 	delete(t.Header, headerTimeout)
 	seconds, ok := parseSeconds(h.timeout)
 	if !ok {
 		return NewRequestError(http.StatusBadRequest, "%s: no number of seconds", headerTimeout)
 	}
-	// No client waits longer than the deadline of the class.
+	// The deadline of the class is the upper bound of the client's timeout.
 	deadline := t.Route.Classes[t.Class].Deadline
 	t.timeout = time.Duration(min(seconds, deadline.Seconds()) * float64(time.Second))
 	if !t.admission.ids.start(h.id, received) {
@@ -83,7 +84,7 @@
 	return nil
 }
 
-// setClassAndTenant sets the class and the tenant that a request names.
+// setClassAndTenant sets the class and the tenant from the headers of a request.
 func (t *Ticket) setClassAndTenant(h platformHeaders) error {
 	class, found := t.Route.ClassNames[h.class]
 	if !found {
@@ -101,9 +102,9 @@
 	return nil
 }
 
-// checkIdempotency checks that the method and the idempotency key agree with the class: an idempotent request is a GET
-// without a body, any other a POST, and one that is idempotent with a key has one, as without it no host would drop a
-// retry of the gateway's.
+// checkIdempotency checks that the method and the idempotency key match the class. An idempotent request must be a GET
+// without a body, and any other request a POST. In a class that is idempotent with a key the key is required, because
+// hosts use it to detect the gateway's retries.
 func (t *Ticket) checkIdempotency(m *Message, key string) error {
 	idempotency := t.Route.Classes[t.Class].Idempotency
 	validMethod := m.Method == http.MethodPost
@@ -119,7 +120,7 @@
 	return nil
 }
 
-// parseSeconds parses a number of seconds in decimal notation without a sign or an exponent.
+// parseSeconds parses a number of seconds in decimal notation, without a sign or an exponent.
 func parseSeconds(s string) (seconds float64, ok bool) {
 	seconds, err := strconv.ParseFloat(s, 64)
 	onlyDigits := strings.Trim(s, "0123456789.") == ""
--- a/internal/frontend/retryafter.go
+++ b/internal/frontend/retryafter.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// FullRetryAfter is the Retry-After of a request that a frontend answers with 503 by itself, as there is no memory for
-// its body, too many tunnels are open, or the gateway is starting. Most requests end within it, and release what they
-// hold. There are three others, each with its own rule: overload.RetryAfter (retryafter.go) for a RejectedError, the
-// balancer's for a request that it rejects, and the engine's for a rejected request with a streamed body.
+// FullRetryAfter is the Retry-After of a 503 response that a frontend generates because there is no memory for the body,
+// too many tunnels are open, or the gateway is starting. Most open requests end within this time and release their
+// resources. Three other cases have their own rules: overload.RetryAfter (retryafter.go) for a RejectedError, the
+// balancer for a request that it rejects, and the engine for a rejected request with a streamed body.
 const FullRetryAfter = 100 * time.Millisecond
 
-// FormatRetryAfter returns the value of a Retry-After header: in decimals for clients of the platform's protocol, and
-// else rounded up to whole seconds (RFC 9110, 10.2.3).
+// FormatRetryAfter returns the value of a Retry-After header in seconds. With wholeSeconds it is rounded up to an integer
+// (RFC 9110, 10.2.3); clients of the platform's protocol accept decimal fractions.
 func FormatRetryAfter(after time.Duration, wholeSeconds bool) string {
 	seconds := after.Seconds()
 	if wholeSeconds {
--- a/internal/frontend/shutdown.go
+++ b/internal/frontend/shutdown.go
@@ -2,6 +2,6 @@
 
 import "time"
 
-// BacklogGrace is how long after SIGTERM the servers of all protocols accept connections. Clients may still come for 0.4 s,
-// and those in a listener's backlog count as accepted.
+// BacklogGrace is how long after SIGTERM the servers of all protocols continue to accept connections. New clients may
+// connect for up to 0.4 s after SIGTERM, and connections in a listener's backlog count as accepted.
 const BacklogGrace = 600 * time.Millisecond
--- a/internal/frontend/target.go
+++ b/internal/frontend/target.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// originForm returns a request target in origin-form: for a target in absolute-form, its path and query (RFC 9112,
-// 3.2).
+// originForm converts a request target in absolute-form to origin-form, which is its path and query (RFC 9112, 3.2).
+// Other targets are returned unchanged.
 func originForm(target string) string {
 	if strings.HasPrefix(target, "/") {
 		return target
--- a/internal/frontend/ticket.go
+++ b/internal/frontend/ticket.go
@@ -12,35 +12,37 @@
 )
 
 const (
-	// MaxBodyBytes is the longest body of a request in the platform's protocol.
+	// MaxBodyBytes is the maximum length in bytes of a request body in the platform's protocol.
 	MaxBodyBytes = 32 << 20
-	// MaxBufferedBytes is the longest body of a request on a route without Streams, which is buffered as a whole. It is
-	// also the longest rest of a body that is read and discarded so that a connection can stay open.
+	// MaxBufferedBytes is the maximum length in bytes of a request body on a route without Streams, where the whole body
+	// is buffered. It is also the maximum number of unread body bytes that are read and discarded to keep a connection
+	// open.
 	MaxBufferedBytes = 64 << 10
-	// maxBufferedNearLimit is how much of a streamed body is buffered at most while memory for bodies is scarce.
+	// maxBufferedNearLimit is the maximum number of bytes of a streamed body that are buffered while the memory budget
+	// for bodies is nearly used up.
 	maxBufferedNearLimit = 4 << 10
 )
 
-// Ticket is an admitted request. It has what the request holds until its end: its id, its places in the limits, and
-// memory for its body. It belongs to the goroutine that serves the request.
+// Ticket is an admitted request. It owns the resources that the request holds until its end: its id, its share of the
+// limits, and the memory for its body. It must only be used by the goroutine that serves the request.
 type Ticket struct {
 	engine.Request
 	admission *Admission
 	snapshot  *engine.Snapshot
-	id        string        // open in the Admission; "": none
-	timeout   time.Duration // from the request's last byte to its response
+	id        string        // the id that is marked as open in the Admission, "" if there is none
+	timeout   time.Duration // time from the last byte of the request to the client's timeout
 
-	clientKey     uint64 // 0: unknown
-	clientCounted bool   // in flight, in the limits of clients
-	tenantCounted bool   // in flight, in the limits of tenants
-	tenantIndex   int
+	clientKey     uint64 // key of the client in the client limits; 0 if the client is unknown
+	clientCounted bool   // the request is counted as in flight in the client limits
+	tenantCounted bool   // the request is counted as in flight in the tenant limits
+	tenantIndex   int    // index of the tenant in the tenant limits
 
-	reservedBytes int64
-	page          []byte
+	reservedBytes int64  // bytes reserved in the memory budget for the body
+	page          []byte // memory allocated by AllocBody, nil if there is none
 }
 
-// prepare checks a request, finds its route and applies the limits. It sets what the engine needs of the request, other
-// than its body and deadline.
+// prepare validates a request, selects its route and applies the limits. It sets the fields of engine.Request other than
+// those for the body and the deadline.
 func (t *Ticket) prepare(m *Message, received time.Time) error {
 	t.Method = m.Method
 	t.Target = originForm(m.Target)
@@ -58,7 +60,7 @@
 	return t.preparePlatform(m, received)
 }
 
-// findRoute sets the route of a request, and what its split goes by.
+// findRoute sets the route of a request, and the key by which the route's traffic split is decided.
 func (t *Ticket) findRoute(m *Message) error {
 	if t.snapshot.Table == nil {
 		t.Route = t.snapshot.Route(nil)
@@ -82,7 +84,7 @@
 	return nil
 }
 
-// headerValue returns the value of a header, with its lines joined, and whether the request has it.
+// headerValue returns the value of a header, with its field lines joined, and whether the request has the header.
 func (t *Ticket) headerValue(name string) (string, bool) {
 	values, found := t.Header[http.CanonicalHeaderKey(name)]
 	if len(values) == 1 {
@@ -91,7 +93,8 @@
 	return strings.Join(values, ", "), found
 }
 
-// checkLength checks the length of a body in bytes, -1 if it is unknown, against the limit of the route.
+// checkLength checks the length of a body in bytes against the limit of the route. A length of -1 means unknown, which is
+// an error on a route without Streams.
 func (t *Ticket) checkLength(length int64) error {
 	limit := int64(MaxBufferedBytes)
 	if streams := t.Route.Streams; streams != nil {
@@ -105,7 +108,8 @@
 	return nil
 }
 
-// ReserveBody reserves n bytes of the memory budget for the body, until no attempt uses it any more.
+// ReserveBody reserves n bytes of the memory budget for the body. They are released once no attempt uses the body any
+// more.
 func (t *Ticket) ReserveBody(n int64) error {
 	if !t.admission.Bodies.Reserve(body.RequestBodies, n) {
 		return NewRequestError(http.StatusServiceUnavailable, "too much is being held, trying again is harmless")
@@ -115,7 +119,7 @@
 	return nil
 }
 
-// AllocBody reserves n bytes for the body and returns memory for them.
+// AllocBody reserves n bytes of the memory budget for the body and returns a buffer of that size.
 func (t *Ticket) AllocBody(n int64) ([]byte, error) {
 	if err := t.ReserveBody(n); err != nil {
 		return nil, err
@@ -124,8 +128,8 @@
 	return t.page, nil
 }
 
-// releaseBody releases the memory of the body. The engine calls it, as an attempt may use the body after the client
-// has its response.
+// releaseBody releases the memory of the body. It is called by the engine, because an attempt may still use the body
+// after the response has been sent to the client.
 func (t *Ticket) releaseBody() {
 	t.admission.Bodies.Release(body.RequestBodies, t.reservedBytes)
 	if t.page != nil {
@@ -134,7 +138,7 @@
 	}
 }
 
-// MaxBuffered returns how many bytes of its body a request on a route with Streams may buffer now.
+// MaxBuffered returns the number of bytes of its body that a request on a route with Streams may currently buffer.
 func (t *Ticket) MaxBuffered() int64 {
 	limit := t.Route.Streams.BufferBytes
 	if t.admission.Bodies.NearLimit(body.RequestBodies) {
@@ -143,27 +147,28 @@
 	return limit
 }
 
-// SetReceived sets when the last byte of the request was received, which its timeout counts from. If the body is
-// streamed, that is when its buffered part was, and SetBodyReceived follows.
+// SetReceived sets the time at which the last byte of the request was received; the timeout starts then. If the body is
+// streamed, it is the time at which the buffered part was received, and SetBodyReceived is called later.
 func (t *Ticket) SetReceived(at time.Time) { t.Deadline = t.responseDue(at) }
 
-// SetBodyReceived sets when the last byte of a streamed body was received. The request is at the engine by then.
+// SetBodyReceived sets the time at which the last byte of a streamed body was received. It is called after the request
+// has been passed to the engine.
 func (t *Ticket) SetBodyReceived(at time.Time) { t.BodyArrived(t.responseDue(at)) }
 
-// responseDue returns when the response to a request is due that was received at a time: balancer.ClientMargin before the
-// client's timeout.
+// responseDue returns the time at which the response is due for a request that was received at the given time. It is
+// balancer.ClientMargin before the client's timeout.
 func (t *Ticket) responseDue(received time.Time) time.Time {
 	return received.Add(t.timeout - balancer.ClientMargin)
 }
 
-// Discard ends a request that is not handed to the engine.
+// Discard ends a request that is not passed to the engine, and releases the memory of its body.
 func (t *Ticket) Discard() {
 	t.releaseBody()
 	t.reservedBytes = 0
 	t.End()
 }
 
-// End ends a request whose client has its response or has left.
+// End ends a request once its response has been sent or its client has disconnected.
 func (t *Ticket) End() {
 	if stream := t.Body.Stream(); stream != nil {
 		stream.Close()
