--- a/internal/fastcgi/bench_test.go
+++ b/internal/fastcgi/bench_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// connListener is a listener that accepts one connection in memory.
+// connListener is a listener that accepts the in-memory connections that are sent to conns.
 type connListener struct {
 	conns chan net.Conn
 	done  chan struct{}
@@ -28,7 +28,7 @@
 func (l *connListener) Close() error   { return nil }
 func (l *connListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// benchResponder answers each request at once. It writes the response to w if that is set.
+// benchResponder answers each request as soon as it is complete. It writes the responses to w, if that is not nil.
 type benchResponder struct {
 	server *Server
 	w      io.Writer
@@ -53,7 +53,7 @@
 	}
 }
 
-// benchParams returns parameters of n header fields.
+// benchParams appends the parameters of n header fields to params.
 func benchParams(params []byte, n int) []byte {
 	for i := range n {
 		params = AppendPair(params, fmt.Sprintf("HTTP_X_HEADER_%d", i), "a value of the usual length")
@@ -61,7 +61,7 @@
 	return params
 }
 
-// BenchmarkServer decodes requests of 20 parameters and 1 KiB.
+// BenchmarkServer decodes requests with 20 parameters and a body of 1 KiB.
 func BenchmarkServer(b *testing.B) {
 	request := requestRecords(1, KeepConn, string(benchParams(nil, 20)), strings.Repeat("x", 1024))
 	var responder benchResponder
@@ -75,8 +75,8 @@
 	}
 }
 
-// BenchmarkBesideNetHTTP answers requests of 20 parameters and 16 KiB over a connection in memory, by Server and
-// by net/http/fcgi.
+// BenchmarkBesideNetHTTP processes requests with 20 parameters and a body of 16 KiB over an in-memory connection, with
+// Server and with net/http/fcgi.
 //
 //	go test -run xxx -bench Beside ./internal/fastcgi
 func BenchmarkBesideNetHTTP(b *testing.B) {
@@ -106,7 +106,7 @@
 	})
 }
 
-// serveBench answers the requests of a connection by a Server.
+// serveBench serves the requests of a connection with a Server and a benchResponder.
 func serveBench(c net.Conn) {
 	responder := &benchResponder{w: c, stdout: "Status: 200 OK\r\nContent-Type: text/plain\r\n\r\ndone"}
 	responder.server = NewServer(responder, 5)
@@ -119,7 +119,7 @@
 	}
 }
 
-// benchRoundTrips writes a request and reads up to the END_REQUEST, again and again.
+// benchRoundTrips repeatedly writes a request and reads the response up to its END_REQUEST.
 func benchRoundTrips(b *testing.B, c net.Conn, request []byte) {
 	var scanner Scanner
 	var rest []byte
--- a/internal/fastcgi/body.go
+++ b/internal/fastcgi/body.go
@@ -9,18 +9,17 @@
 // fixedBodyBytes is the length of the body of BEGIN_REQUEST, END_REQUEST and UNKNOWN_TYPE records.
 const fixedBodyBytes = 8
 
-// ErrBody reports a record whose body does not have the form that its type requires. Its text is sent to clients
-// in response bodies.
+// ErrBody reports a record whose body is not valid for its type. Its text is sent to clients in response bodies.
 var ErrBody = errors.New("fastcgi: the body of a record has not its form")
 
-// Role is the role that a BEGIN_REQUEST asks an application to act in (5.1).
+// Role is the role of the application in a BEGIN_REQUEST (5.1).
 type Role uint16
 
-// Responder is the role of CGI programs (6.2), the only one that is supported.
+// Responder is the role of CGI programs (6.2). It is the only role that is supported.
 const Responder Role = 1
 
-// KeepConn is the flag of a BEGIN_REQUEST that tells the application not to close the connection after the
-// request (5.1).
+// KeepConn is the flag of a BEGIN_REQUEST that instructs the application not to close the connection after the request
+// (5.1).
 const KeepConn = 1
 
 // BeginRequestBody is the body of a BEGIN_REQUEST record (5.1).
@@ -47,12 +46,12 @@
 // Status is the protocol status of an END_REQUEST (5.5).
 type Status uint8
 
-// Protocol statuses. All but RequestComplete reject a request that was not run.
+// Protocol statuses. All except RequestComplete mean that the request was rejected and has not been processed.
 const (
 	RequestComplete Status = 0
-	CantMultiplex   Status = 1 // the application processes one request at a time on a connection
-	Overloaded      Status = 2 // the application lacks some resource
-	UnknownRole     Status = 3 // the application does not act in the role
+	CantMultiplex   Status = 1 // the application processes only one request at a time per connection
+	Overloaded      Status = 2 // a resource of the application is exhausted
+	UnknownRole     Status = 3 // the application does not support the role
 )
 
 var statusNames = [...]string{
@@ -72,7 +71,7 @@
 
 // EndRequestBody is the body of an END_REQUEST record (5.5).
 type EndRequestBody struct {
-	AppStatus      uint32 // exit status of the program
+	AppStatus      uint32 // application status, which is the exit status of a CGI program
 	ProtocolStatus Status
 }
 
@@ -91,8 +90,8 @@
 	return append(b, byte(body.ProtocolStatus), 0, 0, 0)
 }
 
-// AppendUnknownType appends an UNKNOWN_TYPE record to b and returns the extended slice. It is the reply to a
-// management record of a type t that the application does not know (4.2).
+// AppendUnknownType appends an UNKNOWN_TYPE record to b and returns the extended slice. It is the reply to a management
+// record whose type t the application does not support (4.2).
 func AppendUnknownType(b []byte, t Type) []byte {
 	b = AppendHeader(b, Header{Type: UnknownType, ContentBytes: fixedBodyBytes})
 	return append(b, byte(t), 0, 0, 0, 0, 0, 0, 0)
--- a/internal/fastcgi/cgi.go
+++ b/internal/fastcgi/cgi.go
@@ -11,16 +11,15 @@
 	"dunemoor/internal/httpwire"
 )
 
-// ErrMalformedResponse reports output of an application that is not a CGI response.
+// ErrMalformedResponse reports that the output of an application is not a valid CGI response.
 var ErrMalformedResponse = errors.New("fastcgi: malformed response")
 
-// MaxResponseHeaderBytes limits the header section of a response.
+// MaxResponseHeaderBytes limits the length of the header section of a response.
 const MaxResponseHeaderBytes = 16 << 10
 
-// ParseResponseHeader parses the header section of a CGI response (RFC 3875, 6.2 and 6.3) at the front of the
-// output of an application. bodyStart is the index of the body in output, 0 if the header section is still
-// incomplete. Without a Status field the status is 302 if there is a Location field and 200 otherwise. The error
-// is ErrMalformedResponse.
+// ParseResponseHeader parses the header section of a CGI response (RFC 3875, 6.2 and 6.3) at the start of an
+// application's output. bodyStart is the index of the body in output, 0 if the header section is incomplete. Without a
+// Status field, the status is 302 if there is a Location field and 200 otherwise. The error is ErrMalformedResponse.
 func ParseResponseHeader(output []byte) (status int, header http.Header, bodyStart int, err error) {
 	header = http.Header{}
 	rest := output
@@ -52,7 +51,7 @@
 	return status, header, bodyStart, nil
 }
 
-// addResponseField adds the field of a line to a header.
+// addResponseField parses a field line and adds the field to a header.
 func addResponseField(header http.Header, line []byte) error {
 	rawName, value, ok := bytes.Cut(line, []byte(":"))
 	name := string(rawName)
@@ -64,8 +63,7 @@
 	return nil
 }
 
-// takeStatus removes the Status field (RFC 3875, 6.3.3) from a header and returns the status code of the
-// response.
+// takeStatus removes the Status field (RFC 3875, 6.3.3) from a header and returns the status code of the response.
 func takeStatus(header http.Header) (int, error) {
 	values := header["Status"]
 	switch len(values) {
@@ -86,8 +84,8 @@
 	return 0, ErrMalformedResponse
 }
 
-// ContentLength returns the length of a response's body in bytes, -1 if its header does not contain it. The
-// error, for a repeated or invalid length, is ErrMalformedResponse.
+// ContentLength returns the length of a response's body in bytes, -1 if the header has no Content-Length. The error is
+// ErrMalformedResponse if the field is repeated or invalid.
 func ContentLength(header http.Header) (int64, error) {
 	lengths := header["Content-Length"]
 	if len(lengths) == 0 {
@@ -100,9 +98,10 @@
 	return length, nil
 }
 
-// ParamName returns the name of the parameter that carries a header field (RFC 3875, 4.1.18), "" for a field that
-// must not become one: a name with an underscore could be confused with one with a dash, and many programs use
-// HTTP_PROXY as their proxy (httpoxy, CVE-2016-5385).
+// ParamName returns the name of the parameter for a header field (RFC 3875, 4.1.18), "" if the field must not be
+// converted to a parameter. Names with an underscore are not converted, as they could be confused with names with a
+// dash. Neither is Proxy, because many programs use HTTP_PROXY as the address of their outgoing proxy (httpoxy,
+// CVE-2016-5385).
 func ParamName(header string) string {
 	if strings.Contains(header, "_") || strings.EqualFold(header, "Proxy") {
 		return ""
@@ -110,7 +109,8 @@
 	return "HTTP_" + strings.ToUpper(strings.ReplaceAll(header, "-", "_"))
 }
 
-// HeaderName returns the header field that a parameter carries, "" if it carries none or must not become one.
+// HeaderName returns the name of the header field for a parameter, "" if the parameter does not represent a header
+// field or must not be converted to one.
 func HeaderName(param string) string {
 	field, ok := strings.CutPrefix(param, "HTTP_")
 	if !ok || strings.EqualFold(field, "PROXY") || strings.Contains(field, "-") || !httpwire.IsToken(field) {
--- a/internal/fastcgi/cgi_test.go
+++ b/internal/fastcgi/cgi_test.go
@@ -43,7 +43,7 @@
 			}
 		case incomplete:
 			if err != nil || bodyStart != 0 {
-				t.Errorf("%.40q: got body at %d, error %v, want an incomplete header", test.input, bodyStart, err)
+				t.Errorf("%.40q: got body start %d, error %v, want 0, nil for an incomplete header section", test.input, bodyStart, err)
 			}
 		default:
 			if err != nil || status != test.wantStatus || test.input[bodyStart:] != test.wantBody {
@@ -53,7 +53,7 @@
 	}
 }
 
-// No two header fields become the same parameter, and none becomes one that misleads programs.
+// No two header fields are converted to the same parameter, and none to a parameter that programs could misinterpret.
 func TestParamAndHeaderNames(t *testing.T) {
 	for header, want := range map[string]string{
 		"X-Request-Id": "HTTP_X_REQUEST_ID", "X_Request_Id": "", "Proxy": "", "proxy": "", "Accept": "HTTP_ACCEPT",
--- a/internal/fastcgi/client.go
+++ b/internal/fastcgi/client.go
@@ -1,34 +1,35 @@
 package fastcgi
 
-// ClientHandler handles what a Client receives. Its methods are called in the order of the records.
+// ClientHandler handles the records that a Client receives. Its methods are called in the order of the records.
 type ClientHandler interface {
-	// Stdout handles a part of a request's response. It may block; then the connection is not read.
+	// Stdout handles a part of a request's response. While it blocks, the connection is not read.
 	Stdout(id uint16, part []byte)
 	// Stderr handles a part of a request's error output.
 	Stderr(id uint16, part []byte)
-	// EndRequest handles the end of a request, whose id is not open any more.
+	// EndRequest handles the end of a request. When it is called, the request is no longer open.
 	EndRequest(id uint16, body EndRequestBody)
 	// Values handles the reply to GET_VALUES.
 	Values(values Values)
-	// UnsolicitedRecord handles a record of a request that is not open, or output behind the end of STDOUT. The
-	// open requests are not affected, but no other should begin on the connection.
+	// UnsolicitedRecord handles a record for a request that is not open, or output after the end of STDOUT. Open
+	// requests are not affected, but no further request should be sent on the connection.
 	UnsolicitedRecord()
 }
 
-// Client is the web server's side of a connection to an application: it keeps the open requests and decodes the
-// application's records. Feed belongs to one goroutine; the other methods are safe for concurrent use.
+// Client is the web server's side of a connection to an application. It tracks the open requests and decodes the
+// application's records. Feed must only be called by a single goroutine. The other methods are safe for concurrent use,
+// unless noted otherwise.
 type Client struct {
 	handler  ClientHandler
 	demux    demux
 	requests *requestTable[clientRequest]
 }
 
-// clientRequest is an open request. It belongs to the goroutine that calls Feed.
+// clientRequest is an open request. It is only accessed by the goroutine that calls Feed.
 type clientRequest struct {
 	stdoutEnded bool
 }
 
-// NewClient returns a Client of a new connection.
+// NewClient returns a Client for a new connection.
 func NewClient(handler ClientHandler) *Client {
 	return &Client{handler: handler, requests: newRequestTable[clientRequest]()}
 }
@@ -36,18 +37,18 @@
 // OpenRequest opens a request and returns its id.
 func (c *Client) OpenRequest() uint16 { return c.requests.addWithNewID(&clientRequest{}) }
 
-// ForgetRequest removes a request that was never sent.
+// ForgetRequest removes a request that has not been sent.
 func (c *Client) ForgetRequest(id uint16) { c.requests.remove(id) }
 
 // NumOpen returns the number of open requests.
 func (c *Client) NumOpen() int { return c.requests.len() }
 
-// Feed decodes bytes that the connection has received. After an error, which is ErrVersion, ErrBody or ErrOrder,
-// the connection can't be used any more.
+// Feed decodes bytes that were received on the connection. The error is ErrVersion, ErrBody or ErrOrder. After an error
+// the connection must not be used any more.
 func (c *Client) Feed(b []byte) error { return c.demux.feed(b, c) }
 
-// AtRecordBoundary reports whether the last byte fed was the last of a record. It belongs to the goroutine that
-// calls Feed.
+// AtRecordBoundary reports whether the input of Feed so far ends at the end of a record. It must only be called by the
+// goroutine that calls Feed.
 func (c *Client) AtRecordBoundary() bool { return c.demux.scanner.AtRecordBoundary() }
 
 func (c *Client) recordStart(h Header) error {
@@ -60,12 +61,12 @@
 		}
 	case UnknownType:
 	default:
-		return ErrOrder // only web servers send the others
+		return ErrOrder // all other types are only sent by web servers
 	}
 	return nil
 }
 
-// requestRecordStart checks a record that belongs to a request.
+// requestRecordStart checks the header of a record that belongs to a request.
 func (c *Client) requestRecordStart(h Header) error {
 	if h.ID == 0 {
 		return ErrBody
--- a/internal/fastcgi/client_test.go
+++ b/internal/fastcgi/client_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Records for a request that has ended or never was are reported and affect no other request; records that an
-// application must not send end the connection.
+// Records for a request that has ended or never existed are reported as unsolicited and don't affect other requests.
+// Records that an application must not send are errors.
 func TestClientChecksOrderOfRecords(t *testing.T) {
 	complete := func(id uint16) []byte { return AppendEndRequest(nil, id, EndRequestBody{AppStatus: 3}) }
 	stdout := func(id uint16, s string) []byte { return padded(Stdout, id, s, 3) }
@@ -22,7 +22,7 @@
 		{"two interleaved requests", join(stdout(1, "a"), stdout(2, "x"), stdout(1, "b"), padded(Stderr, 1, "oh", 0), stdout(2, "y"), complete(2), stdout(1, ""), complete(1)), nil, []string{endCall(2, "xy"), endCall(1, "ab")}},
 		{"output after end of request", join(complete(1), stdout(1, "late"), stdout(2, "x"), complete(2)), nil, []string{endCall(1, ""), "unsolicited", endCall(2, "x")}},
 		{"output after end of STDOUT", join(stdout(1, "a"), stdout(1, ""), stdout(1, "b"), complete(1)), nil, []string{"unsolicited", endCall(1, "a")}},
-		{"END_REQUEST of no request", join(complete(9), complete(1)), nil, []string{"unsolicited", endCall(1, "")}},
+		{"END_REQUEST of unknown request", join(complete(9), complete(1)), nil, []string{"unsolicited", endCall(1, "")}},
 		{"END_REQUEST of seven bytes", padded(EndRequest, 1, "1234567", 0), ErrBody, nil},
 		{"output with id 0", stdout(0, "x"), ErrBody, nil},
 		{"record of a web server", AppendBeginRequest(nil, 1, BeginRequestBody{}), ErrOrder, nil},
@@ -44,7 +44,8 @@
 	}
 }
 
-// A late record of a request that has ended must not be attributed to another.
+// An id is not reused before all others have been used, so that a late record of a request that has ended is not
+// attributed to another request.
 func TestClientReusesIDsAsLateAsPossible(t *testing.T) {
 	client := NewClient(newCallLog())
 	openID := client.OpenRequest()
@@ -52,7 +53,7 @@
 	for range 1<<16 - 2 {
 		id := client.OpenRequest()
 		if id == 0 || id == openID || seen[id] {
-			t.Fatalf("got id %d, want one that was not used", id)
+			t.Fatalf("got id %d, want one that has not been used", id)
 		}
 		seen[id] = true
 		client.ForgetRequest(id)
--- a/internal/fastcgi/demux.go
+++ b/internal/fastcgi/demux.go
@@ -5,33 +5,33 @@
 	"sync"
 )
 
-// Errors of Client.Feed and Server.Feed, besides ErrVersion and ErrBody. The connection can't be used any more
-// after one. The texts are sent to clients in response bodies.
+// Errors of Client.Feed and Server.Feed, in addition to ErrVersion and ErrBody. After an error no further records can
+// be decoded from the connection. The texts are sent to clients in response bodies.
 var (
-	// ErrOrder reports a record that is not allowed in the state of its request or from this side.
+	// ErrOrder reports a record that is not allowed in the current state of its request, or from this side of the
+	// connection.
 	ErrOrder = errors.New("fastcgi: a record comes where it can't")
 	// ErrInUse reports a BEGIN_REQUEST with the id of a request that is still open.
 	ErrInUse = errors.New("fastcgi: the id of a new request is in use")
 )
 
-// recordHandler handles the records of one side of a connection, in their order.
+// recordHandler handles the records from one side of a connection. Its methods are called in the order of the records.
 type recordHandler interface {
-	// recordStart checks a record by its header.
+	// recordStart checks the header of a record.
 	recordStart(h Header) error
-	// recordContent handles a part of a record's content. keep tells the demultiplexer to collect it.
+	// recordContent handles a part of a record's content. If keep is true, the part is collected for recordEnd.
 	recordContent(h Header, part []byte) (keep bool)
-	// recordEnd handles the end of a record. body is the content that was collected, valid during the call.
+	// recordEnd handles the end of a record. body is the collected content, which is only valid during the call.
 	recordEnd(h Header, body []byte) error
 }
 
-// demux splits the bytes that a connection receives into records. It is the part that Client and Server have in
-// common.
+// demux splits the bytes that are received on a connection into records. It is used by both Client and Server.
 type demux struct {
 	scanner Scanner
-	body    []byte // content of the current record, as far as its handler collects it
+	body    []byte // collected content of the current record
 }
 
-// feed passes the records of b to a handler, up to the first error.
+// feed passes the records in b to a handler, and stops at the first error.
 func (d *demux) feed(b []byte, handler recordHandler) error {
 	for {
 		event, part, rest, err := d.scanner.Next(b)
@@ -58,33 +58,33 @@
 	}
 }
 
-// requestTable holds the open requests of a connection by their id. It is safe for concurrent use.
+// requestTable holds the open requests of a connection by id. It is safe for concurrent use.
 type requestTable[R any] struct {
 	mu     sync.Mutex
 	open   map[uint16]*R // guarded by mu
-	lastID uint16        // that addWithNewID chose; guarded by mu
+	lastID uint16        // last id that addWithNewID has assigned; guarded by mu
 }
 
 func newRequestTable[R any]() *requestTable[R] {
 	return &requestTable[R]{open: map[uint16]*R{}}
 }
 
-// find returns an open request, or nil.
+// find returns the open request with an id, or nil if there is none.
 func (t *requestTable[R]) find(id uint16) *R {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.open[id]
 }
 
-// add adds a request under an id that is not in use.
+// add adds a request under an id, which must not be in use.
 func (t *requestTable[R]) add(id uint16, request *R) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.open[id] = request
 }
 
-// addWithNewID adds a request under an id that is not in use and returns the id. Ids are reused as late as
-// possible, so that a late record of a request that has ended is not attributed to another.
+// addWithNewID assigns an unused id to a request, adds the request and returns the id. Ids are reused as late as
+// possible, so that a late record of a request that has ended is not attributed to another request.
 func (t *requestTable[R]) addWithNewID(request *R) uint16 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -98,7 +98,7 @@
 	}
 }
 
-// remove removes a request.
+// remove removes the request with an id, if there is one.
 func (t *requestTable[R]) remove(id uint16) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/fastcgi/demux_test.go
+++ b/internal/fastcgi/demux_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestServerInPiecesOfAnySizeWithAnyPadding(t *testing.T) {
+func TestServerHandlesAnyPieceSizeAndPadding(t *testing.T) {
 	long := strings.Repeat("0123456789", 7_000)
 	stream := join(
 		padded(GetValues, 0, string(AppendPair(AppendPair(nil, MpxsConns, ""), "OTHER", "")), 5),
@@ -40,7 +40,7 @@
 	}
 }
 
-// No input makes a Client or Server panic or hold more than its limits, and the result doesn't depend on the
+// No input causes a panic of a Client or Server or makes it exceed its limits, and the result does not depend on the
 // pieces in which the input arrives.
 func FuzzClientAndServer(f *testing.F) {
 	f.Add(requestRecords(1, 1, "\x01\x01ab", "body"), uint8(3))
@@ -73,7 +73,7 @@
 		}
 		inOnePiece, inPieces := feed(len(input)+1), feed(int(pieceSize)+1)
 		if !slices.Equal(inOnePiece, inPieces) {
-			t.Errorf("in one piece: got %q, in pieces of %d: got %q", inOnePiece, int(pieceSize)+1, inPieces)
+			t.Errorf("input in one piece: got calls %q; in pieces of %d bytes: got calls %q", inOnePiece, int(pieceSize)+1, inPieces)
 		}
 		ParseResponseHeader(input)
 		ForEachParam(input, func(name, value []byte) error { return nil })
--- a/internal/fastcgi/helpers_test.go
+++ b/internal/fastcgi/helpers_test.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// callLog is a handler that records its calls as lines of text.
+// callLog implements ServerHandler and ClientHandler. It records the calls as lines of text.
 type callLog struct {
 	lines  []string
 	bodies map[uint16][]byte
@@ -53,7 +53,7 @@
 	return AppendStreamEnd(b, Stdin, id)
 }
 
-// padded returns a record with padding, which this package itself never writes.
+// padded returns a record with padding. This package itself writes only records without padding.
 func padded(t Type, id uint16, content string, paddingBytes int) []byte {
 	b := AppendHeader(nil, Header{Type: t, ID: id, ContentBytes: len(content), PaddingBytes: paddingBytes})
 	b = append(b, content...)
--- a/internal/fastcgi/pair.go
+++ b/internal/fastcgi/pair.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// A name or value of up to maxShortLength bytes has a length of one byte, and else one of four bytes with
-// longLengthFlag set (3.4).
+// The length of a name or value is encoded in one byte up to maxShortLength, and in four bytes with longLengthFlag set
+// otherwise (3.4).
 const (
 	maxShortLength  = 1<<7 - 1
 	longLengthBytes = 4
@@ -28,8 +28,8 @@
 	return binary.BigEndian.AppendUint32(b, uint32(n)|longLengthFlag)
 }
 
-// CutPair cuts the first name-value pair off b. The results are parts of b. ok is false if the pair is
-// incomplete.
+// CutPair decodes the first name-value pair in b and returns the rest of b. The results are subslices of b. ok is false
+// if the pair is incomplete.
 func CutPair(b []byte) (name, value, rest []byte, ok bool) {
 	nameBytes, b, ok := cutLength(b)
 	if !ok {
@@ -56,8 +56,8 @@
 	return int(binary.BigEndian.Uint32(b) &^ longLengthFlag), b[longLengthBytes:], true
 }
 
-// ForEachParam calls f with each of a request's parameters, as parts of params. It returns the first error of f.
-// Other errors wrap ErrBody; their text is sent to clients in response bodies.
+// ForEachParam calls f for each parameter of a request. name and value are subslices of params. It stops at the first
+// error of f and returns it. Other errors wrap ErrBody, and their text is sent to clients in response bodies.
 func ForEachParam(params []byte, f func(name, value []byte) error) error {
 	for len(params) > 0 {
 		name, value, rest, ok := CutPair(params)
--- a/internal/fastcgi/pair_test.go
+++ b/internal/fastcgi/pair_test.go
@@ -30,7 +30,7 @@
 func TestCutPairRejectsIncompletePair(t *testing.T) {
 	for _, input := range []string{"\x01", "\x80\x00\x00", "\x01\x80\x00\x00", "\x05\x05abc", "\xff\xff\xff\xff\x01a", "\x01\xff\xff\xff\xffa"} {
 		if _, _, _, ok := CutPair([]byte(input)); ok {
-			t.Errorf("CutPair(%q): got a pair, want none", input)
+			t.Errorf("CutPair(%q): got ok, want an incomplete pair", input)
 		}
 	}
 }
--- a/internal/fastcgi/record.go
+++ b/internal/fastcgi/record.go
@@ -1,7 +1,7 @@
-// Package fastcgi implements the protocol FastCGI 1.0: records, name-value pairs, the state machines of both
-// sides of a connection, and the CGI header section of a response. It does no I/O and allocates nothing per
-// record; input may arrive in pieces of any size. Numbers in comments are sections of the FastCGI specification
-// of 29 April 1996, unless an RFC is named.
+// Package fastcgi implements the FastCGI 1.0 protocol: records, name-value pairs, the state machines of both sides of a
+// connection, and the CGI header section of a response. It does no I/O and allocates no memory per record. Input may
+// arrive in pieces of any size. Section numbers in comments refer to the FastCGI specification of 29 April 1996, unless
+// an RFC is named.
 package fastcgi
 
 import (
@@ -10,7 +10,7 @@
 	"fmt"
 )
 
-// Version is the only protocol version (8, FCGI_VERSION_1).
+// Version is the protocol version in the header of each record, and the only one that exists (8, FCGI_VERSION_1).
 const Version = 1
 
 // Type is the type of a record (8).
@@ -55,27 +55,28 @@
 }
 
 const (
-	// HeaderBytes is the length of a record's header (3.3).
+	// HeaderBytes is the length of a record's header in bytes (3.3).
 	HeaderBytes = 8
-	// MaxContentBytes is the longest content of a record, given its length field of 16 bits (3.3).
+	// MaxContentBytes is the maximum content length of a record, whose length field has 16 bits (3.3).
 	MaxContentBytes = 1<<16 - 1
-	// MaxUnpaddedBytes is the longest content that is aligned to 8 bytes without padding, as 3.3 recommends.
+	// MaxUnpaddedBytes is the maximum content length that is a multiple of 8 bytes. Section 3.3 recommends records that
+	// are aligned to 8 bytes, and such records need no padding.
 	MaxUnpaddedBytes = MaxContentBytes &^ 7
 )
 
 // Header is the header of a record (3.3).
 type Header struct {
 	Type         Type
-	ID           uint16 // of the request; 0 for management records, which concern the connection
+	ID           uint16 // request id; 0 for management records, which apply to the connection
 	ContentBytes int
 	PaddingBytes int
 }
 
-// ErrVersion reports bytes that are not a record of version 1. The rest of the stream can't be interpreted, as
-// the start of the next record is unknown. Its text is sent to clients in response bodies.
+// ErrVersion reports bytes that are not a record of version 1. The rest of the input can't be decoded, because the
+// start of the next record is unknown. Its text is sent to clients in response bodies.
 var ErrVersion = errors.New("fastcgi: this is no record of version 1")
 
-// ParseHeader parses the first HeaderBytes bytes of b.
+// ParseHeader parses a record header from the first HeaderBytes bytes of b. The error is ErrVersion.
 func ParseHeader(b []byte) (Header, error) {
 	_ = b[HeaderBytes-1]
 	if b[0] != Version {
@@ -97,15 +98,15 @@
 	return append(b, byte(h.PaddingBytes), 0)
 }
 
-// AppendRecord appends a record without padding to b and returns the extended slice. The content may have at
-// most MaxContentBytes.
+// AppendRecord appends a record without padding to b and returns the extended slice. The content must not be longer
+// than MaxContentBytes.
 func AppendRecord(b []byte, t Type, id uint16, content []byte) []byte {
 	b = AppendHeader(b, Header{Type: t, ID: id, ContentBytes: len(content)})
 	return append(b, content...)
 }
 
-// AppendStream appends a part of a stream to b, in as many records as it takes, and returns the extended slice.
-// It appends nothing for an empty part, as an empty record ends the stream (3.3).
+// AppendStream appends a part of a stream to b, in as many records as required, and returns the extended slice. It
+// appends nothing for an empty part, because an empty record would end the stream (3.3).
 func AppendStream(b []byte, t Type, id uint16, part []byte) []byte {
 	for len(part) > 0 {
 		n := min(len(part), MaxUnpaddedBytes)
--- a/internal/fastcgi/scanner.go
+++ b/internal/fastcgi/scanner.go
@@ -1,38 +1,39 @@
 package fastcgi
 
-// Event is what a Scanner found next in a stream of bytes.
+// Event is the result of Scanner.Next.
 type Event uint8
 
 // Events of a Scanner.
 const (
-	// NeedMore: all bytes are used, and the next event needs more.
+	// NeedMore means that all input has been used and more is required for the next event.
 	NeedMore Event = iota
-	// RecordStart: the header of a record is complete; see Scanner.Header.
+	// RecordStart means that the header of a record is complete. It is returned by Scanner.Header.
 	RecordStart
-	// RecordContent: a part of the record's content.
+	// RecordContent means that a part of the record's content has been decoded.
 	RecordContent
-	// RecordEnd: the record has ended, with its padding.
+	// RecordEnd means that the record has ended, including its padding.
 	RecordEnd
 )
 
-// Scanner splits a stream of bytes into records. The zero value is at the start of a record.
+// Scanner splits a byte stream into records. The zero value is ready to scan from the start of a record.
 type Scanner struct {
 	rawHeader        [HeaderBytes]byte
-	rawBytes         int // of rawHeader so far
+	rawBytes         int // number of valid bytes in rawHeader
 	header           Header
-	inRecord         bool // the header is complete
-	remainingContent int
-	remainingPadding int
+	inRecord         bool // the header is complete, and the record has not ended
+	remainingContent int  // content bytes of the record that have not been scanned yet
+	remainingPadding int  // padding bytes of the record that have not been scanned yet
 }
 
 // Header returns the header of the current record.
 func (s *Scanner) Header() Header { return s.header }
 
-// AtRecordBoundary reports whether the stream is between two records: one that ends there is not truncated.
+// AtRecordBoundary reports whether the input so far ends at the end of a record. If the stream ends elsewhere, it is
+// truncated.
 func (s *Scanner) AtRecordBoundary() bool { return !s.inRecord && s.rawBytes == 0 }
 
-// Next returns the next event and the bytes of b behind it. For RecordContent, part is the content and a part of
-// b. After an error, which is ErrVersion, the Scanner can't be used any more.
+// Next returns the next event and the rest of b after it. For RecordContent, part is the content, as a subslice of b.
+// The error is ErrVersion. After an error the Scanner must not be used any more.
 func (s *Scanner) Next(b []byte) (event Event, part, rest []byte, err error) {
 	if !s.inRecord {
 		return s.nextHeader(b)
--- a/internal/fastcgi/server.go
+++ b/internal/fastcgi/server.go
@@ -6,43 +6,43 @@
 )
 
 const (
-	// MaxRequestsPerConn is the number of requests that a connection may carry at once.
+	// MaxRequestsPerConn is the maximum number of open requests on a connection.
 	MaxRequestsPerConn = 32
-	// MaxParamsBytes limits the parameters of a request.
+	// MaxParamsBytes limits the total length of a request's parameters.
 	MaxParamsBytes = 64 << 10
 )
 
 // ErrParams reports that the parameters of a request are longer than MaxParamsBytes.
 var ErrParams = errors.New("fastcgi: parameters too long")
 
-// ServerHandler handles what a Server receives. Its methods are called in the order of the records.
+// ServerHandler handles the records that a Server receives. Its methods are called in the order of the records.
 type ServerHandler interface {
-	// Request handles a request whose parameters are complete; params is valid during the call. keepConn tells
-	// that the connection is to stay open after the request. If err is not nil (ErrParams), the parameters are
-	// missing; the request has to be ended nevertheless.
+	// Request handles a request whose parameters are complete. params is only valid during the call. keepConn is set if
+	// the connection is to stay open after the request. If err is not nil, it is ErrParams, and params is empty. Even
+	// then the handler must write an END_REQUEST and call RequestEnded.
 	Request(id uint16, params []byte, keepConn bool, err error)
-	// Body handles a part of a request's body. The last call has end set and no part. It may block; then the
+	// Body handles a part of a request's body. The last call has end set and an empty part. While it blocks, the
 	// connection is not read.
 	Body(id uint16, part []byte, end bool)
-	// Abort handles the cancellation of a request. The request has to be ended nevertheless.
+	// Abort handles the cancellation of a request. The handler must still write an END_REQUEST and call RequestEnded.
 	Abort(id uint16)
 	// Reply writes a record to the connection.
 	Reply(record []byte)
 }
 
-// Server is the application's side of a connection of a web server: it decodes the records of up to
-// MaxRequestsPerConn interleaved requests. Feed belongs to one goroutine; the other methods are safe for
-// concurrent use.
+// Server is the application's side of a connection from a web server. It decodes the records of up to
+// MaxRequestsPerConn interleaved requests. Feed must only be called by a single goroutine. The other methods are safe
+// for concurrent use.
 type Server struct {
 	handler  ServerHandler
 	maxConns string // value of FCGI_MAX_CONNS
 	demux    demux
 	requests *requestTable[serverRequest]
-	reply    []byte // buffer for records
+	reply    []byte // reusable buffer for the records that are passed to Reply
 }
 
-// serverRequest is a request from its BEGIN_REQUEST until RequestEnded. It belongs to the goroutine that calls
-// Feed, except for the fields that other goroutines read.
+// serverRequest is a request from its BEGIN_REQUEST until RequestEnded. It is only accessed by the goroutine that calls
+// Feed, except for the fields that are guarded by requestTable.mu.
 type serverRequest struct {
 	keepConn      bool
 	params        []byte
@@ -53,8 +53,8 @@
 	bodyComplete   bool // guarded by requestTable.mu
 }
 
-// NewServer returns a Server of a new connection. maxConns is the reply to web servers that ask how many
-// connections the application accepts.
+// NewServer returns a Server for a new connection. maxConns is the number of connections that the application accepts,
+// as reported in reply to GET_VALUES.
 func NewServer(handler ServerHandler, maxConns int) *Server {
 	return &Server{handler: handler, maxConns: strconv.Itoa(maxConns), requests: newRequestTable[serverRequest]()}
 }
@@ -62,12 +62,12 @@
 // NumOpen returns the number of requests that have not ended.
 func (s *Server) NumOpen() int { return s.requests.len() }
 
-// RequestEnded removes a request whose END_REQUEST has been written or is about to be. The web server may use
-// its id again.
+// RequestEnded removes a request whose END_REQUEST has been written or is about to be written. After that the web
+// server may reuse its id.
 func (s *Server) RequestEnded(id uint16) { s.requests.remove(id) }
 
-// ForEachIncomplete calls f with each open request that has not been received completely. paramsComplete tells
-// whether its parameters have been.
+// ForEachIncomplete calls f for each open request that has not been received completely. paramsComplete reports whether
+// its parameters have.
 func (s *Server) ForEachIncomplete(f func(id uint16, paramsComplete bool)) {
 	type incompleteRequest struct {
 		id             uint16
@@ -86,8 +86,8 @@
 	}
 }
 
-// Feed decodes bytes that the connection has received. After an error, which is ErrVersion, ErrBody, ErrOrder or
-// ErrInUse, the connection can't be read any more; requests that are complete can still be answered.
+// Feed decodes bytes that were received on the connection. The error is ErrVersion, ErrBody, ErrOrder or ErrInUse.
+// After an error Feed must not be called again, but complete requests can still be answered.
 func (s *Server) Feed(b []byte) error { return s.demux.feed(b, s) }
 
 func (s *Server) recordStart(h Header) error {
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// streamRecordStart checks the order of the streams of a request. Records of requests that are not open are
+// streamRecordStart checks that the streams of a request arrive in order. Records for requests that are not open are
 // ignored (3.3).
 func (s *Server) streamRecordStart(h Header) error {
 	request := s.requests.find(h.ID)
@@ -147,7 +147,7 @@
 	return false
 }
 
-// appendParams collects a part of the parameters, and none once they are too long.
+// appendParams collects a part of the parameters. Once they are too long, it discards them and all further parts.
 func (r *serverRequest) appendParams(part []byte) {
 	if r.paramsTooLong {
 		return
@@ -180,10 +180,10 @@
 	case h.Type == Stdin && endsStream:
 		s.completeBody(h.ID, request)
 	}
-	return nil // other records have no meaning for a responder and are ignored
+	return nil // other records have no meaning for a responder, and are ignored
 }
 
-// beginRequest opens a request, or rejects it if the application can't process it.
+// beginRequest opens a request, or rejects it because of its role or because there are too many requests.
 func (s *Server) beginRequest(id uint16, body []byte) error {
 	begin, err := ParseBeginRequest(body)
 	if err != nil {
@@ -201,8 +201,8 @@
 	return nil
 }
 
-// abortRequest handles an ABORT_REQUEST. The handler does not know a request yet whose parameters are
-// incomplete.
+// abortRequest handles an ABORT_REQUEST. A request with incomplete parameters is ended here, because it has not been
+// passed to the handler yet.
 func (s *Server) abortRequest(id uint16, request *serverRequest) {
 	if request.aborted {
 		return
@@ -236,7 +236,7 @@
 	}
 }
 
-// reject ends a request that the handler does not know.
+// reject ends a request that has not been passed to the handler.
 func (s *Server) reject(id uint16, status Status) {
 	s.requests.remove(id)
 	s.reply = AppendEndRequest(s.reply[:0], id, EndRequestBody{ProtocolStatus: status})
--- a/internal/fastcgi/server_test.go
+++ b/internal/fastcgi/server_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// Records that are out of order, of a wrong length or for an id in use end the connection; records that concern
-// no request are ignored; requests that can't be processed are ended with a status.
+// Records that are out of order, have an invalid length or reuse an id that is in use are errors. Records for unknown
+// requests are ignored. Requests that can't be processed are ended with a protocol status.
 func TestServerChecksOrderOfRecords(t *testing.T) {
 	begin := func(id uint16) []byte { return AppendBeginRequest(nil, id, BeginRequestBody{Responder, KeepConn}) }
 	endReply := func(id uint16, status Status) string {
@@ -40,12 +40,12 @@
 		{"parameters after their end", join(begin(1), AppendStreamEnd(nil, Params, 1), padded(Params, 1, "x", 0)), ErrOrder, []string{`request 1 "" keep=true <nil>`}},
 		{"body before end of parameters", join(begin(1), padded(Stdin, 1, "x", 0)), ErrOrder, nil},
 		{"body after its end", join(requestRecords(1, 1, "", "a"), padded(Stdin, 1, "b", 0)), ErrOrder, []string{`request 1 "" keep=true <nil>`, `body 1 "a"`}},
-		{"ids of no request", join(padded(Params, 7, "x", 1), padded(Stdin, 7, "x", 0), padded(AbortRequest, 7, "", 0), AppendStreamEnd(nil, Stdin, 7)), nil, nil},
+		{"records of unknown requests", join(padded(Params, 7, "x", 1), padded(Stdin, 7, "x", 0), padded(AbortRequest, 7, "", 0), AppendStreamEnd(nil, Stdin, 7)), nil, nil},
 		{"other role", AppendBeginRequest(nil, 3, BeginRequestBody{2, 0}), nil, []string{endReply(3, UnknownRole)}},
 		{"too many requests", manyRequests, nil, overloadReplies},
 		{"abort before end of parameters", join(begin(4), padded(Params, 4, "x", 0), AppendStreamEnd(nil, AbortRequest, 4), padded(Params, 4, "y", 0), AppendStreamEnd(nil, Params, 4)), nil, []string{endReply(4, RequestComplete)}},
 		{"two aborts", join(requestRecords(4, 1, "", ""), AppendStreamEnd(nil, AbortRequest, 4), AppendStreamEnd(nil, AbortRequest, 4)), nil, []string{`request 4 "" keep=true <nil>`, `body 4 ""`, "abort 4"}},
-		{"DATA, of another role", join(begin(5), padded(Data, 5, "x", 0)), nil, nil},
+		{"DATA, which only other roles use", join(begin(5), padded(Data, 5, "x", 0)), nil, nil},
 		{"GET_VALUES too long", padded(GetValues, 0, strings.Repeat("x", maxValuesBytes+1), 0), ErrOrder, nil},
 		{"GET_VALUES malformed", padded(GetValues, 0, "\x05x", 0), ErrBody, nil},
 		{"BEGIN_REQUEST with id 0", AppendBeginRequest(nil, 0, BeginRequestBody{Responder, 0}), nil, []string{fmt.Sprintf("reply % x", AppendUnknownType(nil, BeginRequest))}},
@@ -73,6 +73,6 @@
 		server.RequestEnded(1)
 	}
 	if server.NumOpen() != 0 || len(calls.lines) != 6 {
-		t.Errorf("got %d open requests and calls %q, want 0 and 6 calls", server.NumOpen(), calls.lines)
+		t.Errorf("got %d open requests and calls %q, want 0 open requests and 6 calls", server.NumOpen(), calls.lines)
 	}
 }
--- a/internal/fastcgi/values.go
+++ b/internal/fastcgi/values.go
@@ -2,25 +2,25 @@
 
 import "strconv"
 
-// Names of the variables that GET_VALUES asks for (4.1).
+// Names of the variables that can be queried with GET_VALUES (4.1).
 const (
 	MaxConns  = "FCGI_MAX_CONNS"
 	MaxReqs   = "FCGI_MAX_REQS"
 	MpxsConns = "FCGI_MPXS_CONNS"
 )
 
-// maxValuesBytes limits the body of GET_VALUES and GET_VALUES_RESULT. The three variables take 48 bytes.
+// maxValuesBytes limits the body of GET_VALUES and GET_VALUES_RESULT. The three variables need 48 bytes.
 const maxValuesBytes = 512
 
-// Values are the variables of an application (4.1). A field is zero if the application did not send it.
+// Values are the variables of an application (4.1). A field is zero if the application has not sent the variable.
 type Values struct {
-	MaxConns    int  // connections that it accepts at once
-	MaxRequests int  // requests that it processes at once, over all connections; but see appendValues
-	Multiplexes bool // it processes several requests at once on a connection
+	MaxConns    int  // maximum number of concurrent connections
+	MaxRequests int  // maximum number of concurrent requests on all connections; but see appendValues
+	Multiplexes bool // the application processes concurrent requests on a connection
 }
 
-// parseValues parses the body of a GET_VALUES_RESULT record. It ignores variables that it does not know and
-// values that are not numbers. The error is ErrBody.
+// parseValues parses the body of a GET_VALUES_RESULT record. It ignores unknown variables and values that are not
+// unsigned numbers. The error is ErrBody.
 func parseValues(body []byte) (Values, error) {
 	var values Values
 	for len(body) > 0 {
@@ -45,9 +45,10 @@
 	return values, nil
 }
 
-// appendValues appends the variables that the body of a GET_VALUES record asks for to b, as name-value pairs,
-// and returns the extended slice. Variables that it does not know are left out (4.1). FCGI_MAX_REQS, by the specification
-// a number over all connections, is answered with that of one, MaxRequestsPerConn. The error is ErrBody.
+// appendValues appends the variables that are queried in the body of a GET_VALUES record to b, as name-value pairs, and
+// returns the extended slice. Unknown variables are omitted (4.1). By the specification FCGI_MAX_REQS is a number for
+// all connections, but the value that is returned is MaxRequestsPerConn, the number for one connection. The error is
+// ErrBody.
 func appendValues(b, query []byte, maxConns string) ([]byte, error) {
 	for len(query) > 0 {
 		name, _, rest, ok := CutPair(query)
--- a/internal/frontend/admission.go
+++ b/internal/frontend/admission.go
@@ -46,9 +46,9 @@
 	return &Admission{Engine: e, Bodies: bodies, drainStarted: make(chan struct{}, 1)}
 }
 
-// Admit validates a request that was received at the given time, selects its route and applies the limits. Requests that
-// hosts could not parse are invalid. The error is a *RequestError or a *RejectedError. On success the caller must call
-// Ticket.End once the response has been sent, or Ticket.Discard if the request is not passed to the engine.
+// Admit validates a request that was received at the given time, selects its route and applies the limits. Requests
+// that hosts could not parse are invalid. The error is a *RequestError or a *RejectedError. On success the caller must
+// call Ticket.End once the response has been sent, or Ticket.Discard if the request is not passed to the engine.
 func (a *Admission) Admit(m *Message, received time.Time) (*Ticket, error) {
 	snapshot := a.Engine.Snapshot()
 	if snapshot == nil {
--- a/internal/frontend/applylimits.go
+++ b/internal/frontend/applylimits.go
@@ -13,8 +13,8 @@
 // clientKeySeed is a random hash seed, so that clients cannot choose addresses whose keys collide.
 var clientKeySeed = maphash.MakeSeed()
 
-// clientSubnetBits is the length in bits of the IPv6 prefix that the limits treat as one client. A household usually has
-// a /64 and can change its addresses within that prefix at any time (RFC 8981).
+// clientSubnetBits is the length in bits of the IPv6 prefix that the limits treat as one client. A household usually
+// has a /64 and can change its addresses within that prefix at any time (RFC 8981).
 const clientSubnetBits = 64
 
 // rateLimitAddr returns the address to which the client limits attribute a request. It is the last address in the
@@ -86,8 +86,8 @@
 }
 
 // exemptFromRetryAfter reports whether a client may retry before its Retry-After has elapsed. Requests of a class with
-// the highest rank are always exempt. Other requests are exempt at random, with a probability equal to the idle share of
-// the gateway.
+// the highest rank are always exempt. Other requests are exempt at random, with a probability equal to the idle share
+// of the gateway.
 func (t *Ticket) exemptFromRetryAfter() bool {
 	overload := t.admission.Limits.Overload
 	if overload == nil || rand.Float64() < overload.IdleShare() {
--- a/internal/frontend/fastcgi/conn.go
+++ b/internal/frontend/fastcgi/conn.go
@@ -20,56 +20,56 @@
 )
 
 const (
-	// requestTimeout is how long the parameters of a request, and each part of its body, may take to arrive. A web server
-	// has the whole request before it sends it, or passes it on as it arrives.
+	// requestTimeout is the maximum time without input on a connection while the parameters or the body of a request
+	// are incomplete. Web servers send a request once they have received all of it, or forward it as it arrives.
 	requestTimeout = 2500 * time.Millisecond
-	// idleTimeout is how long a connection is kept without a request. Web servers keep a few.
+	// idleTimeout is how long a connection without a request is kept open. Web servers keep a few such connections.
 	idleTimeout = 5 * time.Minute
-	// checkInterval is how often incomplete requests and idle connections are checked.
+	// checkInterval is the interval at which incomplete requests and idle connections are checked for timeouts.
 	checkInterval = 250 * time.Millisecond
 
-	// stallTimeout is how long a write to the web server may take, and how long the body of the only request of a
-	// connection may wait for its host.
+	// stallTimeout is the maximum time for a write to the web server. It is also the maximum time for which reading a
+	// connection may be blocked by a body that its host does not read, if the connection has no other request.
 	stallTimeout = time.Minute
-	// sharedStallTimeout is how long the body of a request may wait for its host while others on the connection wait
-	// for it.
+	// sharedStallTimeout is the maximum time for which reading a connection may be blocked by a body that its host does
+	// not read, if other requests on the connection are blocked by it as well.
 	sharedStallTimeout = time.Second
-	// controlWriteTimeout is how long the write of a record of the connection's own may take.
+	// controlWriteTimeout is the maximum time for writing a record that the connection itself generates.
 	controlWriteTimeout = time.Second
 
-	// maxPipedBody is how much of a body is held that its host has yet to receive, in bytes.
+	// maxPipedBody is the maximum number of bytes of a body that are buffered until its host reads them.
 	maxPipedBody = 64 << 10
-	// readBufferSize is the size of the buffer that a connection is read into, in bytes.
+	// readBufferSize is the size in bytes of the buffer for reading from a connection.
 	readBufferSize = 16 << 10
 )
 
-// errPeerGone is the error of a request that the web server has aborted, or whose connection has ended.
+// errPeerGone is the error of a request that the web server has aborted, or whose connection has been closed.
 var errPeerGone = errors.New("fastcgi: web server has left")
 
-// conn is a connection of a web server. It implements fastcgi.Calls.
+// conn is a connection from a web server. It implements fastcgi.ServerHandler.
 type conn struct {
 	server  *Server
 	nc      net.Conn
 	options *ListenOptions
-	records *fastcgi.Server
+	decoder *fastcgi.Server // decodes the records of the connection
 
 	writeMu     sync.Mutex // serializes writes; guards writeFailed
 	writeFailed bool
 
-	mu       sync.Mutex // guards all below
+	mu       sync.Mutex // guards the fields below
 	requests map[uint16]*request
-	closing  bool // the connection ends with the requests that it has
+	closing  bool // the connection is closed once its open requests have ended
 	lastRead time.Time
 }
 
 // newConn returns a conn for an accepted connection.
 func newConn(s *Server, nc net.Conn, o *ListenOptions) *conn {
 	c := &conn{server: s, nc: nc, options: o, requests: map[uint16]*request{}, lastRead: time.Now()}
-	c.records = fastcgi.NewServer(c, s.maxConns)
+	c.decoder = fastcgi.NewServer(c, s.maxConns)
 	return c
 }
 
-// serve reads the connection until it ends. Its requests that are open then are canceled.
+// serve reads from the connection until it is closed. Requests that are still open at that time are canceled.
 func (c *conn) serve() {
 	defer c.server.remove(c)
 	buf := make([]byte, readBufferSize)
@@ -78,13 +78,13 @@
 		n, err := c.nc.Read(buf)
 		if n > 0 {
 			c.setLastRead(time.Now())
-			if recordErr := c.records.Feed(buf[:n]); recordErr != nil {
+			if recordErr := c.decoder.Feed(buf[:n]); recordErr != nil {
 				c.stopReading(recordErr)
 				return
 			}
 		}
 		if err != nil && !isTimeout(err) {
-			c.abandon()
+			c.closeAndCancel()
 			return
 		}
 		if !c.checkTimeouts() {
@@ -93,44 +93,45 @@
 	}
 }
 
-// isTimeout reports whether an error is that of a deadline.
+// isTimeout reports whether an error was caused by an exceeded deadline.
 func isTimeout(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// setLastRead sets when the connection was last read from.
+// setLastRead sets the time at which bytes were last read from the connection.
 func (c *conn) setLastRead(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lastRead = at
 }
 
-// idleSince returns when the connection was last read from, and whether it has no whole request.
+// idleSince returns the time at which bytes were last read from the connection. idle reports whether there is no open
+// request whose parameters are complete.
 func (c *conn) idleSince() (lastRead time.Time, idle bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lastRead, len(c.requests) == 0
 }
 
-// checkTimeouts ends incomplete requests that have timed out, and an idle connection if it has or if connections are
-// drained. It reports whether the connection stays open.
+// checkTimeouts ends incomplete requests that have timed out. It closes an idle connection after idleTimeout, or at
+// once during Shutdown or a drain, and reports whether the connection stays open.
 func (c *conn) checkTimeouts() bool {
 	now := time.Now()
 	lastRead, noRequests := c.idleSince()
-	quiet := now.Sub(lastRead)
-	if quiet < checkInterval {
+	sinceLastRead := now.Sub(lastRead)
+	if sinceLastRead < checkInterval {
 		return true
 	}
 	incomplete := 0
-	c.records.ForEachIncomplete(func(id uint16, paramsComplete bool) {
+	c.decoder.ForEachIncomplete(func(id uint16, paramsComplete bool) {
 		incomplete++
-		if quiet >= requestTimeout {
+		if sinceLastRead >= requestTimeout {
 			c.timeOut(id, paramsComplete)
 		}
 	})
 	idle := noRequests && incomplete == 0
-	mayClose := quiet > idleTimeout || c.server.endsAfterResponse()
+	mayClose := sinceLastRead > idleTimeout || c.server.endsAfterResponse()
 	if idle && mayClose {
 		c.nc.Close()
 		return false
@@ -138,18 +139,19 @@
 	return true
 }
 
-// timeOut ends an incomplete request. paramsComplete reports whether its parameters have all arrived.
+// timeOut ends an incomplete request after a timeout. paramsComplete reports whether all of its parameters have
+// arrived.
 func (c *conn) timeOut(id uint16, paramsComplete bool) {
 	if r := c.find(id); r != nil {
 		r.stdin.CloseWrite(frontend.ErrBodyTooSlow)
 	} else if !paramsComplete {
-		c.records.RequestEnded(id)
+		c.decoder.RequestEnded(id)
 		c.writeError(id, http.StatusRequestTimeout, "the parameters come too slowly")
 	}
 }
 
-// abandon closes a connection that the web server has closed, or that is broken, and cancels its requests.
-func (c *conn) abandon() {
+// closeAndCancel closes a connection that the web server has closed, or that has failed, and cancels its requests.
+func (c *conn) closeAndCancel() {
 	c.nc.Close()
 	c.writeMu.Lock()
 	c.writeFailed = true
@@ -166,31 +168,31 @@
 	}
 }
 
-// stopReading ends a connection whose records can't be read any more. Its requests that are complete are answered; the
-// others get the error. After that it is closed.
+// stopReading is called if no further records can be decoded because of a protocol error. Complete requests are still
+// answered, and incomplete ones are answered with the error. Then the connection is closed.
 func (c *conn) stopReading(err error) {
 	c.mu.Lock()
 	c.closing = true
 	c.mu.Unlock()
-	c.records.ForEachIncomplete(func(id uint16, _ bool) {
+	c.decoder.ForEachIncomplete(func(id uint16, _ bool) {
 		if r := c.find(id); r != nil {
 			r.stdin.CloseWrite(frontend.NewRequestError(http.StatusBadRequest, "%v", err))
 		} else {
-			c.records.RequestEnded(id)
+			c.decoder.RequestEnded(id)
 			c.writeError(id, http.StatusBadRequest, err.Error())
 		}
 	})
-	if _, noRequests := c.idleSince(); noRequests && c.records.NumOpen() == 0 {
+	if _, noRequests := c.idleSince(); noRequests && c.decoder.NumOpen() == 0 {
 		c.nc.Close()
 	}
-	// What is read is discarded: only the end of the connection matters.
+	// Further input is discarded, in order to detect the end of the connection.
 	c.nc.SetReadDeadline(time.Time{})
 	io.Copy(io.Discard, c.nc)
-	c.abandon()
+	c.closeAndCancel()
 }
 
-// peerHasClosed reports whether the web server has closed the connection, as far as the kernel knows, whatever is yet to be
-// read from it.
+// peerHasClosed reports whether the kernel has received the web server's close of the connection, even if there are
+// still unread bytes.
 func (c *conn) peerHasClosed() bool {
 	sc, ok := c.nc.(syscall.Conn)
 	if !ok {
@@ -202,10 +204,11 @@
 	}
 	events := 0
 	err = raw.Control(func(fd uintptr) { events = pollPeerClosed(fd) })
-	return err != nil || events > 0 // an error means that the gateway has closed it
+	return err != nil || events > 0 // an error means that the gateway has closed the connection
 }
 
-// pollPeerClosed returns whether there are events of the peer's close, as the result of poll(2).
+// pollPeerClosed returns the result of poll(2) for the event that the peer has closed the connection: positive if it
+// has.
 func pollPeerClosed(fd uintptr) int {
 	fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 	for {
@@ -216,15 +219,15 @@
 	}
 }
 
-// find returns an open request, nil if there is none with the id.
+// find returns the open request with an id, or nil if there is none.
 func (c *conn) find(id uint16) *request {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.requests[id]
 }
 
-// clientAddress returns where a request came from: the web server, or its client by the parameter REMOTE_ADDR if the web
-// server is trusted. A web server on a Unix domain socket has the loopback address.
+// clientAddress returns the address of the client: the parameter REMOTE_ADDR if the web server is trusted and the value
+// is valid, and the address of the web server otherwise. A web server on a Unix domain socket has the loopback address.
 func (c *conn) clientAddress(remoteAddr string) frontend.ClientAddress {
 	client := frontend.ClientAddress{Addr: netip.AddrFrom4([4]byte{127, 0, 0, 1}), Proto: "http"}
 	if addr, ok := c.nc.RemoteAddr().(*net.TCPAddr); ok {
@@ -240,8 +243,8 @@
 	return client
 }
 
-// Request starts a request whose parameters are complete. With an error these are too long, and the request is answered
-// with that.
+// Request implements fastcgi.ServerHandler. It starts a request whose parameters are complete. If err is not nil, the
+// parameters are too long, and the request is answered with an error.
 func (c *conn) Request(id uint16, params []byte, keepConn bool, err error) {
 	r := &request{c: c, id: id, stdin: body.NewPipe(maxPipedBody), keepConn: keepConn}
 	r.ctx, r.cancel = context.WithCancel(context.Background())
@@ -255,7 +258,7 @@
 	go r.serve(m, remoteAddr, paramsErr, time.Now())
 }
 
-// Body passes on a part of a request's body, or its end.
+// Body implements fastcgi.ServerHandler. It writes a part of a request's body, or its end, to the request's pipe.
 func (c *conn) Body(id uint16, part []byte, end bool) {
 	r := c.find(id)
 	if r == nil {
@@ -274,8 +277,8 @@
 	r.stdin.CloseWrite(err)
 }
 
-// bodyStallTimeout returns how long the body of a request may wait for its host. Other requests of the connection wait
-// meanwhile.
+// bodyStallTimeout returns how long a write to the pipe of a request may block. Other requests of the connection are
+// blocked during this time.
 func (c *conn) bodyStallTimeout() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -285,7 +288,7 @@
 	return stallTimeout
 }
 
-// Abort cancels a request, as its client has left.
+// Abort implements fastcgi.ServerHandler. It cancels a request whose client has disconnected.
 func (c *conn) Abort(id uint16) {
 	if r := c.find(id); r != nil {
 		r.aborted.Store(true)
@@ -294,10 +297,10 @@
 	}
 }
 
-// Reply writes a record of the connection's own.
+// Reply implements fastcgi.ServerHandler. It writes a record that the connection itself generates.
 func (c *conn) Reply(record []byte) { c.write(record, controlWriteTimeout) }
 
-// write writes whole records. An error ends the connection.
+// write writes complete records. After an error the connection is closed.
 func (c *conn) write(records []byte, timeout time.Duration) error {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
@@ -313,7 +316,7 @@
 	return nil
 }
 
-// writeError answers a request that was never started, with a line of text.
+// writeError writes an error response, with a line of text, to a request that has not been started.
 func (c *conn) writeError(id uint16, status int, text string) {
 	out := fastcgi.AppendStream(nil, fastcgi.Stdout, id, errorResponse(status, "", text))
 	out = fastcgi.AppendStreamEnd(out, fastcgi.Stdout, id)
--- a/internal/frontend/fastcgi/message.go
+++ b/internal/frontend/fastcgi/message.go
@@ -11,8 +11,9 @@
 	"dunemoor/internal/frontend"
 )
 
-// readMessage returns the request that parameters describe (RFC 3875, 4.1), and the address of the web server's client as
-// it names it. The address in the message has the protocol only. Its errors are *frontend.RequestError.
+// readMessage converts the parameters of a request (RFC 3875, 4.1) to a Message. It also returns the parameter
+// REMOTE_ADDR, the address of the web server's client. Of m.Client it only sets Proto. The error is a
+// *frontend.RequestError.
 func readMessage(params []byte) (m frontend.Message, remoteAddr string, err error) {
 	vars := map[string]string{}
 	m.Header = http.Header{}
@@ -34,7 +35,7 @@
 	if m.Method == "" || m.Target == "" || hasBlank {
 		return m, "", frontend.NewRequestError(http.StatusBadRequest, "REQUEST_METHOD or REQUEST_URI: missing or malformed")
 	}
-	frontend.RemoveHopByHopHeaders(m.Header) // of the client's own connection
+	frontend.RemoveHopByHopHeaders(m.Header) // they apply to the connection between the client and the web server
 	m.Length, err = contentLength(m.Method, vars["CONTENT_LENGTH"])
 	if err != nil {
 		return m, "", err
@@ -42,7 +43,8 @@
 	return m, vars["REMOTE_ADDR"], nil
 }
 
-// readParams reads parameters into vars, and those that stand for headers into header too. Each may be there once.
+// readParams decodes parameters into vars, and those that represent HTTP headers also into header. Duplicates are
+// errors.
 func readParams(params []byte, vars map[string]string, header http.Header) error {
 	err := fastcgi.ForEachParam(params, func(name, value []byte) error {
 		if len(name) == 0 || strings.ContainsAny(string(value), "\x00\r\n") {
@@ -52,14 +54,14 @@
 		headerName := fastcgi.HeaderName(key)
 		_, duplicate := vars[key]
 		if headerName != "" && header[headerName] != nil {
-			duplicate = true // by another spelling
+			duplicate = true // a parameter with a different spelling represents the same header
 		}
 		if duplicate {
 			return frontend.NewRequestError(http.StatusBadRequest, "%.64q is there more than once", key)
 		}
 		vars[key] = string(value)
 		switch headerName {
-		case "", "Host", "Content-Length", "Content-Type": // others than headers, and headers with a parameter of their own
+		case "", "Host", "Content-Length", "Content-Type": // not a header, or a header that readMessage sets or omits
 		default:
 			header[headerName] = []string{string(value)}
 		}
@@ -72,7 +74,8 @@
 	return frontend.NewRequestError(http.StatusBadRequest, "%v", err)
 }
 
-// requestTarget returns the request target: REQUEST_URI, or else what the parameters of its parts make.
+// requestTarget returns the request target: REQUEST_URI, or if that is missing, a target composed of SCRIPT_NAME,
+// PATH_INFO and QUERY_STRING.
 func requestTarget(vars map[string]string) string {
 	if target := vars["REQUEST_URI"]; target != "" {
 		return target
@@ -85,7 +88,7 @@
 	return target.String()
 }
 
-// requestHost returns the host that the request is for: that of the Host header, or else the web server's name and port.
+// requestHost returns the host of the request: the Host header, or if that is missing, the web server's name and port.
 func requestHost(vars map[string]string) string {
 	if host := vars["HTTP_HOST"]; host != "" {
 		return host
@@ -98,8 +101,8 @@
 	return host + ":" + port
 }
 
-// contentLength returns the length of the body in bytes by the parameter CONTENT_LENGTH. Without it there is no body if
-// the method has none (RFC 3875, 4.1.2), and else one of unknown length, -1.
+// contentLength parses CONTENT_LENGTH, the length of the body in bytes. Without this parameter there is no body
+// (RFC 3875, 4.1.2), but only if the method normally has none; otherwise the length is unknown, -1.
 func contentLength(method, value string) (int64, error) {
 	if value == "" {
 		switch method {
--- a/internal/frontend/fastcgi/message_test.go
+++ b/internal/frontend/fastcgi/message_test.go
@@ -10,7 +10,7 @@
 	"dunemoor/internal/frontend"
 )
 
-// encodeParams encodes names and values in turn.
+// encodeParams encodes parameters that are given as alternating names and values.
 func encodeParams(pairs ...string) (b []byte) {
 	for i := 0; i < len(pairs); i += 2 {
 		b = fastcgi.AppendPair(b, pairs[i], pairs[i+1])
@@ -25,18 +25,18 @@
 		target string
 		host   string
 		length int64
-		status int // of the error; 0: none
+		status int // status code of the expected error; 0 means no error
 	}{
-		{"by REQUEST_URI", encodeParams("REQUEST_METHOD", "GET", "REQUEST_URI", "/a%2Fb?c", "HTTP_HOST", "h:8080", "SCRIPT_NAME", "/other"), "/a%2Fb?c", "h:8080", 0, 0},
-		{"by its parts", encodeParams("REQUEST_METHOD", "GET", "SCRIPT_NAME", "/a b", "PATH_INFO", "/c?", "QUERY_STRING", "d=1", "SERVER_NAME", "h", "SERVER_PORT", "8080"), "/a%20b/c%3F?d=1", "h:8080", 0, 0},
-		{"on the default port", encodeParams("REQUEST_METHOD", "GET", "REQUEST_URI", "/", "SERVER_NAME", "h", "SERVER_PORT", "80"), "/", "h", 0, 0},
+		{"target from REQUEST_URI", encodeParams("REQUEST_METHOD", "GET", "REQUEST_URI", "/a%2Fb?c", "HTTP_HOST", "h:8080", "SCRIPT_NAME", "/other"), "/a%2Fb?c", "h:8080", 0, 0},
+		{"target from SCRIPT_NAME, PATH_INFO and QUERY_STRING", encodeParams("REQUEST_METHOD", "GET", "SCRIPT_NAME", "/a b", "PATH_INFO", "/c?", "QUERY_STRING", "d=1", "SERVER_NAME", "h", "SERVER_PORT", "8080"), "/a%20b/c%3F?d=1", "h:8080", 0, 0},
+		{"default port", encodeParams("REQUEST_METHOD", "GET", "REQUEST_URI", "/", "SERVER_NAME", "h", "SERVER_PORT", "80"), "/", "h", 0, 0},
 		{"unknown length", encodeParams("REQUEST_METHOD", "POST", "REQUEST_URI", "/"), "/", "", -1, 0},
 		{"empty length", encodeParams("REQUEST_METHOD", "POST", "REQUEST_URI", "/", "CONTENT_LENGTH", ""), "/", "", -1, 0},
 		{"length", encodeParams("REQUEST_METHOD", "POST", "REQUEST_URI", "/", "CONTENT_LENGTH", "17"), "/", "", 17, 0},
 		{"no target", encodeParams("REQUEST_METHOD", "GET"), "", "", 0, 400},
 		{"no method", encodeParams("REQUEST_URI", "/"), "", "", 0, 400},
-		{"method of two words", encodeParams("REQUEST_METHOD", "GET /x", "REQUEST_URI", "/"), "", "", 0, 400},
-		{"target with a blank", encodeParams("REQUEST_METHOD", "GET", "REQUEST_URI", "/ HTTP/1.1"), "", "", 0, 400},
+		{"method with a space", encodeParams("REQUEST_METHOD", "GET /x", "REQUEST_URI", "/"), "", "", 0, 400},
+		{"target with a space", encodeParams("REQUEST_METHOD", "GET", "REQUEST_URI", "/ HTTP/1.1"), "", "", 0, 400},
 		{"length with a sign", encodeParams("REQUEST_METHOD", "POST", "REQUEST_URI", "/", "CONTENT_LENGTH", "+1"), "", "", 0, 400},
 		{"empty name", encodeParams("", "x"), "", "", 0, 400},
 	} {
@@ -55,7 +55,7 @@
 	}
 }
 
-// Whatever the parameters are, the message can stand in an HTTP header section: no value adds a header.
+// For any parameters, the message can be written as an HTTP header section, and no value injects a header.
 func FuzzReadMessage(f *testing.F) {
 	f.Add(encodeParams("REQUEST_METHOD", "GET", "REQUEST_URI", "/", "HTTP_X", "y\r\nEvil: z"))
 	f.Add(encodeParams("REQUEST_METHOD", "GET", "SCRIPT_NAME", "/\n", "HTTP_HOST", "a b"))
@@ -66,7 +66,7 @@
 			return
 		}
 		if strings.ContainsAny(m.Method+m.Target+m.Host, " \r\n\x00") || m.Method == "" || m.Target == "" {
-			t.Errorf("method %q, target %q, host %q", m.Method, m.Target, m.Host)
+			t.Errorf("got method %q, target %q, host %q, want valid ones", m.Method, m.Target, m.Host)
 		}
 		var out strings.Builder
 		m.Header.Write(&out)
--- a/internal/frontend/fastcgi/request.go
+++ b/internal/frontend/fastcgi/request.go
@@ -14,22 +14,23 @@
 	"dunemoor/internal/frontend"
 )
 
-// request is a request on a connection, from the end of its parameters to its END_REQUEST.
+// request is a request on a connection. It exists from the end of its parameters until its END_REQUEST.
 type request struct {
 	c        *conn
 	id       uint16
-	stdin    *body.Pipe // the body as it arrives
-	keepConn bool       // the connection stays open after the request
+	stdin    *body.Pipe // the body, written as it arrives
+	keepConn bool       // the web server wants the connection to stay open after the request
 
-	ctx          context.Context // canceled when the client leaves, or by the gateway
+	ctx          context.Context // canceled when the client disconnects, or by the gateway
 	cancel       context.CancelFunc
-	aborted      atomic.Bool           // the web server has aborted it
-	cancelReason atomic.Pointer[error] // why the gateway has canceled it; nil: it has not
+	aborted      atomic.Bool           // the web server has aborted the request
+	cancelReason atomic.Pointer[error] // why the gateway has canceled the request; nil if it has not
 
-	truncated bool // the response could not be written to its end; for the goroutine of serve only
+	truncated bool // the response could not be written completely; only used by the goroutine of serve
 }
 
-// serve answers a request that was received at a time. Its error, if not nil, is that of its parameters.
+// serve processes a request that was received at the given time. If paramsErr is not nil, the parameters are invalid
+// and the request is answered with that error.
 func (r *request) serve(m frontend.Message, remoteAddr string, paramsErr error, received time.Time) {
 	defer r.stdin.CloseRead()
 	defer r.cancel()
@@ -63,7 +64,7 @@
 	r.respond(t, &resp)
 }
 
-// finishCanceled ends a request that was canceled. If the gateway did that the client gets the reason.
+// finishCanceled ends a request that was canceled. If it was canceled by the gateway, the reason is sent to the client.
 func (r *request) finishCanceled() {
 	if reason := r.cancelReason.Load(); reason != nil {
 		r.fail(*reason)
@@ -72,8 +73,9 @@
 	r.finish(nil)
 }
 
-// Gone reports whether the client has left: the web server has aborted the request or closed the connection. The latter is
-// noticed also while the connection is not read, as a body waits for its host.
+// Gone reports whether the client has disconnected, which means that the web server has aborted the request or closed
+// the connection. A close is detected even while reading the connection is blocked by a body that its host does not
+// read.
 func (r *request) Gone() bool {
 	if r.c.peerHasClosed() {
 		r.cancel()
@@ -81,7 +83,8 @@
 	return r.ctx.Err() != nil
 }
 
-// readBody reads the part of the body that is buffered. If there is more, and the route streams, the rest is streamed.
+// readBody reads the part of the body that is buffered. On a route with Streams the rest, if any, is streamed. On other
+// routes a longer body is an error.
 func (r *request) readBody(t *frontend.Ticket, length int64) error {
 	source := newStdinSource(r, t, length)
 	limit := int64(frontend.MaxBufferedBytes)
@@ -97,7 +100,7 @@
 	}
 	n, err := frontend.Fill(source, buf)
 	if err == nil && int64(n) == length {
-		// The end follows, or a byte too many.
+		// Read the end of the body, or an extra byte, which is an error.
 		_, err = source.Read(make([]byte, 1))
 	}
 	switch {
@@ -114,18 +117,18 @@
 	return nil
 }
 
-// stdinSource reads the body of a request, within the pace and the length that its route allows. It is the body.Source of
-// a streamed body.
+// stdinSource reads the body of a request and enforces the pace and the length that its route allows. It implements
+// body.Source.
 type stdinSource struct {
 	request  *request
 	ticket   *frontend.Ticket
 	meter    body.Meter
-	length   int64 // by CONTENT_LENGTH; -1: unknown
-	maxBytes int64 // 0: any length
-	bytes    int64 // read so far
+	length   int64 // length of the body from CONTENT_LENGTH; -1 if unknown
+	maxBytes int64 // maximum length of the body; 0 means unlimited
+	bytes    int64 // number of bytes read so far
 }
 
-// newStdinSource returns a source for the body of a request of a length, -1 if it is unknown.
+// newStdinSource returns a source for the body of a request. length is that of the body, -1 if it is unknown.
 func newStdinSource(r *request, t *frontend.Ticket, length int64) *stdinSource {
 	s := &stdinSource{request: r, ticket: t, length: length}
 	if streams := t.Route.Streams; streams != nil {
@@ -137,7 +140,7 @@
 	return s
 }
 
-// Read is as in io.Reader.
+// Read implements io.Reader.
 func (s *stdinSource) Read(p []byte) (int, error) {
 	start := time.Now()
 	n, err := s.request.stdin.Read(p, s.meter.Timeout())
@@ -160,13 +163,13 @@
 	return n, err
 }
 
-// Trailer returns nil: FastCGI has no trailer sections.
+// Trailer returns nil, as FastCGI has no trailer sections.
 func (s *stdinSource) Trailer() http.Header { return nil }
 
-// Close ends a Read in progress. What still arrives is discarded.
+// Close interrupts a Read in progress. The rest of the body is discarded as it arrives.
 func (s *stdinSource) Close(bool) { s.request.stdin.CloseRead() }
 
-// respond writes the response of the engine.
+// respond writes the response that the engine has returned.
 func (r *request) respond(t *frontend.Ticket, resp *engine.Response) {
 	switch resp.Kind {
 	case engine.Served:
@@ -186,7 +189,7 @@
 	}
 }
 
-// uploadError returns the error that the streamed body of a request has ended with, nil if there is none.
+// uploadError returns the error with which the streamed body of a request has ended, nil if there is none.
 func uploadError(t *frontend.Ticket) error {
 	stream := t.Body.Stream()
 	if stream == nil {
--- a/internal/frontend/fastcgi/response.go
+++ b/internal/frontend/fastcgi/response.go
@@ -16,26 +16,27 @@
 )
 
 const (
-	// maxContentPerWrite is how much of a response is written at once, in bytes, before others on the connection have
-	// their turn.
+	// maxContentPerWrite is the maximum number of content bytes in one write. Between two writes, other responses can
+	// be written to the same connection.
 	maxContentPerWrite = 16 << 10
-	// recordOverhead is room for the headers and padding of the records of one write, in bytes.
+	// recordOverhead is the space in bytes for the headers and padding of the records of one write.
 	recordOverhead = 1024
-	// truncatedAppStatus is the exit status of a response that could not be written to its end.
+	// truncatedAppStatus is the application status in the END_REQUEST of a response that could not be written
+	// completely.
 	truncatedAppStatus = 1
 )
 
-// errNoMemory is the error of a response that can't be streamed for want of memory.
+// errNoMemory is the error of a response that can't be streamed because there is no memory for a buffer.
 var errNoMemory = errors.New("forward response: no memory for a buffer")
 
-// outputBuffers are buffers for records to write.
+// outputBuffers is a pool of buffers for records to be written.
 var outputBuffers = sync.Pool{New: func() any {
 	b := make([]byte, 0, maxContentPerWrite+recordOverhead)
 	return &b
 }}
 
-// fail answers a request that is not forwarded, or whose body can't be read. Nothing is written if the web server has
-// left.
+// fail writes an error response to a request that is not forwarded, or whose body can't be read, and ends the request.
+// No response is written if the web server has aborted the request or closed the connection.
 func (r *request) fail(err error) {
 	if err == errPeerGone || err == body.ErrConsumed {
 		r.finish(nil)
@@ -52,8 +53,8 @@
 	r.finish(errorResponse(status, retryAfter, err.Error()))
 }
 
-// errorResponse returns a response of the gateway's own, with a line of text. retryAfter is the value of its Retry-After
-// header; "": none.
+// errorResponse returns a response that the gateway itself generates, with a line of text. retryAfter is the value of
+// its Retry-After header, "" for no such header.
 func errorResponse(status int, retryAfter, text string) []byte {
 	var b strings.Builder
 	b.WriteString(statusLine(status))
@@ -66,7 +67,7 @@
 	return []byte(b.String())
 }
 
-// statusLine returns the Status header, which stands for the status line (RFC 3875, 6.3.3).
+// statusLine returns the Status header, which replaces the status line (RFC 3875, 6.3.3).
 func statusLine(status int) string {
 	return "Status: " + strconv.Itoa(status) + " " + http.StatusText(status) + "\r\n"
 }
@@ -95,7 +96,7 @@
 	r.finish(nil)
 }
 
-// responseHeader returns the header section of a host's response as the web server gets it.
+// responseHeader returns the header section of a host's response as it is sent to the web server.
 func responseHeader(t *frontend.Ticket, resp *engine.Response) []byte {
 	h := frontend.RemoveHopByHopHeaders(resp.Header.Clone())
 	if plain := t.Route.Plain; plain != nil {
@@ -105,13 +106,13 @@
 	setContentLength(h, t.Method, resp)
 	var b strings.Builder
 	b.WriteString(statusLine(resp.Status))
-	h.Write(&b) // no error, as a Builder has none
+	h.Write(&b) // writing to a strings.Builder can't fail
 	b.WriteString("\r\n")
 	return []byte(b.String())
 }
 
-// setContentLength sets the Content-Length of a response, if it is known. A response to HEAD has the length that the host
-// says.
+// setContentLength sets the Content-Length of a response, if it is known. For a response to HEAD it is the
+// Content-Length in the host's response.
 func setContentLength(h http.Header, method string, resp *engine.Response) {
 	length := resp.Body.Len()
 	isHead := method == http.MethodHead
@@ -154,7 +155,8 @@
 	}
 }
 
-// write writes a part of the response, in pieces between which others on the connection have their turn.
+// write writes a part of the response in pieces of at most maxContentPerWrite, so that other responses can be written
+// to the same connection in between.
 func (r *request) write(content []byte, timeout time.Duration) error {
 	buf := outputBuffers.Get().(*[]byte)
 	defer outputBuffers.Put(buf)
@@ -172,9 +174,10 @@
 	return nil
 }
 
-// finish ends a request with the last part of its response. Each request gets one END_REQUEST, and nothing after it. A
-// truncated response must not look complete: if it is alone on its connection that is closed, and otherwise the exit
-// status says so, as FastCGI has no other way.
+// finish ends a request with the last part of its response and a single END_REQUEST, after which nothing is sent for
+// the request. A truncated response must be detectable as such. If the connection has no other request, the connection
+// is closed without the END_REQUEST. Otherwise the application status of the END_REQUEST is not 0, which is the only
+// other way to report it in FastCGI.
 func (r *request) finish(last []byte) {
 	c := r.c
 	buf := outputBuffers.Get().(*[]byte)
@@ -193,20 +196,20 @@
 	}
 	out = fastcgi.AppendEndRequest(out, r.id, end)
 	alone, closing := c.removeRequest(r)
-	// The web server may use the id again as soon as it has read the record.
-	c.records.RequestEnded(r.id)
+	// RequestEnded must precede the write: the web server may reuse the id as soon as it has read the END_REQUEST.
+	c.decoder.RequestEnded(r.id)
 	if truncated && alone {
 		c.nc.Close()
 		return
 	}
 	c.write(out, stallTimeout)
-	if alone && closing && c.records.NumOpen() == 0 {
+	if alone && closing && c.decoder.NumOpen() == 0 {
 		c.nc.Close()
 	}
 }
 
-// removeRequest removes a request that ends. It returns whether there is no other, and whether the connection ends with
-// the requests that it has.
+// removeRequest removes a request that ends. alone reports whether the connection has no other request, and closing
+// whether the connection is to be closed once its open requests have ended.
 func (c *conn) removeRequest(r *request) (alone, closing bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/frontend/fastcgi/server.go
+++ b/internal/frontend/fastcgi/server.go
@@ -1,5 +1,6 @@
-// Package fastcgi is the frontend for web servers, which speak FastCGI 1.0: the gateway is their responder. A connection
-// has a goroutine that reads its records, and each request one that hands it to the engine and writes the response.
+// Package fastcgi implements the frontend for web servers that use FastCGI 1.0, with the gateway in the responder role.
+// Each connection has a goroutine that reads its records, and each request has a goroutine that passes it to the engine
+// and writes the response.
 package fastcgi
 
 import (
@@ -13,28 +14,29 @@
 )
 
 const (
-	// shutdownTimeout is when after SIGTERM the last connections are closed: 0.1 s before the process is killed if the
-	// longest deadline is 3 s or more. If it is shorter the kill comes sooner (killGrace of package http1), which this
-	// server does not know; all responses are due before it all the same, by Admission.Stop.
+	// shutdownTimeout is the time after SIGTERM at which the last connections are closed. It is 0.1 s before the
+	// process is killed if the longest deadline is 3 s or more. With a shorter deadline the process is killed earlier
+	// (killGrace in package http1), which is not taken into account here; Admission.Stop still makes all responses due
+	// before the kill.
 	shutdownTimeout = 3600 * time.Millisecond
-	// shutdownPollInterval is how often Shutdown looks whether all connections are closed.
+	// shutdownPollInterval is the interval at which Shutdown checks whether all connections are closed.
 	shutdownPollInterval = 10 * time.Millisecond
 )
 
-// acceptBackoff is how long nothing is accepted after a failure.
+// acceptBackoff is the delay after a failure of Accept.
 var acceptBackoff = frontend.AcceptBackoff{Min: 10 * time.Millisecond, Max: 10 * time.Millisecond}
 
 // Options are the options of a Server.
 type Options struct {
-	MaxConns int // connections of web servers; beyond it an idle one, or else the new one, is closed
+	MaxConns int // maximum number of connections; at the limit an idle one, or if there is none, the new one is closed
 }
 
 // ListenOptions are the options of a listener.
 type ListenOptions struct {
-	TrustedProxies []netip.Prefix // web servers whose parameters about their clients are forwarded
+	TrustedProxies []netip.Prefix // web servers whose parameters about their own clients are trusted
 }
 
-// Server serves web servers on any number of listeners. Its methods may be called by any goroutine.
+// Server serves web servers on any number of listeners. Its methods are safe for concurrent use.
 type Server struct {
 	admission *frontend.Admission
 	maxConns  int
@@ -43,16 +45,16 @@
 	mu    sync.Mutex // guards conns
 	conns map[*conn]struct{}
 
-	shutdownEndsConns atomic.Bool // connections end with their responses because of Shutdown
+	shutdownEndsConns atomic.Bool // Shutdown has closed the listeners; connections are closed after their responses
 	closed            atomic.Bool
 }
 
-// New returns a Server that brings its requests through admission.
+// New returns a Server that submits its requests to admission.
 func New(admission *frontend.Admission, o Options) *Server {
 	return &Server{admission: admission, maxConns: o.MaxConns, conns: map[*conn]struct{}{}}
 }
 
-// SetListenOptions sets the options of a listener, for connections that are yet to be accepted.
+// SetListenOptions sets the options of a listener. They apply to connections that are accepted afterwards.
 func (s *Server) SetListenOptions(ln net.Listener, o ListenOptions) { s.listeners.SetOptions(ln, o) }
 
 // Serve serves the connections that ln accepts. It returns nil once Shutdown, CloseListener or Close has closed ln.
@@ -61,7 +63,7 @@
 	return s.listeners.Serve(ln, acceptBackoff, s.accept)
 }
 
-// accept serves a new connection, or closes it if there are too many.
+// accept starts serving a new connection, or closes it if there are too many.
 func (s *Server) accept(nc net.Conn, o *ListenOptions) {
 	c := newConn(s, nc, o)
 	victim, added := s.add(c)
@@ -75,8 +77,8 @@
 	go c.serve()
 }
 
-// add adds a connection, and removes another, to be closed, if there are too many. added is false if the new one has to
-// be closed.
+// add adds a connection. If there are too many, it removes an idle one, which is returned as victim for the caller to
+// close. added is false if the caller must close the new connection.
 func (s *Server) add(c *conn) (victim *conn, added bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,8 +97,9 @@
 	return victim, true
 }
 
-// longestIdle returns the connection without a whole request from which nothing has been read for longest; mu is held. It
-// is closed when there are too many, so that peers that connect and send nothing don't keep others out.
+// longestIdle returns the idle connection, as defined by idleSince, from which nothing has been read for the longest
+// time. The caller holds mu. This connection is closed if there are too many, so that peers that connect and send
+// nothing can't lock out others.
 func (s *Server) longestIdle() (longest *conn) {
 	var lastRead time.Time
 	for c := range s.conns {
@@ -110,14 +113,14 @@
 	return longest
 }
 
-// remove forgets a connection.
+// remove removes a connection that has been closed.
 func (s *Server) remove(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
 }
 
-// open returns the connections that are open.
+// open returns all open connections.
 func (s *Server) open() []*conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,10 +131,10 @@
 	return open
 }
 
-// CloseListener closes a listener. Its connections are served on.
+// CloseListener closes a listener. Its connections continue to be served.
 func (s *Server) CloseListener(ln net.Listener) { s.listeners.Close(ln) }
 
-// Close closes all listeners and connections at once.
+// Close closes all listeners and connections immediately.
 func (s *Server) Close() {
 	s.closed.Store(true)
 	s.listeners.CloseAll()
@@ -140,9 +143,10 @@
 	}
 }
 
-// Shutdown ends the service gracefully. It accepts connections for a while, then lets each end with its responses, and
-// closes the rest at shutdownTimeout. A connection without a request is closed by its own goroutine at its next check, as
-// no other knows what that has read. The Admission says when responses are due.
+// Shutdown stops the server gracefully. It accepts connections for frontend.BacklogGrace, then closes each connection
+// after its responses, and the remaining ones at shutdownTimeout. A connection without a request is closed by its own
+// goroutine at its next check of timeouts, because only that goroutine can tell whether a part of a request has been
+// read. The time at which responses are due is set by Admission.Stop, which Shutdown of the http1 server calls.
 func (s *Server) Shutdown() {
 	start := time.Now()
 	time.Sleep(frontend.BacklogGrace)
@@ -154,7 +158,7 @@
 	s.Close()
 }
 
-// endsAfterResponse reports whether connections end with their responses, because of Shutdown or of a drain.
+// endsAfterResponse reports whether connections are closed after their responses because of Shutdown or a drain.
 func (s *Server) endsAfterResponse() bool {
 	return s.shutdownEndsConns.Load() || s.admission.DrainEndsConnections()
 }
--- a/internal/frontend/fastcgi/server_test.go
+++ b/internal/frontend/fastcgi/server_test.go
@@ -13,8 +13,8 @@
 	"dunemoor/internal/testutil"
 )
 
-// A request that has arrived in part when connections begin to end is read to its end and answered: only the goroutine
-// that reads a connection may close it.
+// A request that has arrived in part when Shutdown starts to close connections is read completely and answered. The
+// test guards against a connection that is closed by another goroutine than the one that reads it.
 func TestShutdownServesPartialRequest(t *testing.T) {
 	testutil.VirtualTime(t, func(t *testing.T) {
 		admission := frontend.NewAdmission(engine.New(1), body.NewBudget(1<<20))
@@ -36,7 +36,7 @@
 		records = fastcgi.AppendStreamEnd(records, fastcgi.Params, 1)
 		records = fastcgi.AppendStreamEnd(records, fastcgi.Stdin, 1)
 		time.Sleep(frontend.BacklogGrace - shutdownPollInterval)
-		client.Write(records[:4]) // a part of a record's header
+		client.Write(records[:4]) // a part of the first record's header
 		time.Sleep(checkInterval / 2)
 		if _, err := client.Write(records[4:]); err != nil {
 			t.Fatalf("write the rest of the request: got %v, want an open connection", err)
--- a/internal/frontend/forward.go
+++ b/internal/frontend/forward.go
@@ -56,7 +56,8 @@
 	h[name] = []string{value}
 }
 
-// quoteHost returns a host in the syntax of the Forwarded header, as a quoted string unless it is a token (RFC 7239, 4).
+// quoteHost returns a host in the syntax of the Forwarded header, as a quoted string unless it is a token (RFC 7239,
+// 4).
 func quoteHost(host string) string {
 	if !strings.ContainsFunc(host, needsQuotes) {
 		return host
--- a/internal/frontend/health.go
+++ b/internal/frontend/health.go
@@ -8,11 +8,11 @@
 	"dunemoor/internal/engine"
 )
 
-// drainTimes are the times, after the start of a drain, at which it enters its later states. Load balancers are expected
-// to poll the health check every 0.1 s and to send new clients for up to 0.2 s after it has failed. After 4 s, only
-// connections with a request that was received in the first 2 s may still be open. Connections are kept for most of
-// these 2 s, because clients may have no other gateway to connect to. In the remaining time each connection is closed
-// after its next response.
+// drainTimes are the times, after the start of a drain, at which it enters its later states. Load balancers are
+// expected to poll the health check every 0.1 s and to send new clients for up to 0.2 s after it has failed. After 4 s,
+// only connections with a request that was received in the first 2 s may still be open. Connections are kept for most
+// of these 2 s, because clients may have no other gateway to connect to. In the remaining time each connection is
+// closed after its next response.
 var drainTimes = drain.Times{Leave: 1500 * time.Millisecond, Close: 1900 * time.Millisecond}
 
 // SetNotReady makes the health check fail until SetReady.
--- a/internal/frontend/http1/conn.go
+++ b/internal/frontend/http1/conn.go
@@ -20,11 +20,11 @@
 )
 
 const (
-	// requestTimeout is the maximum time for receiving a header section. It starts when the connection is accepted for the
-	// first request, and at the first byte for each later request. It is below 3 s because a client that sends no valid
-	// request must get an error or a close within 3 s of connecting. A body is subject to Streams.Upload of its route
-	// instead. On a route without Streams the body must arrive within requestTimeout from the end of the header section.
-	// The same timeout applies to the rest of a body that is discarded.
+	// requestTimeout is the maximum time for receiving a header section. It starts when the connection is accepted for
+	// the first request, and at the first byte for each later request. It is below 3 s because a client that sends no
+	// valid request must get an error or a close within 3 s of connecting. A body is subject to Streams.Upload of its
+	// route instead. On a route without Streams the body must arrive within requestTimeout from the end of the header
+	// section. The same timeout applies to the rest of a body that is discarded.
 	requestTimeout = 2500 * time.Millisecond
 	// idleTimeout is the minimum time for which an idle connection is kept open. The actual time may be up to a quarter
 	// longer.
@@ -185,7 +185,8 @@
 		c.idleDeadline = now.Add(idleTimeout + idleTimeout/4)
 		c.SetReadDeadline(c.idleDeadline)
 	}
-	// setIdle must follow SetReadDeadline: from then on the table may set a deadline in the past to close the connection.
+	// setIdle must follow SetReadDeadline: from then on the table may set a deadline in the past to close the
+	// connection.
 	s.conns.setIdle(c)
 	if !c.in.readMore() {
 		return false
@@ -195,9 +196,9 @@
 }
 
 // lingeringClose closes a connection for writing, and then reads and discards input until timeout, maxBytes, or the end
-// of the connection. Closing a connection that has unread bytes resets it, and the client may see the reset before it has
-// read the last response (RFC 9112, 9.6). Requests in the discarded input are not served. Errors are ignored, as they mean
-// that the client has disconnected.
+// of the connection. Closing a connection that has unread bytes resets it, and the client may see the reset before it
+// has read the last response (RFC 9112, 9.6). Requests in the discarded input are not served. Errors are ignored, as
+// they mean that the client has disconnected.
 func (s *Server) lingeringClose(c *clientConn, timeout time.Duration, maxBytes int64) {
 	c.CloseWrite()
 	// setLingering must follow SetReadDeadline: from then on the table may set a deadline in the past.
--- a/internal/frontend/http1/conntable.go
+++ b/internal/frontend/http1/conntable.go
@@ -14,26 +14,26 @@
 	// response. If they stayed open after that response, they could not be evicted for minIdleTime.
 	nearLimitPercent = 65
 
-	// minIdleTime is the minimum time for which a connection must be idle before it is evicted. If it is closed earlier,
-	// the client may already have started to send its next request.
+	// minIdleTime is the minimum time for which a connection must be idle before it is evicted. If it is closed
+	// earlier, the client may already have started to send its next request.
 	minIdleTime = 2 * time.Second
-	// minSilentTime is the minimum time for which a new connection must be without a request before it is evicted, unless
-	// no other connection can be evicted. When many connections have just been accepted, their first requests may not have
-	// been read yet.
+	// minSilentTime is the minimum time for which a new connection must be without a request before it is evicted,
+	// unless no other connection can be evicted. When many connections have just been accepted, their first requests
+	// may not have been read yet.
 	minSilentTime = 100 * time.Millisecond
 	// maxSilentTimeNearLimit is the maximum time for which a new connection may be without a request while the table is
 	// near its limit. It can be short because clients normally open a connection when they have a request.
 	maxSilentTimeNearLimit = time.Second
 )
 
-// connTable keeps the number of client connections within the limits of file descriptors, so that descriptors remain for
-// the connections in the listener's backlog. Beyond the limit it evicts the least useful connection: first those that
-// are lingering after their last response, then those without a request yet, oldest first, then those that have been
-// idle for minIdleTime. Connections that have been unused for long are evicted before the limit is reached. The cost of
-// each call is independent of the number of connections.
+// connTable keeps the number of client connections within the limits of file descriptors, so that descriptors remain
+// for the connections in the listener's backlog. Beyond the limit it evicts the least useful connection: first those
+// that are lingering after their last response, then those without a request yet, oldest first, then those that have
+// been idle for minIdleTime. Connections that have been unused for long are evicted before the limit is reached. The
+// cost of each call is independent of the number of connections.
 //
-// A connection is closed by its own goroutine only. The table wakes this goroutine by setting a read deadline in the past.
-// The goroutine then reads once more without blocking, and a request that has arrived by then is served.
+// A connection is closed by its own goroutine only. The table wakes this goroutine by setting a read deadline in the
+// past. The goroutine then reads once more without blocking, and a request that has arrived by then is served.
 type connTable struct {
 	mu           sync.Mutex // guards the fields below
 	limit        int        // number of connections above which one is evicted
@@ -70,8 +70,8 @@
 	return time.Now()
 }
 
-// add adds a new connection, and evicts another one if there are too many. It returns false if the new connection must be
-// closed because no other can be evicted.
+// add adds a new connection, and evicts another one if there are too many. It returns false if the new connection must
+// be closed because no other can be evicted.
 func (t *connTable) add(c *clientConn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -89,8 +89,8 @@
 	return true
 }
 
-// awaitEvictions waits while more connections are being evicted than there are spare descriptors. It cannot deadlock, as
-// the goroutines of these connections have been woken and close them without waiting for others.
+// awaitEvictions waits while more connections are being evicted than there are spare descriptors. It cannot deadlock,
+// as the goroutines of these connections have been woken and close them without waiting for others.
 func (t *connTable) awaitEvictions() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -125,8 +125,8 @@
 	t.enqueue(c, nil)
 }
 
-// setLingering marks a connection as lingering after its last response. It returns false if the connection must be closed
-// at once instead. While it lingers, the connection can be evicted.
+// setLingering marks a connection as lingering after its last response. It returns false if the connection must be
+// closed at once instead. While it lingers, the connection can be evicted.
 func (t *connTable) setLingering(c *clientConn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -198,9 +198,9 @@
 	return nil
 }
 
-// evictionOrder returns the candidates for eviction, in order of preference. The caller holds mu. While the table is near
-// its limit, unused connections are evicted even before the limit is reached, because all other clients then need a new
-// connection, with a handshake, for each request.
+// evictionOrder returns the candidates for eviction, in order of preference. The caller holds mu. While the table is
+// near its limit, unused connections are evicted even before the limit is reached, because all other clients then need
+// a new connection, with a handshake, for each request.
 func (t *connTable) evictionOrder() []candidates {
 	switch {
 	case t.open > t.limit:
@@ -225,7 +225,8 @@
 	return c
 }
 
-// closeWaiting makes all connections without a request close, except those accepted less than frontend.BacklogGrace ago.
+// closeWaiting makes all connections without a request close, except those accepted less than frontend.BacklogGrace
+// ago.
 func (t *connTable) closeWaiting() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/frontend/http1/conntable_test.go
+++ b/internal/frontend/http1/conntable_test.go
@@ -14,8 +14,8 @@
 	"dunemoor/internal/testutil"
 )
 
-// In a crowd of clients that send one request and keep their connections each one is served: room is made also while all
-// connections have just been used.
+// Each of many clients that send one request and keep their connection open is served, although there are more of them
+// than the connection limit and no connection has been idle for long enough to be evicted.
 func TestMoreKeepAliveClientsThanLimitAreServed(t *testing.T) {
 	cfg := withHealthyHost(t)
 	cfg.sockets = 64
@@ -27,8 +27,8 @@
 	}
 }
 
-// Connections are evicted in the order of their use: lingering ones, those without a request for a while, those idle for
-// long, and then those that have just been accepted.
+// Connections are evicted in this order: lingering ones, those without a request for minSilentTime, those idle for
+// minIdleTime, and then those that have just been accepted.
 func TestEvictionOrder(t *testing.T) {
 	table := &connTable{}
 	names := map[*clientConn]string{}
@@ -39,7 +39,7 @@
 		table.enqueue(c, queue)
 		c.queuedAt = c.queuedAt.Add(-age)
 	}
-	add("idle for a moment", &table.idle, -time.Minute) // queued in the future: no pause of the machine makes it old
+	add("idle for a moment", &table.idle, -time.Minute) // queued in the future, so that a pause of the machine can't age it
 	add("idle for long", &table.idle, 2*minIdleTime)
 	table.idle.MoveToFront(table.idle.Back()) // queues are ordered by age
 	add("silent for a while", &table.silent, 2*minSilentTime)
@@ -59,8 +59,8 @@
 	}
 }
 
-// Connections that have not been used for long, or ever, are closed in a crowd, and the crowd ends with that. Otherwise all
-// other clients would need a connection for each request.
+// Near the connection limit, connections that have not been used for long, or at all, are closed until the table is no
+// longer near its limit. Otherwise all other clients would need a new connection for each request.
 func TestUnusedConnectionsAreClosedNearLimit(t *testing.T) {
 	cfg := withHealthyHost(t)
 	cfg.sockets = 128
@@ -69,7 +69,7 @@
 	freezeClock(table, maxSilentTimeNearLimit/2)
 	for i := 0; !table.nearLimit(); i++ {
 		if i > table.limit {
-			t.Fatalf("no crowd after %d connections", i)
+			t.Fatalf("not near the limit after %d connections", i)
 		}
 		table.mu.Lock()
 		for _, queue := range []*list.List{&table.idle, &table.silent} {
@@ -92,27 +92,29 @@
 	table.mu.Unlock()
 	for i := 0; table.nearLimit(); i++ {
 		if i > 2*table.limit {
-			t.Fatalf("still a crowd after %d more connections", i)
+			t.Fatalf("still near the limit after %d more connections", i)
 		}
 		g.send("look", "/api/1", "") // on a connection of its own
 	}
 }
 
-// setAge sets the age of all connections in a queue, however long the test has taken so far; the table's mu is held.
+// setAge sets the age of all connections in a queue, independent of how long the test has taken. The caller holds
+// table.mu.
 func setAge(table *connTable, queue *list.List, age time.Duration) {
 	for e := queue.Front(); e != nil; e = e.Next() {
 		e.Value.(*clientConn).queuedAt = table.now().Add(-age)
 	}
 }
 
-// disableTimeouts takes the read deadlines off the connections in a queue; the table's mu is held.
+// disableTimeouts clears the read deadlines of all connections in a queue. The caller holds the mu of the queue's
+// table.
 func disableTimeouts(queue *list.List) {
 	for e := queue.Front(); e != nil; e = e.Next() {
 		e.Value.(*clientConn).SetReadDeadline(time.Time{})
 	}
 }
 
-// makeAllExpired makes all connections without a request old enough to be closed; the table's mu is held.
+// makeAllExpired makes all connections without a request old enough to be closed. The caller holds table.mu.
 func makeAllExpired(table *connTable) {
 	for _, queue := range []*list.List{&table.silent, &table.idle} {
 		for e := queue.Front(); e != nil; e = e.Next() {
@@ -121,7 +123,8 @@
 	}
 }
 
-// freezeClock stops the clock of a table after some time, so that no pause of the machine makes a connection older.
+// freezeClock stops the clock of a table after the given time, so that connections don't age further if the machine
+// pauses the test.
 func freezeClock(table *connTable, after time.Duration) {
 	start := time.Now()
 	table.mu.Lock()
@@ -129,8 +132,9 @@
 	table.clock = func() time.Time { return start.Add(min(time.Since(start), after)) }
 }
 
-// Hundreds of connections without a request leave descriptors for those with one, at the smallest limit in service. So do
-// connections that are idle for long, but none that has just been used is closed.
+// Hundreds of connections without a request don't prevent new clients from being served, at the smallest limit that is
+// used in production. No recently used connection is closed in favor of them. Connections that have been idle for
+// minIdleTime are evicted.
 func TestSilentConnectionsLeaveRoomForRequests(t *testing.T) {
 	cfg := withHealthyHost(t)
 	cfg.sockets = 256
@@ -144,7 +148,7 @@
 		}
 		used++
 	}
-	testutil.WaitUntil(t, "all connections that have been used are idle", func() bool { return g.server.ConnCounts().Idle == used })
+	testutil.WaitUntil(t, "all used connections are idle", func() bool { return g.server.ConnCounts().Idle == used })
 	for i := range 600 {
 		table.mu.Lock()
 		setAge(table, &table.idle, minIdleTime/4)
@@ -152,22 +156,22 @@
 		g.dial()
 		if i%20 == 0 {
 			if err := testutil.RoundTrip(g.dial()); err != nil {
-				t.Fatalf("a new client among %d silent ones: %v", i, err)
+				t.Fatalf("a new client with %d silent connections open: %v", i, err)
 			}
 		}
 		if n := g.server.ConnCounts().Open; n > table.hardLimit {
-			t.Fatalf("%d connections are open, want at most %d", n, table.hardLimit)
+			t.Fatalf("got %d open connections, want at most %d", n, table.hardLimit)
 		}
 	}
 	if kept := g.server.ConnCounts().Idle; kept < used {
-		t.Errorf("%d of %d connections that have just been used are open, want all", kept, used)
+		t.Errorf("got %d of %d recently used connections open, want all", kept, used)
 	}
 	table.mu.Lock()
 	setAge(table, &table.idle, minIdleTime)
 	before := table.idle.Len()
 	table.mu.Unlock()
-	// Without silent connections, each new connection evicts an idle one. Some of those dialed above may still be accepted
-	// meanwhile.
+	// Without silent connections, each new connection evicts an idle one. Some of the connections dialed above may be
+	// accepted only now, so the queue is emptied in each round.
 	for range 2 * cfg.sockets {
 		table.mu.Lock()
 		for table.silent.Len() > 0 {
@@ -181,10 +185,10 @@
 		g.dial()
 		time.Sleep(testutil.PollInterval)
 	}
-	t.Error("connections that are idle for long are not evicted")
+	t.Error("connections that have been idle for minIdleTime are not evicted")
 }
 
-// A connection that waits for a request has no buffer, so that thousands cost little memory.
+// A connection that waits for a request has no buffer, so that thousands of idle connections use little memory.
 func TestIdleConnectionHasNoBuffer(t *testing.T) {
 	g := startGateway(t, withHealthyHost(t))
 	const conns = 4
@@ -198,39 +202,40 @@
 		table.mu.Lock()
 		defer table.mu.Unlock()
 		for e := table.idle.Front(); e != nil; e = e.Next() {
-			if c := e.Value.(*clientConn); c.in.buf == nil { // its goroutine waits
+			if c := e.Value.(*clientConn); c.in.buf == nil { // not written now, as the connection's goroutine waits
 				n++
 			}
 		}
 		return n
 	}
-	testutil.WaitUntil(t, "all are idle without a buffer", func() bool { return idleWithoutBuffer() == conns })
+	testutil.WaitUntil(t, "all connections are idle without a buffer", func() bool { return idleWithoutBuffer() == conns })
 }
 
-// closeMethods are the ways in which connections without a request are closed; the table's mu is held.
+// closeMethods are the ways in which the table closes connections without a request. The caller holds table.mu.
 var closeMethods = map[string]func(table *connTable){
 	"evicted": func(table *connTable) {
 		limit := table.limit
 		table.limit = 0
 		if c := table.evict(); c != nil {
-			c.SetReadDeadline(deadlinePassed) // as add does
+			c.SetReadDeadline(deadlinePassed) // as connTable.add does
 		}
 		table.limit = limit
 	},
 	"drained": func(table *connTable) { table.closeWaitingLocked() },
 }
 
-// A request that has arrived but is not read when its connection is to be closed is answered, and ends its connection. So
-// is one that arrives as its connection times out.
+// A request that has arrived but has not been read when the table closes its connection is answered, and the connection
+// is closed after the response. The same holds for a request that arrives when the read deadline of its connection
+// passes.
 func TestUnreadRequestIsServedWhenConnectionCloses(t *testing.T) {
 	closeMethods := maps.Clone(closeMethods)
 	closeMethods["timed out"] = func(table *connTable) { table.silent.Front().Value.(*clientConn).SetReadDeadline(deadlinePassed) }
 	for name, closeConns := range closeMethods {
 		g := startGateway(t, withHealthyHost(t))
 		s := g.server
-		testutil.RoundTrip(g.dial()) // Serve runs after that, and has made its watcher
+		testutil.RoundTrip(g.dial()) // ensures that Serve is running and has created the watcher
 		testutil.WaitUntil(t, "the connection is idle", func() bool { return s.ConnCounts().Idle == 1 })
-		// The goroutine of this connection is started when all has happened.
+		// The goroutine of this connection is started only after the table has closed it.
 		client, c := acceptPair(t)
 		client.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 		if err := s.watcher.add(c); err != nil || !s.conns.add(c) {
@@ -247,7 +252,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 		client.Close()
-		testutil.WaitUntil(t, name+": only idle connections count", func() bool {
+		testutil.WaitUntil(t, name+": only idle connections are counted", func() bool {
 			s.conns.mu.Lock()
 			defer s.conns.mu.Unlock()
 			return s.conns.open == s.conns.idle.Len() && s.conns.evicting == 0
@@ -255,7 +260,7 @@
 	}
 }
 
-// A request that has been read when its connection is to be closed is answered.
+// A request that has already been read when the table closes its connection is answered.
 func TestReadRequestIsServedWhenConnectionCloses(t *testing.T) {
 	for name, closeConns := range closeMethods {
 		g := startGateway(t, withHealthyHost(t))
@@ -266,7 +271,7 @@
 		}
 		testutil.WaitUntil(t, "the connection is idle", func() bool { return g.server.ConnCounts().Idle == 1 })
 		c := g.server.watcher.open()[0]
-		table.mu.Lock() // the connection can't become active
+		table.mu.Lock() // prevents the connection from becoming active
 		io.WriteString(client, testutil.LookRequest(testutil.NewID()))
 		testutil.WaitUntil(t, "the request is read", func() bool {
 			return queuedBytes(t, client.(*net.TCPConn), unix.TIOCOUTQ) == 0 && queuedBytes(t, c.TCPConn, unix.TIOCINQ) == 0
@@ -278,7 +283,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 		client.Close()
-		testutil.WaitUntil(t, name+": no connection counts", func() bool {
+		testutil.WaitUntil(t, name+": no connection is counted", func() bool {
 			table.mu.Lock()
 			defer table.mu.Unlock()
 			return table.open == 0 && table.evicting == 0
@@ -286,8 +291,8 @@
 	}
 }
 
-// A request after the end of a connection reaches no host, and does not reset the connection while what the client sends is
-// still read: the client sees a regular end.
+// A request that is sent after the gateway has closed the connection is not forwarded to a host, and does not cause a
+// reset while lingeringClose reads and discards input: the client sees a regular close.
 func TestRequestAfterCloseIsDiscarded(t *testing.T) {
 	host := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	g := startGateway(t, withHosts(host))
@@ -300,7 +305,7 @@
 					t.Fatal(err)
 				}
 			}
-			testutil.WaitUntil(t, "the connection waits", func() bool {
+			testutil.WaitUntil(t, "the connection waits for a request", func() bool {
 				counts := g.server.ConnCounts()
 				return counts.Silent+counts.Idle == 1
 			})
@@ -316,24 +321,24 @@
 			client.(*net.TCPConn).CloseWrite()
 			testutil.WaitUntil(t, "the connection is closed", func() bool { return g.server.ConnCounts().Open == 0 })
 			if n, _, _ := host.Counts(); n != before {
-				t.Errorf("%s, first request %t: the host got %d requests, want %d", name, first, n, before)
+				t.Errorf("%s, first request %t: host received %d requests, want %d", name, first, n, before)
 			}
 		}
 	}
 }
 
-// A client that has sent more before it reads its last response sees that response: the connection ends regularly, and not
-// by a reset because of unread bytes.
+// A client that has sent further bytes before it reads its last response can read that response. If the gateway closed
+// the connection with these bytes unread, the kernel would reset it.
 func TestLastResponseIsReadDespiteUnreadBytes(t *testing.T) {
 	host, release := newBlockingHost(t)
 	g := startGateway(t, withHosts(host))
 	client := g.dialWithTimeout()
 	io.WriteString(client, closingRequest())
-	testutil.WaitUntil(t, "the host has the request", func() bool { n, _, _ := host.Counts(); return n == 1 })
+	testutil.WaitUntil(t, "the host has received the request", func() bool { n, _, _ := host.Counts(); return n == 1 })
 	io.WriteString(client, testutil.LookRequest(testutil.NewID()))
 	c := g.server.watcher.open()[0]
-	testutil.WaitUntil(t, "more has arrived", func() bool { return queuedBytes(t, c.TCPConn, unix.TIOCINQ) > 0 })
-	socket := 0 // stays open when the server has closed its own descriptor
+	testutil.WaitUntil(t, "further bytes have arrived", func() bool { return queuedBytes(t, c.TCPConn, unix.TIOCINQ) > 0 })
+	socket := 0 // duplicate that stays open after the server has closed its own descriptor
 	if err := c.raw.Control(func(fd uintptr) { socket, _ = unix.Dup(int(fd)) }); err != nil || socket <= 0 {
 		t.Fatalf("duplicate the socket: got %d, %v", socket, err)
 	}
@@ -346,9 +351,9 @@
 	client.Close()
 	testutil.WaitUntil(t, "the connection is closed", func() bool { return g.server.ConnCounts().Open == 0 })
 	if n, err := unix.IoctlGetInt(socket, unix.TIOCINQ); n != 0 || err != nil {
-		t.Errorf("closed with %d unread bytes, %v, want 0", n, err)
+		t.Errorf("got %d unread bytes at the close, error %v, want 0", n, err)
 	}
 	if n, _, _ := host.Counts(); n != 1 {
-		t.Errorf("the host got %d requests, want 1", n)
+		t.Errorf("host received %d requests, want 1", n)
 	}
 }
--- a/internal/frontend/http1/disconnect.go
+++ b/internal/frontend/http1/disconnect.go
@@ -6,10 +6,10 @@
 	"syscall"
 )
 
-// disconnectWatcher detects when clients close their connections, even while nothing is being read from them, and cancels
-// the contexts of these connections. A single epoll set contains all connections, edge-triggered and registered for
-// hang-up and error events only. The Go runtime polls the descriptor of this set. The cost is one system call for each
-// connection, and one for each attempt that checks whether its client is still connected.
+// disconnectWatcher detects when clients close their connections, even while nothing is being read from them, and
+// cancels the contexts of these connections. A single epoll set contains all connections, edge-triggered and registered
+// for hang-up and error events only. The Go runtime polls the descriptor of this set. The cost is one system call for
+// each connection, and one for each attempt that checks whether its client is still connected.
 type disconnectWatcher struct {
 	file *os.File // the epoll set
 	raw  syscall.RawConn
@@ -24,8 +24,8 @@
 }
 
 const (
-	// disconnectEvents are the events that report that the peer has closed a connection, fully or for writing, or that the
-	// connection has failed.
+	// disconnectEvents are the events that report that the peer has closed a connection, fully or for writing, or that
+	// the connection has failed.
 	disconnectEvents = syscall.EPOLLRDHUP | syscall.EPOLLHUP | syscall.EPOLLERR
 	// edgeTriggered is EPOLLET, which package syscall declares as a negative number.
 	edgeTriggered = 1 << 31
@@ -120,8 +120,8 @@
 	w.raw.Control(w.handleEvents) // the only error is that the watcher is closed
 }
 
-// handleEvents cancels the contexts of all connections that have pending events. It locks mu before it takes the events:
-// otherwise a concurrent call could find no events and return before the contexts have been canceled.
+// handleEvents cancels the contexts of all connections that have pending events. It locks mu before it takes the
+// events: otherwise a concurrent call could find no events and return before the contexts have been canceled.
 func (w *disconnectWatcher) handleEvents(fd uintptr) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/frontend/http1/disconnect_test.go
+++ b/internal/frontend/http1/disconnect_test.go
@@ -20,20 +20,20 @@
 	"dunemoor/internal/testutil"
 )
 
-// maxInFlightPerHost is how many requests a host gets at first, before it has answered any.
+// maxInFlightPerHost is the number of requests that are sent to a host before it has answered any.
 const maxInFlightPerHost = 4
 
-// disconnects are the ways in which a client leaves.
+// disconnects are the ways in which a client can disconnect.
 var disconnects = map[string]func(c *net.TCPConn){
 	"close":      func(c *net.TCPConn) { c.Close() },
 	"half close": func(c *net.TCPConn) { c.CloseWrite() },
 	"reset":      func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 }
 
-// disconnectNames are the keys of disconnects, to have clients leave in each way in turn.
+// disconnectNames are the keys of disconnects in a fixed order, for tests that use each of them in turn.
 var disconnectNames = []string{"close", "half close", "reset"}
 
-// stopWatcher stops the goroutine that notices when clients leave, as if it had no turn on a busy machine.
+// stopWatcher stops the goroutine that detects disconnects, as if it were not scheduled on a busy machine.
 func (g *testGateway) stopWatcher() {
 	g.Helper()
 	w := g.server.watcher
@@ -43,7 +43,7 @@
 	<-w.done
 }
 
-// disconnected returns the number of clients whose close has arrived.
+// disconnected returns the number of open connections on which a close by the client has arrived.
 func (g *testGateway) disconnected() (n int) {
 	for _, c := range g.server.watcher.open() {
 		c.raw.Control(func(fd uintptr) {
@@ -56,8 +56,8 @@
 	return n
 }
 
-// However an attempt ends and however its client has left by then, there is no further one: the check before the first byte
-// notices it, also if nothing else has yet.
+// After a client has disconnected, no further attempt is sent, however the first attempt ends and however the client
+// has disconnected. The check before the first byte of an attempt must detect this even if the watcher has not run.
 func TestNoFurtherAttemptAfterDisconnect(t *testing.T) {
 	responses := map[string]testutil.Script{
 		"error":    testutil.RespondWith(testutil.ErrorResponse),
@@ -89,7 +89,7 @@
 				<-received
 				g.stopWatcher()
 				disconnect(c)
-				testutil.WaitUntil(t, "the close has arrived", func() bool { return g.disconnected() == 1 })
+				testutil.WaitUntil(t, "the client's close has arrived", func() bool { return g.disconnected() == 1 })
 				close(release)
 				testutil.WaitUntil(t, "the request has ended", func() bool { return g.admission.OpenIDs() == 0 })
 				if n := attempts.Load(); n != 1 {
@@ -100,8 +100,8 @@
 	}
 }
 
-// Many clients leave while the engine's loop is busy, with errors waiting for it that call for further attempts, and other
-// requests that wait for their first: no attempt is sent.
+// Many clients disconnect while the engine's loop is blocked. Error responses that would cause further attempts are
+// queued for the loop, and other requests wait for their first attempt. No attempt is sent for these clients.
 func TestNoAttemptAfterBurstOfDisconnectsWhileLoopIsBusy(t *testing.T) {
 	const hosts, clients = 8, 200
 	var attempts, responses atomic.Int64
@@ -130,30 +130,31 @@
 		io.WriteString(conns[i], testutil.LookRequest(testutil.NewID()))
 	}
 	const inFlight = maxInFlightPerHost * hosts
-	testutil.WaitUntil(t, "all requests are admitted, and most wait", func() bool {
+	testutil.WaitUntil(t, "all requests are admitted and as many as possible are in flight", func() bool {
 		return g.admission.OpenIDs() == clients && attempts.Load() == inFlight
 	})
 	close(respond)
 	<-loopBusy
-	testutil.WaitUntil(t, "all errors are written", func() bool { return responses.Load() == inFlight })
+	testutil.WaitUntil(t, "the hosts have written all error responses", func() bool { return responses.Load() == inFlight })
 	g.stopWatcher()
 	for i, c := range conns {
 		disconnects[disconnectNames[i%len(disconnectNames)]](c)
 	}
-	testutil.WaitUntil(t, "all closes have arrived", func() bool { return g.disconnected() == clients })
+	testutil.WaitUntil(t, "the closes of all clients have arrived", func() bool { return g.disconnected() == clients })
 	close(release)
 	testutil.WaitUntil(t, "all requests have ended", func() bool { return g.admission.OpenIDs() == 0 })
 	if n := attempts.Load(); n != inFlight {
-		t.Errorf("got %d attempts for clients that had left, want 0", n-inFlight)
+		t.Errorf("got %d attempts for disconnected clients, want 0", n-inFlight)
 	}
 }
 
-// A client that leaves while its long body arrives and its request waits for a host has left: half a body is not sent to a
-// host. Its request ends at once, and is not sent either if nothing has noticed the close yet.
+// If a client disconnects during the upload of a streamed body while its request waits for a host, the request ends
+// immediately, and no part of the body is sent to a host. Nothing is sent either if the watcher has not detected the
+// disconnect yet.
 func TestDisconnectDuringUploadOfQueuedRequest(t *testing.T) {
 	for how, disconnect := range disconnects {
-		for _, unnoticed := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s, unnoticed %t", how, unnoticed), func(t *testing.T) {
+		for _, watcherStopped := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s, watcher stopped %t", how, watcherStopped), func(t *testing.T) {
 				host, release := newBlockingHost(t)
 				cfg := withHosts(host)
 				pace := body.Pace{IdleTimeout: testutil.WaitTimeout}
@@ -168,35 +169,35 @@
 				for range maxInFlightPerHost {
 					startUpload(1, 1)
 				}
-				testutil.WaitUntil(t, "the host is full", func() bool { n, _, _ := host.Counts(); return n == maxInFlightPerHost })
+				testutil.WaitUntil(t, "the host has no more capacity", func() bool { n, _, _ := host.Counts(); return n == maxInFlightPerHost })
 				c := startUpload(1<<20, 100<<10)
-				testutil.WaitUntil(t, "the request waits", func() bool { return g.openRequests() == maxInFlightPerHost+1 })
-				if unnoticed {
+				testutil.WaitUntil(t, "the request waits for a host", func() bool { return g.openRequests() == maxInFlightPerHost+1 })
+				if watcherStopped {
 					g.stopWatcher()
 				}
 				disconnect(c)
-				if unnoticed {
-					testutil.WaitUntil(t, "the close has arrived", func() bool { return g.disconnected() == 1 })
+				if watcherStopped {
+					testutil.WaitUntil(t, "the client's close has arrived", func() bool { return g.disconnected() == 1 })
 				} else {
 					testutil.WaitUntil(t, "the request has ended", func() bool { return g.openRequests() == maxInFlightPerHost })
 					c.SetReadDeadline(time.Now().Add(testutil.WaitTimeout))
-					if got, _ := io.ReadAll(c); len(got) > 0 { // after a half close
-						t.Errorf("the client got %q, want no response", got)
+					if got, _ := io.ReadAll(c); len(got) > 0 { // a half-closed client could still read a response
+						t.Errorf("client received %q, want no response", got)
 					}
 				}
 				close(release)
 				testutil.WaitUntil(t, "all requests have ended", func() bool { return g.openRequests() == 0 })
 				g.close()
-				testutil.WaitUntil(t, "the host has read all", func() bool { _, accepted, ended := host.Counts(); return accepted == ended })
+				testutil.WaitUntil(t, "all connections to the host have ended", func() bool { _, accepted, ended := host.Counts(); return accepted == ended })
 				if n, _, _ := host.Counts(); n != maxInFlightPerHost {
-					t.Errorf("the host got %d requests, want %d", n, maxInFlightPerHost)
+					t.Errorf("host received %d requests, want %d", n, maxInFlightPerHost)
 				}
 			})
 		}
 	}
 }
 
-// openRequests returns the number of requests at the engine.
+// openRequests returns the number of open requests in the engine.
 func (g *testGateway) openRequests() (n int64) {
 	snapshot := g.admission.Engine.Snapshot()
 	defer snapshot.Release()
@@ -204,7 +205,7 @@
 	return n
 }
 
-// A wait for events that a signal interrupts is repeated: events are reported only once.
+// A wait for events that is interrupted by a signal is repeated, because edge-triggered events are reported only once.
 func TestInterruptedWaitIsRepeated(t *testing.T) {
 	calls := 0
 	n := retryInterrupted(func() (int, error) {
@@ -222,8 +223,8 @@
 	}
 }
 
-// Clients that leave in a burst, in any way, while their requests wait for a host have left, and nothing is sent for them:
-// neither then nor when the host has capacity again.
+// Many clients disconnect at the same time, in different ways, while their requests wait for a host. Nothing is sent
+// for these requests, neither at that time nor when the host has capacity again.
 func TestBurstOfDisconnectsWhileRequestsAreQueued(t *testing.T) {
 	host, release := newBlockingHost(t)
 	g := startGateway(t, withHosts(host))
@@ -234,13 +235,13 @@
 		io.WriteString(c, testutil.LookRequest(id))
 		conns[id] = c.(*net.TCPConn)
 	}
-	testutil.WaitUntil(t, "all requests are admitted, and most wait", func() bool {
+	testutil.WaitUntil(t, "all requests are admitted and as many as possible are in flight", func() bool {
 		n, _, _ := host.Counts()
 		return g.admission.OpenIDs() == clients && n == maxInFlightPerHost
 	})
 	host.Mu.Lock()
 	for _, r := range host.Requests {
-		delete(conns, r.Header.Get("X-Request-Id")) // clients whose requests are in flight stay
+		delete(conns, r.Header.Get("X-Request-Id")) // clients whose requests are in flight stay connected
 	}
 	host.Mu.Unlock()
 	i := 0
@@ -248,41 +249,42 @@
 		disconnects[disconnectNames[i%len(disconnectNames)]](c)
 		i++
 	}
-	testutil.WaitUntil(t, "the requests of all others have ended", func() bool { return g.admission.OpenIDs() == maxInFlightPerHost })
+	testutil.WaitUntil(t, "all requests that are not in flight have ended", func() bool { return g.admission.OpenIDs() == maxInFlightPerHost })
 	close(release)
-	testutil.WaitUntil(t, "those in flight are answered", func() bool { return g.admission.OpenIDs() == 0 })
+	testutil.WaitUntil(t, "the requests in flight have been answered", func() bool { return g.admission.OpenIDs() == 0 })
 	if resp, _ := g.send("look", "/api/1", ""); resp.StatusCode != 200 {
 		t.Errorf("a further request: got status %d, want 200", resp.StatusCode)
 	}
 	if n, _, _ := host.Counts(); n != maxInFlightPerHost+1 {
-		t.Errorf("the host got %d requests of clients that had left, want 0", n-maxInFlightPerHost-1)
+		t.Errorf("host received %d requests of disconnected clients, want 0", n-maxInFlightPerHost-1)
 	}
 }
 
-// A client that closes its side while it waits has left, and gets no response: in particular no 200 that no host has sent.
+// A client that closes its side of the connection while it waits for the response counts as disconnected and receives
+// no response, in particular no 200 that no host has sent.
 func TestHalfClosedClientGetsNoResponse(t *testing.T) {
 	host := testutil.NewHost(t, testutil.NeverRespond)
 	g := startGateway(t, withHosts(host))
 	c := g.dialWithTimeout()
 	io.WriteString(c, testutil.LookRequest(testutil.NewID()))
-	testutil.WaitUntil(t, "the host has the request", func() bool { n, _, _ := host.Counts(); return n == 1 })
+	testutil.WaitUntil(t, "the host has received the request", func() bool { n, _, _ := host.Counts(); return n == 1 })
 	c.(*net.TCPConn).CloseWrite()
 	if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil {
 		t.Errorf("got status %d, want no response", resp.StatusCode)
 	}
 }
 
-// The disconnect of a client that waits is noticed also behind bytes that nobody has read: otherwise attempts would go on
-// until its deadline, a minute later.
+// The disconnect of a waiting client is detected even if the client has sent further bytes that have not been read.
+// Otherwise attempts would continue until the client's deadline, a minute later.
 func TestDisconnectIsDetectedDespiteUnreadBytes(t *testing.T) {
 	host := testutil.NewHost(t, testutil.NeverRespond)
 	g := startGateway(t, withHosts(host))
 	for i, more := range []string{"", "GET ", strings.Repeat("x", 64<<10)} {
 		c := g.dialWithTimeout()
 		if _, err := io.WriteString(c, testutil.LookRequest(testutil.NewID())+more); err != nil {
-			t.Fatalf("write a request and %d bytes more, which the kernel's buffers have to hold: %v", len(more), err)
+			t.Fatalf("write a request and %d more bytes into the kernel's buffers: %v", len(more), err)
 		}
-		testutil.WaitUntil(t, "the host has the request", func() bool { n, _, _ := host.Counts(); return n == i+1 })
+		testutil.WaitUntil(t, "the host has received the request", func() bool { n, _, _ := host.Counts(); return n == i+1 })
 		c.Close()
 		testutil.WaitUntil(t, "the request has ended", func() bool { return g.admission.OpenIDs() == 0 })
 		testutil.WaitUntil(t, "the connection is closed", func() bool {
--- a/internal/frontend/http1/gateway_test.go
+++ b/internal/frontend/http1/gateway_test.go
@@ -23,33 +23,33 @@
 	hosts "dunemoor/internal/upstream/http1"
 )
 
-// testGateway is a frontend with an engine and hosts behind it, on loopback.
+// testGateway is a frontend on loopback with an engine and its hosts.
 type testGateway struct {
 	*testing.T
 	admission *frontend.Admission
 	server    *Server
 	url       string
-	close     func() // ends it at once, with its connections to hosts
+	close     func() // closes the gateway immediately, including its connections to hosts
 }
 
-// testConfig is what tests change of a testGateway.
+// testConfig contains the settings of a testGateway that differ between tests.
 type testConfig struct {
 	hosts    []*testutil.Host
-	sockets  int
-	streams  *engine.Streams // nil: all bodies are buffered
-	classify func()          // if set, called in the engine's loop with each response of a host
+	sockets  int             // limit of file descriptors, from which the connection limits are computed
+	streams  *engine.Streams // nil means that all bodies are buffered
+	classify func()          // if set, called in the engine's loop for each response of a host
 }
 
 func withHosts(hosts ...*testutil.Host) *testConfig {
 	return &testConfig{hosts: hosts, sockets: 1024}
 }
 
-// withHealthyHost returns the config of a gateway with a host that answers each request.
+// withHealthyHost returns the config of a gateway with one host that answers each request with OKResponse.
 func withHealthyHost(t *testing.T) *testConfig {
 	return withHosts(testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse)))
 }
 
-// newBlockingHost returns a host that answers its requests once release is closed.
+// newBlockingHost returns a host that does not answer its requests until release is closed.
 func newBlockingHost(t *testing.T) (host *testutil.Host, release chan struct{}) {
 	t.Helper()
 	release = make(chan struct{})
@@ -61,17 +61,17 @@
 	return host, release
 }
 
-// startGateway starts a gateway with one route, whose requests are in the platform's protocol.
+// startGateway starts a gateway with a single route for requests in the platform's protocol.
 func startGateway(t *testing.T, cfg *testConfig) *testGateway {
 	t.Helper()
 	e := engine.New(7)
 	ctx, cancel := context.WithCancel(context.Background())
-	// A connection that comes up late on a busy machine must not count as a host's failure.
+	// A slow dial on a busy machine must not count as a failure of the host.
 	dialer := net.Dialer{Timeout: testutil.WaitTimeout}
 	transport := hosts.NewTransport(hosts.Options{MaxConns: 1024, DialContext: dialer.DialContext})
-	// Queued requests are rejected after a fifth of the objective. A host counts as silent after half of it until its
-	// class has a response, and then by the RTTs of the class: a test that holds requests back must not have had
-	// responses of their class.
+	// Queued requests are rejected after a fifth of the objective. Before the first response of a class, a host counts
+	// as silent after half of the objective, and later after a time that depends on the RTTs of the class. A test that
+	// delays requests must therefore not have received responses of their class before.
 	const objective = 5 * time.Minute
 	settings := balancer.Settings{
 		Instances: 1, MaxAttempts: 4, Cancel: true, MaxRetryAfter: time.Second, Step: 5 * time.Millisecond,
@@ -118,13 +118,13 @@
 	return g
 }
 
-// send sends a request on a connection of its own and returns its response and the response's body.
+// send sends a request on a new connection and returns the response and its body.
 func (g *testGateway) send(class, path, body string, headers ...string) (*http.Response, string) {
 	g.Helper()
 	return testutil.SendRequest(g, g.url, class, path, body, headers...)
 }
 
-// dial opens a connection that is closed with the test.
+// dial opens a connection that is closed at the end of the test.
 func (g *testGateway) dial() net.Conn {
 	g.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(g.url, "http://"))
@@ -143,7 +143,7 @@
 	return c
 }
 
-// acceptPair returns both ends of a loopback connection; the server's as a clientConn that no Server knows.
+// acceptPair returns both ends of a loopback connection. The server's end is a clientConn that belongs to no Server.
 func acceptPair(t *testing.T) (client *net.TCPConn, c *clientConn) {
 	t.Helper()
 	ln := testutil.Listen(t, "127.0.0.1:0", nil)
@@ -165,8 +165,8 @@
 	return nc.(*net.TCPConn), c
 }
 
-// queuedBytes returns how many bytes a connection has received that are not read (TIOCINQ), or has sent that the peer has
-// not acknowledged (TIOCOUTQ).
+// queuedBytes returns the number of bytes in a connection's kernel buffer: those that have been received but not read
+// (TIOCINQ), or those that have been sent but not acknowledged by the peer (TIOCOUTQ).
 func queuedBytes(t *testing.T, c *net.TCPConn, which uint) (n int) {
 	t.Helper()
 	raw, err := c.SyscallConn()
@@ -180,7 +180,7 @@
 	return n
 }
 
-// readLastResponse reads a good response that is the last of its connection.
+// readLastResponse reads a response and checks that it is successful and is followed by the end of the connection.
 func readLastResponse(c net.Conn) error {
 	in := bufio.NewReader(c)
 	resp, err := http.ReadResponse(in, nil)
@@ -195,7 +195,7 @@
 	return nil
 }
 
-// closingRequest returns a request that asks for the connection to be closed after the response.
+// closingRequest returns a request with the header Connection: close.
 func closingRequest() string {
 	return strings.Replace(testutil.LookRequest(testutil.NewID()), "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1)
 }
--- a/internal/frontend/http1/reader.go
+++ b/internal/frontend/http1/reader.go
@@ -23,8 +23,8 @@
 	return &b
 }}
 
-// connReader is a buffered reader of a connection. It only has a buffer while that contains unread bytes, so that an idle
-// connection uses no memory for a buffer.
+// connReader is a buffered reader of a connection. It only has a buffer while that contains unread bytes, so that an
+// idle connection uses no memory for a buffer.
 type connReader struct {
 	conn *net.TCPConn
 	raw  syscall.RawConn
@@ -149,7 +149,8 @@
 }
 
 // readMore blocks until bytes arrive or the read deadline passes, and reports whether any bytes were read. After the
-// deadline, or if the table has set one in the past to close the connection, it reads the bytes that have already arrived.
+// deadline, or if the table has set one in the past to close the connection, it reads the bytes that have already
+// arrived.
 func (in *connReader) readMore() bool {
 	err := in.fill()
 	if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -172,8 +173,8 @@
 // longest header in use, a version 2 header with addresses, and some of the bytes after it.
 const proxyHeaderBufferSize = 512
 
-// readProxyHeader reads a PROXY header of version 1 or 2 and returns the address of the client. It returns the zero Addr
-// if the header contains no address, as in health checks that the proxy sends itself.
+// readProxyHeader reads a PROXY header of version 1 or 2 and returns the address of the client. It returns the zero
+// Addr if the header contains no address, as in health checks that the proxy sends itself.
 func (in *connReader) readProxyHeader() (netip.Addr, error) {
 	r := bufio.NewReaderSize(in.conn, proxyHeaderBufferSize)
 	header, err := proxyproto.Read(r)
--- a/internal/frontend/http1/request.go
+++ b/internal/frontend/http1/request.go
@@ -18,8 +18,8 @@
 	errHeaderTooLong = frontend.NewRequestError(http.StatusRequestHeaderFieldsTooLarge, "the head is too long")
 )
 
-// readRequest reads and parses the header section of the next request. The error is errNoRequest, or an error whose text
-// is sent to the client.
+// readRequest reads and parses the header section of the next request. The error is errNoRequest, or an error whose
+// text is sent to the client.
 func (s *Server) readRequest(c *clientConn, first bool) error {
 	c.body = nil
 	c.upload = nil
@@ -118,8 +118,8 @@
 // continueResponse is the interim response that makes the client send the body (RFC 9110, 15.2.1).
 var continueResponse = []byte("HTTP/1.1 100 Continue\r\n\r\n")
 
-// Read implements io.Reader. It returns io.EOF with or after the last byte, and only if the body is complete. All errors
-// except exceeded deadlines are final.
+// Read implements io.Reader. It returns io.EOF with or after the last byte, and only if the body is complete. All
+// errors except exceeded deadlines are final.
 func (b *bodyReader) Read(p []byte) (n int, err error) {
 	if b.err != nil {
 		return 0, b.err
--- a/internal/frontend/http1/request_test.go
+++ b/internal/frontend/http1/request_test.go
@@ -15,23 +15,23 @@
 	"dunemoor/internal/testutil"
 )
 
-// maxInvalidRequestTime is how long a bad client may be left without an error or a close: 3 s, and some more for a busy
-// machine. The limits that would otherwise end its connection are far longer.
+// maxInvalidRequestTime is the maximum time until a client that sends an invalid request gets an error or a close: 3 s,
+// plus 2 s for a busy machine. Other timeouts that would close the connection are far longer.
 const maxInvalidRequestTime = 3*time.Second + 2*time.Second
 
-// isTimeout reports whether an error is that of a deadline.
+// isTimeout reports whether an error was caused by an exceeded deadline.
 func isTimeout(err error) bool {
 	netErr, ok := err.(net.Error)
 	return ok && netErr.Timeout()
 }
 
-// invalidRequest is a request that no client may send.
+// invalidRequest is a request that must not be forwarded.
 type invalidRequest struct {
 	name, request string
-	status        string // of the response; "": a close without a response will do
+	status        string // expected status of the response; "" means that a close without a response is also allowed
 }
 
-// invalidRequests returns requests that are invalid in one way each.
+// invalidRequests returns requests that are each invalid for a single reason.
 func invalidRequests() []invalidRequest {
 	header := func(first string, lines ...string) string {
 		return first + "\r\nHost: a\r\n" + strings.Join(lines, "\r\n") + "\r\n\r\n"
@@ -39,13 +39,13 @@
 	const class, timeout = "X-Priority-Class: book", "X-Timeout: 60"
 	id := func() string { return "X-Request-ID: " + testutil.NewID() }
 	const post = "POST /api/1 HTTP/1.1"
-	hidden := "0\r\n\r\n" + testutil.LookRequest(testutil.NewID())
-	long := fmt.Sprintf("Content-Length: %d", len(hidden))
+	smuggled := "0\r\n\r\n" + testutil.LookRequest(testutil.NewID())
+	long := fmt.Sprintf("Content-Length: %d", len(smuggled))
 	return []invalidRequest{
-		{"length and encoding", header(post, class, timeout, id(), long, "Transfer-Encoding: chunked") + hidden, "400"},
-		{"encoding and length", header(post, class, timeout, id(), "Transfer-Encoding: chunked", long) + hidden, "400"},
-		{"length and encoding in HTTP/1.0", header("POST /api/1 HTTP/1.0", class, timeout, id(), long, "Transfer-Encoding: chunked") + hidden, "400"},
-		{"unknown encoding", header(post, class, timeout, id(), long, "Transfer-Encoding: xchunked") + hidden, "501"},
+		{"length and encoding", header(post, class, timeout, id(), long, "Transfer-Encoding: chunked") + smuggled, "400"},
+		{"encoding and length", header(post, class, timeout, id(), "Transfer-Encoding: chunked", long) + smuggled, "400"},
+		{"length and encoding in HTTP/1.0", header("POST /api/1 HTTP/1.0", class, timeout, id(), long, "Transfer-Encoding: chunked") + smuggled, "400"},
+		{"unknown encoding", header(post, class, timeout, id(), long, "Transfer-Encoding: xchunked") + smuggled, "501"},
 		{"chunked", header(post, class, timeout, id(), "Transfer-Encoding: chunked") + "1\r\na\r\n0\r\n\r\n", "400"},
 		{"no id", header(post, class, timeout, "Content-Length: 1") + "b", "400"},
 		{"empty id", header(post, class, timeout, "X-Request-ID: ", "Content-Length: 1") + "b", "400"},
@@ -61,16 +61,17 @@
 		{"method of another class", header("GET /api/1 HTTP/1.1", class, timeout, id()), "400"},
 		{"negative length", header(post, class, timeout, id(), "Content-Length: -1") + "b", "400"},
 		{"two lengths", header(post, class, timeout, id(), "Content-Length: 1", "Content-Length: 2") + "bb", "400"},
-		{"noise", strings.Repeat("\x00\xff\x03", 100) + "\r\n\r\n", "400"},
+		{"binary data", strings.Repeat("\x00\xff\x03", 100) + "\r\n\r\n", "400"},
 		{"endless header section", post + "\r\n" + strings.Repeat("X-Pad: pppppppppppppppppppppppp\r\n", 4000), "431"},
 		{"body of 60 MB", header(post, class, timeout, id(), "Content-Length: 62914560"), "413"},
-		{"half a header section", post + "\r\nHost: a\r\nX-Prio", ""},
-		{"half a body", header(post, class, timeout, id(), "Content-Length: 10") + "half", "400"},
-		{"nothing", "", ""},
+		{"partial header section", post + "\r\nHost: a\r\nX-Prio", ""},
+		{"partial body", header(post, class, timeout, id(), "Content-Length: 10") + "half", "400"},
+		{"no bytes", "", ""},
 	}
 }
 
-// An invalid request gets an error or a close soon, and its connection ends with that; no host gets any of it.
+// The response to an invalid request is an error or a close within maxInvalidRequestTime. The connection is closed, no
+// part of the request is sent to a host, and no resources stay reserved.
 func TestInvalidRequestGetsErrorOrClose(t *testing.T) {
 	host := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	g := startGateway(t, withHosts(host))
@@ -85,7 +86,7 @@
 			go io.WriteString(c, tt.request) // fails if the response is sent before all is written
 			got, err := io.ReadAll(c)
 			if isTimeout(err) {
-				t.Fatalf("got %q and no close, want an error or a close", got)
+				t.Fatalf("got %q and then a timeout, want an error or a close", got)
 			}
 			if want := " " + tt.status; tt.status != "" && (len(got) < 8 || !strings.HasPrefix(string(got[8:]), want)) {
 				t.Errorf("got response %.80q (%v), want status %s", got, err, want)
@@ -96,18 +97,18 @@
 		})
 	}
 	if requests, accepted, _ := host.Counts(); requests+accepted != 0 {
-		t.Errorf("the host got %d requests on %d connections, want none", requests, accepted)
+		t.Errorf("host received %d requests on %d connections, want none", requests, accepted)
 	}
 	if n, _ := g.admission.Bodies.Used(body.RequestBodies); n != 0 {
-		t.Errorf("%d bytes are reserved for bodies, want 0", n)
+		t.Errorf("got %d bytes reserved for bodies, want 0", n)
 	}
 	if n := g.admission.OpenIDs(); n != 0 {
-		t.Errorf("%d ids are open, want 0", n)
+		t.Errorf("got %d open ids, want 0", n)
 	}
 }
 
-// A client that sends 60 MB gets a response or a close soon, though it reads only after it has written: the gateway doesn't
-// read a body that it doesn't accept.
+// A client that sends a body of 60 MB and reads only afterwards is not blocked for long: the gateway closes the
+// connection instead of reading a body that it does not accept.
 func TestConnectionWithHugeBodyIsClosedSoon(t *testing.T) {
 	g := startGateway(t, withHosts())
 	c := g.dial()
@@ -119,11 +120,11 @@
 		_, err = c.Write(part)
 	}
 	if isTimeout(err) {
-		t.Errorf("write the body: got %v, want success or a close", err)
+		t.Errorf("write the body: got timeout %v, want success or a close", err)
 	}
 }
 
-// The id of an open request, or of one that has just ended, can't be used by another.
+// A request with the id of an open request, or of one that has just ended, is rejected.
 func TestRequestIDInUseIsRejected(t *testing.T) {
 	received, release := make(chan struct{}, 1), make(chan struct{})
 	host := testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
@@ -156,8 +157,8 @@
 	}
 }
 
-// While the memory for bodies is used up a request with a body is rejected with a Retry-After, and one without is served;
-// with memory again both are.
+// While the memory budget for bodies is exhausted, a request with a body is rejected with a Retry-After, and a request
+// without a body is served. Once the memory is released, a request with a body is served again.
 func TestRequestBodyBeyondBudgetIsRejected(t *testing.T) {
 	g := startGateway(t, withHealthyHost(t))
 	ticket, err := g.admission.Admit(&frontend.Message{Method: "GET", Target: "/", Host: "a", Header: http.Header{
@@ -167,7 +168,7 @@
 	}
 	_, limit := g.admission.Bodies.Used(body.RequestBodies)
 	if err := ticket.ReserveBody(limit); err != nil {
-		t.Fatalf("reserve all memory for bodies: got %v, want nil", err)
+		t.Fatalf("reserve the whole budget for bodies: got %v, want nil", err)
 	}
 	if resp, _ := g.send("book", "/api/1", "b"); resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("with a body: got status %d, headers %v, want 503 with a Retry-After", resp.StatusCode, resp.Header)
@@ -177,7 +178,7 @@
 	}
 	ticket.Discard()
 	if resp, _ := g.send("book", "/api/1", "b"); resp.StatusCode != 200 {
-		t.Errorf("with a body, and memory again: got status %d, want 200", resp.StatusCode)
+		t.Errorf("with a body, after the memory was released: got status %d, want 200", resp.StatusCode)
 	}
 	testutil.WaitUntil(t, "no memory is reserved for bodies", func() bool {
 		used, _ := g.admission.Bodies.Used(body.RequestBodies)
@@ -185,16 +186,16 @@
 	})
 }
 
-// A request's timeout counts from its last byte: its body may take longer to arrive than its client waits for the response.
-func TestTimeoutCountsFromLastByte(t *testing.T) {
-	// The body arrives after 1.5 s, a second before requestTimeout, with 1.2 s left for the response: a pause of the machine
-	// of a second on either side does no harm.
+// The timeout of a request starts at its last byte, so the body may take longer to arrive than the timeout.
+func TestTimeoutStartsAtLastByte(t *testing.T) {
+	// The body is complete after 1.5 s, which is 1 s before requestTimeout, and 1.2 s then remain for the response. So
+	// the test tolerates a pause of the machine of 1 s before and after the end of the body.
 	const timeout = 1200 * time.Millisecond
 	g := startGateway(t, withHealthyHost(t))
 	c := g.dial()
 	fmt.Fprintf(c, "POST /api/1 HTTP/1.1\r\nHost: a\r\nX-Priority-Class: book\r\nX-Timeout: %v\r\nX-Request-ID: %s\r\n"+
 		"Content-Length: 4\r\n\r\nbo", timeout.Seconds(), testutil.NewID())
-	time.Sleep(timeout + timeout/4) // longer than the timeout: nothing can be waited for instead
+	time.Sleep(timeout + timeout/4) // longer than the timeout; there is no event to wait for instead
 	io.WriteString(c, "dy")
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || resp.StatusCode != 200 {
@@ -202,8 +203,8 @@
 	}
 }
 
-// A client whose body is too long reads the error and the regular end of the connection. A close with bytes unread would
-// reset the connection, at times before the response.
+// A client whose body is too long can read the error response and sees a regular close. If the gateway closed the
+// connection with unread bytes, the kernel would reset it, possibly before the client has read the response.
 func TestClientWithTooLongBodyReadsError(t *testing.T) {
 	g := startGateway(t, withHealthyHost(t))
 	content := strings.Repeat("x", frontend.MaxBufferedBytes+1)
@@ -214,7 +215,7 @@
 		in := bufio.NewReader(c)
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil || resp.StatusCode != http.StatusRequestEntityTooLarge {
-			t.Fatalf("%q: got %+v, %v, want status 413 while half of the body is to come", line, resp, err)
+			t.Fatalf("%q: got %+v, %v, want status 413 after half of the body", line, resp, err)
 		}
 		if _, err := io.WriteString(c, content[frontend.MaxBufferedBytes/2:]); err != nil {
 			t.Errorf("%q: write the rest of the body: got %v, want nil", line, err)
@@ -228,14 +229,14 @@
 	}
 }
 
-// Pipelined requests are answered in their order, however they are split into packets.
+// Pipelined requests are answered in order, regardless of how they are split into packets.
 func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
 	host := testutil.NewHost(t, func(c net.Conn, r *http.Request, _ int) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(r.URL.Path), r.URL.Path)
 		return true
 	})
 	g := startGateway(t, withHosts(host))
-	for _, piece := range []int{1 << 20, 61} { // all at once, and split anywhere
+	for _, piece := range []int{1 << 20, 61} { // all requests in one write, and split at arbitrary positions
 		c := g.dialWithTimeout()
 		var requests strings.Builder
 		for i := range 8 {
@@ -269,8 +270,8 @@
 	}
 }
 
-// A connection of HTTP/1.0 ends with the response, unless the client asks to keep it. The platform's protocol needs
-// HTTP/1.1, so the health check is requested.
+// An HTTP/1.0 connection is closed after the response unless the client sends Connection: keep-alive. The test uses the
+// health check because the platform's protocol requires HTTP/1.1.
 func TestHTTP10ConnectionIsKeptOnlyWithKeepAlive(t *testing.T) {
 	g := startGateway(t, withHealthyHost(t))
 	for line, keepAlive := range map[string]bool{"": false, "Connection: keep-alive\r\n": true} {
@@ -293,29 +294,29 @@
 	}
 }
 
-// The connection of a client that waits for 100 Continue ends with an error: what the client sends then may be the body or
-// the next request.
+// After an error response to a client that waits for 100 Continue, the connection is closed: the bytes that the client
+// sends next could be either the body or the next request.
 func TestErrorBeforeContinueClosesConnection(t *testing.T) {
 	host := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	g := startGateway(t, withHosts(host))
 	c := g.dialWithTimeout()
-	hidden := testutil.LookRequest(testutil.NewID())
-	fmt.Fprintf(c, "POST /api/1 HTTP/1.1\r\nHost: a\r\nX-Priority-Class: none\r\nX-Timeout: 60\r\nX-Request-ID: %s\r\nExpect: 100-continue\r\nContent-Length: %d\r\n\r\n", testutil.NewID(), len(hidden))
+	smuggled := testutil.LookRequest(testutil.NewID())
+	fmt.Fprintf(c, "POST /api/1 HTTP/1.1\r\nHost: a\r\nX-Priority-Class: none\r\nX-Timeout: 60\r\nX-Request-ID: %s\r\nExpect: 100-continue\r\nContent-Length: %d\r\n\r\n", testutil.NewID(), len(smuggled))
 	in := bufio.NewReader(c)
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil || resp.StatusCode != 400 || !resp.Close {
 		t.Fatalf("got %+v, %v, want status 400 and a close", resp, err)
 	}
-	io.WriteString(c, hidden)
+	io.WriteString(c, smuggled)
 	if rest, err := io.ReadAll(in); err != nil || strings.Contains(string(rest), "HTTP/1.1") {
-		t.Errorf("after the error: got %q, %v, want no response and a regular end", rest, err)
+		t.Errorf("after the error: got %q, %v, want no response and a regular close", rest, err)
 	}
 	if n, _, _ := host.Counts(); n != 0 {
-		t.Errorf("the host got %d requests, want 0", n)
+		t.Errorf("host received %d requests, want 0", n)
 	}
 }
 
-// A header section of the maximum size is read, and one of a byte more is not.
+// A header section of the maximum size is accepted, and one that is a byte longer is rejected.
 func TestHeaderSectionSizeIsLimited(t *testing.T) {
 	g := startGateway(t, withHealthyHost(t))
 	for _, tt := range []struct{ excess, status int }{{0, 200}, {1, 431}} {
@@ -330,8 +331,8 @@
 	}
 }
 
-// A connection that has had a request and then brings half a header section is closed as soon as a new one would be, and is
-// not kept as long as an idle one.
+// A connection on which a partial header section arrives after a complete request is closed after requestTimeout, like
+// a new connection, and not after the longer idleTimeout.
 func TestPartialHeaderSectionAfterRequestTimesOut(t *testing.T) {
 	g := startGateway(t, withHealthyHost(t))
 	c := g.dial()
@@ -345,8 +346,8 @@
 	}
 }
 
-// No informational response follows the start of the final one, such as a 100 Continue where the body is read late. An
-// HTTP/1.0 client gets none at all (RFC 9110, 15.2).
+// No informational response is written after the start of the final response, such as a 100 Continue if the body is
+// read after that. None is sent to an HTTP/1.0 client (RFC 9110, 15.2).
 func TestNoInformationalResponseAfterFinalOne(t *testing.T) {
 	client, c := acceptPair(t)
 	c.request.Method = "POST"
@@ -365,6 +366,6 @@
 	c.TCPConn.Close()
 	got, err := io.ReadAll(client)
 	if err != nil || strings.Count(string(got), "HTTP/1.1") != 1 {
-		t.Errorf("the client got %q, %v, want one response", got, err)
+		t.Errorf("client received %q, %v, want one response", got, err)
 	}
 }
--- a/internal/frontend/http1/response.go
+++ b/internal/frontend/http1/response.go
@@ -44,8 +44,9 @@
 	return err
 }
 
-// forwardInformational forwards an informational response from a host, except to HTTP/1.0 clients, for which they are not
-// defined (RFC 9110, 15.2). Write errors are ignored: the disconnectWatcher detects that the client has disconnected.
+// forwardInformational forwards an informational response from a host, except to HTTP/1.0 clients, for which they are
+// not defined (RFC 9110, 15.2). Write errors are ignored: the disconnectWatcher detects that the client has
+// disconnected.
 func (c *clientConn) forwardInformational(status int, header http.Header) {
 	if c.request.HTTP10 {
 		return
@@ -124,8 +125,8 @@
 	return c.flush(buf, b, nil, now)
 }
 
-// flush writes a header section and the content, and returns buf to outputBuffers. The header section was appended to buf
-// and may have outgrown it.
+// flush writes a header section and the content, and returns buf to outputBuffers. The header section was appended to
+// buf and may have outgrown it.
 func (c *clientConn) flush(buf *[]byte, header, content []byte, now time.Time) error {
 	c.writeDeadline.Reset(now, writeTimeout)
 	var err error
--- a/internal/frontend/http1/serve.go
+++ b/internal/frontend/http1/serve.go
@@ -134,8 +134,8 @@
 }
 
 // answerError writes the response to a request that is not forwarded because it is invalid or was rejected, and reports
-// whether the connection stays open. It stays open after a RejectedError if the body can be skipped, as a new connection
-// would cost more than the response.
+// whether the connection stays open. It stays open after a RejectedError if the body can be skipped, as a new
+// connection would cost more than the response.
 func (s *Server) answerError(c *clientConn, err error) (keepAlive bool) {
 	var rejected *frontend.RejectedError
 	if !errors.As(err, &rejected) || !c.canDiscardBody() {
@@ -152,8 +152,8 @@
 	return true
 }
 
-// canDiscardBody reports whether the unread body of a request is short enough that reading and discarding it costs less than
-// a new connection.
+// canDiscardBody reports whether the unread body of a request is short enough that reading and discarding it costs less
+// than a new connection.
 func (c *clientConn) canDiscardBody() bool {
 	b := c.body
 	if b == nil {
@@ -163,8 +163,9 @@
 	return b.err == nil && !b.expectContinue && hasLength && b.remaining <= frontend.MaxBufferedBytes
 }
 
-// delayNextRequest suspends reading from a connection for a random time between half of maxRejectDelay and all of it, or
-// for retryAfter if that is shorter. The delay is random so that clients that were rejected together don't retry together.
+// delayNextRequest suspends reading from a connection for a random time between half of maxRejectDelay and all of it,
+// or for retryAfter if that is shorter. The delay is random so that clients that were rejected together don't retry
+// together.
 func (s *Server) delayNextRequest(c *clientConn, retryAfter time.Duration) {
 	start := time.Now()
 	timer := time.NewTimer(min(retryAfter, maxRejectDelay/2+rand.N(maxRejectDelay/2)))
@@ -220,8 +221,8 @@
 	return h
 }
 
-// responseLength returns the Content-Length of a response whose body is buffered, or noLength. For a response to HEAD or
-// with status 304 it is the Content-Length in the host's response, if any, which is that of the response to a GET
+// responseLength returns the Content-Length of a response whose body is buffered, or noLength. For a response to HEAD
+// or with status 304 it is the Content-Length in the host's response, if any, which is that of the response to a GET
 // (RFC 9110, 8.6).
 func responseLength(method string, resp *engine.Response) int64 {
 	length := resp.Body.Len()
--- a/internal/frontend/http1/server.go
+++ b/internal/frontend/http1/server.go
@@ -1,6 +1,6 @@
-// Package http1 implements the frontend for HTTP/1.1 and HTTP/1.0 clients (RFC 9112). Each connection has a goroutine that
-// reads a request, passes it to the engine and writes the response before it reads the next request. A connTable keeps the
-// number of connections within limits, and a disconnectWatcher detects when a client disconnects.
+// Package http1 implements the frontend for HTTP/1.1 and HTTP/1.0 clients (RFC 9112). Each connection has a goroutine
+// that reads a request, passes it to the engine and writes the response before it reads the next request. A connTable
+// keeps the number of connections within limits, and a disconnectWatcher detects when a client disconnects.
 package http1
 
 import (
@@ -26,8 +26,8 @@
 	SharedListeners bool          // another process accepts from the same sockets and takes over at Shutdown
 }
 
-// defaultMaxHeaderBytes is several times the size of any header section in the platform's protocol. It is limited because
-// hundreds of clients may send that much at the same time.
+// defaultMaxHeaderBytes is several times the size of any header section in the platform's protocol. It is limited
+// because hundreds of clients may send that much at the same time.
 const defaultMaxHeaderBytes = 12 << 10
 
 // ListenOptions are the options of a listener.
@@ -137,7 +137,8 @@
 		nc.Close()
 		return
 	}
-	// Set the deadline before the connection is added to the table, which evicts connections by setting another deadline.
+	// Set the deadline before the connection is added to the table, which evicts connections by setting another
+	// deadline.
 	c.SetReadDeadline(time.Now().Add(requestTimeout))
 	if !s.conns.add(c) {
 		s.watcher.remove(c)
--- a/internal/frontend/http1/server_test.go
+++ b/internal/frontend/http1/server_test.go
@@ -15,7 +15,7 @@
 	"dunemoor/internal/testutil"
 )
 
-// isRefused reports whether a connection to an address is refused.
+// isRefused reports whether connecting to an address fails with ECONNREFUSED.
 func isRefused(addr string) bool {
 	c, err := net.Dial("tcp", addr)
 	if err == nil {
@@ -24,26 +24,27 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// Clients with a connection are served on it long after Shutdown is called, as they may have no other gateway. Shortly before
-// the exit the connection ends with a response, and no request fails.
+// After Shutdown is called, requests on open connections are still served for long, because clients may have no other
+// gateway. Shortly before the exit the connection is closed after a response, and no request fails.
 func TestShutdownServesOpenConnections(t *testing.T) {
-	// How long a client may pause at the end without losing its connection between two requests.
+	// The difference is the time that a client may pause between two requests without seeing an unannounced close.
 	if got := lastRequestsTime - closeIdleTime; got != 200*time.Millisecond {
 		t.Errorf("connections end with their responses for %v before idle ones are closed, want 200ms", got)
 	}
 	g := startGateway(t, withHealthyHost(t))
-	// A client that sends nothing in this time loses its connection; no pause of a busy machine may take as long.
+	// If the client sends no request in this time, the connection is closed without a last response. The time must be
+	// longer than any pause of a busy machine.
 	g.server.connsEndBeforeDue = 1500 * time.Millisecond
 	c := g.dialWithTimeout()
 	in := bufio.NewReader(c)
-	// A listener that Serve gets only after Shutdown is closed, and with it what waits to be accepted.
+	// If Serve were called only after Shutdown, it would close the listener and the connections in its backlog.
 	testutil.WaitUntil(t, "the connection is accepted", func() bool { return g.server.ConnCounts().Open == 1 })
 	stopped := make(chan struct{})
 	go func() {
 		g.server.Shutdown()
 		close(stopped)
 	}()
-	served := 0 // since the listener was closed
+	served := 0 // number of requests served since the listener was closed
 	for {
 		io.WriteString(c, testutil.LookRequest(testutil.NewID()))
 		resp, err := http.ReadResponse(in, nil)
@@ -60,7 +61,7 @@
 		time.Sleep(testutil.PollInterval)
 	}
 	if served == 0 {
-		t.Error("the connection was closed as soon as the listener, want requests served after that")
+		t.Error("the connection was closed at the same time as the listener, want requests served after that")
 	}
 	if _, err := in.ReadByte(); err != io.EOF {
 		t.Errorf("end of the connection: got %v, want EOF", err)
@@ -68,19 +69,20 @@
 	<-stopped
 }
 
-// A listener that comes after Shutdown is called is closed, as its clients would not be served to the end.
+// A listener that is passed to Serve after Shutdown was called is closed, because its clients could not be served until
+// the end.
 func TestServeAfterShutdownClosesListener(t *testing.T) {
 	host, release := newBlockingHost(t)
 	g := startGateway(t, withHosts(host))
-	// While it has a request, Shutdown lasts for seconds: a Serve that returns before has not waited for its end.
+	// While a request is open, Shutdown lasts for seconds. If Serve returns earlier, it has not waited for Shutdown.
 	io.WriteString(g.dial(), testutil.LookRequest(testutil.NewID()))
-	testutil.WaitUntil(t, "the host has the request", func() bool { n, _, _ := host.Counts(); return n == 1 })
+	testutil.WaitUntil(t, "the host has received the request", func() bool { n, _, _ := host.Counts(); return n == 1 })
 	stopped := make(chan struct{})
 	go func() {
 		g.server.Shutdown()
 		close(stopped)
 	}()
-	testutil.WaitUntil(t, "Shutdown has begun", g.server.shuttingDown.Load)
+	testutil.WaitUntil(t, "Shutdown has started", g.server.shuttingDown.Load)
 	ln := &countingListener{Listener: testutil.Listen(t, "127.0.0.1:0", nil)}
 	served := make(chan error, 1)
 	go func() { served <- g.server.Serve(ln) }()
@@ -90,12 +92,12 @@
 			t.Errorf("Serve: got %v, want nil", err)
 		}
 	case <-stopped:
-		t.Error("Serve goes on until Shutdown has ended, want it to return")
+		t.Error("Serve runs until Shutdown has ended, want it to return immediately")
 	}
 	close(release)
-	// One that goes on may return when Shutdown closes all listeners.
+	// A Serve that accepts connections may also have returned early, when Shutdown closed all listeners.
 	if n := ln.accepts.Load(); n != 0 {
-		t.Errorf("Serve goes on: got %d calls of Accept, want none", n)
+		t.Errorf("Serve after Shutdown: got %d calls of Accept, want none", n)
 	}
 	if _, err := net.Dial("tcp", ln.Addr().String()); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("dial the listener: got %v, want %v", err, syscall.ECONNREFUSED)
@@ -103,7 +105,7 @@
 	<-stopped
 }
 
-// countingListener counts the calls of Accept.
+// countingListener is a listener that counts the calls of Accept.
 type countingListener struct {
 	net.Listener
 	accepts atomic.Int32
@@ -114,7 +116,7 @@
 	return l.Listener.Accept()
 }
 
-// emfileListener fails a number of times as if there were no descriptors left.
+// emfileListener is a listener whose Accept fails with EMFILE the given number of times.
 type emfileListener struct {
 	net.Listener
 	failures atomic.Int32
@@ -127,8 +129,8 @@
 	return l.Listener.Accept()
 }
 
-// A listener that fails for want of descriptors goes on when there are some again, and its connections are served on after
-// CloseListener.
+// Serve continues after Accept has failed for lack of file descriptors, and the connections of a listener continue to
+// be served after CloseListener.
 func TestServeContinuesAfterAcceptFailures(t *testing.T) {
 	g := startGateway(t, withHealthyHost(t))
 	ln := &emfileListener{Listener: testutil.Listen(t, "127.0.0.1:0", nil)}
--- a/internal/frontend/http1/shutdown.go
+++ b/internal/frontend/http1/shutdown.go
@@ -9,8 +9,8 @@
 )
 
 // Schedule of Shutdown. "Kill" is the time at which the process is expected to be killed. The steps after the listeners
-// are closed happen earlier if no connection is in use any more. With SharedListeners, the listeners are closed at SIGTERM,
-// and from then on connections are closed after their current response.
+// are closed happen earlier if no connection is in use any more. With SharedListeners, the listeners are closed at
+// SIGTERM, and from then on connections are closed after their current response.
 //
 //	SIGTERM                         all responses are due at kill - 0.2 s, the health check fails
 //	SIGTERM + 0.6 s                 listeners are closed                      frontend.BacklogGrace
@@ -27,8 +27,8 @@
 	// most.
 	killGrace       = 700 * time.Millisecond
 	maxKillDeadline = 3 * time.Second
-	// responseMargin is the time before the kill at which all responses are due. It leaves time to write them even if the
-	// process shares a core.
+	// responseMargin is the time before the kill at which all responses are due. It leaves time to write them even if
+	// the process shares a core.
 	responseMargin = 200 * time.Millisecond
 	// exitMargin is the time before the kill at which the process exits, even if some responses are incomplete.
 	exitMargin = 50 * time.Millisecond
@@ -47,10 +47,11 @@
 	drainCloseInterval = 20 * time.Millisecond
 )
 
-// Shutdown stops the server gracefully. It accepts connections for frontend.BacklogGrace, in which new clients may still
-// connect, and serves all open connections until shortly before the kill. Then it closes each connection after its current
-// response, closes those without a request, and waits for the rest. With SharedListeners it stops accepting immediately
-// and closes each connection after its next response; clients that reconnect are accepted by the process that takes over.
+// Shutdown stops the server gracefully. It accepts connections for frontend.BacklogGrace, in which new clients may
+// still connect, and serves all open connections until shortly before the kill. Then it closes each connection after
+// its current response, closes those without a request, and waits for the rest. With SharedListeners it stops accepting
+// immediately and closes each connection after its next response; clients that reconnect are accepted by the process
+// that takes over.
 func (s *Server) Shutdown() {
 	longestDeadline := time.Duration(s.longestDeadline.Load())
 	kill := time.Now().Add(killGrace + min(longestDeadline, maxKillDeadline))
--- a/internal/frontend/http1/streaming.go
+++ b/internal/frontend/http1/streaming.go
@@ -48,8 +48,8 @@
 	return s.writeStreaming(ctx, c, t, &resp)
 }
 
-// writeStreaming writes a response on a route with Streams, and reports whether the connection stays open. The connection
-// is closed if the client is still sending its body.
+// writeStreaming writes a response on a route with Streams, and reports whether the connection stays open. The
+// connection is closed if the client is still sending its body.
 func (s *Server) writeStreaming(ctx context.Context, c *clientConn, t *frontend.Ticket, resp *engine.Response) (keepAlive bool) {
 	requestStream := t.Body.Stream()
 	uploading := requestStream != nil && requestStream.Err() != io.EOF
--- a/internal/frontend/http1/upload.go
+++ b/internal/frontend/http1/upload.go
@@ -133,8 +133,9 @@
 	return true
 }
 
-// setComplete marks a streamed body as complete and starts the timeout of the request. If the client has closed its side
-// of the connection in the meantime, the request is canceled: as the body is complete, this now counts as a disconnect.
+// setComplete marks a streamed body as complete and starts the timeout of the request. If the client has closed its
+// side of the connection in the meantime, the request is canceled: as the body is complete, this now counts as a
+// disconnect.
 func (u *upload) setComplete() {
 	if u.ticket.Body.Buffered() {
 		return
@@ -170,9 +171,9 @@
 }
 
 // requestContext returns the context of a request with a streamed body, and a function that releases it. If the client
-// closes its side of the connection before the end of the body, but an attempt has already started to send the stream to
-// a host, the context is not canceled, and the client receives the response to the incomplete body. If no attempt has
-// started to read the stream, the context is canceled, so that nothing is sent to a host.
+// closes its side of the connection before the end of the body, but an attempt has already started to send the stream
+// to a host, the context is not canceled, and the client receives the response to the incomplete body. If no attempt
+// has started to read the stream, the context is canceled, so that nothing is sent to a host.
 func (u *upload) requestContext() (context.Context, func()) {
 	ctx, cancel := context.WithCancel(context.WithoutCancel(u.c.ctx))
 	u.cancelRequest = cancel
--- a/internal/frontend/http1/upload_test.go
+++ b/internal/frontend/http1/upload_test.go
@@ -9,8 +9,8 @@
 	"dunemoor/internal/testutil"
 )
 
-// A read that ends because the gateway closes the body is not taken for a client that is too slow, which would get a 408 for
-// a failure of a host.
+// A read that is interrupted because the gateway closes the body must not be reported as a client that is too slow.
+// Otherwise the client would get a 408 after a failure of a host.
 func TestClosedUploadIsNotTooSlow(t *testing.T) {
 	_, c := acceptPair(t)
 	u := &upload{
--- a/internal/frontend/ids.go
+++ b/internal/frontend/ids.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// idRetention is the minimum time for which an id is kept after its request has ended, because a duplicate may still
-	// be in transit. An id is kept for at most twice this time.
+	// idRetention is the minimum time for which an id is kept after its request has ended, because a duplicate may
+	// still be in transit. An id is kept for at most twice this time.
 	idRetention = 2 * time.Second
 	// maxIDLength is the maximum length of a request id in bytes.
 	maxIDLength = 64
--- a/internal/frontend/ids_test.go
+++ b/internal/frontend/ids_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// An id is rejected while its request is open and for idRetention afterwards, and is then dropped. The test guards against
-// a table of ids that grows with the number of requests.
+// An id is rejected while its request is open and for idRetention afterwards, and is then dropped. The test guards
+// against a table of ids that grows with the number of requests.
 func TestRequestIDsAreDropped(t *testing.T) {
 	ids := &requestIDs{}
 	now := time.Now()
--- a/internal/frontend/limits.go
+++ b/internal/frontend/limits.go
@@ -20,8 +20,8 @@
 	MaxRetryAfter time.Duration
 
 	// rejected counts, by reason, the requests that were answered with a RejectedError since the process started. Other
-	// 503 responses (no memory for bodies, too many tunnels, no endpoint list received yet) are RequestErrors, which are
-	// not counted.
+	// 503 responses (no memory for bodies, too many tunnels, no endpoint list received yet) are RequestErrors, which
+	// are not counted.
 	rejected [rejectReasonCount]atomic.Int64
 }
 
--- a/internal/frontend/listeners.go
+++ b/internal/frontend/listeners.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Listeners is the set of listeners of a frontend, each with its options. The zero value is an empty set. Its methods are
-// safe for concurrent use.
+// Listeners is the set of listeners of a frontend, each with its options. The zero value is an empty set. Its methods
+// are safe for concurrent use.
 type Listeners[Options any] struct {
 	mu      sync.Mutex // guards options
 	options map[net.Listener]*atomic.Pointer[Options]
@@ -40,8 +40,9 @@
 }
 
 // Serve calls handle with each connection that ln accepts. The caller must have added ln to the set. Serve returns nil
-// once Close or CloseAll has closed ln, and an error if ln was closed by other means. After any other failure of Accept,
-// such as a lack of file descriptors or a connection that the client has already aborted, it retries with a backoff.
+// once Close or CloseAll has closed ln, and an error if ln was closed by other means. After any other failure of
+// Accept, such as a lack of file descriptors or a connection that the client has already aborted, it retries with a
+// backoff.
 func (l *Listeners[Options]) Serve(ln net.Listener, backoff AcceptBackoff, handle func(net.Conn, *Options)) error {
 	options, found := l.get(ln)
 	if !found {
--- a/internal/frontend/plain.go
+++ b/internal/frontend/plain.go
@@ -11,8 +11,8 @@
 )
 
 // preparePlain implements prepare for a request on a plain route, where the headers of the platform's protocol are
-// optional. The route determines the class and the timeout. A request without a valid id is assigned one; an id that the
-// client has set is forwarded and does not have to be unique.
+// optional. The route determines the class and the timeout. A request without a valid id is assigned one; an id that
+// the client has set is forwarded and does not have to be unique.
 func (t *Ticket) preparePlain(m *Message) error {
 	limit := t.admission.MaxHeaders
 	if limit > 0 && countFields(m.Header) > limit {
@@ -42,9 +42,9 @@
 	return nil
 }
 
-// mayBeRetried reports whether a request may be sent again after a failure. Requests with a safe method (RFC 9110, 9.2.1)
-// may. Otherwise, in a class that is idempotent with a key, those with a key may; in other classes, those with a method
-// that the route lists as retryable.
+// mayBeRetried reports whether a request may be sent again after a failure. Requests with a safe method (RFC 9110,
+// 9.2.1) may. Otherwise, in a class that is idempotent with a key, those with a key may; in other classes, those with a
+// method that the route lists as retryable.
 func (t *Ticket) mayBeRetried(m *Message) bool {
 	switch m.Method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodTrace:
@@ -58,8 +58,8 @@
 	return slices.Contains(plain.RetryableMethods, m.Method)
 }
 
-// plainTimeout returns the timeout of a request on a plain route: the minimum of the route's timeout, the deadline of the
-// class, and the timeout in the client's header, if that is valid.
+// plainTimeout returns the timeout of a request on a plain route: the minimum of the route's timeout, the deadline of
+// the class, and the timeout in the client's header, if that is valid.
 func (t *Ticket) plainTimeout(header []string) time.Duration {
 	timeout := min(t.Route.Plain.Timeout, t.Route.Classes[t.Class].Deadline)
 	if len(header) != 1 {
--- a/internal/frontend/ticket.go
+++ b/internal/frontend/ticket.go
@@ -14,9 +14,9 @@
 const (
 	// MaxBodyBytes is the maximum length in bytes of a request body in the platform's protocol.
 	MaxBodyBytes = 32 << 20
-	// MaxBufferedBytes is the maximum length in bytes of a request body on a route without Streams, where the whole body
-	// is buffered. It is also the maximum number of unread body bytes that are read and discarded to keep a connection
-	// open.
+	// MaxBufferedBytes is the maximum length in bytes of a request body on a route without Streams, where the whole
+	// body is buffered. It is also the maximum number of unread body bytes that are read and discarded to keep a
+	// connection open.
 	MaxBufferedBytes = 64 << 10
 	// maxBufferedNearLimit is the maximum number of bytes of a streamed body that are buffered while the memory budget
 	// for bodies is nearly used up.
@@ -41,8 +41,8 @@
 	page          []byte // memory allocated by AllocBody, nil if there is none
 }
 
-// prepare validates a request, selects its route and applies the limits. It sets the fields of engine.Request other than
-// those for the body and the deadline.
+// prepare validates a request, selects its route and applies the limits. It sets the fields of engine.Request other
+// than those for the body and the deadline.
 func (t *Ticket) prepare(m *Message, received time.Time) error {
 	t.Method = m.Method
 	t.Target = originForm(m.Target)
@@ -93,8 +93,8 @@
 	return strings.Join(values, ", "), found
 }
 
-// checkLength checks the length of a body in bytes against the limit of the route. A length of -1 means unknown, which is
-// an error on a route without Streams.
+// checkLength checks the length of a body in bytes against the limit of the route. A length of -1 means unknown, which
+// is an error on a route without Streams.
 func (t *Ticket) checkLength(length int64) error {
 	limit := int64(MaxBufferedBytes)
 	if streams := t.Route.Streams; streams != nil {
--- a/internal/httpwire/charset.go
+++ b/internal/httpwire/charset.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// charset is a set of ASCII characters, indexed by byte.
+// charset is a set of ASCII characters. It is indexed by byte.
 type charset [256]bool
 
 var (
@@ -14,7 +14,7 @@
 	hostChars = newCharset("-._~!$&'()*+,;=:[]%")
 )
 
-// newCharset returns the set of letters, digits and others.
+// newCharset returns the set of ASCII letters, digits and the characters in others.
 func newCharset(others string) charset {
 	var set charset
 	for c := range len(set) {
@@ -35,7 +35,7 @@
 	return true
 }
 
-// IsToken reports whether s is a token (RFC 9110, 5.6.2), as field names and methods are.
+// IsToken reports whether s is a token (RFC 9110, 5.6.2). Field names and methods must be tokens.
 func IsToken(s string) bool { return s != "" && tokenChars.containsAll(s) }
 
 func isDigit(c byte) bool { return '0' <= c && c <= '9' }
--- a/internal/httpwire/chunked.go
+++ b/internal/httpwire/chunked.go
@@ -5,27 +5,28 @@
 const (
 	// maxSizeLineBytes limits the line with the size and the extensions of a chunk, without its LF.
 	maxSizeLineBytes = 256
-	// maxSizeDigits limits the hexadecimal digits of a chunk size, so that it fits an int64.
+	// maxSizeDigits limits the hexadecimal digits of a chunk size, so that the size fits in an int64.
 	maxSizeDigits = 15
-	// maxTrailerBytes limits the trailer section.
+	// maxTrailerBytes limits the length of the trailer section.
 	maxTrailerBytes = 8 << 10
-	// freeOverheadBytes is the framing that each chunk may have, beyond as many bytes as it has content.
+	// freeOverheadBytes is the number of framing bytes of a chunk that don't count against maxOverheadBytes, in
+	// addition to as many bytes as the chunk has content.
 	freeOverheadBytes = 16
-	// maxOverheadBytes limits the framing of all chunks together beyond the free part. It prevents bodies
-	// that are expensive to read and carry little, such as single bytes with long extensions.
+	// maxOverheadBytes limits the framing bytes of all chunks together, without the bytes that don't count. It prevents
+	// bodies that are expensive to read and have little content, such as chunks of a single byte with long extensions.
 	maxOverheadBytes = 16 << 10
 )
 
 // ChunkedDecoder decodes a chunked body (RFC 9112, 7.1). The zero value is ready to decode a body from its first byte.
 type ChunkedDecoder struct {
 	state         chunkState
-	remaining     int64 // content bytes of the current chunk that are still to come
-	sizeDigits    int   // digits of the current size line so far
-	sizeLineBytes int   // length of the current size line so far
-	overhead      int64 // framing bytes so far, less those that are free
-	trailerText   []byte
+	remaining     int64  // content bytes of the current chunk that have not been decoded yet
+	sizeDigits    int    // number of size digits decoded in the current size line
+	sizeLineBytes int    // number of bytes decoded in the current size line
+	overhead      int64  // number of framing bytes decoded, without those that don't count
+	trailerText   []byte // trailer section as received so far
 
-	// Trailer is the trailer section. It is set once the body is complete.
+	// Trailer is the trailer section. It is set when the body is complete.
 	Trailer http.Header
 }
 
@@ -46,8 +47,8 @@
 // Done reports whether the body is complete, with its trailer section.
 func (c *ChunkedDecoder) Done() bool { return c.state == stateDone }
 
-// Remaining returns how many content bytes of the current chunk are still to come. The caller may read up to that
-// many directly from their source; it reports them by Consume.
+// Remaining returns the number of content bytes of the current chunk that have not been decoded yet. The caller may
+// read up to that many bytes directly from the underlying reader, and must then call Consume.
 func (c *ChunkedDecoder) Remaining() int64 {
 	if c.state != stateData {
 		return 0
@@ -55,7 +56,8 @@
 	return c.remaining
 }
 
-// Consume advances the decoder by n content bytes, at most Remaining, which the caller has read from their source.
+// Consume advances the decoder by n content bytes that the caller has read directly from the underlying reader. n must
+// not exceed Remaining.
 func (c *ChunkedDecoder) Consume(n int64) {
 	c.remaining -= n
 	if c.remaining == 0 {
@@ -63,9 +65,9 @@
 	}
 }
 
-// Next decodes bytes from the front of src. It returns the number of bytes that it has used and, as a part of
-// src, the content among them. It returns at the end of each piece of content and never uses bytes behind the
-// body. After an error the decoder can't be used any more.
+// Next decodes bytes from the start of src. It returns the number of bytes used and the content among them, as a
+// subslice of src. It returns after each piece of content, and never uses bytes after the end of the body. After an
+// error the decoder must not be used any more.
 func (c *ChunkedDecoder) Next(src []byte) (used int, content []byte, err error) {
 	for used < len(src) && c.state != stateDone {
 		if c.state == stateData {
@@ -87,7 +89,7 @@
 	return used, nil, nil
 }
 
-// framingByte decodes a byte that is not content.
+// framingByte decodes a byte that is not part of the content.
 func (c *ChunkedDecoder) framingByte(b byte) error {
 	switch c.state {
 	case stateSize, stateExtension:
@@ -142,7 +144,7 @@
 	return nil
 }
 
-// startChunk begins the content of a chunk whose size line is complete. A chunk of size 0 has none and is
+// startChunk starts the content of a chunk whose size line is complete. A chunk of size 0 is the last chunk, which is
 // followed by the trailer section.
 func (c *ChunkedDecoder) startChunk() {
 	c.overhead = max(0, c.overhead-freeOverheadBytes-c.remaining)
--- a/internal/httpwire/chunked_test.go
+++ b/internal/httpwire/chunked_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// decode decodes a chunked body that arrives in pieces of a size.
+// decode decodes a chunked body that arrives in pieces of pieceSize bytes.
 func decode(text []byte, pieceSize int) (content []byte, decoder ChunkedDecoder, used int, err error) {
 	for used < len(text) && !decoder.Done() && err == nil {
 		var n int
@@ -48,7 +48,8 @@
 	}
 }
 
-// Implementations interpret each of these bodies in different ways, or it costs more to read than it carries.
+// Each of these bodies is interpreted differently by different implementations, or has more framing than the limits
+// allow.
 func TestChunkedDecoderRejectsMalformedBody(t *testing.T) {
 	for name, text := range map[string]string{
 		"no size":                      "\r\na\r\n0\r\n\r\n",
@@ -94,8 +95,8 @@
 	}
 }
 
-// A body that is accepted here is accepted by net/http's reader as well, with the same content, and the result
-// doesn't depend on the pieces in which it arrives.
+// Each body that this decoder accepts is also accepted by net/http, with the same content. The result does not depend
+// on the pieces in which the body arrives.
 func FuzzChunkedDecoder(f *testing.F) {
 	for _, seed := range []string{"0\r\n\r\n", "1\r\na\r\n0\r\n\r\n", "a;b=c\r\n0123456789\r\n0\r\nX-A: b\r\n\r\n", "1 \r\na\r\n0\r\n\r\n", "F\r\n"} {
 		f.Add([]byte(seed), 3)
@@ -104,14 +105,14 @@
 		content, decoder, used, err := decode(text, len(text)+1)
 		contentOfPieces, decoderOfPieces, usedOfPieces, errOfPieces := decode(text, max(1, pieceSize))
 		if !bytes.Equal(content, contentOfPieces) || decoder.Done() != decoderOfPieces.Done() || used != usedOfPieces || (err == nil) != (errOfPieces == nil) {
-			t.Fatalf("%q: %q, %d, %v; in pieces of %d %q, %d, %v", text, content, used, err, pieceSize, contentOfPieces, usedOfPieces, errOfPieces)
+			t.Fatalf("%q in one piece: got content %q, used %d, error %v; in pieces of %d: got %q, %d, %v", text, content, used, err, pieceSize, contentOfPieces, usedOfPieces, errOfPieces)
 		}
 		if !decoder.Done() || err != nil {
 			return
 		}
 		want, wantErr := io.ReadAll(httputil.NewChunkedReader(bytes.NewReader(text)))
 		if wantErr != nil || !bytes.Equal(content, want) {
-			t.Fatalf("%q: got %q, net/http has %q, %v", text, content, want, wantErr)
+			t.Fatalf("%q: got content %q, net/http returns %q, error %v", text, content, want, wantErr)
 		}
 	})
 }
--- a/internal/httpwire/chunkwrite.go
+++ b/internal/httpwire/chunkwrite.go
@@ -3,22 +3,23 @@
 import "strconv"
 
 const (
-	// ChunkPrefixBytes is the room that FrameChunk needs before the content, for the line with the chunk's size. It is
-	// enough for chunks of less than 16 MiB.
+	// ChunkPrefixBytes is the space that FrameChunk requires before the content, for the line with the chunk's size. It
+	// is sufficient for chunks of less than 16 MiB.
 	ChunkPrefixBytes = 8
-	// ChunkSuffixBytes is the room that FrameChunk needs after the content.
+	// ChunkSuffixBytes is the space that FrameChunk requires after the content, for the CRLF.
 	ChunkSuffixBytes = 2
 )
 
-// AppendChunkSize appends the line that begins a chunk of n bytes of content (RFC 9112, 7.1) to b and returns the
+// AppendChunkSize appends the size line of a chunk with n bytes of content (RFC 9112, 7.1) to b and returns the
 // extended slice.
 func AppendChunkSize(b []byte, n int) []byte {
 	b = strconv.AppendInt(b, int64(n), 16)
 	return append(b, "\r\n"...)
 }
 
-// FrameChunk makes a chunk, in place, of the n bytes of content that are in buf from ChunkPrefixBytes on, and returns the
-// part of buf that is the chunk. There has to be room for ChunkSuffixBytes behind the content.
+// FrameChunk adds the framing of a chunk to the n bytes of content that start at index ChunkPrefixBytes of buf. It
+// works in place and returns the subslice of buf that contains the chunk. buf must have space for ChunkSuffixBytes
+// after the content.
 func FrameChunk(buf []byte, n int) []byte {
 	var room [ChunkPrefixBytes]byte
 	sizeLine := AppendChunkSize(room[:0], n)
--- a/internal/httpwire/errors.go
+++ b/internal/httpwire/errors.go
@@ -5,8 +5,8 @@
 	"net/http"
 )
 
-// Errors of ParseRequest and ChunkedDecoder. They are returned as they are, not wrapped. Their texts are sent to
-// clients in response bodies.
+// Errors of ParseRequest and ChunkedDecoder. They are returned unwrapped. Their texts are sent to clients in response
+// bodies.
 var (
 	// ErrMalformed reports a request line, header section or trailer section that violates the grammar.
 	ErrMalformed = errors.New("the head can't be read")
--- a/internal/httpwire/header.go
+++ b/internal/httpwire/header.go
@@ -7,9 +7,9 @@
 	"strings"
 )
 
-// HeaderEnd returns the index behind the empty line that ends a header section, or -1 if b does not contain one.
-// Bytes before index from have been searched by an earlier call. A line that ends without CR counts as well:
-// ParseRequest rejects it, and need not wait for more.
+// HeaderEnd returns the index after the empty line that ends a header section, or -1 if b does not contain such a line.
+// The bytes before index from have already been searched by an earlier call. Lines that end in LF without CR are also
+// recognized, so that ParseRequest can reject them without waiting for more input.
 func HeaderEnd(b []byte, from int) int {
 	for i := max(0, from-3); ; {
 		n := bytes.IndexByte(b[i:], '\n')
@@ -26,7 +26,8 @@
 	}
 }
 
-// cutLine cuts off the first line of s, which has to end in CRLF and may not contain another CR before it.
+// cutLine splits s after its first line, which must end in CRLF. line does not contain the CRLF. The callers reject
+// lines that contain another CR.
 func cutLine(s string) (line, rest string, ok bool) {
 	i := strings.IndexByte(s, '\n')
 	if i < 1 || s[i-1] != '\r' {
@@ -35,12 +36,12 @@
 	return s[:i-1], s[i+1:], true
 }
 
-// parseFieldLines parses the field lines of a header or trailer section (RFC 9112, 5), which s contains up to
-// and including the empty line. Folded lines are malformed, as no name begins with a space.
+// parseFieldLines parses the field lines of a header or trailer section (RFC 9112, 5). s contains the section up to and
+// including the empty line. Folded lines are rejected as malformed, because no field name starts with a space.
 func parseFieldLines(s string) (http.Header, error) {
 	lines := strings.Count(s, "\n")
 	header := make(http.Header, lines)
-	values := make([]string, 0, lines) // one allocation for the first values of all fields
+	values := make([]string, 0, lines) // a single allocation for the first values of all fields
 	for {
 		line, rest, ok := cutLine(s)
 		if !ok {
--- a/internal/httpwire/header_test.go
+++ b/internal/httpwire/header_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestHeaderEndInAnyPieces(t *testing.T) {
+func TestHeaderEndAfterPartialInput(t *testing.T) {
 	for _, text := range []string{startOfGet + "\r\n", "GET / HTTP/1.1\nHost: a\n\n", startOfGet + "\n"} {
 		for firstPiece := range text {
 			searched := 0
--- a/internal/httpwire/request.go
+++ b/internal/httpwire/request.go
@@ -1,6 +1,6 @@
-// Package httpwire parses and writes HTTP/1.1 messages as bytes (RFC 9112). It does no I/O. Parsing is strict:
-// a message that implementations are known to interpret in different ways is an error, which prevents request
-// smuggling.
+// Package httpwire parses and formats HTTP/1.1 messages (RFC 9112). It operates on byte slices and does no I/O. Parsing
+// is strict: a message that is known to be interpreted differently by different implementations is an error. This
+// prevents request smuggling.
 package httpwire
 
 import (
@@ -13,19 +13,19 @@
 // Request is the request line and header section of a request.
 type Request struct {
 	Method     string
-	Target     string // as received
-	Host       string // of the target, or else of the Host field (RFC 9112, 3.3)
-	HostHeader string // of the Host field, which Header does not contain
+	Target     string // the request target, unmodified
+	Host       string // the host in the target if it has one, otherwise the value of the Host field (RFC 9112, 3.3)
+	HostHeader string // the value of the Host field, which is not contained in Header
 	Header     http.Header
-	// ContentLength is the length of the body in bytes, -1 if it is chunked.
+	// ContentLength is the length of the body in bytes, -1 if the body is chunked.
 	ContentLength int64
 	// HTTP10 is set for HTTP/1.0.
 	HTTP10 bool
 	// Close is set if the connection is to be closed after the response.
 	Close bool
-	// ExpectContinue is set if the client waits for a 100 response before it sends the body.
+	// ExpectContinue is set if the client waits for a 100 (Continue) response before it sends the body.
 	ExpectContinue bool
-	// Upgrade is the protocol that the client asks to switch to, "" for none.
+	// Upgrade is the protocol of the client's upgrade request, "" if there is none.
 	Upgrade string
 }
 
@@ -38,11 +38,11 @@
 	return 0
 }
 
-// ParseRequest parses a request line and header section into r. b contains them up to and including the empty
-// line; r keeps no part of b. An error is one of those that this package declares, see StatusForError.
+// ParseRequest parses a request line and header section into r. b contains both, up to and including the empty line. r
+// does not retain b. The error is one of the errors of this package; see StatusForError.
 func ParseRequest(b []byte, r *Request) error {
 	*r = Request{}
-	text := string(b) // one copy, which all strings of r share
+	text := string(b) // a single copy that is shared by all strings of r
 	line, fieldLines, ok := cutLine(text)
 	if !ok {
 		return ErrMalformed
@@ -98,7 +98,7 @@
 	return ok && len(digits) == 3 && isDigit(digits[0]) && digits[1] == '.' && isDigit(digits[2])
 }
 
-// parseTargetHost checks a request target (RFC 9112, 3.2) and returns the host that it contains, "" for
+// parseTargetHost validates a request target (RFC 9112, 3.2) and returns the host in it, "" for a target in
 // origin-form.
 func parseTargetHost(method, target string) (string, error) {
 	if target[0] == '/' && targetChars.containsAll(target) {
@@ -168,7 +168,7 @@
 	return err
 }
 
-// maxContentLengthDigits limits the digits of a Content-Length, so that it fits an int64.
+// maxContentLengthDigits limits the number of digits of a Content-Length, so that the length fits in an int64.
 const maxContentLengthDigits = 18
 
 // parseContentLength parses the value of a Content-Length field. Only digits are allowed (RFC 9110, 8.6).
@@ -186,9 +186,9 @@
 	return length, nil
 }
 
-// forbiddenInTrailer are fields that frame or route a message. A trailer section with one of them is an error, as one
-// recipient might act on it and another not (RFC 9110, 6.5.1). Fields that are only not forwarded are listed in package
-// frontend (headersNotInTrailers).
+// forbiddenInTrailer are fields that are used for the framing or routing of a message. A trailer section that contains
+// one of them is an error, because some recipients might apply it and others not (RFC 9110, 6.5.1). Further fields,
+// which are accepted but not forwarded, are listed in package frontend (headersNotInTrailers).
 var forbiddenInTrailer = map[string]bool{
 	"Transfer-Encoding": true,
 	"Content-Length":    true,
@@ -196,7 +196,7 @@
 	"Host":              true,
 }
 
-// checkTrailerNames checks the values of the Trailer field, which announce the fields of a trailer section.
+// checkTrailerNames checks the values of the Trailer field, which list the fields of the trailer section.
 func checkTrailerNames(values []string) error {
 	for _, value := range values {
 		for name := range strings.SplitSeq(value, ",") {
@@ -208,7 +208,7 @@
 	return nil
 }
 
-// parseConnection reads the connection options (RFC 9110, 7.6.1) and the Upgrade field (7.8).
+// parseConnection parses the connection options (RFC 9110, 7.6.1) and the Upgrade field (RFC 9110, 7.8).
 func (r *Request) parseConnection() {
 	keepAlive := false
 	upgrade := false
@@ -233,7 +233,7 @@
 	}
 }
 
-// parseExpectation reads the Expect field (RFC 9110, 10.1.1), which has no meaning in HTTP/1.0.
+// parseExpectation parses the Expect field (RFC 9110, 10.1.1), which is ignored in HTTP/1.0.
 func (r *Request) parseExpectation() error {
 	expectations := r.Header["Expect"]
 	if len(expectations) == 0 || r.HTTP10 {
--- a/internal/httpwire/request_test.go
+++ b/internal/httpwire/request_test.go
@@ -12,8 +12,8 @@
 
 const startOfGet = "GET /a HTTP/1.1\r\nHost: a\r\n"
 
-// Implementations interpret each of these header sections in different ways, which would let a request be hidden
-// in another, or can't parse it.
+// Each of these header sections is invalid, or is interpreted differently by different implementations, which would
+// allow request smuggling.
 func TestParseRequestRejectsMalformedHeader(t *testing.T) {
 	for text, want := range map[string]error{
 		"GET /a HTTP/1.1\r\n\r\n":                                                       ErrHost,
@@ -98,8 +98,8 @@
 	}
 }
 
-// A header section that is accepted here is accepted by net/http as well, and interpreted in the same way. The
-// reverse need not hold.
+// Each header section that ParseRequest accepts is also accepted by net/http, with the same result. The reverse need
+// not hold.
 func FuzzParseRequest(f *testing.F) {
 	for _, seed := range []string{
 		startOfGet + "\r\n", startOfGet + "Content-Length: 5\r\n\r\n", startOfGet + "Transfer-Encoding: chunked\r\n\r\n", "GET * HTTP/1.0\r\nHost: \r\n\r\n",
@@ -121,13 +121,13 @@
 		in := bufio.NewReaderSize(bytes.NewReader(b[:end]), 1<<16)
 		want, err := http.ReadRequest(in)
 		if err != nil {
-			t.Fatalf("%q: accepted, net/http rejects it: %v", b[:end], err)
+			t.Fatalf("%q: got no error, but net/http returns %v", b[:end], err)
 		}
 		if r.Method != want.Method || r.Target != want.RequestURI || r.Host != want.Host || r.Close != want.Close || r.HTTP10 != !want.ProtoAtLeast(1, 1) {
-			t.Fatalf("%q: got %+v, net/http has %+v", b[:end], r, want)
+			t.Fatalf("%q: got %+v, net/http returns %+v", b[:end], r, want)
 		}
 		if chunked := len(want.TransferEncoding) > 0; r.ContentLength != want.ContentLength || chunked != (r.ContentLength < 0) {
-			t.Fatalf("%q: got length %d, net/http has %d, %v", b[:end], r.ContentLength, want.ContentLength, want.TransferEncoding)
+			t.Fatalf("%q: got length %d, net/http returns %d, transfer encoding %v", b[:end], r.ContentLength, want.ContentLength, want.TransferEncoding)
 		}
 		h := maps.Clone(r.Header)
 		if len(h["Pragma"]) > 0 && h["Pragma"][0] == "no-cache" && h["Cache-Control"] == nil {
@@ -138,12 +138,13 @@
 			delete(want.Header, name)
 		}
 		if !reflect.DeepEqual(h, want.Header) {
-			t.Fatalf("%q: got header %q, net/http has %q", b[:end], h, want.Header)
+			t.Fatalf("%q: got header %q, net/http returns %q", b[:end], h, want.Header)
 		}
 	})
 }
 
-// BenchmarkParseRequest parses the header section of a request in the platform's form, beside net/http.
+// BenchmarkParseRequest parses the header section of a request in the platform's protocol, with this package and with
+// net/http.
 func BenchmarkParseRequest(b *testing.B) {
 	text := []byte("POST /api/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: 9b1f03aa5c7e2d41\r\n" +
 		"X-Priority-Class: checkout\r\nX-Tenant-Id: acme\r\nX-Timeout: 0.480\r\nIdempotency-Key: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211\r\nContent-Length: 212\r\n\r\n")
