--- a/internal/httpwire/response.go
+++ b/internal/httpwire/response.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// ResponseHasNoBody reports whether a response to a request with the method has no body, whatever its header section
-// says (RFC 9112, 6.3).
+// ResponseHasNoBody reports whether a response has no body because of the request method or the status, regardless of
+// its header section (RFC 9112, 6.3).
 func ResponseHasNoBody(method string, status int) bool {
 	switch {
 	case method == http.MethodHead, status < http.StatusOK:
@@ -20,8 +20,8 @@
 	return false
 }
 
-// ParseResponseLength parses the value of a response's Content-Length field (RFC 9110, 8.6), in bytes. ok is false
-// if it is not a number without sign that fits an int64.
+// ParseResponseLength parses the value of a response's Content-Length field (RFC 9110, 8.6), in bytes. ok is false if
+// the value is not an unsigned decimal number or does not fit in an int64.
 func ParseResponseLength(value string) (length int64, ok bool) {
 	length, err := strconv.ParseInt(value, 10, 64)
 	onlyDigits := strings.Trim(value, "0123456789") == ""
@@ -42,9 +42,9 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendHeader appends the field lines of a header, without the empty line that ends the section, and returns
-// the extended slice. Values of one field keep their order. To prevent response splitting, line breaks in
-// values are replaced by spaces and fields with an invalid name are left out.
+// AppendHeader appends the field lines of a header to b, without the empty line that ends the section, and returns the
+// extended slice. The values of a field keep their order. To prevent response splitting, line breaks in values are
+// replaced with spaces, and fields with an invalid name are omitted.
 func AppendHeader(b []byte, header http.Header) []byte {
 	for name, values := range header {
 		if !IsToken(name) {
@@ -69,13 +69,13 @@
 
 var lineBreaksToSpaces = strings.NewReplacer("\n", " ", "\r", " ")
 
-// dateLine is the Date field line of one second.
+// dateLine is the Date field line for a particular second.
 type dateLine struct {
 	unixSecond int64
 	text       string
 }
 
-// lastDateLine caches the line that AppendDate formatted last.
+// lastDateLine caches the line that AppendDate has formatted last.
 var lastDateLine atomic.Pointer[dateLine]
 
 // AppendDate appends the Date field line (RFC 9110, 6.6.1) to b and returns the extended slice.
--- a/internal/httpwire/response_test.go
+++ b/internal/httpwire/response_test.go
@@ -19,7 +19,7 @@
 
 func TestAppendDate(t *testing.T) {
 	now := time.Date(2026, 12, 1, 23, 59, 59, 999, time.FixedZone("x", 3600))
-	for range 2 { // formatted, then cached
+	for range 2 { // the second call uses the cached line
 		if got, want := string(AppendDate(nil, now)), "Date: Tue, 01 Dec 2026 22:59:59 GMT\r\n"; got != want {
 			t.Errorf("got %q, want %q", got, want)
 		}
