--- a/internal/frontend/fastcgi/message.go
+++ b/internal/frontend/fastcgi/message.go
@@ -101,8 +101,8 @@
 	return host + ":" + port
 }
 
-// contentLength parses CONTENT_LENGTH, the length of the body in bytes. Without this parameter there is no body
-// (RFC 3875, 4.1.2), but only if the method normally has none; otherwise the length is unknown, -1.
+// contentLength parses CONTENT_LENGTH, the length of the body in bytes. If the parameter is missing, the length is 0
+// for methods whose requests normally have no body (RFC 3875, 4.1.2), and -1, which means unknown, for all others.
 func contentLength(method, value string) (int64, error) {
 	if value == "" {
 		switch method {
--- a/internal/frontend/fastcgi/request.go
+++ b/internal/frontend/fastcgi/request.go
@@ -19,7 +19,7 @@
 	c        *conn
 	id       uint16
 	stdin    *body.Pipe // the body, written as it arrives
-	keepConn bool       // the web server wants the connection to stay open after the request
+	keepConn bool       // the flag FCGI_KEEP_CONN is set: the connection stays open after the request
 
 	ctx          context.Context // canceled when the client disconnects, or by the gateway
 	cancel       context.CancelFunc
--- a/internal/frontend/fastcgi/server.go
+++ b/internal/frontend/fastcgi/server.go
@@ -145,8 +145,8 @@
 
 // Shutdown stops the server gracefully. It accepts connections for frontend.BacklogGrace, then closes each connection
 // after its responses, and the remaining ones at shutdownTimeout. A connection without a request is closed by its own
-// goroutine at its next check of timeouts, because only that goroutine can tell whether a part of a request has been
-// read. The time at which responses are due is set by Admission.Stop, which Shutdown of the http1 server calls.
+// goroutine in checkTimeouts, because no other goroutine has access to a partial request that it may have read. The
+// time at which responses are due is set by Admission.Stop, which Shutdown of the http1 server calls.
 func (s *Server) Shutdown() {
 	start := time.Now()
 	time.Sleep(frontend.BacklogGrace)
--- a/internal/frontend/http1/conntable_test.go
+++ b/internal/frontend/http1/conntable_test.go
@@ -94,7 +94,7 @@
 		if i > 2*table.limit {
 			t.Fatalf("still near the limit after %d more connections", i)
 		}
-		g.send("look", "/api/1", "") // on a connection of its own
+		g.send("look", "/api/1", "") // on a new connection
 	}
 }
 
--- a/internal/frontend/http1/gateway_test.go
+++ b/internal/frontend/http1/gateway_test.go
@@ -143,7 +143,7 @@
 	return c
 }
 
-// acceptPair returns both ends of a loopback connection. The server's end is a clientConn that belongs to no Server.
+// acceptPair returns both ends of a loopback connection. The server's end is a clientConn that is not part of a Server.
 func acceptPair(t *testing.T) (client *net.TCPConn, c *clientConn) {
 	t.Helper()
 	ln := testutil.Listen(t, "127.0.0.1:0", nil)
--- a/internal/frontend/http1/request_test.go
+++ b/internal/frontend/http1/request_test.go
@@ -153,7 +153,7 @@
 	}
 	sendAgain("just after the request has ended")
 	if requests, _, _ := host.Counts(); requests != 1 {
-		t.Errorf("the host got %d requests, want 1", requests)
+		t.Errorf("host received %d requests, want 1", requests)
 	}
 }
 
--- a/internal/frontend/http1/serve.go
+++ b/internal/frontend/http1/serve.go
@@ -134,7 +134,7 @@
 }
 
 // answerError writes the response to a request that is not forwarded because it is invalid or was rejected, and reports
-// whether the connection stays open. It stays open after a RejectedError if the body can be skipped, as a new
+// whether the connection stays open. It stays open after a RejectedError if the body can be discarded, as a new
 // connection would cost more than the response.
 func (s *Server) answerError(c *clientConn, err error) (keepAlive bool) {
 	var rejected *frontend.RejectedError
--- a/internal/frontend/http1/server.go
+++ b/internal/frontend/http1/server.go
@@ -54,7 +54,7 @@
 	listeners       frontend.Listeners[ListenOptions]
 	conns           connTable
 
-	mu      sync.Mutex         // guards watcher and closed, and serializes Serve, Shutdown and Close
+	mu      sync.Mutex         // guards watcher and closed, and serializes the start of Serve with Shutdown and Close
 	watcher *disconnectWatcher // nil before the first call of Serve
 	closed  bool
 
--- a/internal/frontend/http1/server_test.go
+++ b/internal/frontend/http1/server_test.go
@@ -29,7 +29,7 @@
 func TestShutdownServesOpenConnections(t *testing.T) {
 	// The difference is the time that a client may pause between two requests without seeing an unannounced close.
 	if got := lastRequestsTime - closeIdleTime; got != 200*time.Millisecond {
-		t.Errorf("connections end with their responses for %v before idle ones are closed, want 200ms", got)
+		t.Errorf("got %v between closing connections after their response and closing idle ones, want 200ms", got)
 	}
 	g := startGateway(t, withHealthyHost(t))
 	// If the client sends no request in this time, the connection is closed without a last response. The time must be
