--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -13,7 +13,7 @@
 	"dunemoor/internal/engine"
 )
 
-// scriptedConn ends with a result, after before was called.
+// scriptedConn is a Conn whose RoundTrip calls before, if it is set, and returns result.
 type scriptedConn struct {
 	result   engine.Result
 	before   func()
@@ -36,8 +36,8 @@
 func (emptyStream) Trailer() http.Header     { return nil }
 func (emptyStream) Close(bool)               {}
 
-// An attempt goes on with another connection only if a reused one was closed before the last byte of the request,
-// which proves that it never ran, and if the request can be sent again.
+// An attempt continues on another connection only if a reused connection was closed before the last byte of the
+// request was written, which proves that the request never ran, and if the request can be sent again.
 func TestAttemptResendsOnOtherConnection(t *testing.T) {
 	plain := &engine.Route{Plain: &engine.Plain{}}
 	notConnected := engine.Ended(balancer.ConnectFailed)
@@ -53,14 +53,14 @@
 	}{
 		{"reused connection closed", true, nil, notConnected, false, false, 2},
 		{"new connection closed", false, nil, notConnected, false, false, 1},
-		{"closed after a part, platform's protocol", true, nil, partlySent, false, false, 2},
-		{"closed after a part, plain protocol", true, plain, partlySent, false, false, 1},
-		{"closed before a byte, plain protocol", true, plain, notConnected, false, false, 2},
+		{"closed after part of the request, platform's protocol", true, nil, partlySent, false, false, 2},
+		{"closed after part of the request, plain protocol", true, plain, partlySent, false, false, 1},
+		{"closed before the first byte, plain protocol", true, plain, notConnected, false, false, 2},
 		{"reset", true, nil, engine.Ended(balancer.Reset), false, false, 1},
 		{"not sent", true, nil, engine.Ended(balancer.NotSent), false, false, 1},
 		{"response", true, nil, engine.Result{HasResponse: true}, false, false, 1},
 		{"body consumed", true, nil, notConnected, true, false, 1},
-		{"given up meanwhile", true, nil, notConnected, false, true, 1},
+		{"canceled meanwhile", true, nil, notConnected, false, true, 1},
 	} {
 		ctx, cancel := context.WithCancel(context.Background())
 		x := &engine.Request{Route: test.route, Body: body.NewStreamed(nil, body.NewStream(emptyStream{}, -1))}
--- a/internal/upstream/fastcgi/call.go
+++ b/internal/upstream/fastcgi/call.go
@@ -8,27 +8,27 @@
 )
 
 const (
-	// maxStdoutBytes is how much of a response is kept in memory until it is passed on.
+	// maxStdoutBytes is how many bytes of a response are kept in memory until they are forwarded.
 	maxStdoutBytes = 64 << 10
-	// abortWriteTimeout limits the time to write an ABORT_REQUEST.
+	// abortWriteTimeout limits the time to write an ABORT_REQUEST record.
 	abortWriteTimeout = time.Second
-	// abortTimeout limits the time for a responder to end a request that was aborted on a connection with others.
-	// Then the connection accepts no more.
+	// abortTimeout limits the time for a responder to end an aborted request on a connection that carries others.
+	// After it the connection accepts no more requests.
 	abortTimeout = 5 * time.Second
 )
 
-// call is a request on a connection. The table at conn has the ways in which it ends.
+// call is a request on a connection. The table at conn lists the ways in which it ends.
 type call struct {
 	id     uint16
 	stdout *body.Pipe
-	end    fastcgi.EndRequestBody // set before ended is closed, if END_REQUEST has arrived
+	end    fastcgi.EndRequestBody // body of END_REQUEST, if that has arrived; set before ended is closed
 	ended  chan struct{}          // closed when END_REQUEST has arrived or the connection has ended
 
-	abandoned bool // the response is not wanted any more; guarded by conn.mu
-	sent      bool // the last byte of the request was written; guarded by conn.mu
+	abandoned bool // whether the response is no longer needed; guarded by conn.mu
+	sent      bool // whether the last byte of the request was written; guarded by conn.mu
 }
 
-// startCall opens a request on the connection. It returns nil if the connection has ended.
+// startCall opens a request on the connection, or returns nil if the connection has ended.
 func (c *conn) startCall() *call {
 	k := &call{id: c.client.OpenRequest(), stdout: body.NewPipe(maxStdoutBytes), ended: make(chan struct{})}
 	c.mu.Lock()
@@ -40,7 +40,7 @@
 	return k
 }
 
-// forgetCall gives up a request of which nothing was written.
+// forgetCall releases a request of which nothing was written.
 func (c *conn) forgetCall(k *call) {
 	c.mu.Lock()
 	delete(c.calls, k.id)
@@ -50,8 +50,8 @@
 	c.Release()
 }
 
-// finishCall gives up a request, of which records may have been written. One that has not ended is abandoned, unless its
-// response is complete.
+// finishCall releases a request of which records may have been written. If the request has not ended it is abandoned,
+// unless its response is complete.
 func (c *conn) finishCall(k *call, complete bool) {
 	select {
 	case <-k.ended:
@@ -64,24 +64,25 @@
 	c.Release()
 }
 
-// abandon cancels a request: by an ABORT_REQUEST if the connection carries others, and else by closing it.
+// abandon cancels a request: with an ABORT_REQUEST record if the connection carries other requests, and otherwise by
+// closing the connection.
 func (c *conn) abandon(k *call) {
 	c.mu.Lock()
 	wasAbandoned := k.abandoned
 	k.abandoned = true
-	isAlone := len(c.calls) <= 1
+	isOnlyCall := len(c.calls) <= 1
 	c.mu.Unlock()
 	switch {
-	case isAlone:
+	case isOnlyCall:
 		c.Conn.Close()
 	case !wasAbandoned:
 		go c.abort(k)
 	}
 }
 
-// abort sends an ABORT_REQUEST and waits for the end of the request. If the responder does not end it, its id stays
-// in use, so that late records are not attributed to another request. It runs in a goroutine of its own and ends
-// with the request or after abortTimeout.
+// abort sends an ABORT_REQUEST record and waits for the end of the request, for up to abortTimeout. If the responder
+// does not end the request, its id stays in use, so that late records are not attributed to another request. abort runs
+// in a goroutine of its own.
 func (c *conn) abort(k *call) {
 	c.write(fastcgi.AppendStreamEnd(nil, fastcgi.AbortRequest, k.id), abortWriteTimeout)
 	select {
@@ -91,7 +92,7 @@
 	}
 }
 
-// setSent notes that the last byte of a request was written.
+// setSent records that the last byte of a request was written.
 func (c *conn) setSent(k *call) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/upstream/fastcgi/conn.go
+++ b/internal/upstream/fastcgi/conn.go
@@ -12,60 +12,60 @@
 )
 
 const (
-	// maxRequestsPerConn is how many requests a connection carries at most, as one that is read slowly delays the
-	// others.
+	// maxRequestsPerConn limits the requests that a connection carries at once, as a response that its client reads
+	// slowly delays the others.
 	maxRequestsPerConn = 64
-	// maxStall is how long a client that does not read its response may delay the other requests on a connection,
-	// and maxStallAlone how long it is waited for where there are none.
-	maxStall      = time.Second
-	maxStallAlone = time.Minute
-	// readBufferBytes is the length of a connection's read buffer.
+	// maxStall is how long a client that does not read its response may delay the other requests on a connection.
+	// maxStallSingle applies instead if the connection carries no other request.
+	maxStall       = time.Second
+	maxStallSingle = time.Minute
+	// readBufferBytes is the size of a connection's read buffer.
 	readBufferBytes = 16 << 10
 )
 
 var (
-	// errConnEnded reports a connection that ended within a response.
+	// errConnEnded is the error of a response within which the connection ended.
 	errConnEnded = errors.New("fastcgi: the responder has closed the connection")
-	// errNotSendable reports a request that may not be sent any more.
-	errNotSendable = errors.New("fastcgi: the request may not be sent any more")
+	// errNotSendable is returned for a request that may no longer be sent.
+	errNotSendable = errors.New("fastcgi: the request may no longer be sent")
 )
 
-// conn is a connection to a responder. A goroutine reads it from its start to its end, also while it is idle, so
-// that its end is seen at once.
+// conn is a connection to a responder. A goroutine reads from it from its start to its end, including while it is idle, so
+// that its end is detected at once.
 //
 // A request on it is a call. These methods end a call, or the use of a connection:
 //
-//	method           called when                                     written to the responder             the connection
-//	Release          a request has given up its capacity             nothing                              is closed if it carries no other call and is not to be kept
-//	forgetCall       nothing of the call was written                 nothing                              as by Release
-//	finishCall       the call has ended, or its response is not      as by abandon, unless it has ended   as by abandon, and then as by Release
-//	                 wanted any more                                 or its response is complete
-//	abandon          a call that has not ended is canceled           as by abort, if it carries others    is closed if it carries no other call
-//	abort            by abandon, in a goroutine of its own           ABORT_REQUEST                        as by drain if the call does not end within abortTimeout
-//	drain            it is stale, idle or out of step                nothing                              carries no further call, and is closed once it carries none
-//	connectionEnded  readLoop has met its end                        nothing                              is closed, and all of its calls end
+//	method           called when                                   written to the responder               effect on the connection
+//	Release          a request has returned its capacity           nothing                                closed if it carries no other call and is not to be kept
+//	forgetCall       nothing of the call was written               nothing                                as by Release
+//	finishCall       the call has ended, or its response is no     as by abandon, unless the call has     as by abandon, and then as by Release
+//	                 longer needed                                 ended or its response is complete
+//	abandon          a call that has not ended is canceled         as by abort, if there are other calls  closed if it carries no other call
+//	abort            by abandon, in a goroutine of its own         ABORT_REQUEST                          as by drain if the call does not end within abortTimeout
+//	drain            the connection is stale, idle or out of sync  nothing                                accepts no further call, and is closed once it carries none
+//	connectionEnded  readLoop has reached the end                  nothing                                closed, and all of its calls end
 //
-// A call gives up its capacity once: by forgetCall or by finishCall. If there was no call yet, as for a connection that is
-// acquired and not used, its holder calls Release.
+// A call returns its capacity once, in forgetCall or finishCall. If there is no call yet, as for a connection that was
+// acquired and is not used, its holder calls Release.
 type conn struct {
 	net.Conn
 	host       *host
-	generation int // of the host, when it was dialed
+	generation int // host.generation at the time of the dial
 	client     *fastcgi.Client
 
 	// The following are guarded by Transport.mu.
 
-	inFlight  int  // requests that have reserved capacity
-	reused    bool // it has carried a request
-	draining  bool // it accepts no more requests
+	inFlight  int  // number of requests that have reserved capacity
+	reused    bool // set once a request has reserved capacity
+	draining  bool // whether the connection accepts no more requests
 	idleSince time.Time
 
 	writeMu  sync.Mutex // held while records are written
-	writeErr error      // the first error of a write; guarded by writeMu
+	writeErr error      // first error of a write; guarded by writeMu
 
 	mu    sync.Mutex
 	calls map[uint16]*call // open requests; guarded by mu
-	err   error            // why the connection has ended; guarded by mu
+	err   error            // why the connection has ended; nil: it has not; guarded by mu
 }
 
 func newConn(h *host, netConn net.Conn, generation int) *conn {
@@ -74,14 +74,14 @@
 	return c
 }
 
-// IdleSince returns when the last request ended. ok is false if one is open or the connection is draining.
+// IdleSince returns when the last request ended. ok is false if a request is open or the connection is draining.
 // Transport.mu is held.
 func (c *conn) IdleSince() (at time.Time, ok bool) {
 	return c.idleSince, c.inFlight == 0 && !c.draining
 }
 
-// capacity returns how many requests the connection may carry at once. FCGI_MAX_REQS, which an application means for all
-// of its connections together (fastcgi.Values), is taken as a limit for each. Transport.mu is held.
+// capacity returns how many requests the connection may carry at once. FCGI_MAX_REQS, by the specification a limit over
+// all connections of an application (fastcgi.Values), is applied to each connection. Transport.mu is held.
 func (c *conn) capacity() int {
 	values := c.host.values
 	if !values.Multiplexes || c.generation != c.host.generation {
@@ -93,8 +93,8 @@
 	return maxRequestsPerConn
 }
 
-// isCurrent reports whether the connection leads to the process that the endpoint list names now, and that process
-// accepts requests.
+// isCurrent reports whether the connection leads to the process that the endpoint list has for the host now, and that
+// process accepts requests.
 func (c *conn) isCurrent() bool {
 	if !c.host.usable.Load() {
 		return false
@@ -104,7 +104,7 @@
 	return c.generation == c.host.generation
 }
 
-// drain has the connection accept no more requests, and closes it once it carries none.
+// drain makes the connection accept no more requests. It is closed once it carries none.
 func (c *conn) drain() {
 	t := c.host.transport
 	t.mu.Lock()
@@ -112,7 +112,7 @@
 	isIdle := c.inFlight == 0
 	t.mu.Unlock()
 	if isIdle {
-		c.Conn.Close() // readLoop sees that and removes it
+		c.Conn.Close() // readLoop then ends and removes the connection
 	}
 }
 
@@ -122,8 +122,8 @@
 	}
 }
 
-// Release returns the capacity that a request has reserved. The connection is closed if it carries no other and is
-// not to be kept.
+// Release returns the capacity that a request has reserved. The connection is closed if it carries no other request and
+// is not to be kept.
 func (c *conn) Release() {
 	t := c.host.transport
 	t.mu.Lock()
@@ -177,18 +177,18 @@
 	}
 }
 
-// Stdout passes on a part of a response. If it is not read, the connection waits for a moment, longer if it carries
-// no other requests, and then abandons the request, as the others must not be delayed.
+// Stdout forwards a part of a response. If the client does not read it within maxStall, or maxStallSingle if the
+// connection carries no other request, the request is abandoned, as others must not be delayed.
 func (c *conn) Stdout(id uint16, part []byte) {
 	c.mu.Lock()
 	k := c.calls[id]
-	wait := maxStallAlone
+	wait := maxStallSingle
 	if len(c.calls) > 1 {
 		wait = maxStall
 	}
-	isWanted := k != nil && !k.abandoned
+	isNeeded := k != nil && !k.abandoned
 	c.mu.Unlock()
-	if !isWanted {
+	if !isNeeded {
 		return
 	}
 	if k.stdout.Write(part, wait) == body.ErrPipeFull {
@@ -197,7 +197,7 @@
 	}
 }
 
-// Stderr ignores a responder's error output, for which it has a log of its own.
+// Stderr ignores a responder's error output, as responders keep a log of their own.
 func (c *conn) Stderr(uint16, []byte) {}
 
 // EndRequest handles the end of a request.
@@ -217,19 +217,19 @@
 // Values ignores a reply to GET_VALUES, which is not sent on this connection.
 func (c *conn) Values(fastcgi.Values) {}
 
-// UnsolicitedRecord has the connection carry no more requests, as its responder has lost track of them.
+// UnsolicitedRecord drains the connection, as the responder is out of sync with the open requests.
 func (c *conn) UnsolicitedRecord() { c.drain() }
 
 // write writes complete records and returns how many bytes it has written. An error closes the connection, as the
-// responder would take what follows for the rest of a record.
+// responder would take later records for the rest of an incomplete one.
 func (c *conn) write(records []byte, timeout time.Duration) (int, error) {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
 	return c.writeLocked(records, timeout)
 }
 
-// writeIf is write for the first records of a request, which may have waited long for the records of others:
-// isSendable is called when it is their turn. If it returns false the error is errNotSendable.
+// writeIf is write for the first records of a request. As they may have waited long for the writes of other requests,
+// isSendable is called right before they are written. If it returns false the error is errNotSendable.
 func (c *conn) writeIf(isSendable func() bool, records []byte, timeout time.Duration) (int, error) {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
--- a/internal/upstream/fastcgi/conn_test.go
+++ b/internal/upstream/fastcgi/conn_test.go
@@ -20,7 +20,7 @@
 	"dunemoor/internal/testutil"
 )
 
-// A connection that its responder closes after a response must not cost the next request.
+// A connection that its responder closes after a response must not make the next request fail.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	r := startResponder(t, emptyValues, func(c net.Conn, id uint16, _ map[string]string, _ string) {
 		c.Write(okRecords(id, "good"))
@@ -32,7 +32,7 @@
 		if result.HasResponse && text == "good" && err == nil {
 			continue
 		}
-		// The connection may be closed just as the next request is written: then it may have run.
+		// The connection may be closed while the next request is being written. That request may have run.
 		if result.Outcome != balancer.Reset || r.requests.Load() > int64(i+1) {
 			t.Errorf("request %d: got outcome %v, body %q, error %v, want a response", i, result.Outcome, text, err)
 		}
@@ -44,7 +44,7 @@
 func serveUppercase(w http.ResponseWriter, r *http.Request) {
 	var text []byte
 	var err error
-	if r.ContentLength != 0 { // net/http/fcgi shares one empty body, which two must not read at once
+	if r.ContentLength != 0 { // net/http/fcgi shares one empty body, which two requests must not read at once
 		text, err = io.ReadAll(r.Body)
 	}
 	if err != nil || r.Header.Get("X-Request-Id") == "" || r.Method != "POST" {
@@ -56,15 +56,15 @@
 	w.Write(bytes.ToUpper(text))
 }
 
-// The standard library's implementation of the protocol understands us and we it: bodies of all sizes both ways,
-// many requests at once on a few connections, as its values allow.
+// The transport interoperates with the standard library's implementation of FastCGI: request and response bodies of all
+// sizes, and many requests at once on a few connections, as the values of that implementation allow.
 func TestMultiplexingWithNetHTTP(t *testing.T) {
 	ln := testutil.Listen(t, "127.0.0.1:0", nil)
 	defer ln.Close()
 	go fcgi.Serve(ln, http.HandlerFunc(serveUppercase))
 	transport, h := newTestHost(t, ln.Addr().String())
-	transport.dialer.Timeout = testutil.WaitTimeout // the dial limit has tests of its own, and 200 requests at once may exceed it on a busy machine
-	learnMultiplexing(t, transport, h)
+	transport.dialer.Timeout = testutil.WaitTimeout // 200 requests at once may exceed the dial limit on a busy machine; the limit has tests of its own
+	waitForMultiplexing(t, transport, h)
 	var attempts sync.WaitGroup
 	for i := range 200 {
 		attempts.Go(func() {
@@ -88,8 +88,8 @@
 	}
 }
 
-// On a connection with several requests, output for one that has ended does not affect the others, and the
-// connection carries no more.
+// On a connection with several requests, output for a request that has ended does not affect the others, and the
+// connection accepts no more requests.
 func TestUnsolicitedOutputDrainsConnection(t *testing.T) {
 	var mu sync.Mutex
 	waiting := map[uint16]net.Conn{}
@@ -120,7 +120,7 @@
 		close(responded)
 	})
 	transport, h := newTestHost(t, r.Addr().String())
-	learnMultiplexing(t, transport, h)
+	waitForMultiplexing(t, transport, h)
 	results := make(chan string, 2)
 	for range 2 {
 		go func() {
@@ -136,8 +136,8 @@
 	waitUntilNoneOpen(t, transport)
 }
 
-// A request that is given up is aborted alone if its connection carries others.
-func TestGivingUpAbortsOneRequest(t *testing.T) {
+// If the connection of an abandoned request carries other requests, only the abandoned one is aborted.
+func TestAbandoningAbortsOneRequest(t *testing.T) {
 	release := make(chan struct{})
 	r := startResponder(t, multiplexing, func(c net.Conn, id uint16, params map[string]string, _ string) {
 		if params["REQUEST_URI"] == "/first" {
@@ -152,7 +152,7 @@
 		}()
 	})
 	transport, h := newTestHost(t, r.Addr().String())
-	learnMultiplexing(t, transport, h)
+	waitForMultiplexing(t, transport, h)
 	otherText := make(chan string, 1)
 	go func() {
 		_, text, _ := attempt(h, newTestRequest("POST", "/other", ""))
@@ -160,22 +160,22 @@
 	}()
 	testutil.WaitUntil(t, "the other request is sent", func() bool { return r.requests.Load() == 2 })
 	ctx, cancel := context.WithCancel(context.Background())
-	givenUp := make(chan engine.Result, 1)
-	go func() { givenUp <- h.Attempt(ctx, newTestRequest("POST", openTarget, "")) }()
-	testutil.WaitUntil(t, "the request to be given up is sent", func() bool { return r.requests.Load() == 3 })
+	abandoned := make(chan engine.Result, 1)
+	go func() { abandoned <- h.Attempt(ctx, newTestRequest("POST", openTarget, "")) }()
+	testutil.WaitUntil(t, "the request to be abandoned is sent", func() bool { return r.requests.Load() == 3 })
 	cancel()
-	if result := <-givenUp; result.HasResponse || result.Outcome != balancer.Canceled {
-		t.Errorf("given up: got %+v, want Canceled", result)
+	if result := <-abandoned; result.HasResponse || result.Outcome != balancer.Canceled {
+		t.Errorf("abandoned request: got %+v, want Canceled", result)
 	}
-	testutil.WaitUntil(t, "it is aborted", func() bool { return r.aborts.Load() == 1 })
+	testutil.WaitUntil(t, "the request is aborted", func() bool { return r.aborts.Load() == 1 })
 	close(release)
 	if got := <-otherText; got != "other" {
 		t.Errorf("other request: got body %q, want \"other\"", got)
 	}
 }
 
-// A request whose records wait behind those of others, on a connection that its responder does not read, is checked
-// when it is their turn: it must not be sent long after its client has left.
+// A request whose records wait for the writes of other requests, on a connection that its responder does not read, is
+// checked right before they are written: it must not be sent long after its client has disconnected.
 func TestRequestIsCheckedAgainAfterWritesOfOthers(t *testing.T) {
 	release := make(chan struct{})
 	var late atomic.Int64
@@ -189,14 +189,14 @@
 		c.Write(okRecords(id, "good"))
 	})
 	transport, h := newTestHost(t, r.Addr().String())
-	learnMultiplexing(t, transport, h)
+	waitForMultiplexing(t, transport, h)
 	c := waitForOnlyConn(t, transport, h)
 	var others sync.WaitGroup
 	others.Go(func() { checkGoodResponse(t, h, "/stall", "") })
-	testutil.WaitUntil(t, "it is sent", func() bool { return r.requests.Load() == 2 })
-	others.Go(func() { checkGoodResponse(t, h, "/big", strings.Repeat("x", 32<<20)) }) // more than all buffers between hold
-	testutil.WaitUntil(t, "it is being written", func() bool { return isWriting(c) && c.client.NumOpen() == 2 })
-	client := &goneClient{}
+	testutil.WaitUntil(t, "the first request is sent", func() bool { return r.requests.Load() == 2 })
+	others.Go(func() { checkGoodResponse(t, h, "/big", strings.Repeat("x", 32<<20)) }) // more than the socket buffers hold
+	testutil.WaitUntil(t, "the long request is being written", func() bool { return isWriting(c) && c.client.NumOpen() == 2 })
+	client := &disconnectedClient{}
 	x := newTestRequest("POST", "/late", "")
 	x.Client = client
 	lateResult := make(chan engine.Result, 1)
@@ -204,8 +204,8 @@
 		result, _, _ := attempt(h, x)
 		lateResult <- result
 	}()
-	testutil.WaitUntil(t, "it waits for its turn", func() bool { return c.client.NumOpen() == 3 })
-	client.left.Store(true)
+	testutil.WaitUntil(t, "the late request waits to be written", func() bool { return c.client.NumOpen() == 3 })
+	client.gone.Store(true)
 	close(release)
 	if result := <-lateResult; result.HasResponse || result.Outcome != balancer.NotSent {
 		t.Errorf("got %+v, want NotSent", result)
@@ -217,8 +217,8 @@
 	checkGoodResponse(t, h, "/", "")
 }
 
-// A responder that does not know GET_VALUES, or closes the connection for it, gets one request at a time on each
-// connection.
+// A responder that does not support GET_VALUES, or closes the connection on receiving it, gets one request at a time on
+// each connection.
 func TestNoMultiplexingWithoutValues(t *testing.T) {
 	for _, values := range []valuesBehavior{emptyValues, closeConnection} {
 		t.Run(string(values), func(t *testing.T) {
--- a/internal/upstream/fastcgi/getconn.go
+++ b/internal/upstream/fastcgi/getconn.go
@@ -7,8 +7,8 @@
 	"dunemoor/internal/upstream"
 )
 
-// getConn returns a connection to a host with capacity for a request, which it reserves, or dials one. reused tells
-// that the connection has carried other requests.
+// getConn returns a connection to a host with capacity for a request, or dials one, and reserves the capacity. reused
+// reports whether the connection has been used for other requests.
 func (t *Transport) getConn(ctx context.Context, h *host) (c *conn, reused bool, err error) {
 	t.mu.Lock()
 	for {
@@ -16,7 +16,7 @@
 			t.mu.Unlock()
 			return c, reused, nil
 		}
-		// Where a connection carries several requests, the one that is being dialed will have capacity.
+		// If the responder multiplexes, a connection that is being dialed will have capacity for this request too.
 		dialing := h.dialing
 		if dialing == nil || !h.values.Multiplexes {
 			break
@@ -53,8 +53,8 @@
 	return c, false, err
 }
 
-// reserveRequest reserves capacity for a request on the first connection to a host that has some, or returns nil.
-// t.mu is held.
+// reserveRequest reserves capacity for a request on the first connection to a host that has any, or returns nil if none
+// has. t.mu is held.
 func (t *Transport) reserveRequest(h *host) (c *conn, reused bool) {
 	for _, c := range t.conns.Conns(h) {
 		if !c.draining && c.inFlight < c.capacity() {
@@ -67,7 +67,7 @@
 	return nil, false
 }
 
-// makeRoom reports whether a further connection to a host may be dialed. At the limit of the transport it closes the
+// makeRoom reports whether another connection to a host may be dialed. At the limit of the transport it closes the
 // connection that has been idle longest. t.mu is held.
 func (t *Transport) makeRoom(h *host) bool {
 	if t.conns.Full() {
@@ -76,19 +76,19 @@
 			return false
 		}
 		longest.draining = true
-		longest.Conn.Close() // readLoop sees that and removes it
+		longest.Conn.Close() // readLoop then ends and removes the connection
 	}
 	hostIsFull := h.values.MaxConns > 0 && len(t.conns.Conns(h)) >= h.values.MaxConns
 	return !hostIsFull && !t.closed
 }
 
-// unixPrefix begins the address of a responder on a Unix domain socket.
+// unixPrefix is the prefix of the address of a responder on a Unix domain socket.
 const unixPrefix = "unix:"
 
-// dialTarget is where a dial leads.
+// dialTarget is the process that a dial connects to.
 type dialTarget struct {
 	process    upstream.Process
-	generation int // of the host, when it had this process
+	generation int // host.generation for this process
 }
 
 // network splits the address into the arguments of a dialer.
@@ -99,7 +99,7 @@
 	return "tcp", d.process.Addr
 }
 
-// dial establishes a connection that has been counted as open, with capacity reserved for a request.
+// dial establishes a connection, which the caller has counted as open, and reserves capacity for a request on it.
 func (t *Transport) dial(ctx context.Context, h *host, target dialTarget) (*conn, error) {
 	network, addr := target.network()
 	netConn, err := t.dialer.DialContext(ctx, network, addr)
--- a/internal/upstream/fastcgi/helpers_test.go
+++ b/internal/upstream/fastcgi/helpers_test.go
@@ -15,7 +15,7 @@
 	"dunemoor/internal/testutil"
 )
 
-// valuesBehavior is what a responder does when it is asked for its values.
+// valuesBehavior is what a responder does when it receives GET_VALUES.
 type valuesBehavior string
 
 const (
@@ -27,18 +27,18 @@
 // respondFunc writes the response to a request.
 type respondFunc func(c net.Conn, id uint16, params map[string]string, body string)
 
-// responder is a responder whose responses are written by a script, byte by byte.
+// responder is a test responder. respond writes the bytes of each response.
 type responder struct {
 	net.Listener
 	values  valuesBehavior
 	respond respondFunc
 
-	requests atomic.Int64 // that were received completely
+	requests atomic.Int64 // number of requests that were received completely
 	conns    atomic.Int64
 	aborts   atomic.Int64
 }
 
-// openTarget is the target of a request that stays open after the script has responded.
+// openTarget is the target of a request that stays open after respond has returned.
 const openTarget = "/open"
 
 func startResponder(t testing.TB, values valuesBehavior, respond respondFunc) *responder {
@@ -185,8 +185,9 @@
 	}
 }
 
-// learnMultiplexing makes an attempt and waits until the transport knows that the responder multiplexes.
-func learnMultiplexing(t *testing.T, transport *Transport, h *host) {
+// waitForMultiplexing makes an attempt and waits until the transport has received the responder's values, by which it
+// multiplexes.
+func waitForMultiplexing(t *testing.T, transport *Transport, h *host) {
 	t.Helper()
 	attempt(h, newTestRequest("POST", "/first", ""))
 	testutil.WaitUntil(t, "the responder has sent its values", func() bool {
@@ -232,7 +233,7 @@
 	})
 }
 
-// goneClient is a client that has left once left is set.
-type goneClient struct{ left atomic.Bool }
+// disconnectedClient is a client that has disconnected once gone is set.
+type disconnectedClient struct{ gone atomic.Bool }
 
-func (c *goneClient) Gone() bool { return c.left.Load() }
+func (c *disconnectedClient) Gone() bool { return c.gone.Load() }
--- a/internal/upstream/fastcgi/params.go
+++ b/internal/upstream/fastcgi/params.go
@@ -15,7 +15,7 @@
 const spareRecordBytes = 1024
 
 // encodeRequest returns the records of a request: BEGIN_REQUEST, its parameters and the buffered part of its body.
-// paramsEnd is the index behind the parameters.
+// paramsEnd is the index of the first byte after the parameters.
 func (t *Transport) encodeRequest(id uint16, x *engine.Request) (records []byte, paramsEnd int) {
 	buffered := x.Body.Bytes()
 	records = make([]byte, 0, spareRecordBytes+len(buffered))
@@ -26,7 +26,8 @@
 	return fastcgi.AppendStream(records, fastcgi.Stdin, id, buffered), paramsEnd
 }
 
-// paramsEncoder encodes the parameters of a request. Those that the pool configures replace others.
+// paramsEncoder encodes the parameters of a request. Parameters that are configured for the pool replace others of the
+// same name.
 type paramsEncoder struct {
 	encoded    []byte
 	configured map[string]string
@@ -52,7 +53,7 @@
 	return e.encoded
 }
 
-// addServer adds what the program learns about the gateway.
+// addServer adds the parameters that describe the gateway.
 func (e *paramsEncoder) addServer(x *engine.Request) {
 	host, port, err := net.SplitHostPort(x.Host)
 	if err != nil {
@@ -66,7 +67,7 @@
 	e.add("SERVER_PORT", port)
 }
 
-// addScript adds the request line, and the file of the script below the document root.
+// addScript adds the request line, and the path of the script's file below the document root.
 func (e *paramsEncoder) addScript(x *engine.Request, documentRoot string) {
 	target, query, _ := strings.Cut(x.Target, "?")
 	script := target
@@ -79,7 +80,7 @@
 	e.add("QUERY_STRING", query)
 	if documentRoot != "" {
 		e.add("DOCUMENT_ROOT", documentRoot)
-		// Cleaned as an absolute path, so that it does not lead out of the root.
+		// The script is cleaned as an absolute path, so that it can't escape from the document root.
 		e.add("SCRIPT_FILENAME", strings.TrimSuffix(documentRoot, "/")+path.Clean("/"+script))
 	}
 }
@@ -94,10 +95,10 @@
 	}
 }
 
-// addClient adds the address of the client, the last one of X-Forwarded-For, and whether it uses TLS.
+// addClient adds the address of the client, which is the last one of X-Forwarded-For, and whether the client uses TLS.
 func (e *paramsEncoder) addClient(x *engine.Request) {
 	if values := x.Header["X-Forwarded-For"]; len(values) == 1 {
-		lastComma := strings.LastIndexByte(values[0], ',') // -1: there is one address
+		lastComma := strings.LastIndexByte(values[0], ',') // -1 if there is only one address
 		e.add("REMOTE_ADDR", strings.TrimSpace(values[0][lastComma+1:]))
 	}
 	if values := x.Header["X-Forwarded-Proto"]; len(values) == 1 && values[0] == "https" {
--- a/internal/upstream/fastcgi/response.go
+++ b/internal/upstream/fastcgi/response.go
@@ -20,9 +20,10 @@
 const (
 	// usualHeaderBytes is enough for the header section of most responses.
 	usualHeaderBytes = 2 << 10
-	// minReadBytes is the shortest space that the body is read into.
+	// minReadBytes is the least free space of a buffer into which a part of the body is read.
 	minReadBytes = 512
-	// maxHeaderWait is longer than any attempt; a context ends the reads before.
+	// maxHeaderWait is the timeout of reads of the header section. It is longer than any attempt: the context of the
+	// attempt ends the reads earlier.
 	maxHeaderWait = time.Hour
 )
 
@@ -46,8 +47,8 @@
 	}
 }
 
-// headerError returns the error of a response that ended with err, after a number of bytes, within its header
-// section.
+// headerError returns the error of a response that ended with err within its header section. received is the number of
+// bytes that had arrived.
 func headerError(ctx context.Context, err error, received int) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
@@ -63,10 +64,10 @@
 	conn      *conn
 	call      *call
 	upload    *upload
-	length    int64 // -1: unknown
-	hasNoBody bool  // whatever is sent
+	length    int64 // Content-Length; -1: unknown
+	hasNoBody bool  // whether the response has no body, even if the responder sends one
 	meter     body.Meter
-	due       time.Time // when the last byte is due; zero: only the pace counts
+	due       time.Time // when the last byte is due; zero: only the pace limits the body
 	readBytes int64
 
 	closeOnce sync.Once
@@ -82,8 +83,8 @@
 	}
 }
 
-// bufferStart reads what arrives within upstream.MaxBufferTime after start, or all of a body that is short by its length.
-// complete tells that this is the whole body.
+// bufferStart reads the part of the body that arrives within upstream.MaxBufferTime, or the whole body if its length is
+// known to be short. start is the part that has been read already. complete reports whether buffered is the whole body.
 func (s *responseStream) bufferStart(ctx context.Context, start []byte) (buffered []byte, complete bool, err error) {
 	stopClosing := context.AfterFunc(ctx, s.call.stdout.CloseRead)
 	defer stopClosing()
@@ -126,8 +127,8 @@
 	return buffered, true, nil
 }
 
-// Read reads the next part of the body, within the pace that the host must keep. It returns an error if the body does
-// not have its length.
+// Read reads the next part of the body, and fails if the host does not keep the pace. It returns io.ErrUnexpectedEOF if
+// the length of the body differs from its Content-Length.
 func (s *responseStream) Read(p []byte) (int, error) {
 	timeout := s.meter.Timeout()
 	if !s.due.IsZero() {
@@ -151,7 +152,7 @@
 // Trailer returns nil, as a CGI response has no trailer section.
 func (s *responseStream) Trailer() http.Header { return nil }
 
-// Close gives up the request. One that has not ended is abandoned. Further calls do nothing.
+// Close releases the request. If it has not ended it is abandoned, unless complete is set. Further calls do nothing.
 func (s *responseStream) Close(complete bool) {
 	s.closeOnce.Do(func() {
 		s.upload.stop()
--- a/internal/upstream/fastcgi/result_test.go
+++ b/internal/upstream/fastcgi/result_test.go
@@ -19,7 +19,7 @@
 var responseOutcomes = []struct {
 	name     string
 	respond  func(c net.Conn, id uint16)
-	want     balancer.Result // OK: there is a response
+	want     balancer.Result // OK if there is a response
 	wantText string
 }{
 	{"response", func(c net.Conn, id uint16) { c.Write(okRecords(id, "good")) }, balancer.OK, "good"},
@@ -65,8 +65,8 @@
 	{"other version", func(c net.Conn, id uint16) { c.Write([]byte("HTTP/1.1 200 OK\r\n\r\n")) }, balancer.Reset, ""},
 }
 
-// What a responder does decides whether the request may have run. A wrong outcome would let a request that is not
-// idempotent run twice.
+// The behavior of a responder determines whether the request may have run. With a wrong outcome, a request that is not
+// idempotent could be retried and run twice.
 func TestOutcomeOfResponse(t *testing.T) {
 	for _, test := range responseOutcomes {
 		t.Run(test.name, func(t *testing.T) {
@@ -121,18 +121,18 @@
 	}
 }
 
-// A dial may take long. Nothing is sent after it to a host that drains, has moved or was restarted meanwhile, nor
-// for a request that is finished or whose time to be written is over.
+// A dial may take long. After it nothing is sent if the host drains, has moved or was restarted in the meantime, or if
+// the request is finished, its client has disconnected or the time to write it has expired.
 func TestRequestIsCheckedAgainAfterDial(t *testing.T) {
-	leftClient := &goneClient{}
-	leftClient.left.Store(true)
+	client := &disconnectedClient{}
+	client.gone.Store(true)
 	for name, change := range map[string]func(h *host, x *engine.Request){
-		"host drains":      func(h *host, _ *engine.Request) { h.Update(h.process.Addr, 0, false) },
-		"host moves":       func(h *host, _ *engine.Request) { h.Update("127.0.0.1:9", 0, true) },
-		"host restarts":    func(h *host, _ *engine.Request) { h.Update(h.process.Addr, 7, true) },
-		"request finishes": func(_ *host, x *engine.Request) { x.Close() },
-		"client leaves":    func(_ *host, x *engine.Request) { x.Client = leftClient },
-		"write time ends":  func(_ *host, x *engine.Request) { x.WriteBy = time.Now() },
+		"host drains":        func(h *host, _ *engine.Request) { h.Update(h.process.Addr, 0, false) },
+		"host moves":         func(h *host, _ *engine.Request) { h.Update("127.0.0.1:9", 0, true) },
+		"host restarts":      func(h *host, _ *engine.Request) { h.Update(h.process.Addr, 7, true) },
+		"request finishes":   func(_ *host, x *engine.Request) { x.Close() },
+		"client disconnects": func(_ *host, x *engine.Request) { x.Client = client },
+		"write time expires": func(_ *host, x *engine.Request) { x.WriteBy = time.Now() },
 	} {
 		r := startResponder(t, closeConnection, func(c net.Conn, id uint16, _ map[string]string, _ string) { c.Write(okRecords(id, "yes")) })
 		transport, h := newTestHost(t, r.Addr().String())
@@ -150,13 +150,13 @@
 	}
 }
 
-// A long response is streamed, and a truncated one is recognized.
+// A long response is streamed, and a truncated one is detected.
 func TestLongResponses(t *testing.T) {
 	text := strings.Repeat("0123456789", 300_000)
 	for _, test := range []struct {
 		name     string
 		header   string
-		complete bool // END_REQUEST is sent
+		complete bool // whether END_REQUEST is sent
 		wantErr  bool
 	}{
 		{"complete", "X: y\n\n", true, false},
--- a/internal/upstream/fastcgi/roundtrip.go
+++ b/internal/upstream/fastcgi/roundtrip.go
@@ -12,9 +12,9 @@
 	"dunemoor/internal/upstream"
 )
 
-// defaultStreams is for requests whose route has no Streams, which are those of tests: responses are streamed, at any
-// pace. Package http1 has another.
-var defaultStreams = engine.Streams{HeadDeadlineOnly: true, Pace: body.Pace{IdleTimeout: maxStallAlone}}
+// defaultStreams applies to requests whose route has no Streams, which only tests have: responses are streamed, without
+// a minimum rate. Package http1 has a defaultStreams of its own.
+var defaultStreams = engine.Streams{HeadDeadlineOnly: true, Pace: body.Pace{IdleTimeout: maxStallSingle}}
 
 // RoundTrip sends a request and receives the header section of its response, with the part of the body that is
 // buffered; the rest is streamed.
@@ -57,15 +57,15 @@
 	return engine.Result{HasResponse: true, Response: response}
 }
 
-// sendRequest writes a request, without the streamed part of its body. If ok is false the attempt has ended with
-// the result, and the request was given up.
+// sendRequest writes a request, without the streamed part of its body. If ok is false the attempt has ended with result,
+// and k has been released.
 func (c *conn) sendRequest(ctx context.Context, x *engine.Request, k *call) (result engine.Result, ok bool) {
 	records, paramsEnd := c.host.transport.encodeRequest(k.id, x)
 	isComplete := x.Body.Buffered()
 	if isComplete {
 		records = fastcgi.AppendStreamEnd(records, fastcgi.Stdin, k.id)
 	}
-	// The dial, or the writes of others, may have taken long, so check again whether the request may be sent.
+	// The dial, or the writes of other requests, may have taken long, so check again whether the request may be sent.
 	isSendable := func() bool { return x.MayWrite() && c.isCurrent() }
 	timeout := upstream.Streams(x, &defaultStreams).Pace.IdleTimeout
 	written, err := c.writeIf(isSendable, records, timeout)
@@ -84,23 +84,24 @@
 	return engine.Result{}, true
 }
 
-// writeFailure returns the result of an attempt whose request could not be written. paramsSent tells that its
-// parameters were: programs may begin with them (6.2).
+// writeFailure returns the result of an attempt whose request could not be written completely. paramsSent reports whether
+// the parameters were written: programs may start once they have received them (6.2).
 func (c *conn) writeFailure(ctx context.Context, x *engine.Request, k *call, paramsSent bool) engine.Result {
 	switch {
 	case c.wasSent(k):
 		return engine.Ended(balancer.Reset)
 	case ctx.Err() != nil && (!paramsSent || !upstream.IsPlain(x)):
-		// Proof: the responder lacks a part of the parameters (6.2), or the last byte by the platform's protocol.
+		// Proof: the responder has not received all parameters (6.2) or, in the platform's protocol, the last byte.
 		return engine.Ended(upstream.OutcomeUnsent(ctx))
 	case ctx.Err() != nil:
 		return engine.Ended(balancer.Canceled)
 	}
-	// Proof: as above. PartlySent tells where the lack of the last byte proves nothing, on plain routes.
+	// Proof: as above. On plain routes a missing last byte proves nothing once the parameters were sent, which
+	// PartlySent reports.
 	return engine.Result{Outcome: balancer.ConnectFailed, PartlySent: paramsSent}
 }
 
-// readFailure returns the result of an attempt that failed with err after its request was written, but for the
+// readFailure returns the result of an attempt that failed with err after its request was written, except for the
 // streamed part of the body. The upload has been stopped.
 func (c *conn) readFailure(ctx context.Context, k *call, up *upload, err error) engine.Result {
 	sent := c.wasSent(k)
@@ -116,15 +117,15 @@
 	case err == io.EOF:
 		return engine.Ended(outcomeOfEnd(k.end))
 	case !sent:
-		// Proof: the responder lacks the last byte, by the platform's protocol. PartlySent tells that it proves
-		// nothing on plain routes.
+		// Proof in the platform's protocol: the responder has not received the last byte. On plain routes this proves
+		// nothing, which PartlySent reports.
 		return engine.Result{Outcome: balancer.ConnectFailed, PartlySent: true}
 	}
 	return engine.Ended(balancer.Reset)
 }
 
-// outcomeOfEnd returns the outcome of a request that ended without output. Full is proof that it never ran: by 5.5
-// the statuses other than REQUEST_COMPLETE reject a request.
+// outcomeOfEnd returns the outcome of a request that ended without output. Full proves that the request never ran, as
+// the statuses other than REQUEST_COMPLETE reject a request (5.5).
 func outcomeOfEnd(end fastcgi.EndRequestBody) balancer.Result {
 	switch end.ProtocolStatus {
 	case fastcgi.Overloaded, fastcgi.CantMultiplex, fastcgi.UnknownRole:
--- a/internal/upstream/fastcgi/transport.go
+++ b/internal/upstream/fastcgi/transport.go
@@ -1,9 +1,9 @@
 // Package fastcgi makes attempts at FastCGI responders and keeps the connections to them. Numbers in comments are
 // sections of the FastCGI specification.
 //
-// A Result which says that a request never ran names the proof where it is made: in RoundTrip, writeFailure,
-// readFailure and outcomeOfEnd here and in Attempt of package upstream. docs/design/fastcgi.md has all proofs in a
-// table.
+// Wherever a Result is returned which means that a request never ran, a comment states the proof: in RoundTrip,
+// writeFailure, readFailure and outcomeOfEnd here, and in Attempt of package upstream. docs/design/fastcgi.md has a
+// table of all proofs.
 package fastcgi
 
 import (
@@ -19,16 +19,16 @@
 	"dunemoor/internal/upstream"
 )
 
-// maxIdle is how long a connection without a request is kept. The end of one by its responder is always seen, as each
-// connection is read all the time.
+// maxIdle is how long a connection without a request is kept. If the responder closes it earlier, that is always
+// detected, as readLoop reads from each connection all the time.
 const maxIdle = 30 * time.Second
 
 // Options configure a Transport.
 type Options struct {
-	MaxConns     int               // open connections to all hosts together
-	BodyBudget   *body.Budget      // of the buffers of streamed bodies; see upstream.BodyBudget
-	DocumentRoot string            // directory of the scripts, for SCRIPT_FILENAME; "": none is sent
-	Params       map[string]string // sent with each request; they replace others of the same name
+	MaxConns     int               // limit of open connections to all hosts together
+	BodyBudget   *body.Budget      // budget of the buffers for streamed bodies; see upstream.BodyBudget
+	DocumentRoot string            // directory of the scripts, for SCRIPT_FILENAME; "": that parameter is not sent
+	Params       map[string]string // parameters of each request; they replace others of the same name
 }
 
 // Transport makes attempts at the responders of a pool and keeps the connections to them.
@@ -40,7 +40,7 @@
 
 	mu     sync.Mutex
 	conns  upstream.Pool[*host, *conn] // all connections; guarded by mu
-	closed bool                        // Run has ended and no connection is kept; guarded by mu
+	closed bool                        // whether Run has ended: no connection is kept then; guarded by mu
 }
 
 // NewTransport returns a Transport.
@@ -54,7 +54,8 @@
 	}
 }
 
-// SetLimits changes Options.MaxConns. Responses take no memory beyond the limit of their connections.
+// SetLimits changes Options.MaxConns. The limit of memory for large responses is ignored, as no more than maxStdoutBytes
+// of a response are buffered.
 func (t *Transport) SetLimits(maxConns int, _ int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -64,7 +65,7 @@
 // Host returns the Endpoint of a new host. It can be used once Update has set an address.
 func (t *Transport) Host(string) engine.Endpoint { return &host{transport: t} }
 
-// Run closes connections that have been idle for long, until ctx ends. Then it closes all idle ones; those in use
+// Run closes connections that have been idle for maxIdle, until ctx ends. Then it closes all idle ones, and those in use
 // are closed after their requests.
 func (t *Transport) Run(ctx context.Context) {
 	upstream.Sweep(ctx, func() { t.closeIdle(maxIdle) }, t.close)
@@ -78,7 +79,8 @@
 	drainAll(idle)
 }
 
-// close closes all idle connections, and has those in use closed after their requests.
+// close closes all idle connections, and marks the transport as closed so that those in use are closed after their
+// requests.
 func (t *Transport) close() {
 	t.mu.Lock()
 	t.closed = true
@@ -89,19 +91,19 @@
 // host is the Endpoint of a responder.
 type host struct {
 	transport *Transport
-	usable    atomic.Bool // it accepts new requests
+	usable    atomic.Bool // whether the host accepts new requests
 
 	// The following are guarded by Transport.mu.
 
 	process       upstream.Process
-	generation    int            // how often process has changed: connections of an earlier generation are not used
-	values        fastcgi.Values // of the responder; zero until it has sent them
-	valuesQueried bool           // in this generation
-	dialing       chan struct{}  // closed when the last dial has ended; nil: none is under way
+	generation    int            // number of changes of process; connections of an earlier generation are not used
+	values        fastcgi.Values // values of the responder; zero until they have been received
+	valuesQueried bool           // whether GET_VALUES was sent in this generation
+	dialing       chan struct{}  // closed when the last dial has ended; nil: no dial is in progress
 }
 
-// Update applies what the endpoint list says about the host. Connections that lead to another process, or to one
-// that accepts no new requests, carry no further ones.
+// Update applies the host's entry in the endpoint list. Connections that lead to another process, or to one that accepts
+// no new requests, accept no further requests.
 func (h *host) Update(addr string, started int64, usable bool) {
 	h.usable.Store(usable)
 	t := h.transport
--- a/internal/upstream/fastcgi/upload.go
+++ b/internal/upstream/fastcgi/upload.go
@@ -10,15 +10,15 @@
 	"dunemoor/internal/upstream"
 )
 
-// upload sends the streamed part of a request's body while the response is awaited. It runs in a goroutine of its
-// own, which stop ends.
+// upload sends the streamed part of a request's body while the gateway waits for the response. It runs in a goroutine of
+// its own, which stop ends.
 type upload struct {
 	request        *engine.Request
-	done           chan struct{} // closed when nothing more is sent
-	failedByClient bool          // the body could not be read from the client; set before done is closed
+	done           chan struct{} // closed when the upload has ended
+	failedByClient bool          // whether the body could not be read from the client; set before done is closed
 }
 
-// startUpload starts the upload of a request. If its body is buffered the upload is done.
+// startUpload starts the upload of a request. If the body is buffered there is nothing to send, and the upload has ended.
 func startUpload(c *conn, k *call, x *engine.Request) *upload {
 	u := &upload{request: x, done: make(chan struct{})}
 	if x.Body.Buffered() {
@@ -56,7 +56,7 @@
 	u.copyStream(c, k, *buf)
 }
 
-// copyStream sends the stream to its end, through buf. If a write fails the reader of the connection sees its end.
+// copyStream sends the stream to its end, through buf. A failed write closes the connection, which readLoop detects.
 func (u *upload) copyStream(c *conn, k *call, buf []byte) {
 	stream := u.request.Body.Stream()
 	timeout := upstream.Streams(u.request, &defaultStreams).Pace.IdleTimeout
@@ -83,7 +83,8 @@
 	}
 }
 
-// writeStdin writes the n bytes of content that follow the space for a record header in buf.
+// writeStdin writes a STDIN record with n bytes of content, and reports whether that succeeded. In buf the content
+// follows the space for the record header.
 func writeStdin(c *conn, k *call, buf []byte, n int, timeout time.Duration) bool {
 	fastcgi.AppendHeader(buf[:0], fastcgi.Header{Type: fastcgi.Stdin, ID: k.id, ContentBytes: n})
 	_, err := c.write(buf[:fastcgi.HeaderBytes+n], timeout)
--- a/internal/upstream/fastcgi/values.go
+++ b/internal/upstream/fastcgi/values.go
@@ -7,12 +7,12 @@
 	"dunemoor/internal/fastcgi"
 )
 
-// queryTimeout limits the time for a responder to send its values. Some never do, or close the connection: then each
-// connection carries one request at a time.
+// queryTimeout limits the time for a responder to send its values. Some never send them, or close the connection
+// instead; each connection to such a responder carries one request at a time.
 const queryTimeout = time.Second
 
-// queryValues asks a responder for its values (4.1), on a connection of its own: a responder that does not know the
-// query may close it. It runs in a goroutine of its own and ends within two queryTimeouts.
+// queryValues requests the values of a responder (4.1) on a separate connection, as a responder that does not support
+// GET_VALUES may close it. It runs in a goroutine of its own, for twice queryTimeout at most.
 func (t *Transport) queryValues(h *host, target dialTarget) {
 	values, ok := receiveValues(target)
 	if !ok {
@@ -25,7 +25,7 @@
 	}
 }
 
-// receiveValues sends the query and waits for the reply.
+// receiveValues sends GET_VALUES and waits for the reply.
 func receiveValues(target dialTarget) (values fastcgi.Values, ok bool) {
 	network, addr := target.network()
 	c, err := net.DialTimeout(network, addr, queryTimeout)
@@ -56,7 +56,7 @@
 	return reply.values, true
 }
 
-// valuesReply handles the reply to a query.
+// valuesReply is the fastcgi.ClientHandler that receives the reply to GET_VALUES.
 type valuesReply struct {
 	values   fastcgi.Values
 	received bool
@@ -67,7 +67,7 @@
 func (*valuesReply) EndRequest(uint16, fastcgi.EndRequestBody) {}
 func (*valuesReply) UnsolicitedRecord()                        {}
 
-// Values keeps the first reply. Some responders send an empty one after it, as if it ended a stream.
+// Values keeps the first reply. Some responders send an empty one after it, like the record that ends a stream.
 func (r *valuesReply) Values(values fastcgi.Values) {
 	if !r.received {
 		r.values = values
--- a/internal/upstream/http1/conn.go
+++ b/internal/upstream/http1/conn.go
@@ -16,17 +16,17 @@
 	"dunemoor/internal/upstream"
 )
 
-// conn is a connection to a host. It belongs to one attempt or, while it is idle, to the Transport.
+// conn is a connection to a host. It is owned by one attempt or, while it is idle, by the Transport.
 type conn struct {
 	net.Conn
 	host    *host
-	process upstream.Process // that it leads to
+	process upstream.Process // process at the other end
 
-	reused    bool      // it has carried a request
-	idleSince time.Time // of its last request; guarded by Transport.mu while the connection is in the pool
+	reused    bool      // set once the connection has been put into the pool
+	idleSince time.Time // when the connection was put into the pool; guarded by Transport.mu while it is there
 
-	readGap      time.Duration     // limit of the time of a single read; 0: none
-	readErr      error             // the first error of a read other than a timeout
+	readTimeout  time.Duration     // time limit of each read; 0: none
+	readErr      error             // first error of a read other than a timeout
 	headerLimit  *io.LimitedReader // limits the length of a response's header section
 	in           *bufio.Reader     // buffers headerLimit
 	headerReader *textproto.Reader // reads header sections from in
@@ -44,13 +44,13 @@
 // IdleSince returns when the connection was put into the pool.
 func (c *conn) IdleSince() (at time.Time, ok bool) { return c.idleSince, true }
 
-// Release keeps the connection, to which nothing was written, for another attempt.
+// Release puts the connection, to which nothing was written, into the pool for another attempt.
 func (c *conn) Release() { c.host.transport.tryPutIdle(c) }
 
 // RoundTrip sends the request and receives the header section of its response, with the part of the body that is
-// buffered. The dial may have taken long, so it checks first whether the request may still be sent: not to a host
-// that is draining or whose process has changed, and not after the response, the client or the time to write it
-// has gone. NotSent is proof that the request never ran, as nothing was written.
+// buffered. As the dial may have taken long, it first checks whether the request may still be sent: not if the host is
+// draining or its process has changed, and not if the request has its response, its client has disconnected or the
+// time to write it has expired. NotSent proves that the request never ran, as nothing was written.
 func (c *conn) RoundTrip(ctx context.Context, x *engine.Request) engine.Result {
 	if !x.MayWrite() || !c.isCurrent() {
 		c.Release()
@@ -59,8 +59,8 @@
 	return c.roundTrip(ctx, x)
 }
 
-// isCurrent reports whether the connection leads to the process that the endpoint list names now, and that process
-// accepts requests.
+// isCurrent reports whether the connection leads to the process that the endpoint list has for the host now, and that
+// process accepts requests.
 func (c *conn) isCurrent() bool {
 	c.host.transport.mu.Lock()
 	defer c.host.transport.mu.Unlock()
@@ -72,15 +72,15 @@
 	return c.host.usable.Load() && c.process == c.host.process
 }
 
-// Read reads from the connection, within readGap if that is set. The kernel reports a reset once and then the end
-// of the stream, and a bufio.Reader drops an error that a Peek has met. The first error is therefore kept: where a
-// response ends with its connection, a reset must not be taken for the end.
+// Read reads from the connection, within readTimeout if that is set. The kernel reports a reset once and then the end of
+// the stream, and a bufio.Reader discards an error after Peek has returned it. Read therefore keeps the first error and
+// returns it again: where a response is delimited by the end of its connection, a reset must not be taken for that end.
 func (c *conn) Read(b []byte) (int, error) {
 	if c.readErr != nil {
 		return 0, c.readErr
 	}
-	if c.readGap > 0 {
-		c.SetReadDeadline(time.Now().Add(c.readGap))
+	if c.readTimeout > 0 {
+		c.SetReadDeadline(time.Now().Add(c.readTimeout))
 	}
 	n, err := c.Conn.Read(b)
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -89,15 +89,15 @@
 	return n, err
 }
 
-// setReadGap limits the time of each of the following reads; 0 removes the limit.
-func (c *conn) setReadGap(gap time.Duration) {
-	if c.readGap > 0 && gap == 0 {
+// setReadTimeout sets the time limit of each of the following reads; 0 removes the limit.
+func (c *conn) setReadTimeout(timeout time.Duration) {
+	if c.readTimeout > 0 && timeout == 0 {
 		c.SetReadDeadline(time.Time{})
 	}
-	c.readGap = gap
+	c.readTimeout = timeout
 }
 
-// peek reports whether the connection is open, and whether there are bytes to read. It does not wait.
+// peek reports whether the connection is open, and whether there are bytes to read. It does not block.
 func (c *conn) peek() (isOpen, readable bool) {
 	syscallConn, ok := c.Conn.(syscall.Conn)
 	if !ok {
--- a/internal/upstream/http1/helpers_test.go
+++ b/internal/upstream/http1/helpers_test.go
@@ -18,7 +18,7 @@
 	"dunemoor/internal/testutil"
 )
 
-// newTestTransport returns a Transport whose dials may take testutil.WaitTimeout, as the machine may be busy.
+// newTestTransport returns a Transport whose dial timeout is testutil.WaitTimeout, as the machine may be busy.
 func newTestTransport() *Transport {
 	transport := NewTransport(Options{MaxConns: 1024, MaxLargeBytes: 16 << 20})
 	transport.dialer.Timeout = testutil.WaitTimeout
@@ -49,7 +49,7 @@
 	return route.ClassifyProtocol(result.Response.Status, neverRan), result.Response
 }
 
-// attempt makes one attempt with plenty of time.
+// attempt makes one attempt with a timeout of testutil.WaitTimeout.
 func attempt(t *testing.T, h *host, x *engine.Request) (balancer.Result, engine.Response) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testutil.WaitTimeout)
@@ -57,14 +57,14 @@
 	return classify(h.Attempt(ctx, x))
 }
 
-// connCounts returns the connections of a transport that are open, and those of a host that are idle.
+// connCounts returns the number of open connections of a host's transport, and of idle connections to the host.
 func connCounts(h *host) (open, idle int) {
 	h.transport.mu.Lock()
 	defer h.transport.mu.Unlock()
 	return h.transport.idle.NumOpen(), len(h.transport.idle.Conns(h))
 }
 
-// checkConnCounts checks connCounts.
+// checkConnCounts compares connCounts with the wanted numbers.
 func checkConnCounts(t *testing.T, name string, h *host, wantOpen, wantIdle int) {
 	t.Helper()
 	if open, idle := connCounts(h); open != wantOpen || idle != wantIdle {
@@ -72,15 +72,15 @@
 	}
 }
 
-// isQuietNow is Transport.isQuiet for callers that don't hold its mutex.
-func isQuietNow(c *conn) bool {
+// isReusableNow calls Transport.isReusable with the transport's mutex held.
+func isReusableNow(c *conn) bool {
 	transport := c.host.transport
 	transport.mu.Lock()
 	defer transport.mu.Unlock()
-	return transport.isQuiet(c)
+	return transport.isReusable(c)
 }
 
-// firstIdle returns the idle connection to a host that was kept first.
+// firstIdle returns the idle connection to a host that was added to the pool first.
 func firstIdle(h *host) *conn {
 	h.transport.mu.Lock()
 	defer h.transport.mu.Unlock()
@@ -99,9 +99,9 @@
 	return accepted
 }
 
-// waitUntilRead waits until the peer of a connection has read all that was written to it: a reset would overtake
-// the rest.
-func waitUntilRead(c net.Conn) error {
+// waitUntilReceived waits until the peer's kernel has acknowledged all that was written to a connection. A peer does not
+// receive what is still in flight when the connection is reset.
+func waitUntilReceived(c net.Conn) error {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return err
@@ -109,7 +109,7 @@
 	deadline := time.Now().Add(testutil.WaitTimeout)
 	for unread := 1; unread > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			return errors.New("the peer does not read what was written")
+			return errors.New("timed out waiting for the peer to receive what was written")
 		}
 		var ioctlErr error
 		err := raw.Control(func(fd uintptr) { unread, ioctlErr = unix.IoctlGetInt(int(fd), unix.TIOCOUTQ) })
@@ -120,7 +120,8 @@
 	return nil
 }
 
-// shrinkBuffer returns a control function that makes a buffer of a socket too small for a long request.
+// shrinkBuffer returns a control function that makes the given buffer of a socket too small for a long request. option
+// is SO_RCVBUF or SO_SNDBUF.
 func shrinkBuffer(option int) func(string, string, syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) (err error) {
 		controlErr := raw.Control(func(fd uintptr) {
@@ -133,7 +134,7 @@
 	}
 }
 
-// goneClient is a client that has left.
-type goneClient struct{}
+// disconnectedClient is a client that has disconnected.
+type disconnectedClient struct{}
 
-func (goneClient) Gone() bool { return true }
+func (disconnectedClient) Gone() bool { return true }
--- a/internal/upstream/http1/idle.go
+++ b/internal/upstream/http1/idle.go
@@ -7,27 +7,27 @@
 	"dunemoor/internal/upstream"
 )
 
-// getConn returns the connection to a host that has been idle longest, or dials one. Using connections in turn
-// gives a host that closes one some milliseconds after a response the time to do so: a request that is written
-// meanwhile fails and may have run. If ctx ends while the connection rests, it is returned nevertheless.
+// getConn returns the connection to a host that has been idle longest, or dials a new one. Using the connections in
+// turn gives a host that closes a connection some milliseconds after a response the time to do so: a request written in
+// between would fail, and might have run. If ctx ends during the reuse delay, the connection is returned nevertheless.
 func (t *Transport) getConn(ctx context.Context, h *host) (*conn, error) {
 	t.mu.Lock()
 	for {
-		c := t.popQuiet(h)
+		c := t.popReusable(h)
 		if c == nil {
 			break
 		}
-		rest := t.remainingRest(c)
-		if rest <= 0 {
+		delay := t.remainingReuseDelay(c)
+		if delay <= 0 {
 			t.mu.Unlock()
 			return c, nil
 		}
 		t.mu.Unlock()
-		if !sleep(ctx, rest) {
+		if !sleep(ctx, delay) {
 			return c, nil
 		}
 		t.mu.Lock()
-		if t.isQuiet(c) {
+		if t.isReusable(c) {
 			t.mu.Unlock()
 			return c, nil
 		}
@@ -43,30 +43,31 @@
 	return t.dial(ctx, h, current)
 }
 
-// popQuiet takes the connection to a host that has been idle longest and is quiet, and closes those before it. It
-// returns nil if there is none. t.mu is held.
-func (t *Transport) popQuiet(h *host) *conn {
+// popReusable removes from the pool the connection to a host that has been idle longest and for which isReusable returns true.
+// It closes those before it. It returns nil if there is no such connection. t.mu is held.
+func (t *Transport) popReusable(h *host) *conn {
 	for {
 		c, ok := t.idle.PopFirst(h)
 		if !ok {
 			return nil
 		}
-		if t.isQuiet(c) {
+		if t.isReusable(c) {
 			return c
 		}
 		t.closeConnLocked(c)
 	}
 }
 
-// remainingRest returns how long a connection has to rest before it carries another request. t.mu is held.
-func (t *Transport) remainingRest(c *conn) time.Duration {
-	if t.lastUnsolicited.IsZero() || time.Since(t.lastUnsolicited) >= unsolicitedMemory {
+// remainingReuseDelay returns how long a connection must stay idle before it carries another request. Zero or less means that
+// it may carry one now. t.mu is held.
+func (t *Transport) remainingReuseDelay(c *conn) time.Duration {
+	if t.lastUnsolicited.IsZero() || time.Since(t.lastUnsolicited) >= unsolicitedWindow {
 		return 0
 	}
-	return t.restAfterResponse - time.Since(c.idleSince)
+	return t.reuseDelay - time.Since(c.idleSince)
 }
 
-// sleep waits for a duration, and returns false if ctx has ended before.
+// sleep waits for a duration, and returns false if ctx ends before.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -78,8 +79,8 @@
 	}
 }
 
-// makeRoom closes the connection that has been idle longest if there may be no further one. It returns false if
-// none is idle. t.mu is held.
+// makeRoom reports whether another connection may be opened. At the limit it closes the connection that has been idle
+// longest, and returns false if none is idle. t.mu is held.
 func (t *Transport) makeRoom() bool {
 	if !t.idle.Full() {
 		return true
@@ -92,7 +93,7 @@
 	return ok
 }
 
-// dial establishes a connection that has been counted as open.
+// dial establishes a connection, which the caller has counted as open.
 func (t *Transport) dial(ctx context.Context, h *host, target upstream.Process) (*conn, error) {
 	netConn, err := t.dialContext(ctx, "tcp", target.Addr)
 	if err != nil {
@@ -104,8 +105,8 @@
 	return newConn(netConn, h, target), nil
 }
 
-// tryPutIdle keeps a connection for the next attempt, or closes it if its host does not accept requests on it any
-// more.
+// tryPutIdle puts a connection into the pool, or closes it if the transport is closed or the host no longer accepts
+// requests on it.
 func (t *Transport) tryPutIdle(c *conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -118,12 +119,13 @@
 	t.idle.Add(c.host, c)
 }
 
-// closeExpired closes idle connections that their hosts have closed or soon will.
+// closeExpired closes idle connections that have been idle for maxIdle, as their hosts may soon close them, and those
+// for which isReusable returns false.
 func (t *Transport) closeExpired() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.idle.RemoveIf(func(c *conn) bool {
-		keep := time.Since(c.idleSince) < t.maxIdle && t.isQuiet(c)
+		keep := time.Since(c.idleSince) < t.maxIdle && t.isReusable(c)
 		if !keep {
 			t.closeConnLocked(c)
 		}
@@ -131,7 +133,8 @@
 	})
 }
 
-// close closes all idle connections, and has those in use closed after their attempts.
+// close closes all idle connections, and marks the transport as closed so that those in use are closed after their
+// attempts.
 func (t *Transport) close() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -155,9 +158,9 @@
 	t.idle.CountClosed()
 }
 
-// isQuiet reports whether an idle connection is open and has nothing to read. One that the host has closed, or on
-// which it has sent an unsolicited response, can't carry a request. t.mu is held.
-func (t *Transport) isQuiet(c *conn) bool {
+// isReusable reports whether an idle connection is open and has nothing to read. A connection that the host has closed, or
+// on which it has sent an unsolicited response, can't carry a request. t.mu is held.
+func (t *Transport) isReusable(c *conn) bool {
 	isOpen, readable := c.peek()
 	if readable {
 		t.lastUnsolicited = time.Now()
@@ -165,27 +168,27 @@
 	return isOpen && !readable
 }
 
-// unsolicitedReceived remembers that a host has sent bytes after its response.
+// unsolicitedReceived records that a host has sent bytes after its response.
 func (t *Transport) unsolicitedReceived() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.lastUnsolicited = time.Now()
 }
 
-// responseReceived remembers that a host responds.
+// responseReceived records that a host has responded.
 func (t *Transport) responseReceived(h *host) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	h.lastResponse = time.Now()
 }
 
-// attemptGivenUp closes the idle connections to a host that has sent no response since a request was written at
-// writtenAt, minSilence or more ago. A machine that has vanished leaves its connections open and silent, and a
-// request that is written to one may have run for all that is known. A dial fails soon, which is proof that
-// nothing ran.
+// attemptGivenUp is called when an attempt is abandoned whose request was written at writtenAt. If that was minSilence
+// or more ago, and the host has sent no response since, it closes the idle connections to the host. A machine that has
+// failed leaves its connections open and silent, and whether a request that is written to one of them has run is not
+// known. A dial to it fails soon, which proves that nothing ran.
 func (t *Transport) attemptGivenUp(h *host, writtenAt time.Time) {
 	if time.Since(writtenAt) < t.minSilence {
-		return // a client has left, which says nothing about the host
+		return // the client has disconnected early, which is no evidence that the host has failed
 	}
 	t.mu.Lock()
 	isSilent := h.lastResponse.Before(writtenAt)
--- a/internal/upstream/http1/idle_test.go
+++ b/internal/upstream/http1/idle_test.go
@@ -13,8 +13,8 @@
 	"dunemoor/internal/testutil"
 )
 
-// After the end of Run idle connections are closed at once and those in use after their attempts, so that the pool
-// of a former configuration leaves none.
+// After the end of Run, idle connections are closed at once and those in use after their attempts, so that a pool that
+// is no longer in the configuration leaves no connections open.
 func TestRunClosesAllConnectionsAtEnd(t *testing.T) {
 	release := make(chan struct{})
 	server := testutil.NewHost(t, func(c net.Conn, _ *http.Request, n int) bool {
@@ -57,7 +57,7 @@
 	checkConnCounts(t, "afterwards", h, 0, 0)
 }
 
-// A connection that the host closed while it was idle must not cost a request.
+// A connection that the host closed while it was idle must not make a request fail.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	server := testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
 		io.WriteString(c, testutil.OKResponse)
@@ -70,14 +70,13 @@
 			t.Fatalf("attempt %d: got outcome %v, want OK", i, got)
 		}
 		c := firstIdle(h)
-		testutil.WaitUntil(t, "the end of the idle connection is seen", func() bool { return !isQuietNow(c) })
+		testutil.WaitUntil(t, "the close of the idle connection is detected", func() bool { return !isReusableNow(c) })
 	}
 	transport.closeExpired()
 	checkConnCounts(t, "after closeExpired", h, 0, 0)
 }
 
-// An idle connection on which the host has sent something can't carry a request: what was sent would be taken for
-// its response.
+// An idle connection on which the host has sent bytes can't carry a request: they would be taken for its response.
 func TestIdleConnectionWithUnsolicitedResponseIsNotUsed(t *testing.T) {
 	server := testutil.NewHost(t, func(c net.Conn, _ *http.Request, n int) bool {
 		io.WriteString(c, testutil.OKResponse)
@@ -91,7 +90,7 @@
 		t.Fatal(err)
 	}
 	c.Write([]byte("GET / HTTP/1.1\r\nHost: a\r\n\r\n")) // its response is not read
-	testutil.WaitUntil(t, "the response has arrived", func() bool { return !isQuietNow(c) })
+	testutil.WaitUntil(t, "the response has arrived", func() bool { return !isReusableNow(c) })
 	if got, _ := attempt(t, h, newTestRequest("b")); got != balancer.OK {
 		t.Errorf("got outcome %v, want OK", got)
 	}
@@ -100,17 +99,18 @@
 	}
 }
 
-// Once a host has sent an unsolicited response, connections rest after a response before they carry another
-// request. What arrives meanwhile, a second response or a part of one, ends them: the next request must not get it.
-func TestConnectionsRestAfterUnsolicitedResponse(t *testing.T) {
+// Once a host has sent an unsolicited response, connections stay idle for a time after a response before they carry
+// another request. Bytes that arrive in that time, a second response or a part of one, make the transport close the
+// connection: they must not be taken for the response to the next request.
+func TestReuseIsDelayedAfterUnsolicitedResponse(t *testing.T) {
 	for _, unsolicited := range []string{testutil.OKResponse, "HTTP/1.1 2"} {
 		transport := newTestTransport()
-		transport.restAfterResponse = 500 * time.Millisecond
+		transport.reuseDelay = 500 * time.Millisecond
 		connInUse := make(chan struct{})
 		server := testutil.NewHost(t, func(c net.Conn, _ *http.Request, n int) bool {
 			switch n {
 			case 0:
-				io.WriteString(c, testutil.OKResponse+unsolicited) // at once, so that it is noticed
+				io.WriteString(c, testutil.OKResponse+unsolicited) // in one write, so that it is detected with the response
 			case 1:
 				io.WriteString(c, testutil.OKResponse)
 				<-connInUse
@@ -146,8 +146,8 @@
 	}
 }
 
-// Handshakes cost hosts work, so idle connections are used again. They are used in turn, which avoids those that
-// their hosts are about to close after a response.
+// Idle connections are used again, as handshakes take CPU time of the hosts. They are used in turn, which avoids those
+// that their hosts are about to close after a response.
 func TestIdleConnectionsAreUsedInTurn(t *testing.T) {
 	server := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	transport := newTestTransport()
@@ -163,7 +163,7 @@
 	for i, want := range []*conn{first, second, first} {
 		c, err := transport.getConn(ctx, h)
 		if err != nil || c != want {
-			t.Fatalf("turn %d: got another connection than that idle longest, error %v", i, err)
+			t.Fatalf("turn %d: got error %v or a connection that is not the one idle longest", i, err)
 		}
 		transport.tryPutIdle(c)
 	}
@@ -178,7 +178,7 @@
 	}
 }
 
-func TestIdleConnectionsEndWithProcess(t *testing.T) {
+func TestIdleConnectionsAreClosedWhenProcessChanges(t *testing.T) {
 	for name, change := range map[string]func(h *host){
 		"restarted": func(h *host) { h.Update(h.process.Addr, 1, true) },
 		"moved":     func(h *host) { h.Update("127.0.0.1:1", 0, true) },
@@ -189,15 +189,16 @@
 		attempt(t, h, newTestRequest("b"))
 		change(h)
 		checkConnCounts(t, name, h, 0, 0)
-		testutil.WaitUntil(t, name+": the host sees its connection end", func() bool {
+		testutil.WaitUntil(t, name+": the connection to the host is closed", func() bool {
 			_, _, ended := server.Counts()
 			return ended == 1
 		})
 	}
 }
 
-// A machine that has vanished leaves its connections open and silent. Once an attempt was given up and no response
-// has arrived since, the idle ones carry no request any more; if others got responses meanwhile they do.
+// A machine that has failed leaves its connections open and silent. When an attempt is abandoned and no response has
+// arrived since its request was written, the idle connections are closed. They are kept if other requests got responses
+// in the meantime.
 func TestIdleConnectionsOfSilentHostAreClosed(t *testing.T) {
 	for _, othersRespond := range []bool{false, true} {
 		transport := newTestTransport()
@@ -224,7 +225,7 @@
 			got, _ := classify(h.Attempt(ctx, x))
 			outcome <- got
 		}()
-		testutil.WaitUntil(t, "the host has the request", func() bool { return requestCount(server) == 1 })
+		testutil.WaitUntil(t, "the host has received the request", func() bool { return requestCount(server) == 1 })
 		if othersRespond {
 			attempt(t, h, newTestRequest("b"))
 		}
@@ -242,8 +243,8 @@
 	}
 }
 
-// At the limit an idle connection is closed to make room. If there is none the attempt is not sent, which proves
-// that it did not run.
+// At the limit an idle connection is closed to make room. If there is none the request is not sent, which proves that
+// it did not run.
 func TestConnectionLimit(t *testing.T) {
 	responding := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
 	silent := testutil.NewHost(t, testutil.NeverRespond)
--- a/internal/upstream/http1/request.go
+++ b/internal/upstream/http1/request.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// timeoutHeader tells a host how long the gateway waits for its response, in seconds.
+	// timeoutHeader is the request header with the time that the gateway waits for the response, in seconds.
 	timeoutHeader = "X-Timeout"
 	// usualHeaderBytes is enough for the header section of most requests.
 	usualHeaderBytes = 512
@@ -24,8 +24,8 @@
 
 var crlf = []byte("\r\n")
 
-// writeRequest writes a request, without the streamed part of its body. It returns how many bytes it wrote of how
-// many.
+// writeRequest writes a request, without the streamed part of its body. It returns the number of bytes written and the
+// number of bytes that were to be written.
 func (c *conn) writeRequest(x *engine.Request) (written, size int, err error) {
 	header := encodeHeader(x, maxJoinedBytes)
 	buffered := x.Body.Bytes()
@@ -47,8 +47,9 @@
 	return int(total), size, err
 }
 
-// writeDeadline returns when the request, without the streamed part of its body, has to be written: by WriteBy and,
-// on plain routes and before a streamed part, as fast as the route's pace demands. It is zero if there is no limit.
+// writeDeadline returns the time by which the request, without the streamed part of its body, must be written: WriteBy
+// or, on plain routes and before a streamed part, the idle timeout of the route's pace from now if that is earlier. It
+// is zero if there is no limit.
 func writeDeadline(x *engine.Request) time.Time {
 	if !upstream.IsPlain(x) && x.Body.Buffered() {
 		return x.WriteBy
@@ -60,8 +61,9 @@
 	return x.WriteBy
 }
 
-// encodeHeader returns the request line and header section of a request, with the time that is left now, and the
-// size line of the first chunk if the body is chunked. The slice has capacity for at least spare bytes more.
+// encodeHeader returns the request line and header section of a request, with the time that remains now, and the size
+// line of the first chunk if the body is chunked and a part of it is buffered. The slice has capacity for at least spare
+// more bytes.
 func encodeHeader(x *engine.Request, spare int) []byte {
 	var buf bytes.Buffer
 	buf.Grow(usualHeaderBytes + spare)
@@ -96,14 +98,14 @@
 	return buf.Bytes()
 }
 
-// expectsContinue reports whether the host is asked to confirm that it wants the body (RFC 9110, 10.1.1): if none
-// of the body has been received from the client yet.
+// expectsContinue reports whether the request has the field Expect: 100-continue (RFC 9110, 10.1.1). It has if none of
+// the body has been received from the client yet.
 func expectsContinue(x *engine.Request) bool {
 	return !x.Body.Buffered() && len(x.Body.Bytes()) == 0
 }
 
-// hasNoContentByDefault reports whether a request of the method without a body has no Content-Length (RFC 9110,
-// 8.6).
+// hasNoContentByDefault reports whether a request with this method is sent without a Content-Length if it has no body
+// (RFC 9110, 8.6).
 func hasNoContentByDefault(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodDelete, http.MethodTrace:
--- a/internal/upstream/http1/response.go
+++ b/internal/upstream/http1/response.go
@@ -22,25 +22,25 @@
 	unlimitedBytes = math.MaxInt64
 	// maxHeaderTime limits the time for a header section to arrive once it has begun, on plain routes.
 	maxHeaderTime = 5 * time.Second
-	// maxResponseGap limits the time without a byte within the header section and the buffered body of a response
-	// in the platform's protocol. A lost segment is sent again after some 200 ms.
-	maxResponseGap = 250 * time.Millisecond
-	// versionPrefix begins each response.
+	// responseReadTimeout limits the time without a byte within the header section and the buffered body of a response
+	// in the platform's protocol. TCP retransmits a lost segment after some 200 ms.
+	responseReadTimeout = 250 * time.Millisecond
+	// versionPrefix is the start of every response.
 	versionPrefix = "HTTP/1."
 )
 
-// errMalformedResponse reports bytes that are not a valid response.
+// errMalformedResponse is returned for bytes that are not a valid response.
 var errMalformedResponse = errors.New("http1: malformed response")
 
-// defaultStreams is for requests whose route has no Streams, which are those of tests: responses are streamed, at any
-// pace. Package fastcgi has another.
+// defaultStreams applies to requests whose route has no Streams, which only tests have: responses are streamed, without
+// a minimum rate. Package fastcgi has a defaultStreams of its own.
 var defaultStreams = engine.Streams{HeadDeadlineOnly: true, Pace: body.Pace{IdleTimeout: maxHeaderTime}}
 
-// readResponse reads the header section of the final response, and its body if that is short. Otherwise stream is
-// the source of the body. An error is errMalformedResponse if what arrived is not a response that is certain to be
+// readResponse reads the header section of the final response, and its body if that is short. Otherwise stream is the
+// source of the body. The error is errMalformedResponse if the received bytes are not a response that is certain to be
 // complete, and an error of the connection otherwise.
 func (c *conn) readResponse(x *engine.Request, up *upload) (response engine.Response, stream *responseStream, err error) {
-	defer c.setReadGap(0)
+	defer c.setReadTimeout(0)
 	for {
 		c.headerLimit.N = maxHeaderBytes
 		if _, err := c.in.Peek(1); err != nil {
@@ -69,12 +69,12 @@
 		case x.Inform != nil:
 			x.Inform(response.Status, response.Header)
 		}
-		c.setReadGap(0) // the final response may take its time
+		c.setReadTimeout(0) // the wait for the final response has no limit of its own
 	}
 }
 
-// messageError returns the error of a response that failed with err after its first byte. The host has gone if the
-// connection ended. If it stays open but sends no complete response, the response is malformed.
+// messageError returns the error of a response that failed with err after its first byte: err if the connection ended,
+// and errMalformedResponse if the connection is still open but the response is too long or did not arrive in time.
 func (c *conn) messageError(err error) error {
 	isTooLong := c.headerLimit.N <= 0
 	if isTooLong || errors.Is(err, os.ErrDeadlineExceeded) {
@@ -89,9 +89,9 @@
 	if isPlain {
 		c.SetReadDeadline(time.Now().Add(maxHeaderTime))
 	} else {
-		c.setReadGap(maxResponseGap)
+		c.setReadTimeout(responseReadTimeout)
 	}
-	// Noise may contain no line end, which need not be waited for.
+	// Bytes that are not a response may contain no line end; they are rejected without waiting for one.
 	start, _ := c.in.Peek(min(c.in.Buffered(), len(versionPrefix)))
 	if !strings.HasPrefix(versionPrefix, string(start)) {
 		return errMalformedResponse
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// readHeader reads a status line and header section. Unlike http.ReadResponse it keeps a Content-Length beside a
-// Transfer-Encoding.
+// readHeader reads a status line and header section. Unlike http.ReadResponse it keeps the Content-Length of a response
+// that also has a Transfer-Encoding.
 func (c *conn) readHeader(response *engine.Response) error {
 	c.lastProto = ""
 	response.Status = 0
@@ -144,7 +144,7 @@
 	return proto, status, true
 }
 
-// announcesClose reports whether a host closes the connection after its response.
+// announcesClose reports whether the header of a response announces that the host closes the connection after it.
 func announcesClose(header http.Header) bool {
 	return strings.Contains(strings.ToLower(header.Get("Connection")), "close")
 }
--- a/internal/upstream/http1/responsebody.go
+++ b/internal/upstream/http1/responsebody.go
@@ -17,33 +17,35 @@
 	"dunemoor/internal/upstream"
 )
 
-// How much of a response body is buffered before any of it is passed on, and for how long that may take. A response whose
-// buffered part is malformed or incomplete fails its attempt, and the request can have another.
+// How much of a response body is buffered before any of it is forwarded, and how long that may take. If the buffered part
+// of a response is malformed or incomplete, the attempt fails and the request can have another attempt.
 //
-//	route      framing                               buffered                  within
-//	platform   Content-Length up to maxSmallBytes    all                       maxResponseGap a read
+//	route      framing                               buffered                  time limit
+//	platform   Content-Length up to maxSmallBytes    all                       responseReadTimeout for each read
 //	plain      Content-Length up to maxSmallBytes    all                       the idle timeout of the route's Pace
 //	platform   Content-Length above maxSmallBytes    maxLargeBuffered at most  upstream.MaxBufferTime
 //	platform   chunked, or ended by the connection   maxSmallBytes at most     upstream.MaxBufferTime
 //	plain      any other                             nothing
 //
-// If the memory for large responses is used up, nothing is buffered of a body with a Content-Length above maxSmallBytes.
+// While the memory for large responses is used up, a body with a Content-Length above maxSmallBytes is not buffered at all.
 const (
-	// maxSmallBytes is the longest body that is always buffered. Longer ones take memory that is accounted for.
+	// maxSmallBytes is the length of the longest body that is always buffered. The memory for longer ones is reserved
+	// in Transport.largeBytes.
 	maxSmallBytes = 64 << 10
 	// maxPlatformBytes is the greatest Content-Length that is accepted in the platform's protocol, twice what hosts
-	// send. A greater one is taken for noise, and its response is malformed.
+	// send. A response with a greater one is treated as malformed.
 	maxPlatformBytes = 64 << 20
 	// maxLargeBuffered limits, with upstream.MaxBufferTime, how much of a response in the platform's protocol that is
-	// longer than maxSmallBytes is buffered before any of it is passed on. Most malformed responses show by then,
-	// and the request can have another attempt.
+	// longer than maxSmallBytes is buffered before any of it is forwarded. Most malformed responses are detected by
+	// then, and the request can have another attempt.
 	maxLargeBuffered = 512 << 10
-	// maxChunkWait is how much of a chunk is waited for, if more has arrived than is buffered.
+	// maxChunkWait is how many bytes of a chunk a read may wait for while the read buffer of the connection is full,
+	// as more bytes have probably arrived than it holds.
 	maxChunkWait = 16 << 10
 )
 
-// readBody determines how the body of a response ends (RFC 9112, 6.3) and reads the part that is buffered. It
-// returns nil if that is all of it. A body that is framed in two ways is malformed, as the next recipient could
+// readBody determines how the body of a response is delimited (RFC 9112, 6.3) and reads the part that is buffered. It
+// returns nil if that is the whole body. A body that is framed in two ways is malformed, as the next recipient could
 // interpret it differently.
 func (c *conn) readBody(x *engine.Request, up *upload, response *engine.Response) (*responseStream, error) {
 	c.headerLimit.N = unlimitedBytes
@@ -67,7 +69,7 @@
 		s.reader = httputil.NewChunkedReader(c.in)
 	default:
 		if isPlatform && !announcesClose(response.Header) {
-			return nil, errMalformedResponse // nothing would tell a complete body from a truncated one
+			return nil, errMalformedResponse // a truncated body could not be distinguished from a complete one
 		}
 		s.endsWithConn = true
 		s.reader = c.in
@@ -85,14 +87,14 @@
 	header   http.Header
 	meter    body.Meter
 	deadline body.LazyDeadline
-	due      time.Time // when the last byte is due; zero: only the pace counts
+	due      time.Time // when the last byte is due; zero: only the pace limits the body
 
-	buffered     []byte // what has been read before the body is streamed
+	buffered     []byte // the part that was read before the body is streamed
 	reader       io.Reader
-	length       int64 // -1: unknown
+	length       int64 // Content-Length; -1: unknown
 	readBytes    int64
 	isChunked    bool
-	endsWithConn bool // the body ends with the connection
+	endsWithConn bool // whether the body is delimited by the end of the connection
 	trailer      http.Header
 }
 
@@ -137,8 +139,8 @@
 	return nil
 }
 
-// bufferStart reads up to maxLargeBuffered bytes of a body with a length, within upstream.MaxBufferTime. If memory is short
-// it reads none. It returns nil if that is the whole body.
+// bufferStart reads up to maxLargeBuffered bytes of a body with a Content-Length, within upstream.MaxBufferTime. If memory
+// for them can't be reserved it reads none. It returns nil if it has read the whole body.
 func (s *responseStream) bufferStart(response *engine.Response) (*responseStream, error) {
 	size := min(s.length, maxLargeBuffered)
 	t := s.conn.host.transport
@@ -147,7 +149,7 @@
 	}
 	free := func() { t.releaseLargeBytes(size) }
 	buffered := make([]byte, size)
-	s.conn.readGap = 0
+	s.conn.readTimeout = 0
 	s.conn.SetReadDeadline(time.Now().Add(upstream.MaxBufferTime))
 	n, err := io.ReadFull(s.reader, buffered)
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -164,8 +166,8 @@
 	return s, nil
 }
 
-// bufferUnknownLength reads up to maxSmallBytes of a body without a length, as long as more of it arrives within
-// upstream.MaxBufferTime. It returns nil if that is the whole body.
+// bufferUnknownLength reads up to maxSmallBytes of a body of unknown length, as far as they arrive within
+// upstream.MaxBufferTime. It returns nil if it has read the whole body.
 func (s *responseStream) bufferUnknownLength(response *engine.Response) (*responseStream, error) {
 	page := body.AllocPage(maxSmallBytes)
 	n, err := s.fillWithin(page, upstream.MaxBufferTime)
@@ -173,7 +175,7 @@
 	if atEnd {
 		err = nil
 		if s.isChunked {
-			_, err = s.conn.readTrailer() // the platform's protocol does not use it
+			_, err = s.conn.readTrailer() // not needed, as the platform's protocol has no trailer fields
 		}
 	}
 	if err != nil {
@@ -190,18 +192,18 @@
 	return s, nil
 }
 
-// fillWithin reads until p is full, the body ends or nothing more has arrived within limit.
+// fillWithin reads until p is full, the body ends, or no more bytes are available when limit has passed.
 func (s *responseStream) fillWithin(p []byte, limit time.Duration) (n int, err error) {
 	c := s.conn
 	until := time.Now().Add(limit)
 	for n < len(p) && err == nil {
 		if c.in.Buffered() == 0 {
-			c.readGap = 0
+			c.readTimeout = 0
 			c.SetReadDeadline(until)
 			if _, err := c.in.Peek(1); errors.Is(err, os.ErrDeadlineExceeded) {
 				return n, nil
 			}
-			c.readGap = maxResponseGap
+			c.readTimeout = responseReadTimeout
 		}
 		var part int
 		part, err = s.readAvailable(p[n:])
@@ -210,8 +212,8 @@
 	return n, err
 }
 
-// bodyError returns the error of a body that can't be read: that of the connection, or errMalformedResponse if a
-// chunk is invalid.
+// bodyError returns the error of a body that could not be read because of err: err if it is an error of the connection,
+// or errMalformedResponse if a chunk is invalid.
 func bodyError(err error) error {
 	var netErr net.Error
 	if err == io.ErrUnexpectedEOF || errors.As(err, &netErr) {
@@ -220,8 +222,8 @@
 	return errMalformedResponse
 }
 
-// readAvailable reads what is buffered, or what arrives next. A chunked reader would read on until p is full or the
-// chunk has ended, however slowly that arrives.
+// readAvailable reads what the connection has buffered, or waits for the next bytes. A chunked reader alone would read
+// until p is full or the chunk has ended, however slowly the bytes arrive.
 func (s *responseStream) readAvailable(p []byte) (int, error) {
 	if s.isChunked {
 		p = p[:min(len(p), s.availableOfChunk(len(p)))]
@@ -229,20 +231,21 @@
 	return s.reader.Read(p)
 }
 
-// availableOfChunk returns how many bytes can be read without a long wait, given that most are wanted.
+// availableOfChunk returns how many bytes of a chunked body can be read without a long wait. It returns most, the number
+// of bytes wanted, if the connection has failed.
 func (s *responseStream) availableOfChunk(most int) int {
 	in := s.conn.in
 	if in.Buffered() >= in.Size() {
 		return maxChunkWait
 	}
 	if _, err := in.Peek(1); err != nil {
-		return most // the read returns the error
+		return most // the read that follows returns the error
 	}
 	return in.Buffered()
 }
 
-// Read reads the next part of the body, within the pace that the host must keep. It returns an error if the body
-// is truncated.
+// Read reads the next part of the body, and fails if the host does not keep the pace. It returns an error other than
+// io.EOF if the body is truncated.
 func (s *responseStream) Read(p []byte) (int, error) {
 	startedAt := time.Now()
 	timeout := s.meter.Timeout()
@@ -294,9 +297,9 @@
 // Trailer returns the trailer section, once Read has returned io.EOF.
 func (s *responseStream) Trailer() http.Header { return s.trailer }
 
-// Close gives up the connection. complete tells that the body was read to its end; then the connection is kept if
-// it can carry another request.
+// Close releases the connection. complete reports whether the body was read to its end; only then is the connection
+// kept, if it can carry another request.
 func (s *responseStream) Close(complete bool) {
-	reusable := complete && !s.endsWithConn && s.conn.canBeReused(s.header)
+	reusable := complete && !s.endsWithConn && s.conn.reusableAfter(s.header)
 	s.conn.finish(s.upload, reusable)
 }
--- a/internal/upstream/http1/responsebody_test.go
+++ b/internal/upstream/http1/responsebody_test.go
@@ -13,8 +13,8 @@
 	"dunemoor/internal/testutil"
 )
 
-// Responses beyond maxSmallBytes are passed on whatever memory there is: a part is buffered within MaxLargeBytes,
-// and the rest is streamed. The memory is returned when the response is released.
+// Responses longer than maxSmallBytes are forwarded even without memory for large responses: a part is buffered within
+// MaxLargeBytes, and the rest is streamed. The memory is returned when the response is released.
 func TestLargeResponses(t *testing.T) {
 	const length = 400 << 10
 	text := strings.Repeat("0123456789abcdef", length/16)
@@ -52,7 +52,7 @@
 				t.Errorf("%s: got %d bytes, want the %d of the response", name, len(received), length)
 			}
 			response.Release()
-			response.Release() // a second time does nothing
+			response.Release() // a second call does nothing
 			if reserved := transport.largeBytes.Load(); reserved != 0 {
 				t.Errorf("%s: got %d bytes reserved after the release, want 0", name, reserved)
 			}
@@ -61,7 +61,7 @@
 	}
 }
 
-// A long response that its host does not complete is recognized, and its connection is not used again.
+// A long response that its host does not complete is detected, and its connection is not used again.
 func TestTruncatedLargeResponse(t *testing.T) {
 	server := testutil.NewHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 4<<20, strings.Repeat("x", 2<<20))
@@ -81,8 +81,8 @@
 	checkConnCounts(t, "afterwards", h, 0, 0)
 }
 
-// A response that has no body by RFC 9112, 6.3 has none, whatever its header says: waiting for it would take the
-// next response for it.
+// A response to which RFC 9112, 6.3 assigns no body has none, even if its header has a Content-Length or a
+// Transfer-Encoding. Otherwise the next response on the connection would be taken for its body.
 func TestResponsesWithoutBody(t *testing.T) {
 	for _, test := range []struct{ method, response string }{
 		{"HEAD", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"},
--- a/internal/upstream/http1/result_test.go
+++ b/internal/upstream/http1/result_test.go
@@ -15,7 +15,7 @@
 	"dunemoor/internal/testutil"
 )
 
-// responseOutcomes are what a host may send, with the outcome of the attempt.
+// responseOutcomes lists what a host may send, with the outcome of the attempt.
 var responseOutcomes = []struct {
 	name, response string
 	want           balancer.Result
@@ -24,18 +24,18 @@
 	{"good", testutil.OKResponse, balancer.OK, 1},
 	{"good after 100", "HTTP/1.1 100 Continue\r\n\r\n" + testutil.OKResponse, balancer.OK, 1},
 	{"good, chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\n0\r\n\r\n", balancer.OK, 1},
-	{"good, then closing", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\ngood", balancer.OK, 0},
+	{"good, with Connection: close", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\ngood", balancer.OK, 0},
 	{"error", testutil.ErrorResponse, balancer.Failed, 1},
 	{"rejected", testutil.RejectedResponse, balancer.Full, 1},
 	{"rejected after the deadline", "HTTP/1.1 504 Over\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", balancer.Full, 1},
-	{"503 without proof", "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", balancer.Failed, 1},
-	{"proof with another status", "HTTP/1.1 500 Oops\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", balancer.Failed, 1},
-	{"proof with another value", "HTTP/1.1 503 Full\r\nX-Not-Processed: 0\r\nContent-Length: 0\r\n\r\n", balancer.Failed, 1},
+	{"503 without X-Not-Processed", "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", balancer.Failed, 1},
+	{"X-Not-Processed with another status", "HTTP/1.1 500 Oops\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", balancer.Failed, 1},
+	{"X-Not-Processed with another value", "HTTP/1.1 503 Full\r\nX-Not-Processed: 0\r\nContent-Length: 0\r\n\r\n", balancer.Failed, 1},
 	{"good after informational responses", "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + testutil.OKResponse, balancer.OK, 1},
 	{"good with malformed load report", "HTTP/1.1 200 OK\r\nX-Server-Load: \x80;;=\r\nContent-Length: 4\r\n\r\ngood", balancer.OK, 1},
 	{"good and a second response", testutil.OKResponse + testutil.OKResponse, balancer.OK, 0},
-	{"good and noise", testutil.OKResponse + "\x80\x01HTTP\r\n\r\n", balancer.OK, 0},
-	{"good, chunked, and noise", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\n0\r\n\r\n\x80", balancer.OK, 0},
+	{"good and invalid bytes", testutil.OKResponse + "\x80\x01HTTP\r\n\r\n", balancer.OK, 0},
+	{"good, chunked, and invalid bytes", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\n0\r\n\r\n\x80", balancer.OK, 0},
 	{"good, chunked, with trailer", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4;a=b\r\ngood\r\n0\r\nX-Sum: 1\r\n\r\n", balancer.OK, 1},
 	{"length of 3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\ngood", balancer.InvalidResponse, 0},
 	{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\ngood", balancer.InvalidResponse, 0},
@@ -48,15 +48,15 @@
 	{"negative chunk size", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n-4\r\ngood\r\n0\r\n\r\n", balancer.InvalidResponse, 0},
 	{"endless header", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: pppp\r\n", maxHeaderBytes), balancer.InvalidResponse, 0},
 	{"incomplete header", "HTTP/1.1 200 OK\r\nContent-Le", balancer.InvalidResponse, 0},
-	{"noise", "\x80\x01\xff\r\n\r\n", balancer.InvalidResponse, 0},
-	{"noise without line end", "\x80", balancer.InvalidResponse, 0},
+	{"invalid bytes", "\x80\x01\xff\r\n\r\n", balancer.InvalidResponse, 0},
+	{"invalid bytes without line end", "\x80", balancer.InvalidResponse, 0},
 	{"invalid status", "HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\ngood", balancer.InvalidResponse, 0},
 	{"no status", "HTTP/1.1 OK 200\r\nContent-Length: 4\r\n\r\ngood", balancer.InvalidResponse, 0},
 	{"other protocol", "ICY 200 OK\r\nContent-Length: 4\r\n\r\ngood", balancer.InvalidResponse, 0},
 	{"invalid field line", "HTTP/1.1 200 OK\r\nno colon\r\nContent-Length: 4\r\n\r\ngood", balancer.InvalidResponse, 0},
 }
 
-// A wrong outcome would let a request that is not idempotent run twice.
+// With a wrong outcome, a request that is not idempotent could be retried and run twice.
 func TestOutcomeOfResponse(t *testing.T) {
 	for _, test := range responseOutcomes {
 		t.Run(test.name, func(t *testing.T) {
@@ -81,7 +81,7 @@
 	}
 }
 
-// A body that ends early, or that has nothing to tell its length, is not served.
+// A response that the host closes the connection before completing is not served: the outcome is Reset.
 func TestTruncatedResponseIsReset(t *testing.T) {
 	for name, text := range map[string]string{
 		"with length": "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\ngood",
@@ -103,13 +103,13 @@
 	}
 }
 
-// Where a response ends with its connection, a reset is not that end, however much arrived before it and whether
-// that is buffered or streamed.
+// Where a response is delimited by the end of its connection, a reset is not taken for that end, regardless of how much
+// arrived before it and of whether that is buffered or streamed.
 func TestResetIsNotEndOfResponse(t *testing.T) {
 	const header = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
 	for name, test := range map[string]struct {
 		text     string
-		streamed bool // the reset comes after the buffered part
+		streamed bool // whether the reset comes after the buffered part
 	}{
 		"after the header":   {header, false},
 		"in the body":        {header + "go", false},
@@ -125,7 +125,7 @@
 				io.WriteString(c, test.text)
 				if test.streamed {
 					<-attemptDone
-				} else if err := waitUntilRead(c); err != nil {
+				} else if err := waitUntilReceived(c); err != nil {
 					t.Error(err)
 				}
 				return testutil.ResetConnection(c, r, n)
@@ -171,8 +171,7 @@
 	}
 }
 
-// listenWithFullBacklog returns the address of a socket that does not accept connections, as a machine that has
-// vanished does not.
+// listenWithFullBacklog returns the address of a socket to which dials time out, as they do to a machine that has failed.
 func listenWithFullBacklog(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -191,7 +190,7 @@
 		t.Fatal(err)
 	}
 	addr := (&net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: name.(*syscall.SockaddrInet4).Port}).String()
-	// Nobody accepts, so the backlog is full once one connection is established.
+	// No connection is accepted, so the backlog is full once one is established.
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	established := make(chan struct{}, 8)
@@ -208,7 +207,7 @@
 	return addr
 }
 
-// The dial ends by a timeout of its own, as proof that nothing ran, however long the configured timeout is.
+// A dial is limited to 100 ms even if the configured timeout is longer. Its failure proves that nothing ran.
 func TestUnansweredDialIsConnectFailed(t *testing.T) {
 	transport := NewTransport(Options{DialTimeout: testutil.WaitTimeout, MaxConns: 1024, MaxLargeBytes: 16 << 20})
 	h := newTestHost(transport, listenWithFullBacklog(t))
@@ -254,8 +253,9 @@
 	}
 }
 
-// Giving up closes the connection, so that the host can stop, and nothing else is sent on it.
-func TestGivingUpUnansweredRequest(t *testing.T) {
+// Abandoning an attempt closes its connection, so that the host can stop processing the request and nothing else is sent
+// on the connection.
+func TestAbandonedAttemptClosesConnection(t *testing.T) {
 	for _, test := range []struct {
 		name       string
 		newContext func() (context.Context, context.CancelFunc)
@@ -282,13 +282,13 @@
 		got, _ := classify(h.Attempt(ctx, newTestRequest("b")))
 		want := test.want
 		if requestCount(server) == 0 {
-			want = balancer.NotSent // the machine was so slow that nothing was sent
+			want = balancer.NotSent // nothing was sent before the deadline, as the machine is slow
 		}
 		if got != want {
 			t.Errorf("%s: got outcome %v, want %v", test.name, got, want)
 		}
 		cancel()
-		testutil.WaitUntil(t, test.name+": the host sees the connection end", func() bool {
+		testutil.WaitUntil(t, test.name+": the host detects the end of the connection", func() bool {
 			_, accepted, ended := server.Counts()
 			return accepted == ended
 		})
@@ -296,15 +296,15 @@
 	}
 }
 
-// The endpoint list may change, or the request end, during a dial: then nothing is sent.
+// If the endpoint list changes or the request ends during a dial, nothing is sent.
 func TestRequestIsCheckedAgainAfterDial(t *testing.T) {
 	for name, change := range map[string]func(h *host, x *engine.Request){
-		"host drains":      func(h *host, _ *engine.Request) { h.Update(h.process.Addr, 0, false) },
-		"host moves":       func(h *host, _ *engine.Request) { h.Update("127.0.0.1:9", 0, true) },
-		"host restarts":    func(h *host, _ *engine.Request) { h.Update(h.process.Addr, 7, true) },
-		"request finishes": func(_ *host, x *engine.Request) { x.Close() },
-		"client leaves":    func(_ *host, x *engine.Request) { x.Client = goneClient{} },
-		"write time ends":  func(_ *host, x *engine.Request) { x.WriteBy = time.Now() },
+		"host drains":        func(h *host, _ *engine.Request) { h.Update(h.process.Addr, 0, false) },
+		"host moves":         func(h *host, _ *engine.Request) { h.Update("127.0.0.1:9", 0, true) },
+		"host restarts":      func(h *host, _ *engine.Request) { h.Update(h.process.Addr, 7, true) },
+		"request finishes":   func(_ *host, x *engine.Request) { x.Close() },
+		"client disconnects": func(_ *host, x *engine.Request) { x.Client = disconnectedClient{} },
+		"write time expires": func(_ *host, x *engine.Request) { x.WriteBy = time.Now() },
 	} {
 		transport := newTestTransport()
 		server := testutil.NewHost(t, testutil.RespondWith(testutil.OKResponse))
@@ -327,7 +327,8 @@
 	}
 }
 
-// A host that reads the first bytes and then no more never has the last, which proves that the request did not run.
+// A host that stops reading before the last byte of a request never receives it, which proves that the request did not
+// run.
 func TestWriteEndsAtWriteBy(t *testing.T) {
 	ln := testutil.Listen(t, "127.0.0.1:0", shrinkBuffer(syscall.SO_RCVBUF))
 	transport := newTestTransport()
--- a/internal/upstream/http1/roundtrip.go
+++ b/internal/upstream/http1/roundtrip.go
@@ -16,7 +16,7 @@
 // buffered; the rest is streamed.
 func (c *conn) roundTrip(ctx context.Context, x *engine.Request) engine.Result {
 	t := c.host.transport
-	// An attempt is given up by closing its connection.
+	// An attempt is abandoned by closing its connection.
 	stopClosing := context.AfterFunc(ctx, func() { c.Conn.Close() })
 	written, size, err := c.writeRequest(x)
 	if written < size || err != nil {
@@ -28,7 +28,7 @@
 	up := startUpload(c, x)
 	response, stream, err := c.readResponse(x, up)
 	if err == nil && !stopClosing() {
-		err = ctx.Err() // it was given up just now
+		err = ctx.Err() // the attempt was abandoned after the response had arrived
 	}
 	if err != nil {
 		stopClosing()
@@ -47,13 +47,13 @@
 	case stream != nil:
 		response.Body = body.NewStreamed(stream.buffered, body.NewStream(stream, stream.length))
 	default:
-		c.finish(up, c.canBeReused(response.Header))
+		c.finish(up, c.reusableAfter(response.Header))
 	}
 	return engine.Result{HasResponse: true, Response: response}
 }
 
-// writeFailure returns the result of an attempt whose request was not written up to size, its length without the
-// streamed part of the body.
+// writeFailure returns the result of an attempt that failed while its request was written. size is the length of the
+// request without the streamed part of the body, and written is how much of that was written.
 func writeFailure(ctx context.Context, x *engine.Request, written, size int) engine.Result {
 	isPlatform := !upstream.IsPlain(x)
 	hasLastByte := written == size && (x.Body.Buffered() || !isPlatform)
@@ -61,24 +61,25 @@
 	case hasLastByte:
 		return engine.Ended(balancer.Reset)
 	case ctx.Err() != nil && (written == 0 || isPlatform):
-		// Proof: the host has no byte of the request, or lacks the last, by the platform's protocol.
+		// Proof: the host has received no byte of the request or, in the platform's protocol, not the last one.
 		return engine.Ended(upstream.OutcomeUnsent(ctx))
 	case ctx.Err() != nil:
 		return engine.Ended(balancer.Canceled)
 	}
-	// Proof: the host lacks the last byte. PartlySent tells where that proves nothing, on plain routes.
+	// Proof: the host has not received the last byte. On plain routes this proves nothing if a part was sent, which
+	// PartlySent reports.
 	return engine.Result{Outcome: balancer.ConnectFailed, PartlySent: written > 0}
 }
 
-// readFailure returns the result of an attempt that failed with err after its request was written, but for the
-// streamed part of the body. uploaded tells that this part was written as well.
+// readFailure returns the result of an attempt that failed with err after its request was written, except for the
+// streamed part of the body. uploaded reports whether that part was written as well.
 func readFailure(ctx context.Context, x *engine.Request, up *upload, uploaded bool, err error) engine.Result {
 	isPlatform := !upstream.IsPlain(x)
 	switch {
 	case up.failedByClient, ctx.Err() != nil && !uploaded:
 		return engine.Ended(balancer.Canceled)
 	case !uploaded && isPlatform:
-		// Proof: the host lacks the last byte of the request, by the platform's protocol.
+		// Proof: the host has not received the last byte of the request, and the platform's protocol requires it.
 		return engine.Result{Outcome: balancer.ConnectFailed, PartlySent: true}
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return engine.Ended(balancer.TimedOut)
@@ -90,9 +91,9 @@
 	return engine.Ended(balancer.Reset)
 }
 
-// canBeReused reports whether the connection can carry another request after a complete response. Bytes behind the
-// response are unsolicited.
-func (c *conn) canBeReused(header http.Header) bool {
+// reusableAfter reports whether the connection can carry another request after a complete response with this header.
+// Bytes that follow the response are unsolicited.
+func (c *conn) reusableAfter(header http.Header) bool {
 	if c.in.Buffered() > 0 {
 		c.host.transport.unsolicitedReceived()
 		return false
@@ -100,8 +101,8 @@
 	return c.lastProto == "HTTP/1.1" && !announcesClose(header)
 }
 
-// finish gives up the connection after a complete response, and keeps it if it is reusable. An upload that is still
-// running is stopped, as its host has responded.
+// finish releases the connection after a response, and keeps it if it is reusable. An upload that is still running is
+// stopped, as the host has responded, and the connection is closed.
 func (c *conn) finish(up *upload, reusable bool) {
 	uploaded := up.stop()
 	if !uploaded || !reusable {
--- a/internal/upstream/http1/transport.go
+++ b/internal/upstream/http1/transport.go
@@ -1,8 +1,8 @@
-// Package http1 makes attempts at hosts by HTTP/1.1 (RFC 9112) and keeps the connections to them.
+// Package http1 makes attempts at hosts over HTTP/1.1 (RFC 9112) and keeps the connections to them.
 //
-// By the platform's protocol a host runs a request only once it has its last byte. Plain HTTP has no such rule:
-// there a request may have run as soon as a byte of it is out. A Result which says that a request never ran names
-// the proof where it is made, in writeFailure and readFailure here and in Attempt of package upstream.
+// In the platform's protocol a host runs a request only after it has received the last byte. Plain HTTP has no such
+// rule: a request may have run as soon as one byte of it was sent. Wherever a Result is returned which means that a
+// request never ran, a comment states the proof: in writeFailure and readFailure here, and in Attempt of package upstream.
 package http1
 
 import (
@@ -20,52 +20,53 @@
 
 const (
 	// DefaultHostIdleTimeout suits servers that keep an idle connection for a minute or more by default, such as
-	// nginx (75 s). Others keep it for less, such as Apache httpd and Node.js (5 s): a connection to them is often
-	// found closed, which closeExpired and isQuiet then notice.
+	// nginx (75 s). Others keep it for less, such as Apache httpd and Node.js (5 s). Connections to them have often
+	// been closed by the time they are needed, which isReusable detects.
 	DefaultHostIdleTimeout = time.Minute
-	// maxIdleShare is the share of the hosts' idle timeout for which connections are kept. A host must not close
-	// a connection while a request is being written to it.
+	// maxIdleShare is the share of the hosts' idle timeout for which idle connections are kept. It is less than 1 so
+	// that a host does not close a connection while a request is being written to it.
 	maxIdleShare = 0.5
 	// minSilence is the time without a response after which idle connections to a host are closed, see
-	// Transport.attemptGivenUp. It is several times the time of most responses.
+	// Transport.attemptGivenUp. It is several times as long as most responses take.
 	minSilence = 250 * time.Millisecond
-	// restAfterResponse is how long a connection rests after a response before it carries another request, while
-	// a host has recently sent an unsolicited response, within unsolicitedMemory. A second response arrives some
-	// milliseconds after the first, and would be taken for that of the next request.
-	restAfterResponse = 10 * time.Millisecond
-	unsolicitedMemory = time.Minute
+	// reuseDelay is how long a connection stays idle after a response before it carries another request, if any host
+	// of the transport has sent an unsolicited response within the last unsolicitedWindow. A second response arrives
+	// some milliseconds after the first, and would be taken for the response to the next request.
+	reuseDelay        = 10 * time.Millisecond
+	unsolicitedWindow = time.Minute
 )
 
-// Options configure a Transport. The zero value of a field other than MaxConns and MaxLargeBytes is its default.
+// Options configure a Transport. Fields other than MaxConns and MaxLargeBytes have a default, which their zero value
+// selects.
 type Options struct {
-	MaxConns        int           // open connections to all hosts together
-	MaxLargeBytes   int64         // memory that large responses may take together
-	HostIdleTimeout time.Duration // after which hosts close an idle connection; DefaultHostIdleTimeout
-	DialTimeout     time.Duration // for a connection to be established; at most, and by default, 100 ms
-	BodyBudget      *body.Budget  // of the buffers of streamed bodies; see upstream.BodyBudget
+	MaxConns        int           // limit of open connections to all hosts together
+	MaxLargeBytes   int64         // limit of the memory for all large responses together, in bytes
+	HostIdleTimeout time.Duration // time after which hosts close an idle connection; default DefaultHostIdleTimeout
+	DialTimeout     time.Duration // time limit to establish a connection; default and maximum 100 ms
+	BodyBudget      *body.Budget  // budget of the buffers for streamed bodies; see upstream.BodyBudget
 
-	// DialContext replaces the dialer, for tests. DialTimeout and its limit of 100 ms do not apply then.
+	// DialContext replaces the dialer, for tests. DialTimeout and its maximum of 100 ms do not apply then.
 	DialContext func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// Transport makes attempts at the hosts of a pool and keeps the connections to them. In place of http.Transport, it
-// writes a request completely at most once and never dials more connections than it has requests.
+// Transport makes attempts at the hosts of a pool and keeps the connections to them. Unlike http.Transport, it writes a
+// request completely at most once and never dials more connections than it has requests.
 type Transport struct {
-	dialer            net.Dialer
-	dialContext       func(ctx context.Context, network, addr string) (net.Conn, error)
-	bodyBudget        *body.Budget
-	maxIdle           time.Duration
-	minSilence        time.Duration
-	restAfterResponse time.Duration
-
-	// largeBytes is the memory that responses beyond maxSmallBytes take. It is not a part of bodyBudget, and no status
-	// or metric has it.
+	dialer      net.Dialer
+	dialContext func(ctx context.Context, network, addr string) (net.Conn, error)
+	bodyBudget  *body.Budget
+	maxIdle     time.Duration
+	minSilence  time.Duration
+	reuseDelay  time.Duration
+
+	// largeBytes is the memory reserved for responses longer than maxSmallBytes. It is not a part of bodyBudget, and no
+	// status or metric shows it.
 	largeBytes    atomic.Int64
 	maxLargeBytes atomic.Int64
 
 	mu              sync.Mutex
 	idle            upstream.Pool[*host, *conn] // guarded by mu
-	closed          bool                        // Run has ended and no connection is kept; guarded by mu
+	closed          bool                        // whether Run has ended: no connection is kept then; guarded by mu
 	lastUnsolicited time.Time                   // when a host last sent unsolicited bytes; guarded by mu
 }
 
@@ -73,12 +74,12 @@
 func NewTransport(o Options) *Transport {
 	hostIdleTimeout := cmp.Or(o.HostIdleTimeout, DefaultHostIdleTimeout)
 	t := &Transport{
-		dialer:            upstream.NewDialer(o.DialTimeout),
-		bodyBudget:        upstream.BodyBudget(o.BodyBudget),
-		maxIdle:           time.Duration(maxIdleShare * float64(hostIdleTimeout)),
-		minSilence:        minSilence,
-		restAfterResponse: restAfterResponse,
-		idle:              upstream.NewPool[*host, *conn](o.MaxConns),
+		dialer:     upstream.NewDialer(o.DialTimeout),
+		bodyBudget: upstream.BodyBudget(o.BodyBudget),
+		maxIdle:    time.Duration(maxIdleShare * float64(hostIdleTimeout)),
+		minSilence: minSilence,
+		reuseDelay: reuseDelay,
+		idle:       upstream.NewPool[*host, *conn](o.MaxConns),
 	}
 	t.dialContext = o.DialContext
 	if t.dialContext == nil {
@@ -99,11 +100,12 @@
 // Host returns the Endpoint of a new host. It can be used once Update has set an address.
 func (t *Transport) Host(string) engine.Endpoint { return &host{transport: t} }
 
-// Run closes idle connections that hosts have closed or soon will, until ctx ends. Then it closes all idle ones;
-// those in use are closed after their attempts.
+// Run closes idle connections that hosts have closed or may soon close, until ctx ends. Then it closes all idle ones,
+// and those in use are closed after their attempts.
 func (t *Transport) Run(ctx context.Context) { upstream.Sweep(ctx, t.closeExpired, t.close) }
 
-// reserveLargeBytes reserves memory for a part of a large response, or returns false if there is none left.
+// reserveLargeBytes reserves n bytes of memory for a part of a large response. It returns false if that would exceed the
+// limit.
 func (t *Transport) reserveLargeBytes(n int64) bool {
 	if t.largeBytes.Add(n) > t.maxLargeBytes.Load() {
 		t.largeBytes.Add(-n)
@@ -117,14 +119,14 @@
 // host is the Endpoint of a host.
 type host struct {
 	transport *Transport
-	usable    atomic.Bool // it accepts new requests
+	usable    atomic.Bool // whether the host accepts new requests
 
 	process      upstream.Process // guarded by Transport.mu
 	lastResponse time.Time        // when a response last arrived; guarded by Transport.mu
 }
 
-// Update applies what the endpoint list says about the host. Idle connections that lead to another process, or to
-// one that accepts no new requests, are closed.
+// Update applies the host's entry in the endpoint list. Idle connections that lead to another process, or to one that
+// accepts no new requests, are closed.
 func (h *host) Update(addr string, started int64, usable bool) {
 	t := h.transport
 	t.mu.Lock()
--- a/internal/upstream/http1/tunnel.go
+++ b/internal/upstream/http1/tunnel.go
@@ -18,13 +18,13 @@
 	return &tunnel{conn: c}
 }
 
-// Read reads from the connection, first what was buffered behind the response.
+// Read reads from the connection, beginning with the bytes that were buffered after the response.
 func (t *tunnel) Read(p []byte) (int, error) { return t.in.Read(p) }
 
 // SetDeadline sets the deadlines of reads and writes.
 func (t *tunnel) SetDeadline(at time.Time) error { return t.Conn.SetDeadline(at) }
 
-// CloseWrite closes the connection for writing, or completely if it can't be half closed.
+// CloseWrite closes the write side of the connection, or the whole connection if the write side can't be closed alone.
 func (t *tunnel) CloseWrite() error {
 	if c, ok := t.Conn.(interface{ CloseWrite() error }); ok {
 		return c.CloseWrite()
--- a/internal/upstream/http1/upload.go
+++ b/internal/upstream/http1/upload.go
@@ -15,30 +15,30 @@
 	"dunemoor/internal/upstream"
 )
 
-// maxContinueWait is how long an upload waits for the host's 100 response. Some servers never send one (RFC 9110, 10.1.1:
-// a client must not wait indefinitely).
+// maxContinueWait is how long an upload waits for the host's 100 response. Some servers never send one, and a client must
+// not wait indefinitely (RFC 9110, 10.1.1).
 const maxContinueWait = time.Second
 
-// errNoMemory reports that there is no memory for the buffer of an upload.
+// errNoMemory is returned if no memory is available for the buffer of an upload.
 var errNoMemory = errors.New("http1: no memory for a streamed body")
 
-// upload sends the streamed part of a request's body while the response is awaited. It runs in a goroutine of its
-// own, which stop ends.
+// upload sends the streamed part of a request's body while the gateway waits for the response. It runs in a goroutine of
+// its own, which stop ends.
 type upload struct {
 	conn      *conn
 	request   *engine.Request
-	continued chan struct{} // receives when the host has sent a 100 response
+	continued chan struct{} // receives an item when the host has sent a 100 response
 	quit      chan struct{} // closed by stop
 	quitOnce  sync.Once
-	done      chan struct{} // closed when nothing more is sent
+	done      chan struct{} // closed when the upload has ended
 
 	// The following are set before done is closed.
 
-	err            error // why the upload ended before the end of the body
-	failedByClient bool  // the body could not be read from the client
+	err            error // why the upload ended before the end of the body; nil: the whole body was sent
+	failedByClient bool  // whether the body could not be read from the client
 }
 
-// startUpload starts the upload of a request. If its body is buffered the upload is done.
+// startUpload starts the upload of a request. If the body is buffered there is nothing to send, and the upload has ended.
 func startUpload(c *conn, x *engine.Request) *upload {
 	u := &upload{conn: c, request: x, continued: make(chan struct{}, 1), quit: make(chan struct{}), done: make(chan struct{})}
 	if x.Body.Buffered() {
@@ -49,16 +49,15 @@
 	return u
 }
 
-// allowContinue tells the upload that the host has sent a 100 response.
+// allowContinue lets the upload begin, as the host has sent a 100 response.
 func (u *upload) allowContinue() {
 	select {
 	case u.continued <- struct{}{}:
-	default: // it was told before
+	default: // a 100 response was received before
 	}
 }
 
-// stop ends the upload if it is still running, by closing its connection, and reports whether the whole body had
-// been sent.
+// stop ends the upload if it is still running, by closing its connection, and reports whether the whole body was sent.
 func (u *upload) stop() bool {
 	select {
 	case <-u.done:
@@ -146,8 +145,9 @@
 	}
 }
 
-// writeFailed returns the error of a write. The connection of a host that is too slow is closed, as nothing else
-// would end the wait for a response; otherwise the host may have sent a response that tells the reason.
+// writeFailed handles the error of a write, and returns it. The connection of a host that is too slow is closed, as
+// nothing else would end the wait for a response. After other errors it stays open, as the host may have sent a response
+// with the reason.
 func (u *upload) writeFailed(err error) error {
 	if err == body.ErrTooSlow || errors.Is(err, os.ErrDeadlineExceeded) {
 		u.conn.Conn.Close()
@@ -155,7 +155,7 @@
 	return err
 }
 
-// lastChunk returns the end of a chunked body, with its trailer section, whose fields are sorted by name.
+// lastChunk returns the end of a chunked body with its trailer section. The trailer fields are sorted by name.
 func lastChunk(trailer http.Header) []byte {
 	var b strings.Builder
 	b.WriteString("0\r\n")
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -9,17 +9,17 @@
 // PooledConn is a connection in a Pool.
 type PooledConn interface {
 	comparable
-	// IdleSince returns when the last request on the connection ended. ok is false if one is open, or if the
+	// IdleSince returns when the last request on the connection ended. ok is false if a request is open, or if the
 	// connection accepts no more requests.
 	IdleSince() (at time.Time, ok bool)
 }
 
-// Pool keeps connections by host and counts the open ones against a limit. A transport keeps all of its
-// connections in it, or only the idle ones. The transport's mutex guards it.
+// Pool keeps connections by host, and limits the number of open connections. A transport keeps either all of its
+// connections in it or only the idle ones. The pool is guarded by the transport's mutex.
 type Pool[H comparable, C PooledConn] struct {
 	maxOpen int
-	open    int       // connections that are open or being dialed, in the pool or not
-	conns   map[H][]C // in the order in which they were added
+	open    int       // connections that are open or being dialed, whether they are in the pool or not
+	conns   map[H][]C // connections by host, in the order in which they were added
 }
 
 // NewPool returns an empty pool for up to maxOpen connections.
@@ -27,10 +27,10 @@
 	return Pool[H, C]{maxOpen: maxOpen, conns: map[H][]C{}}
 }
 
-// SetMaxOpen changes the limit. Connections that are open stay so.
+// SetMaxOpen changes the limit. Open connections are not closed.
 func (p *Pool[H, C]) SetMaxOpen(maxOpen int) { p.maxOpen = maxOpen }
 
-// Full reports whether there may be no further connection.
+// Full reports whether the limit is reached, so that no further connection may be opened.
 func (p *Pool[H, C]) Full() bool { return p.open >= p.maxOpen }
 
 // NumOpen returns the number of connections that are open or being dialed.
@@ -42,10 +42,10 @@
 // CountClosed counts a connection that was closed, or whose dial failed.
 func (p *Pool[H, C]) CountClosed() { p.open-- }
 
-// Add keeps a connection to a host.
+// Add adds a connection to a host.
 func (p *Pool[H, C]) Add(host H, c C) { p.conns[host] = append(p.conns[host], c) }
 
-// Conns returns the connections to a host, the one added first at the front. The slice belongs to the pool.
+// Conns returns the connections to a host, in the order in which they were added. The slice is owned by the pool.
 func (p *Pool[H, C]) Conns(host H) []C { return p.conns[host] }
 
 // PopFirst removes the connection to a host that was added first, and returns it.
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -19,7 +19,7 @@
 		pool.Add("a", c)
 	}
 	pool.Remove("a", second)
-	pool.Remove("b", first) // of another host, which has none
+	pool.Remove("b", first) // no effect, as host b has no connections
 	if got, want := pool.Conns("a"), []*testConn{first, third}; !slices.Equal(got, want) {
 		t.Errorf("after Remove: got %v, want %v", got, want)
 	}
@@ -35,24 +35,24 @@
 
 func TestPoolFindsIdleConnections(t *testing.T) {
 	now := time.Now()
-	inUse, minute, hour := &testConn{}, &testConn{now.Add(-time.Minute)}, &testConn{now.Add(-time.Hour)}
+	inUse, idleMinute, idleHour := &testConn{}, &testConn{now.Add(-time.Minute)}, &testConn{now.Add(-time.Hour)}
 	pool := NewPool[string, *testConn](10)
 	if _, _, ok := pool.LongestIdle(); ok {
 		t.Error("LongestIdle of an empty pool: got one, want none")
 	}
 	pool.Add("a", inUse)
-	pool.Add("a", minute)
-	pool.Add("b", hour)
-	if host, got, ok := pool.LongestIdle(); !ok || host != "b" || got != hour {
+	pool.Add("a", idleMinute)
+	pool.Add("b", idleHour)
+	if host, got, ok := pool.LongestIdle(); !ok || host != "b" || got != idleHour {
 		t.Errorf("LongestIdle: got host %q, %v, %t, want host \"b\", idle for an hour", host, got, ok)
 	}
-	if got := pool.Idle(30 * time.Minute); !slices.Equal(got, []*testConn{hour}) {
+	if got := pool.Idle(30 * time.Minute); !slices.Equal(got, []*testConn{idleHour}) {
 		t.Errorf("Idle(30m): got %v, want the one idle for an hour", got)
 	}
 	if got := pool.Idle(0); len(got) != 2 || slices.Contains(got, inUse) {
 		t.Errorf("Idle(0): got %v, want both idle ones", got)
 	}
-	pool.RemoveIf(func(c *testConn) bool { return c == minute })
+	pool.RemoveIf(func(c *testConn) bool { return c == idleMinute })
 	if got := pool.RemoveHost("a"); !slices.Equal(got, []*testConn{inUse}) {
 		t.Errorf("RemoveHost: got %v, want the one in use", got)
 	}
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -11,7 +11,7 @@
 // follow the platform's protocol, in which a request runs only after its last byte has arrived.
 func IsPlain(x *engine.Request) bool { return x.Route != nil && x.Route.Plain != nil }
 
-// Streams returns how bodies are streamed on the request's route, or defaults if the route does not say.
+// Streams returns the streaming settings of the request's route, or defaults if the route has none.
 func Streams(x *engine.Request, defaults *engine.Streams) *engine.Streams {
 	if x.Route == nil || x.Route.Streams == nil {
 		return defaults
@@ -19,9 +19,9 @@
 	return x.Route.Streams
 }
 
-// ResponseLimits returns the pace that a host must keep with the body of a response, and when its last byte is due. due is
-// zero if only the pace bounds the body. The pace has no minimum rate where the request's deadline ends with the header
-// section, as an event stream may be silent.
+// ResponseLimits returns the pace that a host must keep while it sends the body of a response, and the time at which the
+// last byte is due. due is zero if only the pace limits the body. The pace has no minimum rate where the request's
+// deadline applies to the header section only, as an event stream may be silent for long.
 func ResponseLimits(x *engine.Request, defaults *engine.Streams) (pace body.Pace, due time.Time) {
 	settings := Streams(x, defaults)
 	pace = settings.Pace
