--- a/internal/testutil/compat/compat.go
+++ b/internal/testutil/compat/compat.go
@@ -1,10 +1,10 @@
-// Package compat compares formats with the files that an earlier build wrote. Names in Go may change; bytes
-// that other builds, other processes or a disk hold may not. The files are in testdata/compat of the package
-// that owns the format: a test compares what this build writes with them, and reads them back. Only tests
-// import it.
+// Package compat compares data formats with files that an earlier build wrote. Go identifiers may change, but
+// bytes that other builds or processes read, or that are stored on disk, may not. The files are in
+// testdata/compat of the package that owns the format: a test compares what this build writes with them, and
+// decodes them. Only tests import this package.
 //
-// A new format gets its file by running its test once with -compat.write. An existing file is a promise to
-// installed builds: it is changed only together with the format's version.
+// The file of a new format is created by running its test once with -compat.write. Installed builds depend on
+// an existing file: it is changed only together with the version of the format.
 package compat
 
 import (
@@ -22,10 +22,10 @@
 
 var write = flag.Bool("compat.write", false, "write the files in testdata/compat instead of comparing with them")
 
-// path returns the path of the file of that name.
+// path returns the path of the file called name.
 func path(name string) string { return filepath.Join("testdata", "compat", name) }
 
-// Bytes compares got with the file of that name.
+// Bytes compares got with the file called name.
 func Bytes(t testing.TB, name string, got []byte) {
 	t.Helper()
 	if *write {
@@ -39,11 +39,11 @@
 	}
 	want := Read(t, name)
 	if at := firstDifference(got, want); at >= 0 {
-		t.Errorf("%s: other bytes than those of earlier builds, from byte %d on\n got %q\nwant %q", name, at, around(got, at), around(want, at))
+		t.Errorf("%s: bytes differ from those of earlier builds from offset %d on\n got %q\nwant %q", name, at, excerpt(got, at), excerpt(want, at))
 	}
 }
 
-// firstDifference returns the index of the first byte that differs, or -1 where none does.
+// firstDifference returns the index of the first byte that differs, or -1 if a and b are equal.
 func firstDifference(a, b []byte) int {
 	for i := range min(len(a), len(b)) {
 		if a[i] != b[i] {
@@ -56,13 +56,13 @@
 	return -1
 }
 
-// around returns the bytes around an index, for an error message.
-func around(b []byte, at int) []byte {
+// excerpt returns up to 60 bytes on either side of an index, for an error message.
+func excerpt(b []byte, at int) []byte {
 	const shown = 60
 	return b[max(0, at-shown):min(len(b), at+shown)]
 }
 
-// Read returns the contents of the file of that name.
+// Read returns the contents of the file called name.
 func Read(t testing.TB, name string) []byte {
 	t.Helper()
 	b, err := os.ReadFile(path(name))
@@ -72,24 +72,24 @@
 	return b
 }
 
-// JSON compares the JSON encoding of *v, with each exported field set to a value of its own, with the file of
-// that name, and checks that the file decodes to the same value.
+// JSON sets the fields of *v by Fill, compares the JSON encoding of *v with the file called name, and checks
+// that the file decodes to the same value.
 func JSON(t testing.TB, name string, v any) {
 	t.Helper()
-	Written(t, name, v)
-	back := reflect.New(reflect.TypeOf(v).Elem())
+	WriteOnlyJSON(t, name, v)
+	decoded := reflect.New(reflect.TypeOf(v).Elem())
 	decoder := json.NewDecoder(bytes.NewReader(Read(t, name)))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(back.Interface()); err != nil {
+	if err := decoder.Decode(decoded.Interface()); err != nil {
 		t.Errorf("%s: decode: %v", name, err)
-	} else if !reflect.DeepEqual(back.Interface(), v) {
-		t.Errorf("%s: decodes to another value\n got %+v\nwant %+v", name, back.Elem(), reflect.ValueOf(v).Elem())
+	} else if !reflect.DeepEqual(decoded.Interface(), v) {
+		t.Errorf("%s: the file decodes to another value\n got %+v\nwant %+v", name, decoded.Elem(), reflect.ValueOf(v).Elem())
 	}
 }
 
-// Written compares the JSON encoding of *v, filled as by JSON, with the file of that name. It is for formats
-// that the program writes and doesn't read.
-func Written(t testing.TB, name string, v any) {
+// WriteOnlyJSON sets the fields of *v by Fill, and compares the JSON encoding of *v with the file called name.
+// It is for formats that the program writes and doesn't read.
+func WriteOnlyJSON(t testing.TB, name string, v any) {
 	t.Helper()
 	Fill(v)
 	got, err := json.MarshalIndent(v, "", "\t")
@@ -99,7 +99,8 @@
 	Bytes(t, name, append(got, '\n'))
 }
 
-// Values compares a list of values, such as all codes of a type, with the file of that name, one a line.
+// Values compares a list of values, such as all codes of a type, with the file called name, which has one value
+// per line.
 func Values(t testing.TB, name string, values ...any) {
 	t.Helper()
 	var b strings.Builder
@@ -109,9 +110,9 @@
 	Bytes(t, name, []byte(b.String()))
 }
 
-// Keys compares the keys that a decoder accepts for v with the file of that name: a line for each, with the
-// kind of its value. The keys are those of struct tags named tagName; a field without a tag is listed by its
-// own name, in lower case.
+// Keys compares the keys that a decoder accepts for v with the file called name, which has one line per key, with
+// the kind of its value. The keys are those in struct tags named tagName; a field without such a tag is listed by
+// its Go name in lower case.
 func Keys(t testing.TB, name, tagName string, v any) {
 	t.Helper()
 	l := keyLister{tagName: tagName}
@@ -125,40 +126,41 @@
 	out     strings.Builder
 }
 
-// list lists the keys of a type below prefix. outer are the structs around it: a type within itself is listed
-// once.
-func (l *keyLister) list(prefix string, t reflect.Type, outer []reflect.Type) {
+// list lists the keys of a type below prefix. enclosing are the struct types that contain it; a recursive type is
+// listed once.
+func (l *keyLister) list(prefix string, t reflect.Type, enclosing []reflect.Type) {
 	prefix, t = elementType(prefix, t)
-	if slices.Contains(outer, t) {
+	if slices.Contains(enclosing, t) {
 		return
 	}
 	if t.Kind() != reflect.Struct {
 		fmt.Fprintf(&l.out, "%s %s\n", strings.TrimPrefix(prefix, "."), t.Kind())
 		return
 	}
-	outer = append(outer, t)
+	enclosing = append(enclosing, t)
 	for i := range t.NumField() {
-		l.listField(prefix, t.Field(i), outer)
+		l.listField(prefix, t.Field(i), enclosing)
 	}
 }
 
-func (l *keyLister) listField(prefix string, f reflect.StructField, outer []reflect.Type) {
+func (l *keyLister) listField(prefix string, f reflect.StructField, enclosing []reflect.Type) {
 	if !f.IsExported() && !f.Anonymous {
 		return
 	}
 	key, _, _ := strings.Cut(f.Tag.Get(l.tagName), ",")
 	switch {
 	case key == "-":
-	case key == "" && f.Anonymous: // its fields count as those of the struct around it
-		l.list(prefix, f.Type, outer)
+	case key == "" && f.Anonymous: // the fields of an embedded struct are promoted to the enclosing one
+		l.list(prefix, f.Type, enclosing)
 	case key == "":
-		l.list(prefix+"."+strings.ToLower(f.Name), f.Type, outer)
+		l.list(prefix+"."+strings.ToLower(f.Name), f.Type, enclosing)
 	default:
-		l.list(prefix+"."+key, f.Type, outer)
+		l.list(prefix+"."+key, f.Type, enclosing)
 	}
 }
 
-// elementType returns the type of the elements of pointers, lists and maps. A map adds ".*" to the prefix.
+// elementType returns the type of the elements of pointers, slices, arrays and maps, at any depth. Each map adds ".*"
+// to the prefix.
 func elementType(prefix string, t reflect.Type) (string, reflect.Type) {
 	for {
 		switch t.Kind() {
@@ -172,19 +174,19 @@
 	}
 }
 
-// Fill sets each exported field below *v to a value of its own. The values depend on the order of the fields,
-// not on their names.
+// Fill sets each exported field below *v to a non-zero value, and fields of types with enough values to different
+// ones. The values depend on the order of the fields, not on their names.
 func Fill(v any) {
 	f := filler{}
 	f.fill(reflect.ValueOf(v).Elem(), nil)
 }
 
-// filler counts the values set so far.
+// filler sets values. count is the number of values set so far.
 type filler struct{ count int }
 
-// fill sets a value and all below it. outer are the pointer types around it: a pointer to a type within itself
-// stays nil.
-func (f *filler) fill(v reflect.Value, outer []reflect.Type) {
+// fill sets a value and all values below it. enclosing are the pointer types that contain it; in a recursive type,
+// a pointer of a type that already contains it stays nil.
+func (f *filler) fill(v reflect.Value, enclosing []reflect.Type) {
 	f.count++
 	switch v.Kind() {
 	case reflect.Bool:
@@ -198,41 +200,41 @@
 	case reflect.Float32, reflect.Float64:
 		v.SetFloat(float64(f.count) + 0.5)
 	case reflect.Pointer:
-		f.fillPointer(v, outer)
+		f.fillPointer(v, enclosing)
 	case reflect.Slice:
 		slice := reflect.MakeSlice(v.Type(), 1, 1)
-		f.fill(slice.Index(0), outer)
+		f.fill(slice.Index(0), enclosing)
 		v.Set(slice)
 	case reflect.Array:
 		for i := range v.Len() {
-			f.fill(v.Index(i), outer)
+			f.fill(v.Index(i), enclosing)
 		}
 	case reflect.Map:
-		f.fillMap(v, outer)
+		f.fillMap(v, enclosing)
 	case reflect.Struct:
 		for i := range v.NumField() {
 			if v.Type().Field(i).IsExported() {
-				f.fill(v.Field(i), outer)
+				f.fill(v.Field(i), enclosing)
 			}
 		}
 	}
 }
 
-func (f *filler) fillPointer(v reflect.Value, outer []reflect.Type) {
-	if slices.Contains(outer, v.Type()) {
+func (f *filler) fillPointer(v reflect.Value, enclosing []reflect.Type) {
+	if slices.Contains(enclosing, v.Type()) {
 		return
 	}
 	target := reflect.New(v.Type().Elem())
-	f.fill(target.Elem(), append(outer, v.Type()))
+	f.fill(target.Elem(), append(enclosing, v.Type()))
 	v.Set(target)
 }
 
 // fillMap sets a map with one entry.
-func (f *filler) fillMap(v reflect.Value, outer []reflect.Type) {
+func (f *filler) fillMap(v reflect.Value, enclosing []reflect.Type) {
 	key := reflect.New(v.Type().Key()).Elem()
 	value := reflect.New(v.Type().Elem()).Elem()
-	f.fill(key, outer)
-	f.fill(value, outer)
+	f.fill(key, enclosing)
+	f.fill(value, enclosing)
 	m := reflect.MakeMap(v.Type())
 	m.SetMapIndex(key, value)
 	v.Set(m)
--- a/internal/testutil/failpoints.go
+++ b/internal/testutil/failpoints.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// FailpointBuild runs TestEachFailpoint of the calling package in a build with failpoints. available is
-// whether this is that build; the test is skipped then.
+// FailpointBuild runs TestEachFailpoint of the calling package in a build with failpoints. available reports
+// whether the running build has failpoints itself; if so the test is skipped.
 func FailpointBuild(t *testing.T, available bool) {
 	t.Helper()
 	if available {
@@ -18,8 +18,9 @@
 	}
 }
 
-// EachFailpoint enables each failpoint in turn. It fails where run returns no error for any of the seeds,
-// which count from 1: the checks of run would not notice the fault.
+// EachFailpoint enables each failpoint in turn, and calls run with the seeds from 1 to seeds until it returns
+// an error. The test of a failpoint fails if run returns no error for any seed, as the checks of run then do
+// not detect the fault.
 func EachFailpoint[F ~string](t *testing.T, failpoints []F, enable func(F), seeds uint64, run func(seed uint64) error) {
 	t.Helper()
 	for _, f := range failpoints {
--- a/internal/testutil/host.go
+++ b/internal/testutil/host.go
@@ -9,20 +9,20 @@
 	"testing"
 )
 
-// Host is a host on a loopback socket whose responses are scripted.
+// Host is an HTTP host on a loopback socket. Its responses are written by a Script.
 type Host struct {
 	net.Listener
 	script Script
 
 	Mu       sync.Mutex // guards the fields below
 	Requests []*http.Request
-	Bodies   []string // of Requests
-	accepted int
-	closed   int // connections that the client has closed
+	Bodies   []string // bodies of Requests
+	accepted int      // number of connections accepted
+	closed   int      // number of connections that the client has closed
 }
 
-// Script writes to the connection for each request, counted from 0 over all connections. It returns whether
-// the connection stays open.
+// Script writes the response to a request on its connection. n is the number of the request, counted from 0
+// over all connections. keep reports whether the connection stays open.
 type Script func(c net.Conn, r *http.Request, n int) (keep bool)
 
 // NewHost starts a host on a free port. It stops at the end of the test.
@@ -64,7 +64,7 @@
 			h.Mu.Unlock()
 			return
 		}
-		body, _ := io.ReadAll(r.Body) // a truncated body is recorded as it is
+		body, _ := io.ReadAll(r.Body) // a truncated body is recorded as received
 		h.Mu.Lock()
 		n := len(h.Requests)
 		h.Requests = append(h.Requests, r)
@@ -102,7 +102,7 @@
 	}
 }
 
-// NeverRespond is a script that writes nothing. The host goes on reading, and so notices when the client
+// NeverRespond is a script that writes nothing. The host continues to read, so that it detects when the client
 // closes the connection.
 func NeverRespond(net.Conn, *http.Request, int) bool { return true }
 
--- a/internal/testutil/race_off.go
+++ b/internal/testutil/race_off.go
@@ -2,5 +2,5 @@
 
 package testutil
 
-// raceDetector tells whether the tests are built with the race detector.
+// raceDetector reports whether the tests are built with the race detector.
 const raceDetector = false
--- a/internal/testutil/request.go
+++ b/internal/testutil/request.go
@@ -11,18 +11,18 @@
 	"testing"
 )
 
-// requestTimeout is the value of X-Timeout in seconds.
+// requestTimeout is the value of the X-Timeout header, in seconds.
 const requestTimeout = "60"
 
-// lastID is the last request id that NewID returned.
+// lastID is the number from which NewID made the last request id.
 var lastID atomic.Int64
 
-// NewID returns a request id that no request of this process has had.
+// NewID returns a request id that is unique in this process.
 func NewID() string { return fmt.Sprintf("%016x", lastID.Add(1)) }
 
-// SendRequest sends a request with the headers of the platform, on a connection of its own, and returns its
-// response and the response's body. Requests of the class "look" are GET, others POST. headers are names and
-// values in turn.
+// SendRequest sends a request with the headers of the platform on a connection of its own, and returns the
+// response and its body. Requests of the class "look" use GET, others POST. headers are alternating names and
+// values.
 func SendRequest(t testing.TB, url, class, path, body string, headers ...string) (*http.Response, string) {
 	t.Helper()
 	method := http.MethodPost
--- a/internal/testutil/virtualtime_test.go
+++ b/internal/testutil/virtualtime_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Goroutines of a bubble may receive from timers that are already due, all at once, also under the race
-// detector.
+// Many goroutines of a bubble may receive from timers that are already due at the same time, also under the
+// race detector: without the limit in VirtualTime that would crash the process.
 func TestVirtualTimeWithManyDueTimers(t *testing.T) {
 	const bubbles, goroutines, timers = 50, 50, 50
 	for range bubbles {
