--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestAttemptReleasesConnectionWhenGivenUp(t *testing.T) {
+func TestAttemptReleasesConnectionWhenAbandoned(t *testing.T) {
 	expired, cancelExpired := context.WithTimeout(context.Background(), 0)
 	defer cancelExpired()
 	canceled, cancel := context.WithCancel(context.Background())
--- a/internal/upstream/fastcgi/conn.go
+++ b/internal/upstream/fastcgi/conn.go
@@ -24,7 +24,7 @@
 )
 
 var (
-	// errConnEnded is the error of a response within which the connection ended.
+	// errConnEnded is the error of a response during which the connection ended.
 	errConnEnded = errors.New("fastcgi: the responder has closed the connection")
 	// errNotSendable is returned for a request that may no longer be sent.
 	errNotSendable = errors.New("fastcgi: the request may no longer be sent")
--- a/internal/upstream/fastcgi/helpers_test.go
+++ b/internal/upstream/fastcgi/helpers_test.go
@@ -185,8 +185,8 @@
 	}
 }
 
-// waitForMultiplexing makes an attempt and waits until the transport has received the responder's values, by which it
-// multiplexes.
+// waitForMultiplexing makes an attempt and waits until the transport has received the responder's values, according to
+// which the responder multiplexes.
 func waitForMultiplexing(t *testing.T, transport *Transport, h *host) {
 	t.Helper()
 	attempt(h, newTestRequest("POST", "/first", ""))
--- a/internal/upstream/http1/idle.go
+++ b/internal/upstream/http1/idle.go
@@ -43,8 +43,8 @@
 	return t.dial(ctx, h, current)
 }
 
-// popReusable removes from the pool the connection to a host that has been idle longest and for which isReusable returns true.
-// It closes those before it. It returns nil if there is no such connection. t.mu is held.
+// popReusable removes the reusable connection to a host that has been idle longest from the pool, and returns it, or nil
+// if there is none. It closes connections that have been idle longer and are not reusable. t.mu is held.
 func (t *Transport) popReusable(h *host) *conn {
 	for {
 		c, ok := t.idle.PopFirst(h)
@@ -58,8 +58,8 @@
 	}
 }
 
-// remainingReuseDelay returns how long a connection must stay idle before it carries another request. Zero or less means that
-// it may carry one now. t.mu is held.
+// remainingReuseDelay returns how long a connection must stay idle before it carries another request. Zero or less means
+// that it may carry one now. t.mu is held.
 func (t *Transport) remainingReuseDelay(c *conn) time.Duration {
 	if t.lastUnsolicited.IsZero() || time.Since(t.lastUnsolicited) >= unsolicitedWindow {
 		return 0
@@ -182,11 +182,11 @@
 	h.lastResponse = time.Now()
 }
 
-// attemptGivenUp is called when an attempt is abandoned whose request was written at writtenAt. If that was minSilence
+// attemptAbandoned is called when an attempt is abandoned whose request was written at writtenAt. If that was minSilence
 // or more ago, and the host has sent no response since, it closes the idle connections to the host. A machine that has
 // failed leaves its connections open and silent, and whether a request that is written to one of them has run is not
 // known. A dial to it fails soon, which proves that nothing ran.
-func (t *Transport) attemptGivenUp(h *host, writtenAt time.Time) {
+func (t *Transport) attemptAbandoned(h *host, writtenAt time.Time) {
 	if time.Since(writtenAt) < t.minSilence {
 		return // the client has disconnected early, which is no evidence that the host has failed
 	}
--- a/internal/upstream/http1/roundtrip.go
+++ b/internal/upstream/http1/roundtrip.go
@@ -36,7 +36,7 @@
 		t.closeConn(c)
 		response.FreeHeld()
 		if ctx.Err() != nil && uploaded {
-			t.attemptGivenUp(c.host, writtenAt)
+			t.attemptAbandoned(c.host, writtenAt)
 		}
 		return readFailure(ctx, x, up, uploaded, err)
 	}
--- a/internal/upstream/http1/transport.go
+++ b/internal/upstream/http1/transport.go
@@ -27,7 +27,7 @@
 	// that a host does not close a connection while a request is being written to it.
 	maxIdleShare = 0.5
 	// minSilence is the time without a response after which idle connections to a host are closed, see
-	// Transport.attemptGivenUp. It is several times as long as most responses take.
+	// Transport.attemptAbandoned. It is several times as long as most responses take.
 	minSilence = 250 * time.Millisecond
 	// reuseDelay is how long a connection stays idle after a response before it carries another request, if any host
 	// of the transport has sent an unsolicited response within the last unsolicitedWindow. A second response arrives
