--- a/cmd/dunemoor/appliance.go
+++ b/cmd/dunemoor/appliance.go
@@ -12,7 +12,7 @@
 	"dunemoor/internal/gateway"
 )
 
-// launchAppliance serves by an appliance's file.
+// launchAppliance runs the gateway or the relay that an appliance's file describes.
 func launchAppliance(path string, recording *engine.RecordingConfig, s signals) error {
 	a, errs := config.LoadAppliance(path)
 	if len(errs) > 0 {
@@ -47,7 +47,7 @@
 	return srv.run(s)
 }
 
-// startFleetMember joins a fleet and starts a gateway that has its endpoint lists and overrides from it.
+// startFleetMember joins a fleet, and starts a gateway that receives its endpoint lists and overrides from the fleet.
 func startFleetMember(a *config.Appliance, recording *engine.RecordingConfig) (*gateway.Gateway, *fleet.Fleet, error) {
 	member, err := fleet.Join(a)
 	if err != nil {
@@ -67,8 +67,8 @@
 	return g, member, nil
 }
 
-// reloadAppliance applies the file as it is now. An error changes nothing; of several, all but the returned one are
-// logged.
+// reloadAppliance reads the file again and applies it. If the file has errors nothing changes: the first error is
+// returned, and the others are logged.
 func reloadAppliance(g *gateway.Gateway, path string) error {
 	a, errs := config.LoadAppliance(path)
 	if len(errs) > 0 {
@@ -78,7 +78,7 @@
 		return errs[0]
 	}
 	if !a.Serves() {
-		return fmt.Errorf("%s: listener: there is none: whether a relay serves requests takes effect at the next start", path)
+		return fmt.Errorf("%s: listener: none is configured: a change to a relay that serves no requests takes effect at the next start", path)
 	}
 	if err := g.Reload(a); err != nil {
 		return err
--- a/cmd/dunemoor/appliance_test.go
+++ b/cmd/dunemoor/appliance_test.go
@@ -14,8 +14,8 @@
 	"dunemoor/internal/experiment/fakes"
 )
 
-// applianceFile returns an appliance's file with the pool first, and with the pool second for a path where that isn't
-// nil.
+// applianceFile returns the text of an appliance's file. The pool first serves all requests except, if second isn't nil,
+// those for /api/book, which the pool second serves.
 func applianceFile(listen string, first, second *fakes.Fleet) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "name = \"box\"\n[[listener]]\naddress = %q\n", listen)
@@ -39,7 +39,7 @@
 	return b.String()
 }
 
-// replaceFile replaces a file in one step, as an operator's editor does.
+// replaceFile replaces a file atomically, as editors do.
 func replaceFile(t *testing.T, path, text string) {
 	t.Helper()
 	writeFile(t, path+".new", text)
@@ -48,8 +48,8 @@
 	}
 }
 
-// patientClasses returns the fakes' classes with long timeouts, as machines may be busy.
-func patientClasses() []fakes.Class {
+// classesWithLongTimeouts returns the default classes of package fakes with long timeouts, as machines may be busy.
+func classesWithLongTimeouts() []fakes.Class {
 	classes := fakes.DefaultClasses()
 	for i := range classes {
 		classes[i].Timeout = 20 * time.Second
@@ -57,8 +57,8 @@
 	return classes
 }
 
-// The program serves by a file. SIGHUP reloads it under load, again and again; an invalid file changes nothing, and after
-// SIGTERM no request is left without a response.
+// The program serves load while SIGHUP makes it reload its file repeatedly. An invalid file changes nothing, and after
+// SIGTERM every request gets a response.
 func TestApplianceReloadsUnderLoad(t *testing.T) {
 	ledger := fakes.NewLedger()
 	behaviour := fakes.Behaviour{Work: 2 * time.Millisecond, Cores: 8}
@@ -75,10 +75,10 @@
 	writeFile(t, path, "admin = \""+admin+"\"\n"+applianceFile(listen, fleets[0], nil))
 	p := startWithFile(t, path, listen, "-appliance", path)
 	p.waitReady(t)
-	if got := call("GET", admin, "/admin/status"); got != 200 {
+	if got := requestStatus("GET", admin, "/admin/status"); got != 200 {
 		t.Errorf("admin status: got %d, want 200", got)
 	}
-	load := fakes.Load{URL: p.url, Rate: 200, Count: 1200, Classes: patientClasses(), Seed: 9, Retries: 2}
+	load := fakes.Load{URL: p.url, Rate: 200, Count: 1200, Classes: classesWithLongTimeouts(), Seed: 9, Retries: 2}
 	var wait sync.WaitGroup
 	wait.Go(func() {
 		if err := load.Run(context.Background(), ledger); err != nil {
@@ -98,8 +98,8 @@
 	}
 }
 
-// reloadRepeatedly reloads the file of a program, in turn with a second pool, invalid, and with one pool. It waits for each
-// reload, and leaves the program with both pools.
+// reloadRepeatedly makes a program reload its file repeatedly: with a second pool, with an invalid value, and with one
+// pool. It waits for each reload, and leaves the program with both pools.
 func reloadRepeatedly(t *testing.T, p *program, listen string, fleets [2]*fakes.Fleet) {
 	t.Helper()
 	reloaded, failed := 0, 0
@@ -128,13 +128,13 @@
 		mustReload(onePool)
 	}
 	if out := p.out.String(); !strings.Contains(out, "box.toml:") || !strings.Contains(out, "unsave") {
-		t.Errorf("got a log without the invalid value: %s", out)
+		t.Errorf("got a log without the file name and the invalid value: %s", out)
 	}
 	mustReload(twoPools)
 }
 
-// The process is paused for a while under load, as a virtual machine may be. Requests that waited meanwhile have a
-// response, and none is rejected afterwards: a pause must not count as overload.
+// The process is paused for a short time under load, as a virtual machine may be. Requests that waited in that time get
+// a response, and none is rejected afterwards: a pause must not be treated as overload.
 func TestPausedProcessRejectsNothing(t *testing.T) {
 	ledger := fakes.NewLedger()
 	fleet, err := fakes.StartService("f", 4, 3, fakes.Behaviour{Work: 2 * time.Millisecond, Cores: 8}, ledger)
@@ -146,8 +146,8 @@
 	writeFile(t, path, applianceFile(listen, fleet, nil))
 	p := startWithFile(t, path, listen, "-appliance", path)
 	p.waitReady(t)
-	// So few requests that a busy machine keeps up: only the pause counts.
-	load := fakes.Load{URL: p.url, Rate: 60, Count: 300, Classes: patientClasses(), Seed: 9}
+	// The rate is so low that a busy machine can serve it, so that only the pause delays requests.
+	load := fakes.Load{URL: p.url, Rate: 60, Count: 300, Classes: classesWithLongTimeouts(), Seed: 9}
 	done := make(chan error, 1)
 	go func() { done <- load.Run(context.Background(), ledger) }()
 	for range 3 {
@@ -171,7 +171,7 @@
 	}
 }
 
-// An invalid file ends the program at the start, with a line for each error.
+// With an invalid file the program exits at startup and writes a line for each error.
 func TestInvalidApplianceEndsTheProgram(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "box.toml")
 	writeFile(t, path, "name = 5\n[[listner]]\n")
--- a/cmd/dunemoor/bench_test.go
+++ b/cmd/dunemoor/bench_test.go
@@ -20,7 +20,8 @@
 	"time"
 )
 
-// reportAllocations has a test binary that runs as the program write how many objects it has allocated, at each SIGUSR2.
+// reportAllocations makes a test binary that runs as the program write the number of objects that it has allocated to
+// stderr at each SIGUSR2.
 func reportAllocations() {
 	requests := make(chan os.Signal, 1)
 	signal.Notify(requests, syscall.SIGUSR2)
@@ -31,7 +32,7 @@
 	}
 }
 
-// allocated returns how many objects a program has allocated.
+// allocated returns the number of objects that a program has allocated.
 func (p *program) allocated(b *testing.B) float64 {
 	n := strings.Count(p.out.String(), "allocated ")
 	if err := p.Process.Signal(syscall.SIGUSR2); err != nil {
@@ -64,20 +65,20 @@
 }
 
 const (
-	pathClients = 8
-	pathRounds  = 12
-	pathSpan    = time.Second
+	pathClients = 8           // clients that send requests at the same time
+	pathRounds  = 12          // measurements of each program
+	pathSpan    = time.Second // duration of a measurement
 )
 
-// BenchmarkRequestPath sends the same requests to a gateway alone and to one of a fleet of three, in turn. It reports
-// throughput, CPU time and allocated objects per request, the last less those of a second without requests. The gateway
-// of the fleet is its leader most of the time.
+// BenchmarkRequestPath sends the same requests alternately to a standalone gateway and to a gateway of a fleet of three.
+// It reports throughput, CPU time and allocated objects per request. The objects that the program allocates in a second
+// without requests are subtracted. The gateway of the fleet is the fleet's leader most of the time.
 //
 //	go test -run xxx -bench RequestPath -benchtime 1x ./cmd/dunemoor
 func BenchmarkRequestPath(b *testing.B) {
 	host := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "good") }))
 	defer host.Close()
-	programs := startAloneAndInFleet(b, host.Listener.Addr().String())
+	programs := startStandaloneAndFleet(b, host.Listener.Addr().String())
 	for b.Loop() {
 		costs := [2]pathCost{{kind: "alone"}, {kind: "fleet"}}
 		var ratios []float64
@@ -104,12 +105,12 @@
 	}
 }
 
-// pathCost is what the requests to one program have cost it.
+// pathCost is the cost of the requests to one program.
 type pathCost struct {
 	kind        string
-	idleObjects float64 // allocated in pathSpan without requests
+	idleObjects float64 // objects allocated in pathSpan without requests
 	requests    float64
-	objects     float64 // allocated, less idleObjects
+	objects     float64 // objects allocated, less idleObjects for each measurement
 	cpu         time.Duration
 }
 
@@ -130,9 +131,9 @@
 	b.ReportMetric(c.objects/c.requests, "allocs/request-"+c.kind)
 }
 
-// startAloneAndInFleet starts a gateway alone and a fleet of three, all with one host. It returns the one alone and the
-// first of the fleet, once they are ready.
-func startAloneAndInFleet(b *testing.B, host string) []*program {
+// startStandaloneAndFleet starts a standalone gateway and a fleet of three gateways, all with the same host. It returns the
+// standalone gateway and the first gateway of the fleet, once they are ready.
+func startStandaloneAndFleet(b *testing.B, host string) []*program {
 	dir := b.TempDir()
 	writeFile(b, filepath.Join(dir, "key"), "this key is of a test and of nothing else")
 	start := func(name, listen, fleet string) *program {
@@ -159,7 +160,7 @@
 	return programs
 }
 
-// gatewayFile returns the file of a gateway with one host.
+// gatewayFile returns the text of the file of a gateway with one host.
 func gatewayFile(name, listen, host string) string {
 	return fmt.Sprintf("name = %q\n[[listener]]\naddress = %q\n"+
 		"[[class]]\nname = \"lookup\"\neffect = \"safe\"\naim = \"2s\"\ndeadline = \"10s\"\nworth = 1\n"+
@@ -167,8 +168,8 @@
 		"[[route]]\nname = \"all\"\npool = \"p\"\nclass = \"lookup\"\n", name, listen, host)
 }
 
-// fleetSection returns the part of a file that makes the i-th gateway a member of a fleet; peers are the addresses of
-// all members. The fleet's key is in dir, and so is the state of each gateway.
+// fleetSection returns the section of a file that makes the i-th gateway a member of a fleet. peers are the addresses of
+// all members. dir holds the fleet's key and the state of each gateway.
 func fleetSection(dir string, i int, peers []string) string {
 	text := fmt.Sprintf("[fleet]\nid = \"path\"\nlisten = %q\ndata_dir = %q\nkey_file = %q\nfirst = [\"g0\", \"g1\", \"g2\"]\n",
 		peers[i], filepath.Join(dir, fmt.Sprint("g", i)), filepath.Join(dir, "key"))
@@ -180,7 +181,8 @@
 	return text
 }
 
-// sendRequests has clients send requests for a time, and returns the number of responses.
+// sendRequests sends requests from pathClients clients for the duration span, and returns the number of responses with
+// status 200.
 func sendRequests(b *testing.B, url string, span time.Duration) int64 {
 	var n atomic.Int64
 	var all sync.WaitGroup
--- a/cmd/dunemoor/config_test.go
+++ b/cmd/dunemoor/config_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// A gateway that was killed starts again at its address, and serves by its saved list while discovery is down.
+// A gateway that was killed restarts at its address, and serves requests with its saved endpoint list while discovery is
+// down.
 func TestRestartAfterKillServesFromTheSavedList(t *testing.T) {
 	host := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		io.WriteString(w, "done")
@@ -29,12 +30,12 @@
 	}
 }
 
-// SIGHUP applies the discovery address of the file, though GW_DISCOVERY names another. An invalid file changes nothing,
-// nor does SIGHUP while the program shuts down: the signal's default would end the process. The new address is watched
-// from version 0, not from that of the old one.
+// SIGHUP applies the discovery address of the file, even if GW_DISCOVERY has a different one. An invalid file changes
+// nothing. SIGHUP during shutdown has no effect, although the signal's default action is to end the process. The new
+// address is watched from version 0, not from the version of the list at the old address.
 func TestReloadOfThePlatformConfiguration(t *testing.T) {
-	oldHost, oldRequests := countingHost(t)
-	newHost, newRequests := countingHost(t)
+	oldHost, oldRequests := startCountingHost(t)
+	newHost, newRequests := startCountingHost(t)
 	text := platformConfig(oldHost)
 	p := start(t, text, freeAddress(t))
 	p.waitReady(t)
@@ -57,7 +58,7 @@
 	if oldRequests.Load() != 1 {
 		t.Errorf("after an invalid file: got %d requests at the old host, want 1", oldRequests.Load())
 	}
-	for i := range 2 { // each time to another address
+	for i := range 2 { // reloads with a new address each time
 		addr, watches := startDiscovery(t, fmt.Sprint("s-", 7+i), newHost)
 		reload(strings.Replace(text, `"discovery":"`+unusedAddress, `"discovery":"`+addr, 1))
 		waitUntil(t, "the new address is watched", func() bool { return watches.Load() > 0 })
@@ -72,7 +73,7 @@
 	p.mustExitCleanly(t)
 }
 
-// An invalid configuration ends the program with one line that names the field, and exit code 1.
+// With an invalid configuration the program writes one line that names the field, and exits with code 1.
 func TestInvalidConfigurationEndsTheProgram(t *testing.T) {
 	p := start(t, strings.Replace(platformConfig(), `"hard_limit":2000000`, `"hard_limit":0`, 1), "127.0.0.1:0")
 	select {
--- a/cmd/dunemoor/descriptors_test.go
+++ b/cmd/dunemoor/descriptors_test.go
@@ -17,10 +17,11 @@
 	"time"
 )
 
-// descriptorsVariable limits the descriptors of a test binary that runs as the program.
+// descriptorsVariable is the environment variable with the limit of file descriptors for a test binary that runs as the
+// program.
 const descriptorsVariable = "DUNEMOOR_FILES"
 
-// limitDescriptors limits the descriptors of the process as descriptorsVariable says.
+// limitDescriptors limits the file descriptors of the process to the value of descriptorsVariable, if that is set.
 func limitDescriptors() {
 	n, err := strconv.ParseUint(os.Getenv(descriptorsVariable), 10, 64)
 	if err != nil {
@@ -31,16 +32,16 @@
 	}
 }
 
-// descriptors is the number of descriptors that a program has open.
+// descriptors returns the number of file descriptors that a program has open.
 func (p *program) descriptors() int {
 	list, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.Process.Pid))
 	return len(list)
 }
 
-// While discovery is down, requests hang at all known hosts, and idle clients use up the descriptors of the process. Once
-// discovery is up its list arrives: no more requests go to hosts that it lacks, those in flight there end normally, and
-// new ones are served by the host that it has. The descriptors for discovery are reserved, with as many descriptors as
-// the configuration says and with fewer.
+// While discovery is down, requests hang at all hosts of the saved list, and idle clients use up the file descriptors of
+// the process. Once discovery is up its list must still arrive: no more requests go to hosts that are not in it, requests
+// in flight there end normally, and new ones are served by the host in the list. The descriptors for discovery are
+// reserved, both if the process has as many descriptors as are configured and if it has fewer.
 func TestEndpointListArrivesWithoutFreeDescriptors(t *testing.T) {
 	for _, tt := range []descriptorsCase{
 		{name: "as configured", descriptors: 64, configured: 64, clients: 40, members: 30},
@@ -53,27 +54,27 @@
 // descriptorsCase is a case of TestEndpointListArrivesWithoutFreeDescriptors.
 type descriptorsCase struct {
 	name        string
-	descriptors int // of the process
-	configured  int // by the configuration
-	clients     int // with a request each
-	members     int // of the known list, all at one address
+	descriptors int // descriptor limit of the process
+	configured  int // limit in the configuration
+	clients     int // number of clients with one request each
+	members     int // number of hosts in the saved list, all at one address
 }
 
 func (tt descriptorsCase) run(t *testing.T) {
 	t.Setenv(descriptorsVariable, fmt.Sprint(tt.descriptors))
 	oldHost := startHangingHost(t)
-	newHost, newRequests := countingHost(t)
+	newHost, newRequests := startCountingHost(t)
 	discoveryAddress := freeAddress(t) // not started yet
 	p := tt.start(t, oldHost.addr, discoveryAddress)
-	crowd := clientCrowd{program: p}
+	group := clientGroup{program: p}
 	for i := range tt.clients {
-		crowd.sendRequest(t, i)
+		group.sendRequest(t, i)
 	}
 	waitUntil(t, "as many requests in flight as possible", func() bool {
-		return oldHost.requests.Load()+crowd.ended.Load() >= int64(tt.clients) || p.descriptors() >= tt.descriptors-1
+		return oldHost.requests.Load()+group.ended.Load() >= int64(tt.clients) || p.descriptors() >= tt.descriptors-1
 	})
 	for range tt.descriptors {
-		crowd.connect(t)
+		group.connect(t)
 	}
 	inFlight := oldHost.requests.Load()
 	t.Logf("%d requests in flight, %d of %d descriptors", inFlight, p.descriptors(), tt.descriptors)
@@ -84,27 +85,28 @@
 		select {
 		case discovery <- line:
 		case <-time.After(waitTimeout):
-			t.Fatalf("discovery: got no call, with %d of %d descriptors open: %s", p.descriptors(), tt.descriptors, p.out.String())
+			t.Fatalf("discovery: got no watch, with %d of %d descriptors open: %s", p.descriptors(), tt.descriptors, p.out.String())
 		}
 	}
 	sendLine(`{"version":7,"full":true,"servers":[]}`)
-	waitUntil(t, "the list is in use", func() bool { return call("GET", p.address(), "/_health") == 503 })
+	waitUntil(t, "the list is in use", func() bool { return requestStatus("GET", p.address(), "/_health") == 503 })
 	oldHost.release()
-	crowd.clients.Wait()
+	group.clients.Wait()
 	sendLine(fmt.Sprintf(`{"version":8,"full":true,"servers":[{"id":"s-new","addr":%q,"state":"ready"}]}`, newHost))
 	waitUntil(t, "new requests are served", func() bool {
 		sendRequest(p.url)
 		return newRequests.Load() > 0
 	})
 	if got := oldHost.requests.Load(); got != inFlight {
-		t.Errorf("got %d requests at hosts that the list lacks, want %d as when it came", got, inFlight)
+		t.Errorf("got %d requests at hosts that are not in the list, want %d, as many as when it arrived", got, inFlight)
 	}
-	if got := crowd.served.Load(); got != inFlight {
-		t.Errorf("got %d requests in flight there served, want %d", got, inFlight)
+	if got := group.served.Load(); got != inFlight {
+		t.Errorf("got %d of the requests in flight served, want %d", got, inFlight)
 	}
 }
 
-// start runs the program with its known list at a host, and waits until it has reloaded the address of discovery.
+// start runs the program with a saved list whose entries all have the address host, and waits until it has reloaded the
+// address of discovery.
 func (tt descriptorsCase) start(t *testing.T, host, discovery string) *program {
 	t.Helper()
 	members := make([]string, tt.members)
@@ -123,10 +125,10 @@
 	return p
 }
 
-// hangingHost is a host that responds to no request before its release.
+// hangingHost is a host that responds to no request before release is called.
 type hangingHost struct {
 	addr     string
-	requests atomic.Int64 // received
+	requests atomic.Int64 // number of requests received
 	release  func()
 }
 
@@ -145,16 +147,16 @@
 	return h
 }
 
-// clientCrowd is many clients of a program, each with a connection of its own.
-type clientCrowd struct {
+// clientGroup is a group of clients of a program, each with a connection of its own.
+type clientGroup struct {
 	program *program
-	clients sync.WaitGroup // that have sent a request
-	ended   atomic.Int64   // requests
-	served  atomic.Int64   // of ended: with a response of a host
+	clients sync.WaitGroup // clients whose request has not ended
+	ended   atomic.Int64   // number of requests that have ended
+	served  atomic.Int64   // number of requests in ended that got a host's response
 }
 
 // connect opens a connection, which stays open until the end of the test.
-func (c *clientCrowd) connect(t *testing.T) net.Conn {
+func (c *clientGroup) connect(t *testing.T) net.Conn {
 	t.Helper()
 	nc, err := net.Dial("tcp", c.program.address())
 	if err != nil {
@@ -165,11 +167,11 @@
 	return nc
 }
 
-// sendRequest sends the i-th request, and counts its end.
-func (c *clientCrowd) sendRequest(t *testing.T, i int) {
+// sendRequest sends the i-th request, and counts it when it ends.
+func (c *clientGroup) sendRequest(t *testing.T, i int) {
 	t.Helper()
 	nc := c.connect(t)
-	fmt.Fprintf(nc, "POST /api/1 HTTP/1.1\r\nHost: a\r\nX-Request-ID: crowd-%d\r\nX-Priority-Class: book\r\n"+
+	fmt.Fprintf(nc, "POST /api/1 HTTP/1.1\r\nHost: a\r\nX-Request-ID: client-%d\r\nX-Priority-Class: book\r\n"+
 		"X-Timeout: 60\r\nContent-Length: 1\r\n\r\nx", i)
 	c.clients.Go(func() {
 		defer c.ended.Add(1)
@@ -185,7 +187,7 @@
 }
 
 // startLineDiscovery starts a discovery service at an address. It responds to a watch with the lines that are sent to the
-// channel, which has no buffer: a line that was sent has a watch to go to.
+// channel. The channel is unbuffered, so a send succeeds only if there is a watch to write the line to.
 func startLineDiscovery(t *testing.T, addr string) chan<- string {
 	t.Helper()
 	ln, err := net.Listen("tcp", addr)
--- a/cmd/dunemoor/host_faults_test.go
+++ b/cmd/dunemoor/host_faults_test.go
@@ -9,16 +9,16 @@
 	"dunemoor/internal/experiment/fakes"
 )
 
-// Under a mixed load through the program, hosts crash, reset connections, reject requests, drain and warm up: no
-// request that must not run twice does, none is lost, and nearly all are served.
-func TestHostFaultsLoseNothing(t *testing.T) {
+// While the program serves a mixed load, hosts crash, reset connections, reject requests, drain and warm up. No request
+// that must not run twice runs twice, none is lost, and nearly all are served.
+func TestHostFaultsLoseNoRequests(t *testing.T) {
 	healthy := fakes.Behaviour{Work: 3 * time.Millisecond, Cores: 4, Warmup: time.Second, WarmupStartShare: 0.4}
 	fleet, err := fakes.StartFleet(6, 11, healthy)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer fleet.Close()
-	classes := patientClasses()
+	classes := classesWithLongTimeouts()
 	listen := freeAddress(t)
 	p := start(t, string(fleet.PlatformConfig("n0", listen, classes)), listen)
 	p.waitReady(t)
@@ -41,10 +41,10 @@
 	t.Logf("outcomes of %d requests: %v", c.Requests, c.Outcomes)
 }
 
-// causeHostFaults causes faults of hosts and ends them, one after the other.
+// causeHostFaults injects faults of hosts and removes them again, one after the other.
 func causeHostFaults(t *testing.T, fleet *fakes.Fleet, healthy fakes.Behaviour) {
 	t.Helper()
-	afterServed := func(n int) { // faults follow the number of requests served, not the clock
+	afterServed := func(n int) { // the times of the faults depend on the number of requests served, not on the clock
 		t.Helper()
 		waitUntil(t, "requests are served", func() bool { return fleet.Ledger.Count().Outcomes[fakes.Served] >= n })
 	}
--- a/cmd/dunemoor/kill_test.go
+++ b/cmd/dunemoor/kill_test.go
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// hungDiscovery returns the address of a discovery service that accepts connections and never responds.
-func hungDiscovery(t *testing.T) string {
+// startHungDiscovery starts a discovery service that accepts connections and never responds. It returns its address.
+func startHungDiscovery(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -35,14 +35,14 @@
 	return ln.Addr().String()
 }
 
-// bookRequest returns a request with the headers of the platform.
+// bookRequest returns the bytes of a request of class "book" with the headers of the platform.
 func bookRequest(path string) string {
 	return "POST " + path + " HTTP/1.1\r\nHost: a\r\nX-Priority-Class: book\r\nX-Timeout: 2\r\nX-Request-ID: " +
 		fmt.Sprintf("%016x", lastID.Add(1)) + "\r\nContent-Length: 1\r\n\r\nx"
 }
 
-// A gateway is killed right after a connection that it may have accepted, and with a request in flight. The client sees
-// the end of the connection or a response. The next process at the address serves the first client, though discovery
+// A gateway is killed right after a client has connected, and again with a request in flight. The clients get either the
+// end of the connection or a response. The next process at the address serves its first client although discovery
 // doesn't respond.
 func TestKillAfterAccept(t *testing.T) {
 	var inFlight atomic.Int64
@@ -57,8 +57,8 @@
 	}))
 	defer host.Close()
 	addr := strings.TrimPrefix(host.URL, "http://")
-	for name, discovery := range map[string]string{"down": unusedAddress, "hung": hungDiscovery(t)} {
-		t.Run("discovery "+name+", own socket", func(t *testing.T) {
+	for name, discovery := range map[string]string{"down": unusedAddress, "hung": startHungDiscovery(t)} {
+		t.Run("discovery "+name+", the program's own socket", func(t *testing.T) {
 			listen := freeAddress(t)
 			path := filepath.Join(t.TempDir(), "config.json")
 			writeFile(t, path, strings.ReplaceAll(platformConfig(addr), unusedAddress, discovery))
@@ -84,7 +84,7 @@
 		before := inFlight.Load()
 		p := startProgram()
 		c := dialUntilConnected(t, addr)
-		io.WriteString(c, bookRequest(path)) // it fails where the process has ended
+		io.WriteString(c, bookRequest(path)) // an error means that the process has ended
 		if path == "/hold" {
 			waitUntil(t, "request at the host", func() bool { return inFlight.Load() > before })
 		}
@@ -100,12 +100,12 @@
 	if text, err := readResponse(c); text != "done" || err != nil {
 		t.Errorf("got body %q, error %v, want \"done\"\n%s", text, err, p.out.String())
 	}
-	for i, c := range killed { // the platform's socket keeps connections that were not accepted
+	for i, c := range killed { // connections that were not accepted stay on the platform's socket, for the next process
 		text, err := readResponse(c)
 		timedOut := err != nil && os.IsTimeout(err)
 		wrongBody := err == nil && text != "done"
 		if timedOut || wrongBody {
-			t.Errorf("client %d of a killed process: got %q, %v, want the end of the connection or a response", i, text, err)
+			t.Errorf("client %d of a killed process: got body %q, error %v, want the end of the connection or a response", i, text, err)
 		}
 	}
 }
--- a/cmd/dunemoor/main.go
+++ b/cmd/dunemoor/main.go
@@ -1,5 +1,6 @@
-// Command dunemoor is one gateway: it accepts requests of clients and forwards them to hosts as its balancers
-// decide. It is configured by the platform's GW_ variables, or by an appliance's file.
+// Command dunemoor runs one gateway, which accepts requests from clients and forwards them to the hosts that its
+// balancers select. It is configured by the platform's GW_ environment variables, or by an appliance's file. An
+// appliance's file without listeners makes it a relay of a fleet, which serves no requests.
 //
 // SIGTERM and SIGINT shut it down gracefully, SIGHUP reloads the configuration, and SIGUSR1 writes a dump of the
 // flight recorder.
@@ -21,16 +22,16 @@
 	"dunemoor/internal/gateway"
 )
 
-// recordingTimeout is how long the exit waits for the rest of a flight recording, which has some 500 KB at most.
-// Without a recording there is no wait.
+// recordingTimeout is how long the program waits before it exits until the rest of a flight recording is written, which
+// is some 500 KB at most. Without a recording there is no wait.
 const recordingTimeout = time.Second
 
 func main() {
-	// A write beyond the file size limit must fail as on a full disk, and not end the process.
+	// A write beyond the file size limit must fail like a write to a full disk, and not end the process.
 	signal.Ignore(syscall.SIGXFSZ)
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, nil)))
-	recording := flag.String("flight", "", "the flight recorder's settings, a TOML `file`; nothing is recorded without")
-	appliance := flag.String("appliance", "", "serve by this TOML `file`, not as the platform's GW_ variables say")
+	recording := flag.String("flight", "", "TOML `file` with the flight recorder's settings; without it nothing is recorded")
+	appliance := flag.String("appliance", "", "TOML `file` of an appliance, which replaces the configuration by the platform's GW_ variables")
 	flag.Parse()
 	if err := launch(*appliance, *recording, notifySignals()); err != nil {
 		fmt.Fprintf(os.Stderr, "dunemoor: %v\n", err)
@@ -38,8 +39,8 @@
 	}
 }
 
-// signals are the signals that the program handles. Each has a channel of its own, so that any number of one
-// doesn't displace another.
+// signals are the channels of the signals that the program handles. Each has a channel of its own, so that repeated
+// signals of one kind don't displace others.
 type signals struct {
 	stop   <-chan os.Signal
 	reload <-chan os.Signal
@@ -56,7 +57,8 @@
 	return signals{stop: stop, reload: reload, dump: dump}
 }
 
-// launch serves by an appliance's file, or by the platform's variables where appliance is "".
+// launch runs the program with an appliance's file, or with the platform's variables if appliance is "". recording is the
+// path of the flight recorder's settings, or "".
 func launch(appliance, recording string, s signals) error {
 	var recordingConfig *engine.RecordingConfig
 	if recording != "" {
@@ -71,14 +73,14 @@
 	return launchPlatform(recordingConfig, s)
 }
 
-// server is a gateway that serves.
+// server is a running gateway.
 type server struct {
 	gateway *gateway.Gateway
-	fleet   *fleet.Fleet // nil: the gateway isn't part of one
-	reload  func() error // reloads the configuration; an error changes nothing
+	fleet   *fleet.Fleet // nil if the gateway is not a member of a fleet
+	reload  func() error // reloads the configuration; if it returns an error nothing has changed
 }
 
-// run serves until SIGTERM or SIGINT, or the failure of a listener.
+// run serves until SIGTERM or SIGINT is received, or a listener fails.
 func (srv *server) run(s signals) error {
 	for {
 		select {
@@ -97,8 +99,8 @@
 	}
 }
 
-// shutDown ends the gateway gracefully. Signals are no longer read: neither SIGHUP nor a second SIGTERM may end
-// the process with requests in flight.
+// shutDown stops the gateway gracefully. Signals are still caught but no longer handled: neither SIGHUP nor a second
+// SIGTERM may end the process with requests in flight.
 func (srv *server) shutDown(received os.Signal) {
 	slog.Info("stopping", "signal", received.String())
 	var leaving sync.WaitGroup
--- a/cmd/dunemoor/platform.go
+++ b/cmd/dunemoor/platform.go
@@ -11,7 +11,7 @@
 	"dunemoor/internal/gateway"
 )
 
-// launchPlatform serves as the platform's variables and configuration say.
+// launchPlatform runs a gateway with the platform's environment variables and configuration.
 func launchPlatform(recording *engine.RecordingConfig, s signals) error {
 	cfg, err := config.LoadPlatform(os.Getenv)
 	if err != nil {
@@ -39,8 +39,8 @@
 	return srv.run(s)
 }
 
-// listenForClients opens the socket for clients, or takes over the one that the platform shares between processes;
-// closing this process's copy doesn't close that one.
+// listenForClients opens the socket for clients, or takes over the one that the platform shares between processes.
+// Closing this process's copy doesn't close the shared socket.
 func listenForClients(cfg *config.Platform) (net.Listener, error) {
 	if cfg.ClientsFD == 0 {
 		ln, err := net.Listen("tcp", cfg.Listen)
@@ -50,7 +50,7 @@
 		return ln, nil
 	}
 	f := os.NewFile(uintptr(cfg.ClientsFD), "clients")
-	defer f.Close() // the listener has a copy
+	defer f.Close() // net.FileListener duplicates the descriptor
 	ln, err := net.FileListener(f)
 	if err != nil {
 		return nil, fmt.Errorf("GW_FD: %d: %w", cfg.ClientsFD, err)
@@ -58,8 +58,9 @@
 	return ln, nil
 }
 
-// reloadPlatform applies the settings and the discovery address of the configuration as it is now; other changes
-// take effect at the next start. first is the configuration at the start. An error changes nothing.
+// reloadPlatform reads the configuration again, and applies its settings and its discovery address; other changes take
+// effect at the next start. first is the configuration with which the program was started. After an error nothing has
+// changed.
 func reloadPlatform(g *gateway.Gateway, first *config.Platform) error {
 	cfg, err := config.ReloadPlatform(os.Getenv, first)
 	if err != nil {
--- a/cmd/dunemoor/program_test.go
+++ b/cmd/dunemoor/program_test.go
@@ -19,17 +19,17 @@
 	"time"
 )
 
-// waitTimeout is how long tests wait for a condition: long, as machines may be busy.
+// waitTimeout is how long tests wait for a condition. It is long because machines may be busy.
 const waitTimeout = 30 * time.Second
 
-// clientsAfterStop is how long the program accepts new clients after SIGTERM at least.
-const clientsAfterStop = 400 * time.Millisecond
+// minAcceptAfterStop is the minimum time for which the program accepts new clients after SIGTERM.
+const minAcceptAfterStop = 400 * time.Millisecond
 
 // unusedAddress is the address of discovery in configurations; nothing listens there.
 const unusedAddress = "127.0.0.1:1"
 
-// TestMain runs the program in place of the tests where programVariable is set, so that signals and exit codes are
-// those of a process.
+// TestMain runs the program instead of the tests if programVariable is set, so that tests can send signals to a process
+// of the program and check its exit code.
 func TestMain(m *testing.M) {
 	if os.Getenv(programVariable) != "" {
 		limitDescriptors()
@@ -40,22 +40,22 @@
 	os.Exit(m.Run())
 }
 
-// programVariable has the test binary run as the program.
+// programVariable is the environment variable that makes the test binary run as the program.
 const programVariable = "DUNEMOOR_AS_PROGRAM"
 
 // program is a process of the program.
 type program struct {
 	*exec.Cmd
 	url    string
-	config string // path of the file
+	config string // path of the configuration file
 	out    output
-	exited chan struct{}
+	exited chan struct{} // closed when the process has ended
 }
 
-// address is where the program serves clients; "" for one of startOnSocket.
+// address returns the address at which the program serves clients, or "" if it was started by startOnSocket.
 func (p *program) address() string { return strings.TrimPrefix(p.url, "http://") }
 
-// output collects what a process has written.
+// output collects the output of a process.
 type output struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -73,25 +73,25 @@
 	return o.text.String()
 }
 
-// waitUntil waits for a condition, and ends the test after waitTimeout.
+// waitUntil waits until condition returns true, and fails the test after waitTimeout. what describes the condition.
 func waitUntil(t testing.TB, what string, condition func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(waitTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("no %q after %v", what, waitTimeout)
+			t.Fatalf("timed out waiting for %q after %v", what, waitTimeout)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// waitForLog waits until the program has written text, at least so many times.
+// waitForLog waits until text occurs in the program's output at least the given number of times.
 func (p *program) waitForLog(t testing.TB, text string, times int) {
 	t.Helper()
 	waitUntil(t, text, func() bool { return strings.Count(p.out.String(), text) >= times })
 }
 
-// writeFile writes a file, in place of an earlier one.
+// writeFile writes a file, and overwrites an existing one.
 func writeFile(t testing.TB, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -123,7 +123,8 @@
 	return p
 }
 
-// newProgram returns a program that is to listen at an address, with the configuration in a file.
+// newProgram returns a program with the configuration in a file and the address at which it will listen. It is not
+// started yet.
 func newProgram(path, listen string, args ...string) *program {
 	p := &program{Cmd: exec.Command(os.Args[0], args...), config: path, exited: make(chan struct{})}
 	p.Env = append(os.Environ(), programVariable+"=1", "GW_CONFIG="+path, "GW_LISTEN="+listen)
@@ -148,7 +149,7 @@
 	})
 }
 
-// mustExitCleanly waits for the end of the process, whose exit code must be 0.
+// mustExitCleanly waits for the end of the process, and reports an error unless its exit code is 0.
 func (p *program) mustExitCleanly(t testing.TB) {
 	t.Helper()
 	<-p.exited
@@ -157,7 +158,7 @@
 	}
 }
 
-// waitReady waits until the program reports that it can serve.
+// waitReady waits until the program's health endpoint reports that it can serve requests.
 func (p *program) waitReady(t testing.TB) {
 	t.Helper()
 	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -171,7 +172,7 @@
 	t.Fatalf("not ready after %v: %s", waitTimeout, p.out.String())
 }
 
-// freeAddress returns a loopback address that is free. No other test uses its IP address, so that it stays free.
+// freeAddress returns a free loopback address. No other tests use its IP address, so that it stays free.
 func freeAddress(t testing.TB) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.83:0")
@@ -182,7 +183,7 @@
 	return ln.Addr().String()
 }
 
-// platformConfig returns a configuration of the platform with a saved list of hosts.
+// platformConfig returns a platform configuration whose saved endpoint list has the given hosts.
 func platformConfig(hosts ...string) string {
 	type object map[string]any
 	list := []object{}
@@ -215,7 +216,7 @@
 	return r, nil
 }
 
-// sendRequest sends a request on a connection of its own. accepted is whether there was a connection.
+// sendRequest sends a request on a connection of its own. accepted reports whether the connection was established.
 func sendRequest(url string) (accepted bool, err error) {
 	nc, err := net.DialTimeout("tcp", strings.TrimPrefix(url, "http://"), waitTimeout)
 	if err != nil {
@@ -240,12 +241,13 @@
 	return true, nil
 }
 
-// startDiscovery starts a discovery service with a list of one host. It returns its address and counts its watches.
+// startDiscovery starts a discovery service whose list has one host. It returns the address of the service and the number
+// of its watches.
 func startDiscovery(t *testing.T, id, addr string) (address string, watches *atomic.Int64) {
 	watches = new(atomic.Int64)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.FormValue("index") != "0" {
-			return // a version of another service means nothing here
+			return // the version is one of another discovery service
 		}
 		fmt.Fprintf(w, `{"version":7,"full":true,"servers":[{"id":%q,"addr":%q,"state":"ready"}]}`+"\n", id, addr)
 		w.(http.Flusher).Flush()
@@ -256,8 +258,8 @@
 	return strings.TrimPrefix(s.URL, "http://"), watches
 }
 
-// countingHost starts a host that counts its requests.
-func countingHost(t *testing.T) (addr string, requests *atomic.Int64) {
+// startCountingHost starts a host that counts its requests.
+func startCountingHost(t *testing.T) (addr string, requests *atomic.Int64) {
 	requests = new(atomic.Int64)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		requests.Add(1)
--- a/cmd/dunemoor/recording_test.go
+++ b/cmd/dunemoor/recording_test.go
@@ -11,13 +11,14 @@
 	"dunemoor/internal/flightrecorder"
 )
 
-// SIGUSR1 writes a dump of the flight recorder, and the exit the rest of its file; both can be replayed completely.
+// On SIGUSR1 the program writes a dump of the flight recorder, and before it exits the rest of the recording file. Both can
+// be replayed completely. Invalid settings of the recorder end the program at startup.
 func TestFlightRecordingsAreComplete(t *testing.T) {
 	dir := t.TempDir()
 	settings, file := filepath.Join(dir, "flight.toml"), filepath.Join(dir, "all.dmf")
 	text := fmt.Sprintf("ring_kb = 128\ndir = %q\nfile = %q\n", dir, file)
 	writeFile(t, settings, text)
-	addr, _ := countingHost(t)
+	addr, _ := startCountingHost(t)
 	p := start(t, platformConfig(addr), freeAddress(t), "-flight", settings)
 	p.waitReady(t)
 	if accepted, err := sendRequest(p.url); !accepted || err != nil {
--- a/cmd/dunemoor/relay.go
+++ b/cmd/dunemoor/relay.go
@@ -12,13 +12,13 @@
 	"dunemoor/internal/fleet"
 )
 
-// relayTarget is a relay without listeners as admin.Target.
+// relayTarget implements admin.Target for a relay without listeners.
 type relayTarget struct{ fleet *fleet.Fleet }
 
 // Ready implements admin.Target.
 func (t relayTarget) Ready() (bool, string) { return true, "a relay, it serves no requests\n" }
 
-// Quiesce implements admin.Target. There is nothing to drain: gateways leave when the process ends.
+// Quiesce implements admin.Target. There is nothing to drain: the relay's streams to gateways end when the process ends.
 func (t relayTarget) Quiesce() {}
 
 // Resume implements admin.Target.
@@ -27,7 +27,7 @@
 // Status implements admin.Target.
 func (t relayTarget) Status() any { return t.fleet.Status() }
 
-// launchRelay runs a relay without listeners until SIGTERM or SIGINT, or the failure of its admin listener.
+// launchRelay runs a relay without listeners until SIGTERM or SIGINT is received, or its admin listener fails.
 func launchRelay(a *config.Appliance, path string, adminListener net.Listener, s signals) error {
 	member, err := fleet.Join(a)
 	if err != nil {
@@ -62,7 +62,7 @@
 	}
 }
 
-// checkRelayFile logs what has changed in a relay's file, or its errors.
+// checkRelayFile logs which settings in a relay's file have changed, or the errors in the file.
 func checkRelayFile(before *config.Appliance, path string) {
 	now, errs := config.LoadAppliance(path)
 	if len(errs) > 0 {
@@ -76,7 +76,7 @@
 	}
 }
 
-// changedRelaySettings names the settings of a relay that differ. All of them take effect at the next start.
+// changedRelaySettings returns the names of a relay's settings that differ. All of them take effect at the next start.
 func changedRelaySettings(before, now *config.Appliance) []string {
 	settings := []struct {
 		name    string
--- a/cmd/dunemoor/relay_test.go
+++ b/cmd/dunemoor/relay_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// A relay's file without listeners: the program runs the relay alone, logs which changes of the file take effect at the
-// next start, and shuts down gracefully.
+// With a relay's file that has no listeners, the program runs only the relay, logs which changes of the file take effect at
+// the next start, and shuts down gracefully.
 func TestRelayWithoutListeners(t *testing.T) {
 	dir, admin := t.TempDir(), freeAddress(t)
 	key := filepath.Join(dir, "key")
@@ -32,7 +32,7 @@
 	p := startWithFile(t, path, admin, "-appliance", path)
 	p.waitForLog(t, "msg=relaying", 1)
 	for _, path := range []string{"/admin/health", "/admin/status", "/admin/fleet", "/admin/metrics"} {
-		if got := call("GET", admin, path); got != http.StatusOK {
+		if got := requestStatus("GET", admin, path); got != http.StatusOK {
 			t.Errorf("%s: got status %d, want 200", path, got)
 		}
 	}
--- a/cmd/dunemoor/shutdown_test.go
+++ b/cmd/dunemoor/shutdown_test.go
@@ -15,11 +15,11 @@
 	"time"
 )
 
-// After SIGTERM clients still connect for a while, and all accepted requests have a response; then the program ends
-// with exit code 0. A listener that closes at once would lose the connections in its backlog.
+// After SIGTERM clients can still connect for some time, and all accepted requests get a response. Then the program exits
+// with code 0. If the listener were closed at once, the connections in its backlog would be lost.
 func TestGracefulShutdownUnderLoadLosesNothing(t *testing.T) {
 	host := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		time.Sleep(50 * time.Millisecond) // so that some are in flight at any time
+		time.Sleep(50 * time.Millisecond) // so that some requests are in flight at any time
 		io.WriteString(w, "done")
 	}))
 	defer host.Close()
@@ -37,12 +37,12 @@
 					servedAfterStop.Add(1)
 				}
 				switch {
-				case stop > 0 && time.Since(time.Unix(0, stop)) > clientsAfterStop:
-					return // the last connection may have come too late
+				case stop > 0 && time.Since(time.Unix(0, stop)) > minAcceptAfterStop:
+					return // the last connection may have been opened after the listener was closed
 				case accepted && err != nil:
 					t.Errorf("request lost: %v", err)
 				case err != nil:
-					t.Errorf("connection refused while clients still connect: %v", err)
+					t.Errorf("connection refused while the program must accept clients: %v", err)
 				}
 				served.Add(1)
 			}
@@ -67,7 +67,7 @@
 	p.mustExitCleanly(t)
 }
 
-// A request that was accepted just before the listener closed has its response before the exit.
+// A request that was accepted just before the listener was closed gets its response before the program exits.
 func TestGracefulShutdownFinishesRequestsInFlight(t *testing.T) {
 	got, release := make(chan struct{}), make(chan struct{})
 	host := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -101,12 +101,12 @@
 	p.mustExitCleanly(t)
 }
 
-// A request in flight at a hung host, with more time left than the gateway takes to shut down, has a response before the
-// exit.
-func TestGracefulShutdownAnswersRequestsAtHungHosts(t *testing.T) {
+// A request in flight at a hung host, with more time left than the gateway takes to shut down, gets a response before the
+// program exits.
+func TestGracefulShutdownEndsRequestsAtHungHosts(t *testing.T) {
 	got := make(chan struct{})
 	host := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		io.Copy(io.Discard, r.Body) // a server notices the end of its client only after the body
+		io.Copy(io.Discard, r.Body) // net/http detects that a client has disconnected only after its body was read
 		close(got)
 		<-r.Context().Done()
 	}))
--- a/cmd/dunemoor/upgrade_test.go
+++ b/cmd/dunemoor/upgrade_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// startOnSocket runs the program on a socket that the test holds as the platform would, with an admin address.
+// startOnSocket runs the program on a socket that the test has opened, as the platform does, and with an admin address.
 func startOnSocket(t *testing.T, socket *os.File, config, admin, tmp string) *program {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -28,7 +28,8 @@
 	return p
 }
 
-// openSocket opens a socket for clients as the platform does, and a file of it for processes to inherit.
+// openSocket opens a socket for clients as the platform does. It returns its listener, and a file of the socket that
+// processes can inherit.
 func openSocket(t *testing.T) (net.Listener, *os.File) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -44,15 +45,15 @@
 	return ln, socket
 }
 
-// configWithDiscovery returns a configuration whose discovery service has a list with a host.
+// configWithDiscovery returns a configuration whose discovery service has a list with one host.
 func configWithDiscovery(t *testing.T, addr string) string {
 	list, _ := startDiscovery(t, "s-0", addr)
 	return strings.NewReplacer(unusedAddress, list, `"version":1`, `"version":0`).Replace(platformConfig(addr))
 }
 
-// call makes a request without a body at an address, and returns the status of the response; 0: there was none, as where
-// the connection is closed.
-func call(method, address, path string) int {
+// requestStatus sends a request without a body to an address. It returns the status of the response, or 0 if there was no
+// response, for example because the connection was closed.
+func requestStatus(method, address, path string) int {
 	r, _ := http.NewRequest(method, "http://"+address+path, nil)
 	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
@@ -62,11 +63,11 @@
 	return resp.StatusCode
 }
 
-// upgrades starts processes that share a socket, one after the other.
+// upgrades starts successive processes that share a socket.
 type upgrades struct {
 	listener net.Listener
 	socket   *os.File
-	tmp      string // in which the processes share the instance lock
+	tmp      string // temporary directory in which the processes share the instance lock
 }
 
 func newUpgrades(t *testing.T) *upgrades {
@@ -74,24 +75,24 @@
 	return &upgrades{listener: ln, socket: socket, tmp: t.TempDir()}
 }
 
-// url is the address of the socket.
+// url returns the URL of the socket.
 func (u *upgrades) url() string { return "http://" + u.listener.Addr().String() }
 
-// startReady starts the next process, and returns it with its admin address once it is ready.
+// startReady starts the next process and waits until it is ready. It returns the process and its admin address.
 func (u *upgrades) startReady(t *testing.T, config string) (p *program, admin string) {
 	t.Helper()
 	admin = freeAddress(t)
 	p = startOnSocket(t, u.socket, config, admin, u.tmp)
-	waitUntil(t, "the new process is ready", func() bool { return call("GET", admin, "/admin/health") == 200 })
+	waitUntil(t, "the new process is ready", func() bool { return requestStatus("GET", admin, "/admin/health") == 200 })
 	return p, admin
 }
 
-// Three times under load a new process takes over from an old one on the same socket. Each request has one response,
-// on persistent and on new connections, and the old processes end by themselves: an old one must neither accept new
-// connections nor close the socket, and a new one must not report ready before it can serve.
+// Three times under load, a new process takes over from an old one on the same socket. Each request gets one response, on
+// persistent and on new connections, and the old processes exit by themselves. An old process must neither accept new
+// connections nor close the socket, and a new one must not report that it is ready before it can serve requests.
 func TestUpgradeUnderLoadLosesNothing(t *testing.T) {
 	host := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		time.Sleep(5 * time.Millisecond) // so that some are in flight at any time
+		time.Sleep(5 * time.Millisecond) // so that some requests are in flight at any time
 		io.WriteString(w, "done")
 	}))
 	defer host.Close()
@@ -113,7 +114,7 @@
 		}
 		old.mustExitCleanly(t)
 		waitUntil(t, "requests served after the upgrade", func() bool { return served.Load() > before+50 || t.Failed() })
-		if got := call("GET", admin, "/admin/health"); got != 200 {
+		if got := requestStatus("GET", admin, "/admin/health"); got != 200 {
 			t.Errorf("health of the new process: got %d, want 200: %s", got, next.out.String())
 		}
 		old = next
@@ -122,7 +123,8 @@
 	clients.Wait()
 }
 
-// sendUntilDone sends requests, one after the other, until ctx ends or one is lost. It counts those with a response.
+// sendUntilDone sends requests, one after the other, until ctx ends or a request gets no response. served counts those
+// with a response.
 func sendUntilDone(ctx context.Context, t *testing.T, client *http.Client, url string, served *atomic.Int64) {
 	for ctx.Err() == nil {
 		status, body, err := postBook(client, url+"/api/1")
@@ -137,8 +139,8 @@
 	}
 }
 
-// postBook sends a request of class "book". status is 0 where there was no response; the error of a response that ends
-// early comes with its status.
+// postBook sends a request of class "book". status is 0 if there was no response. If a response is truncated, both its
+// status and an error are returned.
 func postBook(client *http.Client, url string) (status int, body string, err error) {
 	r, err := newBookRequest(url)
 	if err != nil {
@@ -153,8 +155,9 @@
 	return resp.StatusCode, string(text), err
 }
 
-// A new process is not ready until it has the endpoint list, as it would serve by an old one while another process has
-// the current one. Without discovery it is ready after a while, so that an upgrade doesn't depend on it.
+// A new process is not ready until it has received the endpoint list. Before that it would use a saved list, which may be
+// stale, while the old process has the current one. If discovery is down the new process becomes ready after some time,
+// so that an upgrade doesn't depend on discovery.
 func TestUpgradeWaitsForTheEndpointList(t *testing.T) {
 	_, socket := openSocket(t)
 	respond := make(chan struct{})
@@ -172,20 +175,20 @@
 	admin, tmp := freeAddress(t), t.TempDir()
 	config := strings.ReplaceAll(platformConfig("127.0.0.1:1"), unusedAddress, strings.TrimPrefix(discovery.URL, "http://"))
 	startOnSocket(t, socket, config, admin, tmp)
-	waitUntil(t, "the admin address responds", func() bool { return call("GET", admin, "/admin/health") != 0 })
-	if got := call("GET", admin, "/admin/health"); got != 503 {
+	waitUntil(t, "the admin address responds", func() bool { return requestStatus("GET", admin, "/admin/health") != 0 })
+	if got := requestStatus("GET", admin, "/admin/health"); got != 503 {
 		t.Errorf("health before the endpoint list: got %d, want 503", got)
 	}
 	close(respond)
-	waitUntil(t, "ready with the endpoint list", func() bool { return call("GET", admin, "/admin/health") == 200 })
+	waitUntil(t, "ready with the endpoint list", func() bool { return requestStatus("GET", admin, "/admin/health") == 200 })
 
 	admin = freeAddress(t)
 	startOnSocket(t, socket, platformConfig("127.0.0.1:1"), admin, tmp) // nothing listens at its discovery address
-	waitUntil(t, "ready without discovery", func() bool { return call("GET", admin, "/admin/health") == 200 })
+	waitUntil(t, "ready without discovery", func() bool { return requestStatus("GET", admin, "/admin/health") == 200 })
 }
 
-// From SIGTERM on the old process accepts no new connection while it still has a request in flight: it would have no
-// time left to serve it.
+// After SIGTERM the old process accepts no new connections, although it still has a request in flight: it would have no
+// time left to serve them.
 func TestOldProcessAcceptsNoNewConnections(t *testing.T) {
 	release := make(chan struct{})
 	u := newUpgrades(t)
@@ -197,7 +200,8 @@
 		}
 		return body
 	}
-	// Ready at once: the request in flight must not time out meanwhile.
+	// With a discovery service a process is ready at once. Otherwise the request in flight might time out before the
+	// second process is ready.
 	old, _ := u.startReady(t, configWithDiscovery(t, startNamedHost(t, "old", release)))
 	slow := make(chan string, 1)
 	go func() { slow <- post("/api/slow") }()
@@ -210,7 +214,7 @@
 	}
 	old.waitForLog(t, "stopping", 1)
 	consecutive := 0
-	for n := 0; n < 100 && consecutive < 20; n++ { // the log line comes a moment before the end of accepting
+	for n := 0; n < 100 && consecutive < 20; n++ { // the program logs "stopping" shortly before it stops accepting
 		if post("/api/1") == "new" {
 			consecutive++
 		} else {
@@ -231,7 +235,7 @@
 	}
 }
 
-// startNamedHost starts a host that responds with its name, to "/api/slow" once release is closed.
+// startNamedHost starts a host that responds with its name. It responds to "/api/slow" only after release is closed.
 func startNamedHost(t *testing.T, name string, release <-chan struct{}) (addr string) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/api/slow" {
