--- a/cmd/dunemoorctl/appliance.go
+++ b/cmd/dunemoorctl/appliance.go
@@ -19,7 +19,7 @@
 	return &cobra.Command{
 		Use:   "check FILE",
 		Args:  cobra.ExactArgs(1),
-		Short: "Check an appliance's file; each mistake is a line with file, line and field",
+		Short: "Check an appliance's file, and print each error on a line with file, line and field",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			a, err := loadAppliance(cmd, args[0])
 			if err != nil {
@@ -37,7 +37,7 @@
 	}
 }
 
-// loadAppliance reads an appliance's file. It prints all errors of the file, and returns their number as an error.
+// loadAppliance reads an appliance's file. It prints all errors in the file, and returns an error with their number.
 func loadAppliance(cmd *cobra.Command, path string) (*config.Appliance, error) {
 	a, errs := config.LoadAppliance(path)
 	for _, err := range errs {
@@ -47,9 +47,9 @@
 	case 0:
 		return a, nil
 	case 1:
-		return nil, fmt.Errorf("%s: 1 mistake", path)
+		return nil, fmt.Errorf("%s: 1 error", path)
 	}
-	return nil, fmt.Errorf("%s: %d mistakes", path, len(errs))
+	return nil, fmt.Errorf("%s: %d errors", path, len(errs))
 }
 
 func routesCommand() *cobra.Command {
@@ -66,7 +66,7 @@
 			u, err := url.Parse(args[2])
 			isHTTP := err == nil && u.Host != "" && slices.Contains([]string{"http", "https"}, u.Scheme)
 			if !isHTTP {
-				return fmt.Errorf("%q is no URL like http://example.org/path", args[2])
+				return fmt.Errorf("%q is not a URL such as http://example.org/path", args[2])
 			}
 			header, err := parseHeaders(headers)
 			if err != nil {
@@ -76,7 +76,7 @@
 			return e.explain(strings.ToUpper(args[1]), args[2], u.Host)
 		},
 	}
-	cmd.Flags().StringArrayVarP(&headers, "header", "H", nil, "a header of the request, as \"Name: value\"; may be given again")
+	cmd.Flags().StringArrayVarP(&headers, "header", "H", nil, "header of the request, as \"Name: value\"; may be repeated")
 	return cmd
 }
 
@@ -86,14 +86,14 @@
 	for _, line := range lines {
 		name, value, ok := strings.Cut(line, ":")
 		if !ok {
-			return nil, fmt.Errorf("-H: %q is not like \"Name: value\"", line)
+			return nil, fmt.Errorf("-H: %q does not have the form \"Name: value\"", line)
 		}
 		header.Add(strings.TrimSpace(name), strings.TrimSpace(value))
 	}
 	return header, nil
 }
 
-// routeExplainer prints where a request would go.
+// routeExplainer prints which route a request matches, and its pool.
 type routeExplainer struct {
 	appliance *config.Appliance
 	header    http.Header
@@ -102,16 +102,16 @@
 
 func (e *routeExplainer) printf(format string, args ...any) { fmt.Fprintf(e.out, format, args...) }
 
-// explain matches a request. A request that would be rejected is an error.
+// explain matches a request and prints its route. It returns an error if the gateway would reject the request.
 func (e *routeExplainer) explain(method, target, hostHeader string) error {
 	host, path, err := route.ParseTarget(target, hostHeader)
 	if err != nil {
-		return fmt.Errorf("answered 400: %w", err)
+		return fmt.Errorf("rejected with status 400: %w", err)
 	}
 	matched := e.appliance.Table.Match(&route.Request{Host: host, Path: path, Method: method, Header: e.headerValue})
 	e.printf("%s %s%s, as it is matched\n", method, host, path)
 	if matched == nil {
-		return errors.New("answered 404: no route takes it")
+		return errors.New("rejected with status 404: no route matches the request")
 	}
 	e.printf("route %q, line %d: %s\n", matched.Name, matched.Line, strings.Join(matchReasons(matched), ", "))
 	e.explainClass(matched)
@@ -120,13 +120,13 @@
 	return nil
 }
 
-// headerValue returns the values of a header field, joined.
+// headerValue returns the values of a header field, joined by commas, and whether the request has the field.
 func (e *routeExplainer) headerValue(name string) (string, bool) {
 	values := e.header.Values(name)
 	return strings.Join(values, ", "), len(values) > 0
 }
 
-// matchReasons lists the conditions of a route.
+// matchReasons returns the conditions of a route, which the request meets.
 func matchReasons(r *route.Route) []string {
 	var reasons []string
 	if len(r.Hosts) > 0 {
@@ -155,7 +155,7 @@
 	e.printf("class %s, %v; any answer of a host is passed on, %v count as failures\n", settings.Class, settings.Timeout, settings.FailureStatuses)
 }
 
-// explainPool prints the pool, or the shares of several.
+// explainPool prints the pool of the request, or the shares of the pools if the route splits requests at random.
 func (e *routeExplainer) explainPool(r *route.Route) {
 	if len(r.Split) == 1 {
 		e.printf("pool %s\n", r.Split[0].Pool)
--- a/cmd/dunemoorctl/exitcode.go
+++ b/cmd/dunemoorctl/exitcode.go
@@ -2,12 +2,13 @@
 
 import "errors"
 
-// Exit codes of the fleet's commands. Any other error, such as a gateway that can't be reached, has exitError.
+// Exit codes of the fleet commands. exitError is for all errors without a code of their own, such as a gateway that can't
+// be reached.
 const (
 	exitError       = 1
 	exitRejected    = 2 // the fleet rejected the call and did nothing
-	exitUnknown     = 3 // the result is not known; the call can be repeated and has one effect
-	exitUnavailable = 4 // status: the gateway has no session, or its fleet no leader
+	exitUnknown     = 3 // the result is not known; the call is idempotent and can be repeated
+	exitUnavailable = 4 // fleet status: the gateway has no session, or its fleet has no leader
 )
 
 // exitCodeError is an error with an exit code of its own.
@@ -18,7 +19,7 @@
 
 func (e *exitCodeError) Error() string { return e.text }
 
-// exitCode returns the exit code for an error.
+// exitCode returns the exit code for an error, exitError if the error has none of its own.
 func exitCode(err error) int {
 	var e *exitCodeError
 	if errors.As(err, &e) {
--- a/cmd/dunemoorctl/fleet.go
+++ b/cmd/dunemoorctl/fleet.go
@@ -21,13 +21,13 @@
 	admin string // host:port, the gateway's admin address
 }
 
-// fleetCommand shows and changes a fleet, by calls at one of its gateways. Commands, parameters and headings of tables
-// keep the names that scripts know: "words" are overrides, a "duty" is a lease, "resign" releases it and "move"
-// transfers it. The terms of the code are aliases.
+// fleetCommand returns the commands that show and change a fleet, by calls to the admin API of one of its gateways.
+// Commands, parameters and headings of tables keep the names that scripts use: "words" are overrides, a "duty" is a lease,
+// "resign" releases it and "move" transfers it. The terms used in the code are aliases of the commands.
 func fleetCommand() *cobra.Command {
 	var c fleetClient
 	cmd := &cobra.Command{Use: "fleet", Short: "Show the leases, members and overrides of a fleet of gateways, and change them"}
-	cmd.PersistentFlags().StringVar(&c.admin, "admin", "127.0.0.1:8090", "the gateway's address for operators, `host:port`")
+	cmd.PersistentFlags().StringVar(&c.admin, "admin", "127.0.0.1:8090", "admin address of the gateway, `host:port`")
 	cmd.AddCommand(
 		c.statusCommand(),
 		c.drainCommand(),
@@ -49,12 +49,12 @@
 		c.actionCommand(&cobra.Command{
 			Use:     "resign DUTY",
 			Aliases: []string{"release"},
-			Short:   "Have the holder of the lease DUTY release it to another gateway (alias: release)",
+			Short:   "Make the holder of the lease DUTY release it to another gateway (alias: release)",
 		}, fleet.PathRelease, "duty"),
 		c.actionCommand(&cobra.Command{
 			Use:     "move DUTY GATEWAY",
 			Aliases: []string{"transfer"},
-			Short:   "Have the holder of the lease DUTY transfer it to a gateway (alias: transfer)",
+			Short:   "Make the holder of the lease DUTY transfer it to a gateway (alias: transfer)",
 		}, fleet.PathTransfer, "duty", "to"),
 		c.actionCommand(&cobra.Command{
 			Use:   "add GATEWAY",
@@ -68,7 +68,7 @@
 	return cmd
 }
 
-// status returns the status of the gateway, and its JSON.
+// status returns the status of the gateway, decoded and as JSON.
 func (c *fleetClient) status() (*cluster.Status, []byte, error) {
 	text, err := c.call(http.MethodGet, fleet.PathFleet, nil)
 	if err != nil {
@@ -86,7 +86,7 @@
 	cmd := &cobra.Command{
 		Use:   "status",
 		Args:  cobra.NoArgs,
-		Short: "Status of the gateway in its fleet; exit code 4 where it has no session or there is no leader",
+		Short: "Show the status of the gateway in its fleet; exit code 4 if it has no session or there is no leader",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			s, text, err := c.status()
 			if err != nil {
@@ -103,11 +103,11 @@
 			return nil
 		},
 	}
-	cmd.Flags().BoolVar(&asJSON, "json", false, "as JSON")
+	cmd.Flags().BoolVar(&asJSON, "json", false, "print the status as JSON")
 	return cmd
 }
 
-// tableCommand makes cmd print a part of the status.
+// tableCommand makes cmd print a part of the gateway's status with the function print.
 func (c *fleetClient) tableCommand(cmd *cobra.Command, print func(w io.Writer, s *cluster.Status)) *cobra.Command {
 	cmd.Args = cobra.NoArgs
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
@@ -121,7 +121,7 @@
 	return cmd
 }
 
-// actionCommand makes cmd send an admin call; its arguments are the values of the keys.
+// actionCommand makes cmd send an admin call to path. The arguments of the command are the values of the parameters keys.
 func (c *fleetClient) actionCommand(cmd *cobra.Command, path string, keys ...string) *cobra.Command {
 	cmd.Args = cobra.ExactArgs(len(keys))
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
@@ -139,7 +139,7 @@
 	cmd := &cobra.Command{
 		Use:   "drain POOL/HOST",
 		Args:  cobra.ExactArgs(1),
-		Short: "Drain a host at all gateways, whatever its endpoint list says, until the override is removed or expires",
+		Short: "Drain a host at all gateways, regardless of its endpoint list, until the override is removed or expires",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			parameters := hostParameters(args[0])
 			parameters.Set("reason", reason)
@@ -153,8 +153,8 @@
 			return c.post(cmd.OutOrStdout(), fleet.PathDrain, parameters)
 		},
 	}
-	cmd.Flags().StringVar(&until, "until", "", "when it expires: a time like 2026-12-24T18:00:00Z, or a duration like 2h")
-	cmd.Flags().StringVar(&reason, "reason", "", "shown to others")
+	cmd.Flags().StringVar(&until, "until", "", "when the override expires: a time like 2026-12-24T18:00:00Z, or a duration like 2h")
+	cmd.Flags().StringVar(&reason, "reason", "", "reason that the list of overrides shows")
 	return cmd
 }
 
@@ -162,20 +162,20 @@
 	return &cobra.Command{
 		Use:   "undrain POOL/HOST",
 		Args:  cobra.ExactArgs(1),
-		Short: "Remove the override of a host: its endpoint list holds again",
+		Short: "Remove the override of a host, so that its endpoint list applies again",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return c.post(cmd.OutOrStdout(), fleet.PathUndrain, hostParameters(args[0]))
 		},
 	}
 }
 
-// hostParameters returns the parameters of a call for POOL/HOST.
+// hostParameters returns the parameters of a call for the argument POOL/HOST.
 func hostParameters(poolAndHost string) url.Values {
 	pool, host, _ := strings.Cut(poolAndHost, "/")
 	return url.Values{"pool": {pool}, "host": {host}}
 }
 
-// timeUntil returns how long an override lasts from now on. The fleet compares no wall clocks, so it is told a
+// timeUntil returns how long an override lasts from now on. The fleet does not compare wall clocks, so calls carry a
 // duration.
 func timeUntil(text string, now time.Time) (time.Duration, error) {
 	if d, err := time.ParseDuration(text); err == nil {
@@ -186,12 +186,12 @@
 		return 0, fmt.Errorf("--until: %q is neither a time like 2026-12-24T18:00:00Z nor a duration like 2h", text)
 	}
 	if !at.After(now) {
-		return 0, fmt.Errorf("--until: %s is over", text)
+		return 0, fmt.Errorf("--until: %s is in the past", text)
 	}
 	return at.Sub(now).Round(time.Second), nil
 }
 
-// callTimeout is how long a gateway has to respond.
+// callTimeout is how long a call waits for the response of the gateway.
 const callTimeout = 6 * time.Second
 
 // post makes a POST call and writes the response.
@@ -204,8 +204,9 @@
 	return nil
 }
 
-// call makes one admin call. Results other than success are an *exitCodeError, or another error where the gateway
-// can't be reached or its response is unexpected.
+// call makes one admin call and returns the body of the response. If the fleet has rejected the call or its result is
+// unknown, the error is an *exitCodeError. It is another error if the gateway can't be reached, is not a member of a
+// fleet, or sends an unexpected response.
 func (c *fleetClient) call(method, path string, parameters url.Values) ([]byte, error) {
 	u := url.URL{Scheme: "http", Host: c.admin, Path: path, RawQuery: parameters.Encode()}
 	request, err := http.NewRequest(method, u.String(), nil)
@@ -226,11 +227,11 @@
 	case http.StatusOK:
 		return text, nil
 	case http.StatusNotFound:
-		return nil, fmt.Errorf("%s is of no fleet: its file has no [fleet]", c.admin)
+		return nil, fmt.Errorf("%s is not a member of a fleet: its file has no [fleet] section", c.admin)
 	case http.StatusConflict, http.StatusServiceUnavailable:
 		return nil, &exitCodeError{exitRejected, message}
 	case http.StatusGatewayTimeout:
 		return nil, &exitCodeError{exitUnknown, message}
 	}
-	return nil, fmt.Errorf("%s answers %s: %s", c.admin, response.Status, message)
+	return nil, fmt.Errorf("%s responded with status %s: %s", c.admin, response.Status, message)
 }
--- a/cmd/dunemoorctl/fleet_text.go
+++ b/cmd/dunemoorctl/fleet_text.go
@@ -52,7 +52,7 @@
 	return strings.Join(names, ", ")
 }
 
-// printRelayStream prints the stream of a gateway to its relay, in a fleet with relays.
+// printRelayStream prints the state of the stream from a gateway to its relay. It prints nothing in a fleet without relays.
 func printRelayStream(w io.Writer, s *cluster.Status) {
 	r := s.Relay
 	if r == nil {
@@ -73,7 +73,7 @@
 	fmt.Fprintln(w)
 }
 
-// printRelayLoad prints the streams of a gateway that is a relay. The "words" in it are records of the streams.
+// printRelayLoad prints the streams of a gateway that is a relay. The "words" in the text are records of the streams.
 func printRelayLoad(w io.Writer, s *cluster.Status) {
 	r := s.Streams
 	if r == nil {
@@ -88,7 +88,7 @@
 
 func milliseconds(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// newTable returns a writer of a table; the caller flushes it.
+// newTable returns a writer that aligns the columns of a table; the caller must flush it.
 func newTable(w io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(w, 0, 0, 2, ' ', 0) }
 
 // printMembers prints the gateways of the fleet with their sessions; DISK is the replica ID, in hexadecimal.
@@ -109,7 +109,7 @@
 	}
 }
 
-// printOverrides prints the operators' overrides of hosts; ASKED AT is the gateway at which an override was made.
+// printOverrides prints the operators' overrides of hosts; ASKED AT is the gateway at which an override was created.
 func printOverrides(w io.Writer, s *cluster.Status) {
 	t := newTable(w)
 	defer t.Flush()
--- a/cmd/dunemoorctl/flight.go
+++ b/cmd/dunemoorctl/flight.go
@@ -12,7 +12,7 @@
 	"dunemoor/internal/flightrecorder"
 )
 
-// errDiverged is the error of a replay with a difference.
+// errDiverged is returned if a replay differs from the recording.
 var errDiverged = errors.New("this build decides otherwise than was recorded")
 
 func flightCommand() *cobra.Command {
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// readRecording returns what read makes of a file. An error of read names the file.
+// readRecording returns the result of read for a file. An error of read names the file.
 func readRecording[T any](path string, read func(io.Reader) (T, error)) (result T, err error) {
 	err = withFile(path, func(in io.Reader) (err error) {
 		result, err = read(in)
@@ -68,16 +68,16 @@
 			return nil
 		},
 	}
-	cmd.Flags().DurationVar(&window.From, "from", 0, "from this time on, since the first event")
-	cmd.Flags().DurationVar(&window.To, "to", 0, "up to this time; 0: to the end")
-	cmd.Flags().DurationVar(&window.Bucket, "bucket", 500*time.Millisecond, "time that a column stands for")
+	cmd.Flags().DurationVar(&window.From, "from", 0, "start of the window, as time since the first event")
+	cmd.Flags().DurationVar(&window.To, "to", 0, "end of the window; 0: end of the recording")
+	cmd.Flags().DurationVar(&window.Bucket, "bucket", 500*time.Millisecond, "duration of a column")
 	cmd.Flags().StringVar(&plot, "svg", "", "draw the time lines into this file, and print nothing")
-	cmd.Flags().StringVar(&host, "host", "", "the figures of this host, a line a column")
-	cmd.Flags().IntVar(&ejections, "ejections", 10, "ejections listed")
+	cmd.Flags().StringVar(&host, "host", "", "print the figures of this host, with a line for each column")
+	cmd.Flags().IntVar(&ejections, "ejections", 10, "maximum number of ejections that are listed")
 	return cmd
 }
 
-// writePlot draws the time lines into a file. After an error there is no file.
+// writePlot draws the time lines into a file. If that fails it removes the file.
 func writePlot(a *flightrecorder.Analysis, path string) error {
 	f, err := os.Create(path)
 	if err != nil {
@@ -110,7 +110,7 @@
 			return fleet.Text(cmd.OutOrStdout())
 		},
 	}
-	cmd.Flags().IntVar(&classSpan, "classes", 0, "the outcome of each class instead, a line for each and so many seconds")
+	cmd.Flags().IntVar(&classSpan, "classes", 0, "print the outcome of each class instead, with a line for each class and each interval of this many seconds")
 	return cmd
 }
 
@@ -118,7 +118,7 @@
 	return &cobra.Command{
 		Use:   "replay FILE",
 		Args:  cobra.ExactArgs(1),
-		Short: "Replay a recording; an error tells the first difference to what was recorded",
+		Short: "Replay a recording, and print the first difference from what was recorded; exit code 1 if there is one",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			report, err := readRecording(args[0], func(in io.Reader) (*flightrecorder.Report, error) {
 				return flightrecorder.Replay(flightrecorder.NewReader(in), nil, nil)
@@ -131,7 +131,7 @@
 	}
 }
 
-// printReport prints the result of a replay. It returns errDiverged where there is a difference.
+// printReport prints the result of a replay. It returns errDiverged if the replay differs from the recording.
 func printReport(w io.Writer, r *flightrecorder.Report) error {
 	for _, loss := range r.Losses {
 		fmt.Fprintf(w, "missing: %s\n", loss)
--- a/cmd/dunemoorctl/main.go
+++ b/cmd/dunemoorctl/main.go
@@ -1,7 +1,7 @@
 // Command dunemoorctl is for operators of dunemoor gateways: it reads flight recordings, checks appliances' files,
 // and shows and changes fleets.
 //
-// It exits with 1 for an error, and with the codes of exitcode.go for the results of calls to a fleet.
+// Its exit code is 1 for an error. Calls to a fleet that fail have the exit codes in exitcode.go.
 package main
 
 import (
@@ -21,7 +21,7 @@
 func rootCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:           "dunemoorctl",
-		Short:         "Look into dunemoor gateways and their recordings",
+		Short:         "Inspect dunemoor gateways and their recordings",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
--- a/cmd/dunemoorctl/main_test.go
+++ b/cmd/dunemoorctl/main_test.go
@@ -12,8 +12,8 @@
 	"dunemoor/internal/flightrecorder"
 )
 
-// writeRecording writes a small recording of requests that are served one after the other, and returns its path. The
-// balancer has the first seed, the recording says the second.
+// writeRecording writes a small recording of requests that are served one after the other, and returns its path. seed is
+// the seed of the balancer, and recordedSeed the seed in the recording: a replay diverges if they differ.
 func writeRecording(t *testing.T, seed, recordedSeed uint64) string {
 	t.Helper()
 	settings := balancer.Settings{Instances: 1, Classes: []balancer.Class{{LatencyObjective: time.Second, Deadline: 2 * time.Second}}}
@@ -54,7 +54,7 @@
 	return out.String(), err
 }
 
-// Each flight command reads a recording.
+// The flight commands read a recording and print its analysis.
 func TestFlightCommands(t *testing.T) {
 	path := writeRecording(t, 7, 7)
 	svg := filepath.Join(t.TempDir(), "x.svg")
@@ -77,7 +77,7 @@
 	}
 }
 
-// Files that can't be read are errors, and so is a replay that diverges.
+// The flight commands return an error if a file can't be read, and if a replay diverges.
 func TestFlightCommandErrors(t *testing.T) {
 	text := filepath.Join(t.TempDir(), "text")
 	if err := os.WriteFile(text, []byte(strings.Repeat("no recording\n", 100)), 0o600); err != nil {
@@ -102,13 +102,14 @@
 		}
 	}
 	if _, err := os.Stat(text + ".svg"); err == nil {
-		t.Error("failed plot: got a file")
+		t.Error("after a failed plot: got a file, want none")
 	}
 }
 
 const example = "../../deploy/appliance.toml"
 
-// routes shows the route, the class and the pools of a request; a request that would be rejected is an error.
+// The command routes prints the route, the class and the pools of a request. It returns an error if the request would be
+// rejected.
 func TestRoutesCommand(t *testing.T) {
 	for _, c := range []struct {
 		args []string
@@ -118,14 +119,14 @@
 			"calendar 90%, calendar-next 10%", "below, a part goes to calendar-old"}},
 		{[]string{"get", "http://calendar.example.org/", "-H", "X-Household: 12"}, []string{"by X-Household: 12"}},
 		{[]string{"HEAD", "http://any/address/x"}, []string{`route "address"`, "method GET or HEAD", "class lookup, 2s", "pool address"}},
-		{[]string{"POST", "http://any/address/x"}, []string{"answered 404"}},
-		{[]string{"GET", "http://any/address/../x"}, []string{"answered 400: the path"}},
-		{[]string{"GET", "http://any/a%2Fb"}, []string{"answered 400: the path"}},
+		{[]string{"POST", "http://any/address/x"}, []string{"rejected with status 404"}},
+		{[]string{"GET", "http://any/address/../x"}, []string{"rejected with status 400: the path"}},
+		{[]string{"GET", "http://any/a%2Fb"}, []string{"rejected with status 400: the path"}},
 	} {
 		out, err := runCommand(append([]string{"routes", example}, c.args...)...)
-		if answered := strings.HasPrefix(c.want[0], "answered"); answered != (err != nil) {
-			t.Errorf("%q: got error %v, want one: %v", c.args, err, answered) // scripts rely on the exit code
-		} else if answered {
+		if rejected := strings.HasPrefix(c.want[0], "rejected"); rejected != (err != nil) {
+			t.Errorf("%q: got error %v, want an error: %v", c.args, err, rejected) // scripts rely on the exit code
+		} else if rejected {
 			out += err.Error()
 		}
 		for _, want := range c.want {
@@ -136,10 +137,10 @@
 	}
 }
 
-// check accepts the example, and prints each error of an invalid file.
+// The command check accepts the example, and prints each error in an invalid file.
 func TestCheckCommand(t *testing.T) {
 	if out, err := runCommand("check", example); err != nil || !strings.Contains(out, "2 listeners, 3 classes, 5 pools, 5 routes") {
-		t.Errorf("%s: got error %v and %s, want the counts of the example", example, err, out)
+		t.Errorf("%s: got error %v and %s, want the number of listeners, classes, pools and routes in the example", example, err, out)
 	}
 	bad := filepath.Join(t.TempDir(), "bad.toml")
 	text, err := os.ReadFile(example)
@@ -152,13 +153,13 @@
 		t.Fatal(err)
 	}
 	out, err := runCommand("check", bad)
-	if err == nil || !strings.Contains(err.Error(), ": 2 mistakes") || strings.Count(out, bad+":") != 2 {
-		t.Errorf("got error %v and %s, want 2 mistakes, a line each", err, out)
+	if err == nil || !strings.Contains(err.Error(), ": 2 errors") || strings.Count(out, bad+":") != 2 {
+		t.Errorf("got error %v and %s, want 2 errors with a line for each", err, out)
 	}
 	for args, want := range map[string]string{
-		"routes " + example + " GET /x":            "is no URL",
-		"routes " + example + " GET http://x -H y": "is not like",
-		"routes " + bad + " GET http://x":          "mistakes",
+		"routes " + example + " GET /x":            "is not a URL",
+		"routes " + example + " GET http://x -H y": "does not have the form",
+		"routes " + bad + " GET http://x":          ": 2 errors",
 	} {
 		if _, err := runCommand(strings.Fields(args)...); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: got error %v, want one with %q", args, err, want)
@@ -166,7 +167,7 @@
 	}
 }
 
-// The commands of a fleet have their names in the field's terms beside the earlier ones, and their help says so.
+// The fleet commands have aliases in the usual terms beside their earlier names, and their help texts name the aliases.
 func TestFleetCommandHelpNamesAliases(t *testing.T) {
 	for alias, name := range map[string]string{"overrides": "words", "leases": "duties", "release": "resign", "transfer": "move"} {
 		cmd, _, err := rootCommand().Find([]string{"fleet", alias})
@@ -174,7 +175,7 @@
 			t.Errorf("fleet %s: got command %q, error %v, want %q", alias, cmd.Name(), err, name)
 		}
 		if want := "alias: " + alias; !strings.Contains(cmd.Short, want) {
-			t.Errorf("fleet %s: got help %q, want it to have %q", name, cmd.Short, want)
+			t.Errorf("fleet %s: got help %q, want it to contain %q", name, cmd.Short, want)
 		}
 	}
 }
