--- a/internal/cluster/sim/cost.go
+++ b/internal/cluster/sim/cost.go
@@ -8,65 +8,65 @@
 	"dunemoor/internal/cluster/lease"
 )
 
-// Cost is what a fleet sends when nothing happens, and what the death of its leader takes.
+// Cost is the message traffic of an idle fleet, and the recovery times after the failure of its leader.
 type Cost struct {
 	Gateways, Replicas, Leases int
-	FormedIn                   time.Duration // until each node has a session and each lease a holder
-	BalancedIn                 time.Duration // until no node has far more leases than another
+	FormedIn                   time.Duration // virtual time until each node has a session and each lease a holder
+	BalancedIn                 time.Duration // virtual time until the leases are balanced among the nodes
 
-	// Frames and bytes a second when nothing happens: of the leader, and of the median other replica and
-	// gateway without a replica.
+	// Frames and bytes that a node of an idle fleet sends per second: the leader, the median of the other
+	// replicas, and the median of the gateways without a replica.
 	LeaderFrames, ReplicaFrames, GatewayFrames float64
 	LeaderBytes, ReplicaBytes, GatewayBytes    float64
-	CalmRate                                   int // frames a second in the busiest 100 ms
+	CalmRate                                   int // frames per second of the idle fleet in its busiest 100 ms
 
-	// After the leader's death.
-	NextLeaderIn    time.Duration // until another leads
-	LeasesGrantedIn time.Duration // until the leases of the dead leader have holders
-	BusiestRate     int           // frames a second in the busiest 100 ms
-	ExpiredSessions int           // of nodes that live
+	// After the failure of the leader.
+	NextLeaderIn    time.Duration // time until another node is the leader
+	LeasesGrantedIn time.Duration // time until the leases of the failed leader have new holders
+	BusiestRate     int           // frames per second in the busiest 100 ms
+	ExpiredSessions int           // expired sessions of nodes that are still running
 }
 
 const (
-	// measureTime is how long is counted.
-	measureTime = 10 * time.Second
-	// rateInterval is what a rate is counted over.
+	// measureDuration is the virtual time for which frames are counted.
+	measureDuration = 10 * time.Second
+	// rateInterval is the interval over which a rate is computed.
 	rateInterval = 100 * time.Millisecond
 	// balanceTimeout bounds how long a fleet takes to balance its leases.
 	balanceTimeout = 5 * time.Minute
-	// noActs is an ActInterval for fleets whose work is not to be counted.
-	noActs = time.Hour
+	// noFencedOps is a FencedOpInterval for measurements that exclude the traffic of fenced operations.
+	noFencedOps = time.Hour
 )
 
-// Measure plays a fleet that nothing disturbs, and then kills its leader.
+// Measure simulates a fleet without faults, then kills its leader, and returns the costs of both phases.
 func Measure(o Options) (c Cost, err error) {
-	o.ActInterval = noActs
+	o.FencedOpInterval = noFencedOps
 	w := New(o)
 	c.Gateways, c.Replicas, c.Leases = o.Nodes, o.Replicas, o.Leases
 	if err := w.form(3 * RecoveryTimeout); err != nil {
 		return c, err
 	}
 	c.FormedIn = w.Now
-	// At first all leases are with the nodes that came first.
+	// At first the nodes that started first hold all leases.
 	if !w.Until(balanceTimeout, func() bool { return w.Recovered() && len(lease.Rebalance(w.Leader().node.State())) == 0 }) {
-		return c, w.failed("the leases are not balanced")
+		return c, w.errorf("the leases are not balanced")
 	}
 	c.BalancedIn = w.Now
 	if err := w.Run(2 * lease.TTL); err != nil {
 		return c, err
 	}
-	if err := w.measureCalm(&c); err != nil {
+	if err := w.measureIdle(&c); err != nil {
 		return c, err
 	}
-	return c, w.measureLeaderDeath(&c)
+	return c, w.measureLeaderFailure(&c)
 }
 
-// measureCalm counts what is sent when nothing happens.
-func (w *World) measureCalm(c *Cost) (err error) {
+// measureIdle measures the traffic of the idle fleet.
+func (w *World) measureIdle(c *Cost) (err error) {
 	for _, n := range w.Nodes {
 		n.sentFrames, n.sentBytes = 0, 0
 	}
-	if c.CalmRate, err = w.busiestRate(measureTime); err != nil {
+	if c.CalmRate, err = w.busiestRate(measureDuration); err != nil {
 		return err
 	}
 	leader := w.Leader()
@@ -88,18 +88,18 @@
 	return nil
 }
 
-// medianSent returns the frames and bytes a second of the node with the median of bytes.
+// medianSent returns the frames and bytes per second that the node with the median number of bytes has sent.
 func medianSent(list []*Node) (frames, bytes float64) {
 	if len(list) == 0 {
 		return 0, 0
 	}
 	slices.SortFunc(list, func(x, y *Node) int { return x.sentBytes - y.sentBytes })
 	n := list[len(list)/2]
-	return float64(n.sentFrames) / measureTime.Seconds(), float64(n.sentBytes) / measureTime.Seconds()
+	return float64(n.sentFrames) / measureDuration.Seconds(), float64(n.sentBytes) / measureDuration.Seconds()
 }
 
-// measureLeaderDeath kills the leader and measures what follows.
-func (w *World) measureLeaderDeath(c *Cost) error {
+// measureLeaderFailure kills the leader and measures the time to recovery and the traffic meanwhile.
+func (w *World) measureLeaderFailure(c *Cost) error {
 	leader, before := w.Leader(), w.sessions()
 	leader.Kill()
 	killed := w.Now
@@ -122,19 +122,19 @@
 	}
 	c.ExpiredSessions = len(w.changedSessions(before, leader))
 	if c.ExpiredSessions > 0 {
-		return w.failed("%d sessions of living nodes expired as the leader died", c.ExpiredSessions)
+		return w.errorf("%d sessions of running nodes expired after the leader was killed", c.ExpiredSessions)
 	}
 	return w.Violation
 }
 
-// allGranted reports whether all leases have a holder other than one session.
+// allGranted reports whether every lease has a holder and none is held by the ended session.
 func allGranted(s *lease.State, ended uint64) bool {
 	return !slices.ContainsFunc(slices.Collect(maps.Values(s.Leases)), func(l *lease.Lease) bool {
 		return l.HolderSession == 0 || l.HolderSession == ended
 	})
 }
 
-// busiestRate plays for a duration and returns the frames a second in the busiest rateInterval.
+// busiestRate runs the simulation for a duration and returns the frames per second in the busiest rateInterval.
 func (w *World) busiestRate(d time.Duration) (rate int, err error) {
 	perSecond := int(time.Second / rateInterval)
 	for end := w.Now + d; w.Now < end; {
--- a/internal/cluster/sim/events.go
+++ b/internal/cluster/sim/events.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// event is something that happens at a time. Events of the same time happen in the order in which they
+// event is a function that runs at a virtual time. Events with the same time run in the order in which they
 // were scheduled.
 type event struct {
 	at       time.Duration
@@ -33,18 +33,18 @@
 	return last
 }
 
-// after schedules an event.
-func (w *World) after(d time.Duration, do func()) {
+// afterFunc schedules do to run after a delay in virtual time.
+func (w *World) afterFunc(d time.Duration, do func()) {
 	w.scheduled++
 	heap.Push(&w.events, &event{w.Now + d, w.scheduled, do})
 }
 
-// between draws a duration.
-func (w *World) between(low, high time.Duration) time.Duration {
+// drawDuration returns a random duration from low to high, both inclusive.
+func (w *World) drawDuration(low, high time.Duration) time.Duration {
 	return low + time.Duration(w.rng.Int64N(int64(high-low)+1))
 }
 
-// Run plays for a duration, or until an invariant is violated.
+// Run runs the simulation for a duration of virtual time, or until an invariant is violated.
 func (w *World) Run(d time.Duration) error {
 	end := w.Now + d
 	for w.Violation == nil && len(w.events) > 0 && w.events[0].at <= end {
--- a/internal/cluster/sim/failpoints_test.go
+++ b/internal/cluster/sim/failpoints_test.go
@@ -13,12 +13,12 @@
 	"dunemoor/internal/testutil"
 )
 
-// Each failpoint is enabled in turn, and a scenario has to find the fault.
+// Each failpoint is enabled in turn; at least one scenario must detect the fault that it causes.
 func TestEachFailpoint(t *testing.T) {
 	testutil.EachFailpoint(t, failpoint.Cluster, failpoint.Enable, 600, func(seed uint64) error {
-		scenarios := map[string]func(uint64) error{"mixed": playMixed, "calm": Calm, "flicker": Flicker, "put-back": PutBack, "words": Overrides, "again": playDuplicates}
-		for name, play := range scenarios {
-			if err := play(seed); err != nil {
+		scenarios := map[string]func(uint64) error{"mixed": runMixed, "calm": Calm, "flicker": Flicker, "put-back": PutBack, "overrides": Overrides, "duplicates": applyDuplicate}
+		for name, run := range scenarios {
+			if err := run(seed); err != nil {
 				return fmt.Errorf("%s: %w", name, firstLine(err))
 			}
 		}
@@ -32,8 +32,9 @@
 	})
 }
 
-// playDuplicates applies a command again after others: it has one effect, and its first result.
-func playDuplicates(seed uint64) error {
+// applyDuplicate applies a command a second time after other commands, and returns an error unless the duplicate has
+// no effect and returns the result of the first application.
+func applyDuplicate(seed uint64) error {
 	s := lease.NewState(1)
 	s.Apply(1, &lease.Command{Op: lease.OpOpenSession, Open: &lease.OpenRequest{Name: "g", DiskID: 1, OpenSequence: 1}})
 	acquire := lease.Command{Op: lease.OpAcquire, Session: 1, Request: 1, Lease: "d"}
@@ -45,7 +46,7 @@
 	return nil
 }
 
-func playMixed(seed uint64) error {
+func runMixed(seed uint64) error {
 	_, err := Play(Mixed(seed), 30*time.Second)
 	return err
 }
--- a/internal/cluster/sim/faults.go
+++ b/internal/cluster/sim/faults.go
@@ -8,24 +8,26 @@
 )
 
 const (
-	// minFaultInterval and maxFaultInterval bound the time from one fault to the next.
+	// minFaultInterval and maxFaultInterval bound the time between two injections of faults.
 	minFaultInterval, maxFaultInterval = 50 * time.Millisecond, 1500 * time.Millisecond
 	// minFaultDuration and maxFaultDuration bound how long a fault lasts.
 	minFaultDuration, maxFaultDuration = 100 * time.Millisecond, 5 * time.Second
-	// maxFaultyShare is the largest share of frames that are lost, duplicated or delayed.
+	// maxFaultyShare is the largest share of frames that is lost, duplicated or delayed, for each of the three.
 	maxFaultyShare = 0.2
-	// restoreSettleTime is how long no other fault follows a disk that was restored in place: the replicas
-	// that know better have to be there. Without them nobody can know, which is for another tool to mend.
+	// restoreSettleTime is how long no other fault is injected after a disk was restored in place: only the
+	// other replicas can detect the restore, so they must be available. Without them it can't be detected;
+	// repairing that is left to another tool.
 	restoreSettleTime = 10 * time.Second
 )
 
 var errIO = errors.New("input/output error")
 
-// InjectFaults injects faults that are drawn from the seed, one after another and at once, and ends all.
+// InjectFaults injects faults that are drawn from the seed for a duration, so that several may be active at a time,
+// and then ends all of them.
 func (w *World) InjectFaults(d time.Duration) error {
 	for end := w.Now + d; w.Now < end && w.Violation == nil; {
 		w.injectFault()
-		w.Run(w.between(minFaultInterval, maxFaultInterval))
+		w.Run(w.drawDuration(minFaultInterval, maxFaultInterval))
 	}
 	if w.Violation == nil {
 		w.HealAll()
@@ -33,8 +35,8 @@
 	return w.Violation
 }
 
-// faultKinds are the faults, each with the node that it is of and another node. Their order decides what a
-// seed draws.
+// faultKinds are the functions that inject a fault, called with the target node and another random node. Their order
+// determines which faults a seed draws.
 var faultKinds = []func(w *World, n, other *Node){
 	(*World).faultKill,
 	(*World).faultCrash,
@@ -48,18 +50,18 @@
 	(*World).faultFailingDisk,
 	(*World).faultEmptiedDisk,
 	(*World).faultRestoredDisk,
-	(*World).faultPauseBeforeAct,
-	(*World).faultPauseBeforeAct,
+	(*World).faultPauseBeforeOp,
+	(*World).faultPauseBeforeOp,
 	(*World).faultTransfer,
 }
 
-// injectFault injects one fault.
+// injectFault injects a random fault at a random node.
 func (w *World) injectFault() {
 	if w.Now < w.noFaultsUntil {
 		return
 	}
 	n, other := w.Nodes[w.rng.IntN(len(w.Nodes))], w.Nodes[w.rng.IntN(len(w.Nodes))]
-	// Faults of the leader matter most.
+	// The leader is chosen more often than other nodes, as its faults have the largest effect.
 	if leader := w.Leader(); leader != nil && w.rng.IntN(3) == 0 {
 		n = leader
 	}
@@ -68,52 +70,54 @@
 	faultKinds[kind](w, n, other)
 }
 
-// later ends a fault after a while.
-func (w *World) later(do func()) { w.after(w.between(minFaultDuration, maxFaultDuration), do) }
+// endFaultLater calls do, which ends a fault, after a random fault duration.
+func (w *World) endFaultLater(do func()) {
+	w.afterFunc(w.drawDuration(minFaultDuration, maxFaultDuration), do)
+}
 
 func (w *World) healCuts() { clear(w.cut) }
 
 func (w *World) faultKill(n, _ *Node) {
 	n.Kill()
-	w.later(n.Start)
+	w.endFaultLater(n.Start)
 }
 
 func (w *World) faultCrash(n, _ *Node) {
 	n.Crash()
-	w.later(n.Start)
+	w.endFaultLater(n.Start)
 }
 
 func (w *World) faultPause(n, _ *Node) {
 	n.Pause()
-	n.resumeAfter(w.between(minFaultDuration, maxFaultDuration))
+	n.resumeAfter(w.drawDuration(minFaultDuration, maxFaultDuration))
 }
 
 func (w *World) faultIsolate(n, _ *Node) {
 	w.isolate(n)
-	w.later(w.healCuts)
+	w.endFaultLater(w.healCuts)
 }
 
-// faultCutOutgoing lets a node receive and not send.
+// faultCutOutgoing drops all frames that a node sends; it still receives.
 func (w *World) faultCutOutgoing(n, _ *Node) {
 	for _, o := range w.Nodes {
 		if o != n {
 			w.Cut(n, o)
 		}
 	}
-	w.later(w.healCuts)
+	w.endFaultLater(w.healCuts)
 }
 
-// faultCutIncoming lets a node send and not receive.
+// faultCutIncoming drops all frames that are sent to a node; it can still send.
 func (w *World) faultCutIncoming(n, _ *Node) {
 	for _, o := range w.Nodes {
 		if o != n {
 			w.Cut(o, n)
 		}
 	}
-	w.later(w.healCuts)
+	w.endFaultLater(w.healCuts)
 }
 
-// faultBridge makes two halves that are both connected with one node.
+// faultBridge partitions the fleet into two groups whose only connection is through one node, the bridge.
 func (w *World) faultBridge(bridge, _ *Node) {
 	split := 1 + w.rng.IntN(len(w.Nodes))
 	for i, x := range w.Nodes {
@@ -123,49 +127,50 @@
 			}
 		}
 	}
-	w.later(w.healCuts)
+	w.endFaultLater(w.healCuts)
 }
 
 func (w *World) faultNetwork(_, _ *Node) {
 	w.faults = NetworkFaults{
 		Lost: w.rng.Float64() * maxFaultyShare, Duplicated: w.rng.Float64() * maxFaultyShare, Delayed: w.rng.Float64() * maxFaultyShare,
-		MaxDelay: w.between(time.Millisecond, 4*time.Second),
+		MaxDelay: w.drawDuration(time.Millisecond, 4*time.Second),
 	}
-	w.later(func() { w.faults = NetworkFaults{} })
+	w.endFaultLater(func() { w.faults = NetworkFaults{} })
 }
 
 func (w *World) faultSlowDisk(n, _ *Node) {
-	n.diskDelay = w.between(10*time.Millisecond, 3*time.Second)
-	w.later(func() { n.diskDelay = 0 })
+	n.diskDelay = w.drawDuration(10*time.Millisecond, 3*time.Second)
+	w.endFaultLater(func() { n.diskDelay = 0 })
 }
 
-// faultFailingDisk makes a disk full, or its fsyncs fail, until a crash or the end of all faults.
+// faultFailingDisk makes the writes to a disk fail for lack of space, or its fsyncs fail, until a crash or the end of
+// all faults.
 func (w *World) faultFailingDisk(n, _ *Node) {
 	if w.rng.IntN(4) != 0 || !w.disksIntact() {
 		return
 	}
 	if n.fs.full = w.rng.IntN(2) == 0; !n.fs.full {
-		n.fs.broken = errIO
+		n.fs.syncErr = errIO
 	}
 }
 
-// faultEmptiedDisk empties a disk: one at a time, as two of three would be a lost majority.
+// faultEmptiedDisk empties the disk of a node, one node at a time: two lost disks of three replicas are a lost majority.
 func (w *World) faultEmptiedDisk(n, _ *Node) {
 	if w.disksIntact() && w.Recovered() {
 		n.Crash()
 		n.Wipe()
-		w.later(n.Start)
+		w.endFaultLater(n.Start)
 	}
 }
 
-// faultRestoredDisk makes a backup of a disk, or restores the one that was made.
+// faultRestoredDisk backs up the disk of a node, or restores the backup if there is one.
 func (w *World) faultRestoredDisk(n, _ *Node) {
 	if n.backup == nil && n.up {
 		n.Backup()
 		return
 	}
 	inPlace := w.rng.IntN(2) == 0
-	if !w.disksIntact() || !w.Recovered() || inPlace && !w.undisturbed() {
+	if !w.disksIntact() || !w.Recovered() || inPlace && !w.noFaultsActive() {
 		return
 	}
 	if inPlace {
@@ -173,11 +178,12 @@
 	}
 	n.Crash()
 	n.Restore(inPlace)
-	w.later(n.Start)
+	w.endFaultLater(n.Start)
 }
 
-// faultPauseBeforeAct pauses a lease holder between its check of the lease and the act, for up to three TTLs.
-func (w *World) faultPauseBeforeAct(n, _ *Node) {
+// faultPauseBeforeOp pauses a lease holder between its check of the lease and the fenced operation, for up to
+// three TTLs.
+func (w *World) faultPauseBeforeOp(n, _ *Node) {
 	for _, o := range w.Nodes {
 		if o.up && !o.paused && len(o.tasks) > 0 {
 			n = o
@@ -186,7 +192,7 @@
 			}
 		}
 	}
-	n.pauseBeforeAct = w.between(lease.TTL/2, 3*lease.TTL)
+	n.pauseBeforeOp = w.drawDuration(lease.TTL/2, 3*lease.TTL)
 }
 
 func (w *World) faultTransfer(_, to *Node) {
@@ -195,24 +201,24 @@
 	}
 }
 
-// transfer has a lease transferred to a node, or to any ("").
+// transfer proposes the transfer of a lease to a node, or to any node if to is "".
 func (n *Node) transfer(name, to string) {
 	n.node.Propose(n.clock(), lease.Command{Op: lease.OpTransfer, Lease: name, Target: to})
 	n.processOutput()
 }
 
-// undisturbed reports whether no node is down, paused, slow or cut off.
-func (w *World) undisturbed() bool {
+// noFaultsActive reports whether all nodes are up and not paused, no disk is slow, and the network has no faults.
+func (w *World) noFaultsActive() bool {
 	for _, n := range w.Nodes {
-		if !n.up || n.paused || n.pauseBeforeAct > 0 || n.diskDelay > 0 {
+		if !n.up || n.paused || n.pauseBeforeOp > 0 || n.diskDelay > 0 {
 			return false
 		}
 	}
 	return len(w.cut) == 0 && w.faults == NetworkFaults{}
 }
 
-// disksIntact reports whether no disk is lost that the coordination state still counts on: losing a second
-// one would lose what no replica has any more, which is for another tool to mend.
+// disksIntact reports whether a running node has the original disk of every replica that the coordination state lists.
+// Losing a second disk could lose entries that no replica has any more; repairing that is left to another tool.
 func (w *World) disksIntact() bool {
 	leader := w.Leader()
 	if leader == nil {
@@ -226,7 +232,7 @@
 	return true
 }
 
-// hasReplica reports whether a node runs the replica, on a disk that was not restored.
+// hasReplica reports whether a running node has the replica, on a disk that was not restored from a backup.
 func (w *World) hasReplica(id uint64) bool {
 	for _, n := range w.Nodes {
 		if n.up && n.node.Halted() == nil && n.log.Identity().ReplicaID == id && n.restoredReplica != id {
--- a/internal/cluster/sim/fs.go
+++ b/internal/cluster/sim/fs.go
@@ -11,21 +11,21 @@
 	"dunemoor/internal/cluster/wal"
 )
 
-// memFS is a file system in memory that loses what was not synced when its machine crashes. It is a wal.FS.
+// memFS is an in-memory wal.FS. When its machine crashes, names and data that were not synced may be lost.
 type memFS struct {
 	rng     *rand.Rand
 	files   map[string]*memFile
-	durable map[string]*memFile // names as of the last Sync
-	stamps  *int                // files created so far in all file systems: the identity of a file
-	full    bool                // writes fail for lack of space
-	broken  error               // syncs fail with it
+	durable map[string]*memFile // directory entries as of the last Sync
+	stamps  *int                // number of files created in all file systems, from which file identities are assigned
+	full    bool                // whether writes fail for lack of space
+	syncErr error               // error that syncs return; nil: they succeed
 }
 
-// memFile is a file with its data.
+// memFile is a file in a memFS.
 type memFile struct {
 	data   []byte
-	synced int // how much of it is durable
-	stamp  int // its identity
+	synced int // length of the durable prefix of data
+	stamp  int // identity of the file, like an inode number
 }
 
 func newFS(rng *rand.Rand, stamps *int) *memFS {
@@ -51,8 +51,8 @@
 }
 
 func (h *memHandle) Sync() error {
-	if h.fs.broken != nil {
-		return h.fs.broken
+	if h.fs.syncErr != nil {
+		return h.fs.syncErr
 	}
 	h.file.synced = len(h.file.data)
 	return nil
@@ -96,8 +96,8 @@
 }
 
 func (m *memFS) Sync() error {
-	if m.broken != nil {
-		return m.broken
+	if m.syncErr != nil {
+		return m.syncErr
 	}
 	m.durable = maps.Clone(m.files)
 	return nil
@@ -111,8 +111,7 @@
 	return fmt.Sprint(f.stamp), nil
 }
 
-// crash leaves what a crash of the machine does: names and bytes that were synced, and of the others what
-// chance leaves.
+// crash simulates a crash of the machine: synced names and bytes are kept, and a random part of the others.
 func (m *memFS) crash() {
 	for _, name := range slices.Sorted(maps.Keys(m.files)) {
 		if f := m.files[name]; m.durable[name] != f && m.rng.IntN(2) == 0 {
@@ -124,7 +123,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(m.durable)) {
 		if m.files[name] == nil && m.rng.IntN(2) == 0 {
-			m.files[name] = m.durable[name] // it was removed or renamed, which was not durable
+			m.files[name] = m.durable[name] // the removal or rename was not durable
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(m.files)) {
@@ -132,17 +131,17 @@
 		f.data = f.data[:f.synced+m.rng.IntN(len(f.data)-f.synced+1)]
 	}
 	m.durable = maps.Clone(m.files)
-	m.full, m.broken = false, nil
+	m.full, m.syncErr = false, nil
 }
 
-// copied returns a copy: other files with the same bytes.
-func (m *memFS) copied() *memFS {
-	copied := newFS(m.rng, m.stamps)
+// clone returns a copy of the file system: new files, with other identities, and the same contents.
+func (m *memFS) clone() *memFS {
+	clone := newFS(m.rng, m.stamps)
 	for _, name := range slices.Sorted(maps.Keys(m.files)) {
 		f := m.files[name]
 		*m.stamps++
-		copied.files[name] = &memFile{slices.Clone(f.data), len(f.data), *m.stamps}
+		clone.files[name] = &memFile{slices.Clone(f.data), len(f.data), *m.stamps}
 	}
-	copied.durable = maps.Clone(copied.files)
-	return copied
+	clone.durable = maps.Clone(clone.files)
+	return clone
 }
--- a/internal/cluster/sim/history.go
+++ b/internal/cluster/sim/history.go
@@ -11,7 +11,7 @@
 	"dunemoor/internal/cluster/node"
 )
 
-// lockHistory is what clients asked of locks, with the replies.
+// lockHistory is the history of the clients' lock operations and their results.
 type lockHistory struct{ operations []lockOperation }
 
 // lockOperation is the acquisition or release of a lock.
@@ -19,37 +19,37 @@
 	client  int
 	lock    string
 	acquire bool
-	token   uint64 // that is released
+	token   uint64 // token of the grant to release
 	began   time.Duration
 	ended   time.Duration // 0: the outcome is unknown
 	ok      bool
-	held    bool   // another client has the lock
-	granted uint64 // the token of the grant
+	held    bool   // rejected because another client has the lock
+	granted uint64 // token of the grant
 }
 
 // lockClient acquires and releases locks, one command at a time.
 type lockClient struct {
 	node        *Node
 	incarnation int
-	pending     *lockOperation // nil: no command is under way
-	proposal    uint64         // of the pending command
-	tokens      map[string]uint64
+	pending     *lockOperation    // operation without an outcome; nil: none
+	proposal    uint64            // proposal ID of the pending operation's command
+	tokens      map[string]uint64 // tokens of the locks that the client holds, by lock
 }
 
-// clientInterval is the mean time between two commands of a client.
+// clientInterval is the mean delay between two attempts of a client to propose a command.
 const clientInterval = 150 * time.Millisecond
 
-// start begins anew with the node's process.
+// start resets the client and starts its loop, when the node's process starts.
 func (c *lockClient) start() {
 	c.incarnation, c.tokens, c.pending, c.proposal = c.node.incarnation, map[string]uint64{}, nil, 0
 	c.schedule()
 }
 
-// schedule has the next command proposed after a while.
+// schedule schedules the next proposal after a random delay.
 func (c *lockClient) schedule() {
 	w := c.node.world
 	incarnation := c.incarnation
-	w.after(w.between(0, 2*clientInterval), func() {
+	w.afterFunc(w.drawDuration(0, 2*clientInterval), func() {
 		c.node.deliver(func() {
 			if c.node.incarnation != incarnation || c.incarnation != incarnation || w.Locks == 0 {
 				return
@@ -62,7 +62,7 @@
 	})
 }
 
-// propose releases a lock that the client has, or acquires one that it has not.
+// propose proposes an operation on a random lock: its release if the client holds it, else its acquisition.
 func (c *lockClient) propose() {
 	w := c.node.world
 	lock := lockName(w.rng.IntN(w.Locks))
@@ -92,9 +92,9 @@
 	i := slices.IndexFunc(h.operations, func(x lockOperation) bool { return x.client == o.client && x.began == o.began && x.ended == 0 })
 	switch {
 	case !outcome.Known:
-		return // it may have had its effect, or may still have it
+		return // the command may have been applied, or may be applied later
 	case outcome.Result.Code == lease.NoSession || outcome.Result.Code == lease.ResultExpired:
-		h.operations = slices.Delete(h.operations, i, i+1) // it had none
+		h.operations = slices.Delete(h.operations, i, i+1) // the command had no effect
 		return
 	}
 	x := &h.operations[i]
@@ -104,36 +104,37 @@
 	}
 }
 
-// reset ends with the node's process: the outcome of a pending command is unknown.
+// reset drops the pending operation when the node's process ends; its outcome stays unknown.
 func (c *lockClient) reset() { c.pending = nil }
 
-// lockState is a lock as the model has it.
+// lockState is the state of a lock in lockModel.
 type lockState struct {
 	token  uint64
 	client int
 }
 
-// unknownClient stands for a client whose acquisition has had no reply.
+// unknownClient is the holder in lockState when the holder's acquisition has had no reply.
 const unknownClient = -1
 
-// lockModel is the sequential specification of a lock. An acquisition gets the lock where it is free, with
-// a higher token than before; the release with that token frees it. An expired session frees it too, at
-// any time: a lock that is found free may have been freed so, and a grant is right as long as its token is
-// new. What must never happen is a token twice, or a lower one.
+// lockModel is the sequential specification of a lock. An acquisition of a free lock succeeds and returns a
+// higher token than before; a release with that token frees the lock. The expiry of a session also frees it, at
+// any time and without an operation in the history, so a grant is valid whenever its token is new. A token must
+// never be granted twice, and tokens must never decrease.
 var lockModel = porcupine.Model{
 	Init: func() any { return lockState{} },
 	Step: func(state, input, output any) (bool, any) {
 		s, in, out := state.(lockState), input.(lockOperation), output.(lockOperation)
 		switch {
 		case out.ended == 0:
-			return true, s // unknown: treated as if it had not happened; a grant shows by its token
+			return true, s // unknown outcome: treated as not applied; a later operation reveals a grant by its token
 		case in.acquire && out.ok:
-			// A client that has the lock and does not know, as its release had no reply, is told so again.
+			// If the client's release had no reply, it may still hold the lock: an acquisition then returns
+			// the current token again.
 			again := out.granted == s.token && (in.client == s.client || s.client == unknownClient)
 			return out.granted > s.token || again, lockState{out.granted, in.client}
 		case in.acquire && out.held:
 			if out.granted > s.token {
-				return true, lockState{out.granted, unknownClient} // by a client whose reply was not seen yet
+				return true, lockState{out.granted, unknownClient} // granted to a client that has had no reply so far
 			}
 			return out.granted == s.token, s
 		case in.acquire:
@@ -141,12 +142,12 @@
 		case out.ok:
 			return in.token == s.token, s
 		}
-		return true, s // released too late
+		return true, s // a rejected release: the lock was no longer held under its token
 	},
 }
 
-// CheckLinearizable checks the history of the clients: for each lock there is an order of all commands,
-// each between its proposal and its reply, in which a single lock would have replied the same.
+// CheckLinearizable checks that the clients' history is linearizable: for each lock there is an order of all
+// operations, each taking effect between its proposal and its reply, for which lockModel gives the same results.
 func (w *World) CheckLinearizable() error {
 	byLock := map[string][]porcupine.Operation{}
 	for _, o := range w.history.operations {
@@ -157,13 +158,13 @@
 	}
 	for lock, operations := range byLock {
 		if !porcupine.CheckOperations(lockModel, operations) {
-			return fmt.Errorf("seed %d: no order of the %d commands for %s explains their replies", w.Seed, len(operations), lock)
+			return fmt.Errorf("seed %d: the history of %d commands for %s is not linearizable", w.Seed, len(operations), lock)
 		}
 	}
 	return nil
 }
 
-// Commands returns how many commands of clients have had a reply.
+// Commands returns the number of client commands whose outcome is known.
 func (w *World) Commands() (count int) {
 	for _, o := range w.history.operations {
 		if o.ended != 0 {
--- a/internal/cluster/sim/invariants.go
+++ b/internal/cluster/sim/invariants.go
@@ -7,14 +7,15 @@
 	"dunemoor/internal/cluster/lease"
 )
 
-// digestInterval is how many entries lie between two states that are compared as a whole: states that
-// differ stay different. Encoding every fourth took a quarter of a run's time.
+// digestInterval is the number of revisions between two states that are compared as a whole. States that
+// differ stay different, so not every revision has to be compared; encoding every fourth state took a quarter
+// of a run's time.
 const digestInterval = 32
 
-// causeExpired is how the coordination state names the cause of a lease that was lost with its session.
+// causeExpired is the transfer cause, in the coordination state, of a lease whose holder's session expired.
 const causeExpired = "lapsed"
 
-// check checks the invariants after each step of a node.
+// check checks the invariants after a step of a node. grantsChanged reports whether the step changed its grants.
 func (w *World) check(n *Node, grantsChanged bool) {
 	s := n.node.State()
 	if s.ClusterID != 0 && n.checkedRevision != s.Revision {
@@ -25,29 +26,29 @@
 		n.digestRevision = s.Revision
 		w.checkDigest(n, s)
 	}
-	// A node starts to consider itself a holder, or does so for longer, only where its grants have changed.
+	// A node becomes a holder by its own view, or extends its deadline, only if its grants have changed.
 	if !grantsChanged {
 		return
 	}
 	for _, g := range n.node.Grants() {
 		if count := w.countHolders(g.Lease); count > 1 {
-			w.violated("%d nodes consider themselves the holder of %s", count, g.Lease)
+			w.violationf("%d nodes consider themselves the holder of %s", count, g.Lease)
 		}
 	}
 }
 
-// checkDigest checks that all replicas have the same state at a revision.
+// checkDigest checks that the state of a node is equal to that of other nodes at the same revision.
 func (w *World) checkDigest(n *Node, s *lease.State) {
 	sum := digest(s.Encode())
 	if earlier, ok := w.digests[s.Revision]; !ok {
 		w.digests[s.Revision] = sum
 	} else if earlier != sum {
-		w.violated("%s has another state at revision %d than a node before", n.name, s.Revision)
+		w.violationf("%s has a state at revision %d that differs from another node's", n.name, s.Revision)
 	}
 }
 
-// checkState follows the coordination state from one revision to the next: tokens only grow, and no write
-// with an older token than another is accepted.
+// checkState checks a new revision of the coordination state against the previous one: tokens must not decrease,
+// and no write with an older token may be accepted after one with a newer token.
 func (w *World) checkState(s *lease.State) {
 	if s.Revision <= w.revision {
 		return
@@ -68,26 +69,27 @@
 	holder := w.leaseHolders[name]
 	switch {
 	case l.Token < earlier:
-		w.violated("the token of %s went from %d to %d", name, earlier, l.Token)
+		w.violationf("the token of %s decreased from %d to %d", name, earlier, l.Token)
 	case l.Token == earlier && l.HolderSession != 0 && holder != 0 && holder != l.HolderSession:
-		w.violated("%s has another holder with the same token %d", name, l.Token)
+		w.violationf("%s has a new holder with the same token %d", name, l.Token)
 	}
 	w.leaseTokens[name] = l.Token
 	if l.HolderSession != 0 {
 		w.leaseHolders[name] = l.HolderSession
 	}
-	writer := l.Values[writeKey]
-	if writer < w.lastWriter[name] {
-		w.violated("a write to %s with token %s was accepted after one with %s", name, writer, w.lastWriter[name])
+	writeToken := l.Values[writeKey]
+	if writeToken < w.lastWriteTokens[name] {
+		w.violationf("a write to %s with token %s was accepted after one with %s", name, writeToken, w.lastWriteTokens[name])
 		return
 	}
-	w.lastWriter[name] = writer
+	w.lastWriteTokens[name] = writeToken
 }
 
-// checkFence checks that what was accepted under a lease has no older token than what was accepted before.
-func (w *World) checkFence(where, name string, token uint64, highest map[string]uint64) {
+// checkToken checks that an operation accepted under a lease has no lower token than those accepted before. where names
+// the kind and place of the operation, for the error.
+func (w *World) checkToken(where, name string, token uint64, highest map[string]uint64) {
 	if token < highest[name] {
-		w.violated("%s: an act under %s with token %d was accepted after one with %d", where, name, token, highest[name])
+		w.violationf("%s: an operation under %s with token %d was accepted after one with %d", where, name, token, highest[name])
 	}
 	highest[name] = token
 }
--- a/internal/cluster/sim/node.go
+++ b/internal/cluster/sim/node.go
@@ -15,56 +15,56 @@
 // fleetID is the name of every simulated fleet.
 const fleetID = "f"
 
-// Node is one process with its machine.
+// Node is a gateway or relay: one process and the machine that it runs on.
 type Node struct {
 	world *World
 	index int
 	name  string
 
-	// Of the machine.
+	// State of the machine.
 	clockRate   int64 // relative to clockScale
 	clockOffset time.Duration
 	fs          *memFS
-	backup      *memFS           // a copy of the disk, for Restore
-	overrides   node.OverrideSet // as kept in a file
-	diskDelay   time.Duration    // added to each write
-	// restoredReplica is the replica whose disk was restored from a backup last.
+	backup      *memFS           // copy of the disk, for Restore
+	overrides   node.OverrideSet // operator overrides, which the program keeps in a file
+	diskDelay   time.Duration    // delay added to each write
+	// restoredReplica is the ID of the replica whose disk was last restored from a backup.
 	restoredReplica uint64
 
-	// Of the process.
-	log         *wal.Log
-	node        *node.Node
-	incarnation int // grows with each start and stop: what was under way before is void
-	up          bool
-	paused      bool
-	delivered   []func() // what has arrived while the process is paused
-	writing     *multiraft.Batch
-	tasks       map[string]uint64 // by lease: the token of the task that runs
-	fence       map[string]uint64 // by lease: the highest token of a publication received
-	startError  error
-	relaying
+	// State of the process.
+	log           *wal.Log
+	node          *node.Node
+	incarnation   int // incremented by each start and stop; events for earlier incarnations are dropped
+	up            bool
+	paused        bool
+	deferred      []func()          // events that arrived while the process is paused
+	writing       *multiraft.Batch  // batch being written; nil: none
+	tasks         map[string]uint64 // tokens of the running tasks, by lease
+	highestTokens map[string]uint64 // highest tokens of received publications, by lease
+	startError    error
+	relayState
 
 	client   *lockClient // nil: none at this node
 	operator *operator   // nil: none at this node
 
-	quarantining   bool
-	pauseBeforeAct time.Duration // of the process, between its next check of a lease and the act
+	quarantining  bool
+	pauseBeforeOp time.Duration // how long the process pauses between its next check of a lease and the fenced operation
 
-	// What was checked last.
+	// Latest revisions that were checked.
 	checkedRevision uint64
 	digestRevision  uint64
 
-	// Counted.
+	// Statistics.
 	sentFrames, sentBytes         int
-	receivedFrames, receivedBytes int             // by its stream
-	movedAt                       []time.Duration // when a relay accepted its stream
+	receivedFrames, receivedBytes int             // received on the gateway's stream
+	movedAt                       []time.Duration // times at which a relay accepted the gateway's stream
 }
 
 // newNode returns a node that has not been started.
 func newNode(w *World, i int) *Node {
 	n := &Node{
 		world: w, index: i, name: fmt.Sprintf("g%d", i), fs: newFS(w.rng, &w.stamps), clockRate: clockScale + w.rng.Int64N(2*maxClockDrift) - maxClockDrift,
-		clockOffset: time.Duration(w.rng.Int64N(int64(time.Hour))), fence: map[string]uint64{}, tasks: map[string]uint64{},
+		clockOffset: time.Duration(w.rng.Int64N(int64(time.Hour))), highestTokens: map[string]uint64{}, tasks: map[string]uint64{},
 	}
 	if i >= w.Relays && i < w.Relays+w.Clients {
 		n.client = &lockClient{node: n}
@@ -72,7 +72,7 @@
 	return n
 }
 
-// clock returns the time as the node's machine has it. It goes on while the process is paused.
+// clock returns the time of the machine's clock, which also advances while the process is paused.
 func (n *Node) clock() time.Duration {
 	return n.clockOffset + time.Duration(int64(n.world.Now)/clockScale*n.clockRate)
 }
@@ -80,7 +80,7 @@
 // State returns the coordination state of the node's replica.
 func (n *Node) State() *lease.State { return n.node.State() }
 
-// Start starts the node's process on the disk that its machine has.
+// Start starts the node's process with the disk of its machine.
 func (n *Node) Start() {
 	if n.up {
 		return
@@ -94,10 +94,10 @@
 	w.trace(n.name, "starts with disk", log.Identity())
 	n.log = log
 	if n.node, err = node.New(n.clock(), n.config(stored)); err != nil {
-		w.violated("%s does not start: %v", n.name, err)
+		w.violationf("%s does not start: %v", n.name, err)
 		return
 	}
-	n.up, n.paused, n.delivered, n.writing = true, false, nil, nil
+	n.up, n.paused, n.deferred, n.writing = true, false, nil, nil
 	if w.Relays > 0 {
 		n.startRelaying()
 	}
@@ -115,7 +115,7 @@
 	}
 }
 
-// openLog opens the node's log. A disk that can't be used is set aside for an empty one, as in the program.
+// openLog opens the node's log. A disk that is corrupt or a copy is replaced by an empty one, as in the program.
 func (n *Node) openLog() (*wal.Log, map[multiraft.Group]multiraft.PersistedGroup, error) {
 	draw := n.world.rng.Uint64
 	if failpoint.Enabled(failpoint.ReuseDiskIdentity) {
@@ -123,14 +123,14 @@
 	}
 	log, stored, err := wal.Open(n.fs, fleetID, n.name, draw)
 	if errors.Is(err, wal.ErrCopied) || errors.Is(err, wal.ErrCorrupt) {
-		n.world.trace(n.name, "sets its disk aside:", err)
+		n.world.trace(n.name, "quarantines its disk:", err)
 		n.fs = newFS(n.world.rng, &n.world.stamps)
 		log, stored, err = wal.Open(n.fs, fleetID, n.name, draw)
 	}
 	return log, stored, err
 }
 
-// config returns the configuration of the node's process.
+// config returns the configuration of the node's process, which starts with the stored groups of its log.
 func (n *Node) config(stored map[multiraft.Group]multiraft.PersistedGroup) node.Config {
 	w := n.world
 	c := node.Config{
@@ -153,19 +153,21 @@
 	return c
 }
 
-// connectsTo reports whether there are connections between two nodes: in a full mesh, and between relays.
+// connectsTo reports whether there are direct connections between two nodes: between all nodes of a fleet without
+// relays, else between relays only.
 func (n *Node) connectsTo(o *Node) bool {
 	return o != n && (n.world.Relays == 0 || n.isRelay() && o.isRelay())
 }
 
-// connect has a node's hello arrive at another, retried until it does.
+// connect delivers a node's hello to another node, and retries until that succeeds or the sender's incarnation has
+// ended.
 func (w *World) connect(n, o *Node, incarnation int) {
-	w.after(w.between(minNetworkDelay, maxNetworkDelay), func() {
+	w.afterFunc(w.drawDuration(minNetworkDelay, maxNetworkDelay), func() {
 		if n.incarnation != incarnation {
 			return
 		}
 		if !o.up || w.isCut(n, o) {
-			w.after(reconnectInterval, func() { w.connect(n, o, incarnation) })
+			w.afterFunc(reconnectInterval, func() { w.connect(n, o, incarnation) })
 			return
 		}
 		hello := n.node.Hello()
@@ -178,16 +180,17 @@
 	})
 }
 
-// deliver has something arrive at a node's process: later, where it is paused.
+// deliver runs an event of the node's process now or, if the process is paused, when it resumes.
 func (n *Node) deliver(do func()) {
 	if n.paused {
-		n.delivered = append(n.delivered, do)
+		n.deferred = append(n.deferred, do)
 		return
 	}
 	do()
 }
 
-// deliverTo has an event arrive at one incarnation of a process, which then does what follows from it.
+// deliverTo delivers an event to an incarnation of the process, and then processes the node's output. The event is
+// dropped if that incarnation has ended.
 func (n *Node) deliverTo(incarnation int, event func()) {
 	n.deliver(func() {
 		if n.incarnation == incarnation {
@@ -197,7 +200,7 @@
 	})
 }
 
-// tick lets time pass in a process.
+// tick calls the Tick method of the node at each TickInterval until the incarnation ends.
 func (n *Node) tick(incarnation int) {
 	if n.incarnation != incarnation {
 		return
@@ -208,14 +211,14 @@
 		}
 		n.node.Tick(n.clock())
 		n.processOutput()
-		n.world.after(node.TickInterval, func() { n.tick(incarnation) })
+		n.world.afterFunc(node.TickInterval, func() { n.tick(incarnation) })
 	})
 }
 
-// Kill ends a process as kill -9 does: what its disk has not synced stays with the machine.
+// Kill ends the process like kill -9. Writes that were not synced survive, as the machine keeps running.
 func (n *Node) Kill() { n.stop(false) }
 
-// Crash ends a process with its machine: what was not synced may be lost.
+// Crash ends the process by a crash of its machine. Writes that were not synced may be lost.
 func (n *Node) Crash() { n.stop(true) }
 
 func (n *Node) stop(machine bool) {
@@ -225,15 +228,15 @@
 	n.closeStreams(machine)
 	n.up = false
 	n.incarnation++
-	n.delivered, n.paused = nil, false
-	n.relaying = relaying{}
+	n.deferred, n.paused = nil, false
+	n.relayState = relayState{}
 	clear(n.tasks)
-	clear(n.fence)
+	clear(n.highestTokens)
 	if n.writing != nil && n.world.rng.IntN(2) == 0 {
-		// Part of the write that was under way is on the disk.
-		n.fs.broken = errors.New("the machine has stopped")
+		// Part of the batch that was being written has reached the disk.
+		n.fs.syncErr = errors.New("the machine has stopped")
 		n.log.Write(n.writing)
-		n.fs.broken = nil
+		n.fs.syncErr = nil
 		machine = true
 	}
 	if machine {
@@ -249,17 +252,17 @@
 	n.fs, n.overrides = newFS(n.world.rng, &n.world.stamps), node.OverrideSet{}
 }
 
-// Backup keeps a copy of the disk, for Restore.
-func (n *Node) Backup() { n.backup = n.fs.copied() }
+// Backup copies the disk for Restore.
+func (n *Node) Backup() { n.backup = n.fs.clone() }
 
-// Restore replaces the disk with its backup. With inPlace the files are the same to the file system, as
-// when a backup is restored below it, so that the disk itself can't tell.
+// Restore replaces the disk with its backup. With inPlace the files keep their identities, as when a backup is
+// restored below the file system, so that the node can't detect the restore from its own disk.
 func (n *Node) Restore(inPlace bool) {
 	if n.backup == nil {
 		return
 	}
 	current := n.fs
-	n.fs = n.backup.copied()
+	n.fs = n.backup.clone()
 	if inPlace {
 		for name, f := range current.files {
 			if n.fs.files[name] != nil {
@@ -270,33 +273,33 @@
 	n.backup, n.restoredReplica = nil, n.log.Identity().ReplicaID
 }
 
-// Pause pauses a process.
+// Pause pauses the process, if it runs.
 func (n *Node) Pause() { n.paused = n.up }
 
-// Resume ends a Pause: what has arrived meanwhile is delivered now.
+// Resume resumes a paused process, and delivers the events that arrived in the meantime.
 func (n *Node) Resume() {
 	if !n.paused {
 		return
 	}
 	n.paused = false
-	delivered := n.delivered
-	n.delivered = nil
-	for _, do := range delivered {
+	deferred := n.deferred
+	n.deferred = nil
+	for _, do := range deferred {
 		do()
 	}
 }
 
-// resumeAfter resumes a process later, unless it has been restarted.
+// resumeAfter resumes the process after a delay, unless it has been restarted by then.
 func (n *Node) resumeAfter(d time.Duration) {
 	incarnation := n.incarnation
-	n.world.after(d, func() {
+	n.world.afterFunc(d, func() {
 		if n.incarnation == incarnation {
 			n.Resume()
 		}
 	})
 }
 
-// describe returns how a node stands, for errors.
+// describe returns the status of the node, for error messages.
 func (n *Node) describe() (text string) {
 	if !n.up {
 		return fmt.Sprintf("\n%s down (%v)", n.name, n.startError)
--- a/internal/cluster/sim/output.go
+++ b/internal/cluster/sim/output.go
@@ -10,10 +10,10 @@
 	"dunemoor/internal/cluster/wal"
 )
 
-// quarantineDelay is how long the program takes to set a disk aside and to join with an empty one.
+// quarantineDelay is the time that the program takes to quarantine a disk and to join with an empty one.
 const quarantineDelay = time.Second
 
-// processOutput does what the node wants done, and its Router or relay Client, until none wants anything.
+// processOutput processes the output of the node and of its relay Router or Client until there is none left.
 func (n *Node) processOutput() {
 	n.processNodeOutput()
 	for incarnation := n.incarnation; n.up && n.incarnation == incarnation && n.processRelayOutput(); {
@@ -21,7 +21,7 @@
 	}
 }
 
-// processNodeOutput does what the node wants done.
+// processNodeOutput processes the output of the node: writes, frames, outcomes, publications and changed grants.
 func (n *Node) processNodeOutput() {
 	o := n.node.TakeOutput()
 	if o.ClusterID != 0 {
@@ -39,7 +39,7 @@
 			n.send(f)
 		}
 	}
-	n.noteRenewals(&o)
+	n.reportRenewals(&o)
 	if o.Reconnected {
 		n.requestResync()
 	}
@@ -63,7 +63,7 @@
 	}
 }
 
-// reportOutcomes passes the outcomes of commands to whoever proposed them.
+// reportOutcomes passes the outcomes of commands to the node's client and operator.
 func (n *Node) reportOutcomes(list []node.Outcome) {
 	for _, outcome := range list {
 		if n.client != nil {
@@ -75,11 +75,11 @@
 	}
 }
 
-// quarantine restarts a node with an empty disk, as the program does where its disk is a copy.
+// quarantine restarts the node with an empty disk, as the program does if its disk is a copy.
 func (n *Node) quarantine() {
 	n.quarantining = true
 	incarnation := n.incarnation
-	n.world.after(quarantineDelay, func() {
+	n.world.afterFunc(quarantineDelay, func() {
 		n.quarantining = false
 		if n.incarnation == incarnation {
 			n.Kill()
@@ -89,12 +89,12 @@
 	})
 }
 
-// write makes a batch durable.
+// write writes and syncs a batch after the delay of the disk, and reports the result to the node.
 func (n *Node) write(b *multiraft.Batch) {
 	n.writing = b
 	incarnation := n.incarnation
-	delay := n.world.between(minFsyncDelay, maxFsyncDelay) + n.diskDelay
-	n.world.after(delay, func() {
+	delay := n.world.drawDuration(minFsyncDelay, maxFsyncDelay) + n.diskDelay
+	n.world.afterFunc(delay, func() {
 		if n.incarnation != incarnation || n.node.Halted() != nil {
 			return
 		}
@@ -107,40 +107,40 @@
 	})
 }
 
-// send sends a frame to another node, with the faults of the network.
+// send sends a frame to another node, subject to the faults of the network.
 func (n *Node) send(f node.Frame) {
 	w := n.world
 	n.countSent(len(f.Body))
 	faults := w.faults
 	if faults.Lost > 0 && w.rng.Float64() < faults.Lost {
-		if f.SnapshotTo != 0 { // snapshots have a connection of their own, which reports the loss
+		if f.SnapshotTo != 0 { // snapshots have a separate connection, which reports the loss
 			n.reportSnapshot(f.SnapshotTo, false, n.incarnation)
 		}
 		return
 	}
-	delay := w.between(minNetworkDelay, maxNetworkDelay)
+	delay := w.drawDuration(minNetworkDelay, maxNetworkDelay)
 	if faults.Delayed > 0 && w.rng.Float64() < faults.Delayed {
-		delay += w.between(0, faults.MaxDelay)
+		delay += w.drawDuration(0, faults.MaxDelay)
 	}
 	n.transmit(f, delay)
 	if faults.Duplicated > 0 && w.rng.Float64() < faults.Duplicated {
-		n.transmit(f, delay+w.between(0, faults.MaxDelay))
+		n.transmit(f, delay+w.drawDuration(0, faults.MaxDelay))
 	}
 }
 
-// countSent counts a frame.
+// countSent counts a sent frame.
 func (n *Node) countSent(bytes int) {
 	n.world.Frames++
 	n.sentFrames++
 	n.sentBytes += bytes
 }
 
-// transmit has a frame arrive after a delay, if there is a connection then.
+// transmit delivers a frame after a delay, if the receiver is still the same process and reachable by then.
 func (n *Node) transmit(f node.Frame, delay time.Duration) {
 	w := n.world
 	to := w.byName[f.To]
 	receiver, sender := to.incarnation, n.incarnation
-	w.after(delay, func() {
+	w.afterFunc(delay, func() {
 		ok := to.up && to.incarnation == receiver && !w.isCut(n, to)
 		if f.SnapshotTo != 0 {
 			n.reportSnapshot(f.SnapshotTo, ok, sender)
@@ -151,21 +151,21 @@
 	})
 }
 
-// receive handles a frame of another node.
+// receive handles a frame from another node.
 func (n *Node) receive(from *Node, f node.Frame) {
 	if f.Kind == relay.KindRecord || f.Kind == relay.KindRoutes {
 		n.router.FromRelay(n.clock(), from.name, f.Kind, f.Body)
 		return
 	}
 	if err := n.node.Receive(n.clock(), from.name, f.Kind, f.Body); err != nil {
-		n.world.violated("%s can't read what %s has sent: %v", n.name, from.name, err)
+		n.world.violationf("%s can't decode a frame of %s: %v", n.name, from.name, err)
 	}
 }
 
-// reportSnapshot tells a node whether a snapshot was delivered.
+// reportSnapshot reports to the sender of a snapshot, after a network delay, whether it was delivered.
 func (n *Node) reportSnapshot(replica uint64, ok bool, incarnation int) {
 	w := n.world
-	w.after(w.between(minNetworkDelay, maxNetworkDelay), func() {
+	w.afterFunc(w.drawDuration(minNetworkDelay, maxNetworkDelay), func() {
 		n.deliverTo(incarnation, func() { n.node.SnapshotSent(n.clock(), replica, ok) })
 	})
 }
--- a/internal/cluster/sim/overrides.go
+++ b/internal/cluster/sim/overrides.go
@@ -12,30 +12,30 @@
 // overridePool is the pool whose hosts operators override.
 const overridePool = "p"
 
-// overrideCommand is a command of an operator, at one node.
+// overrideCommand is an operator's command to drain or undrain a host.
 type overrideCommand struct {
 	proposal    uint64
-	incarnation int
+	incarnation int // incarnation of the node that proposed the command
 	drain       bool
-	applied     bool // the outcome was that it was applied
-	ignored     bool // the outcome was that nothing was done
+	applied     bool // whether the outcome was that the command was applied
+	ignored     bool // whether the outcome was that the command had no effect
 }
 
-// operator sets and removes the override of one host at one node, without waiting for outcomes.
+// operator sets and removes the override of one host by commands at one node, without waiting for their outcomes.
 type operator struct {
 	node     *Node
 	host     string
 	commands []overrideCommand
 }
 
-// operatorInterval is the mean time between two commands of an operator: many follow before the outcome
-// of the first is known.
+// operatorInterval is the mean time between two commands of an operator. It is short enough that many commands are
+// proposed before the outcome of the first is known.
 const operatorInterval = 400 * time.Millisecond
 
-// schedule has the next command proposed after a while.
+// schedule schedules the next proposal after a random delay.
 func (o *operator) schedule() {
 	w := o.node.world
-	w.after(w.between(0, 2*operatorInterval), func() {
+	w.afterFunc(w.drawDuration(0, 2*operatorInterval), func() {
 		if o.node.up {
 			o.node.deliver(o.propose)
 		}
@@ -68,20 +68,20 @@
 		return
 	}
 	switch outcome.Result.Code {
-	case lease.OK, lease.Rejected: // rejected: there was no override to remove
+	case lease.OK, lease.Rejected: // Rejected: there was no override to remove
 		o.commands[i].applied = true
 	default:
 		o.commands[i].ignored = true
 	}
 }
 
-// Overrides plays operators who set and remove overrides quickly, under faults that the seed draws. The last
-// command that was acknowledged stays in force, and in the end all nodes know the same overrides.
+// Overrides simulates operators that set and remove overrides in quick succession, under random faults. It checks that
+// the last acknowledged command stays in effect, and that all nodes have the same overrides in the end.
 func Overrides(seed uint64) error {
 	const faults = 10 * time.Second
 	o := Mixed(seed)
 	o.Operators = 3
-	w, err := formed(o)
+	w, err := newFormedWorld(o)
 	if err != nil {
 		return err
 	}
@@ -94,7 +94,7 @@
 	}
 	w.operatorsDone = true
 	if !w.Until(RecoveryTimeout, w.Recovered) {
-		return w.failed("not recovered after the last fault")
+		return w.errorf("not recovered after the last fault")
 	}
 	if err := w.Run(2 * lease.TTL); err != nil {
 		return err
@@ -102,31 +102,31 @@
 	return w.checkOverrides()
 }
 
-// checkOverrides checks that all nodes know the overrides of the coordination state, and that these agree
-// with the outcomes that operators were told.
+// checkOverrides checks that all nodes have the overrides of the coordination state, and that these agree with the
+// outcomes that were reported to operators.
 func (w *World) checkOverrides() error {
 	leader := w.Leader()
 	if leader == nil {
-		return w.failed("there is no leader")
+		return w.errorf("there is no leader")
 	}
 	s := leader.State()
 	for _, n := range w.Nodes {
 		known := n.node.Overrides()
 		if known.ModRevision != s.OverridesModRevision || !slices.Equal(known.List, s.ListOverrides()) {
-			return w.failed("%s knows the overrides of revision %d, %v, the state has those of %d, %v", n.name, known.ModRevision, known.List, s.OverridesModRevision, s.ListOverrides())
+			return w.errorf("%s has the overrides of revision %d, %v, the coordination state has those of revision %d, %v", n.name, known.ModRevision, known.List, s.OverridesModRevision, s.ListOverrides())
 		}
 		if n.operator == nil {
 			continue
 		}
 		drained := s.Overrides[overridePool+"/"+n.operator.host] != nil
 		if last := n.operator.last(); last != nil && last.applied && drained != last.drain {
-			return w.failed("the last command for %s was drain %v, acknowledged, and is not in force", n.operator.host, last.drain)
+			return w.errorf("the last command for %s, drain %v, was acknowledged and is not in effect", n.operator.host, last.drain)
 		}
 	}
 	return nil
 }
 
-// last returns the last command that may have been applied, or nil.
+// last returns the last command that was applied or may have been, or nil.
 func (o *operator) last() *overrideCommand {
 	for i := len(o.commands) - 1; i >= 0; i-- {
 		if !o.commands[i].ignored {
--- a/internal/cluster/sim/publications.go
+++ b/internal/cluster/sim/publications.go
@@ -8,10 +8,10 @@
 	"dunemoor/internal/cluster/node"
 )
 
-// publication identifies what a lease holder has published.
+// publication identifies a publication of a lease holder.
 type publication struct{ token, sequence uint64 }
 
-// next returns the publication that follows, of the holder with a token.
+// next returns the publication that follows p if the holder of the token publishes it.
 func (p publication) next(token uint64) publication {
 	if p.token != token {
 		return publication{token, 1}
@@ -19,7 +19,7 @@
 	return publication{token, p.sequence + 1}
 }
 
-// olderThan reports whether a publication came before another.
+// olderThan reports whether p precedes o.
 func (p publication) olderThan(o publication) bool {
 	return p.token < o.token || p.token == o.token && p.sequence < o.sequence
 }
@@ -28,30 +28,31 @@
 var publicationBody = []byte("news")
 
 const (
-	// resyncRetryDelay is when a gateway that has moved requests publications again: the first request may
-	// have been lost.
+	// resyncRetryDelay is the time after which a gateway that has moved to another relay requests publications
+	// again, as the first request may have been lost.
 	resyncRetryDelay = time.Second
-	// maxPublicationDelay is how long after a publication, or after its return, a gateway may lack it.
+	// maxPublicationDelay is the longest time that a gateway may lack a publication: from the publication, or from
+	// the time at which the gateway has a stream again.
 	maxPublicationDelay = 3 * time.Second
 )
 
-// receivePublication handles a publication that was accepted.
+// receivePublication records a publication that the node has accepted, and checks its token.
 func (n *Node) receivePublication(p *node.Publication) {
-	n.world.checkFence("publications at "+n.name, p.Lease, p.Token, n.fence)
+	n.world.checkToken("publications at "+n.name, p.Lease, p.Token, n.highestTokens)
 	if n.world.Relays > 0 {
-		n.known[p.Lease] = publication{p.Token, p.Seq}
-		n.knownCount[p.Lease]++
+		n.latestPublications[p.Lease] = publication{p.Token, p.Seq}
+		n.receivedCounts[p.Lease]++
 	}
 }
 
-// publish publishes to all nodes, as the holder.
+// publish sends a publication to all nodes, as the holder of the lease.
 func (n *Node) publish(name string, p publication) {
 	n.world.published[name] = p
-	n.known[name] = p
+	n.latestPublications[name] = p
 	n.node.Publish(n.clock(), "", name, p.token, p.sequence, publicationBody)
 }
 
-// publishNext has the holder of a lease publish. It returns the holder, or nil where there is none now.
+// publishNext sends the next publication of the holder of a lease. It returns the holder, or nil if there is none.
 func (w *World) publishNext(name string) *Node {
 	for _, n := range w.Nodes {
 		if !n.up || n.paused {
@@ -66,24 +67,25 @@
 	return nil
 }
 
-// republish publishes to one node again what was published to all.
+// republish sends the latest publication again to the node that requested it, if this node still holds the lease.
 func (n *Node) republish(r node.ResyncCall) {
-	if p := n.known[r.Lease]; p.token != 0 && n.heldToken(r.Lease) == p.token {
+	if p := n.latestPublications[r.Lease]; p.token != 0 && n.heldToken(r.Lease) == p.token {
 		n.node.Publish(n.clock(), r.From, r.Lease, p.token, p.sequence, publicationBody)
 	}
 }
 
-// requestResync requests publications that a gateway may have missed while it had no stream.
+// requestResync requests the publications that a gateway may have missed while it had no stream, and repeats the
+// request once.
 func (n *Node) requestResync() {
 	incarnation := n.incarnation
 	n.requestResyncOnce()
-	n.world.after(resyncRetryDelay, func() { n.deliverTo(incarnation, n.requestResyncOnce) })
+	n.world.afterFunc(resyncRetryDelay, func() { n.deliverTo(incarnation, n.requestResyncOnce) })
 }
 
 func (n *Node) requestResyncOnce() {
-	// What the gateway itself has published may be lost as well.
-	for _, name := range slices.Sorted(maps.Keys(n.known)) {
-		if p := n.known[name]; n.heldToken(name) == p.token {
+	// Publications of the gateway itself may have been lost as well, so they are sent again.
+	for _, name := range slices.Sorted(maps.Keys(n.latestPublications)) {
+		if p := n.latestPublications[name]; n.heldToken(name) == p.token {
 			n.node.Publish(n.clock(), "", name, p.token, p.sequence, publicationBody)
 		}
 	}
@@ -92,15 +94,15 @@
 	}
 }
 
-// checkKnown checks that all gateways know the last publication under a lease.
-func (w *World) checkKnown(name string) error {
+// checkLatestPublication checks that all gateways have received the latest publication under a lease.
+func (w *World) checkLatestPublication(name string) error {
 	last := w.published[name]
 	for _, n := range w.gateways() {
 		if !n.up || n.heldToken(name) != 0 {
 			continue
 		}
-		if known := n.known[name]; known.olderThan(last) {
-			return w.failed("%s knows publication %d of %s with token %d, %v after publication %d with token %d", n.name, known.sequence, name, known.token, maxPublicationDelay, last.sequence, last.token)
+		if latest := n.latestPublications[name]; latest.olderThan(last) {
+			return w.errorf("%s has publication %d of %s with token %d, %v after publication %d with token %d", n.name, latest.sequence, name, latest.token, maxPublicationDelay, last.sequence, last.token)
 		}
 	}
 	return nil
--- a/internal/cluster/sim/relay_faults.go
+++ b/internal/cluster/sim/relay_faults.go
@@ -5,14 +5,14 @@
 )
 
 const (
-	// maxRelayFaultInterval bounds the time from one fault to the next in a fleet with relays.
+	// maxRelayFaultInterval bounds the time between two injections of faults in a fleet with relays.
 	maxRelayFaultInterval = 2 * time.Second
-	// A pause in a fleet with relays is short or long.
+	// maxShortPause and maxLongPause bound the pauses of a process in a fleet with relays; each applies to half of them.
 	maxShortPause, maxLongPause = 3 * time.Second, time.Minute
 )
 
-// relayFaultKinds are the faults of relays and streams, each with a relay and a gateway. Their order decides
-// what a seed draws.
+// relayFaultKinds are the functions that inject a fault of relays and streams, called with a random relay and a random
+// gateway. Their order determines which faults a seed draws.
 var relayFaultKinds = []func(w *World, relay, gateway *Node){
 	func(w *World, relay, _ *Node) { w.faultKill(relay, nil) },
 	func(w *World, relay, _ *Node) { w.faultCrash(relay, nil) },
@@ -25,12 +25,12 @@
 	func(_ *World, _, gateway *Node) { gateway.breakStreams() },
 	(*World).faultKillHalf,
 	(*World).faultRestartRelays,
-	(*World).faultMuteRelay,
+	(*World).faultBlackholeRelay,
 	func(w *World, _, gateway *Node) { w.faultKill(gateway, nil) },
-	(*World).faultHalfBrokenStream,
+	(*World).faultHalfOpenStream,
 }
 
-// injectRelayFault injects one fault of relays and streams.
+// injectRelayFault injects a random fault of a relay or stream.
 func (w *World) injectRelayFault() {
 	if w.Now < w.noFaultsUntil {
 		return
@@ -41,23 +41,23 @@
 	relayFaultKinds[kind](w, relay, gateway)
 }
 
-// pauseLong pauses a process for up to a minute.
+// pauseLong pauses a process for up to maxShortPause or maxLongPause.
 func (w *World) pauseLong(n *Node) {
 	n.Pause()
 	longest := maxShortPause
 	if w.rng.IntN(2) == 0 {
 		longest = maxLongPause
 	}
-	n.resumeAfter(w.between(0, longest))
+	n.resumeAfter(w.drawDuration(0, longest))
 }
 
-// cutForAWhile cuts one direction for a while.
+// cutForAWhile drops all frames from one node to another for a random fault duration.
 func (w *World) cutForAWhile(from, to *Node) {
 	w.Cut(from, to)
-	w.later(func() { w.Heal(from, to) })
+	w.endFaultLater(func() { w.Heal(from, to) })
 }
 
-// faultCutStream cuts one direction between a gateway and its relay.
+// faultCutStream cuts one direction, drawn at random, between a gateway and its relay.
 func (w *World) faultCutStream(_, gateway *Node) {
 	for _, n := range w.relays() {
 		if !n.up || n.router.Streams()[gateway.name] == 0 {
@@ -78,7 +78,7 @@
 	}
 }
 
-// faultCutRelayOutgoing cuts all that a relay sends other relays; its streams stay.
+// faultCutRelayOutgoing drops all frames from a relay to other relays; its streams to gateways stay.
 func (w *World) faultCutRelayOutgoing(relay, _ *Node) {
 	for _, other := range w.relays() {
 		if other != relay {
@@ -88,8 +88,8 @@
 }
 
 func (w *World) faultSlowStreams(relay, _ *Node) {
-	relay.streamDelay = w.between(0, 2*time.Second)
-	w.later(func() { relay.streamDelay = 0 })
+	relay.streamDelay = w.drawDuration(0, 2*time.Second)
+	w.endFaultLater(func() { relay.streamDelay = 0 })
 }
 
 // faultKillHalf kills half of the relays.
@@ -99,22 +99,22 @@
 	}
 }
 
-// faultRestartRelays kills all relays, and starts them again.
+// faultRestartRelays kills all relays at once, and starts each again after a random duration.
 func (w *World) faultRestartRelays(_, _ *Node) {
 	for _, n := range w.relays() {
 		w.faultKill(n, nil)
 	}
 }
 
-// faultMuteRelay has a relay be alive and forward nothing.
-func (w *World) faultMuteRelay(relay, _ *Node) {
-	relay.mute = true
-	w.after(w.between(time.Second, 15*time.Second), func() { relay.mute = false })
+// faultBlackholeRelay makes a relay discard all records instead of forwarding them, while it stays alive.
+func (w *World) faultBlackholeRelay(relay, _ *Node) {
+	relay.blackhole = true
+	w.afterFunc(w.drawDuration(time.Second, 15*time.Second), func() { relay.blackhole = false })
 }
 
-// faultHalfBrokenStream has a gateway believe that its stream has ended: it goes to another relay, while the
-// old one has the old stream.
-func (w *World) faultHalfBrokenStream(_, gateway *Node) {
+// faultHalfOpenStream notifies a gateway, but not its relay, that its stream has ended: the gateway moves to another
+// relay while the old relay still has the old stream.
+func (w *World) faultHalfOpenStream(_, gateway *Node) {
 	if !gateway.up || gateway.paused {
 		return
 	}
--- a/internal/cluster/sim/relay_scenarios.go
+++ b/internal/cluster/sim/relay_scenarios.go
@@ -6,26 +6,26 @@
 	"dunemoor/internal/cluster/lease"
 )
 
-// MixedRelays returns a fleet with relays by the seed.
+// MixedRelays returns the options of a fleet with relays whose size depends on the seed.
 func MixedRelays(seed uint64) Options {
 	i := seed % 3
 	return Options{Seed: seed, Relays: []int{3, 4, 6}[i], Nodes: []int{9, 14, 22}[i], Replicas: []int{3, 3, 5}[i], Leases: 6, Locks: 2, Clients: 3}
 }
 
-// Relays plays a fleet with relays by its seed: a relay is killed, one goes mute, gateways change relays while
-// there are publications, and then faults are injected.
+// Relays simulates the fleet with relays of a seed: relays are killed, one stops forwarding, gateways move between
+// relays while publications are sent, and then random faults are injected.
 func Relays(seed uint64) error {
-	_, err := PlayRelays(MixedRelays(seed), 40*time.Second)
+	_, err := RunRelays(MixedRelays(seed), 40*time.Second)
 	return err
 }
 
-// PlayRelays plays a fleet with relays.
-func PlayRelays(o Options, faults time.Duration) (*World, error) {
-	w, err := formed(o)
+// RunRelays simulates a fleet with relays, with random faults for a duration; see Relays.
+func RunRelays(o Options, faults time.Duration) (*World, error) {
+	w, err := newFormedWorld(o)
 	if err != nil {
 		return w, err
 	}
-	for _, step := range []func() error{w.publishToAll, w.killRelays, w.muteRelay, w.publishWhileMoving} {
+	for _, step := range []func() error{w.publishToAll, w.killRelays, w.blackholeRelay, w.publishWhileMoving} {
 		if err := step(); err != nil {
 			return w, err
 		}
@@ -36,14 +36,14 @@
 		} else {
 			w.injectRelayFault()
 		}
-		w.Run(w.between(minFaultInterval, maxRelayFaultInterval))
+		w.Run(w.drawDuration(minFaultInterval, maxRelayFaultInterval))
 	}
 	if w.Violation != nil {
 		return w, w.Violation
 	}
 	w.HealAll()
 	if !w.Until(RecoveryTimeout, w.Recovered) {
-		return w, w.failed("not recovered %v after the last fault", RecoveryTimeout)
+		return w, w.errorf("not recovered %v after the last fault", RecoveryTimeout)
 	}
 	if err := w.Run(2 * lease.TTL); err != nil {
 		return w, err
@@ -53,24 +53,24 @@
 	}
 	for _, n := range w.relays() {
 		if s := n.router.Status(); s.Streams > s.Limit {
-			return w, w.failed("%s has %d streams, %d are its share", n.name, s.Streams, s.Limit)
+			return w, w.errorf("%s has %d streams, its limit is %d", n.name, s.Streams, s.Limit)
 		}
 	}
 	return w, w.CheckLinearizable()
 }
 
-// publishToAll checks that no publication is lost while nothing fails, though some nodes send records that are
-// rejected beside them.
+// publishToAll checks that no publication is lost without faults, even if some nodes also send records that are
+// rejected.
 func (w *World) publishToAll() error {
-	w.publishByHand = true
+	w.publishManually = true
 	defer func() {
-		w.publishByHand = false
+		w.publishManually = false
 		for _, n := range w.Nodes {
-			n.sendsBad = false
+			n.sendsInvalid = false
 		}
 	}()
 	for _, n := range w.Nodes {
-		n.sendsBad = w.rng.IntN(2) == 0
+		n.sendsInvalid = w.rng.IntN(2) == 0
 	}
 	if err := w.Run(time.Second); err != nil {
 		return err
@@ -82,7 +82,7 @@
 			return err
 		}
 		if transferred {
-			return nil // it was rebalanced: a new holder counts anew
+			return nil // the lease was rebalanced, and the sequence of a new holder starts again
 		}
 		if err := w.checkReceivedAll(name, holder); err != nil {
 			return err
@@ -91,13 +91,14 @@
 	return nil
 }
 
-// publicationCount is how many publications publishMany makes.
+// publicationCount is the number of publications that publishMany sends.
 const publicationCount = 20
 
-// publishMany has the holder of a lease publish many times. It reports a transfer meanwhile.
+// publishMany publishes publicationCount times as the holder of a lease. It stops and reports transferred if the holder
+// changes meanwhile.
 func (w *World) publishMany(name string) (holder *Node, transferred bool, err error) {
 	for _, n := range w.Nodes {
-		n.knownCount[name] = 0
+		n.receivedCounts[name] = 0
 	}
 	for range publicationCount {
 		if n := w.publishNext(name); n != nil {
@@ -106,24 +107,25 @@
 			}
 			holder = n
 		}
-		if err := w.Run(w.between(0, 100*time.Millisecond)); err != nil {
+		if err := w.Run(w.drawDuration(0, 100*time.Millisecond)); err != nil {
 			return nil, false, err
 		}
 	}
 	return holder, false, w.Run(time.Second)
 }
 
-// checkReceivedAll checks that all nodes that have not moved have received what publishMany published.
+// checkReceivedAll checks that all nodes that have not moved between relays have received each publication of
+// publishMany.
 func (w *World) checkReceivedAll(name string, holder *Node) error {
 	for _, n := range w.Nodes {
-		if holder != nil && n != holder && n.knownCount[name] != publicationCount && len(n.movedAt) < 2 {
-			return w.failed("%s has received %d of %d publications of %s, and nothing has failed", n.name, n.knownCount[name], publicationCount, name)
+		if holder != nil && n != holder && n.receivedCounts[name] != publicationCount && len(n.movedAt) < 2 {
+			return w.errorf("%s has received %d of %d publications of %s without any fault", n.name, n.receivedCounts[name], publicationCount, name)
 		}
 	}
 	return nil
 }
 
-// killRelays kills relays, one at a time, and checks that no other session expires and no lease changes hands.
+// killRelays kills relays, one at a time, and checks that no other session expires and no lease is lost.
 func (w *World) killRelays() error {
 	const count = 2
 	for range count {
@@ -138,58 +140,59 @@
 			return err
 		}
 		if changed := w.changedSessions(before, n); len(changed) > 0 {
-			return w.failed("the session of %s expired though only the relay %s was killed", changed[0].name, n.name)
+			return w.errorf("the session of %s expired though only the relay %s was killed", changed[0].name, n.name)
 		}
 		for _, gateway := range w.gateways() {
 			if _, ok := gateway.relayClient.Current(); !ok {
-				return w.failed("%s has no stream %v after %s was killed", gateway.name, 3*lease.TTL, n.name)
+				return w.errorf("%s has no stream %v after %s was killed", gateway.name, 3*lease.TTL, n.name)
 			}
 		}
 		if w.Expirations != expirations {
-			return w.failed("%d leases were lost as the relay %s was killed", w.Expirations-expirations, n.name)
+			return w.errorf("%d leases were lost after the relay %s was killed", w.Expirations-expirations, n.name)
 		}
 		n.Start()
 		if !w.Until(RecoveryTimeout, w.Recovered) {
-			return w.failed("not recovered after a relay came back")
+			return w.errorf("not recovered after a relay came back")
 		}
 	}
 	return nil
 }
 
-// muteTime is how long a relay forwards nothing in muteRelay: several times what a session lasts.
-const muteTime = 10 * time.Second
+// blackholeDuration is how long a relay forwards nothing in blackholeRelay: several times the TTL of a session.
+const blackholeDuration = 10 * time.Second
 
-// muteRelay has a relay be alive and forward nothing, and checks that its gateways leave it before any session
-// expires.
-func (w *World) muteRelay() error {
+// blackholeRelay makes a relay discard all records while it stays alive, and checks that its gateways move to another
+// relay before any session expires.
+func (w *World) blackholeRelay() error {
 	n := w.Nodes[w.rng.IntN(w.Relays)]
 	before := w.sessions()
-	n.mute = true
-	if err := w.Run(muteTime); err != nil {
+	n.blackhole = true
+	if err := w.Run(blackholeDuration); err != nil {
 		return err
 	}
-	n.mute = false
+	n.blackhole = false
 	leader := w.Leader()
 	for _, x := range w.Nodes {
 		if x.node.Session() != before[x] || leader != nil && leader.State().Sessions[before[x]] == nil {
-			return w.failed("the session of %s expired as %s forwarded nothing", x.name, n.name)
+			return w.errorf("the session of %s expired while %s forwarded nothing", x.name, n.name)
 		}
 	}
 	if streams := n.router.Streams(); len(streams) > 0 {
-		return w.failed("%s still has %d gateways, %v after it stopped forwarding", n.name, len(streams), muteTime)
+		return w.errorf("%s still has %d gateways, %v after it stopped forwarding", n.name, len(streams), blackholeDuration)
 	}
 	if !w.Until(RecoveryTimeout, w.Recovered) {
-		return w.failed("not recovered after a relay forwarded again")
+		return w.errorf("not recovered after a relay resumed forwarding")
 	}
 	return nil
 }
 
-// publishWhileMoving moves gateways from relay to relay, in several ways, while a holder publishes.
+// publishWhileMoving sends publications while gateways move between relays, by broken streams or a killed relay, and
+// checks that all gateways receive them.
 func (w *World) publishWhileMoving() error {
 	const rounds = 4
-	w.publishByHand = true
-	defer func() { w.publishByHand = false }()
-	if err := w.Run(time.Second); err != nil { // what is under way arrives
+	w.publishManually = true
+	defer func() { w.publishManually = false }()
+	if err := w.Run(time.Second); err != nil { // frames in flight arrive
 		return err
 	}
 	for range rounds {
@@ -200,21 +203,23 @@
 	return nil
 }
 
+// publishWhileMovingOnce is one round of publishWhileMoving. It checks the receipt of the publication unless a relay was
+// killed or the lease got another holder.
 func (w *World) publishWhileMovingOnce() error {
 	const moveTime, publishTime = 100 * time.Millisecond, 200 * time.Millisecond
 	name := leaseName(w.rng.IntN(max(1, w.Leases)))
 	for _, gateway := range w.gateways() {
 		if w.rng.IntN(2) == 0 {
-			w.after(w.between(0, moveTime), gateway.breakStreams)
+			w.afterFunc(w.drawDuration(0, moveTime), gateway.breakStreams)
 		}
 	}
 	var killed *Node
 	if w.rng.IntN(3) == 0 {
 		killed = w.Nodes[w.rng.IntN(w.Relays)]
-		w.after(w.between(0, moveTime), killed.Kill)
+		w.afterFunc(w.drawDuration(0, moveTime), killed.Kill)
 	}
 	published := false
-	w.after(w.between(0, publishTime), func() { published = w.publishNext(name) != nil })
+	w.afterFunc(w.drawDuration(0, publishTime), func() { published = w.publishNext(name) != nil })
 	if err := w.Run(publishTime); err != nil {
 		return err
 	}
@@ -225,12 +230,12 @@
 	if killed != nil {
 		killed.Start()
 		if !w.Until(RecoveryTimeout, w.Recovered) {
-			return w.failed("not recovered after a relay came back")
+			return w.errorf("not recovered after a relay came back")
 		}
 		return w.Run(maxPublicationDelay)
 	}
 	if published && w.currentToken(name) == w.published[name].token {
-		return w.checkKnown(name)
+		return w.checkLatestPublication(name)
 	}
 	return nil
 }
--- a/internal/cluster/sim/relaying.go
+++ b/internal/cluster/sim/relaying.go
@@ -9,40 +9,40 @@
 	"dunemoor/internal/cluster/relay"
 )
 
-// relaying is a process's part in a fleet with relays.
-type relaying struct {
-	router      *relay.Router // of a relay
-	relayClient *relay.Client // of a gateway
-	streams     map[streamKey]*stream
-	mute        bool                   // a relay that is alive and forwards nothing
-	streamDelay time.Duration          // added to all that goes by a relay's streams
-	sendsBad    bool                   // records that are rejected go beside others
-	received    map[string]*sequence   // by sender: its last record
-	known       map[string]publication // by lease: the last publication
-	knownCount  map[string]int         // by lease: how many publications were received
+// relayState is the state of a process in a fleet with relays.
+type relayState struct {
+	router             *relay.Router // set for a relay
+	relayClient        *relay.Client // set for a gateway
+	streams            map[streamKey]*stream
+	blackhole          bool                   // whether the relay discards all records while it stays alive
+	streamDelay        time.Duration          // delay added to all traffic on the relay's streams
+	sendsInvalid       bool                   // whether invalid records are sent along with others
+	lastRecords        map[string]*lastRecord // last records received, by sender
+	latestPublications map[string]publication // latest publications received or sent, by lease
+	receivedCounts     map[string]int         // numbers of publications received, by lease
 }
 
-// sequence is the last record that was received of a sender.
-type sequence struct {
-	replica, epoch, number uint64
-	former                 map[uint64]uint64 // by former replica of the sender: its last epoch
+// lastRecord identifies the last record received from a sender.
+type lastRecord struct {
+	replica, epoch, sequence uint64
+	formerEpochs             map[uint64]uint64 // last epochs of the sender's former replicas, by replica ID
 }
 
-// maxRecordAge is how old a record may be that is accepted: a silent stream is closed in 3 s, and each process
-// on the way may be paused for 1.2 s without anybody noticing.
+// maxRecordAge is the highest age of a record that a node may accept: a silent stream is closed after 3 s, and each
+// process on the path may be paused for 1.2 s undetected.
 const maxRecordAge = 10 * time.Second
 
-// maxSentTimes bounds World.sentAt.
+// maxSentTimes is the maximum number of entries of World.sentAt.
 const maxSentTimes = 1 << 18
 
-// relayRegion is the region of all nodes, zoneCount how many zones they are spread over.
+// relayRegion is the region of all nodes. zoneCount is the number of zones that they are spread over.
 const (
 	relayRegion = "r"
 	zoneCount   = 2
 )
 
-// badRecord is a record that no relay and no gateway accepts.
-var badRecord = relay.AppendRecord(nil, &relay.Record{To: "x", Kind: 9, Body: []byte("refused")})
+// invalidRecord is a record that all relays and gateways reject.
+var invalidRecord = relay.AppendRecord(nil, &relay.Record{To: "x", Kind: 9, Body: []byte("refused")})
 
 func (n *Node) isRelay() bool { return n.index < n.world.Relays }
 
@@ -51,11 +51,11 @@
 func (w *World) relays() []*Node   { return w.Nodes[:w.Relays] }
 func (w *World) gateways() []*Node { return w.Nodes[w.Relays:] }
 
-// startRelaying starts a process's part in the relaying.
+// startRelaying creates the Router of a relay or the Client of a gateway, and starts its ticks.
 func (n *Node) startRelaying() {
 	id := n.log.Identity()
 	cfg := relay.Config{Name: n.name, Zone: n.zone(), Region: relayRegion, ReplicaID: id.ReplicaID, Boots: id.Boots, Seed: n.world.rng.Uint64()}
-	n.relaying = relaying{streams: map[streamKey]*stream{}, known: map[string]publication{}, knownCount: map[string]int{}, received: map[string]*sequence{}}
+	n.relayState = relayState{streams: map[streamKey]*stream{}, latestPublications: map[string]publication{}, receivedCounts: map[string]int{}, lastRecords: map[string]*lastRecord{}}
 	var list []relay.Relay
 	for _, o := range n.world.relays() {
 		list = append(list, relay.Relay{Name: o.name, Zone: o.zone(), Region: relayRegion})
@@ -68,14 +68,14 @@
 	n.tickRelaying(n.incarnation)
 }
 
-// tickRelaying lets time pass in a Router or Client.
+// tickRelaying calls the Tick method of the Router or Client at each interval until the incarnation ends.
 func (n *Node) tickRelaying(incarnation int) {
 	if n.incarnation != incarnation {
 		return
 	}
 	interval := relay.TickInterval
 	if n.relayClient != nil {
-		interval = node.TickInterval // a Client has no batches
+		interval = node.TickInterval // a Client has no batches to flush at the shorter interval
 	}
 	n.deliver(func() {
 		if n.incarnation != incarnation {
@@ -87,12 +87,12 @@
 			n.relayClient.Tick(n.clock())
 		}
 		n.processOutput()
-		n.world.after(interval, func() { n.tickRelaying(incarnation) })
+		n.world.afterFunc(interval, func() { n.tickRelaying(incarnation) })
 	})
 }
 
-// noteRenewals tells a relay Client of renewals and of replies to them.
-func (n *Node) noteRenewals(o *node.Output) {
+// reportRenewals reports sent renewals of the session, and replies of the leader, to the relay Client.
+func (n *Node) reportRenewals(o *node.Output) {
 	if n.relayClient == nil {
 		return
 	}
@@ -104,7 +104,7 @@
 	}
 }
 
-// sendByRelay sends a frame of the node: a gateway by its stream, a relay to other relays or their gateways.
+// sendByRelay sends a frame of the node: from a gateway on its stream, from a relay to other relays or to gateways.
 func (n *Node) sendByRelay(f node.Frame) {
 	w := n.world
 	if f.Kind == node.KindMessage {
@@ -123,7 +123,7 @@
 	}
 }
 
-// processRelayOutput does what a Router or Client wants done. It reports whether the node was given anything.
+// processRelayOutput processes the output of the Router or Client. It reports whether the node received any input.
 func (n *Node) processRelayOutput() bool {
 	switch {
 	case n.router != nil:
@@ -140,7 +140,7 @@
 		n.sendToGateway(f)
 	}
 	for _, f := range o.ToRelay {
-		n.send(node.Frame{To: f.Name, Kind: f.Kind, Body: n.withBadRecord(f)})
+		n.send(node.Frame{To: f.Name, Kind: f.Kind, Body: n.prependInvalidRecord(f)})
 	}
 	for i := range o.ToNode {
 		n.receiveRecord(&o.ToNode[i])
@@ -153,9 +153,9 @@
 	return len(o.ToNode) > 0
 }
 
-// sendToGateway sends a frame by a stream of a relay.
+// sendToGateway sends a frame to a gateway on its stream.
 func (n *Node) sendToGateway(f relay.Frame) {
-	if n.mute && f.Kind == relay.KindRecord {
+	if n.blackhole && f.Kind == relay.KindRecord {
 		f.Kind, f.Body = relay.KindIdle, nil
 	}
 	s := n.streams[streamKey{f.Name, f.Epoch}]
@@ -196,17 +196,17 @@
 	return len(o.ToNode) > 0 || o.Reconnected || o.Outdated
 }
 
-// sendToRelay sends a frame by the stream of a gateway.
+// sendToRelay sends a frame to the relay on the gateway's stream.
 func (n *Node) sendToRelay(f relay.Frame) {
 	s := n.streams[streamKey{n.name, f.Epoch}]
 	if s == nil {
 		return
 	}
-	body := n.withBadRecord(f)
+	body := n.prependInvalidRecord(f)
 	n.countSent(len(body))
 	s.send(relayEnd, func() {
 		to := s.node[relayEnd]
-		if to.mute && f.Kind != relay.KindIdle {
+		if to.blackhole && f.Kind != relay.KindIdle {
 			to.router.FromStream(to.clock(), s.name, s.epoch, relay.KindIdle, nil)
 			return
 		}
@@ -214,42 +214,44 @@
 	})
 }
 
-// withBadRecord returns the body of a frame, with a record that is rejected before it where the node is to
-// send such.
-func (n *Node) withBadRecord(f relay.Frame) []byte {
-	if f.Kind == relay.KindRecord && n.sendsBad {
-		return append(slices.Clone(badRecord), f.Body...)
+// prependInvalidRecord returns the body of a frame, preceded by invalidRecord if sendsInvalid is set and the frame
+// contains records.
+func (n *Node) prependInvalidRecord(f relay.Frame) []byte {
+	if f.Kind == relay.KindRecord && n.sendsInvalid {
+		return append(slices.Clone(invalidRecord), f.Body...)
 	}
 	return f.Body
 }
 
-// receiveRecord passes a record to the node. It checks that of each sender nothing arrives twice or after
-// what was sent later, and nothing that a process has kept for long.
+// receiveRecord passes a record to the node. It checks that the records of each sender arrive in order and at most once,
+// and that none is older than maxRecordAge.
 func (n *Node) receiveRecord(r *relay.Record) {
 	w := n.world
 	n.checkSequence(r)
 	if at, ok := w.sentAt[digest(r.Body)]; ok && w.Now-at > maxRecordAge {
-		w.violated("%s accepts a record of %s that was sent %v ago", n.name, r.From, w.Now-at)
+		w.violationf("%s accepted a record of %s that was sent %v ago", n.name, r.From, w.Now-at)
 	}
 	if err := n.node.Receive(n.clock(), r.From, r.Kind, r.Body); err != nil {
-		w.violated("%s can't read what %s has sent: %v", n.name, r.From, err)
+		w.violationf("%s can't decode a record of %s: %v", n.name, r.From, err)
 	}
 }
 
+// checkSequence checks that a record follows the sender's last one: it must have a later epoch, or the same epoch and a
+// later sequence. A record of a former replica must have a later epoch than the last record of that replica.
 func (n *Node) checkSequence(r *relay.Record) {
-	last := n.received[r.From]
+	last := n.lastRecords[r.From]
 	if last == nil {
-		last = &sequence{former: map[uint64]uint64{}}
-		n.received[r.From] = last
+		last = &lastRecord{formerEpochs: map[uint64]uint64{}}
+		n.lastRecords[r.From] = last
 	}
 	switch {
-	case last.replica == r.ReplicaID && (r.Epoch < last.epoch || r.Epoch == last.epoch && r.Seq <= last.number):
-		n.world.violated("%s accepts record %d of epoch %x of %s after record %d of epoch %x", n.name, r.Seq, r.Epoch, r.From, last.number, last.epoch)
-	case last.replica != r.ReplicaID && last.former[r.ReplicaID] >= r.Epoch:
-		n.world.violated("%s accepts a record of a disk that %s no longer has", n.name, r.From)
+	case last.replica == r.ReplicaID && (r.Epoch < last.epoch || r.Epoch == last.epoch && r.Seq <= last.sequence):
+		n.world.violationf("%s accepted record %d of epoch %x of %s after record %d of epoch %x", n.name, r.Seq, r.Epoch, r.From, last.sequence, last.epoch)
+	case last.replica != r.ReplicaID && last.formerEpochs[r.ReplicaID] >= r.Epoch:
+		n.world.violationf("%s accepted an outdated record of a former replica of %s", n.name, r.From)
 	}
 	if last.replica != r.ReplicaID && last.replica != 0 {
-		last.former[last.replica] = last.epoch
+		last.formerEpochs[last.replica] = last.epoch
 	}
-	last.replica, last.epoch, last.number = r.ReplicaID, r.Epoch, r.Seq
+	last.replica, last.epoch, last.sequence = r.ReplicaID, r.Epoch, r.Seq
 }
--- a/internal/cluster/sim/stream.go
+++ b/internal/cluster/sim/stream.go
@@ -19,29 +19,29 @@
 )
 
 // other returns the opposite end.
-func (e streamEnd) other() streamEnd { return 1 - e }
+func (e streamEnd) opposite() streamEnd { return 1 - e }
 
-// stream is a connection between a gateway and a relay. What is sent arrives in order: late where the way is
-// cut, and not at all where the receiving process has ended.
+// stream is a connection between a gateway and a relay. Frames arrive in order: they are held back while the direction is
+// cut, and dropped if the receiving process has ended.
 type stream struct {
 	world       *World
-	name        string // of the gateway
+	name        string // name of the gateway
 	epoch       uint64
-	node        [2]*Node
+	node        [2]*Node // arrays are indexed by streamEnd
 	incarnation [2]int
-	closed      [2]bool // by that end
-	notified    [2]bool // that end knows that the stream has ended
+	closed      [2]bool // whether that end has closed the stream
+	notified    [2]bool // whether that end has been notified of the end of the stream
 	queue       [2][]delivery
 	delivering  [2]bool
 }
 
-// delivery is what is under way to an end of a stream.
+// delivery is an event in flight to an end of a stream.
 type delivery struct {
 	at time.Duration
 	do func()
 }
 
-// streamKey identifies a stream at a node.
+// streamKey identifies a stream at a node, by the gateway's name and the epoch.
 type streamKey struct {
 	name  string
 	epoch uint64
@@ -51,28 +51,28 @@
 
 func (s *stream) key() streamKey { return streamKey{s.name, s.epoch} }
 
-// stallInterval is how often a way that is cut is tried again.
-const stallInterval = 50 * time.Millisecond
+// cutRetryInterval is the interval of delivery attempts while a direction is cut.
+const cutRetryInterval = 50 * time.Millisecond
 
-// send has something arrive at an end.
+// send schedules the delivery of an event to an end of the stream, after all events sent to that end before.
 func (s *stream) send(to streamEnd, do func()) {
 	w := s.world
-	at := w.Now + w.between(minNetworkDelay, maxNetworkDelay) + s.node[relayEnd].streamDelay
+	at := w.Now + w.drawDuration(minNetworkDelay, maxNetworkDelay) + s.node[relayEnd].streamDelay
 	if q := s.queue[to]; len(q) > 0 {
 		at = max(at, q[len(q)-1].at)
 	}
 	s.queue[to] = append(s.queue[to], delivery{at, do})
 	if !s.delivering[to] {
 		s.delivering[to] = true
-		w.after(at-w.Now, func() { s.deliver(to) })
+		w.afterFunc(at-w.Now, func() { s.deliver(to) })
 	}
 }
 
-// deliver delivers the first of what is under way to an end.
+// deliver delivers the first event in the queue to an end, and schedules the delivery of the next one.
 func (s *stream) deliver(to streamEnd) {
 	w := s.world
-	if w.isCut(s.node[to.other()], s.node[to]) {
-		w.after(stallInterval, func() { s.deliver(to) })
+	if w.isCut(s.node[to.opposite()], s.node[to]) {
+		w.afterFunc(cutRetryInterval, func() { s.deliver(to) })
 		return
 	}
 	next := s.queue[to][0]
@@ -88,20 +88,20 @@
 		s.delivering[to] = false
 		return
 	}
-	w.after(max(0, s.queue[to][0].at-w.Now), func() { s.deliver(to) })
+	w.afterFunc(max(0, s.queue[to][0].at-w.Now), func() { s.deliver(to) })
 }
 
-// close closes the stream from one end; the other is notified after what was sent before.
+// close closes the stream from one end. The other end is notified after all earlier frames.
 func (s *stream) close(from streamEnd) {
 	if s.closed[from] {
 		return
 	}
 	s.closed[from] = true
 	delete(s.node[from].streams, s.key())
-	s.send(from.other(), func() { s.notifyEnd(from.other()) })
+	s.send(from.opposite(), func() { s.notifyEnd(from.opposite()) })
 }
 
-// notifyEnd tells an end that the stream has ended.
+// notifyEnd notifies the Router or Client at an end that the stream has ended.
 func (s *stream) notifyEnd(at streamEnd) {
 	if s.notified[at] || s.closed[at] {
 		return
@@ -116,7 +116,7 @@
 	}
 }
 
-// dial opens a stream to a relay.
+// dial opens a stream to a relay. It fails after relay.DialTimeout if the relay has not replied by then.
 func (n *Node) dial(d relay.Dial) {
 	w := n.world
 	to := w.byName[d.Relay]
@@ -126,23 +126,23 @@
 		s.send(gatewayEnd, func() { s.notifyEnd(gatewayEnd) }) // the connection is refused
 		return
 	}
-	answered := false
+	replied := false
 	s.send(relayEnd, func() {
 		reply := to.router.Join(to.clock(), d.Join)
 		if reply.Accepted {
 			to.streams[s.key()] = s
 		}
 		s.send(gatewayEnd, func() {
-			answered = true
+			replied = true
 			n.relayClient.Joined(n.clock(), s.epoch, reply)
 		})
 		if !reply.Accepted {
 			s.closed[relayEnd] = true
 		}
 	})
-	w.after(relay.DialTimeout, func() {
+	w.afterFunc(relay.DialTimeout, func() {
 		n.deliver(func() {
-			if n.incarnation == s.incarnation[gatewayEnd] && !answered && !s.closed[gatewayEnd] && !s.notified[gatewayEnd] {
+			if n.incarnation == s.incarnation[gatewayEnd] && !replied && !s.closed[gatewayEnd] && !s.notified[gatewayEnd] {
 				s.close(gatewayEnd)
 				n.relayClient.Ended(n.clock(), s.epoch)
 				n.processOutput()
@@ -158,7 +158,8 @@
 	})
 }
 
-// closeStreams ends the streams of a process that has ended. If its machine has too, nobody is notified.
+// closeStreams closes the streams of a process that has ended. If its machine has crashed, the other ends are not
+// notified.
 func (n *Node) closeStreams(machine bool) {
 	for _, s := range n.sortedStreams() {
 		from := gatewayEnd
@@ -174,7 +175,7 @@
 	}
 }
 
-// breakStreams breaks the streams of a gateway.
+// breakStreams ends the streams of a gateway and notifies both ends.
 func (n *Node) breakStreams() {
 	for _, s := range n.sortedStreams() {
 		for _, at := range []streamEnd{gatewayEnd, relayEnd} {
@@ -183,7 +184,7 @@
 	}
 }
 
-// streamsAgree reports whether each gateway has one stream, and its relay the same.
+// streamsAgree reports whether all nodes are up, each gateway has exactly one stream, and its relay has the same one.
 func (w *World) streamsAgree() bool {
 	if w.Relays == 0 {
 		return true
--- a/internal/cluster/sim/tasks.go
+++ b/internal/cluster/sim/tasks.go
@@ -10,24 +10,26 @@
 )
 
 const (
-	// maxReleaseDelay is how long a task takes to stop.
+	// maxReleaseDelay is the longest time that a task takes to stop.
 	maxReleaseDelay = 10 * time.Millisecond
-	// maxActDelay is the time between the check of a lease and the act, where the process is not paused.
-	maxActDelay = time.Millisecond
-	// writeKey is the key that holders write under; its value is their token.
+	// maxFencedOpDelay is the longest time between the check of a lease and the fenced operation, unless the process
+	// is paused.
+	maxFencedOpDelay = time.Millisecond
+	// writeKey is the key of the holder's writes to the coordination state; the value is the holder's token.
 	writeKey = "by"
 )
 
-// HostLedger stands for hosts that check tokens: it keeps the highest token that was seen of each lease.
+// HostLedger simulates hosts that check fencing tokens: it rejects requests whose token is lower than the highest seen
+// for the lease.
 type HostLedger struct {
-	highest  map[string]uint64
-	rejected int // acts with an older token
+	highest  map[string]uint64 // highest tokens seen, by lease
+	rejected int               // number of requests rejected for an older token
 }
 
 func newHostLedger() *HostLedger { return &HostLedger{highest: map[string]uint64{}} }
 
-// act is a request to a host under a lease.
-func (l *HostLedger) act(lease string, token uint64) {
+// recordRequest records a request to a host under a lease.
+func (l *HostLedger) recordRequest(lease string, token uint64) {
 	if token < l.highest[lease] {
 		l.rejected++
 		return
@@ -35,7 +37,7 @@
 	l.highest[lease] = token
 }
 
-// updateTasks starts and stops the work under a node's grants.
+// updateTasks starts and stops tasks so that one runs for each grant that is not being released.
 func (n *Node) updateTasks(grants []node.Grant) {
 	held := map[string]bool{}
 	for _, g := range grants {
@@ -47,7 +49,7 @@
 		}
 		if n.tasks[g.Lease] != g.Token {
 			n.tasks[g.Lease] = g.Token
-			n.scheduleAct(g.Lease, g.Token, n.incarnation, 0)
+			n.scheduleFencedOp(g.Lease, g.Token, n.incarnation, 0)
 		}
 	}
 	for name := range n.tasks {
@@ -57,67 +59,70 @@
 	}
 }
 
-// recordGrant checks that a token is granted once.
+// recordGrant records a grant, and checks that its token was not granted to another node or for another lease.
 func (w *World) recordGrant(n *Node, g node.Grant) {
 	grant := g.Lease + " " + n.name
 	if earlier, ok := w.grants[g.Token]; !ok {
 		w.grants[g.Token] = grant
 	} else if earlier != grant {
-		w.violated("token %d was granted to %s and to %s", g.Token, earlier, grant)
+		w.violationf("token %d was granted to %s and to %s", g.Token, earlier, grant)
 	}
 }
 
-// stopTask ends the work under a grant, and then has the lease released.
+// stopTask stops the task under a grant, and releases the lease after a random delay.
 func (n *Node) stopTask(g node.Grant) {
 	delete(n.tasks, g.Lease)
 	incarnation := n.incarnation
-	n.world.after(n.world.between(0, maxReleaseDelay), func() {
+	n.world.afterFunc(n.world.drawDuration(0, maxReleaseDelay), func() {
 		n.deliverTo(incarnation, func() { n.node.ReleaseStopped(n.clock(), g.Lease, g.Token) })
 	})
 }
 
-// scheduleAct is the loop of a task: it checks its lease, and then acts. Any time may pass in between.
-func (n *Node) scheduleAct(name string, token uint64, incarnation int, sequence uint64) {
+// scheduleFencedOp is the loop of a task: it checks that the lease is held, and then starts a fenced operation. Any
+// time may pass between the check and the operation.
+func (n *Node) scheduleFencedOp(name string, token uint64, incarnation int, sequence uint64) {
 	w := n.world
-	w.after(w.between(0, 2*w.ActInterval), func() {
+	w.afterFunc(w.drawDuration(0, 2*w.FencedOpInterval), func() {
 		n.deliver(func() {
 			if n.incarnation != incarnation || n.tasks[name] != token {
 				return
 			}
 			if n.heldToken(name) == token {
-				n.actSoon(name, token, sequence)
+				n.startFencedOp(name, token, sequence)
 			}
-			n.scheduleAct(name, token, incarnation, sequence+1)
+			n.scheduleFencedOp(name, token, incarnation, sequence+1)
 		})
 	})
 }
 
-// actSoon acts a moment after the lease was checked, or long after, where the process is to be paused.
-func (n *Node) actSoon(name string, token, sequence uint64) {
-	delay := n.world.between(0, maxActDelay)
+// startFencedOp schedules a fenced operation shortly after the check of the lease. If pauseBeforeOp is set, the process
+// is paused for that time first.
+func (n *Node) startFencedOp(name string, token, sequence uint64) {
+	delay := n.world.drawDuration(0, maxFencedOpDelay)
 	incarnation := n.incarnation
-	if pause := n.pauseBeforeAct; pause > 0 {
-		n.pauseBeforeAct = 0
+	if pause := n.pauseBeforeOp; pause > 0 {
+		n.pauseBeforeOp = 0
 		n.Pause()
 		n.resumeAfter(pause)
 	}
-	n.world.after(delay, func() {
+	n.world.afterFunc(delay, func() {
 		n.deliver(func() {
 			if n.incarnation == incarnation {
-				n.act(name, token, sequence)
+				n.runFencedOp(name, token, sequence)
 			}
 		})
 	})
 }
 
-// act is an act under a lease: at a host, at the other nodes and in the coordination state.
-func (n *Node) act(name string, token, sequence uint64) {
+// runFencedOp runs a fenced operation under a lease: a request to a host, a publication to the other nodes and,
+// at random, a write to the coordination state.
+func (n *Node) runFencedOp(name string, token, sequence uint64) {
 	w := n.world
-	w.acts++
-	w.Hosts.act(name, token)
+	w.fencedOps++
+	w.Hosts.recordRequest(name, token)
 	if w.Relays == 0 {
 		n.node.Publish(n.clock(), "", name, token, sequence+1, publicationBody)
-	} else if !w.publishByHand {
+	} else if !w.publishManually {
 		n.publish(name, w.published[name].next(token))
 	}
 	if w.rng.IntN(4) == 0 {
@@ -126,8 +131,8 @@
 	n.processOutput()
 }
 
-// heldToken returns the token with which a node considers itself the holder of a lease, by its own clock;
-// 0: it does not.
+// heldToken returns the token under which the node considers itself the holder of a lease, by its own clock, or 0 if it
+// does not.
 func (n *Node) heldToken(name string) uint64 {
 	if g, ok := n.node.Grant(name); ok && (n.clock() < g.Deadline || failpoint.Enabled(failpoint.IgnoreDeadline)) {
 		return g.Token
@@ -135,7 +140,7 @@
 	return 0
 }
 
-// countHolders returns how many nodes consider themselves the holder of a lease now.
+// countHolders returns the number of nodes that currently consider themselves the holder of a lease.
 func (w *World) countHolders(name string) (count int) {
 	for _, n := range w.Nodes {
 		if n.up && n.heldToken(name) != 0 {
@@ -145,7 +150,7 @@
 	return count
 }
 
-// currentToken returns the token of the node that considers itself the holder of a lease; 0: none does.
+// currentToken returns the token of the first node that considers itself the holder of a lease, or 0 if none does.
 func (w *World) currentToken(name string) uint64 {
 	for _, n := range w.Nodes {
 		if n.up {
--- a/internal/cluster/sim/world.go
+++ b/internal/cluster/sim/world.go
@@ -1,7 +1,8 @@
-// Package sim plays whole fleets in virtual time. The nodes are those of the program, with their
-// replicas and logs, over a network and file systems that fail as a scenario says or as a seed draws.
+// Package sim is a deterministic simulation of whole fleets in virtual time. It runs the nodes of the program, with their
+// replicas and logs, on a simulated network and simulated file systems, which fail as a scenario defines or at random.
 //
-// Invariants are checked at every step. The same seed plays the same run, event by event.
+// Invariants are checked after every step of a node. All randomness is drawn from a seed: the same seed reproduces the
+// same run, event by event.
 package sim
 
 import (
@@ -18,72 +19,74 @@
 // Options describe a fleet.
 type Options struct {
 	Seed      uint64
-	Nodes     int // relays included
-	Relays    int // the first nodes are relays, the others gateways with one stream each; 0: a full mesh
-	Replicas  int // bootstrap replicas
-	Leases    int // every gateway is a candidate for each
-	Locks     int // leases that only Clients acquire
-	Clients   int // gateways that acquire and release locks all the time
-	Operators int // who set overrides, see Overrides
-	// ActInterval is the mean time between two acts of a lease holder; 0: defaultActInterval.
-	ActInterval time.Duration
-	Trace       bool // events are printed
+	Nodes     int // number of nodes, including relays
+	Relays    int // number of relays, the first nodes; the others are gateways with one stream each; 0: a full mesh
+	Replicas  int // number of bootstrap replicas
+	Leases    int // number of leases for which every gateway is a candidate
+	Locks     int // number of leases that only Clients acquire
+	Clients   int // number of gateways that continuously acquire and release locks
+	Operators int // number of operators that set overrides, see Overrides
+	// FencedOpInterval is the mean time between two fenced operations of a lease holder, which carry its fencing token;
+	// 0: defaultFencedOpInterval.
+	FencedOpInterval time.Duration
+	Trace            bool // whether events are printed
 }
 
 const (
-	defaultActInterval = 250 * time.Millisecond
+	defaultFencedOpInterval = 250 * time.Millisecond
 
-	// Delays of the network and of a disk are drawn between two bounds.
+	// Bounds of the random delays of the network and of an fsync.
 	minNetworkDelay, maxNetworkDelay = 200 * time.Microsecond, 5 * time.Millisecond
 	minFsyncDelay, maxFsyncDelay     = 100 * time.Microsecond, 3 * time.Millisecond
 
 	reconnectInterval = 250 * time.Millisecond
-	// clockScale is the rate of a perfect clock. maxClockDrift is how much faster or slower the clock of a
-	// node runs, in the same unit: well within what lease holders allow for.
+	// clockScale is the rate of an exact clock. maxClockDrift is the largest deviation of the rate of a node's clock,
+	// in the same unit. It is well below the drift that lease holders allow for.
 	clockScale    = 10000
 	maxClockDrift = 80
 )
 
-// World is a fleet at an instant.
+// World is the state of a simulated fleet.
 type World struct {
 	Options
 	Now       time.Duration
 	Nodes     []*Node
 	Hosts     *HostLedger
-	Violation error // the first violation of an invariant; the run stops there
+	Violation error // the first violation of an invariant, at which the run stops
 
 	rng       *rand.Rand
 	byName    map[string]*Node
 	events    eventQueue
-	scheduled uint64 // events so far
-	stamps    int    // files created so far
+	scheduled uint64 // number of events scheduled so far
+	stamps    int    // number of files created so far
 	cut       map[direction]bool
 	faults    NetworkFaults
 
-	// What invariants are checked against.
-	grants        map[uint64]string // by token: lease and node that it was granted to
-	history       *lockHistory
-	digests       map[uint64]uint64 // of the coordination state, by revision
-	leaseTokens   map[string]uint64 // by lease: the token of its last grant
-	leaseHolders  map[string]uint64 // by lease: the session of its last holder
-	lastWriter    map[string]string // by lease: the token of the last write
-	revision      uint64            // the latest that was checked
-	sentAt        map[uint64]time.Duration
-	published     map[string]publication // by lease: the last publication
-	publishByHand bool                   // holders publish only when the scenario says so
-
-	// Frames is how many were sent, Expirations how many leases were lost by an expired session.
+	// State from which invariants are checked.
+	grants          map[uint64]string // lease and holder of each grant, by token
+	history         *lockHistory
+	digests         map[uint64]uint64        // digests of the coordination state, by revision
+	leaseTokens     map[string]uint64        // tokens of the last grants, by lease
+	leaseHolders    map[string]uint64        // sessions of the last holders, by lease
+	lastWriteTokens map[string]string        // tokens of the last writes, by lease
+	revision        uint64                   // latest checked revision
+	sentAt          map[uint64]time.Duration // times at which messages were sent in a fleet with relays, by digest
+	published       map[string]publication   // latest publications, by lease
+	publishManually bool                     // whether holders publish only when the scenario calls publishNext
+
+	// Frames is the number of sent frames. Expirations is the number of leases lost by the expiry of their holder's
+	// session.
 	Frames, Expirations int
-	acts                int
+	fencedOps           int
 
 	operatorsDone bool
 	noFaultsUntil time.Duration
 }
 
-// direction is a way between two nodes, by their indices.
+// direction is one direction between two nodes, by their indices.
 type direction struct{ from, to int }
 
-// NetworkFaults are the shares of frames that are lost, duplicated or delayed.
+// NetworkFaults are the shares of frames that are lost, duplicated or delayed, and the longest additional delay.
 type NetworkFaults struct {
 	Lost, Duplicated, Delayed float64
 	MaxDelay                  time.Duration
@@ -91,13 +94,13 @@
 
 // New returns a World whose nodes have not been started.
 func New(o Options) *World {
-	if o.ActInterval == 0 {
-		o.ActInterval = defaultActInterval
+	if o.FencedOpInterval == 0 {
+		o.FencedOpInterval = defaultFencedOpInterval
 	}
 	w := &World{
 		Options: o, rng: rand.New(rand.NewPCG(o.Seed, 0x9e3779b97f4a7c15)), cut: map[direction]bool{}, Hosts: newHostLedger(),
 		grants: map[uint64]string{}, history: &lockHistory{}, digests: map[uint64]uint64{}, leaseTokens: map[string]uint64{},
-		leaseHolders: map[string]uint64{}, lastWriter: map[string]string{}, byName: map[string]*Node{},
+		leaseHolders: map[string]uint64{}, lastWriteTokens: map[string]string{}, byName: map[string]*Node{},
 		published: map[string]publication{}, sentAt: map[uint64]time.Duration{},
 	}
 	for i := range o.Nodes {
@@ -115,22 +118,22 @@
 	}
 }
 
-// form starts all nodes and plays until the fleet has formed.
+// form starts all nodes and runs until the fleet has formed, as reported by Recovered.
 func (w *World) form(timeout time.Duration) error {
 	w.startAll()
 	if !w.Until(timeout, w.Recovered) {
-		return w.failed("the fleet did not form")
+		return w.errorf("the fleet did not form")
 	}
 	return nil
 }
 
-// formed returns a World whose fleet has formed.
-func formed(o Options) (*World, error) {
+// newFormedWorld returns a new World whose fleet has formed.
+func newFormedWorld(o Options) (*World, error) {
 	w := New(o)
 	return w, w.form(RecoveryTimeout)
 }
 
-// Until plays until a condition holds, and reports whether it did within the timeout.
+// Until runs until a condition holds, and reports whether it held within the timeout.
 func (w *World) Until(timeout time.Duration, ok func() bool) bool {
 	for end := w.Now + timeout; w.Violation == nil && w.Now < end; {
 		if ok() {
@@ -141,36 +144,37 @@
 	return w.Violation == nil && ok()
 }
 
-// violated records a violation of an invariant.
-func (w *World) violated(format string, args ...any) {
+// violationf records the violation of an invariant. Only the first one is kept.
+func (w *World) violationf(format string, args ...any) {
 	if w.Violation == nil {
 		w.Violation = fmt.Errorf("seed %d at %v: %s", w.Seed, w.Now, fmt.Sprintf(format, args...))
 	}
 }
 
-// failed returns the error of a scenario that did not end as it has to.
-func (w *World) failed(format string, args ...any) error {
+// errorf returns the error of a scenario whose check failed: the violation of an invariant, if there was one, else an
+// error that includes the status of all nodes.
+func (w *World) errorf(format string, args ...any) error {
 	if w.Violation != nil {
 		return w.Violation
 	}
 	return fmt.Errorf("seed %d at %v: %s: %s", w.Seed, w.Now, fmt.Sprintf(format, args...), w.describe())
 }
 
-// trace prints what happens, where that is wanted.
+// trace prints an event with the virtual time, if Options.Trace is set.
 func (w *World) trace(args ...any) {
 	if w.Trace {
 		fmt.Println(append([]any{w.Now}, args...)...)
 	}
 }
 
-// traceLog prints what a node has logged.
+// traceLog traces the log entries of a node.
 func (w *World) traceLog(name string, entries []node.LogEntry) {
 	for _, e := range entries {
 		w.trace(name, e.Message, e.Args)
 	}
 }
 
-// describe returns how each node stands.
+// describe returns the status of all nodes, for error messages.
 func (w *World) describe() (text string) {
 	for _, n := range w.Nodes {
 		text += n.describe()
@@ -178,13 +182,13 @@
 	return text + fmt.Sprint(" cuts ", len(w.cut), " tick ", node.TickInterval)
 }
 
-// Cut drops all that one node sends another, until Heal.
+// Cut drops all frames from one node to another until Heal.
 func (w *World) Cut(from, to *Node) { w.cut[direction{from.index, to.index}] = true }
 
 // Heal ends a Cut.
 func (w *World) Heal(from, to *Node) { delete(w.cut, direction{from.index, to.index}) }
 
-// isCut reports whether nothing gets from one node to another.
+// isCut reports whether the direction from one node to another is cut.
 func (w *World) isCut(from, to *Node) bool { return w.cut[direction{from.index, to.index}] }
 
 // Partition cuts two groups from one another, in both directions.
@@ -212,11 +216,11 @@
 	clear(w.cut)
 	w.faults = NetworkFaults{}
 	for _, n := range w.Nodes {
-		n.fs.full, n.fs.broken, n.diskDelay, n.pauseBeforeAct = false, nil, 0, 0
-		n.mute, n.streamDelay = false, 0
+		n.fs.full, n.fs.syncErr, n.diskDelay, n.pauseBeforeOp = false, nil, 0, 0
+		n.blackhole, n.streamDelay = false, 0
 		n.Resume()
 		if n.up && n.node.Halted() != nil && !errors.Is(n.node.Halted(), multiraft.ErrLogContradiction) {
-			n.Kill() // an operator restarts it; a node with an older disk has to find out by itself
+			n.Kill() // an operator restarts a halted node, except one with an older disk, which must detect that itself
 		}
 		if !n.up {
 			n.Start()
@@ -224,7 +228,7 @@
 	}
 }
 
-// Leader returns the leader of the highest term, or nil.
+// Leader returns the leader with the highest term, or nil.
 func (w *World) Leader() (leader *Node) {
 	term := uint64(0)
 	for _, n := range w.Nodes {
@@ -237,8 +241,8 @@
 	return leader
 }
 
-// Recovered reports whether the fleet is as it has to be without faults: all nodes have a session, all
-// replicas vote, and each lease has a holder that knows of it.
+// Recovered reports whether the fleet is in its normal state: all nodes have a session, all replicas are voters, streams
+// agree at both ends, and each lease has exactly one holder, which also considers itself the holder.
 func (w *World) Recovered() bool {
 	leader := w.Leader()
 	if leader == nil {
@@ -269,7 +273,7 @@
 	return len(s.Leases) >= w.Leases
 }
 
-// Halted returns how many replicas have stopped by themselves.
+// Halted returns the number of running nodes whose replica has halted itself.
 func (w *World) Halted() (count int) {
 	for _, n := range w.Nodes {
 		if n.up && n.node.Halted() != nil {
@@ -279,16 +283,16 @@
 	return count
 }
 
-// leaseName returns the name of a lease that all gateways are candidates for.
+// leaseName returns the name of a lease for which all gateways are candidates.
 func leaseName(i int) string { return fmt.Sprintf("d%d", i) }
 
-// lockName returns the name of a lease that only clients acquire.
+// lockName returns the name of a lock, a lease that only clients acquire.
 func lockName(i int) string { return fmt.Sprintf("lock%d", i) }
 
-// isLock reports whether a lease is one that only clients acquire.
+// isLock reports whether a lease is a lock.
 func isLock(lease string) bool { return lease[0] != 'd' }
 
-// digest returns a short value that differs where the bytes do.
+// digest returns a hash of the bytes.
 func digest(b []byte) uint64 {
 	h := fnv.New64a()
 	h.Write(b)
