--- a/internal/experiment/faulttest/admin.go
+++ b/internal/experiment/faulttest/admin.go
@@ -11,7 +11,7 @@
 	"strings"
 )
 
-// Status is the part of a gateway's status in its fleet that is used here.
+// Status is the part of a gateway's /admin/fleet status that this package uses.
 type Status struct {
 	FleetID     string           `json:"id"`
 	Name        string           `json:"name"`
@@ -39,20 +39,20 @@
 	roleStopped = "stopped"
 )
 
-// MemberStatus is a gateway of the fleet.
+// MemberStatus is the status of a gateway of the fleet.
 type MemberStatus struct {
 	Name    string `json:"name"`
 	Session uint64 `json:"session"`
 }
 
-// LeaseStatus is a lease.
+// LeaseStatus is the status of a lease.
 type LeaseStatus struct {
 	Name   string `json:"name"`
 	Holder string `json:"owner"`
 	Token  uint64 `json:"token"`
 }
 
-// ReplicaStatus is a replica of the coordination state.
+// ReplicaStatus is the status of a replica of the coordination state.
 type ReplicaStatus struct {
 	ID      uint64 `json:"replica"`
 	Name    string `json:"name"`
@@ -65,20 +65,20 @@
 	Host string `json:"host"`
 }
 
-// RelayStream is the stream of a gateway to its relay.
+// RelayStream is the status of a gateway's stream to its relay.
 type RelayStream struct {
-	Name  string `json:"name"` // of the relay; "": none
+	Name  string `json:"name"` // name of the relay; "": none
 	Moves uint64 `json:"moves"`
 }
 
-// RelayLoad is the streams of a relay.
+// RelayLoad is the numbers of streams and routes of a relay.
 type RelayLoad struct {
 	Streams int            `json:"streams"`
 	Routes  int            `json:"routes"`
 	Relays  map[string]int `json:"relays"`
 }
 
-// Token returns the fencing token of a lease as a gateway knows it; 0: it knows none.
+// Token returns the fencing token of a lease in the gateway's status, or 0 if the status does not list the lease.
 func (s *Status) Token(lease string) uint64 {
 	for _, l := range s.Leases {
 		if l.Name == lease {
@@ -88,7 +88,7 @@
 	return 0
 }
 
-// URL returns the URL for clients.
+// URL returns the base URL for client requests.
 func (g *Gateway) URL() string { return "http://" + g.clients }
 
 func (g *Gateway) adminURL(path string) string { return "http://" + g.admin + "/admin/" + path }
@@ -113,7 +113,8 @@
 	return err == nil && s.Session != 0
 }
 
-// Post makes an operator's call of the fleet, such as "move", and returns its status and text.
+// Post sends an operator's request to /admin/fleet/CALL, such as "move", and returns the status and body of the
+// response.
 func (g *Gateway) Post(call string, parameters url.Values) (int, string, error) {
 	response, err := g.fleet.client.Post(g.adminURL("fleet/"+call)+"?"+parameters.Encode(), "", nil)
 	if err != nil {
@@ -124,12 +125,12 @@
 	return response.StatusCode, string(text), err
 }
 
-// postTransfer has an operator transfer a lease to another gateway.
+// postTransfer requests the transfer of a lease to another gateway, as an operator.
 func (g *Gateway) postTransfer(lease string, to *Gateway) (int, string, error) {
 	return g.Post("move", url.Values{"duty": {lease}, "to": {to.Name}})
 }
 
-// transfer is postTransfer with an error for a status other than 200.
+// transfer is postTransfer, but returns an error for a status other than 200.
 func (g *Gateway) transfer(lease string, to *Gateway) error {
 	status, text, err := g.postTransfer(lease, to)
 	if err == nil && status != http.StatusOK {
@@ -138,7 +139,7 @@
 	return err
 }
 
-// Metrics returns the gateway's metrics by name and labels.
+// Metrics returns the values of the gateway's metrics. Keys are names with labels.
 func (g *Gateway) Metrics() (map[string]float64, error) {
 	response, err := g.fleet.client.Get(g.adminURL("metrics"))
 	if err != nil {
--- a/internal/experiment/faulttest/cases.go
+++ b/internal/experiment/faulttest/cases.go
@@ -8,16 +8,17 @@
 	"time"
 )
 
-// FaultCase is a fault among processes that shows whether a failpoint is enabled: without it nothing is wrong.
+// FaultCase is a test with real processes that detects whether a failpoint is enabled: its fault causes a violation with
+// the failpoint, and none without.
 type FaultCase struct {
 	Failpoint string
-	// NeedsClockOffset is set where the build must be one by BuildWithClockOffset.
+	// NeedsClockOffset reports whether the binary must be built by BuildWithClockOffset.
 	NeedsClockOffset bool
-	// Run returns what is wrong; "": nothing.
+	// Run injects the fault and describes the violation that it causes, or returns "" if there is none.
 	Run func(f *Fleet) (violation string, err error)
 }
 
-// FaultCases are for fleets of three gateways, of a build with the tag failpoints.
+// FaultCases lists the cases. They need a fleet of three gateways whose binary is built with the tag failpoints.
 var FaultCases = []FaultCase{
 	{Failpoint: "pre-vote", Run: isolatedFollowerKeepsItsTerm},
 	{Failpoint: "check-quorum", Run: isolatedLeaderStepsDown},
@@ -28,10 +29,10 @@
 	{Failpoint: "old-copy", Run: overwrittenDiskIsNoReplica},
 }
 
-// observationTime is how long a violation is waited for.
+// observationTime is how long a fault case waits for a violation.
 const observationTime = 3 * sessionDuration
 
-// isolatedFollowerKeepsItsTerm: a replica that is isolated starts no elections.
+// isolatedFollowerKeepsItsTerm checks that an isolated replica starts no elections, which would raise its term.
 func isolatedFollowerKeepsItsTerm(f *Fleet) (string, error) {
 	g, err := pickFollower(f)
 	if err != nil {
@@ -45,14 +46,15 @@
 	violation := ""
 	f.WaitUntil(context.Background(), "violation", observationTime, func() bool {
 		now, err := g.Status()
-		if err == nil && now.Term > before.Term+1 { // one election may have begun before
-			violation = fmt.Sprintf("isolated, it went from term %d to %d", before.Term, now.Term)
+		if err == nil && now.Term > before.Term+1 { // one election may have begun before the isolation
+			violation = fmt.Sprintf("its term rose from %d to %d while it was isolated", before.Term, now.Term)
 		}
 		return violation != ""
 	})
 	return violation, nil
 }
 
+// isolatedLeaderStepsDown checks that an isolated leader steps down.
 func isolatedLeaderStepsDown(f *Fleet) (string, error) {
 	leader := f.Leader()
 	if leader == nil {
@@ -63,14 +65,16 @@
 		s, err := leader.Status()
 		return err == nil && s.Role == roleLeader
 	}
-	return persists(f, "it is the leader, isolated", stillLeader), nil
+	return persists(f, "it is still the leader while isolated", stillLeader), nil
 }
 
+// isolatedHolderReleasesLease checks that an isolated lease holder releases its lease.
 func isolatedHolderReleasesLease(f *Fleet) (string, error) {
 	return holdsLeaseInIsolation(f, f.LeaseHolder(endpointsLease))
 }
 
-// clockOffsetsDoNotExtendLease: the holder's wall clock goes back, those of the others go ahead.
+// clockOffsetsDoNotExtendLease checks that an isolated lease holder releases its lease although its wall clock was set
+// back and those of the other gateways ahead.
 func clockOffsetsDoNotExtendLease(f *Fleet) (string, error) {
 	const offset = 5 * time.Hour
 	holder := f.LeaseHolder(endpointsLease)
@@ -86,6 +90,7 @@
 	return holdsLeaseInIsolation(f, holder)
 }
 
+// tokensGrow checks that the tokens of a lease increase over a transfer.
 func tokensGrow(f *Fleet) (string, error) {
 	_, err := f.TransferLease(context.Background(), HolderKilled, endpointsLease, nil)
 	if violations := FindViolations(f.History.Events()); len(violations) > 0 {
@@ -94,13 +99,14 @@
 	return "", err
 }
 
+// wipedDiskIsAnotherReplica checks that a gateway whose disk was wiped returns as another replica.
 func wipedDiskIsAnotherReplica(f *Fleet) (string, error) {
 	anyStatus := func(*Status) bool { return true }
 	return returnsAsSameReplica(f, (*Gateway).WipeDisk, anyStatus)
 }
 
-// overwrittenDiskIsNoReplica: files of an older copy are written over those of the disk. The disk can't tell, the other
-// replicas can.
+// overwrittenDiskIsNoReplica checks that a gateway doesn't return as the same replica after the files of its disk were
+// overwritten by an older copy. The gateway can't detect that from its own disk, but the other replicas can.
 func overwrittenDiskIsNoReplica(f *Fleet) (string, error) {
 	participates := func(s *Status) bool {
 		hasSession := s.Session != 0 && s.Role != roleStopped
@@ -109,7 +115,8 @@
 	return returnsAsSameReplica(f, (*Gateway).overwriteDisk, participates)
 }
 
-// holdsLeaseInIsolation isolates the holder of the endpoint list's lease, and reports where it goes on holding it.
+// holdsLeaseInIsolation isolates the holder of the endpoint list's lease, and returns a violation if the holder does not
+// release the lease.
 func holdsLeaseInIsolation(f *Fleet, holder *Gateway) (string, error) {
 	if holder == nil {
 		return "", errors.New(endpointsLease + " has no holder")
@@ -124,7 +131,7 @@
 		}
 		return true
 	}
-	return persists(f, "it holds the lease, isolated", stillHolds), nil
+	return persists(f, "it still holds the lease while isolated", stillHolds), nil
 }
 
 // pickFollower returns a replica that is not the leader.
@@ -141,7 +148,7 @@
 	return nil, errors.New("all replicas are the leader")
 }
 
-// persists describes a condition that must end and lasts for the observationTime; "": it ended.
+// persists waits for a condition to end. It returns a violation if it lasts longer than observationTime, else "".
 func persists(f *Fleet, what string, condition func() bool) string {
 	err := f.WaitUntil(context.Background(), "its end", observationTime, func() bool { return !condition() })
 	if err == nil {
@@ -150,8 +157,8 @@
 	return fmt.Sprintf("%s, for %v", what, observationTime)
 }
 
-// returnsAsSameReplica changes the disk of a replica that is down, and reports where the gateway is the same replica
-// once it participates again.
+// returnsAsSameReplica changes the disk of a replica that is down. It returns a violation if the gateway is the same
+// replica as before when it participates again.
 func returnsAsSameReplica(f *Fleet, changeDisk func(*Gateway) error, participates func(*Status) bool) (string, error) {
 	g, err := pickFollower(f)
 	if err != nil {
@@ -189,7 +196,7 @@
 	return fmt.Sprintf("it is replica %d again, as %s", now.ReplicaID, now.Role), nil
 }
 
-// commitEntriesAfterCopy commits entries that the copy of a disk lacks, by transfers of a lease.
+// commitEntriesAfterCopy transfers a lease several times, so that entries are committed that the copy of the disk lacks.
 func commitEntriesAfterCopy(f *Fleet, g *Gateway, commit uint64) error {
 	const transfers = 4
 	for i := range transfers {
--- a/internal/experiment/faulttest/cases_test.go
+++ b/internal/experiment/faulttest/cases_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// builtWithClockOffset builds the program with an offset of the wall clock, once for all tests.
-var builtWithClockOffset = sync.OnceValues(func() (string, error) {
-	return BuildWithClockOffset(filepath.Dir(builtWithFailpoints))
+// buildClockOffsetBinary builds the program with BuildWithClockOffset, once for all tests.
+var buildClockOffsetBinary = sync.OnceValues(func() (string, error) {
+	return BuildWithClockOffset(filepath.Dir(failpointsBinary))
 })
 
 // Each fault case finds a violation with its failpoint enabled, and none without.
@@ -18,10 +18,10 @@
 		for _, failpoint := range []string{"", c.Failpoint} {
 			t.Run(fmt.Sprintf("%s/enabled=%v", c.Failpoint, failpoint != ""), func(t *testing.T) {
 				t.Parallel()
-				program := builtWithFailpoints
+				program := failpointsBinary
 				if c.NeedsClockOffset {
 					var err error
-					if program, err = builtWithClockOffset(); err != nil {
+					if program, err = buildClockOffsetBinary(); err != nil {
 						t.Fatal(err)
 					}
 				}
--- a/internal/experiment/faulttest/clock.go
+++ b/internal/experiment/faulttest/clock.go
@@ -9,7 +9,7 @@
 	"path/filepath"
 )
 
-// clockSource replaces the runtime's time.now by one with an offset of the wall clock.
+// clockSource is the Go source that replaces the runtime's time.now by one that adds an offset to the wall clock.
 const clockSource = `//go:build linux && amd64
 
 package runtime
@@ -28,15 +28,16 @@
 }
 `
 
-// Files of the runtime that are replaced, and the tags of the build.
+// Files of package runtime that are replaced, and the build tags.
 const (
 	runtimeClockGo       = "timeasm.go"
 	runtimeClockAssembly = "time_linux_amd64.s"
 	clockOffsetTags      = "failpoints jumps"
 )
 
-// BuildWithClockOffset builds the program with a runtime whose wall clock has an offset (Gateway.SetClockOffset), as no
-// process here may set the machine's clock. It returns the path of the binary, which is in dir. It is for linux/amd64.
+// BuildWithClockOffset builds the program with a modified runtime whose wall clock has an offset, which
+// Gateway.SetClockOffset sets; test processes have no permission to set the clock of the machine. It returns the path of
+// the binary, which is in dir. It supports linux/amd64 only.
 func BuildWithClockOffset(dir string) (string, error) {
 	goroot, err := exec.Command("go", "env", "GOROOT").Output()
 	if err != nil {
@@ -63,8 +64,8 @@
 	return program, nil
 }
 
-// writeOverlay writes files that replace those of the same name in a directory, and returns the path of the overlay for
-// go build.
+// writeOverlay writes the files, which replace those of the same names in replacedDir, to dir. It returns the path of the
+// overlay file for go build.
 func writeOverlay(dir, replacedDir string, files map[string][]byte) (string, error) {
 	var overlay struct{ Replace map[string]string }
 	overlay.Replace = map[string]string{}
--- a/internal/experiment/faulttest/converged.go
+++ b/internal/experiment/faulttest/converged.go
@@ -1,8 +1,9 @@
 package faulttest
 
-// Converged reports whether the fleet is complete: all gateways have a session and agree on sessions and lease holders,
-// each lease has a holder, and there are as many replicas as at first, each on its gateway's current disk. In a fleet
-// with relays each gateway has a stream and all relays know where all gateways are; gateways don't know each other.
+// Converged reports whether the fleet is in its normal state: all gateways have a session and agree on sessions and lease
+// holders, each lease has a holder, and there are Options.Replicas replicas, each on its gateway's current disk. In a
+// fleet with relays, each gateway has a stream and all relays have routes to all gateways; gateways don't list each
+// other.
 func (f *Fleet) Converged() bool {
 	statuses, ok := f.statuses()
 	if !ok {
@@ -21,7 +22,8 @@
 	return true
 }
 
-// statuses returns the status of all gateways. It returns false where one is not in service.
+// statuses returns the status of all gateways. It returns false if one of them is not running or has no session, no known
+// leader or a stopped replica.
 func (f *Fleet) statuses() ([]*Status, bool) {
 	var statuses []*Status
 	for _, g := range f.Gateways {
@@ -38,7 +40,7 @@
 	return statuses, true
 }
 
-// connected reports whether a gateway or relay is connected with all that it should be.
+// connected reports whether a gateway or relay has all its connections and routes.
 func (f *Fleet) connected(index int, s *Status, gateways int) bool {
 	switch {
 	case f.Relays == 0:
@@ -46,8 +48,8 @@
 	case index >= f.Relays:
 		return s.Relay.Name != "" && s.Sessions == gateways
 	default:
-		knowsStreams := s.Streams.Routes == gateways-f.Relays && len(s.Streams.Relays) == f.Relays
-		return len(s.Members) == gateways && knowsStreams
+		hasAllRoutes := s.Streams.Routes == gateways-f.Relays && len(s.Streams.Relays) == f.Relays
+		return len(s.Members) == gateways && hasAllRoutes
 	}
 }
 
@@ -65,7 +67,7 @@
 	return true
 }
 
-// sessionsMatch reports whether a gateway knows the current sessions.
+// sessionsMatch reports whether the sessions in a gateway's status are the current ones.
 func (f *Fleet) sessionsMatch(s *Status, byName map[string]*Status) bool {
 	for _, m := range s.Members {
 		if own := byName[m.Name]; own == nil || m.Session != own.Session {
@@ -75,7 +77,7 @@
 	return true
 }
 
-// replicasMatch reports whether a gateway knows as many voters as there should be, on the current disks.
+// replicasMatch reports whether the replicas in a gateway's status are as many voters as configured, on the current disks.
 func (f *Fleet) replicasMatch(s *Status, byName map[string]*Status) bool {
 	if len(s.Replicas) != f.Replicas {
 		return false
--- a/internal/experiment/faulttest/disk.go
+++ b/internal/experiment/faulttest/disk.go
@@ -20,7 +20,7 @@
 	return files, nil
 }
 
-// SetDiskFull has the gateway's write-ahead log not grow any more, or ends that.
+// SetDiskFull simulates a full disk, on which the gateway's write-ahead log can't grow, or ends that.
 func (g *Gateway) SetDiskFull(full bool) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -42,10 +42,10 @@
 	return g.process.LimitFileSize(info.Size())
 }
 
-// hungSyncFile is the file during whose existence fsync hangs, in a build with the tag failpoints.
+// hungSyncFile returns the path of a file. While it exists, fsync hangs in a binary with the build tag failpoints.
 func (g *Gateway) hungSyncFile() string { return g.file + ".stuck" }
 
-// SetSyncHung has fsync hang, or ends that, in a build with the tag failpoints.
+// SetSyncHung makes fsync hang, or ends that. The binary must be built with the tag failpoints.
 func (g *Gateway) SetSyncHung(hung bool) error {
 	if !hung {
 		return os.Remove(g.hungSyncFile())
@@ -60,17 +60,17 @@
 	return os.RemoveAll(g.dir)
 }
 
-// diskCopy is where CopyDisk copies the disk to.
+// diskCopy returns the directory to which CopyDisk copies the disk.
 func (g *Gateway) diskCopy() string { return g.dir + ".copy" }
 
-// CopyDisk copies the disk as it is.
+// CopyDisk copies the current files of the disk, for RestoreDisk.
 func (g *Gateway) CopyDisk() error { return copyLiveDir(g.diskCopy(), g.dir) }
 
-// maxCopyAttempts bounds the copies of a directory whose files vanish meanwhile.
+// maxCopyAttempts is the maximum number of attempts to copy a directory whose files are removed meanwhile.
 const maxCopyAttempts = 100
 
-// copyLiveDir copies the directory of a running gateway, which replaces files by renaming new ones: where one vanishes
-// while it is copied, the directory is copied again.
+// copyLiveDir copies the directory of a running gateway. The gateway replaces files by renaming new ones; if a file is
+// removed by that while it is copied, the whole directory is copied again.
 func copyLiveDir(to, from string) (err error) {
 	for range maxCopyAttempts {
 		if err := os.RemoveAll(to); err != nil {
@@ -83,7 +83,7 @@
 	return err
 }
 
-// RestoreDisk replaces the disk of a gateway that is down by its copy.
+// RestoreDisk replaces the disk of a gateway that is down by the copy of CopyDisk.
 func (g *Gateway) RestoreDisk() error {
 	g.fleet.History.addFault("restore", g.Name)
 	if err := os.RemoveAll(g.dir); err != nil {
@@ -92,8 +92,8 @@
 	return os.CopyFS(g.dir, os.DirFS(g.diskCopy()))
 }
 
-// overwriteDisk writes the files of the copy over those of the disk, so that the disk has the same inodes and no sign of
-// a restore.
+// overwriteDisk overwrites the files of the disk with those of the copy. As the inodes stay the same, the gateway can't
+// detect the restore from the disk.
 func (g *Gateway) overwriteDisk() error {
 	files, err := filepath.Glob(filepath.Join(g.diskCopy(), "*"))
 	if err != nil {
--- a/internal/experiment/faulttest/disk_test.go
+++ b/internal/experiment/faulttest/disk_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// A directory is copied while its owner replaces a file by renaming a new one, as a gateway does with its overrides.
-func TestCopyOfALiveDirectory(t *testing.T) {
+// copyLiveDir succeeds while another goroutine replaces a file by renaming a new one, as a gateway does with its
+// overrides.
+func TestCopyLiveDir(t *testing.T) {
 	from := t.TempDir()
 	to := filepath.Join(t.TempDir(), "copy")
 	file := filepath.Join(from, "words")
@@ -47,7 +48,7 @@
 			t.Fatal(err)
 		}
 		if text, err := os.ReadFile(filepath.Join(to, "words")); err != nil || string(text) != "text" {
-			t.Fatalf("got %q, %v; want the file of the directory", text, err)
+			t.Fatalf("got %q, %v; want the contents of the original file", text, err)
 		}
 	}
 }
--- a/internal/experiment/faulttest/doc.go
+++ b/internal/experiment/faulttest/doc.go
@@ -1,7 +1,8 @@
-// Package faulttest starts a fleet of gateways as processes of the program, injects faults and checks what the gateways
-// did. It knows the program by its files, its addresses and its log alone.
+// Package faulttest starts a fleet of gateways as processes, injects faults and checks the behaviour of the gateways. It
+// interacts with the program only through its files, its addresses and its log.
 //
-// A Fleet is laid out by New and changed by its methods and those of its Gateways. A Plan is a list of faults for
-// Fleet.Play; TransferLease measures how long a lease has no holder; a FaultCase shows that a failpoint has an effect
-// on processes. A History records what was done and what the gateways logged, and FindViolations checks it.
+// New creates the files and links of a Fleet; its methods and those of its Gateways start processes and inject faults. A
+// Plan is a list of faults for Fleet.Play. TransferLease measures how long a lease has no holder. A FaultCase checks that
+// a failpoint has an effect on real processes. A History records faults and log messages of the gateways, and
+// FindViolations checks it.
 package faulttest
--- a/internal/experiment/faulttest/fleet.go
+++ b/internal/experiment/faulttest/fleet.go
@@ -11,7 +11,7 @@
 	"dunemoor/internal/experiment/fakes"
 )
 
-// Fleet is a fleet of processes with its links, hosts and discovery.
+// Fleet is a fleet of gateway processes with its links, hosts and discovery.
 type Fleet struct {
 	Options
 	Gateways []*Gateway
@@ -19,11 +19,11 @@
 	History  *History
 
 	links  map[linkKey]*Link
-	log    *os.File // of all gateways
+	log    *os.File // log of all gateways
 	client http.Client
 }
 
-// linkKey is the direction of a link, by the indexes of the gateways.
+// linkKey identifies a link by the indexes of its gateways.
 type linkKey struct{ from, to int }
 
 // Close ends all processes, links and hosts of the fleet.
@@ -50,7 +50,7 @@
 	return string(text)
 }
 
-// link returns the link from one gateway to another. In a fleet with relays there is none but to a relay.
+// link returns the link from one gateway to another, or nil. In a fleet with relays there are only links to relays.
 func (f *Fleet) link(from, to *Gateway) *Link {
 	return f.links[linkKey{slices.Index(f.Gateways, from), slices.Index(f.Gateways, to)}]
 }
@@ -66,7 +66,7 @@
 	return links
 }
 
-// SetBlocked blocks all that one gateway sends to another, or lets it go on. From a relay to a gateway that is the return
+// SetBlocked blocks or unblocks all traffic from one gateway to another. From a relay to a gateway it blocks the return
 // direction of the gateway's stream.
 func (f *Fleet) SetBlocked(from, to *Gateway, blocked bool) {
 	kind := "heal"
@@ -81,7 +81,7 @@
 	}
 }
 
-// Isolate blocks all that a gateway sends, all that it receives, or both.
+// Isolate blocks all traffic that a gateway sends to others, all that it receives from them, or both.
 func (f *Fleet) Isolate(g *Gateway, sending, receiving bool) {
 	for _, other := range f.Gateways {
 		if other == g {
@@ -96,7 +96,7 @@
 	}
 }
 
-// reconnect ends Isolate.
+// reconnect unblocks all traffic from and to a gateway, after Isolate.
 func (f *Fleet) reconnect(g *Gateway) {
 	for _, other := range f.Gateways {
 		if other != g {
@@ -126,12 +126,13 @@
 // pollInterval is the interval at which WaitUntil checks a condition.
 const pollInterval = 20 * time.Millisecond
 
-// WaitUntil waits for a condition. It returns an error with what was awaited after the timeout, or ctx's.
+// WaitUntil waits for a condition. After the timeout it returns an error with the description in what; if ctx
+// ends, it returns ctx's error.
 func (f *Fleet) WaitUntil(ctx context.Context, what string, timeout time.Duration, condition func() bool) error {
 	deadline := time.Now().Add(timeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			return fmt.Errorf("after %v still waiting: %s", timeout, what)
+			return fmt.Errorf("timeout after %v waiting for: %s", timeout, what)
 		}
 		select {
 		case <-ctx.Done():
@@ -142,7 +143,7 @@
 	return nil
 }
 
-// LeaseHolder returns the holder of a lease by the first status of a gateway with a session; nil: there is none.
+// LeaseHolder returns the holder of a lease according to the first gateway with a session, or nil if there is none.
 func (f *Fleet) LeaseHolder(lease string) *Gateway {
 	for _, g := range f.Gateways {
 		if !g.IsRunning() {
@@ -161,7 +162,7 @@
 	return nil
 }
 
-// Leader returns the gateway that is the leader by its own status; nil: there is none.
+// Leader returns the first gateway that is the leader according to its own status, or nil if there is none.
 func (f *Fleet) Leader() *Gateway {
 	for _, g := range f.Gateways {
 		if !g.IsRunning() {
@@ -183,7 +184,7 @@
 	return nil
 }
 
-// next returns the gateway a number of places after another.
+// next returns the gateway that is a number of places after another one, in circular order.
 func (f *Fleet) next(g *Gateway, places int) *Gateway {
 	return f.Gateways[(slices.Index(f.Gateways, g)+places)%len(f.Gateways)]
 }
--- a/internal/experiment/faulttest/fleet_test.go
+++ b/internal/experiment/faulttest/fleet_test.go
@@ -16,20 +16,21 @@
 	"dunemoor/internal/experiment/fakes"
 )
 
-// Programs, built once for all tests: the gateway, the gateway with the tag failpoints, and the operators' program.
-var built, builtWithFailpoints, dunemoorctl string
+// Paths of binaries that are built once for all tests: the gateway, the gateway with the build tag failpoints, and
+// dunemoorctl, the command line tool of operators.
+var gatewayBinary, failpointsBinary, dunemoorctl string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "faulttest")
 	if err != nil {
 		panic(err)
 	}
-	built = filepath.Join(dir, "dunemoor")
-	builtWithFailpoints = filepath.Join(dir, "dunemoor-failpoints")
+	gatewayBinary = filepath.Join(dir, "dunemoor")
+	failpointsBinary = filepath.Join(dir, "dunemoor-failpoints")
 	dunemoorctl = filepath.Join(dir, "dunemoorctl")
 	for _, args := range [][]string{
-		{"-o", built, "dunemoor/cmd/dunemoor"},
-		{"-o", builtWithFailpoints, "-tags", "failpoints", "dunemoor/cmd/dunemoor"},
+		{"-o", gatewayBinary, "dunemoor/cmd/dunemoor"},
+		{"-o", failpointsBinary, "-tags", "failpoints", "dunemoor/cmd/dunemoor"},
 		{"-o", dunemoorctl, "dunemoor/cmd/dunemoorctl"},
 	} {
 		if out, err := exec.Command("go", append([]string{"build"}, args...)...).CombinedOutput(); err != nil {
@@ -41,16 +42,16 @@
 	os.Exit(code)
 }
 
-// convergeTimeout is how long a fleet of processes has to converge: many times what it takes, as the machine may be busy
-// with other tests.
+// convergeTimeout is the timeout for a fleet of processes to converge. It is many times the usual duration, as the machine
+// may be busy with other tests.
 const convergeTimeout = 60 * time.Second
 
-// newFleet starts a fleet. Where the test fails its status and its log are shown.
+// newFleet starts a fleet. If the test fails, it logs the status of all gateways and the log of the fleet.
 func newFleet(t *testing.T, o Options) *Fleet {
 	t.Helper()
 	o.Dir = t.TempDir()
 	if o.Program == "" {
-		o.Program = built
+		o.Program = gatewayBinary
 	}
 	f, err := New(o)
 	if err != nil {
@@ -86,11 +87,11 @@
 			t.Errorf("violation: %s", violation)
 		}
 		if sent, accepted := f.StaleLeaseRequests(); accepted > 0 && !f.Hosts.Nodes[0].IgnoresTokens.Load() {
-			t.Errorf("got %d of %d requests of earlier lease holders accepted, want 0", accepted, sent)
+			t.Errorf("hosts accepted %d of %d requests of earlier lease holders, want 0", accepted, sent)
 		}
 		for _, g := range f.Gateways {
 			if g.HasExited() {
-				t.Errorf("%s: got an exit of its own", g.Name)
+				t.Errorf("%s: process exited unexpectedly", g.Name)
 			}
 		}
 	})
@@ -103,7 +104,7 @@
 	waitUntil(t, f, "the fleet converges", f.Converged)
 }
 
-// waitUntil waits for a condition of a fleet, and fails the test where it takes longer than convergeTimeout.
+// waitUntil waits for a condition of a fleet, and fails the test after convergeTimeout.
 func waitUntil(t *testing.T, f *Fleet, what string, condition func() bool) {
 	t.Helper()
 	if err := f.WaitUntil(context.Background(), what, convergeTimeout, condition); err != nil {
@@ -111,14 +112,14 @@
 	}
 }
 
-// runCtl runs the operators' program at a gateway, and returns its output and its exit code.
+// runCtl runs a fleet command of dunemoorctl at a gateway, and returns its output and its exit code.
 func runCtl(g *Gateway, args ...string) (output string, code int) {
 	cmd := exec.Command(dunemoorctl, append([]string{"fleet", "--admin", g.admin}, args...)...)
 	text, _ := cmd.CombinedOutput() // the error is the exit code
 	return string(text), cmd.ProcessState.ExitCode()
 }
 
-// startLoad has clients send requests to a gateway until the end of the test, and checks the rules then.
+// startLoad sends client requests to a gateway until the end of the test, and fails the test if a rule was violated.
 func startLoad(t *testing.T, f *Fleet, g *Gateway) {
 	stop := f.StartLoad(g)
 	t.Cleanup(func() {
@@ -128,8 +129,8 @@
 	})
 }
 
-// A lease is transferred for every cause, under load: a token has one holder, tokens only grow, and clients of a gateway
-// that is no target notice nothing. The operators' commands work meanwhile.
+// A lease is transferred for every cause, under load: each token has one holder, tokens increase, and clients of a gateway
+// that is not affected get all their responses. The commands of dunemoorctl work meanwhile.
 func TestLeaseTransfers(t *testing.T) {
 	t.Parallel()
 	f := newCheckedFleet(t, Options{Gateways: 5, Replicas: 3, Hosts: 3, Seed: 1})
@@ -160,11 +161,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("%s: %v without a holder", cause, gap.Round(time.Millisecond))
+		t.Logf("%s: no holder for %v", cause, gap.Round(time.Millisecond))
 	}
 }
 
-// Nine processes under faults that a seed draws, with load at one that is spared, have no violation and converge.
+// A fleet of nine processes under random faults, with load at a gateway without faults, has no violations and converges.
 func TestFleetConvergesAfterDrawnFaults(t *testing.T) {
 	t.Parallel()
 	f := newCheckedFleet(t, Options{Gateways: 9, Replicas: 5, Hosts: 3, Seed: 5})
@@ -181,15 +182,15 @@
 	}
 }
 
-// A gateway whose disk was wiped, restored from an older copy or corrupted is another replica: it doesn't vote as the one
-// of before, and replaces it.
+// A gateway whose disk was wiped, restored from an older copy or corrupted returns as a new replica, which replaces the
+// old one: the old replica must not vote again, as its disk may lack entries and votes.
 func TestChangedDiskIsAnotherReplica(t *testing.T) {
 	t.Parallel()
 	f := newCheckedFleet(t, Options{Gateways: 3, Replicas: 3, Hosts: 3, Seed: 2})
 	for _, change := range []string{"wiped", "restored", "corrupted"} {
 		g := f.Leader()
 		if g == nil {
-			t.Fatal("got no leader")
+			t.Fatal("the fleet has no leader")
 		}
 		before, err := g.Status()
 		if err != nil {
@@ -221,7 +222,7 @@
 			t.Fatal(err)
 		}
 		if after.ReplicaID == before.ReplicaID {
-			t.Errorf("%s: got replica %d of %s again, want another one", change, after.ReplicaID, g.Name)
+			t.Errorf("%s: got the same replica %d of %s again, want a new one", change, after.ReplicaID, g.Name)
 		}
 		found := false
 		for _, r := range after.Replicas {
@@ -236,13 +237,13 @@
 	}
 }
 
-// A lease holder is paused between the check of its deadline and its publication. Another one holds the lease and has
-// published when it resumes: gateways reject its publication, and it goes on as a member. With the failpoint token-peer
-// they don't reject it, which the test notices.
+// A lease holder is paused between the check of its deadline and its publication. When it resumes, another gateway holds
+// the lease and has published: gateways must reject the stale publication, and the earlier holder remains a member. With
+// the failpoint token-peer they don't reject it, which the test must detect.
 func TestPublicationOfEarlierHolderIsRejected(t *testing.T) {
 	t.Parallel()
 	for _, failpoint := range []string{"", "token-peer"} {
-		f := newCheckedFleet(t, Options{Program: builtWithFailpoints, Gateways: 3, Replicas: 3, Hosts: 3, Seed: 4, Env: []string{"DUNEMOOR_STOP_AT=acting list/calendar", "DUNEMOOR_FAILPOINT=" + failpoint}})
+		f := newCheckedFleet(t, Options{Program: failpointsBinary, Gateways: 3, Replicas: 3, Hosts: 3, Seed: 4, Env: []string{"DUNEMOOR_STOP_AT=acting list/calendar", "DUNEMOOR_FAILPOINT=" + failpoint}})
 		ctx, cancel := context.WithTimeout(context.Background(), convergeTimeout)
 		defer cancel()
 		var holder *Gateway
@@ -266,10 +267,10 @@
 		}
 		f.Hosts.SetState(0, fakes.StateGone) // the next holder publishes it
 		for _, g := range f.Gateways {
-			if err := f.WaitUntil(ctx, "the next holder is known", convergeTimeout, func() bool {
+			if err := f.WaitUntil(ctx, "all gateways have the token of the next holder", convergeTimeout, func() bool {
 				s, err := g.Status()
-				knows := err == nil && s.Token(endpointsLease) >= next.Token
-				return g == holder || knows
+				hasToken := err == nil && s.Token(endpointsLease) >= next.Token
+				return g == holder || hasToken
 			}); err != nil {
 				t.Fatal(err)
 			}
@@ -285,21 +286,21 @@
 			}
 		}
 		if (rejected > 0) != (failpoint == "") {
-			t.Errorf("failpoint %q: got %d publications of the earlier holder rejected", failpoint, rejected)
+			t.Errorf("failpoint %q: gateways rejected %d publications of the earlier holder", failpoint, rejected)
 		}
 		f.Close()
 	}
 }
 
-// The gateway that holds the lease of the health checks is paused between the check of its deadline and its request.
-// Another one has checked the host when it resumes: the host rejects its request, or accepts it if it ignores tokens,
-// which the test notices. The health checks are wrong all the while, as the host resets the requests of clients: the
-// rules hold.
+// The holder of the health check lease is paused between the check of its deadline and its request. When it resumes,
+// another gateway has checked the host: the host must reject the stale request. A host that ignores tokens accepts it,
+// which the test must detect. The health checks succeed all the while although the host resets the requests of clients;
+// the rules for these requests must still hold.
 func TestHealthCheckOfEarlierHolderIsRejected(t *testing.T) {
 	t.Parallel()
 	const lease = healthCheckLease
 	for _, ignoresTokens := range []bool{false, true} {
-		f := newCheckedFleet(t, Options{Program: builtWithFailpoints, Gateways: 3, Replicas: 3, Hosts: 3, Seed: 6, Env: []string{"DUNEMOOR_STOP_AT=acting " + lease}})
+		f := newCheckedFleet(t, Options{Program: failpointsBinary, Gateways: 3, Replicas: 3, Hosts: 3, Seed: 6, Env: []string{"DUNEMOOR_STOP_AT=acting " + lease}})
 		ctx, cancel := context.WithTimeout(context.Background(), convergeTimeout)
 		defer cancel()
 		host := f.Hosts.Nodes[0]
@@ -338,9 +339,9 @@
 			t.Error(err)
 		}
 		if r := f.Hosts.Ledger.LeaseRequests(lease); (r.StaleAccepted > 0) != ignoresTokens {
-			t.Errorf("host ignores tokens %v: got %d requests of the earlier holder, %d accepted", ignoresTokens, r.Stale, r.StaleAccepted)
+			t.Errorf("host ignores tokens %v: got %d requests of the earlier holder, %d of them accepted", ignoresTokens, r.Stale, r.StaleAccepted)
 		}
-		if err := f.WaitUntil(ctx, "the loaded gateway learns of the health check", convergeTimeout, func() bool {
+		if err := f.WaitUntil(ctx, "the loaded gateway receives the result of a health check", convergeTimeout, func() bool {
 			m, err := loaded.Metrics()
 			return err == nil && m[`dunemoor_fleet_hints_total{pool="calendar"}`] > 0
 		}); err != nil {
@@ -350,7 +351,8 @@
 	}
 }
 
-// A host that was down for a while is used again, with health checks by one gateway for all and without.
+// A host that was down for a while is used again, both with health checks by the lease holder for all gateways and without
+// health checks.
 func TestHostIsUsedAfterAnOutage(t *testing.T) {
 	t.Parallel()
 	for _, withoutChecks := range []bool{false, true} {
@@ -374,10 +376,11 @@
 // hostOutage is how long a host is down in TestHostIsUsedAfterAnOutage.
 const hostOutage = 7 * time.Second
 
-// Combinations of faults, each under load at a gateway that is spared. The log must show the fault, where it does.
+// The fleet converges after combinations of faults, each under load at a gateway without faults. Where a case has a log
+// text, the log must contain it, as evidence of the fault.
 func TestFleetConvergesAfterFaultCombinations(t *testing.T) {
 	t.Parallel()
-	f := newCheckedFleet(t, Options{Program: builtWithFailpoints, Gateways: 9, Replicas: 5, Hosts: 3, Seed: 8})
+	f := newCheckedFleet(t, Options{Program: failpointsBinary, Gateways: 9, Replicas: 5, Hosts: 3, Seed: 8})
 	spared := f.Gateways[8]
 	startLoad(t, f, spared)
 	second := Span(time.Second)
@@ -388,9 +391,9 @@
 	}{
 		{"a full disk at the leader", "file too large", []Fault{{Kind: faultDiskFull, Target: targetLeader, Duration: 4 * second}, {After: second / 2, Kind: faultTransfer, Target: "g2"}, {After: second / 2, Kind: faultTransfer, Target: "g3"}}},
 		{"an fsync that hangs at the leader", "stuck at fsync", []Fault{{Kind: faultHungSync, Target: targetLeader, Duration: 4 * second}, {After: second / 2, Kind: faultTransfer, Target: "g2"}, {After: second / 2, Kind: faultTransfer, Target: "g3"}}},
-		{"two halves that both reach the leader, and the lease holder killed", "", []Fault{{Kind: faultBridge, Target: targetLeader, Duration: 6 * second}, {After: second, Kind: faultKill, Target: targetHolder, Duration: 5 * second}}},
-		{"a link of the holder that flaps at the lease's period", "", []Fault{{Kind: faultFlappingLinks, Target: targetHolder, Duration: 7 * second}}},
-		{"seven of ten killed at once", "", []Fault{{Kind: faultKillMost, Target: targetLeader, Duration: 2 * second}}},
+		{"two halves connected only through the leader, and the lease holder killed", "", []Fault{{Kind: faultBridge, Target: targetLeader, Duration: 6 * second}, {After: second, Kind: faultKill, Target: targetHolder, Duration: 5 * second}}},
+		{"links of the holder that flap with the period of a session", "", []Fault{{Kind: faultFlappingLinks, Target: targetHolder, Duration: 7 * second}}},
+		{"seven tenths killed at once", "", []Fault{{Kind: faultKillMost, Target: targetLeader, Duration: 2 * second}}},
 	} {
 		if f.LeaseHolder(endpointsLease) == spared {
 			if _, err := f.TransferLease(context.Background(), OperatorTransfer, endpointsLease, spared); err != nil {
@@ -403,7 +406,7 @@
 			t.Fatalf("%s: %v", c.name, err)
 		}
 		if !strings.Contains(f.LogText()[logStart:], c.log) {
-			t.Errorf("%s: got no %q in the log", c.name, c.log)
+			t.Errorf("%s: the log does not contain %q", c.name, c.log)
 		}
 		t.Logf("%s: converged after %v", c.name, time.Since(began).Round(time.Millisecond))
 	}
@@ -428,7 +431,7 @@
 	return err
 }
 
-// Gateways with another key, of another fleet, or with a name that is taken are rejected.
+// Gateways with another key, of another fleet, or with a name that is already in use are rejected.
 func TestForeignGatewaysAreRejected(t *testing.T) {
 	t.Parallel()
 	f := newCheckedFleet(t, Options{Gateways: 3, Replicas: 3, Hosts: 1, Seed: 3})
@@ -467,7 +470,7 @@
 	if err := os.WriteFile(g.file, good, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	// Another format of frames, and another protocol.
+	// Connections with another version of the frame format, and with another protocol, are closed.
 	for _, greeting := range []string{"dunemoor\x09\x01", "GET / HTTP/1.1\r\n\r\n"} {
 		conn, err := net.Dial("tcp", f.Gateways[0].peers)
 		if err != nil {
@@ -476,7 +479,7 @@
 		conn.SetDeadline(time.Now().Add(convergeTimeout))
 		fmt.Fprintf(conn, "%-26s", greeting)
 		if _, err := io.ReadAll(conn); errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("%q: got an open connection after %v", greeting, convergeTimeout)
+			t.Errorf("%q: the connection is still open after %v", greeting, convergeTimeout)
 		}
 		conn.Close()
 	}
--- a/internal/experiment/faulttest/gateway.go
+++ b/internal/experiment/faulttest/gateway.go
@@ -10,18 +10,18 @@
 	"time"
 )
 
-// Gateway is a gateway of a fleet, with the files of its machine.
+// Gateway is a gateway or relay of a Fleet, with its process, files and addresses.
 type Gateway struct {
 	Name    string
 	fleet   *Fleet
-	dir     string // its disk
-	file    string // its configuration
+	dir     string // data directory, called its disk below
+	file    string // configuration file
 	clients string // address for clients
 	admin   string // address for operators
 	peers   string // address for other gateways
 
 	mu      sync.Mutex // guards the fields below
-	process *Process   // nil: none runs
+	process *Process   // nil: the gateway is down
 	paused  bool
 }
 
@@ -30,7 +30,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.process != nil {
-		return fmt.Errorf("%s runs already", g.Name)
+		return fmt.Errorf("%s is already running", g.Name)
 	}
 	env := append([]string{
 		"DUNEMOOR_STOP_FILE=" + g.pauseFile(),
@@ -93,19 +93,20 @@
 	return g.process.Resume()
 }
 
-// pauseFile is the file that has the process pause at the point of DUNEMOOR_STOP_AT.
+// pauseFile returns the path of a file. While it exists, the process pauses at the point that DUNEMOOR_STOP_AT names, and
+// removes the file.
 func (g *Gateway) pauseFile() string { return g.file + ".stop" }
 
-// PauseAt has the process pause when it reaches a point the next time, and waits for that. The build must have the tag
-// failpoints, and DUNEMOOR_STOP_AT in its environment must name the point.
+// PauseAt makes the process pause when it next reaches a point, and waits until it has. The binary must be built with the
+// tag failpoints, and DUNEMOOR_STOP_AT in the environment of the process must name the point.
 func (g *Gateway) PauseAt(ctx context.Context, point string) error {
 	if err := os.WriteFile(g.pauseFile(), nil, 0o600); err != nil {
 		return err
 	}
 	reached := func(e Event) bool { return e.Kind == PausedAtPoint && e.Gateway == g.Name && e.Cause == point }
 	_, _, err := g.fleet.History.Wait(ctx, g.fleet.History.Len(), reached)
-	if err != nil && os.Remove(g.pauseFile()) == nil { // without the file the process has just paused
-		return fmt.Errorf("%s does not reach %q: %w", g.Name, point, err)
+	if err != nil && os.Remove(g.pauseFile()) == nil { // if the file is gone, the process has just paused
+		return fmt.Errorf("%s did not reach %q: %w", g.Name, point, err)
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -118,7 +119,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.process == nil {
-		return 0, errors.New("it does not run")
+		return 0, errors.New("the gateway is not running")
 	}
 	g.fleet.History.addFault("terminate", g.Name)
 	p := g.process
@@ -130,11 +131,11 @@
 		g.process = nil
 		return p.ExitCode(), nil
 	case <-time.After(timeout):
-		return 0, fmt.Errorf("%s still runs %v after SIGTERM", g.Name, timeout)
+		return 0, fmt.Errorf("%s is still running %v after SIGTERM", g.Name, timeout)
 	}
 }
 
-// IsRunning reports whether the gateway has a process that is not paused.
+// IsRunning reports whether the gateway has a process that Pause or PauseAt has not paused.
 func (g *Gateway) IsRunning() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -148,7 +149,7 @@
 	return g.process == nil
 }
 
-// HasExited reports whether the gateway's process has ended by itself.
+// HasExited reports whether the gateway's process has ended without Kill or Terminate.
 func (g *Gateway) HasExited() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -163,11 +164,11 @@
 	}
 }
 
-// clockFile is the file with the offset of the gateway's wall clock, in seconds.
+// clockFile returns the path of the file with the offset of the gateway's wall clock, in seconds.
 func (g *Gateway) clockFile() string { return g.file + ".clock" }
 
-// SetClockOffset sets the offset of the gateway's wall clock, in a build by BuildWithClockOffset, and waits until the
-// gateway has it.
+// SetClockOffset sets the offset of the gateway's wall clock, and waits until it is in effect. The binary must be built by
+// BuildWithClockOffset.
 func (g *Gateway) SetClockOffset(ctx context.Context, offset time.Duration) error {
 	logStart := len(g.fleet.LogText())
 	g.fleet.History.addFault("clock", g.Name)
--- a/internal/experiment/faulttest/history.go
+++ b/internal/experiment/faulttest/history.go
@@ -15,34 +15,34 @@
 	"time"
 )
 
-// Event is a line of a history: a fault, or what a gateway has logged.
+// Event is a line of a history: a fault, or an event that a gateway logged.
 type Event struct {
-	At      time.Duration `json:"at"` // since the start of the history
+	At      time.Duration `json:"at"` // time since the start of the history
 	Kind    string        `json:"kind"`
 	Gateway string        `json:"gateway,omitempty"`
-	Other   string        `json:"other,omitempty"` // gateway
+	Other   string        `json:"other,omitempty"` // second gateway of a fault of a link
 	Lease   string        `json:"duty,omitempty"`
 	Token   uint64        `json:"token,omitempty"`
-	Index   uint64        `json:"index,omitempty"` // of the log entry
+	Index   uint64        `json:"index,omitempty"` // index of the entry in the replicated log
 	From    string        `json:"from,omitempty"`
 	To      string        `json:"to,omitempty"`
 	Cause   string        `json:"cause,omitempty"`
 }
 
-// Kinds of events that gateways log, as they are in files.
+// Kinds of events that gateways log. The values are those in history files.
 const (
-	LeaseAcquired            = "taken up"      // the gateway knows that it holds the lease
-	LeaseNoLongerHeld        = "laid down"     // the gateway knows that it doesn't any more
-	LeaseTransferred         = "changed hands" // committed, as the leader sees it
+	LeaseAcquired            = "taken up"      // the gateway has learned that it holds the lease
+	LeaseNoLongerHeld        = "laid down"     // the gateway no longer considers itself the holder
+	LeaseTransferred         = "changed hands" // the transfer is committed; logged by the leader
 	BecameLeader             = "leads"
 	SessionExpired           = "lapsed"
-	DiskQuarantined          = "set aside" // the disk can't be trusted
+	DiskQuarantined          = "set aside" // the gateway has replaced its disk by an empty one
 	Bootstrapped             = "formed"
-	StalePublicationRejected = "fenced"  // of an earlier lease holder
-	PausedAtPoint            = "stopped" // as PauseAt had it
+	StalePublicationRejected = "fenced"  // a publication of an earlier lease holder was rejected
+	PausedAtPoint            = "stopped" // the process has paused at the point of PauseAt
 )
 
-// logMessages are the log messages that are events.
+// logMessages maps log messages to kinds of events.
 var logMessages = map[string]string{
 	"lease acquired":       LeaseAcquired,
 	"lease no longer held": LeaseNoLongerHeld,
@@ -54,10 +54,10 @@
 	"stale publication rejected": StalePublicationRejected,
 }
 
-// pausedPrefix begins the line of a process that pauses at a point, before the point's name.
+// pausedPrefix is the prefix of the line that a process prints when it pauses at a point; the point's name follows.
 const pausedPrefix = "stopped at "
 
-// History records events in the order in which this process sees them.
+// History records events in the order in which this process receives them.
 type History struct {
 	start time.Time
 
@@ -67,7 +67,7 @@
 	out    *bufio.Writer
 }
 
-// NewHistory returns a history that is also written to a file, as a line of JSON for each event.
+// NewHistory returns an empty history that is also written to a file, one JSON object per line.
 func NewHistory(path string) (*History, error) {
 	f, err := os.Create(path)
 	if err != nil {
@@ -95,7 +95,7 @@
 	return events, in.Err()
 }
 
-// Close writes the rest of the file.
+// Close flushes and closes the file.
 func (h *History) Close() error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -119,7 +119,7 @@
 	return slices.Clone(h.events)
 }
 
-// Wait waits for an event from the n-th on that matches, and returns it and the number of the event after it.
+// Wait waits for the first matching event with an index of at least n. It returns the event and the index after it.
 func (h *History) Wait(ctx context.Context, n int, match func(Event) bool) (Event, int, error) {
 	for {
 		events := h.Events()
@@ -147,7 +147,7 @@
 	}
 }
 
-// addFault adds a fault of up to two gateways.
+// addFault adds the event of a fault that affects up to two gateways.
 func (h *History) addFault(kind string, gateways ...string) {
 	e := Event{Kind: kind}
 	if len(gateways) > 0 {
@@ -159,7 +159,7 @@
 	h.add(e)
 }
 
-// addLogLine adds the event of a log line, if it is one.
+// addLogLine adds the event of a log line, if the line has one.
 func (h *History) addLogLine(gateway, line string) {
 	if e := parseLogLine(line); e.Kind != "" {
 		e.Gateway = gateway
@@ -167,10 +167,10 @@
 	}
 }
 
-// logAttribute matches a key and a value of a log line by slog's text handler.
+// logAttribute matches a key-value pair in a line of slog's text handler.
 var logAttribute = regexp.MustCompile(`(\w+)=("(?:[^"\\]|\\.)*"|\S*)`)
 
-// parseLogLine returns the event of a log line. Its kind is "" where the line is none.
+// parseLogLine returns the event of a log line. Its kind is "" if the line is not an event.
 func parseLogLine(line string) Event {
 	var e Event
 	if point, ok := strings.CutPrefix(line, pausedPrefix); ok {
@@ -187,7 +187,7 @@
 	return e
 }
 
-// setAttribute sets the field of a log attribute; malformed numbers are 0.
+// setAttribute sets the field that corresponds to a log attribute. Malformed numbers are parsed as 0.
 func (e *Event) setAttribute(key, value string) {
 	switch key {
 	case "msg":
--- a/internal/experiment/faulttest/inject.go
+++ b/internal/experiment/faulttest/inject.go
@@ -10,12 +10,12 @@
 const (
 	// slowLinkDelay is the delay of faultSlowLinks.
 	slowLinkDelay = 50 * time.Millisecond
-	// killMostTenths is the part of the gateways that faultKillMost kills, in tenths.
+	// killMostTenths is the share of the gateways that faultKillMost kills, in tenths.
 	killMostTenths = 7
 )
 
-// Play injects the faults of a plan, ends them all, and waits until the fleet has converged. spared, which may be nil,
-// is no target.
+// Play injects the faults of a plan, ends them all, and waits until the fleet has converged. Faults whose target is
+// spared, which may be nil, are skipped.
 func (f *Fleet) Play(ctx context.Context, p *Plan, spared *Gateway) error {
 	schedule := &endSchedule{}
 	at := time.Now()
@@ -46,7 +46,7 @@
 	return f.WaitUntil(ctx, "the fleet converges after all faults", maxTransferTime, f.Converged)
 }
 
-// resolveTarget returns the gateway that a fault's target names now; nil: there is none.
+// resolveTarget returns the gateway that a fault's target currently refers to, or nil if there is none.
 func (f *Fleet) resolveTarget(target string) *Gateway {
 	switch target {
 	case targetLeader:
@@ -57,10 +57,10 @@
 	return f.byName(target)
 }
 
-// endSchedule is the ends of faults that are to come.
+// endSchedule is the schedule of the functions that end active faults, sorted by time.
 type endSchedule struct{ ends []faultEnd }
 
-// faultEnd ends a fault at a time.
+// faultEnd is the scheduled end of a fault.
 type faultEnd struct {
 	at  time.Time
 	end func() error
@@ -71,7 +71,7 @@
 	slices.SortStableFunc(s.ends, func(a, b faultEnd) int { return a.at.Compare(b.at) })
 }
 
-// waitUntil waits until a time, and ends the faults that are due before.
+// waitUntil waits until a time, and ends the faults whose end is due before it.
 func (s *endSchedule) waitUntil(ctx context.Context, until time.Time) error {
 	for len(s.ends) > 0 && s.ends[0].at.Before(until) {
 		if err := sleepUntil(ctx, s.ends[0].at); err != nil {
@@ -111,7 +111,7 @@
 	spared *Gateway // may be nil
 }
 
-// inject begins a fault and returns what ends it; nil: it ends by itself.
+// inject begins a fault and returns the function that ends it, or nil if the fault ends by itself.
 func (i *faultInjector) inject(kind FaultKind) (end func() error, err error) {
 	g := i.target
 	switch kind {
@@ -147,7 +147,7 @@
 		i.transferLease()
 		return nil, nil
 	}
-	return nil, fmt.Errorf("there is no fault %q", kind)
+	return nil, fmt.Errorf("unknown fault kind %q", kind)
 }
 
 func (i *faultInjector) isolate(sending, receiving bool) func() error {
@@ -177,7 +177,8 @@
 	}
 }
 
-// flapLinks blocks and unblocks what the target sends, in a goroutine that its end stops.
+// flapLinks alternately blocks and unblocks all traffic that the target sends, in a goroutine that runs until the returned
+// function is called.
 func (i *faultInjector) flapLinks() func() error {
 	setBlocked := func(blocked bool) {
 		for _, other := range i.fleet.Gateways {
@@ -207,7 +208,7 @@
 	}
 }
 
-// bridge blocks all between two halves of the other gateways, which both reach the target.
+// bridge blocks all traffic between two halves of the other gateways; both halves stay connected with the target.
 func (i *faultInjector) bridge() func() error {
 	var blocked [][2]*Gateway
 	for a, from := range i.fleet.Gateways {
@@ -227,7 +228,7 @@
 	}
 }
 
-// killMost kills most gateways, beginning with the target.
+// killMost kills killMostTenths of the gateways, beginning with the target and without the spared one.
 func (i *faultInjector) killMost() func() error {
 	all := i.fleet.Gateways
 	var killed []*Gateway
@@ -248,8 +249,8 @@
 	}
 }
 
-// loseDisk kills the target and wipes its disk or restores an older copy. It does nothing unless the fleet has converged:
-// with another replica down it could be the loss of a majority.
+// loseDisk kills the target and wipes its disk or restores an older copy. It does nothing unless the fleet has converged,
+// as with another replica down it could cause the loss of a majority.
 func (i *faultInjector) loseDisk(kind FaultKind) (func() error, error) {
 	g := i.target
 	if !i.fleet.Converged() {
@@ -266,7 +267,8 @@
 	return g.startIfDown, g.RestoreDisk()
 }
 
-// transferLease has an operator transfer the lease of the endpoint list. With other faults active the call may fail.
+// transferLease requests the transfer of the endpoint list's lease, as an operator. The request may fail while other
+// faults are active, which is ignored.
 func (i *faultInjector) transferLease() {
 	if i.target.IsRunning() {
 		to := i.fleet.next(i.target, 1)
--- a/internal/experiment/faulttest/layout.go
+++ b/internal/experiment/faulttest/layout.go
@@ -13,41 +13,42 @@
 	"dunemoor/internal/experiment/fakes"
 )
 
-// Options is what a fleet consists of.
+// Options describe a Fleet.
 type Options struct {
 	Program  string // path of the binary
-	Dir      string // for files, disks and logs
-	Gateways int
-	Replicas int // the first so many gateways are the bootstrap replicas of the coordination state
-	Hosts    int // fake hosts, in the list of a fake discovery
+	Dir      string // directory for files, disks and logs
+	Gateways int    // number of gateways, including relays
+	Replicas int    // number of bootstrap replicas of the coordination state, the first gateways
+	Hosts    int    // number of fake hosts, which a fake discovery lists
 	Seed     uint64
-	Env      []string // added to that of the gateways
-	Relays   int      // the first so many gateways are relays without listeners for clients; 0: all gateways are connected with each other
-	// WithoutHealthChecks has the fleet check no hosts that are down: each gateway finds out by itself.
+	Env      []string // environment variables added to those of the gateways
+	Relays   int      // number of relays, the first gateways, without listeners for clients; 0: a full mesh
+	// WithoutHealthChecks disables the health checks of hosts: each gateway must detect by itself that a host is up again.
 	WithoutHealthChecks bool
 }
 
 const (
 	// fleetKey is the key of the fleet.
 	fleetKey = "this key is of a test and of nothing else"
-	// Ports of gateways are below those of outgoing connections (from 32768 on, ip(7)), so that none of these takes
-	// the port of a gateway that is down.
+	// minPort and maxPort bound the ports of gateways. They are below the ephemeral ports of outgoing connections (from
+	// 32768 on, see ip(7)), so that no connection takes the port of a gateway that is down.
 	minPort = 20000
 	maxPort = 32000
-	// portsPerGateway are those for clients, for operators and for other gateways.
+	// portsPerGateway is the number of ports of a gateway: for clients, for operators and for other gateways.
 	portsPerGateway = 3
-	// adminTimeout is the timeout of admin calls.
+	// adminTimeout is the timeout of requests to the admin address.
 	adminTimeout = 5 * time.Second
 )
 
-// leaseNames are the leases of a fleet with the pool calendar.
+// Names of the leases in a fleet with the pool calendar.
 const (
 	endpointsLease    = "list/calendar"
 	healthCheckLease  = "check/calendar"
 	housekeepingLease = "housekeeping"
 )
 
-// New lays out a fleet: files, links, hosts and discovery. It starts no gateway. The caller closes the fleet.
+// New creates the files and links of a fleet, and starts its hosts and discovery. It starts no gateway. The caller must
+// close the fleet.
 func New(o Options) (*Fleet, error) {
 	f := &Fleet{
 		Options: o,
@@ -106,8 +107,8 @@
 	return nil
 }
 
-// freeAddresses finds free ports on a random loopback address, which no other fleet on the machine has: it could take
-// the port of a gateway that is down.
+// freeAddresses finds free ports on a random loopback address, so that fleets on the same machine use different addresses:
+// another fleet could otherwise take the port of a gateway that is down.
 func freeAddresses(count int) ([]string, error) {
 	host := fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254))
 	var addresses []string
@@ -120,12 +121,12 @@
 		addresses = append(addresses, listener.Addr().String())
 	}
 	if len(addresses) < count {
-		return nil, fmt.Errorf("faulttest: no %d ports of %s are free from %d to %d", count, host, minPort, maxPort)
+		return nil, fmt.Errorf("faulttest: fewer than %d ports of %s are free from %d to %d", count, host, minPort, maxPort)
 	}
 	return addresses, nil
 }
 
-// addLinks adds the links from a gateway to all others, or to the relays where the fleet has some.
+// addLinks adds the links from a gateway to all others, or to all other relays if the fleet has relays.
 func (f *Fleet) addLinks(from int) error {
 	for to, other := range f.Gateways {
 		isTarget := f.Relays == 0 || to < f.Relays
@@ -141,7 +142,7 @@
 	return nil
 }
 
-// fileText returns the file of a gateway.
+// fileText returns the text of a gateway's configuration file.
 func (f *Fleet) fileText(index int) string {
 	g := f.Gateways[index]
 	isRelay := index < f.Relays
@@ -162,7 +163,7 @@
 	return b.String()
 }
 
-// writePeers writes the other gateways, or the relays, with the addresses of the links to them.
+// writePeers writes the tables of the other gateways, or of the relays, with the addresses of the links to them.
 func (f *Fleet) writePeers(b *strings.Builder, from int) {
 	table := "fleet.peer"
 	if f.Relays > 0 {
@@ -181,14 +182,14 @@
 	}
 }
 
-// effectNames are the values of "effect" in an appliance's file.
+// effectNames are the values of the setting "effect" in a gateway's file.
 var effectNames = [...]string{
 	fakes.Idempotent:        "safe",
 	fakes.IdempotentWithKey: "keyed",
 	fakes.NonIdempotent:     "unsafe",
 }
 
-// writeServing writes listener, classes, pool and route of a gateway.
+// writeServing writes the listener, classes, pool and route of a gateway.
 func (f *Fleet) writeServing(b *strings.Builder, g *Gateway) {
 	fmt.Fprintf(b, "[[listener]]\naddress = %q\n", g.clients)
 	for _, c := range fakes.DefaultClasses() {
--- a/internal/experiment/faulttest/link.go
+++ b/internal/experiment/faulttest/link.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// Link forwards what one gateway sends to another, and can fail. Each direction between two gateways has a link of its
-// own: a gateway connects to others through the links in its file, and sends on the connections that it has opened. A
-// stream from a gateway to a relay is for both directions, so the return direction of its link can be blocked too.
+// Link is a TCP proxy with fault injection between one gateway and another. Each direction between two gateways has a
+// separate link: a gateway connects to others through the links in its file, and sends on the connections that it has
+// opened. A gateway's stream to a relay carries both directions, so the return direction of its link can be blocked too.
 type Link struct {
 	listener net.Listener
 	target   string
 
 	mu            sync.Mutex // guards the fields below
-	blocked       bool       // bytes are held back, connections stay open
-	returnBlocked bool       // the same for the return direction
+	blocked       bool       // whether bytes are held back; connections stay open
+	returnBlocked bool       // same as blocked, for the return direction
 	delay         time.Duration
-	truncateNext  bool // the next read is forwarded in part, and its connection closed
+	truncateNext  bool // whether only half of the next read is forwarded and its connection closed
 	connections   map[net.Conn]struct{}
 	changed       chan struct{} // closed by each change
 	closed        bool
@@ -33,7 +33,7 @@
 func NewLink(target string) (*Link, error) {
 	host, _, err := net.SplitHostPort(target)
 	if err != nil || !net.ParseIP(host).IsLoopback() {
-		return nil, fmt.Errorf("faulttest: %q is no loopback address", target)
+		return nil, fmt.Errorf("faulttest: %q is not a loopback address", target)
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -47,7 +47,7 @@
 // Addr returns the address that the link listens on.
 func (l *Link) Addr() string { return l.listener.Addr().String() }
 
-// change changes the state, and wakes connections that wait for it.
+// change runs do, which changes the state, under l.mu, and wakes the connections that wait for a change.
 func (l *Link) change(do func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -56,16 +56,16 @@
 	l.changed = make(chan struct{})
 }
 
-// SetBlocked holds back all bytes, or lets them go on. Connections stay open, as to a machine that is unreachable.
+// SetBlocked holds back all bytes, or ends that. Connections stay open, as those to an unreachable machine.
 func (l *Link) SetBlocked(blocked bool) { l.change(func() { l.blocked = blocked }) }
 
 // SetReturnBlocked is SetBlocked for the return direction of the connections.
 func (l *Link) SetReturnBlocked(blocked bool) { l.change(func() { l.returnBlocked = blocked }) }
 
-// SetDelay delays each read.
+// SetDelay sets the delay before each read is forwarded.
 func (l *Link) SetDelay(d time.Duration) { l.change(func() { l.delay = d }) }
 
-// TruncateNext forwards half of the next read, and closes its connection.
+// TruncateNext makes the link forward only half of the next read, and close its connection.
 func (l *Link) TruncateNext() { l.change(func() { l.truncateNext = true }) }
 
 // Heal ends all faults.
@@ -99,7 +99,7 @@
 	}
 }
 
-// add adds a connection. It closes it and returns false where the link is closed.
+// add adds a connection. If the link is closed, it closes the connection and returns false.
 func (l *Link) add(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -118,13 +118,13 @@
 	l.mu.Unlock()
 }
 
-// forwardConnection forwards an accepted connection.
+// forwardConnection forwards the traffic of an accepted connection, in both directions, until either end closes it.
 func (l *Link) forwardConnection(from net.Conn) {
 	if !l.add(from) {
 		return
 	}
 	defer l.remove(from)
-	if !l.waitUnblocked(false) { // no new connection either while the link is blocked
+	if !l.waitUnblocked(false) { // while the link is blocked, no new connection is opened either
 		return
 	}
 	to, err := net.DialTimeout("tcp", l.target, linkDialTimeout)
@@ -139,9 +139,9 @@
 	l.forward(from, to, false)
 }
 
-// forward forwards in the link's direction or, with isReturn set, in the other one: replies of a handshake, and all that a
-// relay sends on a stream. It returns at an end of a connection, or when the link is closed. Only the link's own direction is
-// truncated.
+// forward forwards bytes in the link's direction or, with isReturn set, in the return direction: replies of a handshake,
+// and all that a relay sends on a stream. It returns when one of the connections ends or the link is closed. Only the
+// link's own direction is truncated.
 func (l *Link) forward(from, to net.Conn, isReturn bool) {
 	buffer := make([]byte, linkBufferSize)
 	for {
@@ -164,7 +164,7 @@
 	}
 }
 
-// takeTruncate returns whether the current read is to be truncated.
+// takeTruncate reports whether the current read must be truncated, and clears truncateNext.
 func (l *Link) takeTruncate() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -173,7 +173,8 @@
 	return truncate
 }
 
-// waitUnblocked waits for the delay, and while a direction is blocked. It returns false when the link is closed.
+// waitUnblocked waits for the delay of the link's own direction, and then while the direction is blocked. It returns false
+// if the link is closed.
 func (l *Link) waitUnblocked(isReturn bool) bool {
 	l.mu.Lock()
 	delay := l.delay
--- a/internal/experiment/faulttest/load.go
+++ b/internal/experiment/faulttest/load.go
@@ -11,13 +11,13 @@
 
 const (
 	loadRate    = 50      // requests per second
-	loadCount   = 400_000 // so that a load without an end ends after some two hours
+	loadCount   = 400_000 // ends a load that is never stopped after about two hours
 	loadTimeout = 10 * time.Second
 	loadRetries = 2
 )
 
-// StartLoad has clients send requests to a gateway until stop is called. stop returns the counts of all requests to the
-// fleet, and an error where a rule was violated or nothing was served.
+// StartLoad sends client requests to a gateway until stop is called. stop returns the counts of all requests to the fleet,
+// and an error if a rule was violated or no request was served.
 func (f *Fleet) StartLoad(g *Gateway) (stop func() (fakes.Count, error)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	classes := fakes.DefaultClasses()
@@ -35,13 +35,13 @@
 	}
 }
 
-// checkLoad returns an error where a load didn't go well.
+// checkLoad returns an error if a rule was violated, no request was served, or the load itself failed.
 func checkLoad(count *fakes.Count, loadErr error) error {
 	if violations := count.Violations(); violations != "" {
-		return fmt.Errorf("of %d requests %v: %s", count.Requests, count.Outcomes, violations)
+		return fmt.Errorf("%d requests, outcomes %v: %s", count.Requests, count.Outcomes, violations)
 	}
 	if count.Outcomes[fakes.Served] == 0 {
-		return fmt.Errorf("of %d requests %v: none was served", count.Requests, count.Outcomes)
+		return fmt.Errorf("%d requests, outcomes %v: none was served", count.Requests, count.Outcomes)
 	}
 	if loadErr != nil && !errors.Is(loadErr, context.Canceled) {
 		return loadErr
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// StaleLeaseRequests returns how often earlier lease holders acted under a stale token, at hosts and at gateways, and how
-// often hosts accepted that.
+// StaleLeaseRequests returns the number of requests under a stale token that earlier lease holders sent to hosts and to
+// gateways, and the number of those that hosts accepted.
 func (f *Fleet) StaleLeaseRequests() (sent, accepted uint64) {
 	atHosts := f.Hosts.Ledger.LeaseRequests(healthCheckLease)
 	sent = atHosts.Stale
--- a/internal/experiment/faulttest/overrides_test.go
+++ b/internal/experiment/faulttest/overrides_test.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// drainGracePeriod is how long a gateway may send to a host after it learned that the host drains.
+// drainGracePeriod is how long a gateway may still send requests to a host after it has received the drain override.
 const drainGracePeriod = 500 * time.Millisecond
 
-// An operator's override of a host holds at every gateway, over a restart of all of them, and at one without a replica
-// that starts alone; it ends when it is removed. With the failpoint words-kept, which doesn't save overrides, the gateway
-// that starts alone has none, which the test notices.
-func TestOverridesHoldAtAllGateways(t *testing.T) {
+// An operator's override of a host is in effect at every gateway, after a restart of all of them, and at a gateway without
+// a replica that starts alone, until it is removed. With the failpoint words-kept overrides are not saved, so that the
+// gateway that starts alone has none, which the test must detect.
+func TestOverridesApplyAtAllGateways(t *testing.T) {
 	for _, failpoint := range []string{"", "words-kept"} {
 		t.Run("failpoint "+failpoint, func(t *testing.T) {
 			t.Parallel()
-			f := newCheckedFleet(t, Options{Program: builtWithFailpoints, Gateways: 4, Replicas: 3, Hosts: 3, Seed: 10, Env: []string{"DUNEMOOR_FAILPOINT=" + failpoint}})
+			f := newCheckedFleet(t, Options{Program: failpointsBinary, Gateways: 4, Replicas: 3, Hosts: 3, Seed: 10, Env: []string{"DUNEMOOR_FAILPOINT=" + failpoint}})
 			o := &overrideTest{T: t, fleet: f, host: f.Hosts.Nodes[0].Name, member: f.Gateways[3]}
 			o.checkHostInUse("before the override")
 			o.ctl(2, "drain", "nothing/"+o.host)
@@ -29,11 +29,11 @@
 				})
 			}
 			if n := o.executionsAtHost(); n > 0 {
-				t.Errorf("got %d requests at a draining host, want 0", n)
+				t.Errorf("got %d requests to a draining host, want 0", n)
 			}
 			o.startMemberAlone()
 			if n := o.executionsAtHost(); (n > 0) != (failpoint != "") {
-				t.Errorf("failpoint %q: got %d requests at a draining host, from a gateway that started alone", failpoint, n)
+				t.Errorf("failpoint %q: got %d requests to a draining host from a gateway that started alone", failpoint, n)
 			}
 			if err := f.Heal(); err != nil {
 				t.Fatal(err)
@@ -45,21 +45,21 @@
 			o.waitUntil("the override is removed", func() bool { return o.memberHasOverrides(0) })
 			o.checkHostInUse("after the override")
 			if n := strings.Count(f.LogText(), "operator overrides changed"); n < 2*len(f.Gateways) {
-				t.Errorf("got %d log lines of changed overrides, want at least %d", n, 2*len(f.Gateways))
+				t.Errorf("got %d log lines \"operator overrides changed\", want at least %d", n, 2*len(f.Gateways))
 			}
 		})
 	}
 }
 
-// overrideTest is a fleet in which operators override a host.
+// overrideTest is a test of an operator's override of a host.
 type overrideTest struct {
 	*testing.T
 	fleet  *Fleet
 	host   string
-	member *Gateway // without a replica
+	member *Gateway // the gateway without a replica
 }
 
-// ctl runs the operators' program at another gateway than the member, and checks its exit code.
+// ctl runs dunemoorctl at a gateway other than the member, and checks its exit code.
 func (o *overrideTest) ctl(code int, args ...string) {
 	o.Helper()
 	if out, got := runCtl(o.fleet.Gateways[1], args...); got != code {
@@ -72,7 +72,8 @@
 	waitUntil(o.T, o.fleet, what, condition)
 }
 
-// executionsAtHost returns how many of the next requests of the member's clients are executed at the host.
+// executionsAtHost sends requests to the member until a hundred are executed, and returns how many of them the host has
+// executed.
 func (o *overrideTest) executionsAtHost() int {
 	o.Helper()
 	f := o.fleet
@@ -89,15 +90,15 @@
 	return f.Hosts.Ledger.ExecutionsAt(o.host) - before
 }
 
-// checkHostInUse checks that the host gets requests.
+// checkHostInUse checks that the host receives requests.
 func (o *overrideTest) checkHostInUse(when string) {
 	o.Helper()
 	if o.executionsAtHost() == 0 {
-		o.Errorf("%s: got no request at the host", when)
+		o.Errorf("%s: the host received no request", when)
 	}
 }
 
-// startMemberAlone kills all gateways and starts the member, which responds when it returns.
+// startMemberAlone kills all gateways, starts the member, and waits until it responds.
 func (o *overrideTest) startMemberAlone() {
 	o.Helper()
 	for _, g := range o.fleet.Gateways {
@@ -109,7 +110,7 @@
 	o.waitUntil("the member responds", func() bool { _, err := o.member.Status(); return err == nil })
 }
 
-// memberHasOverrides reports whether the member responds and knows as many overrides.
+// memberHasOverrides reports whether the member responds and has count overrides.
 func (o *overrideTest) memberHasOverrides(count int) bool {
 	s, err := o.member.Status()
 	return err == nil && len(s.Overrides) == count
--- a/internal/experiment/faulttest/process.go
+++ b/internal/experiment/faulttest/process.go
@@ -15,7 +15,7 @@
 // maxLogLine is the longest log line that is read, in bytes.
 const maxLogLine = 1 << 20
 
-// Process is a process of the program that this one has started.
+// Process is a running program that StartProcess started.
 type Process struct {
 	Name     string
 	cmd      *exec.Cmd
@@ -23,8 +23,8 @@
 	exitCode int // set before done is closed
 }
 
-// StartProcess starts a program. Its output goes to log, each line with time and name, and to onLogLine, which may be
-// nil.
+// StartProcess starts a program. Each line of its output is written to log with the time and the name, and passed to
+// onLogLine, which may be nil.
 func StartProcess(name, program string, args, env []string, log io.Writer, onLogLine func(line string)) (*Process, error) {
 	p := &Process{Name: name, cmd: exec.Command(program, args...), done: make(chan struct{})}
 	p.cmd.Env = append(os.Environ(), env...)
@@ -34,8 +34,8 @@
 	}
 	p.cmd.Stdout = w
 	p.cmd.Stderr = w
-	// It ends when this process does, however that ends. The kernel goes by the thread that started it, and threads of
-	// this process end with it.
+	// The kernel kills the child when this process ends, for whatever reason. It sends the signal when the thread that
+	// started the child ends; threads of this process end only with the process.
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	err = p.cmd.Start()
 	w.Close()
@@ -44,7 +44,7 @@
 		return nil, err
 	}
 	go func() {
-		p.readLog(r, log, onLogLine) // all output is read before the process counts as ended
+		p.readLog(r, log, onLogLine) // all output is read before done is closed
 		p.cmd.Wait()
 		p.exitCode = p.cmd.ProcessState.ExitCode()
 		close(p.done)
@@ -65,7 +65,7 @@
 	}
 }
 
-// Kill ends the process at once, and waits for that.
+// Kill kills the process with SIGKILL, and waits until it has ended.
 func (p *Process) Kill() {
 	p.cmd.Process.Kill()
 	<-p.done
@@ -74,14 +74,14 @@
 // Pause stops the process with SIGSTOP.
 func (p *Process) Pause() error { return p.cmd.Process.Signal(syscall.SIGSTOP) }
 
-// Resume continues a paused process.
+// Resume continues a paused process with SIGCONT.
 func (p *Process) Resume() error { return p.cmd.Process.Signal(syscall.SIGCONT) }
 
-// Terminate asks the process to shut down, with SIGTERM.
+// Terminate sends SIGTERM, which requests a graceful shutdown.
 func (p *Process) Terminate() error { return p.cmd.Process.Signal(syscall.SIGTERM) }
 
-// LimitFileSize limits the size of files that the process writes, in bytes; -1: no limit. To the process it is a full
-// disk.
+// LimitFileSize limits the size of files that the process writes, in bytes; -1 removes the limit. Writes beyond it fail,
+// as on a full disk.
 func (p *Process) LimitFileSize(size int64) error {
 	limit := &unix.Rlimit{Cur: uint64(size), Max: unix.RLIM_INFINITY}
 	return unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, limit, nil)
--- a/internal/experiment/faulttest/relays_test.go
+++ b/internal/experiment/faulttest/relays_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// relayOf returns the relay that a gateway has its stream to, by its own status; nil: none.
+// relayOf returns the relay of a gateway's stream, according to the gateway's status, or nil if there is none.
 func relayOf(f *Fleet, g *Gateway) *Gateway {
 	s, err := g.Status()
 	if err != nil {
@@ -27,7 +27,8 @@
 	return relay
 }
 
-// newRelayFleet starts a fleet of three relays, which are the replicas, and four gateways, the last of which has load.
+// newRelayFleet starts a fleet of three relays, which are the replicas, and four gateways. Clients send load to the last
+// gateway, which it also returns.
 func newRelayFleet(t *testing.T, seed uint64) (f *Fleet, loaded *Gateway) {
 	t.Helper()
 	f = newCheckedFleet(t, Options{Gateways: 7, Relays: 3, Replicas: 3, Hosts: 3, Seed: seed})
@@ -47,24 +48,25 @@
 	}
 }
 
-// checkUndisturbed checks that from the n-th event on no gateway's session expired, and no lease of a gateway was
-// transferred. During an election a holder's own deadline may pass: it releases the lease until it is confirmed, and no
-// other gateway has it. With a leader throughout it doesn't.
+// checkUndisturbed checks that since event n no session of a gateway expired and no lease of a gateway was transferred.
+// During an election the deadline of a holder may pass; it then stops its work under the lease until the lease is
+// confirmed, and no other gateway acquires it. With hadLeader, there was a leader throughout, and no gateway may release a
+// lease.
 func checkUndisturbed(t *testing.T, f *Fleet, n int, hadLeader bool) {
 	t.Helper()
 	for _, e := range f.History.Events()[n:] {
 		switch {
 		case e.Kind == SessionExpired && f.isGateway(e.Gateway):
-			t.Errorf("got the session of %s expired at %v", e.Gateway, e.At)
+			t.Errorf("the session of %s expired at %v", e.Gateway, e.At)
 		case e.Kind == LeaseTransferred && f.isGateway(e.From):
-			t.Errorf("got %s transferred from %s to %s at %v", e.Lease, e.From, e.To, e.At)
+			t.Errorf("%s was transferred from %s to %s at %v", e.Lease, e.From, e.To, e.At)
 		case e.Kind == LeaseNoLongerHeld && f.isGateway(e.Gateway) && hadLeader:
-			t.Errorf("got %s released by %s at %v", e.Lease, e.Gateway, e.At)
+			t.Errorf("%s was released by %s at %v", e.Lease, e.Gateway, e.At)
 		}
 	}
 }
 
-// isGateway reports whether a name is that of a gateway and not of a relay.
+// isGateway reports whether a name belongs to a gateway that is not a relay.
 func (f *Fleet) isGateway(name string) bool {
 	for _, g := range f.Gateways[f.Relays:] {
 		if g.Name == name {
@@ -74,7 +76,7 @@
 	return false
 }
 
-// waitBalanced waits until each of three gateways holds a lease: none is transferred to balance them.
+// waitBalanced waits until each of three gateways holds a lease, so that no lease is transferred to balance them.
 func waitBalanced(t *testing.T, f *Fleet) {
 	t.Helper()
 	holders := map[string]int{}
@@ -89,8 +91,8 @@
 	})
 }
 
-// A relay is killed: its gateways move to another one, no session expires and no lease is transferred, and clients notice
-// nothing. So too when the relay is the leader.
+// When a relay is killed, its gateways move to another one, no session expires, no lease is transferred, and clients get
+// all their responses. The same holds if the relay is the leader.
 func TestKilledRelayDisturbsNoGateway(t *testing.T) {
 	t.Parallel()
 	f, loaded := newRelayFleet(t, 21)
@@ -101,7 +103,7 @@
 		out, err := exec.Command(dunemoorctl, "fleet", "--admin", g.admin, "status").CombinedOutput()
 		for _, text := range want {
 			if err != nil || !strings.Contains(string(out), text) {
-				t.Errorf("status at %s: got error %v and\n%s\nwant %q", g.Name, err, out, text)
+				t.Errorf("status of %s: got error %v, output\n%s\nwant %q in it", g.Name, err, out, text)
 			}
 		}
 	}
@@ -132,7 +134,7 @@
 		t.Logf("%s is killed, %s is the leader", down.Name, leader.Name)
 		down.Kill()
 		waitMoved(t, f, down)
-		waitUntil(t, f, "another leader has confirmed all", func() bool { return f.confirmed(down) })
+		waitUntil(t, f, "all other gateways have a session and a new leader", func() bool { return f.confirmed(down) })
 		checkUndisturbed(t, f, n, down != leader)
 		if err := down.Start(); err != nil {
 			t.Fatal(err)
@@ -141,7 +143,7 @@
 	}
 }
 
-// confirmed reports whether all gateways but one have a session and another leader than that.
+// confirmed reports whether all gateways except one have a session, and a leader other than that one.
 func (f *Fleet) confirmed(except *Gateway) bool {
 	for _, g := range f.Gateways {
 		if g == except {
@@ -154,8 +156,8 @@
 	return true
 }
 
-// A relay is paused for longer than sessions last: its gateways move to another one. When it resumes, what it held back does
-// no harm, and it accepts gateways again.
+// When a relay is paused for longer than the duration of a session, its gateways move to another one. When it resumes, the
+// frames that it held back cause no violation, and it accepts gateways again.
 func TestPausedRelayLosesItsGateways(t *testing.T) {
 	t.Parallel()
 	f, loaded := newRelayFleet(t, 22)
@@ -166,11 +168,11 @@
 	}
 	paused := time.Now()
 	waitMoved(t, f, down)
-	t.Logf("all have another relay after %v", time.Since(paused).Round(time.Millisecond))
+	t.Logf("all gateways have moved to another relay after %v", time.Since(paused).Round(time.Millisecond))
 	time.Sleep(time.Until(paused.Add(pauseDuration)))
 	for _, e := range f.History.Events()[n:] {
 		if e.Kind == SessionExpired {
-			t.Logf("the session of %s expired", e.Gateway) // as may be on a busy machine
+			t.Logf("the session of %s expired", e.Gateway) // allowed, as it may happen on a busy machine
 		}
 	}
 	if err := down.Resume(); err != nil {
@@ -179,18 +181,18 @@
 	waitConverged(t, f)
 }
 
-// Gateways move away from a relay that receives nothing, that reaches no one, or that reaches no other relay.
+// Gateways move away from a relay that receives nothing, that can't send to any node, or that can't send to other relays.
 func TestGatewaysLeaveAPartitionedRelay(t *testing.T) {
 	t.Parallel()
 	f, loaded := newRelayFleet(t, 23)
-	for _, fault := range []string{"receives nothing", "reaches no one", "reaches no relay"} {
+	for _, fault := range []string{"receives nothing", "sends nothing", "reaches no relay"} {
 		down := waitRelayOf(t, f, loaded)
 		switch fault {
 		case "receives nothing":
 			f.Isolate(down, false, true)
-		case "reaches no one":
+		case "sends nothing":
 			f.Isolate(down, true, false)
-		default: // its gateways reach it, and what they send goes nowhere
+		default: // its gateways reach it, but it can't forward their frames to other relays
 			for _, r := range f.Gateways[:f.Relays] {
 				if r != down {
 					f.SetBlocked(down, r, true)
@@ -205,8 +207,8 @@
 	}
 }
 
-// All relays are restarted one by one, then all are down at once: gateways serve without any, and rejoin the fleet when
-// relays are back.
+// All relays are restarted one by one, and then all of them are down at once: gateways serve requests without relays, and
+// rejoin the fleet when relays are up again.
 func TestGatewaysServeWithoutRelays(t *testing.T) {
 	t.Parallel()
 	f, loaded := newRelayFleet(t, 24)
--- a/internal/experiment/faulttest/transfer.go
+++ b/internal/experiment/faulttest/transfer.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// TransferCause is why a lease gets another holder.
+// TransferCause is a cause of the transfer of a lease.
 type TransferCause string
 
-// Causes, by their names on command lines.
+// Causes of transfers. The values are their names on command lines.
 const (
 	HolderKilled         TransferCause = "kill"
-	HolderPaused         TransferCause = "stop" // for three sessions
+	HolderPaused         TransferCause = "stop" // for pauseDuration
 	HolderIsolated       TransferCause = "cut"
 	HolderNotReceiving   TransferCause = "deaf"
 	HolderNotSending     TransferCause = "mute"
 	OperatorTransfer     TransferCause = "planned"
-	LeaderKilled         TransferCause = "leader" // which is the holder too
+	LeaderKilled         TransferCause = "leader" // the holder is also the leader
 	HolderTerminated     TransferCause = "sigterm"
-	LeaderTerminated     TransferCause = "sigterm of the leader" // which is the holder too
-	AllGatewaysRestarted TransferCause = "all down"              // all are killed and started again
+	LeaderTerminated     TransferCause = "sigterm of the leader" // the holder is also the leader
+	AllGatewaysRestarted TransferCause = "all down"              // all gateways are killed and started again
 )
 
 // TransferCauses lists all causes.
@@ -30,24 +30,24 @@
 	HolderTerminated, LeaderTerminated, AllGatewaysRestarted,
 }
 
-// requiresLeader reports whether the holder must be the leader too.
+// requiresLeader reports whether the holder must also be the leader.
 func (c TransferCause) requiresLeader() bool { return c == LeaderKilled || c == LeaderTerminated }
 
 const (
-	// sessionDuration is how long sessions of the program last.
+	// sessionDuration is the TTL of sessions in the program.
 	sessionDuration = 3 * time.Second
-	// pauseDuration is how long a paused holder pauses.
+	// pauseDuration is how long a holder or relay is paused.
 	pauseDuration = 3 * sessionDuration
-	// maxTransferTime is how long a transfer may take in all, on a busy machine.
+	// maxTransferTime is the timeout of a whole transfer, on a busy machine.
 	maxTransferTime = 60 * time.Second
 )
 
-// errNoLeader is the error where no gateway is the leader.
+// errNoLeader is returned if no gateway is the leader.
 var errNoLeader = errors.New("there is no leader")
 
-// TransferLease causes a transfer of a lease. It returns how long no gateway held the lease and knew it: from the fault,
-// or the end of the holder's work in OperatorTransfer, to the acquisition by the next holder. spared, which may be nil,
-// is not the holder.
+// TransferLease causes a transfer of a lease. It returns how long no gateway worked under the lease: from the fault, or,
+// for OperatorTransfer, from the release by the holder, to the acquisition by the next holder. Except for
+// OperatorTransfer, the fault does not affect spared, which may be nil.
 func (f *Fleet) TransferLease(ctx context.Context, cause TransferCause, lease string, spared *Gateway) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, maxTransferTime)
 	defer cancel()
@@ -70,8 +70,8 @@
 	return gap, f.WaitUntil(ctx, what, maxTransferTime, f.Converged)
 }
 
-// prepareHolder returns the holder of a lease, after transfers by an operator where it is the spared gateway, or must be
-// the leader.
+// prepareHolder returns the holder of a lease. If the holder is the spared gateway, or is not the leader and the cause
+// requires that, it first transfers the lease as an operator.
 func (f *Fleet) prepareHolder(ctx context.Context, cause TransferCause, lease string, spared *Gateway) (*Gateway, error) {
 	holder := f.LeaseHolder(lease)
 	if holder == spared && cause != OperatorTransfer {
@@ -80,7 +80,7 @@
 		}
 		holder = f.LeaseHolder(lease)
 		if holder == spared {
-			return nil, fmt.Errorf("%s stays with the gateway to be spared", lease)
+			return nil, fmt.Errorf("%s is still held by the spared gateway after a transfer", lease)
 		}
 	}
 	if holder == nil {
@@ -94,9 +94,9 @@
 		return nil, errNoLeader
 	}
 	if leader == spared {
-		return nil, fmt.Errorf("the leader %s is to be spared", leader.Name)
+		return nil, fmt.Errorf("the leader %s is the spared gateway", leader.Name)
 	}
-	// A response other than 200 shows in the wait below.
+	// A response other than 200 makes the wait below fail.
 	if _, _, err := f.Gateways[0].postTransfer(lease, leader); err != nil {
 		return nil, err
 	}
@@ -121,10 +121,10 @@
 	if err := t.inject(); err != nil {
 		return 0, err
 	}
-	if t.cause == OperatorTransfer { // the holder works until it learns of the transfer
+	if t.cause == OperatorTransfer { // the holder continues its work until it is notified of the transfer
 		e, _, err := history.Wait(ctx, first, t.isReleased)
 		if err != nil {
-			return 0, fmt.Errorf("%s does not release %s: %w", t.holder.Name, t.lease, err)
+			return 0, fmt.Errorf("%s did not release %s: %w", t.holder.Name, t.lease, err)
 		}
 		start = e.At
 	}
@@ -142,8 +142,8 @@
 	return e.Kind == LeaseNoLongerHeld && e.Lease == t.lease && e.Gateway == t.holder.Name
 }
 
-// isAcquired reports whether an event is the acquisition by the next holder. After a restart of all gateways it may be
-// the same one.
+// isAcquired reports whether an event is the acquisition by the next holder. After a restart of all gateways the next
+// holder may be the same gateway.
 func (t *leaseTransfer) isAcquired(e Event) bool {
 	isNext := e.Gateway != t.holder.Name || t.cause == AllGatewaysRestarted
 	return e.Kind == LeaseAcquired && e.Lease == t.lease && isNext
--- a/internal/experiment/faulttest/violations.go
+++ b/internal/experiment/faulttest/violations.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// FindViolations returns what must never happen: a fencing token with two holders, a lease whose token doesn't grow, a
-// fleet that is bootstrapped twice.
+// FindViolations returns the violations of invariants in a history: a fencing token with two holders, a lease whose token
+// does not increase with a grant, or a fleet that is bootstrapped twice.
 func FindViolations(events []Event) []string {
 	c := violationChecker{holders: map[uint64]string{}, grants: map[uint64]Event{}}
 	for _, e := range events {
@@ -17,10 +17,10 @@
 	return c.violations
 }
 
-// violationChecker is the state of FindViolations.
+// violationChecker collects the grants of a history and its violations, for FindViolations.
 type violationChecker struct {
 	holders      map[uint64]string // lease and holder, by token
-	grants       map[uint64]Event  // by index of the log entry
+	grants       map[uint64]Event  // by index of the entry in the replicated log
 	bootstrapped bool
 	violations   []string
 }
@@ -48,13 +48,13 @@
 
 func (c *violationChecker) addHolder(token uint64, holder string) {
 	if before, ok := c.holders[token]; ok && before != holder {
-		c.addf("token %d is of %s and of %s", token, before, holder)
+		c.addf("token %d was granted to %s and to %s", token, before, holder)
 	}
 	c.holders[token] = holder
 }
 
 func (c *violationChecker) checkTokensGrow() {
-	last := map[string]uint64{} // token by lease
+	last := map[string]uint64{} // tokens of the last grants, by lease
 	for _, index := range slices.Sorted(maps.Keys(c.grants)) {
 		e := c.grants[index]
 		if e.Token <= last[e.Lease] {
