--- a/internal/cluster/sim/cost.go
+++ b/internal/cluster/sim/cost.go
@@ -32,7 +32,7 @@
 	measureDuration = 10 * time.Second
 	// rateInterval is the interval over which a rate is computed.
 	rateInterval = 100 * time.Millisecond
-	// balanceTimeout bounds how long a fleet takes to balance its leases.
+	// balanceTimeout is the timeout for a fleet to balance its leases.
 	balanceTimeout = 5 * time.Minute
 	// noFencedOps is a FencedOpInterval for measurements that exclude the traffic of fenced operations.
 	noFencedOps = time.Hour
--- a/internal/cluster/sim/node.go
+++ b/internal/cluster/sim/node.go
@@ -105,7 +105,7 @@
 		if n.connectsTo(o) {
 			w.connect(n, o, n.incarnation)
 			if o.up {
-				w.connect(o, n, o.incarnation) // its connections to the previous process have ended
+				w.connect(o, n, o.incarnation) // o's connection to n's previous process has ended
 			}
 		}
 	}
--- a/internal/cluster/sim/stream.go
+++ b/internal/cluster/sim/stream.go
@@ -18,7 +18,7 @@
 	relayEnd
 )
 
-// other returns the opposite end.
+// opposite returns the other end.
 func (e streamEnd) opposite() streamEnd { return 1 - e }
 
 // stream is a connection between a gateway and a relay. Frames arrive in order: they are held back while the direction is
--- a/internal/cluster/sim/world.go
+++ b/internal/cluster/sim/world.go
@@ -191,7 +191,7 @@
 // isCut reports whether the direction from one node to another is cut.
 func (w *World) isCut(from, to *Node) bool { return w.cut[direction{from.index, to.index}] }
 
-// Partition cuts two groups from one another, in both directions.
+// Partition cuts two groups off from each other, in both directions.
 func (w *World) Partition(a, b []*Node) {
 	for _, x := range a {
 		for _, y := range b {
@@ -201,7 +201,7 @@
 	}
 }
 
-// isolate cuts a node from all others, in both directions.
+// isolate cuts a node off from all others, in both directions.
 func (w *World) isolate(n *Node) {
 	for _, o := range w.Nodes {
 		if o != n {
--- a/internal/experiment/fakes/lease_requests.go
+++ b/internal/experiment/fakes/lease_requests.go
@@ -6,7 +6,7 @@
 	lease string
 }
 
-// LeaseRequests counts requests that gateways sent as holders of a lease.
+// LeaseRequests is the counts of requests that gateways sent as holders of a lease.
 type LeaseRequests struct {
 	Stale         uint64 // requests of an earlier holder: their token is lower than one seen before
 	StaleAccepted uint64 // stale requests that the node accepted
@@ -35,7 +35,7 @@
 	return stale
 }
 
-// LeaseRequests sums up the requests for a lease at all nodes.
+// LeaseRequests returns the counts of the requests for a lease, summed over all nodes.
 func (l *Ledger) LeaseRequests(lease string) LeaseRequests {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/experiment/fakes/node.go
+++ b/internal/experiment/fakes/node.go
@@ -12,7 +12,7 @@
 // Mode is how a node behaves.
 type Mode uint8
 
-// Modes.
+// Values of Mode.
 const (
 	Healthy Mode = iota
 	Full         // rejects each request without executing it: 503 with X-Not-Processed
--- a/internal/experiment/fakes/node_serve.go
+++ b/internal/experiment/fakes/node_serve.go
@@ -102,7 +102,7 @@
 	return e
 }
 
-// execute executes the request on a core, unless it is a duplicate of its key.
+// execute executes the request on a core, unless it is a duplicate of a request with the same key.
 func (e *exchange) execute() {
 	e.cores <- struct{}{}
 	defer func() { <-e.cores }()
--- a/internal/experiment/faulttest/fleet.go
+++ b/internal/experiment/faulttest/fleet.go
@@ -55,7 +55,7 @@
 	return f.links[linkKey{slices.Index(f.Gateways, from), slices.Index(f.Gateways, to)}]
 }
 
-// linksFrom returns the links from a gateway to all others.
+// linksFrom returns the links from a gateway to all others that it connects to.
 func (f *Fleet) linksFrom(g *Gateway) []*Link {
 	var links []*Link
 	for _, other := range f.Gateways {
--- a/internal/experiment/faulttest/fleet_test.go
+++ b/internal/experiment/faulttest/fleet_test.go
@@ -253,7 +253,7 @@
 				return false
 			}
 			n = f.History.Len()
-			soon, cancel := context.WithTimeout(ctx, 3*sessionDuration) // it publishes every 2 s while it is the holder
+			soon, cancel := context.WithTimeout(ctx, 3*sessionDuration) // a holder publishes every 2 s
 			defer cancel()
 			return holder.PauseAt(soon, "acting list/calendar") == nil
 		}); err != nil {
@@ -265,7 +265,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.Hosts.SetState(0, fakes.StateGone) // the next holder publishes it
+		f.Hosts.SetState(0, fakes.StateGone) // the next holder publishes the changed endpoint list
 		for _, g := range f.Gateways {
 			if err := f.WaitUntil(ctx, "all gateways have the token of the next holder", convergeTimeout, func() bool {
 				s, err := g.Status()
@@ -360,7 +360,7 @@
 		startLoad(t, f, f.Gateways[0])
 		host := f.Hosts.Nodes[0]
 		host.Crash()
-		time.Sleep(hostOutage) // the backoff grows meanwhile
+		time.Sleep(hostOutage) // during which the backoff of the gateways grows
 		before := f.Hosts.Ledger.ExecutionsAt(host.Name)
 		if err := host.Start(); err != nil {
 			t.Fatal(err)
--- a/internal/experiment/faulttest/relays_test.go
+++ b/internal/experiment/faulttest/relays_test.go
@@ -37,7 +37,7 @@
 	return f, loaded
 }
 
-// waitMoved waits until all gateways have a stream to another relay.
+// waitMoved waits until all gateways have a stream to a relay other than from.
 func waitMoved(t *testing.T, f *Fleet, from *Gateway) {
 	t.Helper()
 	for _, g := range f.Gateways[f.Relays:] {
