--- a/internal/experiment/fakes/lease_requests.go
+++ b/internal/experiment/fakes/lease_requests.go
@@ -1,20 +1,20 @@
 package fakes
 
-// leaseAtNode identifies a lease of a fleet of gateways at a node.
+// leaseAtNode identifies the requests for a lease at a node.
 type leaseAtNode struct {
 	node  string
 	lease string
 }
 
-// LeaseRequests counts requests that gateways sent as holders of a lease.
+// LeaseRequests is the counts of requests that gateways sent as holders of a lease.
 type LeaseRequests struct {
-	Stale         uint64 // with a token lower than one seen before: of an earlier holder
-	StaleAccepted uint64 // of Stale, those that the node accepted
+	Stale         uint64 // requests of an earlier holder: their token is lower than one seen before
+	StaleAccepted uint64 // stale requests that the node accepted
 	HighestToken  uint64
 }
 
-// RecordLeaseRequest records a request for a lease under a fencing token. It returns true for a token of an earlier
-// holder, which a node rejects if it checks tokens.
+// RecordLeaseRequest records a request that a node received for a lease, with its fencing token. It returns true if the
+// token is that of an earlier holder; the node must then reject the request if it checks tokens.
 func (l *Ledger) RecordLeaseRequest(node, lease string, token uint64, checksTokens bool) (stale bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -35,7 +35,7 @@
 	return stale
 }
 
-// LeaseRequests sums up the requests for a lease at all nodes.
+// LeaseRequests returns the counts of the requests for a lease, summed over all nodes.
 func (l *Ledger) LeaseRequests(lease string) LeaseRequests {
 	l.mu.Lock()
 	defer l.mu.Unlock()
