--- a/internal/experiment/scenario/compat_test.go
+++ b/internal/experiment/scenario/compat_test.go
@@ -8,12 +8,12 @@
 	"dunemoor/internal/testutil/compat"
 )
 
-// Every key that a scenario file may have.
+// The keys of scenario files don't change.
 func TestCompatKeys(t *testing.T) {
 	compat.Keys(t, "scenario-keys.txt", "toml", &file{})
 }
 
-// Every name that a scenario file may have as a value. Names of idempotency and scope are in the order of the
+// The names that scenario files have as values don't change. Names of idempotency and scope are in the order of the
 // balancer's constants.
 func TestCompatValues(t *testing.T) {
 	faultKinds := []simulator.FaultKind{
--- a/internal/experiment/scenario/expectations.go
+++ b/internal/experiment/scenario/expectations.go
@@ -7,7 +7,7 @@
 	"dunemoor/internal/experiment/simulator"
 )
 
-// Missed describes each expectation that a run misses and each rule that it violates.
+// Missed describes each expectation that a run doesn't meet and each rule that it violates.
 func (s *Scenario) Missed(run *simulator.Summary) []string {
 	c := checker{run: run}
 	c.rules()
@@ -17,7 +17,7 @@
 	return c.missed
 }
 
-// checker collects what a run misses.
+// checker collects the descriptions of the expectations that a run doesn't meet.
 type checker struct {
 	run    *simulator.Summary
 	missed []string
@@ -51,7 +51,7 @@
 	}
 }
 
-// perSecond reports the first second that exceeds the budget.
+// perSecond adds the first second that exceeds the budget.
 func (c *checker) perSecond(budget *Budget) {
 	for i := range c.run.Seconds {
 		if excess := budget.excess(&c.run.Seconds[i]); excess != "" {
@@ -61,7 +61,7 @@
 	}
 }
 
-// excess describes the first limit that a second exceeds; "": none.
+// excess describes the first limit of the budget that a second exceeds; "" means none.
 func (b *Budget) excess(second *simulator.Second) string {
 	limits := []struct {
 		name  string
--- a/internal/experiment/scenario/file.go
+++ b/internal/experiment/scenario/file.go
@@ -2,7 +2,7 @@
 
 import "dunemoor/internal/config"
 
-// file is the form of a scenario file. The order of the fields is that of the keys in a written file.
+// file is the structure of a scenario file. Keys are written in the order of the fields.
 type file struct {
 	About    string          `toml:"about,omitempty"`
 	Seed     int64           `toml:"seed,omitzero"`
@@ -64,7 +64,7 @@
 	Jitter           float64         `toml:"jitter,omitzero"`
 	HonorRetryAfter  float64         `toml:"honour,omitzero"`
 	FailoverDelay    config.Duration `toml:"notice,omitzero"`
-	LeaveEarly       float64         `toml:"early,omitzero"`
+	DisconnectEarly  float64         `toml:"early,omitzero"`
 	RetryImmediately float64         `toml:"hasty,omitzero"`
 }
 
@@ -107,7 +107,7 @@
 	Budget
 }
 
-// Values of "effect" and "group", by the numbers of balancer.Idempotency and balancer.DedupScope.
+// Values of the keys "effect" and "group", indexed by balancer.Idempotency and balancer.DedupScope.
 var (
 	idempotencyNames = []string{"safe", "keyed", "unsafe"}
 	dedupScopeNames  = []string{"all", "zone", "cell"}
--- a/internal/experiment/scenario/format.go
+++ b/internal/experiment/scenario/format.go
@@ -10,7 +10,7 @@
 	"dunemoor/internal/experiment/simulator"
 )
 
-// Format returns the text of a file that Parse reads as the same scenario.
+// Format returns the text of a scenario file from which Parse reads the same scenario.
 func (s *Scenario) Format() (string, error) {
 	f := newFile(s)
 	var out strings.Builder
@@ -22,7 +22,7 @@
 	return out.String(), nil
 }
 
-// newFile converts a scenario into the form of a file.
+// newFile converts a scenario to the structure of a file.
 func newFile(s *Scenario) file {
 	c := &s.Config
 	f := file{
@@ -91,7 +91,7 @@
 	}
 }
 
-// newClassTable converts the rules and the traffic of a class.
+// newClassTable converts the balancer settings and the traffic of a class.
 func newClassTable(c *simulator.Config, index int) classTable {
 	rules := &c.Settings.Classes[index]
 	traffic := &c.Classes[index]
@@ -117,7 +117,7 @@
 		Jitter:           c.Jitter,
 		HonorRetryAfter:  c.HonorRetryAfter,
 		FailoverDelay:    config.Duration(c.FailoverDelay),
-		LeaveEarly:       c.LeaveEarly,
+		DisconnectEarly:  c.DisconnectEarly,
 		RetryImmediately: c.RetryImmediately,
 	}
 }
--- a/internal/experiment/scenario/parse.go
+++ b/internal/experiment/scenario/parse.go
@@ -12,7 +12,8 @@
 	"dunemoor/internal/experiment/simulator"
 )
 
-// Parse reads the text of a file; path is for its name and for errors. It returns all errors that it finds.
+// Parse reads a scenario from the text of a file. The path is used for the scenario's name and in errors. Parse
+// returns all errors that it finds.
 func Parse(path, data string) (*Scenario, []error) {
 	p := parser{text: config.NewText(path, data)}
 	var f file
@@ -42,13 +43,13 @@
 	return s, nil
 }
 
-// parser collects the errors of a file.
+// parser reads a file and collects its errors.
 type parser struct {
 	text   *config.Text
 	errors []error
 }
 
-// errorf adds an error with the line of a field in the index-th table of that name; "" is the file itself.
+// errorf adds an error with the line of a field in the index-th table of the given name; "" stands for the top level.
 func (p *parser) errorf(table string, index int, field, format string, args ...any) {
 	name := field
 	if table != "" {
@@ -57,7 +58,7 @@
 	p.errors = append(p.errors, p.text.Errorf(p.text.Line(table, index, field), name, format, args...))
 }
 
-// simulatorConfig converts a file without checking ranges.
+// simulatorConfig converts a file without checking the ranges of its values.
 func (p *parser) simulatorConfig(f *file) simulator.Config {
 	c := simulator.Config{
 		Length:      time.Duration(f.Length),
@@ -100,7 +101,8 @@
 	return c
 }
 
-// class converts the rules of a class. Unknown names are errors, and taken as the first one.
+// class converts the balancer settings of a class. For an unknown value of effect or group it adds an error and uses
+// the first one.
 func (p *parser) class(index int, t *classTable) balancer.Class {
 	idempotency := slices.Index(idempotencyNames, t.Idempotency)
 	if idempotency < 0 {
@@ -131,7 +133,7 @@
 		{"class", s.Expected.ClassInTimeShare},
 	}
 	for _, share := range shares {
-		if !(share.value >= 0 && share.value <= 1) { // so that NaN is an error too
+		if !(share.value >= 0 && share.value <= 1) { // written so that NaN is invalid too
 			p.errorf("expect", 0, share.field, "%v is not between 0 and 1", share.value)
 		}
 	}
@@ -187,7 +189,7 @@
 		Jitter:           t.Jitter,
 		HonorRetryAfter:  t.HonorRetryAfter,
 		FailoverDelay:    time.Duration(t.FailoverDelay),
-		LeaveEarly:       t.LeaveEarly,
+		DisconnectEarly:  t.DisconnectEarly,
 		RetryImmediately: t.RetryImmediately,
 	}
 }
--- a/internal/experiment/scenario/scenario.go
+++ b/internal/experiment/scenario/scenario.go
@@ -1,5 +1,5 @@
-// Package scenario reads and writes scenario files: a fleet, its traffic and its faults, and what is expected
-// of the run. Files are read strictly: each error has file, line and field.
+// Package scenario reads and writes scenario files. A scenario file describes a fleet, its traffic and its faults,
+// and the expected results of the simulation. Unknown keys are errors, and each error names file, line and field.
 package scenario
 
 import (
@@ -9,28 +9,29 @@
 	"dunemoor/internal/experiment/simulator"
 )
 
-// Scenario is the content of a file.
+// Scenario is the content of a scenario file.
 type Scenario struct {
-	Name     string // of the file, without its suffix
+	Name     string // base name of the file, without its suffix
 	About    string
-	Seed     uint64 // default of the runs; 0: 1
+	Seed     uint64 // default seed of runs; 0: 1
 	Config   simulator.Config
 	Expected Expectations
 }
 
-// Expectations is what must hold in a run beside the rules of package simulator. Zero values expect nothing.
+// Expectations are conditions that a run must meet in addition to the rules of package simulator. A zero value means
+// no expectation.
 type Expectations struct {
-	InTimeShare float64 // least share of first requests with a response within the latency objective
-	// From EndFrom on, counted from the start of the run, EndInTimeShare is the least share: the fleet must
-	// have recovered.
+	InTimeShare float64 // minimum share of first requests with a response within the latency objective
+	// EndInTimeShare is the minimum share of the first requests sent at EndFrom, counted from the start of the run,
+	// or later. By then the fleet must have recovered.
 	EndFrom             time.Duration
 	EndInTimeShare      float64
-	WeightedInTimeShare float64 // least InTimeShare with each request counted by its priority weight
-	ClassInTimeShare    float64 // least InTimeShare of any class
+	WeightedInTimeShare float64 // minimum share with each request weighted by its priority weight
+	ClassInTimeShare    float64 // minimum share in each class
 	PerSecond           Budget
 }
 
-// Budget is the most that a fleet may do in a second, all gateways together; 0: no limit.
+// Budget limits the events of a second, summed over all gateways of the fleet; 0: no limit.
 type Budget struct {
 	Handshakes          int `toml:"handshakes,omitzero"`
 	WarmingAttempts     int `toml:"cold_sends,omitzero"`
@@ -38,7 +39,7 @@
 	Polls               int `toml:"list_calls,omitzero"`
 }
 
-// Load reads a file. It returns all errors that it finds.
+// Load reads a scenario file. It returns all errors that it finds.
 func Load(path string) (*Scenario, []error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/experiment/scenario/scenario_test.go
+++ b/internal/experiment/scenario/scenario_test.go
@@ -11,7 +11,7 @@
 	"dunemoor/internal/experiment/simulator"
 )
 
-// Every scenario of the library is valid, has a description, and meets its expectations with one seed.
+// Every scenario of the library is valid, has a description, and meets its expectations with its own seed.
 func TestLibraryScenariosMeetTheirExpectations(t *testing.T) {
 	paths, err := filepath.Glob("../../../scenarios/*.toml")
 	if err != nil || len(paths) < 20 {
@@ -25,7 +25,7 @@
 				t.Fatal(errs)
 			}
 			if s.About == "" || s.Expected == (Expectations{}) {
-				t.Error("got no description or no expectation")
+				t.Error("got no description or no expectation, want both")
 			}
 			s.Config.Seed = max(s.Seed, 1)
 			sum, err := simulator.Run(s.Config)
@@ -39,7 +39,7 @@
 	}
 }
 
-// Parse reads the text of Format as the same scenario, so that a finding of a search can be played again.
+// Parse reads the text that Format returns as the same scenario, so that a finding of a search can be run again.
 func TestFormatRoundTrip(t *testing.T) {
 	paths, err := filepath.Glob("../../../scenarios/*.toml")
 	if err != nil || len(paths) < 20 {
@@ -106,7 +106,7 @@
 	}
 }
 
-// Each expectation can be met and missed.
+// Missed reports each kind of expectation if it isn't met, and only then.
 func TestMissedReportsEachExpectation(t *testing.T) {
 	sum := &simulator.Summary{
 		Classes: []simulator.ClassSummary{{FirstRequests: 60, InTime: 60, PriorityWeight: 1}, {FirstRequests: 40, InTime: 30, PriorityWeight: 5}},
--- a/internal/experiment/scenariosearch/mutate.go
+++ b/internal/experiment/scenariosearch/mutate.go
@@ -11,21 +11,21 @@
 const (
 	// maxSeed bounds the seeds of candidates.
 	maxSeed = 1 << 31
-	// maxMutations is the number of changes that a derived candidate has at most.
+	// maxMutations is the maximum number of changes by which a candidate is derived.
 	maxMutations = 3
-	// minHosts is the least number of hosts of a candidate.
+	// minHosts is the minimum number of hosts of a candidate.
 	minHosts = 2
-	// minDuration is the shortest fault or burst.
+	// minDuration is the minimum duration of a fault or burst.
 	minDuration = 500 * time.Millisecond
-	// timeStep is what drawn times are rounded to.
+	// timeStep is the unit to which drawn times are rounded.
 	timeStep = 10 * time.Millisecond
-	// numberSteps is how many steps there are from 0 to 1: drawn numbers are rounded to 1/numberSteps.
+	// numberSteps sets the precision of drawn numbers, which are rounded to multiples of 1/numberSteps.
 	numberSteps = 1000
-	// rateSteps is how many steps there are in one request a second: rates are rounded to 1/rateSteps.
+	// rateSteps sets the precision of rates, which are rounded to multiples of 1/rateSteps requests per second.
 	rateSteps = 100
 )
 
-// estimatedFaults are the kinds of fault that PossibleShare estimates.
+// estimatedFaults are the kinds of fault that PossibleShare takes into account. Only these are drawn.
 var estimatedFaults = []simulator.FaultKind{
 	simulator.Crash, simulator.Vanish, simulator.Hang, simulator.Slow, simulator.Errors, simulator.Drain,
 	simulator.ResponsesLost, simulator.GatewayCrash,
@@ -53,7 +53,7 @@
 	return c
 }
 
-// mutate derives a Config with some changes; its load stays within the range.
+// mutate derives a Config from another one by some random changes. Its load stays within the range.
 func (s *Search) mutate(from simulator.Config) simulator.Config {
 	c := clone(from)
 	mutations := []func(*simulator.Config){
@@ -88,7 +88,7 @@
 	}
 }
 
-// shiftFault changes the time and the share of a fault.
+// shiftFault changes the start, the duration and the share of a fault.
 func (s *Search) shiftFault(c *simulator.Config) {
 	n := len(c.Faults)
 	if n == 0 {
@@ -100,7 +100,7 @@
 	f.Share = min(max(f.Share*s.drawNumber(0.6, 1.6), 0.01), 1)
 }
 
-// changeBursts adds a burst, or replaces one where there are as many as allowed.
+// changeBursts adds a burst, or replaces one if the maximum number is reached.
 func (s *Search) changeBursts(c *simulator.Config) {
 	n := len(c.Bursts)
 	if n < s.ranges.MaxBursts {
@@ -110,7 +110,7 @@
 	}
 }
 
-// drawClients draws how clients behave, and when gateways learn of hosts.
+// drawClients draws the behavior of clients and the delays of endpoint lists.
 func (s *Search) drawClients(c *simulator.Config) {
 	c.Clients.MaxRetries = s.random.IntN(6)
 	c.Clients.HonorRetryAfter = s.random.Float64()
@@ -143,7 +143,7 @@
 
 func (s *Search) drawSeed() uint64 { return 1 + s.random.Uint64N(maxSeed) }
 
-// drawStart draws a time in the first two thirds of a run.
+// drawStart draws a start time in the first two thirds of a run.
 func (s *Search) drawStart(c *simulator.Config) time.Duration { return s.drawTime(0, c.Length*2/3) }
 
 // drawDuration draws a duration of up to a third of a run.
@@ -167,7 +167,7 @@
 	return min(max(int(math.Round(math.Exp(x))), low), high)
 }
 
-// clone returns a copy of a Config that shares nothing that this package changes.
+// clone returns a copy of a Config that shares no data that this package modifies.
 func clone(c simulator.Config) simulator.Config {
 	c.Hosts = slices.Clone(c.Hosts)
 	c.Classes = slices.Clone(c.Classes)
@@ -177,14 +177,15 @@
 	return c
 }
 
-// scaleLoad multiplies the rates of all classes.
+// scaleLoad multiplies the rates of all classes by a factor.
 func scaleLoad(c *simulator.Config, factor float64) {
 	for i := range c.Classes {
 		c.Classes[i].Rate = math.Round(c.Classes[i].Rate*factor*rateSteps) / rateSteps
 	}
 }
 
-// loadPerHost is the work requested per second and host of the first group, in seconds of a core of speed 1.
+// loadPerHost returns the work requested per second, divided by the number of hosts of the first group, in seconds of
+// a core of speed 1.
 func loadPerHost(c simulator.Config) float64 {
 	work := 0.0
 	for _, t := range c.Classes {
--- a/internal/experiment/scenariosearch/possible.go
+++ b/internal/experiment/scenariosearch/possible.go
@@ -8,22 +8,23 @@
 )
 
 const (
-	// usableCapacity is the share of the hosts' capacity that counts as possible: beyond it queues are longer
-	// than a latency objective of a few times the work.
+	// usableCapacity is the share of the hosts' capacity that the estimate counts. With a higher load, queueing takes
+	// longer than a latency objective of a few times the work of a request.
 	usableCapacity = 0.7
-	// detectionTime is the time in which a fault may go unnoticed: requests to its targets are lost meanwhile.
+	// detectionTime is how long a fault may remain undetected. The estimate counts requests to its targets as lost
+	// during that time.
 	detectionTime = 2 * time.Second
-	// estimateStep is the time step of the estimate.
+	// estimateStep is the interval at which the estimate evaluates a run.
 	estimateStep = 100 * time.Millisecond
-	// allGatewaysDown is the sum of the shares of crashed gateways from which there may be none left.
+	// allGatewaysDown is the minimum sum of the shares of crashed gateways for which all gateways may be down.
 	allGatewaysDown = 0.999
 )
 
-// PossibleShare estimates the share of the requests that gateways with full knowledge could have served in
-// time. In each step of the run it counts usableCapacity of the hosts' cores, less what faults take: all of a
-// host that has failed, until it is warm again, and what Slow and Errors take of one. Requests to the targets
-// of a fault are lost until it is detected. Gateways that crash lose the requests that clients send them
-// until these notice, and all requests where no gateway is left.
+// PossibleShare estimates the share of the requests that gateways with complete information could have served in
+// time. In each step of the run it counts usableCapacity of the hosts' capacity, reduced by faults: a failed host has
+// no capacity until it is warm again, and Slow and Errors reduce the capacity of a host. Requests to the targets of a
+// fault are lost until it is detected. Requests to a crashed gateway are lost until clients detect the crash, and all
+// requests are lost if no gateway is left.
 func PossibleShare(c simulator.Config) float64 {
 	e := newEstimator(&c)
 	if e.rate == 0 {
@@ -40,12 +41,12 @@
 	return served / requests
 }
 
-// estimator holds the figures of a Config that don't change over a run.
+// estimator holds the figures of a Config that are constant during a run.
 type estimator struct {
 	config   *simulator.Config
-	work     float64 // requested per second without bursts, in seconds of a core of speed 1
+	work     float64 // work requested per second without bursts, in seconds of a core of speed 1
 	rate     float64 // first requests per second without bursts
-	capacity float64 // of all hosts, in seconds of a core of speed 1 per second
+	capacity float64 // capacity of all hosts, in seconds of a core of speed 1 per second
 	hosts    int
 }
 
@@ -66,7 +67,7 @@
 	return e
 }
 
-// burstFactor is the rate at a time as a multiple of the rate without bursts.
+// burstFactor returns the total rate at a time as a multiple of the rate without bursts.
 func (e *estimator) burstFactor(at time.Duration) float64 {
 	factor := 1.0
 	for _, b := range e.config.Bursts {
@@ -86,7 +87,7 @@
 	return factor
 }
 
-// servedShare is the share of the requests at a time that can be served.
+// servedShare returns the share of the requests at a time that can be served.
 func (e *estimator) servedShare(at time.Duration, burst float64) float64 {
 	loss := faultLoss{healthyCapacity: 1}
 	for i := range e.config.Faults {
@@ -104,9 +105,9 @@
 	return possible * (1 - loss.requests)
 }
 
-// faultLoss is what faults take at a time.
+// faultLoss is the loss of capacity and requests by faults at a time.
 type faultLoss struct {
-	healthyCapacity float64 // share of the hosts' capacity that is left
+	healthyCapacity float64 // remaining share of the hosts' capacity
 	requests        float64 // share of the requests that are lost
 	gatewaysDown    float64 // sum of the shares of crashed gateways
 }
@@ -136,7 +137,7 @@
 	}
 }
 
-// remainingCapacity is the share of its capacity that a target of a fault has left.
+// remainingCapacity returns the share of its capacity that a target of a fault retains.
 func remainingCapacity(f *simulator.Fault) float64 {
 	switch f.Kind {
 	case simulator.Slow:
@@ -147,11 +148,12 @@
 	return 0
 }
 
-// targetShare is the share of the targets in a total, rounded as the simulator does: at least one is hit.
+// targetShare returns the number of targets of a fault as a share of a total. As in the simulator, the number is
+// rounded and is at least one.
 func targetShare(f *simulator.Fault, total int) float64 {
 	n := float64(total)
 	return max(1, math.Floor(f.Share*n+0.5)) / n
 }
 
-// within reports whether at lies in the span that begins at start.
+// within reports whether at is in the time span that begins at start.
 func within(at, start, span time.Duration) bool { return at >= start && at < start+span }
--- a/internal/experiment/scenariosearch/search.go
+++ b/internal/experiment/scenariosearch/search.go
@@ -1,6 +1,7 @@
-// Package scenariosearch searches for fleets and faults that the balancer serves worse than it could, and
-// makes the findings small. It does no I/O, starts no goroutine and reads no clock: Search.Next returns
-// candidates to simulate, Search.Report takes their results, and the same seed gives the same candidates.
+// Package scenariosearch searches for fleets and faults for which the balancer serves fewer requests in time than
+// possible, and shrinks these findings to small scenarios. It does no I/O, starts no goroutine and reads no clock:
+// Search.Next returns candidates to simulate, Search.Report receives their results, and the same seed gives the same
+// candidates.
 package scenariosearch
 
 import (
@@ -12,42 +13,43 @@
 	"dunemoor/internal/experiment/simulator"
 )
 
-// Candidate is a run to simulate.
+// Candidate is a Config to simulate.
 type Candidate struct {
-	Config simulator.Config // with its seed
+	Config simulator.Config // including the seed of the run
 }
 
 // Finding is the result of a Candidate.
 type Finding struct {
 	Config        simulator.Config
 	InTimeShare   float64
-	PossibleShare float64 // estimate of the share that gateways with full knowledge could have served in time
-	Violations    int     // of the rules of package simulator
-	Score         float64 // the higher, the worse the run
+	PossibleShare float64 // estimated share that gateways with complete information could have served in time, see PossibleShare
+	Violations    int     // number of violations of the rules of package simulator
+	Score         float64 // a higher score is a worse run
 }
 
-// Ranges bounds the search around a Config that is served well.
+// Ranges bounds the candidates of a search, which are variations of the Config Base.
 type Ranges struct {
 	Base        simulator.Config
-	LoadMin     float64 // multiples of the base's rates
+	LoadMin     float64 // lowest and highest load, as multiples of the rates of Base
 	LoadMax     float64
 	MaxFaults   int
 	MaxBursts   int
-	Length      time.Duration // of a run
+	Length      time.Duration // length of each run
 	MaxGateways int
-	MaxHosts    int // of the first group; 0: as in the base
+	MaxHosts    int // maximum number of hosts in the first group; 0: as in Base
 }
 
 const (
-	// maxKept is the number of findings that candidates are derived from.
+	// maxKept is the maximum number of findings that are kept to derive candidates from.
 	maxKept = 24
-	// maxKeptPerLabel is the number of them with the same kinds of fault.
+	// maxKeptPerLabel is the maximum number of findings that are kept with the same Label.
 	maxKeptPerLabel = 4
-	// newShare is the share of candidates that are drawn anew and not derived from a finding.
+	// newShare is the share of candidates that are drawn independently of earlier findings.
 	newShare = 0.4
-	// violationScore puts any violation of a rule above the worst service.
+	// violationScore is added to the score of a run that violates a rule, so that it exceeds any score without a
+	// violation.
 	violationScore = 10
-	// searchStream selects the random stream of a search.
+	// searchStream is the second seed of a search's random numbers.
 	searchStream = 0x68756e74
 )
 
@@ -55,7 +57,7 @@
 type Search struct {
 	ranges   Ranges
 	random   *rand.Rand
-	findings []Finding // the worst first
+	findings []Finding // sorted, the worst first
 	reported int
 }
 
@@ -64,13 +66,14 @@
 	return &Search{ranges: r, random: rand.New(rand.NewPCG(seed, searchStream))}
 }
 
-// Reported is the number of results so far.
+// Reported returns the number of results reported so far.
 func (s *Search) Reported() int { return s.reported }
 
-// Worst returns the worst findings so far, the worst first, with few of the same kinds of fault.
+// Worst returns the worst findings so far, the worst first. At most maxKeptPerLabel of them have the same Label.
 func (s *Search) Worst() []Finding { return slices.Clone(s.findings) }
 
-// Next returns n candidates. They can be simulated in any order, but are reported in the order returned.
+// Next returns n candidates. They can be simulated in any order, but must be reported in the order in which they were
+// returned.
 func (s *Search) Next(n int) []Candidate {
 	candidates := make([]Candidate, 0, n)
 	for range n {
@@ -83,7 +86,7 @@
 	if len(s.findings) == 0 || s.random.Float64() < newShare {
 		return s.newConfig()
 	}
-	// The worse of two draws, so that the worst are chosen more often.
+	// Use the worse of two drawn findings, so that the worst ones are chosen more often.
 	chosen := min(s.random.IntN(len(s.findings)), s.random.IntN(len(s.findings)))
 	c := s.mutate(s.findings[chosen].Config)
 	if len(c.Validate()) > 0 {
@@ -92,7 +95,7 @@
 	return c
 }
 
-// Report takes the result of a candidate.
+// Report adds the result of a candidate.
 func (s *Search) Report(c Candidate, result *simulator.Summary) {
 	s.reported++
 	s.findings = append(s.findings, Evaluate(c.Config, result))
@@ -116,7 +119,8 @@
 	return 0
 }
 
-// Label names the kinds of fault in a Config, each once, joined by "+". It is "load" where there is none.
+// Label returns the kinds of fault in a Config, each once, joined by "+", with "burst" for a burst. It is "load" if
+// there is none.
 func Label(c simulator.Config) string {
 	var kinds []string
 	for _, f := range c.Faults {
@@ -132,7 +136,8 @@
 	return strings.Join(slices.Compact(kinds), "+")
 }
 
-// Evaluate scores a run: by how much less was served in time than possible.
+// Evaluate returns the finding of a run. Its score is the difference between the possible and the actual share served
+// in time.
 func Evaluate(c simulator.Config, result *simulator.Summary) Finding {
 	f := Finding{Config: c, InTimeShare: result.InTimeShare(), PossibleShare: PossibleShare(c)}
 	for _, count := range result.Violations {
--- a/internal/experiment/scenariosearch/search_test.go
+++ b/internal/experiment/scenariosearch/search_test.go
@@ -9,7 +9,7 @@
 	"dunemoor/internal/experiment/simulator"
 )
 
-// base is a small fleet at half load.
+// base returns a small fleet at half load.
 func base() simulator.Config {
 	return simulator.Config{
 		Length: 20 * time.Second, Gateways: 2,
@@ -30,8 +30,8 @@
 	return Ranges{Base: base(), LoadMin: 0.5, LoadMax: 1.2, MaxFaults: 3, MaxBursts: 1, Length: 20 * time.Second, MaxGateways: 6, MaxHosts: 12}
 }
 
-// The possible share is what the cores allow: all at half load, and in proportion less where the cores, or a
-// part of them for a part of the time, can do less.
+// The possible share is limited by the capacity of the cores: all requests at half load, and proportionally fewer
+// under overload or if a part of the cores fails for a part of the time.
 func TestPossibleShare(t *testing.T) {
 	near := func(what string, got, want float64) {
 		t.Helper()
@@ -41,7 +41,7 @@
 	}
 	c := base()
 	near("half load", PossibleShare(c), 1)
-	scaleLoad(&c, 2.8) // 11.2 cores of work for 8, of which 0.7 are counted
+	scaleLoad(&c, 2.8) // work of 11.2 cores for 8 cores, of which 0.7 are usable
 	near("overload", PossibleShare(c), 0.5)
 	c = base()
 	c.Bursts = []simulator.Burst{{At: 0, Duration: 10 * time.Second, Factor: 2.8}}
@@ -57,8 +57,8 @@
 	near("no requests", PossibleShare(c), 1)
 }
 
-// The same seed gives the same findings. All candidates are valid and within the ranges; findings are sorted,
-// and of several kinds.
+// The same seed gives the same findings. All candidates are valid and within the ranges, and the findings are sorted
+// and have several labels.
 func TestSearchIsDeterministicAndStaysInRange(t *testing.T) {
 	search := func(seed uint64) []Finding {
 		s := New(ranges(), seed)
@@ -105,13 +105,14 @@
 		t.Errorf("got findings of %v, want at least 3 labels", labels)
 	}
 	if c := search(2); reflect.DeepEqual(a, c) {
-		t.Error("search with seed 2: got the findings of seed 1")
+		t.Error("search with seed 2: got the findings of seed 1, want others")
 	}
 }
 
-// A search finds worse runs than random draws do: candidates must be derived from the worst findings.
+// A search converges on worse runs than random draws would find, because candidates are derived from the worst
+// findings.
 func TestSearchConvergesOnTheWorst(t *testing.T) {
-	// A fake simulator: the more gateways, the worse.
+	// This fake simulator serves fewer requests in time with more gateways.
 	run := func(c simulator.Config) *simulator.Summary {
 		return &simulator.Summary{Classes: []simulator.ClassSummary{{FirstRequests: 100, InTime: int(100*PossibleShare(c)) - c.Gateways}}}
 	}
@@ -128,8 +129,8 @@
 	}
 }
 
-// Shrink removes what doesn't matter for the score, and keeps what does.
-func TestShrinkKeepsWhatMatters(t *testing.T) {
+// Shrink removes the parts of a Config that don't contribute to the score, and keeps the others.
+func TestShrinkRemovesPartsWithoutEffect(t *testing.T) {
 	c := base()
 	c.Gateways, c.Hosts[0].Count, c.Length, c.Seed = 12, 40, time.Minute, 99
 	scaleLoad(&c, 5)
@@ -141,7 +142,7 @@
 		{Kind: simulator.Hang, At: 9 * time.Second, Duration: time.Second, Share: 0.1},
 	}
 	runs := 0
-	run := func(c simulator.Config) (*simulator.Summary, error) { // bad with Errors and two gateways or more
+	run := func(c simulator.Config) (*simulator.Summary, error) { // low share in time with Errors and two or more gateways
 		runs++
 		sum := &simulator.Summary{Classes: []simulator.ClassSummary{{FirstRequests: 1000, InTime: int(1000 * PossibleShare(c))}}}
 		if c.Gateways >= 2 && Label(c) != "load" {
@@ -158,19 +159,19 @@
 	k := got.Config
 	if Label(k) != "errors" || len(k.Faults) != 1 || k.Gateways != 3 || k.Hosts[0].Count != 2 || len(k.Classes) != 1 || k.Seed != 1 || k.Clients.MaxRetries != 0 ||
 		k.Length != 15*time.Second || k.Faults[0].At != 8*time.Second {
-		t.Errorf("got %+v, want errors at 3 gateways and 2 hosts alone", k)
+		t.Errorf("got %+v, want only errors, with 3 gateways and 2 hosts", k)
 	}
 	if work := loadPerHost(k); work < 0.9*loadPerHost(c) || work > 1.1*loadPerHost(c) {
 		t.Errorf("load per host: got %.3f, want %.3f within a tenth", work, loadPerHost(c))
 	}
 	if len(c.Faults) != 3 || c.Classes[0].Rate != 750 {
-		t.Errorf("original Config: got it changed to %+v", c)
+		t.Errorf("original Config: got it changed to %+v, want it unchanged", c)
 	}
 	runs = 0
 	if Shrink(Evaluate(c, sum), 5, run); runs != 5 {
 		t.Errorf("got %d runs, want 5", runs)
 	}
-	// The violation of a rule is kept, however well the rest is served.
+	// A finding that violates a rule keeps a violation, whatever share is served in time.
 	violating := func(c simulator.Config) (*simulator.Summary, error) {
 		sum := &simulator.Summary{Classes: []simulator.ClassSummary{{FirstRequests: 1, InTime: 1}}}
 		if len(c.Bursts) > 0 {
--- a/internal/experiment/scenariosearch/shrink.go
+++ b/internal/experiment/scenariosearch/shrink.go
@@ -8,21 +8,22 @@
 )
 
 const (
-	// minScoreShare is the share of a finding's score that a smaller one must keep.
+	// minScoreShare is the minimum score of a smaller finding, as a share of the score of the original one.
 	minScoreShare = 0.8
-	// timeAfterFault is how long a run goes on at least after its last fault or burst.
+	// timeAfterFault is the minimum length of a run after its last fault or burst.
 	timeAfterFault = 5 * time.Second
-	// faultShareSteps: shares of faults are rounded to this part of 1.
+	// faultShareSteps sets the precision to which shares of faults are rounded: multiples of 1/faultShareSteps.
 	faultShareSteps = 20
 )
 
-// reduction makes a Config simpler at one of several places, or as a whole.
+// reduction is a simplification of a Config. It is applied to one item of a list, such as a fault, or to the Config
+// as a whole.
 type reduction struct {
-	places func(c *simulator.Config) int             // nil: the Config as a whole
-	apply  func(c *simulator.Config, place int) bool // returns false where it changes nothing
+	places func(c *simulator.Config) int             // number of items it can be applied to; nil: it applies to the Config as a whole
+	apply  func(c *simulator.Config, place int) bool // returns false if it changes nothing
 }
 
-// reductions are tried in this order, the largest first.
+// reductions are tried in this order, the ones with the largest effect first.
 var reductions = []reduction{
 	{faultCount, removeFault},
 	{burstCount, removeBurst},
@@ -40,7 +41,7 @@
 func faultCount(c *simulator.Config) int { return len(c.Faults) }
 func burstCount(c *simulator.Config) int { return len(c.Bursts) }
 
-// removableClassCount is 0 where one class is left, which must stay.
+// removableClassCount returns the number of classes, or 0 if there is only one, which can't be removed.
 func removableClassCount(c *simulator.Config) int {
 	if len(c.Classes) == 1 {
 		return 0
@@ -58,7 +59,7 @@
 	return true
 }
 
-// removeClass removes a class and keeps the load.
+// removeClass removes a class and scales the others so that the load stays the same.
 func removeClass(c *simulator.Config, index int) bool {
 	before := loadPerHost(*c)
 	c.Classes = slices.Delete(c.Classes, index, index+1)
@@ -75,7 +76,7 @@
 	return c.Gateways < before
 }
 
-// halveHosts halves the hosts of the first group, and the load with them.
+// halveHosts halves the number of hosts of the first group, and the load in proportion.
 func halveHosts(c *simulator.Config, _ int) bool {
 	before := c.Hosts[0].Count
 	c.Hosts[0].Count = max(before/2, minHosts)
@@ -86,7 +87,7 @@
 	return true
 }
 
-// shortenRun ends the run some time after the last fault or burst.
+// shortenRun ends the run timeAfterFault after the last fault or burst.
 func shortenRun(c *simulator.Config, _ int) bool {
 	end := timeAfterFault
 	for _, f := range c.Faults {
@@ -120,7 +121,8 @@
 	return before != 0
 }
 
-// roundFault rounds the times of a fault to seconds, and its share.
+// roundFault rounds the start and the duration of a fault to seconds, and its share to multiples of
+// 1/faultShareSteps.
 func roundFault(c *simulator.Config, index int) bool {
 	f := &c.Faults[index]
 	before := *f
@@ -139,8 +141,8 @@
 	return before != 1
 }
 
-// Shrink makes a finding smaller while most of its score, or a violation of a rule, is left. It calls run at
-// most maxRuns times; a reduction whose run returns an error is not made.
+// Shrink simplifies a finding as long as it keeps minScoreShare of its score, or, if it violates a rule, a violation.
+// It calls run at most maxRuns times. A reduction whose run returns an error is not made.
 func Shrink(f Finding, maxRuns int, run func(simulator.Config) (*simulator.Summary, error)) Finding {
 	s := shrinker{
 		finding:       f,
@@ -156,14 +158,14 @@
 
 // shrinker is the state of Shrink.
 type shrinker struct {
-	finding       Finding // the smallest so far
+	finding       Finding // the smallest finding so far
 	runsLeft      int
 	run           func(simulator.Config) (*simulator.Summary, error)
 	minScore      float64
 	needViolation bool
 }
 
-// pass tries each reduction at each place once. It returns false where none could be made.
+// pass tries each reduction once at each place. It returns false if none was accepted.
 func (s *shrinker) pass() bool {
 	reduced := false
 	for _, r := range reductions {
@@ -174,7 +176,7 @@
 		place := 0
 		for place < r.places(&s.finding.Config) {
 			if s.try(r, place) {
-				reduced = true // another place has come in its place, or it is as simple as it gets
+				reduced = true // the next item now has this index, or this one can't be reduced further and the next try fails
 			} else {
 				place++
 			}
@@ -183,7 +185,7 @@
 	return reduced
 }
 
-// try makes a reduction if enough of the finding is left after it.
+// try applies a reduction, and keeps the result if the result is still accepted as a finding.
 func (s *shrinker) try(r reduction, place int) bool {
 	c := clone(s.finding.Config)
 	changed := r.apply(&c, place)
--- a/internal/experiment/simulator/attempts.go
+++ b/internal/experiment/simulator/attempts.go
@@ -6,22 +6,22 @@
 	"dunemoor/balancer"
 )
 
-// attempt is an attempt of a gateway at a host.
+// attempt is one attempt of a gateway to serve a request at a host.
 type attempt struct {
 	host            *host
-	hostIncarnation uint32 // that it arrived at
+	hostIncarnation uint32 // incarnation of the host when the attempt arrived
 	sentAt          balancer.Time
-	ended           bool // the gateway's balancer knows its result
+	ended           bool // the result has been reported to the gateway's balancer
 	canceled        bool
 	newConnection   bool
 }
 
-// send starts an attempt.
+// send executes a Send action of a gateway's balancer: it starts an attempt.
 func (s *simulation) send(g *gateway, a *balancer.Action) {
 	r := g.openRequests[a.Request]
 	h := s.hosts[hostIndex(a.Host)]
 	if r == nil || r.done {
-		s.violation(RuleLost, "request %d is sent to a host after its end", a.Request)
+		s.violation(RuleLost, "request %d is sent to a host after its final response", a.Request)
 		return
 	}
 	s.checkSend(g, r, h)
@@ -41,7 +41,7 @@
 	s.sendOnNewConnection(g, r, number, delay)
 }
 
-// countSend counts an attempt at h.
+// countSend updates the counts of the Summary for an attempt at h.
 func (s *simulation) countSend(h *host) {
 	if s.warmShare(h) < 1 {
 		s.currentSecond().WarmingAttempts++
@@ -55,16 +55,16 @@
 func (s *simulation) sendOnIdleConnection(r *request, number int, delay time.Duration) {
 	h := r.attempts[number].host
 	if h.silent || h.partitioned {
-		s.checkExecution(h, r, number) // it can't be ruled out, as no response comes
+		s.checkExecution(h, r, number) // the execution can't be ruled out, because no response arrives
 		return
 	}
 	s.queue.push(event{at: s.now + delay, kind: eventAttemptArrives, number: uint64(number), request: r})
 }
 
-// sendOnNewConnection connects, which takes a round trip, and sends.
+// sendOnNewConnection opens a connection, which takes a round trip, and sends the attempt on it.
 func (s *simulation) sendOnNewConnection(g *gateway, r *request, number int, delay time.Duration) {
 	h := r.attempts[number].host
-	const roundTrip = 2 // delays
+	const roundTrip = 2 // in one-way delays
 	noReply := h.silent || (h.partitioned && !g.seesResets())
 	full := h.MaxConnections > 0 && h.connections >= h.MaxConnections
 	switch {
@@ -94,7 +94,7 @@
 	return delay
 }
 
-// cancel cancels an attempt; its result is Canceled.
+// cancel executes a Cancel action of a gateway's balancer: the result of the attempt is Canceled.
 func (s *simulation) cancel(g *gateway, a *balancer.Action) {
 	r := g.openRequests[a.Request]
 	if r == nil {
@@ -108,7 +108,7 @@
 	s.scheduleResult(s.now, balancer.Canceled, a.Attempt, r)
 }
 
-// attemptArrives is the arrival of an attempt at its host.
+// attemptArrives handles the arrival of an attempt at its host.
 func (s *simulation) attemptArrives(r *request, number int) {
 	a := &r.attempts[number]
 	h := a.host
@@ -116,16 +116,17 @@
 	switch {
 	case canceledOnItsWay:
 	case h.silent || h.partitioned:
-		s.checkExecution(h, r, number) // it can't be ruled out, as no response comes
+		s.checkExecution(h, r, number) // the execution can't be ruled out, because no response arrives
 	case !h.running:
-		// It was connected before: the reset may have come after the last byte of the request.
+		// The connection was established, so the reset may have been sent after the host received the last byte of
+		// the request.
 		s.scheduleResult(s.now+s.networkDelay(r.gateway), balancer.Reset, number, r)
 	default:
 		s.receive(h, r, number)
 	}
 }
 
-// attemptResult is the arrival of an attempt's result at its gateway.
+// attemptResult handles the arrival of an attempt's result at its gateway.
 func (s *simulation) attemptResult(r *request, number int, result balancer.Result) {
 	gatewayStopped := !r.gateway.running || r.gateway.incarnation != r.gatewayIncarnation
 	if r.attempts[number].ended || gatewayStopped {
@@ -134,7 +135,7 @@
 	s.endAttempt(r, number, result)
 }
 
-// attemptTimeout ends an attempt without a result at the request's deadline.
+// attemptTimeout ends an attempt that has no result at the request's deadline.
 func (s *simulation) attemptTimeout(r *request, number int) {
 	if r.attempts[number].ended || r.gateway.incarnation != r.gatewayIncarnation {
 		return
@@ -159,11 +160,11 @@
 			Closed:  r.done,
 		})
 	})
-	s.forgetIfDone(r)
+	s.removeIfDone(r)
 }
 
-// releaseConnection keeps the connection of an attempt that has a response, and closes it after a timeout or
-// a cancellation.
+// releaseConnection returns the connection of an attempt with a response to the idle connections, and closes it after
+// a timeout or a cancellation.
 func (s *simulation) releaseConnection(g *gateway, a *attempt, result balancer.Result) {
 	h := a.host
 	switch result {
--- a/internal/experiment/simulator/clients.go
+++ b/internal/experiment/simulator/clients.go
@@ -8,40 +8,40 @@
 	"dunemoor/balancer"
 )
 
-// request is one request of a client; a retry is a request of its own.
+// request is one request of a client. A retry is a separate request.
 type request struct {
 	id          balancer.RequestID
 	class       int
-	client      uint64 // random number of the client, by which its behaviour is drawn
-	retries     int    // requests of the client before this one
+	client      uint64 // random number that identifies the client and determines its behavior
+	retries     int    // number of earlier requests of the client for the same first request
 	firstSentAt balancer.Time
 	sentAt      balancer.Time
 	deadline    balancer.Time
-	work        float64 // in seconds of a core of speed 1
+	work        float64 // CPU time, in seconds of a core of speed 1
 
 	gateway            *gateway
 	gatewayIncarnation uint32
-	done               bool // the client has a response or has left
-	leftEarly          bool // the client has left before its deadline, and doesn't retry
+	done               bool // the client has its final response, or has disconnected
+	disconnectedEarly  bool // the client disconnected before its deadline and doesn't retry
 	responses          int
 	attempts           []attempt
 
 	executions int
-	executedAt balancer.Time // first
-	executedBy *host         // first
+	executedAt balancer.Time // time of the first execution
+	executedBy *host         // host of the first execution
 }
 
 const (
-	// earlyLeaveDivisor: a client that leaves early does so after this part of its deadline.
-	earlyLeaveDivisor = 4
-	// immediateRetryFactor: clients that retry immediately have so many times the retries, and a backoff
-	// that is as many times shorter.
+	// earlyDisconnectDivisor sets when a client that disconnects early does so: after its deadline divided by this number.
+	earlyDisconnectDivisor = 4
+	// immediateRetryFactor multiplies the maximum number of retries of clients that retry immediately, and divides
+	// their backoff.
 	immediateRetryFactor = 4
-	// maxBackoffDoublings bounds the growth of the backoff.
+	// maxBackoffDoublings is how often the backoff is doubled at most.
 	maxBackoffDoublings = 16
 )
 
-// outcome is how a request ended for its client.
+// outcome is the final result of a request for its client.
 type outcome uint8
 
 const (
@@ -51,8 +51,8 @@
 	outcomeAbandoned
 )
 
-// scheduleFirstRequest schedules the next first request of a class: a Poisson process at the highest rate,
-// thinned to the current one. So a burst doesn't change the random numbers after it.
+// scheduleFirstRequest schedules the next first request of a class. Arrivals are a Poisson process at the highest
+// rate, thinned to the current rate, so that a burst doesn't change the random numbers drawn after it.
 func (s *simulation) scheduleFirstRequest(class int) {
 	rate := s.config.Classes[class].Rate
 	if rate <= 0 {
@@ -73,7 +73,7 @@
 	s.queue.push(event{at: at, kind: eventFirstRequest, index: int32(class)})
 }
 
-// burstFactor is the factor of a class's rate at a time.
+// burstFactor returns the factor by which bursts multiply the rate of a class at a time.
 func (s *simulation) burstFactor(class int, at balancer.Time) float64 {
 	factor := 1.0
 	for _, b := range s.config.Bursts {
@@ -85,7 +85,7 @@
 	return factor
 }
 
-// maxBurstFactor is the highest value that burstFactor may have.
+// maxBurstFactor returns an upper bound of burstFactor for a class.
 func (s *simulation) maxBurstFactor(class int) float64 {
 	factor := 1.0
 	for _, b := range s.config.Bursts {
@@ -100,7 +100,7 @@
 	return b.Class == "" || b.Class == s.config.Classes[class].Name
 }
 
-// firstRequest has a new client send its first request.
+// firstRequest sends the first request of a new client.
 func (s *simulation) firstRequest(class int) {
 	s.scheduleFirstRequest(class)
 	t := &s.config.Classes[class]
@@ -117,7 +117,7 @@
 	s.sendRequest(r)
 }
 
-// sendRequest brings a request of a client to a gateway.
+// sendRequest sends a request of a client to a gateway.
 func (s *simulation) sendRequest(r *request) {
 	s.lastRequestID++
 	r.id = s.lastRequestID
@@ -126,17 +126,17 @@
 	s.summary.Classes[r.class].Requests++
 	g := s.pickGateway()
 	if g == nil || !g.running {
-		s.clientDone(r, outcomeAbandoned, 0) // the connection is refused
+		s.clientDone(r, outcomeAbandoned, 0) // the gateway refuses the connection
 		return
 	}
 	r.gateway = g
 	r.gatewayIncarnation = g.incarnation
 	s.summary.Gateways[g.id].Requests++
 	g.openRequests[r.id] = r
-	s.queue.push(event{at: r.deadline + responseGracePeriod, kind: eventClientLeaves, request: r})
-	if share := s.config.Clients.LeaveEarly; share > 0 && s.earlyLeaveRandom.Float64() < share {
-		at := s.now + (r.deadline-s.now)/earlyLeaveDivisor
-		s.queue.push(event{at: at, kind: eventClientLeaves, number: 1, request: r})
+	s.queue.push(event{at: r.deadline + responseGracePeriod, kind: eventClientDisconnects, request: r})
+	if share := s.config.Clients.DisconnectEarly; share > 0 && s.earlyDisconnectRandom.Float64() < share {
+		at := s.now + (r.deadline-s.now)/earlyDisconnectDivisor
+		s.queue.push(event{at: at, kind: eventClientDisconnects, number: 1, request: r})
 	}
 	s.deliver(g, func() {
 		g.balancer.Request(s.now, balancer.Request{
@@ -148,8 +148,8 @@
 	})
 }
 
-// pickGateway returns the gateway that a client is sent to: any that is not known to be down or draining.
-// It returns nil where all are.
+// pickGateway returns a gateway for a request of a client, among those that are not known to be down or draining. It
+// returns nil if there is none.
 func (s *simulation) pickGateway() *gateway {
 	first := 0
 	if s.config.TrafficSkew > 0 {
@@ -167,7 +167,8 @@
 	return nil
 }
 
-// receivesClients reports whether clients are sent to a gateway.
+// receivesClients reports whether new requests of clients are routed to a gateway. A stopped or draining gateway
+// still receives requests until its state is noticed.
 func (s *simulation) receivesClients(g *gateway) bool {
 	if !g.running {
 		return s.now < g.stoppedAt+s.config.Clients.FailoverDelay
@@ -183,7 +184,7 @@
 		return
 	}
 	if s.now > r.deadline+responseGracePeriod {
-		s.violation(RuleLost, "request %d has its response %v after its deadline", r.id, s.now-r.deadline)
+		s.violation(RuleLost, "request %d gets its response %v after its deadline", r.id, s.now-r.deadline)
 	}
 	r.done = true
 	if o == outcomeRejected {
@@ -192,7 +193,7 @@
 	s.clientDone(r, o, retryAfter)
 }
 
-// clientDone has a client react to the end of its request: it retries, or the outcome is final.
+// clientDone handles the end of a request at its client: the client retries, or the outcome is counted as final.
 func (s *simulation) clientDone(r *request, o outcome, retryAfter time.Duration) {
 	if o == outcomeRejected {
 		s.currentSecond().Rejected++
@@ -202,7 +203,7 @@
 	if immediate {
 		limit *= immediateRetryFactor
 	}
-	if o == outcomeServed || r.leftEarly || r.retries >= limit {
+	if o == outcomeServed || r.disconnectedEarly || r.retries >= limit {
 		s.countOutcome(r, o)
 		return
 	}
@@ -211,8 +212,8 @@
 	s.queue.push(event{at: at, kind: eventRetry, request: next})
 }
 
-// retriesImmediately reports whether a client is one of Clients.RetryImmediately. It goes by the lower 32 bits
-// of the client's number, honorsRetryAfter by the upper 53.
+// retriesImmediately reports whether a client belongs to the share Clients.RetryImmediately. It uses the lower 32
+// bits of the client's number, honorsRetryAfter the upper 53.
 func (s *simulation) retriesImmediately(client uint64) bool {
 	share := s.config.Clients.RetryImmediately
 	return share > 0 && float64(client&(1<<32-1))/(1<<32) < share
@@ -222,8 +223,8 @@
 	return float64(client>>11)/(1<<53) < s.config.Clients.HonorRetryAfter
 }
 
-// retryDelay is the time that a client waits before its next request. The jitter is drawn for each of them, also where
-// it isn't used: later draws don't depend on how clients behave.
+// retryDelay returns how long a client waits before its next request. The jitter is drawn for every retry, even if it
+// isn't used, so that later draws don't depend on the behavior of clients.
 func (s *simulation) retryDelay(r *request, retryAfter time.Duration, immediate bool) time.Duration {
 	c := &s.config.Clients
 	delay := c.Backoff << min(r.retries, maxBackoffDoublings)
@@ -239,7 +240,7 @@
 	return delay
 }
 
-// countOutcome counts the final outcome of a client.
+// countOutcome counts the final outcome of a client's request.
 func (s *simulation) countOutcome(r *request, o outcome) {
 	class := &s.summary.Classes[r.class]
 	switch o {
@@ -256,7 +257,7 @@
 
 func (s *simulation) countServed(r *request, class *ClassSummary) {
 	latency := s.now - r.firstSentAt
-	class.Latency.RecordValue(max(1, latency.Microseconds())) // it fails beyond maxLatency only
+	class.Latency.RecordValue(max(1, latency.Microseconds())) // fails only for values above maxLatency
 	settings := &s.config.Settings.Classes[r.class]
 	objective := cmp.Or(settings.LatencyObjective, settings.Deadline)
 	if latency > objective {
@@ -267,8 +268,8 @@
 	s.summary.Seconds[int(r.firstSentAt.Seconds())].InTime++
 }
 
-// clientLeaves has the client of a request leave, early or after its deadline, unless it has its response.
-func (s *simulation) clientLeaves(r *request, early bool) {
+// clientDisconnects disconnects the client of a request, early or after its deadline, unless the client has its response.
+func (s *simulation) clientDisconnects(r *request, early bool) {
 	if r.done || r.gateway.incarnation != r.gatewayIncarnation {
 		return
 	}
@@ -276,10 +277,10 @@
 		s.violation(RuleLost, "request %d has no response at its deadline", r.id)
 	}
 	r.done = true
-	r.leftEarly = early
+	r.disconnectedEarly = early
 	s.deliver(r.gateway, func() { r.gateway.balancer.ClientGone(s.now, r.id) })
 	s.clientDone(r, outcomeAbandoned, 0)
 	if early {
-		s.forgetIfDone(r)
+		s.removeIfDone(r)
 	}
 }
--- a/internal/experiment/simulator/discovery.go
+++ b/internal/experiment/simulator/discovery.go
@@ -6,13 +6,13 @@
 	"dunemoor/balancer"
 )
 
-// pollTimeout is how long a poll waits for its turn at discovery.
+// pollTimeout is how long a poll waits to be served by discovery.
 const pollTimeout = time.Second
 
-// hostIndex is the index of a host by its id in endpoint lists, where ids count from 1.
+// hostIndex returns the index in simulation.hosts of a host with an id of endpoint lists, where ids start at 1.
 func hostIndex(id balancer.HostID) int { return int(id) - 1 }
 
-// endpoint returns a host as endpoint lists have it.
+// endpoint returns the entry of a host in endpoint lists.
 func endpoint(h *host) balancer.Host {
 	return balancer.Host{
 		ID:      balancer.HostID(h.id + 1),
@@ -23,7 +23,7 @@
 	}
 }
 
-// endpointList returns the full list.
+// endpointList returns the full endpoint list.
 func (s *simulation) endpointList() []balancer.Host {
 	list := make([]balancer.Host, 0, len(s.hosts))
 	for _, h := range s.hosts {
@@ -34,8 +34,8 @@
 	return list
 }
 
-// setState changes the listed state of a host. Each gateway learns of it after delay and its share of the
-// spread.
+// setState changes the listed state of a host. Each gateway receives the change after delay plus a random part of
+// EndpointLists.Spread.
 func (s *simulation) setState(h *host, state balancer.HostState, delay time.Duration) {
 	h.state = state
 	for i := range s.gateways {
@@ -47,7 +47,7 @@
 	}
 }
 
-// updateEndpoint has a gateway learn of the current state of a host.
+// updateEndpoint delivers the current state of a host to a gateway.
 func (s *simulation) updateEndpoint(g *gateway, h *host) {
 	if g.watching || !s.config.Settings.Poll {
 		s.recordDrainNotice(g, h)
@@ -59,7 +59,7 @@
 	}
 }
 
-// recordDrainNotice records when a gateway learned that it must not send to a host, for RuleDrain.
+// recordDrainNotice records, for RuleDrain, when a gateway was notified that a host no longer accepts requests.
 func (s *simulation) recordDrainNotice(g *gateway, h *host) {
 	if h.drainNoticeAt == nil {
 		h.drainNoticeAt = make([]balancer.Time, len(s.gateways))
@@ -67,11 +67,11 @@
 	if h.state == balancer.Ready {
 		h.drainNoticeAt[g.id] = 0
 	} else if h.drainNoticeAt[g.id] == 0 {
-		h.drainNoticeAt[g.id] = max(s.now, 1) // 0 stands for none
+		h.drainNoticeAt[g.id] = max(s.now, 1) // 0 means that there was no notice
 	}
 }
 
-// poll is a gateway's poll of the endpoint list. Discovery serves polls one after the other.
+// poll starts a gateway's poll of the endpoint list. Discovery serves polls one at a time.
 func (s *simulation) poll(g *gateway) {
 	s.currentSecond().Polls++
 	g.polls++
@@ -90,8 +90,8 @@
 	s.queue.push(e)
 }
 
-// pollDone is the end of a poll, which is identified by its number: the gateway gets the full list, and changes
-// from then on. A poll that another one has followed is ignored.
+// pollDone handles the end of a poll, which is identified by its number. After a success the gateway receives the
+// full list, and changes from then on. The end is ignored if the gateway has started another poll since.
 func (s *simulation) pollDone(g *gateway, poll uint32, succeeded bool) {
 	if !g.running || poll != g.polls {
 		return
@@ -112,7 +112,8 @@
 	s.deliver(g, func() { g.balancer.UpdateEndpoints(s.now, balancer.ListFailed, nil) })
 }
 
-// changeDiscoveryOutages counts a fault that has discovery down, or its end. Watches end with each.
+// changeDiscoveryOutages counts the begin or the end of a fault that makes discovery unavailable. The begin ends the
+// watches of all gateways.
 func (s *simulation) changeDiscoveryOutages(begins bool) {
 	if !begins {
 		s.discoveryOutages--
--- a/internal/experiment/simulator/eventqueue.go
+++ b/internal/experiment/simulator/eventqueue.go
@@ -2,36 +2,36 @@
 
 import "dunemoor/balancer"
 
-// eventKind is a kind of event; it says what the fields of an event mean.
+// eventKind is a kind of event. It determines the meaning of the event's fields.
 type eventKind uint8
 
 const (
-	eventFirstRequest      eventKind = iota // a client of class index sends its first request
+	eventFirstRequest      eventKind = iota // a new client sends its first request of class index
 	eventRetry                              // a client sends request again
-	eventAttemptArrives                     // attempt number of request arrives at its host
-	eventAttemptResult                      // the result index of attempt number of request arrives at its gateway
-	eventAttemptTimeout                     // attempt number of request times out at its gateway
-	eventClientLeaves                       // the client of request leaves; number 1: early
-	eventTimer                              // a timer of gateway index; number is its token
+	eventAttemptArrives                     // the attempt with this number of request arrives at its host
+	eventAttemptResult                      // the result (index) of the attempt with this number of request arrives at its gateway
+	eventAttemptTimeout                     // the attempt with this number of request times out at its gateway
+	eventClientDisconnects                  // the client of request disconnects; number is 1 if it does so early
+	eventTimer                              // a timer of gateway index fires; number is its token
 	eventServiceDone                        // host index has served a request
 	eventHostSpeed                          // the speed of host index may have changed
-	eventFault                              // fault index begins (number 1) or ends (number 0)
-	eventEndpointUpdate                     // gateway index learns of host number
-	eventFaultStep                          // fault index reaches target number in its steps
-	eventDrained                            // the gateway or host number that fault index drains stops
-	eventPollDone                           // a poll of gateway index ends; number 1: with a list
-	eventSecond                             // a second has passed
-	eventPartitionDetected                  // discovery notices that host index is partitioned
+	eventFault                              // fault index begins (number is 1) or ends (number is 0)
+	eventEndpointUpdate                     // gateway index receives the state of host number
+	eventFaultStep                          // fault index affects its target number in one of its steps
+	eventDrained                            // the draining period of gateway or host number, which fault index drains, ends
+	eventPollDone                           // a poll of gateway index ends; number is 1 if it succeeded
+	eventSecond                             // a full second of the run has passed
+	eventPartitionDetected                  // discovery detects that host index is partitioned
 )
 
-// event is an event to come. What its fields mean depends on its kind.
+// event is a scheduled event. The meaning of its fields depends on its kind.
 type event struct {
 	at          balancer.Time
-	sequence    uint64 // orders events at the same instant: first scheduled, first run
+	sequence    uint64 // orders events at the same time: the one scheduled first runs first
 	kind        eventKind
-	index       int32  // a gateway, a host, a class, a fault or a result
-	incarnation uint32 // of the gateway that set a timer
-	poll        uint32 // number of a poll, counted by its gateway
+	index       int32  // index of a gateway, host, class or fault, or a result
+	incarnation uint32 // incarnation of the gateway that set a timer
+	poll        uint32 // number of the poll at its gateway
 	number      uint64
 	request     *request
 }
@@ -44,17 +44,17 @@
 	return a.sequence < b.sequence
 }
 
-// eventQueue holds the events to come, the next one first. It is a heap with four children a node, which has
-// half the levels of a binary heap, and the four share one or two cache lines.
+// eventQueue is a priority queue of scheduled events. It is a heap with four children per node: it has half the
+// levels of a binary heap, and the four children share one or two cache lines.
 type eventQueue struct {
 	heap         []event
 	lastSequence uint64
 }
 
-// heapArity is the number of children of a node.
+// heapArity is the number of children of a heap node.
 const heapArity = 4
 
-// next returns the time of the next event; ok is false where there is none.
+// next returns the time of the next event; ok is false if there is none.
 func (q *eventQueue) next() (at balancer.Time, ok bool) {
 	if len(q.heap) == 0 {
 		return 0, false
@@ -62,7 +62,7 @@
 	return q.heap[0].at, true
 }
 
-// push schedules an event.
+// push adds an event.
 func (q *eventQueue) push(e event) {
 	q.lastSequence++
 	e.sequence = q.lastSequence
@@ -92,7 +92,7 @@
 	return first
 }
 
-// siftDown places e, starting from a free root.
+// siftDown inserts e into a heap whose root is free.
 func (q *eventQueue) siftDown(e event) {
 	size := len(q.heap)
 	i := 0
--- a/internal/experiment/simulator/eventqueue_test.go
+++ b/internal/experiment/simulator/eventqueue_test.go
@@ -9,7 +9,7 @@
 	"dunemoor/balancer"
 )
 
-// Events come by time, and those of an instant in the order in which they were scheduled.
+// Events are popped by time, and events at the same time in the order in which they were pushed.
 func TestEventQueueOrder(t *testing.T) {
 	const seed = 3
 	rng := rand.New(rand.NewPCG(seed, 0))
@@ -28,7 +28,7 @@
 	}
 }
 
-// binaryHeap is the queue by container/heap.
+// binaryHeap is the same queue implemented with container/heap.
 type binaryHeap []event
 
 func (q binaryHeap) Len() int           { return len(q) }
@@ -41,7 +41,7 @@
 	return e
 }
 
-// BenchmarkEventQueue pops and pushes an event in a queue of n, beside container/heap.
+// BenchmarkEventQueue pops and pushes an event in a queue of n events, and compares with container/heap.
 func BenchmarkEventQueue(b *testing.B) {
 	for _, n := range []int{1000, 100_000} {
 		b.Run(fmt.Sprint("eventQueue/", n), func(b *testing.B) {
--- a/internal/experiment/simulator/faults.go
+++ b/internal/experiment/simulator/faults.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// drawTargets draws the hosts or gateways of a fault that begins.
+// drawTargets draws the target hosts or gateways of a fault that begins.
 func (s *simulation) drawTargets(index int) {
 	f := &s.config.Faults[index]
 	if s.faultTargets == nil {
@@ -48,7 +48,7 @@
 	s.faultTargets[index] = newStream(s.config.Seed, streamFaultTargets, index).Perm(all)[:count]
 }
 
-// scheduleSteps spreads the targets of a fault over its steps.
+// scheduleSteps schedules the steps of a fault, with its targets spread over them.
 func (s *simulation) scheduleSteps(index int, targets []int) {
 	f := &s.config.Faults[index]
 	steps := max(f.Steps, 1)
@@ -60,18 +60,18 @@
 	}
 }
 
-// faultStep drains a target of a fault with steps.
+// faultStep begins to drain a target of a fault with steps.
 func (s *simulation) faultStep(index, target int) {
 	if s.config.Faults[index].Kind == GatewayRestart {
 		g := s.gateways[target]
 		if !g.running || g.drainingSince != 0 {
 			return
 		}
-		g.drainingSince = max(s.now, 1) // 0 stands for none
+		g.drainingSince = max(s.now, 1) // 0 means that it isn't draining
 	} else {
 		old := s.hosts[target]
 		if old.replaced || !old.running || old.state != balancer.Ready {
-			return // another fault has it
+			return // another fault affects it
 		}
 		s.replaceHost(old)
 	}
@@ -80,7 +80,7 @@
 	})
 }
 
-// replaceHost starts a host in the place of another one, which drains.
+// replaceHost starts a new host in place of another one, which begins to drain.
 func (s *simulation) replaceHost(old *host) {
 	old.replaced = true
 	h := s.addHost(old.HostGroup, old.cell)
@@ -97,7 +97,7 @@
 	return longest
 }
 
-// drained ends the draining period of a target of a fault with steps.
+// drained handles the end of the draining period of a target of a fault with steps.
 func (s *simulation) drained(f *Fault, target int) {
 	if f.Kind == GatewayRestart {
 		s.gatewayDrained(s.gateways[target])
@@ -108,23 +108,23 @@
 	s.setState(h, balancer.Removed, s.config.Endpoints.UpdateDelay)
 }
 
-// impairment is what all active faults of a host make of it. A host without faults is unimpaired.
+// impairment is the combined effect of all active faults of a host.
 type impairment struct {
-	down          bool // it must not run
-	silent        bool // packets to it get lost
+	down          bool // the host's process must not run
+	silent        bool // packets to the host are lost
 	draining      bool
 	hung          bool
 	responsesLost bool
 	partitioned   bool
-	slowdown      float64 // factor of 1 or more
+	slowdown      float64 // factor, at least 1
 	errorShare    float64 // share of the responses that are immediate errors
-	lossyShare    float64 // share of the responses that get lost or are resets
+	lossyShare    float64 // share of the responses that are lost or replaced by resets
 }
 
 // unimpaired is the impairment of a host without faults.
 var unimpaired = impairment{slowdown: 1}
 
-// listedState is the state of a running host in endpoint lists.
+// listedState returns the state that a running host has in endpoint lists.
 func (i *impairment) listedState() balancer.HostState {
 	if i.draining {
 		return balancer.Draining
@@ -132,8 +132,8 @@
 	return balancer.Ready
 }
 
-// impairmentOf combines the active faults of a host. They may overlap: the host is down until the last fault
-// that has it down has ended, and as slow as the worst makes it.
+// impairmentOf combines the active faults of a host, which may overlap. The host is down until the last fault that
+// takes it down has ended, and the largest slowdown and shares apply.
 func (s *simulation) impairmentOf(h *host) impairment {
 	result := unimpaired
 	for _, index := range h.activeFaults {
@@ -163,7 +163,7 @@
 	return result
 }
 
-// changeHostFaults adds a fault to a host, or removes it.
+// changeHostFaults adds a fault to the active faults of a host, or removes it, and applies the change.
 func (s *simulation) changeHostFaults(h *host, index int, begins bool) {
 	s.advance(h)
 	before := h.impairment
@@ -179,8 +179,8 @@
 	s.reschedule(h)
 }
 
-// changeProcess stops and starts a host's process and changes its listed state, where a change of its faults
-// requires that. kind is the kind of the fault that begins or ends.
+// changeProcess stops or starts a host's process and changes its listed state if a change of its faults requires it.
+// kind is the kind of the fault that begins or ends.
 func (s *simulation) changeProcess(h *host, before, now *impairment, kind FaultKind) {
 	lists := &s.config.Endpoints
 	switch {
@@ -200,7 +200,7 @@
 	}
 }
 
-// changePartition partitions a host or connects it again.
+// changePartition partitions a host, or ends its partition.
 func (s *simulation) changePartition(h *host, before, now *impairment) {
 	if now.partitioned && !before.partitioned {
 		s.partition(h)
@@ -211,7 +211,7 @@
 	}
 }
 
-// partition cuts a host off. Gateways that see resets lose their connections and attempts at once.
+// partition makes a host unreachable. Gateways that see resets lose their connections and attempts to it immediately.
 func (s *simulation) partition(h *host) {
 	for _, g := range s.gateways {
 		if !g.running || !g.seesResets() {
@@ -230,7 +230,7 @@
 	s.queue.push(event{at: at, kind: eventPartitionDetected, index: int32(h.id)})
 }
 
-// partitionDetected has discovery remove a host that is still partitioned.
+// partitionDetected removes a host from the endpoint lists if it is still partitioned.
 func (s *simulation) partitionDetected(h *host) {
 	if h.partitioned && h.state == balancer.Ready {
 		s.setState(h, balancer.Removed, 0)
--- a/internal/experiment/simulator/faults_overlap_test.go
+++ b/internal/experiment/simulator/faults_overlap_test.go
@@ -8,8 +8,8 @@
 	"dunemoor/balancer"
 )
 
-// Overlapping faults last until the last one ends: a gateway doesn't start twice, which would lose its
-// requests, and a host doesn't start while another fault has it down.
+// Overlapping faults last until the last one ends: a gateway must not start twice, which would lose its requests, and
+// a host must not start while another fault keeps it down.
 func TestOverlappingFaultsLastUntilTheLastEnds(t *testing.T) {
 	const second = time.Second
 	c := smallFleet(2)
@@ -37,7 +37,7 @@
 		t.Errorf("gateway down: got %d requests served, want 0", n)
 	}
 	if n := served(20, 40); n == 0 {
-		t.Error("gateway after its faults: got no request served")
+		t.Error("gateway after its faults: got no request served, want some")
 	}
 	for _, kinds := range [][2]FaultKind{{Crash, Vanish}, {Vanish, Crash}, {Crash, Drain}, {Drain, Crash}} {
 		c.Faults = []Fault{all(kinds[0], 10*second, 6*second), all(kinds[1], 12*second, 6*second)}
@@ -45,15 +45,15 @@
 			t.Errorf("%v: got %d requests served by hosts that are down, want 0", kinds, n)
 		}
 		if n := served(30, 40); n == 0 {
-			t.Errorf("%v: got no request served after the faults", kinds)
+			t.Errorf("%v: got no request served after the faults, want some", kinds)
 		}
 	}
-	// The end of one crash doesn't start a host that another one has down.
+	// The end of one crash must not start a host that another crash keeps down.
 	c.Faults = []Fault{all(Crash, 10*second, 20*second), all(Crash, 12*second, 2*second)}
 	if n := served(16, 29); n != 0 {
 		t.Errorf("one of two crashes ended: got %d requests served, want 0", n)
 	}
-	// The end of one slowdown leaves the other.
+	// After the end of one slowdown the other still applies.
 	sim := &simulation{config: c}
 	sim.config.Faults = []Fault{all(Slow, 0, second), {Kind: Slow, Severity: 7}, all(Hang, 0, second), {Kind: Errors, Severity: 0.5}}
 	h := &host{activeFaults: []int{0, 1, 2, 3}}
@@ -67,23 +67,23 @@
 	}
 }
 
-// The capacity of a warming host is taken from its size and its age, without a slowdown that no gateway can
-// know before the host has responded. Too much work for a warming host is still a violation.
+// RuleWarming computes the capacity of a warming host from its size and its age, and ignores a slowdown, which a
+// gateway can't detect before the host has responded. More work than that capacity is still a violation.
 func TestWarmingRuleIgnoresSlowness(t *testing.T) {
 	c := smallFleet(1)
 	h := &host{HostGroup: c.Hosts[0], running: true, impairment: impairment{slowdown: 18}, startedAt: 10 * time.Second}
 	s := &simulation{config: c, summary: &Summary{}, now: 10 * time.Second, maxMeanWork: 0.02}
 	r := &request{work: 0.02}
-	for range 20 { // 0.4 s of work, of 1.2 s that are allowed at 0.3 of two cores, and slack
+	for range 20 { // 0.4 s of work; 1.2 s (at 0.3 of two cores) plus the allowance are permitted
 		s.checkWarmingLoad(h, r)
 	}
 	if n := s.summary.Violations[RuleWarming]; n != 0 {
 		t.Errorf("0.4 s of work: got %d violations, want 0: %q", n, s.summary.ViolationDetails)
 	}
-	for range 80 { // 2 s in all
+	for range 80 { // 2 s of work in total
 		s.checkWarmingLoad(h, r)
 	}
 	if s.summary.Violations[RuleWarming] == 0 {
-		t.Error("2 s of work within a second: got no violation of RuleWarming")
+		t.Error("2 s of work within a second: got no violation of RuleWarming, want some")
 	}
 }
--- a/internal/experiment/simulator/faults_test.go
+++ b/internal/experiment/simulator/faults_test.go
@@ -7,7 +7,8 @@
 	"dunemoor/balancer"
 )
 
-// Faults of the fleet as a whole are simulated, the rules hold, and the counts by second show the fault.
+// Faults that affect the whole fleet are simulated: the rules hold, most requests are served in time, and the counts
+// per second show the effect.
 func TestFleetWideFaultsShowInTheCounts(t *testing.T) {
 	second := time.Second
 	for _, tt := range []struct {
@@ -26,8 +27,8 @@
 		}, 0.9, func(s *Summary) bool {
 			return maxOfSeconds(s, func(x Second) int { return x.UnavailableAttempts }) > 10
 		}},
-		{"responses lost while clients leave early and retry immediately", func(c *Config) {
-			c.Clients.LeaveEarly, c.Clients.RetryImmediately = 0.2, 0.2
+		{"responses lost while clients disconnect early and retry immediately", func(c *Config) {
+			c.Clients.DisconnectEarly, c.Clients.RetryImmediately = 0.2, 0.2
 			c.Faults = []Fault{{Kind: LossyResponses, At: 5 * second, Duration: 6 * second, Share: 1, Severity: 0.1}}
 		}, 0.9, func(s *Summary) bool { return s.Classes[0].Abandoned+s.Classes[1].Failed > 0 }},
 		{"discovery polled and down for a while", func(c *Config) {
@@ -35,7 +36,7 @@
 			c.Faults = []Fault{{Kind: DiscoveryDown, At: 5 * second, Duration: 3 * second, Share: 1}, {Kind: ReplaceHosts, At: 6 * second, Duration: second, Share: 0.2}}
 		}, 0.95, func(s *Summary) bool {
 			n := maxOfSeconds(s, func(x Second) int { return x.Polls })
-			return n >= 3 && n <= 6 && len(s.Load) > 12 // each gateway polls again, and none without a pause
+			return n >= 3 && n <= 6 && len(s.Load) > 12 // each gateway polls again, with a pause between polls
 		}},
 	} {
 		c := smallFleet(31)
@@ -57,7 +58,7 @@
 	return highest
 }
 
-// A gateway that stops as planned must have responded to all requests before.
+// A gateway that stops at the end of its draining period must have responded to all requests.
 func TestPlannedStopWithOpenRequestViolatesRuleLost(t *testing.T) {
 	s := &simulation{config: smallFleet(1), summary: &Summary{Classes: make([]ClassSummary, 3)}, now: 9 * time.Second}
 	s.config.Settings.Instances = 1
--- a/internal/experiment/simulator/gateway.go
+++ b/internal/experiment/simulator/gateway.go
@@ -10,40 +10,43 @@
 	"dunemoor/balancer"
 )
 
-// gateway is a simulated gateway with a real balancer.
+// gateway is a simulated gateway that runs the real balancer.
 type gateway struct {
 	id            int
-	incarnation   uint32 // counts its stops
+	incarnation   uint32 // incremented at each stop
 	running       bool
-	activeOutages int           // active faults that have it down
-	stoppedAt     balancer.Time // where it isn't running
-	drainingSince balancer.Time // 0: it isn't draining
-	polls         uint32        // polls of the endpoint list so far
+	activeOutages int           // number of active faults that keep it down
+	stoppedAt     balancer.Time // time of the last stop, if it isn't running
+	drainingSince balancer.Time // start of the draining period; 0: it isn't draining
+	polls         uint32        // number of polls of the endpoint list so far
 	watching      bool          // it receives changes of the endpoint list
 
 	balancer        *balancer.Balancer
 	networkRandom   *rand.Rand
-	idleConnections map[int]connectionSet // by host
+	idleConnections map[int]connectionSet // by host id
 	openRequests    map[balancer.RequestID]*request
 }
 
-// connectionSet is the idle connections to an incarnation of a host.
+// connectionSet counts the idle connections to an incarnation of a host.
 type connectionSet struct {
 	incarnation uint32
 	count       int
 }
 
 const (
-	// drainNoticeDelay is how long a draining gateway still receives requests of clients.
+	// drainNoticeDelay is how long a draining gateway still receives new requests of clients.
 	drainNoticeDelay = 300 * time.Millisecond
-	// drainMargin is the time after the longest deadline at which a draining gateway or host stops.
+	// drainMargin is added to the longest deadline of a class: together they are the draining period of a gateway or
+	// host.
 	drainMargin = 700 * time.Millisecond
-	// balancerSeedShift and incarnationBits make a seed for the balancer of each incarnation of a gateway.
+	// balancerSeedShift and incarnationBits place the run's seed, the gateway's id and its incarnation in the seed of
+	// a balancer, so that each incarnation has its own seed.
 	balancerSeedShift = 16
 	incarnationBits   = 4
 )
 
-// startGateway starts a gateway with the endpoint list as it is; how it is passed to the balancer is kind.
+// startGateway starts a gateway with the current endpoint list, which is passed to its balancer as a list of the
+// given kind.
 func (s *simulation) startGateway(g *gateway, kind balancer.ListKind) error {
 	settings := s.config.Settings
 	settings.Rank = g.id
@@ -78,7 +81,7 @@
 	}
 }
 
-// execute executes an action of a gateway's balancer.
+// execute executes an action that a gateway's balancer returned.
 func (s *simulation) execute(g *gateway, a *balancer.Action) {
 	switch a.Kind {
 	case balancer.Send:
@@ -100,7 +103,7 @@
 	}
 }
 
-// respondWithCause delivers a response that the balancer decided on instead of an attempt.
+// respondWithCause delivers a rejection or a failure that the balancer decided on, and counts its cause.
 func (s *simulation) respondWithCause(g *gateway, a *balancer.Action, o outcome) {
 	r := g.openRequests[a.Request]
 	if r == nil {
@@ -114,7 +117,7 @@
 		retryAfter = a.RetryAfter
 	}
 	s.respond(r, o, retryAfter)
-	s.forgetIfDone(r)
+	s.removeIfDone(r)
 }
 
 // timer passes a timer to the balancer, unless the gateway has stopped since it was set.
@@ -124,8 +127,8 @@
 	}
 }
 
-// forgetIfDone removes a request that is done and has no attempt in flight.
-func (s *simulation) forgetIfDone(r *request) {
+// removeIfDone removes a request from its gateway's open requests if it is done and has no attempt in flight.
+func (s *simulation) removeIfDone(r *request) {
 	if !r.done {
 		return
 	}
@@ -145,7 +148,7 @@
 	delete(g.idleConnections, h.id)
 }
 
-// stopGateway stops a gateway at once: its clients lose their connections.
+// stopGateway stops a gateway immediately: its clients lose their connections.
 func (s *simulation) stopGateway(g *gateway) {
 	g.running = false
 	g.stoppedAt = s.now
@@ -170,15 +173,15 @@
 	}
 }
 
-// restartGateway starts a gateway again, with the endpoint list as it has it saved.
+// restartGateway starts a gateway again, with its saved endpoint list.
 func (s *simulation) restartGateway(g *gateway) {
 	if err := s.startGateway(g, balancer.ListSaved); err != nil {
 		panic(err) // the same settings were accepted before
 	}
 }
 
-// changeOutages counts a fault that takes a gateway down, or its end. The gateway stops with the first and
-// restarts after the last.
+// changeOutages counts the begin or the end of a fault that takes a gateway down. The gateway stops when the first
+// such fault begins and restarts when the last one ends.
 func (s *simulation) changeOutages(g *gateway, begins bool) {
 	if begins {
 		g.activeOutages++
@@ -193,25 +196,25 @@
 	}
 }
 
-// gatewayDrained restarts a gateway at the end of its draining period. A request without a response by then
-// is lost, and violates RuleLost: there was time enough.
+// gatewayDrained restarts a gateway at the end of its draining period, which is longer than any deadline. A request
+// without a response by then is lost, which violates RuleLost.
 func (s *simulation) gatewayDrained(g *gateway) {
 	if !g.running || g.drainingSince == 0 {
-		return // it crashed while it drained
+		return // the gateway crashed while it was draining
 	}
 	for _, r := range sortedByID(g.openRequests) {
 		if !r.done {
-			s.violation(RuleLost, "request %d has no response when gateway %d stops as planned", r.id, g.id)
+			s.violation(RuleLost, "request %d has no response when gateway %d stops after draining", r.id, g.id)
 		}
 	}
 	s.changeOutages(g, true)
 	s.changeOutages(g, false)
 }
 
-// seesResets reports whether a gateway sees resets from a partitioned host; it sees silence else.
+// seesResets reports whether a gateway gets resets from a partitioned host. Otherwise it gets no reply.
 func (g *gateway) seesResets() bool { return g.id%2 == 1 }
 
-// sortedByID returns requests by their ids: a run must not depend on the order of a map.
+// sortedByID returns requests sorted by id, because a run must not depend on the iteration order of a map.
 func sortedByID(requests map[balancer.RequestID]*request) []*request {
 	return slices.SortedFunc(maps.Values(requests), func(a, b *request) int { return cmp.Compare(a.id, b.id) })
 }
--- a/internal/experiment/simulator/host.go
+++ b/internal/experiment/simulator/host.go
@@ -8,52 +8,52 @@
 	"dunemoor/balancer"
 )
 
-// host is a simulated host. The requests in service share its cores evenly, so all of them have had the same
-// service since the last one came: one number for the service given so far, and a heap of the numbers at which
-// each request is done, do for any count of them.
+// host is a simulated host. The requests in service share its cores evenly, so all of them receive service at the
+// same rate. It is therefore enough to keep one number for the service given to each request so far, and a heap of
+// the values of that number at which the requests are done.
 type host struct {
 	HostGroup
 	id          int
 	cell        int
-	random      *rand.Rand // of errors and losses
+	random      *rand.Rand // decides which responses are errors or get lost
 	running     bool
-	startedAt   balancer.Time // 0: before the run
-	incarnation uint32        // counts its stops
+	startedAt   balancer.Time // 0: it was started before the run
+	incarnation uint32        // incremented at each stop
 
-	activeFaults []int // indexes of the faults
-	impairment         // by activeFaults; changed by changeHostFaults alone
+	activeFaults []int // indexes in Config.Faults
+	impairment         // effect of activeFaults; set only by changeHostFaults
 	replaced     bool
 
 	congested      bool
-	congestedSince balancer.Time // since when it holds CongestionStart requests a core; 0: it doesn't
+	congestedSince balancer.Time // when it began to hold CongestionStart requests per core; 0: it holds fewer
 
-	serviceGiven     float64 // to each request in service all along, in seconds of a core of speed 1
+	serviceGiven     float64 // service given so far to a request in service since the start, in seconds of a core of speed 1
 	serviceRate      float64 // growth of serviceGiven per second
 	advancedAt       balancer.Time
 	inService        jobHeap
 	waiting          []job
-	completionNumber uint64 // of the event for the next completion; earlier ones are ignored
+	completionNumber uint64 // number of the latest event for the next completion; events with earlier numbers are ignored
 
 	connections    int
-	workDone       float64 // in seconds of a core of speed 1
+	workDone       float64 // total of all requests, in seconds of a core of speed 1
 	state          balancer.HostState
-	drainNoticeAt  []balancer.Time // by gateway: when it learned not to send any more; 0: it may
-	warmingWork    []sentWork      // sent while it was warming up, within the overload window
+	drainNoticeAt  []balancer.Time // by gateway: when it was notified that the host drains; 0: it may send requests
+	warmingWork    []sentWork      // attempts sent to the host while warming up, within the overload window
 	warmingWorkSum float64
 }
 
-// sentWork is the work of an attempt that was sent to a host.
+// sentWork is the time and the work of an attempt that was sent to a host.
 type sentWork struct {
 	at   balancer.Time
 	work float64
 }
 
-// job is an attempt that a host holds.
+// job is an attempt that is in service or waiting at a host.
 type job struct {
 	request       *request
 	attemptNumber int
 	work          float64 // in seconds of a core of speed 1
-	doneAt        float64 // the host's serviceGiven at which it is done; set when its service begins
+	doneAt        float64 // value of the host's serviceGiven at which the job is done; set when its service begins
 }
 
 // jobHeap orders jobs by doneAt.
@@ -75,14 +75,14 @@
 }
 
 const (
-	// warmingSteps is the number of steps in which a host becomes warm.
+	// warmingSteps is the number of steps in which the speed of a warming host grows.
 	warmingSteps = 20
-	// serviceTolerance is the service in seconds by which a job may be short of its work when it is done:
-	// events are at whole nanoseconds.
+	// serviceTolerance is the service, in seconds, that may be missing when a job counts as done, because event times
+	// are whole nanoseconds.
 	serviceTolerance = 1e-9
 )
 
-// addHost adds a host that isn't running.
+// addHost adds a host without starting it.
 func (s *simulation) addHost(group HostGroup, cell int) *host {
 	id := len(s.hosts)
 	h := &host{HostGroup: group, id: id, cell: cell, random: newStream(s.config.Seed, streamErrors, id), impairment: unimpaired}
@@ -103,8 +103,8 @@
 	s.reschedule(h)
 }
 
-// stopHost stops a host's process. With resets the gateways see the end of its connections; they see silence
-// else.
+// stopHost stops a host's process. With resets set, gateways get a reset for each attempt at the host; otherwise they
+// get no reply.
 func (s *simulation) stopHost(h *host, resets bool) {
 	s.advance(h)
 	if resets && !h.silent {
@@ -125,7 +125,7 @@
 	s.reschedule(h)
 }
 
-// warmShare is the share of its capacity that a host has: below 1 while it warms up.
+// warmShare returns the share of its capacity that a host has currently: below 1 while it warms up.
 func (s *simulation) warmShare(h *host) float64 {
 	settings := &s.config.Settings
 	if h.startedAt == 0 || settings.SlowStartWindow == 0 {
@@ -139,7 +139,7 @@
 	return min(1, initial+(1-initial)*age)
 }
 
-// nominalSpeed is the speed of a core of a host that is warm and healthy.
+// nominalSpeed returns the speed of a core when the host is warm and healthy.
 func (h *host) nominalSpeed() float64 {
 	if h.Speed == 0 {
 		return 1
@@ -147,7 +147,7 @@
 	return h.Speed
 }
 
-// coreSpeed is the current speed of a core.
+// coreSpeed returns the current speed of a core.
 func (s *simulation) coreSpeed(h *host) float64 {
 	speed := h.nominalSpeed() * s.warmShare(h)
 	if h.slowdown > 1 {
@@ -159,8 +159,8 @@
 	return speed
 }
 
-// advance accounts for the service given since the last call. It must be called before anything changes that
-// the serviceRate depends on.
+// advance accounts for the service given since the last call. It must be called before a change of anything that
+// determines serviceRate.
 func (s *simulation) advance(h *host) {
 	given := h.serviceRate * (s.now - h.advancedAt).Seconds()
 	h.serviceGiven += given
@@ -168,8 +168,8 @@
 	h.advancedAt = s.now
 }
 
-// reschedule starts the service of waiting jobs and schedules the next completion. It must be called after
-// anything has changed that the serviceRate depends on.
+// reschedule starts the service of waiting jobs and schedules the next completion. It must be called after a change
+// of anything that determines serviceRate.
 func (s *simulation) reschedule(h *host) {
 	for len(h.waiting) > 0 && h.servesMore() {
 		next := h.waiting[0]
@@ -190,7 +190,7 @@
 	s.queue.push(event{at: at, kind: eventServiceDone, index: int32(h.id), number: h.completionNumber})
 }
 
-// servesMore reports whether a host serves a further job at once.
+// servesMore reports whether a host can begin to serve another job immediately.
 func (h *host) servesMore() bool { return h.MaxConcurrent == 0 || len(h.inService) < h.MaxConcurrent }
 
 // beginService begins to serve a job.
@@ -199,7 +199,7 @@
 	heap.Push(&h.inService, j)
 }
 
-// updateCongestion updates whether a host is congested by the requests that it holds.
+// updateCongestion updates whether a host is congested, from the number of requests that it holds.
 func (s *simulation) updateCongestion(h *host) {
 	if h.CongestionStart <= 0 {
 		return
@@ -219,12 +219,12 @@
 	}
 }
 
-// scheduleSpeedChange schedules a time at which a host's speed may change.
+// scheduleSpeedChange schedules an event at a time at which a host's speed may change.
 func (s *simulation) scheduleSpeedChange(h *host, at balancer.Time) {
 	s.queue.push(event{at: at, kind: eventHostSpeed, index: int32(h.id), number: uint64(h.incarnation)})
 }
 
-// serviceDone responds to the requests whose service is done.
+// serviceDone responds to the requests whose service is complete.
 func (s *simulation) serviceDone(h *host) {
 	s.advance(h)
 	for len(h.inService) > 0 && h.inService[0].doneAt <= h.serviceGiven+serviceTolerance {
@@ -234,7 +234,7 @@
 	s.reschedule(h)
 }
 
-// receive is the arrival of an attempt's last byte at a running host.
+// receive handles the arrival of an attempt's last byte at a running host.
 func (s *simulation) receive(h *host, r *request, attemptNumber int) {
 	a := &r.attempts[attemptNumber]
 	a.hostIncarnation = h.incarnation
@@ -262,7 +262,7 @@
 	s.reschedule(h)
 }
 
-// respondFromHost sends the result of an attempt to its gateway, unless it gets lost.
+// respondFromHost sends the result of an attempt to its gateway, unless the response is lost.
 func (s *simulation) respondFromHost(h *host, r *request, attemptNumber int, result balancer.Result) {
 	if h.responsesLost || h.silent || h.partitioned {
 		return
--- a/internal/experiment/simulator/host_test.go
+++ b/internal/experiment/simulator/host_test.go
@@ -8,7 +8,7 @@
 	"dunemoor/balancer"
 )
 
-// meanResponseTime simulates one host without a gateway, which might delay requests. It returns the mean
+// meanResponseTime simulates one host without a gateway, because a gateway might delay requests. It returns the mean
 // response time over several runs, in seconds, and the half width of its confidence interval.
 func meanResponseTime(t *testing.T, seed uint64, group HostGroup, rate float64, distribution Distribution, cv float64, length time.Duration) (mean, halfWidth float64) {
 	const runs = 12
@@ -57,9 +57,9 @@
 	return mean, 4 * math.Sqrt(square/(runs-1)/runs) // four standard errors: exceeded by chance in 1 of 10,000 tests
 }
 
-// Mean response times equal the closed formulas (Kleinrock, Queueing Systems, volumes 1 and 2) for one core
-// (M/M/1), several (M/M/c, Erlang C), and a core that is shared (M/G/1-PS), where the mean is that of M/M/1
-// for any distribution. The tolerance is the run's own confidence interval.
+// Mean response times match the closed formulas (Kleinrock, Queueing Systems, volumes 1 and 2) for one core (M/M/1,
+// M/D/1), several cores (M/M/c, Erlang C), and processor sharing (M/G/1-PS), where the mean is that of M/M/1 for any
+// distribution. The tolerance is the confidence interval of the measured mean.
 func TestHostQueuesMatchQueueingTheory(t *testing.T) {
 	const work = 0.1
 	erlang := func(c int, load float64) float64 {
--- a/internal/experiment/simulator/rules.go
+++ b/internal/experiment/simulator/rules.go
@@ -7,18 +7,21 @@
 	"dunemoor/balancer"
 )
 
-// Rule is a rule that every run is checked by.
+// Rule is an invariant that is checked in every run.
 type Rule int
 
 // Rules.
 const (
-	// RuleLost: a request has exactly one final response while its client waits, and no attempt after it.
+	// RuleLost requires that a request gets exactly one final response while its client waits, and no attempt
+	// afterwards.
 	RuleLost Rule = iota
-	// RuleTwice: no request takes effect twice, has two attempts in flight, or more attempts than allowed.
+	// RuleTwice requires that no request takes effect twice, has two attempts in flight, or has more attempts than
+	// allowed.
 	RuleTwice
-	// RuleDrain: a gateway sends nothing to a host from drainGracePeriod after it learned that it drains.
+	// RuleDrain requires that a gateway sends no request to a draining host later than drainGracePeriod after it was
+	// notified.
 	RuleDrain
-	// RuleWarming: the gateways together don't overload a host that is warming up.
+	// RuleWarming requires that the gateways together don't overload a host that is warming up.
 	RuleWarming
 	ruleCount
 )
@@ -30,22 +33,24 @@
 	RuleWarming: "warming host overloaded",
 }
 
-// String names the violation of the rule.
+// String returns the name of a violation of the rule.
 func (r Rule) String() string { return ruleNames[r] }
 
 const (
-	// drainGracePeriod is how long a gateway may go on sending to a host after it learned that it drains.
+	// drainGracePeriod is how long a gateway may still send requests to a host after it was notified that the host
+	// drains.
 	drainGracePeriod = 500 * time.Millisecond
-	// responseGracePeriod is how long after the client's deadline a response may come.
+	// responseGracePeriod is how long after the client's deadline a response may still arrive.
 	responseGracePeriod = 50 * time.Millisecond
-	// maxViolationDetails is the number of violations that a Summary describes.
+	// maxViolationDetails is the maximum number of violations that a Summary describes.
 	maxViolationDetails = 10
-	// warmingAllowance is the number of mean works of the heaviest class that a warming host may be sent on
-	// top of its limit: where the window is short beside the work of one request, any two would exceed it.
+	// warmingAllowance is the additional work that a warming host may be sent above its limit, as a multiple of the
+	// mean work of the class with the most work. Without it, any two requests would exceed the limit if the overload
+	// window is short compared with the work of one request.
 	warmingAllowance = 8
 )
 
-// violation counts a violation of a rule.
+// violation records a violation of a rule.
 func (s *simulation) violation(r Rule, format string, args ...any) {
 	s.summary.Violations[r]++
 	if len(s.summary.ViolationDetails) < maxViolationDetails {
@@ -54,7 +59,7 @@
 	}
 }
 
-// checkSend checks the rules at an attempt of r, which is open, that is about to be sent to h.
+// checkSend checks the rules for an attempt of the open request r that is about to be sent to h.
 func (s *simulation) checkSend(g *gateway, r *request, h *host) {
 	for i := range r.attempts {
 		if a := &r.attempts[i]; !a.ended && !a.canceled {
@@ -67,14 +72,13 @@
 	if h.drainNoticeAt != nil {
 		noticeAt := h.drainNoticeAt[g.id]
 		if noticeAt > 0 && s.now > noticeAt+drainGracePeriod {
-			s.violation(RuleDrain, "gateway %d sends to host %d, %v after it learned that it drains", g.id, h.id, s.now-noticeAt)
+			s.violation(RuleDrain, "gateway %d sends to host %d %v after it was notified that the host drains", g.id, h.id, s.now-noticeAt)
 		}
 	}
 	s.checkWarmingLoad(h, r)
 }
 
-// checkExecution counts an execution of r at h, also one that can't be ruled out, and checks whether r may be
-// executed again.
+// checkExecution counts an execution of r at h, or a possible one, and checks whether r may be executed again.
 func (s *simulation) checkExecution(h *host, r *request, attemptNumber int) {
 	r.executions++
 	if r.executions == 1 {
@@ -85,20 +89,20 @@
 	class := &s.config.Settings.Classes[r.class]
 	switch class.Idempotency {
 	case balancer.NonIdempotent:
-		s.violation(RuleTwice, "request %d, not idempotent, executed %d times, at host %d with attempt %d", r.id, r.executions, h.id, attemptNumber)
+		s.violation(RuleTwice, "non-idempotent request %d executed %d times, at host %d with attempt %d", r.id, r.executions, h.id, attemptNumber)
 	case balancer.IdempotentWithKey:
 		otherZone := class.DedupScope == balancer.ScopeZone && h.Zone != r.executedBy.Zone
 		otherCell := class.DedupScope == balancer.ScopeCell && h.cell != r.executedBy.cell
 		windowEnded := s.now > r.executedAt+class.DedupWindow
 		if otherZone || otherCell || windowEnded {
-			s.violation(RuleTwice, "request %d, idempotent with a key, executed again outside its scope or window, at host %d", r.id, h.id)
+			s.violation(RuleTwice, "request %d with an idempotency key executed again outside its scope or window, at host %d", r.id, h.id)
 		}
 	}
 }
 
-// checkWarmingLoad checks that a warming host isn't sent, within the overload window, more than a multiple of
-// the work that it can do. Its capacity is taken from its size and its age: that it is slow or congested
-// besides, no gateway can know before it has responded.
+// checkWarmingLoad checks that the work sent to a warming host within the overload window doesn't exceed
+// OverloadFactor times its capacity, plus warmingAllowance. The capacity is computed from the host's size and age
+// only: a gateway can't detect that the host is slow or congested before it has responded.
 func (s *simulation) checkWarmingLoad(h *host, r *request) {
 	settings := &s.config.Settings
 	if s.warmShare(h) >= 1 || settings.OverloadFactor == 0 {
@@ -112,6 +116,6 @@
 	}
 	capacity := h.nominalSpeed() * s.warmShare(h) * float64(h.Cores) * settings.OverloadWindow.Seconds()
 	if h.warmingWorkSum > settings.OverloadFactor*capacity+warmingAllowance*s.maxMeanWork {
-		s.violation(RuleWarming, "host %d, %.2f warm, was sent %.3f s of work in %v, and can do %.3f", h.id, s.warmShare(h), h.warmingWorkSum, settings.OverloadWindow, capacity)
+		s.violation(RuleWarming, "host %d, at %.2f of its capacity, was sent %.3f s of work within %v, and can do %.3f s", h.id, s.warmShare(h), h.warmingWorkSum, settings.OverloadWindow, capacity)
 	}
 }
--- a/internal/experiment/simulator/rules_test.go
+++ b/internal/experiment/simulator/rules_test.go
@@ -7,7 +7,7 @@
 	"dunemoor/balancer"
 )
 
-// ruleRun is a run of one gateway, one host and one open request, which is not idempotent.
+// ruleRun is a run with one gateway, one host and one open non-idempotent request.
 type ruleRun struct {
 	*simulation
 	gateway *gateway
@@ -26,12 +26,12 @@
 	return ruleRun{s, g, h, r}
 }
 
-// sendAttempt has the balancer send the request to the host.
+// sendAttempt executes a Send action of the balancer for the request and the host.
 func (u ruleRun) sendAttempt() {
 	u.send(u.gateway, &balancer.Action{Kind: balancer.Send, Request: 7, Host: 1})
 }
 
-// receiveTwice has two attempts of the request arrive: the first at the host, the second after a time at another one.
+// receiveTwice delivers two attempts of the request: the first to the host, the second to another host after a delay.
 func (u ruleRun) receiveTwice(after time.Duration, second *host) {
 	u.request.attempts = make([]attempt, 2)
 	u.receive(u.host, u.request, 0)
@@ -39,7 +39,7 @@
 	u.receive(second, u.request, 1)
 }
 
-// A violation of each rule is counted: a check that finds nothing would pass all other tests.
+// A violation of each rule is counted. A check that never finds anything would pass all other tests.
 func TestRuleViolationsAreCounted(t *testing.T) {
 	for name, tt := range map[string]struct {
 		rule Rule
@@ -90,7 +90,7 @@
 	}
 }
 
-// At the limits of the rules there is no violation.
+// Behavior exactly at the limits of the rules is not a violation.
 func TestRulesHoldAtTheirLimits(t *testing.T) {
 	u := newRuleRun()
 	u.host.drainNoticeAt[0] = u.now - drainGracePeriod
--- a/internal/experiment/simulator/simulation.go
+++ b/internal/experiment/simulator/simulation.go
@@ -15,33 +15,33 @@
 	hosts    []*host
 	gateways []*gateway
 
-	// Random streams; random.go says what each is for.
-	arrivalRandom       []*rand.Rand // by class
-	workRandom          []*rand.Rand // by class
-	gatewayChoiceRandom *rand.Rand
-	clientRandom        *rand.Rand
-	listDelayRandom     *rand.Rand
-	earlyLeaveRandom    *rand.Rand
+	// Random streams; the labels in random.go describe their purposes.
+	arrivalRandom         []*rand.Rand // by class
+	workRandom            []*rand.Rand // by class
+	gatewayChoiceRandom   *rand.Rand
+	clientRandom          *rand.Rand
+	listDelayRandom       *rand.Rand
+	earlyDisconnectRandom *rand.Rand
 
-	faultTargets       [][]int   // by fault: indexes of hosts or gateways
-	maxMeanWork        float64   // of all classes, in seconds
+	faultTargets       [][]int   // by fault: indexes of the target hosts or gateways
+	maxMeanWork        float64   // largest mean work of a class, in seconds
 	trafficShares      []float64 // cumulative, by gateway
 	discoveryBusyUntil balancer.Time
-	discoveryOutages   int // active faults that have discovery down
+	discoveryOutages   int // number of active faults that make discovery unavailable
 	lastRequestID      balancer.RequestID
-	actions            []balancer.Action // of the last event of a gateway
-	workDoneBefore     float64           // by all hosts, up to the last full second
+	actions            []balancer.Action // actions of the balancer after its last event; reused
+	workDoneBefore     float64           // work done by all hosts up to the last full second
 	summary            *Summary
 	afterRun           Second // counts after the last second of the Summary
 }
 
 const (
 	defaultConnectTimeout = 100 * time.Millisecond
-	// runOutTime is how long a run goes on after the last client's deadline.
-	runOutTime = time.Second
+	// extraRunTime is how long a run continues after the latest deadline of a client.
+	extraRunTime = time.Second
 )
 
-// Run plays a Config. It returns a *ConfigError where the Config is invalid.
+// Run simulates a Config. It returns a *ConfigError if the Config is invalid.
 func Run(config Config) (*Summary, error) {
 	if errs := config.Validate(); len(errs) > 0 {
 		return nil, errs[0]
@@ -67,7 +67,7 @@
 	return s.summary, nil
 }
 
-// newSimulation returns a run whose gateways have not been started.
+// newSimulation returns a simulation whose gateways have not been started.
 func newSimulation(config Config) *simulation {
 	s := &simulation{
 		config: config,
@@ -75,10 +75,10 @@
 			Seconds:  make([]Second, int(config.Length.Seconds()+1)),
 			Gateways: make([]GatewaySummary, config.Gateways),
 		},
-		gatewayChoiceRandom: newStream(config.Seed, streamGatewayChoice, 0),
-		clientRandom:        newStream(config.Seed, streamClients, 0),
-		listDelayRandom:     newStream(config.Seed, streamListDelays, 0),
-		earlyLeaveRandom:    newStream(config.Seed, streamEarlyLeave, 0),
+		gatewayChoiceRandom:   newStream(config.Seed, streamGatewayChoice, 0),
+		clientRandom:          newStream(config.Seed, streamClients, 0),
+		listDelayRandom:       newStream(config.Seed, streamListDelays, 0),
+		earlyDisconnectRandom: newStream(config.Seed, streamEarlyDisconnect, 0),
 	}
 	if s.config.Network.ConnectTimeout == 0 {
 		s.config.Network.ConnectTimeout = defaultConnectTimeout
@@ -103,7 +103,7 @@
 	return s
 }
 
-// drawTrafficShares draws how much of the traffic each gateway receives.
+// drawTrafficShares draws the share of the traffic that each gateway receives.
 func (s *simulation) drawTrafficShares() {
 	random := newStream(s.config.Seed, streamTrafficShares, 0)
 	sum := 0.0
@@ -141,26 +141,26 @@
 	}
 }
 
-// end is the time by which every client has its response or has given up.
+// end returns the time by which every client has its response or has given up.
 func (s *simulation) end() balancer.Time {
 	end := s.config.Length
 	maxRequestsOfClient := balancer.Time(1 + s.config.Clients.MaxRetries)
 	for _, class := range s.config.Settings.Classes {
 		perRequest := class.Deadline + responseGracePeriod
-		end = max(end, s.config.Length+maxRequestsOfClient*perRequest+runOutTime)
+		end = max(end, s.config.Length+maxRequestsOfClient*perRequest+extraRunTime)
 	}
 	return end
 }
 
-// handle runs an event.
+// handle processes an event.
 func (s *simulation) handle(e *event) {
 	switch e.kind {
 	case eventFirstRequest:
 		s.firstRequest(int(e.index))
 	case eventRetry:
 		s.sendRequest(e.request)
-	case eventClientLeaves:
-		s.clientLeaves(e.request, e.number == 1)
+	case eventClientDisconnects:
+		s.clientDisconnects(e.request, e.number == 1)
 	case eventAttemptArrives:
 		s.attemptArrives(e.request, int(e.number))
 	case eventAttemptResult:
@@ -188,7 +188,8 @@
 	}
 }
 
-// handleHostEvent runs an event of a host, unless the host has changed since it was scheduled.
+// handleHostEvent processes an event of a host, unless it is outdated because the host has changed since it was
+// scheduled.
 func (s *simulation) handleHostEvent(e *event) {
 	h := s.hosts[e.index]
 	switch {
--- a/internal/experiment/simulator/simulation_test.go
+++ b/internal/experiment/simulator/simulation_test.go
@@ -9,7 +9,7 @@
 	"dunemoor/balancer"
 )
 
-// smallFleet is a fleet that serves its traffic.
+// smallFleet returns a Config of a small fleet that has enough capacity for its traffic.
 func smallFleet(seed uint64) Config {
 	return Config{
 		Seed: seed, Length: 20 * time.Second, Gateways: 3,
@@ -42,7 +42,7 @@
 	return s
 }
 
-// checkRules fails where a rule is violated, or a first request has no outcome.
+// checkRules fails the test if a rule is violated, or if a first request isn't counted with exactly one outcome.
 func checkRules(t testing.TB, c Config, s *Summary) {
 	t.Helper()
 	if s.Violations != ([ruleCount]int{}) {
@@ -50,12 +50,13 @@
 	}
 	for _, k := range s.Classes {
 		if outcomes := k.InTime + k.Late + k.Rejected + k.Failed + k.Abandoned; outcomes != k.FirstRequests {
-			t.Errorf("seed %d: %s: got %d first requests and %d outcomes, want as many: %+v", c.Seed, k.Name, k.FirstRequests, outcomes, k)
+			t.Errorf("seed %d: %s: got %d first requests and %d outcomes, want equal numbers: %+v", c.Seed, k.Name, k.FirstRequests, outcomes, k)
 		}
 	}
 }
 
-// A fleet without faults serves its traffic. With each kind of fault the rules hold and most is still served.
+// A fleet without faults serves its traffic. Under each kind of fault the rules hold and most requests are still
+// served in time.
 func TestRulesHoldUnderEachFault(t *testing.T) {
 	for i, kind := range append([]FaultKind{""}, FaultKinds...) {
 		c := smallFleet(uint64(100 + i))
@@ -76,8 +77,8 @@
 	}
 }
 
-// A fleet at half load serves its traffic with any number of gateways, also where the work varies: a balancer
-// that mistakes random variation for overload would reject half of it.
+// A fleet at half load serves its traffic with any number of gateways, even if the work varies. A balancer that takes
+// random variation for overload would reject half of the requests.
 func TestHalfLoadIsServedByAnyNumberOfGateways(t *testing.T) {
 	for _, gateways := range []int{2, 8, 24} {
 		c := smallFleet(11)
@@ -94,7 +95,7 @@
 	}
 }
 
-// Each kind of fault has an effect: a fault that isn't simulated would pass all other tests.
+// Each kind of fault has an effect. A fault that isn't simulated would pass all other tests.
 func TestEachFaultReducesInTimeShare(t *testing.T) {
 	healthy := run(t, smallFleet(5))
 	for _, kind := range FaultKinds {
@@ -102,9 +103,9 @@
 		minLoss := 0.02
 		switch kind {
 		case DiscoveryDown:
-			continue // endpoint lists are pushed here
+			continue // no effect in this fleet, where endpoint lists are pushed
 		case ReplaceHosts:
-			minLoss = 0.01 // the old hosts serve while the new ones start
+			minLoss = 0.01 // smaller effect: the old hosts still serve while the new ones start
 		}
 		c.Faults = []Fault{{Kind: kind, At: 5 * time.Second, Duration: 6 * time.Second, Share: 1, Severity: 1}}
 		if kind == Slow {
@@ -112,13 +113,13 @@
 		}
 		s := run(t, c)
 		if s.InTimeShare() > healthy.InTimeShare()-minLoss {
-			t.Errorf("%s of all: got %.3f in time, want at least %.2f below the %.3f without", kind, s.InTimeShare(), minLoss, healthy.InTimeShare())
+			t.Errorf("%s of all: got %.3f in time, want at least %.2f below the %.3f without faults", kind, s.InTimeShare(), minLoss, healthy.InTimeShare())
 		}
 		checkRules(t, c, s)
 	}
 }
 
-// The same seed gives the same run, another seed another one.
+// The same seed gives the same run, and another seed a different one.
 func TestRunIsDeterministic(t *testing.T) {
 	c := smallFleet(7)
 	c.Faults = []Fault{{Kind: Crash, At: 3 * time.Second, Duration: 4 * time.Second, Share: 0.3}, {Kind: GatewayCrash, At: 8 * time.Second, Duration: 3 * time.Second, Share: 0.4}}
@@ -132,7 +133,7 @@
 	}
 }
 
-// An addition to a Config doesn't change the first requests of clients, so that runs can be compared.
+// Additions to a Config don't change the first requests of clients, so that runs can be compared.
 func TestRandomStreamsAreIndependent(t *testing.T) {
 	firstRequests := func(c Config) (out []int) {
 		for _, s := range run(t, c).Seconds {
@@ -147,16 +148,16 @@
 	more.Faults = []Fault{{Kind: Hang, At: time.Second, Duration: time.Second, Share: 0.5}}
 	more.Gateways = 5
 	if got := firstRequests(more); !reflect.DeepEqual(got, want) {
-		t.Errorf("first requests with more hosts, gateways and a fault: got %v, want %v as without", got, want)
+		t.Errorf("first requests with more hosts, gateways and a fault: got %v, want %v as without them", got, want)
 	}
 	burst := smallFleet(9)
 	burst.Bursts = []Burst{{At: 19 * time.Second, Duration: time.Second, Factor: 3, Class: "report"}}
 	if got := firstRequests(burst); got[19] <= want[19] {
-		t.Errorf("second of a burst: got %d first requests, want more than the %d without", got[19], want[19])
+		t.Errorf("second of a burst: got %d first requests, want more than the %d without a burst", got[19], want[19])
 	}
 }
 
-// BenchmarkRun measures the requests and events simulated per second of a core.
+// BenchmarkRun measures the requests and events simulated per second on one core.
 func BenchmarkRun(b *testing.B) {
 	for _, size := range []struct{ gateways, hosts int }{{3, 12}, {100, 1000}} {
 		b.Run(fmt.Sprintf("%dx%d", size.gateways, size.hosts), func(b *testing.B) {
@@ -179,8 +180,9 @@
 	}
 }
 
-// With skewed traffic the concurrency limits of the busiest of 40 gateways grow into the capacity that others
-// leave idle. With limits for an even share of the traffic it would reject more than a third.
+// With skewed traffic, the concurrency limits of the busiest of 40 gateways grow to use the capacity that the other
+// gateways leave idle. With limits for an equal share of the traffic it would reject more than a third of its
+// requests.
 func TestSkewedTrafficUsesIdleHosts(t *testing.T) {
 	c := smallFleet(7)
 	c.Gateways, c.TrafficSkew, c.Hosts[0].Count = 40, 2, 24
--- a/internal/experiment/simulator/summary.go
+++ b/internal/experiment/simulator/summary.go
@@ -13,18 +13,18 @@
 type Summary struct {
 	Classes            []ClassSummary   `json:"classes"`
 	Seconds            []Second         `json:"seconds"`
-	Attempts           int              `json:"attempts"` // of gateways
+	Attempts           int              `json:"attempts"` // attempts of all gateways
 	Events             int              `json:"events"`
-	ConnectionsPerHost float64          `json:"conns"`         // opened, on average
-	MaxToMeanLoad      float64          `json:"worst_of_mean"` // work of the busiest host, as a multiple of the mean
+	ConnectionsPerHost float64          `json:"conns"`         // mean number of connections opened per host
+	MaxToMeanLoad      float64          `json:"worst_of_mean"` // work per core of the busiest host, as a multiple of the mean
 	Load               []float64        `json:"load"`          // work done per core and second, by host
 	Violations         [ruleCount]int   `json:"broken"`        // by Rule
-	ViolationDetails   []string         `json:"why"`           // of the first maxViolationDetails
+	ViolationDetails   []string         `json:"why"`           // descriptions of the first maxViolationDetails violations
 	Gateways           []GatewaySummary `json:"gateways"`
 }
 
-// ClassSummary is the outcome of a class. Each first request is counted once in InTime, Late, Rejected,
-// Failed or Abandoned, by how the last of its retries ended.
+// ClassSummary is the outcome of a class. Each first request is counted once in InTime, Late, Rejected, Failed or
+// Abandoned, by the outcome of the last of its retries.
 type ClassSummary struct {
 	Name           string  `json:"name"`
 	PriorityWeight float64 `json:"worth"`
@@ -33,33 +33,33 @@
 	Late           int     `json:"late"`
 	Rejected       int     `json:"refused"`
 	Failed         int     `json:"failed"`
-	Abandoned      int     `json:"left"`  // without a response: the gateway died, or the client left
-	Requests       int     `json:"tries"` // with retries
-	// Causes counts the requests that gateways rejected or failed, by balancer.Cause.
+	Abandoned      int     `json:"left"`  // no response: the gateway crashed, or the client disconnected
+	Requests       int     `json:"tries"` // including retries
+	// Causes counts the rejected and failed requests by balancer.Cause.
 	Causes [causeCount]int `json:"why"`
 
 	// Latency is the time from the first request to the response, in microseconds.
 	Latency *hdrhistogram.Histogram `json:"-"`
 }
 
-// causeCount is the number of causes that balancer.Cause has.
+// causeCount is the number of values of balancer.Cause.
 const causeCount = int(balancer.CauseLowerPriority) + 1
 
-// maxLatency is the longest time that ClassSummary.Latency records.
+// maxLatency is the longest latency that ClassSummary.Latency records.
 const maxLatency = time.Hour
 
-// Second is the outcome of the first requests of a second, and what happened in it.
+// Second is the outcome of the first requests sent in a second, and counts of the events in that second.
 type Second struct {
 	FirstRequests int `json:"asked"`
-	InTime        int `json:"in_time"` // of FirstRequests
+	InTime        int `json:"in_time"` // those of FirstRequests with a response within the latency objective
 
-	// Over the whole fleet.
+	// Events of the whole fleet in this second.
 	Rejected            int     `json:"refused"`
 	Handshakes          int     `json:"handshakes"`
 	WarmingAttempts     int     `json:"cold_sends"` // attempts at hosts that are warming up
-	UnavailableAttempts int     `json:"dead_sends"` // attempts at hosts that are down, hang or can't be reached
+	UnavailableAttempts int     `json:"dead_sends"` // attempts at hosts that are down, hang or are unreachable
 	Polls               int     `json:"list_calls"`
-	IdleShare           float64 `json:"idle"` // share of the capacity of reachable hosts that was not used
+	IdleShare           float64 `json:"idle"` // unused share of the capacity of reachable hosts
 }
 
 // GatewaySummary is the outcome of a gateway.
@@ -68,7 +68,7 @@
 	Rejected int `json:"refused"`
 }
 
-// InTimeShare is the share of the first requests that had their response within the latency objective.
+// InTimeShare returns the share of the first requests that got their response within the latency objective.
 func (s *Summary) InTimeShare() float64 {
 	requests := 0
 	inTime := 0
@@ -106,7 +106,7 @@
 	}
 }
 
-// currentSecond returns the counts of this second. Counts after the last one are not part of the Summary.
+// currentSecond returns the counts of the current second. Counts after the last second of the Summary are discarded.
 func (s *simulation) currentSecond() *Second {
 	if i := int(s.now.Seconds()); i < len(s.summary.Seconds) {
 		return &s.summary.Seconds[i]
@@ -133,7 +133,7 @@
 	s.workDoneBefore = workDone
 }
 
-// finishSummary computes what is known only at the end.
+// finishSummary computes the figures that are known only at the end of the run.
 func (s *simulation) finishSummary() {
 	total := 0.0
 	highest := 0.0
--- a/internal/experiment/simulator/summary_test.go
+++ b/internal/experiment/simulator/summary_test.go
@@ -7,7 +7,8 @@
 	"dunemoor/balancer"
 )
 
-// causeCount covers all causes of the balancer: each has a name, and the number behind the last one has none.
+// causeCount equals the number of causes of the balancer: each value below it has a name, and the next value has
+// none.
 func TestCauseCountCoversAllCauses(t *testing.T) {
 	for number := range causeCount {
 		if name := balancer.Cause(number).String(); name == strconv.Itoa(number) {
--- a/internal/experiment/simulator/validate.go
+++ b/internal/experiment/simulator/validate.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Bounds of a Config, so that a run fits into memory and takes hours at most.
+// Bounds of a Config. They keep a run within memory and a duration of a few hours.
 const (
 	maxLength      = 24 * time.Hour
 	maxGateways    = 1000
@@ -17,10 +17,10 @@
 	maxRetries     = 100
 )
 
-// ConfigError is a value that can't be played. Table and Field are the names that scenario files use.
+// ConfigError describes an invalid value of a Config. Table and Field are the names used in scenario files.
 type ConfigError struct {
-	Table string // "": of the run itself
-	Index int    // in the table, from 0
+	Table string // "": the field is at the top level
+	Index int    // position among the tables of this name, starting at 0
 	Field string
 	Text  string
 }
@@ -59,7 +59,7 @@
 func (v *validator) run() {
 	c := v.config
 	if c.Length <= 0 || c.Length > maxLength {
-		v.errorf("", 0, "length", "%v is not above 0 and up to 24h", c.Length)
+		v.errorf("", 0, "length", "%v is not above 0 and at most 24h", c.Length)
 	}
 	if c.Gateways < 1 || c.Gateways > maxGateways {
 		v.errorf("", 0, "gateways", "%d is not between 1 and %d", c.Gateways, maxGateways)
@@ -77,7 +77,7 @@
 	}
 }
 
-// hostGroup reports the first error of a group.
+// hostGroup adds the first error of a group.
 func (v *validator) hostGroup(i int, g *HostGroup) {
 	congests := g.CongestionStart > 0
 	switch {
@@ -96,14 +96,14 @@
 	case g.CellSize < 0:
 		v.errorf("hosts", i, "cell", "%d is below 0", g.CellSize)
 	case congests && (g.CongestionEnd >= g.CongestionStart || g.CongestionSlowdown < 1):
-		v.errorf("hosts", i, "crowd_at", "crowd_end must be less, and slower at least 1")
+		v.errorf("hosts", i, "crowd_at", "crowd_end must be less than crowd_at, and slower at least 1")
 	}
 }
 
 func (v *validator) classes() {
 	c := v.config
 	if len(c.Classes) != len(c.Settings.Classes) || len(c.Classes) == 0 {
-		v.errorf("", 0, "class", "%d have traffic and %d have rules", len(c.Classes), len(c.Settings.Classes))
+		v.errorf("", 0, "class", "%d classes have traffic, but %d classes have settings", len(c.Classes), len(c.Settings.Classes))
 	}
 	requests := 0.0
 	for i, t := range c.Classes {
@@ -123,7 +123,7 @@
 		}
 	}
 	if requests > maxRequests {
-		v.errorf("", 0, "class", "%.0f requests in all are more than %d", requests, maxRequests)
+		v.errorf("", 0, "class", "the total of %.0f requests is more than %d", requests, maxRequests)
 	}
 }
 
@@ -138,11 +138,11 @@
 	}{
 		{"jitter", c.Jitter},
 		{"honour", c.HonorRetryAfter},
-		{"early", c.LeaveEarly},
+		{"early", c.DisconnectEarly},
 		{"hasty", c.RetryImmediately},
 	}
 	for _, s := range shares {
-		if !(s.value >= 0 && s.value <= 1) { // so that NaN is an error too
+		if !(s.value >= 0 && s.value <= 1) { // written so that NaN is invalid too
 			v.errorf("clients", 0, s.field, "%v is not between 0 and 1", s.value)
 		}
 	}
@@ -209,13 +209,13 @@
 		case f.Duration <= 0:
 			v.errorf("trouble", i, "for", "%v is not above 0", f.Duration)
 		case !(f.Share > 0 && f.Share <= 1):
-			v.errorf("trouble", i, "part", "%v is not above 0 and up to 1", f.Share)
+			v.errorf("trouble", i, "part", "%v is not above 0 and at most 1", f.Share)
 		case f.Kind == Slow && !(f.Severity >= 1):
-			v.errorf("trouble", i, "size", "slow is by a factor of 1 or more")
+			v.errorf("trouble", i, "size", "the factor of slow must be at least 1")
 		case f.Steps < 0 || f.Steps > maxSteps:
 			v.errorf("trouble", i, "steps", "%d is not between 0 and %d", f.Steps, maxSteps)
 		case severityIsShare && !(f.Severity > 0 && f.Severity <= 1):
-			v.errorf("trouble", i, "size", "a share is above 0 and up to 1")
+			v.errorf("trouble", i, "size", "the share must be above 0 and at most 1")
 		}
 	}
 }
--- a/internal/experiment/simulator/validate_test.go
+++ b/internal/experiment/simulator/validate_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Validate returns the errors of all parts, in the order of the Config.
+// Validate returns the errors of all parts of a Config, in a fixed order.
 func TestValidateReturnsAllErrors(t *testing.T) {
 	c := smallFleet(1)
 	c.Length, c.Gateways, c.Hosts[0].Cores, c.Classes[0].Distribution = 0, 0, 0, "normal"
