--- a/internal/experiment/scaletest/fit.go
+++ b/internal/experiment/scaletest/fit.go
@@ -7,68 +7,70 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Shape is how a series depends on the size.
+// Shape is the form in which the values of a series depend on the size.
 type Shape string
 
 // Shapes of a series.
 const (
 	Line    Shape = "line"    // proportional to the size, plus an intercept
-	Power   Shape = "power"   // a power of the size other than 1: the slope says nothing
-	Flat    Shape = "flat"    // it doesn't grow with the size, as far as the measurement can tell
-	Unclear Shape = "unclear" // the points vary too much
+	Power   Shape = "power"   // a power of the size other than 1; the slope is not meaningful
+	Flat    Shape = "flat"    // no growth with the size beyond the error of the measurement
+	Unclear Shape = "unclear" // the points deviate too much from a line to determine the shape
 )
 
-// hasSlope reports whether a slope can be used for other sizes.
+// hasSlope reports whether the line can be used to estimate values at other sizes.
 func (s Shape) hasSlope() bool { return s == Line || s == Flat }
 
-// Fit is a line through the points of a series by weighted least squares, with measures of how well it fits.
+// Fit is a line through the points of a series by weighted least squares, with measures of the goodness of fit.
 type Fit struct {
-	Slope         float64 `json:"slope"`       // units per size
-	SlopeError    float64 `json:"slope_error"` // standard error
-	Intercept     float64 `json:"intercept"`   // units
-	WorstResidual float64 `json:"worst"`       // as a share of the value
+	Slope         float64 `json:"slope"`       // units per unit of size
+	SlopeError    float64 `json:"slope_error"` // standard error of Slope
+	Intercept     float64 `json:"intercept"`   // value of the line at size 0
+	WorstResidual float64 `json:"worst"`       // largest residual of a point, as a share of its value
 
-	// Exponent is p of a + b·size^p, with its standard error: 1 for a line, 2 for a quadratic.
+	// Exponent is the exponent p of the best fit of a + b·size^p: 1 for a line, 2 for a quadratic function.
+	// ExponentError is its standard error.
 	Exponent      float64 `json:"exponent"`
 	ExponentError float64 `json:"exponent_error"`
 
 	Shape Shape   `json:"shape"`
 	Reach float64 `json:"reach,omitempty"` // target size as a multiple of the largest measured one; 0: no target
 
-	// For AtError.
+	// Intermediate results that AtError needs.
 	weightSum float64
 	meanSize  float64
-	spread    float64 // weighted sum of squared distances from meanSize
-	variance  float64 // of the residuals
+	spread    float64 // weighted sum of squared distances of the sizes from meanSize
+	variance  float64 // weighted variance of the residuals
 }
 
 const (
-	// relativeError is the error of a measurement of a process beside its resolution, as a share of the value.
+	// relativeError is the error of a measurement of a process in addition to its resolution, as a share of the
+	// value.
 	relativeError = 0.05
-	// zeroValueDivisor: a value of 0 has the error of this part of the largest value, at least.
+	// zeroValueDivisor sets the minimum error of small values and of 0: that of the largest value divided by it.
 	zeroValueDivisor = 1000
-	// A series is a line if no point is off by more than maxLineResidual of its value, and the exponent is 1 within
-	// exponentTolerance or within maxStandardErrors. It is a power if the exponent differs by more than both, and a
-	// point is off by more than relativeError: a smaller bend changes no figure. It is flat if the slope is within
-	// maxStandardErrors of 0.
+	// A series is a line if no residual exceeds maxLineResidual of its value, and the exponent differs from 1 by at
+	// most exponentTolerance or at most maxStandardErrors standard errors. It is a power if the exponent differs by
+	// more than both, and a residual exceeds relativeError: a smaller curvature doesn't matter for any figure. It is
+	// flat if the slope differs from 0 by at most maxStandardErrors standard errors.
 	maxLineResidual   = 0.15
 	exponentTolerance = 0.1
 	maxStandardErrors = 2
-	// flatTolerance is a growth over all sizes that counts as none, as a share of the mean value.
+	// flatTolerance is the growth over all sizes that still counts as flat, as a share of the mean value.
 	flatTolerance = 1e-9
 )
 
-// samples are the points of a series with their weights.
+// samples holds the points of a series with their weights.
 type samples struct {
 	sizes   []float64
 	values  []float64
 	weights []float64
 }
 
-// newSamples weights points by the error that each value is taken to have: over a span of a factor of ten and more the
-// largest sizes would otherwise decide alone.
+// newSamples weights points by the assumed error of each value. Without weights the largest sizes would dominate the
+// fit, because sizes span a factor of ten or more.
 func newSamples(points []Point, resolution float64) *samples {
-	valueForZero := 0.0 // by whose relativeError a value of 0 is weighted
+	valueForZero := 0.0 // value whose relativeError is used for a value of 0
 	for _, p := range points {
 		valueForZero = max(valueForZero, math.Abs(p.Value)/zeroValueDivisor)
 	}
@@ -87,7 +89,7 @@
 
 func (s *samples) largestSize() float64 { return s.sizes[len(s.sizes)-1] }
 
-// Fit fits a line. It returns an error where there are too few sizes, or a point is no measurement.
+// Fit fits a line to the points. It returns an error if there are too few sizes, or if a point is invalid.
 func (s *Series) Fit() (*Fit, error) {
 	points, err := s.sortedPoints()
 	if err != nil {
@@ -104,17 +106,18 @@
 	return f, nil
 }
 
-// At returns the line's value at a size.
+// At returns the value of the line at a size.
 func (f *Fit) At(size float64) float64 { return f.Intercept + f.Slope*size }
 
-// AtError returns the standard error of At: that of the line, not of a single measurement.
+// AtError returns the standard error of At. It is the error of the line, not that of a single measurement.
 func (f *Fit) AtError(size float64) float64 {
 	distance := size - f.meanSize
 	return math.Hypot(math.Sqrt(f.variance/f.weightSum), f.SlopeError*distance)
 }
 
-// fitLine sets slope and intercept with their errors. The resolution, as an error that is uniform over it, is an error of
-// the slope too: points that are all 0 would have none otherwise.
+// fitLine sets the slope with its error, the intercept and the worst residual. The resolution is included in the
+// error of the slope, as an error that is uniformly distributed over it: otherwise points that are all 0 would have
+// no error.
 func (f *Fit) fitLine(data *samples, resolution float64) {
 	f.Intercept, f.Slope = stat.LinearRegression(data.sizes, data.values, data.weights, false)
 	f.meanSize = stat.Mean(data.sizes, data.weights)
@@ -147,7 +150,7 @@
 	}
 }
 
-// Exponents that are tried.
+// Range and step of the exponents that fitExponent tries.
 const (
 	minExponent  = 0.1
 	maxExponent  = 4
@@ -161,7 +164,7 @@
 	squares  float64 // weighted sum of squared residuals
 }
 
-// fitExponent sets the exponent with the least squares, and its standard error.
+// fitExponent sets the exponent with the smallest sum of squared residuals, and its standard error.
 func (f *Fit) fitExponent(data *samples) {
 	best := powerFit{exponent: 1, squares: math.Inf(1)}
 	for exponent := minExponent; exponent <= maxExponent+1e-9; exponent += exponentStep {
@@ -187,8 +190,9 @@
 	return p
 }
 
-// exponentError is the standard error of the exponent, by the covariance of the three parameters (Gauss-Newton): the
-// inverse of the weighted products of the derivatives by a, b and the exponent. It is infinite where it is unknown.
+// exponentError returns the standard error of the exponent, from the covariance of the three parameters
+// (Gauss-Newton): the inverse of the matrix of weighted products of the derivatives with respect to a, b and the
+// exponent. It is infinite if it can't be determined.
 func (p *powerFit) exponentError(data *samples) float64 {
 	const parameters = 3
 	if len(data.sizes) <= parameters {
@@ -215,7 +219,7 @@
 	return math.Sqrt(variance*p.squares/float64(len(data.sizes)-parameters)) + exponentStep/2
 }
 
-// shape judges by the criteria at maxLineResidual.
+// shape determines the shape by the criteria described at maxLineResidual.
 func (f *Fit) shape(data *samples) Shape {
 	span := data.largestSize() - data.sizes[0]
 	growth := math.Abs(f.Slope) * span
--- a/internal/experiment/scaletest/fit_test.go
+++ b/internal/experiment/scaletest/fit_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// newSeries returns a series by a formula, with relative noise of a seed.
+// newSeries returns a series computed by a function, with relative noise drawn from a seed.
 func newSeries(sizes []float64, noise float64, seed uint64, value func(n float64) float64) *Series {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s := &Series{Name: "series", Unit: "ms", By: "thing"}
@@ -19,7 +19,7 @@
 
 var sizes = []float64{1000, 3000, 10_000, 30_000, 55_000}
 
-// fit returns the fit of a series that has one.
+// fit returns the fit of a series, and fails the test if there is none.
 func fit(t *testing.T, s *Series) *Fit {
 	t.Helper()
 	f, err := s.Fit()
@@ -29,10 +29,10 @@
 	return f
 }
 
-// near reports whether x is within a share of want.
+// near reports whether x differs from want by at most a share of want.
 func near(x, want, share float64) bool { return math.Abs(x-want) <= share*math.Abs(want) }
 
-// A line has its slope and intercept; a constant is flat.
+// The fit of a line has the slope and the intercept of the line, and a constant is flat.
 func TestFitOfALine(t *testing.T) {
 	s := newSeries(sizes, 0, 1, func(n float64) float64 { return 20 + 0.003*n })
 	s.TargetSize = 110_000
@@ -48,8 +48,8 @@
 	}
 }
 
-// A power other than 1 is found, with and without an intercept and a linear part, and the table has no value for the
-// target size.
+// A power other than 1 is detected, with and without an intercept and a linear part. The table then has no value at
+// the target size.
 func TestFitOfAPower(t *testing.T) {
 	for name, c := range map[string]struct {
 		value     func(n float64) float64
@@ -62,7 +62,7 @@
 	} {
 		f := fit(t, newSeries(sizes, 0, 1, c.value))
 		if f.Shape != Power || f.Exponent < c.low || f.Exponent > c.high {
-			t.Errorf("%s: got %+v, want a power from %v to %v", name, f, c.low, c.high)
+			t.Errorf("%s: got %+v, want a power with an exponent from %v to %v", name, f, c.low, c.high)
 		}
 		var b strings.Builder
 		r := &Report{Part: "p", Series: []Series{*newSeries(sizes, 0, 1, c.value)}}
@@ -73,8 +73,8 @@
 	}
 }
 
-// With the noise of processes lines and quadratics are found, and slopes are within their errors; with far more noise no
-// line is found.
+// With noise as in measurements of processes, lines and quadratics are detected, and slopes are within their errors.
+// With far more noise almost no line is found.
 func TestFitWithNoise(t *testing.T) {
 	const seeds = 200
 	var withinErrors, lines, powers, falseLines int
@@ -83,7 +83,7 @@
 		if f.Shape == Line {
 			lines++
 		}
-		// Two errors hold 86 in 100 with three degrees of freedom (Student's t).
+		// With three degrees of freedom (Student's t), 86 of 100 slopes are within two standard errors.
 		if math.Abs(f.Slope-0.003) <= 2*f.SlopeError {
 			withinErrors++
 		}
@@ -94,13 +94,13 @@
 			falseLines++
 		}
 	}
-	t.Logf("of %d: lines %d, slope within two errors %d, quadratics %d, lines in noise %d", seeds, lines, withinErrors, powers, falseLines)
+	t.Logf("of %d seeds: lines %d, slope within two errors %d, quadratics %d, lines in noise %d", seeds, lines, withinErrors, powers, falseLines)
 	if lines < seeds*90/100 || withinErrors < seeds*75/100 || powers < seeds*95/100 || falseLines > seeds*5/100 {
-		t.Errorf("got of %d: lines %d, slope within two errors %d, quadratics %d, lines in noise %d", seeds, lines, withinErrors, powers, falseLines)
+		t.Errorf("got of %d seeds: lines %d, slope within two errors %d, quadratics %d, lines in noise %d", seeds, lines, withinErrors, powers, falseLines)
 	}
 }
 
-// A series with too few sizes is not fitted, and table and JSON say so.
+// A series with too few sizes or an invalid point is not fitted, and both the table and the JSON report the reason.
 func TestFitOfTooFewSizes(t *testing.T) {
 	line := func(n float64) float64 { return n }
 	for want, s := range map[string]*Series{
@@ -124,7 +124,7 @@
 	}
 }
 
-// Points within the resolution are flat, with a slope error as large as the resolution allows.
+// Points that differ by less than the resolution are flat, and the error of their slope includes the resolution.
 func TestFitWithinTheResolution(t *testing.T) {
 	s := newSeries(sizes, 0, 1, func(float64) float64 { return 0 })
 	s.Resolution, s.TargetSize = 10, 1e6
@@ -134,7 +134,7 @@
 	}
 }
 
-// An error at the largest size, as large by its share as others, doesn't decide alone.
+// A relative error of 10 % at the largest size doesn't dominate the fit.
 func TestFitWeightsByRelativeError(t *testing.T) {
 	s := newSeries(sizes, 0, 1, func(n float64) float64 { return 20 + 0.003*n })
 	s.Points[len(s.Points)-1].Value *= 1.1
--- a/internal/experiment/scaletest/hollow/calls.go
+++ b/internal/experiment/scaletest/hollow/calls.go
@@ -9,7 +9,7 @@
 	"dunemoor/internal/fleet"
 )
 
-// Status returns the status of each member of the process, by name, where asked with its metrics.
+// Status returns the status of each member of the process by name, with its metrics if withMetrics is set.
 func (p *Process) Status(withMetrics bool) (map[string]*Status, error) {
 	if p.IsReal() {
 		s, err := p.programStatus(withMetrics)
@@ -22,7 +22,7 @@
 	return r.Report.Gateways, nil
 }
 
-// programStatus returns the status of a process of the program, by its admin address.
+// programStatus reads the status of a process of the program from its admin address.
 func (p *Process) programStatus(withMetrics bool) (*Status, error) {
 	s := &Status{}
 	text, err := p.get(fleet.PathFleet)
@@ -50,7 +50,8 @@
 	return io.ReadAll(response.Body)
 }
 
-// Report returns a hollow host's report on itself, without those of its gateways; nil for a process of the program.
+// Report returns a hollow host's report on itself, without the status of its gateways. It returns nil for a process
+// of the program.
 func (p *Process) Report() (*Report, error) {
 	if p.IsReal() {
 		return nil, nil
@@ -62,15 +63,15 @@
 	return r.Report, nil
 }
 
-// SetDrained sets an operator's override for a host of the first pool, at a gateway of a process of hollow ones: the
-// host is drained, or no longer drained.
+// SetDrained sets an operator's override at a hollow gateway of the process, which drains a host of the gateway's
+// first pool or ends the drain.
 func (p *Process) SetDrained(gateway, host string, drain bool) error {
 	_, err := p.request(&request{Override: &override{Gateway: gateway, Host: host, Drain: drain}})
 	return err
 }
 
-// ApplyOverrides sets overrides at the gateways of a process of hollow ones, in turn, for a duration, at a rate a second
-// of all together. It returns how many were applied and how many failed, when the last has ended.
+// ApplyOverrides sets overrides at the hollow gateways of the process in turn for a duration, at a total rate per
+// second. When the last one has ended, it returns how many were applied and how many failed.
 func (p *Process) ApplyOverrides(rate float64, duration time.Duration) (applied, failed int, err error) {
 	load := &overrideLoad{Gateways: p.Names, Rate: rate, Duration: duration}
 	r, err := p.request(&request{OverrideLoad: load})
--- a/internal/experiment/scaletest/hollow/complete.go
+++ b/internal/experiment/scaletest/hollow/complete.go
@@ -9,14 +9,14 @@
 const (
 	// completeInterval is the shortest interval between two checks of whether a fleet is complete.
 	completeInterval = 100 * time.Millisecond
-	// completeIntervalPerMember is the interval by the fleet's size, which keeps the checks from being a large
-	// fleet's main load.
+	// completeIntervalPerMember is the shortest interval per member of the fleet, so that the checks are not the main
+	// load of a large fleet.
 	completeIntervalPerMember = 200 * time.Microsecond
 )
 
-// Complete reports whether each member of a process that runs has a session and knows those of all others, and
-// each lease has a holder. In a fleet with relays the leader's status decides, as gateways know no list of the
-// others.
+// Complete reports whether each member of each running process has a session and the sessions of all others in its
+// state, and each lease has a holder. In a fleet with relays only the leader's status is checked, because gateways
+// have no list of the others.
 func (f *Fleet) Complete() bool {
 	members := 0
 	for _, p := range f.Processes {
@@ -50,8 +50,8 @@
 	return true
 }
 
-// WaitComplete waits until the fleet is complete. It returns an error when that takes longer than the timeout, or
-// ctx's when ctx ends.
+// WaitComplete waits until the fleet is complete. It returns an error after the timeout, or the error of ctx if ctx
+// ends.
 func (f *Fleet) WaitComplete(ctx context.Context, timeout time.Duration) error {
 	interval := max(completeInterval, time.Duration(len(f.Names()))*completeIntervalPerMember)
 	end := time.Now().Add(timeout)
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// Leader returns the process of the leader, which has no other members; nil where there is no leader.
+// Leader returns the process of the leader, or nil if there is no leader. Processes with several members are ignored.
 func (f *Fleet) Leader() *Process {
 	for _, p := range f.Processes {
 		if !p.IsRunning() || len(p.Names) > 1 {
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// leaderStatus returns the leader's status; nil where there is no leader.
+// leaderStatus returns the leader's status, or nil if there is no leader.
 func (f *Fleet) leaderStatus() *Status {
 	leader := f.Leader()
 	if leader == nil {
@@ -91,7 +91,7 @@
 	return leader.firstStatus()
 }
 
-// firstStatus returns the status of a process's first member; nil where it can't be read.
+// firstStatus returns the status of a process's first member, or nil if it can't be read.
 func (p *Process) firstStatus() *Status {
 	all, err := p.Status(false)
 	if err != nil {
@@ -100,7 +100,8 @@
 	return all[p.Names[0]]
 }
 
-// LeaseCounts returns how many leases each member holds, by its name, as the leader knows it; none without a leader.
+// LeaseCounts returns the number of leases of each holder by the name of the member, from the leader's status. It is
+// empty if there is no leader.
 func (f *Fleet) LeaseCounts() map[string]int {
 	counts := map[string]int{}
 	status := f.leaderStatus()
--- a/internal/experiment/scaletest/hollow/events.go
+++ b/internal/experiment/scaletest/hollow/events.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// Event is something that a member of the fleet has logged, or an OverrideEvent.
+// Event is a log message of a member of the fleet, or an OverrideEvent.
 type Event struct {
 	Message string // the log message, or OverrideEvent
-	Member  string // name of the member; "" where its process has several and the event is not an OverrideEvent
+	Member  string // name of the member; "" for a log message of a process with several members
 	Time    time.Time
 }
 
-// eventLog holds the events of a fleet in the order of their arrival.
+// eventLog holds the events of a fleet in the order in which they were received.
 type eventLog struct {
 	mu     sync.Mutex // guards the fields below
 	events []Event
@@ -34,8 +34,8 @@
 	l.added = make(chan struct{})
 }
 
-// since returns the events with a message from a time on, and a channel that is closed when the next event of
-// any message is added.
+// since returns the events with a message at or after a time, and a channel that is closed when the next event, with
+// any message, is added.
 func (l *eventLog) since(message string, from time.Time) ([]Event, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -48,14 +48,14 @@
 	return list, l.added
 }
 
-// Events returns the events with a message from a time on, in the order of their arrival.
+// Events returns the events with a message at or after a time, in the order in which they were received.
 func (f *Fleet) Events(message string, from time.Time) []Event {
 	list, _ := f.events.since(message, from)
 	return list
 }
 
-// WaitEvents waits until there are count events with a message from a time on, and returns the time of the count-th
-// of them. It returns an error when that takes longer than the timeout, or ctx's when ctx ends.
+// WaitEvents waits until there are count events with a message at or after a time, and returns the time of the
+// count-th of them. It returns an error after the timeout, or the error of ctx if ctx ends.
 func (f *Fleet) WaitEvents(ctx context.Context, message string, from time.Time, count int, timeout time.Duration) (time.Time, error) {
 	expired := time.After(timeout)
 	for {
@@ -75,7 +75,7 @@
 }
 
 // parseLogLine returns the message and the time of a line of the program's log, which is in the text format of
-// log/slog. It reports false for a line without them.
+// log/slog. ok is false for a line without them.
 func parseLogLine(line string) (message string, at time.Time, ok bool) {
 	stamp, _, hasTime := strings.Cut(strings.TrimPrefix(line, "time="), " ")
 	_, rest, hasMessage := strings.Cut(line, " msg=")
--- a/internal/experiment/scaletest/hollow/fleet.go
+++ b/internal/experiment/scaletest/hollow/fleet.go
@@ -11,39 +11,39 @@
 	"time"
 )
 
-// adminTimeout bounds a call to the admin address of a process of the program.
+// adminTimeout is the timeout of a call to the admin address of a process of the program.
 const adminTimeout = 5 * time.Second
 
-// Options describe a fleet. Its members are its relays, where it has some, and then its gateways; counts of the
-// first members are counted in this order.
+// Options describe a fleet. Its members are its relays, if it has any, followed by its gateways. Options that apply
+// to the first members refer to this order.
 type Options struct {
-	Dir               string   // for configuration files, data directories and the log
-	HostCommand       []string // command of a process of hollow gateways, which calls Serve
-	Program           string   // path of the program
-	RealMembers       int      // first members that are processes of the program
+	Dir               string   // directory of configuration files, data directories and the log
+	HostCommand       []string // command that runs a process of hollow gateways by calling Serve
+	Program           string   // path of the program's binary
+	RealMembers       int      // number of first members that are processes of the program
 	Gateways          int
 	Relays            int // 0: the gateways are connected with each other
-	BootstrapReplicas int // first members that are the bootstrap replicas of the coordination state
-	// SingleMembers are the first members that have a process each, so that what one uses can be measured. New
-	// raises it to cover BootstrapReplicas, Relays and RealMembers.
+	BootstrapReplicas int // number of first members that are bootstrap replicas of the coordination state
+	// SingleMembers is the number of first members that have a process of their own, so that their usage can be
+	// measured individually. New raises it to cover BootstrapReplicas, Relays and RealMembers.
 	SingleMembers      int
-	GatewaysPerProcess int    // gateways in each other process; 1 at least
-	Pools              int    // of each gateway; each pool's endpoint list has a lease
-	DiscoveryAddress   string // address of the service that has the pools' endpoint lists
+	GatewaysPerProcess int    // number of gateways in each other process; at least 1
+	Pools              int    // number of pools of each gateway; the endpoint list of each pool has a lease
+	DiscoveryAddress   string // address of the discovery service that serves the pools' endpoint lists
 }
 
-// Fleet is a fleet of gateways on the loopback.
+// Fleet is a fleet of gateways on the loopback interface.
 type Fleet struct {
 	Options
-	Processes []*Process // in the order of their members
+	Processes []*Process // processes in the order of their members
 
 	layout *layout
-	log    *os.File // what the processes log
+	log    *os.File // log of all processes
 	client http.Client
 	events *eventLog
 }
 
-// New reserves the addresses of a fleet and writes its files. It starts no process.
+// New reserves the addresses of a fleet and writes its files, without starting processes.
 func New(o Options) (*Fleet, error) {
 	members := o.Relays + o.Gateways
 	o.SingleMembers = min(max(o.SingleMembers, o.BootstrapReplicas, o.Relays, o.RealMembers), members)
@@ -69,7 +69,7 @@
 	return f, nil
 }
 
-// Start starts all processes at once and returns the errors of all of them. They end with ctx.
+// Start starts all processes concurrently and returns their errors joined. The processes are killed when ctx ends.
 func (f *Fleet) Start(ctx context.Context) error {
 	var starting sync.WaitGroup
 	errs := make([]error, len(f.Processes))
--- a/internal/experiment/scaletest/hollow/gateway.go
+++ b/internal/experiment/scaletest/hollow/gateway.go
@@ -14,18 +14,20 @@
 	"dunemoor/internal/fleet"
 )
 
-// gateway is a hollow gateway: a gateway's fleet part, or a relay, without a part that serves requests.
+// gateway is a hollow gateway or a hollow relay: the fleet part of the program, without the part that serves
+// requests.
 type gateway struct {
 	name  string
 	pools []config.Pool
 	fleet *fleet.Fleet
 	calls map[string]admin.Call // by path
-	// cancel ends goroutines, the watches of endpoint lists. Both are set by run.
+	// cancel ends the goroutines, which watch endpoint lists. Both are set by run.
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
 }
 
-// startGateway starts the fleet part of the gateway that a file configures, as the program does.
+// startGateway starts the fleet part of the gateway that a configuration file describes, in the same way as the
+// program.
 func startGateway(file string) (*gateway, error) {
 	a, mistakes := config.LoadAppliance(file)
 	if len(mistakes) > 0 {
@@ -48,8 +50,8 @@
 	return g, nil
 }
 
-// run starts the watches of the pools' endpoint lists and calls overrideAdded each time the gateway begins to
-// drain further hosts.
+// run starts the watches of the pools' endpoint lists. It calls overrideAdded each time the number of drained hosts
+// of the gateway grows.
 func (g *gateway) run(overrideAdded func(at time.Time)) {
 	var ctx context.Context
 	ctx, g.cancel = context.WithCancel(context.Background())
@@ -75,20 +77,20 @@
 	g.fleet.SetPools(pools, drain)
 }
 
-// close stops the gateway; it leaves its fleet in order.
+// close stops the gateway, which leaves its fleet gracefully.
 func (g *gateway) close() {
 	g.cancel()
 	g.fleet.Leave()
 	g.goroutines.Wait()
 }
 
-// call returns the response to an operators' call without parameters.
+// call returns the response of the admin API to a call without parameters.
 func (g *gateway) call(path string) string {
 	_, text, _ := g.calls[path].Do(context.Background(), nil)
 	return text
 }
 
-// readStatus sets a status to the gateway's. Where it can't be read, Role has the error.
+// readStatus reads the gateway's status. If that fails, Role is set to the error.
 func (g *gateway) readStatus(s *Status) {
 	if err := json.Unmarshal([]byte(g.call(fleet.PathFleet)), s); err != nil {
 		s.Role = err.Error()
@@ -96,8 +98,7 @@
 	s.setJoined(time.Now())
 }
 
-// discardPool is a pool of a gateway that serves no requests: it discards the endpoint lists that it gets and
-// has no hosts to check.
+// discardPool is a pool of a gateway that serves no requests: it discards endpoint lists and has no hosts to check.
 type discardPool struct{}
 
 func (discardPool) UpdateEndpoints(balancer.ListKind, discovery.MemberList) {}
--- a/internal/experiment/scaletest/hollow/host.go
+++ b/internal/experiment/scaletest/hollow/host.go
@@ -1,11 +1,11 @@
-// Package hollow runs fleets of gateways on the loopback to measure what a fleet costs by its size. Some or
-// all of the gateways are hollow: they run the program's own fleet part (internal/fleet and the packages below
-// it) on real sockets and disks, without the part that serves requests, and many of them share a process.
-// What the processes use is counted by the kernel.
+// Package hollow runs fleets of gateways on the loopback interface to measure the cost of a fleet as a function of
+// its size. Some or all of the gateways are hollow: they run the program's fleet part (internal/fleet and the
+// packages that it uses) on real sockets and disks, without the part that serves requests, and many of them can share
+// a process. The usage of the processes is measured by the kernel.
 //
-// A Fleet starts and controls the processes. A process of hollow gateways runs Serve: it takes requests on its
-// standard input and writes replies and events to its standard output. Relays and gateways may also be
-// processes of the program itself, which are controlled by their admin address and their log.
+// A Fleet starts and controls the processes. A process of hollow gateways runs Serve: it reads requests from its
+// standard input and writes replies and events to its standard output. Relays and gateways may also be processes of
+// the program itself, which are observed through their admin address and their log.
 package hollow
 
 import (
@@ -26,10 +26,10 @@
 // maxRequestBytes is the longest line that a hollow host reads.
 const maxRequestBytes = 16 << 20
 
-// eventMessages are the log messages that are passed on as events, as the program words them.
+// eventMessages are the log messages of the program that are reported as events.
 var eventMessages = []string{"session opened", "session expired", "became leader", "fleet bootstrapped", "lease acquired"}
 
-// hollowHost is a process of hollow gateways. It is no host of a pool.
+// hollowHost is a process of hollow gateways. It is unrelated to the hosts of a pool.
 type hollowHost struct {
 	mu       sync.Mutex // guards gateways
 	gateways map[string]*gateway
@@ -38,9 +38,9 @@
 	replies *json.Encoder
 }
 
-// Serve runs a hollow host: it carries out the requests that it reads from in and writes replies
-// and events to out, until in ends. It then stops all gateways that it has started. Meanwhile the process's
-// default logger is its own. It returns the first error of in or out, or that of a malformed request.
+// Serve runs a hollow host: it executes the requests that it reads from in and writes replies and events to out,
+// until in ends. Then it stops all gateways that it has started. While it runs, it replaces the process's default
+// logger. It returns the first error of in or out, or that of a malformed request.
 func Serve(in io.Reader, out io.Writer) error {
 	h := &hollowHost{gateways: map[string]*gateway{}, replies: json.NewEncoder(out)}
 	previous := slog.Default()
@@ -53,7 +53,7 @@
 	for lines.Scan() {
 		var r request
 		if err := json.Unmarshal(lines.Bytes(), &r); err != nil {
-			return fmt.Errorf("read host request: %w", err)
+			return fmt.Errorf("decode request to the hollow host: %w", err)
 		}
 		if err := h.write(h.do(&r)); err != nil {
 			return err
@@ -79,7 +79,7 @@
 	closing.Wait()
 }
 
-// do carries out a request.
+// do executes a request.
 func (h *hollowHost) do(r *request) *reply {
 	switch {
 	case len(r.Start) > 0:
@@ -96,8 +96,8 @@
 	}
 }
 
-// startAll starts gateways by their files, and returns the first error. A gateway that fails to start doesn't
-// keep those after it from being started.
+// startAll starts gateways from their configuration files and returns the first error. It starts all other gateways
+// even if one fails.
 func (h *hollowHost) startAll(files []string) error {
 	var first error
 	for _, file := range files {
@@ -109,7 +109,7 @@
 	return first
 }
 
-// start starts a gateway by its file.
+// start starts a gateway from its configuration file.
 func (h *hollowHost) start(file string) error {
 	g, err := startGateway(file)
 	if err != nil {
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// gateway returns a gateway that runs.
+// gateway returns the running gateway with a name.
 func (h *hollowHost) gateway(name string) (*gateway, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -139,7 +139,7 @@
 	return g, nil
 }
 
-// allGateways returns the gateways that run, in no order.
+// allGateways returns all running gateways, in no particular order.
 func (h *hollowHost) allGateways() []*gateway {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -150,7 +150,7 @@
 	return list
 }
 
-// report returns the hollow host's report, where asked with the status and the metrics of each gateway.
+// report returns the hollow host's report on itself, with the status and the metrics of each gateway if requested.
 func (h *hollowHost) report(withStatus, withMetrics bool) *Report {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
@@ -175,7 +175,8 @@
 	return r
 }
 
-// logHandler takes the log of a hollow host's gateways and passes some of its messages on as events.
+// logHandler handles the log records of a hollow host's gateways. It reports those in eventMessages as events and
+// discards all others.
 type logHandler struct{ host *hollowHost }
 
 func (l logHandler) Enabled(_ context.Context, level slog.Level) bool { return level >= slog.LevelInfo }
--- a/internal/experiment/scaletest/hollow/layout.go
+++ b/internal/experiment/scaletest/hollow/layout.go
@@ -11,34 +11,34 @@
 	"strings"
 )
 
-// fleetKey is the key of the fleets that are measured.
+// fleetKey is the shared key of the fleets that are measured.
 const fleetKey = "this key is of a measurement and of nothing else"
 
-// Ports of members are below those that the system gives to outgoing connections (from 32768 on, ip(7)).
+// Ports of members are below the range of ephemeral ports for outgoing connections, which begins at 32768 (ip(7)).
 const (
 	minPort = 20000
 	maxPort = 32000 // exclusive
 )
 
-// maxReserveAttempts is how many addresses of the loopback are tried for free ports.
+// maxReserveAttempts is the maximum number of loopback addresses on which free ports are searched.
 const maxReserveAttempts = 64
 
-// Zones and regions that relays and gateways are spread over.
+// Numbers of zones and regions over which relays and gateways are spread.
 const (
 	zones   = 10
 	regions = 3
 )
 
-// Limit of sockets in a gateway's file: a base, and more for each pool.
+// Parts of the socket limit in a gateway's configuration file: a base, plus a number for each pool.
 const (
 	baseSockets    = 2048
 	socketsPerPool = 64
 )
 
-var errNoFreePorts = errors.New("too few free ports on the loopback")
+var errNoFreePorts = errors.New("too few free ports on the loopback interface")
 
-// reserveAddresses finds addresses with free ports. Their hosts are drawn at random from the loopback network, so
-// that fleets at the same time don't collide.
+// reserveAddresses finds addresses with free ports. Their IP addresses are drawn at random from the loopback network,
+// so that fleets running at the same time don't collide.
 func reserveAddresses(count int) ([]string, error) {
 	var list []string
 	for attempt := 0; len(list) < count && attempt < maxReserveAttempts; attempt++ {
@@ -65,19 +65,20 @@
 	return list
 }
 
-// layout is the names, addresses and files of a fleet's members: of its relays, where it has some, and then of
-// its gateways.
+// layout determines the names, addresses and files of a fleet's members: its relays, if it has any, followed by its
+// gateways.
 type layout struct {
 	options Options
 	names   []string
-	// peerAddresses are where members take connections of others, by member. Gateways of relays take none.
+	// peerAddresses are the addresses on which members accept connections from other members, by member. In a fleet
+	// with relays, gateways accept none.
 	peerAddresses []string
-	peers         map[netip.AddrPort]bool // the same
-	// clientAddresses and adminAddresses are those of the processes of the program, by member.
+	peers         map[netip.AddrPort]bool // set of peerAddresses
+	// clientAddresses and adminAddresses are the listen addresses of the processes of the program, by member.
 	clientAddresses, adminAddresses []string
 }
 
-// newLayout reserves the addresses and writes the files.
+// newLayout reserves the addresses and writes the configuration files.
 func newLayout(o Options) (*layout, error) {
 	l := &layout{options: o, peers: map[netip.AddrPort]bool{}}
 	for i := range o.Relays {
@@ -100,7 +101,7 @@
 	return l, nil
 }
 
-// reserve sets the addresses.
+// reserve reserves the addresses of all members.
 func (l *layout) reserve() error {
 	peers := len(l.names)
 	if l.options.Relays > 0 {
@@ -130,13 +131,13 @@
 func (l *layout) isProgram(member int) bool      { return member < l.options.RealMembers }
 func (l *layout) isRelay(member int) bool        { return member < l.options.Relays }
 
-// location returns the zone and the region of a relay or gateway, by its number among its kind.
+// location returns the zone and the region of a relay or gateway, from its number among the relays or the gateways.
 func location(number int) (zone, region string) {
 	zoneNumber := number % zones
 	return fmt.Sprintf("z%d", zoneNumber), fmt.Sprintf("region%d", zoneNumber%regions)
 }
 
-// configuration returns the configuration file of a member.
+// configuration returns the content of a member's configuration file.
 func (l *layout) configuration(member int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "name = %q\n", l.names[member])
@@ -155,7 +156,8 @@
 	return b.String()
 }
 
-// writeServing writes what a gateway's file has about requests. Hollow gateways don't use the listener.
+// writeServing writes the part of a gateway's file that configures the handling of requests. Hollow gateways don't
+// use the listener.
 func (l *layout) writeServing(b *strings.Builder, member int) {
 	listen := "127.0.0.1:0"
 	if l.isProgram(member) {
@@ -172,7 +174,7 @@
 	}
 }
 
-// writeFleet writes the table of the fleet, up to its lists of relays or peers.
+// writeFleet writes the fleet table without the lists of relays or peers.
 func (l *layout) writeFleet(b *strings.Builder, member int) {
 	var replicas []string
 	for _, name := range l.names[:l.options.BootstrapReplicas] {
@@ -187,7 +189,7 @@
 	}
 }
 
-// writeRelays writes a gateway's own location and the list of relays.
+// writeRelays writes the location of a gateway and the list of relays.
 func (l *layout) writeRelays(b *strings.Builder, member int) {
 	if !l.isRelay(member) {
 		zone, region := location(member - l.options.Relays)
--- a/internal/experiment/scaletest/hollow/override.go
+++ b/internal/experiment/scaletest/hollow/override.go
@@ -10,10 +10,11 @@
 	"dunemoor/internal/fleet"
 )
 
-// OverrideEvent is the event of a gateway that has begun to drain a host by an operator's override.
+// OverrideEvent is the message of the event that a gateway has begun to drain a host because of an operator's
+// override.
 const OverrideEvent = "word"
 
-// overrideTimeout bounds how long an override may take to be written.
+// overrideTimeout is the timeout for setting an override.
 const overrideTimeout = 15 * time.Second
 
 // setOverride sets an operator's override at a gateway, for a host of its first pool.
@@ -27,7 +28,7 @@
 		path = fleet.PathDrain
 	}
 	pool := ""
-	if len(g.pools) > 0 { // a relay has none
+	if len(g.pools) > 0 { // a relay has no pools
 		pool = g.pools[0].Name
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), overrideTimeout)
@@ -41,7 +42,7 @@
 
 // overrideCounts are the outcomes of a load of overrides.
 type overrideCounts struct {
-	mu              sync.Mutex // guards both
+	mu              sync.Mutex // guards the fields below
 	applied, failed int
 }
 
@@ -55,8 +56,8 @@
 	}
 }
 
-// applyOverrides sets overrides at gateways in turn at a steady rate, and returns how many were applied and how
-// many failed. Each gateway sets its own one after the other, so that slow ones lower the rate.
+// applyOverrides sets overrides at gateways in turn at a constant rate, and returns how many were applied and how
+// many failed. Each gateway sets its overrides sequentially, so that slow overrides lower the rate.
 func (h *hollowHost) applyOverrides(load *overrideLoad) (applied, failed int) {
 	gateways := len(load.Gateways)
 	interval := time.Duration(float64(gateways) / load.Rate * float64(time.Second))
@@ -70,7 +71,7 @@
 	return counts.applied, counts.failed
 }
 
-// toggleOverrides drains a host and ends that again, by turns, once each interval from an offset on, until a
+// toggleOverrides alternately drains a host and ends the drain, once per interval, starting after an offset, until a
 // duration has passed.
 func (h *hollowHost) toggleOverrides(gateway string, offset, interval, duration time.Duration, counts *overrideCounts) {
 	began := time.Now()
--- a/internal/experiment/scaletest/hollow/process.go
+++ b/internal/experiment/scaletest/hollow/process.go
@@ -15,35 +15,35 @@
 	"time"
 )
 
-// maxOutputLineBytes is the longest line that is read of a process's output.
+// maxOutputLineBytes is the longest line that is read from a process's output.
 const maxOutputLineBytes = 64 << 20
 
 // errProcessEnded is returned for a request to a hollow host that has ended, or whose output is malformed.
-var errProcessEnded = errors.New("the process has ended")
+var errProcessEnded = errors.New("the hollow host has ended, or its output is malformed")
 
-// Process is a process of the fleet: a hollow host, or a relay or gateway of the program. Start and
-// Kill must not be called at the same time as other methods.
+// Process is a process of the fleet: a hollow host, or a relay or gateway of the program. Start and Kill must not be
+// called concurrently with other methods.
 type Process struct {
-	Names []string // of its members
+	Names []string // names of its members
 
 	fleet  *Fleet
 	first  int // index of its first member
 	cmd    *exec.Cmd
-	exited chan struct{} // closed when the process has ended; nil: it was not started, or killed
+	exited chan struct{} // closed when the process has ended; nil if it was not started or was killed
 
 	requesting sync.Mutex // held from a request to its reply
 	stdin      io.WriteCloser
-	replies    chan *reply // closed when the output ends; of a hollow host
+	replies    chan *reply // replies of a hollow host; closed when its output ends
 }
 
-// IsReal reports whether it is a process of the program.
+// IsReal reports whether the process is one of the program itself, rather than a hollow host.
 func (p *Process) IsReal() bool { return p.first < p.fleet.Options.RealMembers }
 
-// IsRunning reports whether the process was started and not killed.
+// IsRunning reports whether the process was started and has not been killed.
 func (p *Process) IsRunning() bool { return p.exited != nil }
 
-// Start starts the process, and waits until its hollow gateways have started. It ends with ctx, and with the
-// process that calls Start.
+// Start starts the process and waits until its hollow gateways have started. The process is killed when ctx ends, or
+// when the process that called Start ends.
 func (p *Process) Start(ctx context.Context) error {
 	output, err := p.launch(ctx)
 	if err != nil {
@@ -63,7 +63,8 @@
 	return err
 }
 
-// launch starts the command, and returns what is read of it: the log of the program, or a hollow host's replies.
+// launch starts the command and returns the output to read: the log of the program, or the replies and events of a
+// hollow host.
 func (p *Process) launch(ctx context.Context) (output *os.File, err error) {
 	f := p.fleet
 	if p.IsReal() {
@@ -71,7 +72,7 @@
 	} else {
 		p.cmd = exec.CommandContext(ctx, f.HostCommand[0], f.HostCommand[1:]...)
 	}
-	// It must not outlive this process even if that is killed.
+	// The child must not outlive this process even if this process is killed.
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if p.stdin, err = p.cmd.StdinPipe(); err != nil {
 		return nil, err
@@ -94,7 +95,7 @@
 	return output, nil
 }
 
-// supervise reads the output of a started command until it ends, and waits for the command.
+// supervise reads the output of a started command until the output ends, and waits for the command.
 func (p *Process) supervise(cmd *exec.Cmd, output *os.File, replies chan<- *reply, exited chan<- struct{}) {
 	lines := bufio.NewScanner(output)
 	lines.Buffer(nil, maxOutputLineBytes)
@@ -109,7 +110,7 @@
 	close(exited)
 }
 
-// readLog copies the program's log to that of the fleet and takes the events from it.
+// readLog copies the program's log to the fleet's log and adds the events in it.
 func (p *Process) readLog(lines *bufio.Scanner) {
 	for lines.Scan() {
 		fmt.Fprintln(p.fleet.log, lines.Text())
@@ -120,7 +121,7 @@
 	}
 }
 
-// readReplies reads a hollow host's replies and events. It returns early on a line that is neither.
+// readReplies reads a hollow host's replies and events until the output ends or a line is malformed.
 func (p *Process) readReplies(lines *bufio.Scanner, replies chan<- *reply) {
 	for lines.Scan() {
 		r := &reply{}
@@ -139,7 +140,7 @@
 	}
 }
 
-// request sends a request to a hollow host and returns its reply, or the error that it has.
+// request sends a request to a hollow host and returns its reply, or the error that the reply contains.
 func (p *Process) request(r *request) (*reply, error) {
 	p.requesting.Lock()
 	defer p.requesting.Unlock()
@@ -160,8 +161,8 @@
 	return answer, nil
 }
 
-// Kill ends the process with SIGKILL, if it runs, and waits for its end. A reply that nobody waits for any more
-// is dropped.
+// Kill ends the process with SIGKILL if it is running, and waits for its end. Replies that have not been received are
+// discarded.
 func (p *Process) Kill() {
 	if p.exited == nil {
 		return
@@ -173,9 +174,9 @@
 	p.exited = nil
 }
 
-// Pause halts the process with SIGSTOP until Resume. To others it looks like one whose machine has failed: its
-// connections stay open.
+// Pause stops the process with SIGSTOP until Resume. Its connections stay open, so it appears to other processes like
+// one on a failed machine.
 func (p *Process) Pause() error { return p.cmd.Process.Signal(syscall.SIGSTOP) }
 
-// Resume resumes a process after Pause.
+// Resume continues the process after Pause.
 func (p *Process) Resume() error { return p.cmd.Process.Signal(syscall.SIGCONT) }
--- a/internal/experiment/scaletest/hollow/procfs.go
+++ b/internal/experiment/scaletest/hollow/procfs.go
@@ -36,7 +36,7 @@
 	for _, name := range names {
 		target, err := os.Readlink(filepath.Join(path, name))
 		if err != nil {
-			continue // it was closed meanwhile
+			continue // the descriptor was closed in the meantime
 		}
 		number, isSocket := strings.CutPrefix(target, "socket:[")
 		if !isSocket {
@@ -50,7 +50,7 @@
 	return inodes, nil
 }
 
-// cpuTime returns the CPU time that a process has used since its start.
+// cpuTime returns the CPU time that a process has used since it was started.
 func cpuTime(pid int) (time.Duration, error) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(cpuClock(pid), &t); err != nil {
@@ -61,7 +61,7 @@
 
 // cpuClock returns the id of a process's CPU clock, as clock_getcpuclockid(3) does.
 func cpuClock(pid int) int32 {
-	const schedulerClock = 2 // CPUCLOCK_SCHED of linux/posix-timers.h: the time the scheduler gave it, in nanoseconds
+	const schedulerClock = 2 // CPUCLOCK_SCHED of linux/posix-timers.h: time on a CPU as counted by the scheduler, in nanoseconds
 	return int32(^pid<<3 | schedulerClock)
 }
 
@@ -84,8 +84,8 @@
 	return 0, fmt.Errorf("read resident memory of process %d: no VmRSS", pid)
 }
 
-// Loopback returns what the loopback device has carried since the machine's start, in bytes with the headers of
-// IP and TCP and in packets: of all connections of the machine, each packet once.
+// Loopback returns the traffic of the loopback device since the machine was booted: bytes, including IP and TCP
+// headers, and packets. It covers all connections of the machine, and counts each packet once.
 func Loopback() (bytes, packets uint64, err error) {
 	text, err := os.ReadFile(netDevFile)
 	if err != nil {
--- a/internal/experiment/scaletest/hollow/procfs_test.go
+++ b/internal/experiment/scaletest/hollow/procfs_test.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// ownCPUTime returns the CPU time of this process by getrusage(2).
+// ownCPUTime returns the CPU time of this process as reported by getrusage(2).
 func ownCPUTime(t *testing.T) time.Duration {
 	t.Helper()
 	var usage unix.Rusage
@@ -18,7 +18,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// useCPU computes until this process has used more than a CPU time, for a minute at most.
+// useCPU runs a computation until this process has used more than the given CPU time, for at most a minute.
 func useCPU(t *testing.T, least time.Duration) {
 	t.Helper()
 	end := time.Now().Add(time.Minute)
--- a/internal/experiment/scaletest/hollow/sockdiag.go
+++ b/internal/experiment/scaletest/hollow/sockdiag.go
@@ -14,7 +14,7 @@
 const (
 	sockDiagByFamily   = 20
 	inetDiagInfo       = 2
-	tcpEstablishedMask = 1 << 1 // of states
+	tcpEstablishedMask = 1 << 1 // bit of TCP_ESTABLISHED in a mask of states
 )
 
 // Layout of struct inet_diag_req_v2: its size and the offsets of its fields, in bytes.
@@ -36,7 +36,7 @@
 	diagMessageInodeOffset      = 68
 )
 
-// Offsets of the type in the headers of messages and attributes, in bytes. Both begin with their length.
+// Offsets of fields in the headers of netlink messages and attributes, in bytes. Both headers begin with the length.
 const (
 	messageTypeOffset   = 4
 	messageFlagsOffset  = 6
@@ -44,17 +44,17 @@
 )
 
 const (
-	// diagSocketBufferBytes is the receive buffer that is asked for; the kernel may give less.
+	// diagSocketBufferBytes is the requested size of the receive buffer; the kernel may grant less.
 	diagSocketBufferBytes = 4 << 20
 	diagReadBufferBytes   = 256 << 10
 )
 
 var errMalformedDiagMessage = errors.New("malformed message")
 
-// conn is one end of an established connection, with the kernel's count of its traffic (TCP_INFO).
+// conn is one end of an established connection, with its traffic as counted by the kernel (TCP_INFO).
 type conn struct {
 	local, remote netip.AddrPort
-	inode         uint32 // of its socket; 0: its process has closed it
+	inode         uint32 // inode of its socket; 0: the process has closed the socket
 	Traffic
 }
 
@@ -99,7 +99,7 @@
 	}
 }
 
-// diagRequest returns a netlink message that asks for all established TCP connections over IPv4 with TCP_INFO.
+// diagRequest returns a netlink message that requests all established TCP connections over IPv4 with TCP_INFO.
 func diagRequest() []byte {
 	native := binary.NativeEndian
 	message := make([]byte, unix.SizeofNlMsghdr+diagRequestBytes)
@@ -115,8 +115,8 @@
 	return message
 }
 
-// parseDiagMessages returns the connections of the netlink messages in a datagram, and whether the last message
-// was among them.
+// parseDiagMessages returns the connections in the netlink messages of a datagram. done is true if the last message
+// of the dump was among them.
 func parseDiagMessages(datagram []byte) (list []conn, done bool, err error) {
 	native := binary.NativeEndian
 	for len(datagram) >= unix.SizeofNlMsghdr {
@@ -140,10 +140,10 @@
 	return list, false, nil
 }
 
-// alignNetlink returns the size of a message or attribute with the padding that follows it.
+// alignNetlink returns the size of a message or attribute including the padding that follows it.
 func alignNetlink(size int) int { return (size + unix.NLMSG_ALIGNTO - 1) &^ (unix.NLMSG_ALIGNTO - 1) }
 
-// parseConn parses an inet_diag_msg and its attributes. It reports false without TCP_INFO.
+// parseConn parses an inet_diag_msg and its attributes. ok is false if there is no TCP_INFO.
 func parseConn(message []byte) (c conn, ok bool) {
 	if len(message) < diagMessageBytes {
 		return c, false
@@ -172,8 +172,8 @@
 	return netip.AddrPortFrom(address, binary.BigEndian.Uint16(message[portOffset:]))
 }
 
-// parseTCPInfo returns the traffic of a struct tcp_info, which may be shorter or longer than this program's: its
-// fields never move.
+// parseTCPInfo returns the traffic in a struct tcp_info. The kernel's struct may be shorter or longer than
+// unix.TCPInfo, but the offsets of its fields don't change.
 func parseTCPInfo(data []byte) Traffic {
 	var info unix.TCPInfo
 	copy(unsafe.Slice((*byte)(unsafe.Pointer(&info)), unsafe.Sizeof(info)), data)
--- a/internal/experiment/scaletest/hollow/sockdiag_test.go
+++ b/internal/experiment/scaletest/hollow/sockdiag_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// connPair returns both ends of a connection over the loopback.
+// connPair returns both ends of a connection over the loopback interface.
 func connPair(t *testing.T) (dialer, listener net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -29,7 +29,7 @@
 	return dialer, listener
 }
 
-// send writes to one end of a connection and waits until all has been read at the other.
+// send writes to one end of a connection and waits until all bytes have been read at the other end.
 func send(t *testing.T, from, to net.Conn, buffer []byte) {
 	t.Helper()
 	if _, err := from.Write(buffer); err != nil {
@@ -62,8 +62,8 @@
 
 func localAddress(c net.Conn) netip.AddrPort { return c.LocalAddr().(*net.TCPAddr).AddrPort() }
 
-// The kernel counts what was sent: bytes at both ends, and a segment at least for each write whose bytes were
-// read before the next.
+// The kernel counts the bytes that were sent at both ends, and at least one segment for each write, because the bytes
+// of a write are read before the next write.
 func TestListConnsCountsTraffic(t *testing.T) {
 	dialer, listener := connPair(t)
 	const writes, size, back = 10, 100, 7
@@ -81,12 +81,12 @@
 	if atListener.BytesOut != back || atListener.BytesIn != writes*size {
 		t.Errorf("bytes at the listener: got %d out, %d in, want %d, %d", atListener.BytesOut, atListener.BytesIn, back, writes*size)
 	}
-	// The handshake of TCP is three segments: two of them are the dialer's.
+	// The TCP handshake consists of three segments, two of which the dialer sends.
 	if atDialer.PacketsOut < writes+2 {
-		t.Errorf("packets sent by the dialer: got %d, want %d at least", atDialer.PacketsOut, writes+2)
+		t.Errorf("packets sent by the dialer: got %d, want at least %d", atDialer.PacketsOut, writes+2)
 	}
 	if atListener.PacketsIn != atDialer.PacketsOut {
-		t.Errorf("packets received by the listener: got %d, want the %d that the dialer has sent", atListener.PacketsIn, atDialer.PacketsOut)
+		t.Errorf("packets received by the listener: got %d, want the %d that the dialer sent", atListener.PacketsIn, atDialer.PacketsOut)
 	}
 	if got, want := atDialer.Bytes(), writes*size+back+HeaderBytes*atDialer.Packets(); got != want {
 		t.Errorf("bytes with headers of %+v: got %d, want %d", atDialer, got, want)
@@ -94,8 +94,7 @@
 	checkTrafficSince(t, atDialer, size)
 }
 
-// checkTrafficSince checks the difference to earlier counts of traffic with more than 3 packets and a number of
-// bytes.
+// checkTrafficSince checks Traffic.since for traffic of more than 3 packets and more than the given number of bytes.
 func checkTrafficSince(t *testing.T, now Traffic, bytes uint64) {
 	t.Helper()
 	for name, c := range map[string]struct{ earlier, want Traffic }{
@@ -124,7 +123,7 @@
 		t.Fatal(err)
 	}
 	if want := bytesBefore + size + HeaderBytes; bytes < want {
-		t.Errorf("bytes: got %d, want %d at least", bytes, want)
+		t.Errorf("bytes: got %d, want at least %d", bytes, want)
 	}
 	if packets <= packetsBefore {
 		t.Errorf("packets: got %d, want more than %d", packets, packetsBefore)
--- a/internal/experiment/scaletest/hollow/traffic.go
+++ b/internal/experiment/scaletest/hollow/traffic.go
@@ -1,17 +1,18 @@
 package hollow
 
-// HeaderBytes are the headers of a TCP segment over IPv4 as the kernel sends it here: 20 of IP, 20 of TCP and 12
-// of TCP's timestamps. What a link adds is not included (Ethernet: 18, and 20 of preamble and gap).
+// HeaderBytes is the size of the headers of a TCP segment over IPv4 as the kernel sends it: 20 bytes of IP, 20 of TCP
+// and 12 of TCP timestamps. Overhead of the link layer is not included (Ethernet: 18 bytes, plus 20 of preamble and
+// gap).
 const HeaderBytes = 52
 
-// Traffic is what the kernel counts of connections. Bytes are payload, counted again where it is retransmitted;
-// packets are all segments, including those that only acknowledge.
+// Traffic is the traffic of connections as counted by the kernel. Bytes are payload bytes, including retransmitted
+// ones; packets are all segments, including pure acknowledgments.
 type Traffic struct{ BytesOut, BytesIn, PacketsOut, PacketsIn uint64 }
 
-// Packets returns the packets of both directions.
+// Packets returns the number of packets in both directions.
 func (t Traffic) Packets() uint64 { return t.PacketsOut + t.PacketsIn }
 
-// Bytes returns the bytes of both directions, with headers.
+// Bytes returns the number of bytes in both directions, including headers.
 func (t Traffic) Bytes() uint64 { return t.BytesOut + t.BytesIn + HeaderBytes*t.Packets() }
 
 func (t Traffic) plus(other Traffic) Traffic {
@@ -23,8 +24,8 @@
 	}
 }
 
-// since returns the traffic since an earlier count of the same inode. Lower counts are those of a new socket with
-// that inode, all of whose traffic is later.
+// since returns the traffic since an earlier count for the same inode. If the counts are lower, the inode belongs to
+// a new socket, all of whose traffic is later than the earlier count.
 func (t Traffic) since(earlier Traffic) Traffic {
 	isNewSocket := t.PacketsOut < earlier.PacketsOut || t.PacketsIn < earlier.PacketsIn
 	if isNewSocket {
--- a/internal/experiment/scaletest/hollow/usage.go
+++ b/internal/experiment/scaletest/hollow/usage.go
@@ -5,42 +5,42 @@
 	"time"
 )
 
-// Names of metrics that Rates are computed from, without their prefix.
+// Names, without their prefix, of metrics from which Rates are computed.
 const (
 	metricDiskSyncs      = "disk_syncs_total"
 	metricFrameBytesSent = "frame_bytes_sent_total"
 )
 
-// ProcessUsage is what a process has used up to a time.
+// ProcessUsage is the resource usage of a process up to a time.
 type ProcessUsage struct {
 	At         time.Time
-	CPU        time.Duration // since its start
-	Resident   uint64        // bytes
-	Heap       uint64        // bytes, by the process's own report; of a hollow host
-	Goroutines int           // by the process's own report; of a hollow host
-	Conns      int           // ends of open connections between members of the fleet
-	Traffic    Traffic       // of these connections since they were opened
-
-	// Metrics are those of the only member of a process, as in Status.
+	CPU        time.Duration // CPU time since the start of the process
+	Resident   uint64        // resident memory in bytes
+	Heap       uint64        // bytes in use by objects and stacks, as reported by the process; only of a hollow host
+	Goroutines int           // as reported by the process; only of a hollow host
+	Conns      int           // number of ends of open connections to other members of the fleet
+	Traffic    Traffic       // traffic of these connections since they were opened
+
+	// Metrics are the metrics of the process's member if it has only one, as in Status.
 	Metrics map[string]float64
 
-	traffic map[uint32]Traffic // of each of these connections, by the inode of its socket
+	traffic map[uint32]Traffic // traffic of each of these connections, by the inode of its socket
 }
 
-// FleetUsage is what all processes that run have used up to a time, and what the loopback device has carried.
+// FleetUsage is the resource usage of all running processes up to a time, and the traffic of the loopback device.
 type FleetUsage struct {
 	ByProcess      map[*Process]*ProcessUsage
-	Bytes, Packets uint64 // of the loopback device, since the machine's start
+	Bytes, Packets uint64 // traffic of the loopback device since the machine was booted
 
-	traffic map[uint32]Traffic // of all connections of the machine, by the inode of their socket
+	traffic map[uint32]Traffic // traffic of all connections of the machine, by the inode of their socket
 }
 
-// Usage returns the fleet's usage up to now. With own set it includes the processes' own reports and metrics,
-// which cost the processes some work.
+// Usage returns the fleet's usage up to now. If own is set, it includes the processes' own reports and metrics, which
+// cost the processes some CPU time.
 func (f *Fleet) Usage(own bool) (*FleetUsage, error) { return f.usage(own, nil) }
 
-// UsageExcept returns the fleet's usage up to now, with the processes' own reports and metrics but for those of a
-// process that carries out a request and doesn't reply meanwhile.
+// UsageExcept returns the fleet's usage up to now, including the processes' own reports and metrics, except those of
+// a process that is busy with another request and can't reply.
 func (f *Fleet) UsageExcept(busy *Process) (*FleetUsage, error) { return f.usage(true, busy) }
 
 func (f *Fleet) usage(own bool, busy *Process) (*FleetUsage, error) {
@@ -69,7 +69,7 @@
 	return all, nil
 }
 
-// readOwn adds a process's own report, and the metrics of its member if it has only one.
+// readOwn reads a process's own report, and the metrics of its member if it has only one.
 func (u *ProcessUsage) readOwn(p *Process) error {
 	report, err := p.Report()
 	if err != nil {
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// readKernel adds the CPU time and the memory of a process.
+// readKernel reads the CPU time and the memory of a process from the kernel.
 func (u *ProcessUsage) readKernel(pid int) (err error) {
 	if u.CPU, err = cpuTime(pid); err != nil {
 		return err
@@ -102,8 +102,8 @@
 	return nil
 }
 
-// readTraffic adds the traffic of all connections, of the loopback device, and of each process's connections
-// to other members.
+// readTraffic reads the traffic of all connections, of the loopback device, and of each process's connections to
+// other members.
 func (f *Fleet) readTraffic(all *FleetUsage) error {
 	conns, err := listConns()
 	if err != nil {
@@ -112,10 +112,10 @@
 	if all.Bytes, all.Packets, err = Loopback(); err != nil {
 		return err
 	}
-	between := map[uint32]Traffic{} // of connections between members
+	between := map[uint32]Traffic{} // traffic of connections between members
 	for _, c := range conns {
 		if c.inode == 0 {
-			continue // its process has closed it
+			continue // the process has closed the socket
 		}
 		all.traffic[c.inode] = c.Traffic
 		if f.isMember(c.local) || f.isMember(c.remote) {
@@ -140,19 +140,19 @@
 	return nil
 }
 
-// isMember reports whether members of the fleet take connections of others at an address.
+// isMember reports whether a member of the fleet accepts connections from other members at an address.
 func (f *Fleet) isMember(address netip.AddrPort) bool { return f.layout.peers[address] }
 
-// Rates are what a process used between two measurements, a second unless noted.
+// Rates are the resource usage of a process between two measurements, per second unless noted otherwise.
 type Rates struct {
-	CPU            float64       // milliseconds
-	Traffic                      // in the whole span, of connections that are open at its end
+	CPU            float64       // CPU time in milliseconds
+	Traffic                      // total over the whole span, of connections that are open at its end
 	Span           time.Duration // between the measurements
-	DiskSyncs      float64       // fsyncs of the write-ahead log
-	FrameBytesSent float64       // bytes of frames sent, by the process's own metrics
+	DiskSyncs      float64       // number of fsyncs of the write-ahead log
+	FrameBytesSent float64       // bytes of frames sent, from the process's own metrics
 }
 
-// Since returns a process's rates since an earlier measurement.
+// Since returns the rates of a process since an earlier measurement.
 func (u *ProcessUsage) Since(earlier *ProcessUsage) Rates {
 	span := u.At.Sub(earlier.At)
 	seconds := span.Seconds()
@@ -167,10 +167,10 @@
 	return r
 }
 
-// PerSecond returns a count of the span as a rate.
+// PerSecond converts a count over the span to a rate per second.
 func (r Rates) PerSecond(count uint64) float64 { return float64(count) / r.Span.Seconds() }
 
-// SentSince returns the bytes with headers that were sent since an earlier measurement: by the ends of all
+// SentSince returns the bytes, including headers, that were sent since an earlier measurement: by all ends of
 // connections that are open now, and by the loopback device.
 func (u *FleetUsage) SentSince(earlier *FleetUsage) (ends, device uint64) {
 	for inode, traffic := range u.traffic {
--- a/internal/experiment/scaletest/report.go
+++ b/internal/experiment/scaletest/report.go
@@ -9,37 +9,37 @@
 	"text/tabwriter"
 )
 
-// Report is what one part measured.
+// Report is the result of one part of the measurements.
 type Report struct {
 	Part    string   `json:"part"`
-	Command string   `json:"command"` // that measures it again
+	Command string   `json:"command"` // command that repeats the measurement
 	Series  []Series `json:"series"`
 	Breaks  []Break  `json:"breaks,omitempty"`
 	Notes   []string `json:"notes,omitempty"`
 }
 
-// Break is a size at which a line ends, such as at a limit or a full queue.
+// Break is a size from which a line is no longer valid, such as at a limit or with a full queue.
 type Break struct {
-	By    string  `json:"by"`              // what the size counts
-	Size  float64 `json:"size"`            // at which it was seen
-	What  string  `json:"what"`            // what was seen at that size
-	Where string  `json:"where,omitempty"` // file:line or function
+	By    string  `json:"by"`              // what the size counts, in the singular
+	Size  float64 `json:"size"`            // size at which it was observed
+	What  string  `json:"what"`            // what was observed at that size
+	Where string  `json:"where,omitempty"` // cause in the code: file:line or function
 }
 
-// fittedSeries is a series with its fit, or the reason why it has none.
+// fittedSeries is a series with its fit, or with the reason why it can't be fitted.
 type fittedSeries struct {
 	Series
-	Fit     *Fit   `json:"fit,omitempty"`
-	Refused string `json:"refused,omitempty"`
+	Fit      *Fit   `json:"fit,omitempty"`
+	FitError string `json:"refused,omitempty"`
 }
 
-// unknownError is an error in JSON that is not known, as JSON has no infinity.
+// unknownError stands for an undetermined standard error in JSON, which has no infinity.
 const unknownError = -1
 
 func newFittedSeries(s Series) fittedSeries {
 	fit, err := s.Fit()
 	if err != nil {
-		return fittedSeries{Series: s, Refused: err.Error()}
+		return fittedSeries{Series: s, FitError: err.Error()}
 	}
 	if math.IsInf(fit.ExponentError, 0) || math.IsNaN(fit.ExponentError) {
 		fit.ExponentError = unknownError
@@ -47,9 +47,9 @@
 	return fittedSeries{Series: s, Fit: fit}
 }
 
-// MarshalJSON adds the fit to each series.
+// MarshalJSON encodes the report with the fit of each series.
 func (r *Report) MarshalJSON() ([]byte, error) {
-	type plainReport Report // without this method
+	type plainReport Report // has no MarshalJSON method
 	series := []fittedSeries{}
 	for _, s := range r.Series {
 		series = append(series, newFittedSeries(s))
@@ -60,7 +60,7 @@
 	}{(*plainReport)(r), series})
 }
 
-// formatFigure formats a figure with about four significant digits.
+// formatFigure formats a number with about four significant digits.
 func formatFigure(x float64) string {
 	magnitude := math.Abs(x)
 	if x != 0 && (magnitude >= 1e6 || magnitude < 1e-3) {
@@ -74,7 +74,8 @@
 	return strconv.FormatFloat(x, 'f', decimals, 64)
 }
 
-// Table writes reports as text: a line for each series with its fit, its points, and the breaks.
+// Table writes reports as text: for each report a line per series with its fit, a line per series with its points,
+// the breaks and the notes.
 func Table(out io.Writer, reports ...*Report) error {
 	for _, r := range reports {
 		fmt.Fprintf(out, "%s: %s\n", r.Part, r.Command)
@@ -107,7 +108,7 @@
 	return t.Flush()
 }
 
-// targetColumns returns the last two columns of a fit.
+// targetColumns returns the last two columns of a fit, which refer to the target size.
 func (f *Fit) targetColumns(targetSize float64) (reach, atTarget string) {
 	reach = "-"
 	atTarget = "-"
@@ -121,7 +122,7 @@
 	return reach, atTarget
 }
 
-// describeShape is the shape, with the exponent where there is no slope.
+// describeShape returns the shape, with the exponent if the shape has no slope.
 func (f *Fit) describeShape() string {
 	if f.Shape.hasSlope() {
 		return string(f.Shape)
--- a/internal/experiment/scenario/compat_test.go
+++ b/internal/experiment/scenario/compat_test.go
@@ -8,12 +8,12 @@
 	"dunemoor/internal/testutil/compat"
 )
 
-// The keys of scenario files don't change.
+// Every key that a scenario file may have.
 func TestCompatKeys(t *testing.T) {
 	compat.Keys(t, "scenario-keys.txt", "toml", &file{})
 }
 
-// The names that scenario files have as values don't change. Names of idempotency and scope are in the order of the
+// Every name that a scenario file may have as a value. Names of idempotency and scope are in the order of the
 // balancer's constants.
 func TestCompatValues(t *testing.T) {
 	faultKinds := []simulator.FaultKind{
