--- a/internal/experiment/capacity/capacity.go
+++ b/internal/experiment/capacity/capacity.go
@@ -1,5 +1,5 @@
-// Package capacity checks the arithmetic of docs/CAPACITY.md: products of slopes and sizes, what is allowed, and what
-// breaks first. It does no I/O.
+// Package capacity checks the arithmetic of docs/CAPACITY.md: products of slopes and sizes, their comparison with
+// limits, and the order in which limits are reached. It does no I/O.
 package capacity
 
 import (
@@ -7,14 +7,15 @@
 	"math"
 )
 
-// Check evaluates a page again with the slopes as they were measured, and returns what disagrees, a line each.
+// Check recomputes the figures of a page from the measured slopes, and returns a line for each discrepancy.
 //
-// A table with the columns "name" and "value" has inputs. One with "name", "slope" and "intercept" has slopes: each
-// must be a measured one, with its figures ("error", "shape" and "reach" too, where there are such columns). A formula
-// knows a slope by its name, the intercept by name_0, and what was measured at the largest size by name_most; of a
-// slope that is no line it knows the last one alone. A table with "formula" and "product" has products; with "allowed"
-// and "verdict" too, the verdict must be "holds" or "broken" as the product is under or over. One with "formula" and
-// "breaks at" is a ranking: its rows grow.
+// The columns of a table determine how its rows are checked. A table with the columns "name" and "value" contains
+// inputs. A table with "name", "slope" and "intercept" contains slopes: each must have been measured, with the same
+// figures (including "error", "shape" and "reach" if there are such columns). Formulas refer to a slope by its name,
+// to its intercept by name_0, and to the value measured at the largest size by name_most. If the shape is neither a
+// line nor flat, only name_most is defined. A table with "formula" and "product" contains products. If it also has
+// "allowed" and "verdict", the verdict must be "holds" or "broken", depending on whether the product is within the
+// allowed value. A table with "formula" and "breaks at" is a ranking: its values must be in ascending order.
 func Check(page string, measured []Slope) []string {
 	tables, err := Tables(page)
 	if err != nil {
@@ -28,20 +29,20 @@
 		c.table(t)
 	}
 	if c.products == 0 {
-		c.findings = append(c.findings, "the page has no product")
+		c.findings = append(c.findings, "the page contains no product")
 	}
 	return c.findings
 }
 
 // checker is the state of a check.
 type checker struct {
-	figures  map[string]float64 // that formulas know, by name
-	slopes   map[string]Slope   // as measured
+	figures  map[string]float64 // values that formulas can use, by name
+	slopes   map[string]Slope   // measured slopes, by name
 	products int
 	findings []string
 }
 
-// checkedRow is a row under check.
+// checkedRow is a row that is being checked.
 type checkedRow struct {
 	*checker
 	table *Table
@@ -52,7 +53,7 @@
 	r.findings = append(r.findings, fmt.Sprintf("line %d: %s", r.Line, fmt.Sprintf(format, args...)))
 }
 
-// number reads the number in a column.
+// number parses the number in a column.
 func (r *checkedRow) number(column string) float64 {
 	x, err := Number(r.Cells[column])
 	if err != nil {
@@ -61,9 +62,9 @@
 	return x
 }
 
-// table checks the rows of a table by its columns. Other tables are not checked.
+// table checks the rows of a table according to its columns. Tables with other columns are not checked.
 func (c *checker) table(t *Table) {
-	previous := math.Inf(-1) // of a ranking
+	previous := math.Inf(-1) // value of the previous row of a ranking
 	for _, row := range t.Rows {
 		r := &checkedRow{checker: c, table: t, Row: row}
 		switch {
@@ -91,7 +92,7 @@
 	r.measuredFigure(name, "error", s.Error)
 	r.measuredFigure(name, "reach", s.Reach)
 	if r.table.Has("shape") && r.Cells["shape"] != s.Shape {
-		r.errorf("%s: shape %s, measured %s", name, r.Cells["shape"], s.Shape)
+		r.errorf("%s: shape is %s, but %s was measured", name, r.Cells["shape"], s.Shape)
 	}
 	if s.isLine() {
 		r.figures[name] = s.Slope
@@ -100,25 +101,25 @@
 	r.figures[name+"_most"] = s.Largest
 }
 
-// measuredFigure checks a figure of a slope, if the table has the column.
+// measuredFigure compares a figure of a slope with the measured one, if the table has the column.
 func (r *checkedRow) measuredFigure(name, column string, measured float64) {
 	if !r.table.Has(column) {
 		return
 	}
 	if x := r.number(column); !Near(x, measured) {
-		r.errorf("%s: %s %s, measured %.4g", name, column, r.Cells[column], measured)
+		r.errorf("%s: %s is %s, but %.4g was measured", name, column, r.Cells[column], measured)
 	}
 }
 
 func (r *checkedRow) input() {
 	name := r.Cells["name"]
 	if _, exists := r.figures[name]; exists {
-		r.errorf("%s stands twice", name)
+		r.errorf("%s is defined twice", name)
 	}
 	r.figures[name] = r.number("value")
 }
 
-// evaluate evaluates the formula in a column. It returns false where that fails.
+// evaluate evaluates the formula in a column. It returns false if that fails.
 func (r *checkedRow) evaluate(column string) (float64, bool) {
 	x, err := Eval(r.Cells[column], r.figures)
 	if err != nil {
@@ -128,7 +129,7 @@
 	return x, true
 }
 
-// formula checks the result of the row's formula, which is shown in a column.
+// formula checks the value in a column against the result of the row's formula, and returns the result.
 func (r *checkedRow) formula(resultColumn string) (float64, bool) {
 	r.products++
 	x, ok := r.evaluate("formula")
@@ -154,7 +155,7 @@
 	}
 }
 
-// verdict checks whether a product is allowed.
+// verdict checks the verdict of a row against its product and the allowed value.
 func (r *checkedRow) verdict(product float64) {
 	want := "holds"
 	if r.Cells["allowed"] == "-" {
@@ -163,12 +164,13 @@
 		want = "broken"
 	}
 	if got := r.Cells["verdict"]; got != want {
-		r.errorf("%.4g beside %s allowed: %s, not %s", product, r.Cells["allowed"], want, got)
+		r.errorf("%.4g with %s allowed: the verdict must be %s, not %s", product, r.Cells["allowed"], want, got)
 	}
 }
 
-// rank checks that a row of a ranking, by its column "share" if there is one, breaks after the row before. It returns
-// the figure by which the next row is compared.
+// rank checks that the value of a row of a ranking is not less than that of the previous row. The value is the
+// formula in the column "share" if there is one, and otherwise the one in "formula". rank returns the value for the
+// comparison with the next row.
 func (r *checkedRow) rank(previous float64) float64 {
 	x, ok := r.formula("breaks at")
 	if !ok {
@@ -180,7 +182,7 @@
 		}
 	}
 	if x < previous {
-		r.errorf("it breaks before what stands above it")
+		r.errorf("its value is less than that of the row above it")
 	}
 	return x
 }
--- a/internal/experiment/capacity/capacity_test.go
+++ b/internal/experiment/capacity/capacity_test.go
@@ -31,10 +31,10 @@
 
 var measured = []Slope{{Name: "mesh", Slope: 210.4, Error: 7.4, Intercept: 4380, Shape: "line", Reach: 65.3, Largest: 16410}}
 
-// Each kind of error in a correct page is reported with its line.
+// Each kind of error that is introduced into a correct page is reported with its line.
 func TestCheckReportsEachKindOfError(t *testing.T) {
 	if findings := Check(page, measured); len(findings) > 0 {
-		t.Fatalf("correct page: got %q, want nothing", findings)
+		t.Fatalf("correct page: got findings %q, want none", findings)
 	}
 	for _, c := range []struct{ name, old, new, want string }{
 		{"slope", "| mesh | 210 |", "| mesh | 180 |", "line 9: mesh: slope"},
@@ -45,19 +45,19 @@
 		{"not measured", "| mesh | 210", "| web | 210", "line 9: web was not measured"},
 		{"product", "| 991 k | 3 k", "| 91 k | 3 k", "line 13: mesh_0 + mesh*gateways is"},
 		{"input", "| 4,700 |", "| 470 |", "line 13: "},
-		{"verdict", "**broken**", "holds", "line 13: 9.933e+05 beside 3 k allowed: broken, not holds"},
-		{"verdict of what holds", "| 400 | 3 k | holds", "| 400 | 3 k | broken", "line 14: 400 beside 3 k allowed: holds, not broken"},
-		{"unknown name", "2*200", "2*streams", "line 14: streams is no figure of the page"},
-		{"no formula", "2*200", "2*", `line 14: "2*" is no formula`},
-		{"a call", "2*200", "f(2)", "line 14: a formula has"},
-		{"no figure", "| 400 |", "| four |", `line 14: product: "four" is no figure`},
+		{"verdict", "**broken**", "holds", "line 13: 9.933e+05 with 3 k allowed: the verdict must be broken, not holds"},
+		{"verdict of what holds", "| 400 | 3 k | holds", "| 400 | 3 k | broken", "line 14: 400 with 3 k allowed: the verdict must be holds, not broken"},
+		{"unknown name", "2*200", "2*streams", "line 14: streams is not defined on the page"},
+		{"no formula", "2*200", "2*", `line 14: "2*" is not a valid formula`},
+		{"a call", "2*200", "f(2)", "line 14: a formula may only have"},
+		{"no figure", "| 400 |", "| four |", `line 14: product: "four" is not a number`},
 		{"order", "total/1000", "total/1000000", "line 19: "},
-		{"cells", "| 2*200 |", "| 2 | 200 |", "line 14: 7 cells under 6 heads"},
-		{"twice", "| allowed | 3 k", "| gateways | 3 k", "line 5: gateways stands twice"},
+		{"cells", "| 2*200 |", "| 2 | 200 |", "line 14: 7 cells in a table with 6 columns"},
+		{"twice", "| allowed | 3 k", "| gateways | 3 k", "line 5: gateways is defined twice"},
 	} {
 		changed := strings.Replace(page, c.old, c.new, 1)
 		if changed == page {
-			t.Fatalf("%s: got no change of the page", c.name)
+			t.Fatalf("%s: the page doesn't contain the text to replace", c.name)
 		}
 		if findings := strings.Join(Check(changed, measured), "\n"); !strings.Contains(findings, c.want) {
 			t.Errorf("%s: got %q, want %q", c.name, findings, c.want)
@@ -65,15 +65,15 @@
 	}
 	curved := []Slope{measured[0]}
 	curved[0].Shape = "power"
-	if findings := strings.Join(Check(strings.Replace(page, "| line |", "| power |", 1), curved), "\n"); !strings.Contains(findings, "line 13: mesh_0 is no figure of the page") {
-		t.Errorf("product of a slope that is no line: got %q", findings)
+	if findings := strings.Join(Check(strings.Replace(page, "| line |", "| power |", 1), curved), "\n"); !strings.Contains(findings, "line 13: mesh_0 is not defined on the page") {
+		t.Errorf("product of a slope that is not a line: got %q, want an undefined name", findings)
 	}
 	if findings := Check("no table\n", nil); len(findings) != 1 {
 		t.Errorf("page without a product: got %q, want one finding", findings)
 	}
 }
 
-// A report is read as slopes with names for formulas.
+// ParseReport returns slopes with names that can be used in formulas.
 func TestParseReport(t *testing.T) {
 	list, err := ParseReport([]byte(`[{"part": "mesh-real", "series": [
 		{"name": "member", "unit": "bytes/s", "points": [{"size": 80, "value": 7}, {"size": 8, "value": 1}],
@@ -87,11 +87,11 @@
 		t.Errorf("got %+v, error %v, want %+v", list, err, want)
 	}
 	if _, err := ParseReport([]byte("{")); err == nil {
-		t.Error("truncated report: got no error")
+		t.Error("truncated report: got no error, want one")
 	}
 }
 
-// docs/CAPACITY.md agrees with itself and with the reports beside it.
+// The figures of docs/CAPACITY.md are consistent with each other and with the reports in docs/capacity.
 func TestCapacityPage(t *testing.T) {
 	const docs = "../../../docs"
 	text, err := os.ReadFile(filepath.Join(docs, "CAPACITY.md"))
--- a/internal/experiment/capacity/formula.go
+++ b/internal/experiment/capacity/formula.go
@@ -10,14 +10,14 @@
 	"strconv"
 )
 
-// errUnsupported is the error of a formula with anything else.
-var errUnsupported = errors.New("a formula has numbers, names, + - * / and brackets")
+// errUnsupported is the error for a formula with any other element.
+var errUnsupported = errors.New("a formula may only have numbers, names, + - * / and parentheses")
 
-// Eval evaluates a formula: numbers, names of figures, + - * / and parentheses, as in Go.
+// Eval evaluates a formula in Go syntax, which may contain numbers, names of figures, + - * / and parentheses.
 func Eval(formula string, figures map[string]float64) (float64, error) {
 	expression, err := parser.ParseExpr(formula)
 	if err != nil {
-		return 0, fmt.Errorf("%q is no formula", formula)
+		return 0, fmt.Errorf("%q is not a valid formula", formula)
 	}
 	return evalExpression(expression, figures)
 }
@@ -26,13 +26,13 @@
 	switch e := e.(type) {
 	case *ast.BasicLit:
 		if e.Kind != token.INT && e.Kind != token.FLOAT {
-			return 0, fmt.Errorf("%s is no number", e.Value)
+			return 0, fmt.Errorf("%s is not a number", e.Value)
 		}
 		return strconv.ParseFloat(e.Value, 64)
 	case *ast.Ident:
 		x, ok := figures[e.Name]
 		if !ok {
-			return 0, fmt.Errorf("%s is no figure of the page", e.Name)
+			return 0, fmt.Errorf("%s is not defined on the page", e.Name)
 		}
 		return x, nil
 	case *ast.ParenExpr:
@@ -66,13 +66,13 @@
 }
 
 const (
-	// roundingTolerance is the relative difference that rounding may make between a figure and what is shown.
+	// roundingTolerance is the maximum relative difference between a value and its rounded form on the page.
 	roundingTolerance = 0.03
-	// absoluteTolerance is for figures that are zero.
+	// absoluteTolerance is the maximum absolute difference for values of zero.
 	absoluteTolerance = 1e-12
 )
 
-// Near reports whether a shown figure is an exact one, rounded.
+// Near reports whether a shown value equals an exact one up to rounding.
 func Near(shown, exact float64) bool {
 	return math.Abs(shown-exact) <= roundingTolerance*math.Abs(exact)+absoluteTolerance
 }
--- a/internal/experiment/capacity/slope.go
+++ b/internal/experiment/capacity/slope.go
@@ -7,18 +7,18 @@
 	"unicode"
 )
 
-// Slope is what was measured of a part by its size, and the line through it.
+// Slope is the line through a measured series, with the value measured at the largest size.
 type Slope struct {
 	Name      string
 	Slope     float64
 	Error     float64 // standard error of Slope
 	Intercept float64
-	Shape     string  // shapeLine, shapeFlat, or another one that is no line
+	Shape     string  // shapeLine, shapeFlat, or a shape for which the slope can't be used
 	Reach     float64 // target size as a multiple of the largest measured one
-	Largest   float64 // measured at the largest size
+	Largest   float64 // value measured at the largest size
 }
 
-// Shapes with which Slope and Intercept can be used in formulas.
+// Shapes for which Slope and Intercept can be used in formulas.
 const (
 	shapeLine = "line"
 	shapeFlat = "flat"
@@ -28,7 +28,7 @@
 
 func (s *Slope) isLine() bool { return s.Shape == shapeLine || s.Shape == shapeFlat }
 
-// report is what "experiment scale --json" writes.
+// report is the JSON document that "experiment scale --json" writes.
 type report []struct {
 	Part   string         `json:"part"`
 	Series []reportSeries `json:"series"`
@@ -54,8 +54,9 @@
 	Reach     float64 `json:"reach"`
 }
 
-// ParseReport reads what "experiment scale --json" wrote. The name of a slope is made of part, series and unit, in
-// lower case and with _ for anything but letters and digits, such as mesh_member_bytes_s.
+// ParseReport parses the output of "experiment scale --json". The name of a slope consists of the part, the series
+// and the unit, in lower case, joined by _, which also replaces any sequence of characters other than letters and
+// digits, as in mesh_member_bytes_s.
 func ParseReport(text []byte) ([]Slope, error) {
 	var parts report
 	if err := json.Unmarshal(text, &parts); err != nil {
@@ -89,7 +90,7 @@
 	return slope
 }
 
-// formulaName makes a name for formulas.
+// formulaName converts a text to a name for formulas.
 func formulaName(text string) string {
 	isSeparator := func(r rune) bool { return !unicode.IsLetter(r) && !unicode.IsDigit(r) }
 	return strings.Join(strings.FieldsFunc(strings.ToLower(text), isSeparator), "_")
--- a/internal/experiment/capacity/table.go
+++ b/internal/experiment/capacity/table.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Table is a table of a page. Columns are its heads in lower case.
+// Table is a table of a page. Columns has the texts of its header row in lower case.
 type Table struct {
 	Columns []string
 	Rows    []Row
@@ -15,15 +15,15 @@
 
 // Row is a line of a table.
 type Row struct {
-	Line  int               // in the page, from 1
+	Line  int               // line number on the page, starting at 1
 	Cells map[string]string // by column
 }
 
-// Tables reads the tables of a page in Markdown. A row with more or fewer cells than its head is an error that names
-// its line.
+// Tables parses the tables of a Markdown page. If a row has more or fewer cells than the header row, it returns an
+// error with the line number.
 func Tables(page string) ([]*Table, error) {
 	var tables []*Table
-	var current *Table // nil: the line before was in no table
+	var current *Table // nil: the previous line was not part of a table
 	for i, line := range strings.Split(page, "\n") {
 		line = strings.TrimSpace(line)
 		if !strings.HasPrefix(line, "|") {
@@ -38,7 +38,7 @@
 			tables = append(tables, current)
 		case isSeparator:
 		case len(cells) != len(current.Columns):
-			return nil, fmt.Errorf("line %d: %d cells under %d heads", i+1, len(cells), len(current.Columns))
+			return nil, fmt.Errorf("line %d: %d cells in a table with %d columns", i+1, len(cells), len(current.Columns))
 		default:
 			current.Rows = append(current.Rows, current.newRow(i+1, cells))
 		}
@@ -62,7 +62,7 @@
 	return t
 }
 
-// newRow returns a row without the marks of code and of bold text.
+// newRow returns a row with the Markdown markup for code and bold text removed from its cells.
 func (t *Table) newRow(line int, cells []string) Row {
 	r := Row{Line: line, Cells: map[string]string{}}
 	for i, cell := range cells {
@@ -72,7 +72,7 @@
 	return r
 }
 
-// Has reports whether a table has all of these columns.
+// Has reports whether a table has all of the given columns.
 func (t *Table) Has(columns ...string) bool {
 	for _, column := range columns {
 		if !slices.Contains(t.Columns, column) {
@@ -82,10 +82,10 @@
 	return true
 }
 
-// numberSuffixes are the factors of the letters after a number.
+// numberSuffixes are the factors of the suffixes of numbers.
 var numberSuffixes = map[byte]float64{'k': 1e3, 'M': 1e6, 'G': 1e9}
 
-// Number reads a number of a page, such as "4,700", "0.36", "3 k" or "15M".
+// Number parses a number of a page, such as "4,700", "0.36", "3 k" or "15M".
 func Number(text string) (float64, error) {
 	digits := strings.NewReplacer(",", "", " ", "", "~", "").Replace(text)
 	factor := 1.0
@@ -97,7 +97,7 @@
 	}
 	x, err := strconv.ParseFloat(digits, 64)
 	if err != nil {
-		return 0, fmt.Errorf("%q is no figure", text)
+		return 0, fmt.Errorf("%q is not a number", text)
 	}
 	return x * factor, nil
 }
