--- a/cmd/experiment/experiment_test.go
+++ b/cmd/experiment/experiment_test.go
@@ -10,14 +10,15 @@
 	"testing"
 )
 
-// runCommandLine runs a command line and returns what it prints.
+// runCommandLine executes a command line and returns its output.
 func runCommandLine(args ...string) (string, error) {
 	var out bytes.Buffer
 	err := executeCommandLine(&out, &out, args...)
 	return out.String(), err
 }
 
-// executeCommandLine executes a command line, which writes its results to stdout, and errors and progress to stderr.
+// executeCommandLine executes a command line. The command writes results to stdout, and errors and progress to
+// stderr.
 func executeCommandLine(stdout, stderr io.Writer, args ...string) error {
 	cmd := rootCommand()
 	cmd.SetOut(stdout)
@@ -28,7 +29,8 @@
 
 const calm = "../../scenarios/calm.toml"
 
-// run prints a line of JSON for each run, and fails where an expectation is missed or a flag or a file is invalid.
+// The command run prints a line of JSON for each run. It fails if an expectation isn't met, or if a flag or a file is
+// invalid.
 func TestRunCommand(t *testing.T) {
 	out, err := runCommandLine("run", calm, "--set", "length=5s", "--seeds", "2", "--json")
 	if err != nil {
@@ -44,10 +46,10 @@
 			t.Errorf("line %d: got %s, error %v, want the run of seed %d", i, line, err, i+1)
 		}
 	}
-	// Scripts rely on the exit code.
+	// Scripts rely on the exit code for expectations that aren't met.
 	out, err = runCommandLine("run", calm, "--set", "length=5s", "--set", "load=3")
 	if err == nil || !strings.Contains(out, "expected") {
-		t.Errorf("three times the load: got error %v and\n%s\nwant a missed expectation", err, out)
+		t.Errorf("three times the load: got error %v and\n%s\nwant an expectation that isn't met", err, out)
 	}
 	for _, args := range [][]string{
 		{"run", calm, "--set", "speed=1"}, {"run", calm, "--set", "hosts=many"}, {"run", calm, "--set", "hosts=0"}, {"run", "none.toml"},
@@ -66,7 +68,7 @@
 	}
 }
 
-// sweep prints a row for each value.
+// The command sweep prints a row for each value of the setting.
 func TestSweepVariesASetting(t *testing.T) {
 	out, err := runCommandLine("sweep", calm, "--vary", "gateways=1,3", "--set", "length=3s", "--seeds", "1")
 	if err != nil || !strings.Contains(out, "gateways=1") || !strings.Contains(out, "gateways=3") {
@@ -74,8 +76,8 @@
 	}
 }
 
-// The same on both sides is no difference; an overload is one.
-func TestCompareTellsOverloadFromChance(t *testing.T) {
+// The command compare reports no difference between identical sides, and a difference if one side is overloaded.
+func TestCompareDistinguishesOverloadFromChance(t *testing.T) {
 	out, err := runCommandLine("compare", calm, "--a", "length=3s", "--b", "length=3s", "--seeds", "5")
 	if err != nil || !strings.Contains(out, "no difference seen") {
 		t.Errorf("got error %v and\n%s", err, out)
@@ -86,10 +88,10 @@
 	}
 }
 
-// The confidence interval is about the mean, and as wide as the differences vary.
+// The confidence interval contains the mean, and its width corresponds to the variation of the differences.
 func TestConfidenceIntervalContainsTheMean(t *testing.T) {
 	mean, low, high := confidenceInterval([]float64{1, 2, 3, 4, 5, 6, 7, 8, 9}, 1)
-	// By the normal approximation it is 5 ± 1.96 x 2.58/3, from 3.3 to 6.7.
+	// The normal approximation of the interval is 5 ± 1.96 x 2.58/3, from 3.3 to 6.7.
 	if mean != 5 || low < 3 || low > 3.7 || high < 6.3 || high > 7 {
 		t.Errorf("got mean %v, interval %v to %v", mean, low, high)
 	}
@@ -98,7 +100,7 @@
 	}
 }
 
-// The page refers to nothing outside itself, has all plots and causes, and escapes the texts of a scenario.
+// The page loads nothing from other files or hosts, has all plots and causes, and escapes the texts of a scenario.
 func TestReportCommand(t *testing.T) {
 	text, err := os.ReadFile(calm)
 	if err != nil {
@@ -127,14 +129,14 @@
 	}
 }
 
-// A search prints its findings and writes them as scenarios that meet their expectations. The same seed finds the same,
-// on any number of cores. "search" is an alias of "hunt".
+// A search prints its findings and writes them as scenarios that meet their expectations. The same seed gives the
+// same findings, on any number of cores. "search" is an alias of "hunt".
 func TestSearchCommand(t *testing.T) {
 	args := []string{"hunt", calm, "--runs", "48", "--seed", "4", "--length", "8s", "--hosts", "8", "--gateways", "4", "--finds", "2"}
 	var printed []string
 	dir := t.TempDir()
 	for range 2 {
-		var stdout, stderr bytes.Buffer // of which stderr has the progress after some seconds
+		var stdout, stderr bytes.Buffer // stderr has progress messages if the search takes longer than progressInterval
 		if err := executeCommandLine(&stdout, &stderr, append(args, "--out", dir)...); err != nil {
 			t.Fatal(stdout.String(), stderr.String(), err)
 		}
--- a/cmd/experiment/fleet.go
+++ b/cmd/experiment/fleet.go
@@ -12,12 +12,13 @@
 	"dunemoor/internal/experiment/faulttest"
 )
 
-// maxConvergeTime is how long a fleet of processes may take to converge.
+// maxConvergeTime is the maximum time in which a fleet of processes must converge.
 const maxConvergeTime = 2 * time.Minute
 
-// fleetCommand runs fleets of gateways under faults: in virtual time, or as processes.
+// fleetCommand returns the command fleet. Its subcommands run fleets of gateways under faults, in virtual time or as
+// processes.
 func fleetCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "fleet", Short: "Play fleets of gateways under faults: in virtual time, or as processes of the program"}
+	cmd := &cobra.Command{Use: "fleet", Short: "Run fleets of gateways under faults, in virtual time or as processes of the program"}
 	cmd.AddCommand(
 		fleetSimCommand(),
 		fleetCostCommand(),
@@ -30,7 +31,7 @@
 	return cmd
 }
 
-// startFleet starts a fleet of processes and waits until it has converged. The caller closes it.
+// startFleet starts a fleet of processes and waits until it has converged. The caller must close the fleet.
 func startFleet(ctx context.Context, o faulttest.Options) (*faulttest.Fleet, error) {
 	if err := os.MkdirAll(o.Dir, 0o700); err != nil {
 		return nil, err
--- a/cmd/experiment/fleet_failpoints.go
+++ b/cmd/experiment/fleet_failpoints.go
@@ -10,7 +10,8 @@
 	"dunemoor/internal/experiment/faulttest"
 )
 
-// fleetFailpointsCommand enables failpoints one at a time among processes, and prints which violation each has.
+// fleetFailpointsCommand returns the command guards. It enables failpoints one at a time in a fleet of processes, and
+// prints the violation that each causes.
 func fleetFailpointsCommand() *cobra.Command {
 	var program, dir string
 	cmd := &cobra.Command{
@@ -35,12 +36,13 @@
 			return errors.Join(errs...)
 		},
 	}
-	cmd.Flags().StringVar(&program, "bin", "bin/planted", "the program, built with -tags failpoints")
-	cmd.Flags().StringVar(&dir, "dir", "fleet-guards", "where files, disks, logs and histories are kept")
+	cmd.Flags().StringVar(&program, "bin", "bin/planted", "path of the program, built with -tags failpoints")
+	cmd.Flags().StringVar(&dir, "dir", "fleet-guards", "directory of files, disks, logs and histories")
 	return cmd
 }
 
-// runFaultCase runs a fault case with a failpoint enabled, or with none.
+// runFaultCase runs a fault case with a failpoint enabled, or without one if failpoint is empty. It returns the
+// violation that was found, or "".
 func runFaultCase(cmd *cobra.Command, c *faulttest.FaultCase, failpoint, program, dir string) (string, error) {
 	f, err := startFleet(cmd.Context(), faulttest.Options{
 		Program: program, Dir: dir, Gateways: 3, Replicas: 3, Hosts: 1, Seed: 9, Env: []string{"DUNEMOOR_FAILPOINT=" + failpoint},
@@ -57,7 +59,7 @@
 	return c.Run(f)
 }
 
-// restartWithClockOffset restarts a fleet with a program whose wall clock has an offset.
+// restartWithClockOffset restarts the gateways of a fleet with a build of the program whose wall clock has an offset.
 func restartWithClockOffset(cmd *cobra.Command, f *faulttest.Fleet) error {
 	program, err := faulttest.BuildWithClockOffset(f.Dir)
 	if err != nil {
--- a/cmd/experiment/fleet_run.go
+++ b/cmd/experiment/fleet_run.go
@@ -13,7 +13,7 @@
 	"dunemoor/internal/experiment/faulttest"
 )
 
-// runOptions are the flags of the command fleet run.
+// runOptions are the flags of the command "fleet run".
 type runOptions struct {
 	program   string
 	dir       string
@@ -23,13 +23,14 @@
 	faultTime time.Duration
 }
 
-// fleetRunCommand injects faults into a fleet of processes, by a file or by a seed.
+// fleetRunCommand returns the command run. It injects faults into a fleet of processes, from a plan file or drawn by
+// a seed.
 func fleetRunCommand() *cobra.Command {
 	var o runOptions
 	cmd := &cobra.Command{
 		Use:   "run [FILE]",
 		Args:  cobra.MaximumNArgs(1),
-		Short: "Put faults into a fleet of processes on loopback, by a file (TOML) or a seed, and check what they did",
+		Short: "Inject faults into a fleet of processes on loopback, from a TOML file or drawn by a seed, and check its history",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			planFile := ""
 			if len(args) > 0 {
@@ -39,12 +40,12 @@
 		},
 	}
 	f := cmd.Flags()
-	f.StringVar(&o.program, "bin", "bin/dunemoor", "the program")
-	f.StringVar(&o.dir, "dir", "fleet-run", "where files, disks, logs and the history are kept")
+	f.StringVar(&o.program, "bin", "bin/dunemoor", "path of the program")
+	f.StringVar(&o.dir, "dir", "fleet-run", "directory of files, disks, logs and the history")
 	f.IntVar(&o.gateways, "gateways", 5, "processes")
-	f.IntVar(&o.replicas, "keepers", 3, "how many of them are replicas")
-	f.Uint64Var(&o.seed, "seed", 1, "faults are drawn by it, without a file")
-	f.DurationVar(&o.faultTime, "for", 30*time.Second, "how long faults are injected, without a file")
+	f.IntVar(&o.replicas, "keepers", 3, "number of processes that are replicas")
+	f.Uint64Var(&o.seed, "seed", 1, "seed from which faults are drawn if there is no FILE")
+	f.DurationVar(&o.faultTime, "for", 30*time.Second, "how long faults are injected if there is no FILE")
 	return cmd
 }
 
@@ -68,13 +69,13 @@
 		fmt.Fprintln(out, violation)
 	}
 	if len(violations) > 0 {
-		return fmt.Errorf("seed %d: %d things that must never be; the history is %s", plan.Seed, len(violations), filepath.Join(f.Dir, "history.jsonl"))
+		return fmt.Errorf("seed %d: %d violations; the history is %s", plan.Seed, len(violations), filepath.Join(f.Dir, "history.jsonl"))
 	}
-	fmt.Fprintf(out, "seed %d: %d faults, %d events, nothing that must not be; whole at the end\n", plan.Seed, len(plan.Faults), len(f.History.Events()))
+	fmt.Fprintf(out, "seed %d: %d faults, %d events, no violations; the fleet converged at the end\n", plan.Seed, len(plan.Faults), len(f.History.Events()))
 	return nil
 }
 
-// plan reads the plan of a file, or draws one where there is none.
+// plan reads the plan from a file, or draws one from the seed if there is no file.
 func (o *runOptions) plan(f *faulttest.Fleet, file string) (*faulttest.Plan, error) {
 	if file != "" {
 		return faulttest.ReadPlan(file)
@@ -86,7 +87,7 @@
 	return faulttest.DrawPlan(o.seed, o.faultTime, names), nil
 }
 
-// fleetIdleCommand prints what processes use when nothing happens.
+// fleetIdleCommand returns the command idle. It prints the resource usage of processes of a fleet at rest.
 func fleetIdleCommand() *cobra.Command {
 	var program, dir string
 	var sizes []int
@@ -95,7 +96,7 @@
 	cmd := &cobra.Command{
 		Use:   "idle",
 		Args:  cobra.NoArgs,
-		Short: "What processes of the program use on loopback when nothing happens, by the size of their fleet",
+		Short: "Measure the resource usage of processes of the program at rest, by the size of their fleet",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			t := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', tabwriter.AlignRight)
 			fmt.Fprintln(t, "gateways\tkeepers\trole\twatches open\tbegun\tframes/s\tbytes/s\tCPU ms/s\tmemory MB\tfsyncs/s\t")
@@ -110,15 +111,15 @@
 		},
 	}
 	f := cmd.Flags()
-	f.StringVar(&program, "bin", "bin/dunemoor", "the program")
-	f.StringVar(&dir, "dir", "fleet-idle", "where files, disks and logs are kept")
-	f.IntSliceVar(&sizes, "gateways", []int{3, 9, 48}, "sizes")
-	f.IntVar(&replicas, "keepers", 5, "replicas")
-	f.DurationVar(&span, "for", 20*time.Second, "how long is counted")
+	f.StringVar(&program, "bin", "bin/dunemoor", "path of the program")
+	f.StringVar(&dir, "dir", "fleet-idle", "directory of files, disks and logs")
+	f.IntSliceVar(&sizes, "gateways", []int{3, 9, 48}, "numbers of gateways")
+	f.IntVar(&replicas, "keepers", 5, "number of replicas")
+	f.DurationVar(&span, "for", 20*time.Second, "how long the usage is measured")
 	return cmd
 }
 
-// idleMeasurement measures a fleet of a size at rest.
+// idleMeasurement is a measurement of a fleet of one size at rest.
 type idleMeasurement struct {
 	size     int
 	replicas int
@@ -126,13 +127,13 @@
 	fleet    *faulttest.Fleet
 }
 
-// Roles of gateways, as reports and tables name them.
+// Roles of gateways, by their names in reports and tables.
 const (
 	roleLeader  = "leader"
-	roleReplica = "keeper"  // other than the leader
-	roleMember  = "member"  // without a replica, in a fleet without relays
-	roleRelay   = "relay"   // without a replica
-	roleGateway = "gateway" // with a stream to a relay
+	roleReplica = "keeper"  // replica other than the leader
+	roleMember  = "member"  // gateway without a replica, in a fleet without relays
+	roleRelay   = "relay"   // relay without a replica
+	roleGateway = "gateway" // gateway with a stream to a relay
 )
 
 func (m *idleMeasurement) run(ctx context.Context, out io.Writer, program, dir string) error {
@@ -144,7 +145,7 @@
 	}
 	defer fleet.Close()
 	m.fleet = fleet
-	time.Sleep(m.span / 4) // the cost of the start is over
+	time.Sleep(m.span / 4) // wait until the start no longer affects the usage
 	first, err := m.metrics()
 	if err != nil {
 		return err
@@ -206,12 +207,12 @@
 	}
 }
 
-// fleetCheckCommand checks the file of a history.
+// fleetCheckCommand returns the command check, which checks a history file for violations.
 func fleetCheckCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check HISTORY",
 		Args:  cobra.ExactArgs(1),
-		Short: "Check the history of a run again",
+		Short: "Check the history of an earlier run",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			events, err := faulttest.ReadHistory(args[0])
 			if err != nil {
@@ -222,9 +223,9 @@
 				fmt.Fprintln(cmd.OutOrStdout(), violation)
 			}
 			if len(violations) > 0 {
-				return fmt.Errorf("%s: %d things that must never be", args[0], len(violations))
+				return fmt.Errorf("%s: %d violations", args[0], len(violations))
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%d events, nothing that must not be\n", len(events))
+			fmt.Fprintf(cmd.OutOrStdout(), "%d events, no violations\n", len(events))
 			return nil
 		},
 	}
--- a/cmd/experiment/fleet_sim.go
+++ b/cmd/experiment/fleet_sim.go
@@ -18,10 +18,10 @@
 	"dunemoor/internal/cluster/sim"
 )
 
-// gcPercent makes garbage collection rarer: simulated fleets are small and many.
+// gcPercent makes garbage collection less frequent, because simulated fleets are small and there are many of them.
 const gcPercent = 400
 
-// Names of simulated scenarios, as values of --story.
+// Names of simulated scenarios: the values of --story.
 const (
 	simMixed     = "mixed"
 	simFlicker   = "flicker"
@@ -34,27 +34,27 @@
 
 var simScenarios = []string{simMixed, simFlicker, simCalm, simPutBack, simOverrides, simLate, simRelays}
 
-// simOptions are the flags of the command sim.
+// simOptions are the flags of the command "fleet sim".
 type simOptions struct {
 	firstSeed uint64
 	seeds     int
 	scenario  string
-	gateways  int // 0: by the seed
+	gateways  int // number of gateways in each fleet; 0: drawn from the seed
 	replicas  int
 	leases    int
-	faultTime time.Duration // virtual
+	faultTime time.Duration // in virtual time
 }
 
-// fleetSimCommand runs seeds in virtual time.
+// fleetSimCommand returns the command sim, which runs simulated fleets with a sequence of seeds in virtual time.
 func fleetSimCommand() *cobra.Command {
 	var o simOptions
 	cmd := &cobra.Command{
 		Use:   "sim",
 		Args:  cobra.NoArgs,
-		Short: "Play seeds in virtual time, with whatever faults each draws; the first that breaks an invariant ends it",
+		Short: "Simulate fleets in virtual time with a sequence of seeds, which determine the faults, until one violates an invariant",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if !slices.Contains(simScenarios, o.scenario) {
-				return fmt.Errorf("--story: %q is none of %s", o.scenario, strings.Join(simScenarios, ", "))
+				return fmt.Errorf("--story: %q is not one of %s", o.scenario, strings.Join(simScenarios, ", "))
 			}
 			debug.SetGCPercent(gcPercent)
 			return o.run(cmd.OutOrStdout())
@@ -62,16 +62,16 @@
 	}
 	f := cmd.Flags()
 	f.Uint64Var(&o.firstSeed, "seed", 1, "the first seed")
-	f.IntVar(&o.seeds, "seeds", 1000, "how many seeds")
+	f.IntVar(&o.seeds, "seeds", 1000, "number of seeds")
 	f.StringVar(&o.scenario, "story", simScenarios[0], "the scenario: "+strings.Join(simScenarios, ", "))
-	f.IntVar(&o.gateways, "gateways", 0, "gateways in each fleet; 0: 3, 5 or 9 by the seed")
-	f.IntVar(&o.replicas, "keepers", 3, "how many of them are replicas, with --gateways")
-	f.IntVar(&o.leases, "duties", 6, "leases, with --gateways")
+	f.IntVar(&o.gateways, "gateways", 0, "number of gateways in each fleet; 0: 3, 5 or 9, depending on the seed")
+	f.IntVar(&o.replicas, "keepers", 3, "number of gateways that are replicas, with --gateways")
+	f.IntVar(&o.leases, "duties", 6, "number of leases, with --gateways")
 	f.DurationVar(&o.faultTime, "for", 30*time.Second, "how long faults are injected, in virtual time")
 	return cmd
 }
 
-// run runs the seeds on all cores until one fails.
+// run runs the seeds on all cores until all have passed or one fails.
 func (o *simOptions) run(out io.Writer) error {
 	start := time.Now()
 	var played, commands atomic.Int64
@@ -85,7 +85,7 @@
 				if err != nil {
 					select {
 					case failures <- err:
-					default: // another one is reported
+					default: // an earlier failure is reported
 					}
 					return
 				}
@@ -118,7 +118,8 @@
 	return nil
 }
 
-// runSeed runs a seed. It returns the number of commands of clients, which only the mixed scenario counts.
+// runSeed runs the scenario with a seed. It returns the number of commands of clients, which only the mixed scenario
+// counts.
 func (o *simOptions) runSeed(seed uint64) (commands int, err error) {
 	switch o.scenario {
 	case simCalm:
@@ -147,10 +148,10 @@
 	return world.Commands(), nil
 }
 
-// costColumns is the head of the table of the command cost.
+// costColumns is the header row of the table of the command cost.
 const costColumns = "gateways\tkeepers\tduties\tformed s\teven s\tleader frames/s\tbytes/s\tkeeper frames/s\tbytes/s\tmember frames/s\tbytes/s\tnext leader s\tduties owned s\tbusiest frames/s\tcalm\tlapsed\t"
 
-// fleetCostCommand prints what a fleet sends, by its size.
+// fleetCostCommand returns the command cost. It prints the traffic of simulated fleets by their size.
 func fleetCostCommand() *cobra.Command {
 	var sizes []int
 	var replicas, leases int
@@ -158,7 +159,7 @@
 	cmd := &cobra.Command{
 		Use:   "cost",
 		Args:  cobra.NoArgs,
-		Short: "What fleets of several sizes send when nothing happens, and what the death of the leader takes; in virtual time",
+		Short: "Measure the traffic of fleets of several sizes at rest, and the recovery from the death of the leader, in virtual time",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			t := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', tabwriter.AlignRight)
 			fmt.Fprintln(t, costColumns)
@@ -177,9 +178,9 @@
 		},
 	}
 	f := cmd.Flags()
-	f.IntSliceVar(&sizes, "gateways", []int{3, 9, 48, 300}, "sizes")
-	f.IntVar(&replicas, "keepers", 5, "replicas")
-	f.IntVar(&leases, "duties", 500, "leases")
+	f.IntSliceVar(&sizes, "gateways", []int{3, 9, 48, 300}, "numbers of gateways")
+	f.IntVar(&replicas, "keepers", 5, "number of replicas")
+	f.IntVar(&leases, "duties", 500, "number of leases")
 	f.Uint64Var(&seed, "seed", 1, "the seed")
 	return cmd
 }
--- a/cmd/experiment/fleet_transfers.go
+++ b/cmd/experiment/fleet_transfers.go
@@ -20,37 +20,38 @@
 // transferredLease is the lease whose transfers are measured.
 const transferredLease = "list/calendar"
 
-// transferOptions are the flags of the command hands.
+// transferOptions are the flags of the command "fleet hands".
 type transferOptions struct {
 	program  string
 	dir      string
-	rounds   int // for each cause, over all fleets
+	rounds   int // transfers for each cause, summed over all fleets
 	fleets   int
 	gateways int
 	replicas int
 	causes   []string
 }
 
-// fleetTransfersCommand transfers a lease among processes, and prints how long it had no holder.
+// fleetTransfersCommand returns the command hands. It transfers a lease between processes, and prints how long the
+// lease had no holder.
 func fleetTransfersCommand() *cobra.Command {
 	var o transferOptions
 	cmd := &cobra.Command{
 		Use:     "hands",
 		Aliases: []string{"transfers"},
 		Args:    cobra.NoArgs,
-		Short:   "Transfer a lease among processes on loopback under load, for each cause; how long it had no holder",
+		Short:   "Transfer a lease between processes on loopback under load, for each cause, and measure how long it has no holder",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return o.run(cmd.Context(), cmd.OutOrStdout())
 		},
 	}
 	f := cmd.Flags()
-	f.StringVar(&o.program, "bin", "bin/dunemoor", "the program")
-	f.StringVar(&o.dir, "dir", "fleet-run", "where files, disks, logs and histories are kept")
-	f.IntVar(&o.rounds, "rounds", 5, "transfers for each cause, over all fleets")
-	f.IntVar(&o.fleets, "fleets", 1, "fleets side by side")
-	f.StringSliceVar(&o.causes, "cause", nil, "only these causes")
-	f.IntVar(&o.gateways, "gateways", 5, "processes of a fleet; clients send requests to the last, which is spared")
-	f.IntVar(&o.replicas, "keepers", 3, "how many of them are replicas")
+	f.StringVar(&o.program, "bin", "bin/dunemoor", "path of the program")
+	f.StringVar(&o.dir, "dir", "fleet-run", "directory of files, disks, logs and histories")
+	f.IntVar(&o.rounds, "rounds", 5, "number of transfers for each cause, summed over all fleets")
+	f.IntVar(&o.fleets, "fleets", 1, "number of fleets that run concurrently")
+	f.StringSliceVar(&o.causes, "cause", nil, "causes to measure; by default all")
+	f.IntVar(&o.gateways, "gateways", 5, "number of processes of a fleet; clients send requests to the last one, which is not a target")
+	f.IntVar(&o.replicas, "keepers", 3, "number of processes that are replicas")
 	return cmd
 }
 
@@ -60,14 +61,15 @@
 		return err
 	}
 	if o.fleets < 1 || o.rounds < 1 || o.gateways < 3 {
-		return errors.New("--fleets and --rounds: 1 or more; --gateways: 3 or more, one of which is spared")
+		return errors.New("--fleets and --rounds: at least 1; --gateways: at least 3, one of which is not a target")
 	}
 	m := &transferMeasurement{gaps: map[faulttest.TransferCause]*hdrhistogram.Histogram{}}
 	var running sync.WaitGroup
 	errs := make([]error, o.fleets)
 	summaries := make([]string, o.fleets)
 	for i := range o.fleets {
-		// One after the other: a fleet takes the ports that it found free before the next one looks for some.
+		// Fleets are started sequentially, so that a fleet binds the ports that it found free before the next one
+		// looks for free ports.
 		fleet, err := startFleet(ctx, faulttest.Options{
 			Program: o.program, Dir: filepath.Join(o.dir, fmt.Sprint(i+1)), Gateways: o.gateways, Replicas: o.replicas, Hosts: 3, Seed: uint64(i + 1),
 		})
@@ -87,7 +89,7 @@
 	return errors.Join(errs...)
 }
 
-// selectedCauses returns the causes of the flag, or all.
+// selectedCauses returns the causes given by the flag, or all causes.
 func (o *transferOptions) selectedCauses() ([]faulttest.TransferCause, error) {
 	if len(o.causes) == 0 {
 		return faulttest.TransferCauses, nil
@@ -96,17 +98,17 @@
 	for _, name := range o.causes {
 		cause := faulttest.TransferCause(name)
 		if !slices.Contains(faulttest.TransferCauses, cause) {
-			return nil, fmt.Errorf("--cause: %q is none of %q", name, faulttest.TransferCauses)
+			return nil, fmt.Errorf("--cause: %q is not one of %q", name, faulttest.TransferCauses)
 		}
 		causes = append(causes, cause)
 	}
 	return causes, nil
 }
 
-// transferMeasurement is how long a lease had no holder, over several fleets.
+// transferMeasurement collects how long a lease had no holder at each transfer, over several fleets.
 type transferMeasurement struct {
 	mu   sync.Mutex                                          // guards gaps
-	gaps map[faulttest.TransferCause]*hdrhistogram.Histogram // in microseconds
+	gaps map[faulttest.TransferCause]*hdrhistogram.Histogram // times without a holder, in microseconds
 }
 
 func (m *transferMeasurement) add(cause faulttest.TransferCause, gap time.Duration) {
@@ -119,8 +121,8 @@
 	m.gaps[cause].RecordValue(max(1, gap.Microseconds()))
 }
 
-// run transfers the lease of a fleet a number of times for each cause, under load. It returns a summary of what clients
-// and hosts have seen.
+// run transfers the lease of a fleet a number of times for each cause, under load. It returns a summary of the
+// outcomes at clients and hosts.
 func (m *transferMeasurement) run(ctx context.Context, f *faulttest.Fleet, causes []faulttest.TransferCause, rounds int) (string, error) {
 	spared := f.Gateways[len(f.Gateways)-1]
 	stopLoad := f.StartLoad(spared)
@@ -128,12 +130,12 @@
 	count, loadErr := stopLoad()
 	sent, accepted := f.StaleLeaseRequests()
 	if accepted > 0 {
-		err = errors.Join(err, fmt.Errorf("%d acts of old owners were taken", accepted))
+		err = errors.Join(err, fmt.Errorf("%d requests with a stale lease were accepted", accepted))
 	}
 	if violations := faulttest.FindViolations(f.History.Events()); len(violations) > 0 {
-		err = errors.Join(err, fmt.Errorf("%d things that must never be, the first: %s", len(violations), violations[0]))
+		err = errors.Join(err, fmt.Errorf("%d violations, the first: %s", len(violations), violations[0]))
 	}
-	summary := fmt.Sprintf("%d requests %v; acts of old owners: %d tried, %d taken", count.Requests, count.Outcomes, sent, accepted)
+	summary := fmt.Sprintf("%d requests %v; requests with a stale lease: %d sent, %d accepted", count.Requests, count.Outcomes, sent, accepted)
 	return summary, errors.Join(err, loadErr)
 }
 
--- a/cmd/experiment/main.go
+++ b/cmd/experiment/main.go
@@ -1,5 +1,6 @@
-// Command experiment simulates fleets in virtual time, searches for runs that are served badly, injects faults into
-// fleets of processes, and measures what the program costs by size.
+// Command experiment simulates fleets in virtual time, searches for scenarios in which fewer requests than possible
+// are served in time, injects faults into fleets of processes, and measures the resource usage of the program by
+// size.
 package main
 
 import (
@@ -19,7 +20,7 @@
 func rootCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:           "experiment",
-		Short:         "Play a fleet of gateways, hosts and clients in virtual time",
+		Short:         "Simulate fleets of gateways, inject faults into them, and measure the program by size",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
--- a/cmd/experiment/plot.go
+++ b/cmd/experiment/plot.go
@@ -14,7 +14,7 @@
 	plotTopMargin  = 8.0
 )
 
-// plot is a chart of lines over an even axis, for the page's template.
+// plot is a line chart with equidistant points on the horizontal axis, in the form that the page template needs.
 type plot struct {
 	Title  string
 	Lines  []plotLine
@@ -24,14 +24,14 @@
 	Width  float64
 	Height float64
 	X0     float64 // left end of the axis
-	Y0     float64 // height of the axis
+	Y0     float64 // vertical position of the axis
 }
 
 type plotLine struct {
 	Name   string
 	Color  string
 	Points string
-	Dash   string // so that lines can be told apart without colors
+	Dash   string // dash pattern, which distinguishes lines without color
 }
 
 type plotTick struct {
@@ -39,7 +39,7 @@
 	Text string
 }
 
-// plotStyles are the styles of the lines, in turn.
+// plotStyles are the styles of lines, which are used in turn.
 var plotStyles = []struct {
 	color string
 	dash  string
@@ -50,13 +50,13 @@
 	{"#6b4c9a", "8 2 2 2"},
 }
 
-// series is a line of a plot.
+// series is the data of a line of a plot.
 type series struct {
 	name   string
 	values []float64
 }
 
-// newPlot draws series of values from 0 to highest.
+// newPlot returns a plot of series, whose vertical axis ranges from 0 to highest.
 func newPlot(title, left, right string, highest float64, lines ...series) plot {
 	p := plot{
 		Title:  title,
@@ -80,7 +80,7 @@
 	return p
 }
 
-// points returns the points of a polyline.
+// points returns the points of the SVG polyline of a series.
 func (s *series) points(highest float64) string {
 	var points strings.Builder
 	for i, value := range s.values {
@@ -90,5 +90,5 @@
 	return strings.TrimSpace(points.String())
 }
 
-// plotY is the height of a share of the highest value.
+// plotY returns the vertical position of a share of the highest value.
 func plotY(share float64) float64 { return plotHeight - (plotHeight-plotTopMargin)*share }
--- a/cmd/experiment/report.go
+++ b/cmd/experiment/report.go
@@ -13,7 +13,7 @@
 	"dunemoor/internal/experiment/simulator"
 )
 
-// section is a run in a report, for the page's template.
+// section is the section of a run in a report, in the form that the page template needs.
 type section struct {
 	run
 	About  string
@@ -21,18 +21,19 @@
 	Causes []unservedCount
 }
 
-// unservedCount is the number of requests of a class that were not served, for one cause.
+// unservedCount is the number of requests of a class that were rejected or failed for one cause.
 type unservedCount struct {
 	Class string
 	Cause string
 	Count int
 }
 
-// percentiles are those of the latency plot.
+// percentiles are the percentiles in the latency plot.
 var percentiles = []float64{0, 10, 20, 30, 40, 50, 60, 70, 80, 90, 95, 99, 99.9, 100}
 
 const (
-	// scalePercentile is the percentile that the latency plot is scaled by; higher ones may leave it.
+	// scalePercentile is the percentile that determines the scale of the latency plot. Latencies at higher
+	// percentiles are clipped if they exceed the scale.
 	scalePercentile = 99
 	// scaleMargin is the height of the plot as a multiple of the latency at scalePercentile.
 	scaleMargin = 1.3
@@ -47,7 +48,7 @@
 	}
 }
 
-// requestPlot plots first requests and those in time by second.
+// requestPlot plots the first requests, and those served in time, by second.
 func requestPlot(s *simulator.Summary) plot {
 	requests := series{name: "asked"}
 	inTime := series{name: "answered in time"}
@@ -75,7 +76,7 @@
 	return newPlot("ms from the first try to the answer, by percentile", "0", "50, 60 ... 90, 95, 99, 99.9, 100", scaleMargin*highest, lines...)
 }
 
-// loadPlot plots the load of the hosts, sorted.
+// loadPlot plots the load of the hosts in ascending order.
 func loadPlot(s *simulator.Summary) plot {
 	load := slices.Sorted(slices.Values(s.Load))
 	highest := max(1, load[len(load)-1])
@@ -95,7 +96,7 @@
 	return counts
 }
 
-// writeReport writes one page for all runs. about has the descriptions of the scenarios.
+// writeReport writes one page for all runs. about contains the descriptions of the scenarios by name.
 func writeReport(w io.Writer, runs []run, about map[string]string) error {
 	var sections []section
 	for _, r := range runs {
@@ -112,10 +113,10 @@
 	cmd := &cobra.Command{
 		Use:   "report FILE... --out PAGE.html",
 		Args:  cobra.MinimumNArgs(1),
-		Short: "Play scenarios and write a page with time lines, latencies, load by host and causes",
+		Short: "Simulate scenarios and write a page with requests over time, latencies, load by host and causes",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if page == "" || seeds < 1 {
-				return errors.New("--out PAGE.html and at least one seed are needed")
+				return errors.New("--out PAGE.html and at least one seed are required")
 			}
 			scenarios, err := loadScenarios(cmd, args, settings)
 			if err != nil {
@@ -133,9 +134,9 @@
 		},
 	}
 	cmd.Flags().Uint64Var(&seed, "seed", 1, "first seed")
-	cmd.Flags().IntVar(&seeds, "seeds", 1, "how many seeds")
-	cmd.Flags().StringVar(&page, "out", "", "the page to write")
-	cmd.Flags().StringArrayVar(&settings, "set", nil, "KEY=VALUE, as for sweep; may be repeated")
+	cmd.Flags().IntVar(&seeds, "seeds", 1, "number of seeds")
+	cmd.Flags().StringVar(&page, "out", "", "path of the page to write")
+	cmd.Flags().StringArrayVar(&settings, "set", nil, "KEY=VALUE of a setting to change, see sweep; may be repeated")
 	return cmd
 }
 
--- a/cmd/experiment/report_page.go
+++ b/cmd/experiment/report_page.go
@@ -2,7 +2,7 @@
 
 import "html/template"
 
-// pageTemplate is the page of a report. It refers to nothing outside itself.
+// pageTemplate is the template of a report page. The page loads nothing from other files or hosts.
 var pageTemplate = template.Must(template.New("report").Parse(`<!DOCTYPE html>
 <html lang="en"><meta charset="utf-8"><title>lab</title>
 <style>body{font:15px/1.4 sans-serif;max-width:1260px;margin:2em auto;padding:0 1em;color:#222}table{border-collapse:collapse;margin:.5em 0}
--- a/cmd/experiment/run.go
+++ b/cmd/experiment/run.go
@@ -16,26 +16,27 @@
 	"dunemoor/internal/experiment/simulator"
 )
 
-// run is one run of a scenario. Its JSON is a line of "run --json".
+// run is the result of a run of a scenario. Its JSON form is a line of the output of "run --json".
 type run struct {
 	Scenario  string             `json:"scenario"`
 	Seed      uint64             `json:"seed"`
-	InTime    float64            `json:"in_time"` // share of the first requests
+	InTime    float64            `json:"in_time"` // share of the first requests served in time
 	Missed    []string           `json:"missed,omitempty"`
 	Summary   *simulator.Summary `json:"summary"`
-	Latencies []latency          `json:"latency"` // by class
+	Latencies []latency          `json:"latency"` // of each class
 	Elapsed   time.Duration      `json:"-"`
 	err       error
 }
 
-// latency is the time from the first request to the response, of a class.
+// latency has percentiles of the time from the first request to the response, of one class.
 type latency struct {
 	Name string  `json:"name"`
 	P50  float64 `json:"p50_ms"`
 	P99  float64 `json:"p99_ms"`
 }
 
-// runAll runs each scenario with a number of seeds, on all cores. A first seed of 0 stands for the scenario's own.
+// runAll runs each scenario with a number of consecutive seeds, on all cores. If firstSeed is 0, the scenario's own
+// seed is the first.
 func runAll(scenarios []*scenario.Scenario, firstSeed uint64, seeds int) ([]run, error) {
 	runs := make([]run, len(scenarios)*seeds)
 	forEachParallel(len(runs), func(i int) {
@@ -91,7 +92,7 @@
 	return r
 }
 
-// loadScenarios reads scenarios and changes settings in them. It prints the errors of all files.
+// loadScenarios reads scenarios and applies KEY=VALUE settings to them. It prints the errors of all files.
 func loadScenarios(cmd *cobra.Command, paths, settings []string) ([]*scenario.Scenario, error) {
 	var scenarios []*scenario.Scenario
 	errorCount := 0
@@ -110,12 +111,12 @@
 		scenarios = append(scenarios, s)
 	}
 	if errorCount > 0 {
-		return nil, fmt.Errorf("mistakes in scenarios: %d", errorCount)
+		return nil, fmt.Errorf("%d errors in scenario files", errorCount)
 	}
 	return scenarios, nil
 }
 
-// scenarioRunOptions are the flags of the command run.
+// scenarioRunOptions are the flags of the command "run".
 type scenarioRunOptions struct {
 	seed     uint64
 	seeds    int
@@ -128,7 +129,7 @@
 	cmd := &cobra.Command{
 		Use:   "run FILE...",
 		Args:  cobra.MinimumNArgs(1),
-		Short: "Play scenarios; exit code 1 if a rule is broken or what is expected is missed",
+		Short: "Simulate scenarios; exit code 1 if a run violates a rule or doesn't meet its expectations",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if o.seeds < 1 {
 				return errors.New("--seeds: at least 1")
@@ -147,10 +148,10 @@
 			return checkMissed(runs)
 		},
 	}
-	cmd.Flags().Uint64Var(&o.seed, "seed", 0, "first seed; 0: the scenario's own, or 1")
-	cmd.Flags().IntVar(&o.seeds, "seeds", 1, "how many seeds, one after the other")
-	cmd.Flags().BoolVar(&o.asJSON, "json", false, "a line of JSON for each run")
-	cmd.Flags().StringArrayVar(&o.settings, "set", nil, "KEY=VALUE, as for sweep; may be repeated")
+	cmd.Flags().Uint64Var(&o.seed, "seed", 0, "first seed; 0: the scenario's own seed, or 1 if it has none")
+	cmd.Flags().IntVar(&o.seeds, "seeds", 1, "number of consecutive seeds")
+	cmd.Flags().BoolVar(&o.asJSON, "json", false, "print a line of JSON for each run")
+	cmd.Flags().StringArrayVar(&o.settings, "set", nil, "KEY=VALUE of a setting to change, see sweep; may be repeated")
 	return cmd
 }
 
@@ -168,7 +169,7 @@
 	return nil
 }
 
-// checkMissed returns an error where runs miss an expectation.
+// checkMissed returns an error if any run doesn't meet an expectation.
 func checkMissed(runs []run) error {
 	missed := 0
 	for _, r := range runs {
@@ -177,7 +178,7 @@
 		}
 	}
 	if missed > 0 {
-		return fmt.Errorf("%d of %d runs miss what is expected", missed, len(runs))
+		return fmt.Errorf("%d of %d runs don't meet their expectations", missed, len(runs))
 	}
 	return nil
 }
--- a/cmd/experiment/run_table.go
+++ b/cmd/experiment/run_table.go
@@ -6,7 +6,8 @@
 	"text/tabwriter"
 )
 
-// printRuns prints a line for each scenario: the means over its seeds, and the least share in time.
+// printRuns prints a row for each scenario: means over its seeds, and the lowest share of first requests served in
+// time.
 func printRuns(out io.Writer, runs []run, seeds int) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "scenario\tin time\tleast\tp50 ms\tp99 ms\ttries/ask\tsends/try\tworst/mean\tconns/host\tbroken\tmissed")
@@ -20,21 +21,22 @@
 	w.Flush()
 }
 
-// runRow sums up the runs of a scenario. Means are sums of shares, in the order of the seeds.
+// runRow aggregates the runs of a scenario. Means are accumulated by adding each value divided by the number of
+// seeds, in the order of the seeds.
 type runRow struct {
 	seeds         float64
 	inTime        float64 // mean
 	leastInTime   float64
 	firstRequests float64
-	requests      float64 // with retries
+	requests      float64 // including retries
 	attempts      float64
-	p50           float64 // mean of the first class
-	p99           float64 // mean of the first class
+	p50           float64 // in milliseconds; mean over the seeds, of the first class
+	p99           float64 // in milliseconds; mean over the seeds, of the first class
 	maxToMeanLoad float64 // mean
-	connections   float64 // mean per host
+	connections   float64 // connections per host, mean
 	violations    int
-	missed        int    // runs
-	firstMissed   string // of the first such run
+	missed        int    // number of runs that don't meet an expectation
+	firstMissed   string // description of the first such run
 }
 
 func (row *runRow) add(r *run) {
@@ -60,7 +62,7 @@
 	}
 }
 
-// describeMissed describes the first expectation that a run misses, with the first violation.
+// describeMissed describes the first expectation that a run doesn't meet, and its first violation of a rule.
 func describeMissed(r *run) string {
 	text := fmt.Sprintf(" (seed %d: %s)", r.Seed, r.Missed[0])
 	if len(r.Summary.ViolationDetails) > 0 {
--- a/cmd/experiment/scale.go
+++ b/cmd/experiment/scale.go
@@ -19,15 +19,15 @@
 	"dunemoor/internal/experiment/scaletest"
 )
 
-// scalePart measures one thing at several sizes. The file of a part registers it with registerScale in an init
-// function.
+// scalePart is a part of the measurements: it measures one aspect of the program at several sizes. The file of a part
+// registers it with registerScale in an init function.
 type scalePart struct {
 	name       string
-	about      string // what it measures, one line
+	about      string // what the part measures, in one line
 	by         string // what the sizes count, in the singular
-	sizes      []int  // measured by default
-	smallSizes []int  // of the test: seconds
-	duration   string // with sizes, approximately
+	sizes      []int  // sizes that are measured by default
+	smallSizes []int  // sizes of the test and of --small, which take seconds
+	duration   string // approximate duration of a measurement of sizes
 	run        func(ctx context.Context, env *scaleEnv, sizes []int) (*scaletest.Report, error)
 }
 
@@ -50,18 +50,18 @@
 	return names
 }
 
-// scaleEnv is what the parts share.
+// scaleEnv is the environment that all parts share.
 type scaleEnv struct {
-	dir      string    // for files; removed when the command ends
-	progress io.Writer // what is measured at the moment
-	small    bool      // sizes are those of the test
+	dir      string    // temporary directory, which is removed when the command ends
+	progress io.Writer // progress messages
+	small    bool      // smallSizes are measured
 
 	buildOnce sync.Once
 	binary    string
 	buildErr  error
 }
 
-// program returns the path of the program, which it builds once unless the environment has one.
+// program returns the path of the program. The first call builds the program, unless the path was given.
 func (env *scaleEnv) program(ctx context.Context) (string, error) {
 	env.buildOnce.Do(func() {
 		if env.binary != "" {
@@ -76,10 +76,10 @@
 	return env.binary, env.buildErr
 }
 
-// makeDir makes a directory of a part's own.
+// makeDir creates a directory for a part in env.dir.
 func (env *scaleEnv) makeDir(name string) (string, error) { return os.MkdirTemp(env.dir, name+"-") }
 
-// scaleOptions are the flags of `scale`.
+// scaleOptions are the flags of the command "scale".
 type scaleOptions struct {
 	sizes    []int
 	small    bool
@@ -90,23 +90,23 @@
 func scaleCommand() *cobra.Command {
 	var options scaleOptions
 	cmd := &cobra.Command{
-		Use: "scale [PART ...]", Short: "Measure what the program costs by size: slopes with their errors, and where a line breaks",
+		Use: "scale [PART ...]", Short: "Measure the resource usage of the program by size: slopes with their errors, and the sizes at which lines break",
 		Long: "Each part measures the program at several sizes and fits a line: slope, standard error, intercept,\n" +
-			"whether it is a line at all, and how far the size to design for lies beyond the largest measured.\n" +
-			"Without a part all are measured, one after the other.\n\nParts:\n" + scaleHelp(),
+			"whether it is a line at all, and how far the size to design for is beyond the largest measured one.\n" +
+			"Without PART, all parts are measured sequentially.\n\nParts:\n" + scaleHelp(),
 		ValidArgs: scaleNames(),
 		RunE:      func(cmd *cobra.Command, args []string) error { return options.run(cmd, args) },
 	}
 	cmd.AddCommand(hollowHostCommand())
 	f := cmd.Flags()
-	f.IntSliceVar(&options.sizes, "sizes", nil, "sizes in place of the part's own")
-	f.BoolVar(&options.small, "small", false, "the sizes of the test: seconds, and no figures to go by")
+	f.IntSliceVar(&options.sizes, "sizes", nil, "sizes to measure instead of the part's default")
+	f.BoolVar(&options.small, "small", false, "measure the sizes of the test: takes seconds, but the results are not usable")
 	f.StringVar(&options.jsonFile, "json", "", "also write the reports to this file, as JSON")
-	f.StringVar(&options.binary, "bin", "", "the program; by default it is built")
+	f.StringVar(&options.binary, "bin", "", "path of the program; by default it is built")
 	return cmd
 }
 
-// run measures the named parts one after the other. A part that fails doesn't end the others.
+// run measures the named parts sequentially. After the failure of a part it continues with the others.
 func (o *scaleOptions) run(cmd *cobra.Command, names []string) error {
 	if len(names) == 0 {
 		names = scaleNames()
@@ -144,7 +144,7 @@
 func (o *scaleOptions) validate(names []string) error {
 	for _, name := range names {
 		if scaleParts[name] == nil {
-			return fmt.Errorf("%q is none of %s", name, strings.Join(scaleNames(), ", "))
+			return fmt.Errorf("%q is not one of %s", name, strings.Join(scaleNames(), ", "))
 		}
 	}
 	if len(o.sizes) > 0 && (len(names) > 1 || o.small) {
@@ -161,12 +161,13 @@
 	return os.WriteFile(path, append(text, '\n'), 0o644)
 }
 
-// measure runs the part, and puts the command that does so into its report. No sizes: the part's own.
+// measure runs the part, and adds its name and the command to the report. If sizes is empty, the part's own sizes are
+// used.
 func (p *scalePart) measure(ctx context.Context, env *scaleEnv, sizes []int) (*scaletest.Report, error) {
 	if ctx == nil {
 		ctx = context.Background()
 	}
-	command := "lab scale " + p.name // the program's earlier name, which reports keep
+	command := "lab scale " + p.name // former name of this command, which reports still use
 	switch {
 	case len(sizes) > 0:
 		command += " --sizes " + joinInts(sizes)
@@ -192,7 +193,7 @@
 	return strings.Join(texts, ",")
 }
 
-// scaleHelp lists the parts with what they measure, their sizes and their duration.
+// scaleHelp describes the parts: what they measure, their sizes and their duration.
 func scaleHelp() string {
 	var b strings.Builder
 	for _, name := range scaleNames() {
@@ -202,15 +203,15 @@
 	return b.String()
 }
 
-// seriesSet collects series by name and unit, in the order in which they are first added to.
+// seriesSet collects series, which are identified by name and unit, in the order of their first points.
 type seriesSet struct {
 	by         string  // what the sizes count, in the singular
 	targetSize float64 // the size to design for; 0: none
 	list       []scaletest.Series
 }
 
-// add adds a point to a series. The resolution is the least difference that the measurement can tell, in the unit; that of
-// the first point counts.
+// add adds a point to a series, which it creates with the first point. The resolution is the smallest difference that
+// the measurement can detect, in the unit; only that of the first point is used.
 func (s *seriesSet) add(size int, name, unit string, resolution, value float64) {
 	i := slices.IndexFunc(s.list, func(x scaletest.Series) bool { return x.Name == name && x.Unit == unit })
 	if i < 0 {
@@ -220,8 +221,8 @@
 	s.list[i].Points = append(s.list[i].Points, scaletest.Point{Size: float64(size), Value: value})
 }
 
-// breaksAt returns the size at which the fitted line of a series passes a limit in its unit; nil where the series has no
-// line that grows. where is the place in the code that makes it grow.
+// breaksAt returns the size at which the fitted line of a series exceeds a limit, which is in the unit of the series.
+// It returns nil if the series isn't a growing line. where is the place in the code that causes the growth.
 func (s *seriesSet) breaksAt(name, unit string, limit float64, where string) (breaks []scaletest.Break) {
 	for i := range s.list {
 		series := &s.list[i]
@@ -233,9 +234,9 @@
 			continue
 		}
 		size := max(0, (limit-fit.Intercept)/fit.Slope)
-		what := fmt.Sprintf("by the line, a %s passes the %v %s allowed", name, limit, unit)
+		what := fmt.Sprintf("by the fitted line, a %s exceeds the allowed %v %s", name, limit, unit)
 		if size == 0 {
-			what = fmt.Sprintf("a %s takes more than the %v %s allowed at any size", name, limit, unit)
+			what = fmt.Sprintf("a %s exceeds the allowed %v %s at any size", name, limit, unit)
 		}
 		breaks = append(breaks, scaletest.Break{By: s.by, Size: float64(int(size)), Where: where, What: what})
 	}
--- a/cmd/experiment/scale_config.go
+++ b/cmd/experiment/scale_config.go
@@ -10,32 +10,33 @@
 	"dunemoor/internal/route"
 )
 
-// Sizes to design for; docs/CAPACITY.md has them with their sources.
+// Sizes to design for; docs/CAPACITY.md lists them with their sources.
 const (
 	targetRoutes  = 55_000
-	targetPools   = 7700 // services
+	targetPools   = 7700 // one per service
 	targetHosts   = 180_000
 	targetTenants = 680_000
-	targetChanges = 19_000 // a day
+	targetChanges = 19_000 // per day
 )
 
-// Shape of the configurations that are measured.
+// Dimensions of the configurations that are measured.
 const (
 	manyPools     = 250
-	manyHosts     = 20 // of each pool
-	smallPools    = 10 // in place of manyPools in a small run
-	routesPerHost = 10 // paths of a host name
+	manyHosts     = 20 // number of hosts of each pool
+	smallPools    = 10 // used instead of manyPools in a small run
+	routesPerHost = 10 // number of paths for each host name
 	hostsPerCell  = 3
 )
 
-// configName is the name of the configuration file; errors start with it.
+// configName is the name of the configuration file. Errors in the file begin with it.
 const configName = "box.toml"
 
-// memoryNote explains the figures of processes.
-const memoryNote = "memory_mb = 4096, so that the collector is not pressed; 1 MB is 2^20 bytes; CPU is of all threads, in ticks of 10 ms"
+// memoryNote is the note in reports that explains the figures of processes.
+const memoryNote = "memory_mb = 4096, so that the garbage collector is not under pressure; 1 MB is 2^20 bytes; CPU is that of all threads, in ticks of 10 ms"
 
-// configHead returns the start of a configuration. Its memory limit is so high that the collector isn't pressed: what
-// a size needs is measured, not how the program does with less.
+// configHead returns the beginning of a configuration. Its memory limit is so high that the garbage collector doesn't
+// run more often because of it: the measurement shows the resources that a size needs, not the behavior under memory
+// pressure.
 func configHead() (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -46,10 +47,10 @@
 		"[[class]]\nname = \"lookup\"\neffect = \"safe\"\naim = \"1s\"\ndeadline = \"10s\"\nworth = 1\n", listener.Addr()), nil
 }
 
-// hostAddress returns an address of the loopback that nothing listens on.
+// hostAddress returns the i-th address of the loopback network on which no process listens.
 func hostAddress(i int) string { return fmt.Sprintf("127.%d.%d.%d:9", 100+i>>16, i>>8&255, i&255) }
 
-// poolsConfig returns pools with a number of hosts each.
+// poolsConfig returns the tables of pools with a number of hosts each.
 func poolsConfig(pools, hosts int) string {
 	var b strings.Builder
 	for p := range pools {
@@ -62,7 +63,7 @@
 	return b.String()
 }
 
-// routeRules returns routes to pools, routesPerHost paths for each host name.
+// routeRules returns routes to pools, with routesPerHost paths for each host name.
 func routeRules(routes, pools int) (rules []route.Rule) {
 	for i := range routes {
 		rules = append(rules, route.Rule{
@@ -82,7 +83,7 @@
 	return b.String()
 }
 
-// tenantsConfig returns tenants and the limits that they share.
+// tenantsConfig returns the tables of tenants and of the limits that they share.
 func tenantsConfig(tenants int) string {
 	var b strings.Builder
 	b.WriteString("[limits.tenants]\nrate = 100000\nconcurrent = 10000\n")
@@ -92,8 +93,8 @@
 	return b.String()
 }
 
-// startBeyondLimit starts the program with a configuration beyond a limit. The break has the error; there is none where the
-// program serves.
+// startBeyondLimit starts the program with a configuration that exceeds a limit. It returns a break with the error of
+// the program, or none if the program accepts the configuration.
 func startBeyondLimit(ctx context.Context, env *scaleEnv, size int, by, where, config string) ([]scaletest.Break, error) {
 	head, err := configHead()
 	if err != nil {
--- a/cmd/experiment/scale_fleet.go
+++ b/cmd/experiment/scale_fleet.go
@@ -18,10 +18,10 @@
 // targetGateways is the size of a fleet to design for.
 const targetGateways = 4700
 
-// Limits of what a gateway may use for its fleet, at that size.
+// Limits of the resources that a gateway may use for its fleet at that size.
 const (
-	maxControlBytes  = 3000 // a second, both directions, with headers
-	maxControlCPU    = 11   // ms a second
+	maxControlBytes  = 3000 // per second, in both directions, including headers
+	maxControlCPU    = 11   // ms per second
 	maxControlMemory = 64   // MB
 )
 
@@ -29,32 +29,33 @@
 const (
 	fleetReplicas      = 5
 	smallFleetReplicas = 3
-	// singleGateways is the number of gateways that are alone in their process: the replicas, and three members.
+	// singleGateways is the number of gateways that have a process of their own: the replicas, and three others.
 	singleGateways = 8
-	// packedProcesses is the number of processes that the other gateways share.
-	packedProcesses = 8
-	// A fleet with relays has singleGateways beside the relays, and relayPackedProcesses for the other gateways.
+	// sharedProcesses is the number of processes that the other gateways share.
+	sharedProcesses = 8
+	// A fleet with relays has singleGateways in addition to the relays, and relaySharedProcesses that the other
+	// gateways share.
 	fleetRelays          = 16
 	smallFleetRelays     = 3
-	relayPackedProcesses = 48
-	// fleetTimeout bounds each wait for a fleet.
+	relaySharedProcesses = 48
+	// fleetTimeout is the timeout of each wait for an event or a state of a fleet.
 	fleetTimeout = 90 * time.Second
 )
 
 const bytesPerMB = 1 << 20
 
-// trafficNote explains the figures of traffic.
-const trafficNote = "bytes are of both directions, counted by the kernel (TCP_INFO) with 52 bytes of IP and TCP a segment; packets too"
+// trafficNote is the note in reports that explains the figures of traffic.
+const trafficNote = "bytes and packets are those of both directions, counted by the kernel (TCP_INFO); bytes include 52 bytes of IP and TCP headers per segment"
 
-// hollowHostCommand is the command of a process of hollow gateways.
+// hollowHostCommand returns the hidden command that runs a process of hollow gateways.
 func hollowHostCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "hollow-host", Hidden: true, Args: cobra.NoArgs, Short: "Run hollow gateways as standard input says, until that ends",
+		Use: "hollow-host", Hidden: true, Args: cobra.NoArgs, Short: "Run hollow gateways, controlled by requests on standard input, until its end",
 		RunE: func(*cobra.Command, []string) error { return hollow.Serve(os.Stdin, os.Stdout) },
 	}
 }
 
-// startHollowFleet lays out a fleet, starts it, and returns when it is complete. The caller calls stop.
+// startHollowFleet creates and starts a fleet, and returns when it is complete. The caller must call stop.
 func startHollowFleet(ctx context.Context, env *scaleEnv, options hollow.Options) (_ *hollow.Fleet, stop func(), err error) {
 	if options.Dir, err = env.makeDir("fleet"); err != nil {
 		return nil, nil, err
@@ -71,9 +72,9 @@
 		options.BootstrapReplicas = min(smallFleetReplicas, options.Gateways)
 	}
 	options.SingleMembers = options.Relays + singleGateways
-	processes := packedProcesses
+	processes := sharedProcesses
 	if options.Relays > 0 {
-		processes = relayPackedProcesses
+		processes = relaySharedProcesses
 	}
 	options.GatewaysPerProcess = max(1, (options.Gateways-singleGateways+processes-1)/processes)
 	f, err := hollow.New(options)
@@ -92,12 +93,12 @@
 	if err != nil {
 		text, _ := os.ReadFile(options.Dir + "/log")
 		stop()
-		return nil, nil, fmt.Errorf("%d gateways: %w; the last of the log:\n%s", options.Gateways, err, text[max(0, len(text)-2000):])
+		return nil, nil, fmt.Errorf("%d gateways: %w; end of the log:\n%s", options.Gateways, err, text[max(0, len(text)-2000):])
 	}
 	return f, stop, nil
 }
 
-// settleTime is how long a fleet is left alone before it is measured.
+// settleTime returns how long a fleet stays at rest before it is measured.
 func (env *scaleEnv) settleTime() time.Duration {
 	if env.small {
 		return 500 * time.Millisecond
@@ -105,7 +106,7 @@
 	return 3 * time.Second
 }
 
-// countTime is how long a fleet at rest is measured.
+// countTime returns how long a fleet at rest is measured.
 func (env *scaleEnv) countTime() time.Duration {
 	if env.small {
 		return time.Second
@@ -113,7 +114,7 @@
 	return 6 * time.Second
 }
 
-// forEachFleet starts a fleet of each size, lets it settle, and measures it.
+// forEachFleet starts a fleet of each size, waits for the settle time, and calls measure.
 func forEachFleet(ctx context.Context, env *scaleEnv, sizes []int, options func(size int) hollow.Options, measure func(f *hollow.Fleet, size int) error) error {
 	for _, size := range sizes {
 		f, stop, err := startHollowFleet(ctx, env, options(size))
@@ -130,21 +131,21 @@
 	return nil
 }
 
-// hollowFleet returns the options of a fleet of hollow gateways with one pool.
+// hollowFleet returns the options of a fleet of hollow gateways that have one pool.
 func hollowFleet(gateways int) hollow.Options { return hollow.Options{Gateways: gateways, Pools: 1} }
 
-// fleetRates is what a fleet has used in a time span.
+// fleetRates is the resource usage of a fleet in a time span.
 type fleetRates struct {
 	rates         map[*hollow.Process]hollow.Rates
 	last          *hollow.FleetUsage
-	sentBytes     uint64 // by all ends of connections, with headers
+	sentBytes     uint64 // sent by all ends of connections, including headers
 	loopbackBytes uint64
 	span          time.Duration
 }
 
-// measureUsage measures a fleet at rest.
+// measureUsage measures the resource usage of a fleet at rest during a time span.
 func measureUsage(ctx context.Context, f *hollow.Fleet, span time.Duration) (*fleetRates, error) {
-	if _, err := f.Usage(true); err != nil { // so that both later ones cost the processes the same
+	if _, err := f.Usage(true); err != nil { // discarded: the first call costs the processes more than later ones
 		return nil, err
 	}
 	first, err := f.Usage(true)
@@ -154,7 +155,7 @@
 	if err := sleep(ctx, span); err != nil {
 		return nil, err
 	}
-	// The kernel's figures are read before the processes' own, which cost them something.
+	// Read the kernel's figures before the processes' own reports, which cost the processes CPU time and traffic.
 	last, err := f.Usage(false)
 	if err != nil {
 		return nil, err
@@ -177,60 +178,60 @@
 	return u, nil
 }
 
-// describeTraffic compares the two counts of all traffic.
+// describeTraffic describes the total traffic as counted at the ends of connections and by the loopback device.
 func (u *fleetRates) describeTraffic() string {
 	seconds := u.span.Seconds()
-	return fmt.Sprintf("all ends of connections sent %d bytes/s with headers, the loopback device carried %d", int(float64(u.sentBytes)/seconds), int(float64(u.loopbackBytes)/seconds))
+	return fmt.Sprintf("all ends of connections sent %d bytes/s including headers, and the loopback device transferred %d", int(float64(u.sentBytes)/seconds), int(float64(u.loopbackBytes)/seconds))
 }
 
-// processMeasure is a measure of a process, such as fleetRates.bytes.
+// processMeasure returns a figure of a process, such as fleetRates.bytes does.
 type processMeasure func(*hollow.Process) float64
 
-// bytes is the traffic of both directions with headers, in bytes a second, counted by the kernel.
+// bytes returns the traffic in both directions, including headers, in bytes per second as counted by the kernel.
 func (u *fleetRates) bytes(p *hollow.Process) float64 {
 	r := u.rates[p]
 	return r.PerSecond(r.Bytes())
 }
 
-// packets is the segments of both directions a second, counted by the kernel.
+// packets returns the segments in both directions per second, as counted by the kernel.
 func (u *fleetRates) packets(p *hollow.Process) float64 {
 	r := u.rates[p]
 	return r.PerSecond(r.Packets())
 }
 
-// payloadSent is the payload sent in bytes a second, counted by the kernel.
+// payloadSent returns the payload bytes sent per second, as counted by the kernel.
 func (u *fleetRates) payloadSent(p *hollow.Process) float64 {
 	r := u.rates[p]
 	return r.PerSecond(r.BytesOut)
 }
 
-// frameBytesSent is the bytes of frames sent a second, counted by the process itself.
+// frameBytesSent returns the bytes of frames sent per second, as counted by the process itself.
 func (u *fleetRates) frameBytesSent(p *hollow.Process) float64 { return u.rates[p].FrameBytesSent }
 
-// cpu is the CPU time in milliseconds a second.
+// cpu returns the CPU time in milliseconds per second.
 func (u *fleetRates) cpu(p *hollow.Process) float64 { return u.rates[p].CPU }
 
-// syncs is the fsyncs of the write-ahead log a second.
+// syncs returns the number of fsyncs of the write-ahead log per second.
 func (u *fleetRates) syncs(p *hollow.Process) float64 { return u.rates[p].DiskSyncs }
 
-// conns is the number of ends of connections to other members at the end of the span.
+// conns returns the number of ends of connections to other members at the end of the span.
 func (u *fleetRates) conns(p *hollow.Process) float64 { return float64(u.last.ByProcess[p].Conns) }
 
 func (u *fleetRates) goroutines(p *hollow.Process) float64 {
 	return float64(u.last.ByProcess[p].Goroutines)
 }
 
-// resident is the resident memory in MB (2^20 bytes).
+// resident returns the resident memory in MB (2^20 bytes).
 func (u *fleetRates) resident(p *hollow.Process) float64 {
 	return float64(u.last.ByProcess[p].Resident) / bytesPerMB
 }
 
-// heap is the memory in use by objects and stacks in MB (2^20 bytes), by the process's own report.
+// heap returns the memory in use by objects and stacks in MB (2^20 bytes), as reported by the process.
 func (u *fleetRates) heap(p *hollow.Process) float64 {
 	return float64(u.last.ByProcess[p].Heap) / bytesPerMB
 }
 
-// medianOf returns the median of a measure over processes.
+// medianOf returns the median of a figure over processes.
 func medianOf(processes []*hollow.Process, value processMeasure) float64 {
 	var values []float64
 	for _, p := range processes {
@@ -239,7 +240,7 @@
 	return median(values)
 }
 
-// median returns the median of a list, which it sorts; 0: the list is empty.
+// median returns the median of a list, or 0 if the list is empty. It sorts the list.
 func median(list []float64) float64 {
 	slices.Sort(list)
 	if len(list) == 0 {
@@ -251,7 +252,8 @@
 // shownRoles are the roles of a fleet without relays, in the order of the reports.
 var shownRoles = []string{roleLeader, roleReplica, roleMember}
 
-// processesByRole returns the processes of a single gateway by its role: those that hold no lease, where there are such.
+// processesByRole returns the processes with a single gateway by the gateway's role. Of each role it returns only
+// those that hold no lease, if there are any.
 func processesByRole(f *hollow.Fleet) map[string][]*hollow.Process {
 	leases := f.LeaseCounts()
 	leader := f.Leader()
@@ -275,7 +277,7 @@
 	return byRole
 }
 
-// sortByRole returns the series in the order of shownRoles.
+// sortByRole sorts the series by their names in the order of shownRoles, and returns them.
 func (s *seriesSet) sortByRole() []scaletest.Series {
 	slices.SortStableFunc(s.list, func(a, b scaletest.Series) int {
 		return cmp.Compare(slices.Index(shownRoles, a.Name), slices.Index(shownRoles, b.Name))
@@ -283,8 +285,8 @@
 	return s.list
 }
 
-// watchPeak samples the loopback device until stop is called, which returns what it carried in its busiest second, in
-// bytes.
+// watchPeak samples the traffic of the loopback device until stop is called. stop returns the traffic of the busiest
+// second in bytes.
 func watchPeak() (stop func() float64) {
 	done := make(chan struct{})
 	result := make(chan float64)
--- a/cmd/experiment/scale_fleet_test.go
+++ b/cmd/experiment/scale_fleet_test.go
@@ -11,7 +11,7 @@
 	"dunemoor/internal/experiment/scaletest"
 )
 
-// Parts run hollow gateways in processes of their own program, which here is the test.
+// Parts start hollow gateways by running their own executable again, which is the test binary here.
 func init() {
 	if hidden := []string{"scale", "hollow-host"}; slices.Equal(os.Args[1:], hidden) {
 		if err := rootCommand().Execute(); err != nil {
@@ -22,7 +22,7 @@
 	}
 }
 
-// value returns the value of a series of a report at a size.
+// value returns the value of a series at a size, and fails the test if the report has none.
 func value(t *testing.T, r *scaletest.Report, name, unit string, size float64) float64 {
 	t.Helper()
 	for _, s := range r.Series {
@@ -36,14 +36,15 @@
 	return 0
 }
 
-// Each part that measures fleets counts, at its small sizes, what the code must send and keep.
-func TestScaleFleetPartsCountWhatTheCodeSends(t *testing.T) {
+// Each part that measures fleets reports, at its small sizes, the connections, traffic and leases that follow from
+// the code.
+func TestScaleFleetPartsMatchExpectedCounts(t *testing.T) {
 	if testing.Short() {
 		t.Skip("fleets of processes")
 	}
 	for name, check := range map[string]func(t *testing.T, r *scaletest.Report, sizes []int){
-		"mesh":          checkRest,
-		"mesh-real":     checkRest,
+		"mesh":          checkFleetAtRest,
+		"mesh-real":     checkFleetAtRest,
 		"duties":        checkLeases,
 		"joins":         checkJoins,
 		"fleet-changes": checkOverrideChanges,
@@ -57,7 +58,7 @@
 			t.Parallel() // they mostly wait
 			part := scaleParts[name]
 			if part == nil {
-				t.Fatal("there is no such part")
+				t.Fatal("part is not registered")
 			}
 			var progress strings.Builder
 			env := &scaleEnv{dir: t.TempDir(), progress: &progress, small: true}
@@ -70,15 +71,15 @@
 	}
 }
 
-// checkRest checks a report of fleets at rest.
-func checkRest(t *testing.T, r *scaletest.Report, sizes []int) {
+// checkFleetAtRest checks the report of a part that measures fleets at rest.
+func checkFleetAtRest(t *testing.T, r *scaletest.Report, sizes []int) {
 	for _, n := range sizes {
 		for _, role := range []string{roleLeader, roleMember} {
-			// One connection each way between two.
+			// Each pair of gateways has one connection in each direction.
 			if x := value(t, r, role, "connections", float64(n)); x != float64(2*(n-1)) {
 				t.Errorf("%d gateways: got %v connections of the %s, want %d", n, x, role, 2*(n-1))
 			}
-			// The payload that a process sends is less than what both directions have with headers.
+			// The payload that a process sends must be less than the traffic in both directions including headers.
 			bytes, carried := value(t, r, role, "bytes/s", float64(n)), value(t, r, role, "bytes/s carried, out", float64(n))
 			if carried <= 0 || bytes <= carried {
 				t.Errorf("%d gateways: got %v bytes/s sent by the %s, and %v in both directions with headers, want more", n, carried, role, bytes)
@@ -87,8 +88,9 @@
 	}
 }
 
-// checkLeases checks a report by endpoint lists: a lease for each list, and housekeeping. The bytes a second are not
-// compared: soon after the start of so few lists they depend on the machine.
+// checkLeases checks a report by the number of endpoint lists: there is a lease for each list, and one for
+// housekeeping. The bytes per second of different sizes are not compared: with so few lists, shortly after the start,
+// they depend on the machine.
 func checkLeases(t *testing.T, r *scaletest.Report, sizes []int) {
 	for _, n := range sizes {
 		if x := value(t, r, "the record", "duties", float64(n)); x != float64(n+1) {
@@ -100,11 +102,11 @@
 	}
 }
 
-// checkJoins checks a report of gateways that join a fleet.
+// checkJoins checks the report of gateways that join a fleet.
 func checkJoins(t *testing.T, r *scaletest.Report, sizes []int) {
 	for _, n := range sizes {
-		// Two connections to each other gateway, three segments to open each and four at least
-		// of the transport's own handshake.
+		// There are two connections to each other gateway. Each takes three segments to open, and at least four for
+		// the handshake of the transport.
 		if x := value(t, r, "one that comes back", "packets until it has all connections and a view", float64(n)); x < float64(2*(n-1)*7) {
 			t.Errorf("%d gateways: got %v packets of one that comes back, want at least %d", n, x, 2*(n-1)*7)
 		}
@@ -114,7 +116,7 @@
 	}
 }
 
-// checkOverrideChanges checks a report by changes of overrides a second.
+// checkOverrideChanges checks a report by the number of changes of overrides per second.
 func checkOverrideChanges(t *testing.T, r *scaletest.Report, sizes []int) {
 	for _, n := range sizes {
 		if x := value(t, r, roleLeader, "fsyncs/s", float64(n)); x <= 0 {
@@ -122,13 +124,13 @@
 		}
 	}
 	for _, note := range r.Notes {
-		if strings.Contains(note, ": 0 carried out") {
+		if strings.Contains(note, ": 0 applied") {
 			t.Errorf("got %q, want some overrides applied", note)
 		}
 	}
 }
 
-// checkLostGateways checks a report of gateways that are killed.
+// checkLostGateways checks the report of gateways that are killed.
 func checkLostGateways(t *testing.T, r *scaletest.Report, sizes []int) {
 	for _, n := range sizes {
 		for unit, name := range map[string]string{
@@ -141,21 +143,21 @@
 	}
 }
 
-// checkRelays checks a report of fleets with relays.
+// checkRelays checks the report of fleets with relays.
 func checkRelays(t *testing.T, r *scaletest.Report, sizes []int) {
 	for _, n := range sizes {
-		// One stream at any size.
+		// A gateway has one stream at any fleet size.
 		if x := value(t, r, roleGateway, "connections", float64(n)); x != 1 {
 			t.Errorf("%d gateways: got %v connections of one, want 1", n, x)
 		}
 		half, all := value(t, r, "an operator's word", "s until half of the gateways go by it", float64(n)), value(t, r, "an operator's word", "s until the last", float64(n))
 		if half <= 0 || all < half {
-			t.Errorf("%d gateways: got an override at half after %v s, at the last after %v, want them to ascend from 0", n, half, all)
+			t.Errorf("%d gateways: got an override at half of the gateways after %v s and at the last one after %v s, want ascending times above 0", n, half, all)
 		}
 	}
 }
 
-// checkLostRelays checks a report of fleets whose relays are restarted.
+// checkLostRelays checks the report of fleets whose relays fail and are restarted.
 func checkLostRelays(t *testing.T, r *scaletest.Report, sizes []int) {
 	for _, n := range sizes {
 		if x := value(t, r, "all relays restarted", "gateways that moved", float64(n)); x != float64(n) {
@@ -163,13 +165,13 @@
 		}
 	}
 	for _, note := range r.Notes {
-		if !strings.Contains(note, "without a relay at last 0;") {
+		if !strings.Contains(note, "without a relay at the end: 0;") {
 			t.Errorf("got %q, want no gateway without a relay", note)
 		}
 	}
 }
 
-// checkPositive returns a check that a series is above 0 at every size.
+// checkPositive returns a check that the values of a series are above 0 at every size.
 func checkPositive(name, unit string) func(t *testing.T, r *scaletest.Report, sizes []int) {
 	return func(t *testing.T, r *scaletest.Report, sizes []int) {
 		for _, n := range sizes {
--- a/cmd/experiment/scale_gateway.go
+++ b/cmd/experiment/scale_gateway.go
@@ -21,22 +21,22 @@
 // cpuTick is the unit of CPU time in /proc/PID/stat (USER_HZ, 100 a second on Linux).
 const cpuTick = 10 * time.Millisecond
 
-// logTimeout bounds the wait for a line of the program's log.
+// logTimeout is the timeout of a wait for a line of the program's log.
 const logTimeout = 3 * time.Minute
 
-// gatewayProcess is a process of the program with a configuration file.
+// gatewayProcess is a process of the program that runs with a configuration file.
 type gatewayProcess struct {
 	process *faulttest.Process
-	listen  string // where clients connect
-	reloads int    // that were requested so far
+	listen  string // address of the listener for clients
+	reloads int    // number of reloads requested so far
 
 	mu      sync.Mutex
 	log     bytes.Buffer
-	changed chan struct{} // closed by the next line
+	changed chan struct{} // closed, and replaced, when a line is added to log
 }
 
-// startGateway writes a configuration file, starts the program with it, and returns when it serves. Where the program
-// ends instead, the error has its output.
+// startGateway writes a configuration file, starts the program with it, and returns when the program serves requests.
+// If the program ends instead, the error contains its output.
 func startGateway(ctx context.Context, env *scaleEnv, config string) (*gatewayProcess, error) {
 	binary, err := env.program(ctx)
 	if err != nil {
@@ -71,7 +71,7 @@
 	g.changed = make(chan struct{})
 }
 
-// waitForLog waits until the log has a text the given number of times.
+// waitForLog waits until the log contains a text the given number of times.
 func (g *gatewayProcess) waitForLog(ctx context.Context, text string, times int) error {
 	ctx, cancel := context.WithTimeout(ctx, logTimeout)
 	defer cancel()
@@ -88,7 +88,7 @@
 		case <-g.process.Done():
 			return fmt.Errorf("the program ended: %.300s", strings.TrimSpace(log))
 		case <-ctx.Done():
-			return fmt.Errorf("the program doesn't log %q: %w", text, ctx.Err())
+			return fmt.Errorf("wait for log line %q: %w", text, ctx.Err())
 		}
 	}
 }
@@ -99,7 +99,8 @@
 	if err != nil {
 		return 0, err
 	}
-	// proc_pid_stat(5): utime and stime are the 14th and 15th field; the second, in brackets, may have spaces.
+	// proc_pid_stat(5): utime and stime are the 14th and 15th fields. The second field, in parentheses, may contain
+	// spaces.
 	fields := strings.Fields(string(text[bytes.LastIndexByte(text, ')')+1:]))
 	if len(fields) < 13 {
 		return 0, fmt.Errorf("/proc/%d/stat: %d fields", g.process.Pid(), len(fields))
@@ -133,7 +134,7 @@
 	return resident, peak, nil
 }
 
-// cpuDuring returns the CPU time that the process takes during a call.
+// cpuDuring returns the CPU time that the process uses during a call.
 func (g *gatewayProcess) cpuDuring(call func() error) (time.Duration, error) {
 	before, err := g.cpuTime()
 	if err != nil {
@@ -146,7 +147,7 @@
 	return after - before, err
 }
 
-// reload has the program read its file again, and waits until the configuration is in force.
+// reload sends SIGHUP to the program, and waits until the configuration is reloaded.
 func (g *gatewayProcess) reload(ctx context.Context) error {
 	if err := syscall.Kill(g.process.Pid(), syscall.SIGHUP); err != nil {
 		return err
@@ -155,18 +156,18 @@
 	return g.waitForLog(ctx, `msg="configuration reloaded"`, g.reloads)
 }
 
-// Bounds of the reloads that reloadCost measures, and of the CPU time that they take in all. It ends as soon as both
-// minimums or one of the maximums are reached.
+// Bounds of the number of reloads that reloadCost measures, and of their total CPU time. The measurement ends when
+// both minimums or one of the maximums are reached.
 const (
 	minReloads      = 5
 	maxReloads      = 50
-	smallMaxReloads = 2 // in place of maxReloads in a small run
+	smallMaxReloads = 2 // used instead of maxReloads in a small run
 	minReloadCPU    = 100 * cpuTick
 	maxReloadCPU    = 5 * time.Second
 )
 
-// reloadCost returns the CPU time of a reload: the mean of as many as the bounds above ask for, as a single one may take
-// less than the resolution of the clock.
+// reloadCost returns the mean CPU time of a reload. It measures several reloads, within the bounds above, because a
+// single one may take less than the resolution of the clock.
 func (g *gatewayProcess) reloadCost(ctx context.Context, env *scaleEnv) (time.Duration, error) {
 	limit := maxReloads
 	if env.small {
@@ -198,11 +199,12 @@
 	return cpu / time.Duration(max(n, 1)), err
 }
 
-// probeInterval is the pause between the requests of a probe: they take some 1% of a core.
+// probeInterval is the pause between the requests of a probe, which use about 1% of a core.
 const probeInterval = 20 * time.Millisecond
 
-// startProbe requests a path whose pool has no live host, one request at a time, until stop is called, which returns the
-// longest time to a response, whatever its status. The event loop of the gateway answers.
+// startProbe sends requests, one at a time, for a path whose pool has no live host, so that the event loop of the
+// gateway responds itself. stop ends the probe and returns the longest response time, regardless of the status of the
+// response.
 func (g *gatewayProcess) startProbe(ctx context.Context) (stop func() time.Duration) {
 	ctx, cancel := context.WithCancel(ctx)
 	longest := make(chan time.Duration, 1)
@@ -227,7 +229,7 @@
 	return longest
 }
 
-// probeOnce waits for the whole response, also where the probe is stopped meanwhile.
+// probeOnce sends a request and reads the whole response, even if the probe is stopped in the meantime.
 func (g *gatewayProcess) probeOnce(client *http.Client) {
 	request, err := http.NewRequest("GET", "http://"+g.listen+"/part-0/probe", nil)
 	if err != nil {
@@ -242,10 +244,10 @@
 	response.Body.Close()
 }
 
-// idleSeconds is how long the program is measured at rest.
+// idleSeconds is how long the program is measured at rest, in seconds.
 const idleSeconds = 3
 
-// idleCPU returns the CPU time of a second at rest, after the work that the start left.
+// idleCPU returns the CPU time per second at rest. It first waits until work that follows the start is done.
 func (g *gatewayProcess) idleCPU(env *scaleEnv) (time.Duration, error) {
 	settle := time.Second
 	span := idleSeconds * time.Second
@@ -261,13 +263,13 @@
 	return time.Duration(float64(cpu) / span.Seconds()), err
 }
 
-// addCPU adds a CPU time that is the mean of a number of measurements.
+// addCPU adds a point with a CPU time that is the mean of a number of measurements.
 func (s *seriesSet) addCPU(size int, name string, cpu time.Duration, measurements int) {
 	s.add(size, name, "CPU ms", float64(cpuTick.Milliseconds())/float64(max(measurements, 1)), float64(cpu.Microseconds())/1000)
 }
 
-// addGateway measures a start with a configuration and reloads of it, and the program at rest where idle is set. The size
-// is what the configuration has of seriesSet.by.
+// addGateway measures a start of the program with a configuration, reloads, and, if idle is set, the program at rest.
+// The size is the number of items that seriesSet.by names in the configuration.
 func (s *seriesSet) addGateway(ctx context.Context, env *scaleEnv, size int, config string, idle bool) error {
 	fmt.Fprintf(env.progress, "%d %ss\n", size, s.by)
 	g, err := startGateway(ctx, env, config)
--- a/cmd/experiment/scale_hosts.go
+++ b/cmd/experiment/scale_hosts.go
@@ -15,12 +15,12 @@
 func init() {
 	registerScale(&scalePart{
 		name: "hosts", by: "host", sizes: []int{100, 300, 1000, 5000, 20_000, 60_000}, smallSizes: []int{10, 20, 50, 100}, duration: "a minute",
-		about: "one pool of so many hosts in a file: memory, CPU at rest and of a change of one host; the static list's cap",
+		about: "one pool with the hosts in a file: memory, CPU at rest and of a change of one host; and the limit of static lists",
 		run:   measureHosts,
 	})
 }
 
-// writeHosts writes hosts in the form of discovery's full list; the last one is in the given state.
+// writeHosts writes a file with a full endpoint list in the format of discovery. The last host is in the given state.
 func writeHosts(path string, hosts int, lastState string) error {
 	var b bytes.Buffer
 	b.WriteString(`{"version": 1, "full": true, "servers": [` + "\n")
@@ -42,8 +42,8 @@
 
 func measureHosts(ctx context.Context, env *scaleEnv, sizes []int) (*scaletest.Report, error) {
 	s := &seriesSet{by: "host", targetSize: targetHosts}
-	r := &scaletest.Report{Notes: []string{memoryNote, "the program looks at the file once a second (fileInterval, internal/discovery/file.go) and reads it whole: that is its CPU at rest",
-		"a change is CPU from the write of the file to the first second after it is in force, less as much at rest"}}
+	r := &scaletest.Report{Notes: []string{memoryNote, "the program checks the file once per second (fileInterval, internal/discovery/file.go) and reads it completely, which is its CPU at rest",
+		"the CPU of a change is measured from the write of the file until the list is loaded, minus the CPU at rest for that time"}}
 	dir, err := env.makeDir("hosts")
 	if err != nil {
 		return nil, err
@@ -67,13 +67,13 @@
 	return r, err
 }
 
-// Changes of a host that are measured.
+// Numbers of changes of one host that are measured.
 const (
 	hostChanges      = 3
 	smallHostChanges = 1
 )
 
-// addHosts measures one number of hosts.
+// addHosts measures the program with one number of hosts.
 func (s *seriesSet) addHosts(ctx context.Context, env *scaleEnv, size int, path, config string) error {
 	fmt.Fprintf(env.progress, "%d hosts\n", size)
 	if err := writeHosts(path, size, "ready"); err != nil {
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// hostChangeCost returns the mean CPU time of a change of one host, without that of the program at rest.
+// hostChangeCost returns the mean CPU time of a change of one host, minus the CPU time of the program at rest.
 func (g *gatewayProcess) hostChangeCost(ctx context.Context, hosts, changes int, path string, idleCPU time.Duration) (time.Duration, error) {
 	startedAt := time.Now()
 	cpu, err := g.cpuDuring(func() error {
@@ -138,7 +138,8 @@
 	return max(cpu, 0) / time.Duration(changes), err
 }
 
-// hostsFileLimit starts the program with a file of the hosts to design for, and returns what it rejects.
+// hostsFileLimit starts the program with a file of targetHosts hosts, and returns a break if the program rejects the
+// file.
 func hostsFileLimit(ctx context.Context, env *scaleEnv, path, config string) ([]scaletest.Break, error) {
 	if err := writeHosts(path, targetHosts, "ready"); err != nil {
 		return nil, err
@@ -157,9 +158,9 @@
 		return []scaletest.Break{{By: "host", Size: targetHosts, What: err.Error(), Where: where}}, nil
 	}
 	defer g.process.Kill()
-	// It serves without hosts where the list is rejected, and logs so.
+	// If the program rejects the list, it logs an error and serves requests without hosts.
 	if err := g.waitForLog(ctx, "read endpoint file failed", 1); err != nil {
 		return nil, nil // the list is loaded
 	}
-	return []scaletest.Break{{By: "host", Size: targetHosts, What: fmt.Sprintf("a file of %d bytes is not read, the pool has no host", info.Size()), Where: where}}, nil
+	return []scaletest.Break{{By: "host", Size: targetHosts, What: fmt.Sprintf("a file of %d bytes is rejected, and the pool has no hosts", info.Size()), Where: where}}, nil
 }
--- a/cmd/experiment/scale_mesh.go
+++ b/cmd/experiment/scale_mesh.go
@@ -23,7 +23,7 @@
 	})
 	registerScale(&scalePart{
 		name: "mesh-real", by: "gateway", sizes: []int{8, 12, 24, 48, 80}, smallSizes: []int{4, 5}, duration: "1 min",
-		about: "the same with processes of the program: how far hollow ones stand for them",
+		about: "the same with processes of the program, to show how far hollow gateways are representative of them",
 		run: func(ctx context.Context, env *scaleEnv, sizes []int) (*scaletest.Report, error) {
 			binary, err := env.program(ctx)
 			if err != nil {
@@ -36,12 +36,12 @@
 	})
 	registerScale(&scalePart{
 		name: "duties", by: "pool", sizes: []int{10, 25, 50, 100, 200}, smallSizes: []int{2, 4}, duration: "1 min",
-		about: "twelve hollow gateways at rest, by the number of pools: each has its list of hosts told by an owner",
+		about: "twelve hollow gateways at rest, by the number of pools: the endpoint list of each pool is published by the holder of its lease",
 		run:   measureLeases,
 	})
 }
 
-// measureMesh measures fleets at rest by their size.
+// measureMesh measures fleets of several sizes at rest.
 func measureMesh(ctx context.Context, env *scaleEnv, sizes []int, options func(size int) hollow.Options) (*scaletest.Report, error) {
 	s := &seriesSet{by: "gateway", targetSize: targetGateways}
 	r := &scaletest.Report{}
@@ -51,7 +51,7 @@
 			return err
 		}
 		s.addUsageByRole(f, usage, size)
-		r.Notes = append(r.Notes, fmt.Sprintf("%d gateways: %s%s", size, usage.describeTraffic(), usage.describePacked(f)))
+		r.Notes = append(r.Notes, fmt.Sprintf("%d gateways: %s%s", size, usage.describeTraffic(), usage.describeSharedProcesses(f)))
 		return nil
 	})
 	if err != nil {
@@ -63,7 +63,7 @@
 	return r, nil
 }
 
-// addUsageByRole adds what a gateway of each role uses at rest.
+// addUsageByRole adds the resource usage of a gateway of each role at rest.
 func (s *seriesSet) addUsageByRole(f *hollow.Fleet, u *fleetRates, size int) {
 	byRole := processesByRole(f)
 	for _, role := range shownRoles {
@@ -89,8 +89,8 @@
 	}
 }
 
-// describePacked describes the CPU of the gateways that share a process, where there are such.
-func (u *fleetRates) describePacked(f *hollow.Fleet) string {
+// describeSharedProcesses describes the CPU time of the gateways that share a process, if there are any.
+func (u *fleetRates) describeSharedProcesses(f *hollow.Fleet) string {
 	packed := 0
 	cpu := 0.0
 	for p, rates := range u.rates {
@@ -102,37 +102,37 @@
 	if packed == 0 {
 		return ""
 	}
-	return fmt.Sprintf("; %d packed into %d processes: %.1f ms/s of CPU each", packed, len(f.Processes)-singleGateways, cpu/float64(packed))
+	return fmt.Sprintf("; %d gateways share %d processes: %.1f ms/s of CPU per gateway", packed, len(f.Processes)-singleGateways, cpu/float64(packed))
 }
 
-// meshLimits are the sizes at which the fitted lines pass the limits of a gateway.
+// meshLimits returns the sizes at which the fitted lines exceed the limits of a gateway.
 func (s *seriesSet) meshLimits() []scaletest.Break {
 	return slices.Concat(
-		s.breaksAt(roleMember, "bytes/s", maxControlBytes, "internal/cluster/transport: runConn, an idle frame a second on each connection and its acknowledgement"),
-		s.breaksAt(roleLeader, "bytes/s", maxControlBytes, "internal/cluster/node: the answers to renewals, and runConn"),
-		s.breaksAt(roleMember, "CPU ms/s", maxControlCPU, "internal/cluster/transport: runConn and serveFrames, two goroutines and a timer a connection"),
-		s.breaksAt(roleMember, "MB resident", maxControlMemory, "internal/cluster/transport: serveFrames, a reader of 64 KiB a connection"),
+		s.breaksAt(roleMember, "bytes/s", maxControlBytes, "internal/cluster/transport: runConn, an idle frame per second on each connection and its acknowledgement"),
+		s.breaksAt(roleLeader, "bytes/s", maxControlBytes, "internal/cluster/node: the responses to renewals, and runConn"),
+		s.breaksAt(roleMember, "CPU ms/s", maxControlCPU, "internal/cluster/transport: runConn and serveFrames, two goroutines and a timer per connection"),
+		s.breaksAt(roleMember, "MB resident", maxControlMemory, "internal/cluster/transport: serveFrames, a reader of 64 KiB per connection"),
 	)
 }
 
-// meshCaps are the sizes at which the program accepts no more. Where names the constant that decides; the numbers of those
-// that are not exported stand here again.
+// meshCaps returns the maximum sizes that the program accepts. Break.Where names the constant with the limit. Numbers
+// of constants that are not exported are repeated here.
 func meshCaps() []scaletest.Break {
 	return []scaletest.Break{
-		{By: "gateway", Size: lease.MaxMembers, What: "the record refuses the next member", Where: "internal/cluster/lease: MaxMembers"},
-		{By: "gateway", Size: 1024, What: "a file with more peers is refused", Where: "internal/config: maxPeers"},
-		{By: "gateway", Size: 2201, What: "further connections that come in are closed at once; from 1,101 on where all come back at once, as each has two while one replaces the other", Where: "internal/cluster/transport: maxConns"},
-		{By: "gateway", Size: 8192, What: "a leader drops renewals and commands that come while as many wait for a quorum; they come again 0.3 to 0.6 s later", Where: "internal/cluster/node: maxQueuedRenewals"},
+		{By: "gateway", Size: lease.MaxMembers, What: "the coordination state rejects further members", Where: "internal/cluster/lease: MaxMembers"},
+		{By: "gateway", Size: 1024, What: "a configuration file with more peers is rejected", Where: "internal/config: maxPeers"},
+		{By: "gateway", Size: 2201, What: "further incoming connections are closed immediately; from 1,101 gateways on also if all reconnect at the same time, because each has two connections while one replaces the other", Where: "internal/cluster/transport: maxConns"},
+		{By: "gateway", Size: 8192, What: "a leader drops renewals and commands that arrive while this many wait for a quorum; they are retried 0.3 to 0.6 s later", Where: "internal/cluster/node: maxQueuedRenewals"},
 	}
 }
 
-// Sizes of the fleet whose leases are measured.
+// Numbers of gateways of the fleet in which leases are measured.
 const (
 	leaseFleet      = 12
 	smallLeaseFleet = 4
 )
 
-// measureLeases measures a fleet at rest by the number of its pools, each of which has a lease.
+// measureLeases measures a fleet at rest by the number of pools, each of which has a lease.
 func measureLeases(ctx context.Context, env *scaleEnv, sizes []int) (*scaletest.Report, error) {
 	s := &seriesSet{by: "pool"}
 	r := &scaletest.Report{}
@@ -149,11 +149,11 @@
 	}
 	r.Series = s.list
 	r.Breaks = s.breaksAt("gateway (median)", "bytes/s", maxControlBytes, "internal/fleet: listFollower.check, a heartbeat of each list to each gateway every 2 s (endpoints.HeartbeatInterval)")
-	r.Breaks = append(r.Breaks, scaletest.Break{By: "pool", Size: lease.MaxLeases, What: "the record takes no further duty", Where: "internal/cluster/lease: MaxLeases"})
+	r.Breaks = append(r.Breaks, scaletest.Break{By: "pool", Size: lease.MaxLeases, What: "the coordination state rejects further leases", Where: "internal/cluster/lease: MaxLeases"})
 	return r, nil
 }
 
-// addLeases measures one number of pools.
+// addLeases measures a fleet with one number of pools.
 func (s *seriesSet) addLeases(ctx context.Context, env *scaleEnv, gateways, pools int) (note string, _ error) {
 	f, stop, err := startHollowFleet(ctx, env, hollow.Options{Gateways: gateways, Pools: pools})
 	if err != nil {
@@ -188,13 +188,13 @@
 	s.add(pools, "gateway (median)", "CPU ms/s", 0.5, medianOf(others, usage.cpu))
 	s.add(pools, roleLeader, "CPU ms/s", 0.5, usage.cpu(leader))
 	s.add(pools, roleLeader, "bytes/s", 20, usage.bytes(leader))
-	return fmt.Sprintf("%d lists of hosts told on %d gateways, %d duties with the one that owns most", pools, gateways, highest), nil
+	return fmt.Sprintf("%d endpoint lists published by %d gateways; at most %d leases per gateway", pools, gateways, highest), nil
 }
 
-// balancedDifference is the difference in leases between two gateways that a balanced fleet may have.
+// balancedDifference is the maximum difference between the numbers of leases of two gateways in a balanced fleet.
 const balancedDifference = 2
 
-// waitUntilBalanced waits until no gateway holds far more leases than another.
+// waitUntilBalanced waits until the numbers of leases of any two gateways differ by at most balancedDifference.
 func waitUntilBalanced(ctx context.Context, f *hollow.Fleet) error {
 	for end := time.Now().Add(fleetTimeout); time.Now().Before(end); time.Sleep(250 * time.Millisecond) {
 		leases := f.LeaseCounts()
@@ -210,5 +210,5 @@
 			return ctx.Err()
 		}
 	}
-	return errors.New("the leases are not balanced")
+	return errors.New("the leases were not balanced within the timeout")
 }
--- a/cmd/experiment/scale_module.go
+++ b/cmd/experiment/scale_module.go
@@ -13,12 +13,12 @@
 func init() {
 	registerScale(&scalePart{
 		name: "module", by: "host", sizes: []int{1000, 5000, 20_000, 60_000, 180_000}, smallSizes: []int{10, 30, 60, 100}, duration: "half a minute",
-		about: "the module alone, in this process: memory a host, time of a whole list, of a change of one host and of a request",
-		run:   measureModule,
+		about: "package balancer alone, in this process: memory per host, time of a full list, of a change of one host and of a request",
+		run:   measureBalancer,
 	})
 }
 
-// heapBytes returns the size of the live heap.
+// heapBytes returns the size of the live heap after garbage collection.
 func heapBytes() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -27,18 +27,18 @@
 	return float64(m.HeapAlloc)
 }
 
-// maxModuleTime bounds the measurement of full lists and that of requests.
-const maxModuleTime = 2 * time.Second
+// maxBalancerTime is the time limit of the measurement of full lists, and of that of requests.
+const maxBalancerTime = 2 * time.Second
 
-// moduleBench measures one balancer.
-type moduleBench struct {
+// balancerBench is a balancer that is measured.
+type balancerBench struct {
 	balancer *balancer.Balancer
 	hosts    []balancer.Host
 	actions  []balancer.Action
 	now      time.Duration
 }
 
-func moduleHosts(count int) []balancer.Host {
+func balancerHosts(count int) []balancer.Host {
 	hosts := make([]balancer.Host, count)
 	for i := range hosts {
 		hosts[i] = balancer.Host{ID: balancer.HostID(i + 1), Zone: i % 10, Cell: i / hostsPerCell, Kind: 1}
@@ -46,24 +46,24 @@
 	return hosts
 }
 
-func newModuleBench(hosts []balancer.Host) (*moduleBench, error) {
+func newBalancerBench(hosts []balancer.Host) (*balancerBench, error) {
 	classes := []balancer.Class{{LatencyObjective: time.Second, Deadline: 10 * time.Second, PriorityWeight: 1}}
 	b, err := balancer.New(balancer.Settings{Instances: 1, Cancel: true, MaxAttempts: 4, Classes: classes}, 7)
 	if err != nil {
 		return nil, err
 	}
-	m := &moduleBench{balancer: b, hosts: hosts, now: time.Minute}
+	m := &balancerBench{balancer: b, hosts: hosts, now: time.Minute}
 	b.Start(m.now)
 	return m, nil
 }
 
-func (m *moduleBench) update(kind balancer.ListKind, hosts []balancer.Host) {
+func (m *balancerBench) update(kind balancer.ListKind, hosts []balancer.Host) {
 	m.balancer.UpdateEndpoints(m.now, kind, hosts)
 	m.actions = m.balancer.TakeActions(m.actions[:0])
 }
 
-// changeHosts changes one host at a time.
-func (m *moduleBench) changeHosts(changes int) {
+// changeHosts delivers a number of list changes, each with one host.
+func (m *balancerBench) changeHosts(changes int) {
 	for i := range changes {
 		m.now += time.Millisecond
 		host := m.hosts[(i/2*scatterFactor)%len(m.hosts)]
@@ -74,8 +74,8 @@
 	}
 }
 
-// replaceLists updates the full list with one change each time, and returns how often it did within the time limit.
-func (m *moduleBench) replaceLists(limit int) int {
+// replaceLists delivers full lists, each with one change, and returns how many it delivered within the time limit.
+func (m *balancerBench) replaceLists(limit int) int {
 	startedAt := time.Now()
 	for i := range limit {
 		m.now += time.Millisecond
@@ -85,18 +85,19 @@
 			last.State = balancer.Draining
 		}
 		m.update(balancer.ListFull, m.hosts)
-		if time.Since(startedAt) > maxModuleTime {
+		if time.Since(startedAt) > maxBalancerTime {
 			return i + 1
 		}
 	}
 	return limit
 }
 
-// sendRequests sends requests, each of which succeeds at its first host, and returns their number within the time limit.
-func (m *moduleBench) sendRequests(limit int) int {
+// sendRequests passes requests to the balancer, each of which succeeds with its first attempt, and returns how many
+// it passed within the time limit.
+func (m *balancerBench) sendRequests(limit int) int {
 	startedAt := time.Now()
 	for i := range limit {
-		if time.Since(startedAt) > maxModuleTime {
+		if time.Since(startedAt) > maxBalancerTime {
 			return i
 		}
 		m.now += 100 * time.Microsecond
@@ -112,12 +113,12 @@
 	return limit
 }
 
-// mean returns the mean time of a number of calls since a time.
+// mean returns the mean duration of a number of calls that began at startedAt.
 func mean(startedAt time.Time, calls int) (nanoseconds float64) {
 	return float64(time.Since(startedAt).Nanoseconds()) / float64(calls)
 }
 
-func measureModule(_ context.Context, env *scaleEnv, sizes []int) (*scaletest.Report, error) {
+func measureBalancer(_ context.Context, env *scaleEnv, sizes []int) (*scaletest.Report, error) {
 	s := &seriesSet{by: "host", targetSize: targetHosts}
 	changes, requests := 2000, 200_000
 	if env.small {
@@ -125,18 +126,18 @@
 	}
 	for _, size := range sizes {
 		fmt.Fprintf(env.progress, "%d hosts in the module\n", size)
-		if err := s.addModule(size, changes, requests); err != nil {
+		if err := s.addBalancer(size, changes, requests); err != nil {
 			return nil, err
 		}
 	}
-	return &scaletest.Report{Series: s.list, Notes: []string{"in this process, one thread; a request is Request, TakeActions, AttemptEnded and TakeActions, its pick among all hosts"}}, nil
+	return &scaletest.Report{Series: s.list, Notes: []string{"in this process, with one thread; a request consists of Request, TakeActions, AttemptEnded and TakeActions, and its host is chosen among all hosts"}}, nil
 }
 
-// addModule measures one number of hosts.
-func (s *seriesSet) addModule(size, changes, requests int) error {
-	hosts := moduleHosts(size)
-	before := heapBytes() // without the list of hosts, which is the caller's
-	m, err := newModuleBench(hosts)
+// addBalancer measures a balancer with one number of hosts.
+func (s *seriesSet) addBalancer(size, changes, requests int) error {
+	hosts := balancerHosts(size)
+	before := heapBytes() // includes the list of hosts, which belongs to the caller
+	m, err := newBalancerBench(hosts)
 	if err != nil {
 		return err
 	}
--- a/cmd/experiment/scale_overrides.go
+++ b/cmd/experiment/scale_overrides.go
@@ -12,21 +12,21 @@
 func init() {
 	registerScale(&scalePart{
 		name: "fleet-changes", by: "change", sizes: []int{1, 3, 10, 30, 100}, smallSizes: []int{4, 16}, duration: "1 min",
-		about: "24 hollow gateways, by the changes a second (operators' words) written in the record",
+		about: "24 hollow gateways, by the number of operators' overrides that are written to the coordination state per second",
 		run:   measureOverrides,
 	})
 }
 
-// Sizes of the fleet in which overrides are written.
+// Numbers of gateways of the fleet in which overrides are written.
 const (
 	overrideFleet      = 24
 	smallOverrideFleet = 6
 )
 
-// overrideMargin is how long overrides are written beside the span that is measured, half of it before.
+// overrideMargin is how long overrides are written in addition to the measured span; half of it is before the span.
 const overrideMargin = 2 * time.Second
 
-// measureOverrides measures one fleet by the rate at which overrides are written.
+// measureOverrides measures a fleet by the rate at which overrides are written.
 func measureOverrides(ctx context.Context, env *scaleEnv, sizes []int) (*scaletest.Report, error) {
 	s := &seriesSet{by: "change"}
 	r := &scaletest.Report{}
@@ -51,7 +51,8 @@
 	return r, nil
 }
 
-// addOverrides measures a rate. The last process writes, and is not counted: it doesn't answer meanwhile.
+// addOverrides measures one rate. The last process writes the overrides. It is not measured, because it doesn't reply
+// to other requests while it does so.
 func (s *seriesSet) addOverrides(f *hollow.Fleet, rate int, span time.Duration) (note string, _ error) {
 	writer := f.Processes[len(f.Processes)-1]
 	type outcome struct {
@@ -87,7 +88,7 @@
 	for _, role := range shownRoles {
 		s.addOverrideUsage(usage, role, byRole[role], rate)
 	}
-	return fmt.Sprintf("%d a second asked for: %d carried out, %d not or not known, in %v", rate, o.done, o.failed, span+overrideMargin), nil
+	return fmt.Sprintf("%d overrides per second requested: %d applied, %d failed or with an unknown outcome, in %v", rate, o.done, o.failed, span+overrideMargin), nil
 }
 
 func (s *seriesSet) addOverrideUsage(u *fleetRates, role string, processes []*hollow.Process, rate int) {
--- a/cmd/experiment/scale_record.go
+++ b/cmd/experiment/scale_record.go
@@ -17,17 +17,17 @@
 func init() {
 	registerScale(&scalePart{
 		name: "record", by: "gateway", sizes: []int{100, 300, 1000, 3000, 4700}, smallSizes: []int{10, 30}, duration: "10 s",
-		about: "what a leader computes over a record of 500 duties: an answer to a renewal, a tick, what is shown",
-		run:   measureRecord,
+		about: "computations of a leader with a coordination state of 500 leases: the response to a renewal, a tick, the status",
+		run:   measureCoordinationState,
 	})
 	registerScale(&scalePart{
 		name: "sim", by: "gateway", sizes: []int{25, 50, 100, 175, 250}, smallSizes: []int{4, 6}, duration: "1 min",
-		about: "the time that `experiment fleet cost` takes itself to play a fleet of 500 duties",
+		about: "the run time of `experiment fleet cost` for a fleet with 500 leases",
 		run:   measureSimulation,
 	})
 }
 
-// Leases of a simulated fleet; simulatedLeases is the number of `experiment fleet cost`.
+// Numbers of leases of a simulated fleet; simulatedLeases is the default of `experiment fleet cost`.
 const (
 	simulatedLeases      = 500
 	smallSimulatedLeases = 20
@@ -52,12 +52,13 @@
 	return &scaletest.Report{Series: s.list}, nil
 }
 
-// renewalAnswers is the name of the series whose values are bounded by the one goroutine that answers renewals.
-const renewalAnswers = "all gateways' answers of a second"
+// renewalResponses is the name of the series whose values are limited by the single goroutine that responds to
+// renewals.
+const renewalResponses = "all gateways' answers of a second"
 
-// measureRecord measures what a leader computes over the coordination state: for each renewal, each tick and each status.
-// One goroutine of the leader does all of it.
-func measureRecord(ctx context.Context, env *scaleEnv, sizes []int) (*scaletest.Report, error) {
+// measureCoordinationState measures the computations of a leader on the coordination state for each renewal, tick and
+// status, all of which run in one goroutine of the leader.
+func measureCoordinationState(ctx context.Context, env *scaleEnv, sizes []int) (*scaletest.Report, error) {
 	s := &seriesSet{by: "gateway", targetSize: targetGateways}
 	for _, size := range sizes {
 		if ctx.Err() != nil {
@@ -70,7 +71,7 @@
 		}
 		answer := microseconds(env, func() { state.DeltaSince(state.Revision) })
 		s.add(size, "an answer to a renewal, nothing new", "us", 0.1, answer)
-		s.add(size, renewalAnswers, "ms/s", 0.1, answer*float64(size)/1000)
+		s.add(size, renewalResponses, "ms/s", 0.1, answer*float64(size)/1000)
 		s.add(size, "sessions that have lapsed, none", "us", 0.1, microseconds(env, func() { tracker.Expired(time.Hour, state) }))
 		s.add(size, "duties to be given, none", "us", 0.1, microseconds(env, func() { lease.AssignFree(state) }))
 		s.add(size, "duties to be evened out, none", "us", 0.1, microseconds(env, func() { lease.Rebalance(state) }))
@@ -80,25 +81,25 @@
 	return &scaletest.Report{Series: s.list, Breaks: s.renewalLimit()}, nil
 }
 
-// renewalLimit returns the first size at which answers to renewals take more than a core.
+// renewalLimit returns the smallest size at which responses to renewals take more than one core.
 func (s *seriesSet) renewalLimit() []scaletest.Break {
 	for i := range s.list {
 		series := &s.list[i]
-		if series.Name != renewalAnswers {
+		if series.Name != renewalResponses {
 			continue
 		}
 		slices.SortFunc(series.Points, func(a, b scaletest.Point) int { return cmp.Compare(a.Size, b.Size) })
 		for _, p := range series.Points {
 			if p.Value > 1000 {
-				return []scaletest.Break{{By: "gateway", Size: p.Size, What: "the first size at which answers to renewals alone take more than the one core that the loop has", Where: "internal/cluster/lease: State.DeltaSince"}}
+				return []scaletest.Break{{By: "gateway", Size: p.Size, What: "the smallest measured size at which responses to renewals alone take more than the one core that the event loop can use", Where: "internal/cluster/lease: State.DeltaSince"}}
 			}
 		}
 	}
 	return nil
 }
 
-// newCoordinationState returns the coordination state of a fleet whose gateways are all candidates for all leases, each of
-// which has a holder.
+// newCoordinationState returns the coordination state of a fleet in which all gateways are candidates for all leases,
+// and each lease has a holder.
 func newCoordinationState(gateways, leases int) *lease.State {
 	const address = "10.0.0.1:7400"
 	state := lease.NewState(1)
@@ -122,20 +123,20 @@
 	return state
 }
 
-// encodeFullDelta returns the JSON of all of a state, as a gateway without any of it receives it.
+// encodeFullDelta returns the JSON form of a complete state, as it is sent to a gateway that has no earlier revision.
 func encodeFullDelta(state *lease.State) []byte {
 	b, err := json.Marshal(state.DeltaSince(0))
 	if err != nil {
-		panic(err) // it has strings and numbers only
+		panic(err) // a delta has only strings and numbers
 	}
 	return b
 }
 
-// timingRounds is the number of rounds in which microseconds measures a call.
+// timingRounds is the number of rounds in which the function microseconds measures a call.
 const timingRounds = 5
 
-// microseconds returns how long a call takes: the least of the means of timingRounds rounds, of a tenth of a second each
-// (a millisecond in a small run).
+// microseconds returns the duration of a call: the lowest of the means of timingRounds rounds, each of which takes a
+// tenth of a second (a millisecond in a small run).
 func microseconds(env *scaleEnv, call func()) float64 {
 	roundTime := 100 * time.Millisecond
 	if env.small {
--- a/cmd/experiment/scale_relay_losses.go
+++ b/cmd/experiment/scale_relay_losses.go
@@ -13,7 +13,7 @@
 func init() {
 	registerScale(&scalePart{
 		name: "relays-lost", by: "gateway", sizes: []int{300, 1000, 2000, 3000}, smallSizes: []int{6}, duration: "5 min",
-		about: "the same: a relay is killed, one stands still, half are killed, all restarted; until their gateways are with others",
+		about: "relays of such a fleet are lost: one is killed, one is paused, half are killed, all are restarted; time until gateways have another relay",
 		run:   measureRelayLosses,
 	})
 }
@@ -22,12 +22,12 @@
 type relayFault struct {
 	name    string
 	relays  []*hollow.Process
-	paused  bool // the relays are stopped by a signal, so that their connections stay open; otherwise they are killed
-	restart bool // they are started again at once
+	paused  bool // the relays are paused by SIGSTOP, so that their connections stay open; otherwise they are killed
+	restart bool // the relays are started again immediately
 }
 
-// relayFaults returns the faults of a fleet in their order. Relays that are no replicas fail first, then replicas other
-// than the leader.
+// relayFaults returns the faults to inject into a fleet, in this order. Their targets are first relays without a
+// replica, and then replicas other than the leader. The last fault restarts all relays.
 func relayFaults(f *hollow.Fleet, leader *hollow.Process) []relayFault {
 	var others, replicas []*hollow.Process
 	for i, p := range f.Processes[:f.Relays] {
@@ -42,7 +42,8 @@
 	list := append(others, replicas...)
 	return []relayFault{
 		{name: "a relay killed", relays: list[:1]},
-		{name: "a relay stands still", relays: list[1:2], paused: true}, // another: gateways return to the first within half a minute
+		// A different relay is paused, because gateways return to the first one within half a minute.
+		{name: "a relay stands still", relays: list[1:2], paused: true},
 		{name: "half of the relays killed", relays: list[:half]},
 		{name: "all relays restarted", relays: f.Processes[:f.Relays], restart: true},
 	}
@@ -62,7 +63,7 @@
 	return r, nil
 }
 
-// addRelayLosses injects the faults into one fleet.
+// addRelayLosses injects all faults, one after the other, into a fleet of one size.
 func (s *seriesSet) addRelayLosses(ctx context.Context, env *scaleEnv, size int) (notes []string, _ error) {
 	f, stop, err := startRelayFleet(ctx, env, size)
 	if err != nil {
@@ -81,7 +82,7 @@
 		}
 		notes = append(notes, note)
 		if fault.restart || fault.paused {
-			continue // its relays run again
+			continue // the relays are running again
 		}
 		if err := startProcesses(ctx, fault.relays); err != nil {
 			return nil, err
@@ -94,7 +95,7 @@
 	return notes, nil
 }
 
-// startProcesses starts processes one after the other.
+// startProcesses starts processes sequentially.
 func startProcesses(ctx context.Context, processes []*hollow.Process) error {
 	for _, p := range processes {
 		if err := p.Start(ctx); err != nil {
@@ -104,9 +105,9 @@
 	return nil
 }
 
-// addRelayFault injects a fault, and measures until all gateways have a relay.
+// addRelayFault injects a fault, and measures how long it takes until all gateways have a relay.
 func (s *seriesSet) addRelayFault(ctx context.Context, env *scaleEnv, f *hollow.Fleet, size int, fault relayFault) (note string, _ error) {
-	duration := 6 * time.Second // two sessions: those that expire have done so by then
+	duration := 6 * time.Second // two session timeouts: sessions that expire have done so by then
 	if env.small {
 		duration = time.Second
 	}
@@ -135,11 +136,11 @@
 	s.add(size, fault.name, "s, the last", 0.01, quantile(delays, 1))
 	s.add(size, fault.name, "sessions lapsed", 1, float64(expired))
 	s.add(size, fault.name, "KB on the loopback in the busiest second", 1, peak/1000)
-	return fmt.Sprintf("%d gateways, %s (%d): seen whole %.1f s after it, looked for from %v on; without a relay at last %d; streams %s",
+	return fmt.Sprintf("%d gateways, %s (%d): complete %.1f s after the fault, checked from %v on; gateways without a relay at the end: %d; streams %s",
 		size, fault.name, len(fault.relays), recovery.Seconds(), duration, without, describeStreams(f)), nil
 }
 
-// inject injects the fault and waits for its duration. Relays that were paused run again afterwards.
+// inject injects the fault and waits for its duration. Paused relays are resumed at the end.
 func (r *relayFault) inject(ctx context.Context, f *hollow.Fleet, injectedAt time.Time, duration time.Duration) error {
 	for _, p := range r.relays {
 		if !r.paused {
@@ -169,8 +170,8 @@
 	return nil
 }
 
-// relayDelays returns how long after a time gateways connected to the relays that they have, and the number of gateways
-// without a relay.
+// relayDelays returns, for the gateways that connected to their current relay after the given time, how long after it
+// they did so. It also returns the number of gateways without a relay.
 func relayDelays(f *hollow.Fleet, after time.Time) (delays []float64, without int, _ error) {
 	for _, p := range f.Processes[f.Relays:] {
 		status, err := p.Status(false)
--- a/cmd/experiment/scale_relays.go
+++ b/cmd/experiment/scale_relays.go
@@ -13,12 +13,12 @@
 func init() {
 	registerScale(&scalePart{
 		name: "relays", by: "gateway", sizes: []int{300, 1000, 2000, 3000}, smallSizes: []int{6}, duration: "3 min",
-		about: "16 relays of the program and hollow gateways at rest, and an operator's word until all have it",
+		about: "16 relays, which are processes of the program, and hollow gateways at rest; and the time until all gateways have an operator's override",
 		run:   measureRelays,
 	})
 }
 
-// startRelayFleet starts a fleet with relays, which are processes of the program.
+// startRelayFleet starts a fleet of hollow gateways with relays that are processes of the program.
 func startRelayFleet(ctx context.Context, env *scaleEnv, gateways int) (_ *hollow.Fleet, stop func(), _ error) {
 	binary, err := env.program(ctx)
 	if err != nil {
@@ -34,7 +34,8 @@
 // relayRoles are the roles of a fleet with relays, in the order of the reports.
 var relayRoles = []string{roleLeader, roleReplica, roleRelay, roleGateway}
 
-// relayProcessesByRole returns the processes of a single relay or gateway by its role.
+// relayProcessesByRole returns the processes with a single relay or gateway by its role. Gateways that hold a lease
+// are left out.
 func relayProcessesByRole(f *hollow.Fleet) map[string][]*hollow.Process {
 	byRole := map[string][]*hollow.Process{}
 	leases := f.LeaseCounts()
@@ -54,7 +55,8 @@
 	return byRole
 }
 
-// quantile returns the value that a share of a list doesn't exceed; 0: the list is empty. It sorts the list.
+// quantile returns the value that the given share of a list doesn't exceed, or 0 if the list is empty. It sorts the
+// list.
 func quantile(list []float64, share float64) float64 {
 	if len(list) == 0 {
 		return 0
@@ -78,7 +80,7 @@
 	return r, nil
 }
 
-// addRelayFleet measures a fleet with relays at rest, and then an override.
+// addRelayFleet measures a fleet with relays at rest, and then the propagation of an override.
 func (s *seriesSet) addRelayFleet(ctx context.Context, env *scaleEnv, size int) (note string, _ error) {
 	startedAt := time.Now()
 	f, stop, err := startRelayFleet(ctx, env, size)
@@ -104,13 +106,13 @@
 		s.add(size, role, "MB resident", 1, medianOf(processes, usage.resident))
 		s.add(size, role, "connections", 0.5, medianOf(processes, usage.conns))
 	}
-	s.addPacked(usage, size)
-	note = fmt.Sprintf("%d gateways: whole %.1f s after the start, processes' start with it; %s; streams %s", size, formationTime.Seconds(), usage.describeTraffic(), describeStreams(f))
+	s.addSharedProcesses(usage, size)
+	note = fmt.Sprintf("%d gateways: complete %.1f s after the start, including the start of the processes; %s; streams %s", size, formationTime.Seconds(), usage.describeTraffic(), describeStreams(f))
 	return note, s.addOverrideSpread(ctx, f, size)
 }
 
-// addPacked adds the mean of the gateways that share processes, which are many.
-func (s *seriesSet) addPacked(u *fleetRates, size int) {
+// addSharedProcesses adds the mean usage of the gateways that share processes, which are most of the fleet.
+func (s *seriesSet) addSharedProcesses(u *fleetRates, size int) {
 	var gateways, bytes, packets, cpu, resident float64
 	for p := range u.rates {
 		if len(p.Names) == 1 {
@@ -132,7 +134,7 @@
 	s.add(size, name, "MB resident", 0.1, resident/gateways)
 }
 
-// addOverrideSpread writes an override at a gateway, and measures until all gateways follow it.
+// addOverrideSpread writes an override at a gateway, and measures how long it takes until all gateways apply it.
 func (s *seriesSet) addOverrideSpread(ctx context.Context, f *hollow.Fleet, size int) error {
 	writer := f.Processes[f.Relays]
 	writtenAt := time.Now()
@@ -153,7 +155,7 @@
 	return nil
 }
 
-// describeStreams describes the streams that the relays have: the least, the most and the sum.
+// describeStreams describes the numbers of streams of the relays: the minimum, the maximum and the sum.
 func describeStreams(f *hollow.Fleet) string {
 	lowest, highest, total := 1<<30, 0, 0
 	for _, p := range f.Processes[:f.Relays] {
@@ -169,5 +171,5 @@
 		highest = max(highest, streams)
 		total += streams
 	}
-	return fmt.Sprintf("%d to %d a relay, %d in all", lowest, highest, total)
+	return fmt.Sprintf("%d to %d per relay, %d in total", lowest, highest, total)
 }
--- a/cmd/experiment/scale_restart.go
+++ b/cmd/experiment/scale_restart.go
@@ -10,28 +10,28 @@
 	"dunemoor/internal/experiment/scaletest/hollow"
 )
 
-// Parts that end gateways and start them again.
+// Parts that kill gateways and start them again.
 func init() {
 	registerScale(&scalePart{
 		name: "joins", by: "gateway", sizes: []int{8, 12, 24, 48, 80}, smallSizes: []int{4, 6}, duration: "1 min",
-		about: "a gateway that comes back, and all of them at once: bytes and time until they have sessions",
+		about: "restart of one gateway, and of all at once: bytes and time until they have sessions",
 		run:   measureJoins,
 	})
 	registerScale(&scalePart{
 		name: "lost", by: "gateway", sizes: []int{8, 12, 24, 48, 80}, smallSizes: []int{5}, duration: "2 min",
-		about: "the leader is killed, and a tenth of the gateways at once, which come back: times, the busiest second",
+		about: "the leader is killed, and a tenth of the gateways at once, which are started again: times, and traffic of the busiest second",
 		run:   measureLosses,
 	})
 }
 
-// Lines of the log that are waited for.
+// Log messages that are used as events.
 const (
 	sessionOpened  = "session opened"
 	sessionExpired = "session expired"
 	becameLeader   = "became leader"
 )
 
-// trafficDelay is how long the traffic of a start is waited for after the last session is open.
+// trafficDelay is how long to wait for the remaining traffic of a start after the last session has been opened.
 const trafficDelay = 300 * time.Millisecond
 
 func measureJoins(ctx context.Context, env *scaleEnv, sizes []int) (*scaletest.Report, error) {
@@ -55,7 +55,7 @@
 	return r, nil
 }
 
-// addRejoin restarts the last gateway that is alone in its process.
+// addRejoin restarts the last gateway that has a process of its own, and measures its start.
 func (s *seriesSet) addRejoin(ctx context.Context, env *scaleEnv, f *hollow.Fleet, size int) error {
 	p := f.Processes[min(size, singleGateways)-1]
 	p.Kill()
@@ -68,7 +68,7 @@
 	if err != nil {
 		return err
 	}
-	// The first view follows the session, and so may the last connections.
+	// The first complete state, and possibly the last connections, follow after the session has been opened.
 	var process *hollow.ProcessUsage
 	for end := time.Now().Add(fleetTimeout); process == nil || process.Conns < 2*(size-1) && time.Now().Before(end); {
 		time.Sleep(trafficDelay)
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// addColdStart restarts all gateways at once.
+// addColdStart restarts all gateways at once, and measures their start.
 func (s *seriesSet) addColdStart(ctx context.Context, f *hollow.Fleet, size int) (note string, _ error) {
 	for _, p := range f.Processes {
 		p.Kill()
@@ -140,7 +140,7 @@
 		if err != nil {
 			return err
 		}
-		r.Notes = append(r.Notes, fmt.Sprintf("%d gateways: %d sessions of living ones lapsed as the leader died, %d as %d others did", size, expiredByLeader, expired, killed))
+		r.Notes = append(r.Notes, fmt.Sprintf("%d gateways: %d sessions of running gateways expired after the leader was killed, %d after %d other gateways were killed", size, expiredByLeader, expired, killed))
 		return nil
 	})
 	if err != nil {
@@ -150,7 +150,8 @@
 	return r, nil
 }
 
-// addLeaderLoss kills the leader, and starts it again when the fleet is complete without it.
+// addLeaderLoss kills the leader, measures until the fleet is complete without it, and starts it again. It returns
+// the number of expired sessions.
 func (s *seriesSet) addLeaderLoss(ctx context.Context, f *hollow.Fleet, size int) (expired int, _ error) {
 	leader := f.Leader()
 	if leader == nil {
@@ -179,8 +180,8 @@
 	return expired, f.WaitComplete(ctx, fleetTimeout)
 }
 
-// lossGroup returns processes of a tenth of the gateways, the last ones, none of them a replica where there are others,
-// and the number of their gateways.
+// lossGroup returns the last processes, with a tenth of the gateways, and the number of their gateways. It includes
+// replicas only if there are no other gateways.
 func lossGroup(f *hollow.Fleet, size int) (group []*hollow.Process, gateways int) {
 	for i := len(f.Processes) - 1; i >= f.BootstrapReplicas && gateways < max(1, size/10); i-- {
 		group = append(group, f.Processes[i])
@@ -192,7 +193,8 @@
 	return group, gateways
 }
 
-// addGroupLoss kills a tenth of the gateways, and starts them again when the fleet is complete without them.
+// addGroupLoss kills a tenth of the gateways, measures until the fleet is complete without them, and starts them
+// again. It returns the numbers of expired sessions and of killed gateways.
 func (s *seriesSet) addGroupLoss(ctx context.Context, f *hollow.Fleet, size int) (expired, killed int, _ error) {
 	group, killed := lossGroup(f, size)
 	stop := watchPeak()
--- a/cmd/experiment/scale_routes.go
+++ b/cmd/experiment/scale_routes.go
@@ -9,21 +9,21 @@
 	"dunemoor/internal/route"
 )
 
-// Parts that measure a process of the program by what its configuration has.
+// Parts that measure a process of the program by the size of its configuration.
 func init() {
 	registerScale(&scalePart{
 		name: "routes", by: "route", sizes: []int{1000, 3000, 10_000, 30_000, 55_000}, smallSizes: []int{20, 60, 120, 200}, duration: "a minute",
-		about: "a file of so many routes over 250 pools of 20 hosts: CPU and memory of a start and of a reload, time of a look-up",
+		about: "a file with the routes to 250 pools of 20 hosts: CPU and memory of a start and of a reload, and time of a route lookup",
 		run:   measureRoutes,
 	})
 	registerScale(&scalePart{
 		name: "pools", by: "pool", sizes: []int{16, 32, 64, 128, 256}, smallSizes: []int{2, 4, 8, 20}, duration: "half a minute",
-		about: "so many pools of one host each: memory, CPU of a start, of a reload and at rest; and what the reader says beyond its cap",
+		about: "pools of one host each: memory, CPU of a start, of a reload and at rest; and the error beyond the limit of the configuration",
 		run:   measurePools,
 	})
 	registerScale(&scalePart{
 		name: "changes", by: "change", sizes: []int{1, 2, 4, 8, 16}, smallSizes: []int{1, 2, 5, 10}, duration: "half a minute",
-		about: "so many reloads in five seconds, of 1,000 routes over 250 pools of 20 hosts: CPU by their rate",
+		about: "reloads within five seconds, of 1,000 routes to 250 pools of 20 hosts: CPU by the number of reloads",
 		run:   measureReloads,
 	})
 }
@@ -52,19 +52,19 @@
 	return &scaletest.Report{
 		Series: s.list,
 		Breaks: steepGrowth(s.list),
-		Notes:  []string{memoryNote, "the longest answer is of one request at a time to a pool without a live host, while reloads go on"},
+		Notes:  []string{memoryNote, "the longest answer is the longest response time during reloads, with one request at a time to a pool without a live host"},
 	}, nil
 }
 
-// steepExponent is the least exponent of a power law that is reported as a break.
+// steepExponent is the minimum exponent of a power law that is reported as a break.
 const steepExponent = 1.5
 
-// steepGrowth returns the series that grow far faster than their size.
+// steepGrowth returns a break for each series that grows by a power of at least steepExponent of the size.
 func steepGrowth(list []scaletest.Series) (breaks []scaletest.Break) {
 	where := map[string]string{
 		"start":                         "internal/config: Text.Line, which walks all tables, called for each route by checker.rule",
-		"a reload":                      "Text.Line as at the start; and internal/engine: Snapshot.adopt, which looks for each route among all old ones, in the event loop",
-		"longest answer during reloads": "internal/engine: Snapshot.adopt, in the event loop: nothing is decided meanwhile",
+		"a reload":                      "Text.Line as at the start; and internal/engine: Snapshot.adopt, which searches all old routes for each new one, in the event loop",
+		"longest answer during reloads": "internal/engine: Snapshot.adopt, in the event loop, which handles no requests during that time",
 	}
 	for _, series := range list {
 		fit, err := series.Fit()
@@ -73,12 +73,12 @@
 		}
 		last := series.Points[len(series.Points)-1]
 		breaks = append(breaks, scaletest.Break{By: "route", Size: last.Size, Where: where[series.Name],
-			What: fmt.Sprintf("%s grows by the power %.1f: %.0f %s", series.Name, fit.Exponent, last.Value, series.Unit)})
+			What: fmt.Sprintf("%s grows with the power %.1f of the size, to %.0f %s", series.Name, fit.Exponent, last.Value, series.Unit)})
 	}
 	return breaks
 }
 
-// matchTime returns the time of a look-up in ns, over all routes in turn.
+// matchTime returns the mean time of a route lookup in ns, over all routes in turn.
 func matchTime(routes, pools int) (float64, error) {
 	var names []string
 	for i := range pools {
@@ -103,7 +103,8 @@
 	return float64(time.Since(startedAt).Nanoseconds()) / lookUps, nil
 }
 
-// scatterFactor is a prime: its multiples modulo a size are in no order that a cache favours.
+// scatterFactor is a prime. Indexes that are multiples of it, modulo the size, don't form an access pattern that a
+// CPU cache favors.
 const scatterFactor = 7919
 
 func measurePools(ctx context.Context, env *scaleEnv, sizes []int) (*scaletest.Report, error) {
@@ -119,29 +120,29 @@
 	}
 	const beyond = 257
 	breaks, err := startBeyondLimit(ctx, env, beyond, "pool", "internal/config: maxPools", poolsConfig(beyond, 1)+routesConfig(beyond, beyond))
-	return &scaletest.Report{Series: s.list, Breaks: breaks, Notes: []string{memoryNote, "one host and one route a pool"}}, err
+	return &scaletest.Report{Series: s.list, Breaks: breaks, Notes: []string{memoryNote, "one host and one route per pool"}}, err
 }
 
-// reloadSpan is the time over which reloads are spread.
+// reloadSpan is the time span over which reloads are spread.
 const reloadSpan = 5 * time.Second
 
-// peakFactor is the rate of changes in the busiest hour as a multiple of the day's mean rate. It is assumed, not measured:
-// changes come in eight hours of the day (a factor of 3), and in the busiest of these nearly twice as often as in the mean
-// one.
+// peakFactor is the rate of changes in the busiest hour as a multiple of the mean rate of the day. It is an
+// assumption, not a measurement: changes are made during eight hours of the day (a factor of 3), and in the busiest
+// of these hours nearly twice as often as on average.
 const peakFactor = 5
 
-// Routes of the configuration that is reloaded.
+// Numbers of routes of the configuration that is reloaded.
 const (
 	reloadedRoutes      = 1000
 	smallReloadedRoutes = 20
 )
 
-// measureReloads measures one configuration by the number of reloads in a time span.
+// measureReloads measures a configuration by the number of reloads in a time span.
 func measureReloads(ctx context.Context, env *scaleEnv, sizes []int) (*scaletest.Report, error) {
 	peak := targetChanges / (24 * time.Hour).Seconds() * peakFactor
 	s := &seriesSet{by: "change", targetSize: peak * reloadSpan.Seconds()}
 	r := &scaletest.Report{Notes: []string{memoryNote,
-		fmt.Sprintf("sizes are changes in %v; asked for: %d a day, the busiest hour %d times the mean one (assumed: working hours 3, the busiest of them nearly 2): %.2f a second", reloadSpan, targetChanges, peakFactor, peak)}}
+		fmt.Sprintf("sizes are changes in %v; target: %d per day, with %d times the mean rate in the busiest hour (assumption: 3 for working hours, nearly 2 for the busiest of them): %.2f per second", reloadSpan, targetChanges, peakFactor, peak)}}
 	routes, pools, span := reloadedRoutes, manyPools, reloadSpan
 	if env.small {
 		routes, pools, span = smallReloadedRoutes, smallPools, time.Second/2
@@ -158,16 +159,17 @@
 			return nil, err
 		}
 		if late > 0 {
-			r.Breaks = append(r.Breaks, scaletest.Break{By: "change", Size: float64(size), What: fmt.Sprintf("%d of them due before the last was in force; the program would take them for one", late),
-				Where: "cmd/dunemoor/main.go: the channel of SIGHUP, which has one place"})
+			r.Breaks = append(r.Breaks, scaletest.Break{By: "change", Size: float64(size), What: fmt.Sprintf("%d of them were due before the previous reload had completed; the program would combine them into one", late),
+				Where: "cmd/dunemoor/main.go: the channel of SIGHUP, which has a capacity of one"})
 		}
 	}
 	r.Series = s.list
 	return r, nil
 }
 
-// addReloads reloads at equal intervals, each time when the last configuration is in force: the program takes two at a
-// time for one. It returns the number of reloads that were due before that.
+// addReloads requests reloads at equal intervals, but each one only after the previous one has completed, because the
+// program may combine two concurrent requests into one reload. It returns the number of reloads that were delayed for
+// this reason.
 func (s *seriesSet) addReloads(ctx context.Context, env *scaleEnv, reloads int, span time.Duration, config string) (late int, _ error) {
 	g, err := startGateway(ctx, env, config)
 	if err != nil {
--- a/cmd/experiment/scale_tenants.go
+++ b/cmd/experiment/scale_tenants.go
@@ -13,7 +13,7 @@
 func init() {
 	registerScale(&scalePart{
 		name: "tenants", by: "tenant", sizes: []int{32, 64, 128, 256, 512, 1024}, smallSizes: []int{4, 8, 16, 40}, duration: "a quarter of a minute",
-		about: "so many tenants in the file: memory and CPU of a start; the shares alone, in this process, up to all tenants",
+		about: "tenants in the configuration file: memory and CPU of a start; and the tenant limiter alone, in this process, up to all tenants",
 		run:   measureTenants,
 	})
 }
@@ -37,17 +37,17 @@
 		s.addTenantLimiter(size)
 	}
 	r := &scaletest.Report{Series: s.list, Notes: []string{memoryNote,
-		"a request of the shares alone: internal/ratelimit/tenants.go, Tenants.fill walks all tenants at each, under the lock of all"}}
+		"the limiter alone iterates over all tenants at each request, while it holds its lock (internal/ratelimit/tenants.go: Tenants.fill)"}}
 	const beyond = 1025
 	var err error
 	r.Breaks, err = startBeyondLimit(ctx, env, beyond, "tenant", "internal/config: maxTenants", tenantsConfig(beyond)+poolsConfig(1, 1)+routesConfig(1, 1))
 	return r, err
 }
 
-// tenantRequestTime is how long requests to the limiter are measured.
+// tenantRequestTime is the duration of the measurement of requests to the limiter.
 const tenantRequestTime = 200 * time.Millisecond
 
-// addTenantLimiter measures the limiter of tenants alone.
+// addTenantLimiter measures the limiter of tenants without a gateway, in this process.
 func (s *seriesSet) addTenantLimiter(size int) {
 	list := make([]ratelimit.Tenant, size)
 	for i := range list {
@@ -56,7 +56,7 @@
 	before := heapBytes()
 	tenants := ratelimit.NewTenants(list, ratelimit.TenantLimits{Rate: 1e7, Concurrent: 1 << 20})
 	s.add(size, "the shares alone: memory", "KB", 4, (heapBytes()-before)/1024)
-	runtime.KeepAlive(list) // it is in both figures
+	runtime.KeepAlive(list) // the list must be part of both heap sizes
 	now := ratelimit.Time(0)
 	requests := 0
 	startedAt := time.Now()
--- a/cmd/experiment/scale_test.go
+++ b/cmd/experiment/scale_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// Each part measures a point at each of its small sizes, and reports what the program rejects beyond its limits.
+// Each part measures a point at each of its small sizes, and reports the rejection of sizes beyond the limits of the
+// program.
 func TestScalePartsMeasureTheirSmallSizes(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "scale.json")
 	parts := []string{"routes", "pools", "hosts", "module", "tenants", "changes"}
@@ -41,9 +42,10 @@
 				t.Errorf("%s, %s: got %+v, want a fit of %d points", r.Part, s.Name, s, len(scaleParts[r.Part].smallSizes))
 				continue
 			}
-			// 24 bytes a tenant: what was built meanwhile for the measurement does not count.
+			// The limiter needs 24 bytes per tenant. Memory that the measurement itself allocates must not be
+			// included.
 			if last := s.Points[len(s.Points)-1]; s.Name == "the shares alone: memory" && (last.Value < 24*last.Size/1024*0.9 || last.Value > 24*last.Size/1024*3) {
-				t.Errorf("%s: got %v KB for %v tenants, want 24 bytes each to three times that", s.Name, last.Value, last.Size)
+				t.Errorf("%s: got %v KB for %v tenants, want between 24 bytes and three times that for each", s.Name, last.Value, last.Size)
 			}
 		}
 		if r.Part == "pools" || r.Part == "hosts" || r.Part == "tenants" {
@@ -54,7 +56,7 @@
 	}
 }
 
-// The help explains each part; unknown parts and sizes for several of them are errors.
+// The help describes each part. Unknown parts, and sizes for several parts or with --small, are errors.
 func TestScaleHelpAndArguments(t *testing.T) {
 	out, err := runCommandLine("scale", "--help")
 	if err != nil {
--- a/cmd/experiment/search.go
+++ b/cmd/experiment/search.go
@@ -20,16 +20,16 @@
 )
 
 const (
-	// searchBatch is the number of candidates that are simulated at once, on any number of cores, so that a search
-	// finds the same on any machine.
+	// searchBatch is the number of candidates that are simulated before their results are reported. It doesn't depend
+	// on the number of cores, so that a search has the same findings on any machine.
 	searchBatch = 32
-	// maxShrinkRuns is the number of runs in which a finding is made smaller.
+	// maxShrinkRuns is the maximum number of runs to shrink a finding.
 	maxShrinkRuns = 200
-	// progressInterval is the interval of lines about the progress.
+	// progressInterval is the minimum interval between progress messages.
 	progressInterval = 10 * time.Second
 )
 
-// searchOptions are the flags of the command hunt.
+// searchOptions are the flags of the command "hunt".
 type searchOptions struct {
 	seed     uint64
 	runs     int
@@ -40,14 +40,15 @@
 	ranges   scenariosearch.Ranges
 }
 
-// searchCommand searches for runs that are served worse than possible.
+// searchCommand returns the command hunt. It searches for scenarios in which fewer requests than possible are served
+// in time.
 func searchCommand() *cobra.Command {
 	var o searchOptions
 	cmd := &cobra.Command{
 		Use:     "hunt FILE",
 		Aliases: []string{"search"},
 		Args:    cobra.ExactArgs(1),
-		Short:   "Search round a scenario for what is served worse than it could be, and make it small",
+		Short:   "Search variations of a scenario for runs with fewer requests served in time than possible, and shrink the findings",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if o.runs < 1 || o.findings < 1 {
 				return errors.New("--runs and --finds: at least 1")
@@ -70,22 +71,22 @@
 	}
 	f := cmd.Flags()
 	f.Uint64Var(&o.seed, "seed", 1, "seed of the search")
-	f.IntVar(&o.runs, "runs", 320, "how many runs to simulate")
-	f.Float64Var(&o.minutes, "minutes", 0, "end after so many; 0: never. What is found then depends on the machine")
-	f.IntVar(&o.findings, "finds", 3, "how many findings to make small")
-	f.StringVar(&o.outDir, "out", "", "directory that findings are written to as scenarios")
-	f.StringArrayVar(&o.settings, "set", nil, "KEY=VALUE of what is changed of the scenario; may be repeated")
-	f.Float64Var(&o.ranges.LoadMin, "load-from", 0.4, "least load, as a multiple of the scenario's")
-	f.Float64Var(&o.ranges.LoadMax, "load-to", 1.4, "most load, as a multiple of the scenario's")
-	f.IntVar(&o.ranges.MaxFaults, "troubles", 3, "most faults at once")
-	f.IntVar(&o.ranges.MaxBursts, "bursts", 1, "most bursts at once")
-	f.IntVar(&o.ranges.MaxGateways, "gateways", 16, "most gateways")
-	f.IntVar(&o.ranges.MaxHosts, "hosts", 40, "most hosts; the load is proportional to them")
-	f.DurationVar(&o.ranges.Length, "length", 40*time.Second, "length of a run")
+	f.IntVar(&o.runs, "runs", 320, "number of runs to simulate")
+	f.Float64Var(&o.minutes, "minutes", 0, "time limit in minutes; 0: none. With a limit the findings depend on the speed of the machine")
+	f.IntVar(&o.findings, "finds", 3, "number of findings to shrink")
+	f.StringVar(&o.outDir, "out", "", "directory to which findings are written as scenarios")
+	f.StringArrayVar(&o.settings, "set", nil, "KEY=VALUE of a setting to change, see sweep; may be repeated")
+	f.Float64Var(&o.ranges.LoadMin, "load-from", 0.4, "minimum load, as a multiple of the scenario's load")
+	f.Float64Var(&o.ranges.LoadMax, "load-to", 1.4, "maximum load, as a multiple of the scenario's load")
+	f.IntVar(&o.ranges.MaxFaults, "troubles", 3, "maximum number of faults in a run")
+	f.IntVar(&o.ranges.MaxBursts, "bursts", 1, "maximum number of bursts in a run")
+	f.IntVar(&o.ranges.MaxGateways, "gateways", 16, "maximum number of gateways")
+	f.IntVar(&o.ranges.MaxHosts, "hosts", 40, "maximum number of hosts; the load is proportional to their number")
+	f.DurationVar(&o.ranges.Length, "length", 40*time.Second, "length of each run")
 	return cmd
 }
 
-// search simulates candidates until the number of runs, the time, or ctx ends.
+// search simulates candidates until the number of runs is reached, the time limit has passed, or ctx ends.
 func (o *searchOptions) search(ctx context.Context, s *scenariosearch.Search, progress io.Writer) error {
 	start := time.Now()
 	lastProgress := start
@@ -101,7 +102,7 @@
 		if time.Since(lastProgress) > progressInterval {
 			lastProgress = time.Now()
 			worst := s.Worst()[0]
-			fmt.Fprintf(progress, "%d played in %.0f s, the worst: %s %.3f\n", s.Reported(), lastProgress.Sub(start).Seconds(), scenariosearch.Label(worst.Config), worst.Score)
+			fmt.Fprintf(progress, "%d simulated in %.0f s, the worst: %s %.3f\n", s.Reported(), lastProgress.Sub(start).Seconds(), scenariosearch.Label(worst.Config), worst.Score)
 		}
 	}
 	return nil
@@ -121,7 +122,7 @@
 	return summaries, errors.Join(errs...)
 }
 
-// printFindings prints the worst findings, one of each label, made small.
+// printFindings shrinks the worst findings, one of each label, and prints them.
 func (o *searchOptions) printFindings(out io.Writer, s *scenariosearch.Search) error {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "%d played, seed %d\nwhat\tscore\tgot\tpossible\tbroken\tmade small\tfile\n", s.Reported(), o.seed)
@@ -148,8 +149,8 @@
 	return t.Flush()
 }
 
-// writeFinding writes a finding as a scenario and returns the file's path; "": findings are not written. The scenario
-// expects the share in time that it has now, rounded down.
+// writeFinding writes a finding as a scenario file and returns its path, or "" if findings are not written. The
+// scenario expects the share in time of the finding, rounded down.
 func (o *searchOptions) writeFinding(number int, f *scenariosearch.Finding) (string, error) {
 	if o.outDir == "" {
 		return "", nil
--- a/cmd/experiment/settings.go
+++ b/cmd/experiment/settings.go
@@ -15,8 +15,8 @@
 // settingFunc parses a value and sets it in a scenario.
 type settingFunc func(s *scenario.Scenario, value string) error
 
-// settings are the settings of a scenario that can be changed from the command line. Those of hosts change the first
-// group.
+// settings are the settings of a scenario that can be changed on the command line. Settings of hosts change the first
+// group of hosts.
 var settings = map[string]settingFunc{
 	"gateways":    parsed(strconv.Atoi, func(s *scenario.Scenario, n int) { s.Config.Gateways = n }),
 	"hosts":       parsed(strconv.Atoi, func(s *scenario.Scenario, n int) { s.Config.Hosts[0].Count = n }),
@@ -34,7 +34,7 @@
 	"retry_after": parsed(time.ParseDuration, func(s *scenario.Scenario, d time.Duration) { s.Config.Settings.MaxRetryAfter = d }),
 }
 
-// parsed returns a settingFunc that parses a value and sets it.
+// parsed returns a settingFunc that parses a value with parse and sets it with set.
 func parsed[T any](parse func(string) (T, error), set func(*scenario.Scenario, T)) settingFunc {
 	return func(s *scenario.Scenario, value string) error {
 		x, err := parse(value)
@@ -60,16 +60,16 @@
 	}
 }
 
-// settingNames lists the settings for messages.
+// settingNames returns the names of all settings, for messages.
 func settingNames() string { return strings.Join(slices.Sorted(maps.Keys(settings)), ", ") }
 
-// changeSettings sets KEY=VALUE pairs in a scenario, and validates it.
+// changeSettings applies KEY=VALUE pairs to a scenario, and validates the result.
 func changeSettings(s *scenario.Scenario, pairs []string) error {
 	for _, pair := range pairs {
 		key, value, _ := strings.Cut(pair, "=")
 		set := settings[key]
 		if set == nil {
-			return fmt.Errorf("%q is none of %s", key, settingNames())
+			return fmt.Errorf("%q is not one of %s", key, settingNames())
 		}
 		if err := set(s, value); err != nil {
 			return fmt.Errorf("%s: %q: %w", key, value, err)
--- a/cmd/experiment/sweep.go
+++ b/cmd/experiment/sweep.go
@@ -21,11 +21,11 @@
 	cmd := &cobra.Command{
 		Use:   "sweep FILE --vary KEY=A,B,C",
 		Args:  cobra.ExactArgs(1),
-		Short: "Play a scenario with one thing varied, the same seeds for each value",
+		Short: "Simulate a scenario with several values of one setting, with the same seeds for each value",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			key, values, ok := strings.Cut(vary, "=")
 			if !ok || seeds < 1 {
-				return errors.New("--vary KEY=A,B,C and at least one seed are needed")
+				return errors.New("--vary KEY=A,B,C and at least one seed are required")
 			}
 			var scenarios []*scenario.Scenario
 			for value := range strings.SplitSeq(values, ",") {
@@ -46,13 +46,14 @@
 		},
 	}
 	cmd.Flags().Uint64Var(&seed, "seed", 1, "first seed")
-	cmd.Flags().IntVar(&seeds, "seeds", 3, "how many seeds")
-	cmd.Flags().StringVar(&vary, "vary", "", "what is varied, one of "+settingNames())
-	cmd.Flags().StringArrayVar(&settings, "set", nil, "KEY=VALUE of what else is changed; may be repeated")
+	cmd.Flags().IntVar(&seeds, "seeds", 3, "number of seeds")
+	cmd.Flags().StringVar(&vary, "vary", "", "setting to vary and its values; the settings are "+settingNames())
+	cmd.Flags().StringArrayVar(&settings, "set", nil, "KEY=VALUE of another setting to change; may be repeated")
 	return cmd
 }
 
-// minComparedSeeds is the number of pairs from which a difference can be told from chance.
+// minComparedSeeds is the minimum number of pairs of runs for which a difference can be distinguished from random
+// variation.
 const minComparedSeeds = 5
 
 func compareCommand() *cobra.Command {
@@ -62,10 +63,10 @@
 	cmd := &cobra.Command{
 		Use:   "compare FILE [FILE]",
 		Args:  cobra.RangeArgs(1, 2),
-		Short: "Play two scenarios, or one with two settings, with the same chance on both sides",
+		Short: "Simulate two scenarios, or one with two settings, with the same seeds on both sides, and compare them",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if seeds < minComparedSeeds {
-				return fmt.Errorf("--seeds: at least %d, to tell a difference from chance", minComparedSeeds)
+				return fmt.Errorf("--seeds: at least %d, to distinguish a difference from random variation", minComparedSeeds)
 			}
 			first, err := loadScenarios(cmd, args[:1], firstSettings)
 			if err != nil {
@@ -85,13 +86,14 @@
 		},
 	}
 	cmd.Flags().Uint64Var(&seed, "seed", 1, "first seed")
-	cmd.Flags().IntVar(&seeds, "seeds", 10, "how many pairs")
-	cmd.Flags().StringArrayVar(&firstSettings, "a", nil, "KEY=VALUE for the first side; may be repeated")
-	cmd.Flags().StringArrayVar(&secondSettings, "b", nil, "KEY=VALUE for the second side; may be repeated")
+	cmd.Flags().IntVar(&seeds, "seeds", 10, "number of pairs of runs")
+	cmd.Flags().StringArrayVar(&firstSettings, "a", nil, "KEY=VALUE of a setting to change on the first side; may be repeated")
+	cmd.Flags().StringArrayVar(&secondSettings, "b", nil, "KEY=VALUE of a setting to change on the second side; may be repeated")
 	return cmd
 }
 
-// printDifference prints the mean difference in time of two scenarios, whose runs follow each other.
+// printDifference prints the mean difference of the shares in time of two scenarios. runs has the runs of the first
+// scenario, followed by those of the second.
 func printDifference(cmd *cobra.Command, runs []run, seed uint64, seeds int) {
 	var differences []float64
 	for i := range seeds {
@@ -109,12 +111,12 @@
 const (
 	// bootstrapSamples is the number of samples of the bootstrap.
 	bootstrapSamples = 10_000
-	// bootstrapStream is the second seed of its random numbers.
+	// bootstrapStream is the second seed of the random numbers of the bootstrap.
 	bootstrapStream = 7
 )
 
-// confidenceInterval returns the mean of paired differences and its 95 % confidence interval, by the bootstrap (Efron and
-// Tibshirani, An Introduction to the Bootstrap, 13.3).
+// confidenceInterval returns the mean of paired differences and its 95 % confidence interval, computed with the
+// bootstrap percentile method (Efron and Tibshirani, An Introduction to the Bootstrap, 13.3).
 func confidenceInterval(differences []float64, seed uint64) (mean, low, high float64) {
 	random := rand.New(rand.NewPCG(seed, bootstrapStream))
 	count := float64(len(differences))
