--- a/balancer/api.go
+++ b/balancer/api.go
@@ -60,7 +60,8 @@
 // Class describes one kind of request. The JSON tags of Class and Settings are the field names in
 // recordings.
 type Class struct {
-	// LatencyObjective is the time within which a response counts in full. Zero means Deadline.
+	// LatencyObjective is the time within which a response should arrive. Limits and timeouts derive from
+	// it. Zero means Deadline.
 	LatencyObjective time.Duration `json:"Aim"`
 	// Deadline is the maximum time that a client waits for the response, over all attempts.
 	Deadline time.Duration
@@ -219,8 +220,8 @@
 const (
 	Send   ActionKind = iota // start an attempt of Request at Host; a nonzero At is the latest time to send
 	Cancel                   // cancel Attempt of Request
-	Reject                   // "Refuse": final response; a retry is safe; RetryAfter is advice or 0
-	Fail                     // final response: an error; the request may have run
+	Reject                   // "Refuse": final response to Request; safe to retry; RetryAfter is advice or 0
+	Fail                     // final response to Request: an error; it may have run
 	Wake                     // call Timer with Token at At or shortly after
 	Close                    // close the idle connections to Host
 	Poll                     // "Watch": poll or watch discovery from now on, until ListFailed
@@ -257,8 +258,8 @@
 	return strconv.Itoa(i)
 }
 
-// Action is an operation for the gateway to carry out. Only the fields that the comment of its kind names
-// are set.
+// Action is an operation for the gateway to carry out. Only Kind, the fields that the comment of the kind
+// names, and Cause are set.
 type Action struct {
 	Kind       ActionKind
 	Request    RequestID
--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -2,8 +2,8 @@
 
 // This file sends attempts and updates the state of hosts and classes when they end.
 
-// dispatch sends a request if a host is ready for it, and queues it otherwise. It is always queued if
-// others are waiting, so that it does not overtake them.
+// dispatch sends a request if a host is ready for it, and queues it otherwise. If others are waiting it is
+// always queued, so that requests are sent in the order of the queues.
 func (b *Balancer) dispatch(request *request, isRetry bool) {
 	if b.queues.length == 0 {
 		host := b.pick(request)
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -35,7 +35,8 @@
 //	scope.go        which hosts drop duplicates of a request with an idempotency key
 //	averages.go     the weights of samples in moving averages
 //
-// This file contains the event methods. The types of the API are in api.go.
+// This file contains the event methods, except UpdateEndpoints (endpoints.go), HealthCheckPassed
+// (ejection.go) and Retune (retune.go). The types of the API are in api.go, except HostView (view.go).
 type Balancer struct {
 	settings Settings
 	scales
@@ -48,7 +49,7 @@
 	hosts        []*host // in an order that does not depend on map iteration
 	byID         map[HostID]*host
 	sets         hostSets       // the subset, and the ready hosts in it
-	dueStandings dueHeap        // hosts by the next time at which their standing may change without an event
+	dueStandings dueHeap        // hosts by the time that nextStandingChange returned
 	counts       subsetCounts   // counts of hosts in the subset
 	excluded     []subsetCounts // the same for the hosts excluded for a class, by class
 	ring         hostRing
@@ -171,7 +172,7 @@
 	request.class = &b.settings.Classes[arrived.Class]
 	request.arrived = b.now
 	request.deadline = b.now + min(max(arrived.Remaining, 0), request.class.Deadline)
-	request.band = b.queues.bandOf[arrived.Class][b.classifyArrival(request)]
+	request.queueIndex = b.queues.queueOf[arrived.Class][b.classifyArrival(request)]
 	b.open[arrived.ID] = request
 	return request
 }
@@ -219,8 +220,9 @@
 }
 
 // Shutdown reports that the gateway stops at the time by: open requests get their final response by then,
-// even if their deadlines are later. The time is not stored: the caller must set Remaining of requests that
-// arrive later so that they are due by then as well.
+// even if their deadlines are later; a request whose response is being streamed is left to finish. The time
+// is not stored: the caller must set Remaining of requests that arrive later so that they are due by then
+// as well.
 func (b *Balancer) Shutdown(now, by Time) {
 	b.now = now
 	for _, id := range slices.Sorted(maps.Keys(b.open)) {
--- a/balancer/checkpoint_requests.go
+++ b/balancer/checkpoint_requests.go
@@ -23,8 +23,8 @@
 			b.open[coded.ID] = coded
 		}
 	}
-	for band := range b.queues.byPriority {
-		b.codeQueue(c, band)
+	for index := range b.queues.byPriority {
+		b.codeQueue(c, index)
 		if c.err != nil {
 			return
 		}
@@ -51,9 +51,9 @@
 	codeInt(c, &request.arrived)
 	codeInt(c, &request.deadline)
 	codeInt(c, &request.waitUntil)
-	codeInt(c, &request.band)
-	if request.band < 0 || request.band >= len(b.queues.byPriority) {
-		c.fail("request queue %d is out of range", request.band)
+	codeInt(c, &request.queueIndex)
+	if request.queueIndex < 0 || request.queueIndex >= len(b.queues.byPriority) {
+		c.fail("request queue %d is out of range", request.queueIndex)
 		return
 	}
 	c.codeBool(&request.Duplicate)
@@ -119,8 +119,8 @@
 }
 
 // codeQueue codes the IDs of the requests in a queue.
-func (b *Balancer) codeQueue(c *checkpointCodec, band int) {
-	queue := &b.queues.byPriority[band]
+func (b *Balancer) codeQueue(c *checkpointCodec, index int) {
+	queue := &b.queues.byPriority[index]
 	n := c.codeCount(queue.length())
 	if !c.decoding {
 		for node := queue.head; node != nil; node = node.next {
@@ -136,7 +136,7 @@
 			c.fail("queue contains an unknown or repeated request")
 			return
 		}
-		request.band = band
+		request.queueIndex = index
 		b.queues.pushBack(request)
 	}
 }
--- a/balancer/compat_fields_test.go
+++ b/balancer/compat_fields_test.go
@@ -160,7 +160,7 @@
 		{"arrived", int64(answered.arrived), 173},
 		{"deadline", int64(answered.deadline), 174},
 		{"wait until", int64(answered.waitUntil), 175},
-		{"band", answered.band, 3},
+		{"queue index", answered.queueIndex, 3},
 		{"done, answered by balancer, streaming", []bool{answered.done, answered.answeredByBalancer, answered.streaming}, "[false true false]"},
 		{"queued", answered.queued, false},
 		{"attempts in flight", answered.inFlight, 1},
@@ -179,7 +179,7 @@
 		{"request 12 queued", queued.queued, true},
 		{"done, answered by balancer, streaming of 12", []bool{queued.done, queued.answeredByBalancer, queued.streaming}, "[true false true]"},
 		{"times of request 12", []int64{int64(queued.arrived), int64(queued.deadline), int64(queued.waitUntil)}, "[182 183 184]"},
-		{"band of request 12", queued.band, 2},
+		{"queue index of request 12", queued.queueIndex, 2},
 	}
 }
 
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -25,8 +25,8 @@
 
 // concurrencyLimiter limits the attempts that a host may have in flight from this instance. It prevents an
 // overload, which wastes the work on responses that arrive too late and can keep a host slow permanently.
-// Its input is the RTT of each response and timeout, in latency objectives of the class. The limit is
-// reduced when the mean RTT exceeds the target, and grows while requests wait. With a limit below one, the
+// Its input is the relativeRTT of each successful response, rejection and timeout. The limit is reduced
+// when the mean of these exceeds the target, and grows while requests wait. With a limit below one, the
 // host is used only for that fraction of the time and rests in between.
 type concurrencyLimiter struct {
 	limit        float64       // attempts in flight from this instance; 0 until it is set
@@ -35,17 +35,18 @@
 	restingUntil Time // with a limit below one, the host receives no attempts before this time
 }
 
-// limitSample is the input of the limiter from one response or timeout.
+// limitSample is the input of the limiter from one successful response, rejection or timeout.
 type limitSample struct {
 	rtt       float64 // value of relativeRTT
 	objective Time    // latency objective of the class
 	sentAt    Time
 }
 
-// observe adds a sample to the recent mean and reduces the limit if the mean is above the target. It
-// reports whether the RTT is above the target. If the limit is below one, the sample itself must be above
-// the target as well, because the mean still includes samples from before the host rested. span is the time
-// constant of the mean in seconds, and instances is the number of instances that share the host.
+// observe adds a sample to the recent mean. If the mean is above the target, it reduces the limit at most
+// once per round trip, makes the host rest if the limit is then below one, and returns true. If the limit
+// was below one before, the sample itself must be above the target as well, because the mean still includes
+// samples from before the host rested. span is the time constant of the mean in seconds, and instances is
+// the number of instances that share the host.
 func (l *concurrencyLimiter) observe(now Time, sample limitSample, span, instances float64) (over bool) {
 	l.recentRTT.addOverSpan(sample.rtt, now, span)
 	judgedByMean := l.limit >= 1
@@ -84,9 +85,10 @@
 // resting reports whether a host with a limit below one must not be used at the moment.
 func (l *concurrencyLimiter) resting(now Time) bool { return now < l.restingUntil }
 
-// adjustLimit updates the limit of a host after a response or timeout. The limit grows while requests wait.
-// A limit below one also grows if a request found no host after the attempt was sent: where many instances
-// share a host, requests wait only for a short time, and usually none is waiting when the response arrives.
+// adjustLimit updates the limit of a host after a successful response, rejection or timeout. The limit
+// grows while requests wait. A limit below one also grows if a request was queued after the attempt was
+// sent: where many instances share a host, requests wait only for a short time, and usually none is waiting
+// when the response arrives.
 func (b *Balancer) adjustLimit(host *host, sample limitSample) {
 	span := recentRTTSpanObjectives * b.shortestObjective.Seconds()
 	instances := b.sharingInstances()
@@ -122,7 +124,7 @@
 func (b *Balancer) acceptsAttempts(host *host) bool {
 	oldest, notOvertaken := host.oldestNotOvertaken()
 	counted := host.inFlight
-	if b.stalled.areUnanswered() {
+	if b.stalled.tooManyUnanswered() {
 		counted = notOvertaken // overtaken attempts are probably on connections that have become silent
 	}
 	if host.limiter.resting(b.now) || host.limiter.full(counted) {
--- a/balancer/deadline_test.go
+++ b/balancer/deadline_test.go
@@ -15,7 +15,7 @@
 }
 
 // An attempt may still be connecting at the deadline and end only after it. The request is therefore
-// answered one step before its deadline.
+// answered at least one step before its deadline.
 func TestInFlightRequestIsAnsweredBeforeDeadline(t *testing.T) {
 	for class, want := range []ActionKind{Reject, Fail, Fail} {
 		g := newTestGateway(t, testSettings(), testHosts(2)...)
--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -18,7 +18,7 @@
 // to it fail or it does not respond. The duration is random, and its mean doubles with each ejection in a
 // row. Then the host receives one trial request; any response of the host ends the ejection.
 type ejection struct {
-	count            int   // ejections since the last response; 0 if the host is not ejected
+	count            int   // ejections since the last response of the host
 	cause            Cause // cause of the last ejection
 	until            Time  // end of the backoff, before which the host receives nothing
 	trialInFlight    bool
@@ -68,7 +68,7 @@
 	return Time(mean * (ejectionJitterMin + ejectionJitterRange*b.random.unit()))
 }
 
-// readmit ends the ejection of a host that has responded.
+// readmit records the time of a response, and ends the ejection of the host if there is one.
 func (b *Balancer) readmit(host *host) {
 	host.lastResponse = b.now
 	if host.ejection.count == 0 {
--- a/balancer/exclusion.go
+++ b/balancer/exclusion.go
@@ -19,7 +19,7 @@
 // request at a time.
 type classErrors struct {
 	share         float64 // moving average of errors among the responses
-	lastAt        Time    // time of the last error
+	lastAt        Time    // time of the last error response to a request of the class itself
 	exclusions    int     // exclusions since the host last recovered
 	excludedAt    Time    // start of the last exclusion
 	excludedUntil Time
--- a/balancer/hostset_test.go
+++ b/balancer/hostset_test.go
@@ -7,9 +7,10 @@
 )
 
 // scanCandidates is the reference for the host sets. It scans the whole subset for the hosts that pick may
-// choose for a class: the ready hosts or, if there are none, the suspected ones.
+// choose for a class: the ready hosts, the ejected ones if selection fails open, the excluded ones if all
+// are excluded, or, if none of these accepts an attempt, the suspected ones.
 func scanCandidates(b *Balancer, class int, candidates []*host) []*host {
-	inService, ejected, excluded, unreachable := 0, 0, 0, 0
+	notExcluded, ejected, excluded, unreachable := 0, 0, 0, 0
 	hosts := b.sets[setSubset].list
 	accepts := func(h *host) bool { return h.State == Ready && !h.slowStart.paced(b.now) && b.acceptsAttempts(h) }
 	for _, h := range hosts {
@@ -18,22 +19,22 @@
 		case b.excludedFor(h, class):
 			excluded++
 		case b.ejected(h):
-			inService++
+			notExcluded++
 			ejected++
 			if h.ejection.cause == CauseConnectionsFailed {
 				unreachable++
 			}
 		default:
-			inService++
+			notExcluded++
 			if accepts(h) {
 				candidates = append(candidates, h)
 			}
 		}
 	}
 	for _, h := range hosts {
-		allExcluded := inService == 0 && excluded > 0
-		failOpen := 2*ejected > inService && b.ejected(h) && !b.excludedFor(h, class)
-		usable := h.ejection.cause != CauseConnectionsFailed || unreachable == inService
+		allExcluded := notExcluded == 0 && excluded > 0
+		failOpen := 2*ejected > notExcluded && b.ejected(h) && !b.excludedFor(h, class)
+		usable := h.ejection.cause != CauseConnectionsFailed || unreachable == notExcluded
 		if (allExcluded || failOpen && usable) && accepts(h) {
 			candidates = append(candidates, h)
 		}
@@ -45,8 +46,8 @@
 		// The silence timeout may have become shorter since the last update of the host. Such a host is
 		// moved to the set of suspected hosts by the next sweep.
 		suspicionKnown := h.sets.selectionSet == setSuspected || h.nextUpdate.at <= b.now
-		inUse := h.State == Ready && !b.excludedFor(h, class) && !b.ejected(h) && !h.slowStart.paced(b.now)
-		if suspicionKnown && inUse && b.suspected(h) {
+		mayBeSuspected := h.State == Ready && !b.excludedFor(h, class) && !b.ejected(h) && !h.slowStart.paced(b.now)
+		if suspicionKnown && mayBeSuspected && b.suspected(h) {
 			candidates = append(candidates, h)
 		}
 	}
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -32,9 +32,9 @@
 // including requests that could use other hosts (dispatchQueue).
 type requestQueues struct {
 	byPriority   []linkedList[request] // highest priority first
-	bandOf       [][classParts]int     // index in byPriority, by class and part
+	queueOf      [][classParts]int     // index in byPriority, by class and part
 	length       int                   // number of waiting requests
-	lastUnserved Time                  // when a request last found no host; 0 if none ever did
+	lastUnserved Time                  // when a request was last queued; 0 if none ever was
 }
 
 // classifyArrival returns the part of its class that a new request belongs to. It takes a token from the
@@ -85,23 +85,23 @@
 		}
 		return objective(i) < objective(j)
 	})
-	b.queues.bandOf = make([][classParts]int, len(b.settings.Classes))
+	b.queues.queueOf = make([][classParts]int, len(b.settings.Classes))
 	b.queues.byPriority = make([]linkedList[request], len(queues))
-	for band, queue := range queues {
-		b.queues.bandOf[queue.class][queue.part] = band
+	for index, queue := range queues {
+		b.queues.queueOf[queue.class][queue.part] = index
 	}
 }
 
 // pushBack adds a request to the back of its queue.
 func (q *requestQueues) pushBack(request *request) {
 	q.countQueued(request)
-	q.byPriority[request.band].pushBack(&request.link)
+	q.byPriority[request.queueIndex].pushBack(&request.link)
 }
 
 // pushFront adds a request to the front of its queue.
 func (q *requestQueues) pushFront(request *request) {
 	q.countQueued(request)
-	q.byPriority[request.band].pushFront(&request.link)
+	q.byPriority[request.queueIndex].pushFront(&request.link)
 }
 
 func (q *requestQueues) countQueued(request *request) {
@@ -115,7 +115,7 @@
 	if !request.queued {
 		return
 	}
-	q.byPriority[request.band].remove(&request.link)
+	q.byPriority[request.queueIndex].remove(&request.link)
 	request.queued = false
 	q.length--
 }
@@ -145,11 +145,11 @@
 // dispatchWaiting rejects requests that have waited too long and sends waiting requests in order of
 // priority while hosts are ready.
 func (b *Balancer) dispatchWaiting() {
-	for band := range b.queues.byPriority {
-		b.rejectExpired(&b.queues.byPriority[band])
+	for index := range b.queues.byPriority {
+		b.rejectExpired(&b.queues.byPriority[index])
 	}
-	for band := range b.queues.byPriority {
-		noneReady := b.dispatchQueue(&b.queues.byPriority[band])
+	for index := range b.queues.byPriority {
+		noneReady := b.dispatchQueue(&b.queues.byPriority[index])
 		if noneReady {
 			break
 		}
@@ -157,7 +157,8 @@
 	b.scheduleSweep()
 }
 
-// rejectExpired rejects the requests of a queue that have waited too long. The oldest one is at the front.
+// rejectExpired rejects the requests of a queue that have waited too long. It stops at the first request
+// that may still wait: an older one behind a retry is rejected after that retry has left the queue.
 func (b *Balancer) rejectExpired(queue *linkedList[request]) {
 	for queue.head != nil && b.now >= queue.head.item.waitUntil {
 		b.log(logRejecting, "rejecting requests: hosts at their limits, %d queued", b.queues.length)
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -56,7 +56,7 @@
 		name      string
 		duplicate Request
 	}{
-		{"marked", Request{Remaining: time.Second, Duplicate: true}},
+		{"marked as a duplicate", Request{Remaining: time.Second, Duplicate: true}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestQueuedRequestIsRejectedPastLatencyObjective(t *testing.T) {
+func TestNoRequestIsQueuedPastLatencyObjective(t *testing.T) {
 	g := newTestGateway(t, testSettings(), testHosts(1)...)
 	for range 10 {
 		g.request(0, time.Second)
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -8,7 +8,7 @@
 	arrived            Time
 	deadline           Time
 	waitUntil          Time // while it is queued: the time at which it is rejected
-	band               int  // index of its queue in requestQueues.byPriority
+	queueIndex         int  // index of its queue in requestQueues.byPriority
 	inFlight           int  // number of attempts in flight
 	done               bool // it has its final response, or needs none
 	answeredByBalancer bool // the final response is from the balancer, not from a host
@@ -25,8 +25,8 @@
 	sentAt          Time
 	ended           bool
 	result          Result            // valid once ended is set
-	trial           bool              // the host was ejected when the attempt was sent
-	overtakenBy     int               // responses of the host to attempts that were sent later
+	trial           bool              // when it was sent, the host had not responded since its last ejection
+	overtakenBy     int               // successful responses of the host to attempts that were sent later
 	countedSilent   bool              // it was reported to the send rate controller as slow before it ended
 	canceledStalled bool              // it was canceled as stalled, so that its request can be retried
 	link            listNode[attempt] // node in host.attempts
--- a/balancer/response.go
+++ b/balancer/response.go
@@ -30,7 +30,8 @@
 }
 
 // clientMayRetry reports whether the client may safely retry a request at any host, that is, whether a
-// retry cannot lead to a second execution of a request that must run at most once.
+// retry cannot lead to a second execution of a request that must run at most once. With an idempotency key
+// this holds if all hosts drop duplicates; that the client retries within DedupWindow is assumed.
 func (b *Balancer) clientMayRetry(request *request) bool {
 	if request.firstThatMayRun() == nil {
 		return true
--- a/balancer/retune.go
+++ b/balancer/retune.go
@@ -86,11 +86,11 @@
 func (b *Balancer) requeue() {
 	parts := make(map[RequestID]classPart, len(b.open))
 	for id, request := range b.open {
-		parts[id] = b.queues.partOfBand(request)
+		parts[id] = b.queues.partOfQueue(request)
 	}
 	var waiting []*request
-	for band := range b.queues.byPriority {
-		queue := &b.queues.byPriority[band]
+	for index := range b.queues.byPriority {
+		queue := &b.queues.byPriority[index]
 		for queue.head != nil {
 			request := queue.head.item
 			waiting = append(waiting, request)
@@ -100,17 +100,17 @@
 	b.orderQueues()
 	for id, request := range b.open {
 		request.class = &b.settings.Classes[request.Class]
-		request.band = b.queues.bandOf[request.Class][parts[id]]
+		request.queueIndex = b.queues.queueOf[request.Class][parts[id]]
 	}
 	for _, request := range waiting {
 		b.queues.pushBack(request)
 	}
 }
 
-// partOfBand returns the part of its class that a request belongs to.
-func (q *requestQueues) partOfBand(request *request) classPart {
-	for part, band := range q.bandOf[request.Class] {
-		if band == request.band {
+// partOfQueue returns the part of its class that a request belongs to, according to its queue.
+func (q *requestQueues) partOfQueue(request *request) classPart {
+	for part, index := range q.queueOf[request.Class] {
+		if index == request.queueIndex {
 			return classPart(part)
 		}
 	}
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -73,8 +73,8 @@
 }
 
 // draw chooses among the hosts of the eligible sets. The result is distributed as if the ready ones had
-// been gathered first: it draws pairs and skips those with hosts that are no longer ready. After maxDraws
-// attempts, most hosts are not ready, and the ready ones are gathered.
+// been gathered first: it draws pairs and skips those with hosts that are no longer ready. If no pair was
+// usable in maxDraws draws, the usable hosts are gathered.
 func (b *Balancer) draw(request *request, eligible eligibleSets) *host {
 	for try := range maxDraws {
 		total := b.sets.total(eligible)
@@ -161,8 +161,8 @@
 // eligibleSets returns the sets that a request may use. counts covers the hosts that are not excluded for
 // its class, and excluded is the number of those that are. If most hosts are ejected, selection fails open:
 // the cause is then more likely the network or the load than the individual hosts, and the few remaining
-// hosts must not receive all requests. Hosts to which connections fail are left out unless it is all of
-// them, because a request would quickly use up its attempts there.
+// hosts must not receive all requests. Hosts to which connections fail are left out, unless connections to
+// all hosts fail, because a request would quickly use up its attempts there.
 func (b *Balancer) eligibleSets(counts subsetCounts, excluded int) eligibleSets {
 	if counts.ready == 0 && excluded > 0 {
 		return readyEjectedOrExcluded // all hosts return errors, so none is preferable
--- a/balancer/sendrate.go
+++ b/balancer/sendrate.go
@@ -18,9 +18,9 @@
 	sendRateGrowthDecays = 0.5
 	// sendRateEndArrivals is the multiple of the arrival rate above which the limit is removed.
 	sendRateEndArrivals = 2
-	// sendRateMaxSampleTargets is the maximum RTT that one response counts as, in targets.
+	// sendRateMaxSampleTargets is the maximum value of one sample, in targets.
 	sendRateMaxSampleTargets = 3
-	// sendRateSampleWeight is the weight of one response in the recent mean RTT.
+	// sendRateSampleWeight is the weight of one sample in the recent mean RTT.
 	sendRateSampleWeight = 1.0 / 8
 	// sendRateReductionDeviations is how far the recent mean RTT must exceed its target for a reduction, in
 	// mean deviations, so that random variation alone does not reduce the rate.
@@ -30,12 +30,13 @@
 // sendRateController limits the rate of attempts that this instance sends to all hosts together. It
 // prevents an overload of the whole fleet where many instances share a host: each instance then has less
 // than one attempt in flight at the host on average, so a concurrency limit per host has no effect. The
-// inputs are the RTT of each response from any host and the attempts sent. The limit is reduced at most
-// once per round trip, when the mean RTT exceeds its target by a mean deviation, and grows while the mean
-// is at or below the target.
+// inputs are the RTTs of successful responses, rejections and timeouts of any host, the ages of attempts
+// that are unanswered for unusually long (checkSilence), and the attempts sent. The limit is reduced at
+// most once per round trip, when the mean RTT exceeds its target by a mean deviation, and grows while the
+// mean is at or below the target.
 type sendRateController struct {
 	limit      float64       // attempts per second; 0 for no limit
-	recentRTT  movingAverage // RTT of recent responses from any host, in targets of their classes
+	recentRTT  movingAverage // RTTs and ages of recent attempts at any host, in targets of their classes
 	reducedAt  Time          // time of the last reduction
 	grownAt    Time          // time of the last growth or reduction
 	tokens     float64       // attempts that may be sent at once, at the time refilledAt
@@ -47,8 +48,9 @@
 	growthTime float64 // time in which the limit grows by a factor of e, in seconds
 }
 
-// observe updates the limit after a response to an attempt that was sent at sentAt. sample is its RTT in
-// targets of its class, and arrivals is the rate of requests at this instance.
+// observe updates the limit with a sample from an attempt that was sent at sentAt. sample is its RTT, or
+// its age if it is unanswered, in targets of its class, and arrivals is the rate of requests at this
+// instance.
 func (c *sendRateController) observe(now, sentAt Time, sample float64, arrivals *decayingRate) {
 	c.recentRTT.blend(min(sample, sendRateMaxSampleTargets), sendRateSampleWeight)
 	overloaded := c.recentRTT.mean > 1+sendRateReductionDeviations*c.recentRTT.dev
@@ -106,7 +108,8 @@
 	return target
 }
 
-// adjustSendRate updates the send rate after a response that took rtt seconds.
+// adjustSendRate updates the send rate with the RTT of an attempt that got a successful response or a
+// rejection or timed out, or with the age of one that is unanswered for unusually long, in seconds.
 func (b *Balancer) adjustSendRate(attempt *attempt, rtt float64) {
 	sample := rtt / b.sendRateTarget(attempt.request.Class)
 	b.sendRate.observe(b.now, attempt.sentAt, sample, &b.arrivals)
@@ -120,6 +123,6 @@
 		return true
 	}
 	b.sendRate.refill(b.now)
-	reserved := (sendRateBurstAttempts - 1) * float64(request.band) / float64(len(b.queues.byPriority))
+	reserved := (sendRateBurstAttempts - 1) * float64(request.queueIndex) / float64(len(b.queues.byPriority))
 	return b.sendRate.tokens >= 1+reserved
 }
--- a/balancer/silence_test.go
+++ b/balancer/silence_test.go
@@ -112,8 +112,9 @@
 	t.Logf("%d of %d requests rejected or failed", rejected, requested)
 }
 
-// simulateSilentConnections simulates eight seconds of that load with a random seed, and returns the number
-// of requests and how many of them were rejected or failed.
+// simulateSilentConnections simulates eight seconds of the load that TestSilentConnectionsDoNotBlockHosts
+// describes, with a random seed, and returns the number of requests and how many of them were rejected or
+// failed.
 func simulateSilentConnections(t *testing.T, seed int64) (requested, rejected int) {
 	p := newSilentConnectionsSimulation(t, seed)
 	for range 8000 {
@@ -219,7 +220,7 @@
 	}
 }
 
-// send starts a job. One connection in 25 is silent, beginning with the second second.
+// send starts a job. From one second after the start on, one attempt in 25 is on a silent connection.
 func (p *silentConnectionsSimulation) send(request gatewayRequest, host HostID) {
 	now := p.gateways[request.gateway].now
 	j := &silentConnectionsJob{request: request, attempt: p.attempts[request], host: host, left: p.work[request.id], sent: now}
--- a/balancer/stalled.go
+++ b/balancer/stalled.go
@@ -1,30 +1,31 @@
 package balancer
 
 const (
-	// overtakenResponses is the number of responses to later attempts at the same host after which an
-	// attempt counts as overtaken.
+	// overtakenResponses is the number of successful responses to later attempts at the same host after
+	// which an attempt counts as overtaken.
 	overtakenResponses = 3
 	// stalledObjectives is the minimum age of a stalled attempt, in latency objectives.
 	stalledObjectives = 0.3
-	// unansweredSampleWeight is the weight of one stalled attempt in the share of unanswered ones.
+	// unansweredSampleWeight is the weight of one stalled attempt in stalledAttempts.unansweredShare.
 	unansweredSampleWeight = 1.0 / 8
-	// maxUnansweredShare is the share of unanswered ones above which stalled attempts are canceled. It is
-	// low because a lost request costs more than a retry.
+	// maxUnansweredShare is the unansweredShare above which stalled attempts are canceled. It is low
+	// because a lost request costs more than a retry.
 	maxUnansweredShare = 0.2
 )
 
 // stalledAttempts decides whether stalled attempts are canceled so that their requests can be retried. An
-// attempt is stalled if its host has responded to later attempts and it has been in flight for a long time.
-// The rule detects connections that have become silent. Its input is the result of stalled attempts that
-// are not canceled, which includes all those of non-idempotent requests: if most get a response, they are
-// merely expensive, and canceling them would waste the work done.
+// attempt is stalled if its host has successfully responded to later attempts and it has been in flight for
+// a long time. The rule detects connections that have become silent. Its input is the result of stalled
+// attempts that were not canceled by this rule, which includes all those of non-idempotent requests: while
+// the unanswered share is at most maxUnansweredShare, stalled attempts are assumed to be merely expensive,
+// and canceling them would waste the work done.
 type stalledAttempts struct {
 	unansweredShare float64 // share of stalled attempts that never get a response
 }
 
-// areUnanswered reports whether so many stalled attempts never get a response that they are canceled and do
-// not count against concurrency limits.
-func (s *stalledAttempts) areUnanswered() bool { return s.unansweredShare > maxUnansweredShare }
+// tooManyUnanswered reports whether so many stalled attempts never get a response that they are canceled
+// and do not count against concurrency limits.
+func (s *stalledAttempts) tooManyUnanswered() bool { return s.unansweredShare > maxUnansweredShare }
 
 // observe updates the share at the end of a stalled attempt that was not canceled as stalled.
 func (s *stalledAttempts) observe(attempt *attempt) {
@@ -39,12 +40,12 @@
 	}
 }
 
-// overtaken reports whether the host has responded to several attempts that were sent after this one. The
-// host is then neither silent nor slow; the cause is the connection or the request itself.
+// overtaken reports whether the host has successfully responded to several attempts that were sent after
+// this one. The host is then neither silent nor slow; the cause is the connection or the request itself.
 func (a *attempt) overtaken() bool { return a.overtakenBy >= overtakenResponses }
 
-// countOvertaken counts a response for those attempts in flight at the host that were sent before the
-// answered one. Without it, a single silent connection would keep the host out of use.
+// countOvertaken counts a successful response for those attempts in flight at the host that were sent
+// before the answered one. Without it, a single silent connection would keep the host out of use.
 func (b *Balancer) countOvertaken(answered *attempt) {
 	for node := answered.host.attempts.head; node != nil; node = node.next {
 		if node.item.sentAt >= answered.sentAt {
@@ -63,7 +64,7 @@
 
 // cancelStalled cancels the stalled attempts at a host whose requests may be retried.
 func (b *Balancer) cancelStalled(host *host) {
-	if !b.settings.Cancel || !b.stalled.areUnanswered() {
+	if !b.settings.Cancel || !b.stalled.tooManyUnanswered() {
 		return
 	}
 	for node := host.attempts.head; node != nil; node = node.next {
@@ -85,9 +86,9 @@
 	if attempt.canceledStalled || !b.isStalled(attempt) {
 		return
 	}
-	before := b.stalled.areUnanswered()
+	before := b.stalled.tooManyUnanswered()
 	b.stalled.observe(attempt)
-	if b.stalled.areUnanswered() == before {
+	if b.stalled.tooManyUnanswered() == before {
 		return
 	}
 	for _, host := range b.sets[setBusy].list {
--- a/balancer/stalled_test.go
+++ b/balancer/stalled_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// Overtaken attempts are canceled only if most of them stay unanswered: expensive requests get a response
-// in the end, and canceling them doubles their work.
+// Overtaken attempts are canceled only if more than maxUnansweredShare of them stay unanswered: expensive
+// requests get a response in the end, and canceling them doubles their work.
 func TestOvertakenAttemptIsKeptWhereOthersAreAnswered(t *testing.T) {
 	for class, result := range map[int]Result{0: OK, 2: TimedOut} { // an idempotent and a non-idempotent class
 		g := newTestGateway(t, testSettings(), testHosts(1)...)
@@ -79,9 +79,9 @@
 	}
 }
 
-// An overtaken attempt does not count against the concurrency limit of its host if most such attempts stay
-// unanswered, because it then occupies a silent connection rather than the host. If most get a response, it
-// does count.
+// An overtaken attempt does not count against the concurrency limit of its host if more than
+// maxUnansweredShare of such attempts stay unanswered, because it then probably occupies a silent
+// connection rather than the host. Otherwise it does count.
 func TestOvertakenAttemptFreesLimitWhereOthersStayUnanswered(t *testing.T) {
 	g := newTestGateway(t, testSettings(), testHosts(1)...)
 	h := g.b.hosts[0]
--- a/balancer/standing.go
+++ b/balancer/standing.go
@@ -16,16 +16,18 @@
 //	warming      started within SlowStartWindow        duration   SlowStartWindow has passed     Warming
 //	paced        warming, before slowStart.nextSend    instant    nextSend                       c
 //	resting      before limiter.restingUntil           instant    restingUntil                   r
-//	full         attempts in flight + 1 > limit        attempts   an attempt ends, limit grows   f
+//	full         attempts in flight > 0, and           attempts   an attempt ends, limit grows   f
+//	             attempts in flight + 1 > limit
 //	overdue      oldest attempt not overtaken is older objectives it ends or is overtaken        o
 //	             than overdueObjectives
 //	suspected    only attempt not overtaken is older   duration   it ends or is overtaken, or    nothing
 //	             than silenceTimeout; not resting                 another is sent
 //	excluded     for a class, before excludedUntil     instant    excludedUntil, good responses  ExcludedFor
 //
-// The letters X and S are shown up to until, even if the trial request is still in flight after that. An
-// attempt is overtaken once its host has given overtakenResponses responses to later attempts (stalled.go),
-// and stalled if it is also older than silenceTimeout and stalledObjectives.
+// The letters X and S are shown only before ejection.until; a trial request in flight after that has no
+// letter. An attempt is overtaken once its host has given overtakenResponses successful responses to later
+// attempts (stalled.go), and stalled if it is also older than silenceTimeout and stalledObjectives. While
+// too many stalled attempts stay unanswered, overtaken attempts do not count for full (acceptsAttempts).
 
 // standing is the status with which a host is included in subsetCounts.
 type standing struct {
@@ -138,7 +140,8 @@
 }
 
 // nextStandingChange returns the next time at which the standing of a host may change without an event, or
-// forever.
+// forever. It does not cover a host that becomes overdue: updateBusyHost and the sweep (checkBusyHosts)
+// detect that.
 func (b *Balancer) nextStandingChange(host *host) Time {
 	next := forever
 	consider := func(at Time) {
@@ -177,7 +180,7 @@
 	return host.sets.selectionSet != before
 }
 
-// updateDueStandings updates the hosts whose standing may have changed without an event.
+// updateDueStandings updates the hosts for which the time returned by nextStandingChange has come.
 func (b *Balancer) updateDueStandings() {
 	for b.dueStandings.firstIsDue(b.now) {
 		b.updateStanding(b.dueStandings.hosts[0])
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -19,9 +19,9 @@
 
 // subset determines which hosts of the ring this instance uses: subsetSize hosts in use, starting at its
 // own place, and any warming and ejected hosts between them. A host that is in use stays in the subset
-// while it is near, because this instance has samples of it. Of the hosts in use that are far away, only
-// one at a time leaves the subset, so that new hosts are not overloaded; warming hosts that are far away
-// leave at once.
+// while it is near, because this instance has samples of it. moveSubset removes only one host that is in
+// use and far away at a time, so that new hosts are not overloaded; hosts in use beyond the subset size
+// leave at once, the farthest first, and so do warming hosts that are far away.
 type subset struct {
 	current  bool // the scan below is of the current ring
 	scanned  int  // hosts of the ring, from the place of this instance on, that the scan has visited
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -150,7 +150,8 @@
 }
 
 // Most of 80 gateways restart within a second, each with a different outdated list, as in a rolling update.
-// Their subsets must be spread over the hosts, and their first polls over the poll timeout.
+// Their subsets must be spread over the hosts, and no second after the first five may have polls of more
+// than half of the gateways.
 func TestRestartedGatewaysSpreadSubsetsAndPolls(t *testing.T) {
 	const gatewayCount, hostCount, restarted = 80, 60, 56
 	began := Time(time.Hour)
@@ -231,9 +232,9 @@
 	return polls
 }
 
-// When one host in ten is replaced, the subset of a gateway changes by about that share. It changes by more
-// because places on the ring shift: by up to half where 500 gateways share 120 hosts. Every host stays in
-// use, by fleets of 1, 80 and 500 gateways.
+// When one host in ten is replaced, more than a tenth of the hosts in the subsets may change, because places
+// on the ring shift: up to half of them where 500 gateways share 120 hosts. Every host stays in use, by
+// fleets of 1, 80 and 500 gateways.
 func TestSubsetChangesAboutAsManyHostsAsAreReplaced(t *testing.T) {
 	for _, c := range []struct {
 		gateways, hosts int
--- a/balancer/view.go
+++ b/balancer/view.go
@@ -9,10 +9,10 @@
 	Overdue           bool    // its oldest attempt is overdue, and it receives no further attempts
 	InFlight          int     // attempts in flight
 	ConcurrencyLimit  float64 // attempts that it may have in flight from this instance
-	RecentRTT         float64 // mean RTT of recent responses (relativeRTT); the limit falls above 0.375
+	RecentRTT         float64 // recent mean of relativeRTT (limitSample); the limit falls above 0.375
 	EstimatedRTT      float64 // RTT estimate by which it is chosen, in seconds
 	Cause             Cause   // cause of its last ejection
-	Ejections         int     // ejections since its last response; 0 if it is not ejected
+	Ejections         int     // ejections since its last response
 	EjectedUntil      Time    // end of the backoff; then it receives one trial request
 	RestingUntil      Time    // with a limit below one: it receives no attempts before this time
 	NextSlowStartSend Time    // while it is warming: earliest time of the next attempt
