--- a/internal/cluster/lease/command.go
+++ b/internal/cluster/lease/command.go
@@ -5,7 +5,8 @@
 // Op is the type of a command. Its values are part of the log format.
 type Op string
 
-// Commands that a gateway proposes within its own session.
+// Commands that a gateway proposes within its own session. The leader also proposes OpTransfer, without a
+// session, to rebalance leases.
 const (
 	OpOpenSession  Op = "open"
 	OpCloseSession Op = "close"
@@ -53,8 +54,8 @@
 const (
 	OK            Code = "ok"
 	LeaseHeld     Code = "held"       // another session holds the lease
-	StaleToken    Code = "stale"      // the token is not the token of the current grant
-	NoSession     Code = "no session" // the session has expired or never existed
+	StaleToken    Code = "stale"      // the token or an override's revision is not current, or there is no such lease or override
+	NoSession     Code = "no session" // there is no such session or, for OpAssign, no such lease
 	NameTaken     Code = "taken"      // a live gateway with another disk uses the name
 	Rejected      Code = "refused"    // the command is invalid in the current state, see Result.Reason
 	ResultExpired Code = "old"        // the request is so old that its result is no longer stored
--- a/internal/cluster/lease/delta_test.go
+++ b/internal/cluster/lease/delta_test.go
@@ -32,32 +32,33 @@
 	for seed := range uint64(6) {
 		r := rand.New(rand.NewPCG(seed, 1))
 		s, index := NewState(1), uint64(0)
-		candidates := []string{"d0", "d1", "d2", "d3", "d4", "d5"}
-		for opening := range uint64(4 * maxChangeLog) {
+		leaseNames := []string{"d0", "d1", "d2", "d3", "d4", "d5"}
+		for step := range uint64(4 * maxChangeLog) {
 			index++
-			if opening%1000 == 999 {
+			if step%1000 == 999 {
 				b := s.Encode()
-				if s = NewState(0); s.Decode(b) != nil {
-					t.Fatal("Decode of the encoded state failed")
+				s = NewState(0)
+				if err := s.Decode(b); err != nil {
+					t.Fatalf("seed %d: Decode of the encoded state: got %v, want no error", seed, err)
 				}
 			}
-			x := s.Members[fmt.Sprint("g", r.IntN(20))]
+			member := s.Members[fmt.Sprint("g", r.IntN(20))]
 			id := uint64(0)
-			if x != nil {
-				id = x.Session
+			if member != nil {
+				id = member.Session
 			}
-			d := candidates[r.IntN(len(candidates))]
+			name := leaseNames[r.IntN(len(leaseNames))]
 			token := uint64(0)
-			if s.Leases[d] != nil {
-				token = s.Leases[d].Token
+			if s.Leases[name] != nil {
+				token = s.Leases[name].Token
 			}
 			s.Apply(index, &[]Command{
-				{Op: OpOpenSession, Open: &OpenRequest{Name: fmt.Sprint("g", r.IntN(20)), DiskID: 1, OpenSequence: opening + 1, CandidateLeases: candidates[:r.IntN(len(candidates)+1)]}},
-				{Op: OpExpireSession, Session: id}, {Op: OpAssign, Lease: d, Token: token, Session: id}, {Op: OpAcquire, Session: id, Lease: d}, {Op: OpRelease, Session: id, Lease: d, Token: token},
-				{Op: OpTransfer, Lease: d}, {Op: OpWrite, Session: id, Lease: d, Token: token, Key: "k", Value: "v"},
-				{Op: OpCollectGarbage, Name: fmt.Sprint("g", r.IntN(20)), Lease: d, Token: token, Session: id},
+				{Op: OpOpenSession, Open: &OpenRequest{Name: fmt.Sprint("g", r.IntN(20)), DiskID: 1, OpenSequence: step + 1, CandidateLeases: leaseNames[:r.IntN(len(leaseNames)+1)]}},
+				{Op: OpExpireSession, Session: id}, {Op: OpAssign, Lease: name, Token: token, Session: id}, {Op: OpAcquire, Session: id, Lease: name}, {Op: OpRelease, Session: id, Lease: name, Token: token},
+				{Op: OpTransfer, Lease: name}, {Op: OpWrite, Session: id, Lease: name, Token: token, Key: "k", Value: "v"},
+				{Op: OpCollectGarbage, Name: fmt.Sprint("g", r.IntN(20)), Lease: name, Token: token, Session: id},
 			}[r.IntN(8)])
-			if opening%50 != 0 {
+			if step%50 != 0 {
 				continue
 			}
 			for range 4 {
@@ -75,9 +76,9 @@
 			}
 			indexed := s.candidateSessions()
 			s.candidates = nil
-			for _, d := range candidates {
-				if !slices.Equal(indexed[d], s.candidateSessions()[d]) {
-					t.Fatalf("seed %d: the index of candidates for lease %s differs from a rebuilt one", seed, d)
+			for _, name := range leaseNames {
+				if !slices.Equal(indexed[name], s.candidateSessions()[name]) {
+					t.Fatalf("seed %d: candidates for lease %s in the index differ from those in a rebuilt index", seed, name)
 				}
 			}
 		}
@@ -96,7 +97,7 @@
 	for index, most := range map[uint64]float64{0: 12, 1: 4, 2000: 4} {
 		var d StateDelta
 		if n := testing.AllocsPerRun(10, func() { d = s.CompactDeltaSince(index, "g7") }); n > most || d.SessionCount != 4000 {
-			t.Errorf("compact delta since revision %d: too many allocations (%v) or wrong number of sessions (got %d, want 4000)", index, n, d.SessionCount)
+			t.Errorf("compact delta since revision %d: got %v allocations and %d sessions, want at most %v and 4000", index, n, d.SessionCount, most)
 		}
 	}
 }
--- a/internal/cluster/lease/expiry.go
+++ b/internal/cluster/lease/expiry.go
@@ -15,9 +15,10 @@
 	// RenewInterval is the time between two renewals of a gateway. With a TTL of three intervals, two
 	// renewals may be lost.
 	RenewInterval = time.Second
-	// AckTimeout is how long the renewals of a gateway are accepted without an acknowledgment of a newer
-	// reply; by then two replies may have been lost. A gateway that receives no replies no longer acts
-	// as the holder of its leases, and must not prevent others from holding them.
+	// AckTimeout is the time after which the leader refuses the renewals of a gateway that acknowledge no
+	// newer reply than before. Renewals without a reply are repeated within this time, so the loss of one
+	// reply causes no refusal; the loss of two may. A gateway that receives no replies no longer acts as
+	// the holder of its leases, and must not prevent others from holding them.
 	AckTimeout = RenewInterval
 	// ClockDriftDivisor is the reciprocal of the relative difference allowed between the rates of two
 	// clocks; a holder's deadline is earlier by that fraction of TTL. Crystal oscillators differ by
@@ -66,7 +67,7 @@
 }
 
 // Reset extends every session to a full TTL from now. It is for a leader that was paused and therefore may
-// have missed renewals. Sessions whose end was proposed are not extended, as the log may already contain
+// have missed renewals. Renew still refuses sessions whose end was proposed, as the log may already contain
 // the proposal.
 func (t *ExpiryTracker) Reset(now time.Duration) {
 	t.startedAt = now
--- a/internal/cluster/lease/expiry_test.go
+++ b/internal/cluster/lease/expiry_test.go
@@ -17,13 +17,13 @@
 		r := rand.New(rand.NewPCG(seed, 1))
 		s, tracker, now := NewState(1), NewExpiryTracker(0), time.Duration(0)
 		expiring := map[uint64]time.Duration{}
-		for opening := range uint64(3000) {
+		for step := range uint64(3000) {
 			now += time.Duration(r.Int64N(int64(100 * time.Millisecond)))
 			switch id := 1 + r.Uint64N(s.LastSessionID+1); r.IntN(30) {
 			case 0:
 				tracker.Reset(now)
 			case 1, 2:
-				res := s.Apply(s.Revision+1, &Command{Op: OpOpenSession, Open: &OpenRequest{Name: fmt.Sprint("g", r.IntN(20)), DiskID: 1, OpenSequence: opening + 1}})
+				res := s.Apply(s.Revision+1, &Command{Op: OpOpenSession, Open: &OpenRequest{Name: fmt.Sprint("g", r.IntN(20)), DiskID: 1, OpenSequence: step + 1}})
 				if r.IntN(2) == 0 { // otherwise a former leader opened it
 					tracker.SessionOpened(now, res.Session)
 				}
--- a/internal/cluster/lease/lease.go
+++ b/internal/cluster/lease/lease.go
@@ -33,7 +33,8 @@
 	// maxValues and maxValueBytes bound the number and the size of the values stored under a lease.
 	maxValues     = 16
 	maxValueBytes = 4 << 10
-	// MaxNameBytes bounds the name of a gateway or lease.
+	// MaxNameBytes bounds the name of a gateway or lease and the key of a value. The key of an override may
+	// have twice as many bytes.
 	MaxNameBytes = 96
 	// maxCandidateLeases bounds the leases for which one gateway is a candidate.
 	maxCandidateLeases = 1024
@@ -224,8 +225,8 @@
 	return Result{Code: OK, Token: l.Token}
 }
 
-// collectGarbage removes a member without a session, or a free lease without a candidate. The proposer
-// must be the holder of the lease named in Lease, which authorizes the command.
+// collectGarbage removes a member that has no session and is no replica, or a free lease without a
+// candidate. The proposer must be the holder of the lease named in Lease, which authorizes the command.
 func (s *State) collectGarbage(c *Command) Result {
 	authority := s.Leases[c.Lease]
 	if authority == nil || authority.Token != c.Token || authority.HolderSession != c.Session {
--- a/internal/cluster/lease/override.go
+++ b/internal/cluster/lease/override.go
@@ -76,10 +76,10 @@
 	return Result{Code: OK}
 }
 
-// expireOverride records the remaining duration of an override, or removes an override that has expired.
+// updateOverride records the remaining duration of an override, or removes an override that has expired.
 // As a former leader may have proposed the command, it applies only to the override that was created at
 // the given revision, and never extends it.
-func (s *State) expireOverride(c *Command) Result {
+func (s *State) updateOverride(c *Command) Result {
 	if c.Override == nil {
 		return Result{Code: Rejected}
 	}
--- a/internal/cluster/lease/session.go
+++ b/internal/cluster/lease/session.go
@@ -59,7 +59,8 @@
 	}
 }
 
-// openSession opens a session, and ends the previous session of the same disk.
+// openSession opens a session, and ends the previous session of the same gateway. It returns NameTaken if
+// that session has another disk.
 func (s *State) openSession(c *Command) Result {
 	if r := s.checkOpen(c.Open); r.Code != "" {
 		return r
@@ -181,8 +182,8 @@
 	}
 }
 
-// shareCandidates makes sessions with equal candidate leases, which are most sessions, share one slice to
-// save memory.
+// shareCandidates lets a session share the slice of the session that was opened or decoded before it if
+// their candidate leases are equal, as most are, to save memory.
 func (s *State) shareCandidates(sess *Session) {
 	if slices.Equal(sess.CandidateLeases, s.lastCandidates) {
 		sess.CandidateLeases = s.lastCandidates
--- a/internal/cluster/lease/session_test.go
+++ b/internal/cluster/lease/session_test.go
@@ -17,7 +17,7 @@
 	open(2, "")
 	for i, want := range []Code{OK, Rejected, OK} {
 		if r := s.Apply(s.Revision+1, &Command{Op: OpAddReplica, Name: fmt.Sprint("g", i)}); r.Code != want {
-			t.Errorf("adding g%d as a replica: got unexpected result %+v", i, r)
+			t.Errorf("adding g%d as a replica: got %+v, want code %s", i, r, want)
 		}
 	}
 	for i := 3; i < maxMeshMembers; i++ {
@@ -28,7 +28,7 @@
 	}
 	for i := maxMeshMembers; i < MaxMembers; i++ {
 		if r := open(i, RoleGateway); r.Code != OK {
-			t.Fatal(r)
+			t.Fatalf("opening a session of g%d: got %+v, want code %s", i, r, OK)
 		}
 	}
 	if r := open(MaxMembers, RoleGateway); r.Code != Rejected {
--- a/internal/cluster/lease/state.go
+++ b/internal/cluster/lease/state.go
@@ -123,14 +123,14 @@
 	case OpCollectGarbage:
 		return s.collectGarbage(c)
 	case OpExpireOverride:
-		return s.expireOverride(c)
+		return s.updateOverride(c)
 	case OpAddReplica, OpRemoveReplica:
 		return s.setDesiredReplica(c)
 	}
 	sess := s.Sessions[c.Session]
 	if sess == nil {
 		if c.Op == OpTransfer && c.Session == 0 {
-			return s.transfer(c) // proposed by an operator
+			return s.transfer(c) // proposed by the leader to rebalance leases
 		}
 		return Result{Code: NoSession}
 	}
--- a/internal/cluster/node/leader.go
+++ b/internal/cluster/node/leader.go
@@ -24,10 +24,10 @@
 	replicaCheckInterval = 500 * time.Millisecond
 	// maxLearnerLag is the number of entries that a learner may lag behind when it is promoted.
 	maxLearnerLag = 64
-	// maxQueuedRenewals bounds both the renewals that wait for a read index and the proposals of other
-	// gateways that have not been applied yet. 4,700 gateways renew every second, and some requests are
-	// retries.
-	maxQueuedRenewals = 8192
+	// maxQueuedRequests bounds the renewals that are queued for the next read index and, separately, the
+	// proposals of other gateways that have not been applied yet. 4,700 gateways renew every second, and
+	// some requests are retries.
+	maxQueuedRequests = 8192
 )
 
 // leader is the state of this gateway while it leads the coordination group. It is created when the
@@ -69,24 +69,24 @@
 }
 
 // leaderChanged handles a change of the leader of a group.
-func (n *Node) leaderChanged(t multiraft.LeaderChange) {
-	if t.Group != CoordinationGroup {
+func (n *Node) leaderChanged(change multiraft.LeaderChange) {
+	if change.Group != CoordinationGroup {
 		return
 	}
-	n.replica.leaderID = t.Leader
-	if t.IsSelf == (n.leader != nil) {
+	n.replica.leaderID = change.Leader
+	if change.IsSelf == (n.leader != nil) {
 		return
 	}
-	if t.IsSelf {
+	if change.IsSelf {
 		n.leader = &leader{
 			node: n, expiry: lease.NewExpiryTracker(n.now), proposers: map[uint64]proposer{}, proposedAt: map[string]time.Duration{},
 			rebalancedAt: n.now, replicasCheckedAt: n.now,
 		}
-		n.logInfo("became leader", "term", t.Term)
+		n.logInfo("became leader", "term", change.Term)
 		return
 	}
 	n.leader = nil // the proposers retry the pending commands
-	n.logInfo("lost leadership", "term", t.Term, "leader", n.replica.names[t.Leader])
+	n.logInfo("lost leadership", "term", change.Term, "leader", n.replica.names[change.Leader])
 }
 
 // proposeOnce proposes one of the leader's own commands, at most once per reproposeInterval for each key.
@@ -98,7 +98,8 @@
 	l.propose(c, proposer{})
 }
 
-// propose proposes a command to the Raft group. It reports false if this gateway no longer leads.
+// propose proposes a command to the Raft group. It reports false if the group did not accept it, usually
+// because this gateway no longer leads.
 func (l *leader) propose(c lease.Command, from proposer) bool {
 	b, err := json.Marshal(c)
 	if err != nil {
@@ -115,8 +116,10 @@
 	return true
 }
 
-// runTasks runs the leader's periodic tasks: it ends expired sessions, assigns free leases, records the
-// remaining durations of overrides, rebalances leases, and adjusts the set of replicas.
+// runTasks publishes changes of the state and runs the leader's tasks that are due: it ends expired
+// sessions, assigns free leases, records the remaining durations of overrides, rebalances leases, adjusts
+// the set of replicas, and requests the read index for renewals. It is called in each tick and after each
+// change of the state.
 func (l *leader) runTasks() {
 	n, state := l.node, l.node.replica.state
 	l.publishChanges()
@@ -133,7 +136,7 @@
 		l.proposeOnce(fmt.Sprintf("assign %s %d %d", c.Lease, c.Token, c.Session), c)
 	}
 	for _, c := range l.expiry.OverrideUpdates(n.now, state) {
-		l.proposeOnce("expire override "+c.Override.Key(), c)
+		l.proposeOnce("update override "+c.Override.Key(), c)
 	}
 	if n.now >= l.rebalancedAt+rebalanceInterval {
 		l.rebalancedAt = n.now
@@ -262,7 +265,7 @@
 	case lease.OpExpireSession, lease.OpAssign, lease.OpExpireOverride:
 		return // only the leader may propose these
 	}
-	if len(n.leader.proposers) >= maxQueuedRenewals {
+	if len(n.leader.proposers) >= maxQueuedRequests {
 		return // the proposer retries it
 	}
 	if !n.leader.propose(p.Command, proposer{from, p.ID}) {
@@ -295,13 +298,13 @@
 		n.send(from, &Message{RenewReply: &RenewReply{Session: r.Session, Seq: r.Seq, Leader: n.replica.leaderName()}})
 		return
 	}
-	l, w := n.leader, renewal{from, *r, n.now}
+	l, pending := n.leader, renewal{from, *r, n.now}
 	if failpoint.Enabled(failpoint.SkipLeaderCheck) {
-		l.replyToRenewal(&w)
+		l.replyToRenewal(&pending)
 		return
 	}
-	if len(l.queued) < maxQueuedRenewals {
-		l.queued = append(l.queued, w)
+	if len(l.queued) < maxQueuedRequests {
+		l.queued = append(l.queued, pending)
 	}
 	if l.readNumber == 0 {
 		l.requestReadIndex()
@@ -346,21 +349,21 @@
 	}
 }
 
-func (l *leader) replyToRenewal(w *renewal) {
-	n, state, request := l.node, l.node.replica.state, &w.request
+func (l *leader) replyToRenewal(pending *renewal) {
+	n, state, request := l.node, l.node.replica.state, &pending.request
 	reply := &RenewReply{Session: request.Session, Seq: request.Seq, Term: n.replica.status().Term}
 	sess := state.Sessions[request.Session]
 	switch {
 	case sess == nil:
 		reply.Expired = true
-	case !l.expiry.Acknowledge(request.Session, request.AckedSeq, w.receivedAt):
+	case !l.expiry.Acknowledge(request.Session, request.AckedSeq, pending.receivedAt):
 		reply.Unconfirmed = true
-	case !l.expiry.Renew(request.Session, w.receivedAt):
+	case !l.expiry.Renew(request.Session, pending.receivedAt):
 		reply.Expired = true
 	case request.Compact:
 		reply.Delta = new(state.CompactDeltaSince(request.KnownRevision, sess.Name))
 	default:
 		reply.Delta = new(state.DeltaSince(request.KnownRevision))
 	}
-	n.send(w.from, &Message{RenewReply: reply})
+	n.send(pending.from, &Message{RenewReply: reply})
 }
--- a/internal/cluster/node/node.go
+++ b/internal/cluster/node/node.go
@@ -29,8 +29,8 @@
 	// timeout has to outlast a stalled disk or a busy core.
 	TickInterval = 50 * time.Millisecond
 	// retryInterval is the minimum time after which a request without a reply is sent again, to another
-	// gateway. A random delay of up to the same length is added, so that 300 gateways do not retry at the
-	// same time.
+	// gateway. A random delay of up to the same length is added, so that the gateways of a fleet, up to
+	// 4,700, do not retry at the same time.
 	retryInterval = 300 * time.Millisecond
 	// pauseThreshold is the gap between two ticks from which the process is considered to have been paused.
 	pauseThreshold = 10 * TickInterval
@@ -270,7 +270,8 @@
 	}
 }
 
-// TakeOutput returns the pending output and clears it.
+// TakeOutput processes the output of the Raft groups, which includes running the leader's tasks after a
+// change of the state, ends expired grants, and returns and clears the pending output.
 func (n *Node) TakeOutput() Output {
 	for n.processRaft() {
 	}
@@ -294,8 +295,8 @@
 	if o.Write != nil {
 		n.out.Write = o.Write
 	}
-	for _, t := range o.LeaderChanges {
-		n.leaderChanged(t)
+	for _, change := range o.LeaderChanges {
+		n.leaderChanged(change)
 	}
 	for i := range o.Messages {
 		n.replica.queueMessage(&o.Messages[i])
--- a/internal/cluster/node/proposals.go
+++ b/internal/cluster/node/proposals.go
@@ -150,7 +150,7 @@
 			pending.retryAt = min(pending.retryAt, n.now+TickInterval)
 		}
 	case pending.ID == n.session.openProposal:
-		n.session.opened(pending, r.Result)
+		n.session.handleOpenResult(pending, r.Result)
 	default:
 		n.publications.raiseFence(pending.Command.Lease, r.Result.Token)
 		p.finish(pending, Outcome{ID: pending.ID, Known: pending.outcomeKnown(r.Result), Result: *r.Result})
@@ -168,7 +168,8 @@
 	return true
 }
 
-// finish removes a proposal and reports its outcome.
+// finish removes a proposal. It reports the outcome, unless the proposal opens a session or its outcome was
+// already reported as unknown. After a failed release, the lease may be used again.
 func (p *proposals) finish(pending *pendingProposal, o Outcome) {
 	n := p.node
 	p.list = slices.DeleteFunc(p.list, func(y *pendingProposal) bool { return y == pending })
--- a/internal/cluster/node/publications.go
+++ b/internal/cluster/node/publications.go
@@ -30,22 +30,23 @@
 	}
 }
 
-// Publish sends a body on behalf of the holder of a lease: to the gateway to, or to all other gateways if
-// to is empty. In a full mesh only peers that have sent a hello are reached. Delivery is not acknowledged.
-func (n *Node) Publish(now time.Duration, to, name string, token, seq uint64, body []byte) {
+// Publish sends a body on behalf of the holder of a lease to the named receiver, or to all other gateways if
+// receiver is empty. A body for this gateway itself is not sent. In a full mesh only peers that have sent a
+// hello are reached. Delivery is not acknowledged.
+func (n *Node) Publish(now time.Duration, receiver, name string, token, seq uint64, body []byte) {
 	n.now = now
 	encoded := encodeMessage(&Message{Publication: &Publication{name, token, seq, body}})
 	if n.cfg.UsesRelays {
-		if to == "" {
-			to = Broadcast
+		if receiver == "" {
+			receiver = Broadcast
 		}
-		if to != n.cfg.Name {
-			n.out.Frames = append(n.out.Frames, Frame{To: to, Kind: KindMessage, Body: encoded})
+		if receiver != n.cfg.Name {
+			n.out.Frames = append(n.out.Frames, Frame{To: receiver, Kind: KindMessage, Body: encoded})
 		}
 		return
 	}
 	for _, peer := range n.cfg.Peers {
-		if _, known := n.replica.hellos[peer]; known && (to == "" || to == peer) {
+		if _, known := n.replica.hellos[peer]; known && (receiver == "" || receiver == peer) {
 			n.out.Frames = append(n.out.Frames, Frame{To: peer, Kind: KindMessage, Body: encoded})
 		}
 	}
--- a/internal/cluster/node/replica.go
+++ b/internal/cluster/node/replica.go
@@ -15,7 +15,8 @@
 	"dunemoor/internal/cluster/wal"
 )
 
-// helloInterval is the time between two hellos of a replica that waits to be cleared.
+// helloInterval is the time between two hellos of a replica that does not take part in the Raft group yet
+// (checkCleared).
 const helloInterval = time.Second
 
 // replica is this gateway's replica of the coordination state, and its record of the states of the other
@@ -36,10 +37,10 @@
 	frames         map[string][]byte // bodies of the frames of Raft messages to be sent, by gateway
 
 	// State of the other gateways.
-	hellos     map[string]Hello      // by gateway: the last hello
-	names      map[uint64]string     // by replica: the name of its gateway
-	diskStates map[uint64]*diskState // by replica
-	replies    map[string]*HelloReply
+	hellos     map[string]Hello       // by gateway: the last hello
+	names      map[uint64]string      // by replica: the name of its gateway
+	diskStates map[uint64]*diskState  // by replica
+	replies    map[string]*HelloReply // by gateway: the reply to its last hello
 
 	// State of this gateway's disk.
 	approvals map[uint64]bool // replicas that have no objection to the disk
@@ -233,7 +234,7 @@
 	}
 }
 
-// receiveHelloReply handles another gateway's assessment of this gateway's disk.
+// receiveHelloReply handles another gateway's reply about this gateway's disk.
 func (r *replica) receiveHelloReply(from string, reply *HelloReply) {
 	if reply.ReplicaID != r.node.cfg.Disk.ReplicaID {
 		return
--- a/internal/cluster/node/session.go
+++ b/internal/cluster/node/session.go
@@ -54,8 +54,8 @@
 	}}
 }
 
-// opened handles the result of the command that opens the session.
-func (s *session) opened(p *pendingProposal, r *lease.Result) {
+// handleOpenResult handles the result of the command that opens the session.
+func (s *session) handleOpenResult(p *pendingProposal, r *lease.Result) {
 	n := s.node
 	n.proposals.finish(p, Outcome{})
 	if r.Code != lease.OK {
@@ -75,7 +75,7 @@
 	s.rotateTarget()
 	s.lastSeq++
 	s.renewedAt = n.now
-	s.renewDelay = n.retryDelay() // renewed changes it when a reply arrives
+	s.renewDelay = n.retryDelay() // receiveReply changes it when a reply arrives
 	s.sentAt[s.lastSeq] = n.now
 	for seq := range s.sentAt {
 		if seq+maxSentRenewals <= s.lastSeq {
@@ -113,16 +113,16 @@
 	case r.Unconfirmed:
 		s.renewDelay = 0 // renew immediately to acknowledge this reply
 	case r.Expired:
-		s.expired("the leader has no such session")
+		s.handleExpiry("the leader has no such session")
 	case r.Delta == nil:
-		s.redirected(r)
+		s.handleRedirect(r)
 	default:
-		s.renewed(from, sentAt, r)
+		s.handleConfirmation(from, sentAt, r)
 	}
 }
 
-// redirected handles the reply of a gateway that does not lead.
-func (s *session) redirected(r *RenewReply) {
+// handleRedirect handles the reply of a gateway that does not lead.
+func (s *session) handleRedirect(r *RenewReply) {
 	delete(s.sentAt, r.Seq)
 	if r.Leader != "" && r.Leader != s.target.name {
 		s.target.set(r.Leader)
@@ -130,8 +130,8 @@
 	}
 }
 
-// renewed handles a leader's confirmation of the renewal that was sent at sentAt.
-func (s *session) renewed(from string, sentAt time.Duration, r *RenewReply) {
+// handleConfirmation handles a leader's confirmation of the renewal that was sent at sentAt.
+func (s *session) handleConfirmation(from string, sentAt time.Duration, r *RenewReply) {
 	if failpoint.Enabled(failpoint.DeadlineFromReply) {
 		sentAt = s.node.now
 	}
@@ -143,8 +143,8 @@
 	s.node.view.extendGrants(s.deadline)
 }
 
-// expired clears the local state of a session that has expired.
-func (s *session) expired(reason string) {
+// handleExpiry clears the local state of a session that has expired.
+func (s *session) handleExpiry(reason string) {
 	s.node.logWarn("session expired", "session", s.id, "why", reason)
 	s.id, s.deadline, s.openProposal = 0, 0, 0
 	clear(s.sentAt)
@@ -159,7 +159,8 @@
 	unansweredSince time.Duration
 }
 
-// unansweredLongAgo is a value of unansweredSince after which the next request goes to another gateway.
+// unansweredLongAgo is a value of unansweredSince that is long past, so that the next request goes to another
+// gateway.
 const unansweredLongAgo time.Duration = 1
 
 func (t *leaderTarget) set(name string) {
@@ -168,8 +169,8 @@
 	}
 }
 
-// recordReply records a reply of the gateway from, which leads or names the leader. The name leader is empty
-// if the gateway does not know it.
+// recordReply records a reply from a gateway. leads reports whether the gateway is the leader; otherwise
+// leader is the leader's name, or empty if the gateway does not know it.
 func (t *leaderTarget) recordReply(from string, leads bool, leader string) {
 	switch {
 	case from != t.name:
--- a/internal/cluster/node/view.go
+++ b/internal/cluster/node/view.go
@@ -51,7 +51,8 @@
 	if d.Replicas != nil {
 		v.replicas = d.Replicas
 	}
-	if d.Full || v.revision > 0 { // otherwise it replies to a request from before a full delta was needed
+	// A partial delta that answers a request sent before revision was reset to 0 must not set revision again.
+	if d.Full || v.revision > 0 {
 		v.revision = max(v.revision, d.Revision)
 	}
 	if d.SessionCount > 0 {
