--- a/internal/engine/attempts.go
+++ b/internal/engine/attempts.go
@@ -32,7 +32,7 @@
 	}
 	n := len(x.attempts)
 	if x.attemptsSent > 0 && !p.takeRetry(now, x) {
-		x.attempts = append(x.attempts, func() {})
+		x.attempts = append(x.attempts, func() {}) // the balancer has numbered this attempt too
 		p.denied = append(p.denied, balancer.Outcome{Request: x.id, Attempt: n, Result: balancer.NotSent, Closed: x.Finished()})
 		return
 	}
@@ -110,8 +110,8 @@
 	return outcome
 }
 
-// finishStreamed handles the end of the only attempt of a request whose streamed body was sent in part: the client
-// gets the host's response, a rejection if the request provably never ran, or a failure.
+// finishStreamed handles the end of the last attempt of a request whose streamed body was sent in part: the client
+// gets a host's response, a rejection if the request provably never ran, or a failure.
 func (p *Pool) finishStreamed(x *Request, outcome balancer.Result) {
 	if !x.Finished() {
 		final := Response{Kind: Failed}
--- a/internal/engine/do.go
+++ b/internal/engine/do.go
@@ -8,8 +8,8 @@
 	"dunemoor/internal/route"
 )
 
-// maxUploadTime is the longest time that a streamed request body may take to arrive in total, enough for a gigabyte
-// at the speed of a modem.
+// maxUploadTime is the longest time that a streamed request body may take to arrive in total. A gigabyte arrives in that
+// time at 12 kB/s.
 const maxUploadTime = 24 * time.Hour
 
 // Do submits a request to the engine and waits for its response. waiting is false if ctx ended first: the response is
@@ -61,7 +61,7 @@
 			dueTimer.Reset(x.waitTime())
 		case <-ctx.Done():
 			if x.Close() {
-				e.finishWithoutBalancer(x)
+				e.handleFinishedByDo(x)
 			} else {
 				resp = <-x.response
 				resp.Release()
@@ -69,10 +69,10 @@
 			return Response{}, false
 		case <-dueTimer.C:
 			// The balancer should have decided on a response by now. The client gets a failure without waiting any
-			// longer. For the balancer, and in its recording, the client has disconnected. This response is neither
-			// logged nor counted.
+			// longer. The balancer, and so the recording, is notified that the client has disconnected, unless the body
+			// was being streamed. This response is not counted for the recording's trigger (countResponse).
 			if x.Close() {
-				e.finishWithoutBalancer(x)
+				e.handleFinishedByDo(x)
 				return Response{Kind: Failed}, true
 			}
 			return <-x.response, true
@@ -89,9 +89,9 @@
 }
 
 // beginStreaming handles the event that an attempt is about to send a part of the request's body that is not
-// buffered. From then on the request can't be sent again: it has only the attempt that is in flight, and the balancer
-// treats it as finished. The attempt is reported as Canceled, so that the balancer derives nothing about the host
-// from its duration, which depends on the client's upload rate.
+// buffered. From then on the request can't be sent again, so the attempt in flight is its last, and the balancer
+// treats the request as finished. The attempt is reported as Canceled, so that the balancer derives nothing about the
+// host from its duration, which depends on the client's upload rate.
 func (e *Engine) beginStreaming(now balancer.Time, x *Request) {
 	if x.streaming || x.Finished() || x.inFlight == 0 {
 		return
@@ -102,9 +102,9 @@
 	p.perform(now)
 }
 
-// finishWithoutBalancer handles the event that Do has finished a request itself, and not by a response from the loop:
-// the client has disconnected, or the response was due.
-func (e *Engine) finishWithoutBalancer(x *Request) {
+// handleFinishedByDo handles the event that Do has finished a request itself, and not by a response from the loop: the
+// client has disconnected, or the response was due.
+func (e *Engine) handleFinishedByDo(x *Request) {
 	e.post(func(now balancer.Time) {
 		p := x.pool
 		if x.streaming {
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -84,8 +84,8 @@
 	case h == nil:
 		h = &host{Endpoint: p.cfg.Transport.Host(m.ID), id: m.ID}
 		p.hosts[entry.ID] = h
-		if p.record != nil {
-			p.record.rec.NameHost(now, entry.ID, m.ID)
+		if p.recorder != nil {
+			p.recorder.rec.NameHost(now, entry.ID, m.ID)
 		}
 	case h.id != m.ID:
 		// Two IDs with the same HostID would be treated as one host.
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -31,7 +31,7 @@
 
 	// Overload, if set before Run, receives the time that each request waits for the loop.
 	Overload *overload.Controller
-	// LoopDelays counts the times that requests have waited for the loop.
+	// LoopDelays is a histogram of how long requests have waited for the loop.
 	LoopDelays overload.Delays
 
 	// The fields below are used only by the goroutine of Run.
--- a/internal/engine/nameindex.go
+++ b/internal/engine/nameindex.go
@@ -11,8 +11,8 @@
 	next  int            // the next number to assign
 }
 
-// maxUnusedNames is how many names beyond the number of hosts are kept before those without a host are dropped. With
-// this value that is seldom, and their memory is negligible.
+// maxUnusedNames is how many more names than hosts there may be before prune drops those that no host has. It is large
+// enough that this is rare, and small enough that the memory of the names is negligible.
 const maxUnusedNames = 64
 
 func newNameIndex(known map[string]int) nameIndex {
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -42,7 +42,7 @@
 	balancer   flightrecorder.Balancer
 	unrecorded *balancer.Balancer
 
-	record      *recording // nil: nothing is recorded
+	recorder    *poolRecorder // nil: nothing is recorded
 	actions     []balancer.Action
 	denied      []balancer.Outcome // outcomes of retries that takeRetry denied, which were not sent
 	failingOver []*Request         // requests that are to be admitted to their next pool
@@ -52,7 +52,7 @@
 	kinds       nameIndex
 	chains      []chainEntry // the pool's positions in the chains of the Snapshot in use
 	published   capacity     // the capacity that the chains were last notified of
-	used        bool         // it has been in a Snapshot, or DropUnused was called
+	mayClose    bool         // it has been in a Snapshot, or DropUnused was called: it is closed once it is unused
 	unused      bool         // it is in no Snapshot any more
 	ended       bool
 }
@@ -90,8 +90,8 @@
 	return p, nil
 }
 
-// close ends a pool: its recording, its hosts and what PoolConfig.Stop stops. If wait is set it waits until the
-// recording is written.
+// close ends the pool's recording, marks its hosts as not usable, removes them, and calls PoolConfig.Stop. If wait is
+// set, it waits until the recording is written.
 func (p *Pool) close(wait bool) {
 	p.ended = true
 	p.endRecording(wait)
@@ -136,8 +136,9 @@
 	return addr
 }
 
-// HealthCheckPassed notifies the balancer that an ejected host has passed a health check. The host's next trial
-// request is sent at some time within the given duration.
+// HealthCheckPassed notifies the balancer that an ejected host has passed a health check. The host's backoff then ends
+// at a random time within the given duration, if it does not end earlier, and a request may be sent as its trial. Until
+// the host responds, only the first call has an effect.
 func (p *Pool) HealthCheckPassed(name string, within time.Duration) {
 	p.engine.post(func(now balancer.Time) {
 		if h := p.hosts[hostID(name)]; h != nil && h.id == name && !p.ended {
--- a/internal/engine/recording.go
+++ b/internal/engine/recording.go
@@ -29,8 +29,8 @@
 	Classes []string // class names in the order of the settings
 }
 
-// recording is the flight recorder of a Pool. rec and trigger are used only by the loop.
-type recording struct {
+// poolRecorder is the flight recorder of a Pool. rec and trigger are used only by the loop.
+type poolRecorder struct {
 	cfg      *Recording
 	rec      *flightrecorder.Recorder
 	trigger  flightrecorder.Trigger
@@ -41,7 +41,7 @@
 
 // startRecording records all events and actions between the loop and the balancer.
 func (p *Pool) startRecording(rc *Recording) error {
-	r := &recording{cfg: rc, trigger: rc.Trigger}
+	r := &poolRecorder{cfg: rc, trigger: rc.Trigger}
 	opts := flightrecorder.Options{RingBytes: rc.RingBytes, ViewInterval: rc.ViewInterval}
 	if rc.File != "" {
 		r.file = flightrecorder.NewFile(rc.File, rc.MaxFileBytes)
@@ -56,7 +56,7 @@
 	if r.rec, err = flightrecorder.New(p.unrecorded, start, uint64(clock.start.UnixNano()), opts); err != nil {
 		return err
 	}
-	p.balancer, p.record = r.rec, r
+	p.balancer, p.recorder = r.rec, r
 	if r.file != nil {
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
@@ -75,7 +75,7 @@
 // endRecording writes the rest of the recording. wait is set only when the gateway exits: the loop then waits until
 // the file is written.
 func (p *Pool) endRecording(wait bool) {
-	if r := p.record; r != nil {
+	if r := p.recorder; r != nil {
 		r.rec.Flush()
 		if r.stopFile != nil && wait {
 			r.stopFile()
@@ -119,7 +119,7 @@
 
 // dump copies the ring, which takes about 50 us, and writes the copy in a goroutine.
 func (p *Pool) dump() {
-	r := p.record
+	r := p.recorder
 	if r == nil || r.cfg.Dir == "" || !r.dumping.CompareAndSwap(false, true) {
 		return
 	}
@@ -138,7 +138,7 @@
 
 // countResponse reports a final response to the trigger, which may cause a dump.
 func (p *Pool) countResponse(rejected bool) {
-	if r := p.record; r != nil && r.trigger.ObserveResponse(time.Since(p.engine.clock.start), rejected) {
+	if r := p.recorder; r != nil && r.trigger.ObserveResponse(time.Since(p.engine.clock.start), rejected) {
 		p.dump()
 	}
 }
--- a/internal/engine/reload_test.go
+++ b/internal/engine/reload_test.go
@@ -95,8 +95,8 @@
 	<-done
 }
 
-// A pool that is created while the last request releases the old Snapshot is kept for the next Snapshot. The test
-// guards against stopping it together with the unused pools.
+// A pool that was created for the next Snapshot is kept when an old Snapshot is released. The test guards against
+// stopping it together with the unused pools. DropUnused closes a pool that no Snapshot has used.
 func TestReloadKeepsPoolMadeBeforeUse(t *testing.T) {
 	runInVirtualTime(t, func(t *testing.T, h *harness) {
 		newPool := func(name string) *Pool { return h.newPool(newScriptedTransport(name, respondWith(200, 0)), 3) }
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -103,7 +103,8 @@
 	return at, known
 }
 
-// Left returns the time until the response is due.
+// Left returns the time until the response is due, or until the Deadline while that is not known (see Due). It is at
+// least 0.
 func (x *Request) Left() time.Duration {
 	at, _ := x.Due()
 	return max(0, time.Until(at))
--- a/internal/engine/response.go
+++ b/internal/engine/response.go
@@ -68,17 +68,16 @@
 
 // Result is the result of one attempt.
 type Result struct {
-	// HasResponse reports that a whole response arrived; the route classifies it. Otherwise Outcome is how the
-	// attempt ended. An Outcome that means that the request never ran is used only with a proof that the protocol's
-	// specification defines.
+	// HasResponse reports that a valid response has arrived; the route classifies it. A streamed body may still be
+	// arriving. Otherwise Outcome is how the attempt ended. An Outcome that means that the request never ran is used
+	// only with a proof that the protocol's specification defines.
 	HasResponse bool
 	Response    Response
 	Outcome     balancer.Result
-	// PartlySent reports that some bytes of the request were sent, but not the last. It comes with the Outcome
-	// balancer.ConnectFailed, although a connection was established: by the platform's protocol a host runs nothing
-	// without the last byte, so that the effect is the same as without a connection. On a plain route a host may have
-	// run it: Pool.attemptEnded changes the Outcome to balancer.Reset there, and upstream.Attempt does not send the
-	// request again.
+	// PartlySent reports that some bytes of the request were sent, but not the last. Outcome is then
+	// balancer.ConnectFailed: by the platform's protocol, a host does not run a request without its last byte, so the
+	// effect is as if no connection had been established. On a plain route, a host may have run it: Pool.attemptEnded
+	// changes the Outcome to balancer.Reset there, and upstream.Attempt does not send the request again.
 	PartlySent bool
 }
 
--- a/internal/engine/response_test.go
+++ b/internal/engine/response_test.go
@@ -56,7 +56,7 @@
 			h.useRoute(plainRoute(), nil, h.newPool(transport, 3))
 			h.load(100, 5*time.Second, onlyClass(classIdempotent))
 			if attempts := transport.attemptsByHost["h-0"]; (attempts < 50) != ejected {
-				t.Errorf("status %d: got %d attempts of 500 requests at the host, want fewer than 50: %t", status, attempts, ejected)
+				t.Errorf("status %d: got %d attempts of 500 requests at the host, want it ejected (fewer than 50): %t", status, attempts, ejected)
 			}
 		})
 	}
--- a/internal/engine/retry.go
+++ b/internal/engine/retry.go
@@ -12,7 +12,8 @@
 //     and Settings.MaxAttempts. It decides first.
 //   - Pool.takeRetry below: over all pools of the failover chain, by MaxAttempts and by whether the last attempt is
 //     better reserved for the next pool.
-//   - route.Budget, which takeRetry consults last: over all requests of a route, by the share of retries among its attempts.
+//   - route.Budget, which takeRetry consults last: over all requests of a route, by a share of its first attempts and a
+//     constant rate.
 //
 // A retry that the second or the third denies ends as balancer.NotSent, and the balancer decides again.
 //
@@ -26,13 +27,13 @@
 	// only its own attempts, up to its Settings.MaxAttempts: that is the same number for the pools of an appliance,
 	// and caps.max_attempts on the platform. More than MaxAttempts there has no effect.
 	MaxAttempts = 4
-	// maxStreamedRetryAfter is the longest Retry-After of a streamed request whose only attempt never ran. It is short,
-	// as a single host was at fault.
+	// maxStreamedRetryAfter is the longest Retry-After of a request that provably never ran, but whose last attempt
+	// failed while its body was streamed. It is short, as that failure concerns a single host.
 	maxStreamedRetryAfter = 50 * time.Millisecond
 )
 
 // takeRetry reports whether a request may have a further attempt that the balancer has requested. If so it takes a
-// retry from the route's budget, so it must be called once for each attempt.
+// retry from the route's budget, so it must be called once for each such attempt.
 func (p *Pool) takeRetry(now balancer.Time, x *Request) bool {
 	if p.keepsLastAttempt(now, x) {
 		return false
@@ -93,8 +94,8 @@
 	return x.mayRunElsewhere() && (x.trial || unreachable)
 }
 
-// streamedRetryAfter returns the Retry-After of a streamed request whose only attempt never ran: the gateway has not
-// buffered enough of its body to retry it. Other values of Retry-After come from the balancer (a request that its
+// streamedRetryAfter returns the Retry-After of a request that provably never ran, but can't be sent again, as a part of
+// its body was streamed and is not buffered. Other values of Retry-After come from the balancer (a request that its
 // pool rejects), from package overload (load shedding) and from the frontends (no memory for bodies).
 func (p *Pool) streamedRetryAfter() time.Duration {
 	return min(maxStreamedRetryAfter, p.cfg.Settings.MaxRetryAfter)
--- a/internal/engine/retry_test.go
+++ b/internal/engine/retry_test.go
@@ -51,9 +51,9 @@
 		h.useRoute(protocolRoute(), nil, h.newPool(transport, 3))
 		for _, tt := range []struct {
 			class  int
-			window time.Duration // from the start of the request; 0: unlimited
+			window time.Duration // from the first attempt, which is sent at once; 0: unlimited
 		}{
-			{classWithKey, testClasses[classWithKey].DedupWindow - 10*time.Millisecond},
+			{classWithKey, testClasses[classWithKey].DedupWindow - 10*time.Millisecond}, // less the balancer's margin, two steps of 5 ms
 			{classIdempotent, 0},
 		} {
 			writeBy = nil
--- a/internal/engine/retune.go
+++ b/internal/engine/retune.go
@@ -6,9 +6,9 @@
 	"dunemoor/balancer"
 )
 
-// RetuneFunc returns the new settings of a pool, for each class number the previous one whose state it continues or
-// -1, the names of the classes, and a Snapshot that has the pool and matches the settings. It is called in the loop;
-// inUse reports whether a request may still use the number of a class.
+// RetuneFunc returns the new settings of a pool, the names of its classes, and a Snapshot that has the pool and matches
+// the settings. from[i] is the number of the previous class whose state class i continues, or -1 if there is none. The
+// function is called in the loop; inUse reports whether a request may still use the number of a class.
 type RetuneFunc func(inUse func(class int) bool) (settings balancer.Settings, from []int, names []string, s *Snapshot)
 
 // Retune applies new settings to a pool's balancer, and puts the matching Snapshot into use, both in one event of the
@@ -30,15 +30,15 @@
 	e.sweep()
 	used := e.classesInUse(p)
 	settings, from, names, s := newSettings(func(class int) bool { return used[class] })
-	if p.record != nil {
-		p.record.rec.SetClassNames(names)
+	if p.recorder != nil {
+		p.recorder.rec.SetClassNames(names)
 	}
 	if err := p.balancer.Retune(now, settings, from); err != nil {
 		return err
 	}
-	if p.record != nil {
+	if p.recorder != nil {
 		for id, h := range p.hosts {
-			p.record.rec.NameHost(now, id, h.id)
+			p.recorder.rec.NameHost(now, id, h.id)
 		}
 	}
 	e.use(now, s)
--- a/internal/engine/snapshot.go
+++ b/internal/engine/snapshot.go
@@ -135,7 +135,7 @@
 		pool.chains, pool.published = pool.chains[:0], unpublishedCapacity
 	}
 	for _, c := range s.chains {
-		c.pools[0].used = true
+		c.pools[0].mayClose = true
 		if len(c.pools) < 2 {
 			continue // without a fallback there is no pool to choose
 		}
@@ -156,7 +156,7 @@
 func (e *Engine) DropUnused() {
 	e.post(func(balancer.Time) {
 		for p := range e.pools {
-			p.used = true
+			p.mayClose = true
 		}
 		e.sweep()
 	})
@@ -184,7 +184,7 @@
 	current := e.snapshot.Load()
 	for pool := range e.pools {
 		// A pool that has not been in a Snapshot yet is kept, as the next Snapshot will have it.
-		pool.unused = pool.used && current != nil && !current.has(pool) &&
+		pool.unused = pool.mayClose && current != nil && !current.has(pool) &&
 			!slices.ContainsFunc(e.superseded, func(s *Snapshot) bool { return s.has(pool) })
 		e.closeIfUnused(pool)
 	}
