--- a/internal/cluster/relays_test.go
+++ b/internal/cluster/relays_test.go
@@ -38,7 +38,7 @@
 	checkAllReceived(t, members, number)
 	streams := 0
 	for _, m := range relayMembers {
-		streams += m.Status().Streams.Streams
+		streams += m.freshStatus().Streams.Streams
 	}
 	if streams != len(gateways) {
 		t.Errorf("streams of all relays: got %d, want %d", streams, len(gateways))
