--- a/internal/cluster/relay/client.go
+++ b/internal/cluster/relay/client.go
@@ -29,7 +29,8 @@
 	noRelay = -1
 )
 
-// Causes for the end of a stream or an attempt to open one, as counted in ClientStatus.Ends.
+// Causes counted in ClientStatus.Ends: why a stream has ended, why an attempt to open one has failed, or why the
+// gateway looks for another relay (causeSilent, causeUnresponsive).
 const (
 	causePaused       = "stood still"
 	causeEnded        = "ended"
@@ -83,7 +84,9 @@
 	epoch              uint64
 	openedAt           time.Duration
 	receivedAt, sentAt time.Duration
-	forPreferredOnly   bool // dialled because its relay is preferred; if it is rejected, no other relay is dialled
+	// fromReselect means that reselect has dialled it: if the attempt fails while the current stream is open, no other
+	// relay is dialled.
+	fromReselect bool
 }
 
 // avoidance is until when a relay is avoided, and for how long it was last avoided.
@@ -105,8 +108,8 @@
 	return time.Duration(c.rng.Int64N(int64(limit) + 1))
 }
 
-// advance sets the current time. If the process was paused, data that arrives on its streams was sent before
-// the pause, so the streams are closed.
+// advance sets the current time. If the process was paused, data that arrives on its streams may have been sent
+// before or during the pause, so the streams are closed.
 func (c *Client) advance(now time.Duration) {
 	gap := now - c.now
 	c.now = now
@@ -164,7 +167,7 @@
 	}
 	x, alternative := &c.selection, c.topology.find(r.Alternative)
 	switch {
-	case s.forPreferredOnly && c.current != nil:
+	case s.fromReselect && c.current != nil:
 	case r.Outdated:
 		x.dialAt = c.now + max(r.RetryAfter, minRoundDelay)
 	case alternative != noRelay && !x.tried[alternative]:
@@ -173,7 +176,7 @@
 	case r.Reason == reasonNoCapacity && c.pick() != noRelay:
 		c.dialWithin(0) // that relay's information about the others may be outdated
 	case r.Reason == reasonNoCapacity:
-		// All relays report that they have no capacity. The one with the fewest streams must accept the stream.
+		// All relays report that they have no capacity. The one with the fewest streams is dialled with Force.
 		x.next, x.force = alternative, true
 		if alternative == noRelay {
 			x.next = s.relay
@@ -181,7 +184,7 @@
 		x.rounds++
 		clear(x.tried)
 		x.dialAt = c.now + r.RetryAfter
-	default: // too many joins, or another gateway has the name
+	default: // too many joins, an invalid request, or a name that is in use
 		clear(x.tried)
 		x.next = s.relay
 		x.dialAt = c.now + r.RetryAfter
@@ -216,10 +219,10 @@
 	c.advance(now)
 	switch {
 	case c.attempt != nil && c.attempt.epoch == epoch:
-		onlyPreferred := c.attempt.forPreferredOnly
+		fromReselect := c.attempt.fromReselect
 		c.attempt = nil
 		c.ends[causeNotReached]++
-		if !onlyPreferred || c.current == nil {
+		if !fromReselect || c.current == nil {
 			c.dialWithin(maxRedialDelay)
 		}
 	case c.current != nil && c.current.epoch == epoch:
@@ -291,6 +294,7 @@
 // Tick checks timeouts and sends keepalives. It must be called every TickInterval.
 func (c *Client) Tick(now time.Duration) {
 	c.advance(now)
+	// The code that dials should have reported the end of the attempt after DialTimeout.
 	if c.attempt != nil && now >= c.attempt.openedAt+2*DialTimeout {
 		c.out.Close = append(c.out.Close, c.attempt.epoch)
 		c.Ended(now, c.attempt.epoch)
--- a/internal/cluster/relay/join.go
+++ b/internal/cluster/relay/join.go
@@ -7,7 +7,8 @@
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = time.Second
 	// forcedJoinMargin is the difference in streams above which a relay rejects a forced join in favor of a relay
-	// with fewer streams. It is more than the number of gateways that join that relay in the meantime.
+	// with fewer streams. It is more than the number of gateways that usually join that relay between two of its
+	// route updates.
 	forcedJoinMargin = minStreamLimit / 2
 )
 
--- a/internal/cluster/relay/relay.go
+++ b/internal/cluster/relay/relay.go
@@ -30,10 +30,11 @@
 	// TickInterval is how often Tick must be called, on relays and on gateways.
 	TickInterval = batchInterval
 	// batchInterval is how long records for another relay are collected. A record passes through two relays
-	// within 40 ms, and each of 15 links carries at most 50 frames per second.
+	// within 40 ms. With 16 relays, each of a relay's 15 links carries about 50 frames of records per second at
+	// most; full batches and route updates add to that.
 	batchInterval = 20 * time.Millisecond
-	// heartbeatInterval is the maximum time between two frames of a relay on a stream. Two of them may be late or lost
-	// before relayTimeout expires.
+	// heartbeatInterval is the maximum time between two frames of a relay on a stream. relayTimeout expires only if
+	// two in a row are late or lost.
 	heartbeatInterval = 500 * time.Millisecond
 	// keepaliveInterval is the maximum time between two frames of a gateway on a stream.
 	keepaliveInterval = time.Second
@@ -47,8 +48,8 @@
 	// streamTimeout is how long a relay keeps a stream on which no frame arrives: three keepalive intervals.
 	streamTimeout = 3 * time.Second
 	// minReplyTimeout is how long renewals may go unanswered, although the relay is alive, before the gateway
-	// moves to another relay. It doubles with each such move up to maxReplyTimeout, because moving does not
-	// help while the fleet has no leader.
+	// moves to another relay. It doubles with each such move up to maxReplyTimeout, plus at most a
+	// random eighth, because moving does not help while the fleet has no leader.
 	minReplyTimeout = 1300 * time.Millisecond
 	maxReplyTimeout = 20 * time.Second
 	// maxRedialDelay bounds the random delay before a gateway dials again after its stream has ended. It
@@ -183,7 +184,7 @@
 	Epoch     uint64        `json:"epoch"`
 	Since     time.Duration `json:"since"` // time of the clock that is passed to the Client
 	Preferred string        `json:"first"` // the most preferred relay of the gateway
-	Moves     uint64        `json:"moves"` // streams that were accepted since the start
-	// Ends counts the streams and attempts that ended, by cause.
+	Moves     uint64        `json:"moves"` // streams that were accepted since the start, the first one included
+	// Ends counts, by cause, the streams that ended, the attempts that failed, and the searches for another relay.
 	Ends map[string]uint64 `json:"ends"`
 }
--- a/internal/cluster/relay/router.go
+++ b/internal/cluster/relay/router.go
@@ -14,11 +14,11 @@
 const (
 	// scanInterval is the time between two scans of all streams. A heartbeat is late by that time at most.
 	scanInterval = 100 * time.Millisecond
-	// linkTimeout is how long another relay is considered up although nothing arrives from it. Two route
-	// updates may be lost.
+	// linkTimeout is how long another relay is considered up although nothing arrives from it. One route update
+	// may be lost.
 	linkTimeout = 2500 * time.Millisecond
-	// pauseThreshold is the time between two calls after which the process must have been paused. The gateways
-	// have left the relay by then, and everything that it receives was sent before.
+	// pauseThreshold is the time between two calls from which a Router or Client assumes that its process was
+	// paused. Gateways look for another relay when theirs has been silent for that long.
 	pauseThreshold = relayTimeout
 )
 
@@ -61,11 +61,14 @@
 	batch      []byte        // collected records that are not sent yet
 	streams    int           // number of streams of the relay by its last update
 	// checksum is the checksum of the relay's routes as they are known here.
-	checksum   uint64
-	updatedAt  time.Duration // when the last update was sent to it
-	lastUpdate Incarnation   // last update received: ReplicaID identifies its process, Epoch is its number
+	checksum  uint64
+	updatedAt time.Duration // when the last update was sent to it
+	// lastUpdate identifies the last update received: its ReplicaID is the Epoch of the update (that of the relay's
+	// process), and its Epoch is the Seq of the update.
+	lastUpdate Incarnation
 	// pendingRequest is the number of the request for routes that the relay has not replied to yet; 0 if there
-	// is none. Anything that arrives before the reply was sent before this process was paused.
+	// is none. Records and updates that arrive before the reply may have been sent before the end of a pause of
+	// this process, and are dropped.
 	pendingRequest uint64
 	requestedAt    time.Duration
 }
@@ -86,8 +89,9 @@
 	return r
 }
 
-// advance sets the current time. If the process was paused, everything that it has received was sent before the
-// pause: streams are closed, and nothing is accepted from other relays until they have replied to a request.
+// advance sets the current time. If the process was paused, what it receives now may have been sent before or during
+// the pause: streams are closed, and records and updates of other relays are dropped until they have replied to a
+// request.
 func (r *Router) advance(now time.Duration) {
 	gap := now - r.now
 	r.now = now
@@ -212,9 +216,9 @@
 	if x.From != r.cfg.Name {
 		r.deliverToNode(x)
 	}
-	addressed := *x
-	addressed.To = ""
-	b := AppendRecord(nil, &addressed)
+	withoutReceiver := *x
+	withoutReceiver.To = ""
+	b := AppendRecord(nil, &withoutReceiver)
 	for _, name := range r.streamNames {
 		if name != x.From {
 			r.sendOnStream(r.streams[name], b)
@@ -231,9 +235,9 @@
 }
 
 func (r *Router) deliverToStream(s *routerStream, x *Record) {
-	addressed := *x
-	addressed.To = ""
-	r.sendOnStream(s, AppendRecord(nil, &addressed))
+	withoutReceiver := *x
+	withoutReceiver.To = ""
+	r.sendOnStream(s, AppendRecord(nil, &withoutReceiver))
 }
 
 func (r *Router) sendOnStream(s *routerStream, records []byte) {
@@ -277,7 +281,7 @@
 		l.receivedAt = now
 		if l.pendingRequest != 0 {
 			r.counts.dropped++
-			return // sent before this process was paused
+			return // it may have been sent before the end of a pause of this process
 		}
 		r.counts.malformed += uint64(ReadRecords(body, func(x *Record) { r.receiveRecord(relay, x) }))
 	}
--- a/internal/cluster/relay/routes.go
+++ b/internal/cluster/relay/routes.go
@@ -16,7 +16,7 @@
 	// routeSyncInterval is how often relays send one another the number of their streams and a checksum of
 	// their gateways. A relay that has missed an update requests all routes.
 	routeSyncInterval = time.Second
-	// maxKnownGateways is the maximum number of gateways in a routeTable, connected or not.
+	// maxKnownGateways is the number of gateways in a routeTable at which those without a stream are dropped.
 	maxKnownGateways = 8192
 )
 
@@ -79,7 +79,8 @@
 	return t.lastUpdate
 }
 
-// route returns the entry of a gateway, and adds one if there is none.
+// route returns the entry of a gateway, and adds one if there is none. If the table is full, it first drops all
+// gateways without a stream, and with them the epochs by which their old streams are rejected.
 func (r *Router) route(name string) *gatewayRoute {
 	known := r.routes.known
 	g := known[name]
@@ -152,7 +153,8 @@
 	return true
 }
 
-// requestRoutes requests all routes of another relay. Everything from that relay before the reply is ignored.
+// requestRoutes requests all routes of another relay. Until that relay replies, its records and updates are dropped;
+// its requests are answered.
 func (r *Router) requestRoutes(name string) {
 	l := r.links[name]
 	l.pendingRequest, l.requestedAt = r.routes.nextUpdate(), r.now
@@ -203,7 +205,7 @@
 
 // receiveRoutes handles an update from another relay.
 func (r *Router) receiveRoutes(relay string, l *link, u *routeUpdate) {
-	update := Incarnation{u.Epoch, u.Seq}
+	update := Incarnation{u.Epoch, u.Seq} // see link.lastUpdate
 	if update.ReplicaID < l.lastUpdate.ReplicaID || update.ReplicaID == l.lastUpdate.ReplicaID && update.Epoch <= l.lastUpdate.Epoch {
 		return // a later update has arrived already
 	}
@@ -212,7 +214,7 @@
 		r.sendRoutes(relay, &routeUpdate{Full: true, Joined: r.allRoutes(), InReplyTo: u.Request})
 	}
 	if l.pendingRequest != 0 && u.InReplyTo != l.pendingRequest {
-		return // sent before this process was paused
+		return // it may have been sent before the end of a pause of this process
 	}
 	l.receivedAt, l.pendingRequest, l.streams = r.now, 0, u.Count
 	r.applyRoutes(relay, u)
--- a/internal/cluster/relay/selection.go
+++ b/internal/cluster/relay/selection.go
@@ -5,7 +5,7 @@
 // dialWithin schedules the next dial after a random delay of at most limit.
 func (c *Client) dialWithin(limit time.Duration) {
 	if c.attempt == nil {
-		c.selection.dialAt = c.now + c.randomDelay(limit) + 1
+		c.selection.dialAt = c.now + c.randomDelay(limit) + 1 // never 0, which means that no dial is scheduled
 	}
 }
 
@@ -45,10 +45,10 @@
 }
 
 // open dials a relay.
-func (c *Client) open(relay int, onlyPreferred bool) {
+func (c *Client) open(relay int, fromReselect bool) {
 	c.lastEpoch++
 	c.selection.tried[relay] = true
-	c.attempt = &clientStream{relay: relay, epoch: c.cfg.Boots<<32 | c.lastEpoch, openedAt: c.now, forPreferredOnly: onlyPreferred}
+	c.attempt = &clientStream{relay: relay, epoch: c.cfg.Boots<<32 | c.lastEpoch, openedAt: c.now, fromReselect: fromReselect}
 	c.out.Dial = append(c.out.Dial, Dial{c.topology.relays[relay].Name, JoinRequest{
 		Name: c.cfg.Name, ReplicaID: c.cfg.ReplicaID, Epoch: c.attempt.epoch, Zone: c.cfg.Zone, Region: c.cfg.Region, Force: c.selection.force,
 	}})
