--- a/internal/config/appliance.go
+++ b/internal/config/appliance.go
@@ -1,6 +1,7 @@
-// Package config reads and validates configuration files. Reading is strict: an unknown key or a value out of range is an
-// Error, which is one line with the file, line and field. The package reads three kinds of files: the TOML file of an
-// appliance with its fleet section, the TOML file of the flight recorder, and the JSON file of a platform gateway.
+// Package config reads and validates configuration files. It reads three kinds of files: the TOML file of an appliance
+// with its fleet section, the TOML file of the flight recorder, and the JSON file of a platform gateway. The TOML files
+// are read strictly: an unknown key or a value out of range is an Error, which is one line with the file, line and field.
+// In the JSON file unknown keys are ignored, and errors have no line.
 package config
 
 import (
@@ -128,8 +129,9 @@
 	c := &checker{Text: NewText(path, text)}
 	var f applianceFile
 	c.errors = c.DecodeAll(&f)
-	isTOML := len(c.errors) == 0 || !reflect.ValueOf(f).IsZero()
-	if !isTOML {
+	// If the file has errors and no value was decoded, checks would only add consequential errors.
+	canCheck := len(c.errors) == 0 || !reflect.ValueOf(f).IsZero()
+	if !canCheck {
 		return nil, c.errors
 	}
 	a := &Appliance{Name: f.Name}
--- a/internal/config/appliance_test.go
+++ b/internal/config/appliance_test.go
@@ -21,7 +21,7 @@
 	if a.Name != "depot-1" || len(a.Pools) != 5 || len(a.Classes) != 3 || a.Classes[1].Idempotency != balancer.NonIdempotent ||
 		a.Classes[2].DedupWindow != 2500*time.Millisecond || a.Pools[0].MinShare != route.DefaultMinShare || a.Listeners[0].Protocol != "http1" ||
 		a.Pools[3].Members[0].ID != "127.0.0.1:9201" || a.Routes[0].RetryShare != defaultRetryShare || a.Routes[1].RetryShare != 0.1 {
-		t.Errorf("appliance %+v, want the values of the example", a)
+		t.Errorf("appliance %+v, want the values of the example: depot-1, 5 pools, the first with the default of need and the fourth with the host 127.0.0.1:9201, 3 classes, the second non-idempotent and the third with window 2.5s, an http1 listener, and for the first two routes the default of retry_share and 0.1", a)
 	}
 	r := a.Table.Match(&route.Request{Host: "calendar.example.org", Path: "/days", Method: "GET"})
 	if r == nil || r.Name != "calendar" || len(r.Split) != 2 {
--- a/internal/config/checker.go
+++ b/internal/config/checker.go
@@ -7,8 +7,8 @@
 )
 
 // checker converts and validates the settings of a file, and collects the errors. Its read methods validate a section and
-// store it in the Appliance. Its check methods only add errors; some of them also record names and addresses in maps to
-// find duplicates.
+// store it in the Appliance or return it. Its check methods only add errors; some of them also record names and addresses
+// in maps to find duplicates.
 type checker struct {
 	*Text
 	errors []error
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -38,7 +38,7 @@
 	maxPeers             = 1023 // 1024 gateways with this one, the maximum of a full mesh
 	maxRelays            = 64   // relays are connected with each other in both directions
 	maxBootstrapReplicas = 9    // every change costs one message per replica
-	minKeyBytes          = 32   // the length of the keys that are derived from it
+	minKeyBytes          = 32   // the length of the HMAC-SHA-256 codes that are computed with the key
 	maxKeyBytes          = 4096
 	// keyFileMode has the permission bits that a key file must not have.
 	keyFileMode = 0o077
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -13,7 +13,7 @@
 	valid := readExample(t, fleetExample)
 	a, errs := ParseAppliance("f", valid)
 	if len(errs) > 0 || a.Fleet.ID != "glasgow" || len(a.Fleet.Peers) != 2 || a.Fleet.Machine != "m1" || len(a.Fleet.BootstrapReplicas) != 3 {
-		t.Fatalf("appliance %+v, errors %v, want the values of the example", a, errs)
+		t.Fatalf("appliance %+v, errors %v, want fleet glasgow with 2 peers, machine m1 and 3 bootstrap replicas", a, errs)
 	}
 	for _, c := range []struct{ old, new, want string }{
 		{`id = "glasgow"`, `id = "glas gow"`, `fleet.id: "glas gow" contains ' '`},
@@ -60,7 +60,7 @@
 func TestParseApplianceReadsExampleWithRelays(t *testing.T) {
 	a, errs := ParseAppliance("f", readExample(t, relaysExample))
 	if len(errs) > 0 || len(a.Fleet.Relays) != 3 || a.Fleet.Zone != "hall-a" || a.Fleet.Region != "west" || a.Fleet.IsRelay(a.Name) || !a.Serves() {
-		t.Fatalf("appliance %+v, errors %v, want the values of the example", a, errs)
+		t.Fatalf("appliance %+v, errors %v, want a gateway with listeners that is none of 3 relays, in zone hall-a and region west", a, errs)
 	}
 }
 
@@ -69,7 +69,7 @@
 	text := relayExample(t)
 	r, errs := ParseAppliance("f", text)
 	if len(errs) > 0 || !r.Fleet.IsRelay(r.Name) || r.Serves() || r.Fleet.Zone != "quay-a" || r.Fleet.Region != "east" {
-		t.Fatalf("relay %+v, errors %v, want the relay of the quay in\n%s", r, errs, text)
+		t.Fatalf("got %+v, errors %v, want a relay without listeners in zone quay-a and region east, from\n%s", r, errs, text)
 	}
 }
 
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestParseApplianceRejectsZoneAndRegionInFleetOfPeers(t *testing.T) {
+func TestParseApplianceRejectsZoneAndRegionInFullMesh(t *testing.T) {
 	peers := readExample(t, fleetExample)
 	for _, key := range []string{"zone", "region"} {
 		text := replaceFirst(t, peers, "[fleet]", "[fleet]\n"+key+" = \"hall-a\"")
--- a/internal/config/key_test.go
+++ b/internal/config/key_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// A key file that is accessible by others than its owner, or whose key is too short or too long, is rejected.
-func TestReadKeyRejectsReadableOrShortKeys(t *testing.T) {
+// A key file that is accessible by others than its owner, or whose key is too short or too long, is rejected. A key of the
+// minimum length is read.
+func TestReadKeyChecksModeAndLength(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "key")
 	for _, c := range []struct {
 		text string
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -13,7 +13,7 @@
 	DefaultMemoryMB      = 64
 	defaultSockets       = 1024
 	minSockets           = 64
-	defaultHeadKB        = 12  // several header sections of the platform's protocol, or most browsers' cookies
+	defaultHeadKB        = 12  // several times a header section of the platform's protocol, and enough for most browsers' cookies
 	defaultHeaders       = 100 // browsers send about 20
 	defaultClientTableKB = 512 // enough for 16,384 clients
 	maxTenants           = 1024
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -35,7 +35,7 @@
 	Known    discovery.MemberList // the last endpoint list that this gateway had, used until discovery sends one
 	Settings balancer.Settings
 
-	// Indexes in the balancer of the names that are used in requests and endpoint lists.
+	// Indexes that the balancer uses for the names in requests and endpoint lists.
 	Classes map[string]int
 	Tenants map[string]int
 	Zones   map[string]int
@@ -88,7 +88,8 @@
 	fd int // value of GW_FD; 0 if it is not set
 }
 
-// settingsFile has the keys of the settings object that are not read by protocol.ParseSettings.
+// settingsFile has the keys of the settings object that are needed in addition to protocol.ParseSettings. max_attempts is
+// read by both: here it is only checked.
 type settingsFile struct {
 	Classes []namedEntry
 	Tenants []namedEntry
@@ -104,7 +105,7 @@
 type namedEntry struct{ Name string }
 
 // LoadPlatform reads and validates the file named by GW_CONFIG. The other GW_ variables take precedence over the values
-// of the file. An error is one line that names the invalid field.
+// of the file. An error is one line that names the invalid field or environment variable.
 func LoadPlatform(getenv func(string) string) (*Platform, error) {
 	path := getenv(envConfig)
 	if path == "" {
@@ -155,7 +156,7 @@
 	return nil
 }
 
-// limitSockets lowers Sockets to RLIMIT_NOFILE, as descriptors beyond it can't be divided among clients and hosts.
+// limitSockets lowers Sockets to RLIMIT_NOFILE if that is lower, as the process can't open more descriptors.
 func (c *Platform) limitSockets() {
 	var files syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files) == nil && files.Cur < uint64(c.Sockets) {
--- a/internal/config/platform_reload_test.go
+++ b/internal/config/platform_reload_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// reloadedConfig is a valid file of a platform gateway, in which all values have an effect on a reload.
+// reloadedConfig is a valid file of a platform gateway. It has all keys whose absence is tested.
 const reloadedConfig = `{"admin":"127.0.0.1:2","discovery":"127.0.0.1:1","listen":"127.0.0.1:0","name":"n","seed":"1f",
  "limits":{"cores":1,"memory_mb":64,"sockets":384},"known":{"version":1,"full":true,"servers":[]},
  "settings":{"balancers":2,"rank":0,"caps":{"cancel":true,"max_attempts":4},"classes":[
@@ -31,7 +31,7 @@
 	{"truncated", reloadedConfig[:len(reloadedConfig)/2], "unexpected end"},
 	{"truncated by a byte", reloadedConfig[:len(reloadedConfig)-1], "unexpected end"},
 	{"null", "null", "not a host:port address"},
-	{"no attempts", reloadedWith(`,"max_attempts":4`, ``), "settings.caps.max_attempts: missing"},
+	{"max_attempts missing", reloadedWith(`,"max_attempts":4`, ``), "settings.caps.max_attempts: missing"},
 	{"null attempts", reloadedWith(`"max_attempts":4`, `"max_attempts":null`), "settings.caps.max_attempts: missing"},
 	{"0 attempts", reloadedWith(`"max_attempts":4`, `"max_attempts":0`), "caps.max_attempts: 0 is not greater than 0"},
 	{"negative attempts", reloadedWith(`"max_attempts":4`, `"max_attempts":-1`), "max attempts: -1"},
@@ -45,8 +45,8 @@
 	{"no classes", reloadedWith(`"classes":[`, `"klasses":[`), "classes"},
 	{"no seed", reloadedWith(`"seed":"1f",`, ``), "seed"},
 	{"no name", reloadedWith(`"name":"n",`, ``), "name: missing"},
-	{"no second address", reloadedWith(`"admin":"127.0.0.1:2",`, ``), "admin: missing"},
-	{"no list", reloadedWith(`"known":{"version":1,"full":true,"servers":[]},`, ``), "known: missing"},
+	{"admin missing", reloadedWith(`"admin":"127.0.0.1:2",`, ``), "admin: missing"},
+	{"known missing", reloadedWith(`"known":{"version":1,"full":true,"servers":[]},`, ``), "known: missing"},
 	{"malformed list", reloadedWith(`"servers":[]`, `"servers":{}`), "Servers"},
 	{"no rank", reloadedWith(`"rank":0,`, ``), "settings.rank: missing"},
 	{"two values", reloadedConfig + reloadedConfig, "after top-level value"},
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -38,13 +38,13 @@
 		t.Errorf("platform %+v, want name, addresses and seed of the file", c)
 	}
 	if c.MemoryMB != 192 || c.Sockets != 1024 || c.Cores != 1 {
-		t.Errorf("limits %v, %v, %v, want 1, 192, 1024", c.Cores, c.MemoryMB, c.Sockets)
+		t.Errorf("cores %v, memory %d MiB, sockets %d, want 1, 192 and 1024", c.Cores, c.MemoryMB, c.Sockets)
 	}
 	if c.Classes["book"] != 1 || c.Kinds["m2"] != 1 || c.Tenants["acme"] != 0 || c.Zones["a"] != 0 || len(c.Classes) != 2 {
-		t.Errorf("names %v %v %v %v, want those of the file", c.Classes, c.Kinds, c.Tenants, c.Zones)
+		t.Errorf("indexes of classes %v, kinds %v, tenants %v, zones %v, want look 0 and book 1, m2 1, acme 0, a 0", c.Classes, c.Kinds, c.Tenants, c.Zones)
 	}
 	if c.ConnIdle != time.Minute || c.DialTimeout != 250*time.Millisecond {
-		t.Errorf("timeouts %v, %v, want 1m and 250ms", c.ConnIdle, c.DialTimeout)
+		t.Errorf("idle time of connections %v, dial timeout %v, want 1m and 250ms", c.ConnIdle, c.DialTimeout)
 	}
 	if c.Settings.Instances != 2 || c.Settings.Rank != 1 || c.Settings.Classes[1].Idempotency != balancer.NonIdempotent {
 		t.Errorf("settings %+v, want 2 instances, rank 1 and a non-idempotent class 1", c.Settings)
--- a/internal/config/pools.go
+++ b/internal/config/pools.go
@@ -14,8 +14,8 @@
 const (
 	maxPools       = 256 // every pool has a balancer and a share of the memory
 	maxMembers     = 5000
-	maxFallback    = 7 // a request has four attempts, so that it would never reach more pools
-	minPoolSockets = 4 // every request in flight needs one, and hosts change
+	maxFallback    = 7 // a request has only four attempts in all pools of its chain (engine.MaxAttempts)
+	minPoolSockets = 4 // descriptors; each request in flight needs one, and hosts are replaced by others
 	maxParams      = 100
 	maxParamName   = 127 // bytes; FastCGI encodes the length of a longer name in four bytes
 	// shareTolerance allows for rounding errors in a sum of shares.
--- a/internal/config/recording_test.go
+++ b/internal/config/recording_test.go
@@ -14,7 +14,7 @@
 	}
 	if c.RingBytes != 256<<10 || c.ViewInterval != 100*time.Millisecond || c.Dir != dir || c.MaxFileBytes != defaultFileBytes ||
 		c.Trigger.RejectedShare != 0.25 || c.Trigger.Window != 2*time.Second || c.Trigger.MinInterval != defaultTriggerMinInterval || c.Trigger.MinResponses != defaultTriggerMinResponses {
-		t.Errorf("recording %+v, want the values of the file and defaults", c)
+		t.Errorf("recording %+v, want the values of the file (256 KiB, a view each 100ms, the directory, a share of 0.25 in 2s) and defaults", c)
 	}
 	if c, err = LoadRecording(writeTempFile(t, "flight.toml", "")); err != nil || c.RingBytes != defaultRingBytes || c.Trigger.RejectedShare != 0 {
 		t.Errorf("empty file: recording %+v, error %v, want defaults", c, err)
--- a/internal/config/text.go
+++ b/internal/config/text.go
@@ -160,16 +160,18 @@
 	return nil
 }
 
-// maxTypeErrors is the maximum number of values of a wrong type that are reported.
-const maxTypeErrors = 20
+// maxDecodeErrors is the maximum number of errors of the TOML library that DecodeAll reports. After that many it does not
+// set v.
+const maxDecodeErrors = 20
 
-// DecodeAll decodes the text into v and returns all errors. After a value of a wrong type it decodes the text again
-// without that line, so that one error does not hide the others. Skipped reports such lines.
+// DecodeAll decodes the text into v and returns all errors. After an error in a line that is a complete setting by itself,
+// such as a value of a wrong type, it decodes the text again without that line, so that one error does not hide the
+// others. Skipped reports such lines.
 func (t *Text) DecodeAll(v any) (errs []error) {
 	data := t.data
 	defer func() { t.data = data }()
 	targetType := reflect.TypeOf(v).Elem()
-	for range maxTypeErrors {
+	for range maxDecodeErrors {
 		into := reflect.New(targetType)
 		into.Elem().Set(reflect.ValueOf(v).Elem()) // v has the defaults
 		meta, err := toml.Decode(t.data, into.Interface())
@@ -210,7 +212,7 @@
 	return true
 }
 
-// Skipped reports whether DecodeAll has skipped a line because of a value of a wrong type.
+// Skipped reports whether DecodeAll has skipped a line because of an error in it.
 func (t *Text) Skipped(line int) bool { return t.skipped[line] }
 
 // locate converts an error of the TOML library to an Error with its line. line is 0 if the library does not report it.
--- a/internal/gateway/appliance.go
+++ b/internal/gateway/appliance.go
@@ -69,8 +69,8 @@
 	return g, nil
 }
 
-// Reload switches to another configuration in one step. If it returns an error, the previous configuration stays in use.
-// Requests in flight finish under the configuration that they started with.
+// Reload switches to another configuration. If it returns an error, the previous configuration stays in use. Requests in
+// flight finish with the routes and pools that they started with.
 func (g *Gateway) Reload(a *config.Appliance) error {
 	restart := g.needRestart(a)
 	if err := g.apply(a, true); err != nil {
--- a/internal/gateway/classes.go
+++ b/internal/gateway/classes.go
@@ -74,8 +74,8 @@
 	}
 	out.ForwardsFailures = true
 	failures := r.FailureStatuses
-	out.Classify = func(a *engine.Response) balancer.Result {
-		return route.ClassifyPlain(a.Status, notProcessed(a), failures)
+	out.Classify = func(resp *engine.Response) balancer.Result {
+		return route.ClassifyPlain(resp.Status, notProcessed(resp), failures)
 	}
 	return out
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -21,10 +21,9 @@
 	"dunemoor/internal/frontend/http1"
 )
 
-// Shares of the file descriptors in percent. Clients use at most a third of all descriptors for their requests. Each
-// request in flight needs a descriptor for a connection to a host; keeping more of those connections idle saves
-// handshakes. The rest, at least 19 descriptors, is reserved for the listener, two discovery watches and the runtime
-// (see config.SharedSockets).
+// Shares of config.SharedSockets in percent, for client connections. Connections to hosts have a share of their own
+// (config.HostSockets): each request in flight needs one, and keeping more of them idle saves handshakes. The rest, at
+// least 19 descriptors, is reserved for the listener, two discovery watches and the runtime (see config.SharedSockets).
 const (
 	clientPercent = 48
 	sparePercent  = 2 // connections beyond the limit, accepted before new ones are closed immediately
@@ -103,8 +102,8 @@
 // Dump writes the contents of the flight recorder to files.
 func (g *Gateway) Dump() { g.engine.Dump() }
 
-// Stop shuts the gateway down gracefully, after all open requests have got their responses. Then it waits for recordings
-// to be written, but not longer than the timeout.
+// Stop shuts the gateway down gracefully: it waits for the responses to open requests, as long as the shutdown of the
+// frontends allows, and then for recordings to be written, but for these not longer than the timeout.
 func (g *Gateway) Stop(timeout time.Duration) {
 	if g.platform != nil && g.platform.halveLimits != nil {
 		g.platform.halveLimits()
@@ -145,7 +144,7 @@
 func (g *Gateway) Ready() (bool, string) { return g.admission.Health() }
 
 // Quiesce starts a drain: the health check fails, and client connections are closed after their responses. If a drain is
-// already in progress, it has no effect.
+// already in progress, it only logs.
 func (g *Gateway) Quiesce() {
 	g.admission.StartDrain()
 	slog.Info("draining")
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -17,8 +17,8 @@
 	fastCGIKeyPrefix = "fastcgi "
 	// unixPrefix is the prefix of Unix domain socket addresses.
 	unixPrefix = "unix:"
-	// fastCGIShareDivisor is the divisor that gives the share of client connections for FastCGI web servers. A quarter
-	// is enough, as each of their connections multiplexes many requests.
+	// fastCGIShareDivisor divides the limit of client connections: FastCGI web servers get one in this many. A quarter is
+	// enough, as each of their connections multiplexes many requests.
 	fastCGIShareDivisor = 4
 )
 
--- a/internal/gateway/meter.go
+++ b/internal/gateway/meter.go
@@ -44,16 +44,16 @@
 
 // processMeter measures the load of the process: CPU, memory, descriptors and scheduling delays.
 type processMeter struct {
-	memoryLimit float64 // bytes
-	maxSockets  float64 // limit of file descriptors
-	metrics     []metrics.Sample
-	runQueue    []uint64      // counts of the run-queue histogram at the last sample
-	gcSeconds   float64       // CPU seconds of the garbage collector at the last sample
-	cpuSeconds  float64       // CPU seconds of the process at the last sample
-	samples     int           // number of samples taken
-	descriptors float64       // open descriptors at the last count, as a share of maxSockets
-	usedCPU     time.Duration // CPU time of the process at usedAt
-	usedAt      time.Time     // time of the last sample
+	memoryLimit         float64 // bytes
+	maxSockets          float64 // limit of file descriptors
+	metrics             []metrics.Sample
+	runQueue            []uint64      // counts of the run-queue histogram at the last sample
+	gcSeconds           float64       // CPU seconds of the garbage collector at the last sample
+	availableCPUSeconds float64       // CPU seconds available to the process (GOMAXPROCS x time) at the last sample
+	samples             int           // number of samples taken
+	descriptors         float64       // open descriptors at the last count, as a share of maxSockets
+	usedCPU             time.Duration // CPU time of the process at usedAt
+	usedAt              time.Time     // time of the last sample
 
 	fastestPing atomic.Int64 // shortest pipe delay since the last sample in ns; 0 if no byte has arrived
 	pingSent    atomic.Int64 // Unix time in ns at which the byte in the pipe was sent; 0 if the pipe is empty
@@ -65,7 +65,7 @@
 	metricHeap
 	metricStacks
 	metricGCSeconds
-	metricCPUSeconds
+	metricAvailableCPUSeconds
 )
 
 // newProcessMeter returns a processMeter for a memory limit in bytes and a limit of file descriptors.
@@ -160,17 +160,17 @@
 	return s
 }
 
-// gcShare returns the share of CPU time used by the garbage collector since the last sample.
+// gcShare returns the share of the available CPU time that the garbage collector has used since the last sample.
 func (m *processMeter) gcShare() (share float64) {
-	gc, cpu := m.metrics[metricGCSeconds].Value, m.metrics[metricCPUSeconds].Value
-	if gc.Kind() != metrics.KindFloat64 || cpu.Kind() != metrics.KindFloat64 {
+	gc, available := m.metrics[metricGCSeconds].Value, m.metrics[metricAvailableCPUSeconds].Value
+	if gc.Kind() != metrics.KindFloat64 || available.Kind() != metrics.KindFloat64 {
 		return 0
 	}
-	if elapsed := cpu.Float64() - m.cpuSeconds; elapsed > 0 {
+	if elapsed := available.Float64() - m.availableCPUSeconds; elapsed > 0 {
 		share = (gc.Float64() - m.gcSeconds) / elapsed
 	}
 	m.gcSeconds = gc.Float64()
-	m.cpuSeconds = cpu.Float64()
+	m.availableCPUSeconds = available.Float64()
 	return share
 }
 
--- a/internal/gateway/platform.go
+++ b/internal/gateway/platform.go
@@ -16,7 +16,7 @@
 	"dunemoor/internal/frontend/http1"
 	"dunemoor/internal/instancelock"
 	"dunemoor/internal/route"
-	hosts "dunemoor/internal/upstream/http1"
+	upstreamhttp1 "dunemoor/internal/upstream/http1"
 )
 
 // firstListTimeout limits how long a gateway that takes over from another process waits for a list from discovery before
@@ -26,11 +26,11 @@
 // platform is the state of a platform gateway, which has one pool.
 type platform struct {
 	pool           *engine.Pool
-	transport      *hosts.Transport
+	transport      *upstreamhttp1.Transport
 	watcher        *discovery.Watcher // delivers the endpoint list of the pool
 	indexedClasses []classid.Class    // classes by their index in the balancer
 	sharesSocket   bool               // the listening socket for clients is held by the platform
-	halveLimits    func()             // leaves half of the machine to another process; nil unless sharesSocket
+	halveLimits    func()             // halves the limits of memory and descriptors; nil unless sharesSocket
 }
 
 // StartPlatform starts a platform gateway that serves clients on ln.
@@ -42,7 +42,7 @@
 	})
 	p := &platform{sharesSocket: shared}
 	g.platform = p
-	p.transport = hosts.NewTransport(hosts.Options{
+	p.transport = upstreamhttp1.NewTransport(upstreamhttp1.Options{
 		MaxConns:        int(config.HostSockets(cfg.Sockets)),
 		MaxLargeBytes:   int64(largeResponseShare * float64(cfg.Memory())),
 		HostIdleTimeout: cfg.ConnIdle,
@@ -124,9 +124,10 @@
 }
 
 // protocolStreams returns how bodies are buffered and timed in the platform's protocol. Up to 64 KiB of a body are
-// buffered, so that a request can be retried. The deadline of a longer response applies to its first bytes only. Clients
-// may send 64 kB/s in pieces; a client is too slow below an eighth of that. An upload without a byte for 2 s is taken to
-// be dead, as a bad request must get an error response within 3 s. Receivers of responses, and hosts, may pause longer.
+// buffered, so that a request can be retried. The deadline of a response applies to its header section and to the part of
+// its body that is buffered, but not to a part that is streamed. Clients may send 64 kB/s in pieces; a client is too slow
+// below an eighth of that. An upload without a byte for 2 s is taken to be dead, as a bad request must get an error
+// response within 3 s. Receivers of responses, and hosts, may pause longer.
 func protocolStreams() *engine.Streams {
 	return &engine.Streams{
 		BufferBytes:      frontend.MaxBufferedBytes,
@@ -213,14 +214,16 @@
 // SetDiscovery changes the address of the discovery service. It may be called on a platform gateway only.
 func (g *Gateway) SetDiscovery(addr string) { g.platform.watcher.SetAddress(addr) }
 
-// ShareMachine limits the gateway to half of the machine while another process holds the instance lock in dir, which is
-// the case while one process takes over from the other. setMemory is called with the gateway's share of the memory, 0.5
-// or 1. ShareMachine must be called before Stop. It has no effect unless the listening socket is held by the platform.
+// ShareMachine halves the gateway's limits of memory and file descriptors while another process holds the instance lock in
+// dir, which is the case while one process takes over from the other. setMemory is called with the gateway's share of the
+// memory, 0.5 or 1. ShareMachine must be called before Stop. It has no effect unless the listening socket is held by the
+// platform.
 func (g *Gateway) ShareMachine(dir string, setMemory func(share float64)) {
 	p := g.platform
 	if p == nil || !p.sharesSocket {
 		return
 	}
+	// setHalves sets the limits to halves/2 of the configured ones.
 	setHalves := func(halves int) {
 		setMemory(float64(halves) / 2)
 		sockets := g.maxSockets * halves / 2
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -15,8 +15,8 @@
 	"dunemoor/internal/discovery"
 	"dunemoor/internal/engine"
 	"dunemoor/internal/override"
-	responders "dunemoor/internal/upstream/fastcgi"
-	hosts "dunemoor/internal/upstream/http1"
+	upstreamfcgi "dunemoor/internal/upstream/fastcgi"
+	upstreamhttp1 "dunemoor/internal/upstream/http1"
 )
 
 const (
@@ -80,9 +80,9 @@
 		currentSink: new(atomic.Pointer[endpointSink]),
 	}
 	if cfg.Protocol == config.FastCGI {
-		p.transport = responders.NewTransport(responders.Options{BodyBudget: g.admission.Bodies, DocumentRoot: cfg.ScriptRoot, Params: cfg.Params})
+		p.transport = upstreamfcgi.NewTransport(upstreamfcgi.Options{BodyBudget: g.admission.Bodies, DocumentRoot: cfg.ScriptRoot, Params: cfg.Params})
 	} else {
-		p.transport = hosts.NewTransport(hosts.Options{BodyBudget: g.admission.Bodies})
+		p.transport = upstreamhttp1.NewTransport(upstreamhttp1.Options{BodyBudget: g.admission.Bodies})
 	}
 	p.ctx, p.cancel = context.WithCancel(g.ctx)
 	var err error
@@ -127,9 +127,9 @@
 	return p.File == q.File && p.Discovery == q.Discovery && reflect.DeepEqual(p.Members, q.Members)
 }
 
-// setSource makes the source configured in cfg the only source of the pool's endpoint list. If required is set, an
-// unreadable members file is an error, and setSource waits up to reloadListTimeout for the first list from discovery.
-// Otherwise the pool may start without a list.
+// setSource starts the source of the pool's endpoint list that is configured in cfg. The caller has stopped the previous
+// source; late updates of it are ignored. If required is set, an unreadable members file is an error, and setSource waits
+// up to reloadListTimeout for the first list from discovery. Otherwise the pool may start without a list.
 func (p *appliancePool) setSource(cfg config.Pool, required bool) error {
 	ctx, cancel := context.WithCancel(p.ctx)
 	sink := &endpointSink{target: p.overrides, current: p.currentSink, firstList: make(chan struct{})}
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -28,8 +28,9 @@
 	snapshot        *engine.Snapshot
 }
 
-// apply puts a configuration into use in one step. If it returns an error, the previous configuration stays in use. If
-// running is set, new pools must get an endpoint list first (see setSource); at startup they may be without one.
+// apply puts a configuration into use. A request is served with the routes and pools of one configuration, never with a
+// mixture. If apply returns an error, the previous configuration stays in use. If running is set, new pools must get an
+// endpoint list first (see setSource); at startup they may be without one.
 func (g *Gateway) apply(a *config.Appliance, running bool) error {
 	c := &configChange{file: a, classes: newClasses(a), listeners: map[string]net.Listener{}, pools: map[string]*appliancePool{}}
 	if err := g.prepare(c, running); err != nil {
@@ -112,7 +113,8 @@
 	g.engine.DropUnused()
 }
 
-// commit puts a prepared change into use. It cannot fail.
+// commit puts a prepared change into use. It cannot fail: if a members file has become unreadable since prepare, the pool
+// keeps its list.
 func (g *Gateway) commit(c *configChange) {
 	g.commitPools(c)
 	g.server.SetLongestDeadline(longestDeadline(c.file))
