--- a/internal/frontend/http1/conn.go
+++ b/internal/frontend/http1/conn.go
@@ -26,8 +26,8 @@
 	// route instead. On a route without Streams the body must arrive within requestTimeout from the end of the header
 	// section. The same timeout applies to the rest of a body that is discarded.
 	requestTimeout = 2500 * time.Millisecond
-	// idleTimeout is the minimum time for which an idle connection is kept open. The actual time may be up to a quarter
-	// longer.
+	// idleTimeout is the time after which an idle connection is closed, unless the table closes it earlier. It may be up
+	// to a quarter longer.
 	idleTimeout = 15 * time.Second
 	// writeTimeout is the maximum time for writing a response that is not streamed.
 	writeTimeout = 10 * time.Second
@@ -55,7 +55,7 @@
 	idleDeadline  time.Time // the read deadline, if it was set while waiting for a request; zero otherwise
 	writeDeadline body.LazyDeadline
 
-	lastRequest    bool        // the table has requested a close, but a request had already arrived: it is the last one
+	lastRequest    bool        // the table has woken the connection to close it, but a request had arrived: it is served last
 	unreadSince    time.Time   // when reading of the next request was suspended; zero if it was not
 	closeDelimited atomic.Bool // the end of the streamed response is marked by closing; safe for concurrent use
 
--- a/internal/frontend/http1/conntable.go
+++ b/internal/frontend/http1/conntable.go
@@ -28,9 +28,10 @@
 
 // connTable keeps the number of client connections within the limits of file descriptors, so that descriptors remain
 // for the connections in the listener's backlog. Beyond the limit it evicts the least useful connection: first those
-// that are lingering after their last response, then those without a request yet, oldest first, then those that have
-// been idle for minIdleTime. Connections that have been unused for long are evicted before the limit is reached. The
-// cost of each call is independent of the number of connections.
+// that are lingering after their last response, then those without a request yet for minSilentTime, then those that have
+// been idle for minIdleTime, and at last any without a request yet, the oldest first in each group. Connections that
+// have been unused for long are evicted before the limit is reached. The cost of each call is independent of the number
+// of connections.
 //
 // A connection is closed by its own goroutine only. The table wakes this goroutine by setting a read deadline in the
 // past. The goroutine then reads once more without blocking, and a request that has arrived by then is served.
@@ -175,8 +176,8 @@
 	t.hardLimit = limit + spare
 }
 
-// candidates selects the connections of a queue that have been in it for at least minAge.
-type candidates struct {
+// queueFilter selects the connections of a queue that have been in it for at least minAge.
+type queueFilter struct {
 	queue  *list.List
 	minAge time.Duration
 }
@@ -184,8 +185,8 @@
 // evict selects the next connection to evict if there are too many, and removes it from its queue. The caller holds mu
 // and must wake the connection that is returned. It returns nil if no connection is to be evicted.
 func (t *connTable) evict() *clientConn {
-	for _, from := range t.evictionOrder() {
-		for c := from.next(t.now()); c != nil; c = from.next(t.now()) {
+	for _, filter := range t.evictionOrder() {
+		for c := filter.next(t.now()); c != nil; c = filter.next(t.now()) {
 			t.enqueue(c, nil)
 			if c.state == connWaiting {
 				c.state = connEvicted
@@ -198,28 +199,28 @@
 	return nil
 }
 
-// evictionOrder returns the candidates for eviction, in order of preference. The caller holds mu. While the table is
-// near its limit, unused connections are evicted even before the limit is reached, because all other clients then need
-// a new connection, with a handshake, for each request.
-func (t *connTable) evictionOrder() []candidates {
+// evictionOrder selects the connections that may be evicted, in order of preference. The caller holds mu. While the
+// table is near its limit, unused connections are evicted even before the limit is reached, because all other clients
+// then need a new connection, with a handshake, for each request.
+func (t *connTable) evictionOrder() []queueFilter {
 	switch {
 	case t.open > t.limit:
-		return []candidates{{&t.lingering, 0}, {&t.silent, minSilentTime}, {&t.idle, minIdleTime}, {&t.silent, 0}}
+		return []queueFilter{{&t.lingering, 0}, {&t.silent, minSilentTime}, {&t.idle, minIdleTime}, {&t.silent, 0}}
 	case t.nearLimitLocked():
-		return []candidates{{&t.silent, maxSilentTimeNearLimit}, {&t.idle, minIdleTime}}
+		return []queueFilter{{&t.silent, maxSilentTimeNearLimit}, {&t.idle, minIdleTime}}
 	default:
 		return nil
 	}
 }
 
 // next returns the oldest connection in the queue, or nil if there is none that has been queued for at least minAge.
-func (from candidates) next(now time.Time) *clientConn {
-	front := from.queue.Front()
+func (f queueFilter) next(now time.Time) *clientConn {
+	front := f.queue.Front()
 	if front == nil {
 		return nil
 	}
 	c := front.Value.(*clientConn)
-	if now.Sub(c.queuedAt) < from.minAge {
+	if now.Sub(c.queuedAt) < f.minAge {
 		return nil
 	}
 	return c
@@ -235,8 +236,8 @@
 
 // closeWaitingLocked implements closeWaiting. The caller holds mu.
 func (t *connTable) closeWaitingLocked() {
-	for _, from := range []candidates{{&t.silent, frontend.BacklogGrace}, {&t.idle, 0}} {
-		for c := from.next(t.now()); c != nil; c = from.next(t.now()) {
+	for _, filter := range []queueFilter{{&t.silent, frontend.BacklogGrace}, {&t.idle, 0}} {
+		for c := filter.next(t.now()); c != nil; c = filter.next(t.now()) {
 			t.enqueue(c, nil)
 			if c.state == connWaiting {
 				c.state = connClosing
@@ -282,9 +283,9 @@
 	return t.evicting > 0 || t.open > t.silent.Len()+t.idle.Len()
 }
 
-// ConnCounts are numbers of client connections. The JSON keys "spent" and "budget" are part of the admin status.
+// ConnCounts are numbers of client connections. They are part of the admin status.
 type ConnCounts struct {
-	Open      int `json:"open"`   // open connections, except tunnels
+	Open      int `json:"open"`   // open connections, except tunnels and those that are being evicted
 	Silent    int `json:"silent"` // connections that have not received a request yet
 	Idle      int `json:"idle"`   // connections between two requests
 	Lingering int `json:"spent"`  // connections in lingeringClose, after their last response
--- a/internal/frontend/http1/conntable_test.go
+++ b/internal/frontend/http1/conntable_test.go
@@ -132,9 +132,8 @@
 	table.clock = func() time.Time { return start.Add(min(time.Since(start), after)) }
 }
 
-// Hundreds of connections without a request don't prevent new clients from being served, at the smallest limit that is
-// used in production. No recently used connection is closed in favor of them. Connections that have been idle for
-// minIdleTime are evicted.
+// Hundreds of connections without a request don't prevent new clients from being served, with 256 file descriptors. No
+// recently used connection is closed in favor of them. Connections that have been idle for minIdleTime are evicted.
 func TestSilentConnectionsLeaveRoomForRequests(t *testing.T) {
 	cfg := withHealthyHost(t)
 	cfg.sockets = 256
--- a/internal/frontend/http1/disconnect_test.go
+++ b/internal/frontend/http1/disconnect_test.go
@@ -20,7 +20,8 @@
 	"dunemoor/internal/testutil"
 )
 
-// maxInFlightPerHost is the number of requests that are sent to a host before it has answered any.
+// maxInFlightPerHost is the number of requests that are sent to a host before it has answered any: the balancer's initial
+// limit of attempts in flight at a host (initialLimitAttempts).
 const maxInFlightPerHost = 4
 
 // disconnects are the ways in which a client can disconnect.
--- a/internal/frontend/http1/gateway_test.go
+++ b/internal/frontend/http1/gateway_test.go
@@ -20,7 +20,7 @@
 	"dunemoor/internal/frontend"
 	"dunemoor/internal/route"
 	"dunemoor/internal/testutil"
-	hosts "dunemoor/internal/upstream/http1"
+	upstreamhttp1 "dunemoor/internal/upstream/http1"
 )
 
 // testGateway is a frontend on loopback with an engine and its hosts.
@@ -68,7 +68,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	// A slow dial on a busy machine must not count as a failure of the host.
 	dialer := net.Dialer{Timeout: testutil.WaitTimeout}
-	transport := hosts.NewTransport(hosts.Options{MaxConns: 1024, DialContext: dialer.DialContext})
+	transport := upstreamhttp1.NewTransport(upstreamhttp1.Options{MaxConns: 1024, DialContext: dialer.DialContext})
 	// Queued requests are rejected after a fifth of the objective. Before the first response of a class, a host counts
 	// as silent after half of the objective, and later after a time that depends on the RTTs of the class. A test that
 	// delays requests must therefore not have received responses of their class before.
@@ -103,7 +103,7 @@
 		},
 	}}, nil, engine.PoolUse{Pool: pool, MinShare: 1}))
 	g := &testGateway{T: t, admission: frontend.NewAdmission(e, body.NewBudget(64<<20))}
-	g.server = New(g.admission, Options{
+	g.server = New(g.admission, Options{ // with the percentages of package gateway
 		MaxConns: cfg.sockets * 48 / 100, SpareConns: cfg.sockets * 2 / 100, LongestDeadline: objective,
 	})
 	ln := testutil.Listen(t, "127.0.0.1:0", nil)
--- a/internal/frontend/http1/request.go
+++ b/internal/frontend/http1/request.go
@@ -12,7 +12,7 @@
 )
 
 var (
-	// errNoRequest is returned by readRequest if no further request arrives. No response is sent for it.
+	// errNoRequest is returned by readRequest if no complete header section arrives. No response is sent for it.
 	errNoRequest = errors.New("read request: connection has ended")
 	// errHeaderTooLong is the error of a request whose header section is longer than Options.MaxHeaderBytes.
 	errHeaderTooLong = frontend.NewRequestError(http.StatusRequestHeaderFieldsTooLarge, "the head is too long")
--- a/internal/frontend/http1/request_test.go
+++ b/internal/frontend/http1/request_test.go
@@ -40,13 +40,13 @@
 	id := func() string { return "X-Request-ID: " + testutil.NewID() }
 	const post = "POST /api/1 HTTP/1.1"
 	smuggled := "0\r\n\r\n" + testutil.LookRequest(testutil.NewID())
-	long := fmt.Sprintf("Content-Length: %d", len(smuggled))
+	lengthLine := fmt.Sprintf("Content-Length: %d", len(smuggled))
 	return []invalidRequest{
-		{"length and encoding", header(post, class, timeout, id(), long, "Transfer-Encoding: chunked") + smuggled, "400"},
-		{"encoding and length", header(post, class, timeout, id(), "Transfer-Encoding: chunked", long) + smuggled, "400"},
-		{"length and encoding in HTTP/1.0", header("POST /api/1 HTTP/1.0", class, timeout, id(), long, "Transfer-Encoding: chunked") + smuggled, "400"},
-		{"unknown encoding", header(post, class, timeout, id(), long, "Transfer-Encoding: xchunked") + smuggled, "501"},
-		{"chunked", header(post, class, timeout, id(), "Transfer-Encoding: chunked") + "1\r\na\r\n0\r\n\r\n", "400"},
+		{"length and encoding", header(post, class, timeout, id(), lengthLine, "Transfer-Encoding: chunked") + smuggled, "400"},
+		{"encoding and length", header(post, class, timeout, id(), "Transfer-Encoding: chunked", lengthLine) + smuggled, "400"},
+		{"length and encoding in HTTP/1.0", header("POST /api/1 HTTP/1.0", class, timeout, id(), lengthLine, "Transfer-Encoding: chunked") + smuggled, "400"},
+		{"unknown encoding", header(post, class, timeout, id(), lengthLine, "Transfer-Encoding: xchunked") + smuggled, "501"},
+		{"chunked on a route without Streams", header(post, class, timeout, id(), "Transfer-Encoding: chunked") + "1\r\na\r\n0\r\n\r\n", "400"},
 		{"no id", header(post, class, timeout, "Content-Length: 1") + "b", "400"},
 		{"empty id", header(post, class, timeout, "X-Request-ID: ", "Content-Length: 1") + "b", "400"},
 		{"malformed id", header(post, class, timeout, "X-Request-ID: a b;c", "Content-Length: 1") + "b", "400"},
--- a/internal/frontend/http1/serve.go
+++ b/internal/frontend/http1/serve.go
@@ -18,13 +18,13 @@
 // healthPath is the path of the health check.
 const healthPath = "/_health"
 
-// maxRejectDelay is the maximum time for which a connection is not read after its client has sent a request before its
-// Retry-After had elapsed. Without the delay such clients could retry as fast as they are rejected, and each rejection
-// costs the gateway as much as the client.
+// maxRejectDelay is the maximum time for which reading from a connection is suspended if its client retries too early,
+// before the Retry-After of a rejection has elapsed. Without the delay such clients could retry as fast as they are
+// rejected, and each rejection costs the gateway as much as the client.
 const maxRejectDelay = time.Second
 
-// serve processes the request whose header section has been read, and reports whether the connection stays open. The
-// time at which the response is due is computed from received.
+// serve processes the request whose header section has been read, and reports whether the connection may stay open; it
+// is still closed if closeAfter is set. The time at which the response is due is computed from received.
 func (s *Server) serve(c *clientConn, received time.Time) (keepAlive bool) {
 	if c.lastRequest || s.endsAfterResponse() {
 		c.closeAfter = true
@@ -134,8 +134,8 @@
 }
 
 // answerError writes the response to a request that is not forwarded because it is invalid or was rejected, and reports
-// whether the connection stays open. It stays open after a RejectedError if the body can be discarded, as a new
-// connection would cost more than the response.
+// whether the connection may stay open, as serve does. It may after a RejectedError if the body can be discarded, as a
+// new connection would cost more than the response.
 func (s *Server) answerError(c *clientConn, err error) (keepAlive bool) {
 	var rejected *frontend.RejectedError
 	if !errors.As(err, &rejected) || !c.canDiscardBody() {
@@ -153,7 +153,7 @@
 }
 
 // canDiscardBody reports whether the unread body of a request is short enough that reading and discarding it costs less
-// than a new connection.
+// than a new connection. If so, finishBody discards it after the response.
 func (c *clientConn) canDiscardBody() bool {
 	b := c.body
 	if b == nil {
@@ -165,7 +165,7 @@
 
 // delayNextRequest suspends reading from a connection for a random time between half of maxRejectDelay and all of it,
 // or for retryAfter if that is shorter. The delay is random so that clients that were rejected together don't retry
-// together.
+// together. It ends earlier if the client disconnects, or when Shutdown closes the tunnels.
 func (s *Server) delayNextRequest(c *clientConn, retryAfter time.Duration) {
 	start := time.Now()
 	timer := time.NewTimer(min(retryAfter, maxRejectDelay/2+rand.N(maxRejectDelay/2)))
@@ -173,7 +173,7 @@
 	select {
 	case <-timer.C:
 	case <-c.ctx.Done():
-	case <-s.endTunnels:
+	case <-s.endTunnelsAndDelays:
 	}
 	if c.in.buffered() > 0 || c.in.readAvailable() {
 		c.unreadSince = start // the next request may have arrived right after start, so its timeout starts there
--- a/internal/frontend/http1/server.go
+++ b/internal/frontend/http1/server.go
@@ -58,21 +58,21 @@
 	watcher *disconnectWatcher // nil before the first call of Serve
 	closed  bool
 
-	shuttingDown      atomic.Bool   // Shutdown has been called
-	shutdownEndsConns atomic.Bool   // Shutdown has reached the step in which connections are closed after their response
-	endTunnels        chan struct{} // closed when tunnels, and the delays of rejected clients, must end
-	connsEndBeforeDue time.Duration // lastRequestsTime, unless a test has changed it before Shutdown
+	shuttingDown        atomic.Bool   // Shutdown has been called
+	shutdownEndsConns   atomic.Bool   // Shutdown closes connections after their current or next response from now on
+	endTunnelsAndDelays chan struct{} // closed when tunnels, and the delays of rejected clients, must end
+	lastRequestsTime    time.Duration // defaultLastRequestsTime, unless a test has changed it before Shutdown
 }
 
 // New returns a Server that submits its requests to admission.
 func New(admission *frontend.Admission, o Options) *Server {
 	s := &Server{
-		admission:         admission,
-		plainRoutes:       o.PlainRoutes,
-		sharedListeners:   o.SharedListeners,
-		maxHeaderBytes:    cmp.Or(o.MaxHeaderBytes, defaultMaxHeaderBytes),
-		endTunnels:        make(chan struct{}),
-		connsEndBeforeDue: lastRequestsTime,
+		admission:           admission,
+		plainRoutes:         o.PlainRoutes,
+		sharedListeners:     o.SharedListeners,
+		maxHeaderBytes:      cmp.Or(o.MaxHeaderBytes, defaultMaxHeaderBytes),
+		endTunnelsAndDelays: make(chan struct{}),
+		lastRequestsTime:    defaultLastRequestsTime,
 	}
 	s.conns.evictionDone = sync.NewCond(&s.conns.mu)
 	s.SetLongestDeadline(o.LongestDeadline)
@@ -149,7 +149,8 @@
 	s.conns.awaitEvictions()
 }
 
-// endsAfterResponse reports whether connections are closed after their current response because of Shutdown or a drain.
+// endsAfterResponse reports whether connections are closed after their current or next response because of Shutdown or a
+// drain.
 func (s *Server) endsAfterResponse() bool {
 	return s.shutdownEndsConns.Load() || s.admission.DrainEndsConnections()
 }
--- a/internal/frontend/http1/server_test.go
+++ b/internal/frontend/http1/server_test.go
@@ -28,13 +28,13 @@
 // gateway. Shortly before the exit the connection is closed after a response, and no request fails.
 func TestShutdownServesOpenConnections(t *testing.T) {
 	// The difference is the time that a client may pause between two requests without seeing an unannounced close.
-	if got := lastRequestsTime - closeIdleTime; got != 200*time.Millisecond {
+	if got := defaultLastRequestsTime - closeIdleTime; got != 200*time.Millisecond {
 		t.Errorf("got %v between closing connections after their response and closing idle ones, want 200ms", got)
 	}
 	g := startGateway(t, withHealthyHost(t))
 	// If the client sends no request in this time, the connection is closed without a last response. The time must be
 	// longer than any pause of a busy machine.
-	g.server.connsEndBeforeDue = 1500 * time.Millisecond
+	g.server.lastRequestsTime = 1500 * time.Millisecond
 	c := g.dialWithTimeout()
 	in := bufio.NewReader(c)
 	// If Serve were called only after Shutdown, it would close the listener and the connections in its backlog.
--- a/internal/frontend/http1/shutdown.go
+++ b/internal/frontend/http1/shutdown.go
@@ -10,16 +10,17 @@
 
 // Schedule of Shutdown. "Kill" is the time at which the process is expected to be killed. The steps after the listeners
 // are closed happen earlier if no connection is in use any more. With SharedListeners, the listeners are closed at
-// SIGTERM, and from then on connections are closed after their current response.
+// SIGTERM, and from then on connections are closed after their current or next response.
 //
 //	SIGTERM                         all responses are due at kill - 0.2 s, the health check fails
 //	SIGTERM + 0.6 s                 listeners are closed                      frontend.BacklogGrace
-//	kill - 0.5 s                    connections are closed after their        responseMargin + lastRequestsTime
-//	                                current response, tunnels are closed
+//	kill - 0.5 s                    connections are closed after their        responseMargin + defaultLastRequestsTime
+//	                                current or next response, tunnels are
+//	                                closed
 //	kill - 0.3 s                    connections without a request are closed  responseMargin + closeIdleTime
 //	kill - 0.2 s                    all responses are due                     responseMargin
 //	kill - 0.05 s                   Shutdown returns                          exitMargin
-//	kill: SIGTERM + 0.7 s + the longest deadline, 3 s at most                 killGrace, maxKillDeadline
+//	kill: SIGTERM + 0.7 s + the longest deadline (at most 3 s)                killGrace, maxKillDeadline
 //
 // The FastCGI server uses a fixed time instead, shutdownTimeout in package fastcgi.
 const (
@@ -30,13 +31,13 @@
 	// responseMargin is the time before the kill at which all responses are due. It leaves time to write them even if
 	// the process shares a core.
 	responseMargin = 200 * time.Millisecond
-	// exitMargin is the time before the kill at which the process exits, even if some responses are incomplete.
+	// exitMargin is the time before the kill at which Shutdown returns, even if some responses are incomplete.
 	exitMargin = 50 * time.Millisecond
 
-	// lastRequestsTime is the time before all responses are due from which connections are closed after their current
-	// response. It is short because clients use their connections for as long as they are open, and may have no other
-	// gateway. It is long enough that most connections in use carry a request in this time.
-	lastRequestsTime = 300 * time.Millisecond
+	// defaultLastRequestsTime is the time before all responses are due from which connections are closed after their
+	// current or next response. It is short because clients use their connections for as long as they are open, and may
+	// have no other gateway. It is long enough that most connections in use carry a request in this time.
+	defaultLastRequestsTime = 300 * time.Millisecond
 	// closeIdleTime is the time before all responses are due at which connections without a request are closed. Most of
 	// the requests that are in flight at that time can still be answered.
 	closeIdleTime = 100 * time.Millisecond
@@ -49,9 +50,9 @@
 
 // Shutdown stops the server gracefully. It accepts connections for frontend.BacklogGrace, in which new clients may
 // still connect, and serves all open connections until shortly before the kill. Then it closes each connection after
-// its current response, closes those without a request, and waits for the rest. With SharedListeners it stops accepting
-// immediately and closes each connection after its next response; clients that reconnect are accepted by the process
-// that takes over.
+// its current or next response, closes those without a request, and waits for the rest. With SharedListeners it stops
+// accepting immediately, and from then on closes each connection after its current or next response; clients that
+// reconnect are accepted by the process that takes over.
 func (s *Server) Shutdown() {
 	longestDeadline := time.Duration(s.longestDeadline.Load())
 	kill := time.Now().Add(killGrace + min(longestDeadline, maxKillDeadline))
@@ -64,12 +65,12 @@
 		time.Sleep(frontend.BacklogGrace)
 	}
 	s.closeListeners()
-	waitWhile(s.conns.inUse, responsesDue.Add(-s.connsEndBeforeDue))
+	waitWhile(s.conns.inUse, responsesDue.Add(-s.lastRequestsTime))
 	s.shutdownEndsConns.Store(true)
 	if s.sharedListeners {
 		s.conns.closeWaiting()
 	}
-	close(s.endTunnels)
+	close(s.endTunnelsAndDelays)
 	waitWhile(s.conns.inUse, responsesDue.Add(-closeIdleTime))
 	waitWhile(func() bool {
 		s.conns.closeWaiting()
--- a/internal/frontend/http1/streaming.go
+++ b/internal/frontend/http1/streaming.go
@@ -20,7 +20,8 @@
 	noByteLimit         = 1<<63 - 1
 )
 
-// serveStreaming processes a request on a route with Streams, and reports whether the connection stays open.
+// serveStreaming processes a request on a route with Streams, and reports whether the connection may stay open, as serve
+// does.
 func (s *Server) serveStreaming(c *clientConn, t *frontend.Ticket) (keepAlive bool) {
 	plain := t.Route.Plain
 	if t.Upgrade != "" {
@@ -48,8 +49,8 @@
 	return s.writeStreaming(ctx, c, t, &resp)
 }
 
-// writeStreaming writes a response on a route with Streams, and reports whether the connection stays open. The
-// connection is closed if the client is still sending its body.
+// writeStreaming writes a response on a route with Streams, and reports whether the connection may stay open, as serve
+// does. The connection is closed if the client is still sending its body.
 func (s *Server) writeStreaming(ctx context.Context, c *clientConn, t *frontend.Ticket, resp *engine.Response) (keepAlive bool) {
 	requestStream := t.Body.Stream()
 	uploading := requestStream != nil && requestStream.Err() != io.EOF
--- a/internal/frontend/http1/tunnel.go
+++ b/internal/frontend/http1/tunnel.go
@@ -45,7 +45,7 @@
 	go func() {
 		select {
 		case <-done:
-		case <-s.endTunnels:
+		case <-s.endTunnelsAndDelays:
 			tunnel.goAway()
 		}
 	}()
@@ -104,7 +104,8 @@
 	}
 }
 
-// goAway closes the tunnel because the server shuts down. A WebSocket client is first sent a close frame.
+// goAway closes the tunnel because the server shuts down. A WebSocket client is first sent a close frame, which must be
+// written within closeIdleTime. Shutdown closes all tunnels 0.5 s before the kill, or earlier.
 func (t *tunnel) goAway() {
 	if strings.EqualFold(t.protocol, "websocket") {
 		t.client.SetWriteDeadline(time.Now().Add(closeIdleTime))
--- a/internal/frontend/http1/upload.go
+++ b/internal/frontend/http1/upload.go
@@ -133,9 +133,9 @@
 	return true
 }
 
-// setComplete marks a streamed body as complete and starts the timeout of the request. If the client has closed its
-// side of the connection in the meantime, the request is canceled: as the body is complete, this now counts as a
-// disconnect.
+// setComplete marks a streamed body as complete and starts the timeout of the request. It does nothing for a body that is
+// buffered as a whole. If the client has closed its side of the connection in the meantime, the request is canceled: as
+// the body is complete, this now counts as a disconnect.
 func (u *upload) setComplete() {
 	if u.ticket.Body.Buffered() {
 		return
@@ -157,8 +157,8 @@
 // Trailer returns the fields of the trailer section that may be forwarded.
 func (u *upload) Trailer() http.Header { return frontend.ForwardedTrailer(u.body.Trailer()) }
 
-// Close interrupts a Read in progress, unless complete is set, and waits until it has returned. After that only the
-// connection's own goroutine uses the connection.
+// Close implements body.Source. complete reports that Read has returned io.EOF; otherwise Close interrupts a Read in
+// progress. It waits until Read has returned. After that only the connection's own goroutine uses the connection.
 func (u *upload) Close(complete bool) {
 	u.mu.Lock()
 	u.closed = true
