--- a/cmd/dunemoorctl/appliance.go
+++ b/cmd/dunemoorctl/appliance.go
@@ -37,7 +37,8 @@
 	}
 }
 
-// loadAppliance reads an appliance's file. It prints all errors in the file, and returns an error with their number.
+// loadAppliance reads the configuration file of an appliance. It prints all errors in the file, and returns an error with
+// their number.
 func loadAppliance(cmd *cobra.Command, path string) (*config.Appliance, error) {
 	a, errs := config.LoadAppliance(path)
 	for _, err := range errs {
@@ -102,7 +103,8 @@
 
 func (e *routeExplainer) printf(format string, args ...any) { fmt.Fprintf(e.out, format, args...) }
 
-// explain matches a request and prints its route. It returns an error if the gateway would reject the request.
+// explain matches a request and prints its route. It returns an error if the gateway would reject the request because its
+// target is invalid or no route matches.
 func (e *routeExplainer) explain(method, target, hostHeader string) error {
 	host, path, err := route.ParseTarget(target, hostHeader)
 	if err != nil {
@@ -155,7 +157,8 @@
 	e.printf("class %s, %v; any answer of a host is passed on, %v count as failures\n", settings.Class, settings.Timeout, settings.FailureStatuses)
 }
 
-// explainPool prints the pool of the request, or the shares of the pools if the route splits requests at random.
+// explainPool prints the pool of the request, or the shares of the pools if the pool is chosen at random: the route has
+// no SplitBy header, or the request lacks it.
 func (e *routeExplainer) explainPool(r *route.Route) {
 	if len(r.Split) == 1 {
 		e.printf("pool %s\n", r.Split[0].Pool)
--- a/cmd/dunemoorctl/exitcode.go
+++ b/cmd/dunemoorctl/exitcode.go
@@ -6,7 +6,7 @@
 // be reached.
 const (
 	exitError       = 1
-	exitRejected    = 2 // the fleet rejected the call and did nothing
+	exitRejected    = 2 // the gateway or its fleet rejected the call, and nothing was done
 	exitUnknown     = 3 // the result is not known; the call is idempotent and can be repeated
 	exitUnavailable = 4 // fleet status: the gateway has no session, or its fleet has no leader
 )
--- a/cmd/dunemoorctl/fleet.go
+++ b/cmd/dunemoorctl/fleet.go
@@ -204,9 +204,9 @@
 	return nil
 }
 
-// call makes one admin call and returns the body of the response. If the fleet has rejected the call or its result is
-// unknown, the error is an *exitCodeError. It is another error if the gateway can't be reached, is not a member of a
-// fleet, or sends an unexpected response.
+// call makes one admin call and returns the body of the response. If the gateway or its fleet has rejected the call, or
+// its result is unknown, the error is an *exitCodeError. It is another error if the gateway can't be reached, is not a
+// member of a fleet, or sends an unexpected response.
 func (c *fleetClient) call(method, path string, parameters url.Values) ([]byte, error) {
 	u := url.URL{Scheme: "http", Host: c.admin, Path: path, RawQuery: parameters.Encode()}
 	request, err := http.NewRequest(method, u.String(), nil)
--- a/cmd/dunemoorctl/fleet_text.go
+++ b/cmd/dunemoorctl/fleet_text.go
@@ -73,7 +73,8 @@
 	fmt.Fprintln(w)
 }
 
-// printRelayLoad prints the streams of a gateway that is a relay. The "words" in the text are records of the streams.
+// printRelayLoad prints the streams of a gateway that is a relay. The "words" in the text are records on the streams:
+// those dropped came late, twice or for an unknown gateway, and those garbled were malformed.
 func printRelayLoad(w io.Writer, s *cluster.Status) {
 	r := s.Streams
 	if r == nil {
--- a/cmd/dunemoorctl/flight.go
+++ b/cmd/dunemoorctl/flight.go
@@ -21,7 +21,7 @@
 	return cmd
 }
 
-// withFile calls read with an open file. An error of read names the file.
+// withFile calls read with an open file. It adds the path to an error of read.
 func withFile(path string, read func(io.Reader) error) error {
 	f, err := os.Open(path)
 	if err != nil {
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// readRecording returns the result of read for a file. An error of read names the file.
+// readRecording returns the result of read for a file. It adds the path to an error of read.
 func readRecording[T any](path string, read func(io.Reader) (T, error)) (result T, err error) {
 	err = withFile(path, func(in io.Reader) (err error) {
 		result, err = read(in)
--- a/cmd/dunemoorctl/main.go
+++ b/cmd/dunemoorctl/main.go
@@ -1,7 +1,7 @@
-// Command dunemoorctl is for operators of dunemoor gateways: it reads flight recordings, checks appliances' files,
-// and shows and changes fleets.
+// Command dunemoorctl is for operators of dunemoor gateways: it reads flight recordings, checks the configuration files
+// of appliances (gateways with a file of their own), and shows and changes fleets.
 //
-// Its exit code is 1 for an error. Calls to a fleet that fail have the exit codes in exitcode.go.
+// Its exit code is 1 for an error. Some failures of the fleet commands have exit codes of their own, see exitcode.go.
 package main
 
 import (
--- a/cmd/dunemoorctl/main_test.go
+++ b/cmd/dunemoorctl/main_test.go
@@ -109,7 +109,7 @@
 const example = "../../deploy/appliance.toml"
 
 // The command routes prints the route, the class and the pools of a request. It returns an error if the request would be
-// rejected.
+// rejected because its target is invalid or no route matches.
 func TestRoutesCommand(t *testing.T) {
 	for _, c := range []struct {
 		args []string
--- a/internal/upstream/http1/conn.go
+++ b/internal/upstream/http1/conn.go
@@ -22,7 +22,7 @@
 	host    *host
 	process upstream.Process // process at the other end
 
-	reused    bool      // set once the connection has been put into the pool
+	wasIdle   bool      // whether the connection was in the pool: the host may have closed it meanwhile
 	idleSince time.Time // when the connection was put into the pool; guarded by Transport.mu while it is there
 
 	readTimeout  time.Duration     // time limit of each read; 0: none
--- a/internal/upstream/http1/helpers_test.go
+++ b/internal/upstream/http1/helpers_test.go
@@ -107,12 +107,12 @@
 		return err
 	}
 	deadline := time.Now().Add(testutil.WaitTimeout)
-	for unread := 1; unread > 0; time.Sleep(time.Millisecond) {
+	for unacknowledged := 1; unacknowledged > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			return errors.New("timed out waiting for the peer to receive what was written")
 		}
 		var ioctlErr error
-		err := raw.Control(func(fd uintptr) { unread, ioctlErr = unix.IoctlGetInt(int(fd), unix.TIOCOUTQ) })
+		err := raw.Control(func(fd uintptr) { unacknowledged, ioctlErr = unix.IoctlGetInt(int(fd), unix.TIOCOUTQ) })
 		if err != nil || ioctlErr != nil {
 			return errors.Join(err, ioctlErr)
 		}
--- a/internal/upstream/http1/idle.go
+++ b/internal/upstream/http1/idle.go
@@ -114,7 +114,7 @@
 		t.closeConnLocked(c)
 		return
 	}
-	c.reused = true
+	c.wasIdle = true
 	c.idleSince = time.Now()
 	t.idle.Add(c.host, c)
 }
@@ -188,7 +188,7 @@
 // known. A dial to it fails soon, which proves that nothing ran.
 func (t *Transport) attemptAbandoned(h *host, writtenAt time.Time) {
 	if time.Since(writtenAt) < t.minSilence {
-		return // the client has disconnected early, which is no evidence that the host has failed
+		return // too early to be evidence that the host has failed, for example because the client disconnected
 	}
 	t.mu.Lock()
 	isSilent := h.lastResponse.Before(writtenAt)
--- a/internal/upstream/http1/idle_test.go
+++ b/internal/upstream/http1/idle_test.go
@@ -85,6 +85,7 @@
 	h := newTestHost(newTestTransport(), server.Addr())
 	attempt(t, h, newTestRequest("b"))
 	c := firstIdle(h)
+	// isReusable needs the file descriptor of the connection.
 	raw, err := c.Conn.(*net.TCPConn).SyscallConn()
 	if err != nil || raw == nil {
 		t.Fatal(err)
--- a/internal/upstream/http1/request.go
+++ b/internal/upstream/http1/request.go
@@ -17,8 +17,8 @@
 	timeoutHeader = "X-Timeout"
 	// usualHeaderBytes is enough for the header section of most requests.
 	usualHeaderBytes = 512
-	// maxJoinedBytes is the longest buffered body that is copied behind the header section, to be written by one
-	// system call. Longer ones cost less without the copy.
+	// maxJoinedBytes is the longest buffered body that is copied behind the header section, so that one write sends
+	// both. Longer ones are written with it by writev, which costs less than the copy.
 	maxJoinedBytes = 2 << 10
 )
 
@@ -48,8 +48,8 @@
 }
 
 // writeDeadline returns the time by which the request, without the streamed part of its body, must be written: WriteBy
-// or, on plain routes and before a streamed part, the idle timeout of the route's pace from now if that is earlier. It
-// is zero if there is no limit.
+// or, if the route is plain or a streamed part follows, the idle timeout of the route's pace from now, whichever is
+// earlier. It is zero if there is no limit.
 func writeDeadline(x *engine.Request) time.Time {
 	if !upstream.IsPlain(x) && x.Body.Buffered() {
 		return x.WriteBy
@@ -98,8 +98,8 @@
 	return buf.Bytes()
 }
 
-// expectsContinue reports whether the request has the field Expect: 100-continue (RFC 9110, 10.1.1). It has if none of
-// the body has been received from the client yet.
+// expectsContinue reports whether the request has the field Expect: 100-continue (RFC 9110, 10.1.1). It does if the body
+// is streamed and none of it has been received from the client yet.
 func expectsContinue(x *engine.Request) bool {
 	return !x.Body.Buffered() && len(x.Body.Bytes()) == 0
 }
--- a/internal/upstream/http1/response.go
+++ b/internal/upstream/http1/response.go
@@ -23,7 +23,8 @@
 	// maxHeaderTime limits the time for a header section to arrive once it has begun, on plain routes.
 	maxHeaderTime = 5 * time.Second
 	// responseReadTimeout limits the time without a byte within the header section and the buffered body of a response
-	// in the platform's protocol. TCP retransmits a lost segment after some 200 ms.
+	// in the platform's protocol. TCP retransmits a lost segment after some 200 ms. The buffered part of a body that is
+	// longer than maxSmallBytes or of unknown length is limited by upstream.MaxBufferTime, see responsebody.go.
 	responseReadTimeout = 250 * time.Millisecond
 	// versionPrefix is the start of every response.
 	versionPrefix = "HTTP/1."
@@ -32,13 +33,14 @@
 // errMalformedResponse is returned for bytes that are not a valid response.
 var errMalformedResponse = errors.New("http1: malformed response")
 
-// defaultStreams applies to requests whose route has no Streams, which only tests have: responses are streamed, without
-// a minimum rate. Package fastcgi has a defaultStreams of its own.
+// defaultStreams applies to requests whose route has no Streams; only tests send such requests. Their deadline applies to
+// the header section only, and bodies have no minimum rate. Package fastcgi has its own defaultStreams.
 var defaultStreams = engine.Streams{HeadDeadlineOnly: true, Pace: body.Pace{IdleTimeout: maxHeaderTime}}
 
-// readResponse reads the header section of the final response, and its body if that is short. Otherwise stream is the
-// source of the body. The error is errMalformedResponse if the received bytes are not a response that is certain to be
-// complete, and an error of the connection otherwise.
+// readResponse reads the header section of the final response and the buffered part of its body, see the table in
+// responsebody.go. stream is the source of the rest, or nil if there is none. The error is errMalformedResponse if the
+// response is invalid, is too long, does not arrive in time or has a body whose end can't be determined, and otherwise an
+// error of the connection.
 func (c *conn) readResponse(x *engine.Request, up *upload) (response engine.Response, stream *responseStream, err error) {
 	defer c.setReadTimeout(0)
 	for {
@@ -73,8 +75,8 @@
 	}
 }
 
-// messageError returns the error of a response that failed with err after its first byte: err if the connection ended,
-// and errMalformedResponse if the connection is still open but the response is too long or did not arrive in time.
+// messageError returns the error of a response that failed with err after its first byte: errMalformedResponse if its
+// header section is too long or it did not arrive in time, and otherwise err.
 func (c *conn) messageError(err error) error {
 	isTooLong := c.headerLimit.N <= 0
 	if isTooLong || errors.Is(err, os.ErrDeadlineExceeded) {
--- a/internal/upstream/http1/responsebody.go
+++ b/internal/upstream/http1/responsebody.go
@@ -17,16 +17,19 @@
 	"dunemoor/internal/upstream"
 )
 
-// How much of a response body is buffered before any of it is forwarded, and how long that may take. If the buffered part
-// of a response is malformed or incomplete, the attempt fails and the request can have another attempt.
+// The table shows how much of a response body is buffered before any of it is forwarded, and how long that may take. If
+// the buffered part of a response is malformed or incomplete, the attempt fails and the request can have another attempt.
 //
 //	route      framing                               buffered                  time limit
 //	platform   Content-Length up to maxSmallBytes    all                       responseReadTimeout for each read
 //	plain      Content-Length up to maxSmallBytes    all                       the idle timeout of the route's Pace
 //	platform   Content-Length above maxSmallBytes    maxLargeBuffered at most  upstream.MaxBufferTime
-//	platform   chunked, or ended by the connection   maxSmallBytes at most     upstream.MaxBufferTime
+//	platform   chunked, or ended by the connection   maxSmallBytes at most     upstream.MaxBufferTime, see below
 //	plain      any other                             nothing
 //
+// When a part of a chunk or of the trailer section has arrived, each read that waits for more of it is limited by
+// responseReadTimeout. The buffering of a chunked body may therefore take longer than upstream.MaxBufferTime.
+//
 // While the memory for large responses is used up, a body with a Content-Length above maxSmallBytes is not buffered at all.
 const (
 	// maxSmallBytes is the length of the longest body that is always buffered. The memory for longer ones is reserved
@@ -39,8 +42,8 @@
 	// longer than maxSmallBytes is buffered before any of it is forwarded. Most malformed responses are detected by
 	// then, and the request can have another attempt.
 	maxLargeBuffered = 512 << 10
-	// maxChunkWait is how many bytes of a chunk a read may wait for while the read buffer of the connection is full,
-	// as more bytes have probably arrived than it holds.
+	// maxChunkWait is the maximum length of a read from a chunked body while the read buffer of the connection is
+	// full. It is more than the buffer holds, as more bytes have probably arrived.
 	maxChunkWait = 16 << 10
 )
 
@@ -175,7 +178,7 @@
 	if atEnd {
 		err = nil
 		if s.isChunked {
-			_, err = s.conn.readTrailer() // not needed, as the platform's protocol has no trailer fields
+			_, err = s.conn.readTrailer() // the fields are discarded, as the platform's protocol has no trailer fields
 		}
 	}
 	if err != nil {
@@ -249,6 +252,7 @@
 func (s *responseStream) Read(p []byte) (int, error) {
 	startedAt := time.Now()
 	timeout := s.meter.Timeout()
+	// LazyDeadline may exceed the timeout by a quarter, so it is used only while due is well beyond that.
 	if s.due.IsZero() || s.due.Sub(startedAt) > 2*timeout {
 		s.deadline.Reset(startedAt, timeout)
 	} else {
--- a/internal/upstream/http1/responsebody_test.go
+++ b/internal/upstream/http1/responsebody_test.go
@@ -35,7 +35,7 @@
 				t.Fatalf("%s: got outcome %v, want OK", name, got)
 			}
 			if reserved := transport.largeBytes.Load(); reserved > maxLargeBytes {
-				t.Errorf("%s: got %d bytes reserved", name, reserved)
+				t.Errorf("%s: got %d bytes reserved, want at most %d", name, reserved, maxLargeBytes)
 			}
 			received := append([]byte(nil), response.Body.Bytes()...)
 			if stream := response.Body.Stream(); stream != nil {
@@ -44,7 +44,7 @@
 				}
 				rest, err := io.ReadAll(stream)
 				if err != nil {
-					t.Errorf("%s: %v", name, err)
+					t.Errorf("%s: read streamed body: %v", name, err)
 				}
 				received = append(received, rest...)
 			}
--- a/internal/upstream/http1/result_test.go
+++ b/internal/upstream/http1/result_test.go
@@ -68,7 +68,7 @@
 				t.Errorf("got outcome %v, want %v", got, test.want)
 			}
 			if text := string(response.Body.Bytes()); (got == balancer.OK) != (text == "good") {
-				t.Errorf("got body %q with outcome %v, want \"good\" with OK alone", text, got)
+				t.Errorf("got body %q with outcome %v, want the body \"good\" if and only if the outcome is OK", text, got)
 			}
 			checkConnCounts(t, "afterwards", h, test.wantKept, test.wantKept)
 			if requests := requestCount(server); requests != 1 {
@@ -81,7 +81,7 @@
 	}
 }
 
-// A response that the host closes the connection before completing is not served: the outcome is Reset.
+// If the host closes the connection before its response is complete, the response is not served: the outcome is Reset.
 func TestTruncatedResponseIsReset(t *testing.T) {
 	for name, text := range map[string]string{
 		"with length": "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\ngood",
@@ -327,7 +327,7 @@
 	}
 }
 
-// A host that stops reading before the last byte of a request never receives it, which proves that the request did not
+// A write to a host that reads nothing ends at WriteBy. As the host has not received the last byte, the request did not
 // run.
 func TestWriteEndsAtWriteBy(t *testing.T) {
 	ln := testutil.Listen(t, "127.0.0.1:0", shrinkBuffer(syscall.SO_RCVBUF))
--- a/internal/upstream/http1/roundtrip.go
+++ b/internal/upstream/http1/roundtrip.go
@@ -56,9 +56,11 @@
 // request without the streamed part of the body, and written is how much of that was written.
 func writeFailure(ctx context.Context, x *engine.Request, written, size int) engine.Result {
 	isPlatform := !upstream.IsPlain(x)
-	hasLastByte := written == size && (x.Body.Buffered() || !isPlatform)
+	// On plain routes a request may run before the streamed part of its body has arrived. If less was written, see the
+	// cases below.
+	mayHaveRun := written == size && (x.Body.Buffered() || !isPlatform)
 	switch {
-	case hasLastByte:
+	case mayHaveRun:
 		return engine.Ended(balancer.Reset)
 	case ctx.Err() != nil && (written == 0 || isPlatform):
 		// Proof: the host has received no byte of the request or, in the platform's protocol, not the last one.
--- a/internal/upstream/http1/transport.go
+++ b/internal/upstream/http1/transport.go
@@ -1,8 +1,9 @@
 // Package http1 makes attempts at hosts over HTTP/1.1 (RFC 9112) and keeps the connections to them.
 //
 // In the platform's protocol a host runs a request only after it has received the last byte. Plain HTTP has no such
-// rule: a request may have run as soon as one byte of it was sent. Wherever a Result is returned which means that a
-// request never ran, a comment states the proof: in writeFailure and readFailure here, and in Attempt of package upstream.
+// rule: a request may have run as soon as one byte of it was sent. Wherever a Result means that a request never ran, or a
+// request is resent for that reason, a comment states the proof: in conn.RoundTrip, writeFailure and readFailure here,
+// and in acquireOutcome, OutcomeUnsent and shouldResend of package upstream.
 package http1
 
 import (
@@ -43,7 +44,7 @@
 	MaxLargeBytes   int64         // limit of the memory for all large responses together, in bytes
 	HostIdleTimeout time.Duration // time after which hosts close an idle connection; default DefaultHostIdleTimeout
 	DialTimeout     time.Duration // time limit to establish a connection; default and maximum 100 ms
-	BodyBudget      *body.Budget  // budget of the buffers for streamed bodies; see upstream.BodyBudget
+	BodyBudget      *body.Budget  // budget of the buffers for streamed request bodies; see upstream.BodyBudget
 
 	// DialContext replaces the dialer, for tests. DialTimeout and its maximum of 100 ms do not apply then.
 	DialContext func(ctx context.Context, network, addr string) (net.Conn, error)
@@ -150,13 +151,13 @@
 	}
 }
 
-// Attempt sends a request at most once.
+// Attempt makes one attempt at a request, see upstream.Attempt. The request is written completely at most once.
 func (h *host) Attempt(ctx context.Context, x *engine.Request) engine.Result {
 	return upstream.Attempt(ctx, x, func(ctx context.Context) (upstream.Conn, bool, error) {
 		c, err := h.transport.getConn(ctx, h)
 		if err != nil {
 			return nil, false, err
 		}
-		return c, c.reused, nil
+		return c, c.wasIdle, nil
 	})
 }
