--- a/internal/flightrecorder/analysis.go
+++ b/internal/flightrecorder/analysis.go
@@ -20,17 +20,19 @@
 	To         balancer.Time   // time of the last event in the window
 	Wall       time.Time       // From on the wall clock, which is read once, at the start of the session
 	BucketSize time.Duration   // duration of a bucket in Rates and in the timelines of Hosts
-	Hosts      []*HostTimeline // sorted by name, or by ID if the recording has no name
+	Hosts      []*HostTimeline // sorted as text by name, or by hexadecimal ID if the recording has no name
 	Classes    []ClassCounts
 	Rates      []RateBucket
-	// TimedOutWaiting is the number of requests that timed out while they waited for a host. WaitReasons
-	// distributes it over the states that the hosts had at that time: each request counts 1, divided equally among
-	// the ready hosts of the subset.
+	// TimedOutWaiting is the number of requests that timed out while they waited for a host and the subset had one in
+	// state balancer.Ready. WaitReasons distributes it over the states that the hosts had at that time: each request
+	// counts 1, divided equally among the ready hosts of the subset.
 	TimedOutWaiting int
 	WaitReasons     map[string]float64
 	Ejections       []Ejection // the first maxEjections
 	EjectionCount   int        // all ejections
-	FromViews       bool       // Hosts come from the recorded views, because this build decides differently
+	// FromViews is set if this build decides differently. The states of Hosts then come from the recorded views, and
+	// TimedOutWaiting, WaitReasons, Ejections and EjectionCount are zero or empty.
+	FromViews bool
 }
 
 // RateBucket counts the requests that arrived in a bucket, and those that were served, rejected or failed in it.
@@ -53,7 +55,7 @@
 type ClassCounts struct {
 	Requests  int
 	Served    int
-	InTime    int // served within the latency objective; included in Served
+	InTime    int // served within the latency objective, 0 if the class has none; included in Served
 	Rejected  int
 	Failed    int
 	Abandoned int                    // the client disconnected before the response
--- a/internal/flightrecorder/analysis_text.go
+++ b/internal/flightrecorder/analysis_text.go
@@ -163,8 +163,9 @@
 }
 
 // HostText writes the figures of one host, a line for each bucket: the means of the attempts in flight ("out"), of the
-// concurrency limit and of the RTT in latency objectives ("mean aims"), and the reasons why the host was unavailable,
-// with their shares of the samples ("looks"). It returns an error if the recording has no host with that name.
+// concurrency limit and of balancer.HostView.RecentRTT, which is relative to the latency objective or the typical RTT of
+// the class ("mean aims"), and the reasons why the host was unavailable, with their shares of the samples ("looks"). It
+// returns an error if the recording has no host with that name.
 func (a *Analysis) HostText(w io.Writer, name string) error {
 	for _, h := range a.Hosts {
 		if h.label() == name {
--- a/internal/flightrecorder/analyzer.go
+++ b/internal/flightrecorder/analyzer.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// samplesPerBucket is the number of times that the state of the hosts is sampled in a bucket.
+	// samplesPerBucket is the maximum number of samples of the hosts' state in a bucket. Samples are taken at events.
 	samplesPerBucket = 8
 	// maxHostsPerEvent is the maximum number of hosts that are inspected after each event, so that no ejection is
 	// missed. With more hosts, an ejection that ends between two samples is missed.
@@ -98,7 +98,8 @@
 	a.discardOpen()
 }
 
-// discardOpen discards the open requests and attempts, because the recording doesn't contain their ends.
+// discardOpen discards the open requests and attempts. After a loss or a restart the recording doesn't contain their
+// ends. After a Retune it does, but they are not counted.
 func (a *analyzer) discardOpen() {
 	clear(a.openRequests)
 	clear(a.openAttempts)
@@ -316,7 +317,8 @@
 }
 
 // addEjection records an ejection with the request that explains it: the one whose attempt at the host has just ended,
-// or otherwise the one with the oldest attempt in flight at the host.
+// or otherwise the one with the oldest attempt in flight at the host. An ejection for silence is always explained by the
+// oldest attempt in flight.
 func (a *analyzer) addEjection(v *balancer.HostView, e *Event, ended *openAttempt) {
 	a.EjectionCount++
 	if len(a.Ejections) >= maxEjections {
--- a/internal/flightrecorder/block.go
+++ b/internal/flightrecorder/block.go
@@ -20,10 +20,11 @@
 	// maxPayload is the largest payload that a Reader accepts, in bytes. A checkpoint with 5,000 hosts and
 	// 10,000 requests takes less than 2 MB.
 	maxPayload = 16 << 20
-	// blockSize is the payload size at which a block of records is closed, in bytes. A crash loses at most one
-	// block, which has about 700 events.
+	// blockSize is the payload size at which a block of records is closed, in bytes. A crash loses the block being
+	// filled, which has about 700 events, and the blocks that File has queued.
 	blockSize = 16 << 10
-	// maxRecord is the maximum size of a record other than a list or a view, in bytes.
+	// maxRecord is the maximum size in bytes of a text, of a host in a view, and of any record other than an endpoint
+	// list, a view, a name and a Log action.
 	maxRecord = 128
 )
 
@@ -41,7 +42,7 @@
 //	0  magic       4 bytes
 //	4  version     1
 //	5  kind        1
-//	6  0           2
+//	6  reserved    2  0
 //	8  session     8  the same in all blocks of a session
 //	16 number      4  index of the block in its session, from 0
 //	20 length      4  size of the payload, in bytes
--- a/internal/flightrecorder/doc.go
+++ b/internal/flightrecorder/doc.go
@@ -1,6 +1,6 @@
 // Package flightrecorder records the events and actions that a gateway's event loop and its balancer exchange.
-// It reads, replays and summarizes such recordings, and simulates the recorded traffic with other builds of the
-// balancer.
+// It reads, replays and summarizes such recordings, and simulates the recorded traffic with the balancer of this
+// build.
 //
 // A recording is a sequence of blocks, each with its own checksum: a block that is torn, lost or overwritten
 // doesn't affect other blocks, and bytes between two blocks are skipped. block.go and record.go define the
--- a/internal/flightrecorder/file.go
+++ b/internal/flightrecorder/file.go
@@ -22,8 +22,8 @@
 var errReopenLater = errors.New("recording file is not reopened yet after a failure")
 
 // File is a Sink that writes to a file in its own goroutine, which calls Run. A file that has reached its maximum
-// size is renamed to NAME.1, replacing an earlier one, and a new file is started: both together take at most twice
-// the maximum size.
+// size is renamed to NAME.1, replacing an earlier one, and a new file is started: both together take at most about
+// twice the maximum size.
 type File struct {
 	path     string
 	maxBytes int64
@@ -173,8 +173,8 @@
 	f.reopenAt = time.Now().Add(reopenInterval)
 }
 
-// prepare ensures that a file is open and has space for size bytes. A file that it opens continues with the start
-// block of the session, unless that is the block to be written.
+// prepare ensures that a file is open, and first rotates an open file that has no space for size bytes. A file that it
+// opens continues with the start block of the session, unless that is the block to be written.
 func (f *File) prepare(size int, isStart bool) error {
 	if err := f.rotate(size); err != nil {
 		return err
--- a/internal/flightrecorder/fit.go
+++ b/internal/flightrecorder/fit.go
@@ -34,9 +34,9 @@
 var errNoRequests = errors.New("recording has no requests, or none after a known state of the balancer")
 
 // Fit makes a simulation from a recording with one session. The model is simple: a host serves one request at a
-// time, and the service time is the time since the request was sent or since the host's previous response, whichever
-// is later; load from other gateways appears as slowness of the host; clients send the recorded requests, including
-// their retries.
+// time, and the service time is the time since the request was sent or since the host's previous successful response,
+// whichever is later; load from other gateways appears as slowness of the host; clients send the recorded requests,
+// including their retries.
 func Fit(in io.Reader) (*Fitted, error) {
 	f := newFitter()
 	sessions := 0
@@ -87,7 +87,7 @@
 	class       int
 	sentAt      balancer.Time
 	result      balancer.Result
-	serviceTime time.Duration // from its sending or the host's previous response, whichever is later, to its end
+	serviceTime time.Duration // from its sending or the host's previous successful response, whichever is later, to its end
 	atDeadline  bool          // it ended at about the request's deadline, see deadlineTolerance
 }
 
@@ -100,7 +100,7 @@
 // fittedHost is a host of the recording.
 type fittedHost struct {
 	attempts     []*fittedAttempt // in the order in which they ended
-	lastResponse balancer.Time
+	lastResponse balancer.Time    // when the last successful response arrived
 }
 
 func newFitter() *fitter {
--- a/internal/flightrecorder/fit_model.go
+++ b/internal/flightrecorder/fit_model.go
@@ -25,7 +25,8 @@
 )
 
 // fitHosts sets the models of the hosts. The shares of errors and unanswered attempts are those of all hosts together,
-// outside the spans in which a host was down or silent.
+// outside the spans in which a host was down or silent. Both are shares of all attempts, although the simulation applies
+// the share of errors to answered attempts only.
 func (f *fitter) fitHosts() {
 	classes := len(f.settings.Classes)
 	expected := f.meanServiceTimes()
@@ -105,7 +106,7 @@
 
 func (a *fittedAttempt) failedToConnect() bool { return a.result == balancer.ConnectFailed }
 
-// failed reports whether the host's response was an error.
+// failed reports whether the attempt ended with an error, an invalid response or a reset.
 func (a *fittedAttempt) failed() bool {
 	return a.result == balancer.Failed || a.result == balancer.InvalidResponse || a.result == balancer.Reset
 }
--- a/internal/flightrecorder/fleet.go
+++ b/internal/flightrecorder/fleet.go
@@ -73,8 +73,8 @@
 type FleetClass struct {
 	Requests   int
 	Duplicates int // requests sent again by clients; included in Requests
-	InTime     int // served within the latency objective
-	Late       int // served after the latency objective
+	InTime     int // served within the latency objective; 0 if the class has none
+	Late       int // served after the latency objective, or without one
 	Rejected   [causeCount]int
 	Failed     int
 	Sent       int           // requests with at least one attempt
@@ -98,7 +98,8 @@
 }
 
 // HostUse returns the number of hosts with an attempt, the maximum number of attempts at one host, and the maximum
-// number of gateways that sent attempts to one host.
+// number of sessions that sent attempts to one host. A gateway that began another session within the second, after a
+// restart or with other settings, counts twice.
 func (s *FleetSecond) HostUse() (hosts, maxAttempts, maxGateways int) {
 	for id, attempts := range s.attemptsByHost {
 		maxAttempts = max(maxAttempts, attempts)
--- a/internal/flightrecorder/fleet_session.go
+++ b/internal/flightrecorder/fleet_session.go
@@ -58,8 +58,9 @@
 	s.fleet.changes = append(s.fleet.changes, hostChange{at: s.wall(at).UnixNano(), host: host, kind: kind})
 }
 
-// end ends the attempts that are in flight at the end of the session, because the gateway was killed or the recording
-// ends there. s may be nil.
+// end ends the attempts that are in flight at the end of the session, because the gateway was killed, its settings
+// changed or the recording ends there. After a change of settings the attempts continue, but their ends don't change the
+// use of hosts again. s may be nil.
 func (s *fleetSession) end() {
 	if s == nil {
 		return
--- a/internal/flightrecorder/fleet_text.go
+++ b/internal/flightrecorder/fleet_text.go
@@ -18,6 +18,7 @@
 //     (Retries); "sends": all attempts (Attempts)
 //   - "wait", "deadline", "spent", "worth less", "came late": rejections by balancer.Cause, which are QueueTimeout,
 //     DeadlineExceeded, NoMoreAttempts, LowerPriority, ArrivedLate
+//   - "no answer": requests without a recorded outcome, including those whose client disconnected
 //   - "called off": attempts that ended as Canceled, for any reason
 //   - "cold": in slow start; "out/host": attempts in flight per ready host; "gw.": gateways
 //
--- a/internal/flightrecorder/record.go
+++ b/internal/flightrecorder/record.go
@@ -121,7 +121,7 @@
 	return b
 }
 
-// appendText appends the length of a text and its first maxRecord bytes.
+// appendText truncates a text to maxRecord bytes, and appends its length and its bytes.
 func appendText(b []byte, text string) []byte {
 	text = text[:min(len(text), maxRecord)]
 	b = binary.AppendUvarint(b, uint64(len(text)))
--- a/internal/flightrecorder/recorder.go
+++ b/internal/flightrecorder/recorder.go
@@ -40,8 +40,9 @@
 }
 
 const (
-	// ringSegments is the number of segments of the ring. Each begins with a checkpoint, from which a replay can
-	// start; the oldest segment is overwritten.
+	// ringSegments is the number of segments of the ring; the oldest one is overwritten. A segment begins with a
+	// checkpoint, from which a replay can start, with these exceptions: the first one of a Recorder begins at the
+	// start of the session, and one that flush begins has no checkpoint at its start.
 	ringSegments = 4
 	// minRingBytes has space for two blocks per segment.
 	minRingBytes = ringSegments * 2 * (blockSize + headerSize)
@@ -66,7 +67,7 @@
 	sessionBase balancer.Time // start of the session
 	nextNumber  uint32        // number of the session's next block
 
-	ring    [ringSegments][]byte // each segment is a checkpoint and the blocks after it
+	ring    [ringSegments][]byte // each segment is a checkpoint and the blocks after it, see ringSegments
 	current int                  // index in ring
 
 	block      []byte // payload of the block being filled
@@ -141,7 +142,9 @@
 	segment := &r.ring[r.current]
 	start := len(*segment)
 	if !fits(*segment, len(payload)) {
-		inRing = false // a checkpoint that is larger than the segment; replays start at the next one that fits
+		// The block is a checkpoint that doesn't fit, or is larger than a segment, such as one with a long endpoint
+		// list. Replays of a dump start at the next checkpoint that fits.
+		inRing = false
 	}
 	if inRing {
 		*segment = append(append(*segment, encoded[:]...), payload...)
@@ -197,7 +200,9 @@
 func (r *Recorder) reserve(now balancer.Time, size int) {
 	if r.blockOpen && len(r.block)+size > blockSize {
 		r.flush()
-		// Space for a checkpoint's header, a full block, and the actions of its last event.
+		// Space for the header of a checkpoint, and for a full block plus maxRecord+size for a record that is larger
+		// than a block or for the actions of the last event. The payload of the checkpoint isn't included: writeBlock
+		// leaves a checkpoint that doesn't fit out of the ring.
 		segmentFull := !fits(r.ring[r.current], headerSize+blockSize+maxRecord+size)
 		if segmentFull {
 			r.nextSegment()
--- a/internal/flightrecorder/replay.go
+++ b/internal/flightrecorder/replay.go
@@ -101,7 +101,8 @@
 		return p.startSession(it.Start)
 	case ItemCheckpoint:
 		if err := p.restore(it.Checkpoint); err != nil {
-			// Another build wrote the checkpoint. The replay continues if the state is known anyway.
+			// Another build wrote the checkpoint, or its session start is missing. The replay continues if the state
+			// is known anyway.
 			p.ForeignCheckpoints++
 			p.ForeignReason = err.Error()
 		}
--- a/internal/flightrecorder/simulation.go
+++ b/internal/flightrecorder/simulation.go
@@ -63,9 +63,11 @@
 
 // Summary is the outcome of the requests.
 type Summary struct {
-	Classes            []ClassSummary
-	Attempts           int
-	RepeatedExecutions int // non-idempotent requests that were executed more than once: a fault of the balancer
+	Classes  []ClassSummary
+	Attempts int
+	// RepeatedExecutions is the number of non-idempotent requests that were sent more than once to hosts that were not
+	// down: a fault of the balancer.
+	RepeatedExecutions int
 	Unanswered         int // requests without a final response at the end: a fault of the balancer
 }
 
@@ -114,7 +116,7 @@
 	Arrival
 	deadline   balancer.Time
 	done       bool // it has a final response, or its client has disconnected
-	executions int
+	executions int  // number of attempts at hosts that were not down
 	attempts   []*simulatedAttempt
 }
 
