--- a/internal/experiment/faulttest/admin.go
+++ b/internal/experiment/faulttest/admin.go
@@ -67,15 +67,15 @@
 
 // RelayStream is the status of a gateway's stream to its relay.
 type RelayStream struct {
-	Name  string `json:"name"` // name of the relay; "": none
-	Moves uint64 `json:"moves"`
+	Name  string `json:"name"`  // name of the relay; "": none
+	Moves uint64 `json:"moves"` // number of streams that relays have accepted since the start
 }
 
-// RelayLoad is the numbers of streams and routes of a relay.
+// RelayLoad contains the numbers of streams and routes of a relay.
 type RelayLoad struct {
 	Streams int            `json:"streams"`
 	Routes  int            `json:"routes"`
-	Relays  map[string]int `json:"relays"`
+	Relays  map[string]int `json:"relays"` // numbers of streams, by name of a relay that is up
 }
 
 // Token returns the fencing token of a lease in the gateway's status, or 0 if the status does not list the lease.
--- a/internal/experiment/faulttest/cases.go
+++ b/internal/experiment/faulttest/cases.go
@@ -109,8 +109,10 @@
 // overwritten by an older copy. The gateway can't detect that from its own disk, but the other replicas can.
 func overwrittenDiskIsNoReplica(f *Fleet) (string, error) {
 	participates := func(s *Status) bool {
-		hasSession := s.Session != 0 && s.Role != roleStopped
-		return hasSession || strings.Contains(s.Reason, "the log contradicts itself")
+		isActive := s.Session != 0 && s.Role != roleStopped
+		// A replica that has participated with the older files may have stopped since: its log lacks entries that the
+		// leader has recorded as stored by it.
+		return isActive || strings.Contains(s.Reason, "the log contradicts itself")
 	}
 	return returnsAsSameReplica(f, (*Gateway).overwriteDisk, participates)
 }
@@ -145,7 +147,7 @@
 			return g, nil
 		}
 	}
-	return nil, errors.New("all replicas are the leader")
+	return nil, errors.New("there is no replica other than the leader")
 }
 
 // persists waits for a condition to end. It returns a violation if it lasts longer than observationTime, else "".
@@ -157,8 +159,8 @@
 	return fmt.Sprintf("%s, for %v", what, observationTime)
 }
 
-// returnsAsSameReplica changes the disk of a replica that is down. It returns a violation if the gateway is the same
-// replica as before when it participates again.
+// returnsAsSameReplica copies the disk of a follower, commits further entries, kills the follower, changes its disk and
+// starts it again. It returns a violation if the gateway is the same replica as before when it participates again.
 func returnsAsSameReplica(f *Fleet, changeDisk func(*Gateway) error, participates func(*Status) bool) (string, error) {
 	g, err := pickFollower(f)
 	if err != nil {
@@ -196,7 +198,8 @@
 	return fmt.Sprintf("it is replica %d again, as %s", now.ReplicaID, now.Role), nil
 }
 
-// commitEntriesAfterCopy transfers a lease several times, so that entries are committed that the copy of the disk lacks.
+// commitEntriesAfterCopy transfers a lease several times, which commits entries that the copy of the disk lacks, and waits
+// until the commit index of g is higher than commit, its commit index before the copy.
 func commitEntriesAfterCopy(f *Fleet, g *Gateway, commit uint64) error {
 	const transfers = 4
 	for i := range transfers {
@@ -204,7 +207,7 @@
 			return err
 		}
 	}
-	return f.WaitUntil(context.Background(), g.Name+" has the entries", maxTransferTime, func() bool {
+	return f.WaitUntil(context.Background(), g.Name+" has a higher commit index than before the copy of its disk", maxTransferTime, func() bool {
 		s, err := g.Status()
 		return err == nil && s.Commit > commit
 	})
--- a/internal/experiment/faulttest/cases_test.go
+++ b/internal/experiment/faulttest/cases_test.go
@@ -31,7 +31,7 @@
 					t.Fatal(err)
 				}
 				if (violation != "") != (failpoint != "") {
-					t.Errorf("failpoint %q: got violation %q", failpoint, violation)
+					t.Errorf("failpoint %q: got violation %q, want one: %v", failpoint, violation, failpoint != "")
 				}
 				t.Log(violation)
 				if failpoint == "" {
--- a/internal/experiment/faulttest/converged.go
+++ b/internal/experiment/faulttest/converged.go
@@ -2,8 +2,9 @@
 
 // Converged reports whether the fleet is in its normal state: all gateways have a session and agree on sessions and lease
 // holders, each lease has a holder, and there are Options.Replicas replicas, each on its gateway's current disk. In a
-// fleet with relays, each gateway has a stream and all relays have routes to all gateways; gateways don't list each
-// other.
+// fleet with relays, each gateway has a stream to a relay and the right number of sessions, and each relay lists all
+// members, is connected with all other relays and has routes to all gateways. The gateways do not list members there, so
+// only their number of sessions is checked.
 func (f *Fleet) Converged() bool {
 	statuses, ok := f.statuses()
 	if !ok {
--- a/internal/experiment/faulttest/fleet_test.go
+++ b/internal/experiment/faulttest/fleet_test.go
@@ -87,7 +87,7 @@
 			t.Errorf("violation: %s", violation)
 		}
 		if sent, accepted := f.StaleLeaseRequests(); accepted > 0 && !f.Hosts.Nodes[0].IgnoresTokens.Load() {
-			t.Errorf("hosts accepted %d of %d requests of earlier lease holders, want 0", accepted, sent)
+			t.Errorf("hosts accepted %d requests of earlier lease holders, want 0; they sent %d to hosts and gateways", accepted, sent)
 		}
 		for _, g := range f.Gateways {
 			if g.HasExited() {
@@ -119,7 +119,8 @@
 	return string(text), cmd.ProcessState.ExitCode()
 }
 
-// startLoad sends client requests to a gateway until the end of the test, and fails the test if a rule was violated.
+// startLoad sends client requests to a gateway until the end of the test, and fails the test if StartLoad's stop returns
+// an error.
 func startLoad(t *testing.T, f *Fleet, g *Gateway) {
 	stop := f.StartLoad(g)
 	t.Cleanup(func() {
@@ -161,7 +162,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("%s: no holder for %v", cause, gap.Round(time.Millisecond))
+		t.Logf("%s: acquired by the next holder after %v", cause, gap.Round(time.Millisecond))
 	}
 }
 
@@ -286,7 +287,7 @@
 			}
 		}
 		if (rejected > 0) != (failpoint == "") {
-			t.Errorf("failpoint %q: gateways rejected %d publications of the earlier holder", failpoint, rejected)
+			t.Errorf("failpoint %q: got %d rejected publications of the earlier holder, want some: %v", failpoint, rejected, failpoint == "")
 		}
 		f.Close()
 	}
@@ -339,7 +340,7 @@
 			t.Error(err)
 		}
 		if r := f.Hosts.Ledger.LeaseRequests(lease); (r.StaleAccepted > 0) != ignoresTokens {
-			t.Errorf("host ignores tokens %v: got %d requests of the earlier holder, %d of them accepted", ignoresTokens, r.Stale, r.StaleAccepted)
+			t.Errorf("host ignores tokens %v: got %d requests of the earlier holder, %d of them accepted, want some accepted: %v", ignoresTokens, r.Stale, r.StaleAccepted, ignoresTokens)
 		}
 		if err := f.WaitUntil(ctx, "the loaded gateway receives the result of a health check", convergeTimeout, func() bool {
 			m, err := loaded.Metrics()
@@ -477,6 +478,7 @@
 			t.Fatal(err)
 		}
 		conn.SetDeadline(time.Now().Add(convergeTimeout))
+		// The greeting is padded to the length of the first message of the handshake: magic, version, purpose and nonce.
 		fmt.Fprintf(conn, "%-26s", greeting)
 		if _, err := io.ReadAll(conn); errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("%q: the connection is still open after %v", greeting, convergeTimeout)
--- a/internal/experiment/faulttest/gateway.go
+++ b/internal/experiment/faulttest/gateway.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"os"
 	"strings"
@@ -119,7 +118,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.process == nil {
-		return 0, errors.New("the gateway is not running")
+		return 0, fmt.Errorf("%s is not running", g.Name)
 	}
 	g.fleet.History.addFault("terminate", g.Name)
 	p := g.process
--- a/internal/experiment/faulttest/inject.go
+++ b/internal/experiment/faulttest/inject.go
@@ -14,8 +14,8 @@
 	killMostTenths = 7
 )
 
-// Play injects the faults of a plan, ends them all, and waits until the fleet has converged. Faults whose target is
-// spared, which may be nil, are skipped.
+// Play injects the faults of a plan, ends them all, and waits until the fleet has converged. It skips faults whose target
+// is spared or does not exist, as when there is no leader. spared may be nil.
 func (f *Fleet) Play(ctx context.Context, p *Plan, spared *Gateway) error {
 	schedule := &endSchedule{}
 	at := time.Now()
@@ -111,7 +111,7 @@
 	spared *Gateway // may be nil
 }
 
-// inject begins a fault and returns the function that ends it, or nil if the fault ends by itself.
+// inject begins a fault and returns the function that ends it, or nil if the fault ends by itself or was not injected.
 func (i *faultInjector) inject(kind FaultKind) (end func() error, err error) {
 	g := i.target
 	switch kind {
--- a/internal/experiment/faulttest/layout.go
+++ b/internal/experiment/faulttest/layout.go
@@ -87,12 +87,12 @@
 
 // addGateways adds the gateways with their addresses.
 func (f *Fleet) addGateways() error {
-	ports, err := freeAddresses(portsPerGateway * f.Options.Gateways)
+	addresses, err := freeAddresses(portsPerGateway * f.Options.Gateways)
 	if err != nil {
 		return err
 	}
 	for i := range f.Options.Gateways {
-		own := ports[portsPerGateway*i:]
+		own := addresses[portsPerGateway*i:]
 		name := fmt.Sprintf("g%d", i+1)
 		f.Gateways = append(f.Gateways, &Gateway{
 			Name:    name,
--- a/internal/experiment/faulttest/link.go
+++ b/internal/experiment/faulttest/link.go
@@ -15,7 +15,7 @@
 	target   string
 
 	mu            sync.Mutex // guards the fields below
-	blocked       bool       // whether bytes are held back; connections stay open
+	blocked       bool       // whether the link's own direction is blocked; connections stay open
 	returnBlocked bool       // same as blocked, for the return direction
 	delay         time.Duration
 	truncateNext  bool // whether only half of the next read is forwarded and its connection closed
@@ -56,16 +56,18 @@
 	l.changed = make(chan struct{})
 }
 
-// SetBlocked holds back all bytes, or ends that. Connections stay open, as those to an unreachable machine.
+// SetBlocked blocks or unblocks the link's own direction. Connections stay open, like those to an unreachable machine, and
+// while the direction is blocked no new one is opened to the target.
 func (l *Link) SetBlocked(blocked bool) { l.change(func() { l.blocked = blocked }) }
 
 // SetReturnBlocked is SetBlocked for the return direction of the connections.
 func (l *Link) SetReturnBlocked(blocked bool) { l.change(func() { l.returnBlocked = blocked }) }
 
-// SetDelay sets the delay before each read is forwarded.
+// SetDelay sets the delay before a connection to the target is opened, and before each read in the link's own direction is
+// forwarded.
 func (l *Link) SetDelay(d time.Duration) { l.change(func() { l.delay = d }) }
 
-// TruncateNext makes the link forward only half of the next read, and close its connection.
+// TruncateNext makes the link forward only half of the next read in its own direction, and close its connection.
 func (l *Link) TruncateNext() { l.change(func() { l.truncateNext = true }) }
 
 // Heal ends all faults.
--- a/internal/experiment/faulttest/load.go
+++ b/internal/experiment/faulttest/load.go
@@ -11,13 +11,13 @@
 
 const (
 	loadRate    = 50      // requests per second
-	loadCount   = 400_000 // ends a load that is never stopped after about two hours
+	loadCount   = 400_000 // a load that is not stopped ends after about two hours
 	loadTimeout = 10 * time.Second
 	loadRetries = 2
 )
 
 // StartLoad sends client requests to a gateway until stop is called. stop returns the counts of all requests to the fleet,
-// and an error if a rule was violated or no request was served.
+// and an error if a rule of fakes.Count.Violations was violated, no request was served, or the load itself failed.
 func (f *Fleet) StartLoad(g *Gateway) (stop func() (fakes.Count, error)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	classes := fakes.DefaultClasses()
@@ -35,7 +35,8 @@
 	}
 }
 
-// checkLoad returns an error if a rule was violated, no request was served, or the load itself failed.
+// checkLoad returns an error if a rule of fakes.Count.Violations was violated, no request was served, or the load itself
+// failed.
 func checkLoad(count *fakes.Count, loadErr error) error {
 	if violations := count.Violations(); violations != "" {
 		return fmt.Errorf("%d requests, outcomes %v: %s", count.Requests, count.Outcomes, violations)
--- a/internal/experiment/faulttest/overrides_test.go
+++ b/internal/experiment/faulttest/overrides_test.go
@@ -9,9 +9,9 @@
 // drainGracePeriod is how long a gateway may still send requests to a host after it has received the drain override.
 const drainGracePeriod = 500 * time.Millisecond
 
-// An operator's override of a host is in effect at every gateway, after a restart of all of them, and at a gateway without
-// a replica that starts alone, until it is removed. With the failpoint words-kept overrides are not saved, so that the
-// gateway that starts alone has none, which the test must detect.
+// An operator's override of a host is listed by all gateways, and is in effect at a gateway without a replica, also when
+// that gateway starts alone. It is kept over a restart of all gateways until it is removed. With the failpoint words-kept
+// overrides are not saved, so that the gateway that starts alone has none, which the test must detect.
 func TestOverridesApplyAtAllGateways(t *testing.T) {
 	for _, failpoint := range []string{"", "words-kept"} {
 		t.Run("failpoint "+failpoint, func(t *testing.T) {
@@ -33,7 +33,7 @@
 			}
 			o.startMemberAlone()
 			if n := o.executionsAtHost(); (n > 0) != (failpoint != "") {
-				t.Errorf("failpoint %q: got %d requests to a draining host from a gateway that started alone", failpoint, n)
+				t.Errorf("failpoint %q: got %d requests to a draining host from a gateway that started alone, want some: %v", failpoint, n, failpoint != "")
 			}
 			if err := f.Heal(); err != nil {
 				t.Fatal(err)
@@ -82,7 +82,7 @@
 		if _, err := stop(); err != nil {
 			o.Error(err)
 		}
-		f.Seed++
+		f.Seed++ // the next load needs other request IDs, which are derived from the seed
 	}()
 	time.Sleep(drainGracePeriod)
 	before, total := f.Hosts.Ledger.ExecutionsAt(o.host), f.Hosts.Ledger.Count().Executions
--- a/internal/experiment/faulttest/plan.go
+++ b/internal/experiment/faulttest/plan.go
@@ -129,10 +129,10 @@
 
 // Bounds of the random faults of DrawPlan.
 const (
-	minFaultInterval  = 200 * time.Millisecond
-	faultIntervalSpan = 2 * time.Second
-	minFaultDuration  = 300 * time.Millisecond
-	faultDurationSpan = 5 * time.Second
+	minFaultInterval   = 200 * time.Millisecond
+	faultIntervalRange = 2 * time.Second
+	minFaultDuration   = 300 * time.Millisecond
+	faultDurationRange = 5 * time.Second
 	// maxLostDisks is the maximum number of disks that a random plan loses: the loss of a second disk before the first
 	// is replaced could be the loss of a majority.
 	maxLostDisks = 1
@@ -164,7 +164,7 @@
 // drawFault returns a random fault. The order of the draws must not change, as it determines the faults of a seed.
 func drawFault(random *rand.Rand, gateways []string) Fault {
 	f := Fault{
-		After:  Span(minFaultInterval + time.Duration(random.Int64N(int64(faultIntervalSpan)))),
+		After:  Span(minFaultInterval + time.Duration(random.Int64N(int64(faultIntervalRange)))),
 		Kind:   FaultKinds[random.IntN(len(FaultKinds))],
 		Target: gateways[random.IntN(len(gateways))],
 	}
@@ -174,6 +174,6 @@
 	case 1:
 		f.Target = targetHolder
 	}
-	f.Duration = Span(minFaultDuration + time.Duration(random.Int64N(int64(faultDurationSpan))))
+	f.Duration = Span(minFaultDuration + time.Duration(random.Int64N(int64(faultDurationRange))))
 	return f
 }
--- a/internal/experiment/faulttest/process.go
+++ b/internal/experiment/faulttest/process.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxLogLine is the longest log line that is read, in bytes.
+// maxLogLine is the maximum length of a log line, in bytes. A longer line ends the reading of the output.
 const maxLogLine = 1 << 20
 
 // Process is a running program that StartProcess started.
@@ -52,7 +52,7 @@
 	return p, nil
 }
 
-// readLog reads the output until the process ends.
+// readLog reads the output until it ends or a line is longer than maxLogLine.
 func (p *Process) readLog(r io.ReadCloser, log io.Writer, onLogLine func(line string)) {
 	defer r.Close()
 	in := bufio.NewScanner(r)
--- a/internal/experiment/faulttest/relays_test.go
+++ b/internal/experiment/faulttest/relays_test.go
@@ -118,13 +118,13 @@
 			}
 		}
 	}
-	for _, leads := range []bool{false, true} {
+	for _, killLeader := range []bool{false, true} {
 		waitBalanced(t, f)
 		var down, leader *Gateway
-		waitUntil(t, f, "a relay with gateways is the leader, or is not", func() bool {
+		waitUntil(t, f, fmt.Sprintf("a relay with gateways (is the leader: %v)", killLeader), func() bool {
 			leader, down = f.Leader(), nil
 			for _, g := range f.Gateways[f.Relays:] {
-				if at := relayOf(f, g); at != nil && (at == leader) == leads {
+				if at := relayOf(f, g); at != nil && (at == leader) == killLeader {
 					down = at
 				}
 			}
@@ -134,7 +134,7 @@
 		t.Logf("%s is killed, %s is the leader", down.Name, leader.Name)
 		down.Kill()
 		waitMoved(t, f, down)
-		waitUntil(t, f, "all other gateways have a session and a new leader", func() bool { return f.confirmed(down) })
+		waitUntil(t, f, "all other gateways have a session and a new leader", func() bool { return f.haveOtherLeader(down) })
 		checkUndisturbed(t, f, n, down != leader)
 		if err := down.Start(); err != nil {
 			t.Fatal(err)
@@ -143,8 +143,8 @@
 	}
 }
 
-// confirmed reports whether all gateways except one have a session, and a leader other than that one.
-func (f *Fleet) confirmed(except *Gateway) bool {
+// haveOtherLeader reports whether all gateways except one have a session, and a leader other than that one.
+func (f *Fleet) haveOtherLeader(except *Gateway) bool {
 	for _, g := range f.Gateways {
 		if g == except {
 			continue
@@ -157,7 +157,7 @@
 }
 
 // When a relay is paused for longer than the duration of a session, its gateways move to another one. When it resumes, the
-// frames that it held back cause no violation, and it accepts gateways again.
+// frames that it held back cause no violation, and the fleet converges with it.
 func TestPausedRelayLosesItsGateways(t *testing.T) {
 	t.Parallel()
 	f, loaded := newRelayFleet(t, 22)
@@ -207,8 +207,8 @@
 	}
 }
 
-// All relays are restarted one by one, and then all of them are down at once: gateways serve requests without relays, and
-// rejoin the fleet when relays are up again.
+// All relays are restarted one by one, and then all of them are down at once: clients of a gateway still get all their
+// responses, and the gateways rejoin the fleet when relays are up again.
 func TestGatewaysServeWithoutRelays(t *testing.T) {
 	t.Parallel()
 	f, loaded := newRelayFleet(t, 24)
@@ -229,8 +229,8 @@
 		s, err := loaded.Status()
 		return err == nil && s.Relay.Name == "" && s.ExpiresInMS == 0
 	})
-	served := f.Hosts.Ledger.Count().Requests
-	waitUntil(t, f, "requests served without relays", func() bool { return f.Hosts.Ledger.Count().Requests > served+50 })
+	before := f.Hosts.Ledger.Count().Requests
+	waitUntil(t, f, "clients send requests without relays", func() bool { return f.Hosts.Ledger.Count().Requests > before+50 })
 	for _, r := range f.Gateways[:f.Relays] {
 		if err := r.Start(); err != nil {
 			t.Fatal(err)
--- a/internal/experiment/faulttest/transfer.go
+++ b/internal/experiment/faulttest/transfer.go
@@ -21,7 +21,7 @@
 	LeaderKilled         TransferCause = "leader" // the holder is also the leader
 	HolderTerminated     TransferCause = "sigterm"
 	LeaderTerminated     TransferCause = "sigterm of the leader" // the holder is also the leader
-	AllGatewaysRestarted TransferCause = "all down"              // all gateways are killed and started again
+	AllGatewaysRestarted TransferCause = "all down"              // all gateways but the spared one are killed and started again
 )
 
 // TransferCauses lists all causes.
@@ -45,9 +45,9 @@
 // errNoLeader is returned if no gateway is the leader.
 var errNoLeader = errors.New("there is no leader")
 
-// TransferLease causes a transfer of a lease. It returns how long no gateway worked under the lease: from the fault, or,
-// for OperatorTransfer, from the release by the holder, to the acquisition by the next holder. Except for
-// OperatorTransfer, the fault does not affect spared, which may be nil.
+// TransferLease causes a transfer of a lease. It returns the time until the next holder acquires the lease: from the fault
+// or, for OperatorTransfer, from the release by the holder. A holder that is isolated or terminated may continue its work
+// under the lease for a part of that time. Except for OperatorTransfer, the fault does not affect spared, which may be nil.
 func (f *Fleet) TransferLease(ctx context.Context, cause TransferCause, lease string, spared *Gateway) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, maxTransferTime)
 	defer cancel()
@@ -113,7 +113,7 @@
 	spared *Gateway
 }
 
-// run causes the transfer and measures the time without a holder.
+// run causes the transfer and measures the time that TransferLease returns.
 func (t *leaseTransfer) run(ctx context.Context) (time.Duration, error) {
 	history := t.fleet.History
 	first := history.Len()
