--- a/internal/experiment/simulator/attempts.go
+++ b/internal/experiment/simulator/attempts.go
@@ -143,7 +143,8 @@
 	s.endAttempt(r, number, balancer.TimedOut)
 }
 
-// endAttempt reports the result of an attempt to the balancer, once.
+// endAttempt ends an attempt: it delivers a successful response to the client unless the request is done, and reports
+// the result to the balancer. The attempt must not have ended before.
 func (s *simulation) endAttempt(r *request, number int, result balancer.Result) {
 	a := &r.attempts[number]
 	a.ended = true
--- a/internal/experiment/simulator/clients.go
+++ b/internal/experiment/simulator/clients.go
@@ -52,7 +52,7 @@
 )
 
 // scheduleFirstRequest schedules the next first request of a class. Arrivals are a Poisson process at the highest
-// rate, thinned to the current rate, so that a burst doesn't change the random numbers drawn after it.
+// rate, thinned to the current rate, so that the time of a burst doesn't change the arrivals outside the burst.
 func (s *simulation) scheduleFirstRequest(class int) {
 	rate := s.config.Classes[class].Rate
 	if rate <= 0 {
@@ -126,7 +126,7 @@
 	s.summary.Classes[r.class].Requests++
 	g := s.pickGateway()
 	if g == nil || !g.running {
-		s.clientDone(r, outcomeAbandoned, 0) // the gateway refuses the connection
+		s.clientDone(r, outcomeAbandoned, 0) // no gateway accepts the connection
 		return
 	}
 	r.gateway = g
@@ -180,7 +180,7 @@
 func (s *simulation) respond(r *request, o outcome, retryAfter time.Duration) {
 	r.responses++
 	if r.responses > 1 || (r.done && o != outcomeServed) {
-		s.violation(RuleLost, "request %d has %d responses", r.id, r.responses)
+		s.violation(RuleLost, "request %d is done and gets response %d", r.id, r.responses)
 		return
 	}
 	if s.now > r.deadline+responseGracePeriod {
--- a/internal/experiment/simulator/config.go
+++ b/internal/experiment/simulator/config.go
@@ -96,7 +96,7 @@
 const (
 	Crash          FaultKind = "crash"   // the host's process dies; at the end of the fault it restarts and warms up
 	Vanish         FaultKind = "vanish"  // the host's machine stops responding; at the end of the fault it restarts and warms up
-	Hang           FaultKind = "hang"    // the host receives requests and doesn't respond
+	Hang           FaultKind = "hang"    // the host accepts requests and serves none until the end of the fault
 	Slow           FaultKind = "slow"    // the host is slower by the factor Severity
 	Errors         FaultKind = "errors"  // a share Severity of the host's responses are immediate errors
 	Drain          FaultKind = "drain"   // the host is listed as draining, and restarts at the end of the fault
--- a/internal/experiment/simulator/discovery.go
+++ b/internal/experiment/simulator/discovery.go
@@ -9,7 +9,7 @@
 // pollTimeout is how long a poll waits to be served by discovery.
 const pollTimeout = time.Second
 
-// hostIndex returns the index in simulation.hosts of a host with an id of endpoint lists, where ids start at 1.
+// hostIndex returns the index in simulation.hosts of the host with an ID from an endpoint list. These IDs start at 1.
 func hostIndex(id balancer.HostID) int { return int(id) - 1 }
 
 // endpoint returns the entry of a host in endpoint lists.
@@ -112,7 +112,7 @@
 	s.deliver(g, func() { g.balancer.UpdateEndpoints(s.now, balancer.ListFailed, nil) })
 }
 
-// changeDiscoveryOutages counts the begin or the end of a fault that makes discovery unavailable. The begin ends the
+// changeDiscoveryOutages counts the start or the end of a fault that makes discovery unavailable. The start ends the
 // watches of all gateways.
 func (s *simulation) changeDiscoveryOutages(begins bool) {
 	if !begins {
--- a/internal/experiment/simulator/eventqueue.go
+++ b/internal/experiment/simulator/eventqueue.go
@@ -17,7 +17,7 @@
 	eventHostSpeed                          // the speed of host index may have changed
 	eventFault                              // fault index begins (number is 1) or ends (number is 0)
 	eventEndpointUpdate                     // gateway index receives the state of host number
-	eventFaultStep                          // fault index affects its target number in one of its steps
+	eventFaultStep                          // fault index begins to drain gateway or host number
 	eventDrained                            // the draining period of gateway or host number, which fault index drains, ends
 	eventPollDone                           // a poll of gateway index ends; number is 1 if it succeeded
 	eventSecond                             // a full second of the run has passed
@@ -45,7 +45,7 @@
 }
 
 // eventQueue is a priority queue of scheduled events. It is a heap with four children per node: it has half the
-// levels of a binary heap, and the four children share one or two cache lines.
+// levels of a binary heap, and the four children are adjacent in memory.
 type eventQueue struct {
 	heap         []event
 	lastSequence uint64
--- a/internal/experiment/simulator/gateway.go
+++ b/internal/experiment/simulator/gateway.go
@@ -180,7 +180,7 @@
 	}
 }
 
-// changeOutages counts the begin or the end of a fault that takes a gateway down. The gateway stops when the first
+// changeOutages counts the start or the end of a fault that takes a gateway down. The gateway stops when the first
 // such fault begins and restarts when the last one ends.
 func (s *simulation) changeOutages(g *gateway, begins bool) {
 	if begins {
--- a/internal/experiment/simulator/host.go
+++ b/internal/experiment/simulator/host.go
@@ -25,9 +25,11 @@
 	replaced     bool
 
 	congested      bool
-	congestedSince balancer.Time // when it began to hold CongestionStart requests per core; 0: it holds fewer
+	congestedSince balancer.Time // when it began to hold CongestionStart requests per core; 0: it holds fewer, or CongestionDelay is 0
 
-	serviceGiven     float64 // service given so far to a request in service since the start, in seconds of a core of speed 1
+	// serviceGiven is the service given so far to each request in service, summed up over the run, in seconds of a core
+	// of speed 1.
+	serviceGiven     float64
 	serviceRate      float64 // growth of serviceGiven per second
 	advancedAt       balancer.Time
 	inService        jobHeap
--- a/internal/experiment/simulator/host_test.go
+++ b/internal/experiment/simulator/host_test.go
@@ -54,7 +54,7 @@
 	for _, m := range means {
 		square += (m - mean) * (m - mean)
 	}
-	return mean, 4 * math.Sqrt(square/(runs-1)/runs) // four standard errors: exceeded by chance in 1 of 10,000 tests
+	return mean, 4 * math.Sqrt(square/(runs-1)/runs) // four standard errors: by Student's t distribution for 12 runs, exceeded by chance in 1 of 500 tests
 }
 
 // Mean response times match the closed formulas (Kleinrock, Queueing Systems, volumes 1 and 2) for one core (M/M/1,
--- a/internal/experiment/simulator/rules.go
+++ b/internal/experiment/simulator/rules.go
@@ -45,7 +45,7 @@
 	// maxViolationDetails is the maximum number of violations that a Summary describes.
 	maxViolationDetails = 10
 	// warmingAllowance is the additional work that a warming host may be sent above its limit, as a multiple of the
-	// mean work of the class with the most work. Without it, any two requests would exceed the limit if the overload
+	// largest mean work of a class. Without it, any two requests would exceed the limit if the overload
 	// window is short compared with the work of one request.
 	warmingAllowance = 8
 )
--- a/internal/experiment/simulator/rules_test.go
+++ b/internal/experiment/simulator/rules_test.go
@@ -31,7 +31,7 @@
 	u.send(u.gateway, &balancer.Action{Kind: balancer.Send, Request: 7, Host: 1})
 }
 
-// receiveTwice delivers two attempts of the request: the first to the host, the second to another host after a delay.
+// receiveTwice delivers two attempts of the request: the first to u.host and, after a delay, the second to the given host.
 func (u ruleRun) receiveTwice(after time.Duration, second *host) {
 	u.request.attempts = make([]attempt, 2)
 	u.receive(u.host, u.request, 0)
--- a/internal/experiment/simulator/simulation.go
+++ b/internal/experiment/simulator/simulation.go
@@ -37,7 +37,7 @@
 
 const (
 	defaultConnectTimeout = 100 * time.Millisecond
-	// extraRunTime is how long a run continues after the latest deadline of a client.
+	// extraRunTime is added to the length of a run for the delays between the requests of a client.
 	extraRunTime = time.Second
 )
 
@@ -141,7 +141,9 @@
 	}
 }
 
-// end returns the time by which every client has its response or has given up.
+// end returns the time at which the run ends. It allows for MaxRetries retries after a first request at the end of
+// Length, each until its deadline, and extraRunTime for the delays between them. It doesn't allow for longer delays or
+// for the additional retries of RetryImmediately.
 func (s *simulation) end() balancer.Time {
 	end := s.config.Length
 	maxRequestsOfClient := balancer.Time(1 + s.config.Clients.MaxRetries)
--- a/internal/experiment/simulator/summary.go
+++ b/internal/experiment/simulator/summary.go
@@ -33,7 +33,7 @@
 	Late           int     `json:"late"`
 	Rejected       int     `json:"refused"`
 	Failed         int     `json:"failed"`
-	Abandoned      int     `json:"left"`  // no response: the gateway crashed, or the client disconnected
+	Abandoned      int     `json:"left"`  // no response: the gateway crashed or refused the connection, or the client disconnected
 	Requests       int     `json:"tries"` // including retries
 	// Causes counts the rejected and failed requests by balancer.Cause.
 	Causes [causeCount]int `json:"why"`
--- a/internal/experiment/simulator/validate.go
+++ b/internal/experiment/simulator/validate.go
@@ -73,7 +73,7 @@
 		v.hostGroup(i, &g)
 	}
 	if total < 1 || total > maxHosts {
-		v.errorf("", 0, "hosts", "%d are not between 1 and %d", total, maxHosts)
+		v.errorf("", 0, "hosts", "the total count %d is not between 1 and %d", total, maxHosts)
 	}
 }
 
@@ -96,7 +96,7 @@
 	case g.CellSize < 0:
 		v.errorf("hosts", i, "cell", "%d is below 0", g.CellSize)
 	case congests && (g.CongestionEnd >= g.CongestionStart || g.CongestionSlowdown < 1):
-		v.errorf("hosts", i, "crowd_at", "crowd_end must be less than crowd_at, and slower at least 1")
+		v.errorf("hosts", i, "crowd_at", "crowd_end %v must be less than crowd_at %v, and slower %v at least 1", g.CongestionEnd, g.CongestionStart, g.CongestionSlowdown)
 	}
 }
 
@@ -211,11 +211,11 @@
 		case !(f.Share > 0 && f.Share <= 1):
 			v.errorf("trouble", i, "part", "%v is not above 0 and at most 1", f.Share)
 		case f.Kind == Slow && !(f.Severity >= 1):
-			v.errorf("trouble", i, "size", "the factor of slow must be at least 1")
+			v.errorf("trouble", i, "size", "the factor %v of kind slow is not at least 1", f.Severity)
 		case f.Steps < 0 || f.Steps > maxSteps:
 			v.errorf("trouble", i, "steps", "%d is not between 0 and %d", f.Steps, maxSteps)
 		case severityIsShare && !(f.Severity > 0 && f.Severity <= 1):
-			v.errorf("trouble", i, "size", "the share must be above 0 and at most 1")
+			v.errorf("trouble", i, "size", "the share %v is not above 0 and at most 1", f.Severity)
 		}
 	}
 }
--- a/internal/experiment/simulator/validate_test.go
+++ b/internal/experiment/simulator/validate_test.go
@@ -14,7 +14,7 @@
 	c.Bursts = []Burst{{At: 0, Duration: 0, Factor: 1, Class: "none"}}
 	c.Faults = []Fault{{Kind: "fire", Duration: 1, Share: 1}, {Kind: Slow, Duration: 1, Share: 1}, {Kind: Errors, Duration: 1, Share: 1}, {Kind: Crash}}
 	if _, err := Run(c); err == nil {
-		t.Error("Run of an invalid Config: got no error")
+		t.Error("Run of an invalid Config: got no error, want one")
 	}
 	var got []string
 	for _, m := range c.Validate() {
