--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -177,12 +177,12 @@
 	return request
 }
 
-// AttemptStarted reports that the gateway has begun to stream the response of an attempt to the client (not
+// ResponseStarted reports that the gateway has begun to stream the response of an attempt to the client (not
 // that the attempt was sent). From then on no other attempt can serve the request; the attempt still counts
 // as in flight at its host. number is the index of the attempt, from 0. It is for callers that keep the
 // attempt open while they stream, such as the simulator; the engine ends the attempt instead
 // (internal/engine, beginStreaming).
-func (b *Balancer) AttemptStarted(now Time, id RequestID, number int) {
+func (b *Balancer) ResponseStarted(now Time, id RequestID, number int) {
 	b.now = now
 	attempt := b.attemptAt(id, number)
 	if attempt == nil || attempt.request.done {
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -32,8 +32,8 @@
 	g.attemptEnded(id, 7, OK, ms)
 	g.attemptEnded(id, -1, OK, ms)
 	g.b.ClientGone(g.now, id+99)
-	g.b.AttemptStarted(g.now, id+99, 0)
-	g.b.AttemptStarted(g.now, id, 9)
+	g.b.ResponseStarted(g.now, id+99, 0)
+	g.b.ResponseStarted(g.now, id, 9)
 	g.b.Timer(g.now, math.MaxUint64)
 	g.b.Request(g.now, Request{ID: id, Remaining: time.Second}) // repeated
 	g.b.Request(g.now, Request{ID: 500, Class: 9})
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -112,7 +112,7 @@
 func TestStreamedRequestIsNotRetried(t *testing.T) {
 	g := newTestGateway(t, testSettings(), testHosts(2)...)
 	id := g.request(0, 500*ms)
-	g.b.AttemptStarted(g.now, id, 0)
+	g.b.ResponseStarted(g.now, id, 0)
 	if done := g.advance(2 * time.Second); len(done) != 0 {
 		t.Errorf("actions %v past the deadline of a streamed request, want none", done)
 	}
--- a/cmd/dunemoor/appliance.go
+++ b/cmd/dunemoor/appliance.go
@@ -40,7 +40,7 @@
 		calls = srv.fleet.Calls()
 	}
 	if adminListener != nil {
-		srv.gateway.Admin(adminListener, calls)
+		srv.gateway.ServeAdmin(adminListener, calls)
 	}
 	srv.reload = func() error { return reloadAppliance(srv.gateway, path) }
 	slog.Info("serving", "name", a.Name, "listeners", len(a.Listeners), "pools", len(a.Pools), "routes", len(a.Routes))
--- a/cmd/dunemoor/platform.go
+++ b/cmd/dunemoor/platform.go
@@ -32,7 +32,7 @@
 	}
 	g.ShareMachine(os.TempDir(), func(share float64) { limitMemory(share * float64(cfg.MemoryMB)) })
 	if admin != nil {
-		g.Admin(admin, nil)
+		g.ServeAdmin(admin, nil)
 	}
 	slog.Info("serving", "name", cfg.Name, "listen", cfg.Listen)
 	srv := &server{gateway: g, reload: func() error { return reloadPlatform(g, cfg) }}
--- a/cmd/dunemoorctl/flight.go
+++ b/cmd/dunemoorctl/flight.go
@@ -53,7 +53,7 @@
 		Short: "Show the outcome of the requests, why some were rejected, and the state of each host",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			analysis, err := readRecording(args[0], func(in io.Reader) (*flightrecorder.Analysis, error) {
-				return flightrecorder.Analyse(in, window)
+				return flightrecorder.Analyze(in, window)
 			})
 			if err != nil {
 				return err
@@ -138,8 +138,8 @@
 	}
 	fmt.Fprintf(w, "%d sessions, %d events, %d actions alike, %d checkpoints agree, %d events skipped\n",
 		r.Sessions, r.Events, r.MatchingActions, r.MatchingStates, r.SkippedEvents)
-	if r.ForeignCheckpoints > 0 {
-		fmt.Fprintf(w, "%d checkpoints are of another build: %s\n", r.ForeignCheckpoints, r.ForeignReason)
+	if r.UnreadableCheckpoints > 0 {
+		fmt.Fprintf(w, "%d checkpoints are of another build: %s\n", r.UnreadableCheckpoints, r.UnreadableReason)
 	}
 	if r.Divergence != nil {
 		fmt.Fprintf(w, "first difference: %v\n", r.Divergence)
--- a/cmd/experiment/fleet_run.go
+++ b/cmd/experiment/fleet_run.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		return err
 	}
-	if err := f.Play(ctx, plan, nil); err != nil {
+	if err := f.RunPlan(ctx, plan, nil); err != nil {
 		return fmt.Errorf("seed %d: %w; the logs are in %s", plan.Seed, err, f.Dir)
 	}
 	violations := faulttest.FindViolations(f.History.Events())
--- a/cmd/experiment/fleet_sim.go
+++ b/cmd/experiment/fleet_sim.go
@@ -123,15 +123,15 @@
 func (o *simOptions) runSeed(seed uint64) (commands int, err error) {
 	switch o.scenario {
 	case simCalm:
-		return 0, sim.Calm(seed)
+		return 0, sim.ToleratedFaults(seed)
 	case simFlicker:
-		return 0, sim.Flicker(seed)
+		return 0, sim.QuorumLoss(seed)
 	case simPutBack:
-		return 0, sim.PutBack(seed)
+		return 0, sim.RestoredDisks(seed)
 	case simOverrides:
 		return 0, sim.Overrides(seed)
 	case simLate:
-		return 0, sim.Late(seed)
+		return 0, sim.DelayedMessages(seed)
 	case simRelays:
 		return 0, sim.Relays(seed)
 	}
@@ -141,7 +141,7 @@
 		options.Replicas = o.replicas
 		options.Leases = o.leases
 	}
-	world, err := sim.Play(options, o.faultTime)
+	world, err := sim.Run(options, o.faultTime)
 	if err != nil {
 		return 0, err
 	}
@@ -171,7 +171,7 @@
 				fmt.Fprintf(t, "%d\t%d\t%d\t%.2f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.1f\t%.0f\t%.2f\t%.2f\t%d\t%d\t%d\t\n",
 					c.Gateways, c.Replicas, c.Leases, c.FormedIn.Seconds(), c.BalancedIn.Seconds(),
 					c.LeaderFrames, c.LeaderBytes, c.ReplicaFrames, c.ReplicaBytes, c.GatewayFrames, c.GatewayBytes,
-					c.NextLeaderIn.Seconds(), c.LeasesGrantedIn.Seconds(), c.BusiestRate, c.CalmRate, c.ExpiredSessions)
+					c.NextLeaderIn.Seconds(), c.LeasesGrantedIn.Seconds(), c.BusiestRate, c.IdleRate, c.ExpiredSessions)
 				t.Flush()
 			}
 			return nil
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -103,8 +103,8 @@
 		b.UpdateEndpoints(now, e.List, e.Hosts)
 	case simwire.Request:
 		b.Request(now, e.Request)
-	case simwire.AttemptStarted:
-		b.AttemptStarted(now, e.Request.ID, e.Attempt)
+	case simwire.ResponseStarted:
+		b.ResponseStarted(now, e.Request.ID, e.Attempt)
 	case simwire.AttemptEnd:
 		b.AttemptEnded(now, e.Outcome)
 	case simwire.ClientGone:
--- a/internal/cluster/failpoint/failpoint.go
+++ b/internal/cluster/failpoint/failpoint.go
@@ -34,7 +34,7 @@
 	AssignBeforeRelease  Name = "stopped"      // a transferred lease is granted before its holder has stopped
 	ReapplyDuplicates    Name = "repeat"       // a retried command is applied again
 	ReacquireReleased    Name = "given"        // a lease is used again although a release of it may still be applied
-	ForgetLeaderLog      Name = "leader-seen"  // a leader's log index is not recorded, so an older copy of its disk is not recognized
+	IgnoreLeaderLog      Name = "leader-seen"  // a leader's log index is not recorded, so an older copy of its disk is not recognized
 	IgnoreLateObjection  Name = "late-word"    // an objection to a disk halts the replica, but the disk is not marked as outdated
 	ApplySuperseded      Name = "late-command" // an override is applied after a later one of the same gateway
 )
@@ -78,7 +78,7 @@
 var Cluster = []Name{
 	SkipPreVote, SkipCheckQuorum, SkipFsync, ReuseDiskIdentity, AcceptOldDisk, SkipWriteFence, SkipPublicationFence, ReuseToken,
 	IgnoreDeadline, DeadlineFromReply, SkipLeaderCheck, SkipGracePeriod, AssignBeforeRelease, ReapplyDuplicates, ReacquireReleased,
-	ForgetLeaderLog, IgnoreLateObjection, ApplySuperseded,
+	IgnoreLeaderLog, IgnoreLateObjection, ApplySuperseded,
 }
 
 // Relay lists the failpoints that simulations of a fleet with relays detect.
--- a/internal/cluster/lease/command.go
+++ b/internal/cluster/lease/command.go
@@ -20,7 +20,7 @@
 const (
 	OpExpireSession  Op = "lapse"  // end a session that was not renewed in time
 	OpAssign         Op = "assign" // grant a free lease to a session
-	OpExpireOverride Op = "spend"  // record the remaining duration of an override, or remove the override
+	OpUpdateOverride Op = "spend"  // record the remaining duration of an override, or remove the override
 )
 
 // Commands that operators issue, and OpCollectGarbage, which the holder of the housekeeping lease issues.
--- a/internal/cluster/lease/compat_test.go
+++ b/internal/cluster/lease/compat_test.go
@@ -14,7 +14,7 @@
 	compat.JSON(t, "result.json", &Result{})
 	compat.JSON(t, "view.json", &StateDelta{})
 	compat.JSON(t, "state.json", &State{})
-	compat.Values(t, "ops.txt", OpOpenSession, OpCloseSession, OpExpireSession, OpAssign, OpAcquire, OpRelease, OpTransfer, OpWrite, OpAddReplica, OpRemoveReplica, OpCollectGarbage, OpDrainHost, OpUndrainHost, OpExpireOverride)
+	compat.Values(t, "ops.txt", OpOpenSession, OpCloseSession, OpExpireSession, OpAssign, OpAcquire, OpRelease, OpTransfer, OpWrite, OpAddReplica, OpRemoveReplica, OpCollectGarbage, OpDrainHost, OpUndrainHost, OpUpdateOverride)
 	compat.Values(t, "codes.txt", OK, LeaseHeld, StaleToken, NoSession, NameTaken, Rejected, ResultExpired, Superseded)
 	compat.Values(t, "parts.txt", RoleRelay, RoleGateway)
 }
@@ -86,7 +86,7 @@
 	h.do(Command{Op: OpDrainHost, Session: a, Request: 6, Override: &Override{Pool: "web", Host: "w2"}})
 	h.do(Command{Op: OpUndrainHost, Session: a, Request: 4, Override: &Override{Pool: "web", Host: "w2"}})
 	h.do(Command{Op: OpUndrainHost, Session: a, Request: 7, Override: &Override{Pool: "web", Host: "w2"}})
-	h.do(Command{Op: OpExpireOverride, Override: &Override{Pool: "web", Host: "w1", CreatedRevision: h.state.Overrides["web/w1"].CreatedRevision, Remaining: 30 * time.Minute}})
+	h.do(Command{Op: OpUpdateOverride, Override: &Override{Pool: "web", Host: "w1", CreatedRevision: h.state.Overrides["web/w1"].CreatedRevision, Remaining: 30 * time.Minute}})
 }
 
 func (h *compatHistory) changeReplicas() {
--- a/internal/cluster/lease/override.go
+++ b/internal/cluster/lease/override.go
@@ -131,7 +131,7 @@
 		if remaining <= 0 || now >= timer.writtenAt+overrideWriteInterval {
 			timer.writtenAt = now
 			update := &Override{Pool: o.Pool, Host: o.Host, CreatedRevision: o.CreatedRevision, Remaining: max(0, remaining)}
-			list = append(list, Command{Op: OpExpireOverride, Override: update})
+			list = append(list, Command{Op: OpUpdateOverride, Override: update})
 		}
 		t.overrideTimers[key] = timer
 	}
--- a/internal/cluster/lease/state.go
+++ b/internal/cluster/lease/state.go
@@ -122,7 +122,7 @@
 		return s.assign(c)
 	case OpCollectGarbage:
 		return s.collectGarbage(c)
-	case OpExpireOverride:
+	case OpUpdateOverride:
 		return s.updateOverride(c)
 	case OpAddReplica, OpRemoveReplica:
 		return s.setDesiredReplica(c)
--- a/internal/cluster/loop.go
+++ b/internal/cluster/loop.go
@@ -150,7 +150,7 @@
 		c.node.ReceiveHello(leaseholder.Now(), hello)
 		if c.relaying != nil {
 			c.relaying.connections[hello.Name]++
-			c.relaying.router.Up(leaseholder.Now(), hello.Name)
+			c.relaying.router.RelayUp(leaseholder.Now(), hello.Name)
 		}
 	})
 }
@@ -160,7 +160,7 @@
 	c := (*Cluster)(h)
 	c.post(func() {
 		if c.relaying != nil && (kind == relay.KindRecord || kind == relay.KindRoutes) {
-			c.relaying.router.FromRelay(leaseholder.Now(), from, kind, body)
+			c.relaying.router.ReceiveFromRelay(leaseholder.Now(), from, kind, body)
 			return
 		}
 		c.receive(leaseholder.Now(), from, kind, body)
@@ -181,7 +181,7 @@
 	c.post(func() {
 		c.node.Unreachable(leaseholder.Now(), to)
 		if c.relaying != nil {
-			c.relaying.router.Down(leaseholder.Now(), to)
+			c.relaying.router.RelayDown(leaseholder.Now(), to)
 		}
 	})
 }
--- a/internal/cluster/multiraft/multiraft.go
+++ b/internal/cluster/multiraft/multiraft.go
@@ -134,9 +134,9 @@
 	ErrHalted = errors.New("the replica has stopped")
 	// ErrNotLeader is returned by a node that does not lead the group.
 	ErrNotLeader = errors.New("the replica does not lead")
-	// ErrLogContradiction is the reason why a node has stopped whose log is inconsistent with the
+	// ErrInconsistentLog is the reason why a node has stopped whose log is inconsistent with the
 	// messages of other replicas or with itself.
-	ErrLogContradiction = errors.New("the log contradicts itself")
+	ErrInconsistentLog = errors.New("the log contradicts itself")
 )
 
 // raftLogger receives the log of the Raft library, which is discarded by default: changes of the leader are
--- a/internal/cluster/multiraft/node.go
+++ b/internal/cluster/multiraft/node.go
@@ -84,7 +84,7 @@
 // log; the process must continue without the node.
 func (n *Node) haltOnPanic() {
 	if x := recover(); x != nil {
-		n.Halt(fmt.Errorf("%w: %v", ErrLogContradiction, x))
+		n.Halt(fmt.Errorf("%w: %v", ErrInconsistentLog, x))
 	}
 }
 
--- a/internal/cluster/node/leader.go
+++ b/internal/cluster/node/leader.go
@@ -262,7 +262,7 @@
 		return
 	}
 	switch p.Command.Op {
-	case lease.OpExpireSession, lease.OpAssign, lease.OpExpireOverride:
+	case lease.OpExpireSession, lease.OpAssign, lease.OpUpdateOverride:
 		return // only the leader may propose these
 	}
 	if len(n.leader.proposers) >= maxQueuedRequests {
--- a/internal/cluster/node/node.go
+++ b/internal/cluster/node/node.go
@@ -100,7 +100,7 @@
 	Grants         []Grant // all current grants, if GrantsChanged is set
 	GrantsChanged  bool
 	Publications   []Publication
-	ResyncRequests []ResyncCall
+	ResyncRequests []ReceivedResync
 	Overrides      *OverrideSet // nil if unchanged
 	// StalePublications counts the publications of former lease holders that were rejected.
 	StalePublications int
@@ -119,8 +119,8 @@
 	List        []lease.Override `json:"list"`
 }
 
-// ResyncCall is a ResyncRequest that was received from another gateway.
-type ResyncCall struct {
+// ReceivedResync is a ResyncRequest that was received from another gateway.
+type ReceivedResync struct {
 	From, Lease string
 	Body        []byte
 }
--- a/internal/cluster/node/publications.go
+++ b/internal/cluster/node/publications.go
@@ -64,7 +64,7 @@
 // receiveResyncRequest handles another gateway's request for the data that this gateway has published.
 func (p *publications) receiveResyncRequest(from string, r *ResyncRequest) {
 	if p.node.view.grants[r.Lease] != nil {
-		p.node.out.ResyncRequests = append(p.node.out.ResyncRequests, ResyncCall{from, r.Lease, r.Body})
+		p.node.out.ResyncRequests = append(p.node.out.ResyncRequests, ReceivedResync{from, r.Lease, r.Body})
 	}
 }
 
--- a/internal/cluster/node/replica.go
+++ b/internal/cluster/node/replica.go
@@ -388,7 +388,7 @@
 			lastIndex = m.GetIndex()
 		}
 	case raftpb.MsgHeartbeat:
-		if lastIndex = m.GetIndex(); lastIndex == 0 || failpoint.Enabled(failpoint.ForgetLeaderLog) {
+		if lastIndex = m.GetIndex(); lastIndex == 0 || failpoint.Enabled(failpoint.IgnoreLeaderLog) {
 			return
 		}
 	case raftpb.MsgVoteResp:
--- a/internal/cluster/relay/client.go
+++ b/internal/cluster/relay/client.go
@@ -140,8 +140,8 @@
 	c.current = nil
 }
 
-// Joined handles a relay's reply to the join request of a stream.
-func (c *Client) Joined(now time.Duration, epoch uint64, r JoinReply) {
+// ReceiveJoinReply handles a relay's reply to the join request of a stream.
+func (c *Client) ReceiveJoinReply(now time.Duration, epoch uint64, r JoinReply) {
 	c.advance(now)
 	s := c.attempt
 	if s == nil || s.epoch != epoch {
@@ -214,8 +214,8 @@
 	c.log(false, "stream to relay opened", "relay", c.topology.relays[s.relay].Name, "epoch", s.epoch)
 }
 
-// Ended reports that a stream has ended, or could not be opened within DialTimeout.
-func (c *Client) Ended(now time.Duration, epoch uint64) {
+// StreamEnded reports that a stream has ended, or could not be opened within DialTimeout.
+func (c *Client) StreamEnded(now time.Duration, epoch uint64) {
 	c.advance(now)
 	switch {
 	case c.attempt != nil && c.attempt.epoch == epoch:
@@ -297,7 +297,7 @@
 	// The code that dials should have reported the end of the attempt after DialTimeout.
 	if c.attempt != nil && now >= c.attempt.openedAt+2*DialTimeout {
 		c.out.Close = append(c.out.Close, c.attempt.epoch)
-		c.Ended(now, c.attempt.epoch)
+		c.StreamEnded(now, c.attempt.epoch)
 	}
 	if c.selection.dialAt != 0 && now >= c.selection.dialAt && c.attempt == nil {
 		c.dial()
--- a/internal/cluster/relay/client_test.go
+++ b/internal/cluster/relay/client_test.go
@@ -19,7 +19,7 @@
 	for end := c.now + 30*time.Second; c.now < end; c.now += TickInterval {
 		c.Tick(c.now)
 		if output := c.TakeOutput(); len(output.Dial) > 0 {
-			c.Joined(c.now, output.Dial[0].Join.Epoch, JoinReply{Accepted: true})
+			c.ReceiveJoinReply(c.now, output.Dial[0].Join.Epoch, JoinReply{Accepted: true})
 			if joined := c.TakeOutput(); !joined.Reconnected {
 				c.t.Fatalf("output after a join: got %+v, want Reconnected", joined)
 			}
--- a/internal/cluster/relay/network_test.go
+++ b/internal/cluster/relay/network_test.go
@@ -66,8 +66,8 @@
 	n.routers[started.Name] = router
 	for name, other := range n.routers {
 		if name != started.Name {
-			other.Up(n.now, started.Name)
-			router.Up(n.now, name)
+			other.RelayUp(n.now, started.Name)
+			router.RelayUp(n.now, name)
 		}
 	}
 }
@@ -110,7 +110,7 @@
 	s.ended = true
 	delete(n.streams[n.gateways[s.gateway]], s.epoch)
 	if notifyGateway {
-		n.pending = append(n.pending, func() { n.clients[s.gateway].Ended(n.now, s.epoch) })
+		n.pending = append(n.pending, func() { n.clients[s.gateway].StreamEnded(n.now, s.epoch) })
 	}
 	if notifyRelay {
 		n.pending = append(n.pending, func() { s.router.StreamEnded(n.now, n.gateways[s.gateway], s.epoch) })
@@ -178,7 +178,7 @@
 				n.record(f.Name, &Record{From: sender, Kind: f.Kind, Body: f.Body})
 				return
 			}
-			receiver.FromRelay(n.now, sender, f.Kind, f.Body)
+			receiver.ReceiveFromRelay(n.now, sender, f.Kind, f.Body)
 		})
 	}
 	for k := range output.ToNode {
@@ -210,7 +210,7 @@
 			s.accepted = reply.Accepted
 			n.pending = append(n.pending, func() {
 				if !s.ended {
-					client.Joined(n.now, s.epoch, reply)
+					client.ReceiveJoinReply(n.now, s.epoch, reply)
 				}
 			})
 		})
@@ -219,7 +219,7 @@
 		if s := n.streams[name][f.Epoch]; s != nil {
 			n.pending = append(n.pending, func() {
 				if n.routers[s.relay] == s.router {
-					s.router.FromStream(n.now, name, f.Epoch, f.Kind, f.Body)
+					s.router.ReceiveFromStream(n.now, name, f.Epoch, f.Kind, f.Body)
 				}
 			})
 		}
--- a/internal/cluster/relay/router.go
+++ b/internal/cluster/relay/router.go
@@ -141,8 +141,8 @@
 	}
 }
 
-// FromStream handles a frame of a gateway's stream that follows its join request.
-func (r *Router) FromStream(now time.Duration, name string, epoch uint64, kind node.Kind, body []byte) {
+// ReceiveFromStream handles a frame of a gateway's stream that follows its join request.
+func (r *Router) ReceiveFromStream(now time.Duration, name string, epoch uint64, kind node.Kind, body []byte) {
 	r.advance(now)
 	s := r.streams[name]
 	if s == nil || s.incarnation.Epoch != epoch {
@@ -261,9 +261,9 @@
 	}
 }
 
-// FromRelay handles a frame of KindRecord or KindRoutes from another relay. The caller passes frames of other
+// ReceiveFromRelay handles a frame of KindRecord or KindRoutes from another relay. The caller passes frames of other
 // kinds to the node.
-func (r *Router) FromRelay(now time.Duration, relay string, kind node.Kind, body []byte) {
+func (r *Router) ReceiveFromRelay(now time.Duration, relay string, kind node.Kind, body []byte) {
 	r.advance(now)
 	l := r.links[relay]
 	if l == nil {
--- a/internal/cluster/relay/router_test.go
+++ b/internal/cluster/relay/router_test.go
@@ -100,7 +100,7 @@
 	heartbeats := 0
 	var closed []string
 	for end := now + 5*time.Second; now < end; now += TickInterval {
-		r.FromStream(now, "active", 1, KindIdle, nil)
+		r.ReceiveFromStream(now, "active", 1, KindIdle, nil)
 		r.Tick(now)
 		output := r.TakeOutput()
 		for _, f := range output.ToStream {
@@ -125,15 +125,15 @@
 func TestRouterDropsRecordsAfterPause(t *testing.T) {
 	r := newTestRouter()
 	now := testStart
-	r.Up(now, "r2")
+	r.RelayUp(now, "r2")
 	r.Join(now, JoinRequest{Name: "g", ReplicaID: 1, Epoch: 1})
-	r.FromRelay(now, "r2", KindRecord, messageToR1("r2", 2, 1, 1))
+	r.ReceiveFromRelay(now, "r2", KindRecord, messageToR1("r2", 2, 1, 1))
 	if got := r.TakeOutput(); len(got.ToNode) != 1 {
 		t.Fatalf("before the pause: got %+v, want 1 record for the node", got)
 	}
 	now += pauseThreshold
-	r.FromRelay(now, "r2", KindRecord, messageToR1("r2", 2, 1, 2))
-	r.FromStream(now, "g", 1, KindRecord, messageToR1("", 0, 0, 0))
+	r.ReceiveFromRelay(now, "r2", KindRecord, messageToR1("r2", 2, 1, 2))
+	r.ReceiveFromStream(now, "g", 1, KindRecord, messageToR1("", 0, 0, 0))
 	afterPause := r.TakeOutput()
 	if len(afterPause.ToNode) != 0 || len(afterPause.Closed) != 1 {
 		t.Fatalf("after the pause: got %+v, want no record for the node and 1 stream closed", afterPause)
@@ -141,12 +141,12 @@
 	// The other relay replies, and its later records are accepted.
 	other := NewRouter(now, Config{Name: "r2", ReplicaID: 2, Boots: 1}, []Relay{{"r1", "z", "r"}, {"r2", "z", "r"}})
 	for _, f := range afterPause.ToRelay {
-		other.FromRelay(now, "r1", f.Kind, f.Body)
+		other.ReceiveFromRelay(now, "r1", f.Kind, f.Body)
 	}
 	for _, f := range other.TakeOutput().ToRelay {
-		r.FromRelay(now, "r2", f.Kind, f.Body)
+		r.ReceiveFromRelay(now, "r2", f.Kind, f.Body)
 	}
-	r.FromRelay(now, "r2", KindRecord, messageToR1("r2", 2, 1, 3))
+	r.ReceiveFromRelay(now, "r2", KindRecord, messageToR1("r2", 2, 1, 3))
 	if got := r.TakeOutput(); len(got.ToNode) != 1 {
 		t.Fatalf("after the other relay's reply: got %+v, want 1 record for the node", got)
 	}
@@ -158,13 +158,13 @@
 	r := newTestRouter()
 	now := testStart
 	r.Join(now, JoinRequest{Name: "g", ReplicaID: 1, Epoch: 1})
-	r.FromRelay(now, "r2", KindRecord, messageToR1("g", 1, 2, 1))
-	r.FromStream(now, "g", 1, KindRecord, messageToR1("", 0, 0, 0))
+	r.ReceiveFromRelay(now, "r2", KindRecord, messageToR1("g", 1, 2, 1))
+	r.ReceiveFromStream(now, "g", 1, KindRecord, messageToR1("", 0, 0, 0))
 	if got := r.TakeOutput(); len(got.ToNode) != 1 || len(got.Closed) != 1 {
 		t.Errorf("with a later stream: got %+v, want 1 record for the node and 1 stream closed", got)
 	}
-	r.FromRelay(now, "r2", KindRecord, messageToR1("g", 1, 1, 9))  // from the earlier stream
-	r.FromRelay(now, "r2", KindRecord, messageToR1("r1", 1, 3, 9)) // with the name of a relay as the sender
+	r.ReceiveFromRelay(now, "r2", KindRecord, messageToR1("g", 1, 1, 9))  // from the earlier stream
+	r.ReceiveFromRelay(now, "r2", KindRecord, messageToR1("r1", 1, 3, 9)) // with the name of a relay as the sender
 	if got := r.TakeOutput(); len(got.ToNode) != 0 {
 		t.Errorf("records of an earlier stream and in a relay's name: got %+v, want no record for the node", got)
 	}
@@ -175,13 +175,13 @@
 func TestRouterClosesStreamWhenLaterOneEndedUnannounced(t *testing.T) {
 	now := testStart
 	r, other := newTestRouter(), newRouterOf("r2", 2)
-	r.Up(now, "r2")
+	r.RelayUp(now, "r2")
 	r.Join(now, JoinRequest{Name: "g", ReplicaID: 1, Epoch: 1})
 	other.Join(now, JoinRequest{Name: "g", ReplicaID: 1, Epoch: 2})
 	other.StreamEnded(now, "g", 2)
 	other.Tick(now)
 	for _, f := range other.TakeOutput().ToRelay {
-		r.FromRelay(now, "r2", f.Kind, f.Body)
+		r.ReceiveFromRelay(now, "r2", f.Kind, f.Body)
 	}
 	if got := r.TakeOutput(); len(got.Closed) != 1 || len(r.Streams()) != 0 {
 		t.Errorf("got %+v and %d streams open, want 1 closed and 0 open", got, len(r.Streams()))
--- a/internal/cluster/relay/routes.go
+++ b/internal/cluster/relay/routes.go
@@ -252,9 +252,9 @@
 	}
 }
 
-// Up reports a new connection from another relay's process. It must be called before data of that connection is
+// RelayUp reports a new connection from another relay's process. It must be called before data of that connection is
 // passed in.
-func (r *Router) Up(now time.Duration, relay string) {
+func (r *Router) RelayUp(now time.Duration, relay string) {
 	r.advance(now)
 	l := r.links[relay]
 	if l == nil {
@@ -265,8 +265,8 @@
 	r.sendRoutes(relay, &routeUpdate{Full: true, Joined: r.allRoutes(), Request: r.routes.nextUpdate()})
 }
 
-// Down reports that another relay can't be reached.
-func (r *Router) Down(now time.Duration, relay string) {
+// RelayDown reports that another relay can't be reached.
+func (r *Router) RelayDown(now time.Duration, relay string) {
 	r.advance(now)
 	if l := r.links[relay]; l != nil {
 		l.receivedAt, l.batch = 0, nil
--- a/internal/cluster/relaying.go
+++ b/internal/cluster/relaying.go
@@ -106,7 +106,7 @@
 	}
 	c.post(func() {
 		if c.relaying.connections[to] > 0 { // frames for the previous connection were lost
-			c.relaying.router.Up(leaseholder.Now(), to)
+			c.relaying.router.RelayUp(leaseholder.Now(), to)
 		}
 	})
 }
@@ -120,7 +120,7 @@
 	c.post(func() {
 		c.relaying.connections[from]--
 		if c.relaying.connections[from] == 0 {
-			c.relaying.router.Down(leaseholder.Now(), from)
+			c.relaying.router.RelayDown(leaseholder.Now(), from)
 		}
 	})
 }
@@ -133,7 +133,7 @@
 	case r.router != nil && state == nil:
 		r.receiveJoin(c, now, s, kind, body)
 	case r.router != nil:
-		r.router.FromStream(now, state.name, state.epoch, kind, body)
+		r.router.ReceiveFromStream(now, state.name, state.epoch, kind, body)
 	case state == nil: // the stream was closed
 	case state.joined:
 		r.client.Receive(now, state.epoch, kind, body)
@@ -174,7 +174,7 @@
 		r.remove(s, state)
 		s.Close()
 	}
-	r.client.Joined(now, state.epoch, reply)
+	r.client.ReceiveJoinReply(now, state.epoch, reply)
 }
 
 // streamEnded handles the end of a stream.
@@ -187,7 +187,7 @@
 	if r.router != nil {
 		r.router.StreamEnded(leaseholder.Now(), state.name, state.epoch)
 	} else {
-		r.client.Ended(leaseholder.Now(), state.epoch)
+		r.client.StreamEnded(leaseholder.Now(), state.epoch)
 	}
 }
 
--- a/internal/cluster/sim/cost.go
+++ b/internal/cluster/sim/cost.go
@@ -18,7 +18,7 @@
 	// replicas, and the median of the gateways without a replica.
 	LeaderFrames, ReplicaFrames, GatewayFrames float64
 	LeaderBytes, ReplicaBytes, GatewayBytes    float64
-	CalmRate                                   int // frames per second of the idle fleet in its busiest 100 ms
+	IdleRate                                   int // frames per second of the idle fleet in its busiest 100 ms
 
 	// After the failure of the leader.
 	NextLeaderIn    time.Duration // time until another node is the leader
@@ -66,7 +66,7 @@
 	for _, n := range w.Nodes {
 		n.sentFrames, n.sentBytes = 0, 0
 	}
-	if c.CalmRate, err = w.busiestRate(measureDuration); err != nil {
+	if c.IdleRate, err = w.busiestRate(measureDuration); err != nil {
 		return err
 	}
 	leader := w.Leader()
--- a/internal/cluster/sim/failpoints_test.go
+++ b/internal/cluster/sim/failpoints_test.go
@@ -16,7 +16,7 @@
 // Each failpoint is enabled in turn; at least one scenario must detect the fault that it causes.
 func TestEachFailpoint(t *testing.T) {
 	testutil.EachFailpoint(t, failpoint.Cluster, failpoint.Enable, 600, func(seed uint64) error {
-		scenarios := map[string]func(uint64) error{"mixed": runMixed, "calm": Calm, "flicker": Flicker, "put-back": PutBack, "overrides": Overrides, "duplicates": applyDuplicate}
+		scenarios := map[string]func(uint64) error{"mixed": runMixed, "calm": ToleratedFaults, "flicker": QuorumLoss, "put-back": RestoredDisks, "overrides": Overrides, "duplicates": applyDuplicate}
 		for name, run := range scenarios {
 			if err := run(seed); err != nil {
 				return fmt.Errorf("%s: %w", name, firstLine(err))
@@ -47,7 +47,7 @@
 }
 
 func runMixed(seed uint64) error {
-	_, err := Play(Mixed(seed), 30*time.Second)
+	_, err := Run(Mixed(seed), 30*time.Second)
 	return err
 }
 
--- a/internal/cluster/sim/node.go
+++ b/internal/cluster/sim/node.go
@@ -174,7 +174,7 @@
 		o.deliverTo(o.incarnation, func() {
 			o.node.ReceiveHello(o.clock(), hello)
 			if o.router != nil {
-				o.router.Up(o.clock(), n.name)
+				o.router.RelayUp(o.clock(), n.name)
 			}
 		})
 	})
--- a/internal/cluster/sim/output.go
+++ b/internal/cluster/sim/output.go
@@ -154,7 +154,7 @@
 // receive handles a frame from another node.
 func (n *Node) receive(from *Node, f node.Frame) {
 	if f.Kind == relay.KindRecord || f.Kind == relay.KindRoutes {
-		n.router.FromRelay(n.clock(), from.name, f.Kind, f.Body)
+		n.router.ReceiveFromRelay(n.clock(), from.name, f.Kind, f.Body)
 		return
 	}
 	if err := n.node.Receive(n.clock(), from.name, f.Kind, f.Body); err != nil {
--- a/internal/cluster/sim/publications.go
+++ b/internal/cluster/sim/publications.go
@@ -68,7 +68,7 @@
 }
 
 // republish sends the latest publication again to the node that requested it, if this node still holds the lease.
-func (n *Node) republish(r node.ResyncCall) {
+func (n *Node) republish(r node.ReceivedResync) {
 	if p := n.latestPublications[r.Lease]; p.token != 0 && n.heldToken(r.Lease) == p.token {
 		n.node.Publish(n.clock(), r.From, r.Lease, p.token, p.sequence, publicationBody)
 	}
--- a/internal/cluster/sim/relaying.go
+++ b/internal/cluster/sim/relaying.go
@@ -207,10 +207,10 @@
 	s.send(relayEnd, func() {
 		to := s.node[relayEnd]
 		if to.blackhole && f.Kind != relay.KindIdle {
-			to.router.FromStream(to.clock(), s.name, s.epoch, relay.KindIdle, nil)
+			to.router.ReceiveFromStream(to.clock(), s.name, s.epoch, relay.KindIdle, nil)
 			return
 		}
-		to.router.FromStream(to.clock(), s.name, s.epoch, f.Kind, body)
+		to.router.ReceiveFromStream(to.clock(), s.name, s.epoch, f.Kind, body)
 	})
 }
 
--- a/internal/cluster/sim/scenarios.go
+++ b/internal/cluster/sim/scenarios.go
@@ -19,8 +19,8 @@
 	return Options{Seed: seed, Nodes: []int{3, 5, 9}[i], Replicas: []int{3, 5, 5}[i], Leases: 6, Locks: 2, Clients: 3}
 }
 
-// Play starts a fleet, injects random faults for a duration, ends them, and checks that the fleet recovers in time.
-func Play(o Options, faults time.Duration) (*World, error) {
+// Run starts a fleet, injects random faults for a duration, ends them, and checks that the fleet recovers in time.
+func Run(o Options, faults time.Duration) (*World, error) {
 	w, err := newFormedWorld(o)
 	if err != nil {
 		return w, err
@@ -62,9 +62,9 @@
 	return list
 }
 
-// Calm simulates faults that a fleet must tolerate: a follower that returns from a partition does not depose the
-// leader, an isolated leader steps down, and the failure of a leader ends no session but its own.
-func Calm(seed uint64) error {
+// ToleratedFaults simulates faults that a fleet must tolerate: a follower that returns from a partition does not depose
+// the leader, an isolated leader steps down, and the failure of a leader ends no session but its own.
+func ToleratedFaults(seed uint64) error {
 	w, err := newFormedWorld(Options{Seed: seed, Nodes: 9, Replicas: 5, Leases: 9})
 	if err != nil {
 		return err
@@ -131,10 +131,10 @@
 	return nil
 }
 
-// Flicker takes the quorum away from the coordination group, several times, for about as long as the outcome of a
+// QuorumLoss takes the quorum away from the coordination group, several times, for about as long as the outcome of a
 // command is awaited, and then cuts off each new leader from the other replicas. Commands whose outcome was reported as
 // unknown are then applied late; the history must still be linearizable.
-func Flicker(seed uint64) error {
+func QuorumLoss(seed uint64) error {
 	const rounds, elections = 5, 3
 	w, err := newFormedWorld(Options{Seed: seed, Nodes: 5, Replicas: 3, Locks: 2, Clients: 5})
 	if err != nil {
@@ -175,10 +175,10 @@
 	return w.Run(w.drawDuration(0, time.Second))
 }
 
-// PutBack simulates disks that are restored in place from a backup, which only the other replicas can detect. Whichever
-// of them rejects the node first, and whatever frames it receives before that, the node must detect the restore and
-// rejoin as a new replica.
-func PutBack(seed uint64) error {
+// RestoredDisks simulates disks that are restored in place from a backup, which only the other replicas can detect.
+// Whichever of them rejects the node first, and whatever frames it receives before that, the node must detect the
+// restore and rejoin as a new replica.
+func RestoredDisks(seed uint64) error {
 	const rounds = 4
 	w := New(Options{Seed: seed, Nodes: 3, Replicas: 3, Leases: 3, Locks: 2, Clients: 3})
 	w.startAll()
@@ -217,9 +217,9 @@
 // maxMessageDelay is the longest delay of messages in Late.
 const maxMessageDelay = time.Minute
 
-// Late simulates messages that are delayed by up to a minute, duplicated and reordered, while leases are transferred and
-// leaders and other nodes are killed. No node may accept such stale messages.
-func Late(seed uint64) error {
+// DelayedMessages simulates messages that are delayed by up to a minute, duplicated and reordered, while leases are
+// transferred and leaders and other nodes are killed. No node may accept such stale messages.
+func DelayedMessages(seed uint64) error {
 	w, err := newFormedWorld(Options{Seed: seed, Nodes: 5, Replicas: 3, Leases: 4, Locks: 2, Clients: 3})
 	if err != nil {
 		return err
--- a/internal/cluster/sim/sim_test.go
+++ b/internal/cluster/sim/sim_test.go
@@ -44,7 +44,7 @@
 	runSeeds(t, *seeds, func(seed uint64) error {
 		o := Mixed(seed)
 		o.Trace = *trace
-		w, err := Play(o, 30*time.Second)
+		w, err := Run(o, 30*time.Second)
 		if testing.Verbose() && err == nil {
 			t.Logf("seed %d: %d frames, %d fenced operations, %d of former holders rejected, %d expirations, %d commands, %d halted", seed, w.Frames, w.fencedOps, w.Hosts.rejected, w.Expirations, w.Commands(), w.Halted())
 		}
@@ -56,7 +56,7 @@
 // itself; a command got the outcome of one that the leader's previous process had proposed.
 func TestRegressionSeeds(t *testing.T) {
 	for _, seed := range []uint64{10021, 18825, 1001768} {
-		if _, err := Play(Mixed(seed), 30*time.Second); err != nil {
+		if _, err := Run(Mixed(seed), 30*time.Second); err != nil {
 			t.Error(err)
 		}
 	}
@@ -101,9 +101,9 @@
 
 // Scenarios with fixed kinds of faults; their comments describe the checks.
 func TestScenarios(t *testing.T) {
-	runSeeds(t, *seeds, Calm)
-	runSeeds(t, *seeds, Flicker)
-	runSeeds(t, *seeds, PutBack)
+	runSeeds(t, *seeds, ToleratedFaults)
+	runSeeds(t, *seeds, QuorumLoss)
+	runSeeds(t, *seeds, RestoredDisks)
 	runSeeds(t, *seeds, Overrides)
-	runSeeds(t, *seeds/2, Late)
+	runSeeds(t, *seeds/2, DelayedMessages)
 }
--- a/internal/cluster/sim/stream.go
+++ b/internal/cluster/sim/stream.go
@@ -112,7 +112,7 @@
 	if at == relayEnd {
 		n.router.StreamEnded(n.clock(), s.name, s.epoch)
 	} else {
-		n.relayClient.Ended(n.clock(), s.epoch)
+		n.relayClient.StreamEnded(n.clock(), s.epoch)
 	}
 }
 
@@ -134,7 +134,7 @@
 		}
 		s.send(gatewayEnd, func() {
 			replied = true
-			n.relayClient.Joined(n.clock(), s.epoch, reply)
+			n.relayClient.ReceiveJoinReply(n.clock(), s.epoch, reply)
 		})
 		if !reply.Accepted {
 			s.closed[relayEnd] = true
@@ -144,7 +144,7 @@
 		n.deliver(func() {
 			if n.incarnation == s.incarnation[gatewayEnd] && !replied && !s.closed[gatewayEnd] && !s.notified[gatewayEnd] {
 				s.close(gatewayEnd)
-				n.relayClient.Ended(n.clock(), s.epoch)
+				n.relayClient.StreamEnded(n.clock(), s.epoch)
 				n.processOutput()
 			}
 		})
--- a/internal/cluster/sim/world.go
+++ b/internal/cluster/sim/world.go
@@ -219,7 +219,7 @@
 		n.fs.full, n.fs.syncErr, n.diskDelay, n.pauseBeforeOp = false, nil, 0, 0
 		n.blackhole, n.streamDelay = false, 0
 		n.Resume()
-		if n.up && n.node.Halted() != nil && !errors.Is(n.node.Halted(), multiraft.ErrLogContradiction) {
+		if n.up && n.node.Halted() != nil && !errors.Is(n.node.Halted(), multiraft.ErrInconsistentLog) {
 			n.Kill() // an operator restarts a halted node, except one with an older disk, which must detect that itself
 		}
 		if !n.up {
--- a/internal/config/appliance.go
+++ b/internal/config/appliance.go
@@ -91,20 +91,20 @@
 
 // Route has the settings that a route applies to its requests. Its matching rules are in Appliance.Table.
 type Route struct {
-	Class            string // "" if requests name their class in a header, as in the platform's protocol
-	Timeout          time.Duration
-	RetryableMethods []string           // methods that may be retried, in addition to the safe ones
-	FailureStatuses  []int              // statuses of hosts that count as failures
-	BufferBytes      int64              // bytes of a body that are buffered so that the request can be retried
-	MaxBodyBytes     int64              // 0 for no limit
-	HeadDeadlineOnly bool               // the timeout applies only until the header section of the response has arrived
-	IdleTimeout      time.Duration      // maximum time without a byte from a client or host
-	MinRate          int64              // minimum rate of a client or host in bytes per second; 0 for none
-	MaxTunnels       int                // maximum number of connections switched to another protocol
-	RequestHeaders   engine.HeaderRules // applied to requests to hosts
-	ResponseHeaders  engine.HeaderRules // applied to responses to clients
-	RetryShare       float64            // retries allowed per first attempt
-	RetryFloor       float64            // retries per second allowed in addition to RetryShare
+	Class              string // "" if requests name their class in a header, as in the platform's protocol
+	Timeout            time.Duration
+	RetryableMethods   []string           // methods that may be retried, in addition to the safe ones
+	FailureStatuses    []int              // statuses of hosts that count as failures
+	BufferBytes        int64              // bytes of a body that are buffered so that the request can be retried
+	MaxBodyBytes       int64              // 0 for no limit
+	HeaderDeadlineOnly bool               // the timeout applies only until the header section of the response has arrived
+	IdleTimeout        time.Duration      // maximum time without a byte from a client or host
+	MinRate            int64              // minimum rate of a client or host in bytes per second; 0 for none
+	MaxTunnels         int                // maximum number of connections switched to another protocol
+	RequestHeaders     engine.HeaderRules // applied to requests to hosts
+	ResponseHeaders    engine.HeaderRules // applied to responses to clients
+	RetryShare         float64            // retries allowed per first attempt
+	RetryFloor         float64            // retries per second allowed in addition to RetryShare
 }
 
 // Protocols of listeners and pools.
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -66,7 +66,7 @@
 	r := Route{
 		Class: x.Class, Timeout: cmp.Or(time.Duration(x.Timeout), defaultTimeout), RetryableMethods: x.Repeatable,
 		BufferBytes: orDefault(x.Hold, defaultBufferBytes), MinRate: orDefault(x.LeastRate, defaultMinRate),
-		MaxBodyBytes: int64(x.MaxBody), HeadDeadlineOnly: x.Stream, MaxTunnels: x.Upgrades,
+		MaxBodyBytes: int64(x.MaxBody), HeaderDeadlineOnly: x.Stream, MaxTunnels: x.Upgrades,
 		IdleTimeout: cmp.Or(time.Duration(x.Idle), defaultIdleTimeout),
 		RetryShare:  defaultRetryShare, RetryFloor: defaultRetryFloor, FailureStatuses: x.Failures,
 	}
--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -10,10 +10,10 @@
 
 // States in order. Each has the effects of those before it as well.
 const (
-	Serving State = iota // there is no drain
-	Noticed              // the health check fails: load balancers send no new clients
-	Leaving              // connections end after the response to their current request
-	Closing              // connections without a request are closed
+	Serving            State = iota // there is no drain
+	HealthCheckFailing              // the health check fails: load balancers send no new clients
+	Leaving                         // connections end after the response to their current request
+	Closing                         // connections without a request are closed
 )
 
 var stateNames = [...]string{"serving", "noticed", "leaving", "closing"}
@@ -61,14 +61,14 @@
 	case age >= d.times.Leave:
 		return Leaving
 	default:
-		return Noticed
+		return HealthCheckFailing
 	}
 }
 
 // Next returns when the state changes next without a call; never is true if it does not.
 func (d Drain) Next(now time.Duration) (at time.Duration, never bool) {
 	switch d.State(now) {
-	case Noticed:
+	case HealthCheckFailing:
 		return d.began + d.times.Leave, false
 	case Leaving:
 		return d.began + d.times.Close, false
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -20,13 +20,13 @@
 		want  State
 		next  time.Duration // after the call; 0: none
 	}{
-		{0, Noticed, 1600 * ms},
-		{1599 * ms, Noticed, 1600 * ms},
+		{0, HealthCheckFailing, 1600 * ms},
+		{1599 * ms, HealthCheckFailing, 1600 * ms},
 		{1600 * ms, Leaving, 1900 * ms},
 		{1899 * ms, Leaving, 1900 * ms},
 		{1900 * ms, Closing, 0},
 		{time.Hour, Closing, 0},
-		{-time.Minute, Noticed, 1600 * ms}, // a clock that was set back
+		{-time.Minute, HealthCheckFailing, 1600 * ms}, // a clock that was set back
 	} {
 		now := began + tt.after
 		if got := d.State(now); got != tt.want {
@@ -70,7 +70,7 @@
 				if !draining {
 					draining = true
 					began = now
-					last = Noticed
+					last = HealthCheckFailing
 				}
 			case 1:
 				d = d.Resume()
@@ -96,6 +96,6 @@
 	case age >= testTimes.Leave:
 		return Leaving
 	default:
-		return Noticed
+		return HealthCheckFailing
 	}
 }
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -21,9 +21,9 @@
 
 	// Upgrade is the protocol that the client requests to switch to, "" for none. The route has to allow it.
 	Upgrade string
-	// Inform, if set, forwards an informational response (1xx) to the client. It is called while the request is open,
-	// and must not block for long.
-	Inform func(status int, header http.Header)
+	// SendInformational, if set, forwards an informational response (1xx) to the client. It is called while the request
+	// is open, and must not block for long.
+	SendInformational func(status int, header http.Header)
 	// Client, if set, reports whether the client is still connected.
 	Client Client
 	// Done, if set, is called once the request is finished and no attempt uses its body any more.
@@ -103,9 +103,9 @@
 	return at, known
 }
 
-// Left returns the time until the response is due, or until the Deadline while that is not known (see Due). It is at
+// Remaining returns the time until the response is due, or until the Deadline while that is not known (see Due). It is at
 // least 0.
-func (x *Request) Left() time.Duration {
+func (x *Request) Remaining() time.Duration {
 	at, _ := x.Due()
 	return max(0, time.Until(at))
 }
--- a/internal/engine/response.go
+++ b/internal/engine/response.go
@@ -26,7 +26,7 @@
 	Body       body.Body   // Served
 	Tunnel     Tunnel      // Served with status 101: the connection after the switch of protocols
 	RetryAfter time.Duration
-	Free       func() // returns the memory of the body to its budget; nil: no memory is reserved
+	OnRelease  func() // returns the memory of the body to its budget; nil: no memory is reserved
 }
 
 // Tunnel is a connection to a host that has switched to another protocol.
@@ -38,11 +38,11 @@
 	Close() error
 }
 
-// FreeHeld returns the memory of the buffered part of the body to its budget. That part must not be read any more.
-func (r *Response) FreeHeld() {
-	if r.Free != nil {
-		r.Free()
-		r.Free = nil
+// ReleaseMemory returns the memory of the buffered part of the body to its budget. That part must not be read any more.
+func (r *Response) ReleaseMemory() {
+	if r.OnRelease != nil {
+		r.OnRelease()
+		r.OnRelease = nil
 	}
 }
 
@@ -54,7 +54,7 @@
 	if r.Tunnel != nil {
 		r.Tunnel.Close()
 	}
-	r.FreeHeld()
+	r.ReleaseMemory()
 }
 
 // discard releases a response from the loop, which must not wait until a streamed body or a tunnel is closed.
--- a/internal/engine/response_test.go
+++ b/internal/engine/response_test.go
@@ -26,7 +26,7 @@
 		runInVirtualTime(t, func(t *testing.T, h *harness) {
 			var freed atomic.Int64
 			transport := newScriptedTransport("a", func(context.Context, string, *Request) Result {
-				return Result{HasResponse: true, Response: Response{Kind: Served, Status: tt.status, Free: func() { freed.Add(1) }}}
+				return Result{HasResponse: true, Response: Response{Kind: Served, Status: tt.status, OnRelease: func() { freed.Add(1) }}}
 			})
 			h.useRoute(plainRoute(), nil, h.newPool(transport, 6))
 			request, response := h.do(tt.class)
@@ -69,7 +69,7 @@
 		var freed atomic.Int64
 		transport := newScriptedTransport("a", func(context.Context, string, *Request) Result {
 			time.Sleep(time.Second)
-			return Result{HasResponse: true, Response: Response{Kind: Served, Status: 200, Free: func() { freed.Add(1) }}}
+			return Result{HasResponse: true, Response: Response{Kind: Served, Status: 200, OnRelease: func() { freed.Add(1) }}}
 		})
 		pool := h.newPool(transport, 3)
 		h.useRoute(protocolRoute(), nil, pool)
--- a/internal/engine/route.go
+++ b/internal/engine/route.go
@@ -54,11 +54,11 @@
 
 // Streams configures the streaming of bodies on a route.
 type Streams struct {
-	BufferBytes      int64     // bytes of a request's body that are buffered, so that it can be sent again
-	MaxBodyBytes     int64     // maximum size of a request's body; 0: unlimited
-	HeadDeadlineOnly bool      // the deadline applies to the response's header section; only the pace bounds the rest
-	Pace             body.Pace // pace required of hosts, and of clients that receive a response
-	Upload           body.Pace // pace required of clients that send a body
+	BufferBytes        int64     // bytes of a request's body that are buffered, so that it can be sent again
+	MaxBodyBytes       int64     // maximum size of a request's body; 0: unlimited
+	HeaderDeadlineOnly bool      // the deadline applies to the response's header section; only the pace bounds the rest
+	Pace               body.Pace // pace required of hosts, and of clients that receive a response
+	Upload             body.Pace // pace required of clients that send a body
 }
 
 // Retries bounds the retries of a route: Share is in retries for each first attempt, and Floor in additional retries
--- a/internal/experiment/faulttest/fleet_test.go
+++ b/internal/experiment/faulttest/fleet_test.go
@@ -178,7 +178,7 @@
 	}
 	plan := DrawPlan(f.Seed, 12*time.Second, names)
 	t.Logf("seed %d: %+v", plan.Seed, plan.Faults)
-	if err := f.Play(context.Background(), plan, spared); err != nil {
+	if err := f.RunPlan(context.Background(), plan, spared); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -403,7 +403,7 @@
 		}
 		logStart := len(f.LogText())
 		began := time.Now()
-		if err := f.Play(context.Background(), &Plan{Faults: c.faults}, spared); err != nil {
+		if err := f.RunPlan(context.Background(), &Plan{Faults: c.faults}, spared); err != nil {
 			t.Fatalf("%s: %v", c.name, err)
 		}
 		if !strings.Contains(f.LogText()[logStart:], c.log) {
--- a/internal/experiment/faulttest/inject.go
+++ b/internal/experiment/faulttest/inject.go
@@ -14,9 +14,9 @@
 	killMostTenths = 7
 )
 
-// Play injects the faults of a plan, ends them all, and waits until the fleet has converged. It skips faults whose target
-// is spared or does not exist, as when there is no leader. spared may be nil.
-func (f *Fleet) Play(ctx context.Context, p *Plan, spared *Gateway) error {
+// RunPlan injects the faults of a plan, ends them all, and waits until the fleet has converged. It skips faults whose
+// target is spared or does not exist, as when there is no leader. spared may be nil.
+func (f *Fleet) RunPlan(ctx context.Context, p *Plan, spared *Gateway) error {
 	schedule := &endSchedule{}
 	at := time.Now()
 	for i, fault := range p.Faults {
--- a/internal/flightrecorder/analysis.go
+++ b/internal/flightrecorder/analysis.go
@@ -87,8 +87,8 @@
 	Bucket time.Duration // duration of a bucket; 0: defaultBucketSize
 }
 
-// Analyse replays a recording and summarizes a part of it. It returns the errors of Replay.
-func Analyse(in io.Reader, window Window) (*Analysis, error) {
+// Analyze replays a recording and summarizes a part of it. It returns the errors of Replay.
+func Analyze(in io.Reader, window Window) (*Analysis, error) {
 	if window.Bucket <= 0 {
 		window.Bucket = defaultBucketSize
 	}
--- a/internal/flightrecorder/analysis_text.go
+++ b/internal/flightrecorder/analysis_text.go
@@ -38,8 +38,8 @@
 	if a.SkippedEvents > 0 {
 		fmt.Fprintf(w, "missing: %d events could not be replayed, as the state before them is not known\n", a.SkippedEvents)
 	}
-	if a.ForeignCheckpoints > 0 {
-		fmt.Fprintf(w, "%d checkpoints are of another build: %s\n", a.ForeignCheckpoints, a.ForeignReason)
+	if a.UnreadableCheckpoints > 0 {
+		fmt.Fprintf(w, "%d checkpoints are of another build: %s\n", a.UnreadableCheckpoints, a.UnreadableReason)
 	}
 	if a.Divergence != nil {
 		fmt.Fprintf(w, "this build decides otherwise: %v\n", a.Divergence)
--- a/internal/flightrecorder/compat_test.go
+++ b/internal/flightrecorder/compat_test.go
@@ -44,7 +44,7 @@
 		func() {
 			r.Request(now+ms, balancer.Request{ID: 5, Class: 1, Tenant: 2, Remaining: time.Second, Duplicate: true})
 		},
-		func() { r.AttemptStarted(now+2*ms, 5, 0) },
+		func() { r.ResponseStarted(now+2*ms, 5, 0) },
 		func() {
 			r.AttemptEnded(now+3*ms, balancer.Outcome{Request: 5, Result: balancer.Failed, Elapsed: 2 * ms, Closed: true})
 		},
--- a/internal/flightrecorder/doc.go
+++ b/internal/flightrecorder/doc.go
@@ -8,5 +8,5 @@
 //
 // Recorder takes the place of the balancer in the event loop; File writes its blocks to a file; Trigger decides
 // when a dump is due. Reader reads blocks, Replay compares the decisions of this build with the recorded ones,
-// Analyse summarizes one recording and Fleet those of many gateways, and Fit builds a Simulation from one.
+// Analyze summarizes one recording and Fleet those of many gateways, and Fit builds a Simulation from one.
 package flightrecorder
--- a/internal/flightrecorder/helpers_test.go
+++ b/internal/flightrecorder/helpers_test.go
@@ -145,7 +145,7 @@
 // analyzed returns the analysis of a recording.
 func analyzed(t testing.TB, data []byte, window Window) *Analysis {
 	t.Helper()
-	a, err := Analyse(bytes.NewReader(data), window)
+	a, err := Analyze(bytes.NewReader(data), window)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/flightrecorder/item.go
+++ b/internal/flightrecorder/item.go
@@ -40,7 +40,7 @@
 	EventStart             EventKind = recordStart
 	EventUpdateEndpoints   EventKind = recordEndpoints
 	EventRequest           EventKind = recordRequest
-	EventAttemptStarted    EventKind = recordAttemptStarted
+	EventResponseStarted   EventKind = recordResponseStarted
 	EventAttemptEnded      EventKind = recordAttemptEnded
 	EventClientGone        EventKind = recordClientGone
 	EventTimer             EventKind = recordTimer
@@ -77,8 +77,8 @@
 		b.UpdateEndpoints(e.At, e.List, e.Hosts)
 	case EventRequest:
 		b.Request(e.At, e.Request)
-	case EventAttemptStarted:
-		b.AttemptStarted(e.At, e.Request.ID, e.Attempt)
+	case EventResponseStarted:
+		b.ResponseStarted(e.At, e.Request.ID, e.Attempt)
 	case EventAttemptEnded:
 		b.AttemptEnded(e.At, e.Outcome)
 	case EventClientGone:
--- a/internal/flightrecorder/reader.go
+++ b/internal/flightrecorder/reader.go
@@ -294,7 +294,7 @@
 		return r.readHosts(e)
 	case EventRequest:
 		e.Request = d.request()
-	case EventAttemptStarted:
+	case EventResponseStarted:
 		e.Request.ID = d.requestID()
 		e.Attempt = d.int()
 	case EventAttemptEnded:
--- a/internal/flightrecorder/record.go
+++ b/internal/flightrecorder/record.go
@@ -11,18 +11,18 @@
 // A record consists of its kind, the time since the preceding record as a varint in ns (only in events, views and
 // names), and its fields.
 const (
-	recordStart          = 1
-	recordEndpoints      = 2
-	recordRequest        = 3
-	recordAttemptStarted = 4
-	recordAttemptEnded   = 5
-	recordClientGone     = 6
-	recordTimer          = 7
-	recordHealthCheck    = 8
-	recordShutdown       = 9
-	recordAction         = 16 // plus the balancer.ActionKind
-	recordView           = 32
-	recordName           = 33
+	recordStart           = 1
+	recordEndpoints       = 2
+	recordRequest         = 3
+	recordResponseStarted = 4
+	recordAttemptEnded    = 5
+	recordClientGone      = 6
+	recordTimer           = 7
+	recordHealthCheck     = 8
+	recordShutdown        = 9
+	recordAction          = 16 // plus the balancer.ActionKind
+	recordView            = 32
+	recordName            = 33
 )
 
 // Scales of the values in a view: units of the record per unit of balancer.HostView.
--- a/internal/flightrecorder/recorder.go
+++ b/internal/flightrecorder/recorder.go
@@ -15,7 +15,7 @@
 	Start(now balancer.Time)
 	UpdateEndpoints(now balancer.Time, kind balancer.ListKind, list []balancer.Host)
 	Request(now balancer.Time, q balancer.Request)
-	AttemptStarted(now balancer.Time, id balancer.RequestID, attempt int)
+	ResponseStarted(now balancer.Time, id balancer.RequestID, attempt int)
 	AttemptEnded(now balancer.Time, o balancer.Outcome)
 	ClientGone(now balancer.Time, id balancer.RequestID)
 	Timer(now balancer.Time, token uint64)
--- a/internal/flightrecorder/recorder_events.go
+++ b/internal/flightrecorder/recorder_events.go
@@ -30,12 +30,12 @@
 	r.balancer.Request(now, q)
 }
 
-// AttemptStarted records the event and passes it on.
-func (r *Recorder) AttemptStarted(now balancer.Time, id balancer.RequestID, attempt int) {
-	r.beginEvent(now, recordAttemptStarted, maxRecord)
+// ResponseStarted records the event and passes it on.
+func (r *Recorder) ResponseStarted(now balancer.Time, id balancer.RequestID, attempt int) {
+	r.beginEvent(now, recordResponseStarted, maxRecord)
 	r.block = binary.AppendUvarint(r.block, uint64(id))
 	r.block = binary.AppendVarint(r.block, int64(attempt))
-	r.balancer.AttemptStarted(now, id, attempt)
+	r.balancer.ResponseStarted(now, id, attempt)
 }
 
 // AttemptEnded records the event and passes it on.
--- a/internal/flightrecorder/replay.go
+++ b/internal/flightrecorder/replay.go
@@ -11,15 +11,15 @@
 
 // Report is the result of a replay.
 type Report struct {
-	Sessions           int
-	Events             int         // events delivered to the balancer
-	MatchingActions    int         // replayed actions that are equal to the recorded ones
-	SkippedEvents      int         // events not delivered, because the state before them is unknown
-	MatchingStates     int         // checkpoints that are equal to the replayed state
-	ForeignCheckpoints int         // checkpoints that this build can't restore, so that no replay can start there
-	ForeignReason      string      // why the last of them can't be restored
-	Losses             []string    // at most maxLosses
-	Divergence         *Difference // nil: all decisions were equal
+	Sessions              int
+	Events                int         // events delivered to the balancer
+	MatchingActions       int         // replayed actions that are equal to the recorded ones
+	SkippedEvents         int         // events not delivered, because the state before them is unknown
+	MatchingStates        int         // checkpoints that are equal to the replayed state
+	UnreadableCheckpoints int         // checkpoints that this build can't restore, so that no replay can start there
+	UnreadableReason      string      // why the last of them can't be restored
+	Losses                []string    // at most maxLosses
+	Divergence            *Difference // nil: all decisions were equal
 }
 
 // Difference is the first point at which a replay differs from the recording.
@@ -103,8 +103,8 @@
 		if err := p.restore(it.Checkpoint); err != nil {
 			// Another build wrote the checkpoint, or its session start is missing. The replay continues if the state
 			// is known anyway.
-			p.ForeignCheckpoints++
-			p.ForeignReason = err.Error()
+			p.UnreadableCheckpoints++
+			p.UnreadableReason = err.Error()
 		}
 	case ItemEvent:
 		p.deliver(&it.Event)
--- a/internal/frontend/fastcgi/response.go
+++ b/internal/frontend/fastcgi/response.go
@@ -48,7 +48,7 @@
 	if errors.As(err, &rejected) {
 		retryAfter = frontend.FormatRetryAfter(rejected.RetryAfter, true)
 	} else if status == http.StatusServiceUnavailable {
-		retryAfter = frontend.FormatRetryAfter(frontend.FullRetryAfter, true)
+		retryAfter = frontend.FormatRetryAfter(frontend.UnavailableRetryAfter, true)
 	}
 	r.finish(errorResponse(status, retryAfter, err.Error()))
 }
@@ -89,7 +89,7 @@
 		err = r.write(buffered, idleTimeout)
 	}
 	if stream := resp.Body.Stream(); err == nil && stream != nil {
-		resp.FreeHeld()
+		resp.ReleaseMemory()
 		err = r.forwardStream(stream, idleTimeout)
 	}
 	r.truncated = err != nil
--- a/internal/frontend/http1/serve.go
+++ b/internal/frontend/http1/serve.go
@@ -186,7 +186,7 @@
 	status := frontend.StatusCode(err)
 	retryAfter := ""
 	if status == http.StatusServiceUnavailable {
-		retryAfter = frontend.FormatRetryAfter(frontend.FullRetryAfter, s.plainRoutes)
+		retryAfter = frontend.FormatRetryAfter(frontend.UnavailableRetryAfter, s.plainRoutes)
 	}
 	c.closeAfter = true
 	if c.writeError(status, err.Error(), retryAfter) != nil {
--- a/internal/frontend/http1/shutdown.go
+++ b/internal/frontend/http1/shutdown.go
@@ -122,7 +122,7 @@
 		case drain.Closing:
 			s.conns.closeWaiting()
 			next = time.After(drainCloseInterval)
-		case drain.Noticed, drain.Leaving:
+		case drain.HealthCheckFailing, drain.Leaving:
 			next = time.After(remaining)
 		}
 		select {
--- a/internal/frontend/http1/streaming.go
+++ b/internal/frontend/http1/streaming.go
@@ -33,7 +33,7 @@
 		defer plain.Tunnels.Add(-1)
 	}
 	if plain != nil {
-		t.Inform = c.forwardInformational
+		t.SendInformational = c.forwardInformational
 	}
 	ctx := c.ctx
 	if c.upload != nil {
@@ -128,7 +128,7 @@
 	if err := w.writeStart(resp, header); err != nil {
 		return err
 	}
-	resp.FreeHeld()
+	resp.ReleaseMemory()
 	return w.copy(ctx, resp.Body.Stream(), *buf)
 }
 
--- a/internal/gateway/classes.go
+++ b/internal/gateway/classes.go
@@ -66,11 +66,11 @@
 	}
 	pace := body.Pace{IdleTimeout: r.IdleTimeout, MinRate: r.MinRate}
 	out.Streams = &engine.Streams{
-		BufferBytes:      r.BufferBytes,
-		MaxBodyBytes:     r.MaxBodyBytes,
-		HeadDeadlineOnly: r.HeadDeadlineOnly,
-		Pace:             pace,
-		Upload:           pace,
+		BufferBytes:        r.BufferBytes,
+		MaxBodyBytes:       r.MaxBodyBytes,
+		HeaderDeadlineOnly: r.HeaderDeadlineOnly,
+		Pace:               pace,
+		Upload:             pace,
 	}
 	out.ForwardsFailures = true
 	failures := r.FailureStatuses
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -131,8 +131,8 @@
 	g.engine.Wait(closeTimeout)
 }
 
-// Admin serves the admin API on ln. others has the calls of other components, keyed by path.
-func (g *Gateway) Admin(ln net.Listener, others map[string]admin.Call) {
+// ServeAdmin serves the admin API on ln. others has the calls of other components, keyed by path.
+func (g *Gateway) ServeAdmin(ln net.Listener, others map[string]admin.Call) {
 	go func() {
 		if err := admin.New(g, others).Serve(g.ctx, ln); err != nil {
 			g.reportListenerError(fmt.Errorf("admin: %s: %w", ln.Addr(), err))
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -45,10 +45,10 @@
 }
 
 // classRanks returns the weight and latency objective of each class, which determine its rank in load shedding.
-func classRanks(c *classes) []overload.Rank {
-	ranks := make([]overload.Rank, len(c.list))
+func classRanks(c *classes) []overload.RankedClass {
+	ranks := make([]overload.RankedClass, len(c.list))
 	for i, k := range c.list {
-		ranks[i] = overload.Rank{Weight: cmp.Or(k.PriorityWeight, 1), LatencyObjective: cmp.Or(k.LatencyObjective, k.Deadline)}
+		ranks[i] = overload.RankedClass{Weight: cmp.Or(k.PriorityWeight, 1), LatencyObjective: cmp.Or(k.LatencyObjective, k.Deadline)}
 	}
 	return ranks
 }
--- a/internal/gateway/meter.go
+++ b/internal/gateway/meter.go
@@ -155,7 +155,7 @@
 	}
 	m.samples++
 	s.Busy = m.cpuShare()
-	s.Files = m.descriptors
+	s.Descriptors = m.descriptors
 	s.Poll = m.pollDelay()
 	return s
 }
--- a/internal/gateway/meter_test.go
+++ b/internal/gateway/meter_test.go
@@ -15,7 +15,7 @@
 		<-done
 	}
 	s := m.sample()
-	if s.Heap <= 0 || s.Heap > 5 || s.Files <= 0 || s.Files > 1 || s.GC < 0 || s.GC > 1 || s.RunQueue < 0 || s.RunQueue > time.Second {
+	if s.Heap <= 0 || s.Heap > 5 || s.Descriptors <= 0 || s.Descriptors > 1 || s.GC < 0 || s.GC > 1 || s.RunQueue < 0 || s.RunQueue > time.Second {
 		t.Errorf("sample %+v, want each value in its range", s)
 	}
 }
--- a/internal/gateway/platform.go
+++ b/internal/gateway/platform.go
@@ -130,11 +130,11 @@
 // response within 3 s. Receivers of responses, and hosts, may pause longer.
 func protocolStreams() *engine.Streams {
 	return &engine.Streams{
-		BufferBytes:      frontend.MaxBufferedBytes,
-		MaxBodyBytes:     frontend.MaxBodyBytes,
-		HeadDeadlineOnly: true,
-		Pace:             body.Pace{IdleTimeout: 10 * time.Second},
-		Upload:           body.Pace{IdleTimeout: 2 * time.Second, MinRate: 8 << 10},
+		BufferBytes:        frontend.MaxBufferedBytes,
+		MaxBodyBytes:       frontend.MaxBodyBytes,
+		HeaderDeadlineOnly: true,
+		Pace:               body.Pace{IdleTimeout: 10 * time.Second},
+		Upload:             body.Pace{IdleTimeout: 2 * time.Second, MinRate: 8 << 10},
 	}
 }
 
--- a/internal/gateway/retune_test.go
+++ b/internal/gateway/retune_test.go
@@ -130,7 +130,7 @@
 		t.Fatal(err)
 	}
 	rep, err := flightrecorder.Replay(flightrecorder.NewReader(bytes.NewReader(data)), nil, nil)
-	if err != nil || rep.Divergence != nil || rep.Sessions != 2 || rep.ForeignCheckpoints > 0 || rep.SkippedEvents > 0 || len(rep.Losses) > 0 || rep.Events < 4 {
+	if err != nil || rep.Divergence != nil || rep.Sessions != 2 || rep.UnreadableCheckpoints > 0 || rep.SkippedEvents > 0 || len(rep.Losses) > 0 || rep.Events < 4 {
 		t.Errorf("replay %+v, error %v, want 2 sessions and 4 events or more without divergence or loss", rep, err)
 	}
 }
--- a/internal/gateway/status_test.go
+++ b/internal/gateway/status_test.go
@@ -18,7 +18,7 @@
 	g := startAppliance(t, strings.Replace(baseConfig, "[[listener]]", "[limits.client]\nrate = 0.001\nburst = 3.0\n[[listener]]", 1)+
 		poolConfig("p", "", host.Addr())+routeConfig("r", "pool = \"p\"\nclass = \"lookup\"\nmax_body = \"1MiB\""))
 	ln := testutil.Listen(t, "127.0.0.1:0", nil)
-	g.Admin(ln, nil)
+	g.ServeAdmin(ln, nil)
 	status := func() (s Status) {
 		t.Helper()
 		resp, text := fetch(t, "GET", "http://"+ln.Addr().String()+"/admin/status", "")
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -59,12 +59,12 @@
 
 // Sample is the state of the process over the last interval.
 type Sample struct {
-	RunQueue time.Duration // median time that goroutines waited to run after they became ready
-	Poll     time.Duration // minimum time from the arrival of a byte until it was read
-	Heap     float64       // share of the memory limit in use
-	Files    float64       // share of the descriptors in use
-	GC       float64       // share of the CPU time that the garbage collector used
-	Busy     float64       // share of the cores that the process used; 0: unknown
+	RunQueue    time.Duration // median time that goroutines waited to run after they became ready
+	Poll        time.Duration // minimum time from the arrival of a byte until it was read
+	Heap        float64       // share of the memory limit in use
+	Descriptors float64       // share of the descriptors in use
+	GC          float64       // share of the CPU time that the garbage collector used
+	Busy        float64       // share of the cores that the process used; 0: unknown
 }
 
 // Controller computes from the delays the share of the requests that is to be shed, and from that share and the mix
@@ -233,7 +233,7 @@
 
 // resourcePressure returns the pressure that memory and descriptors alone require.
 func (c *Controller) resourcePressure(mix rankMix) float64 {
-	return mix.maxPressure() * max(progress(c.sample.Heap, heapThreshold), progress(c.sample.Files, descriptorThreshold))
+	return mix.maxPressure() * max(progress(c.sample.Heap, heapThreshold), progress(c.sample.Descriptors, descriptorThreshold))
 }
 
 // progress returns the position of x between a threshold and 1, as a number from 0 to 1.
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -175,7 +175,7 @@
 		c.Sample(now, s)
 		return c.Pressure()
 	}
-	if p := pressureWith(Sample{Heap: heapThreshold, Files: 0.9}); p != 0 {
+	if p := pressureWith(Sample{Heap: heapThreshold, Descriptors: 0.9}); p != 0 {
 		t.Errorf("pressure %v below the thresholds, want 0", p)
 	}
 	if p := pressureWith(Sample{Heap: 0.925}); math.Abs(p-5) > 1e-9 {
@@ -184,7 +184,7 @@
 	if p := pressureWith(Sample{Heap: 2}); p != 10 {
 		t.Errorf("pressure %v with no memory left, want 10", p)
 	}
-	if p := pressureWith(Sample{Files: 1}); p != 10 {
+	if p := pressureWith(Sample{Descriptors: 1}); p != 10 {
 		t.Errorf("pressure %v with no descriptor left, want 10", p)
 	}
 	last := 10.0
--- a/internal/overload/ranks.go
+++ b/internal/overload/ranks.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Rank has the properties of a class that determine its rank in load shedding. The lowest rank is shed first.
-type Rank struct {
+// RankedClass has the properties of a class that determine its rank in load shedding. The lowest rank is shed first.
+type RankedClass struct {
 	Weight           float64
 	LatencyObjective time.Duration
 }
@@ -18,7 +18,7 @@
 // Ranks returns the ranks of first requests and of duplicates of each class. A lower weight has a lower rank, and
 // with equal weights a longer latency objective has a lower rank. Requests with the same weight and objective share a
 // rank. count is the number of ranks.
-func Ranks(classes []Rank) (first, duplicate []int, count int) {
+func Ranks(classes []RankedClass) (first, duplicate []int, count int) {
 	type kind struct {
 		weight    float64
 		objective time.Duration
--- a/internal/overload/ranks_test.go
+++ b/internal/overload/ranks_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestRanksOrderByWeightThenLatencyObjective(t *testing.T) {
-	first, duplicate, count := Ranks([]Rank{
+	first, duplicate, count := Ranks([]RankedClass{
 		{Weight: 1, LatencyObjective: 2 * time.Second},
 		{Weight: 5, LatencyObjective: time.Second},
 		{Weight: 2, LatencyObjective: 2 * time.Second},
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -106,7 +106,7 @@
 		return r.decodeList(e, f)
 	case Request:
 		decodeRequest(&e.Request, f)
-	case AttemptStarted:
+	case ResponseStarted:
 		e.Request.ID = balancer.RequestID(f.uint32())
 		e.Attempt = int(f.uint16())
 		f.host()
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -13,7 +13,7 @@
 //	hello              Start             call out           balancer.Send
 //	peers known        EndpointList      busy               balancer.Reject
 //	request            Request           fail               balancer.Fail
-//	flowing            AttemptStarted    withdraw           balancer.Cancel
+//	flowing            ResponseStarted    withdraw           balancer.Cancel
 //	attempt end        AttemptEnd        wake at            balancer.Wake
 //	withdrawn          ClientGone        let go             balancer.Close
 //	ring               Timer             write log          balancer.Log
@@ -33,16 +33,16 @@
 
 // Codes of events.
 const (
-	Start          Code = 0 // an instance starts
-	EndpointList   Code = 1
-	Request        Code = 2
-	AttemptStarted Code = 3 // the host has begun to respond
-	AttemptEnd     Code = 4
-	ClientGone     Code = 5
-	Timer          Code = 6
-	HealthCheckEnd Code = 7 // ignored by balancers
-	PeerMessage    Code = 8 // ignored by balancers
-	Stop           Code = 9 // an instance stops
+	Start           Code = 0 // an instance starts
+	EndpointList    Code = 1
+	Request         Code = 2
+	ResponseStarted Code = 3 // the host has begun to respond
+	AttemptEnd      Code = 4
+	ClientGone      Code = 5
+	Timer           Code = 6
+	HealthCheckEnd  Code = 7 // ignored by balancers
+	PeerMessage     Code = 8 // ignored by balancers
+	Stop            Code = 9 // an instance stops
 )
 
 // Codes of actions.
@@ -124,8 +124,8 @@
 	List  balancer.ListKind // EndpointList
 	Hosts []balancer.Host   // EndpointList; valid until the next event
 
-	Request balancer.Request // Request; its ID also in ClientGone and AttemptStarted
-	Attempt int              // AttemptStarted
+	Request balancer.Request // Request; its ID also in ClientGone and ResponseStarted
+	Attempt int              // ResponseStarted
 	Outcome balancer.Outcome // AttemptEnd
 	Token   uint64           // Timer
 }
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -70,7 +70,7 @@
 		{"client gone", "05 05000000 192b6f0e",
 			Event{Code: ClientGone, Instance: 5, Request: balancer.Request{ID: 0x0e6f2b19}}},
 		{"attempt started", "03 03000000 c4913a5d 0200 0a124a07 2b23 22240000",
-			Event{Code: AttemptStarted, Instance: 3, Request: balancer.Request{ID: 0x5d3a91c4}, Attempt: 2}},
+			Event{Code: ResponseStarted, Instance: 3, Request: balancer.Request{ID: 0x5d3a91c4}, Attempt: 2}},
 		{"list", "01 03000000 04 2900000000000000 01000000 20145d0000000000 01 0a124a07 2b23 0100 0200 00 0000c07f",
 			Event{Code: EndpointList, Instance: 3, List: balancer.ListChanges, Hosts: []balancer.Host{{ID: host,
 				Zone: 1, Cell: 2, Kind: 1, State: balancer.Draining, Started: 0x5d1420 * time.Microsecond}}}},
--- a/internal/upstream/fastcgi/params.go
+++ b/internal/upstream/fastcgi/params.go
@@ -109,7 +109,7 @@
 // addHeader adds the header fields.
 func (e *paramsEncoder) addHeader(x *engine.Request) {
 	e.add("HTTP_HOST", x.Host)
-	e.add("HTTP_X_TIMEOUT", strconv.FormatFloat(x.Left().Seconds(), 'f', 3, 64))
+	e.add("HTTP_X_TIMEOUT", strconv.FormatFloat(x.Remaining().Seconds(), 'f', 3, 64))
 	for name, values := range x.Header {
 		if name == "Content-Type" || name == "X-Timeout" || name == "Host" {
 			continue
--- a/internal/upstream/fastcgi/roundtrip.go
+++ b/internal/upstream/fastcgi/roundtrip.go
@@ -14,7 +14,7 @@
 
 // defaultStreams applies to requests whose route has no Streams, which only tests have: responses are streamed, without
 // a minimum rate. Package http1 has a defaultStreams of its own.
-var defaultStreams = engine.Streams{HeadDeadlineOnly: true, Pace: body.Pace{IdleTimeout: maxStallSingle}}
+var defaultStreams = engine.Streams{HeaderDeadlineOnly: true, Pace: body.Pace{IdleTimeout: maxStallSingle}}
 
 // RoundTrip sends a request and receives the header section of its response, with the part of the body that is
 // buffered; the rest is streamed.
--- a/internal/upstream/http1/request.go
+++ b/internal/upstream/http1/request.go
@@ -73,7 +73,7 @@
 	x.Header.Write(&buf) // a bytes.Buffer returns no error
 	b := buf.AvailableBuffer()
 	b = append(b, timeoutHeader+": "...)
-	b = strconv.AppendFloat(b, x.Left().Seconds(), 'f', 3, 64)
+	b = strconv.AppendFloat(b, x.Remaining().Seconds(), 'f', 3, 64)
 	length := x.Body.Len()
 	isChunked := length < 0
 	switch {
--- a/internal/upstream/http1/response.go
+++ b/internal/upstream/http1/response.go
@@ -35,7 +35,7 @@
 
 // defaultStreams applies to requests whose route has no Streams; only tests send such requests. Their deadline applies to
 // the header section only, and bodies have no minimum rate. Package fastcgi has its own defaultStreams.
-var defaultStreams = engine.Streams{HeadDeadlineOnly: true, Pace: body.Pace{IdleTimeout: maxHeaderTime}}
+var defaultStreams = engine.Streams{HeaderDeadlineOnly: true, Pace: body.Pace{IdleTimeout: maxHeaderTime}}
 
 // readResponse reads the header section of the final response and the buffered part of its body, see the table in
 // responsebody.go. stream is the source of the rest, or nil if there is none. The error is errMalformedResponse if the
@@ -68,8 +68,8 @@
 				err = c.messageError(err)
 			}
 			return response, stream, err
-		case x.Inform != nil:
-			x.Inform(response.Status, response.Header)
+		case x.SendInformational != nil:
+			x.SendInformational(response.Status, response.Header)
 		}
 		c.setReadTimeout(0) // the wait for the final response has no limit of its own
 	}
--- a/internal/upstream/http1/responsebody.go
+++ b/internal/upstream/http1/responsebody.go
@@ -138,7 +138,7 @@
 		return err
 	}
 	response.Body = body.NewBuffered(text)
-	response.Free = func() { body.FreePage(text) }
+	response.OnRelease = func() { body.FreePage(text) }
 	return nil
 }
 
@@ -159,7 +159,7 @@
 		free()
 		return nil, err
 	}
-	response.Free = free
+	response.OnRelease = free
 	if err == nil && size == s.length {
 		response.Body = body.NewBuffered(buffered)
 		return nil, nil
@@ -185,7 +185,7 @@
 		body.FreePage(page)
 		return nil, bodyError(err)
 	}
-	response.Free = func() { body.FreePage(page) }
+	response.OnRelease = func() { body.FreePage(page) }
 	if atEnd {
 		response.Body = body.NewBuffered(page[:n])
 		return nil, nil
--- a/internal/upstream/http1/roundtrip.go
+++ b/internal/upstream/http1/roundtrip.go
@@ -34,7 +34,7 @@
 		stopClosing()
 		uploaded := up.stop()
 		t.closeConn(c)
-		response.FreeHeld()
+		response.ReleaseMemory()
 		if ctx.Err() != nil && uploaded {
 			t.attemptAbandoned(c.host, writtenAt)
 		}
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -25,7 +25,7 @@
 func ResponseLimits(x *engine.Request, defaults *engine.Streams) (pace body.Pace, due time.Time) {
 	settings := Streams(x, defaults)
 	pace = settings.Pace
-	if settings.HeadDeadlineOnly {
+	if settings.HeaderDeadlineOnly {
 		pace.MinRate = 0
 		return pace, time.Time{}
 	}
--- a/internal/upstream/request_test.go
+++ b/internal/upstream/request_test.go
@@ -26,7 +26,7 @@
 		{"deadline for the header section only", buffered, true, paceWithoutRate, time.Time{}},
 	} {
 		x := &engine.Request{Body: test.body, Deadline: deadline}
-		settings := &engine.Streams{HeadDeadlineOnly: test.headDeadlineOnly, Pace: pace}
+		settings := &engine.Streams{HeaderDeadlineOnly: test.headDeadlineOnly, Pace: pace}
 		gotPace, gotDue := ResponseLimits(x, settings)
 		if gotPace != test.wantPace || !gotDue.Equal(test.wantDue) {
 			t.Errorf("%s: got %+v, due %v, want %+v, due %v", test.name, gotPace, gotDue, test.wantPace, test.wantDue)
