--- a/balancer/response.go
+++ b/balancer/response.go
@@ -8,8 +8,8 @@
 
 // retryAfter returns the Retry-After of a rejection by the balancer, or 0 if none is sent. Rejections
 // elsewhere use their own values: overload.RetryAfter if a request is rejected at admission,
-// frontend.UnavailableRetryAfter if there is no memory for its body, and maxStreamedRetryAfter in internal/engine
-// if its body was streamed and cannot be sent again.
+// frontend.UnavailableRetryAfter if there is no memory for its body, and maxStreamedRetryAfter in
+// internal/engine if its body was streamed and cannot be sent again.
 func (b *Balancer) retryAfter() Time {
 	return min(b.shortestObjective/retryAfterDivisor, b.settings.MaxRetryAfter)
 }
