--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -51,7 +51,7 @@
 
 // logLimiter limits the rate of the log lines of one kind.
 type logLimiter struct {
-	at         Time // when the last line was logged
+	at         Time // time at which the last line was logged
 	logged     bool // a line of this kind was logged before
 	suppressed int  // lines suppressed since the last one logged
 }
--- a/balancer/api.go
+++ b/balancer/api.go
@@ -144,7 +144,7 @@
 	Cell    int
 	Kind    int // hosts of the same kind have similar capacity
 	State   HostState
-	Started Time // when it last started; 0 if that was long ago
+	Started Time // time at which the host last started; 0 if that was long ago
 }
 
 // ListKind specifies how to interpret an endpoint list.
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -46,7 +46,7 @@
 	logs    [logKinds]logLimiter
 
 	// Hosts.
-	hosts        []*host // in an order that does not depend on map iteration
+	hosts        []*host // all hosts, in an order that does not depend on map iteration
 	byID         map[HostID]*host
 	sets         hostSets       // the subset, and the ready hosts in it
 	dueStandings dueHeap        // hosts by the time that nextStandingChange returned
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -32,7 +32,7 @@
 	limit        float64       // attempts in flight from this instance; 0 until it is set
 	recentRTT    movingAverage // mean of relativeRTT over the last samples
 	reducedAt    Time
-	restingUntil Time // with a limit below one, the host receives no attempts before this time
+	restingUntil Time // with a limit below one: earliest time of the next attempt
 }
 
 // limitSample is the input of the limiter from one successful response, rejection or timeout.
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -191,7 +191,7 @@
 	for ; d > 0; d -= step {
 		for _, g := range f.gateways {
 			g.advance(min(d, step))
-			g.b.now = g.now // as every event method does
+			g.b.now = g.now // every event method of the Balancer sets it too
 			g.b.refreshSubset()
 		}
 	}
--- a/balancer/hostset.go
+++ b/balancer/hostset.go
@@ -6,12 +6,12 @@
 
 // Values of setKind.
 const (
-	setReady       setKind = iota // in the subset and ready as of the last update
-	setSilent                     // ejected with CauseSilent, otherwise ready
-	setUnreachable                // ejected with CauseConnectionsFailed, otherwise ready
-	setSuspected                  // has a single attempt in flight that takes too long, otherwise ready
-	setBusy                       // has attempts in flight
-	setSubset                     // in the subset
+	setReady       setKind = iota // hosts of the subset that are ready as of the last update
+	setSilent                     // hosts ejected with CauseSilent, otherwise ready
+	setUnreachable                // hosts ejected with CauseConnectionsFailed, otherwise ready
+	setSuspected                  // hosts whose only attempt in flight takes too long, otherwise ready
+	setBusy                       // hosts with attempts in flight
+	setSubset                     // all hosts of the subset
 	setCount
 
 	setNone setKind = -1
--- a/balancer/polling.go
+++ b/balancer/polling.go
@@ -20,7 +20,7 @@
 // reachable again, however often polls have failed.
 type endpointPoller struct {
 	listsArrive bool // a list was received after the last failure, and the gateway continues to receive them
-	pollAt      Time // when the next Poll action is due
+	pollAt      Time // time at which the next Poll action is due
 	failures    int  // failed polls since the last list
 }
 
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -34,7 +34,7 @@
 	byPriority   []linkedList[request] // highest priority first
 	queueOf      [][classParts]int     // index in byPriority, by class and part
 	length       int                   // number of waiting requests
-	lastUnserved Time                  // when a request was last queued; 0 if none ever was
+	lastUnserved Time                  // time at which a request was last queued; 0 if none ever was
 }
 
 // classifyArrival returns the part of its class that a new request belongs to. It takes a token from the
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -10,7 +10,7 @@
 	waitUntil          Time // while it is queued: the time at which it is rejected
 	queueIndex         int  // index of its queue in requestQueues.byPriority
 	inFlight           int  // number of attempts in flight
-	done               bool // it has its final response, or needs none
+	done               bool // the request has its final response, or needs none
 	answeredByBalancer bool // the final response is from the balancer, not from a host
 	streaming          bool // a response is being streamed to the client; no other attempt can serve it
 	queued             bool
@@ -25,10 +25,10 @@
 	sentAt          Time
 	ended           bool
 	result          Result            // valid once ended is set
-	trial           bool              // when it was sent, the host had not responded since its last ejection
+	trial           bool              // sent while the host had not responded since its last ejection
 	overtakenBy     int               // successful responses of the host to attempts that were sent later
-	countedSilent   bool              // it was reported to the send rate controller as slow before it ended
-	canceledStalled bool              // it was canceled as stalled, so that its request can be retried
+	countedSilent   bool              // reported to the send rate controller as slow before the attempt ended
+	canceledStalled bool              // the attempt was canceled as stalled, so its request can be retried
 	link            listNode[attempt] // node in host.attempts
 }
 
--- a/balancer/ring.go
+++ b/balancer/ring.go
@@ -31,7 +31,7 @@
 
 // Values of ringStatus.
 const (
-	ringNotReady ringStatus = iota // not on the ring
+	ringNotReady ringStatus = iota // not counted: the host is not listed as Ready
 	ringWarm                       // ready and not in slow start
 	ringWarming                    // ready and in slow start
 )
--- a/balancer/rtt.go
+++ b/balancer/rtt.go
@@ -36,8 +36,8 @@
 // classes, are the initial estimate of new hosts, and are the reference for RTTs that count as slow.
 type typicalRTTs struct {
 	byClass []movingAverage
-	byKind  []movingAverage // by kind of host, normalized to an average class
-	any     movingAverage   // over all classes
+	byKind  []movingAverage // means by kind of host, normalized to an average class
+	any     movingAverage   // mean over all classes
 }
 
 // addNormalized adds a successful response and returns its RTT normalized to an average class. Without
--- a/balancer/stalled_test.go
+++ b/balancer/stalled_test.go
@@ -13,7 +13,7 @@
 		g := newTestGateway(t, testSettings(), testHosts(1)...)
 		h := g.b.hosts[0]
 		h.limiter.limit = 8
-		g.b.stalled.unansweredShare = 1 // as after earlier unanswered attempts
+		g.b.stalled.unansweredShare = 1 // as if no earlier stalled attempt had been answered
 		id := g.request(class, time.Second)
 		g.advance(ms)
 		for range overtakenResponses {
--- a/balancer/standing.go
+++ b/balancer/standing.go
@@ -31,11 +31,11 @@
 
 // standing is the status with which a host is included in subsetCounts.
 type standing struct {
-	ready       bool // in the subset, and Ready in the endpoint list
-	inUse       bool // neither warming nor ejected
+	ready       bool // the host is in the subset, and Ready in the endpoint list
+	inUse       bool // the host is neither warming nor ejected
 	ejected     bool
-	unreachable bool // ejected with CauseConnectionsFailed
-	unrecovered bool // no response since it was ejected
+	unreachable bool // the host is ejected with CauseConnectionsFailed
+	unrecovered bool // the host has not responded since it was ejected
 }
 
 // subsetCounts contains the number of hosts of the subset by standing.
@@ -159,7 +159,7 @@
 	consider(host.limiter.restingUntil)
 	oldest, notOvertaken := host.oldestNotOvertaken()
 	if notOvertaken == 1 {
-		consider(oldest.sentAt + b.silenceTimeout(oldest.request)) // from then on the host may be suspected
+		consider(oldest.sentAt + b.silenceTimeout(oldest.request)) // the host may be suspected from then on
 	}
 	if host.hasErrors {
 		for class := range host.errors {
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -25,7 +25,7 @@
 type subset struct {
 	current  bool // the scan below is of the current ring
 	scanned  int  // hosts of the ring, from the place of this instance on, that the scan has visited
-	nextMove Time // when a host that is far away may leave the subset
+	nextMove Time // earliest time at which a host that is far away may leave the subset
 }
 
 // subsetSize returns how many warm hosts this instance uses: as many as its traffic provides samplesPerHost
--- a/balancer/view.go
+++ b/balancer/view.go
@@ -4,9 +4,9 @@
 type HostView struct {
 	Host              HostID
 	State             HostState
-	InSubset          bool    // in the subset of this instance
-	Warming           bool    // started less than SlowStartWindow ago
-	Overdue           bool    // its oldest attempt is overdue, and it receives no further attempts
+	InSubset          bool    // the host is in the subset of this instance
+	Warming           bool    // the host started less than SlowStartWindow ago
+	Overdue           bool    // the oldest attempt is overdue, and the host receives no further attempts
 	InFlight          int     // attempts in flight
 	ConcurrencyLimit  float64 // attempts that it may have in flight from this instance
 	RecentRTT         float64 // recent mean of relativeRTT (limitSample); the limit falls above 0.375
@@ -14,7 +14,7 @@
 	Cause             Cause   // cause of its last ejection
 	Ejections         int     // ejections since its last response
 	EjectedUntil      Time    // end of the backoff; then it receives one trial request
-	RestingUntil      Time    // with a limit below one: it receives no attempts before this time
+	RestingUntil      Time    // with a limit below one: earliest time of the next attempt
 	NextSlowStartSend Time    // while it is warming: earliest time of the next attempt
 	ExcludedFor       uint64  // bit i is set if it is excluded for class i, for the first 64 classes
 }
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -92,9 +92,11 @@
 	log         *wal.Log
 	relaying    *relaying // nil in a fleet without relays
 	subscribers map[string]Subscriber
-	waiting     map[uint64]chan<- node.Outcome // by command ID
+	waiting     map[uint64]chan<- node.Outcome // channels of the callers that wait for an outcome, by command ID
 	writing     bool                           // true while a batch is being written
-	haltedAt    time.Duration                  // when the replica was seen to have halted or was last restarted; 0 while it runs
+	// haltedAt is the time at which the replica was seen to have halted, or of the last attempt to restart it;
+	// 0 while it runs.
+	haltedAt time.Duration
 }
 
 // counters holds the counters that are exported as metrics.
--- a/internal/cluster/idempotency/idempotency_test.go
+++ b/internal/cluster/idempotency/idempotency_test.go
@@ -31,7 +31,7 @@
 	events       events
 	partition    *Partition
 	index        uint64
-	firstSent    map[string]time.Duration // by request: when the current leader proposed its first OpSend
+	firstSent    map[string]time.Duration // by request: time at which the current leader proposed its first OpSend
 	lastSession  uint64
 	lastToken    uint64
 	highestClaim uint64                                // highest token with which a deferred request was claimed
--- a/internal/cluster/lease/expiry.go
+++ b/internal/cluster/lease/expiry.go
@@ -39,7 +39,7 @@
 type ExpiryTracker struct {
 	startedAt      time.Duration
 	expiresAt      map[uint64]time.Duration // by session
-	expiring       map[uint64]time.Duration // by session: when its end was last proposed
+	expiring       map[uint64]time.Duration // by session: time at which its end was last proposed
 	acknowledged   map[uint64]ackProgress
 	overrideTimers map[string]overrideTimer
 	// No session expires before nextCheck unless a session newer than lastSessionID is opened, so Expired
--- a/internal/cluster/lease/override.go
+++ b/internal/cluster/lease/override.go
@@ -108,7 +108,7 @@
 type overrideTimer struct {
 	createdRevision      uint64
 	startedAt, writtenAt time.Duration
-	remaining            time.Duration // at startedAt
+	remaining            time.Duration // remaining duration of the override at startedAt
 }
 
 // OverrideUpdates returns the commands that record the remaining durations of overrides as of now.
--- a/internal/cluster/lease/replicas.go
+++ b/internal/cluster/lease/replicas.go
@@ -71,7 +71,7 @@
 // the step that promotes the learner. The function caughtUp reports whether a learner's log is close
 // enough to the leader's.
 func NextReplicaChange(s *State, caughtUp func(replica uint64) bool) (c ReplicaChange, ok bool) {
-	replicasOf := map[string][]uint64{} // by gateway
+	replicasOf := map[string][]uint64{} // replica IDs by gateway
 	for _, id := range slices.Sorted(maps.Keys(s.Replicas)) {
 		name := s.Replicas[id].Name
 		replicasOf[name] = append(replicasOf[name], id)
--- a/internal/cluster/leaseholder/lease.go
+++ b/internal/cluster/leaseholder/lease.go
@@ -30,7 +30,7 @@
 	Name  string
 	Token uint64 // fencing token of the grant
 
-	deadline atomic.Int64 // on the clock of Now
+	deadline atomic.Int64 // time until which the lease is valid, in nanoseconds on the clock of Now
 	ended    atomic.Bool
 }
 
--- a/internal/cluster/node/leader.go
+++ b/internal/cluster/node/leader.go
@@ -36,7 +36,7 @@
 	node              *Node
 	expiry            *lease.ExpiryTracker
 	proposers         map[uint64]proposer      // by proposal number
-	proposedAt        map[string]time.Duration // when the leader's own commands were last proposed, by key
+	proposedAt        map[string]time.Duration // times at which the leader's own commands were last proposed, by key
 	rebalancedAt      time.Duration
 	replicasCheckedAt time.Duration
 	seenRevision      uint64 // revision of the state in the last call of runTasks, or 0 before the first
--- a/internal/cluster/node/messages.go
+++ b/internal/cluster/node/messages.go
@@ -74,7 +74,7 @@
 	Session     uint64            `json:"session"`
 	Seq         uint64            `json:"seq,omitempty"`
 	Expired     bool              `json:"gone,omitempty"`  // the session has ended, or its end has been proposed
-	Unconfirmed bool              `json:"again,omitempty"` // not renewed: the gateway must first acknowledge this reply
+	Unconfirmed bool              `json:"again,omitempty"` // no renewal: the gateway must first acknowledge this reply
 	Leader      string            `json:"lead,omitempty"`  // name of the leader, if it is not the sender
 	Term        uint64            `json:"term,omitempty"`
 	Delta       *lease.StateDelta `json:"view,omitempty"`
--- a/internal/cluster/node/replica.go
+++ b/internal/cluster/node/replica.go
@@ -315,7 +315,7 @@
 	for _, name := range cfg.BootstrapReplicas[1:] {
 		h, ok := r.hellos[name]
 		if !ok || h.ClusterID != 0 {
-			return // it is not connected yet, or the fleet already exists and this gateway has lost its disk
+			return // that gateway is not connected yet, or the fleet already exists and this gateway has lost its disk
 		}
 		replicas = append(replicas, lease.Replica{ID: h.ReplicaID, Name: name})
 		voters = append(voters, h.ReplicaID)
--- a/internal/cluster/node/status.go
+++ b/internal/cluster/node/status.go
@@ -110,7 +110,7 @@
 	own, isReplica := n.replica.state.Replicas[id]
 	if n.view.revision >= n.replica.state.Revision && len(n.view.replicas) > 0 &&
 		!slices.ContainsFunc(n.view.replicas, func(r lease.Replica) bool { return r.ID == id }) {
-		isReplica = false // it was removed, but its copy of the state does not contain the removal
+		isReplica = false // the replica was removed, but its copy of the state does not contain the removal
 	}
 	switch err := n.Halted(); {
 	case err != nil:
--- a/internal/cluster/relay/network_test.go
+++ b/internal/cluster/relay/network_test.go
@@ -17,7 +17,7 @@
 	rng      *rand.Rand
 	now      time.Duration
 	relays   []Relay
-	routers  map[string]*Router // of the relays that are up
+	routers  map[string]*Router // routers of the relays that are up, by name
 	clients  []*Client
 	gateways []string                          // names of the clients
 	streams  map[string]map[uint64]*testStream // by gateway and epoch
--- a/internal/cluster/relay/relay.go
+++ b/internal/cluster/relay/relay.go
@@ -161,7 +161,7 @@
 // Dial is a stream to be opened: the caller connects, sends the join request, and then calls Joined or Ended.
 type Dial struct {
 	Relay string
-	Join  JoinRequest // its Epoch identifies the stream
+	Join  JoinRequest // join request, whose Epoch identifies the stream
 }
 
 // ClientOutput is what the caller of a Client must do, in the order of the fields.
--- a/internal/cluster/relay/router.go
+++ b/internal/cluster/relay/router.go
@@ -31,17 +31,17 @@
 	now       time.Duration
 	out       RouterOutput
 	scannedAt time.Duration
-	filter    sequenceFilter // for records to this relay's own node
+	filter    sequenceFilter // filter for records to this relay's own node
 	recordSeq uint64         // sequence number of the last record from this relay's own node
 
 	streams     map[string]*routerStream // by gateway
 	streamNames []string                 // names of the streams, in an order that is the same in each run
 	joinTokens  float64                  // number of joins that may be accepted now
-	tokensAt    time.Duration            // when joinTokens was last refilled
+	tokensAt    time.Duration            // time at which joinTokens was last refilled
 
 	routes    routeTable
 	links     map[string]*link // by relay
-	linkNames []string         // sorted
+	linkNames []string         // names of the links, sorted
 
 	counts struct{ joins, rejected, closed, dropped, malformed uint64 }
 }
@@ -62,7 +62,7 @@
 	streams    int           // number of streams of the relay by its last update
 	// checksum is the checksum of the relay's routes as they are known here.
 	checksum  uint64
-	updatedAt time.Duration // when the last update was sent to it
+	updatedAt time.Duration // time at which the last update was sent to the relay
 	// lastUpdate identifies the last update received: its ReplicaID is the Epoch of the update (that of the relay's
 	// process), and its Epoch is the Seq of the update.
 	lastUpdate Incarnation
@@ -281,7 +281,7 @@
 		l.receivedAt = now
 		if l.pendingRequest != 0 {
 			r.counts.dropped++
-			return // it may have been sent before the end of a pause of this process
+			return // the records may have been sent before the end of a pause of this process
 		}
 		r.counts.malformed += uint64(ReadRecords(body, func(x *Record) { r.receiveRecord(relay, x) }))
 	}
--- a/internal/cluster/relay/router_test.go
+++ b/internal/cluster/relay/router_test.go
@@ -163,8 +163,8 @@
 	if got := r.TakeOutput(); len(got.ToNode) != 1 || len(got.Closed) != 1 {
 		t.Errorf("with a later stream: got %+v, want 1 record for the node and 1 stream closed", got)
 	}
-	r.ReceiveFromRelay(now, "r2", KindRecord, messageToR1("g", 1, 1, 9))  // from the earlier stream
-	r.ReceiveFromRelay(now, "r2", KindRecord, messageToR1("r1", 1, 3, 9)) // with the name of a relay as the sender
+	r.ReceiveFromRelay(now, "r2", KindRecord, messageToR1("g", 1, 1, 9))  // a record from the earlier stream
+	r.ReceiveFromRelay(now, "r2", KindRecord, messageToR1("r1", 1, 3, 9)) // a record with a relay's name as the sender
 	if got := r.TakeOutput(); len(got.ToNode) != 0 {
 		t.Errorf("records of an earlier stream and in a relay's name: got %+v, want no record for the node", got)
 	}
--- a/internal/cluster/relay/routes.go
+++ b/internal/cluster/relay/routes.go
@@ -166,7 +166,7 @@
 	u.Epoch, u.Seq, u.Count, u.Checksum = r.epoch(), r.routes.nextUpdate(), len(r.streams), r.routes.checksum
 	b, err := json.Marshal(u)
 	if err != nil {
-		panic(err) // it consists of strings, numbers and booleans
+		panic(err) // cannot happen: an update consists of strings, numbers and booleans
 	}
 	r.links[to].updatedAt = r.now
 	r.flush(to)
@@ -214,7 +214,7 @@
 		r.sendRoutes(relay, &routeUpdate{Full: true, Joined: r.allRoutes(), InReplyTo: u.Request})
 	}
 	if l.pendingRequest != 0 && u.InReplyTo != l.pendingRequest {
-		return // it may have been sent before the end of a pause of this process
+		return // the update may have been sent before the end of a pause of this process
 	}
 	l.receivedAt, l.pendingRequest, l.streams = r.now, 0, u.Count
 	r.applyRoutes(relay, u)
--- a/internal/cluster/relaying.go
+++ b/internal/cluster/relaying.go
@@ -302,7 +302,7 @@
 func encodeJSON(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // it consists of strings, numbers and booleans
+		panic(err) // cannot happen: v consists of strings, numbers and booleans
 	}
 	return b
 }
--- a/internal/cluster/sim/scenarios.go
+++ b/internal/cluster/sim/scenarios.go
@@ -233,7 +233,7 @@
 	if !w.Until(RecoveryTimeout, w.Recovered) {
 		return w.errorf("not recovered after the last fault")
 	}
-	if err := w.Run(maxMessageDelay); err != nil { // until the last delayed message has arrived
+	if err := w.Run(maxMessageDelay); err != nil { // the last delayed message arrives in this time
 		return err
 	}
 	if !w.Recovered() {
--- a/internal/cluster/transport/accept.go
+++ b/internal/cluster/transport/accept.go
@@ -23,7 +23,7 @@
 type remotePeer struct {
 	name       string
 	replicaID  uint64
-	receivedAt atomic.Int64 // when its last frame arrived, in nanoseconds since Transport.startedAt
+	receivedAt atomic.Int64 // arrival time of the last frame, in nanoseconds since Transport.startedAt
 }
 
 // acceptLoop accepts connections and serves each on a goroutine of its own.
--- a/internal/cluster/transport/peer.go
+++ b/internal/cluster/transport/peer.go
@@ -78,7 +78,7 @@
 			return
 		}
 		t.handler.Unreachable(p.name)
-		lost, _ := p.takeQueue() // of no use to the next process at that address
+		lost, _ := p.takeQueue() // the queued frames are of no use to the next process at that address
 		t.Counters.FramesLost.Add(uint64(len(lost)))
 		t.logState(p, err)
 		if time.Since(dialledAt) > maxRedialDelay {
--- a/internal/cluster/transport/peer_test.go
+++ b/internal/cluster/transport/peer_test.go
@@ -20,7 +20,7 @@
 
 	mu        sync.Mutex
 	hellos    []string // names of the senders
-	frames    []string // as describeFrame returns them
+	frames    []string // received frames, as describeFrame returns them
 	snapshots []bool   // results of the snapshots that the gateway has sent
 }
 
--- a/internal/cluster/transport/stream_test.go
+++ b/internal/cluster/transport/stream_test.go
@@ -53,7 +53,7 @@
 	stream.Close()
 	testutil.WaitUntil(t, "the stream ends", func() bool { return gateway.endCount() == 1 })
 
-	const handshakeBytes = len(magic) + 1 + nonceSize + 2*macSize + 2 // without the hello
+	const handshakeBytes = len(magic) + 1 + nonceSize + 2*macSize + 2 // size of the handshake without the hello
 	const replyEnd = handshakeBytes + len(`{"hello":`) + frameHeaderBytes + len(joinReplyBody)
 	for _, fault := range []proxyFault{faultClose, faultHang, faultCorrupt} {
 		for at := 0; at < replyEnd; at += 7 {
@@ -121,7 +121,7 @@
 		if stream.queueBytes < relay.MaxQueueBytes {
 			return stream.err != nil
 		}
-		stream.writeBegan = stream.writeBegan.Add(-maxWriteStall) // as if the write had stalled for that time
+		stream.writeBegan = stream.writeBegan.Add(-maxWriteStall) // simulates a write that has stalled for that time
 		return true
 	})
 	stream.Send(relay.KindRecord, body)
--- a/internal/cluster/transport/streamharness_test.go
+++ b/internal/cluster/transport/streamharness_test.go
@@ -28,7 +28,7 @@
 
 	mu      sync.Mutex
 	streams []*Stream
-	frames  []string // as describeFrame returns them
+	frames  []string // received frames, as describeFrame returns them
 	ends    []error
 }
 
--- a/internal/cluster/wal/wal_test.go
+++ b/internal/cluster/wal/wal_test.go
@@ -146,7 +146,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(segments[0], b, 0o600); err != nil { // in place, so that the inode is the same
+	if err := os.WriteFile(segments[0], b, 0o600); err != nil { // written in place, so that the inode is the same
 		t.Fatal(err)
 	}
 	if _, _, _, err := open(t, path); !errors.Is(err, ErrCopied) {
--- a/internal/fleet/endpoints.go
+++ b/internal/fleet/endpoints.go
@@ -58,8 +58,8 @@
 	hosts          map[string]discovery.Member // hosts of the full list, by ID
 	lease          *leaseholder.Lease          // nil if this gateway is not the holder
 	publicationSeq uint64                      // sequence number of the last publication under lease
-	resyncAt       time.Duration               // when the full list was last requested
-	publishedAt    time.Duration               // when the last publication to all gateways was sent
+	resyncAt       time.Duration               // time at which the full list was last requested
+	publishedAt    time.Duration               // time at which the last publication to all gateways was sent
 	cancelWatch    context.CancelFunc          // nil if discovery is not watched
 	watchSeq       uint64                      // number of the last watch
 }
--- a/internal/fleet/endpoints/endpoints.go
+++ b/internal/fleet/endpoints/endpoints.go
@@ -56,7 +56,7 @@
 	version   uint64 // version of the list, if hasList is set
 	hasList   bool
 	token     uint64        // token of the holder whose update was last accepted
-	updatedAt time.Duration // when that update arrived, or when the wait for an update began
+	updatedAt time.Duration // time at which that update arrived, or at which the wait for an update began
 	isHolder  bool
 	fallback  bool // no update has arrived for too long: discovery is watched directly
 }
--- a/internal/fleet/healthcheck.go
+++ b/internal/fleet/healthcheck.go
@@ -144,7 +144,8 @@
 		return
 	}
 	s := c.fleet.cluster.Status()
-	within := healthcheck.TrialSpread(max(len(s.Members), s.Sessions)) // in a fleet with relays only the number is known here
+	// In a fleet with relays only the number of sessions is known here.
+	within := healthcheck.TrialSpread(max(len(s.Members), s.Sessions))
 	for _, name := range names[:min(len(names), healthcheck.MaxHosts)] {
 		c.received.Add(1)
 		p.HealthCheckPassed(name, within)
--- a/internal/fleet/healthcheck/healthcheck.go
+++ b/internal/fleet/healthcheck/healthcheck.go
@@ -41,8 +41,8 @@
 }
 
 type host struct {
-	reportedAt time.Duration // when a gateway last reported it as ejected
-	dueAt      time.Duration // when it may be checked next
+	reportedAt time.Duration // time at which a gateway last reported the host as ejected
+	dueAt      time.Duration // earliest time of the next check
 	inFlight   bool          // a check of the host is running
 }
 
