--- a/cmd/dunemoor/descriptors_test.go
+++ b/cmd/dunemoor/descriptors_test.go
@@ -64,7 +64,7 @@
 	t.Setenv(descriptorsVariable, fmt.Sprint(tt.descriptors))
 	oldHost := startHangingHost(t)
 	newHost, newRequests := startCountingHost(t)
-	discoveryAddress := freeAddress(t) // not started yet
+	discoveryAddress := freeAddress(t) // discovery starts later on this address
 	p := tt.start(t, oldHost.addr, discoveryAddress)
 	group := clientGroup{program: p}
 	for i := range tt.clients {
--- a/cmd/dunemoor/shutdown_test.go
+++ b/cmd/dunemoor/shutdown_test.go
@@ -87,7 +87,7 @@
 	if err := p.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, "the listener is closed", func() bool { // with the request still in flight
+	waitUntil(t, "the listener is closed", func() bool { // the request is still in flight
 		nc, err := net.Dial("tcp", p.address())
 		if err == nil {
 			nc.Close()
--- a/cmd/experiment/fleet_sim.go
+++ b/cmd/experiment/fleet_sim.go
@@ -42,7 +42,7 @@
 	gateways  int // number of gateways in each fleet; 0: drawn from the seed
 	replicas  int
 	leases    int
-	faultTime time.Duration // in virtual time
+	faultTime time.Duration // how long faults are injected, in virtual time
 }
 
 // fleetSimCommand returns the command sim, which runs simulated fleets with a sequence of seeds in virtual time.
--- a/cmd/experiment/run.go
+++ b/cmd/experiment/run.go
@@ -23,7 +23,7 @@
 	InTime    float64            `json:"in_time"` // share of the first requests served in time
 	Missed    []string           `json:"missed,omitempty"`
 	Summary   *simulator.Summary `json:"summary"`
-	Latencies []latency          `json:"latency"` // of each class
+	Latencies []latency          `json:"latency"` // one for each class, in the order of Summary.Classes
 	Elapsed   time.Duration      `json:"-"`
 	err       error
 }
--- a/cmd/experiment/run_table.go
+++ b/cmd/experiment/run_table.go
@@ -25,15 +25,15 @@
 // seeds, in the order of the seeds.
 type runRow struct {
 	seeds         float64
-	inTime        float64 // mean
+	inTime        float64 // mean of run.InTime over the seeds
 	leastInTime   float64
 	firstRequests float64
 	requests      float64 // including retries
 	attempts      float64
-	p50           float64 // in milliseconds; mean over the seeds, of the first class
-	p99           float64 // in milliseconds; mean over the seeds, of the first class
-	maxToMeanLoad float64 // mean
-	connections   float64 // connections per host, mean
+	p50           float64 // mean over the seeds of the first class's P50, in milliseconds
+	p99           float64 // mean over the seeds of the first class's P99, in milliseconds
+	maxToMeanLoad float64 // mean of Summary.MaxToMeanLoad over the seeds
+	connections   float64 // mean number of connections per host over the seeds
 	violations    int
 	missed        int    // number of runs that don't meet an expectation
 	firstMissed   string // description of the first such run
--- a/cmd/experiment/scale_fleet_test.go
+++ b/cmd/experiment/scale_fleet_test.go
@@ -55,7 +55,7 @@
 		"sim":           checkPositive("a fleet played", "s"),
 	} {
 		t.Run(name, func(t *testing.T) {
-			t.Parallel() // they mostly wait
+			t.Parallel() // the parts mostly wait
 			part := scaleParts[name]
 			if part == nil {
 				t.Fatal("part is not registered")
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -44,7 +44,7 @@
 type server struct {
 	balancers map[uint32]*balancer.Balancer // by instance number
 	out       *simwire.Writer
-	actions   []balancer.Action // reused
+	actions   []balancer.Action // buffer for TakeActions, reused for each event
 }
 
 // serveBatch reads a batch and replies to it. It returns io.EOF if there is no further batch.
--- a/internal/experiment/capacity/table.go
+++ b/internal/experiment/capacity/table.go
@@ -16,7 +16,7 @@
 // Row is a line of a table.
 type Row struct {
 	Line  int               // line number on the page, starting at 1
-	Cells map[string]string // by column
+	Cells map[string]string // texts of the cells, by column as in Table.Columns
 }
 
 // Tables parses the tables of a Markdown page. If a row has more or fewer cells than the header row, it returns an
--- a/internal/experiment/fakes/client.go
+++ b/internal/experiment/fakes/client.go
@@ -161,7 +161,7 @@
 	if err != nil {
 		return nil, err
 	}
-	request.GetBody = nil // so that net/http doesn't send it again by itself
+	request.GetBody = nil // so that net/http can't send a request with a body again by itself
 	request.Host = c.Host
 	return request, nil
 }
--- a/internal/experiment/fakes/fleet.go
+++ b/internal/experiment/fakes/fleet.go
@@ -20,7 +20,7 @@
 const (
 	StateReady    = "ready"
 	StateDraining = "draining"
-	StateGone     = "gone" // not listed
+	StateGone     = "gone" // the node is not in the list
 )
 
 // nodesPerGroup is the number of nodes of a group, which share idempotency keys.
--- a/internal/experiment/faulttest/relays_test.go
+++ b/internal/experiment/faulttest/relays_test.go
@@ -192,7 +192,7 @@
 			f.Isolate(down, false, true)
 		case "sends nothing":
 			f.Isolate(down, true, false)
-		default: // its gateways reach it, but it can't forward their frames to other relays
+		default: // "reaches no relay": its gateways reach the relay, but it can't forward their frames to other relays
 			for _, r := range f.Gateways[:f.Relays] {
 				if r != down {
 					f.SetBlocked(down, r, true)
--- a/internal/experiment/faulttest/transfer.go
+++ b/internal/experiment/faulttest/transfer.go
@@ -13,7 +13,7 @@
 // Causes of transfers. The values are their names on command lines.
 const (
 	HolderKilled         TransferCause = "kill"
-	HolderPaused         TransferCause = "stop" // for pauseDuration
+	HolderPaused         TransferCause = "stop" // the holder is paused for pauseDuration
 	HolderIsolated       TransferCause = "cut"
 	HolderNotReceiving   TransferCause = "deaf"
 	HolderNotSending     TransferCause = "mute"
--- a/internal/experiment/faulttest/violations.go
+++ b/internal/experiment/faulttest/violations.go
@@ -20,7 +20,7 @@
 // violationChecker collects the grants of a history and its violations, for FindViolations.
 type violationChecker struct {
 	holders      map[uint64]string // lease and holder, by token
-	grants       map[uint64]Event  // by index of the entry in the replicated log
+	grants       map[uint64]Event  // transfers to a new holder, by index of their entry in the replicated log
 	bootstrapped bool
 	violations   []string
 }
--- a/internal/experiment/scaletest/hollow/usage.go
+++ b/internal/experiment/scaletest/hollow/usage.go
@@ -16,8 +16,8 @@
 	At         time.Time
 	CPU        time.Duration // CPU time since the start of the process
 	Resident   uint64        // resident memory in bytes
-	Heap       uint64        // bytes in use by objects and stacks, as reported by the process; only of a hollow host
-	Goroutines int           // as reported by the process; only of a hollow host
+	Heap       uint64        // bytes in use by objects and stacks, as reported by the process; only for hollow hosts
+	Goroutines int           // number of goroutines, as reported by the process; only for hollow hosts
 	Conns      int           // number of ends of open connections to other members of the fleet
 	Traffic    Traffic       // traffic of these connections since they were opened
 
--- a/internal/experiment/simulator/attempts.go
+++ b/internal/experiment/simulator/attempts.go
@@ -64,7 +64,7 @@
 // sendOnNewConnection opens a connection, which takes a round trip, and sends the attempt on it.
 func (s *simulation) sendOnNewConnection(g *gateway, r *request, number int, delay time.Duration) {
 	h := r.attempts[number].host
-	const roundTrip = 2 // in one-way delays
+	const roundTrip = 2 // number of one-way delays in a round trip
 	noReply := h.silent || (h.partitioned && !g.seesResets())
 	full := h.MaxConnections > 0 && h.connections >= h.MaxConnections
 	switch {
--- a/internal/experiment/simulator/gateway.go
+++ b/internal/experiment/simulator/gateway.go
@@ -19,7 +19,7 @@
 	stoppedAt     balancer.Time // time of the last stop, if it isn't running
 	drainingSince balancer.Time // start of the draining period; 0: it isn't draining
 	polls         uint32        // number of polls of the endpoint list so far
-	watching      bool          // it receives changes of the endpoint list
+	watching      bool          // whether it receives changes of the endpoint list
 
 	balancer        *balancer.Balancer
 	networkRandom   *rand.Rand
--- a/internal/experiment/simulator/host.go
+++ b/internal/experiment/simulator/host.go
@@ -24,8 +24,10 @@
 	impairment         // effect of activeFaults; set only by changeHostFaults
 	replaced     bool
 
-	congested      bool
-	congestedSince balancer.Time // when it began to hold CongestionStart requests per core; 0: it holds fewer, or CongestionDelay is 0
+	congested bool
+	// congestedSince is when the host began to hold CongestionStart requests per core. 0: it holds fewer, or
+	// CongestionDelay is 0.
+	congestedSince balancer.Time
 
 	// serviceGiven is the service given so far to each request in service, summed up over the run, in seconds of a core
 	// of speed 1.
@@ -39,7 +41,7 @@
 	connections    int
 	workDone       float64 // total of all requests, in seconds of a core of speed 1
 	state          balancer.HostState
-	drainNoticeAt  []balancer.Time // by gateway: when it was notified that the host drains; 0: it may send requests
+	drainNoticeAt  []balancer.Time // time when each gateway was notified that the host drains; 0: it may send requests
 	warmingWork    []sentWork      // attempts sent to the host while warming up, within the overload window
 	warmingWorkSum float64
 }
@@ -54,7 +56,7 @@
 type job struct {
 	request       *request
 	attemptNumber int
-	work          float64 // in seconds of a core of speed 1
+	work          float64 // service that the attempt takes, in seconds of a core of speed 1
 	doneAt        float64 // value of the host's serviceGiven at which the job is done; set when its service begins
 }
 
--- a/internal/experiment/simulator/simulation.go
+++ b/internal/experiment/simulator/simulation.go
@@ -23,9 +23,9 @@
 	listDelayRandom       *rand.Rand
 	earlyDisconnectRandom *rand.Rand
 
-	faultTargets       [][]int   // by fault: indexes of the target hosts or gateways
+	faultTargets       [][]int   // indexes of the target hosts or gateways of each fault in Config.Faults
 	maxMeanWork        float64   // largest mean work of a class, in seconds
-	trafficShares      []float64 // cumulative, by gateway
+	trafficShares      []float64 // running sums of the gateways' shares of the traffic; the last is the total
 	discoveryBusyUntil balancer.Time
 	discoveryOutages   int // number of active faults that make discovery unavailable
 	lastRequestID      balancer.RequestID
--- a/internal/experiment/simulator/summary.go
+++ b/internal/experiment/simulator/summary.go
@@ -18,7 +18,7 @@
 	ConnectionsPerHost float64          `json:"conns"`         // mean number of connections opened per host
 	MaxToMeanLoad      float64          `json:"worst_of_mean"` // work per core of the busiest host, as a multiple of the mean
 	Load               []float64        `json:"load"`          // work done per core and second, by host
-	Violations         [ruleCount]int   `json:"broken"`        // by Rule
+	Violations         [ruleCount]int   `json:"broken"`        // number of violations, by Rule
 	ViolationDetails   []string         `json:"why"`           // descriptions of the first maxViolationDetails violations
 	Gateways           []GatewaySummary `json:"gateways"`
 }
