--- a/internal/flightrecorder/analysis.go
+++ b/internal/flightrecorder/analysis.go
@@ -58,9 +58,9 @@
 	InTime    int // served within the latency objective, 0 if the class has none; included in Served
 	Rejected  int
 	Failed    int
-	Abandoned int                    // the client disconnected before the response
+	Abandoned int                    // requests whose client disconnected before the response
 	Causes    map[balancer.Cause]int // number of Rejected and Failed requests by cause
-	latencies []time.Duration        // of the Served requests
+	latencies []time.Duration        // latencies of the Served requests
 }
 
 // Ejection describes the ejection of a host.
--- a/internal/flightrecorder/file.go
+++ b/internal/flightrecorder/file.go
@@ -30,7 +30,7 @@
 
 	queue          chan []byte
 	free           chan []byte // buffers for reuse
-	needCheckpoint atomic.Bool // to be returned by the next Put
+	needCheckpoint atomic.Bool // the next Put requests a checkpoint
 	lostBlocks     atomic.Uint64
 	writtenBlocks  atomic.Uint64
 	lastError      atomic.Pointer[string]
@@ -39,8 +39,8 @@
 	open     func(path string) (outputFile, error)
 	start    []byte     // the last block of kind blockStart: each file begins with it
 	file     outputFile // nil: not open
-	size     int64      // of file, in bytes
-	reopenAt time.Time  // file isn't opened before
+	size     int64      // size of file in bytes
+	reopenAt time.Time  // time before which file isn't opened again after a failure
 
 	reopenAtOnce atomic.Bool // set by tests: reopenAt is ignored
 }
--- a/internal/flightrecorder/file_test.go
+++ b/internal/flightrecorder/file_test.go
@@ -62,7 +62,7 @@
 // limitedDisk is a file on a disk with limited space.
 type limitedDisk struct {
 	mu      sync.Mutex
-	free    int // in bytes
+	free    int // free space in bytes
 	written bytes.Buffer
 }
 
--- a/internal/flightrecorder/fit.go
+++ b/internal/flightrecorder/fit.go
@@ -76,19 +76,21 @@
 // fittedRequest is a request of the recording.
 type fittedRequest struct {
 	arrival  int            // index in Simulation.Arrivals
-	done     bool           // it has a final response, or its client has disconnected
+	done     bool           // the request has a final response, or its client has disconnected
 	attempts int            // number of attempts sent
 	servedBy *fittedAttempt // the last successful attempt; nil: none
 }
 
 // fittedAttempt is an attempt of the recording.
 type fittedAttempt struct {
-	host        balancer.HostID
-	class       int
-	sentAt      balancer.Time
-	result      balancer.Result
-	serviceTime time.Duration // from its sending or the host's previous successful response, whichever is later, to its end
-	atDeadline  bool          // it ended at about the request's deadline, see deadlineTolerance
+	host   balancer.HostID
+	class  int
+	sentAt balancer.Time
+	result balancer.Result
+	// serviceTime is the time from the sending of the attempt or the host's previous successful response, whichever is
+	// later, to the end of the attempt.
+	serviceTime time.Duration
+	atDeadline  bool // the attempt ended at about the request's deadline, see deadlineTolerance
 }
 
 // unanswered reports whether the host sent no response before the request's deadline.
@@ -99,7 +101,7 @@
 
 // fittedHost is a host of the recording.
 type fittedHost struct {
-	attempts     []*fittedAttempt // in the order in which they ended
+	attempts     []*fittedAttempt // attempts that ended, in the order of their ends
 	lastResponse balancer.Time    // when the last successful response arrived
 }
 
--- a/internal/flightrecorder/fleet.go
+++ b/internal/flightrecorder/fleet.go
@@ -16,7 +16,7 @@
 // recording, then Finish completes the counts, and then Text and ClassText write them.
 type Fleet struct {
 	seconds map[int64]*FleetSecond // by Unix time
-	changes []hostChange           // to be counted by Finish
+	changes []hostChange           // state changes of hosts that Finish has yet to count
 }
 
 // NewFleet returns a Fleet without any recording.
@@ -42,7 +42,7 @@
 	Warm    AttemptCounts // attempts that ended, at hosts not in slow start
 	Warming AttemptCounts // attempts that ended, at hosts in slow start
 
-	Classes []FleetClass // of the requests that arrived in this second
+	Classes []FleetClass // counts of the requests that arrived in this second, by class
 
 	// Set by Fleet.Finish.
 	Ready    float64 // ready hosts, in host-seconds
--- a/internal/flightrecorder/fleet_session.go
+++ b/internal/flightrecorder/fleet_session.go
@@ -15,7 +15,7 @@
 	lastEvent  balancer.Time
 	warmup     time.Duration
 	objectives []time.Duration                   // latency objectives by class
-	startTimes map[balancer.HostID]balancer.Time // of the listed hosts
+	startTimes map[balancer.HostID]balancer.Time // start times of the listed hosts, except removed ones
 	requests   map[balancer.RequestID]*fleetRequest
 }
 
@@ -24,9 +24,9 @@
 	at      balancer.Time
 	class   int
 	second  *FleetSecond
-	hosts   []balancer.HostID // by attempt
+	hosts   []balancer.HostID // host of each attempt, by number of the attempt
 	ended   uint64            // bit i: attempt i has ended
-	settled bool              // its outcome has been counted
+	settled bool              // the request's outcome has been counted
 }
 
 func (r *fleetRequest) counts() *FleetClass { return &r.second.Classes[r.class] }
--- a/internal/flightrecorder/plot.go
+++ b/internal/flightrecorder/plot.go
@@ -19,7 +19,7 @@
 	plotBottom  = 60
 	laneHeight  = 46
 	laneGap     = 10
-	legendWidth = 105 // of each entry
+	legendWidth = 105 // width of a legend entry
 )
 
 // Colors of the lines.
--- a/internal/flightrecorder/reader.go
+++ b/internal/flightrecorder/reader.go
@@ -29,14 +29,14 @@
 // can't be read is skipped and reported as an item of kind ItemLoss.
 type Reader struct {
 	in          *bufio.Reader
-	offset      int64 // of the next byte to read
+	offset      int64 // offset in the recording of the next byte to read
 	block       header
 	blockOffset int64
-	payload     []byte              // of block
-	records     decoder             // of payload
+	payload     []byte              // payload of block
+	records     decoder             // decoder of the records in payload
 	now         balancer.Time       // time of the last record that has one
-	hosts       []balancer.Host     // of the last endpoint list, reused
-	views       []balancer.HostView // of the last view, reused
+	hosts       []balancer.Host     // hosts of the last endpoint list; reused for the next one
+	views       []balancer.HostView // hosts of the last view; reused for the next one
 	pending     []Item              // Next returns these before it reads on
 
 	foundAny     bool   // a valid header was found
--- a/internal/flightrecorder/reader_test.go
+++ b/internal/flightrecorder/reader_test.go
@@ -121,8 +121,8 @@
 // repeatingReader is a stream that repeats data up to a total size.
 type repeatingReader struct {
 	data      []byte
-	remaining int64 // bytes
-	position  int   // in data
+	remaining int64 // number of bytes still to be read
+	position  int   // index in data of the next byte
 }
 
 func (r *repeatingReader) Read(b []byte) (int, error) {
--- a/internal/flightrecorder/record.go
+++ b/internal/flightrecorder/record.go
@@ -50,10 +50,10 @@
 
 // SessionStart is the payload of the first block of a session, in JSON. The field names are the JSON keys.
 type SessionStart struct {
-	Name     string // of the gateway
+	Name     string // name of the gateway
 	Build    string // revision of the program
 	Classes  []string
-	Seed     uint64        // of the balancer
+	Seed     uint64        // seed of the balancer
 	Wall     time.Time     // start of the session by the wall clock
 	At       balancer.Time // start of the session by the balancer's clock
 	Settings balancer.Settings
--- a/internal/flightrecorder/recorder_test.go
+++ b/internal/flightrecorder/recorder_test.go
@@ -52,7 +52,8 @@
 		t.Error(rep.Divergence)
 	}
 	all := replayed(t, out.Bytes())
-	share := all.Events * len(dump) / len(out.Bytes()) // in proportion to the bytes; the dump has more checkpoints
+	// share is the number of events to expect in the dump by its share of the bytes. The dump has more checkpoints.
+	share := all.Events * len(dump) / len(out.Bytes())
 	if rep.SkippedEvents > 0 || rep.Events < share*4/5 || rep.Events >= all.Events/2 {
 		t.Errorf("%d events recorded: got %d replayed, %d skipped; want replayed about the share of the dump's bytes, and none skipped", all.Events, rep.Events, rep.SkippedEvents)
 	}
--- a/internal/flightrecorder/replay.go
+++ b/internal/flightrecorder/replay.go
@@ -18,7 +18,7 @@
 	MatchingStates        int         // checkpoints that are equal to the replayed state
 	UnreadableCheckpoints int         // checkpoints that this build can't restore, so that no replay can start there
 	UnreadableReason      string      // why the last of them can't be restored
-	Losses                []string    // at most maxLosses
+	Losses                []string    // descriptions of the losses, at most maxLosses entries
 	Divergence            *Difference // nil: all decisions were equal
 }
 
@@ -81,8 +81,8 @@
 	event        Event
 	eventPending bool              // event was delivered and its recorded actions are being read
 	hosts        []balancer.Host   // copy of the hosts of event, reused
-	recorded     []balancer.Action // at event
-	replayed     []balancer.Action // at event
+	recorded     []balancer.Action // actions recorded for event, reused
+	replayed     []balancer.Action // actions that balancer returned for event, reused
 	buffers      [2][]byte         // encoded actions or states to compare, reused
 	lossCount    int
 }
--- a/internal/flightrecorder/simulation.go
+++ b/internal/flightrecorder/simulation.go
@@ -78,9 +78,9 @@
 	Late      int // served after the latency objective
 	Rejected  int
 	Failed    int
-	Abandoned int             // the client disconnected before the response
+	Abandoned int             // requests whose client disconnected before the response
 	Causes    [causeCount]int // number of Rejected and Failed requests by balancer.Cause
-	Latencies []time.Duration // of the InTime and Late requests
+	Latencies []time.Duration // latencies of the InTime and Late requests
 }
 
 const (
@@ -115,7 +115,7 @@
 type simulatedRequest struct {
 	Arrival
 	deadline   balancer.Time
-	done       bool // it has a final response, or its client has disconnected
+	done       bool // the request has a final response, or its client has disconnected
 	executions int  // number of attempts at hosts that were not down
 	attempts   []*simulatedAttempt
 }
--- a/internal/flightrecorder/trigger.go
+++ b/internal/flightrecorder/trigger.go
@@ -10,9 +10,9 @@
 	MinInterval   time.Duration // minimum time between two firings
 
 	windowStart     time.Duration
-	responses       int           // in the window
-	rejected        int           // rejections among responses
-	suppressedUntil time.Duration // it doesn't fire before
+	responses       int           // number of responses in the current window
+	rejected        int           // number of rejections among responses
+	suppressedUntil time.Duration // time before which the trigger doesn't fire again
 }
 
 // ObserveResponse counts a response; now must not decrease between calls. It reports whether the trigger fires.
