--- a/internal/classid/classid.go
+++ b/internal/classid/classid.go
@@ -46,7 +46,7 @@
 type assignment struct {
 	current  []Class
 	inUse    func(number int) bool
-	taken    []bool // by number: it is assigned to a wanted class
+	taken    []bool // whether a number is assigned to a wanted class, by number
 	nextFree int    // search position in add: no number below it is free
 	list     []Class
 	from     []int
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -16,7 +16,7 @@
 	KeyFile           string
 	BootstrapReplicas []string // names of the gateways that hold the replicated state at first
 	Peers             []FleetPeer
-	Relays            []FleetRelay // in the order of the file; empty if the gateways form a full mesh
+	Relays            []FleetRelay // relays in the order of the file; empty if the gateways form a full mesh
 	Zone              string       // zone of this gateway
 	Region            string       // region of this gateway, in a fleet with relays
 	Machine           string       // machine of this gateway, in a full mesh
--- a/internal/config/keyset_test.go
+++ b/internal/config/keyset_test.go
@@ -19,7 +19,7 @@
 		case map[string]any:
 			for key, x := range v {
 				if key == "window" {
-					continue // not all classes have it
+					continue // not all classes have a window
 				}
 				keys++
 				delete(v, key)
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -20,7 +20,7 @@
 	defaultRetryShare  = 0.2
 	defaultRetryFloor  = 1
 	defaultBufferBytes = 64 << 10 // the same as in the platform's protocol
-	maxBufferBytes     = 1 << 20  // with more, a few requests would fill the memory for bodies
+	maxBufferBytes     = 1 << 20  // with a higher maximum, a few requests would fill the memory for bodies
 	defaultIdleTimeout = 30 * time.Second
 	maxIdleTimeout     = 24 * time.Hour
 	defaultMinRate     = 256 // bytes per second
--- a/internal/discovery/fakeservice_test.go
+++ b/internal/discovery/fakeservice_test.go
@@ -30,17 +30,17 @@
 // fail. From upAt on the service is reachable again and has a change of the list.
 type fakeService struct {
 	startedAt     time.Time
-	downAt, upAt  time.Duration // since startedAt
+	downAt, upAt  time.Duration // times since startedAt
 	failure       callFailure
-	silentWatches bool          // open watches fall silent at downAt instead of ending
-	omitsDraining bool          // the response after upAt is the full list without draining hosts
-	serial        chan struct{} // if set, serializes calls: holds an item for callDuration while a call is processed
+	silentWatches bool          // whether open watches fall silent at downAt instead of ending
+	omitsDraining bool          // whether the response after upAt is the full list without draining hosts
+	serial        chan struct{} // if set, serializes calls: it holds an item for callDuration while a call is processed
 	served        sync.WaitGroup
 
 	mu               sync.Mutex
 	calls            []time.Duration // times of the calls since startedAt
-	failFirstCall    bool            // only the first call fails
-	unreachableUntil time.Duration   // since startedAt; all calls before it fail
+	failFirstCall    bool            // whether only the first call fails
+	unreachableUntil time.Duration   // time since startedAt before which all calls fail
 }
 
 // callTimes returns the time of each call since startedAt.
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -98,7 +98,7 @@
 	default: // Run has not handled the previous change yet
 	}
 	if d.cancelWatch != nil {
-		d.cancelWatch(errAddrChanged) // after the send above, as Run receives the item when the watch has ended
+		d.cancelWatch(errAddrChanged) // the send above comes first, as Run receives the item when the watch has ended
 	}
 }
 
@@ -177,7 +177,7 @@
 		return false
 	case <-d.polls:
 	case <-d.addrChanged:
-		s.immediateCalls = callsAfterAddrChange - 1 // in addition to the call that follows
+		s.immediateCalls = callsAfterAddrChange - 1 // the call that follows this wait is the first of them
 	}
 	return true
 }
--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -23,8 +23,8 @@
 
 // Times are the times from the begin of a drain to its states.
 type Times struct {
-	Leave time.Duration // to Leaving; clients may go on using their connections until then
-	Close time.Duration // to Closing; by then most connections in use have had a response since Leave, and have ended
+	Leave time.Duration // time to Leaving; clients may go on using their connections until then
+	Close time.Duration // time to Closing; by then most connections in use have had a response since Leave and ended
 }
 
 // Drain is a drain, or the absence of one, which is the zero value. It is immutable: each method returns a new value.
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -18,7 +18,7 @@
 	for _, tt := range []struct {
 		after time.Duration
 		want  State
-		next  time.Duration // after the call; 0: none
+		next  time.Duration // time of the next state after the call of Quiesce; 0: none
 	}{
 		{0, HealthCheckFailing, 1600 * ms},
 		{1599 * ms, HealthCheckFailing, 1600 * ms},
--- a/internal/engine/harness_test.go
+++ b/internal/engine/harness_test.go
@@ -28,7 +28,7 @@
 	attempts       map[*Request]int
 	total          int
 	attemptsByHost map[string]int
-	attemptTimes   map[string][]time.Time // by host
+	attemptTimes   map[string][]time.Time // times of the attempts, by host
 }
 
 func newScriptedTransport(name string, script script) *scriptedTransport {
@@ -156,7 +156,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		h := &harness{Engine: New(5), t: t, poolStop: map[string]int{}}
 		go h.Run(ctx)
-		defer h.Wait(time.Minute) // also if a failed check ends the test
+		defer h.Wait(time.Minute) // the wait also happens if a failed check ends the test
 		defer cancel()
 		test(t, h)
 	})
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -52,8 +52,8 @@
 	kinds       nameIndex
 	chains      []chainEntry // the pool's positions in the chains of the Snapshot in use
 	published   capacity     // the capacity that the chains were last notified of
-	mayClose    bool         // it has been in a Snapshot, or DropUnused was called: it is closed once it is unused
-	unused      bool         // it is in no Snapshot any more
+	mayClose    bool         // whether a Snapshot had the pool or DropUnused was called: it is closed once unused
+	unused      bool         // whether the pool is in no Snapshot any more
 	ended       bool
 }
 
--- a/internal/engine/recording.go
+++ b/internal/engine/recording.go
@@ -16,7 +16,7 @@
 	RingBytes    int           // size of the ring in memory, for each pool
 	ViewInterval time.Duration // time between two recorded views of the hosts
 	Dir          string        // directory of dumps
-	File         string        // if not "", the file to which the whole recording is written
+	File         string        // file to which the whole recording is written; "": none
 	MaxFileBytes int64         // maximum size of one file; there are two at most
 	Trigger      flightrecorder.Trigger
 	OnDump       func(path string, err error) // called when the writing of a dump has ended; nil: the result is logged
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -16,7 +16,7 @@
 	Method string
 	Target string // path and query, byte for byte as received
 	Host   string
-	Header http.Header // as forwarded
+	Header http.Header // headers as forwarded
 	Body   body.Body
 
 	// Upgrade is the protocol that the client requests to switch to, "" for none. The route has to allow it.
@@ -41,8 +41,8 @@
 
 	bodyArrived  chan struct{} // receives an item once the last byte of a streamed body has arrived
 	dueAfterBody atomic.Int64  // due time after a streamed body has arrived, as the time since processStart; 0: unknown
-	finished     atomic.Bool   // it has its response, or its client no longer waits; set once, by Close
-	shutdown     *shutdown     // the shutdown of the engine; nil: it was not submitted yet
+	finished     atomic.Bool   // whether the request has its response or its client no longer waits; set once, by Close
+	shutdown     *shutdown     // the shutdown of the engine; nil: the request was not submitted yet
 	response     chan Response // receives the response from the goroutine that closed the request
 
 	// The fields below are used only by the loop.
@@ -51,12 +51,12 @@
 	attempts       []context.CancelFunc // cancel functions of the attempts in the current pool
 	inFlight       int                  // attempts in flight
 	attemptsSent   int                  // attempts sent in all pools
-	neverRan       bool                 // all attempts that have ended provably never ran
-	neverConnected bool                 // all attempts that have ended did so with ConnectFailed or NotSent
-	streaming      bool                 // a part of its body that is not buffered was sent: the request can't be sent again
+	neverRan       bool                 // whether all attempts that have ended provably never ran
+	neverConnected bool                 // whether all attempts that have ended did so with ConnectFailed or NotSent
+	streaming      bool                 // whether an unbuffered body part was sent: the request can't be sent again
 	chain          *failoverChain       // the pool that the request was routed to, with its fallbacks
 	position       int                  // index of the current pool in the chain
-	trial          bool                 // it is a trial request, which detects whether a pool has recovered
+	trial          bool                 // whether this is a trial request, which detects whether a pool has recovered
 	lastResponse   Response             // the last unsuccessful response of a host, forwarded if no attempt succeeds
 }
 
--- a/internal/engine/response_test.go
+++ b/internal/engine/response_test.go
@@ -141,7 +141,7 @@
 		if _, waiting := h.Do(ctx, request); waiting {
 			t.Error("Do: got a response, want none after the client has disconnected")
 		}
-		time.Sleep(time.Second) // until the retry ends, which the scripted host does not cancel
+		time.Sleep(time.Second) // the retry ends meanwhile; the scripted host does not cancel it
 		synctest.Wait()
 		if got := pool.OpenRequests(); got != 0 {
 			t.Errorf("open requests: got %d, want 0", got)
--- a/internal/engine/retry_test.go
+++ b/internal/engine/retry_test.go
@@ -35,7 +35,7 @@
 // attempt that may have run, and is not sent after it. An idempotent request may be retried at any time.
 func TestRetryIsSentWithinDedupWindow(t *testing.T) {
 	runInVirtualTime(t, func(t *testing.T, h *harness) {
-		var writeBy []time.Time // of each attempt of a request
+		var writeBy []time.Time // WriteBy of each attempt of a request
 		transport := newScriptedTransport("a", func(_ context.Context, _ string, request *Request) Result {
 			writeBy = append(writeBy, request.WriteBy)
 			if len(writeBy)%2 == 1 {
@@ -51,7 +51,7 @@
 		h.useRoute(protocolRoute(), nil, h.newPool(transport, 3))
 		for _, tt := range []struct {
 			class  int
-			window time.Duration // from the first attempt, which is sent at once; 0: unlimited
+			window time.Duration // time from the first attempt, which is sent at once, to the WriteBy; 0: unlimited
 		}{
 			{classWithKey, testClasses[classWithKey].DedupWindow - 10*time.Millisecond}, // less the balancer's margin, two steps of 5 ms
 			{classIdempotent, 0},
--- a/internal/engine/route.go
+++ b/internal/engine/route.go
@@ -34,7 +34,7 @@
 	Streams *Streams
 
 	rule    *route.Route     // nil: the only pool gets all requests
-	chains  []*failoverChain // in the order of the rule's split
+	chains  []*failoverChain // chains of the pools, in the order of the rule's split
 	budget  *route.Budget    // owned by the loop; nil: retries are bounded by the balancer alone
 	retries Retries          // parameters of the budget
 }
@@ -43,7 +43,7 @@
 type Plain struct {
 	Class              int           // number of the class
 	NonIdempotentClass int           // number of the non-idempotent variant of the class
-	Timeout            time.Duration // from the request's last byte to its response
+	Timeout            time.Duration // time limit from the request's last byte to its response
 	RetryableMethods   []string      // methods that may be retried although they are not safe
 
 	MaxTunnels int          // maximum number of connections that are switched to another protocol at once; 0: none
--- a/internal/engine/snapshot.go
+++ b/internal/engine/snapshot.go
@@ -12,7 +12,7 @@
 // frontend holds the Snapshot from the call of Engine.Snapshot to that of Release.
 type Snapshot struct {
 	Table  *route.Table     // nil: every request takes the only route
-	routes []*Route         // by the index of their rules
+	routes []*Route         // routes by the index of their rules
 	chains []*failoverChain // one for each pool
 	engine *Engine
 
@@ -96,7 +96,7 @@
 		if e.snapshot.Load() == s {
 			return s
 		}
-		s.Release() // it was replaced meanwhile, and sweep may have dropped it
+		s.Release() // the Snapshot was replaced meanwhile, and sweep may have dropped it
 	}
 }
 
--- a/internal/frontend/http1/conntable.go
+++ b/internal/frontend/http1/conntable.go
@@ -55,8 +55,8 @@
 const (
 	connWaiting connState = iota // waiting for a request, or lingering
 	connActive                   // a request, or a part of one, has been received
-	connClosing                  // its goroutine has been woken to close it
-	connEvicted                  // its goroutine has been woken to close it at once, to free a descriptor
+	connClosing                  // the connection's goroutine has been woken to close it
+	connEvicted                  // the connection's goroutine has been woken to close it at once, to free a descriptor
 	connClosed                   // closed or a tunnel, and no longer counted
 )
 
--- a/internal/frontend/http1/conntable_test.go
+++ b/internal/frontend/http1/conntable_test.go
@@ -94,7 +94,7 @@
 		if i > 2*table.limit {
 			t.Fatalf("still near the limit after %d more connections", i)
 		}
-		g.send("look", "/api/1", "") // on a new connection
+		g.send("look", "/api/1", "") // each call opens a new connection
 	}
 }
 
@@ -201,7 +201,7 @@
 		table.mu.Lock()
 		defer table.mu.Unlock()
 		for e := table.idle.Front(); e != nil; e = e.Next() {
-			if c := e.Value.(*clientConn); c.in.buf == nil { // not written now, as the connection's goroutine waits
+			if c := e.Value.(*clientConn); c.in.buf == nil { // buf is not written now: the connection's goroutine waits
 				n++
 			}
 		}
@@ -216,7 +216,7 @@
 		limit := table.limit
 		table.limit = 0
 		if c := table.evict(); c != nil {
-			c.SetReadDeadline(deadlinePassed) // as connTable.add does
+			c.SetReadDeadline(deadlinePassed) // connTable.add sets the same deadline
 		}
 		table.limit = limit
 	},
--- a/internal/frontend/http1/disconnect_test.go
+++ b/internal/frontend/http1/disconnect_test.go
@@ -230,7 +230,7 @@
 	host, release := newBlockingHost(t)
 	g := startGateway(t, withHosts(host))
 	const clients = 200
-	conns := map[string]*net.TCPConn{} // by request id
+	conns := map[string]*net.TCPConn{} // connections by request id
 	for range clients {
 		c, id := g.dial(), testutil.NewID()
 		io.WriteString(c, testutil.LookRequest(id))
--- a/internal/frontend/http1/streaming.go
+++ b/internal/frontend/http1/streaming.go
@@ -137,7 +137,7 @@
 	c        *clientConn
 	meter    body.Meter
 	deadline body.LazyDeadline
-	chunked  bool // if false, the body has a Content-Length or is ended by closing the connection
+	chunked  bool // whether the body is chunked; if not, it has a Content-Length or ends with the connection
 }
 
 // writeStart writes the header section and the buffered part of the body.
--- a/internal/gateway/bench_body_test.go
+++ b/internal/gateway/bench_body_test.go
@@ -69,7 +69,7 @@
 		proxies = append(proxies, startProxyProcess(b, kind, hostAddr))
 	}
 	loads := make([]proxyLoad, len(proxies))
-	for range 6 { // in alternation, so that other load on the machine affects both proxies
+	for range 6 { // the proxies alternate, so that other load on the machine affects both
 		for i, proxy := range proxies {
 			load := &loads[i]
 			cpuBefore, _ := proxy.usage(b)
--- a/internal/gateway/forward_test.go
+++ b/internal/gateway/forward_test.go
@@ -113,7 +113,7 @@
 		nc.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 		io.WriteString(nc, c.text)
 		if c.from == "" {
-			nc.(*net.TCPConn).CloseWrite() // so that an incomplete header ends
+			nc.(*net.TCPConn).CloseWrite() // an incomplete header ends here
 		}
 		resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
 		got := 0
@@ -201,7 +201,7 @@
 	for round := range 3 {
 		for _, part := range []string{"POST / HTTP/1.1\r\nHost: a\r", "\nX-Long: " + strings.Repeat("x", 5<<10) + "\r\nTransfer-", "Encoding: chunked\r", "\n\r", "\n1\r\na\r\n0\r\n\r\n"} {
 			io.WriteString(nc, part)
-			time.Sleep(2 * time.Millisecond) // so that the pieces mostly arrive separately
+			time.Sleep(2 * time.Millisecond) // a pause, so that the pieces mostly arrive separately
 		}
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil || resp.StatusCode != 200 {
--- a/internal/gateway/meter.go
+++ b/internal/gateway/meter.go
@@ -101,7 +101,7 @@
 			if ctx.Err() != nil {
 				return
 			}
-			continue // at most one byte is in the pipe
+			continue // the previous byte was not received yet, and at most one byte is in the pipe
 		}
 		m.pingSent.Store(time.Now().UnixNano())
 		if _, err := w.Write([]byte{1}); err != nil {
--- a/internal/instancelock/instancelock_test.go
+++ b/internal/instancelock/instancelock_test.go
@@ -22,7 +22,7 @@
 			os.Exit(1)
 		}
 		os.Stdout.WriteString(lockedText)
-		time.Sleep(time.Minute) // until the test kills the process
+		time.Sleep(time.Minute) // the test kills the process meanwhile
 		return
 	}
 	os.Exit(m.Run())
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -74,9 +74,9 @@
 type Controller struct {
 	// Fields that other goroutines read. Floats are stored as bits.
 	mix       atomic.Pointer[rankMix]
-	pressure  atomic.Uint64 // in ranks
-	shed      atomic.Uint64 // share of the requests
-	idleCores atomic.Uint64 // share of the cores
+	pressure  atomic.Uint64 // present pressure, in ranks
+	shed      atomic.Uint64 // share of the requests to shed, not counting those of the last rank
+	idleCores atomic.Uint64 // moving average of the share of the cores that is idle while nothing waits
 
 	// Fields that only the goroutine of Delay and Sample uses.
 	began         Time          // start of the current interval
--- a/internal/overload/ranks.go
+++ b/internal/overload/ranks.go
@@ -22,7 +22,7 @@
 	type kind struct {
 		weight    float64
 		objective time.Duration
-		rank      *int // where its rank is set
+		rank      *int // variable to which the rank of this kind is written
 	}
 	first = make([]int, len(classes))
 	duplicate = make([]int, len(classes))
--- a/internal/overload/retryafter_test.go
+++ b/internal/overload/retryafter_test.go
@@ -26,7 +26,7 @@
 			} else {
 				level = max(level-0.02, 0)
 			}
-			if slot >= 100 { // after ten seconds
+			if slot >= 100 { // ten seconds have passed, as a slot is 100 ms
 				highest = max(highest, len(arriving))
 			}
 			for i, id := range arriving {
--- a/internal/ratelimit/clients.go
+++ b/internal/ratelimit/clients.go
@@ -28,7 +28,7 @@
 
 // clientEntry is the state of a client. Its fields have small types, as the table has many entries.
 type clientEntry struct {
-	hash             uint64  // of the client's key; 0: the entry is free
+	hash             uint64  // hash of the client's key; 0: the entry is free
 	tokens           float32 // requests that the client may send, as of lastNanos
 	duplicates       float32 // duplicates that the client may send
 	lastNanos        int64   // time of the last request, or of the last call of SetRetryAfter
--- a/internal/route/split.go
+++ b/internal/route/split.go
@@ -6,7 +6,7 @@
 type weightedPool struct {
 	pool   int // index in Split
 	weight float64
-	hash   uint64 // of the pool's name
+	hash   uint64 // hash of the pool's name
 }
 
 // weightedPools returns the pools of a split with a weight above 0.
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -39,8 +39,8 @@
 
 // Request has the properties of a request that select its route.
 type Request struct {
-	Host   string // in normal form
-	Path   string // in normal form
+	Host   string // host in normal form
+	Path   string // path in normal form
 	Method string
 	Header func(name string) (value string, ok bool) // nil: the request has none
 }
@@ -55,9 +55,9 @@
 
 // Table maps requests to routes. It is immutable.
 type Table struct {
-	exact  map[string]*node // by host
-	suffix map[string]*node // "*.example.org" by "example.org"
-	any    *node
+	exact  map[string]*node // root nodes of exact hosts, by host
+	suffix map[string]*node // root nodes of hosts such as "*.example.org", by "example.org"
+	any    *node            // root node of rules without hosts
 	routes []*Route
 }
 
--- a/internal/upstream/http1/idle_test.go
+++ b/internal/upstream/http1/idle_test.go
@@ -90,7 +90,7 @@
 	if err != nil || raw == nil {
 		t.Fatal(err)
 	}
-	c.Write([]byte("GET / HTTP/1.1\r\nHost: a\r\n\r\n")) // its response is not read
+	c.Write([]byte("GET / HTTP/1.1\r\nHost: a\r\n\r\n")) // the test does not read the response
 	testutil.WaitUntil(t, "the response has arrived", func() bool { return !isReusableNow(c) })
 	if got, _ := attempt(t, h, newTestRequest("b")); got != balancer.OK {
 		t.Errorf("got outcome %v, want OK", got)
@@ -111,7 +111,7 @@
 		server := testutil.NewHost(t, func(c net.Conn, _ *http.Request, n int) bool {
 			switch n {
 			case 0:
-				io.WriteString(c, testutil.OKResponse+unsolicited) // in one write, so that it is detected with the response
+				io.WriteString(c, testutil.OKResponse+unsolicited) // one write, so that both are detected together
 			case 1:
 				io.WriteString(c, testutil.OKResponse)
 				<-connInUse
